--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -11,26 +11,26 @@
 	"hitchdoor/internal/storage"
 )
 
-// election holds what a node knows of the leadership.
+// election is the state of leader election on one node.
 //
-// The leader holds the leader key, which hangs on a lease of the state service.
-// Its authority counts from when its last renewal was sent. While the state
-// service is down, leases stand still there but authority here would run out;
-// the leader then lives by short lease grants of a majority, each of which binds a peer not to stand. So that
-// both ways exclude each other, a candidate needs, besides the keys, a majority
-// that is bound by no grant, and a peer that has voted for a candidate grants
-// nothing more to leaders of lower terms.
+// The leader holds the leader key, which is attached to a lease of the key-value store. The
+// leader lease counts from when its last renewal was sent. While the store is down, leases do
+// not expire there but the leader lease would expire here; the leader then relies on short
+// lease grants from a quorum of controllers. Each grant binds a peer not to become a candidate.
+// Both mechanisms exclude each other: besides the keys, a candidate needs votes from a quorum
+// that is bound by no grant, and a peer that has voted for a candidate grants nothing to leaders
+// of lower terms.
 type election struct {
-	// what the state service last said
-	stateOK  Instant // last answer other than an error
-	stateBad Instant // last 429, 5xx or missing answer
-	badCalls int     // such calls in a row
+	// availability of the key-value store
+	stateOK  Instant // last response other than an error
+	stateBad Instant // last 429, 5xx or missing response
+	badCalls int     // consecutive failures
 
-	probeAt     Instant
+	probeAt     Instant // last read of the leader key
 	probing     bool
-	heartbeatAt Instant
-	abstain     bool // until a peer is heard: we were cut off
-	standAt     Instant
+	heartbeatAt Instant // last heartbeat to the peers
+	abstain     bool    // no candidacy until a peer is heard: this node was isolated
+	standAt     Instant // start of the next candidacy; never: not scheduled
 	candidate   *candidacy
 
 	// as a peer
@@ -39,29 +39,32 @@
 	votedTerm    uint64
 
 	// as a leader
-	lease     uint64
-	authUntil Instant
-	renewAt   Instant
+	lease     uint64  // lease of the leader key in the store
+	authUntil Instant // end of the leader lease, without grants
+	renewAt   Instant // last renewal sent
 	renewing  bool
-	renewBad  bool
+	renewBad  bool // the last renewal failed: ask for grants
 }
 
+// candidacy is one attempt of this node to become the leader in a new term.
 type candidacy struct {
 	term     uint64
-	termVer  uint64
+	termVer  uint64 // version of the term key that this candidate wrote
 	votes    map[string]bool
-	asking   bool
+	asking   bool // the term is raised and votes are being collected
 	since    Instant
-	askedAt  Instant
-	listedAt Instant // when votes were last read from the state service
+	askedAt  Instant // last vote requests sent
+	listedAt Instant // last read of votes from the key-value store
 }
 
+// newElection returns the state of a node that has just started.
 func newElection() election {
-	return election{stateOK: never, stateBad: never, probeAt: never, heartbeatAt: never, standAt: never,
+	return election{stateOK: never, stateBad: never, probeAt: never, heartbeatAt: never,
+		standAt:      never,
 		grantedUntil: never, authUntil: never, renewAt: never}
 }
 
-// saw notes whether the state service answers.
+// recordStoreResponse records whether the key-value store answered a call with the status.
 func (e *election) saw(now Instant, status int) {
 	if status == 0 || status == 429 || status >= 500 {
 		e.stateBad = now
@@ -72,16 +75,18 @@
 	}
 }
 
+// storeFailing reports whether the last call to the store failed.
 func (e *election) stateDown() bool { return e.stateBad > e.stateOK }
 
-// stateLost tells whether users should be turned away at once: one call without
-// an answer, as happens when a packet is lost, is no reason yet.
+// storeUnavailable reports whether the store is considered down, so that requests which need it
+// are rejected at once. A single failed call, as caused by a lost packet, does not count.
 func (e *election) stateLost() bool { return e.badCalls >= 2 }
 
-// term is the span of a leader's lease and of a peer's grant.
+// leaderLease returns the duration of the leader lease and of a peer's lease grant.
 func (n *Node) termSpan() time.Duration { return n.lease() / termsPerLease }
 
-// authority tells whether this node may answer and command as the leader.
+// holdsLeaderLease reports whether this node may act as the leader: by its own lease in the
+// store, or by the lease grants of a quorum.
 func (n *Node) authority() bool {
 	if n.lead == nil {
 		return false
@@ -89,9 +94,10 @@
 	return n.now < n.elect.authUntil || n.now < n.quorumLease()
 }
 
-// quorumLease is until when a majority, this node included, won't stand.
+// quorumLeaseUntil returns until when a majority, including this node, is bound by lease grants
+// not to become candidates.
 func (n *Node) quorumLease() Instant {
-	others := n.cfg.Cluster.Count / 2 // peers needed besides ourselves
+	others := n.cfg.Cluster.Count / 2 // needed besides this node
 	if others == 0 {
 		return never
 	}
@@ -103,7 +109,7 @@
 	return until[others-1]
 }
 
-// leaderPeer is the peer that leads, if one is known and has been heard of late.
+// leaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
 func (n *Node) leaderPeer() *peer {
 	var best *peer
 	for _, p := range n.peers {
@@ -114,6 +120,7 @@
 	return best
 }
 
+// recentPeerCount returns the number of peers heard within a span.
 func (n *Node) peersHeard(within time.Duration) int {
 	heard := 0
 	for _, p := range n.peers {
@@ -124,18 +131,22 @@
 	return heard
 }
 
+// tickElection sends the periodic heartbeat to the peers and advances the role of this node:
+// leader, candidate or follower.
 func (n *Node) tickElection() {
 	e := &n.elect
 	if n.now >= e.heartbeatAt+n.lease()/heartbeatsPerLease || e.heartbeatAt == never {
 		e.heartbeatAt = n.now
-		m := protocol.Heartbeat{Sent: n.now, Uptime: n.now, Process: n.run, Level: level, Slowed: n.slowed,
-			Full: n.connections.full, Room: n.connections.room(), Links: n.linkReport(), Policy: n.policy.revision}
+		m := protocol.Heartbeat{Sent: n.now, Uptime: n.now, Process: n.run, Level: level,
+			Slowed: n.slowed, Full: n.connections.full, Room: n.connections.room(),
+			Links: n.linkReport(), Policy: n.policy.revision}
 		if n.lead != nil {
-			m.Term, m.Leads, m.WantsGrant = n.lead.term, n.authority(), e.renewBad
+			m.Term, m.Leads, m.WantsGrant =
+				n.lead.term, n.authority(), e.renewBad
 			if n.lead.wantsRelays() {
 				m.Full, m.Room = true, 0
 				if n.lead.probesRelays() {
-					m.Full, m.Room = false, len(n.peers) // one for each
+					m.Full, m.Room = false, len(n.peers) // one worker from each peer
 				}
 			}
 		}
@@ -152,12 +163,14 @@
 		n.tickCandidate()
 		return
 	}
-	if !n.draining && !e.probing && (e.probeAt == never || n.now >= e.probeAt+n.lease()/probesPerLease) {
+	if !n.draining && !e.probing &&
+		(e.probeAt == never || n.now >= e.probeAt+n.lease()/probesPerLease) {
 		n.probe()
 	}
 }
 
-// probe reads the leader key; it also tells whether the state service answers us.
+// readLeaderKey reads the leader key, and starts a candidacy when it is absent. The read also
+// checks that the key-value store answers this node.
 func (n *Node) probe() {
 	e := &n.elect
 	e.probing, e.probeAt = true, n.now
@@ -175,9 +188,11 @@
 			}
 			e.standAt, n.links.leaderless = never, never
 			if l.Node == n.cfg.Node && item.Lease != 0 {
-				// An earlier process of this node held the key and is gone, as a
-				// node runs one process: end its lease rather than wait for it.
-				n.stateCall("DELETE", "/holds/"+utoa(item.Lease), nil, func(Result) { e.probeAt = never })
+				// The key belongs to an earlier process of this node. That process has
+				// ended, as a node runs one process at a time: revoke its lease instead
+				// of waiting for it to expire.
+				n.stateCall("DELETE", "/holds/"+utoa(item.Lease), nil,
+					func(Result) { e.probeAt = never })
 			}
 		case 404:
 			if n.links.leaderless == never {
@@ -192,8 +207,9 @@
 	})
 }
 
-// standInTurn stands, once it is this node's turn. Luck spreads the candidates, and
-// those that restarted later go first: in a rolling restart their turn is over.
+// startCandidacyInTurn starts a candidacy once it is this node's turn. A random delay separates
+// the candidates. Nodes that restarted recently go first: in a rolling restart they will not be
+// restarted again.
 func (n *Node) standInTurn() {
 	e := &n.elect
 	if n.pausing() {
@@ -221,15 +237,16 @@
 	}
 }
 
-// freeToVote tells whether this node may vote for a candidate. A restarted
-// node does not remember its grants, so it waits one out, unless nobody can be
-// living by one: every peer, having heard this process, has said that it does not
-// lead. A leadership that is over never returns, and a grant is for one term.
+// freeToVote reports whether no lease grant binds this node, so that it may vote. A restarted
+// node does not remember its grants, so it waits for the span of one. The wait is skipped if
+// no leader can depend on such a grant: every peer has reported, after hearing from this
+// process, that it does not lead. A leader that stepped down never resumes its term, and a
+// grant holds for one term only.
 func (n *Node) freeToVote() bool {
 	return (n.now >= drift(n.termSpan()) || n.allIdle()) && n.now >= n.elect.grantedUntil
 }
 
-// allIdle tells whether every peer has said, to this process, that it does not lead.
+// noPeerLeads reports whether every peer has told this process that it does not lead.
 func (n *Node) allIdle() bool {
 	for _, p := range n.peers {
 		if !p.idle {
@@ -239,6 +256,8 @@
 	return true
 }
 
+// startCandidacy raises the term by compare-and-set and then collects votes for it. The
+// transaction also requires that there is no leader key.
 func (n *Node) stand() {
 	e := &n.elect
 	c := &candidacy{since: n.now, votes: map[string]bool{}, askedAt: never, listedAt: n.now}
@@ -262,7 +281,8 @@
 				return
 			}
 			if r.Status != 200 || json.Unmarshal(r.Body, &res) != nil {
-				// Lost, or unclear: a term is never taken on a guess. Stand again.
+				// Lost, or the outcome is unclear. A term is never used unless it is known to
+				// be this node's; a later candidacy raises it again.
 				e.candidate = nil
 				return
 			}
@@ -272,17 +292,20 @@
 	})
 }
 
-// readTerm reads the last term and its revision, both zero while there is none.
+// readTerm reads the last term and its version, both zero if there is none.
 func (n *Node) readTerm(then func(t storage.Term, version uint64, ok bool)) {
 	n.stateCall("GET", "/store/"+storage.TermKey, nil, func(r Result) {
 		var item storage.Item
 		var t storage.Term
 		ok := r.Status == 404 ||
-			r.Status == 200 && json.Unmarshal(r.Body, &item) == nil && json.Unmarshal(item.Value, &t) == nil
+			r.Status == 200 && json.Unmarshal(r.Body, &item) == nil &&
+				json.Unmarshal(item.Value, &t) == nil
 		then(t, item.Version, ok)
 	})
 }
 
+// tickCandidate sends vote requests and takes the leader key once a quorum has voted. The
+// candidacy ends after the span of one leader lease.
 func (n *Node) tickCandidate() {
 	e := &n.elect
 	c := e.candidate
@@ -308,19 +331,19 @@
 	}
 }
 
-// voteByState votes, through the state service, for a candidate that can't ask us: while
-// connections between controllers are refused, a leader that is lost could not be
-// replaced otherwise, as no candidate would hear from a majority. It binds this node
-// just as a message does. Only where there is nobody to vote for may this node stand
-// itself: raising the term over one that the others vote for, in their turn, kept
-// seven nodes without a leader for as long as they refused each other.
+// voteThroughStore writes a vote to the key-value store for a candidate that can't reach this
+// node. Without it a failed leader could not be replaced while connections between controllers
+// fail, as no candidate would receive a quorum of votes. The vote binds this node just as a vote
+// message does. This node becomes a candidate only if there is none to vote for: otherwise
+// each node would raise the term over the one that others vote for, and a cluster of
+// disconnected controllers would stay without a leader.
 func (n *Node) voteByState() {
 	e := &n.elect
 	n.readTerm(func(t storage.Term, _ uint64, ok bool) {
 		if n.lead != nil || e.candidate != nil || !ok || !n.freeToVote() {
 			return
 		}
-		led := false // whoever raised the term
+		led := false // some peer has led in the last term or in a later one
 		for _, p := range n.peers {
 			led = led || t.Term <= p.term
 		}
@@ -329,14 +352,15 @@
 			return
 		}
 		e.votedTerm = t.Term
-		e.standAt = n.now + n.termSpan() // its turn comes first
+		e.standAt = n.now + n.termSpan() // leave the time to that candidate
 		n.stateCall("POST", "/multi", storage.Txn{
-			Writes: []storage.Write{storage.Set(storage.VotePrefix+n.cfg.Node, storage.VoteRecord{Term: t.Term})},
+			Writes: []storage.Write{storage.Set(storage.VotePrefix+n.cfg.Node,
+				storage.VoteRecord{Term: t.Term})},
 		}, func(Result) {})
 	})
 }
 
-// readVotes counts the votes that other nodes have written.
+// readStoredVotes counts the votes that other nodes wrote to the key-value store.
 func (n *Node) readVotes(c *candidacy) {
 	c.listedAt = n.now
 	n.stateCall("GET", storage.ListPath(storage.VotePrefix, "", n.cfg.Cluster.Count), nil, func(r Result) {
@@ -355,12 +379,14 @@
 	})
 }
 
-// mayVote tells whether this node may vote for a candidate of a term.
+// mayVoteInTerm reports whether this node may vote for a candidate of a term.
 func (n *Node) mayVote(term uint64) bool {
 	return n.freeToVote() && term > n.elect.votedTerm &&
 		(n.lead == nil || n.lead.term < term && !n.authority())
 }
 
+// acquireLeaderKey creates a lease and sets the leader key on it, provided that there is no
+// leader and the term is still this candidate's. On success this node leads.
 func (n *Node) takeLeaderKey(c *candidacy) {
 	e := &n.elect
 	sent := n.now
@@ -387,8 +413,8 @@
 			}
 			e.candidate = nil
 			if r.Status != 200 || json.Unmarshal(r.Body, &res) != nil {
-				// If it was executed all the same, the key is ours by name and the
-				// probe ends its lease.
+				// If it was executed nevertheless, the key names this node, and
+				// readLeaderKey revokes its lease.
 				return
 			}
 			if n.now >= sent+leaseSafe(span) {
@@ -399,55 +425,61 @@
 	})
 }
 
-// leaseSafe is how long a lease of the state service, or of a peer, of the
-// given span surely holds by our clock.
+// safeLeaseSpan returns how long a lease of the key-value store, or a lease grant of a peer, is
+// guaranteed to hold by this node's clock.
 func leaseSafe(span time.Duration) time.Duration { return span - span/500 - time.Millisecond }
 
+// becomeLeader starts a term as the leader and begins to load the records. The leader lease
+// counts from when it was requested.
 func (n *Node) becomeLeader(term, leaderVer, lease uint64, sent Instant) {
 	e := &n.elect
-	e.lease, e.authUntil, e.renewing, e.renewBad = lease, sent+leaseSafe(n.termSpan()), false, false
+	e.lease, e.authUntil, e.renewing, e.renewBad =
+		lease, sent+leaseSafe(n.termSpan()), false, false
 	e.renewAt = sent
 	for _, p := range n.peers {
 		p.granted = never
 	}
-	n.log.Info("leading", "term", term)
+	n.log.Info("became leader", "term", term)
 	n.links.leaderless = never
 	n.lead = newLeadership(n, term, leaderVer)
 	n.lead.load()
 	e.heartbeatAt = never
 }
 
-// stepDown ends this node's leadership; everything it knew as a leader is dropped.
+// stepDown ends this node's term as the leader, revokes its lease and discards the leader state.
 func (n *Node) stepDown(why string) {
 	if n.lead == nil {
 		return
 	}
-	n.log.Info("no longer leading", "term", n.lead.term, "why", why)
+	n.log.Info("stepped down", "term", n.lead.term, "reason", why)
 	n.lead.close()
 	n.lead = nil
 	e := &n.elect
 	if e.lease != 0 {
 		n.stateCall("DELETE", "/holds/"+utoa(e.lease), nil, func(Result) {})
 	}
-	e.lease, e.authUntil, e.probeAt, e.heartbeatAt = 0, never, n.now, never
+	e.lease, e.authUntil, e.probeAt, e.heartbeatAt =
+		0, never, n.now, never
 }
 
+// tickLeader steps down if this node should not lead any longer, and renews its lease.
 func (n *Node) tickLeader() {
 	e := &n.elect
 	if !n.authority() {
-		n.stepDown("authority ran out")
+		n.stepDown("leader lease expired")
 		return
 	}
 	if n.lead.attempts >= lastAttempt {
-		n.stepDown("its attempts are used up")
+		n.stepDown("attempt numbers exhausted")
 		return
 	}
-	// A leader that hears neither peers nor workers is cut off from everything
-	// but the state service; holding on would stop the service.
+	// A leader that hears neither peers nor workers is isolated from everything but the
+	// key-value store. As long as it renewed its lease, no other node could take over.
 	span := n.lease() / 4
-	if len(n.peers) > 0 && n.now-n.lead.since > span && n.peersHeard(span) == 0 && n.now-n.lead.heardWorker > span {
+	if len(n.peers) > 0 && n.now-n.lead.since > span &&
+		n.peersHeard(span) == 0 && n.now-n.lead.heardWorker > span {
 		e.abstain = true
-		n.stepDown("cut off from peers and workers")
+		n.stepDown("isolated from peers and workers")
 		return
 	}
 	if n.handOver(); n.lead == nil {
@@ -468,15 +500,15 @@
 			e.authUntil = max(e.authUntil, sent+leaseSafe(n.termSpan()))
 			e.renewBad = false
 		case r.Status == 404:
-			n.stepDown("lease ended")
+			n.stepDown("leader lease lost")
 		default:
 			e.renewBad = true
-			e.heartbeatAt = never // ask for grants at once
+			e.heartbeatAt = never // ask for lease grants at once
 		}
 	})
 }
 
-// onPeer takes a message of another controller.
+// onPeerMessage handles a message of another controller. Unknown senders are ignored.
 func (n *Node) onPeer(pm PeerMessage) {
 	p := n.peers[pm.From]
 	if p == nil {
@@ -503,8 +535,11 @@
 	}
 }
 
+// onPeerHeartbeat records what a peer reports of itself, and grants it a lease if it asks for
+// one. A leader steps down if a peer leads in a higher term.
 func (n *Node) onHeartbeat(p *peer, m protocol.Heartbeat) {
-	p.leads, p.term, p.up, p.run, p.level = m.Leads, m.Term, m.Uptime, m.Process, m.Level
+	p.leads, p.term, p.up, p.run, p.level =
+		m.Leads, m.Term, m.Uptime, m.Process, m.Level
 	p.policy = max(p.policy, m.Policy)
 	n.onLinkReport(p, m.Links)
 	p.room.heard(m, n.roomSharers(m))
@@ -516,18 +551,21 @@
 		n.grantLease(p, m)
 	}
 	if m.Leads && n.lead != nil && m.Term > n.lead.term {
-		n.stepDown("a peer leads with a higher term")
+		n.stepDown("peer leads in a higher term")
 	}
 }
 
+// onLeaseGrant records a lease grant for the current term.
 func (n *Node) onLeaseGrant(p *peer, m protocol.LeaseGrant) {
 	if n.lead == nil || m.Term != n.lead.term || !n.authority() {
 		return
 	}
-	// No grant was asked for later than now, whatever its peer makes of the time.
+	// A grant counts from when it was requested, which can't be later than now: a wrong
+	// timestamp from the peer must not extend it.
 	p.granted = max(p.granted, min(m.Sent, n.now)+leaseSafe(n.termSpan()))
 }
 
+// onVoteRequest votes for a candidate if this node is free to, or has voted in its term before.
 func (n *Node) onVoteRequest(p *peer, m protocol.VoteRequest) {
 	if n.mayVote(m.Term) || m.Term == n.elect.votedTerm {
 		n.elect.votedTerm = m.Term
@@ -535,6 +573,7 @@
 	}
 }
 
+// onVote counts a vote for this node's candidacy.
 func (n *Node) onVote(p *peer, m protocol.Vote) {
 	if c := n.elect.candidate; c != nil && c.term == m.Term && m.Granted {
 		c.votes[p.name] = true
@@ -542,9 +581,9 @@
 	}
 }
 
-// grantLease binds this node not to stand, or to vote for a candidate, for a while.
-// It is given only while the state service is out of reach from here too:
-// otherwise the leader alone is refused, and is better replaced.
+// grantLease binds this node, for the span of a leader lease, neither to become a candidate nor
+// to vote for one. A lease is granted only while this node can't reach the key-value store
+// either: otherwise only the leader is cut off from the store, and it should be replaced.
 func (n *Node) grantLease(p *peer, m protocol.Heartbeat) {
 	e := &n.elect
 	if n.lead != nil || !e.stateDown() || m.Term < e.votedTerm ||
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -6,8 +6,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// leadership is all that a node knows while it leads. It is made anew for each
-// term and dropped when the term ends.
+// leader is the state of a node while it leads. It is created for one term and discarded when
+// the node steps down.
 type leadership struct {
 	n     *Node
 	term  uint64
@@ -22,40 +22,46 @@
 
 	attempts  uint64
 	writer    *storage.Writer
-	probing   bool // the outcome of a transaction is being read
+	probing   bool // a read of an unclear transaction's outcome is in flight
 	timers    []timer
 	recovery  *recovery.Recovery
 	fleet     fleetControl
 	admission admissionControl
 }
 
+// newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
+// key, on which every write of the term is conditioned.
 func newLeadership(n *Node, term, leaderVer uint64) *leadership {
 	l := &leadership{
 		n: n, term: term, since: n.now,
-		jobTable: newJobTable(n), readingState: newReadingState(n), objectives: newObjectives(&n.cfg.Cluster), machineTable: newMachineTable(n),
+		jobTable: newJobTable(n), readingState: newReadingState(n),
+		objectives: newObjectives(&n.cfg.Cluster), machineTable: newMachineTable(n),
 		scheduleState: scheduleState{scheduled: never}, serviceState: newServiceState(n.now),
-		writer: storage.NewWriter(n.cfg.Cluster.State.Ops(), leaderVer), recovery: n.newRecovery(),
+		writer:   storage.NewWriter(n.cfg.Cluster.State.Ops(), leaderVer),
+		recovery: n.newRecovery(),
 	}
 	l.fleet.init(l)
 	l.admission.init(l)
 	return l
 }
 
-// attemptBits is the counter's share of an attempt; the term is above it, so
-// that an attempt is never used twice. Together they stay under 2^53 for two million terms.
-// Of 24 bits, 4,000 machines with short tasks used up all within hours, and the next ones
-// were those of the term after.
+// attemptCounterBits is the width of the counter in an attempt number. The term is stored in
+// the bits above it, so that no two attempts share a number. Together they stay under 2^53 for
+// two million terms. With 24 bits, 4,000 machines with short tasks exhausted the counter within
+// hours and overflowed into the numbers of the next term.
 const attemptBits = 32
 
-// lastAttempt is where a leader hands over to a new term, some passes before its counter ends.
+// maxAttemptCounter is where a leader steps down for a new term, some scheduling passes before
+// its counter overflows.
 const lastAttempt = 1<<attemptBits - 1<<24
 
+// nextAttemptNumber returns a number that no other task attempt has.
 func (l *leadership) nextAttempt() uint64 {
 	l.attempts++
 	return l.term<<attemptBits | l.attempts
 }
 
-// close answers everybody who waits.
+// rejectWaitingRequests answers all pending requests with 503.
 func (l *leadership) close() {
 	for _, j := range l.jobs {
 		for _, o := range j.cancel {
@@ -65,8 +71,8 @@
 	l.turnEarlyAway()
 }
 
-// turnEarlyAway answers the reports that wait for the records to be read: workers would
-// wait for four seconds for an answer that can't come now.
+// rejectEarlyHeartbeats rejects the heartbeats that are queued until the records are loaded.
+// Otherwise their workers would wait for a response until their timeout of four seconds.
 func (l *leadership) turnEarlyAway() {
 	for _, r := range l.earlyReports {
 		l.n.reply(r.Origin, 503, 1, nil)
@@ -74,18 +80,19 @@
 	l.earlyReports = nil
 }
 
-// later does something after a short while.
+// scheduleRetry calls retry after a short delay.
 func (l *leadership) later(f func()) {
 	at := l.n.now + l.n.lease()/50
 	l.timers = append(l.timers, timer{at, f})
 }
 
+// delayedCall is a function to run at an instant.
 type timer struct {
 	at Instant
 	f  func()
 }
 
-// ready begins to decide.
+// finishLoading starts scheduling once all records are loaded.
 func (l *leadership) ready() {
 	l.loaded, l.dirty = true, true
 	l.dropNeeds()
@@ -93,7 +100,7 @@
 	l.fleet.inherit()
 	l.storeCatalog()
 	l.tickRecovery()
-	l.n.log.Info("records read", "jobs", len(l.jobs), "machines", len(l.machines))
+	l.n.log.Info("records loaded", "jobs", len(l.jobs), "machines", len(l.machines))
 	early := l.earlyReports
 	l.earlyReports = nil
 	for _, r := range early {
@@ -101,6 +108,8 @@
 	}
 }
 
+// tick runs the periodic work of a leader: delayed calls, recovery, scheduling, scaling and
+// writes.
 func (l *leadership) tick() {
 	n := l.n
 	timers := l.timers
@@ -130,14 +139,15 @@
 	l.checkMachines()
 	l.fleet.tick()
 	l.admission.tick()
-	if n.now >= l.scheduled+n.report()/passesPerReport && (l.dirty || n.now >= l.scheduled+n.report()) {
-		// Without any change, too: what waits may not wait any longer.
+	if n.now >= l.scheduled+n.report()/passesPerReport &&
+		(l.dirty || n.now >= l.scheduled+n.report()) {
+		// Also without a change: pending jobs may have become due.
 		l.schedule()
 	}
 	l.pump()
 }
 
-// team finds a team's settings.
+// teamSettings returns the settings of a team, or nil if there is no such team.
 func (n *Node) team(name string) *config.Team {
 	for i := range n.cfg.Cluster.Teams {
 		if n.cfg.Cluster.Teams[i].Name == name {
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -7,49 +7,54 @@
 	"hitchdoor/internal/reachability"
 )
 
-// What a node knows of the links between all of them, by direction, and what it does about
-// half-open cuts: package reachability decides, this file asks and obeys.
+// Connectivity between controllers, by direction, and the reaction to asymmetric partitions.
+// Package reachability evaluates the reports; this file collects them and acts on the result.
 
-// linkState is a node's knowledge of links, and of its own resignations for them.
+// connectivity is what a node knows of the links between all controllers, and its record of
+// resignations caused by them.
 type linkState struct {
 	matrix     *reachability.Matrix
-	refusedLog map[string]bool // peers whose impossible reports the log has named
+	refusedLog map[string]bool // peers whose invalid reports were logged
 
-	resignations int     // in a row, each within pauseMemory of the one before
-	resignedAt   Instant // the last one
-	pauseUntil   Instant // this node leaves it to others to stand
-	leaderless   Instant // since when the leader key was found absent; never: it was there
+	resignations int     // consecutive ones, each within resignationMemoryLeases of the previous
+	resignedAt   Instant // last resignation
+	pauseUntil   Instant // this node starts no candidacy before
+	leaderless   Instant // since when the leader key is absent; never: it was present
 }
 
-// Spans of the decisions, as ratios to the workers' lease.
+// Time spans of these decisions, in worker leases.
 const (
-	// handOverAfter is for how long more workers must be stranded elsewhere before a leader
-	// resigns. So by these decisions there is one leader in a lease at most.
+	// strandedResignLeases is how long a leader serves too few workers before it resigns for those
+	// stranded at another node. It limits these resignations to one per worker lease.
 	handOverAfter = 1.0
-	// relaysAfter is how long a leader that no worker reaches waits before it has others relay
-	// for all that come to them; every probeRelaysEvery it is tried again whether they do.
+	// relayAfterLeases is how long a leader that no worker reaches waits before it makes its
+	// peers relay for all workers that connect to them. Every directProbeIntervalLeases a few
+	// workers are redirected to the leader for directProbeLeases, to test the direct route.
 	relaysAfter      = 0.5
 	probeRelaysEvery = 4.0
 	probeRelaysFor   = 0.25
-	// The pause after a resignation begins with firstPause and doubles up to longestPause;
-	// resignations further apart than pauseMemory start anew.
+	// After a resignation a node starts no candidacy for firstPauseLeases. The pause doubles
+	// with each further resignation up to maxPauseLeases, and is reset if the last one is more
+	// than resignationMemoryLeases ago.
 	firstPause   = 1.0
 	longestPause = 8.0
 	pauseMemory  = 32.0
 )
 
+// newConnectivity returns the state of a node that has heard of no link yet.
 func newLinkState(self string, peers map[string]*peer) linkState {
 	names := []string{self}
 	for name := range peers {
 		names = append(names, name)
 	}
-	return linkState{matrix: reachability.NewMatrix(names), refusedLog: map[string]bool{}, resignedAt: never, pauseUntil: never, leaderless: never}
+	return linkState{matrix: reachability.NewMatrix(names), refusedLog: map[string]bool{},
+		resignedAt: never, pauseUntil: never, leaderless: never}
 }
 
-// leases is a span given in worker leases.
+// workerLeases converts a number of worker leases to a duration.
 func (n *Node) leases(count float64) time.Duration { return time.Duration(count * float64(n.lease())) }
 
-// linkReport is what this node says of its links.
+// connectivityReport returns what this node tells its peers about its links and workers.
 func (n *Node) linkReport() *protocol.LinkReport {
 	r := &protocol.LinkReport{State: !n.elect.stateDown()}
 	for _, k := range n.cfg.Known {
@@ -71,19 +76,20 @@
 	return r
 }
 
-// onLinkReport takes what a peer says of its links. What can't be true changes nothing.
+// onConnectivityReport records a peer's connectivity report. An invalid report is ignored and
+// logged once per peer.
 func (n *Node) onLinkReport(p *peer, r *protocol.LinkReport) {
 	if r == nil {
-		return // an earlier version: what it hears is unknown
+		return // an earlier version, which sends no report
 	}
 	err := n.links.matrix.Observe(p.name, n.now, r.Report())
 	if err != nil && !n.links.refusedLog[p.name] {
 		n.links.refusedLog[p.name] = true
-		n.log.Warn("a peer's report of links is refused", "peer", p.name, "error", err)
+		n.log.Warn("invalid connectivity report from peer", "peer", p.name, "error", err)
 	}
 }
 
-// twoWayPeers counts the peers to which messages pass in both directions.
+// twoWayPeerCount returns the number of peers with which messages pass in both directions.
 func (n *Node) twoWayPeers() int {
 	return n.links.matrix.TwoWay(n.cfg.Node, n.now, n.termSpan(), func(node string) bool {
 		p := n.peers[node]
@@ -91,13 +97,16 @@
 	})
 }
 
-// stayed tells whether a report came the same way as the one before it: then the answer to
-// that has reached its worker, which would have gone to another node, if there is one, otherwise.
+// arrivedBySameRoute reports whether a worker's heartbeat arrived by the same route as the one
+// before it. If so, the response to the previous one has reached the worker: without a response
+// the worker would have turned to another node. With a single node nothing can be concluded.
 func (l *leadership) stayed(m *machine, rep *protocol.Report, via string) bool {
-	return len(l.n.peers) > 0 && m.heard != never && m.via == via && rep.Session == m.session && rep.Seq == m.seq+1
+	return len(l.n.peers) > 0 && m.heard != never && m.via == via &&
+		rep.Session == m.session && rep.Seq == m.seq+1
 }
 
-// served notes that an answer has reached a machine's worker.
+// recordDelivery records that a response has reached a machine's worker, through the peer via if
+// that is set.
 func (l *leadership) served(m *machine, via string) {
 	l.servedAt, m.servedAt = l.n.now, l.n.now
 	if via == "" {
@@ -105,19 +114,22 @@
 	}
 }
 
-// wantsRelays tells whether workers come to other nodes while none is served directly: then
-// they don't get through, and sending them here costs each of them seconds of its lease.
+// needsRelays reports whether peers should relay for all workers that connect to them. This is
+// the case if workers connect to other nodes while no response is delivered directly: the
+// workers can't reach this node, and a redirect would cost each of them seconds of its lease.
 func (l *leadership) wantsRelays() bool {
 	return l.alone() > l.n.leases(relaysAfter)
 }
 
-// probesRelays tells whether a few workers are to be tried now all the same: whether they get
-// through again shows in no other way.
+// probesDirectRoute reports whether a few workers should be redirected to this node now although
+// relays are needed. There is no other way to detect that they can reach it again.
 func (l *leadership) probesRelays() bool {
-	return l.alone()%l.n.leases(probeRelaysEvery) < l.n.leases(probeRelaysFor)
+	return l.alone()%l.n.leases(probeRelaysEvery) <
+		l.n.leases(probeRelaysFor)
 }
 
-// alone is for how long workers have come to other nodes while none was served directly.
+// timeWithoutDirectDelivery returns how long workers have connected to other nodes while no
+// response was delivered directly.
 func (l *leadership) alone() time.Duration {
 	n := l.n
 	if !n.set.LinkDecisions || !l.workersElsewhere() {
@@ -130,39 +142,42 @@
 	return n.now - max(l.elsewhereSince, l.servedDirectAt)
 }
 
-// workersElsewhere tells whether some peer says that workers come to it.
+// workersReachPeers reports whether some peer reports workers that connect to it.
 func (l *leadership) workersElsewhere() bool {
 	for name := range l.n.peers {
-		if said, ok := l.n.links.matrix.Latest(name, l.n.now, l.n.termSpan()); ok && said.Workers > 0 {
+		if said, ok := l.n.links.matrix.Latest(name, l.n.now, l.n.termSpan()); ok &&
+			said.Workers > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// handOver lets a leader go that other nodes can replace to the good of the workers: it has
-// served none for a lease while some come to another node and can't be served there, or for a
-// lease there were clearly more of those than it serves.
+// resignIfWorkersStranded makes a leader resign if another node would serve more workers. That is
+// the case if workers are stranded at another node and either this leader has served none for one
+// worker lease, or the stranded ones have clearly outnumbered those served here for as long.
 func (n *Node) handOver() {
 	l := n.lead
 	to := n.links.matrix.Successor(n.cfg.Node, n.now, n.termSpan())
 	if !n.set.LinkDecisions || to.Stranded == 0 {
 		l.servesMostAt = n.now
-		return // as nearly always: the walk over all machines is for the rest
+		return // the common case: don't iterate over all machines
 	}
 	if to.Stranded <= clearlyMore*l.servedWorkers() {
 		l.servesMostAt = n.now
 	}
 	patience := n.leases(handOverAfter)
 	if n.now-l.servedAt >= patience || n.now-l.servesMostAt >= patience {
-		n.resign("workers are stranded at " + to.Node)
+		n.resign("workers stranded at " + to.Node)
 	}
 }
 
-// clearlyMore is how many times as many workers must be stranded elsewhere as are served here.
+// strandedMajorityFactor is the ratio of workers stranded elsewhere to those served here above
+// which the stranded ones clearly outnumber the others.
 const clearlyMore = 2
 
-// servedWorkers counts the machines that an answer has reached within the last lease.
+// recentlyServedWorkers returns the number of machines whose worker received a response within
+// the last worker lease.
 func (l *leadership) servedWorkers() int {
 	count := 0
 	for _, m := range l.machines {
@@ -173,22 +188,24 @@
 	return count
 }
 
-// resign gives up the lead and leaves it to others for a while, longer each time.
+// resign steps down and pauses this node's candidacies, longer with each resignation.
 func (n *Node) resign(why string) {
 	k := &n.links
 	if n.now-k.resignedAt > n.leases(pauseMemory) {
 		k.resignations = 0
 	}
 	k.resignedAt = n.now
-	pause := min(n.leases(longestPause), n.leases(firstPause)<<min(k.resignations, 8))
+	pause := min(n.leases(longestPause),
+		n.leases(firstPause)<<min(k.resignations, 8))
 	k.resignations++
 	k.pauseUntil, k.leaderless = n.now+pause, never
 	n.stepDown(why)
 }
 
-// pausing tells whether this node leaves it to others to stand: not for longer than a lease
-// without any leader.
+// candidacyPaused reports whether this node must not become a candidate after a resignation. The
+// pause ends early if there has been no leader for one worker lease.
 func (n *Node) pausing() bool {
 	k := &n.links
-	return n.now < k.pauseUntil && (k.leaderless == never || n.now-k.leaderless < n.lease())
+	return n.now < k.pauseUntil &&
+		(k.leaderless == never || n.now-k.leaderless < n.lease())
 }
--- a/internal/coordination/loading.go
+++ b/internal/coordination/loading.go
@@ -12,16 +12,16 @@
 	"hitchdoor/internal/storage"
 )
 
-// How a new leader reads the stored records.
+// Loading of the stored records by a new leader.
 
-// load reads all records. Nothing is decided before they are all there.
+// loadRecords reads all records. Scheduling starts only after all of them are loaded.
 func (l *leadership) load() {
 	steps := []struct {
 		prefix string
 		take   func([]storage.Item)
 	}{
 		{storage.VersionPrefix, l.n.takeVersions},
-		{storage.NeedsPrefix, l.loadNeeds}, // before the jobs: what is written later is read with them
+		{storage.NeedsPrefix, l.loadNeeds}, // before the jobs: later ones are read with their job
 		{storage.JobPrefix, l.loadJobs},
 		{storage.BitsPrefix, l.loadBits},
 		{storage.GroupPrefix, l.loadGroups},
@@ -42,9 +42,11 @@
 	next(0)
 }
 
-// pageItems bounds one page of a listing, so that it fits the memory.
+// maxPageItems limits one page of a listing, to bound memory use.
 const pageItems = 200
 
+// readPages reads all records with a prefix whose keys are after a key, page by page. It passes
+// each page to apply and then calls onDone. A failed read is retried until this leader's term ends.
 func (l *leadership) readAll(prefix, since string, take func([]storage.Item), then func()) {
 	n := l.n
 	n.stateCall("GET", storage.ListPath(prefix, since, pageItems), nil, func(r Result) {
@@ -68,12 +70,14 @@
 	})
 }
 
+// loadJobs adds the jobs of a page of records to the open jobs.
 func (l *leadership) loadJobs(items []storage.Item) {
 	for _, it := range items {
 		id := strings.TrimPrefix(it.Key, storage.JobPrefix)
 		if l.quarantine.jobs[id] {
-			// Mended, or read once more. Its revision would say that no earlier leader can have
-			// started it, so only the next leader takes it.
+			// The quarantined record was repaired, or is read again. The revision of a repaired
+			// one would imply that no earlier leader has started the job, so only the next leader
+			// loads it.
 			l.quarantine.checkAt = l.n.now
 			continue
 		}
@@ -99,7 +103,8 @@
 	}
 }
 
-// loadNeeds reads what does not fit the records of the jobs that need it.
+// loadDependencies keeps the records of dependencies that do not fit into the records of their
+// jobs, until those jobs are loaded.
 func (l *leadership) loadNeeds(items []storage.Item) {
 	l.knowAll(items)
 	for _, it := range items {
@@ -111,8 +116,8 @@
 	}
 }
 
-// readNeeds does the same for one job that has come since. A job is not known before
-// all that it needs is: it would start at once.
+// readDependencies reads the dependency records of one job that was accepted since, and loads the
+// job after that. A job loaded without its dependencies would start at once.
 func (l *leadership) readNeeds(job storage.Item, records int) {
 	id := strings.TrimPrefix(job.Key, storage.JobPrefix)
 	if l.jobs[id] != nil || l.reading[id] || l.quarantine.jobs[id] {
@@ -134,13 +139,13 @@
 	})
 }
 
-// maxNeedsReads is how often the jobs that a job needs are read: they were written together
-// with it, so they are all there unless a page was read before that.
+// maxDependencyReads limits the reads of a job's dependency records. They are written in one
+// transaction with the job, so all of them exist unless a page was read before that.
 const maxNeedsReads = 3
 
 var errNeedsMissing = errors.New("names more records of the jobs that it needs than there are")
 
-// dropNeeds drops what is left of jobs that are over.
+// dropStaleDependencies deletes the dependency records of jobs that are no longer open.
 func (l *leadership) dropNeeds() {
 	for _, id := range slices.Sorted(maps.Keys(l.needs)) {
 		for _, it := range l.needs[id] {
@@ -152,12 +157,14 @@
 	}
 }
 
+// loadBitmaps marks the tasks done that the bitmap parts list. Parts of jobs that are not loaded
+// yet are kept until they are; parts of unknown jobs and of other layouts are deleted.
 func (l *leadership) loadBits(items []storage.Item) {
 	for _, it := range items {
 		l.writer.Know(it.Key, it.Version)
 		id, from, ok := storage.ParseBitsKey(it.Key, l.widePart)
 		if !ok {
-			continue // no name of ours: a newer version may know it
+			continue // unknown key format, perhaps of a newer version
 		}
 		if l.reading[id] || l.quarantine.jobs[id] {
 			l.unreadBits[id] = append(l.unreadBits[id], it)
@@ -190,18 +197,19 @@
 			}
 		}
 		if at < 0 {
-			l.dropKnown(it.Key) // of another layout; what it holds is written first
+			l.dropKnown(it.Key) // other layout; its bits are written to the new parts first
 		}
 	}
 }
 
-// knowAll notes the versions of records that are read elsewhere.
+// noteVersions records the versions of records whose content is read elsewhere.
 func (l *leadership) knowAll(items []storage.Item) {
 	for _, it := range items {
 		l.writer.Know(it.Key, it.Version)
 	}
 }
 
+// loadMachineGroups adds the machines of a page of group records.
 func (l *leadership) loadGroups(items []storage.Item) {
 	for _, it := range items {
 		rec, unreadable, err := storage.ReadGroup(it)
@@ -220,7 +228,7 @@
 			if m == nil {
 				m = l.loadMachine(name, r)
 			} else if m.group != nil {
-				// An earlier leader was about to move it.
+				// An earlier leader stopped while moving it between groups.
 				m.group.remove(l, m)
 				l.storeGroup(m.group, false)
 			}
@@ -228,18 +236,19 @@
 			m.wantsUse, m.accounted = m.used, !m.used
 			g.add(l, m)
 			if !r.Used && m.used {
-				l.storeGroup(g, true) // before the other group's record, which says so, goes
+				l.storeGroup(g, true) // before the other group's record, which has the mark, is deleted
 			}
 		}
 	}
 }
 
-// loadDamagedGroup takes over the machines of a group of which some entries can't be read. The
-// group is set aside, and its machines are recorded in others. Of one whose entry can't be read
-// only the name is known, so it may be running anything.
+// loadDamagedMachineGroup loads the machines of a group with unreadable entries. The group's
+// record is quarantined and its machines are stored in other groups. Of a machine with an
+// unreadable entry only the name is known, so it is treated as if it may be running any task.
 func (l *leadership) loadDamagedGroup(it storage.Item, rec storage.GroupRecord, unreadable []string) {
 	slices.Sort(unreadable)
-	l.setAside(it, fmt.Errorf("the entries of these machines can't be read: %s", strings.Join(unreadable, ", ")))
+	l.setAside(it, fmt.Errorf("the entries of these machines can't be read: %s",
+		strings.Join(unreadable, ", ")))
 	for _, name := range unreadable {
 		rec[name] = storage.MachineRecord{Used: true, AtMS: l.n.wallMS()}
 	}
@@ -256,7 +265,7 @@
 	}
 }
 
-// loadMachines reads the records of single machines that earlier versions wrote,
+// loadSingleMachines adds the machines of single-machine records, as written by earlier versions,
 // and moves them into groups.
 func (l *leadership) loadMachines(items []storage.Item) {
 	for _, it := range items {
@@ -280,6 +289,8 @@
 	}
 }
 
+// addStoredMachine adds a machine from its stored record. A machine that was used by an earlier
+// leader is not reconciled yet.
 func (l *leadership) loadMachine(name string, rec storage.MachineRecord) *machine {
 	m := l.newMachine(name, rec.Type, rec.Zone, rec.Spot)
 	m.accounted = !rec.Used
@@ -287,6 +298,7 @@
 	return m
 }
 
+// loadRentals adds the rentals that an earlier leader had stored but not completed.
 func (l *leadership) loadRentals(items []storage.Item) {
 	for _, it := range items {
 		rental, err := storage.ReadRental(it)
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -12,91 +12,95 @@
 	"hitchdoor/internal/storage"
 )
 
-// quarantine holds the records that a leader has set aside, as they can't be read or contradict
-// each other. Such a record is never written or deleted. What it stands for counts as existing:
-// its job is known and none of its tasks is started, its machines may be running anything.
+// quarantine holds the records that a leader has quarantined because they can't be decoded or
+// contradict each other. Such a record is never written or deleted. What it describes is assumed
+// to exist: its job is accepted and none of its tasks is started, and its machines may be running
+// any task.
 type quarantine struct {
 	records map[string]*damagedRecord // by key
-	jobs    map[string]bool           // jobs of which too little is known to list them as open
-	groups  bool                      // machines are held whose names can't be read
-	checkAt Instant                   // when the records are looked at again
+	jobs    map[string]bool           // jobs with too little known to add them to the open jobs
+	groups  bool                      // there may be machines whose names can't be read
+	checkAt Instant                   // next check whether the records have changed
 }
 
-// damagedRecord is one record that was set aside.
+// quarantinedRecord is one quarantined record.
 type damagedRecord struct {
 	key     string
 	version uint64 // revision at which it was read
 	reason  string
-	newer   bool // a newer version may have written it
+	newer   bool // some node has written a higher protocol level than this one's
 }
 
+// newQuarantine returns an empty quarantine.
 func newQuarantine() quarantine {
 	return quarantine{records: map[string]*damagedRecord{}, jobs: map[string]bool{}}
 }
 
-// holds tells whether the record under a key was set aside.
+// contains reports whether the record with a key is quarantined.
 func (q *quarantine) holds(key string) bool { return q.records[key] != nil }
 
-// list is the records set aside, by key.
+// recordsByKey returns the quarantined records, sorted by key.
 func (q *quarantine) list() []*damagedRecord {
-	return slices.SortedFunc(maps.Values(q.records), func(a, b *damagedRecord) int { return cmp.Compare(a.key, b.key) })
+	return slices.SortedFunc(maps.Values(q.records),
+		func(a, b *damagedRecord) int { return cmp.Compare(a.key, b.key) })
 }
 
-// setAside puts a record into quarantine and logs it once.
+// quarantineRecord adds a record to the quarantine and logs it once.
 func (l *leadership) setAside(it storage.Item, err error) {
 	if l.quarantine.holds(it.Key) {
 		return
 	}
 	l.quarantine.records[it.Key] = l.n.damaged(it, err)
-	l.quarantine.checkAt = l.n.now // its job may be over, which is to be known soon
+	l.quarantine.checkAt = l.n.now // check soon whether its job is terminal
 }
 
-// damaged describes and logs a record that can't be used.
+// newQuarantinedRecord logs a record that can't be used and returns its description.
 func (n *Node) damaged(it storage.Item, err error) *damagedRecord {
-	record := &damagedRecord{key: it.Key, version: it.Version, reason: err.Error(), newer: n.versions.highest > level}
+	record := &damagedRecord{key: it.Key, version: it.Version, reason: err.Error(),
+		newer: n.versions.highest > level}
 	var of *storage.RecordError
 	if errors.As(err, &of) {
 		record.reason = of.Reason
 	}
 	if record.newer {
-		n.log.Info("record set aside: a newer version may have written it", "key", it.Key, "reason", record.reason)
+		n.log.Info("record quarantined: a newer version may have written it", "key", it.Key, "reason", record.reason)
 	} else {
-		n.log.Error("record set aside", "key", it.Key, "reason", record.reason)
+		n.log.Error("record quarantined", "key", it.Key, "reason", record.reason)
 	}
 	return record
 }
 
-// holdUnreadJob sets aside a record without which it isn't known what an open job is. The job
-// counts as accepted.
+// quarantineUnreadableJob quarantines a record without which the specification of an open job is
+// unknown. The job counts as accepted.
 func (l *leadership) holdUnreadJob(id string, it storage.Item, err error) {
 	l.setAside(it, err)
 	l.quarantine.jobs[id] = true
 	l.n.accepted.put(id, true)
 }
 
-// holdJob sets aside a record that an open job needs: its running tasks go on, and none is
-// started.
+// quarantineJob quarantines a record that belongs to an open job. The job's running tasks continue,
+// and no others are started.
 func (l *leadership) holdJob(j *job, it storage.Item, err error) {
 	l.setAside(it, err)
 	j.held = true
 }
 
-// holdGroup sets aside a group of machines of which not even the names can be read. Until the
-// leases of its machines are surely over, tasks of earlier leaders may run on machines that
-// no record names.
+// quarantineMachineGroup quarantines a machine group in which not even the names can be decoded.
+// Until the leases of its machines have expired, tasks of earlier leaders may run on machines that
+// no readable record names.
 func (l *leadership) holdGroup(it storage.Item, err error) {
 	l.setAside(it, err)
 	l.quarantine.groups, l.totalsValid = true, false
 }
 
-// namesMissing tells whether tasks of earlier leaders may be running on machines that no
+// inventoryIncomplete reports whether tasks of earlier leaders may be running on machines that no
 // readable record names.
 func (l *leadership) namesMissing() bool {
 	return l.quarantine.groups && l.n.now <= l.since+l.leaseOver()
 }
 
-// tickQuarantine looks at the records again from time to time. Once one has changed, as an
-// operator has mended or deleted it, all records are read anew by the next leader.
+// tickQuarantine periodically checks the quarantined records. Once one has changed because an
+// operator repaired or deleted it, the leader steps down and the next one loads all records.
 func (l *leadership) tickQuarantine() {
 	q := &l.quarantine
 	if q.groups && l.n.now > l.since+l.leaseOver() {
@@ -114,8 +118,8 @@
 	}
 }
 
-// checkRecord reads a record that was set aside, and resigns if it has changed. It also finds out
-// whether the record's job is over.
+// recheckRecord reads a quarantined record, and steps down if it has changed. It also reads whether
+// the record's job is terminal.
 func (l *leadership) checkRecord(record *damagedRecord) {
 	n := l.n
 	if id := storage.JobOf(record.key); l.quarantine.jobs[id] {
@@ -125,20 +129,21 @@
 		var item storage.Item
 		switch {
 		case n.lead != l:
-		case r.Status == 404, r.Status == 200 && json.Unmarshal(r.Body, &item) == nil && item.Version != record.version:
-			n.stepDown("a record that was set aside has changed: " + record.key)
+		case r.Status == 404, r.Status == 200 && json.Unmarshal(r.Body, &item) == nil &&
+			item.Version != record.version:
+			n.stepDown("quarantined record changed: " + record.key)
 		}
 	})
 }
 
-// contradicted takes a job that is open by its record and over by another. The end counts, as a
-// user may have been told it. The open record is set aside.
+// quarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
+// takes precedence, as a user may have been notified of it. The open record is quarantined.
 func (l *leadership) contradicted(id string, final storage.FinalRecord) {
 	j := l.jobs[id]
 	if j == nil || j.gone || j.ending || l.over[id] {
 		return
 	}
-	l.n.log.Error("job is open and over", "job", id)
+	l.n.log.Error("job has both an open and a terminal record", "job", id)
 	j.gone, l.dirty = true, true
 	for _, r := range j.runs {
 		l.stopRun(r, 0)
@@ -155,7 +160,7 @@
 
 var errOpenAndOver = errors.New("is of a job that is over")
 
-// finalFound takes the end of a job that was read from the state service.
+// onTerminalRecord handles a job's terminal record that was read from the key-value store.
 func (n *Node) finalFound(it storage.Item) {
 	id := strings.TrimPrefix(it.Key, storage.FinalPrefix)
 	final, err := storage.ReadFinal(it)
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -9,28 +9,30 @@
 	"hitchdoor/internal/storage"
 )
 
-// What a leader knows, by what owns it.
+// The parts of a leader's state, grouped by the component that owns them.
 
-// jobTable holds the open jobs.
+// jobTable holds the open jobs and the usage of their tasks.
 type jobTable struct {
 	jobs     map[string]*job
-	runnable map[string]*job   // those of them that wait for no others
-	after    map[string][]*job // those that wait for a job that is not known to be over, by its id
-	over     map[string]bool   // ended in this term
+	runnable map[string]*job   // open jobs without pending dependencies
+	after    map[string][]*job // jobs with a pending dependency, by the dependency's id
+	over     map[string]bool   // jobs that became terminal in this term
 	classes  map[string]*class
 	usage    map[string]*usage // by team
-	active   [2]int            // tasks on machines, by class: batch, pressing
+	active   [2]int            // tasks on machines: batch, urgent
 
-	partTasks int // that one part of a bitmap covers
-	widePart  int // the same, as level 0 has it
+	partTasks int // tasks covered by one part of a bitmap
+	widePart  int // the same at protocol level 0
 }
 
-// usage is what a team's tasks hold, from command to confirmed end.
+// resourceUsage is what a team's tasks occupy, from the start command to the confirmed end.
 type usage struct{ cores, accelerators float64 }
 
+// newJobTable returns an empty job table with the teams of the settings.
 func newJobTable(n *Node) jobTable {
 	table := jobTable{
-		jobs: map[string]*job{}, runnable: map[string]*job{}, after: map[string][]*job{}, over: map[string]bool{},
+		jobs: map[string]*job{}, runnable: map[string]*job{}, after: map[string][]*job{},
+		over:    map[string]bool{},
 		classes: map[string]*class{}, usage: map[string]*usage{},
 		partTasks: storage.PartTasks(n.cfg.Cluster.State.ValueBytes()),
 		widePart:  storage.PartTasks(int(n.cfg.Cluster.State.ValueKB * 1024)),
@@ -41,38 +43,43 @@
 	return table
 }
 
-// readingState holds what is being read from the state service.
+// loadState tracks what is being read from the key-value store.
 type readingState struct {
-	loaded       bool                      // all records have been read
-	needs        map[string][]storage.Item // read before the jobs that need them
-	reading      map[string]bool           // jobs of which that is under way
-	needsReads   map[string]int            // how often the jobs that a job needs were read
-	unreadBits   map[string][]storage.Item // parts of bitmaps of jobs that are not read yet
-	lookups      map[string]Instant        // needed jobs that are not open here: when to read what became of them
-	lookupBudget bucket                    // those reads
-	earlyReports []Request                 // reports that came while loading
+	loaded       bool                      // all records have been loaded
+	needs        map[string][]storage.Item // dependency records read before their jobs, by job id
+	reading      map[string]bool           // jobs whose dependency records are being read
+	needsReads   map[string]int            // reads of a job's dependency records
+	unreadBits   map[string][]storage.Item // bitmap parts of jobs that are not loaded yet
+	lookups      map[string]Instant        // dependencies that are not open here: when to read their outcome
+	lookupBudget bucket                    // limits reads of dependencies and of quarantined records
+	earlyReports []Request                 // workers' heartbeats received while loading
 	quarantine   quarantine
 
 	watchRevision uint64
-	watching      bool
-	watchFailures int // watches in a row of which nothing came
+	watching      bool // a watch is in flight or scheduled
+	watchFailures int  // consecutive watches that failed or returned nothing new
 }
 
+// newLoadState returns the state at the start of a term, with nothing loaded.
 func newReadingState(n *Node) readingState {
 	reads := n.cfg.Cluster.State.RPS * lookupShare
 	return readingState{
-		needs: map[string][]storage.Item{}, reading: map[string]bool{}, needsReads: map[string]int{}, unreadBits: map[string][]storage.Item{},
-		lookups: map[string]Instant{}, lookupBudget: newBucket(reads, reads), quarantine: newQuarantine(),
+		needs: map[string][]storage.Item{}, reading: map[string]bool{},
+		needsReads: map[string]int{},
+		unreadBits: map[string][]storage.Item{}, lookups: map[string]Instant{},
+		lookupBudget: newBucket(reads, reads), quarantine: newQuarantine(),
 	}
 }
 
-// objectives are the aims of the settings, as scheduling looks them up.
+// objectives holds the service-level objectives of the settings, indexed for the scheduler.
 type objectives struct {
-	aims        map[string][]aim   // by class, shortest first
-	shares      map[string]float64 // by class, the least share of jobs that an aim asks for
-	startWithin time.Duration      // aim on starting guaranteed work; 0: none
+	aims        map[string][]aim   // by class, tightest first
+	shares      map[string]float64 // by class, the lowest share of jobs that an objective demands
+	startWithin time.Duration      // objective for starting guaranteed work; 0: none
 }
 
+// newObjectives indexes the objectives of the settings. A class with objectives on completion
+// is scheduled by those alone; its objectives on starting are dropped.
 func newObjectives(c *config.Cluster) objectives {
 	o := objectives{aims: map[string][]aim{}, shares: map[string]float64{}}
 	for _, objective := range c.Objectives {
@@ -97,47 +104,56 @@
 	return o
 }
 
-// machineTable holds the machines, and the groups that record them.
+// machineTable holds the machines, and the groups in which they are stored.
 type machineTable struct {
 	machines     map[string]*machine
-	gone         map[string]Instant // returned or taken, and when
-	sorted       []*machine         // by name; nil: to be made anew
-	checkedAt    Instant            // when all were looked at
-	totals       machineTotals      // of them, as of the last change
+	gone         map[string]Instant // machines returned or preempted, and when
+	sorted       []*machine         // by name; nil: must be rebuilt
+	checkedAt    Instant            // when all machines were last checked
+	totals       machineTotals      // cached sums over the machines, if totalsValid
 	totalsValid  bool
-	catalogShape string // of the machine types last stored, without prices
+	catalogShape string // machine types last stored, without prices
 
 	groups     []*group
-	groupBytes int // how large their records may grow
-	groupsFrom int // the least number that a new one gets
+	groupBytes int // size limit of a group's record
+	groupsFrom int // lowest number for a new group
 }
 
+// newMachineTable returns an empty machine table.
 func newMachineTable(n *Node) machineTable {
-	return machineTable{machines: map[string]*machine{}, gone: map[string]Instant{}, checkedAt: never,
-		groupBytes: storage.GroupBytes(n.cfg.Cluster.State.ValueBytes())}
+	return machineTable{machines: map[string]*machine{}, gone: map[string]Instant{},
+		checkedAt: never, groupBytes: storage.GroupBytes(n.cfg.Cluster.State.ValueBytes())}
 }
 
-// scheduleState holds what the last full pass has found.
+// scheduleState holds the results of the last full scheduling pass.
 type scheduleState struct {
-	dirty           bool // something has changed since
-	scheduled       Instant
-	order           []ranked      // jobs that wait
-	guaranteedJobs  map[*job]bool // those that fit into their team's guarantee
-	pressingWaited  bool          // pressing work had waited for too long
-	preemptedAt     Instant
-	looked          int  // machines and jobs looked at for admission: what must not grow with a report
-	accountedBefore bool // all machines were accounted for once
+	dirty          bool          // state has changed since the last pass
+	scheduled      Instant       // last pass
+	order          []ranked      // pending jobs in scheduling order
+	guaranteedJobs map[*job]bool // jobs that fit into their team's guarantee
+	pressingWaited bool          // urgent work had waited for too long
+	preemptedAt    Instant
+	// candidatesExamined counts the machines and jobs examined for placement. Tests check that it does not
+	// grow with each heartbeat.
+	looked          int
+	accountedBefore bool // all machines were reconciled at some time in this term
 }
 
-// serviceState holds what is known of how workers are served, here and elsewhere.
+// workerServiceState tracks whether workers receive responses, from this leader and through
+// other nodes.
 type serviceState struct {
-	heardWorker    Instant
-	servesMostAt   Instant // when clearly more workers were last not stranded elsewhere
-	servedAt       Instant // when an answer was last known to have reached its worker
-	servedDirectAt Instant // the same, over a connection of this node's own
-	elsewhereSince Instant // since when workers come to other nodes
+	heardWorker Instant
+	// lastServedMajority is when the workers stranded at another node last did not clearly outnumber
+	// those served here.
+	servesMostAt   Instant
+	servedAt       Instant // last response known to have reached its worker
+	servedDirectAt Instant // the same, without a relay
+	elsewhereSince Instant // since when workers connect to other nodes; never: they don't
 }
 
+// newWorkerServiceState returns the state at the start of a term. The timestamps of services start at
+// now, so that a new leader does not resign before it had time to serve workers.
 func newServiceState(now Instant) serviceState {
-	return serviceState{heardWorker: now, servesMostAt: now, servedAt: now, servedDirectAt: now, elsewhereSince: never}
+	return serviceState{heardWorker: now, servesMostAt: now, servedAt: now,
+		servedDirectAt: now, elsewhereSince: never}
 }
--- a/internal/coordination/trace.go
+++ b/internal/coordination/trace.go
@@ -8,22 +8,22 @@
 	"hitchdoor/internal/tracing"
 )
 
-// Steps of a submission that are traced.
+// Names of the traced steps of a job, from its submission to its end.
 const (
-	stepVerdict    = "verdict"         // of the admission policy
-	stepTurnedAway = "turned away"     // admitted, but there was no room
-	stepStored     = "stored"          // the transaction that accepts it was carried out
-	stepKnown      = "known to leader" // it is among the open jobs
-	stepWaits      = "waits"           // for what the admission checks say
-	stepStart      = "first start"     // command to a machine
-	stepRuns       = "first task runs" // by the machine's report
-	stepOver       = "over"            // its end is durable
+	stepVerdict    = "verdict"         // decision of the admission policy
+	stepTurnedAway = "turned away"     // admitted, but the node had no capacity for it
+	stepStored     = "stored"          // the transaction that accepts it was executed
+	stepKnown      = "known to leader" // the leader has loaded it as an open job
+	stepWaits      = "waits"           // blocked by an admission check of the scheduler
+	stepStart      = "first start"     // start command sent to a machine
+	stepRuns       = "first task runs" // reported by the machine's heartbeat
+	stepOver       = "over"            // its terminal record is durable
 )
 
-// TraceStep is an effect: something that this node did with a job.
+// TraceStep is an effect: a step in the processing of a job by this node, to be traced.
 type TraceStep struct{ tracing.Step }
 
-// trace tells what this node did with a job, if the operators want traces.
+// traceStep emits a trace step of a job, if tracing is enabled in the settings.
 func (n *Node) trace(job, name, note string) {
 	if n.set.TraceSteps == 0 {
 		return
@@ -38,7 +38,7 @@
 	n.effects = append(n.effects, TraceStep{step})
 }
 
-// verdictNote is a verdict in words.
+// verdictNote describes an admission verdict for a trace.
 func verdictNote(v admission.Verdict) string {
 	if v.Admit {
 		return "admitted"
@@ -46,14 +46,14 @@
 	return "turn in " + strconv.Itoa(v.Epochs) + " epochs"
 }
 
-// traceWait tells which admission check stops a job, whenever that changes.
+// traceBlocked traces which check blocks a job, when that has changed.
 func (l *leadership) traceWait(j *job, was waitReason) {
 	if j.waits != was && j.waits != "" {
 		l.n.trace(j.spec.UID, stepWaits, string(j.waits))
 	}
 }
 
-// sinceAccepted is a time in words.
+// jobAge formats the time since a job was accepted.
 func (l *leadership) sinceAccepted(j *job) string {
 	return (l.n.now - j.at).Round(time.Millisecond).String()
 }
--- a/internal/coordination/versions.go
+++ b/internal/coordination/versions.go
@@ -8,38 +8,41 @@
 	"hitchdoor/internal/storage"
 )
 
-// Levels of the records and messages that a version understands. Level 0, which says nothing
-// of itself, knows no jobs that need others, and names the parts of a bitmap by their numbers.
+// Protocol levels: the formats of records and messages that a version understands. Level 0 is
+// not announced. It has no dependencies between jobs and names the parts of a bitmap by number.
 const (
 	levelPipelines = 1
 	levelAdmission = 2 // admission policies
 	level          = levelAdmission
 )
 
-// versions is what a node knows of the versions of all of them. Each node writes its
-// own, once. What level 0 can't bear is written only when every configured node has
-// written a higher one: a node that has begun anew with this version never goes back,
-// so what was read once goes on to hold, whatever late messages and late writes of
-// earlier processes still arrive.
+// protocolLevels is what a node knows of the protocol levels of all controllers. Each node
+// writes its own level to the key-value store once. Formats that level 0 does not understand
+// are used only after every configured node has written a higher level. A node that has been
+// upgraded is never downgraded, so the minimum that was read stays valid regardless of late
+// messages and late writes from earlier processes.
 type versions struct {
-	least   int // every node is known to be of this level at least
-	highest int // some node has written this level
-	busy    bool
-	at      Instant // when they were last read
+	least   int     // minimum over all configured nodes
+	highest int     // maximum that any node has written
+	busy    bool    // a read or write of levels is in flight
+	at      Instant // last read of the levels
 }
 
-// allUnderstand tells whether every node is known to be of a level at least.
+// clusterSupports reports whether every configured node is known to have at least a level.
 func (n *Node) allUnderstand(level int) bool { return n.versions.least >= level }
 
-// tickVersions reads the versions until all are known to be as new as this one.
+// tickProtocolLevels reads the levels until all nodes are known to have this node's level.
 func (n *Node) tickVersions() {
 	v := &n.versions
-	if v.least >= level || v.busy || n.now < v.at+n.lease()/probesPerLease || n.elect.stateDown() || n.elect.stateOK == never {
+	if v.least >= level || v.busy ||
+		n.now < v.at+n.lease()/probesPerLease ||
+		n.elect.stateDown() || n.elect.stateOK == never {
 		return
 	}
 	n.readVersions()
 }
 
+// readProtocolLevels reads the levels of all nodes from the key-value store.
 func (n *Node) readVersions() {
 	v := &n.versions
 	v.busy, v.at = true, n.now
@@ -53,7 +56,8 @@
 	})
 }
 
-// takeVersions learns from the records of the nodes' versions.
+// applyProtocolLevels updates the known levels from the nodes' records. If this node's own level
+// is not stored yet, it is written first.
 func (n *Node) takeVersions(items []storage.Item) {
 	known := map[string]int{}
 	own := uint64(0)
@@ -86,13 +90,14 @@
 		return
 	}
 	n.versions.least = least
-	n.log.Info("all nodes are of this level or later", "level", least)
+	n.log.Info("cluster protocol level raised", "level", least)
 	if n.lead != nil && was < levelPipelines {
 		n.lead.levelRaised()
 	}
 }
 
-// writeVersion writes this node's version, unless a later process has.
+// writeProtocolLevel writes this node's level, unless its record has changed since revision: a
+// later process of the node has written it then.
 func (n *Node) writeVersion(over uint64) {
 	key := storage.VersionPrefix + n.cfg.Node
 	n.versions.busy = true
--- a/internal/coordination/writing.go
+++ b/internal/coordination/writing.go
@@ -6,9 +6,10 @@
 	"hitchdoor/internal/storage"
 )
 
-// How a leader's changes are written: by one writer, one transaction at a time.
+// Writes of a leader's records: by one writer, one transaction at a time.
 
-// pump keeps one transaction of the writer under way.
+// sendNextTransaction sends the writer's next transaction, unless one is in flight or the write
+// budget is exhausted.
 func (l *leadership) pump() {
 	n := l.n
 	if l.probing || l.writer.InFlight() || l.writer.Pending() == 0 {
@@ -20,6 +21,9 @@
 	}
 }
 
+// sendTransaction sends a transaction and handles its outcome. A refusal for a conflict, or as
+// invalid, may also mean that an earlier copy with an unclear outcome was executed; then the
+// outcome is read first.
 func (l *leadership) commit(t *storage.Txn) {
 	n := l.n
 	n.writeBudget.level -= float64(l.writer.Ops())
@@ -33,17 +37,17 @@
 			l.writer.Applied(res.Revision)
 			l.pump()
 		case r.Status == 409 && l.writer.WasUnclear():
-			l.resolve(func() { n.stepDown("a transaction was refused") })
+			l.resolve(func() { n.stepDown("transaction conflict") })
 		case r.Status == 400 && l.writer.WasUnclear():
 			l.resolve(l.refused)
 		case r.Status == 400:
-			n.log.Warn("transaction refused", "status", r.Status, "body", string(r.Body))
+			n.log.Warn("transaction rejected as invalid", "status", r.Status, "body", string(r.Body))
 			l.refused()
 		case r.Status == 409:
-			// Somebody else wrote where only a leader writes: we are replaced,
-			// or our picture is wrong. Either way it must be read again.
-			n.log.Warn("transaction refused", "status", r.Status, "body", string(r.Body))
-			n.stepDown("a transaction was refused")
+			// Another writer changed a key that only the leader writes: this leader was
+			// replaced, or its state is stale. Either way the records must be loaded again.
+			n.log.Warn("transaction conflict", "status", r.Status, "body", string(r.Body))
+			n.stepDown("transaction conflict")
 		default:
 			if r.Status == 0 || r.Status == 504 {
 				l.writer.Unclear()
@@ -53,23 +57,23 @@
 	})
 }
 
-// again sends the transaction under way once more after a pause. It is the same
-// to the letter: if the first copy was executed, or is executed late, the
-// conditions let only one of them through.
+// retryTransaction sends the current transaction again after a delay, byte for byte the same.
+// If an earlier copy was executed, or is executed late, the conditions admit only one of them.
 func (l *leadership) again() {
 	l.later(func() { l.commit(l.writer.Again()) })
 }
 
-// refused forms smaller transactions of one that the state service refuses as it
-// stands: its limits are lower than the settings say. It is no reason to stop leading.
+// splitRefusedTransaction splits a transaction that the key-value store rejects as invalid into
+// smaller ones, as the store's limits may be lower than the settings say. The leader continues.
+// A unit of writes that is rejected on its own is dropped.
 func (l *leadership) refused() {
 	for _, key := range l.writer.Refused() {
-		l.n.log.Error("change refused for good", "key", key)
+		l.n.log.Error("write rejected permanently", "key", key)
 	}
 }
 
-// resolve finds out whether a transaction whose first outcome was unclear was
-// executed, by reading a key of it; otherwise tells what to do if it was not.
+// resolveTransaction determines whether a transaction with an unclear outcome was executed, by
+// reading one of its keys. It calls onNotApplied if the transaction was not executed.
 func (l *leadership) resolve(otherwise func()) {
 	n := l.n
 	l.probing = true
