--- a/internal/coordination/guarantee.go
+++ b/internal/coordination/guarantee.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// guaranteed finds the jobs that fit into their team's guarantee together with
-// the team's earlier unfinished jobs.
+// jobsWithinGuarantee returns the jobs that fit into their team's guaranteed resources together
+// with the team's earlier unfinished jobs (fair share).
 func (l *leadership) guaranteed() map[*job]bool {
 	if l.startWithin == 0 {
 		return nil
@@ -26,23 +26,23 @@
 	return inside
 }
 
-// beyondGuarantee tells whether a job's team uses more than it is guaranteed, where
-// guaranteed work is to start within some time.
+// exceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
+// have a start objective for guaranteed work.
 func (l *leadership) beyondGuarantee(j *job) bool {
 	t, use := l.n.team(j.spec.Team), l.usage[j.spec.Team]
 	return l.startWithin > 0 && t != nil && use != nil &&
 		(use.cores > t.CPUs+slack || use.accelerators > t.GPUs+slack)
 }
 
-// preemptAfter is for which part of the time within which guaranteed work is to start it
-// waits before room is made for it: short tasks end all the time.
+// preemptAfterDivisor sets how long guaranteed work waits before preemption, as a fraction of its
+// start objective. Short tasks end all the time, so most jobs start without it.
 const preemptAfter = 4
 
-// preempt makes room for guaranteed work that waits for it: tasks that other teams run
-// beyond their guarantee are stopped, if they save what they have done. Each is stopped
-// for that once, and not before its start counts, so that borrowed room still does work.
-// Lent to a guest team's long tasks for good, a third of the cores kept guaranteed work
-// waiting for minutes.
+// preemptForGuarantees frees capacity for waiting guaranteed work. It stops tasks that other
+// teams run beyond their guarantee, provided that they checkpoint. A task is preempted at most
+// once and only after running long enough for its start to count, so that borrowed capacity still
+// does useful work. Without preemption, long tasks that borrowed a third of the cores made
+// guaranteed work wait for minutes.
 func (l *leadership) preempt() {
 	n := l.n
 	if l.startWithin == 0 || n.now < l.preemptedAt+n.report()/2 || !l.accountedAll() {
@@ -80,7 +80,7 @@
 	slices.SortStableFunc(victims, func(a, b *run) int {
 		return cmp.Or(cmp.Compare(b.job.spec.Rank(), a.job.spec.Rank()), cmp.Compare(l.remaining(b), l.remaining(a)))
 	})
-	given := map[string]float64{} // by the teams that give room back
+	given := map[string]float64{} // by team that exceeds its guarantee
 	for _, w := range l.order {
 		j := w.j
 		left := need[j]
@@ -107,6 +107,6 @@
 		}
 	}
 	if len(given) > 0 {
-		n.log.Info("room made for guaranteed work", "cores", given)
+		n.log.Info("tasks preempted for guaranteed work", "coresByTeam", given)
 	}
 }
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -12,18 +12,18 @@
 	"hitchdoor/internal/storage"
 )
 
-// taskState is how far a task of an open job is. It is not kept, but follows from the job's
-// bitmap of finished tasks and its runs: a byte for each task, of jobs of up to 100,000 that
-// come by the hundred, was more than a controller's memory.
+// taskState is the progress of one task of an open job. It is derived from the job's bitmap of
+// finished tasks and its attempts instead of being stored: one byte per task, for hundreds of
+// jobs of up to 100,000 tasks, exceeded a controller's memory.
 type taskState uint8
 
 const (
-	taskPending taskState = iota
-	taskActive            // commanded to a machine, or found there
-	taskDone
+	taskPending taskState = iota // neither started nor finished
+	taskActive                   // has an attempt on a machine
+	taskDone                     // its bit is set in the bitmap
 )
 
-// taskState tells how far a task is.
+// taskState returns the progress of a task.
 func (j *job) taskState(index int) taskState {
 	part, at, bit := j.partOf(index)
 	switch {
@@ -36,88 +36,90 @@
 	}
 }
 
-// job is an open job as its leader knows it.
+// job is an open job in the leader's state.
 type job struct {
 	spec    protocol.Job
-	at      Instant // accepted
-	from    Instant // when all times but the deadline begin: accepted, or the last job needed done
-	version uint64  // revision of the record
+	at      Instant // when the submission was accepted
+	from    Instant // start of all time limits but the deadline: acceptance, or completion of the last dependency
+	version uint64  // key-value store revision of the job record
 	chain
 
-	runs    map[int]*run
-	pending int
-	first   int // no task below it is pending
-	done    int
-
-	parts       []*partState // bitmap parts
-	partTasks   int          // that each covers
-	failures    map[int]*failureHistory
-	imageSeen   Instant         // the pass for which it was looked whether
-	imageHeld   bool            // some machine that is ready has the job's image
-	failedOn    map[string]bool // machines on which a task failed, none having completed
-	failedAfter time.Duration   // the longest that a task ran before it failed
-	bad         bool            // it fails on every machine
-	probes      int             // failures since it was taken for bad
-	probeAt     Instant         // when one of its tasks is tried again
+	runs    map[int]*run // by task index
+	pending int          // number of tasks without an attempt
+	first   int          // no task with a lower index is pending
+	done    int          // number of finished tasks
+
+	parts       []*partState            // bitmap of finished tasks
+	partTasks   int                     // tasks covered by each part
+	failures    map[int]*failureHistory // by task index
+	imageSeen   Instant                 // scheduling pass for which imageAvailable was determined
+	imageHeld   bool                    // some schedulable machine has the job's image
+	failedOn    map[string]bool         // machines on which a task failed; cleared by the first success
+	failedAfter time.Duration           // longest run of a task before it failed
+	bad         bool                    // the job itself is at fault, not the machines
+	probes      int                     // failures since failsEverywhere was set
+	probeAt     Instant                 // when the next single task is tried
 	reservation reservation
-	moved       map[int]bool // tasks that were moved off a slow machine
-
-	tookSum, tookCount float64 // logarithms of its finished tasks' run times
-	usual              time.Duration
-
-	cancel                []Origin   // who waits for the cancellation
-	gone                  bool       // cancelled or done: nothing starts any more
-	withdrawn             bool       // and that is why
-	ending                bool       // its end may be written already, though no answer says so
-	waits                 waitReason // which check stopped it last
-	waiting               Instant    // since when it has had pending tasks
-	firstStart, lastStart Instant    // of its tasks, for the log
-	commanded             bool       // some task was given to a machine in this term
-	held                  bool       // a record of it was set aside: no task is started
+	moved       map[int]bool // tasks already moved to another machine once, by index
+
+	tookSum, tookCount float64       // sum and number of logarithms of task run times
+	usual              time.Duration // geometric mean of task run times
+
+	cancel                []Origin   // requests waiting for the durable cancellation
+	gone                  bool       // cancelled or done: no task starts any more
+	withdrawn             bool       // terminal because of a cancellation
+	ending                bool       // the terminal record may be stored, but no response confirms it
+	waits                 waitReason // the check that stopped the last scheduling attempt
+	waiting               Instant    // since when the job has had pending tasks
+	firstStart, lastStart Instant    // of its tasks
+	commanded             bool       // a start command was sent in this term
+	held                  bool       // one of its records is quarantined: no task starts
 }
 
-// failureHistory is that of a task that failed.
+// failureHistory records the failures of one task and its retry limits.
 type failureHistory struct {
 	failures int
-	after    Instant
-	avoid    string  // the machine that is passed over,
-	until    Instant // for a while: where no other is to be had it must do
+	after    Instant // earliest time of the next attempt
+	avoid    string  // machine skipped during placement,
+	until    Instant // until this time; afterwards it is used if no other fits
 }
 
-// partState is one part of the bitmap of finished tasks.
+// bitmapPart is one part of a job's bitmap of finished tasks.
 type partState struct {
 	key     string
-	size    int    // of the bits, in bytes
-	bits    []byte // nil until one is set
-	stored  []byte // what is durable
-	queued  bool
-	retired bool // another layout has replaced it
+	size    int    // of bits
+	bits    []byte // nil until the first bit is set
+	stored  []byte // last value known to be durable
+	queued  bool   // a write is in the writer's queue
+	retired bool   // replaced by another layout
 }
 
-// run is one attempt of a task on a machine.
+// taskAttempt is one attempt to run a task on a machine.
 type run struct {
 	job     *job
 	index   int
-	attempt uint64
+	attempt uint64 // unique across terms
 	m       *machine
 	phase   phase
-	since   Instant // assigned
-	started Instant // first seen running
-	stop    *float64
-	shown   bool   // by the report that is being read
-	name    string // see key
+	since   Instant  // when the attempt was placed
+	started Instant  // first heartbeat that showed it running
+	stop    *float64 // seconds of grace of a requested stop; nil: no stop requested
+	shown   bool     // contained in the heartbeat being processed
+	name    string   // see key
 }
 
+// attemptPhase is how far an attempt has come on its machine.
 type phase uint8
 
 const (
-	phaseAssigned phase = iota // not in any answer yet
-	phaseSent                  // in an answer whose effect isn't known yet
-	phaseFetching
+	phaseAssigned phase = iota // not included in any heartbeat response yet
+	phaseSent                  // included in a response that no heartbeat has confirmed yet
+	phaseFetching              // the image is being fetched
 	phaseRunning
-	phaseSaving
+	phaseSaving // the task is saving its state
 )
 
+// key returns the task key of the attempt, computed once.
 func (r *run) key() string {
 	if r.name == "" {
 		r.name = taskKey(r.job.spec.UID, r.index)
@@ -125,8 +127,10 @@
 	return r.name
 }
 
+// taskKey returns the key that identifies a task on the wire and in logs.
 func taskKey(id string, index int) string { return protocol.TaskKey(id, index) }
 
+// parseTaskKey splits a task key into job ID and task index.
 func splitTask(key string) (id string, index int, ok bool) {
 	for i := len(key) - 1; i > 0; i-- {
 		if key[i] == '/' {
@@ -145,6 +149,7 @@
 	return "", 0, false
 }
 
+// state returns the job's state as reported to users.
 func (j *job) state() protocol.JobState {
 	done, running := j.done, 0
 	for _, r := range j.runs {
@@ -162,15 +167,15 @@
 	return s
 }
 
-// aim is what is expected of a class of jobs: to be complete, or else to have
-// started, within a time.
+// slo is a service-level objective of a job class: jobs are to be complete, or to have started,
+// within a time limit.
 type aim struct {
-	within time.Duration
-	start  bool
+	within time.Duration // since the job became eligible
+	start  bool          // applies to the start instead of the completion
 }
 
-// startAim is the first aim on starting of the job's class, where it is due by such
-// aims; otherwise 0.
+// startSLO returns the tightest start objective of the job's class, or 0 if the class is measured
+// by completion or has no objective.
 func (l *leadership) startAim(j *job) time.Duration {
 	if aims := l.aims[j.spec.Class]; len(aims) > 0 && aims[0].start {
 		return aims[0].within
@@ -178,16 +183,18 @@
 	return 0
 }
 
-// due is when the job should be complete: its deadline, or the first aim of its
-// class that can still be met. An aim on starting counts for a class that has
-// none on finishing; such work can wait for room on cheap machines.
+// due returns when the job should be complete: its deadline, or the first objective of its class
+// that can still be met. A start objective applies only to classes without a completion
+// objective; such jobs can wait for capacity on cheap machines.
 //
-// A job that others need is due no later than they leave it time for.
+// A job with dependents is due no later than their deadlines allow (latestEnd).
 func (l *leadership) due(j *job) Instant { return l.dueFrom(j, j.from) }
 
-// dueFrom is the same of a job whose times begin at some moment.
+// dueFrom returns the due time of a job that becomes eligible at the given time.
 func (l *leadership) dueFrom(j *job, from Instant) Instant { return min(l.ownDue(j, from), j.endBy) }
 
+// ownDue returns the due time by the job's own deadline or objectives. Without either, latestEnd
+// or a bound in proportion to the run time applies.
 func (l *leadership) ownDue(j *job, from Instant) Instant {
 	if j.spec.DeadlineS != nil {
 		return j.at + config.Seconds(*j.spec.DeadlineS)
@@ -205,12 +212,12 @@
 	if j.endBy < forever {
 		return j.endBy
 	}
-	// Nothing is said of such work: it is not to wait out of all proportion.
+	// Without an objective the wait is still bounded, in proportion to the run time.
 	return from + min(4*l.expected(j)+l.n.lease(), planBegin+l.expected(j))
 }
 
-// expected is how long one of the job's tasks should run: the owner's estimate,
-// corrected by what finished tasks of the class have shown.
+// expectedTaskDuration returns the expected run time of one task: the user's estimate, corrected
+// by the finished tasks of the job's class.
 func (l *leadership) expected(j *job) time.Duration {
 	bias := 0.0
 	if c := l.classes[j.spec.Class]; c != nil {
@@ -219,12 +226,13 @@
 	return config.Seconds(max(j.spec.EstimateS*math.Exp(bias), 1))
 }
 
-// class is what finished tasks have shown of a class of jobs.
+// classDurations holds the estimation error observed for a job class.
 type class struct {
-	bias  float64 // mean log of real over estimated run time
-	count float64
+	bias  float64 // mean of log(actual / estimated run time)
+	count float64 // weight of the mean, at most maxClassSamples
 }
 
+// recordTaskDuration updates the correction of the job's class by a finished task.
 func (l *leadership) learn(j *job, took time.Duration) {
 	if took <= 0 || j.spec.EstimateS <= 0 {
 		return
@@ -238,10 +246,11 @@
 	c.bias += (math.Log(took.Seconds()/j.spec.EstimateS) - c.bias) / c.count
 }
 
-// classMemory is how many finished tasks a class's correction spans.
+// maxClassSamples is the number of finished tasks over which the correction averages.
 const classMemory = 60
 
-// addJob takes an open job into the table; it may be there already.
+// addJob adds an open job to the job table and returns it. It returns the known job if there is
+// one, and nil if the job is terminal.
 func (l *leadership) addJob(rec storage.JobRecord, version uint64) *job {
 	id := rec.Spec.UID
 	if j := l.jobs[id]; j != nil {
@@ -271,7 +280,7 @@
 	return j
 }
 
-// adopt takes a job that was found in the state service into the table.
+// adoptStoredJob adds a job that was read from the key-value store to the job table.
 func (l *leadership) adopt(id string, item storage.Item) *job {
 	if !l.loaded {
 		return nil
@@ -283,9 +292,9 @@
 	return l.jobs[id]
 }
 
-// layOut divides the job's bitmap into parts that fit the value limit. Level 0 reads and
-// writes larger ones, and takes what it finds for those by their numbers, so as long as
-// nodes of it may lead, a job of many parts keeps its layout.
+// layOutBitmap divides the job's bitmap into parts that fit the value size limit. Controllers of
+// version level 0 use larger parts and identify them by number, so a job of several parts keeps
+// that layout as long as such a controller may become leader.
 func (l *leadership) layOut(j *job) {
 	id := j.spec.UID
 	size, key := l.partTasks, func(part int) string { return storage.BitsFromKey(id, part*l.partTasks) }
@@ -302,8 +311,8 @@
 	}
 }
 
-// levelRaised lays out anew what level 0 could not have read. Bits are only ever set,
-// so a reader that finds both layouts takes all it finds; the old one is dropped last.
+// upgradeBitmapLayouts switches jobs to the layout that level 0 cannot read. Bits are only ever
+// set, so a reader that finds both layouts merges them; the old parts are deleted last.
 func (l *leadership) levelRaised() {
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		j := l.jobs[id]
@@ -331,13 +340,13 @@
 	}
 }
 
-// partOf finds a task's bit: its part, and the byte and the bit in it.
+// bitmapPosition returns the position of a task's bit: the part, the byte in it and the bit mask.
 func (j *job) partOf(index int) (part *partState, at int, bit byte) {
 	in := index % j.partTasks
 	return j.parts[index/j.partTasks], in / 8, 1 << (in % 8)
 }
 
-// setBit notes in the bitmap that a task is finished.
+// setTaskBit marks a task as finished in the bitmap and returns the changed part.
 func (j *job) setBit(index int) *partState {
 	part, at, bit := j.partOf(index)
 	if part.bits == nil {
@@ -347,13 +356,13 @@
 	return part
 }
 
-// durable tells whether a finished task's bit is in the state service.
+// finishDurable reports whether a finished task's bit is stored in the key-value store.
 func (l *leadership) durable(j *job, index int) bool {
 	p, at, bit := j.partOf(index)
 	return at < len(p.stored) && p.stored[at]&bit != 0
 }
 
-// setDone counts a task as finished.
+// markTaskDone counts a task as finished and finishes the job after its last task.
 func (l *leadership) setDone(j *job, index int) {
 	switch j.taskState(index) {
 	case taskDone:
@@ -376,8 +385,8 @@
 	l.storeBits(j, p)
 }
 
-// storeBits queues the write of one part of the bitmap. The part is taken as it
-// is when its turn comes, so tasks that finish meanwhile share the write.
+// storeBitmapPart queues the write of one bitmap part. The value is taken when the write is
+// formed, so tasks that finish meanwhile share the write.
 func (l *leadership) storeBits(j *job, p *partState) {
 	if p.queued {
 		return
@@ -398,7 +407,7 @@
 				return
 			}
 			if l.quarantine.holds(p.key) {
-				return // nothing was written, so the workers keep the results
+				return // nothing was written, so workers must retain the results
 			}
 			p.stored = written
 			if !bytes.Equal(p.stored, p.bits) {
@@ -408,8 +417,7 @@
 	})
 }
 
-// finish moves a job from the open ones to those that are over. Users are told
-// only after the write.
+// finishJob makes a job terminal. Users are notified only after the terminal record is durable.
 func (l *leadership) finish(j *job, state string) {
 	j.gone, j.withdrawn = true, state == protocol.Withdrawn
 	id := j.spec.UID
@@ -432,8 +440,9 @@
 			}
 		},
 		Done: func() {
-			l.n.log.Debug("job over", "job", id, "state", state, "class", j.spec.Class, "tasks", j.spec.Tasks,
-				"after", l.n.now-j.at, "waited", j.from-j.at, "firstStart", j.firstStart-j.at, "lastStart", j.lastStart-j.at, "expected", l.expected(j))
+			l.n.log.Debug("job finished", "job", id, "state", state, "class", j.spec.Class, "tasks", j.spec.Tasks,
+				"after", l.n.now-j.at, "waited", j.from-j.at,
+				"firstStart", j.firstStart-j.at, "lastStart", j.lastStart-j.at, "expected", l.expected(j))
 			l.n.trace(id, stepOver, state+" after "+l.sinceAccepted(j))
 			l.n.finals.put(id, final)
 			l.over[id] = true
@@ -454,7 +463,8 @@
 	})
 }
 
-// dropKnown removes a key when there is time, if it is there by then.
+// dropStoredKey queues the deletion of a key, with low priority, if it is stored when the write
+// is formed.
 func (l *leadership) dropKnown(key string) {
 	l.writer.Add(storage.Lazy, storage.Unit{Build: func() []storage.Write {
 		if l.writer.Version(key) == 0 || l.quarantine.holds(key) {
@@ -464,7 +474,7 @@
 	}})
 }
 
-// onUser serves a user's request as the leader.
+// onUserRequest serves a user's request as the leader.
 func (l *leadership) onUser(r Request) {
 	n := l.n
 	if !l.loaded && r.Kind != protocol.RequestSubmit {
@@ -493,12 +503,13 @@
 	}
 }
 
-// answer tells a user how a job is. Once its end is on the way to the state service,
-// another node may have read it there and told a user, though no answer has come
-// here; so it is read, rather than told from a picture that may be older.
+// answerJobState replies with a job's state. Once the transaction of the terminal record has been
+// sent, another controller may have read the record and notified a user although this leader has
+// no response yet. The state is then read from the key-value store, as the state in memory may be
+// stale.
 //
-// The same holds for a job whose needs are not all known: one of them may be cancelled,
-// and a predecessor may have told so.
+// The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
+// leader may have reported that.
 func (l *leadership) answer(r Request, j *job) {
 	if !j.doomed && (j.ending || (j.awaits > 0 && len(l.lookups) > 0)) {
 		l.n.answerKnown(r, l, comeBack)
@@ -507,6 +518,7 @@
 	l.n.reply(r.Origin, 200, 0, j.state())
 }
 
+// onCancel serves a cancellation, also of a job that is not in the job table.
 func (l *leadership) onCancel(r Request) {
 	n := l.n
 	if j := l.jobs[r.ID]; j != nil {
@@ -535,8 +547,8 @@
 	})
 }
 
-// cancelJob stops a job at once and answers when its end is durable. While the
-// state service is down the user is told to come back; the stop stands.
+// cancelJob stops a job at once and replies when the cancellation is durable. While the key-value
+// store is unavailable the user is told to retry; the cancellation remains in effect.
 func (l *leadership) cancelJob(j *job, o Origin) {
 	if j.doomed {
 		l.n.reply(o, 200, 0, j.state())
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -11,57 +11,59 @@
 	"hitchdoor/internal/storage"
 )
 
-// machine is a rented machine as its leader knows it.
+// machine is a rented machine in the leader's state.
 type machine struct {
 	name, typ, zone string
 	spot            bool
-	kind            *protocol.MachineType // nil while the catalogue doesn't name it
+	kind            *protocol.MachineType // nil while the type is missing from the catalog
 
-	used, wantsUse bool // may have tasks: durable, and to be made so
+	used, wantsUse bool // whether it may have tasks: as stored, and as to be stored
 	group          *group
-	accounted      bool // nothing runs on it that this leader doesn't know of
+	accounted      bool // no attempt runs on it that this leader does not know
 	rentedAt       Instant
 
-	up            bool
-	address       string // whence it reports; empty: not known
-	via           string // the peer that passed its last report on; empty: none
+	up            bool   // its heartbeats arrive, and its worker lease has not expired
+	address       string // source address of its heartbeats; empty: unknown
+	via           string // the peer that relayed its last heartbeat; empty: none
 	session, seq  uint64
-	lost          uint64                 // the highest session declared lost
-	heard         Instant                // last report in order
-	answered      Instant                // last answer that may have renewed its lease
-	servedAt      Instant                // when an answer was last known to have reached it
-	shown         bool                   // its last report shows our token: it has heard us
-	missedAnswers int                    // answers in a row that its reports show no sign of
-	twice         bool                   // another worker reports under its name
-	restarted     bool                   // it began a new session though it spoke all along
-	last          *protocol.ReportAnswer // the last answer, until the next report
-	notice        Instant                // when the cloud takes it; never: no notice
-
-	runs          map[string]*run
-	list          []*run // the same, by attempt
-	unknownTasks  int    // reported tasks that no run of ours stands for
-	results       int    // reported results that the worker must still keep
-	cores, ram    float64
+	lost          uint64                 // highest epoch whose worker lease has expired
+	heard         Instant                // last heartbeat in sequence
+	answered      Instant                // last response that may have renewed the worker lease
+	servedAt      Instant                // when a response was last known to have arrived
+	shown         bool                   // its last heartbeat carried this term's fencing token
+	missedAnswers int                    // consecutive responses without effect on its heartbeats
+	twice         bool                   // another worker sends heartbeats under the same name
+	restarted     bool                   // it began a new epoch although its heartbeats never stopped
+	last          *protocol.ReportAnswer // last response, until the next heartbeat
+	notice        Instant                // when the cloud preempts it; never: no notice received
+
+	runs          map[string]*run // by task key
+	list          []*run          // the same attempts in order of their numbers
+	unknownTasks  int             // reported tasks without a known attempt
+	results       int             // reported results that the worker must retain
+	cores, ram    float64         // resources used by its attempts, with accelerators
 	accelerators  float64
-	images        []image // most recently used last
-	reservedFor   *job    // whose next task finds room here first
-	spareSince    Instant // since when it has been more than is needed
-	failures      int     // in a row
-	failedJobs    map[string]bool
-	sick          bool
-	emptying      bool // to be returned when empty
-	returning     bool
-	failedListing bool
-	asked         bool      // the cloud was asked to return it, and may still do so
-	why           cause     // why it is returned
-	pace          []float64 // of its last tasks: log of real over expected run time
+	images        []image         // least recently used first
+	reservedFor   *job            // the job that holds a reservation on it
+	spareSince    Instant         // since when it has exceeded the required capacity
+	failures      int             // consecutive task failures
+	failedJobs    map[string]bool // distinct jobs among those failures
+	sick          bool            // tasks fail on it through no fault of their jobs
+	emptying      bool            // terminated once it is empty
+	returning     bool            // a return request to the cloud is under way
+	failedListing bool            // the cloud lists it as failed
+	asked         bool            // the cloud may still carry out a return request
+	why           cause           // reason for the drain
+	pace          []float64       // log(actual / expected run time) of its last tasks
 }
 
+// cachedImage is an image in a machine's local cache.
 type image struct {
 	name string
 	gb   float64
 }
 
+// newMachine adds a machine to the machine table.
 func (l *leadership) newMachine(name, typ, zone string, spot bool) *machine {
 	m := &machine{name: name, typ: typ, zone: zone, spot: spot, runs: map[string]*run{},
 		rentedAt: l.n.now, heard: never, answered: never, servedAt: never, notice: never, spareSince: l.n.now,
@@ -71,7 +73,8 @@
 	return m
 }
 
-// obtained takes a machine that this leader rented, so that none gave it a task before.
+// addRentedMachine adds a machine that this leader rented. It needs no reconciliation, as no
+// earlier leader placed tasks on it.
 func (l *leadership) obtained(name, typ, zone string, spot bool, rentedAt Instant) *machine {
 	m := l.newMachine(name, typ, zone, spot)
 	m.accounted, m.rentedAt = true, rentedAt
@@ -79,14 +82,15 @@
 	return m
 }
 
-// listed takes a machine that the cloud lists and no leader recorded. None gave it a task, unless
-// there are records of machines that can't be read.
+// addListedMachine adds a machine that the cloud lists and no record names. No leader placed
+// tasks on it, unless machine records are unreadable and the inventory is therefore incomplete.
 func (l *leadership) listed(h protocol.Host) *machine {
 	m := l.obtained(h.UID, h.Type, h.Zone, h.Spot, l.n.now-config.Seconds(max(h.HeldS, 0)))
 	m.accounted = !l.namesMissing()
 	return m
 }
 
+// applyMachineTypes updates the machines after a change of the machine type catalog.
 func (l *leadership) typesChanged() {
 	for _, m := range l.machines {
 		if k := l.n.catalog[m.typ]; k != nil {
@@ -98,8 +102,8 @@
 	l.storeCatalog()
 }
 
-// storeCatalog stores the machine types for the next start, when they have changed;
-// prices move all the time and are left as they were.
+// storeCatalog stores the machine types for the next start if they have changed. Price changes
+// are frequent and do not cause a write.
 func (l *leadership) storeCatalog() {
 	if !l.loaded || !l.n.catalogSure {
 		return
@@ -121,19 +125,19 @@
 	}})
 }
 
-// group is the machines that one record names. One record for each machine took
-// two changes before its first task, and hundreds of machines that came up together
-// waited for theirs for as long as they had taken to boot.
+// machineGroup is a set of machines that share one record. With one record each, a machine needed
+// two writes before its first task, and hundreds of machines that booted together waited for
+// those writes as long as for their boot.
 type group struct {
 	key      string
 	machines map[string]*machine
-	bytes    int  // of its record
+	bytes    int  // size of the record
 	changed  bool // since the last write was formed
-	queued   bool // a write waits, that will hold whatever changes until then
-	hurried  bool // the same, ahead of what can wait
+	queued   bool // a low-priority write is queued and will include later changes
+	hurried  bool // the same with higher priority
 }
 
-// record makes the machine's name durable, with used set before its first task.
+// recordMachine makes the machine durable by name, and as used before its first task.
 func (l *leadership) record(m *machine, used bool) {
 	if m.group != nil && (m.wantsUse || !used) {
 		return
@@ -145,25 +149,29 @@
 	l.storeGroup(m.group, true)
 }
 
+// machineRecord returns the machine's entry in the record of its group.
 func (l *leadership) entry(m *machine) storage.MachineRecord {
 	return storage.MachineRecord{Type: m.typ, Zone: m.zone, Spot: m.spot, Used: m.wantsUse,
 		AtMS: l.n.wall.Add(m.rentedAt).UnixMilli()}
 }
 
+// machineRecordBytes returns the encoded size of the machine's entry.
 func (l *leadership) entryBytes(m *machine) int { return storage.EntryBytes(m.name, l.entry(m)) }
 
+// addMachine adds a machine to the group.
 func (g *group) add(l *leadership, m *machine) {
 	m.group = g
 	g.machines[m.name] = m
 	g.bytes += l.entryBytes(m)
 }
 
+// removeMachine removes a machine from the group.
 func (g *group) remove(l *leadership, m *machine) {
 	delete(g.machines, m.name)
 	g.bytes -= l.entryBytes(m)
 }
 
-// roomyGroup finds a group that has room for an entry, or makes one.
+// groupWithRoom returns a group that has room for an entry of the given size, or a new group.
 func (l *leadership) roomyGroup(entry int) *group {
 	for _, g := range l.groups {
 		if g.bytes+entry <= l.groupBytes {
@@ -181,13 +189,15 @@
 	}
 }
 
-// splitGroups divides the groups that are too large to be written again: level 0 made
-// larger ones, and the state service may take less than it did. Their machines are
-// written into new groups first, and only then is the old record dropped. In between a
-// machine is in both: level 0 takes the entry that it reads last, so the new ones get
-// later keys.
+// splitOversizedGroups divides groups whose record is too large to be written again: version
+// level 0 wrote larger ones, and the value limit of the key-value store may have been lowered.
+// The machines are written into new groups before the old record is deleted. In between both
+// records hold a machine; level 0 uses the entry that it reads last, so the new groups get later
+// keys.
 func (l *leadership) splitGroups() {
-	large := slices.DeleteFunc(slices.Clone(l.groups), func(g *group) bool { return g.bytes <= l.groupBytes || len(g.machines) < 2 })
+	large := slices.DeleteFunc(slices.Clone(l.groups), func(g *group) bool {
+		return g.bytes <= l.groupBytes || len(g.machines) < 2
+	})
 	if len(large) == 0 {
 		return
 	}
@@ -195,7 +205,7 @@
 		l.groupsFrom = max(l.groupsFrom, storage.GroupNumber(g.key)+1)
 	}
 	kept := slices.DeleteFunc(l.groups, func(g *group) bool { return slices.Contains(large, g) })
-	l.groups = nil // so that their machines go to new ones
+	l.groups = nil // so that the machines are assigned to new groups
 	for _, old := range large {
 		for _, name := range slices.Sorted(maps.Keys(old.machines)) {
 			m := old.machines[name]
@@ -212,14 +222,16 @@
 	l.groups = append(kept, l.groups...)
 }
 
+// newMachineGroup adds an empty group with the given key.
 func (l *leadership) newGroup(key string) *group {
 	g := &group{key: key, machines: map[string]*machine{}}
 	l.groups = append(l.groups, g)
 	return g
 }
 
-// storeGroup queues the write of a group, as it is when its turn comes. Machines
-// that are gone can wait for it, those that are to be used can't.
+// storeMachineGroup queues the write of a group, with the contents it has when the write is
+// formed. Removed machines can wait for that; new or newly used ones get a higher priority
+// (soon).
 func (l *leadership) storeGroup(g *group, hurry bool) {
 	g.changed = true
 	if g.hurried || (g.queued && !hurry) {
@@ -256,7 +268,7 @@
 				l.groupBytes = max(1, min(l.groupBytes, g.bytes)/2)
 				l.splitGroups()
 				if len(g.machines) > 0 {
-					l.n.log.Error("machine can't be recorded", "group", g.key)
+					l.n.log.Error("machine record rejected by key-value store", "group", g.key)
 				}
 				return
 			}
@@ -272,7 +284,7 @@
 	})
 }
 
-// forgetMachine drops a machine that is surely gone, with everything on it.
+// removeMachine removes a machine that is certain to be gone, with all its attempts.
 func (l *leadership) forgetMachine(m *machine) {
 	for _, r := range m.list {
 		l.release(r)
@@ -290,25 +302,29 @@
 	}
 }
 
-// addRun and dropRun keep a machine's runs in order of their attempts, so that a
-// step repeats. Whoever walks the list may release runs meanwhile: it is never
-// changed in place below its end.
+// addAttempt adds an attempt to the machine. attemptsInOrder is sorted by attempt number to keep
+// every step deterministic. Callers may release attempts while they iterate, so existing elements
+// are never changed in place.
 func (m *machine) addRun(r *run) {
 	m.runs[r.key()] = r
 	if n := len(m.list); n == 0 || m.list[n-1].attempt < r.attempt {
 		m.list = append(m.list, r)
 		return
 	}
-	at, _ := slices.BinarySearchFunc(m.list, r.attempt, func(x *run, attempt uint64) int { return cmp.Compare(x.attempt, attempt) })
+	at, _ := slices.BinarySearchFunc(m.list, r.attempt, func(x *run, attempt uint64) int {
+		return cmp.Compare(x.attempt, attempt)
+	})
 	m.list = slices.Insert(slices.Clone(m.list), at, r)
 }
 
+// dropAttempt removes an attempt from the machine.
 func (m *machine) dropRun(r *run) {
 	delete(m.runs, r.key())
 	m.list = slices.DeleteFunc(slices.Clone(m.list), func(x *run) bool { return x == r })
 }
 
-// place books a run on its machine and with its team.
+// placeAttempt binds an attempt to its machine and counts its resources for the machine and the
+// team.
 func (l *leadership) place(r *run) {
 	j, m := r.job, r.m
 	if j.taskState(r.index) == taskPending {
@@ -317,7 +333,7 @@
 	j.runs[r.index] = r
 	m.addRun(r)
 	l.count(j, 1)
-	m.touch(j.spec.Image, j.spec.ImageGB) // held, or fetched once for all
+	m.touch(j.spec.Image, j.spec.ImageGB) // present, or fetched once for all tasks
 	m.cores += j.spec.Cores
 	m.ram += j.spec.RAM
 	m.accelerators += j.spec.Accelerators
@@ -327,7 +343,7 @@
 	}
 }
 
-// release ends a run whose end is confirmed and gives back what it held.
+// releaseAttempt removes an attempt whose end is confirmed and releases its resources.
 func (l *leadership) release(r *run) {
 	j, m := r.job, r.m
 	if m.runs[r.key()] != r {
@@ -358,7 +374,7 @@
 	l.dirty = true
 }
 
-// stopRun asks for a run's end; one that was never commanded ends at once.
+// requestStop requests the end of an attempt. An attempt that was never sent ends at once.
 func (l *leadership) stopRun(r *run, grace float64) {
 	if r.phase == phaseAssigned {
 		l.release(r)
@@ -370,19 +386,22 @@
 	r.stop = &grace
 }
 
-// leaseOver is after what silence a worker's lease is surely over.
+// workerLeaseTimeout returns the silence after which a worker's lease is certain to have expired,
+// with clock drift.
 func (n *Node) leaseOver() time.Duration { return drift(n.lease()) + n.lease()/50 }
 
+// workerLeaseTimeout returns the node's worker lease timeout.
 func (l *leadership) leaseOver() time.Duration { return l.n.leaseOver() }
 
-// checksPerReport is how often, per report interval, all machines are looked at.
+// leaseChecksPerHeartbeat is how often all worker leases are checked per heartbeat interval.
 const checksPerReport = 8
 
-// checkMachines declares lost what has been silent for a lease.
+// expireMachineLeases fences the machines whose worker lease has expired and releases their
+// attempts.
 func (l *leadership) checkMachines() {
 	now := l.n.now
 	if now < l.checkedAt+l.n.report()/checksPerReport {
-		return // each step would walk all machines: it comes with every report
+		return // a scan of all machines is too expensive for every heartbeat
 	}
 	l.checkedAt = now
 	for _, m := range l.held() {
@@ -394,9 +413,9 @@
 			m.accounted, l.dirty, l.totalsValid = true, true, false
 		}
 		if m.up {
-			// Its session has ended by its own clock: what it ran is dead, and
-			// the session never gets another 200.
-			l.n.log.Info("machine silent for a lease", "machine", m.name, "tasks", len(m.runs))
+			// The worker's own clock has ended its epoch, so its tasks have stopped, and the epoch never
+			// gets another 200.
+			l.n.log.Info("worker lease expired", "machine", m.name, "tasks", len(m.runs))
 			m.up, l.totalsValid = false, false
 			m.lost, m.address = m.session, ""
 			m.unknownTasks = 0
@@ -415,12 +434,13 @@
 	}
 }
 
-// maxGone bounds the names of returned machines that are kept, within a term, so
-// that neither a lagging list nor a late copy of a report brings one back.
+// maxRemovedMachines is the number of removed machines above which old names are discarded.
+// Within a term the names prevent a delayed listing or a late copy of a heartbeat from adding the
+// machine again.
 const maxGone = 20_000
 
-// held lists the machines in order of their names. The list is kept between
-// changes: made anew at each step, it was two thirds of a busy leader's work.
+// machinesByName returns the machines sorted by name. The list is cached between changes:
+// rebuilding it in each step took two thirds of a busy leader's CPU time.
 func (l *leadership) held() []*machine {
 	if l.sorted == nil {
 		l.sorted = make([]*machine, 0, len(l.machines))
@@ -432,5 +452,5 @@
 	return l.sorted
 }
 
-// machinesChanged drops what is kept of the list of machines.
+// invalidateMachineIndex discards the cached machine list and totals.
 func (l *leadership) machinesChanged() { l.sorted, l.totalsValid = nil, false }
--- a/internal/coordination/pipelines.go
+++ b/internal/coordination/pipelines.go
@@ -12,30 +12,32 @@
 	"hitchdoor/internal/storage"
 )
 
-// A job that needs others waits, and takes no part in anything, until the end of each
-// is durable: what this leader alone has seen, the next one may not know. Only the
-// records decide, so nothing more has to be written: whoever reads them knows that a job
-// is cancelled once the end of any job before it says so, and a leader that takes over
-// goes on from there.
+// A job with dependencies takes no part in scheduling until the completion of each is durable,
+// because the next leader may not know what only this leader has observed. The stored records
+// alone decide: a job is cancelled once the terminal record of any job that it depends on says
+// so. Nothing more has to be written, and a new leader continues from the same records.
 
-// chain is how a job stands to those that it needs and those that need it.
+// dependencies holds a job's position in the DAG of jobs.
 type chain struct {
-	awaits  int     // jobs that it needs whose end is not durable, or not known here
-	doomed  bool    // one of them is cancelled, durably
-	fresh   bool    // one of them has ended in this term: no earlier leader can have started it
-	endBy   Instant // when it must be done for those after it to be in time
-	urgency int     // the best rank of those after it
+	awaits  int     // dependencies whose completion is not durable, or not known to this leader
+	doomed  bool    // a dependency is durably cancelled
+	fresh   bool    // a dependency completed in this term, so no earlier leader can have started the job
+	endBy   Instant // latest end that keeps all dependents in time
+	urgency int     // best priority rank of the dependents
 }
 
-// forever is an instant after any other.
+// forever is later than any other instant.
 const forever Instant = math.MaxInt64
 
+// newDependencies returns the value of a job without any dependency or dependent.
 func newChain() chain { return chain{endBy: forever, urgency: math.MaxInt} }
 
-// rank is the job's priority, or a better one of a job that needs it.
+// effectiveRank returns the job's priority rank, or the best rank of its dependents if that is
+// better.
 func (j *job) rank() int { return min(j.spec.Rank(), j.urgency) }
 
-// await lets a new job wait for those that it needs, and those before it hear of it.
+// addDependencies registers a new job with its dependencies and updates their deadlines and
+// ranks.
 func (l *leadership) await(j *job) {
 	doomed := false
 	for _, id := range j.spec.Needs {
@@ -48,10 +50,11 @@
 		l.after[id] = append(l.after[id], j)
 		if before := l.jobs[id]; before != nil {
 			doomed = doomed || before.doomed
-			// Its cancellation, or that of one before it, may have been read elsewhere.
+			// The cancellation of the dependency, or of one before it, may have been read by another
+			// controller.
 			j.ending = j.ending || (before.ending && (before.withdrawn || !before.gone))
 		} else {
-			// It may come with the next page, or by the watch, or be long over.
+			// The record may follow with the next page or the watch, or the job may be terminal.
 			l.lookups[id] = l.n.now
 		}
 	}
@@ -67,7 +70,7 @@
 	}
 }
 
-// unblock makes a job that needs no others any more one of those that are served.
+// releaseJob makes a job without pending dependencies available to scheduling.
 func (l *leadership) unblock(j *job) {
 	l.runnable[j.spec.UID] = j
 	j.waiting = l.n.now
@@ -77,8 +80,9 @@
 	}
 }
 
-// next are the jobs that wait for a job alone, once its end is as near as a machine takes
-// to come up: what they need is made ready meanwhile.
+// soonReleasedDependents returns the jobs for which this is the last pending dependency, if it
+// should end within the horizon (the boot time of a machine), so that capacity and images can be
+// prepared.
 func (l *leadership) next(j *job, near time.Duration) []*job {
 	after := l.after[j.spec.UID]
 	if len(after) == 0 || j.pending > 0 {
@@ -86,15 +90,15 @@
 	}
 	want := l.expected(j)
 	for _, r := range j.runs {
-		if l.remainingOf(r, want) > max(near, want/8) { // an overdue one may end at any time
+		if l.remainingOf(r, want) > max(near, want/8) { // an overdue attempt may end at any time
 			return nil
 		}
 	}
 	return slices.DeleteFunc(slices.Clone(after), func(d *job) bool { return d.gone || d.awaits > 1 })
 }
 
-// ended tells those that wait for a job that its end is durable; ours tells whether this
-// leader has written it.
+// releaseDependents processes the durable terminal record of a job: its dependents are cancelled
+// or released. writtenHere reports whether this leader has written the record.
 func (l *leadership) ended(id string, final storage.FinalRecord, ours bool) {
 	waiting := l.after[id]
 	delete(l.after, id)
@@ -114,9 +118,9 @@
 	}
 }
 
-// doom ends a job, and all that need it, because one before them is cancelled. That is
-// durable already, so their users may be told at once; their own ends are written as
-// there is time, however many they are.
+// cancelWithDependents cancels a job and all its dependents because a dependency is cancelled.
+// That cancellation is already durable, so users are notified at once; the terminal records of
+// the jobs are written with low priority.
 func (l *leadership) doom(j *job) {
 	var doomed []*job
 	for todo := []*job{j}; len(todo) > 0; todo = todo[1:] {
@@ -138,7 +142,7 @@
 	l.relax(doomed...)
 }
 
-// eachAfter does something with all jobs that need a job, directly or through others.
+// forEachDependent visits all direct and indirect dependents of a job once.
 func (l *leadership) eachAfter(j *job, f func(*job)) {
 	seen := map[*job]bool{}
 	for todo := slices.Clone(l.after[j.spec.UID]); len(todo) > 0; todo = todo[1:] {
@@ -150,7 +154,8 @@
 	}
 }
 
-// relax works out anew what jobs that are cancelled have asked of those before them.
+// relaxDeadlines recomputes latestEnd and inheritedRank of the jobs on which cancelled jobs
+// depended.
 func (l *leadership) relax(jobs ...*job) {
 	var before, after []*job
 	for todo := slices.Clone(jobs); len(todo) > 0; todo = todo[1:] {
@@ -167,11 +172,12 @@
 	l.hasten(after...)
 }
 
-// importance is that of a job's end, where not all that waits can be written.
+// completionPriority returns the write priority of a job's terminal record, which matters when
+// writes are throttled.
 func (l *leadership) importance(j *job) storage.Priority {
 	switch {
 	case j.doomed:
-		return storage.Lazy // it follows from what is written
+		return storage.Lazy // it follows from records already stored
 	case j.withdrawn:
 		return storage.Cancels
 	case len(l.after[j.spec.UID]) > 0:
@@ -180,9 +186,9 @@
 	return storage.Soon
 }
 
-// hasten works out, for all jobs before some jobs, until when they must be done for these
-// to be in time, and how urgent that makes them. The slack of a pipeline is thus spent
-// once: a job is due when the longest way from it to an end leaves no more time.
+// tightenDeadlines propagates deadlines and ranks from the given jobs to their direct and
+// indirect dependencies. A job is due when the longest path from it to a deadline (the critical
+// path) leaves no more time, so the slack of a pipeline is counted only once.
 func (l *leadership) hasten(jobs ...*job) {
 	if len(jobs) == 0 {
 		return
@@ -212,18 +218,19 @@
 	}
 }
 
-// lasts is how long a job takes from the end of the last that it needs to its own: its
-// longest task, the fetch of its image, and the reports that carry the start and the end.
+// expectedJobDuration returns the expected time from the completion of a job's last dependency to
+// its own: its longest task, the image fetch, and the two heartbeats that carry the start and the
+// end.
 func (l *leadership) lasts(j *job, p pull) time.Duration {
 	longest := math.Exp(taskSpread * math.Sqrt(2*math.Log(float64(j.spec.Tasks))))
 	return time.Duration(longest*float64(l.expected(j))) + p.time(j.spec.ImageGB) + 2*l.n.report()
 }
 
-// taskSpread is by how much the run times of a job's tasks differ, as the standard
-// deviation of their logarithms.
+// taskDurationLogDeviation is the standard deviation of the logarithms of the run times of a
+// job's tasks.
 const taskSpread = 0.25
 
-// tickLookups reads what became of needed jobs that are not open here.
+// tickDependencyLookups reads the state of dependencies that are not in the job table.
 func (l *leadership) tickLookups() {
 	for _, id := range slices.Sorted(maps.Keys(l.lookups)) {
 		switch at := l.lookups[id]; {
@@ -236,8 +243,9 @@
 	}
 }
 
-// lookUp reads the end of a needed job, and the open record where there is none. One
-// that has neither was moved from one to the other in between.
+// lookUpDependency reads the terminal record of a dependency, or its open record if there is
+// none. If neither is found, the job moved from one to the other between the reads, and a later
+// lookup finds it.
 func (l *leadership) lookUp(id string) {
 	n := l.n
 	n.readFinal(id, func(ok bool, final *storage.FinalRecord) {
@@ -256,11 +264,11 @@
 	})
 }
 
-// needsOf reads which jobs an open one needs.
+// readDependencies reads the IDs of the jobs on which an open job depends.
 func (n *Node) needsOf(open *storage.Item, then func(ok bool, ids []string)) {
 	rec, err := storage.ReadJob(*open)
 	if err != nil {
-		// Where it may need others, one of them may be cancelled, and this one be called so.
+		// If the job may have dependencies, one may be cancelled, which cancels this job too.
 		then(!storage.MayNeedOthers(*open), nil)
 		return
 	}
@@ -275,9 +283,9 @@
 	})
 }
 
-// readTruth reads what the records say of a job: an open one is cancelled if some job
-// before it is. Each node answers by this, so that none takes back what another has
-// told.
+// readEffectiveState reads a job's state from the records: an open job is cancelled if any of its
+// direct or indirect dependencies is. All controllers answer by this rule, so none contradicts
+// what another has told a user.
 func (n *Node) readTruth(id string, then func(ok bool, open *storage.Item, final *storage.FinalRecord)) {
 	n.readJob(id, func(ok bool, open *storage.Item, final *storage.FinalRecord) {
 		if open == nil {
@@ -297,8 +305,9 @@
 	})
 }
 
-// anyWithdrawn tells whether a job that an open one needs, directly or through others, or
-// one of some more jobs, is cancelled. What is done had all its needs done.
+// anyDependencyCancelled reads whether a direct or indirect dependency of an open job, or one of
+// otherIDs, is cancelled. A completed job needs no check, as all its dependencies were completed
+// before.
 func (n *Node) anyWithdrawn(open *storage.Item, more []string, seen map[string]bool, then func(ok, withdrawn bool)) {
 	n.needsOf(open, func(ok bool, ids []string) {
 		if !ok {
@@ -309,7 +318,7 @@
 	})
 }
 
-// oneWithdrawn is the same of some jobs.
+// anyJobCancelled reads whether any of some jobs, or of their dependencies, is cancelled.
 func (n *Node) oneWithdrawn(ids []string, seen map[string]bool, then func(ok, withdrawn bool)) {
 	for i, id := range ids {
 		if seen[id] {
@@ -333,8 +342,8 @@
 	then(true, false)
 }
 
-// notKnownAccepted are those of some jobs of which this node does not know that they were
-// accepted. What was accepted once has been for ever.
+// withoutKnownAcceptance returns the IDs that this node does not know to be accepted. Acceptance
+// is never withdrawn, so a known one needs no further check.
 func (n *Node) notKnownAccepted(ids []string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(id string) bool {
 		_, over := n.finals.byID[id]
@@ -342,12 +351,12 @@
 	})
 }
 
-// needsRead is how many jobs a node reads at once, rather than ask the leader, to learn
-// whether they were accepted.
+// maxDirectJobReads is the number of jobs whose acceptance a node reads itself instead of asking
+// the leader.
 const needsRead = 4
 
-// wereAccepted reads whether all of some jobs were accepted, by any node. Only what the
-// state service says counts: another node may have taken one a moment ago.
+// readAcceptance reads whether all of some jobs were accepted by any node. Only the key-value
+// store counts: another node may have accepted one a moment ago.
 func (n *Node) wereAccepted(ids []string, then func(ok, all bool)) {
 	left, readable, all := len(ids), true, true
 	if left == 0 {
--- a/internal/coordination/reservation.go
+++ b/internal/coordination/reservation.go
@@ -9,29 +9,29 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Reservations keep room on a machine for the next task of a job that has waited for too
-// long. Small tasks take each core as it becomes free, so that on a full fleet a task of
-// many cores would never find its room, however far ahead its job stands in the order.
+// Resource reservations keep capacity on a machine for the next task of a job that has waited too
+// long. Small tasks take each core as it becomes free, so on a full cluster a task of many cores
+// would never be placed, whatever its position in the queue.
 //
-// A job has one reservation at a time, and it holds no more than that task needs: what a
-// machine has beside it goes on being used.
+// A job has at most one reservation, which covers exactly what one task needs. The rest of the
+// machine stays available.
 
-// firmAfter is the age from which a job's reservation holds against work within a guarantee
-// too: late enough that such work rarely meets it, early enough that tasks of the usual
-// length end before the job has to begin.
+// firmReservationAfter is the age from which a job's reservation also holds against work within a
+// guarantee: late enough that such work is rarely affected, early enough that tasks of typical
+// length end before the start limit of the job.
 const firmAfter = mustBegin * 5 / 8
 
-// reservedShare bounds the reservations at a time, to one in so many machines.
+// reservedMachineDivisor limits reservations to one in this many schedulable machines.
 const reservedShare = 2
 
-// reservation is the bookkeeping of one job's reserved machine.
+// reservation is the reserved machine of one job.
 type reservation struct {
 	machine *machine // nil: none
-	triedAt Instant  // when a machine was last looked for
+	triedAt Instant  // when a machine was last searched
 }
 
-// renewReservations looks at the reservations after a full pass: those that are no longer needed go,
-// and at most one is added, as looking for a machine walks all tasks.
+// renewReservations updates the reservations after a full pass. It releases those no longer
+// needed and adds at most one, because the search for a machine examines all attempts.
 func (l *leadership) renewReservations() {
 	wanted := map[*job]bool{}
 	for _, r := range l.order {
@@ -64,21 +64,21 @@
 		j.reservation.triedAt = l.n.now
 		if m := l.soonestRoom(j); m != nil {
 			j.reservation.machine, m.reservedFor = m, j
-			l.n.log.Debug("machine reserved", "machine", m.name, "job", j.spec.UID, "age", l.n.now-j.from)
+			l.n.log.Debug("resource reservation made", "machine", m.name, "job", j.spec.UID, "age", l.n.now-j.from)
 		}
 		return
 	}
 }
 
-// unreserve ends a job's reservation, if it has one.
+// releaseReservation releases a job's reservation, if it has one.
 func (l *leadership) unreserve(j *job) {
 	if m := j.reservation.machine; m != nil {
 		m.reservedFor, j.reservation.machine = nil, nil
 	}
 }
 
-// soonestRoom finds the machine that should have room for a task of the job first, with
-// the job's image; nil if no machine could ever have it.
+// machineWithEarliestRoom returns the machine that should be the first to have room for a task of
+// the job and its image, or nil if none is feasible.
 func (l *leadership) soonestRoom(j *job) *machine {
 	var best *machine
 	var soonest time.Duration
@@ -97,8 +97,8 @@
 	return best
 }
 
-// timeToRoom is after what time enough of a machine's tasks should have ended for a task of
-// the job.
+// timeToFreeCapacity returns the expected time until enough attempts on a machine have ended for
+// a task of the job.
 func (l *leadership) timeToRoom(m *machine, spec *protocol.Job) time.Duration {
 	free := m.free()
 	runs := slices.Clone(m.list)
@@ -114,28 +114,30 @@
 	return wait
 }
 
-// capacity is an amount of what tasks take of a machine.
+// capacity is an amount of the resources of a machine.
 type capacity struct{ cores, ram, accelerators float64 }
 
+// add adds the resources of one task of a job.
 func (c *capacity) add(spec *protocol.Job) {
 	c.cores += spec.Cores
 	c.ram += spec.RAM
 	c.accelerators += spec.Accelerators
 }
 
-// holds tells whether a task of a job fits.
+// fits reports whether one task of a job fits.
 func (c capacity) holds(spec *protocol.Job) bool {
 	return spec.Cores <= c.cores+slack && spec.RAM <= c.ram+slack && spec.Accelerators <= c.accelerators+slack
 }
 
-// free is what no task takes of the machine.
+// freeCapacity returns the machine's resources that no attempt uses.
 func (m *machine) free() capacity {
 	return capacity{m.kind.Cores - m.cores, m.kind.RAM - m.ram, m.kind.Accelerators - m.accelerators}
 }
 
-// mayPlace tells whether a task of the job may be placed on a machine now, beside what is
-// reserved there for another one. Work within a guarantee need not wait for other teams, so
-// a reservation holds against it only when its job would otherwise begin too late.
+// fitsBesideReservation reports whether a task of the job fits on a machine now, in addition to
+// the task for which the machine is reserved. Work within a guarantee does not wait for other
+// teams, so a reservation holds against it only if the reserved job would otherwise start too
+// late.
 func (l *leadership) mayPlace(j *job, m *machine) bool {
 	free := m.free()
 	if !free.holds(&j.spec) {
--- a/internal/coordination/schedule.go
+++ b/internal/coordination/schedule.go
@@ -12,10 +12,10 @@
 	"hitchdoor/internal/protocol"
 )
 
-// waitReason is what keeps a waiting job from starting a task, as its status shows it.
+// waitReason is the check that keeps a job from starting a task, as shown by its status.
 type waitReason string
 
-// The reasons, in the order of the checks.
+// Values of waitReason, in the order of the checks.
 const (
 	waitNeeds   waitReason = "jobs that it needs"
 	waitBackoff waitReason = "backing off"
@@ -25,48 +25,57 @@
 	waitOverall waitReason = "overall quota"
 	waitRoom    waitReason = "no machine with room"
 	waitImage   waitReason = "a machine with its image and room"
-	// waitQuarantine: a record of the job can't be read.
+	// waitQuarantine: one of the job's records cannot be read.
 	waitQuarantine waitReason = "a record of it that can't be read"
 	waitNothing    waitReason = ""
 )
 
-// allowed tells whether a job may use a machine at all.
+// feasible is the feasibility filter: it reports whether a machine can run the job's tasks at
+// all.
 func allowed(j *protocol.Job, m *machine) bool { return m.option().Fits(j, m.kind) }
 
-// ready tells whether a machine takes tasks: it has heard this leader, so that no
-// late copy of a report makes room where there is none.
+// schedulable reports whether a machine accepts tasks of any job. Draining machines are excluded,
+// except surplus ones, whose drain is cancelled when a task is placed on them.
 func (m *machine) ready() bool { return m.usable() && (!m.emptying || m.why == surplus) }
 
-// lastResort tells whether a machine takes tasks only of jobs that would be left waiting: it
-// does nothing wrong but that it is slow.
+// isLastResort reports whether a machine accepts tasks only of jobs that have waited long: it is
+// healthy but slow.
 func (m *machine) lastResort() bool { return m.usable() && m.emptying && m.why == slow }
 
-// usable tells whether a task that is given to the machine gets there and is known of.
+// usable reports whether a task placed on the machine reaches it and is tracked: its last
+// heartbeat carried this term's fencing token, so a delayed copy of a heartbeat never adds
+// capacity.
 func (m *machine) usable() bool {
-	return m.up && m.shown && (m.missedAnswers == 0 || m.restarted) && m.accounted && m.used && !m.returning && m.kind != nil
+	return m.up && m.shown && (m.missedAnswers == 0 || m.restarted) && m.accounted &&
+		m.used && !m.returning && m.kind != nil
 }
 
-// leftWaiting tells whether tasks of the job have waited for so long that a slow machine is
-// better than none: no job may be left waiting for 90 s beside a machine with room.
+// mayUseLastResort reports whether tasks of the job have waited so long that a slow machine is
+// better than none: no job may wait for 90 s while some machine has room.
 func (l *leadership) leftWaiting(j *job) bool { return l.n.now-j.waiting > leftWaitingAfter }
 
+// lastResortAfter is the waiting time after which slow machines are used too.
 const leftWaitingAfter = mustBegin / 4
 
-const slack = 1e-6 // of sums of decimal amounts
+// resourceTolerance absorbs rounding errors in sums of resource amounts.
+const slack = 1e-6
 
-// slots counts the scheduler slots: of all machines up, and those taken, by
-// class. The second class is the pressing work (prod and urgent).
+// slotUsage counts the scheduler slots of all machines that are up, and the taken ones by class
+// of work: batch, and latency-sensitive (priorities prod and urgent).
 type slots struct {
 	total        float64
 	batch, quick int
 	quickWaits   bool
 }
 
+// takenSlots returns the number of slots in use by both classes.
 func (s *slots) taken() int { return s.batch + s.quick }
 
+// isLatencySensitive reports whether a job belongs to the latency-sensitive class (priorities
+// prod and urgent).
 func pressing(j *protocol.Job) bool { return j.Rank() <= 1 }
 
-// count keeps the tasks on machines by class.
+// countActiveTasks adjusts the number of tasks on machines of the job's class.
 func (l *leadership) count(j *job, by int) {
 	class := 0
 	if pressing(&j.spec) {
@@ -75,19 +84,19 @@
 	l.active[class] += by
 }
 
-// machineTotals is what admission needs to know of all machines.
+// machineTotals aggregates what the scheduling checks need to know of all machines.
 type machineTotals struct {
-	slots    float64 // of the machines up
-	complete bool    // all are accounted for: nothing of an earlier leader runs unknown to this one
-	unknown  usage   // what may be in use without our knowing
+	slots    float64 // of the machines that are up
+	complete bool    // no attempt of an earlier leader runs unknown to this one
+	unknown  usage   // upper bound of the resources in use by unknown attempts
 
-	held, largest  float64               // cores of all, and of the largest
-	unaccounted    int                   // machines that are not accounted for
-	unknownOptions map[fleet.Option]bool // what those are
-	anything       bool                  // of some of those, not even that is known
+	held, largest  float64               // cores of all machines, and of the largest one
+	unaccounted    int                   // number of machines not reconciled yet
+	unknownOptions map[fleet.Option]bool // their options
+	anything       bool                  // some of them have an unknown type
 }
 
-// currentTotals walks all machines, if one has changed since.
+// currentMachineTotals returns the totals, recomputed if a machine has changed.
 func (l *leadership) currentTotals() machineTotals {
 	if l.totalsValid {
 		return l.totals
@@ -107,8 +116,9 @@
 		}
 		if m.kind == nil {
 			if !m.accounted || m.unknownTasks > 0 {
-				// Nobody knows how much may be in use there, so no limit has room: counted
-				// as nothing, a machine of a type that is no longer sold let teams exceed it.
+				// The resources in use on a machine of an unknown type have no upper bound, so no quota has
+				// room. Counting them as zero let teams exceed their quota through machines of types no
+				// longer sold.
 				c.unknown.cores, c.unknown.accelerators = math.Inf(1), math.Inf(1)
 			}
 			continue
@@ -127,30 +137,31 @@
 	return c
 }
 
-// accountedAll tells whether nothing of an earlier leader can still be running
-// unknown to this one.
+// allReconciled reports whether no attempt of an earlier leader can be running unknown to this
+// one.
 func (l *leadership) accountedAll() bool { return l.currentTotals().complete }
 
-// quickWaits tells whether pressing work has waited for too long.
+// latencySensitiveWorkDelayed reports whether latency-sensitive work has waited longer than
+// borrowing allows.
 func (l *leadership) quickWaits(waiting []ranked) bool {
 	return slices.ContainsFunc(waiting, func(r ranked) bool {
 		return pressing(&r.j.spec) && l.n.now-r.j.waiting > config.Seconds(l.n.set.BorrowWaitS)
 	})
 }
 
-// ranked is a job with what orders it.
+// queuedJob is a job with the values that determine its position in the queue.
 type ranked struct {
 	j    *job
-	rank int
-	at   Instant // latest start in time
+	rank int     // see rankOverdue and following
+	at   Instant // latest start that is still in time
 	due  Instant
-	work float64 // core seconds left
+	work float64 // remaining work in core seconds
 
-	mayReserve bool // it has waited for so long that room is reserved for it
+	mayReserve bool // has waited long enough for a resource reservation
 }
 
-// Ranks: first the first tasks of what has waited too long, then the pressing jobs
-// by priority, then those that can be in time, and last those that can't.
+// Ranks of the queue order: overdue jobs, latency-sensitive jobs by priority, jobs that can
+// finish in time, and jobs that cannot.
 const (
 	rankOverdue  = -1
 	rankPressing = 1
@@ -158,23 +169,21 @@
 	rankLate     = 3
 )
 
-// Large jobs give way while not all can be in time, and what is late already comes
-// last; but every job must begin within mustBegin, however long a burst of small
-// and pressing work goes on, and no class or team may starve another. So a job
-// that has not begun after three eighths of that begins, ahead of everything, with a part
-// of its tasks; and one that is older than mustBegin passes with the pressing
-// work, by its age.
+// Large jobs yield while not all jobs can be in time, and late jobs come last. Still, every job
+// must start within maxStartDelay, however long a burst of small or latency-sensitive work lasts,
+// and no class or team may starve another. So a job that has not started after overdueAfter is
+// overdue and starts ahead of all others, with a part of its tasks; and a job older than
+// maxStartDelay is ordered with the latency-sensitive work, by age.
 const (
-	mustBegin   = 4 * time.Minute // of the protocol
+	mustBegin   = 4 * time.Minute // limit of the protocol
 	beginsAfter = mustBegin * 3 / 8
-	beginShare  = 8 // what begins is one task in so many
+	beginShare  = 8 // an overdue job starts one in this many of its tasks
 )
 
-// begun tells whether some task of the job has been started.
+// hasStarted reports whether some task of the job has been started.
 func (j *job) begun() bool { return j.done > 0 || len(j.runs) > 0 || j.firstStart != 0 }
 
-// waitingJobs lists the open jobs that have tasks to start, in the order in
-// which they are served.
+// buildQueue returns the runnable jobs with pending tasks in queue order.
 func (l *leadership) waitingJobs() []ranked {
 	now := l.n.now
 	var all []*ranked
@@ -193,11 +202,11 @@
 		case age > beginsAfter && !j.begun():
 			r.rank, r.at, r.mayReserve = rankOverdue, j.from, true
 		case age > mustBegin && r.rank > rankPressing && !(j.begun() && l.beyondGuarantee(j)):
-			// What has begun and borrows from others' guarantees does not pass ahead of them.
+			// A started job that exceeds its team's guarantee is not moved ahead.
 			r.rank, r.at, r.mayReserve = rankPressing, j.from, true
 		}
 		if start := j.from + l.startWithin; l.startWithin > 0 && start > now && l.guaranteedJobs[j] {
-			// Guaranteed work has an aim on starting, too.
+			// Guaranteed work has a start objective of its own.
 			r.at = min(r.at, start)
 		}
 		all = append(all, r)
@@ -218,7 +227,7 @@
 	return list
 }
 
-// byAge lists the open jobs that need no others in the order in which their times began.
+// jobsByAge returns the runnable jobs by the time at which they became eligible.
 func (l *leadership) byAge() []*job {
 	jobs := make([]*job, 0, len(l.runnable))
 	for _, j := range l.runnable {
@@ -232,7 +241,7 @@
 	return jobs
 }
 
-// workLeft is the core seconds that a job still needs.
+// remainingCoreSeconds returns the work that a job still needs, with image fetches.
 func (l *leadership) workLeft(j *job, p pull) float64 {
 	want := l.expected(j)
 	work := float64(j.pending) * (want + p.time(j.spec.ImageGB)).Seconds()
@@ -242,10 +251,10 @@
 	return work * j.spec.Cores
 }
 
-// setAsideLargest finds the jobs that can't all be in time on the machines there are.
-// Aims count jobs, whatever their size, so the largest give way: of jobs in
-// order of their due times, the largest is set aside whenever the next would be
-// late. (Moore's rule for the fewest late jobs.)
+// demoteLargestJobs ranks jobs as late that cannot all be in time on the present machines.
+// Objectives count jobs regardless of size, so the largest are demoted: going through the jobs by
+// due time, the largest so far is demoted whenever the next would be late (Moore-Hodgson
+// algorithm for the fewest late jobs).
 func (l *leadership) setAsideLargest(all []*ranked) {
 	cores := l.coresToStay()
 	if cores == 0 {
@@ -269,7 +278,7 @@
 	}
 }
 
-// coresToStay counts the cores of the machines that are up and are not to be returned.
+// retainedCores returns the cores of the machines that are up and not draining.
 func (l *leadership) coresToStay() float64 {
 	cores := 0.0
 	for _, m := range l.machines {
@@ -280,15 +289,17 @@
 	return cores
 }
 
-// byWork is a heap of jobs, the largest first. A walk over all of them for each that gives
-// way would cost jobs x jobs, in a flood of small ones.
+// workHeap is a max-heap of jobs by remaining work. Scanning all jobs for each demotion would be
+// quadratic in a burst of small jobs.
 type byWork []workItem
 
+// workHeapItem is a job with its position in the order of due times, which breaks ties.
 type workItem struct {
 	job   *ranked
 	order int
 }
 
+// Len, Swap, Push, Less and Pop implement heap.Interface.
 func (h byWork) Len() int      { return len(h) }
 func (h byWork) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *byWork) Push(x any)   { *h = append(*h, x.(workItem)) }
@@ -296,35 +307,35 @@
 	return cmp.Or(cmp.Compare(h[j].job.work, h[i].job.work), cmp.Compare(h[i].order, h[j].order)) < 0
 }
 
-// Pop takes the last element, as the heap package asks for.
+// Pop removes the last element, as container/heap requires.
 func (h *byWork) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// packing is how much of the machines' time tasks fill when there is enough work.
+// packingEfficiency is the share of the machines' time that tasks use under full load.
 const packing = 0.9
 
-// passesPerReport is how often, per report interval, a full pass may be made.
+// passesPerHeartbeat is the maximum number of full scheduling passes per heartbeat interval.
 const passesPerReport = 12
 
-// pass is what the admissions of one pass share.
+// schedulingPass is the state shared by all checks and placements of one pass.
 type pass struct {
 	slots
 	machineTotals
-	machines []*machine
+	machines []*machine // candidates of this pass
 }
 
+// newSchedulingPass returns a pass without machines, from the present totals.
 func (l *leadership) newPass(quickWaits bool) *pass {
 	p := &pass{machineTotals: l.currentTotals()}
 	p.slots = slots{total: p.machineTotals.slots, batch: l.active[0], quick: l.active[1], quickWaits: quickWaits}
 	return p
 }
 
-// schedule starts what may start: for each job, in order, the scheduler slots,
-// the team's quota and the overall quota are checked, and then the task goes to
-// the least loaded machine.
+// schedule runs a full pass. For each job in queue order it checks the scheduler slots, the team
+// quota and the overall quota, and then places the task on the best machine.
 func (l *leadership) schedule() {
 	n := l.n
 	l.dirty, l.scheduled = false, n.now
@@ -337,7 +348,7 @@
 	p := l.newPass(l.pressingWaited)
 	if p.complete && !l.accountedBefore {
 		l.accountedBefore = true
-		n.log.Info("all machines accounted for", "after", n.now-l.since)
+		n.log.Info("all machines reconciled", "after", n.now-l.since)
 	}
 	for _, m := range l.held() {
 		if (m.ready() || m.lastResort()) && m.hasSpace() {
@@ -349,9 +360,9 @@
 	l.preempt()
 }
 
-// fill gives a machine that reports what waits for room, in the order of the last
-// full pass, so that its answer carries new tasks for those that have ended. A
-// full pass for each report would cost machines x tasks.
+// scheduleOnMachine places waiting tasks on a machine that sends a heartbeat, in the queue order
+// of the last full pass, so that the response carries new tasks in place of finished ones. A full
+// pass for each heartbeat would cost machines x tasks.
 func (l *leadership) fill(m *machine) {
 	if len(l.order) == 0 || !m.ready() || m.emptying || !m.hasSpace() {
 		return
@@ -361,8 +372,8 @@
 	l.admitAll(p)
 }
 
-// admitAll admits the waiting jobs to the machines of a pass. Within a rank,
-// tasks first go where their image is: a fetch keeps cores busy with nothing, and
+// scheduleQueue places tasks of the queued jobs on the machines of a pass. Within a rank,
+// machines that already have the image come first: a fetch occupies cores without progress and
 // may take as long as a task.
 func (l *leadership) admitAll(p *pass) {
 	for waiting := l.order; len(waiting) > 0; {
@@ -374,7 +385,7 @@
 			for _, r := range waiting[:same] {
 				l.looked++
 				if len(p.machines) == 1 && !p.machines[0].hasSpace() {
-					return // it was for the one that reports
+					return // the only machine of the pass is full
 				}
 				if j := r.j; j.pending > 0 && !j.gone {
 					most := j.pending
@@ -391,13 +402,13 @@
 	}
 }
 
-// hasSpace tells whether a machine could take a task of any size at all.
+// hasSpareCapacity reports whether a machine could take a task of any size at all.
 func (m *machine) hasSpace() bool {
 	return m.cores+slack < m.kind.Cores && m.ram+slack < m.kind.RAM
 }
 
-// admit starts as many tasks of a job as the checks let through, but no more than
-// most, and tells which check stopped it.
+// scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
+// the check that stopped it.
 func (l *leadership) admit(j *job, p *pass, fetch bool, most int) waitReason {
 	n := l.n
 	if j.held {
@@ -408,7 +419,7 @@
 	}
 	if j.bad && l.outlives(j) {
 		j.bad, j.probes = false, 0
-		n.log.Info("job runs after all", "job", j.spec.UID)
+		n.log.Info("job no longer fails everywhere", "job", j.spec.UID)
 	}
 	if j.bad {
 		if len(j.runs) > 0 || n.now < j.probeAt {
@@ -423,14 +434,14 @@
 	}
 	var at *candidates
 	stopped := waitNothing
-	leading := true // nothing pending has been passed over yet
+	leading := true // no pending task has been skipped yet
 	for index := j.first; index < j.spec.Tasks; index++ {
 		if j.pending == 0 || most <= 0 {
 			return stopped
 		}
 		if j.taskState(index) != taskPending {
 			if leading {
-				j.first = index + 1 // a job may have 100,000 tasks
+				j.first = index + 1 // avoids scanning up to 100,000 tasks again
 			}
 			continue
 		}
@@ -476,8 +487,8 @@
 	return stopped
 }
 
-// checkLimits makes the three checks of the design for one more task of a job, in their
-// order: the scheduler slots, the team's quota, the overall quota.
+// checkLimits makes the three checks for one more task of a job, in order: scheduler slots, team
+// quota, overall quota.
 func (l *leadership) checkLimits(j *job, p *pass, team *config.Team, use *usage) waitReason {
 	switch {
 	case !l.slotFree(j, p):
@@ -491,8 +502,8 @@
 	return waitNothing
 }
 
-// slotFree tells whether the job's class has a scheduler slot left. Batch work borrows those
-// set aside for pressing work while none of that has waited for long.
+// hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work borrows the
+// slots reserved for latency-sensitive work unless that is delayed.
 func (l *leadership) slotFree(j *job, p *pass) bool {
 	if pressing(&j.spec) {
 		return float64(p.quick+1) <= p.total
@@ -504,24 +515,25 @@
 	return float64(p.batch+1) <= limit
 }
 
-// candidates are the machines on which tasks of a job may start now, the best
-// first: the least loaded in steps, then the one that has the image soonest, then
-// the least loaded exactly. They are ranked once for all tasks of the job; a walk
-// over all machines for each task would cost machines x tasks.
+// candidateHeap is a heap of the machines on which tasks of a job may start now, best first: by
+// load in steps, then by fetch time of the image, then by exact load. The machines are scored
+// once for all tasks of the job; scoring them for each task would cost machines x tasks.
 type candidates struct {
 	l    *leadership
 	job  *job
-	list []candidate // a heap
+	list []candidate // in heap order
 
-	quick bool // machines that would have to fetch for long are left out
+	quick bool // machines with a long image fetch are excluded
 }
 
+// candidate is a feasible machine with its score; lower values are better.
 type candidate struct {
 	m           *machine
 	spare, step int
 	image, load float64
 }
 
+// Len, Swap, Push, Less and Pop implement heap.Interface.
 func (c *candidates) Len() int      { return len(c.list) }
 func (c *candidates) Swap(i, j int) { c.list[i], c.list[j] = c.list[j], c.list[i] }
 func (c *candidates) Push(x any)    { c.list = append(c.list, x.(candidate)) }
@@ -537,6 +549,8 @@
 	return last
 }
 
+// findCandidates filters and scores the machines for a job. Unless mayFetch is set, only machines
+// that have the job's image qualify.
 func (l *leadership) candidates(j *job, machines []*machine, fetch bool) *candidates {
 	c := &candidates{l: l, job: j}
 	quick := math.Inf(1)
@@ -544,7 +558,7 @@
 		quick = l.quickFetch(j)
 		c.quick = !math.IsInf(quick, 1)
 	}
-	// Faulty machines are idle, so they would be tried first again and again.
+	// Faulty machines are idle, so the score alone would choose them again and again.
 	elsewhere := j.bad && l.n.now < j.probeAt+3*l.n.report()
 	for _, m := range machines {
 		l.looked++
@@ -560,18 +574,17 @@
 	return c
 }
 
-// quickFetch is for how many seconds at most a task of the job may fetch its image.
-// Work that is to start within seconds waits for a machine that has the image, where
-// there are some, rather than miss its aim for sure with a long fetch on the first
-// machine that has room; but only for a part of that aim.
+// maxFetchSeconds returns how long a task of the job may fetch its image. A job with a start
+// objective of seconds waits for a machine that has the image, if there is one, because a long
+// fetch elsewhere would miss the objective for certain; but it waits only for imageWaitPercent of
+// that objective.
 func (l *leadership) quickFetch(j *job) float64 {
 	within := l.startAim(j)
 	if within == 0 || !l.tooSoonToRent(within) || l.n.now > j.from+within*imageWait/100 {
 		return math.Inf(1)
 	}
 	if j.imageSeen != l.scheduled {
-		// Once for each full pass: a walk over all machines for each report would cost
-		// machines x jobs.
+		// Once per full pass: scanning all machines on each heartbeat would cost machines x jobs.
 		j.imageSeen, j.imageHeld = l.scheduled, false
 		for _, m := range l.held() {
 			l.looked++
@@ -587,13 +600,14 @@
 	return math.Inf(1)
 }
 
-// imageWait is for how much of an aim on starting, in hundredths, work waits for a
-// machine that has its image.
+// imageWaitPercent is the percentage of a start objective during which a job waits for a machine
+// that has its image.
 const imageWait = 60
 
-// tooSoonToRent tells whether an aim on starting leaves no time to rent a machine for it.
+// tooSoonToScaleOut reports whether a start objective leaves no time to rent a machine.
 func (l *leadership) tooSoonToRent(within time.Duration) bool { return within < 2*l.n.lease() }
 
+// score returns a machine's score for the job.
 func (c *candidates) rate(m *machine) candidate {
 	x := candidate{m: m, load: max(m.cores/m.kind.Cores, m.ram/m.kind.RAM)}
 	x.step = int(x.load * float64(c.l.n.set.LoadSteps))
@@ -601,7 +615,7 @@
 		x.image = c.job.spec.ImageGB / m.kind.PullGBPerS
 	}
 	if m.emptying {
-		x.spare = 1 // surplus machines are to empty, unless no other has room
+		x.spare = 1 // keep surplus machines empty unless no other has room
 		if m.why == slow {
 			x.spare = 2
 		}
@@ -609,8 +623,8 @@
 	return x
 }
 
-// leastLoaded chooses the machine for a task. The machine on which the task
-// failed last is passed over.
+// bestMachine returns the best machine for a task, or nil. It skips the machine on which the task
+// failed last.
 func (c *candidates) leastLoaded(avoid string) *machine {
 	var passed *candidate
 	defer func() {
@@ -633,7 +647,8 @@
 	return nil
 }
 
-// inPlace tells whether the job's other tasks allow one in the machine's zone.
+// satisfiesZoneConstraints reports whether the placement of the job's other tasks allows one in
+// the machine's zone.
 func (c *candidates) inPlace(m *machine) bool {
 	spec := &c.job.spec
 	if !spec.SameZone && !spec.Spread {
@@ -650,7 +665,7 @@
 	return !spec.Spread || there < (spec.Tasks+1)/2
 }
 
-// placed ranks a machine anew that has got a task.
+// rescore updates a machine's score after a task was placed on it.
 func (c *candidates) placed(m *machine) {
 	at := slices.IndexFunc(c.list, func(x candidate) bool { return x.m == m })
 	if c.l.mayPlace(c.job, m) {
@@ -661,8 +676,9 @@
 	}
 }
 
-// unassign takes back tasks from machines that don't fetch them, be they silent or
-// deaf: fresh reports are no sign that a machine will ever start them.
+// releaseUndelivered releases attempts that were not delivered to their machine in time, because
+// its heartbeats stopped or its responses are lost. Received heartbeats alone do not prove that
+// the machine will ever start them.
 func (l *leadership) unassign() {
 	patience := 2*l.n.report() + l.n.report()/2
 	for _, m := range l.held() {
--- a/internal/coordination/spending.go
+++ b/internal/coordination/spending.go
@@ -1,9 +1,9 @@
 package coordination
 
-// spending is where the money of this term has gone, as an operator would ask.
+// costBreakdown is the machine cost of this term by use.
 type spending struct{ booting, idle, fetching, working float64 }
 
-// account adds what the machines have cost since the last plan, by use of cores.
+// accountCosts adds the machine cost since the last call, divided by the use of the cores.
 func (f *fleetControl) account() {
 	now := f.l.n.now
 	hours := (now - f.accountedAt).Hours()
