--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the two settings files of a controller: the platform's
-// TOML, which the deployment hands over, and the operators' own YAML.
+// Package config reads and validates the two settings files of a controller: the platform's TOML,
+// which the deployment provides, and the operators' YAML.
 package config
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Platform is the settings file that the platform hands to each controller.
-// Fields that it has beyond these are ignored.
+// Platform is the settings file that the platform provides to each controller. Unknown fields are
+// ignored.
 type Platform struct {
 	Node         string `toml:"node"`
 	Location     string `toml:"location"`
@@ -28,14 +28,14 @@
 	Cluster Cluster `toml:"cluster"`
 }
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Node     string `toml:"node"`
 	Location string `toml:"location"`
 	PeerAddr string `toml:"peer_addr"`
 }
 
-// Cluster is what all controllers of a deployment have in common.
+// Cluster holds the settings that all controllers of a deployment share.
 type Cluster struct {
 	Count       int         `toml:"count"`
 	Zones       []string    `toml:"zones"`
@@ -55,14 +55,14 @@
 	Resources Resources `toml:"resources"`
 }
 
-// State is what the state service takes.
+// StoreLimits are the limits of the key-value store.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next are the limits that it will have from some moment on, without notice. What
-	// is not named stays as it is.
+	// Upcoming are the limits that will apply from some moment on, without notice. Limits that are
+	// not named stay as they are.
 	Next struct {
 		WriteRPS *float64 `toml:"write_rps"`
 		ValueKB  *float64 `toml:"value_kb"`
@@ -70,15 +70,17 @@
 	} `toml:"next"`
 }
 
-// ValueBytes is what a value may hold, now and later.
+// MaxValueBytes returns the largest size of a value that is allowed both now and later.
 func (s *State) ValueBytes() int { return int(min(s.ValueKB, or(s.Next.ValueKB, s.ValueKB)) * 1024) }
 
-// Ops is how many changes a transaction may hold, now and later.
+// MaxTxnOps returns the largest number of operations in a transaction that is allowed both now and
+// later.
 func (s *State) Ops() int { return min(s.TxnOps, or(s.Next.TxnOps, s.TxnOps)) }
 
-// LowerWriteRPS is the lower of the two rates of changes, which may come to hold.
+// LowerWritesPerS returns the lower of the present and the upcoming rate of writes.
 func (s *State) LowerWriteRPS() float64 { return min(s.WriteRPS, or(s.Next.WriteRPS, s.WriteRPS)) }
 
+// valueOr returns *p, or the fallback if p is nil.
 func or[T any](p *T, otherwise T) T {
 	if p == nil {
 		return otherwise
@@ -93,7 +95,7 @@
 	MaxConnections int     `toml:"max_connections"`
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team holds the guarantee and the quota of a team; a value of 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -102,7 +104,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is an aim for a class of jobs.
+// Objective is a service-level objective for a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -110,7 +112,7 @@
 	Share   float64 `toml:"share"`
 }
 
-// Load reads and checks the platform's settings file.
+// LoadPlatform reads and validates the settings file of the platform.
 func Load(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -132,6 +134,7 @@
 	return &p, nil
 }
 
+// validate returns an error that names the first invalid setting.
 func (p *Platform) check() error {
 	text := []struct{ name, value string }{
 		{"node", p.Node}, {"client_listen", p.ClientListen}, {"peer_bind", p.PeerBind},
@@ -212,17 +215,20 @@
 	return nil
 }
 
-// The least that transactions are formed for, and that a job's record may be lowered to.
+// Lower bounds of the limits of the key-value store.
 const (
+	// minTxnOps is the least number of operations for which transactions are formed.
 	minTxnOps = 4
+	// minUpcomingValueKB is the lowest upcoming limit of the size of a value, and so of a job
+	// record.
 	minNextKB = 1.0
 )
 
-// longest is the longest duration made of a number of seconds: sums of several must not
-// overflow, whatever a user or another service writes.
+// maxDuration bounds the durations that Seconds returns, so that sums of several do not overflow
+// whatever a user or another service sends.
 const longest = 10 * 365 * 24 * time.Hour
 
-// Seconds turns a number of seconds into a duration, within ten years either way.
+// Seconds converts a number of seconds to a duration, limited to maxDuration either way.
 func Seconds(s float64) time.Duration {
 	switch d := s * float64(time.Second); {
 	case d >= float64(longest):
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,49 +9,50 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Settings are the operators' own choices. Most are ratios to figures of the
-// platform's file, so that one file can serve several deployments.
+// Settings are the operators' settings. Most are ratios to values of the platform's file, so that
+// one file can serve several deployments.
 type Settings struct {
-	// SlotsPerCore and SlotsBase make a machine's slots: per core x cores + base.
+	// SlotsPerCore and BaseSlots give the slots of a machine: slots per core * cores + base.
 	SlotsPerCore float64 `yaml:"slots_per_core"`
 	SlotsBase    float64 `yaml:"slots_base"`
-	// ClassShare of all slots belongs to batch work; the rest is set aside for
-	// the second class and lent to batch work while that does not need it.
+	// BatchShare is the share of all slots that belongs to batch work. The rest belongs to
+	// latency-sensitive work and is lent to batch work while that does not need it.
 	ClassShare float64 `yaml:"class_share"`
-	// BorrowWaitS is how long a second-class job waits before lending ends.
+	// BorrowWaitS is how long a latency-sensitive job has to be pending for lending to end.
 	BorrowWaitS float64 `yaml:"borrow_wait_s"`
-	// Headroom is the spare capacity kept, as a ratio to the recent demand.
+	// Headroom is the spare capacity, as a ratio to the usual load.
 	Headroom float64 `yaml:"headroom"`
-	// IdleKeep is how long an idle machine is kept, as a ratio to its boot time.
+	// IdleRetention is how long an idle machine is kept, as a ratio to its boot time.
 	IdleKeep float64 `yaml:"idle_keep"`
-	// PriceExponent is how much less spare capacity is held of dearer machines: the
-	// spare part is scaled by (cheapest price / price) to this power. Without it,
-	// 0.3 where aims on starting are stated, and 2 elsewhere.
+	// CostSensitivity determines how much less headroom is held on dearer machines: it is scaled
+	// by (lowest price / price) to this power. The default is 0.3 if there are SLOs on starting
+	// soon, and 2 otherwise.
 	PriceExponent *float64 `yaml:"thrift"`
-	// LoadSteps is how finely machine loads are told apart in placement.
+	// LoadSteps is the number of levels by which placement tells machine loads apart.
 	LoadSteps int `yaml:"load_steps"`
-	// FairAdmission lets the leader publish admission policies while more is submitted than
-	// can be taken.
+	// FairAdmission lets the leader publish admission policies under overload.
 	FairAdmission bool `yaml:"fair_admission"`
-	// LinkDecisions lets leaders resign, and ask others to relay, by what is known of half-open
-	// links.
+	// LinkDecisions lets a leader resign, or ask peers to relay heartbeats, according to what is
+	// known of half-open links.
 	LinkDecisions bool `yaml:"link_decisions"`
-	// Recovery holds a new leader's rentals and returns back until its machines are accounted
-	// for, and paces its orders.
+	// PacedRecovery holds back rentals and returns of a new leader until its machines are
+	// reconciled, and limits the rate of its commands.
 	Recovery bool `yaml:"recovery"`
-	// RecoveryFrom is how many machines a leader must hold for that: fewer can't cause a storm.
+	// RecoveryMinMachines is the number of machines from which PacedRecovery applies: fewer can't
+	// cause a storm of requests.
 	RecoveryFrom int `yaml:"recovery_from"`
-	// RecoveryRefill is the part of a worker lease within which all cores may be filled anew while
-	// orders are paced; RecoveryReplace the same of renting and returning all machines.
+	// RecoveryRefillLeases is the part of a worker lease within which tasks may be started on all
+	// cores while commands are paced. RecoveryReplaceLeases is the same for renting and returning
+	// all machines.
 	RecoveryRefill  float64 `yaml:"recovery_refill"`
 	RecoveryReplace float64 `yaml:"recovery_replace"`
-	// TraceSteps is how many steps of submissions a node keeps for operators; 0: none.
+	// MaxTraceSteps is how many processing steps of submissions a node retains; 0 means none.
 	TraceSteps int `yaml:"trace_steps"`
-	// MemoryRatio of mem_mb is the soft limit given to the garbage collector.
+	// MemoryLimitRatio is the soft memory limit of the garbage collector, as a ratio to mem_mb.
 	MemoryRatio float64 `yaml:"memory_ratio"`
 }
 
-// Defaults returns the settings of a controller that was given no file.
+// Defaults returns the settings that apply without a file.
 func Defaults() Settings {
 	return Settings{
 		SlotsPerCore: 2, SlotsBase: 6, ClassShare: 0.5, BorrowWaitS: 30,
@@ -60,8 +61,8 @@
 	}
 }
 
-// LoadSettings reads the operators' YAML over the defaults. Unknown keys are
-// refused: a misspelt key would otherwise silently do nothing.
+// LoadSettings reads the operators' YAML over the defaults. Unknown keys are errors: otherwise a
+// misspelt key would silently have no effect.
 func LoadSettings(path string) (Settings, error) {
 	s := Defaults()
 	if path == "" {
@@ -71,7 +72,7 @@
 	if err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
-	// A file without any key leaves the defaults; the decoder would clear them.
+	// The decoder would clear the defaults for a file without any key.
 	var keys map[string]any
 	if err := yaml.Unmarshal(raw, &keys); err != nil {
 		return s, fmt.Errorf("settings: %s: %s", path, oneLine(err))
@@ -87,8 +88,8 @@
 	return s, nil
 }
 
-// oneLine is the library's message without the excerpt of the file, with the key as the
-// operator writes it in the place of the field's name.
+// singleLineError returns the message of a YAML error without the excerpt of the file, and with
+// the key as the operator writes it in place of the name of the Go field.
 func oneLine(err error) string {
 	first, _, _ := strings.Cut(yaml.FormatError(err, false, false), "\n")
 	fields := reflect.TypeFor[Settings]()
@@ -99,6 +100,7 @@
 	return first
 }
 
+// validate returns an error that names the first setting outside its range.
 func (s *Settings) check() error {
 	if s.PriceExponent != nil && !(*s.PriceExponent >= 0 && *s.PriceExponent <= 10) {
 		return fmt.Errorf("thrift: must be within 0..10, is %v", *s.PriceExponent)
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -14,14 +14,15 @@
 	"hitchdoor/internal/storage"
 )
 
-// fleetControl rents and returns machines.
+// autoscaler rents machines from the cloud and returns them: it has a capacity plan made at
+// regular intervals and carries it out.
 type fleetControl struct {
 	l *leadership
 
 	requests    uint64
 	rentals     []*renting
-	retryAt     Instant // after trouble with the cloud
-	failedCalls int     // to the cloud, in a row
+	retryAt     Instant // end of the backoff after a failed call to the cloud
+	failedCalls int     // of calls to the cloud
 
 	listAt   Instant
 	listing  bool
@@ -31,31 +32,34 @@
 
 	forecast    *fleet.Forecast
 	planner     *fleet.Planner
-	savedAt     Instant // when the forecast was stored
-	recordAt    Instant // of the record that was taken over; never: there was none
+	savedAt     Instant // when the forecast was last stored
+	recordAt    Instant // time of the stored forecast that was restored; never: there was none
 	loggedAt    Instant
 	accountedAt Instant
 	spent       spending
 	target      float64 // cores to hold
-	patient     bool    // all aims leave time to queue
+	patient     bool    // all SLOs on starting leave the time to boot a machine
 }
 
-// renting is a rental under way. Its request name is durable before it is sent,
-// so that no other node can use the name for something else, and the next
-// leader can ask for its answer again.
+// pendingRental is a rental that the cloud has not answered. Its request name is stored before the
+// request is sent: no other node can use the name for another request, and the next leader can
+// repeat the request and gets the same answer.
 type renting struct {
 	protocol.Rental
 	durable, busy bool
-	charged       int // machines that were taken from the budget of a recovery
+	charged       int // machines charged to the recovery budget
 }
 
-// The powers to which spare capacity is scaled by price: where aims ask for an early start, which
-// only machines that are up already can meet, and elsewhere.
+// Defaults of fleet.Settings.CostSensitivity.
 const (
+	// startSLOCostSensitivity applies if some SLO on starting is so short that only machines that
+	// are up already can meet it.
 	impatientPriceExponent = 0.3
-	patientPriceExponent   = 2
+	// defaultCostSensitivity applies otherwise.
+	patientPriceExponent = 2
 )
 
+// init prepares the autoscaler of a new leader.
 func (f *fleetControl) init(l *leadership) {
 	f.l = l
 	exponent := float64(patientPriceExponent)
@@ -74,8 +78,10 @@
 	f.recordAt = never
 }
 
+// listLag returns the time by which the machine list of the cloud may be outdated.
 func (f *fleetControl) lag() time.Duration { return config.Seconds(f.l.n.cfg.Cluster.Cloud.ListLagS) }
 
+// tick makes a new plan if one is due and sends the requests to the cloud that may be sent now.
 func (f *fleetControl) tick() {
 	l, now := f.l, f.l.n.now
 	if now >= f.planAt+l.n.report()/2 {
@@ -91,9 +97,8 @@
 		return
 	}
 	if f.sendReturns() {
-		// They end what costs, and what holds up jobs after a takeover: rentals, which
-		// are asked for all the time where there is no capacity, must not take the
-		// calls from them.
+		// Returns go first: they end costs, and they unblock jobs after a takeover. Rentals are
+		// repeated for as long as the cloud lacks capacity and must not use up the call budget.
 		if l.mayRent() {
 			f.sendRentals()
 		}
@@ -101,31 +106,31 @@
 	}
 }
 
-// failedCall backs off from a cloud that is down or refuses us.
+// recordCallFailure backs off after a call that the cloud did not answer or refused.
 func (f *fleetControl) failedCall(status int) {
 	l := f.l
 	f.failedCalls = min(f.failedCalls+1, 4)
 	f.retryAt = l.n.now + (l.n.lease()/16)<<f.failedCalls
-	l.n.log.Debug("cloud call failed", "status", status)
+	l.n.log.Debug("cloud request failed", "status", status)
 }
 
-// lastHeard is from when a machine's silence counts: from its last report, but not from
-// before this leader could hear it.
+// silentSince returns the time from which the silence of a machine counts: its last heartbeat, or
+// the start of the term if that is later.
 func (l *leadership) lastHeard(m *machine) Instant { return max(m.heard, l.since) }
 
-// retire finds machines that should go.
+// drainUnresponsive drains machines that miss heartbeats, never reported, or run slowly.
 func (f *fleetControl) retire() {
 	l, now := f.l, f.l.n.now
 	quiet := func(m *machine) bool { return l.silenceAllows(m, now-l.lastHeard(m)) }
 	up, missed := 0, 0
-	// A machine that was used before is expected to report after a takeover too.
+	// After a takeover, machines that were used before are expected to report too.
 	expected := func(m *machine) bool { return m.up || (m.used && m.heard == never) }
 	for _, m := range l.machines {
 		if expected(m) {
 			up++
-			// Two reports missed are counted, though nothing is returned for them yet:
-			// where a leader is cut off from its workers, those that spoke first after
-			// it would be returned before it shows how many they are.
+			// Two missed heartbeats count here although they do not cause a drain yet. When
+			// the leader itself is partitioned from its workers, the machines that reported
+			// first would otherwise be returned before it shows that most are missing.
 			if quiet(m) || now-l.lastHeard(m) > 2*l.n.report() {
 				missed++
 			}
@@ -135,7 +140,7 @@
 		l.checkPace(m)
 		switch {
 		case expected(m) && quiet(m) && 2*missed <= up:
-			// Returning it makes sure, sooner than its lease does.
+			// Its return ends its tasks for certain, and sooner than its lease does.
 			l.leave(m, silent)
 		case !m.up && m.heard == never:
 			boot := l.n.lease()
@@ -149,7 +154,8 @@
 	}
 }
 
-// forced tells whether a machine is returned with whatever is on it.
+// mayForceReturn reports whether a draining machine may be returned although tasks or results are
+// on it.
 func (m *machine) forced() bool {
 	switch m.why {
 	case silent, neverUp, notListed:
@@ -160,7 +166,8 @@
 	return m.failedListing
 }
 
-// sendReturns returns what is to go, and tells whether no return waits for a call.
+// returnDrainedMachines returns the machines whose drain is complete. It reports whether the call
+// budget sufficed, so that other calls may follow.
 func (f *fleetControl) sendReturns() bool {
 	l, n := f.l, f.l.n
 	if n.now < f.returnAt {
@@ -171,9 +178,10 @@
 	for _, m := range l.held() {
 		if m.why == surplus && (n.now-m.rentedAt < minCharge ||
 			n.now-m.spareSince < config.Seconds(n.set.IdleKeep*m.kind.ReadyS)) {
-			continue // it is paid for, or work may be back before it would have booted again
+			continue // already billed, or work may return sooner than a new machine would boot
 		}
-		if m.emptying && !m.returning && len(names) < 100 && (m.forced() || (len(m.runs) == 0 && m.results == 0 && m.unknownTasks == 0)) {
+		if m.emptying && !m.returning && len(names) < 100 &&
+			(m.forced() || (len(m.runs) == 0 && m.results == 0 && m.unknownTasks == 0)) {
 			names = append(names, m.name)
 		}
 	}
@@ -186,7 +194,7 @@
 	}
 	f.returnAt = n.now + n.report()/4
 	if names = names[:l.affordable(recovery.ReturnMachine, len(names))]; len(names) == 0 {
-		n.cloudBudget.level++ // no call is made
+		n.cloudBudget.level++ // no call is made, so its token goes back
 		return true
 	}
 	for _, name := range names {
@@ -202,10 +210,10 @@
 				continue
 			}
 			if r.Status == 200 {
-				n.log.Info("machine returned", "machine", name, "why", m.why, "type", m.typ, "spot", m.spot)
+				n.log.Info("machine returned", "machine", name, "reason", m.why, "type", m.typ, "spot", m.spot)
 				l.forgetMachine(m)
 			} else {
-				m.returning = false // but still leaving: a late copy may return it
+				m.returning = false // it goes on draining, as a late copy of the request may return it
 			}
 		}
 		if r.Status == 200 {
@@ -217,7 +225,7 @@
 	return true
 }
 
-// list reads the cloud's machine list, page by page.
+// listMachines reads the machine list of the cloud, page by page.
 func (f *fleetControl) list() {
 	l, n := f.l, f.l.n
 	if f.listing || n.now < f.listAt+f.lag() || !n.cloudBudget.take(n.now, 1) {
@@ -252,6 +260,7 @@
 	page("")
 }
 
+// recordListedHost adds a listed machine that is unknown, and drains one that is listed as failed.
 func (f *fleetControl) found(h protocol.Host) {
 	l := f.l
 	f.listed[h.UID] = true
@@ -261,18 +270,19 @@
 	m := l.machines[h.UID]
 	if m == nil {
 		m = l.listed(h)
-		l.n.log.Info("unknown machine listed", "machine", m.name, "state", h.State)
+		l.n.log.Info("cloud lists unknown machine", "machine", m.name, "state", h.State)
 	}
 	if h.State == protocol.HostFailed && !m.failedListing && l.n.now-m.heard > 2*l.n.report() {
-		// One that reports has not failed, whatever a list says: it would be returned with
-		// all that it runs.
+		// A machine that sends heartbeats has not failed, whatever the list says. Its return
+		// would kill all tasks on it.
 		m.failedListing = true
 		l.leave(m, failedAlone)
 	}
 }
 
-// missing looks for machines that a list should have shown. Lists lag, so only
-// one that is old enough and silent counts; the return call makes sure.
+// drainUnlisted drains the machines that are missing from a list which was requested at
+// requestedAt. Lists lag, so only machines that are old enough and silent count, and the call that
+// returns them settles it.
 func (f *fleetControl) missing(asked Instant) {
 	l := f.l
 	for _, m := range l.held() {
@@ -282,15 +292,16 @@
 	}
 }
 
-// keep takes a surplus machine back.
+// cancelDrain uncordons a draining machine.
 func (l *leadership) keep(m *machine) {
 	m.emptying, m.why, m.spareSince, l.dirty = false, "", l.n.now, true
 }
 
-// minCharge is what the cloud charges for at least.
+// minBilledTime is the shortest time that the cloud bills.
 const minCharge = 60 * time.Second
 
-// rent begins rentals for the machines that the plan chose.
+// beginRentals stores a rental for each offering that the plan scales out. They are sent once they
+// are durable.
 func (f *fleetControl) rent(fresh []fleet.Option) {
 	counts := map[fleet.Option]int{}
 	var order []fleet.Option
@@ -323,9 +334,10 @@
 	}
 }
 
-// maxRentals bounds the rentals under way.
+// maxPendingRentals bounds the pending rentals.
 const maxRentals = 8
 
+// sendRentals sends the durable rentals that are not in flight, within the call budget.
 func (f *fleetControl) sendRentals() {
 	n := f.l.n
 	for _, r := range f.rentals {
@@ -339,6 +351,8 @@
 	}
 }
 
+// sendRental requests the machines of one rental and processes the response. A rental whose
+// outcome is unknown stays pending and is sent again.
 func (f *fleetControl) sendRental(r *renting) {
 	l, n := f.l, f.l.n
 	r.busy = true
@@ -353,7 +367,7 @@
 		case res.Status == 200 && json.Unmarshal(res.Body, &got) == nil:
 			f.failedCalls = 0
 			n.log.Info("machines rented", "request", r.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot,
-				"asked", r.Count, "got", len(got.Machines), "target", f.target)
+				"requested", r.Count, "count", len(got.Machines), "target", f.target)
 			for _, name := range got.Machines {
 				if _, gone := l.gone[name]; gone || l.machines[name] != nil {
 					continue
@@ -369,12 +383,12 @@
 			f.settle(r)
 		case res.Status == 503 && strings.Contains(string(res.Body), "no capacity"):
 			f.failedCalls = 0
-			n.log.Debug("no capacity", "type", r.Type, "zone", r.Zone, "spot", r.Spot)
+			n.log.Debug("cloud has no capacity", "type", r.Type, "zone", r.Zone, "spot", r.Spot)
 			r.refund(l, 0)
 			f.refuse(opt)
 			f.settle(r)
 		case res.Status == 400:
-			n.log.Error("rental refused as malformed", "request", r.Request, "body", string(res.Body))
+			n.log.Error("rental rejected as malformed", "request", r.Request, "error", string(res.Body))
 			r.refund(l, 0)
 			f.refuse(opt)
 			f.settle(r)
@@ -384,20 +398,21 @@
 	})
 }
 
-// refund gives back to the budget what the cloud did not rent. Where it has next to no capacity, a
-// small fleet's whole budget went for requests that brought nothing.
+// refundUnrented gives back to the recovery budget what was charged for machines that the cloud
+// did not provide. Where capacity is scarce, the whole budget of a small fleet went to requests
+// without effect.
 func (r *renting) refund(l *leadership, got int) {
 	l.recovery.Refund(l.n.now, recovery.RentMachine, r.charged-got)
 	r.charged = 0
 }
 
-// refuse leaves an option alone for a while, and plans anew.
+// markUnavailable has an offering left out for a while, and makes a new plan due.
 func (f *fleetControl) refuse(o fleet.Option) {
 	f.planner.Refuse(o, f.l.n.now)
 	f.planAt = never
 }
 
-// settle ends a rental and drops its record; its machines are recorded first.
+// finishRental removes a rental and deletes its record. Its machines are stored before that.
 func (f *fleetControl) settle(r *renting) {
 	f.rentals = slices.DeleteFunc(f.rentals, func(x *renting) bool { return x == r })
 	key := storage.RentPrefix + r.Request
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -11,9 +11,9 @@
 	"hitchdoor/internal/storage"
 )
 
-// What the plan of the fleet is made from, and how it is carried out.
+// Inputs of the capacity plan, and how the plan is carried out.
 
-// plan has the fleet planned and carries the plan out.
+// applyPlan has a capacity plan made and carries it out.
 func (f *fleetControl) plan() {
 	l, n := f.l, f.l.n
 	f.account()
@@ -40,6 +40,7 @@
 	}
 }
 
+// heldMachines returns the machines that entries of a plan stand for.
 func machinesOf(held map[*fleet.Machine]*machine, list []*fleet.Machine) []*machine {
 	machines := make([]*machine, 0, len(list))
 	for _, m := range list {
@@ -48,16 +49,19 @@
 	return machines
 }
 
-// view is what the plan is made of. It notes which machine is which.
+// planView returns the input of the planner. It adds to machineOf which machine each entry stands
+// for.
 func (f *fleetControl) view(held map[*fleet.Machine]*machine) *fleet.View {
 	l, n := f.l, f.l.n
-	v := &fleet.View{Now: n.now, Catalog: n.catalog, Demand: f.demandView(), Usual: f.forecast.Usual(), UsualImage: f.usualImage(),
+	v := &fleet.View{Now: n.now, Catalog: n.catalog, Demand: f.demandView(),
+		Usual: f.forecast.Usual(), UsualImage: f.usualImage(),
 		MayRent: l.mayRent(), MayShrink: l.mayShrink()}
 	for _, m := range l.held() {
 		if m.kind == nil || m.returning || m.emptying && m.why != surplus {
 			continue
 		}
-		x := &fleet.Machine{Name: m.name, Option: m.option(), Type: m.kind, Up: m.up, Reserved: m.reservedFor != nil, IdleTo: l.idleTo(m)}
+		x := &fleet.Machine{Name: m.name, Option: m.option(), Type: m.kind, Up: m.up,
+			Reserved: m.reservedFor != nil, IdleTo: l.idleTo(m)}
 		held[x] = m
 		if m.emptying {
 			v.Leaving = append(v.Leaving, x)
@@ -76,12 +80,12 @@
 	return v
 }
 
-// demandView is what the demand for cores follows from.
+// demandInputs returns the input of the demand for cores.
 func (f *fleetControl) demandView() fleet.Demand {
 	l, n := f.l, f.l.n
 	d := fleet.Demand{Now: n.now, Boot: l.bootTime(), Begin: planBegin}
 	if f.patient {
-		// Elsewhere spare room is held for work that is to start soon anyway.
+		// Otherwise headroom is held for work that has to start soon anyway.
 		d.Forecast = f.forecast
 	}
 	pull := l.pull()
@@ -100,9 +104,10 @@
 	return d
 }
 
-// unservedShare is the part of the work that may be running unseen which surely is not, as the
-// machines that are not accounted for can't serve more than their cores. Without any of it, a fleet
-// that was short of machines got none until the leases of those that hung were over.
+// surelyPendingShare returns the share of the work that may be running on unreconciled machines
+// which is certainly still pending, as those machines can't run more than their cores allow.
+// Without it, a fleet that was short of machines did not scale out until the leases of machines
+// that hung had expired.
 func (l *leadership) unservedShare(totals *machineTotals) float64 {
 	if !l.restrained() {
 		return 1
@@ -116,23 +121,25 @@
 	return max(0, 1-totals.unknown.cores/max(pending, slack))
 }
 
-// fleetJob is what the plan needs to know of a job.
+// planJob returns the planner's view of a job.
 func (l *leadership) fleetJob(j *job, p pull) fleet.Job {
-	x := fleet.Job{Cores: j.spec.Cores, Each: l.expected(j) + p.time(j.spec.ImageGB), Work: l.workLeft(j, p), Failing: j.bad,
-		Due: l.due(j), From: j.from, Reserve: l.reserve(j), Begun: j.begun(), Share: l.shares[j.spec.Class]}
+	x := fleet.Job{Cores: j.spec.Cores, Each: l.expected(j) + p.time(j.spec.ImageGB),
+		Work: l.workLeft(j, p), Failing: j.bad, Due: l.due(j), From: j.from,
+		Reserve: l.reserve(j), Begun: j.begun(), Share: l.shares[j.spec.Class]}
 	for _, d := range l.next(j, l.bootTime()) {
-		x.Next = append(x.Next, fleet.Upcoming{Each: l.expected(d) + p.time(d.spec.ImageGB), Due: l.dueFrom(d, l.n.now) - l.n.now, Work: l.workLeft(d, p)})
+		x.Next = append(x.Next, fleet.Upcoming{Each: l.expected(d) + p.time(d.spec.ImageGB),
+			Due: l.dueFrom(d, l.n.now) - l.n.now, Work: l.workLeft(d, p)})
 	}
 	return x
 }
 
-// demand is how many cores should be at work, of so many held.
+// requiredCores returns how many cores the open jobs require, given that heldCores are held.
 func (f *fleetControl) demand(held float64) float64 {
 	d := f.demandView()
 	return d.Cores(held)
 }
 
-// logPlan tells the fleet's figures, seldom.
+// logPlan logs the figures of a plan, at most four times per worker lease.
 func (f *fleetControl) logPlan(plan *fleet.Plan, usual float64) {
 	l, n := f.l, f.l.n
 	if n.now <= f.loggedAt+n.lease()/4 {
@@ -149,14 +156,15 @@
 	for _, j := range l.runnable {
 		pending += float64(j.pending) * j.spec.Cores
 	}
-	n.log.Debug("fleet", "held", plan.Held, "up", up, "used", used, "pending", pending,
-		"demand", plan.Demand, "usual", usual, "target", plan.Target, "spent", f.spent, "writes", l.writer.Pending())
+	n.log.Debug("capacity plan", "held", plan.Held, "up", up, "used", used, "pending", pending,
+		"demand", plan.Demand, "usual", usual, "target", plan.Target,
+		"costs", f.spent, "pending_writes", l.writer.Pending())
 }
 
-// option is the kind of the machine.
+// offering returns the offering that the machine was rented from.
 func (m *machine) option() fleet.Option { return fleet.Option{Type: m.typ, Zone: m.zone, Spot: m.spot} }
 
-// usualImage is the mean size of the open jobs' images, in GB.
+// meanImageGB returns the mean image size of the runnable jobs, in GB.
 func (f *fleetControl) usualImage() float64 {
 	sum := 0.0
 	for _, j := range f.l.runnable {
@@ -165,9 +173,10 @@
 	return sum / max(1, float64(len(f.l.runnable)))
 }
 
-// pull is how fast the machines held fetch images, as a mean by their cores.
+// imagePullRate is the rate at which the machines pull images, as a mean weighted by their cores.
 type pull struct{ rate, cores float64 }
 
+// imagePullRate returns the pull rate of the machines held.
 func (l *leadership) pull() pull {
 	var p pull
 	for _, m := range l.machines {
@@ -179,7 +188,7 @@
 	return p
 }
 
-// time is how long an image takes to fetch.
+// pullDuration returns how long an image of a size takes to pull; 0 if the rate is unknown.
 func (p pull) time(gb float64) time.Duration {
 	if p.rate <= 0 {
 		return 0
@@ -187,8 +196,8 @@
 	return config.Seconds(gb * p.cores / p.rate)
 }
 
-// reserve is how much of a job's aim on starting the plan does not count on, so that
-// takeovers, outages and lost machines find some slack.
+// startSLOReserve returns the part of a job's SLO on starting that the plan does not count on, as
+// slack for takeovers, outages and lost machines.
 func (l *leadership) reserve(j *job) time.Duration {
 	if j.spec.DeadlineS != nil {
 		return 0
@@ -196,13 +205,14 @@
 	return l.startAim(j) * startReserve / 100
 }
 
+// startSLOReservePercent is that part in percent.
 const startReserve = 40
 
-// planBegin is within what time the plan lets every job begin, even one without an
-// aim, or with one that leaves more time: well inside mustBegin.
+// plannedStartWithin is the time within which the plan lets every job start, even one without an
+// SLO or with a longer one. It is well inside maxStartDelay.
 const planBegin = mustBegin * 3 / 5
 
-// bootTime is how long a machine rented now usually takes to come up.
+// bootTime returns the shortest boot time of the machine types.
 func (l *leadership) bootTime() time.Duration {
 	boot := 0.0
 	for _, t := range l.n.catalog {
@@ -213,8 +223,8 @@
 	return config.Seconds(boot)
 }
 
-// idleTo is for how long a machine's cores would be idle, on the mean, until the
-// last of its tasks has ended.
+// idleUntilEmpty returns the mean time, in seconds, for which a core of the machine would be idle
+// until the last task on it ends.
 func (l *leadership) idleTo(m *machine) float64 {
 	last, work := 0.0, 0.0
 	for _, r := range m.list {
@@ -225,13 +235,13 @@
 	return last - work/m.kind.Cores
 }
 
-// countsAfter is how long a task must run without being stopped for its start to
-// count towards the aims, by the protocol.
+// minCountedRun is how long a task must run uninterrupted for its start to count towards the SLOs,
+// by the worker protocol.
 const countsAfter = 30 * time.Second
 
-// gather moves the few tasks that keep a surplus machine from being returned, where
-// all of them save when stopped, others have room for them, and both they and the
-// machine's idle cores would go on for twice as long as the move takes.
+// consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
+// if all of them write checkpoints, other machines have room for them, and both the tasks and the
+// idle cores of the machine would go on for at least twice as long as the move takes.
 func (f *fleetControl) gather(kept []*machine) {
 	l, n := f.l, f.l.n
 	free := 0.0
@@ -269,20 +279,21 @@
 	}
 }
 
-// arrived counts the work that a new job brings.
+// recordArrival adds the work of a new job to the forecast.
 func (f *fleetControl) arrived(j *job) {
 	f.decay()
 	work := float64(j.spec.Tasks) * j.spec.Cores * f.l.expected(j).Seconds()
 	f.forecast.Arrived(j.spec.Class, work, f.l.due(j)-j.from)
 }
 
-// decay brings the forecast up to now.
+// decayForecast decays the forecast up to the present.
 func (f *fleetControl) decay() { f.forecast.Decay(f.l.n.now, !f.l.n.elect.stateDown()) }
 
-// forecastShare is the part of a value, one in so much, that the stored forecast may fill.
+// forecastValueDivisor limits the stored forecast to this fraction, one in so many, of the largest
+// value.
 const forecastShare = 2
 
-// saveForecast stores what has been learnt of the arrivals, seldom, for the next leader.
+// saveForecast stores the forecast for the next leader, every two worker leases.
 func (f *fleetControl) saveForecast() {
 	n := f.l.n
 	if n.now < f.savedAt+2*n.lease() || f.forecast.Empty() {
@@ -291,22 +302,23 @@
 	f.savedAt = n.now
 	f.l.writer.Add(storage.Lazy, storage.Unit{Build: func() []storage.Write {
 		f.decay()
-		return []storage.Write{storage.Set(storage.FlowKey, f.forecast.Record(n.wallMS(), n.cfg.Cluster.State.ValueBytes()/forecastShare))}
+		return []storage.Write{storage.Set(storage.FlowKey,
+			f.forecast.Record(n.wallMS(), n.cfg.Cluster.State.ValueBytes()/forecastShare))}
 	}})
 }
 
-// loadForecast takes over what the leader before has learnt of the arrivals.
+// loadForecast restores the forecast that an earlier leader stored.
 func (f *fleetControl) loadForecast(items []storage.Item) {
 	n := f.l.n
 	for _, it := range items {
 		if it.Key != storage.FlowKey {
 			continue
 		}
-		// Known in any case: one that can't be read is only worth less, and is written anew.
+		// The version is needed in any case, as a record that can't be read is overwritten.
 		f.l.writer.Know(it.Key, it.Version)
 		var rec storage.FlowRecord
 		if err := json.Unmarshal(it.Value, &rec); err != nil {
-			n.log.Warn("the stored forecast can't be read", "error", err)
+			n.log.Warn("stored forecast unreadable", "error", err)
 			continue
 		}
 		f.recordAt = min(n.instantOf(rec.AtMS), n.now)
@@ -315,8 +327,8 @@
 	}
 }
 
-// inherit takes the cores found at a takeover for the usual load, where what was
-// stored of it, and what has arrived since, says less.
+// inheritUsualLoad takes the cores held at a takeover as the usual load, unless the restored
+// forecast and the arrivals since then amount to more.
 func (f *fleetControl) inherit() {
 	held := 0.0
 	for _, m := range f.l.machines {
@@ -328,8 +340,8 @@
 	if f.forecast.Empty() {
 		f.forecast.Begin(f.l.n.now)
 	}
-	// Jobs that were accepted since the record was made have arrived, too; those that
-	// came before the first leader did are half of what a day begins with.
+	// Jobs accepted after the forecast was stored count as arrivals too, as do those submitted
+	// before there was a first leader.
 	for _, j := range f.l.byAge() {
 		if j.from > f.recordAt {
 			f.arrived(j)
--- a/internal/coordination/health.go
+++ b/internal/coordination/health.go
@@ -7,6 +7,7 @@
 	"hitchdoor/internal/config"
 )
 
+// delayTask delays the next attempt of a task, and lets it avoid a machine for one worker lease.
 func (l *leadership) delay(j *job, index int, m *machine, d time.Duration) {
 	t := j.failures[index]
 	if t == nil {
@@ -16,26 +17,29 @@
 	t.after, t.avoid, t.until = l.n.now+d, m.name, l.n.now+d+l.n.lease()
 }
 
-// Failures: from how many machines a job without any success is taken for bad,
-// and from how many tasks in a row a machine is taken for sick.
+// Thresholds that tell faulty jobs from unhealthy machines.
 const (
-	badJobMachines   = 3
+	// jobFaultMachines is the number of machines on which a job without any success must have
+	// failed to count as failing everywhere.
+	badJobMachines = 3
+	// machineFaultTasks is the number of consecutive failures that make a machine unhealthy.
 	sickMachineTasks = 2
 )
 
-// probeWithin is after what time, at most, a job that fails everywhere is tried again: a
-// job may not be left waiting for 90 s, and its mistake may lie in what it reads.
+// maxProbeDelay bounds the delay until a job that fails everywhere is tried again. Its fault may
+// lie in its input, and no job may be left without an attempt for 90 s.
 const probeWithin = mustBegin / 4
 
-// failed counts a failure of a task that ran for a time. The task is retried at once on
-// another machine; if it fails again it backs off, as an accepted job must run in the end.
+// recordTaskFailure records the failure of a task that ran for runDuration. The task is retried at
+// once on another machine. After the second failure it backs off, as an accepted job has to run in
+// the end.
 func (l *leadership) failed(m *machine, j *job, index int, ran time.Duration) {
 	j.failedOn[m.name] = true
 	j.failedAfter = max(j.failedAfter, ran)
 	if len(j.failedOn) >= badJobMachines && j.done == 0 {
-		// It fails everywhere: that is the job's own mistake, and no machine's.
+		// The job fails everywhere, so the fault is its own and not the machines'.
 		if !j.bad {
-			l.n.log.Info("job fails on every machine", "job", j.spec.UID)
+			l.n.log.Info("job fails everywhere", "job", j.spec.UID)
 			for _, r := range j.runs {
 				if r.phase == phaseAssigned {
 					l.release(r)
@@ -51,9 +55,9 @@
 		t.after = l.n.now + min(l.n.report()<<min(t.failures-1, 10), 4*l.n.lease())
 	}
 	if j.bad {
-		// From now on one task at a time tells whether it still does. Each of hundreds of
-		// tasks was tried again and again, at the price of work that runs.
-		if l.n.now >= j.probeAt { // else it was started before that was known
+		// From now on one task at a time probes the job. Retrying each of hundreds of tasks
+		// takes capacity from work that succeeds.
+		if l.n.now >= j.probeAt { // else the attempt started before the job was known to fail
 			j.probes++
 			j.probeAt = l.n.now + min(l.n.lease()<<min(j.probes, 10)/2, probeWithin)
 		}
@@ -62,15 +66,17 @@
 	}
 	m.failures++
 	m.failedJobs[j.spec.UID] = true
-	if m.failures >= sickMachineTasks && !m.sick && (len(m.failedJobs) > 1 || j.done > 0 || m.failures >= 2*sickMachineTasks) {
+	if m.failures >= sickMachineTasks && !m.sick &&
+		(len(m.failedJobs) > 1 || j.done > 0 || m.failures >= 2*sickMachineTasks) {
 		m.sick = true
 		l.leave(m, sick)
 	}
 }
 
-// outlives tells whether a task of a job that is taken for bad has been running for so much
-// longer than any other did before it failed, that the machines were at fault. Waiting for
-// its end would cost a healthy job, whose first tasks all met faulty machines, a whole run.
+// outlivesFailures reports whether a task of a job that fails everywhere has been running so much
+// longer than any failed attempt did that the machines were at fault. Waiting for the task to end
+// would cost a healthy job, whose first tasks all met faulty machines, the duration of a whole
+// task.
 func (l *leadership) outlives(j *job) bool {
 	for _, r := range j.runs {
 		if r.phase == phaseRunning && l.n.now-r.started > 2*(j.failedAfter+l.n.report()) {
@@ -80,19 +86,21 @@
 	return false
 }
 
-// Slow machines: how many of the last tasks are looked at, how many at least,
-// and how many times the expected time they must take on the mean. Run times
-// differ by a factor of two anyway.
+// Thresholds of the detection of slow machines.
 const (
-	paceMemory  = 4
-	paceTasks   = 2
+	// maxPaceSamples is the number of recent tasks that are considered.
+	paceMemory = 4
+	// minPaceSamples is the least number of tasks that allow a decision.
+	paceTasks = 2
+	// slowPaceFactor is the mean ratio of real to typical duration from which a machine counts
+	// as slow. Durations differ by a factor of two anyway.
 	paceTooSlow = 2.2
-	// paceSiblings is how many tasks of a job tell how long the others take.
+	// minSiblingSamples is the number of finished tasks of a job that give its typical duration.
 	paceSiblings = 3
 )
 
-// paced notes how fast a machine ran a task, against the job's other tasks:
-// estimates are wrong for all tasks of a job alike.
+// recordPace records how long a machine took for a task in comparison with the other tasks of the
+// job. The estimate can't serve for that: it is wrong for all tasks of a job alike.
 func (l *leadership) paced(m *machine, j *job, took time.Duration) {
 	if usual, ok := j.usualTook(); ok {
 		if len(m.pace) == paceMemory {
@@ -105,7 +113,8 @@
 	j.usual = time.Duration(math.Exp(j.tookSum / j.tookCount))
 }
 
-// usualTook is how long the job's finished tasks took, once there are some.
+// typicalTaskDuration returns the typical duration of the finished tasks of the job, if there are
+// enough of them.
 func (j *job) usualTook() (time.Duration, bool) {
 	if j.tookCount < paceSiblings {
 		return 0, false
@@ -113,8 +122,8 @@
 	return j.usual, true
 }
 
-// checkPace empties a machine that runs its tasks far slower than their siblings
-// run elsewhere. What is on it moves if it would be done sooner from the start.
+// drainIfSlow drains a machine that runs its tasks far slower than other machines run their
+// siblings. An attempt on it is rescheduled if it would end sooner when started anew.
 func (l *leadership) checkPace(m *machine) {
 	if !m.up || m.why == slow {
 		return
@@ -125,7 +134,7 @@
 		count++
 	}
 	for _, r := range m.list {
-		// A task that is overdue says as much as one that has ended.
+		// A task past its typical duration counts like a finished one.
 		if r.phase != phaseRunning || r.job.moved[r.index] {
 			continue
 		}
@@ -139,7 +148,7 @@
 		return
 	}
 	factor := math.Exp(sum / float64(count))
-	l.n.log.Info("machine is slow", "machine", m.name, "factor", factor, "tasks", count)
+	l.n.log.Info("machine slow", "machine", m.name, "slowdown", factor, "tasks", count)
 	l.leave(m, slow)
 	for _, r := range m.list {
 		want := l.expected(r.job)
@@ -149,7 +158,7 @@
 		ran := l.n.now - r.started
 		left := time.Duration(float64(want)*factor) - ran
 		if left < ran && ran > want {
-			left = ran // overdue: the factor is but a lower bound
+			left = ran // overdue: the slowdown is only a lower bound
 		}
 		switch {
 		case r.stop != nil || r.job.moved[r.index]:
@@ -163,9 +172,9 @@
 	}
 }
 
-// move stops a run so that it goes on elsewhere, once: a task that simply takes
-// longer than its siblings looks the same on every machine, and was stopped on one
-// after the other for ever.
+// rescheduleAttempt stops an attempt so that its task restarts on another machine, once for each
+// task. A task that simply takes longer than its siblings looks slow on every machine and would be
+// stopped again and again.
 func (l *leadership) move(r *run, grace float64) {
 	if r.job.moved == nil {
 		r.job.moved = map[int]bool{}
@@ -174,19 +183,21 @@
 	l.stopRun(r, grace)
 }
 
-// saveGrace is the time a task is given to save, with room for a slow machine.
+// checkpointGraceS returns the grace period, in seconds, for an attempt to save a checkpoint, with
+// a margin for a slow machine.
 func (l *leadership) saveGrace(r *run) float64 {
 	return 2*r.job.spec.SaveS + l.n.report().Seconds()
 }
 
-// takeNotice drains a machine that the cloud is about to take.
+// applyPreemptionNotice drains a spot machine that the cloud is about to preempt, and stops the
+// attempts that would not end before that.
 func (l *leadership) takeNotice(m *machine, notice *float64) {
 	if notice == nil {
 		return
 	}
 	left := config.Seconds(*notice)
 	if m.notice == never {
-		l.n.log.Info("spot notice", "machine", m.name, "left", left)
+		l.n.log.Info("preemption notice", "machine", m.name, "left", left)
 		l.dirty = true
 	}
 	m.notice = l.n.now + left
@@ -206,10 +217,11 @@
 	}
 }
 
-// remaining is how long a run should still take.
+// remainingDuration returns how long an attempt should still run.
 func (l *leadership) remaining(r *run) time.Duration { return l.remainingOf(r, l.expected(r.job)) }
 
-// remainingOf is the same of a run that is expected to take want in all.
+// remainingOfExpected returns how long an attempt should still run, given its expected total
+// duration.
 func (l *leadership) remainingOf(r *run, want time.Duration) time.Duration {
 	if r.phase == phaseRunning {
 		return max(want-(l.n.now-r.started), want/8)
@@ -217,22 +229,25 @@
 	return want
 }
 
-// cause is why a machine is returned, as operators read it.
+// drainReason is the reason for which a machine is drained, as operators see it on the status
+// page.
 type cause string
 
+// The reasons for a drain.
 const (
-	surplus     cause = "surplus"       // it is no longer needed
-	noticed     cause = "notice"        // the cloud takes it soon
-	slow        cause = "slow"          // it runs its tasks far slower than others
+	surplus     cause = "surplus"       // not needed any more
+	noticed     cause = "notice"        // the cloud announced its preemption
+	slow        cause = "slow"          // runs its tasks far slower than other machines
 	sick        cause = "sick"          // tasks fail on it
-	deaf        cause = "deaf"          // it hears no answer
-	silent      cause = "silent"        // it does not report
-	neverUp     cause = "never came up" // it has not reported yet
-	failedAlone cause = "failed"        // it stopped on its own, says the cloud
-	notListed   cause = "not listed"    // the cloud does not name it
+	deaf        cause = "deaf"          // responses do not reach it
+	silent      cause = "silent"        // its heartbeats stopped
+	neverUp     cause = "never came up" // no heartbeat since it was rented
+	failedAlone cause = "failed"        // failed according to the cloud
+	notListed   cause = "not listed"    // missing from the list of the cloud
 )
 
-// leave marks a machine to be returned as soon as it is empty.
+// beginDrain cordons a machine and has it returned once it is empty. A later reason replaces an
+// earlier one, but surplus capacity replaces none.
 func (l *leadership) leave(m *machine, why cause) {
 	if m.why == "" || why != surplus {
 		m.why = why
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -8,7 +8,7 @@
 	"hitchdoor/internal/recovery"
 )
 
-// onReport takes a worker's report and answers it.
+// onWorkerHeartbeat processes the heartbeat of a worker and responds with the commands for it.
 func (l *leadership) onReport(r Request) {
 	n, rep := l.n, r.Report
 	if !l.loaded {
@@ -18,7 +18,7 @@
 	l.heardWorker = n.now
 	if rep.FencingToken > l.term {
 		l.note(recovery.NewerToken, rep.Machine, "")
-		// The worker has seen a newer leader: our answers would be dropped.
+		// The worker has seen a newer leader and would drop the responses of this one.
 		n.unavailable(r.Origin)
 		n.stepDown("a worker has seen a higher token")
 		return
@@ -30,8 +30,8 @@
 	}
 	forget := l.takeReport(m, rep, r.Origin.Peer)
 	if l.deaf(m) {
-		// Whatever we say is lost, and a 200 would only put off the moment at which
-		// its lease is surely over.
+		// The response would be lost, and a 200 would only postpone the time from which the
+		// worker's lease has certainly expired.
 		n.unavailable(r.Origin)
 		return
 	}
@@ -50,7 +50,7 @@
 	n.reply(r.Origin, 200, 0, m.last)
 }
 
-// keepEarlyReport lets a report wait until the records are read.
+// queueEarlyHeartbeat holds a heartbeat until all records have been read.
 func (l *leadership) keepEarlyReport(r Request) {
 	if len(l.earlyReports) >= l.n.maxEarlyReports() || l.n.elect.stateLost() {
 		l.n.unavailable(r.Origin)
@@ -59,8 +59,8 @@
 	l.earlyReports = append(l.earlyReports, r)
 }
 
-// takeReport brings what is known of a machine up to its report, and returns the commands that
-// end what should not be there.
+// applyHeartbeat updates the state of a machine from its heartbeat. It returns the commands that
+// stop or forget tasks that should not be on the machine.
 func (l *leadership) takeReport(m *machine, rep *protocol.Report, via string) []protocol.Command {
 	shown := l.shows(rep)
 	if rep.Session > m.session && m.session != 0 {
@@ -86,13 +86,13 @@
 	return forget
 }
 
-// shows tells whether a report shows the present term's token.
+// carriesToken reports whether a heartbeat carries the fencing token of the current term.
 func (l *leadership) shows(rep *protocol.Report) bool { return rep.FencingToken == l.term }
 
-// keepIfHeardAgain takes a machine back that was to be returned for its silence: it was cut
-// off, or we were, and the cloud has not been asked yet. Where its interface is down, a
-// thousand such machines were returned once it was back, though all of them had been running
-// tasks again for half a minute.
+// cancelMissedHeartbeatDrain cancels the drain of a machine that missed heartbeats and reports
+// again, unless its termination has been requested already. The worker or this leader may only
+// have been partitioned. Without this, a thousand machines were returned after an outage of the
+// cloud API although they had been running tasks again for half a minute.
 func (l *leadership) keepIfHeardAgain(m *machine) {
 	if m.why != silent || m.asked {
 		return
@@ -103,7 +103,8 @@
 	}
 }
 
-// reporter finds the machine that a report is of, or takes it in; nil for one that is gone.
+// reportingMachine returns the machine that sent a heartbeat and adds it if it is unknown. It
+// returns nil for a machine that has been removed, or whose heartbeat is a late copy.
 func (l *leadership) reporter(rep *protocol.Report) *machine {
 	if m := l.machines[rep.Machine]; m != nil {
 		l.learnType(m, rep)
@@ -114,23 +115,24 @@
 	}
 	missing := l.namesMissing()
 	if len(rep.Tasks) > 0 && !missing {
-		// A machine is durable by name before its first task, and its record is dropped only
-		// once it is surely gone. So this is a late copy of what a returned machine once
-		// said, however fresh it looks to a leader that remembers nothing of it: it must not
-		// hold up jobs, nor fill a quota.
+		// A machine is stored before its first task starts, and its record is deleted only
+		// after it has certainly ended. An unrecorded machine with tasks is therefore a late
+		// copy of a heartbeat from before its return. It must neither block jobs nor count
+		// against a quota.
 		l.note(recovery.MachineNotRecorded, rep.Machine, "")
 		return nil
 	}
 	l.note(recovery.MachineNotRecorded, rep.Machine, "")
 	m := l.newMachine(rep.Machine, rep.Type, rep.Zone, rep.Spot)
-	// Nobody recorded it, so no leader has commanded a task to it; its report must still
-	// show our token before it counts for anything.
+	// No leader has stored the machine, so none has started a task on it. It is used only
+	// once its heartbeats carry the token of this term.
 	m.accounted = !missing
-	l.n.log.Info("unknown machine reports", "machine", m.name, "type", m.typ)
+	l.n.log.Info("heartbeat from unknown machine", "machine", m.name, "type", m.typ)
 	return m
 }
 
-// learnType takes the type of a machine from its report, where its record can't be read.
+// adoptReportedType sets the type of a machine from its heartbeat where its record could not be
+// read.
 func (l *leadership) learnType(m *machine, rep *protocol.Report) {
 	if m.typ != "" || rep.Type == "" {
 		return
@@ -140,29 +142,31 @@
 	l.record(m, true)
 }
 
-// outdated tells whether a report must not be acted upon: it is of another worker, late, or
-// a copy.
+// isStaleHeartbeat reports whether a heartbeat must be ignored because it comes from another
+// worker, arrives late, or is a copy.
 func (l *leadership) outdated(m *machine, rep *protocol.Report) bool {
 	if m.address != "" && rep.Address != "" && rep.Address != m.address {
-		// Two workers under one name, or a copy that somebody altered. The one that spoke
-		// first is heard until its lease is surely over: a new session of the other would be
-		// taken for the end of all that the first one runs.
+		// Two workers use one name, or a copy was altered on the way. The first one stays
+		// accepted until its lease has certainly expired: a new epoch of the other would be
+		// mistaken for the end of all tasks of the first.
 		if !m.twice {
 			m.twice = true
-			l.n.log.Warn("two workers report under one name", "machine", m.name, "address", m.address, "other", rep.Address)
+			l.n.log.Warn("two workers use one machine name", "machine", m.name,
+				"address", m.address, "other_address", rep.Address)
 		}
 		return true
 	}
 	if rep.Session < m.session || (rep.Session == m.session && rep.Seq <= m.seq) || rep.Session <= m.lost {
-		return true // late, or of a session that we have declared lost: never a 200
+		return true // late, or of a fenced epoch, which never gets a 200 again
 	}
-	// Nothing of an earlier leader is on a machine that is accounted for, by its record or
-	// because its lease has surely run out unanswered; whatever is started from now on comes
-	// with our token. So tasks without it are a copy of what was on it once.
+	// A reconciled machine runs nothing that an earlier leader started: its record says so, or
+	// its lease has certainly expired without a response. All later starts carry the token of
+	// this term, so a heartbeat with tasks but without the token is an old copy.
 	return m.accounted && !l.shows(rep) && len(rep.Tasks) > 0
 }
 
-// beginSession takes the first report of a worker's new session: it has killed everything.
+// beginEpoch handles the first heartbeat of a new worker epoch. The worker has killed all earlier
+// tasks.
 func (l *leadership) beginSession(m *machine) {
 	l.note(recovery.NewerSession, m.name, "")
 	m.unknownTasks, l.totalsValid = 0, false
@@ -174,9 +178,9 @@
 	if l.n.now-m.heard >= l.n.lease()/2 {
 		return
 	}
-	// It spoke all along: either its lease ran out, as it hears no answer, or it was back at
-	// once after an end. The next command that it gets will tell, or a second time without
-	// any sign.
+	// Heartbeats arrived without a gap. Either the worker's lease expired because responses do
+	// not reach it, or the worker restarted at once. The next command that it executes decides,
+	// or a second new epoch without any sign of a delivered response.
 	m.missedAnswers++
 	if m.restarted {
 		m.missedAnswers = max(m.missedAnswers, deafAnswers)
@@ -184,16 +188,16 @@
 	m.restarted = true
 }
 
-// deafAnswers is how many answers in a row a machine must show no sign of before
-// it is taken for deaf: one that hung for a moment, or whose answer came after it
-// had stopped waiting, misses one or two.
+// maxMissedResponses is the number of consecutive responses without a sign of delivery after which
+// commands count as undelivered. A worker that hung for a moment, or whose response came after its
+// timeout, misses one or two.
 const deafAnswers = 3
 
-// hears looks in a report for signs that the last answer reached the machine: our
-// token, or what it was told first, as commands are executed in their order. An answer
-// without commands shows by the worker's staying with its node. Without that, a machine that
-// had missed an answer and had nothing to do got no command, so it never showed a sign again,
-// and no work for good.
+// trackCommandDelivery looks in a heartbeat for signs that the last response was delivered: the
+// fencing token, or the effect of its first command, as commands are executed in order. Delivery
+// of a response without commands shows by the worker using the same route again. Without that rule
+// a machine that had missed a response while idle got no more commands, and so could never show a
+// sign of delivery.
 func (l *leadership) hears(m *machine, rep *protocol.Report, shown, stayed bool) {
 	last := m.last
 	m.last = nil
@@ -212,9 +216,10 @@
 	}
 }
 
-// executed tells whether a report shows that a command was carried out.
+// commandExecuted reports whether a heartbeat shows that a command was executed.
 func executed(c protocol.Command, rep *protocol.Report) bool {
-	at := slices.IndexFunc(rep.Tasks, func(t protocol.TaskReport) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
+	at := slices.IndexFunc(rep.Tasks,
+		func(t protocol.TaskReport) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
 	switch {
 	case c.Op == protocol.OpStart:
 		return at >= 0
@@ -227,11 +232,11 @@
 	}
 }
 
-// deaf finds a machine whose reports arrive while answers don't reach it. Its
-// reports look alive, so without this it would keep the tasks given to it, count
-// as room, and, after a takeover, hold up all older jobs for as long as it speaks.
-// It gets no more work and no more answers, and is returned; what it runs ends by
-// report, with its lease or with the machine.
+// drainIfCommandsUndelivered drains a machine whose heartbeats arrive while responses do not reach
+// it, and reports whether that is so. Its heartbeats look healthy: otherwise it would keep its
+// assigned tasks, count as capacity, and block older jobs after a takeover. It gets no more tasks
+// and responses and is returned. Its tasks end by a heartbeat, with the lease, or with the
+// machine.
 func (l *leadership) deaf(m *machine) bool {
 	if m.missedAnswers < deafAnswers {
 		return false
@@ -247,17 +252,19 @@
 			}
 		}
 		if up > 1 && 2*unsure > up {
-			return false // then it is our answers that don't get through
+			return false // responses of this node do not get through at all
 		}
-		l.n.log.Info("machine hears no answer", "machine", m.name, "tasks", len(m.runs))
+		l.n.log.Info("commands do not reach machine", "machine", m.name, "tasks", len(m.runs))
 		l.leave(m, deaf)
 	}
 	return true
 }
 
-// maxCommands bounds an answer well inside 64 KiB.
+// maxCommandsPerResponse keeps a response well below 64 KiB.
 const maxCommands = 300
 
+// appendAttemptCommands adds the commands to stop and start task attempts to those of the
+// reconciliation.
 func (l *leadership) commands(m *machine, commands []protocol.Command) []protocol.Command {
 	if commands == nil {
 		commands = []protocol.Command{}
@@ -272,7 +279,8 @@
 			if !l.allowOrder(recovery.StopTask, urgencyOf(r.job), r.job.spec.Team) {
 				continue
 			}
-			commands = append(commands, protocol.Command{Op: protocol.OpStop, Task: r.key(), Attempt: r.attempt, GraceS: r.stop})
+			commands = append(commands, protocol.Command{
+				Op: protocol.OpStop, Task: r.key(), Attempt: r.attempt, GraceS: r.stop})
 		case r.phase == phaseAssigned && m.shown && m.used:
 			if !l.mayStart(r, starts) {
 				continue
@@ -289,8 +297,8 @@
 	return commands
 }
 
-// reconcile compares a report with what we believe of the machine, and returns
-// the commands that end what should not be there.
+// reconcileMachine compares a heartbeat with the recorded state of its machine, and returns the
+// commands that stop or forget tasks that should not be there.
 func (l *leadership) reconcile(m *machine, rep *protocol.Report) []protocol.Command {
 	var commands []protocol.Command
 	for _, r := range m.list {
@@ -308,9 +316,9 @@
 			continue
 		}
 		if r.phase == phaseSent {
-			// This report is newer than the answer that held the command, and
-			// workers drop answers they no longer wait for: it was not executed
-			// and never will be.
+			// The heartbeat is newer than the response with the start command, and workers
+			// drop responses that they no longer wait for. The command was not executed and
+			// never will be.
 			if r.stop != nil || r.job.gone {
 				l.release(r)
 			} else {
@@ -323,8 +331,8 @@
 	return commands
 }
 
-// reconcileTask compares one reported task with what we believe of the machine, and returns the
-// command that ends it, if it should not be there.
+// reconcileTask compares one reported task with the recorded state of its machine. It returns the
+// command that stops or forgets the task if it should not be there, and nil otherwise.
 func (l *leadership) reconcileTask(m *machine, t protocol.TaskReport, tokenShown bool) *protocol.Command {
 	x := l.reportedTask(m, t)
 	if x.followed() {
@@ -362,7 +370,7 @@
 	return nil
 }
 
-// seen updates a run that is on its machine.
+// updateAttempt updates a task attempt from the state that its machine reports.
 func (l *leadership) seen(m *machine, r *run, t protocol.TaskReport) {
 	switch t.State {
 	case protocol.TaskFetching:
@@ -374,8 +382,8 @@
 			if r.job.firstStart == 0 {
 				r.job.firstStart = l.n.now
 				l.n.trace(r.job.spec.UID, stepRuns, r.key()+" on "+m.name+" after "+l.sinceAccepted(r.job))
-				l.n.log.Debug("job's first task runs", "job", r.job.spec.UID, "class", r.job.spec.Class, "tasks", r.job.spec.Tasks,
-					"after", l.n.now-r.job.from)
+				l.n.log.Debug("first task of job running", "job", r.job.spec.UID,
+					"class", r.job.spec.Class, "tasks", r.job.spec.Tasks, "after", l.n.now-r.job.from)
 			}
 			m.touch(r.job.spec.Image, r.job.spec.ImageGB)
 		}
@@ -384,7 +392,8 @@
 	}
 }
 
-// touch notes an image as the machine's most recently used.
+// touchImage marks an image as the most recently used of the machine and evicts the least recently
+// used ones beyond the cache size.
 func (m *machine) touch(name string, gb float64) {
 	m.images = slices.DeleteFunc(m.images, func(i image) bool { return i.name == name })
 	m.images = append(m.images, image{name, gb})
@@ -401,12 +410,13 @@
 	}
 }
 
+// hasImage reports whether the machine has cached an image. Every machine has the empty image.
 func (m *machine) hasImage(name string) bool {
 	return name == "" || slices.ContainsFunc(m.images, func(i image) bool { return i.name == name })
 }
 
-// exited handles a task that has ended and tells whether the worker may forget
-// it: a result only once it is durable, as it is the only copy.
+// handleTaskExit processes a task that has ended, and reports whether the worker may forget it. A
+// result may be forgotten only once it is durable, as the worker has the only copy.
 func (l *leadership) exited(m *machine, j *job, index int, r *run, t protocol.TaskReport) bool {
 	now := l.n.now
 	mine := r != nil && r.attempt == t.Attempt
@@ -414,7 +424,7 @@
 		if mine {
 			l.release(r)
 		}
-		return true // the job is over, and its end is durable
+		return true // the job has ended, and its terminal record is durable
 	}
 	if t.Why == protocol.WhyDone {
 		if mine {
@@ -450,7 +460,7 @@
 	case protocol.WhyError:
 		l.failed(m, j, index, ran)
 	case protocol.WhyHalted:
-	default: // refused: our picture of the machine was behind
+	default: // refused: the recorded state of the machine was outdated
 		l.delay(j, index, m, l.n.report())
 	}
 	return true
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -6,53 +6,55 @@
 	"time"
 )
 
-// Job is what the plan needs to know of an open job that waits for no others. Instants are on the
-// caller's steady clock, work is in core seconds.
+// Job is the planner's view of an open job whose dependencies have all finished. Instants are on
+// the caller's monotonic clock; work is in core seconds.
 type Job struct {
-	Cores   float64       // of a task
-	Each    time.Duration // that a task takes, with the fetch of its image
-	Work    float64       // left
-	Failing bool          // it fails on every machine: one task at a time is tried
-	Due     time.Duration // when it should be complete
-	From    time.Duration // when its times began
-	Reserve time.Duration // of its aim, that the plan does not count on
-	Begun   bool
-	Share   float64    // of its class's jobs that is to be in time
-	Next    []Upcoming // jobs that wait for this one alone, once its end is near
+	Cores   float64
+	Each    time.Duration // expected duration of a task, including the pull of its image
+	Work    float64       // of the tasks that have not ended
+	Failing bool          // only one task at a time is tried
+	Due     time.Duration // when the job should be complete
+	From    time.Duration // when its SLOs began to count
+	Reserve time.Duration // part of the SLO on starting that the plan does not count on
+	Begun   bool          // some task has started
+	Share   float64       // share of the jobs of its class that has to be in time
+	Next    []Upcoming    // jobs that depend on this one alone, once its end is near
 }
 
-// Upcoming is a job that will soon need machines.
+// UpcomingJob is a job that will be released soon and then needs machines.
 type Upcoming struct {
 	Each time.Duration
-	Due  time.Duration // how long from now, if it were to begin now
+	Due  time.Duration // after the present, if the job started now
 	Work float64
 }
 
-// Demand is what the plan's demand for cores depends on, besides the forecast.
+// Demand holds what the demand for cores follows from.
 type Demand struct {
 	Now      time.Duration
-	Boot     time.Duration // that a machine takes to come up
-	Begin    time.Duration // within which every job is to begin
+	Boot     time.Duration // of a new machine
+	Begin    time.Duration // time within which every job should start
 	Jobs     []Job
-	Forecast *Forecast // nil: nothing is planned for jobs to come
+	Forecast *Forecast // nil: nothing is planned for jobs that have not arrived
 }
 
-// load is work that is due within a time.
+// dueWork is work that is due after a time.
 type load struct {
 	due  time.Duration
 	work float64
 }
 
 const (
-	// lateSpan is within how many times its run time a late job's work should start.
+	// lateRunTimeFactor is the multiple of its task duration within which the work of a late job
+	// should start.
 	lateSpan = 4
-	// bootMargin is how many times the boot time work must leave for machines to be rented for it.
+	// bootTimeMargin is the multiple of the boot time that must be left before work is due for
+	// machines to be rented for it.
 	bootMargin = 1.25
 )
 
-// Cores is how many cores should be at work, of so many held, so that the jobs are in time:
-// whatever is due by some moment must fit in the time until then. Jobs that are
-// late already ask for little, as no speed helps them.
+// RequiredCores returns how many cores should be at work for the jobs to be in time, given that
+// heldCores are held: all work due by some moment must fit into the time until then. Jobs that are
+// late already add little, as more cores do not help them.
 func (d *Demand) Cores(held float64) float64 {
 	loads, strictShare := d.loads()
 	usable := usableTime(strictShare)
@@ -74,7 +76,8 @@
 	return need
 }
 
-// loads lists the work that is due, and the mean share of it that is to be in time.
+// loads returns the work with the time after which it is due, and the mean share of it that has to
+// be in time.
 func (d *Demand) loads() (loads []load, strictShare float64) {
 	strict, whole := 0.0, 0.0
 	for i := range d.Jobs {
@@ -93,7 +96,7 @@
 	return loads, strict / max(whole, 1)
 }
 
-// span is within what time a job's work is to be done.
+// completionSpan returns the time within which the work of a job should be done.
 func (d *Demand) span(j *Job) time.Duration {
 	due := j.Due - d.Now
 	span := min(due-j.Reserve, j.From+d.Begin+j.Each-d.Now)
@@ -103,25 +106,27 @@
 	case !j.Begun:
 		return j.Each
 	case due >= j.Each:
-		// The reserve is used up, but the aim can still be met. A job that was only
-		// begun, lest it wait for too long, was taken for late here, and most of
-		// its tasks were planned for after their time.
+		// The reserve is used up, but the SLO can still be met. Treating the job as late would
+		// plan most of its tasks for after it is due: of a job that was started only because it
+		// had been pending for long, most tasks have yet to run.
 		return due
 	default:
 		return lateSpan * j.Each
 	}
 }
 
-// The share up to which the plan has no margin, and its margin where all is to be in time.
+// Bounds of the margin that the plan adds to the machine time it counts on.
 const (
+	// relaxedShare is the share of work in time up to which there is no margin.
 	looseShare = 0.9
+	// maxMargin is the margin if all work has to be in time.
 	marginMost = 0.3
 )
 
-// usableTime is how much of a machine's time the plan counts on, where aims ask for such a
-// share of the work to be in time. Tasks can be neither split nor stopped, so a plan
-// that counts on all of it comes out late for some, and an outage or a takeover for
-// more; where aims leave next to none of that, it is worth machines.
+// usableTimeFraction returns the fraction of machine time that the plan counts on if onTimeShare
+// of the work has to be in time. Tasks can be neither split nor interrupted, so a plan that counts
+// on all of the time is late for some work, and for more of it after an outage or a takeover.
+// Where the SLOs allow next to none of that, the additional machines are worth their price.
 func usableTime(share float64) float64 {
 	return 1 / (1 + max(0, (share-looseShare)/(1-looseShare))*marginMost)
 }
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -11,50 +11,52 @@
 	"hitchdoor/internal/storage"
 )
 
-// Forecast is what has been learnt of the work that arrives, by class of jobs. Instants are on the
-// caller's steady clock.
+// Forecast estimates the work that will arrive from past arrivals, by class of jobs. Instants are
+// on the caller's monotonic clock.
 type Forecast struct {
-	lease     time.Duration
+	lease     time.Duration // of the workers
 	flows     map[string]*flow
-	inherited float64       // work that a predecessor saw arrive, as flow.work
-	decayedAt time.Duration // when the sums were last decayed
-	silent    time.Duration // since the last arrival, while arrivals could be written
-	since     time.Duration // since when arrivals are counted
+	inherited float64       // work that arrived under earlier leaders, in core seconds, decaying like recentWork
+	decayedAt time.Duration // time up to which the sums are decayed
+	silent    time.Duration // not counting times in which no job could be stored
+	since     time.Duration // when the counting of arrivals began
 }
 
-// flow is the work that arrives of a class of jobs.
+// classArrivals is the work that arrives of one class of jobs.
 type flow struct {
-	work float64       // in core seconds, decaying
-	slow float64       // the same, decaying slowly
-	jobs float64       // how many jobs that is
-	due  time.Duration // how long after its arrival it is due, of the last job
+	work float64       // in core seconds, decaying over the short window
+	slow float64       // in core seconds, decaying over the long window
+	jobs float64       // number of jobs, decaying over the long window
+	due  time.Duration // time from arrival to due time, of the last job
 }
 
 const (
-	// levelSpan is over how many worker leases the usual load is taken.
+	// windowLeases is the short window, over which the usual load is taken, in worker leases.
 	levelSpan = 2
-	// slowSpan is over how many times the span of the usual load the forecast goes.
+	// longWindowFactor is the ratio of the long window, over which the forecast is taken, to the
+	// short one.
 	slowSpan = 6
-	// luckyAbsences is how many jobs may stay away by luck, at a steady rate. Users who found no
-	// node come back within about a lease, so that long says nothing.
+	// toleratedMissingJobs is how many expected jobs may fail to arrive by chance at a steady
+	// rate. Clients that found no node retry within about a lease, so a gap of that length has no
+	// meaning.
 	luckyAbsences = 3
-	// forecastJobs is of how many jobs half of the forecast is believed: what a few
-	// have brought is mostly luck, and machines rented for it cost more than they help.
+	// halfTrustJobs is the number of jobs at which half of the forecast is trusted. The arrivals
+	// of few jobs are mostly random, and machines rented for them cost more than they help.
 	forecastJobs = 35
-	// forgottenJobs is the decayed number of jobs at which a class is forgotten.
+	// minTrackedJobs is the decayed number of jobs below which a class is forgotten.
 	forgottenJobs = 0.01
 )
 
-// NewForecast begins with nothing learnt. lease is the workers'.
+// NewForecast returns an empty forecast. lease is the worker lease.
 func NewForecast(lease time.Duration) *Forecast {
 	return &Forecast{lease: lease, flows: map[string]*flow{}}
 }
 
-// Span is over what time the usual load is taken.
+// Window returns the short window, over which the usual load is taken.
 func (f *Forecast) Span() time.Duration { return levelSpan * f.lease }
 
-// Arrived counts the work, in core seconds, that a new job of a class brings. It is due so long
-// after its arrival.
+// RecordArrival adds the work, in core seconds, of a new job of a class. The job is due dueAfter
+// its arrival.
 func (f *Forecast) Arrived(class string, work float64, due time.Duration) {
 	x := f.flows[class]
 	if x == nil {
@@ -65,10 +67,11 @@
 	x.slow += work
 	x.jobs++
 	f.silent = 0
-	x.due = max(0, due) // a job that waited for others may be late by then
+	x.due = max(0, due) // a job may be late already when its dependencies finish
 }
 
-// Decay brings the sums up to a moment. Time in which no job could be written is no silence.
+// DecayTo decays the sums up to now. writable tells whether jobs could be stored since the last
+// call; if not, that time does not count as one without arrivals.
 func (f *Forecast) Decay(now time.Duration, writable bool) {
 	by := math.Exp(-(now - f.decayedAt).Seconds() / f.Span().Seconds())
 	slowly := math.Pow(by, 1.0/slowSpan)
@@ -86,15 +89,15 @@
 	f.decayedAt = now
 }
 
-// slowTime is over how many seconds the slowly decaying sums go: less than their full
-// span while they have not been kept for that long.
+// longWindowSeconds returns the time that the sums of the long window cover: less than the full
+// window until they have been kept for that long.
 func (f *Forecast) slowTime() float64 {
 	span := slowSpan * f.Span().Seconds()
 	seen := f.Span().Seconds() + (f.decayedAt - f.since).Seconds()
 	return span * (1 - math.Exp(-seen/span))
 }
 
-// JobsSeen is how many jobs the slowly decaying sums go over.
+// JobsSeen returns the number of jobs in the sums of the long window.
 func (f *Forecast) JobsSeen() float64 {
 	jobs := 0.0
 	for _, x := range f.flows {
@@ -103,9 +106,9 @@
 	return jobs
 }
 
-// Confidence is how much of what usually comes is still expected. Sums that decay go on for
-// minutes after the last job, and machines were held, and even rented anew, for work
-// that nobody brought; that so many jobs in a row stay away is no luck.
+// Confidence returns the share of the usual arrivals that is still expected. Decaying sums outlast
+// the last job by minutes, in which machines were held and even rented for work that did not come.
+// More jobs missing in a row than chance explains lower the confidence.
 func (f *Forecast) Confidence() float64 {
 	missed := f.JobsSeen() / f.slowTime() * (f.silent - f.lease).Seconds()
 	if missed <= luckyAbsences {
@@ -114,8 +117,8 @@
 	return luckyAbsences / missed
 }
 
-// Usual is the usual load: the cores that the work which arrives keeps busy, over the last
-// while. A new leader begins with what its predecessor held.
+// UsualLoad returns the number of cores that recent arrivals keep busy. The forecast of a new
+// leader begins with what its predecessor held.
 func (f *Forecast) Usual() float64 {
 	work := f.inherited
 	for _, x := range f.flows {
@@ -124,8 +127,9 @@
 	return f.Confidence() * work / f.Span().Seconds()
 }
 
-// Coming is the work, in core seconds, that should arrive, as usual, early enough to be due within
-// so many seconds. It passes ahead of what is due then, so room must be left for it.
+// ExpectedWork returns the work, in core seconds, that should arrive early enough to be due within
+// withinSeconds. It takes precedence over the work that is due then, so capacity has to be left
+// for it.
 func (f *Forecast) Coming(within float64) float64 {
 	work := 0.0
 	for _, x := range f.flows {
@@ -136,14 +140,15 @@
 	return f.Confidence() * trust * work / f.slowTime()
 }
 
-// Empty tells whether nothing has been learnt.
+// Empty reports whether no arrivals are known.
 func (f *Forecast) Empty() bool { return len(f.flows) == 0 }
 
-// Record is what is stored for the next leader, at a time of day in milliseconds, in at most so
-// many bytes: users name the classes, so their number and length are bounded here, the least
-// work first. A value over the limit would be refused, and the leader would step down for it.
+// Snapshot returns what is stored for the next leader, in at most maxBytes. Users choose the names
+// of classes, so their number and length have to be bounded: the classes with the least work are
+// left out. A value over the limit would be refused, and the leader would step down.
 func (f *Forecast) Record(wallMS int64, maxBytes int) storage.FlowRecord {
-	record := storage.FlowRecord{AtMS: wallMS, OverS: (f.decayedAt - f.since).Seconds(), Classes: map[string]storage.Flow{}}
+	record := storage.FlowRecord{
+		AtMS: wallMS, OverS: (f.decayedAt - f.since).Seconds(), Classes: map[string]storage.Flow{}}
 	classes := slices.SortedFunc(maps.Keys(f.flows), func(a, b string) int {
 		return cmp.Or(cmp.Compare(f.flows[b].slow, f.flows[a].slow), cmp.Compare(a, b))
 	})
@@ -160,7 +165,7 @@
 	return record
 }
 
-// Restore takes over what the leader before had stored at an instant.
+// Restore replaces the forecast by a stored one, which was made at storedAt.
 func (f *Forecast) Restore(record storage.FlowRecord, at time.Duration) {
 	f.decayedAt = at
 	f.since = at - config.Seconds(record.OverS)
@@ -169,12 +174,12 @@
 	}
 }
 
-// Begin counts arrivals from a moment on, where nothing was stored.
+// StartCounting starts the counting of arrivals where no forecast was stored.
 func (f *Forecast) Begin(now time.Duration) { f.decayedAt, f.since = now, now }
 
-// Inherit takes the cores that are found at a takeover for the usual load, where what was
-// stored of it, and what has arrived since, says less. What users did while nobody led is not
-// known.
+// InheritLoad takes the cores that are held at a takeover as the usual load, unless the restored
+// forecast and the arrivals since then amount to more. Arrivals while there was no leader are
+// unknown.
 func (f *Forecast) Inherit(cores float64) {
 	f.silent = 0
 	f.inherited = max(0, cores-f.Usual()) * f.Span().Seconds()
--- a/internal/fleet/option.go
+++ b/internal/fleet/option.go
@@ -1,6 +1,6 @@
-// Package fleet plans how many machines to hold, which to rent and which to give up, from the open
-// jobs and a forecast of those to come. It is pure: the caller brings the time and a view of jobs
-// and machines, and carries out the plan.
+// Package fleet makes the capacity plan: how many machines to hold, which to rent (scale out) and
+// which to return (scale in), from the open jobs and a demand forecast. It does no I/O and has no
+// clock: the caller passes the time and a view of jobs and machines, and carries out the plan.
 package fleet
 
 import (
@@ -9,13 +9,14 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Option is a kind of machine that can be asked for.
+// Offering is what the cloud can be asked for: a machine type in a zone, spot (preemptible) or on
+// demand.
 type Option struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// FitsType tells whether a task of a job fits a machine type.
+// FitsType reports whether a task of a job fits on an empty machine of a type.
 func FitsType(j *protocol.Job, t *protocol.MachineType) bool {
 	if len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
 		return false
@@ -26,12 +27,15 @@
 	return j.Cores <= t.Cores && j.RAM <= t.RAM && j.Accelerators <= t.Accelerators
 }
 
-// Fits tells whether a job may use such a machine, of a type that is nil if it is not known.
+// Fits reports whether tasks of a job may run on a machine of the offering. machineType is its type,
+// or nil if that is not known.
 func (o Option) Fits(j *protocol.Job, t *protocol.MachineType) bool {
 	return t != nil && FitsType(j, t) && (j.Zone == "" || j.Zone == o.Zone) && (j.Spot || !o.Spot)
 }
 
-// MayServe tells whether a job asks for such a machine, whatever its size is.
+// MatchesConstraints reports whether the type, zone and spot constraints of a job allow the
+// offering, whatever its size.
 func (o Option) MayServe(j *protocol.Job) bool {
-	return (len(j.Types) == 0 || slices.Contains(j.Types, o.Type)) && (j.Zone == "" || j.Zone == o.Zone) && (j.Spot || !o.Spot)
+	return (len(j.Types) == 0 || slices.Contains(j.Types, o.Type)) &&
+		(j.Zone == "" || j.Zone == o.Zone) && (j.Spot || !o.Spot)
 }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -10,83 +10,85 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Machine is what the plan needs to know of a machine that is held.
+// Machine is the planner's view of a machine that is held.
 type Machine struct {
 	Name     string
 	Option   Option
 	Type     *protocol.MachineType
-	Up       bool
-	Reserved bool    // room on it is kept for a task
-	IdleTo   float64 // core-normalised seconds for which its cores would be idle until it is empty
+	Up       bool    // it sends heartbeats
+	Reserved bool    // capacity on it is reserved for a task
+	IdleTo   float64 // mean seconds for which a core would be idle until the machine is empty
 }
 
+// pricePerCore returns the price of the machine per core.
 func (m *Machine) perCore() float64 { return m.Type.PerCore(m.Option.Spot) }
 
-// Wish is a job that waits for machines.
+// PendingJob is a job with pending tasks.
 type Wish struct {
 	Spec    *protocol.Job
-	Pending int // tasks
+	Pending int
 }
 
-// View is what a plan is made of.
+// View is the input of a plan.
 type View struct {
 	Now        time.Duration
 	Catalog    map[string]*protocol.MachineType
-	Kept       []*Machine        // held, and not to be returned
-	Leaving    []*Machine        // being emptied, as there were too many
-	Rentals    []protocol.Rental // under way
+	Kept       []*Machine        // held and not draining
+	Leaving    []*Machine        // draining as surplus
+	Rentals    []protocol.Rental // requested, and not answered yet
 	Demand     Demand
-	Usual      float64 // cores that are usually at work
-	UsualImage float64 // in GB
-	Waiting    []Wish  // in the order in which they are served
+	Usual      float64 // cores that are usually busy
+	UsualImage float64
+	Waiting    []Wish // in scheduling order
 	MayRent    bool
 	MayShrink  bool
 }
 
-// Plan is what to do.
+// Plan is a capacity plan: what to do to hold the cores that are needed.
 type Plan struct {
-	Held, Demand, Target float64 // cores
-	TakeBack             []*Machine
-	Rent                 []Option
-	Needed, Surplus      []*Machine
+	Held, Demand, Target float64    // cores
+	TakeBack             []*Machine // draining machines to keep after all
+	Rent                 []Option   // offerings to rent, one entry for each machine
+	Needed, Surplus      []*Machine // kept machines that are needed, and those to drain
 }
 
-// Settings are the operators', and what follows from the aims.
+// Settings are the settings of a planner.
 type Settings struct {
 	Headroom float64 // spare cores, as a ratio to the usual load
-	// PriceExponent is how much less spare capacity is held of dearer machines: it is scaled by
-	// (cheapest price / price) to this power.
+	// CostSensitivity determines how much less headroom is held on dearer machines: it is scaled
+	// by (lowest price / price) to this power.
 	PriceExponent float64
-	Lease         time.Duration
+	Lease         time.Duration // of the workers
 }
 
-// Planner remembers what was refused.
+// Planner makes capacity plans. It remembers which offerings had no capacity.
 type Planner struct {
 	settings Settings
 	refused  map[Option]*refusal
 }
 
-// refusal remembers that an option had no capacity.
+// capacityBackoff is the time for which an offering without capacity is left out.
 type refusal struct {
 	until time.Duration
 	times int
 }
 
 const (
-	// maxFresh bounds the machines that one plan rents.
+	// maxMachinesPerPlan bounds the machines that one plan rents.
 	maxFresh = 50
-	// maxRefusals bounds, in leases, for how long an option is left alone.
+	// maxBackoffLeases bounds the backoff of an offering, in worker leases.
 	maxRefusals = 3
-	// wholeMachine: less than this part of a machine is no reason to hold a whole one.
+	// minMachineFraction is the fraction of a machine that must be needed for a whole one to be
+	// held.
 	wholeMachine = 0.25
 )
 
-// NewPlanner begins with nothing refused.
+// NewPlanner returns a planner to which all offerings are available.
 func NewPlanner(settings Settings) *Planner {
 	return &Planner{settings: settings, refused: map[Option]*refusal{}}
 }
 
-// Refuse leaves an option alone for a while, longer each time.
+// MarkUnavailable leaves out an offering for a while, longer after each refusal.
 func (p *Planner) Refuse(o Option, now time.Duration) {
 	r := p.refused[o]
 	if r == nil {
@@ -97,11 +99,11 @@
 	r.until = now + p.settings.Lease*time.Duration(r.times)
 }
 
-// Served notes that an option could be had.
+// MarkAvailable ends the backoff of an offering that had capacity.
 func (p *Planner) Served(o Option) { delete(p.refused, o) }
 
-// Plan compares the cores held with those needed, and says what is to be rented and what has been
-// too much.
+// Plan compares the cores held with those needed and returns what to rent, what to keep and what
+// is surplus.
 func (p *Planner) Plan(v *View) *Plan {
 	d := &draft{planner: p, view: v, plan: &Plan{}, kept: slices.Clone(v.Kept), cheapest: math.Inf(1)}
 	for _, t := range v.Catalog {
@@ -121,16 +123,16 @@
 	return d.plan
 }
 
-// draft is a plan that is being made.
+// planBuilder is a plan that is being made.
 type draft struct {
 	planner  *Planner
 	view     *View
 	plan     *Plan
 	kept     []*Machine
-	cheapest float64 // price per core
+	cheapest float64 // of all offerings
 }
 
-// count counts the cores that are held, and those that are about to be.
+// countHeldCores adds up the cores that are held or requested.
 func (d *draft) count() {
 	for _, m := range d.view.Kept {
 		d.plan.Held += m.Type.Cores
@@ -142,14 +144,15 @@
 	}
 }
 
-// worth is how many cores should be held before one of such a price is: the
-// dearer it is, the less is held for work that has not come yet.
+// coresWorthHolding returns the number of cores up to which machines of a price are worth holding:
+// the dearer they are, the less headroom is held on them.
 func (d *draft) worth(perCore float64) float64 {
 	s := &d.planner.settings
 	return max(d.plan.Demand, d.view.Usual*(1+s.Headroom)*math.Pow(d.cheapest/perCore, s.PriceExponent))
 }
 
-// takeBack keeps what is still being emptied before anything is rented, the cheapest first.
+// cancelDrains keeps draining machines that are needed, before anything is rented, the cheapest
+// first.
 func (d *draft) takeBack() {
 	leaving := slices.Clone(d.view.Leaving)
 	slices.SortStableFunc(leaving, func(a, b *Machine) int { return cmp.Compare(a.perCore(), b.perCore()) })
@@ -163,11 +166,11 @@
 	}
 }
 
-// rentForAll rents up to the target.
+// scaleOutToTarget rents machines up to the target.
 func (d *draft) rentForAll() {
 	for len(d.plan.Rent) < maxFresh && d.plan.Held < d.plan.Target {
 		option, t := d.choose(nil, d.plan.Target-d.plan.Held)
-		if t == nil || d.worth(t.PerCore(option.Spot))-d.plan.Held <= t.Cores*wholeMachine { // as in shrink
+		if t == nil || d.worth(t.PerCore(option.Spot))-d.plan.Held <= t.Cores*wholeMachine { // as in scaleIn
 			return
 		}
 		d.plan.Rent = append(d.plan.Rent, option)
@@ -175,7 +178,8 @@
 	}
 }
 
-// rentForTheUnserved rents for jobs that no machine held, or about to be, can run.
+// scaleOutForUnplaceableJobs rents machines for the jobs that fit on none that is held or
+// requested.
 func (d *draft) rentForTheUnserved() {
 	for _, w := range d.view.Waiting {
 		if len(d.plan.Rent) >= maxFresh {
@@ -191,7 +195,7 @@
 	}
 }
 
-// served tells whether some machine held, or about to be rented, can run the job.
+// placeable reports whether a job fits on a machine that is held, requested, or about to be.
 func (d *draft) served(j *protocol.Job) bool {
 	for _, m := range d.kept {
 		if m.Option.Fits(j, m.Type) {
@@ -207,8 +211,8 @@
 	return slices.ContainsFunc(d.plan.Rent, fits)
 }
 
-// choose finds what to rent, for a job or (nil) for all: the cheapest for the
-// cores that would be used.
+// chooseOffering returns the offering with the lowest cost per used core, for one job, or for any
+// if the job is nil. The machine type is nil if no offering is available.
 func (d *draft) choose(j *protocol.Job, cores float64) (Option, *protocol.MachineType) {
 	var best Option
 	var bestType *protocol.MachineType
@@ -233,16 +237,16 @@
 	return best, bestType
 }
 
-// cost is the price of each core that would be used. Until a machine is up and has its first
-// image, it costs money for nothing, and the work waits.
+// costPerUsedCore returns the price of each core that would be used. It includes the time in which
+// the machine boots and pulls its first image, which costs money while work waits.
 func (d *draft) cost(t *protocol.MachineType, spot bool, cores float64) float64 {
 	idle := t.ReadyS + d.view.UsualImage/t.PullGBPerS
 	span := levelSpan * d.planner.settings.Lease.Seconds()
 	return t.Price(spot) * (1 + idle/span) / min(t.Cores, max(cores, 1))
 }
 
-// shrink gives up machines that are too many: the dear ones first,
-// and among those the ones that would be idle for the shortest time until empty.
+// scaleIn selects surplus machines: the dearest first, and of equal ones those with the least idle
+// time until they are empty.
 func (d *draft) shrink() {
 	slices.SortStableFunc(d.kept, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.perCore(), a.perCore()), cmp.Compare(a.IdleTo, b.IdleTo))
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,6 +1,6 @@
-// Package tracing keeps a bounded record of what controllers did with submissions, as
-// OpenTelemetry spans. All spans of a job have one trace, whichever controller made them:
-// its id follows from the job's.
+// Package tracing keeps a bounded record of how a controller processed submissions, as
+// OpenTelemetry spans. All spans of a job belong to one trace, whichever controller recorded
+// them: the trace id is derived from the job id.
 package tracing
 
 import (
@@ -15,32 +15,33 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Step is one thing that a controller did with a job.
+// Step is one event in the processing of a job by a controller.
 type Step struct {
 	Job   string    `json:"job"`
 	Node  string    `json:"node"`
 	Name  string    `json:"name"`
 	At    time.Time `json:"at"`
 	Note  string    `json:"note,omitempty"`
-	Term  uint64    `json:"term,omitempty"`  // of the leadership, on the leader
+	Term  uint64    `json:"term,omitempty"`  // on the leader only
 	Epoch uint64    `json:"epoch,omitempty"` // of the admission policy in force
 }
 
-// Recorder keeps the last steps of one controller.
+// Recorder keeps the last steps of one controller. It is safe for concurrent use.
 type Recorder struct {
 	node   string
 	tracer trace.Tracer
 	spans  *ring
 }
 
-// NewRecorder makes a recorder of at most limit steps.
+// NewRecorder returns a recorder that keeps the last limit steps of a node.
 func NewRecorder(node string, limit int) *Recorder {
 	spans := &ring{spans: make([]sdk.ReadOnlySpan, limit)}
-	provider := sdk.NewTracerProvider(sdk.WithSpanProcessor(spans), sdk.WithIDGenerator(jobIDs{}), sdk.WithSampler(sdk.AlwaysSample()))
+	provider := sdk.NewTracerProvider(
+		sdk.WithSpanProcessor(spans), sdk.WithIDGenerator(jobIDs{}), sdk.WithSampler(sdk.AlwaysSample()))
 	return &Recorder{node: node, tracer: provider.Tracer("hitchdoor"), spans: spans}
 }
 
-// Keys of a span's attributes.
+// Attribute keys of the spans.
 const (
 	keyJob   = attribute.Key("job")
 	keyNote  = attribute.Key("note")
@@ -48,15 +49,16 @@
 	keyEpoch = attribute.Key("epoch")
 )
 
-// Record keeps a step.
+// Record adds a step and evicts the oldest one if the recorder is full.
 func (r *Recorder) Record(s Step) {
 	ctx := context.WithValue(context.Background(), jobKey{}, s.Job)
 	_, span := r.tracer.Start(ctx, s.Name, trace.WithTimestamp(s.At), trace.WithAttributes(
-		keyJob.String(s.Job), keyNote.String(s.Note), keyTerm.Int64(int64(s.Term)), keyEpoch.Int64(int64(s.Epoch))))
+		keyJob.String(s.Job), keyNote.String(s.Note),
+		keyTerm.Int64(int64(s.Term)), keyEpoch.Int64(int64(s.Epoch))))
 	span.End(trace.WithTimestamp(s.At))
 }
 
-// Of lists the steps of a job that are kept, in the order in which they were recorded.
+// StepsOf returns the retained steps of a job in the order in which they were recorded.
 func (r *Recorder) Of(job string) []Step {
 	id := TraceID(job)
 	var steps []Step
@@ -68,7 +70,7 @@
 	return steps
 }
 
-// step is a span as it was recorded.
+// stepFromSpan converts a span back to the step it was recorded from.
 func (r *Recorder) step(span sdk.ReadOnlySpan) Step {
 	s := Step{Node: r.node, Name: span.Name(), At: span.StartTime()}
 	for _, a := range span.Attributes() {
@@ -86,17 +88,17 @@
 	return s
 }
 
-// ring is a span processor that keeps the last spans.
+// spanRing is a span processor that retains the last spans.
 type ring struct {
 	mu    sync.Mutex
 	spans []sdk.ReadOnlySpan
 	next  int
 }
 
-// OnStart does nothing: a step is over at once.
+// OnStart does nothing, as steps have no duration.
 func (*ring) OnStart(context.Context, sdk.ReadWriteSpan) {}
 
-// OnEnd keeps a span in the place of the oldest.
+// OnEnd stores a span in place of the oldest.
 func (r *ring) OnEnd(span sdk.ReadOnlySpan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,13 +106,13 @@
 	r.next = (r.next + 1) % len(r.spans)
 }
 
-// Shutdown does nothing: there is nothing to flush.
+// Shutdown does nothing, as there is nothing to flush.
 func (*ring) Shutdown(context.Context) error { return nil }
 
-// ForceFlush does nothing either.
+// ForceFlush does nothing, as there is nothing to flush.
 func (*ring) ForceFlush(context.Context) error { return nil }
 
-// all lists the spans that are kept, the oldest first.
+// oldestFirst returns the retained spans, the oldest first.
 func (r *ring) all() []sdk.ReadOnlySpan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,20 +125,20 @@
 	return out
 }
 
-// jobKey is the context key of the job that a span is of.
+// jobContextKey is the context key of the job id of a span.
 type jobKey struct{}
 
-// jobIDs makes the ids of traces from those of jobs.
+// jobIDGenerator is an id generator that derives trace ids from job ids.
 type jobIDs struct{}
 
-// NewIDs makes the ids of a trace's first span.
+// NewIDs returns the trace id of the job in the context, and a new span id.
 func (g jobIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
 	job, _ := ctx.Value(jobKey{}).(string)
 	id := TraceID(job)
 	return id, g.NewSpanID(ctx, id)
 }
 
-// NewSpanID makes the id of a further span.
+// NewSpanID returns a new span id for a trace.
 func (jobIDs) NewSpanID(_ context.Context, id trace.TraceID) trace.SpanID {
 	var span trace.SpanID
 	digest := xxhash.New()
@@ -145,7 +147,7 @@
 	return span
 }
 
-// TraceID is the id of a job's trace, the same on every controller.
+// TraceID returns the id of a job's trace, which is the same on every controller.
 func TraceID(job string) trace.TraceID {
 	var id trace.TraceID
 	binary.BigEndian.PutUint64(id[:8], xxhash.Sum64String(job))
