--- a/internal/daemon/loopback_test.go
+++ b/internal/daemon/loopback_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
 	"os"
 	"strconv"
@@ -49,10 +48,16 @@
 	c.Cloud.RPS, c.Cloud.ListLagS = 20, 1
 	c.Resources.CoreShare, c.Resources.MemMB, c.Resources.MaxConnections = 1, 200, 400
 	c.Teams = []config.Team{{Name: "a"}, {Name: "b"}}
+	reservation, err := standin.ReserveAddresses(2 * nodes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(reservation.Close)
+	addresses := reservation.Addresses()
 	for i := range nodes {
 		name := fmt.Sprintf("n%d", i)
 		l.names = append(l.names, name)
-		l.clients[name], l.peers[name] = freeAddress(t), freeAddress(t)
+		l.clients[name], l.peers[name] = addresses[2*i], addresses[2*i+1]
 	}
 	reports := map[string]string{}
 	for _, name := range l.names {
@@ -109,17 +114,6 @@
 	}
 }
 
-// freeAddress is an address that nobody listens on.
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
 func (l *loopback) start(name string) {
 	p := &config.Platform{Node: name, ClientListen: l.clients[name], PeerBind: l.peers[name], Cluster: l.cluster}
 	p.Outside.State = l.relay(name, stateService, strings.TrimPrefix(l.state.Server.URL, "http://"))
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -20,6 +19,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/config"
+	"hitchdoor/internal/standin"
 )
 
 // controller is one controller, as a process of its own.
@@ -41,6 +41,9 @@
 	folder  string
 	// settings is the operators' settings file of the controllers; empty: none.
 	settings string
+	// reservation keeps the controllers' addresses while none of them listens, before their
+	// start and between a kill and the next start.
+	reservation *standin.AddressReservation
 }
 
 // smallFleets are settings under which small fleets recover as large ones do.
@@ -53,11 +56,11 @@
 		return nil, err
 	}
 	c := &controllers{options: o, folder: folder}
-	addresses, err := freeAddresses(2 * o.Controllers)
-	if err != nil {
+	if c.reservation, err = standin.ReserveAddresses(2 * o.Controllers); err != nil {
 		c.close()
 		return nil, err
 	}
+	addresses := c.reservation.Addresses()
 	for i := range o.Controllers {
 		name := fmt.Sprintf("n%d", i)
 		c.all = append(c.all, &controller{name: name, users: addresses[2*i], peers: addresses[2*i+1], file: filepath.Join(folder, name+".toml")})
@@ -93,20 +96,6 @@
 	return os.WriteFile(one.file, raw, 0o600)
 }
 
-// freeAddresses are addresses on loopback that nobody listens on.
-func freeAddresses(count int) ([]string, error) {
-	var addresses []string
-	for range count {
-		listener, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			return nil, err
-		}
-		defer listener.Close()
-		addresses = append(addresses, listener.Addr().String())
-	}
-	return addresses, nil
-}
-
 // users are the client addresses, by name.
 func (c *controllers) users() map[string]string {
 	users := map[string]string{}
@@ -136,9 +125,12 @@
 	}
 }
 
-// close ends all controllers and removes their settings.
+// close ends all controllers, gives up their addresses and removes their settings.
 func (c *controllers) close() {
 	c.killAll()
+	if c.reservation != nil {
+		c.reservation.Close()
+	}
 	os.RemoveAll(c.folder)
 }
 
--- /dev/null
+++ b/internal/standin/reservation.go
@@ -0,0 +1,66 @@
+package standin
+
+import (
+	"fmt"
+	"net/netip"
+	"syscall"
+)
+
+// AddressReservation holds TCP addresses on loopback for servers that are told their addresses
+// before they listen, in this process or in a child, once or again after a restart.
+//
+// It keeps a socket with SO_REUSEADDR bound to each address and never listens on it. While it
+// does, the kernel gives the port neither to a bind to port 0 nor to an outgoing connection; only
+// a server that asks for the very address with SO_REUSEADDR, as net.Listen does, gets it.
+type AddressReservation struct {
+	sockets   []int
+	addresses []string
+}
+
+// ReserveAddresses reserves so many different addresses on loopback.
+func ReserveAddresses(count int) (*AddressReservation, error) {
+	r := &AddressReservation{}
+	for range count {
+		if err := r.reserve(); err != nil {
+			r.Close()
+			return nil, fmt.Errorf("reserve an address on loopback: %w", err)
+		}
+	}
+	return r, nil
+}
+
+// Addresses lists the reserved addresses, host:port.
+func (r *AddressReservation) Addresses() []string { return r.addresses }
+
+// Close gives the addresses up. Servers that listen on them go on.
+func (r *AddressReservation) Close() {
+	for _, socket := range r.sockets {
+		syscall.Close(socket)
+	}
+	r.sockets = nil
+}
+
+// reserve binds one more socket, to a port of the kernel's choice.
+func (r *AddressReservation) reserve() error {
+	// Without SOCK_CLOEXEC a child would hold the reservation beyond Close.
+	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, syscall.IPPROTO_TCP)
+	if err != nil {
+		return err
+	}
+	r.sockets = append(r.sockets, socket)
+	loopback := [4]byte{127, 0, 0, 1}
+	if err := syscall.Bind(socket, &syscall.SockaddrInet4{Addr: loopback}); err != nil {
+		return err
+	}
+	// Set after the bind, so that the kernel chooses a port that no other socket is bound to.
+	if err := syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		return err
+	}
+	bound, err := syscall.Getsockname(socket)
+	if err != nil {
+		return err
+	}
+	port := bound.(*syscall.SockaddrInet4).Port
+	r.addresses = append(r.addresses, netip.AddrPortFrom(netip.AddrFrom4(loopback), uint16(port)).String())
+	return nil
+}
