--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -6,59 +6,61 @@
 	"slices"
 )
 
-// Load is what became of a group's submissions during an epoch, on all controllers.
+// Load counts the outcomes of a group's submissions during an epoch, on all controllers.
 type Load struct {
 	Group
 	Weight     float64
 	Accepted   int // jobs
-	TurnedAway int // attempts that the policy admits, for lack of room
-	Refused    int // attempts by the policy
+	TurnedAway int // jobs that the policy admits, rejected for lack of capacity
+	Refused    int // attempts that the policy does not admit yet
 }
 
-// Capacity is what an epoch can take.
+// Capacity is the number of jobs that can be accepted in an epoch.
 type Capacity struct {
 	Jobs  float64
-	Short bool // nobody is turned away for it yet, but more must not be accepted
+	Short bool // memory is the limit: nobody needs to be rejected yet, but no more may be accepted
 }
 
-// Settings bound what a Control publishes.
+// Settings are the bounds of the policies that a Planner makes.
 type Settings struct {
 	LengthMS     int64 // of an epoch
-	EpochsToTurn int   // within how many epochs a job's turn should come
-	MaxShares    int   // that a policy may name
+	EpochsToTurn int   // within how many epochs a job should be admitted
+	MaxShares    int   // groups that a policy may name
 }
 
-// Control works out the policy of each epoch. One lives as long as a leadership.
+// Planner computes the policy of each epoch. A leader has one for the whole of its term.
 type Control struct {
 	settings Settings
 	policy   *Policy
 	groups   map[Group]*estimate
-	calm     int // epochs in a row in which all could have been admitted
+	calm     int // consecutive epochs in which all could have been admitted
 }
 
 // Constants of the control loop.
 const (
-	// calmShare of the capacity is the most that may be asked for in each of calmEpochs
-	// before a policy ends. One begins only above all of the capacity.
+	// underloadShare is the share of the capacity that the demand must not exceed in each of
+	// underloadEpochsToEnd consecutive epochs before a policy ends. A policy starts only when the
+	// demand exceeds all of the capacity.
 	calmShare  = 0.7
 	calmEpochs = 3
-	// aim is the share of the capacity that is given out: the rest is for users who come
-	// late, and for those who came since the arc passed them.
+	// targetUtilization is the share of the capacity that is allotted. The rest is a margin for
+	// users who retry late, and for new jobs at positions that the arc has passed.
 	aim = 0.9
-	// growth is the most by which a step grows from one epoch to the next: the demand is an
-	// estimate from what the arc has just let in.
+	// maxStepGrowth is the most by which a step grows from one epoch to the next, because the
+	// demand is only estimated from the jobs that the arc has admitted lately.
 	growth = 2.0
-	// memory is the weight that an epoch keeps in that estimate after the next one.
+	// sampleRetention is the factor by which the weight of older samples in that estimate decays
+	// per epoch.
 	memory = 0.6
-	// minStep is the least step, as a share of the ring: so a turn comes after a bounded
-	// number of epochs whatever the estimates say.
+	// minStepShare is the least step, as a share of the ring. It bounds the number of epochs until
+	// a job is admitted, whatever the estimates are.
 	minStep = 1.0 / 4096
-	// forgotten is the demand in jobs below which a group that no policy names is dropped.
+	// negligibleDemand is the demand in jobs below which a group that no policy names is dropped.
 	forgotten = 0.01
 )
 
-// NewControl makes a control that goes on from a policy that an earlier leader published, if
-// there is one.
+// NewPlanner returns a Planner that continues from the policy of an earlier leader, if there is
+// one.
 func NewControl(settings Settings, policy *Policy) *Control {
 	c := &Control{settings: settings, policy: policy, groups: map[Group]*estimate{}}
 	if policy != nil {
@@ -69,12 +71,12 @@
 	return c
 }
 
-// Policy is the one in force, or nil.
+// Policy is the policy in force, or nil.
 func (c *Control) Policy() *Policy { return c.policy }
 
-// Next works out the policy of the epoch that begins, from what came in the one that ends and
-// what the next can take. It is nil while there is no overload. A new series of epochs begins
-// at firstEpoch.
+// NextPolicy computes the policy of the next epoch from the loads of the one that ends and the
+// capacity of the next. It is nil while there is no overload. A new series of epochs is numbered
+// from firstEpoch.
 func (c *Control) Next(loads []Load, capacity Capacity, firstEpoch uint64) *Policy {
 	c.observe(loads)
 	if c.policy == nil && !overloaded(loads, capacity) {
@@ -97,7 +99,7 @@
 	return next
 }
 
-// overloaded tells whether more came than an epoch can take.
+// overloaded reports whether more was submitted than an epoch has capacity for.
 func overloaded(loads []Load, capacity Capacity) bool {
 	accepted, turnedAway := 0, 0
 	for _, l := range loads {
@@ -107,18 +109,20 @@
 	return (turnedAway > 0 || capacity.Short) && float64(accepted+turnedAway) > capacity.Jobs
 }
 
-// estimate is what is known of a group's demand. An arc samples the ring: what the newest
-// part of it let in, over its share of the ring, is what waits all round. Both are summed up
-// before they are divided, so that few jobs, or none, in one epoch say little.
+// demandEstimate estimates a group's demand. An arc samples the ring: the jobs that its newest step
+// admitted, divided by the step's share of the ring, estimate the jobs that wait on all of it.
+// Both sums decay over the epochs and only then are divided, so that an epoch with few jobs, or
+// none, changes little.
 type estimate struct {
 	admitted float64 // jobs, decaying
 	exposed  float64 // shares of the ring, decaying
 	weight   float64
 }
 
+// demand is the estimated number of jobs that wait.
 func (e *estimate) demand() float64 { return e.admitted / e.exposed }
 
-// observe updates the estimates.
+// updateEstimates updates the estimates from the loads of an epoch and drops negligible ones.
 func (c *Control) observe(loads []Load) {
 	seen := map[Group]bool{}
 	for _, l := range loads {
@@ -136,7 +140,7 @@
 	}
 }
 
-// admitted adds what an epoch's arc let in of a group.
+// addSample adds the jobs of a group that the newest step of its arc admitted in an epoch.
 func (c *Control) admitted(group Group, jobs float64) {
 	newest := 1.0
 	if c.policy != nil {
@@ -151,13 +155,13 @@
 	e.exposed = memory*e.exposed + newest
 }
 
-// demands lists the groups, in a fixed order.
+// demands lists the demands of all groups by team, class and rank.
 func (c *Control) demands() []Demand {
 	out := make([]Demand, 0, len(c.groups))
 	for group, e := range c.groups {
 		weight := e.weight
 		if weight <= 0 {
-			weight = 1 // nothing came of it since it was read from a policy
+			weight = 1 // no submission since the group was read from a policy
 		}
 		out = append(out, Demand{Group: group, Jobs: e.demand(), Weight: weight})
 	}
@@ -167,6 +171,7 @@
 	return out
 }
 
+// countUnderload counts the consecutive epochs in which the demand is well below the capacity.
 func (c *Control) countCalm(demands []Demand, capacity float64) {
 	wanted := 0.0
 	for _, d := range demands {
@@ -179,9 +184,9 @@
 	}
 }
 
-// openArcs gives a share to each group that can't have all it asks for. If a policy can't
-// name them all, those with the least demand share one arc, with the groups that are not
-// known yet.
+// assignShares sets a share for each group whose demand can't be met as a whole. If the policy
+// can't name them all, the groups with the least demand have one share in common, together with
+// groups that are still unknown.
 func (c *Control) openArcs(next *Policy, demands []Demand, given []float64) {
 	order := make([]int, len(demands))
 	for i := range order {
@@ -205,7 +210,7 @@
 	}
 }
 
-// nextShare moves a group's arc on, by the share of its jobs that it is given.
+// nextShare advances a group's arc by the fraction of its demand that it is allotted.
 func (c *Control) nextShare(epoch uint64, demand Demand, given float64) Share {
 	part := 1.0
 	if demand.Jobs > 0 {
@@ -223,8 +228,8 @@
 	return share
 }
 
-// lastShare is a group's share of the last epoch. A new one begins somewhere on the ring, so
-// that no job is always among the last.
+// lastShare is a group's share of the last epoch, or a new one. A new arc begins at a position
+// that depends on the epoch, so that no job is always among the last.
 func (c *Control) lastShare(epoch uint64, group Group) Share {
 	if c.policy != nil {
 		if last := c.policy.share(group); last.Group == group && last.Open() < Ring {
--- a/internal/admission/shares.go
+++ b/internal/admission/shares.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// Demand is what a group asks for.
+// Demand is the number of jobs of a group that wait to be admitted.
 type Demand struct {
 	Group
 	Jobs   float64
-	Weight float64 // of its team; a guarantee gives more
+	Weight float64 // of its team; a guarantee raises it
 }
 
-// floorShare is the part of the capacity that is shared evenly among teams, and within each
-// team among its groups, whatever their priority. The rest goes by priority.
+// floorShare is the part of the capacity that is allotted evenly among teams, and within each
+// team among its groups, whatever their priority. The rest is allotted by priority.
 const floorShare = 0.25
 
-// Allot divides a capacity in jobs among groups: first the least that each needs for its turn
-// to come in time, if there is enough for all; then a quarter of what is left evenly among teams,
-// then among their groups; then the rest by priority, and among equals evenly by weight.
-// Nobody gets more than its demand. The result is in the order of the demands.
+// AllotCapacity divides a capacity in jobs among groups: first the minimum that each needs for all
+// its jobs to be admitted in time, if there is enough for all; then floorShare of what is left
+// evenly among teams and among the groups of each; then the rest by priority, and among equal
+// priorities by weight. No group gets more than its demand. The result is in the order of the
+// demands.
 func Allot(capacity float64, demands []Demand, epochsToTurn int) []float64 {
 	given := make([]float64, len(demands))
 	if least := leastNeeded(demands, epochsToTurn); sum(least) <= capacity {
@@ -32,8 +33,8 @@
 	return given
 }
 
-// leastNeeded is, of each group, what has to be admitted in each epoch so that all of it is
-// within so many epochs.
+// minimumAllotments is, for each group, the number of jobs per epoch by which all of it is admitted
+// within epochsToTurn epochs.
 func leastNeeded(demands []Demand, epochsToTurn int) []float64 {
 	least := make([]float64, len(demands))
 	for i, d := range demands {
@@ -42,7 +43,7 @@
 	return least
 }
 
-// allotFloor adds to what is given an even part for each team and group.
+// allotFloor adds an even portion of the amount for each team and group to the allotments.
 func allotFloor(amount float64, demands []Demand, given []float64) {
 	members := map[string][]int{}
 	for i, d := range demands {
@@ -61,7 +62,7 @@
 	}
 }
 
-// allotByRank adds to what is given by priority.
+// allotByRank adds portions of the amount to the allotments by priority, most urgent first.
 func allotByRank(amount float64, demands []Demand, given []float64) {
 	byRank := map[int][]int{}
 	for i, d := range demands {
@@ -74,7 +75,7 @@
 	}
 }
 
-// allotTo divides an amount among some of the groups.
+// allotToMembers divides an amount among some of the groups.
 func allotTo(amount float64, members []int, demands []Demand, given []float64, weight func(Demand) float64) {
 	claims := make([]claim, len(members))
 	for k, i := range members {
@@ -85,11 +86,11 @@
 	}
 }
 
-// claim is what somebody asks for, and how much it counts beside others.
+// claim is a demand on an amount that is to be divided, and its weight.
 type claim struct{ demand, weight float64 }
 
-// divide shares out an amount by weighted max-min fairness: nobody gets more than it asks
-// for, and who gets less than that gets no less, by weight, than anybody else.
+// divideMaxMin divides an amount by weighted max-min fairness: no claim gets more than its demand,
+// and one that gets less gets no less, relative to its weight, than any other claim.
 func divide(amount float64, claims []claim) []float64 {
 	parts := make([]float64, len(claims))
 	order := make([]int, len(claims))
@@ -110,6 +111,7 @@
 	return parts
 }
 
+// sum adds up the values.
 func sum(values []float64) float64 {
 	all := 0.0
 	for _, v := range values {
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -1,31 +1,32 @@
 package admission
 
-// NodeStatus is what a controller tells an operator of admission, as JSON.
+// NodeStatus is a controller's state of admission, as operators see it in JSON.
 type NodeStatus struct {
 	Node     string         `json:"node"`
 	Leads    bool           `json:"leads"`
 	Enabled  bool           `json:"enabled"` // by the node's settings
-	Version  uint64         `json:"version"` // of the policy's record; 0: there is none
+	Version  uint64         `json:"version"` // of the policy's record; 0 if there is none
 	Invalid  bool           `json:"invalid,omitempty"`
-	AgeS     float64        `json:"ageS"` // since the node knows of the policy
+	AgeS     float64        `json:"ageS"` // since the node learnt of the policy
 	Policy   *Policy        `json:"policy"`
 	Capacity float64        `json:"capacity,omitempty"` // jobs per epoch, on the leader
-	Waiting  []WaitingGroup `json:"waiting,omitempty"`  // accepted jobs that have not begun, on the leader
-	Job      *JobStatus     `json:"job,omitempty"`      // the one that was asked about
+	Waiting  []WaitingGroup `json:"waiting,omitempty"`  // accepted jobs without a started task, on the leader
+	Job      *JobStatus     `json:"job,omitempty"`      // the job that the request named
 }
 
-// WaitingGroup is how many jobs of a group are accepted and have not begun.
+// WaitingGroup is the number of accepted jobs of a group of which no task has started.
 type WaitingGroup struct {
 	Group
 	Jobs int `json:"jobs"`
 }
 
-// JobStatus is what a controller knows of one job's admission.
+// JobStatus is a controller's state of one job's admission.
 type JobStatus struct {
 	ID       string `json:"id"`
 	Accepted bool   `json:"accepted"`
-	// Refused is the group by which this node refused the job last, if it did.
+	// RejectedGroup is the job's group if the policy rejected the job on this node and the job has
+	// not been accepted since.
 	Refused *Group `json:"refused,omitempty"`
-	Admit   bool   `json:"admit,omitempty"`   // the policy admits it now
-	TurnInS int    `json:"turnInS,omitempty"` // otherwise
+	Admit   bool   `json:"admit,omitempty"`   // the policy admits the job now
+	TurnInS int    `json:"turnInS,omitempty"` // seconds until the policy admits it, otherwise
 }
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -13,28 +13,29 @@
 	"hitchdoor/internal/storage"
 )
 
-// Every node: which policy holds, and what it makes of a submission. The leader's part, which
-// works policies out, is in admission_control.go.
+// This file is the part of admission that every node has: it follows the policy's record and
+// evaluates submissions by it. The leader's part, which publishes policies, is in
+// admission_control.go.
 
-// policyState is what a node knows of the admission policy's record.
+// admissionPolicyState is the admission policy's record as this node knows it.
 type policyState struct {
-	policy   *admission.Policy // nil: there is none, or none that can be read
-	version  uint64            // of its record; 0: there is none
-	revision uint64            // of the last change that is known here, the record's removal included
-	since    Instant           // when it became known here: the epoch began no later
-	invalid  bool              // the record can't be read; nothing is admitted by it
+	policy   *admission.Policy // nil: there is no record, or it is invalid
+	version  uint64            // of the record; 0: there is none
+	revision uint64            // of the last known change of the record, its removal included
+	since    Instant           // when this node learnt of it; the epoch began no later
+	invalid  bool              // the record can't be decoded, so no submission is admitted
 	reading  bool
-	waiting  []func() // to be done once the record is read
-	logged   uint64   // the version that the log has named as invalid
+	waiting  []func() // called once the record is read
+	logged   uint64   // the invalid version that was logged last
 }
 
-// groupOf is the group of jobs that a job belongs to.
+// admissionGroup is the admission group that a job belongs to.
 func groupOf(j *protocol.Job) admission.Group {
 	return admission.Group{Team: j.Team, Class: j.Class, Rank: j.Rank()}
 }
 
-// judgeSubmission lets a submission wait for its turn to be written, if the policy admits it,
-// and otherwise says when its turn comes.
+// evaluateSubmission queues a submission to be written if the policy admits it, and otherwise
+// answers when the policy will.
 func (n *Node) judgeSubmission(s submission) {
 	if n.policy.invalid {
 		n.answerKnown(s.r, s.lead, comeBack)
@@ -53,8 +54,9 @@
 	n.refuse(s, notYet(n.retryAfter(verdict)))
 }
 
-// refuse refuses a submission, unless the job is known already. Where that takes too many
-// reads, the user is told to come back either way.
+// rejectByPolicy rejects a submission that the policy does not admit yet, unless the job is known
+// already. If too little of the read budget is left to find that out, it is rejected in either
+// case; the user retries.
 func (n *Node) refuse(s submission, why denial) {
 	n.stateBudget.refill(n.now)
 	if n.stateBudget.level < n.stateBudget.burst/2 {
@@ -64,13 +66,13 @@
 	n.answerKnown(s.r, s.lead, why)
 }
 
-// Bounds of what a policy can make users wait for, so that no record overflows a duration.
+// Bounds of the waiting time that follows from a policy, so that no record overflows a duration.
 const (
 	maxEpochsAhead = 1 << 16
 	maxEpochMS     = 3_600_000
 )
 
-// retryAfter is in how many seconds a job's turn comes.
+// retryAfterSeconds is the number of seconds until the policy admits a job.
 func (n *Node) retryAfter(v admission.Verdict) int {
 	p := &n.policy
 	epochs := time.Duration(min(v.Epochs, maxEpochsAhead))
@@ -78,8 +80,8 @@
 	return max(1, int((turn-n.now+time.Second-1)/time.Second))
 }
 
-// turnAway tells a user to come back, as there is no room for an admitted submission. A job
-// counts once in an epoch, however often its user comes back.
+// rejectForCapacity rejects an admitted submission that can't be written in time; the user retries.
+// A job counts once per epoch, however often its user retries.
 func (n *Node) turnAway(s submission) {
 	id := s.r.Job.UID
 	if !n.elect.stateLost() && s.policyVersion == n.policy.version && !n.turnedAway[id] {
@@ -92,19 +94,19 @@
 	n.unavailable(s.r.Origin)
 }
 
-// newEpoch drops what was counted in the last one.
+// resetEpochCounts resets the counts of the last epoch.
 func (n *Node) newEpoch() {
 	clear(n.loads)
 	clear(n.turnedAway)
 	n.turnedAwayAt = n.now
 }
 
-// countLoad adds to what this node says of a group's submissions.
+// countGroupLoad updates the counts of a group's submissions that this node reports to the leader.
 func (n *Node) countLoad(group admission.Group, add func(*protocol.GroupLoad)) {
 	load := n.loads[group]
 	if load == nil {
 		if len(n.loads) >= protocol.MaxGroupLoads {
-			return // a flood under many names: the others are enough to see it by
+			return // submissions under very many names; the groups counted so far show the overload
 		}
 		load = &protocol.GroupLoad{Team: group.Team, Class: group.Class, Rank: group.Rank}
 		n.loads[group] = load
@@ -112,8 +114,8 @@
 	add(load)
 }
 
-// tickAdmission says what this node had to turn away, once per heartbeat at most, and reads
-// the policy if another node knows a newer one.
+// tickAdmission reports the submissions that this node did not accept to the leader, at most once
+// per heartbeat, and reads the policy if a peer knows a newer one.
 func (n *Node) tickAdmission() {
 	if n.policy.heardRevision(n.peers) && !n.policy.reading && !n.elect.stateDown() {
 		n.readPolicy(nil)
@@ -136,6 +138,7 @@
 	}
 }
 
+// sortedLoads lists the loads by team, class and rank.
 func sortedLoads(loads map[admission.Group]*protocol.GroupLoad) []protocol.GroupLoad {
 	out := make([]protocol.GroupLoad, 0, len(loads))
 	for _, l := range loads {
@@ -147,7 +150,7 @@
 	return out
 }
 
-// heardRevision tells whether some peer knows a newer change of the record.
+// isOutdated reports whether some peer knows a newer change of the record.
 func (p *policyState) heardRevision(peers map[string]*peer) bool {
 	for _, other := range peers {
 		if other.policy > p.revision {
@@ -157,7 +160,8 @@
 	return false
 }
 
-// readPolicy reads the record, and then does what waits for it.
+// readPolicy reads the record and then calls onRead, which may be nil, and all other callbacks
+// that wait for it.
 func (n *Node) readPolicy(then func()) {
 	p := &n.policy
 	if then != nil {
@@ -185,11 +189,12 @@
 	})
 }
 
-// takePolicy takes the record as it was read or written.
+// applyPolicyRecord applies the record as it was read or written, unless it is older than the one
+// known.
 func (n *Node) takePolicy(item storage.Item) {
 	p := &n.policy
 	if item.Version < p.revision {
-		return // an older answer
+		return // a delayed response with an older version
 	}
 	if item.Version == p.version {
 		return
@@ -205,40 +210,41 @@
 		p.policy = nil
 		if p.logged != item.Version {
 			p.logged = item.Version
-			n.log.Error("admission policy can't be read; submissions are turned away", "version", item.Version, "error", err)
+			n.log.Error("admission policy invalid, rejecting submissions", "version", item.Version, "error", err)
 		}
 		return
 	}
 	p.policy = policy
 }
 
-// policyEnded notes that there was no record at a revision of the state service.
+// notePolicyRemoved records that there was no policy at a revision of the key-value store.
 func (n *Node) policyEnded(revision uint64) {
 	p := &n.policy
 	if revision < p.revision {
 		return
 	}
 	if p.policy != nil || p.invalid {
-		n.log.Info("no admission policy any more")
+		n.log.Info("admission policy removed")
 	}
 	if p.version != 0 {
 		n.newEpoch()
 	}
-	*p = policyState{revision: revision, reading: p.reading, waiting: p.waiting, logged: p.logged}
+	*p = policyState{revision: revision, reading: p.reading,
+		waiting: p.waiting, logged: p.logged}
 }
 
-// policyMoved tells whether a submission was refused only because another policy holds by
-// now: then the job is unknown as yet, and is judged anew.
+// onlyPolicyChanged reports whether a transaction failed only because the policy has changed. Then
+// the job is still unknown and its submission is evaluated again.
 func policyMoved(failed []string, id string) bool {
 	return slices.Contains(failed, storage.PolicyKey) &&
 		!slices.Contains(failed, storage.JobKey(id)) && !slices.Contains(failed, storage.FinalKey(id))
 }
 
-// onAdmission tells an operator by which policy this node judges, and of a job what it made
-// of it.
+// onAdmissionStatus answers an operator's request for this node's admission policy and, if it
+// names a job, for the job's admission.
 func (n *Node) onAdmission(r Request) {
-	s := admission.NodeStatus{Node: n.cfg.Node, Leads: n.authority(), Enabled: n.set.FairAdmission, Version: n.policy.version,
-		Invalid: n.policy.invalid, Policy: n.policy.policy}
+	s := admission.NodeStatus{Node: n.cfg.Node, Leads: n.authority(), Enabled: n.set.FairAdmission,
+		Version: n.policy.version, Invalid: n.policy.invalid, Policy: n.policy.policy}
 	if n.policy.version != 0 {
 		s.AgeS = (n.now - n.policy.since).Round(time.Millisecond).Seconds()
 	}
@@ -252,7 +258,7 @@
 	n.reply(r.Origin, 200, 0, s)
 }
 
-// admissionOf is what this node knows of a job's admission.
+// jobAdmissionStatus is what this node knows of a job's admission.
 func (n *Node) admissionOf(id string) *admission.JobStatus {
 	s := &admission.JobStatus{ID: id, Accepted: n.accepted.byID[id]}
 	if _, over := n.finals.byID[id]; over || n.lead != nil && n.lead.jobs[id] != nil {
@@ -270,7 +276,7 @@
 	return s
 }
 
-// waitingGroups counts the accepted jobs that have not begun, by group.
+// waitingGroups counts, by group, the accepted jobs of which no task has started.
 func (l *leadership) waitingGroups() []admission.WaitingGroup {
 	counts := map[admission.Group]int{}
 	for _, j := range l.runnable {
--- a/internal/coordination/admission_control.go
+++ b/internal/coordination/admission_control.go
@@ -8,41 +8,44 @@
 	"hitchdoor/internal/storage"
 )
 
-// admissionControl is the leader's part of admission: it gathers what all nodes say of
-// submissions, and publishes the policy of each epoch.
+// admissionControl is the leader's part of admission: it adds up the submissions that all nodes
+// report and publishes the policy of each epoch.
 type admissionControl struct {
 	l         *leadership
 	control   *admission.Control
-	loads     map[admission.Group]*admission.Load // of the epoch that runs
-	epochAt   Instant                             // when it began
-	writing   bool                                // the last policy is not yet durable
+	loads     map[admission.Group]*admission.Load // of the current epoch
+	epochAt   Instant                             // when the current epoch began
+	writing   bool                                // the last policy is not durable yet
 	maxShares int
 }
 
-// Constants of admission.
+// Constants of the leader's part of admission.
 const (
+	// epochsPerLease is the number of epochs in a worker lease.
 	epochsPerLease = 4
-	// turnShare of the time for which users repeat a submission is within which each job's
-	// turn should come: the rest is for users who come late.
+	// turnDeadlineShare is the part of the time for which users retry a submission within which
+	// each job should be admitted. The rest is a margin for users who retry late.
 	turnShare = 2.0 / 3
-	// shareBytes is more than what a share takes in its record.
+	// maxShareBytes is an upper bound of the encoded size of a share in the policy's record.
 	shareBytes = 256
-	// openJobsShare of the memory may be taken by open jobs, of openJobBytes each.
+	// openJobsMemoryShare is the part of the memory that open jobs may use.
 	openJobsShare = 0.25
-	openJobBytes  = 8 << 10
+	// openJobBytes is the memory of an open job, as estimated.
+	openJobBytes = 8 << 10
 )
 
-// epochLength is how long a policy holds.
+// epochLength is how long a policy is in force.
 func (n *Node) epochLength() time.Duration {
 	return (n.lease() / epochsPerLease).Truncate(time.Millisecond)
 }
 
+// start prepares admission for the leader that owns it.
 func (a *admissionControl) init(l *leadership) {
 	a.l, a.loads, a.epochAt = l, map[admission.Group]*admission.Load{}, l.n.now
 	a.maxShares = max(1, (l.n.cfg.Cluster.State.ValueBytes()-shareBytes)/shareBytes)
 }
 
-// settings bound the policies.
+// plannerSettings are the bounds of the policies.
 func (a *admissionControl) settings() admission.Settings {
 	n := a.l.n
 	turn := turnShare * float64(protocol.RetrySpan)
@@ -50,7 +53,7 @@
 		EpochsToTurn: max(1, int(turn/float64(n.epochLength())))}
 }
 
-// load takes the record that a predecessor left.
+// loadStoredPolicy applies the record that an earlier leader left, or its absence.
 func (a *admissionControl) load(items []storage.Item) {
 	a.l.knowAll(items)
 	if len(items) == 0 {
@@ -63,8 +66,8 @@
 	}
 }
 
-// enabled tells whether policies may be published: an operator wants them, and every node
-// judges by them. One that has gone back to an earlier version is known by its heartbeats.
+// mayPublish reports whether policies may be published: the operators enable them, and every node
+// understands them. The heartbeats show a node that was downgraded since it wrote its version.
 func (a *admissionControl) enabled() bool {
 	n := a.l.n
 	if !n.set.FairAdmission || !n.allUnderstand(levelAdmission) {
@@ -78,10 +81,10 @@
 	return true
 }
 
-// take adds what a node says of the submissions that it had to turn away.
+// addNodeLoad adds the rejected submissions that a node reports.
 func (a *admissionControl) take(m protocol.AdmissionLoad) {
 	if a.writing || m.Version != a.l.n.policy.version {
-		return // judged by another policy
+		return // counted under another policy
 	}
 	for _, g := range m.Groups {
 		load := a.loadOf(admission.Group{Team: g.Team, Class: g.Class, Rank: g.Rank})
@@ -92,14 +95,14 @@
 	}
 }
 
-// accepted counts a job that some node has accepted.
+// countAccepted counts a job that some node has accepted.
 func (a *admissionControl) accepted(j *protocol.Job) {
 	if load := a.loadOf(groupOf(j)); load != nil {
 		load.Accepted++
 	}
 }
 
-// loadOf is the load of a group in this epoch, or nil if there are too many.
+// groupLoad is the load of a group in this epoch, or nil if there are too many groups.
 func (a *admissionControl) loadOf(group admission.Group) *admission.Load {
 	load := a.loads[group]
 	if load == nil && len(a.loads) < protocol.MaxGroupLoads {
@@ -109,7 +112,7 @@
 	return load
 }
 
-// weight is a team's among others: up to twice as much for the largest guarantee.
+// teamWeight is a team's weight among all teams. It grows with the team's guarantee, from 1 to 2.
 func (a *admissionControl) weight(name string) float64 {
 	largest := 0.0
 	for _, t := range a.l.n.cfg.Cluster.Teams {
@@ -122,8 +125,9 @@
 	return 1 + team.CPUs/largest
 }
 
-// capacity is what an epoch can take: what submissions may write, and no more than the
-// memory for open jobs has room for by the time within which all that waits has its turn.
+// epochCapacity is the number of jobs that can be accepted in an epoch. It is limited by the rate
+// of writes, and by the memory left for open jobs, spread over the epochs within which every
+// waiting job is to be admitted.
 func (a *admissionControl) capacity() admission.Capacity {
 	n := a.l.n
 	epochs := n.epochLength().Seconds()
@@ -133,7 +137,7 @@
 	return admission.Capacity{Jobs: min(byRate, byMemory), Short: byMemory < byRate}
 }
 
-// tick begins the next epoch once the present one is over.
+// tick starts the next epoch once the current one is over.
 func (a *admissionControl) tick() {
 	l, n := a.l, a.l.n
 	if n.now < a.epochAt+n.epochLength() || a.writing {
@@ -144,7 +148,7 @@
 	if !a.enabled() || n.policy.invalid {
 		a.control = nil
 		if l.writer.Version(storage.PolicyKey) != 0 {
-			a.publish(nil) // by a leader that had reason to, or one that can't be read
+			a.publish(nil) // remove the policy of an earlier leader, or an invalid one
 		}
 		return
 	}
@@ -152,18 +156,19 @@
 		a.control = admission.NewControl(a.settings(), n.policy.policy)
 	}
 	had := a.control.Policy() != nil
-	// Revisions grow by each policy, so a new series of epochs begins above all before it.
+	// Each policy that is written raises the revision, so a series of epochs that starts at the
+	// next revision is numbered above all earlier ones.
 	next := a.control.Next(loads, a.capacity(), max(l.watchRevision, n.policy.revision)+1)
 	if next == nil && !had {
 		return
 	}
 	if (next != nil) != had {
-		n.log.Info("admission by policy", "on", next != nil, "capacity", a.capacity().Jobs)
+		n.log.Info("admission policy switched", "active", next != nil, "capacity", a.capacity().Jobs)
 	}
 	a.publish(next)
 }
 
-// endEpoch takes the loads of the epoch that ends.
+// takeEpochLoads returns the loads of the epoch that ends and resets them.
 func (a *admissionControl) endEpoch() []admission.Load {
 	loads := make([]admission.Load, 0, len(a.loads))
 	for _, load := range a.loads {
@@ -173,8 +178,8 @@
 	return loads
 }
 
-// publish writes a policy, or removes the record. Like all that a leader writes, it is
-// conditioned on the leader key, so a leader that has been replaced publishes nothing.
+// publishPolicy writes a policy, or removes the record if it is nil. Like all writes of a leader
+// it is conditioned on the leader key, so a leader that has been replaced publishes nothing.
 func (a *admissionControl) publish(policy *admission.Policy) {
 	l, n := a.l, a.l.n
 	a.writing = true
@@ -185,17 +190,18 @@
 	l.writer.Add(storage.Releases, storage.Unit{
 		Build: func() []storage.Write { return []storage.Write{write} },
 		Done: func() {
-			a.writing, a.epochAt = false, n.now // it begins now that all are bound by it
+			a.writing, a.epochAt = false, n.now // the epoch begins when the policy is durable
 			clear(a.loads)
 			if policy == nil {
 				n.policyEnded(max(n.policy.revision, l.writer.LastRevision()))
-				n.readPolicy(nil) // for the revision that others are told
+				n.readPolicy(nil) // for the revision of the removal, which peers are told
 				return
 			}
-			n.takePolicy(storage.Item{Key: storage.PolicyKey, Value: write.Value, Version: l.writer.Version(storage.PolicyKey)})
+			n.takePolicy(storage.Item{Key: storage.PolicyKey, Value: write.Value,
+				Version: l.writer.Version(storage.PolicyKey)})
 		},
 		Refused: func(bool) {
-			// Values have become smaller: the next one names fewer groups.
+			// The limit of a value's size has shrunk: the next policy names fewer groups.
 			a.writing = false
 			a.maxShares = max(1, a.maxShares/2)
 			a.control = nil
--- a/internal/coordination/recovering.go
+++ b/internal/coordination/recovering.go
@@ -9,9 +9,10 @@
 	"hitchdoor/internal/recovery"
 )
 
-// newRecovery begins the recovery of a leader.
+// newRecovery starts the recovery of a new leader.
 func (n *Node) newRecovery() *recovery.Recovery { return recovery.New(n.recoverySettings(), n.now) }
 
+// recoverySettings are the intervals and limits of a recovery, from the node's settings.
 func (n *Node) recoverySettings() recovery.Settings {
 	return recovery.Settings{
 		Report: n.report(), Lease: n.leaseOver(),
@@ -19,17 +20,18 @@
 	}
 }
 
-// tickRecovery moves the recovery on, and resigns if the records can't be read.
+// tickRecovery advances the recovery, and steps down if the stored records can't be read in time.
 func (l *leadership) tickRecovery() {
 	if !l.loaded && l.recovery.ReadingTooLong(l.n.now) {
-		l.n.stepDown("the records could not be read")
+		l.n.stepDown("timeout reading stored records")
 		return
 	}
 	if l.recovery.Over() {
 		return
 	}
 	for _, moved := range l.recovery.Advance(l.n.now, l.recoveryView()) {
-		l.n.log.Info("recovery", "phase", moved.To, "after", moved.After, "bound", moved.Bound,
+		l.n.log.Info("recovery phase changed",
+			"phase", moved.To, "after", moved.After, "timeout", moved.Bound,
 			"machines", len(l.machines), "mismatches", mismatchTotal(l.recovery.Counts()))
 		l.dirty = true
 		switch moved.To {
@@ -41,12 +43,15 @@
 	}
 }
 
+// recoveryView is the state of the cluster that the recovery depends on.
 func (l *leadership) recoveryView() recovery.View {
 	totals := l.currentTotals()
-	return recovery.View{RecordsRead: l.loaded, NamesMissing: l.namesMissing(), Machines: len(l.machines),
-		Unaccounted: totals.unaccounted, Cores: totals.held, LargestCores: totals.largest}
+	return recovery.View{RecordsRead: l.loaded, NamesMissing: l.namesMissing(),
+		Machines: len(l.machines), Unaccounted: totals.unaccounted,
+		Cores: totals.held, LargestCores: totals.largest}
 }
 
+// mismatchTotal is the number of mismatches of all kinds. Tasks that are as stored don't count.
 func mismatchTotal(counts recovery.Counts) int {
 	total := 0
 	counts.Each(func(kind recovery.Mismatch, count int) {
@@ -57,14 +62,15 @@
 	return total
 }
 
-// note counts a mismatch, for this leader and for this process.
+// noteMismatch counts a mismatch, for this leader and for this process.
 func (l *leadership) note(kind recovery.Mismatch, machine, subject string) {
 	if l.recovery.Note(l.n.now, kind, machine, subject) {
 		l.n.mismatches[kind]++
 	}
 }
 
-// noteSilentMachines counts the machines that have not been heard once most others are.
+// noteUnresponsiveMachines counts, at the end of the collecting phase, the machines that have not
+// sent a heartbeat.
 func (l *leadership) noteSilentMachines() {
 	for _, m := range l.held() {
 		if !m.accounted && m.heard == never {
@@ -73,7 +79,8 @@
 	}
 }
 
-// noteIdleJobs counts the older jobs that no worker holds a task of, once all are heard.
+// noteJobsNotRunning counts, once all machines are reconciled, the jobs of earlier leaders that no
+// worker reports a task of.
 func (l *leadership) noteIdleJobs() {
 	for _, j := range l.byAge() {
 		if j.version <= l.writer.LeaderVer && len(j.runs) == 0 && j.pending > 0 {
@@ -82,25 +89,28 @@
 	}
 }
 
-// restrained tells whether decisions are held back by the recovery: it is switched on for fleets of
-// this size, and not over. On a hunted day of 40 machines, whose controllers all ended six times
-// while their workers were cut off, rentals that were held back cost a third of the jobs in time.
+// limitedByRecovery reports whether the recovery limits what this leader does: it is enabled for
+// fleets of this size and not completed. Small fleets are exempt: in a simulated day of 40
+// machines, on which all controllers ended six times while their workers were cut off, delaying
+// rentals reduced the jobs completed in time by a third.
 func (l *leadership) restrained() bool {
 	return l.n.set.Recovery && !l.recovery.Over() && len(l.machines) >= l.n.set.RecoveryFrom
 }
 
-// mayRent tells whether machines may be rented.
+// mayScaleOut reports whether machines may be rented.
 func (l *leadership) mayRent() bool { return !l.restrained() || l.recovery.MayRent() }
 
-// mayShrink tells whether machines may be given up as too many.
+// mayScaleIn reports whether machines may be returned because there are too many.
 func (l *leadership) mayShrink() bool { return !l.restrained() || l.recovery.MayShrink() }
 
-// allowOrder tells whether an order may be given now, by the budgets of the recovery.
+// allowOperation reports whether an operation is within the recovery's budgets now, and takes it
+// from its budget.
 func (l *leadership) allowOrder(order recovery.Order, urgency recovery.Urgency, team string) bool {
 	return !l.restrained() || l.recovery.Allow(l.n.now, order, urgency, team)
 }
 
-// affordable is for how many of some machines an order may be given now.
+// allowedOperations is how many of count operations on machines are within the budget now. It takes
+// them from the budget.
 func (l *leadership) affordable(order recovery.Order, count int) int {
 	for i := range count {
 		if !l.allowOrder(order, recovery.Pressing, "") {
@@ -110,7 +120,7 @@
 	return count
 }
 
-// urgencyOf is that of orders for a job's tasks.
+// urgencyOf is the urgency of operations on a job's tasks.
 func urgencyOf(j *job) recovery.Urgency {
 	switch {
 	case j.gone:
@@ -122,11 +132,12 @@
 	}
 }
 
-// startsPerAnswer is the part of a machine's cores, one in so many, that one answer starts tasks
-// on while starts are paced: more machines get some, and they report again as soon as these begin.
+// startsPerResponseDivisor bounds the tasks that one response starts while starts are paced: one per
+// so many cores of the machine. The budget is then spread over more machines, and these send
+// their next heartbeat as soon as the tasks start.
 const startsPerAnswer = 4
 
-// mayStart tells whether one more task may be started by an answer that starts some already.
+// mayStartTask reports whether a response that starts some tasks already may start one more.
 func (l *leadership) mayStart(r *run, already int) bool {
 	if !l.restrained() {
 		return true
@@ -137,10 +148,10 @@
 	return l.allowOrder(recovery.StartTask, urgencyOf(r.job), r.job.spec.Team)
 }
 
-// mayRunUnseen tells whether tasks of a job may be running on machines that are not accounted
-// for. A job accepted after the leader key was written can't have been started by an earlier
-// leader, nor one that needs a job whose end this leader has written, nor one that may use none of
-// those machines.
+// mayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled.
+// An earlier leader can't have started a job that was accepted after the leader key was written,
+// nor one that depends on a job whose end this leader has written. Nor can a job be running there
+// that may use none of those machines.
 func (l *leadership) mayRunUnseen(j *job, totals *machineTotals) bool {
 	if totals.complete || j.version > l.writer.LeaderVer || j.fresh {
 		return false
@@ -149,7 +160,8 @@
 		return true
 	}
 	for o := range totals.unknownOptions {
-		// Sizes in the catalogue may have been others when an earlier leader started it.
+		// Only the constraints are checked: the sizes in the catalogue may have been different
+		// when an earlier leader placed the job.
 		if o.MayServe(&j.spec) {
 			return true
 		}
@@ -157,19 +169,19 @@
 	return false
 }
 
-// reportedTask is a task in a report, with what this leader knows of it.
+// reportedTask is a task in a worker's heartbeat, with this leader's state of it.
 type reportedTask struct {
 	protocol.TaskReport
 	jobID string
 	index int
-	job   *job // nil: not open here
-	run   *run // of the same task on the same machine, perhaps of another attempt; nil: none
+	job   *job // nil: the job is not open
+	run   *run // the attempt at this task on this machine, whatever its number; nil: none
 }
 
-// followed tells whether this leader follows this very attempt on the machine.
+// isTracked reports whether this leader tracks the reported attempt on the machine.
 func (x *reportedTask) followed() bool { return x.run != nil && x.run.attempt == x.Attempt }
 
-// reportedTask looks up a task that a machine reports.
+// lookUpReportedTask looks up the state of a task that a machine reports.
 func (l *leadership) reportedTask(m *machine, t protocol.TaskReport) *reportedTask {
 	x := &reportedTask{TaskReport: t, run: m.runs[t.Task]}
 	var ok bool
@@ -180,13 +192,15 @@
 	return x
 }
 
-// judgeTask tells what to do with a reported task, and counts it if it is not as stored.
+// reportedTaskAction decides what to do with a reported task, and counts a mismatch if there is one.
 func (l *leadership) judgeTask(m *machine, x *reportedTask, tokenShown bool) recovery.Action {
-	facts := recovery.Task{Job: l.jobState(x.jobID, x.job), Exited: x.State == protocol.TaskExited, Done: x.Why == protocol.WhyDone,
+	facts := recovery.Task{Job: l.jobState(x.jobID, x.job),
+		Exited: x.State == protocol.TaskExited, Done: x.Why == protocol.WhyDone,
 		Followed: x.followed(), TokenShown: tokenShown}
 	if x.job != nil {
 		other := x.job.runs[x.index]
-		facts.Elsewhere = other != nil && other != x.run || x.run != nil && !facts.Followed
+		facts.Elsewhere = other != nil && other != x.run ||
+			x.run != nil && !facts.Followed
 		facts.Finished = x.job.taskState(x.index) == taskDone
 	}
 	action, kind, differs := recovery.Decide(facts)
@@ -196,7 +210,7 @@
 	return action
 }
 
-// jobState is what is known of a reported task's job.
+// reconciliationJobState is the state of a reported task's job, as the reconciliation needs it.
 func (l *leadership) jobState(id string, j *job) recovery.JobState {
 	_, over := l.n.finals.byID[id]
 	switch {
@@ -211,8 +225,8 @@
 	}
 }
 
-// mayStopUnknown tells whether a task that should not be there may be stopped now. One whose job
-// is over, or may be, is stopped before anything else.
+// mayStopUnexpectedTask reports whether a task that should not be running may be stopped now. One
+// whose job is terminal, or unknown, has the highest urgency.
 func (l *leadership) mayStopUnknown(j *job) bool {
 	if j == nil {
 		return l.allowOrder(recovery.StopTask, recovery.Cancelled, "")
@@ -220,14 +234,14 @@
 	return l.allowOrder(recovery.StopTask, urgencyOf(j), j.spec.Team)
 }
 
-// noteOverCommitted counts a machine whose tasks take more than it has.
+// noteOvercommitted counts a machine whose tasks use more cores than it has.
 func (l *leadership) noteOverCommitted(m *machine) {
 	if m.kind != nil && m.cores > m.kind.Cores+slack {
 		l.note(recovery.OverCommitted, m.name, "")
 	}
 }
 
-// recoveryStatus is what this node says about recovery.
+// recoveryStatus is the state of recovery on this node, as operators see it.
 func (n *Node) recoveryStatus() recovery.NodeStatus {
 	s := recovery.NodeStatus{Node: n.cfg.Node, Leads: n.authority()}
 	if leader := n.leaderPeer(); leader != nil {
@@ -237,7 +251,8 @@
 		l := n.lead
 		s.Follows, s.Term = "", l.term
 		s.Recovery = l.recovery.Status(n.now)
-		s.Recovery.Term, s.Recovery.Paced = l.term, n.set.Recovery && len(l.machines) >= n.set.RecoveryFrom
+		s.Recovery.Term, s.Recovery.Paced = l.term,
+			n.set.Recovery && len(l.machines) >= n.set.RecoveryFrom
 		for _, record := range l.quarantine.list() {
 			s.SetAside = append(s.SetAside, record.status())
 		}
@@ -248,35 +263,41 @@
 	return s
 }
 
+// status describes a quarantined record to operators.
 func (r *damagedRecord) status() recovery.Record {
 	return recovery.Record{Key: r.key, Reason: r.reason, Newer: r.newer}
 }
 
+// onRecoveryStatus answers an operator's request for the state of recovery.
 func (n *Node) onRecovery(r Request) { n.reply(r.Origin, 200, 0, n.recoveryStatus()) }
 
-// recoveryMetrics adds the figures of recovery.
+// recoveryMetrics adds the metrics of recovery to a page.
 func (n *Node) recoveryMetrics(p *metricsPage) {
-	p.labelled("recovery_mismatches", "Mismatches that this process has found in recoveries, by kind.", "kind", func(each func(label string, value float64)) {
-		n.mismatches.Each(func(kind recovery.Mismatch, count int) { each(kind.String(), float64(count)) })
-	})
+	p.labelled("recovery_mismatches", "Mismatches that this process has found in recoveries, by kind.", "kind",
+		func(each func(label string, value float64)) {
+			n.mismatches.Each(func(kind recovery.Mismatch, count int) { each(kind.String(), float64(count)) })
+		})
 	setAside := len(n.unreadFinals)
 	if n.authority() {
 		l := n.lead
 		setAside += len(l.quarantine.records)
-		p.gauge("recovery_phase", "The leader's phase of recovery: 0 reading, 1 collecting, 2 reconciling, 3 pacing, 4 normal.", float64(l.recovery.Phase()))
+		p.gauge("recovery_phase",
+			"The leader's phase of recovery: 0 reading, 1 collecting, 2 reconciling, 3 pacing, 4 normal.",
+			float64(l.recovery.Phase()))
 		budgets := l.recovery.Budgets(n.now)
 		if len(budgets) > 0 {
-			p.labelled("recovery_budget", "Orders that may be given at once, by kind.", "order", func(each func(label string, value float64)) {
-				for _, b := range budgets {
-					each(b.Order, b.Left)
-				}
-			})
+			p.labelled("recovery_budget", "Orders that may be given at once, by kind.", "order",
+				func(each func(label string, value float64)) {
+					for _, b := range budgets {
+						each(b.Order, b.Left)
+					}
+				})
 		}
 	}
 	p.gauge("records_set_aside", "Stored records that this node can't use.", float64(setAside))
 }
 
-// silenceAllows tells whether a machine may be returned for so long a silence.
+// mayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
 func (l *leadership) silenceAllows(m *machine, silence time.Duration) bool {
 	if m.accounted {
 		return silence > l.n.lease()*6/10
--- a/internal/coordination/routes.go
+++ b/internal/coordination/routes.go
@@ -6,27 +6,30 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A worker's reports go straight to the leader, as long as that has connections to spare.
-// Beyond that they are spread: the leader sends newcomers to the controller with the most
-// room, and the others pass reports and answers on over their link to the leader.
+// This file routes workers to controllers. Workers send their heartbeats directly to the leader
+// while it has spare connections. Beyond that the leader redirects new workers to the controller
+// with the most spare connections, and the followers relay heartbeats and responses over their
+// link to the leader.
 
-// ServerLoad is a command that tells how many connections of users and workers are open,
-// of how many that the server takes.
+// ServerLoad is a command that reports how many connections of users and workers are open, and
+// how many the server accepts at most.
 type ServerLoad struct{ Open, Limit int }
 
-// Shares of a server's connections. A node is full at the first one, and has room again
-// below the second: in between nothing changes, so that workers aren't sent to and fro.
+// Thresholds as shares of a server's connections. A node becomes full at fullThreshold and stays
+// so until it is below spareThreshold. The hysteresis keeps workers from being redirected back
+// and forth.
 const (
 	fullShare = 13.0 / 16
 	roomShare = 11.0 / 16
 )
 
-// connections is what a node knows of its own server's connections.
+// serverConnections is the load of this node's own server.
 type connections struct {
-	open, limit int // limit 0: not known
+	open, limit int // limit is 0 while it is unknown
 	full        bool
 }
 
+// update records the present load and applies the thresholds.
 func (c *connections) take(load ServerLoad) {
 	c.open, c.limit = load.Open, load.Limit
 	switch open := float64(c.open); {
@@ -39,7 +42,7 @@
 	}
 }
 
-// room is how many more workers the node takes before it is full.
+// spareConnections is how many more workers the node accepts before it is full.
 func (c *connections) room() int {
 	if c.full {
 		return 0
@@ -47,22 +50,23 @@
 	return max(0, int(fullShare*float64(c.limit))-c.open)
 }
 
-// peerRoom is what a peer last said of its connections. A version that says nothing of them
-// takes all that come.
+// peerCapacity is the number of spare connections in a peer's last heartbeat. A peer of an earlier
+// version doesn't report it and is assumed to have enough.
 type peerRoom struct {
 	known bool
 	full  bool
-	left  int // connections that this node may still send it workers for
+	left  int // workers that this node may still redirect to it
 }
 
-// heard takes a heartbeat. Its room is shared by so many nodes that may send workers there.
+// recordHeartbeat records the capacity in a peer's heartbeat. It is divided evenly by sharers, the
+// number of nodes that may redirect workers to the peer.
 func (r *peerRoom) heard(m protocol.Heartbeat, sharers int) {
 	r.known = m.Full || m.Room > 0
 	r.full = m.Full
 	r.left = m.Room / max(1, sharers)
 }
 
-// take uses one of the connections left, if there is one.
+// reserveConnection reserves one of the remaining connections and reports whether there was one.
 func (r *peerRoom) take() bool {
 	if !r.known {
 		return true
@@ -74,15 +78,16 @@
 	return true
 }
 
-// workerRoute is what this node has told a worker that it does not serve by itself.
+// workerRoute is the routing state of a worker that this node doesn't serve as the leader.
 type workerRoute struct {
-	redirected Instant // last time the worker was sent to another node
-	relayUntil Instant // its reports are passed on until then
-	to         string  // the node that it was sent to
-	came       Instant // last time that it came here
-	stranded   Instant // last time that it could not be served here
+	redirected Instant // when the worker was last redirected to another node
+	relayUntil Instant // its heartbeats are relayed until then
+	to         string  // the node that it was last redirected to
+	came       Instant // when it last sent a heartbeat to this node
+	stranded   Instant // when this node last could neither serve nor relay it
 }
 
+// routeOf returns the routing state of a worker and creates it if there is none.
 func (n *Node) routeOf(worker string) *workerRoute {
 	route := n.routes[worker]
 	if route == nil {
@@ -92,25 +97,25 @@
 	return route
 }
 
-// searchSpan is how long a worker may take to try all nodes, the last of which it reaches.
+// nodeSearchDuration is the longest time that a worker needs to try all nodes until one answers.
 func (n *Node) searchSpan() time.Duration {
 	return time.Duration(n.cfg.Cluster.Count) * (protocol.ReportTimeout + protocol.NextNodePause)
 }
 
-// cameBack tells whether the worker was sent to a node a short while ago, so that it does not
-// get through there. On its way back it may have tried all others.
+// recentlyRedirectedTo reports whether the worker was redirected to a node so lately that its
+// return shows that it can't reach that node. It may have tried all other nodes before it returned.
 func (n *Node) cameBack(route *workerRoute, to string) bool {
 	return route.to == to && n.now-route.redirected < n.searchSpan()
 }
 
-// redirect sends a worker to another node.
+// redirectWorker redirects a worker to another node.
 func (n *Node) redirect(r Request, route *workerRoute, to string) {
 	route.redirected, route.to = n.now, to
 	n.reply(r.Origin, 421, 0, protocol.Redirect{ReportTo: to})
 }
 
-// onReport answers a worker's report if this node leads, and otherwise passes it on or sends
-// the worker to the leader.
+// onWorkerHeartbeat answers a worker's heartbeat if this node leads, and otherwise relays it or
+// redirects the worker to the leader.
 func (n *Node) onReport(r Request) {
 	if n.authority() {
 		if r.Origin.Peer == "" && n.redirectNewcomer(r) {
@@ -134,8 +139,8 @@
 	n.relayOrRedirect(r, route, leader)
 }
 
-// relayOrRedirect serves a worker that reports to a follower. It is relayed for if it can't
-// reach the leader, or the leader has no connection to spare.
+// relayOrRedirectWorker handles a worker's heartbeat on a follower. It relays for a worker that
+// can't reach the leader, or if the leader has no spare connection, and redirects all others.
 func (n *Node) relayOrRedirect(r Request, route *workerRoute, leader *peer) {
 	if n.now >= route.relayUntil && n.cameBack(route, leader.name) {
 		route.relayUntil = n.now + 2*n.lease()
@@ -147,16 +152,16 @@
 	n.forward(leader, r, n.relayPatience())
 }
 
-// relayPatience is how long the leader's answer to a relayed report is waited for: well
-// within the time after which its worker drops it.
+// relayTimeout is how long this node waits for the leader's response to a relayed heartbeat. It is
+// well within the time after which the worker discards the response.
 func (n *Node) relayPatience() time.Duration {
 	return min(n.lease()/6, protocol.ReportTimeout*7/8)
 }
 
-// redirectNewcomer sends a worker that this full leader has not served yet to a controller
-// that has room. Those that are served stay, and so does one that comes back: it can't
-// reach the other node. Without any such node, or where all are full, it is served here,
-// and the server takes its workers in turns.
+// redirectNewWorker redirects a worker that this full leader doesn't serve yet to a controller
+// with spare connections. Workers that are served already stay, and so does one that returns,
+// because it can't reach the other node. If no controller has a spare connection, the worker is
+// served here and the server serves its workers in turns.
 func (n *Node) redirectNewcomer(r Request) bool {
 	if !n.connections.full || n.lead.servedHere(r.Report.Machine) {
 		return false
@@ -167,17 +172,18 @@
 		return false
 	}
 	to.room.take()
-	n.connections.open-- // it closes its connection; the next count may be some reports away
+	n.connections.open-- // the worker closes its connection, but the next count may be late
 	n.redirect(r, route, to.name)
 	return true
 }
 
-// roomiestPeer is the peer that can take in the most workers, if one says that it can.
+// leastLoadedPeer is the peer with the most spare connections, or nil if none reports any.
 func (n *Node) roomiestPeer() *peer {
 	var best *peer
 	for _, k := range n.cfg.Known {
 		p := n.peers[k.Node]
-		if n.now-p.heard < n.termSpan() && p.room.known && !p.room.full && p.room.left > 0 &&
+		if n.now-p.heard < n.termSpan() &&
+			p.room.known && !p.room.full && p.room.left > 0 &&
 			(best == nil || p.room.left > best.room.left) {
 			best = p
 		}
@@ -185,30 +191,31 @@
 	return best
 }
 
-// servedHere tells whether the worker's last report came over a connection of this node's
-// own, within the last lease.
+// servesDirectly reports whether the worker's last heartbeat arrived within the last lease on a
+// connection of this node's own.
 func (l *leadership) servedHere(worker string) bool {
 	m := l.machines[worker]
 	return m != nil && m.via == "" && l.n.now-m.heard < l.n.lease()
 }
 
-// tickRoutes forgets the workers that have not come back. Bounded by their number
-// instead, the table was begun anew again and again where there were more machines, so
-// that none was ever relayed for: a leader that workers could not reach lost them all.
+// expireRoutes removes the workers that have not returned. The table is bounded by age and not by
+// size: with a bound below the number of machines it would be cleared again and again, no worker
+// would ever be relayed for, and a leader that workers can't reach would lose them all.
 func (n *Node) tickRoutes() {
 	if n.now < n.routesAt+n.lease() {
 		return
 	}
 	n.routesAt = n.now
 	for name, route := range n.routes {
-		if n.now >= route.relayUntil && !n.cameBack(route, route.to) && n.now-route.came >= n.searchSpan() {
+		if n.now >= route.relayUntil && !n.cameBack(route, route.to) &&
+			n.now-route.came >= n.searchSpan() {
 			delete(n.routes, name)
 		}
 	}
 }
 
-// roomSharers is how many nodes may send workers to the sender of a heartbeat: all others to a
-// leader, and the leader alone to anybody else.
+// capacitySharers is how many nodes may redirect workers to the sender of a heartbeat: all others
+// to a leader, and the leader alone to a follower.
 func (n *Node) roomSharers(m protocol.Heartbeat) int {
 	if m.Leads {
 		return len(n.peers)
@@ -216,6 +223,6 @@
 	return 1
 }
 
-// maxEarlyReports bounds the reports that wait while a leader reads the records: each has a
-// connection here or at a peer.
+// maxEarlyHeartbeats bounds the worker heartbeats that wait while a leader reads the stored
+// records. Each holds a connection, here or at a peer.
 func (n *Node) maxEarlyReports() int { return n.maxWaiting() * n.cfg.Cluster.Count }
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -10,13 +10,14 @@
 	"hitchdoor/internal/storage"
 )
 
-// denial is what a user is told of a job that the state service does not know.
+// errorResponse is the response to a user about a job that the key-value store has no record of.
 type denial struct {
 	status     int
-	retryAfter int    // in seconds; 0: for good
+	retryAfter int    // 0: the error is permanent
 	Error      string `json:"error"`
 }
 
+// The responses to users about unknown jobs. Their texts are part of the HTTP interface.
 var (
 	noSuchJob    = denial{404, 0, "no such job"}
 	tooLarge     = denial{400, 0, "the job is too large to be stored"}
@@ -25,13 +26,14 @@
 	comeBack     = denial{503, 1, "can't be taken now"}
 )
 
-// notYet is said of a job whose turn comes in some seconds.
+// admissionDeferred is the response to a submission that the admission policy admits only after
+// some seconds.
 func notYet(retryAfter int) denial {
 	return denial{503, retryAfter, "more is submitted than can be taken"}
 }
 
-// canRun tells whether some machine type could ever run a task of the job, and
-// whether its team exists and has room for one task.
+// isSchedulable reports whether the job's team exists and may use enough resources for one task,
+// and whether a task of the job fits some machine type.
 func (n *Node) canRun(j *protocol.Job) bool {
 	team := n.team(j.Team)
 	if team == nil {
@@ -48,20 +50,21 @@
 	return false
 }
 
-// submission is a submission that is to be written.
+// pendingSubmission is a submission that waits to be written to the key-value store.
 type submission struct {
 	r      Request
 	rec    storage.JobRecord
-	writes []storage.Write // of the record: formed once, as they may be sent again
-	lead   *leadership     // that took it, if any
-	until  Instant         // when its user is told to come back instead
+	writes []storage.Write // of the record; encoded once, because they may be sent again
+	lead   *leadership     // the leader that received it; nil on a follower
+	until  Instant         // when it is rejected if it has not been written
 	tries  int
-	// policyVersion is that of the record by which it was admitted.
+	// policyVersion is the version of the admission policy record that admitted it.
 	policyVersion uint64
 }
 
-// submitDirect writes a submission, conditioned on the job being unknown, and
-// answers after the write. Any node may do so; the leader watches.
+// submitToStore validates a submission and queues it to be written on condition that the job is
+// unknown. The user is answered after the write. Any node may do so, because the leader watches
+// the open jobs.
 func (n *Node) submitDirect(r Request, lead *leadership) {
 	if n.catalog == nil || n.elect.stateLost() {
 		n.unavailable(r.Origin)
@@ -70,16 +73,16 @@
 	rec := storage.JobRecord{Spec: *r.Job, AtMS: n.wallMS()}
 	limits := &n.cfg.Cluster.State
 	writes := storage.JobWrites(rec, limits.ValueBytes())
-	// A job that was accepted once stays accepted, even if the catalogue has shrunk
-	// since, or the limits, or if this node knows less than the one that took it: only
-	// an unknown one is refused.
+	// A job that was accepted once stays accepted, even if the catalogue or the limits have
+	// shrunk since, or if this node knows less than the one that accepted it. Therefore each
+	// error below is returned only for a job that has no record.
 	canRun := n.canRun(r.Job)
 	switch {
 	case !storage.Fits(writes, limits.ValueBytes(), limits.Ops()):
-		n.answerKnown(r, lead, tooLarge) // no record holds it, however often it is sent
+		n.answerKnown(r, lead, tooLarge) // no record can hold it, so a retry can't succeed
 		return
 	case !canRun && !n.catalogSure:
-		n.answerKnown(r, lead, comeBack) // the types may have changed since they were stored
+		n.answerKnown(r, lead, comeBack) // the stored catalogue may be outdated
 		return
 	case !canRun:
 		n.answerKnown(r, lead, neverRuns)
@@ -88,16 +91,17 @@
 		n.answerKnown(r, lead, needsNobodys)
 		return
 	case len(r.Job.Needs) > 0 && !n.allUnderstand(levelPipelines):
-		// A node of the version before would start it at once. Nothing says that all are
-		// new until each has written so.
+		// A node of an earlier version would ignore the dependencies and start the job at once.
+		// Wait until the version record of each node says that it understands them.
 		n.answerKnown(r, lead, comeBack)
 		return
 	}
 	unknown := n.notKnownAccepted(r.Job.Needs)
 	if len(unknown) > needsRead && lead == nil && n.passOn(r) {
-		return // the leader knows most of them
+		return // the leader has most of them in memory
 	}
-	s := submission{r: r, rec: rec, writes: writes, lead: lead, until: n.now + n.lease()/10}
+	s := submission{r: r, rec: rec, writes: writes, lead: lead,
+		until: n.now + n.lease()/10}
 	n.wereAccepted(unknown, func(ok, all bool) {
 		switch {
 		case !ok:
@@ -110,8 +114,8 @@
 	})
 }
 
-// queueSubmission lets a submission wait for its turn: users come in bursts, and
-// the state service takes only so many changes a second.
+// queueSubmission queues an admitted submission for writing, because users submit in bursts and
+// the key-value store limits the rate of writes.
 func (n *Node) queueSubmission(s submission) {
 	if len(n.submits) >= n.maxWaiting() {
 		n.turnAway(s)
@@ -121,14 +125,15 @@
 	n.writeSubmissions()
 }
 
-// crowded notes that the state service refused a submission for the rate of changes.
+// noteContention records that the key-value store refused a submission because of its rate limit.
 func (n *Node) crowded() {
 	n.crowdedUntil = n.now + n.lease()
 	n.submitBudget.level = 0
 }
 
-// shareSubmissions lets this node have the whole rate of submissions, as users' bursts
-// mostly reach one node, unless others need it too: each then has its part for a while.
+// updateSubmissionRate sets the rate at which this node writes submissions. It is the rate of the
+// whole cluster, because a burst mostly reaches one node. For one lease after a refusal by the
+// rate limit, which shows that other nodes are writing too, it is an equal part of it.
 func (n *Node) shareSubmissions() {
 	c := &n.cfg.Cluster
 	n.submitBudget.refill(n.now)
@@ -138,8 +143,8 @@
 	}
 }
 
-// writeSubmissions sends what the budget allows, and turns away at once what
-// can't be taken any more.
+// writeQueuedSubmissions writes as many queued submissions as the budget allows, and rejects those
+// whose deadline has passed.
 func (n *Node) writeSubmissions() {
 	if len(n.submits) == 0 {
 		return
@@ -159,6 +164,8 @@
 	}
 }
 
+// writeSubmission writes a submission in one transaction, on condition that the job is unknown and
+// the admission policy is the one that admitted it, and answers the user.
 func (n *Node) writeSubmission(s submission) {
 	id := s.rec.Spec.UID
 	txn := storage.Txn{
@@ -179,19 +186,20 @@
 				s.lead.addJob(s.rec, out.Revision)
 			}
 			n.reply(s.r.Origin, 201, 0, protocol.JobState{UID: id, State: protocol.Queued})
-		case res.Status == 409 && s.tries < submitTries && json.Unmarshal(res.Body, &out) == nil && policyMoved(out.Failed, id):
-			// Admitted by the policy of another epoch.
+		case res.Status == 409 && s.tries < submitTries &&
+			json.Unmarshal(res.Body, &out) == nil && policyMoved(out.Failed, id):
+			// The submission was admitted by the policy of another epoch.
 			s.tries++
 			n.readPolicy(func() { n.judgeSubmission(s) })
 		case res.Status == 409:
 			n.answerKnown(s.r, s.lead, comeBack)
 		case res.Status == 400:
-			// Too large for what the limits have become; but an earlier copy may have been
-			// taken.
+			// The limits have become smaller than the record. An earlier copy of the submission
+			// may have been accepted all the same.
 			n.answerKnown(s.r, s.lead, tooLarge)
 		case (res.Status == 0 || res.Status == 429) && s.tries < submitTries:
-			// Too many changes at once, or an answer lost. Its condition lets only
-			// one copy through, so it may be sent again.
+			// The rate limit was reached, or the response was lost. The transaction's conditions
+			// let only one copy succeed, so a retry is safe.
 			s.tries++
 			if res.Status == 429 {
 				n.crowded()
@@ -206,5 +214,5 @@
 	})
 }
 
-// submitTries is how often a submission is sent again.
+// maxSubmissionRetries is how often the write of a submission is retried.
 const submitTries = 3
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -10,21 +10,23 @@
 	"hitchdoor/internal/storage"
 )
 
+// formatUint formats an unsigned integer in decimal.
 func utoa(v uint64) string { return strconv.FormatUint(v, 10) }
 
+// queuedJobState is the state of an open job of which only the stored record is known.
 func queuedState(id string) protocol.JobState {
 	done, running := 0, 0
 	return protocol.JobState{UID: id, State: protocol.Queued, Done: &done, Running: &running}
 }
 
-// forward is a request that was handed to the leader.
+// pendingForward is a request that was forwarded to the leader and has no response yet.
 type forward struct {
 	req   Request
 	until Instant
 }
 
-// ownAnswers are the requests that a node answers, or passes on, in a way of their own; all
-// others are of users about a job.
+// nodeRequestHandlers maps the kinds of requests that have a handler of their own. All other
+// kinds are user requests about a job.
 var ownAnswers = map[protocol.RequestKind]func(*Node, Request){
 	protocol.RequestHealth:    (*Node).onHealth,
 	protocol.RequestReport:    (*Node).onReport,
@@ -35,14 +37,16 @@
 	protocol.RequestRecovery:  (*Node).onRecovery,
 }
 
-// onRequest routes a request of this node's own connections, or one that a peer passes on.
+// onRequest dispatches a request that arrived on one of this node's own connections, or that a
+// peer forwarded.
 func (n *Node) onRequest(r Request) {
 	if answer := ownAnswers[r.Kind]; answer != nil {
 		answer(n, r)
 		return
 	}
 	if f, ok := n.finals.byID[r.ID]; ok {
-		n.reply(r.Origin, 200, 0, finalState(r.ID, f)) // it never changes, so any node may say so
+		// Terminal states never change, so any node may answer.
+		n.reply(r.Origin, 200, 0, finalState(r.ID, f))
 		return
 	}
 	if n.authority() {
@@ -50,12 +54,12 @@
 		return
 	}
 	if r.Origin.Peer != "" {
-		// The sender took us for the leader; it falls back by itself.
+		// The sender believes that this node leads. It falls back to the key-value store by itself.
 		n.unavailable(r.Origin)
 		return
 	}
 	if r.Kind == protocol.RequestSubmit {
-		// The leader need not see it first, as it watches the open jobs.
+		// The leader need not receive it first, because it watches the open jobs.
 		if !n.elect.stateDown() || !n.passOn(r) {
 			n.withoutLeader(r)
 		}
@@ -66,14 +70,16 @@
 	}
 }
 
-// maxWaiting bounds the requests that wait for something: each has a connection, here
-// or at a peer.
+// maxPendingRequests bounds the requests that are kept waiting. Each holds a connection, here or
+// at a peer.
 func (n *Node) maxWaiting() int { return n.cfg.Cluster.Resources.MaxConnections }
 
+// forwardToPeer forwards a request to a peer and waits at most for the timeout.
 func (n *Node) forward(p *peer, r Request, patience time.Duration) {
 	n.nextFwd++
 	n.forwards[n.nextFwd] = &forward{req: r, until: n.now + patience}
-	// What was parsed is sent, not what came: a body may hold line breaks.
+	// The body is encoded anew from the parsed value, because the original may contain line
+	// breaks, which would break the framing of messages between peers.
 	m := protocol.ForwardedRequest{ID: n.nextFwd, Kind: r.Kind, Job: r.ID}
 	switch r.Kind {
 	case protocol.RequestSubmit:
@@ -84,8 +90,8 @@
 	n.send(p.name, m)
 }
 
-// passOn hands a submission to the leader, once, where this node alone can't write it:
-// the state service may refuse one node while the others are served.
+// forwardSubmissionOnce forwards a submission to the leader, at most once, if this node can't
+// write it: the key-value store may refuse one node while it serves the others.
 func (n *Node) passOn(r Request) bool {
 	if r.Origin.Peer != "" || r.passed {
 		return false
@@ -94,7 +100,8 @@
 	return n.askLeader(r)
 }
 
-// askLeader hands a user's request to the leader, if one is known.
+// forwardToLeader forwards a user's request to the leader, if one is known. It reports whether
+// it did.
 func (n *Node) askLeader(r Request) bool {
 	p := n.leaderPeer()
 	if p == nil || len(n.forwards) >= n.maxWaiting() {
@@ -104,6 +111,7 @@
 	return true
 }
 
+// expireForwards handles forwarded requests whose response did not arrive in time.
 func (n *Node) tickForwards() {
 	for id, f := range n.forwards {
 		if n.now >= f.until {
@@ -113,7 +121,7 @@
 	}
 }
 
-// onForwarded takes a request that a peer hands on.
+// onForwardedRequest handles a request that a peer forwarded.
 func (n *Node) onForwarded(p *peer, m protocol.ForwardedRequest) {
 	r := Request{Origin: Origin{Ticket: m.ID, Peer: p.name}, Kind: m.Kind, ID: m.Job}
 	var err error
@@ -130,6 +138,7 @@
 	n.onRequest(r)
 }
 
+// onForwardedAnswer handles the leader's response to a forwarded request.
 func (n *Node) onAnswer(m protocol.ForwardedAnswer) {
 	f := n.forwards[m.ID]
 	if f == nil {
@@ -140,22 +149,24 @@
 		n.routeOf(f.req.Report.Machine).stranded = never
 	}
 	if f.req.Kind == protocol.RequestReport && n.now >= f.until {
-		// This process stood still, or the answer did on its way: its worker drops it by now.
+		// This process was paused, or the response was delayed on its way. The worker discards
+		// it by now.
 		n.withoutLeader(f.req)
 		return
 	}
 	if f.req.Kind != protocol.RequestReport && (m.Status == 200 || m.Status == 201) {
 		n.accepted.put(f.req.ID, true)
 	}
-	if m.Status == 503 && f.req.Kind != protocol.RequestReport && f.req.Kind != protocol.RequestCancel {
-		// The leader can't answer; the state service may.
+	if m.Status == 503 && f.req.Kind != protocol.RequestReport &&
+		f.req.Kind != protocol.RequestCancel {
+		// The leader can't answer, but the key-value store may.
 		n.withoutLeader(f.req)
 		return
 	}
 	n.reply(f.req.Origin, m.Status, m.RetryAfter, []byte(m.Body))
 }
 
-// withoutLeader serves what can be served from the state service alone.
+// serveWithoutLeader answers what can be answered from the key-value store alone.
 func (n *Node) withoutLeader(r Request) {
 	switch r.Kind {
 	case protocol.RequestSubmit:
@@ -170,9 +181,11 @@
 	}
 }
 
-// readJob reads what the state service knows of a job. The open record is read
-// first: a job moves from open to final, never back.
-func (n *Node) readJob(id string, then func(ok bool, open *storage.Item, final *storage.FinalRecord)) {
+// readJobRecord reads a job's stored record, open or terminal. The open record is read first,
+// because a job moves from open to terminal and never back. The callback gets ok = false if
+// the key-value store did not answer, and neither record if the job is unknown.
+func (n *Node) readJob(id string,
+	then func(ok bool, open *storage.Item, final *storage.FinalRecord)) {
 	if f, ok := n.finals.byID[id]; ok {
 		then(true, nil, &f)
 		return
@@ -196,7 +209,7 @@
 	})
 }
 
-// readFinal reads the end of a job, none if it is not over.
+// readTerminalRecord reads a job's terminal record. The callback gets nil if there is none.
 func (n *Node) readFinal(id string, then func(ok bool, final *storage.FinalRecord)) {
 	n.stateCall("GET", "/store/"+storage.FinalKey(id), nil, func(r Result) {
 		var item storage.Item
@@ -215,8 +228,8 @@
 	})
 }
 
-// queryDirect answers a query from the state service. lead is the leadership
-// that asks, if any.
+// answerQueryFromStore answers a query from the key-value store. asLeader is the leader on whose
+// behalf it is answered, or nil.
 func (n *Node) queryDirect(r Request, lead *leadership) {
 	if !protocol.ValidJobID(r.ID) {
 		n.reply(r.Origin, 404, 0, nil)
@@ -225,9 +238,9 @@
 	n.answerKnown(r, lead, noSuchJob)
 }
 
-// answerKnown answers with what the state service knows of a job; otherwise is
-// the status of a job that it does not know. The authority of the leadership
-// that asks must still hold then.
+// answerFromStore answers with the stored state of a job, or with ifUnknown if the key-value
+// store has no record of it. An open job is added to the state of asLeader, if that still leads
+// and holds its leader lease when the record arrives.
 func (n *Node) answerKnown(r Request, lead *leadership, otherwise denial) {
 	n.readTruth(r.ID, func(ok bool, open *storage.Item, final *storage.FinalRecord) {
 		switch {
@@ -244,7 +257,7 @@
 					return
 				}
 			}
-			// The read may have been overtaken by the job's end; the cache tells.
+			// The job may have ended after its record was read. Then its terminal record is cached.
 			if f, over := n.finals.byID[r.ID]; over {
 				n.reply(r.Origin, 200, 0, finalState(r.ID, f))
 				return
--- a/internal/reachability/matrix.go
+++ b/internal/reachability/matrix.go
@@ -1,5 +1,6 @@
-// Package reachability keeps what controllers know of the links between them, by direction,
-// and says what a leader should do about half-open cuts. It is pure: times come from outside.
+// Package reachability tracks the state of the links between controllers, by direction, and finds
+// the node that should replace a leader behind a one-way partition. It is pure: the caller passes
+// in the time.
 package reachability
 
 import (
@@ -9,58 +10,59 @@
 	"time"
 )
 
-// Report is what a node says in its heartbeats of the links that it sees.
+// NodeReport is a node's report, in its heartbeats, of what it can reach.
 type Report struct {
-	Hears    []Heard // the other nodes that it has heard
-	State    bool    // the state service answers it
-	Workers  int     // that came to it lately
-	Stranded int     // of these, that it could not serve
-	// Worst is the other node from which it has heard of the most stranded workers: that may
-	// not reach the leader itself.
+	Hears    []Heard // the other nodes whose heartbeats it receives
+	State    bool    // the key-value store responds to it
+	Workers  int     // workers that contacted it lately
+	Stranded int     // of these, the workers that it could neither serve nor relay
+	// MostStranded is the other node that reported the most stranded workers. It is passed on
+	// because that node's heartbeats may not reach the leader.
 	Worst Elsewhere
 }
 
-// Elsewhere is workers that another node can't serve.
+// StrandedCount is the number of workers that contacted a node and that it can't serve.
 type Elsewhere struct {
 	Node     string `json:"node"`
 	Stranded int    `json:"stranded"`
 }
 
-// Heard is a node that was heard, and how long ago.
+// IncomingLink is the link from a node whose heartbeat was received, and how long ago that was.
 type Heard struct {
 	Node  string `json:"node"`
 	AgeMS int64  `json:"ageMs"`
 }
 
-// Age is how long ago the node was heard.
+// Age is the time since the last heartbeat arrived.
 func (h Heard) Age() time.Duration { return time.Duration(h.AgeMS) * time.Millisecond }
 
-// Link is what is known of one direction between two nodes.
+// Link is the state of one direction of the link between two nodes.
 type Link int
 
-// States of a link. What nobody has told lately is unknown, which is not the same as cut.
+// States of a link. A link that nobody has reported lately is unknown, which is different from
+// down.
 const (
 	Unknown Link = iota
 	Works
 	Cut
 )
 
-// String is the link's state in words.
+// String is the name of the link's state.
 func (l Link) String() string { return [...]string{"unknown", "works", "cut"}[l] }
 
-// row is what one node said last, and when it arrived.
+// receivedReport is the last report of a node, and when it arrived.
 type row struct {
 	at     time.Duration
 	report Report
 }
 
-// Matrix is what one node knows of all links.
+// Matrix is one node's knowledge of all links.
 type Matrix struct {
 	nodes map[string]bool
 	rows  map[string]row
 }
 
-// NewMatrix makes a matrix of some nodes.
+// NewMatrix returns an empty matrix of the nodes.
 func NewMatrix(nodes []string) *Matrix {
 	m := &Matrix{nodes: map[string]bool{}, rows: map[string]row{}}
 	for _, node := range nodes {
@@ -69,34 +71,37 @@
 	return m
 }
 
-// InvalidReportError says why a report can't be true.
+// InvalidReportError reports that a node's report is invalid.
 type InvalidReportError struct{ Reason string }
 
+// Error describes what is invalid.
 func (e *InvalidReportError) Error() string { return "reachability report: " + e.Reason }
 
-// Observe takes what a node says. A report that can't be true changes nothing.
+// RecordReport records a node's report. An invalid one changes nothing and returns an
+// InvalidReportError.
 func (m *Matrix) Observe(from string, at time.Duration, report Report) error {
 	if !m.nodes[from] {
-		return &InvalidReportError{fmt.Sprintf("of unknown node %q", from)}
+		return &InvalidReportError{fmt.Sprintf("from unknown node %q", from)}
 	}
-	if report.Workers < 0 || report.Stranded < 0 || report.Worst.Stranded < 0 || len(report.Hears) > len(m.nodes) {
-		return &InvalidReportError{"impossible amounts"}
+	if report.Workers < 0 || report.Stranded < 0 || report.Worst.Stranded < 0 ||
+		len(report.Hears) > len(m.nodes) {
+		return &InvalidReportError{"counts out of range"}
 	}
 	for _, h := range report.Hears {
 		switch {
 		case h.Node == from:
-			return &InvalidReportError{fmt.Sprintf("%q says that it hears itself", from)}
+			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from itself", from)}
 		case !m.nodes[h.Node]:
-			return &InvalidReportError{fmt.Sprintf("%q says that it hears unknown node %q", from, h.Node)}
+			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from unknown node %q", from, h.Node)}
 		case h.AgeMS < 0:
-			return &InvalidReportError{fmt.Sprintf("%q says that it heard %q in the future", from, h.Node)}
+			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from %q in the future", from, h.Node)}
 		}
 	}
 	m.rows[from] = row{at: at, report: report}
 	return nil
 }
 
-// Link tells whether messages of one node reach another, as the latter said within a span.
+// Link is the state of the link from one node to another, as the latter reported within the window.
 func (m *Matrix) Link(from, to string, now, span time.Duration) Link {
 	said, ok := m.rows[to]
 	if !ok || now-said.at >= span {
@@ -110,15 +115,15 @@
 	return Cut
 }
 
-// Latest is what a node said within a span.
+// LatestReport returns a node's last report, and whether it is within the window.
 func (m *Matrix) Latest(node string, now, span time.Duration) (Report, bool) {
 	said, ok := m.rows[node]
 	return said.report, ok && now-said.at < span
 }
 
-// Successor is the node to which the most workers come that neither it nor the leader serves,
-// and how many they are. The name is empty if there is none. Nodes that have said nothing
-// within the span count for nothing.
+// Successor is the other node with the most stranded workers, which would serve more of them as the
+// leader, and their number. The name is empty if there is none. Reports older than the window are
+// ignored.
 func (m *Matrix) Successor(self string, now, span time.Duration) Elsewhere {
 	best, most := "", 0
 	for _, node := range slices.Sorted(maps.Keys(m.nodes)) {
@@ -136,20 +141,20 @@
 	return Elsewhere{best, most}
 }
 
-// WorstElsewhere is the node other than this one that has said lately that it has the most
-// stranded workers.
+// MostStrandedElsewhere is the other node that reported the most stranded workers within the window.
 func (m *Matrix) WorstElsewhere(self string, now, span time.Duration) Elsewhere {
 	worst := Elsewhere{}
 	for _, node := range slices.Sorted(maps.Keys(m.nodes)) {
-		if said, ok := m.Latest(node, now, span); node != self && ok && said.State && said.Stranded > worst.Stranded {
+		if said, ok := m.Latest(node, now, span); node != self && ok &&
+			said.State && said.Stranded > worst.Stranded {
 			worst = Elsewhere{node, said.Stranded}
 		}
 	}
 	return worst
 }
 
-// TwoWay counts the other nodes that hear this one and are heard by it. One that says nothing
-// of what it hears is of an earlier version: where it is heard, it counts.
+// CountBidirectional counts the other nodes with which heartbeats pass in both directions. A node
+// of an earlier version doesn't report what it receives; it counts if its heartbeats are received.
 func (m *Matrix) TwoWay(self string, now, span time.Duration, heard func(node string) bool) int {
 	count := 0
 	for node := range m.nodes {
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -1,7 +1,7 @@
-// Package recovery decides how a new leader goes from stored records and workers' reports to
-// normal work: which phase it is in, what it does with each task and machine that is not as
-// stored, and how fast it gives orders. It is pure: the caller brings the time and what it sees,
-// and carries out what is decided.
+// Package recovery decides how a new leader gets from stored records and workers' heartbeats to
+// normal operation: the phases of the recovery, the reconciliation of each task and machine that
+// differs from the stored state, and the rates of commands and cloud requests. It is pure: the
+// caller passes in the time and a view of the cluster, and carries out the decisions.
 package recovery
 
 import (
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Phase is how far a leader's recovery is. Each phase ends by a condition, and at the latest by
-// a bound that is a ratio to the workers' lease.
+// Phase is the phase of a leader's recovery. Each ends when its condition holds, and at the latest
+// after a timeout that is a ratio to the worker lease.
 type Phase int
 
 // The phases, in their order.
 const (
-	// Reading: the stored records are read; nothing is ordered.
+	// PhaseReading: the stored records are read. No command or request is sent.
 	Reading Phase = iota
-	// Collecting: reports of the recorded machines come in. Work that no earlier leader can have
-	// started is started; machines are rented for no more than what those that are not accounted for
-	// can't be serving, and none is returned for its silence.
+	// PhaseCollecting: heartbeats of the recorded machines arrive. Work that no earlier leader can
+	// have started is started. Machines are rented only for work that can't be running on machines
+	// that are not reconciled, and no unresponsive machine is returned.
 	Collecting
-	// Reconciling: most machines are accounted for, or no more of them report. Silent ones are
-	// returned.
+	// PhaseReconciling: most machines are reconciled, or no further ones send heartbeats.
+	// Unresponsive machines are returned.
 	Reconciling
-	// Pacing: all machines are accounted for; what has to start again starts at a limited rate.
+	// PhasePacing: all machines are reconciled. Tasks are started at a limited rate.
 	Pacing
-	// Normal: nothing is limited any more.
+	// PhaseNormal: the recovery is completed and nothing is limited.
 	Normal
 )
 
 var phaseNames = [...]string{"reading", "collecting", "reconciling", "pacing", "normal"}
 
-// String names the phase as operators read it.
+// String is the name of the phase in status responses and logs.
 func (p Phase) String() string {
 	if p < 0 || int(p) >= len(phaseNames) {
 		return fmt.Sprintf("phase %d", int(p))
@@ -40,36 +40,38 @@
 	return phaseNames[p]
 }
 
-// The ends of phases.
+// Conditions and timeouts of the phases.
 const (
-	// fewUnknown: one machine in so many may be missing when reports are taken to be collected.
+	// fewMissingDivisor: the collecting phase ends when at most one machine in so many is missing.
 	fewUnknown = 10
-	// collectShare is the part of a lease after which collecting ends in any case.
+	// maxCollectingLeases is the timeout of the collecting phase in leases.
 	collectShare = 0.45
-	// fewSilence is the part of a lease for which a machine is waited for, where few are missing.
+	// fewMissingSilenceLeases is the time in leases after which an unresponsive machine is returned
+	// if few are missing.
 	fewSilence = 0.25
-	// newsReports is for how many report intervals no machine may have been newly accounted for when
-	// reports are taken to be collected: those that can reach this leader have done so.
+	// quietHeartbeatIntervals is the time in heartbeat intervals without a newly reconciled machine
+	// after which the collecting phase ends: the machines that can reach this leader have done so.
 	newsReports = 1.5
-	// readingLeases is for how many leases records are read before another leader may try.
+	// maxReadingLeases is the time in leases after which another leader should try to read the
+	// records.
 	readingLeases = 4
-	// pacingLeases is for how many leases orders are paced at most.
+	// maxPacingLeases is the timeout of the pacing phase in leases.
 	pacingLeases = 1
 )
 
-// Settings are the spans that the phases depend on.
+// Settings are the intervals and limits that the recovery depends on.
 type Settings struct {
-	Report time.Duration // between two reports of a worker
-	Lease  time.Duration // of a worker, as it counts for this leader: with drift
+	Report time.Duration // between two heartbeats of a worker
+	Lease  time.Duration // of a worker, with an allowance for clock drift
 	Limits Limits
 }
 
-// View is what a leader sees of its machines at some moment.
+// View is a leader's view of its machines at some moment.
 type View struct {
 	RecordsRead  bool
-	NamesMissing bool // machines are held whose names can't be read
-	Machines     int  // held
-	Unaccounted  int  // of them, those that may run what this leader doesn't know of
+	NamesMissing bool // there are machines whose records can't be read
+	Machines     int
+	Unaccounted  int // machines that may run tasks unknown to this leader
 	Cores        float64
 	LargestCores float64 // of one machine
 }
@@ -77,37 +79,38 @@
 // Transition is a change of phase.
 type Transition struct {
 	From, To Phase
-	After    time.Duration // how long the first one lasted
-	Bound    bool          // it ended by its bound, not by its condition
+	After    time.Duration // of the phase that ended
+	Bound    bool          // it ended by its timeout, not by its condition
 }
 
 // Recovery is the recovery of one leader.
 type Recovery struct {
 	settings Settings
-	began    time.Duration // when the leadership began
+	began    time.Duration
 	phase    Phase
-	since    time.Duration // when the phase began
+	since    time.Duration
 	view     View
-	news     time.Duration // when a machine was last newly accounted for
-	waited   time.Duration // when an order last had to wait for its budget
+	news     time.Duration // when a machine was last reconciled
+	waited   time.Duration // when an operation last had to wait for its budget
 	pacer    pacer
 	counts   Counts
 	noted    map[noteKey]bool
 	samples  []Sample
 }
 
-// New begins a recovery. Instants are on the caller's steady clock.
+// New starts a recovery. Times are on the caller's monotonic clock.
 func New(settings Settings, now time.Duration) *Recovery {
-	return &Recovery{settings: settings, began: now, since: now, waited: now, noted: map[noteKey]bool{}, pacer: newPacer(now)}
+	return &Recovery{settings: settings, began: now, since: now, waited: now,
+		noted: map[noteKey]bool{}, pacer: newPacer(now)}
 }
 
 // Phase is the present phase.
 func (r *Recovery) Phase() Phase { return r.phase }
 
-// Over tells whether nothing is limited any more.
+// Completed reports whether the recovery is completed.
 func (r *Recovery) Over() bool { return r.phase == Normal }
 
-// Advance takes a new view and returns the changes of phase that follow from it.
+// Advance applies a new view and returns the phase transitions that follow from it.
 func (r *Recovery) Advance(now time.Duration, view View) []Transition {
 	if view.Unaccounted < r.view.Unaccounted || r.phase == Reading {
 		r.news = now
@@ -125,9 +128,10 @@
 		}
 		next := r.phase + 1
 		if r.phase == Reading && view.Machines == 0 && !view.NamesMissing {
-			next = Normal // nothing is held, so nothing can differ or come in a storm
+			next = Normal // without machines there is nothing to reconcile or to pace
 		}
-		moved = append(moved, Transition{From: r.phase, To: next, After: now - r.since, Bound: !done})
+		moved = append(moved,
+			Transition{From: r.phase, To: next, After: now - r.since, Bound: !done})
 		r.phase, r.since = next, now
 	}
 	if r.phase == Normal {
@@ -136,8 +140,8 @@
 	return moved
 }
 
-// ends tells whether the present phase's condition to end holds, and whether its bound is over.
-// Reading has no bound of its own: see ReadingTooLong.
+// phaseEnds reports whether the present phase's condition to end holds, and whether it has timed
+// out. PhaseReading does not time out here: see ReadingTimedOut.
 func (r *Recovery) ends(now time.Duration) (done, bound bool) {
 	v := &r.view
 	switch r.phase {
@@ -145,35 +149,39 @@
 		return v.RecordsRead, false
 	case Collecting:
 		few := v.Unaccounted*fewUnknown <= v.Machines
-		quiet := now-r.news >= time.Duration(newsReports*float64(r.settings.Report))
-		return (few || quiet) && !v.NamesMissing, now-r.since >= r.part(collectShare)
+		quiet := now-r.news >=
+			time.Duration(newsReports*float64(r.settings.Report))
+		return (few || quiet) && !v.NamesMissing,
+			now-r.since >= r.part(collectShare)
 	case Reconciling:
 		return v.Unaccounted == 0 && !v.NamesMissing, now-r.began > r.settings.Lease
 	default:
-		return now-max(r.waited, r.since) >= r.settings.Report, now-r.since >= pacingLeases*r.settings.Lease
+		return now-max(r.waited, r.since) >= r.settings.Report,
+			now-r.since >= pacingLeases*r.settings.Lease
 	}
 }
 
-// ReadingTooLong tells whether records have been read for so long that another leader should try.
+// ReadingTimedOut reports whether reading the records takes so long that another leader should try.
 func (r *Recovery) ReadingTooLong(now time.Duration) bool {
 	return r.phase == Reading && now-r.since > readingLeases*r.settings.Lease
 }
 
+// leaseFraction is a fraction, or a multiple, of a worker lease.
 func (r *Recovery) part(share float64) time.Duration {
 	return time.Duration(share * float64(r.settings.Lease))
 }
 
-// MayRent tells whether machines may be rented for work that surely is not running unseen: as much
-// of it as the machines that are not accounted for have no cores for.
+// MayScaleOut reports whether machines may be rented for work that can't be running unreported: as
+// much of it as exceeds the cores of the machines that are not reconciled.
 func (r *Recovery) MayRent() bool { return r.phase >= Collecting }
 
-// MayShrink tells whether machines may be given up as too many: what they are needed for is not
-// known before all are accounted for.
+// MayScaleIn reports whether machines may be returned because there are too many. How many are
+// needed is unknown before all are reconciled.
 func (r *Recovery) MayShrink() bool { return r.phase >= Pacing }
 
-// MayReturnSilent tells whether a machine that has not been accounted for may be returned after
-// so long a silence. A few that are missing are waited for less long than many: each holds up
-// all older jobs, and of many it is likelier that they can't reach this leader yet.
+// MayReturnUnresponsive reports whether a machine that is not reconciled may be returned after a
+// time without a heartbeat. The time is shorter if few machines are missing: each delays all older
+// jobs, while many missing machines probably just can't reach this leader yet.
 func (r *Recovery) MayReturnSilent(silence time.Duration) bool {
 	if r.phase < Reconciling {
 		return false
@@ -184,7 +192,7 @@
 	return silence > r.part(collectShare)
 }
 
-// WaitsFor is what the present phase waits for, in words.
+// WaitsFor describes what the present phase waits for. Operators see it.
 func (r *Recovery) WaitsFor() string {
 	switch r.phase {
 	case Reading:
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Record is a stored record that was set aside.
+// QuarantinedRecord is a stored record that can't be read, as operators see it.
 type Record struct {
 	Key    string `json:"key"`
 	Reason string `json:"reason"`
-	Newer  bool   `json:"newer,omitempty"` // a newer version may have written it
+	Newer  bool   `json:"newer,omitempty"` // a newer version of the controller may have written it
 }
 
-// Status is a leader's recovery, as operators read it.
+// Status is the state of a leader's recovery, as operators see it.
 type Status struct {
 	Term       uint64         `json:"term"`
 	Phase      string         `json:"phase"`
 	Paced      bool           `json:"paced"`
-	ForS       float64        `json:"forS"`   // how long the phase has lasted
-	AfterS     float64        `json:"afterS"` // since the leader began
+	ForS       float64        `json:"forS"`   // since the phase began
+	AfterS     float64        `json:"afterS"` // since the recovery began
 	WaitsFor   string         `json:"waitsFor,omitempty"`
 	Machines   int            `json:"machines"`
 	Missing    int            `json:"missing"`
@@ -24,7 +24,7 @@
 	Budgets    []Budget       `json:"budgets,omitempty"`
 }
 
-// NodeStatus is what a controller says about recovery.
+// NodeStatus is a controller's state of recovery, as operators see it.
 type NodeStatus struct {
 	Node     string   `json:"node"`
 	Leads    bool     `json:"leads"`
@@ -34,10 +34,12 @@
 	SetAside []Record `json:"setAside,omitempty"`
 }
 
-// Status describes the recovery at a moment.
+// Status returns the present state of the recovery.
 func (r *Recovery) Status(now time.Duration) *Status {
 	return &Status{
-		Phase: r.phase.String(), ForS: (now - r.since).Seconds(), AfterS: (now - r.began).Seconds(), WaitsFor: r.WaitsFor(),
-		Machines: r.view.Machines, Missing: r.view.Unaccounted, Mismatches: r.counts.ByName(), Samples: r.samples, Budgets: r.Budgets(now),
+		Phase: r.phase.String(), ForS: (now - r.since).Seconds(),
+		AfterS: (now - r.began).Seconds(), WaitsFor: r.WaitsFor(),
+		Machines: r.view.Machines, Missing: r.view.Unaccounted,
+		Mismatches: r.counts.ByName(), Samples: r.samples, Budgets: r.Budgets(now),
 	}
 }
--- a/internal/recovery/tasks.go
+++ b/internal/recovery/tasks.go
@@ -1,43 +1,43 @@
 package recovery
 
-// JobState is what a leader knows of a reported task's job.
+// JobState is the state of a reported task's job, as the leader knows it.
 type JobState int
 
-// The states of a job, as far as its reported tasks are concerned.
+// The states of a job that the reconciliation distinguishes.
 const (
-	JobUnknown  JobState = iota // neither open nor known to be over
-	JobOver                     // its end is stored, or decided
+	JobUnknown  JobState = iota // neither open nor known to be terminal
+	JobOver                     // its terminal state is stored or decided
 	JobUnread                   // its record can't be read
 	JobAccepted                 // open
 )
 
-// Task is what is known of a task that a worker reports.
+// ReportedTask is a task in a worker's heartbeat, with what the leader knows of it.
 type Task struct {
 	Job        JobState
-	Exited     bool // it has ended on that machine
-	Done       bool // and has completed
-	Followed   bool // this leader follows this very attempt on that machine
-	Elsewhere  bool // this leader follows another attempt, or on another machine
-	Finished   bool // it is known to be finished
-	TokenShown bool // the report shows this leader's token, so it is no copy from before
+	Exited     bool // the task has exited on that machine
+	Done       bool // the task has exited and completed
+	Followed   bool // this leader tracks this attempt on that machine
+	Elsewhere  bool // this leader tracks another attempt at it, here or on another machine
+	Finished   bool // it is known to be completed
+	TokenShown bool // the heartbeat carries this leader's token, so it is no copy of an earlier one
 }
 
-// Action is what is done with a reported task.
+// Action is what the leader does with a reported task.
 type Action int
 
 // The actions.
 const (
-	Follow      Action = iota // go on with it, as known
-	Adopt                     // begin to follow it
-	AwaitToken                // leave it alone until a report shows this leader's token
-	LeaveAlone                // leave it alone, and what it has done too
-	Stop                      // stop it at once
-	StoreResult               // store its result, and have it forgotten once it is stored
-	Forget                    // have it forgotten
+	Follow      Action = iota // keep the attempt, which is tracked already
+	Adopt                     // start to track the attempt
+	AwaitToken                // do nothing until a heartbeat carries this leader's token
+	LeaveAlone                // leave the task running and keep its result
+	Stop                      // stop the task at once
+	StoreResult               // store its result, and then tell the worker to forget it
+	Forget                    // tell the worker to forget it
 )
 
-// Decide tells what to do with a reported task, and in which way it differs from what is stored;
-// differs is false for what every leader sees in normal work.
+// ReconcileTask decides what to do with a reported task, and how it differs from the stored state.
+// differs is false for what every leader sees in normal operation.
 func Decide(t Task) (action Action, kind Mismatch, differs bool) {
 	switch {
 	case t.Job == JobUnread:
@@ -51,9 +51,10 @@
 	case t.Job == JobOver:
 		return Stop, JobIsOver, true
 	case !t.TokenShown:
-		// Started by an earlier leader. It goes on, but where is only known from a report that
-		// shows our token: this one may be a copy from before the term, and the task may have moved
-		// since. Taken at its word, such a copy had the task ended on the machine that does run it.
+		// The task was started by an earlier leader and goes on, but only a heartbeat with this
+		// leader's token shows where. This one may be a delayed copy from an earlier term, and the
+		// task may have moved since. If it were trusted, the attempt on the machine that does run
+		// the task would be stopped as a duplicate.
 		return AwaitToken, AsStored, false
 	case t.Finished:
 		return Stop, FinishedRunsAgain, true
@@ -64,8 +65,8 @@
 	}
 }
 
-// decideExited is the part of Decide for tasks that have ended: a result is the only copy until
-// it is stored, everything else may be forgotten.
+// reconcileExitedTask is the part of ReconcileTask for exited tasks. The worker has the only copy
+// of a result until it is stored. Everything else may be forgotten.
 func decideExited(t Task) (action Action, kind Mismatch, differs bool) {
 	switch {
 	case t.Job != JobAccepted || !t.Done:
