--- /dev/null
+++ b/internal/compatibility/records_test.go
@@ -0,0 +1,194 @@
+package compatibility
+
+import (
+	"fmt"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/admission"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+func TestKeys(t *testing.T) {
+	checkGolden(t, "keys.txt", []line{
+		{"term", storage.TermKey},
+		{"leader", storage.LeaderKey},
+		{"flow", storage.FlowKey},
+		{"catalog", storage.CatalogKey},
+		{"policy", storage.PolicyKey},
+		{"open job", storage.JobKey("j-1")},
+		{"open jobs", storage.JobPrefix},
+		{"ended job", storage.FinalKey("j-1")},
+		{"ended jobs", storage.FinalPrefix},
+		{"group 0", storage.GroupKey(0)},
+		{"group 12", storage.GroupKey(12)},
+		{"group 1234", storage.GroupKey(1234)},
+		{"groups", storage.GroupPrefix},
+		{"machine of earlier versions", storage.MachinePrefix + "m-000001"},
+		{"rental", storage.RentPrefix + "r-4-17"},
+		{"vote", storage.VotePrefix + "n1"},
+		{"version", storage.VersionPrefix + "n1"},
+		{"needs 0", storage.NeedsKey("j-1", 0)},
+		{"needs 12", storage.NeedsKey("j-1", 12)},
+		{"all needs", storage.NeedsPrefix},
+		{"bits by number", storage.BitsKey("j-1", 0)},
+		{"bits by number, 12", storage.BitsKey("j-1", 12)},
+		{"bits by first task", storage.BitsFromKey("j-1", 0)},
+		{"bits by first task, 4096", storage.BitsFromKey("j-1", 4096)},
+		{"all bits", storage.BitsPrefix},
+		{"list", storage.ListPath("job/", "", 500)},
+		{"list from a key", storage.ListPath("job/", "job/j-1", 500)},
+		{"follow", storage.FollowPath("job/", 431, 10000)},
+	})
+}
+
+// What is read from keys, also from those of earlier versions.
+func TestKeysRead(t *testing.T) {
+	var got []line
+	for _, key := range []string{"job/j-1", "needs/j-1/003", "final/j-1", "leader", "jobs/j-1"} {
+		got = append(got, line{key, "job " + storage.JobOf(key)})
+	}
+	for _, key := range []string{"needs/j-1/000", "needs/j-1/012"} {
+		got = append(got, line{key, "needs of " + storage.NeedsOf(key)})
+	}
+	for _, key := range []string{"machines/000", "machines/012", "machines/1234"} {
+		got = append(got, line{key, fmt.Sprintf("group %d", storage.GroupNumber(key))})
+	}
+	for _, key := range []string{"bits/j-1/000", "bits/j-1/002", "bits/j-1/from-000000", "bits/j-1/from-004096", "bits/j-1/from-x", "bits/j-1/-01", "bits/j-1"} {
+		id, from, ok := storage.ParseBitsKey(key, 4000)
+		got = append(got, line{key, fmt.Sprintf("job %q from task %d, %v", id, from, ok)})
+	}
+	for _, limit := range []int{1, 1000, 8 << 10, 32 << 10} {
+		got = append(got, line{fmt.Sprintf("values of %d bytes", limit), fmt.Sprintf("parts of %d tasks, groups of %d bytes", storage.PartTasks(limit), storage.GroupBytes(limit))})
+	}
+	checkGolden(t, "keys_read.txt", got)
+}
+
+// record is a stored record with the function that reads it.
+func record[T any](name, key string, value T, read func(storage.Item) (T, error)) message {
+	m := full(name, value)
+	m.read = func(raw []byte) (any, error) { return read(storage.Item{Key: key, Value: raw}) }
+	return m
+}
+
+// level0 is the same of a record that lacks fields.
+func level0[T any](name, key string, value T, read func(storage.Item) (T, error)) message {
+	m := record(name, key, value, read)
+	m.full = false
+	return m
+}
+
+// bits reads a part of a bitmap and encodes it again.
+func bits(it storage.Item) (storage.BitsRecord, error) {
+	raw, err := storage.ReadBits(it)
+	return storage.EncodeBits(raw), err
+}
+
+// group reads a group of machines that are all readable.
+func group(it storage.Item) (storage.GroupRecord, error) {
+	rec, unreadable, err := storage.ReadGroup(it)
+	if err == nil && len(unreadable) > 0 {
+		err = fmt.Errorf("unreadable: %v", unreadable)
+	}
+	return rec, err
+}
+
+func TestRecords(t *testing.T) {
+	machine := storage.MachineRecord{Type: "t1", Zone: "a", Spot: true, AtMS: 1_000_000_000_123, Used: true}
+	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", Rank: 1}, Tail: 5, Steps: []uint64{6, 7}, Demand: 8.5}
+	least := leastJob()
+	least.UID = "j-77"
+	checkMessages(t, "records.txt", []message{
+		full("term", storage.Term{Term: 9, Node: "n1"}),
+		part("term/level 0", storage.Term{Term: 9}),
+		full("leader", storage.Leader{Node: "n1", Term: 9}),
+		full("vote", storage.VoteRecord{Term: 9}),
+		full("version", storage.VersionRecord{Level: 1, Build: "v1"}),
+		part("version/no build", storage.VersionRecord{Level: 1}),
+		record("job", storage.JobKey("j-77"), storage.JobRecord{Spec: fullJob(), AtMS: 1_000_000_000_123, More: 2}, storage.ReadJob),
+		level0("job/level 0", storage.JobKey("j-77"), storage.JobRecord{Spec: least, AtMS: 5}, storage.ReadJob),
+		record("final", storage.FinalKey("j-77"), storage.FinalRecord{State: protocol.Done, Tasks: 5, Done: 4, AtMS: 1_000_000_000_123}, storage.ReadFinal),
+		level0("final/level 0", storage.FinalKey("j-77"), storage.FinalRecord{State: protocol.Withdrawn, Tasks: 5}, storage.ReadFinal),
+		record("needs", storage.NeedsKey("j-77", 0), []string{"j-78", "j-79"}, storage.ReadNeeds),
+		record("bits", storage.BitsFromKey("j-77", 0), storage.EncodeBits([]byte{1, 0, 255, 16}), bits),
+		record("bits/by number", storage.BitsKey("j-77", 0), storage.EncodeBits([]byte{7}), bits),
+		record("rental", storage.RentPrefix+"r-4-17", protocol.Rental{Request: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}, storage.ReadRental),
+		full("machine of earlier versions", machine),
+		part("machine/ordinary, unused", storage.MachineRecord{Type: "t1", Zone: "a", AtMS: 1}),
+		record("group", storage.GroupKey(3), storage.GroupRecord{"m-000002": machine, "m-000001": {Type: "t2", Zone: "b", AtMS: 2}}, group),
+		full("flow", storage.FlowRecord{AtMS: 1, OverS: 2.5, Classes: map[string]storage.Flow{"b": {Work: 3.5, Slow: 4.5, Jobs: 5.5, DueS: 6.5}, "a": {}}}),
+		full("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, RAM: 16.5, CacheGB: 40.5,
+			PullGBPerS: 0.75, Rate: 0.375, SpotRate: 0.125, ReadyS: 45.5, Zones: []string{"a"}}}}),
+		full("policy", admission.Policy{Epoch: 3, LengthMS: 4000, Shares: []admission.Share{share}, Rest: share}),
+		part("policy/no shares", admission.Policy{Epoch: 3, LengthMS: 4000, Rest: admission.Everybody(admission.Group{})}),
+	})
+}
+
+// The texts that say what is wrong with a record; operators see them in /recovery.
+func TestRecordErrors(t *testing.T) {
+	var got []line
+	note := func(name string, err error) {
+		if err == nil {
+			t.Errorf("%s: read", name)
+			return
+		}
+		got = append(got, line{name, err.Error()})
+	}
+	item := func(key, raw string) storage.Item { return storage.Item{Key: key, Value: json.RawMessage(raw)} }
+	whole := string(storage.Encode(storage.JobRecord{Spec: fullJob()}))
+	_, err := storage.ReadJob(item("job/j-77", `[]`))
+	note("job, a list", err)
+	_, err = storage.ReadJob(item("job/j-78", whole))
+	note("job, other key", err)
+	_, err = storage.ReadJob(item("job/j-77", `{"spec":{"uid":"j-77"}}`))
+	note("job, impossible", err)
+	_, err = storage.ReadJob(item("job/j-77", whole[:len(whole)-1]+`,"more":-1}`))
+	note("job, negative count", err)
+	_, err = storage.ReadFinal(item("final/j-1", `{"state":"queued"}`))
+	note("final", err)
+	_, err = storage.ReadNeeds(item("needs/j-1/000", `{}`))
+	note("needs, no list", err)
+	_, err = storage.ReadNeeds(item("needs/j-1/000", `["x"]`))
+	note("needs, no job", err)
+	_, err = storage.ReadBits(item("bits/j-1/000", `{"b":""}`))
+	note("bits, empty", err)
+	_, err = storage.ReadRental(item("rent/r-1", `{"pedido":"r-2"}`))
+	note("rental, other key", err)
+	_, _, err = storage.ReadGroup(item("machines/000", `[]`))
+	note("group, a list", err)
+	checkGolden(t, "records_errors.txt", got)
+
+	rec, unreadable, err := storage.ReadGroup(item("machines/000", `{"m-1":{"type":"t1","zone":"a","spot":true,"at":5,"used":true,"later":1},"m-2":7,"m-3":{"zone":"a"}}`))
+	slices.Sort(unreadable)
+	want := storage.GroupRecord{"m-1": {Type: "t1", Zone: "a", Spot: true, AtMS: 5, Used: true}}
+	if err != nil || !reflect.DeepEqual(rec, want) || !reflect.DeepEqual(unreadable, []string{"m-2", "m-3"}) {
+		t.Errorf("group read as %v, unreadable %v: %v", rec, unreadable, err)
+	}
+}
+
+// A job that needs more others than its record can hold is written as several records.
+func TestJobOfManyNeeds(t *testing.T) {
+	job := leastJob()
+	for i := range 60 {
+		job.Needs = append(job.Needs, fmt.Sprintf("j-needed-%04d", i))
+	}
+	writes := storage.JobWrites(storage.JobRecord{Spec: job, AtMS: 5}, 400)
+	var got []line
+	for _, w := range writes {
+		got = append(got, line{w.Set, string(w.Value)})
+	}
+	checkGolden(t, "records_many_needs.txt", got)
+	var more []storage.Item
+	lines := readGolden(t, "records_many_needs.txt")
+	for _, l := range lines[1:] {
+		more = append(more, storage.Item{Key: l.name, Value: json.RawMessage(l.value)})
+	}
+	rec, err := storage.ReadJob(storage.Item{Key: lines[0].name, Value: json.RawMessage(lines[0].value)})
+	if err != nil || !rec.TakeNeeds(more) || !reflect.DeepEqual(rec, storage.JobRecord{Spec: job, AtMS: 5}) {
+		t.Errorf("read as %+v: %v", rec, err)
+	}
+}
