--- /dev/null
+++ b/internal/coordination/compatibility_test.go
@@ -0,0 +1,451 @@
+package coordination
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"hash"
+	"maps"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+// These tests pin what other programs and operators see of a node: the names on its pages, its
+// answers to users, its calls of the outside services and its stored keys. The golden files in
+// testdata were written by the code of commit 5adb309. The flag -update writes them anew; that is
+// a change of what others rely on, or of decisions, and needs a reason of its own.
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares lines with a golden file.
+func checkGolden(t *testing.T, file string, lines []string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	got := strings.Join(lines, "\n") + "\n"
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	wanted := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	for i := range max(len(lines), len(wanted)) {
+		switch {
+		case i >= len(lines):
+			t.Fatalf("%s: line %d is missing: %s", file, i+1, wanted[i])
+		case i >= len(wanted):
+			t.Fatalf("%s: line %d is new: %s", file, i+1, lines[i])
+		case lines[i] != wanted[i]:
+			t.Fatalf("%s: line %d:\n got %s\nwant %s", file, i+1, lines[i], wanted[i])
+		}
+	}
+}
+
+// nameSet is a set of names.
+type nameSet map[string]bool
+
+func (s nameSet) sorted() []string { return slices.Sorted(maps.Keys(s)) }
+
+// addFields adds the names of all fields of a JSON document, with the kinds of their values.
+func (s nameSet) addFields(prefix string, raw []byte) error {
+	var value any
+	if err := json.Unmarshal(raw, &value); err != nil {
+		return err
+	}
+	s.addValue(prefix, value)
+	return nil
+}
+
+func (s nameSet) addValue(name string, value any) {
+	switch v := value.(type) {
+	case map[string]any:
+		for key, field := range v {
+			s.addValue(name+"."+machineName.ReplaceAllString(key, "m-N"), field)
+		}
+	case []any:
+		for _, element := range v {
+			s.addValue(name+"[]", element)
+		}
+	case nil:
+		s[name+" null"] = true
+	default:
+		s[fmt.Sprintf("%s %T", name, v)] = true
+	}
+}
+
+// machineName matches the names of machines, which are keys of a group's record.
+var machineName = regexp.MustCompile(`^m-\d{6}$`)
+
+// addPages adds the names on all pages of a node.
+func (s nameSet) addPages(w *simulation, node, job string) {
+	w.t.Helper()
+	for _, page := range []struct {
+		name string
+		kind protocol.RequestKind
+		id   string
+	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""}, {"links", protocol.RequestLinks, ""},
+		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""}, {"admission", protocol.RequestAdmission, job}} {
+		r := w.request(node, Request{Kind: page.kind, ID: page.id})
+		if r.Status != 200 {
+			w.t.Fatalf("%s: %d", page.name, r.Status)
+		}
+		if err := s.addFields(page.name, r.Body); err != nil {
+			w.t.Fatal(err)
+		}
+	}
+	for text := range strings.Lines(string(w.request(node, Request{Kind: protocol.RequestMetrics}).Body)) {
+		text = strings.TrimSpace(text)
+		switch {
+		case strings.HasPrefix(text, "# HELP "): // prose
+		case strings.HasPrefix(text, "# TYPE "):
+			s["metrics: "+text] = true
+		default:
+			s["metrics: "+text[:strings.LastIndexByte(text, ' ')]] = true // without the value
+		}
+	}
+}
+
+// The names on the pages of a leader and of its followers: at work, under a policy of admission,
+// in a recovery, and with records that can't be read.
+func TestNamesOnPages(t *testing.T) {
+	names := nameSet{}
+	w, l := running(t, 3, 100*time.Second, 4, 8)
+	waiting := spec("j-2", 40)
+	waiting.Team = "team"
+	w.submit(l.name, waiting)
+	w.inOrder()[0].notice = of(60.0)
+	w.state.put(storage.JobKey("j-damaged"), map[string]string{"spec": "damaged"})
+	w.run(10 * time.Second)
+	names.addPages(w, l.name, "j-1")
+	names.addPages(w, w.followers()[0], "j-1")
+	w.crash(l.name)
+	w.waitLeader()
+	for range 30 {
+		names.addPages(w, w.leader(), "j-2")
+		w.run(time.Second)
+	}
+
+	c := overloaded(t, 3, true)
+	a := newApplicants(c)
+	for i := range 60 {
+		a.submit(a.job("low", "low", i), inTime)
+	}
+	if !c.until(20*time.Second, func() bool { return len(c.judged) >= 2 }) {
+		t.Fatal("no admission by policy")
+	}
+	for range 10 {
+		for _, node := range c.names {
+			for _, job := range []string{"j-low-0", "j-low-30", "j-low-59"} {
+				names.addPages(c.simulation, node, job)
+			}
+		}
+	}
+	checkGolden(t, "pages.txt", names.sorted())
+}
+
+// The words on the status page and in traces.
+func TestWordsOnPages(t *testing.T) {
+	lines := []string{"jobs wait for:"}
+	for _, waits := range []waitReason{waitNeeds, waitBackoff, waitUnknown, waitSlots, waitTeam, waitOverall, waitRoom, waitImage, waitQuarantine, waitNothing} {
+		lines = append(lines, string(waits))
+	}
+	lines = append(lines, "machines leave because:")
+	for _, why := range []cause{surplus, noticed, slow, sick, deaf, silent, neverUp, failedAlone, notListed} {
+		lines = append(lines, string(why))
+	}
+	lines = append(lines, "steps of traces:", stepVerdict, stepTurnedAway, stepStored, stepKnown, stepWaits, stepStart, stepRuns, stepOver,
+		"level of records and messages:", fmt.Sprint(level))
+	checkGolden(t, "words.txt", lines)
+}
+
+// A leader takes over what level 0 stored: a record for each machine, parts of bitmaps by their
+// numbers, records without the later fields. The values are written out, so that no change of the
+// code's types changes them.
+func TestRecordsOfEarlierVersions(t *testing.T) {
+	w := newSimulation(t, 1)
+	w.runTime = func(string, int) time.Duration { return 100 * time.Second }
+	host := w.cloud.rent("c4", "a", true)
+	for id, tasks := range map[string]int{"j-0": 2, "j-1": 11, "j-2": 1} {
+		w.specs[id], w.submitted[id] = spec(id, tasks), true
+	}
+	w.asked["j-2"] = true
+	for i := range 10 {
+		if i == 0 || i == 9 {
+			w.finished[protocol.TaskKey("j-1", i)] = true
+		}
+	}
+	for i := range 2 {
+		w.finished[protocol.TaskKey("j-0", i)] = true
+	}
+	for key, value := range map[string]string{
+		"term":              `{"term":7}`,
+		"final/j-0":         `{"state":"done","tasks":2,"done":2}`,
+		"final/j-2":         `{"state":"withdrawn","tasks":1,"done":0}`,
+		"job/j-1":           `{"spec":{"uid":"j-1","lote":"c","dono":"free","feitio":"batch","vez":"standard","pecas":11,"cores":1,"accelerators":0,"ramGb":1,"molde":"i","pullGb":0,"portes":null,"praca":"","samePlace":false,"apart":false,"avulsas":true,"previstoS":5,"marcoS":0,"guardaS":0,"prazoS":null},"at":1000000000}`,
+		"bits/j-1/000":      `{"b":"AQI="}`,
+		"mach/" + host.name: `{"type":"c4","zone":"a","spot":true,"at":1000000000,"used":true}`,
+	} {
+		w.state.put(key, json.RawMessage(value))
+	}
+	l := w.waitLeader()
+	w.run(10 * time.Second)
+	var lines []string
+	for _, id := range []string{"j-0", "j-1", "j-2"} {
+		r := w.request(l.name, Request{Kind: protocol.RequestQuery, ID: id})
+		lines = append(lines, fmt.Sprintf("%s: %d %s", id, r.Status, r.Body))
+	}
+	for i := range 11 {
+		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskKey("j-1", i), w.starts[protocol.TaskKey("j-1", i)]))
+	}
+	for _, key := range slices.Sorted(maps.Keys(w.state.keys)) {
+		if key != storage.FlowKey {
+			lines = append(lines, key+" "+string(w.state.keys[key].Value))
+		}
+	}
+	checkGolden(t, "records_taken_over.txt", lines)
+}
+
+// of is a pointer to a value.
+func of[T any](v T) *T { return &v }
+
+// What users, workers and the load balancer are answered.
+func TestAnswers(t *testing.T) {
+	w := newSimulation(t, 3)
+	w.runTime = func(string, int) time.Duration { return 5 * time.Second }
+	var lines []string
+	ask := func(name, node string, r Request) {
+		reply := w.request(node, r)
+		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status, reply.RetryAfter, reply.Body))
+	}
+	user := func(name, node string, kind protocol.RequestKind, job protocol.Job) {
+		w.specs[job.UID] = job
+		r := Request{Kind: kind, ID: job.UID}
+		if kind == protocol.RequestSubmit {
+			r.Job = &job
+		}
+		ask(name, node, r)
+	}
+	user("submission without a leader", "n0", protocol.RequestSubmit, spec("j-1", 4))
+	w.waitLeader()
+	l, f := w.leader(), w.followers()[0]
+	ask("health", l, Request{Kind: protocol.RequestHealth})
+	user("submission", f, protocol.RequestSubmit, spec("j-1", 4))
+	user("submission, repeated", l, protocol.RequestSubmit, spec("j-1", 4))
+	user("query", l, protocol.RequestQuery, spec("j-1", 4))
+	w.waitState("j-1", protocol.Running, time.Minute)
+	user("query of a running job", f, protocol.RequestQuery, spec("j-1", 4))
+	w.waitState("j-1", protocol.Done, time.Minute)
+	user("query of a job that is done", f, protocol.RequestQuery, spec("j-1", 4))
+	user("cancellation of a job that is done", l, protocol.RequestCancel, spec("j-1", 4))
+	user("submission of a job that is done", f, protocol.RequestSubmit, spec("j-1", 4))
+	user("submission", l, protocol.RequestSubmit, spec("j-2", 4))
+	user("cancellation", f, protocol.RequestCancel, spec("j-2", 4))
+	user("cancellation, repeated", l, protocol.RequestCancel, spec("j-2", 4))
+	user("query of a cancelled job", l, protocol.RequestQuery, spec("j-2", 4))
+	for _, node := range []string{l, f} {
+		user("query of an unknown job", node, protocol.RequestQuery, protocol.Job{UID: "j-404"})
+		user("cancellation of an unknown job", node, protocol.RequestCancel, protocol.Job{UID: "j-404"})
+		unknownTeam, tooMuch, needs := spec("j-3", 1), spec("j-4", 1), spec("j-5", 1)
+		unknownTeam.Team = "nobody"
+		tooMuch.Cores = 5
+		needs.Needs = []string{"j-404"}
+		user("submission of an unknown team", node, protocol.RequestSubmit, unknownTeam)
+		user("submission that fits no machine", node, protocol.RequestSubmit, tooMuch)
+		user("submission that needs an unknown job", node, protocol.RequestSubmit, needs)
+	}
+	large := spec("j-6", 1)
+	large.Image = strings.Repeat("x", int(w.cfg.State.ValueKB*1024))
+	user("submission that is too large to be stored", l, protocol.RequestSubmit, large)
+	report := &protocol.Report{Machine: "m-000099", Type: "c4", Zone: "a", Session: 1, Seq: 1}
+	ask("report to a follower", f, Request{Kind: protocol.RequestReport, Report: report})
+	ask("report to the leader", l, Request{Kind: protocol.RequestReport, Report: report})
+	w.state.setDown(true)
+	w.run(3 * time.Second)
+	user("query of an unknown job in an outage", f, protocol.RequestQuery, protocol.Job{UID: "j-405"})
+	user("submission in an outage", l, protocol.RequestSubmit, spec("j-7", 1))
+	checkGolden(t, "answers.txt", lines)
+}
+
+// digits matches numbers in paths and keys.
+var digits = regexp.MustCompile(`\d+`)
+
+// The calls of the outside services, and the keys and fields of the stored records.
+func TestCallsAndRecords(t *testing.T) {
+	calls, records := nameSet{}, nameSet{}
+	watch := func(w *simulation) {
+		w.watch = func(_ *simNode, effects []any) {
+			for _, e := range effects {
+				call, is := e.(Call)
+				if !is {
+					continue
+				}
+				name := call.Target.String() + " " + call.Method + " " + digits.ReplaceAllString(call.Path, "N")
+				calls[name] = true
+				if len(call.Body) > 0 {
+					if err := calls.addFields(name, withoutValues(t, call)); err != nil {
+						t.Fatal(err)
+					}
+				}
+				if call.Path != "/multi" {
+					continue
+				}
+				var txn storage.Txn
+				if err := json.Unmarshal(call.Body, &txn); err != nil {
+					t.Fatal(err)
+				}
+				for _, wr := range txn.Writes {
+					if err := records.addFields(digits.ReplaceAllString(wr.Set, "N"), wr.Value); wr.Set != "" && err != nil {
+						t.Fatal(err)
+					}
+				}
+			}
+		}
+	}
+	w := newSimulation(t, 3)
+	watch(w)
+	l := w.waitLeader()
+	job, next := spec("j-1", 6), spec("j-2", 1)
+	job.Types, job.DeadlineS = []string{"c4"}, of(900.0)
+	next.Needs = []string{"j-1"}
+	w.submit(w.followers()[0], job)
+	w.submit(l.name, next)
+	w.waitState("j-2", protocol.Done, 2*time.Minute)
+	w.cutOff(l.name)
+	w.run(time.Minute)
+	w.mend()
+	w.nodes[w.leader()].inbox = append(w.nodes[w.leader()].inbox, Drain{})
+	w.run(time.Minute)
+
+	c := overloaded(t, 3, true)
+	watch(c.simulation)
+	a := newApplicants(c)
+	for i := range 60 {
+		a.submit(a.job("low", "low", i), inTime)
+	}
+	c.run(40 * time.Second)
+	checkGolden(t, "calls.txt", calls.sorted())
+	checkGolden(t, "records.txt", records.sorted())
+}
+
+// withoutValues is the body of a call; of a transaction without the records in it.
+func withoutValues(t *testing.T, call Call) []byte {
+	if call.Path != "/multi" {
+		return call.Body
+	}
+	var txn map[string][]map[string]json.RawMessage
+	if err := json.Unmarshal(call.Body, &txn); err != nil {
+		t.Fatal(err)
+	}
+	for _, wr := range txn["writes"] {
+		if _, is := wr["data"]; is {
+			wr["data"] = json.RawMessage(`"record"`)
+		}
+	}
+	return storage.Encode(txn)
+}
+
+// effectDigest sums up all effects of all nodes, in their order, by spans of simulated time, so
+// that a difference names the span in which it begins.
+type effectDigest struct {
+	w     *simulation
+	sum   hash.Hash
+	count int
+	ends  Instant
+	lines []string
+}
+
+const digestSpan = 10 * time.Second
+
+func newEffectDigest(w *simulation) *effectDigest {
+	d := &effectDigest{w: w, sum: sha256.New(), ends: digestSpan}
+	w.watch = d.add
+	return d
+}
+
+func (d *effectDigest) add(n *simNode, effects []any) {
+	for d.w.now > d.ends {
+		d.close()
+	}
+	for _, e := range effects {
+		d.count++
+		fmt.Fprintf(d.sum, "%d %s ", d.w.now, n.name)
+		switch e := e.(type) {
+		case Call:
+			fmt.Fprintf(d.sum, "call %d %s %s %s %s %d\n", e.ID, e.Target, e.Method, e.Path, e.Body, e.Timeout)
+		case Reply:
+			fmt.Fprintf(d.sum, "reply %d %d %d %s\n", e.Ticket, e.Status, e.RetryAfter, e.Body)
+		case Send:
+			raw, err := protocol.EncodePeer(e.Msg)
+			if err != nil {
+				d.w.t.Fatal(err)
+			}
+			fmt.Fprintf(d.sum, "send %s %s\n", e.To, raw)
+		case TraceStep:
+			fmt.Fprintf(d.sum, "trace %s\n", storage.Encode(e.Step))
+		default:
+			d.w.t.Fatalf("effect %T", e)
+		}
+	}
+}
+
+func (d *effectDigest) close() {
+	d.lines = append(d.lines, fmt.Sprintf("until %v: %d effects, %x", d.ends, d.count, d.sum.Sum(nil)[:8]))
+	d.ends += digestSpan
+}
+
+// A simulation with fixed seeds repeats to the letter: the same commands give the same effects in
+// the same order. One that lets several forwarded requests expire in the same step does not, as
+// their answers then come in the order of a map; here none expire so. On processors with fused
+// multiplication the digests may be others.
+func TestEffectsAreThoseOfTheVersionBefore(t *testing.T) {
+	for name, lose := range map[string]bool{"effects_at_work.txt": false, "effects_leader_lost.txt": true} {
+		t.Run(name, func(t *testing.T) {
+			w := newSimulation(t, 3)
+			d := newEffectDigest(w)
+			for _, name := range w.names {
+				w.nodes[name].set.TraceSteps = 1
+			}
+			l := w.waitLeader()
+			w.machines(6)
+			for i := range 6 {
+				j := spec(fmt.Sprintf("j-%d", i), 3+4*i)
+				j.Priority = []string{"prod", "urgent", "standard", "low"}[i%4]
+				j.Cores = 1 + float64(i%3)*0.3
+				j.Class = []string{"c", "d"}[i%2]
+				if i == 5 {
+					j.Needs = []string{"j-0", "j-1"}
+				}
+				w.submit(w.followers()[i%2], j)
+				w.run(time.Second)
+			}
+			w.cancel(w.followers()[0], "j-4")
+			w.run(3 * time.Second)
+			if lose {
+				w.crash(l.name)
+				w.run(20 * time.Second)
+				w.restart(l.name)
+				w.waitLeader()
+			}
+			w.waitState("j-5", protocol.Done, 200*time.Second)
+			w.run(60 * time.Second)
+			d.close()
+			checkGolden(t, name, d.lines)
+		})
+	}
+}
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -53,6 +53,7 @@
 	copies       func(x *worker, rep *protocol.Report)         // sees every report that is sent
 	mangle       func(node string, call Call, r Result) Result // alters the answers of outside services
 	instead      func(call Call) (r Result, ok bool)           // answers calls at once, in the place of outside services
+	watch        func(n *simNode, effects []any)               // sees all effects of nodes
 	starts       map[string]int                                // by task
 	stoppedTasks []string                                      // by command
 	mistake      map[string]bool                               // jobs that fail on every machine
@@ -257,6 +258,9 @@
 		batch = append(batch, ServerLoad{Open: w.open[n.name], Limit: w.sockets})
 	}
 	effects := n.Step(n.clock(w.now), batch)
+	if w.watch != nil {
+		w.watch(n, effects)
+	}
 	if n.stall > 0 && len(effects) > 0 {
 		w.freeze(n, n.stall, func() { w.carryOut(n, effects) })
 		n.stall = 0
