--- a/internal/coordination/compatibility_test.go
+++ b/internal/coordination/compatibility_test.go
@@ -372,6 +372,9 @@
 
 const digestSpan = 10 * time.Second
 
+// digestTargets are the names of the targets in the digests, whatever the log calls them.
+var digestTargets = map[Target]string{State: "state service", Cloud: "cloud"}
+
 func newEffectDigest(w *simulation) *effectDigest {
 	d := &effectDigest{w: w, sum: sha256.New(), ends: digestSpan}
 	w.watch = d.add
@@ -387,7 +390,7 @@
 		fmt.Fprintf(d.sum, "%d %s ", d.w.now, n.name)
 		switch e := e.(type) {
 		case Call:
-			fmt.Fprintf(d.sum, "call %d %s %s %s %s %d\n", e.ID, e.Target, e.Method, e.Path, e.Body, e.Timeout)
+			fmt.Fprintf(d.sum, "call %d %s %s %s %s %d\n", e.ID, digestTargets[e.Target], e.Method, e.Path, e.Body, e.Timeout)
 		case Reply:
 			fmt.Fprintf(d.sum, "reply %d %d %d %s\n", e.Ticket, e.Status, e.RetryAfter, e.Body)
 		case Send:
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -158,7 +158,7 @@
 	}
 	n.log.Debug("capacity plan", "held", plan.Held, "up", up, "used", used, "pending", pending,
 		"demand", plan.Demand, "usual", usual, "target", plan.Target,
-		"costs", f.spent, "pending_writes", l.writer.Pending())
+		"costs", f.spent, "pendingWrites", l.writer.Pending())
 }
 
 // offering returns the offering that the machine was rented from.
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -152,7 +152,7 @@
 		if !m.twice {
 			m.twice = true
 			l.n.log.Warn("two workers use one machine name", "machine", m.name,
-				"address", m.address, "other_address", rep.Address)
+				"address", m.address, "otherAddress", rep.Address)
 		}
 		return true
 	}
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -206,7 +206,7 @@
 type PeerLineError struct{ Reason string }
 
 // Error implements error.
-func (e *PeerLineError) Error() string { return "peer message: " + e.Reason }
+func (e *PeerLineError) Error() string { return "line between controllers: " + e.Reason }
 
 // UnknownPeerMessageError reports a message type, or a kind of request, that this version does
 // not know. A later version may send it, so receivers ignore the message.
@@ -214,7 +214,7 @@
 
 // Error implements error.
 func (e *UnknownPeerTypeError) Error() string {
-	return fmt.Sprintf("peer message: unknown type %q, kind %q", e.Type, e.Kind)
+	return fmt.Sprintf("line between controllers: unknown type %q, kind %q", e.Type, e.Kind)
 }
 
 // EncodePeerMessage encodes a message as JSON, without a line break.
