--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"cmp"
-	"container/heap"
 	"fmt"
-	"io"
 	"log/slog"
 	"maps"
 	"math/rand/v2"
@@ -71,20 +69,47 @@
 	f   func()
 }
 
-// events are what is to happen, as a heap, in their order.
+// events are what is to happen, as a binary heap, in their order. No two have the same number,
+// so the order is total. The heap is typed: container/heap allocates for each event.
 type events []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), e[i].seq-e[j].seq) < 0
+func (e event) before(other event) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return last
+func (e *events) push(x event) {
+	h := append(*e, x)
+	*e = h
+	i := len(h) - 1
+	for ; i > 0 && x.before(h[(i-1)/2]); i = (i - 1) / 2 {
+		h[i] = h[(i-1)/2]
+	}
+	h[i] = x
+}
+
+// pop removes the first event and returns it.
+func (e *events) pop() event {
+	h := *e
+	first, last := h[0], h[len(h)-1]
+	h[len(h)-1] = event{} // let go of its function
+	h = h[:len(h)-1]
+	*e = h
+	if len(h) == 0 {
+		return first
+	}
+	i := 0
+	for child := 1; child < len(h); child = 2*i + 1 {
+		if child+1 < len(h) && h[child+1].before(h[child]) {
+			child++
+		}
+		if !h[child].before(last) {
+			break
+		}
+		h[i] = h[child]
+		i = child
+	}
+	h[i] = last
+	return first
 }
 
 type simNode struct {
@@ -146,12 +171,12 @@
 	return w
 }
 
+// testLog writes to the standard error output if LOG_LEVEL is debug. Otherwise no record is formatted.
 func testLog() *slog.Logger {
-	out := io.Discard
 	if os.Getenv("LOG_LEVEL") == "debug" {
-		out = os.Stderr
+		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
-	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	return slog.New(slog.DiscardHandler)
 }
 
 func (w *simulation) start(name string) {
@@ -205,7 +230,7 @@
 
 func (w *simulation) after(d time.Duration, f func()) {
 	w.planned++
-	heap.Push(&w.events, event{w.now + d, w.planned, f})
+	w.events.push(event{w.now + d, w.planned, f})
 }
 
 // run lets the simulation go on for a while.
@@ -221,7 +246,7 @@
 		w.now += step
 		w.state.expire()
 		for len(w.events) > 0 && w.events[0].at <= w.now {
-			heap.Pop(&w.events).(event).f()
+			w.events.pop().f()
 		}
 		for _, name := range w.names {
 			w.stepNode(w.nodes[name])
