--- a/internal/coordination/simulated_cloud_test.go
+++ b/internal/coordination/simulated_cloud_test.go
@@ -111,7 +111,7 @@
 	c.w.after(boot, func() {
 		if c.hosts[x.name] == x {
 			x.renewed, x.next = c.w.now, c.w.now
-			c.w.workers[x.name] = x
+			c.w.addWorker(x)
 		}
 	})
 	return x
@@ -168,9 +168,9 @@
 	x.tasks, x.renewed, x.changed, x.busy = nil, x.w.now, true, false
 }
 
-func (x *worker) tick() {
+// tick lets the worker do what is due, with the workers' lease.
+func (x *worker) tick(lease time.Duration) {
 	w := x.w
-	lease := config.Seconds(w.cfg.Workers.LeaseS)
 	if w.now-x.renewed > lease {
 		// A machine that hangs goes on within its lease or not at all.
 		x.session++
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -251,8 +251,9 @@
 		for _, name := range w.names {
 			w.stepNode(w.nodes[name])
 		}
+		lease := config.Seconds(w.cfg.Workers.LeaseS)
 		for _, x := range w.inOrder() {
-			x.tick()
+			x.tick(lease)
 		}
 		w.check()
 	}
@@ -260,18 +261,21 @@
 }
 
 // inOrder lists the workers by name. The list is kept as long as it is true: sorted at
-// each step it was half of the tests' time.
+// each step it was half of the tests' time. Workers join by addWorker only, which drops the
+// list; so if it is as long as the map, none has left since either.
 func (w *simulation) inOrder() []*worker {
-	same := len(w.ordered) == len(w.workers)
-	for _, x := range w.ordered {
-		same = same && w.workers[x.name] == x
-	}
-	if !same {
+	if len(w.ordered) != len(w.workers) {
 		w.ordered = slices.SortedFunc(maps.Values(w.workers), func(a, b *worker) int { return cmp.Compare(a.name, b.name) })
 	}
 	return w.ordered
 }
 
+// addWorker lets a worker join.
+func (w *simulation) addWorker(x *worker) {
+	w.workers[x.name] = x
+	w.ordered = nil
+}
+
 func (w *simulation) stepNode(n *simNode) {
 	if n.down || n.frozen {
 		return
@@ -642,9 +646,10 @@
 // onMachines counts a job's tasks that are on machines.
 func (w *simulation) onMachines(id string) int {
 	count := 0
+	prefix := id + "/"
 	for _, x := range w.workers {
 		for _, t := range x.tasks {
-			if strings.HasPrefix(t.key, id+"/") && t.state != protocol.TaskExited {
+			if strings.HasPrefix(t.key, prefix) && t.state != protocol.TaskExited {
 				count++
 			}
 		}
