--- a/internal/coordination/simulated_state_test.go
+++ b/internal/coordination/simulated_state_test.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"cmp"
 	"net/url"
 	"slices"
 	"sort"
@@ -198,14 +199,15 @@
 	case u.Path == "/follow":
 		since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
 		wait, _ := strconv.Atoi(q.Get("waitMs"))
+		under := q.Get("under")
 		end := s.w.now + time.Duration(wait)*time.Millisecond
 		look := func() bool {
 			if s.down {
 				return false
 			}
 			ev := storage.Events{Revision: s.rev}
-			for _, e := range s.log {
-				if e.Version > since && strings.HasPrefix(e.Set+e.Drop, q.Get("under")) {
+			for _, e := range s.after(since) {
+				if strings.HasPrefix(cmp.Or(e.Set, e.Drop), under) {
 					ev.Log = append(ev.Log, e)
 				}
 			}
@@ -224,6 +226,13 @@
 	}
 }
 
+// after are the events of the log that are newer than a revision. The log is in their order, as revisions
+// only grow.
+func (s *fakeState) after(revision uint64) []storage.Event {
+	from := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > revision })
+	return s.log[from:]
+}
+
 // tooLarge names a key of a transaction that is over the announced limits.
 func (s *fakeState) tooLarge(t storage.Txn) string {
 	for _, wr := range t.Writes {
