--- a/internal/coordination/invariants_test.go
+++ b/internal/coordination/invariants_test.go
@@ -36,12 +36,43 @@
 	judged    map[uint64]int         // jobs accepted under a policy, by epoch
 	what      string                 // what is tested, for the messages
 	caught    map[string]int         // by rule, instead of failing the test: to test the checker itself
+	load      machineLoad            // what runs, as of the last check
+	marked    bool                   // the check is marked as a helper of the test
+}
+
+// machineLoad is what runs on the machines. It is made anew when a task begins or ends, and not
+// at each step.
+type machineLoad struct {
+	valid   bool
+	running []runningTask     // by machine, in the order of their names
+	where   map[string]string // by task: its machine
+	jobs    []jobLoad
+	indices map[string]int     // of jobs, by id
+	cores   map[string]float64 // by team
+	gpus    map[string]float64 // the same, of accelerators
+}
+
+type runningTask struct {
+	x   *worker
+	key string
+}
+
+// jobLoad is how many tasks of a job run, and what each uses.
+type jobLoad struct {
+	id          string
+	tasks       int
+	team        string
+	cores, gpus float64
 }
 
 func newInvariantChecker() invariantChecker {
 	return invariantChecker{submitted: map[string]bool{}, accepted: map[string]Instant{}, over: map[string]string{},
 		overAt: map[string]Instant{}, asked: map[string]bool{}, answered: map[string]Instant{},
-		finished: map[string]bool{}, begun: map[string]Instant{}, judged: map[uint64]int{}, calm: never, waits: map[string]Instant{}}
+		finished: map[string]bool{}, begun: map[string]Instant{}, load: newMachineLoad(), judged: map[uint64]int{}, calm: never, waits: map[string]Instant{}}
+}
+
+func newMachineLoad() machineLoad {
+	return machineLoad{where: map[string]string{}, indices: map[string]int{}, cores: map[string]float64{}, gpus: map[string]float64{}}
 }
 
 // broken reports that a rule is broken.
@@ -136,45 +167,122 @@
 
 // check looks for a rule that is broken at this moment.
 func (w *simulation) check() {
-	w.t.Helper()
+	if !w.marked {
+		w.marked = true // once is enough for a test, and it is slow
+		w.t.Helper()
+	}
 	leaders := 0
 	for _, n := range w.nodes {
-		if !n.down && !n.frozen && n.authority() {
+		if n.lead != nil && !n.down && !n.frozen && n.authority() {
 			leaders++
 		}
 	}
 	if leaders > 1 {
 		w.broken("two leaders", "%d nodes have authority", leaders)
 	}
-	where := map[string]string{}
-	cores, accelerators := map[string]float64{}, map[string]float64{}
-	for _, x := range w.workers {
+	w.checkRunning()
+	if w.calm != never && w.now >= w.lookedAt+time.Second {
+		w.lookedAt = w.now
+		w.checkWaiting(w.load.where, w.load.cores)
+	}
+}
+
+// checkRunning looks for a rule that is broken by what runs on the machines. Where each task
+// runs changes only with the list of those that run, and what teams use only with that list and
+// the specifications of its jobs. Both are compared at each step, and the rest is judged at
+// each step, as it depends on the time and on what users were told too, but once for each job.
+func (w *simulation) checkRunning() {
+	load := &w.load
+	same := w.sameRunning()
+	if !same {
+		w.countRunning()
+	}
+	for i := range load.jobs {
+		running := &load.jobs[i]
+		j := w.specs[running.id]
+		if running.team != j.Team || running.cores != j.Cores || running.gpus != j.Accelerators {
+			running.team, running.cores, running.gpus = j.Team, j.Cores, j.Accelerators
+			same = false
+		}
+		if since, cancelled := w.cancelledAt(running.id); cancelled && w.now > since+w.cancelSpan() {
+			for _, t := range load.running {
+				if jobOf(t.key) == running.id {
+					w.broken("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.key, t.x.name, since, t.x.how())
+				}
+			}
+		}
+	}
+	if !same {
+		load.sum()
+	}
+	for _, team := range w.cfg.Teams {
+		if team.CPUsMax > 0 && load.cores[team.Name] > team.CPUsMax || team.GPUsMax > 0 && load.gpus[team.Name] > team.GPUsMax {
+			w.broken("quota", "%s uses %v cores, %v accelerators", team.Name, load.cores[team.Name], load.gpus[team.Name])
+		}
+	}
+}
+
+// sum adds up what each team uses.
+func (l *machineLoad) sum() {
+	clear(l.cores)
+	clear(l.gpus)
+	for _, j := range l.jobs {
+		for range j.tasks {
+			l.cores[j.team] += j.cores
+			l.gpus[j.team] += j.gpus
+		}
+	}
+}
+
+// sameRunning tells whether the same tasks run on the same machines as at the last check.
+func (w *simulation) sameRunning() bool {
+	if !w.load.valid {
+		return false
+	}
+	rest := w.load.running
+	for _, x := range w.inOrder() {
+		for _, t := range x.tasks {
+			if t.state == protocol.TaskExited {
+				continue
+			}
+			if len(rest) == 0 || rest[0].x != x || rest[0].key != t.key {
+				return false
+			}
+			rest = rest[1:]
+		}
+	}
+	return len(rest) == 0
+}
+
+// countRunning lists what runs, and looks for tasks that run twice. While one does, the list
+// is made anew at each step, so that it is found at each.
+func (w *simulation) countRunning() {
+	load := &w.load
+	load.valid = true
+	load.running, load.jobs = load.running[:0], load.jobs[:0]
+	clear(load.where)
+	clear(load.indices)
+	for _, x := range w.inOrder() {
 		for _, t := range x.tasks {
 			if t.state == protocol.TaskExited {
 				continue
 			}
-			if other, twice := where[t.key]; twice {
+			load.running = append(load.running, runningTask{x, t.key})
+			if other, twice := load.where[t.key]; twice {
+				load.valid = false
 				w.broken("ran_twice", "%s is on %s and %s", t.key, other, x.name)
 			}
-			where[t.key] = x.name
+			load.where[t.key] = x.name
 			id := jobOf(t.key)
-			j := w.specs[id]
-			cores[j.Team] += j.Cores
-			accelerators[j.Team] += j.Accelerators
-			if since, cancelled := w.cancelledAt(id); cancelled && w.now > since+w.cancelSpan() {
-				w.broken("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.key, x.name, since, x.how())
+			i, known := load.indices[id]
+			if !known {
+				i = len(load.jobs)
+				load.indices[id] = i
+				load.jobs = append(load.jobs, jobLoad{id: id})
 			}
+			load.jobs[i].tasks++
 		}
 	}
-	for _, team := range w.cfg.Teams {
-		if team.CPUsMax > 0 && cores[team.Name] > team.CPUsMax || team.GPUsMax > 0 && accelerators[team.Name] > team.GPUsMax {
-			w.broken("quota", "%s uses %v cores, %v accelerators", team.Name, cores[team.Name], accelerators[team.Name])
-		}
-	}
-	if w.calm != never && w.now >= w.lookedAt+time.Second {
-		w.lookedAt = w.now
-		w.checkWaiting(where, cores)
-	}
 }
 
 // checkWaiting looks for jobs that wait, after all troubles, for 90 s though a machine
