--- a/internal/coordination/invariants_test.go
+++ b/internal/coordination/invariants_test.go
@@ -207,6 +207,7 @@
 		if since, cancelled := w.cancelledAt(running.id); cancelled && w.now > since+w.cancelSpan() {
 			for _, t := range load.running {
 				if jobOf(t.key) == running.id {
+					w.t.Helper()
 					w.broken("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.key, t.x.name, since, t.x.how())
 				}
 			}
@@ -217,6 +218,7 @@
 	}
 	for _, team := range w.cfg.Teams {
 		if team.CPUsMax > 0 && load.cores[team.Name] > team.CPUsMax || team.GPUsMax > 0 && load.gpus[team.Name] > team.GPUsMax {
+			w.t.Helper()
 			w.broken("quota", "%s uses %v cores, %v accelerators", team.Name, load.cores[team.Name], load.gpus[team.Name])
 		}
 	}
@@ -270,6 +272,7 @@
 			load.running = append(load.running, runningTask{x, t.key})
 			if other, twice := load.where[t.key]; twice {
 				load.valid = false
+				w.t.Helper()
 				w.broken("ran_twice", "%s is on %s and %s", t.key, other, x.name)
 			}
 			load.where[t.key] = x.name
