--- a/internal/coordination/compatibility_test.go
+++ b/internal/coordination/compatibility_test.go
@@ -295,7 +295,7 @@
 				if !is {
 					continue
 				}
-				name := call.Target.String() + " " + call.Method + " " + digits.ReplaceAllString(call.Path, "N")
+				name := goldenTargets[call.Target] + " " + call.Method + " " + digits.ReplaceAllString(call.Path, "N")
 				calls[name] = true
 				if len(call.Body) > 0 {
 					if err := calls.addFields(name, withoutValues(t, call)); err != nil {
@@ -372,8 +372,8 @@
 
 const digestSpan = 10 * time.Second
 
-// digestTargets are the names of the targets in the digests, whatever the log calls them.
-var digestTargets = map[Target]string{State: "state service", Cloud: "cloud"}
+// goldenTargets are the names of the targets in the golden files, whatever the log calls them.
+var goldenTargets = map[Target]string{State: "state service", Cloud: "cloud"}
 
 func newEffectDigest(w *simulation) *effectDigest {
 	d := &effectDigest{w: w, sum: sha256.New(), ends: digestSpan}
@@ -390,7 +390,7 @@
 		fmt.Fprintf(d.sum, "%d %s ", d.w.now, n.name)
 		switch e := e.(type) {
 		case Call:
-			fmt.Fprintf(d.sum, "call %d %s %s %s %s %d\n", e.ID, digestTargets[e.Target], e.Method, e.Path, e.Body, e.Timeout)
+			fmt.Fprintf(d.sum, "call %d %s %s %s %s %d\n", e.ID, goldenTargets[e.Target], e.Method, e.Path, e.Body, e.Timeout)
 		case Reply:
 			fmt.Fprintf(d.sum, "reply %d %d %d %s\n", e.Ticket, e.Status, e.RetryAfter, e.Body)
 		case Send:
