--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -55,6 +55,16 @@
 	Resources Resources `toml:"resources"`
 }
 
+// Team returns the team of a name, or nil if there is none.
+func (c *Cluster) Team(name string) *Team {
+	for i := range c.Teams {
+		if c.Teams[i].Name == name {
+			return &c.Teams[i]
+		}
+	}
+	return nil
+}
+
 // StoreLimits are the limits of the key-value store.
 type State struct {
 	RPS      float64 `toml:"rps"`
--- a/internal/coordination/admission_control.go
+++ b/internal/coordination/admission_control.go
@@ -118,7 +118,7 @@
 	for _, t := range a.l.n.cfg.Cluster.Teams {
 		largest = max(largest, t.CPUs)
 	}
-	team := a.l.n.team(name)
+	team := a.l.n.cfg.Cluster.Team(name)
 	if team == nil || largest == 0 {
 		return 1
 	}
--- a/internal/coordination/health.go
+++ b/internal/coordination/cluster_health.go
@@ -8,13 +8,13 @@
 )
 
 // delayTask delays the next attempt of a task, and lets it avoid a machine for one worker lease.
-func (l *leadership) delay(j *job, index int, m *machine, d time.Duration) {
+func (s *clusterState) delay(j *job, index int, m *machine, d time.Duration) {
 	t := j.failures[index]
 	if t == nil {
 		t = &failureHistory{}
 		j.failures[index] = t
 	}
-	t.after, t.avoid, t.until = l.n.now+d, m.name, l.n.now+d+l.n.lease()
+	t.after, t.avoid, t.until = s.clock.Now()+d, m.name, s.clock.Now()+d+s.lease()
 }
 
 // Thresholds that tell faulty jobs from unhealthy machines.
@@ -33,35 +33,35 @@
 // recordTaskFailure records the failure of a task that ran for runDuration. The task is retried at
 // once on another machine. After the second failure it backs off, as an accepted job has to run in
 // the end.
-func (l *leadership) failed(m *machine, j *job, index int, ran time.Duration) {
+func (s *clusterState) failed(m *machine, j *job, index int, ran time.Duration) {
 	j.failedOn[m.name] = true
 	j.failedAfter = max(j.failedAfter, ran)
 	if len(j.failedOn) >= badJobMachines && j.done == 0 {
 		// The job fails everywhere, so the fault is its own and not the machines'.
 		if !j.bad {
-			l.n.log.Info("job fails everywhere", "job", j.spec.UID)
+			s.log.Info("job fails everywhere", "job", j.spec.UID)
 			for _, r := range j.runs {
 				if r.phase == phaseAssigned {
-					l.release(r)
+					s.release(r)
 				}
 			}
 		}
 		j.bad = true
 	}
-	l.delay(j, index, m, 0)
+	s.delay(j, index, m, 0)
 	t := j.failures[index]
 	t.failures++
 	if t.failures > 1 {
-		t.after = l.n.now + min(l.n.report()<<min(t.failures-1, 10), 4*l.n.lease())
+		t.after = s.clock.Now() + min(s.report()<<min(t.failures-1, 10), 4*s.lease())
 	}
 	if j.bad {
 		// From now on one task at a time probes the job. Retrying each of hundreds of tasks
 		// takes capacity from work that succeeds.
-		if l.n.now >= j.probeAt { // else the attempt started before the job was known to fail
+		if s.clock.Now() >= j.probeAt { // else the attempt started before the job was known to fail
 			j.probes++
-			j.probeAt = l.n.now + min(l.n.lease()<<min(j.probes, 10)/2, probeWithin)
+			j.probeAt = s.clock.Now() + min(s.lease()<<min(j.probes, 10)/2, probeWithin)
 		}
-		t.after = l.n.now
+		t.after = s.clock.Now()
 		return
 	}
 	m.failures++
@@ -69,7 +69,7 @@
 	if m.failures >= sickMachineTasks && !m.sick &&
 		(len(m.failedJobs) > 1 || j.done > 0 || m.failures >= 2*sickMachineTasks) {
 		m.sick = true
-		l.leave(m, sick)
+		s.leave(m, sick)
 	}
 }
 
@@ -77,9 +77,9 @@
 // longer than any failed attempt did that the machines were at fault. Waiting for the task to end
 // would cost a healthy job, whose first tasks all met faulty machines, the duration of a whole
 // task.
-func (l *leadership) outlives(j *job) bool {
+func (s *clusterState) outlives(j *job) bool {
 	for _, r := range j.runs {
-		if r.phase == phaseRunning && l.n.now-r.started > 2*(j.failedAfter+l.n.report()) {
+		if r.phase == phaseRunning && s.clock.Now()-r.started > 2*(j.failedAfter+s.report()) {
 			return true
 		}
 	}
@@ -101,7 +101,7 @@
 
 // recordPace records how long a machine took for a task in comparison with the other tasks of the
 // job. The estimate can't serve for that: it is wrong for all tasks of a job alike.
-func (l *leadership) paced(m *machine, j *job, took time.Duration) {
+func (s *clusterState) paced(m *machine, j *job, took time.Duration) {
 	if usual, ok := j.usualTook(); ok {
 		if len(m.pace) == paceMemory {
 			m.pace = m.pace[1:]
@@ -124,7 +124,7 @@
 
 // drainIfSlow drains a machine that runs its tasks far slower than other machines run their
 // siblings. An attempt on it is rescheduled if it would end sooner when started anew.
-func (l *leadership) checkPace(m *machine) {
+func (s *clusterState) checkPace(m *machine) {
 	if !m.up || m.why == slow {
 		return
 	}
@@ -138,8 +138,8 @@
 		if r.phase != phaseRunning || r.job.moved[r.index] {
 			continue
 		}
-		if usual, ok := r.job.usualTook(); ok && l.n.now-r.started > 3*usual/2 {
-			ran := l.n.now - r.started
+		if usual, ok := r.job.usualTook(); ok && s.clock.Now()-r.started > 3*usual/2 {
+			ran := s.clock.Now() - r.started
 			sum += math.Log(float64(ran) / float64(usual))
 			count++
 		}
@@ -148,14 +148,14 @@
 		return
 	}
 	factor := math.Exp(sum / float64(count))
-	l.n.log.Info("machine slow", "machine", m.name, "slowdown", factor, "tasks", count)
-	l.leave(m, slow)
+	s.log.Info("machine slow", "machine", m.name, "slowdown", factor, "tasks", count)
+	s.leave(m, slow)
 	for _, r := range m.list {
-		want := l.expected(r.job)
+		want := s.expected(r.job)
 		if usual, ok := r.job.usualTook(); ok {
 			want = usual
 		}
-		ran := l.n.now - r.started
+		ran := s.clock.Now() - r.started
 		left := time.Duration(float64(want)*factor) - ran
 		if left < ran && ran > want {
 			left = ran // overdue: the slowdown is only a lower bound
@@ -163,11 +163,11 @@
 		switch {
 		case r.stop != nil || r.job.moved[r.index]:
 		case r.phase != phaseRunning:
-			l.stopRun(r, 0)
+			s.stopRun(r, 0)
 		case r.job.spec.CheckpointS > 0:
-			l.move(r, l.saveGrace(r))
+			s.move(r, s.saveGrace(r))
 		case left > want:
-			l.move(r, 0)
+			s.move(r, 0)
 		}
 	}
 }
@@ -175,90 +175,60 @@
 // rescheduleAttempt stops an attempt so that its task restarts on another machine, once for each
 // task. A task that simply takes longer than its siblings looks slow on every machine and would be
 // stopped again and again.
-func (l *leadership) move(r *run, grace float64) {
+func (s *clusterState) move(r *run, grace float64) {
 	if r.job.moved == nil {
 		r.job.moved = map[int]bool{}
 	}
 	r.job.moved[r.index] = true
-	l.stopRun(r, grace)
-}
-
-// checkpointGraceS returns the grace period, in seconds, for an attempt to save a checkpoint, with
-// a margin for a slow machine.
-func (l *leadership) saveGrace(r *run) float64 {
-	return 2*r.job.spec.SaveS + l.n.report().Seconds()
+	s.stopRun(r, grace)
 }
 
 // applyPreemptionNotice drains a spot machine that the cloud is about to preempt, and stops the
 // attempts that would not end before that.
-func (l *leadership) takeNotice(m *machine, notice *float64) {
+func (s *clusterState) takeNotice(m *machine, notice *float64) {
 	if notice == nil {
 		return
 	}
 	left := config.Seconds(*notice)
 	if m.notice == never {
-		l.n.log.Info("preemption notice", "machine", m.name, "left", left)
-		l.dirty = true
+		s.log.Info("preemption notice", "machine", m.name, "left", left)
+		s.dirty = true
 	}
-	m.notice = l.n.now + left
-	l.leave(m, noticed)
+	m.notice = s.clock.Now() + left
+	s.leave(m, noticed)
 	for _, r := range m.list {
 		if r.stop != nil {
 			continue
 		}
-		if l.remaining(r) <= left {
+		if s.remaining(r) <= left {
 			continue
 		}
 		grace := 0.0
 		if r.job.spec.CheckpointS > 0 {
 			grace = *notice
 		}
-		l.stopRun(r, grace)
-	}
-}
-
-// remainingDuration returns how long an attempt should still run.
-func (l *leadership) remaining(r *run) time.Duration { return l.remainingOf(r, l.expected(r.job)) }
-
-// remainingOfExpected returns how long an attempt should still run, given its expected total
-// duration.
-func (l *leadership) remainingOf(r *run, want time.Duration) time.Duration {
-	if r.phase == phaseRunning {
-		return max(want-(l.n.now-r.started), want/8)
+		s.stopRun(r, grace)
 	}
-	return want
 }
 
-// drainReason is the reason for which a machine is drained, as operators see it on the status
-// page.
-type cause string
-
-// The reasons for a drain.
-const (
-	surplus     cause = "surplus"       // not needed any more
-	noticed     cause = "notice"        // the cloud announced its preemption
-	slow        cause = "slow"          // runs its tasks far slower than other machines
-	sick        cause = "sick"          // tasks fail on it
-	deaf        cause = "deaf"          // responses do not reach it
-	silent      cause = "silent"        // its heartbeats stopped
-	neverUp     cause = "never came up" // no heartbeat since it was rented
-	failedAlone cause = "failed"        // failed according to the cloud
-	notListed   cause = "not listed"    // missing from the list of the cloud
-)
-
 // beginDrain cordons a machine and has it returned once it is empty. A later reason replaces an
 // earlier one, but surplus capacity replaces none.
-func (l *leadership) leave(m *machine, why cause) {
+func (s *clusterState) leave(m *machine, why cause) {
 	if m.why == "" || why != surplus {
 		m.why = why
 	}
 	if !m.emptying {
 		m.emptying = true
-		l.dirty = true
+		s.dirty = true
 		for _, r := range m.list {
 			if r.phase == phaseAssigned {
-				l.release(r)
+				s.release(r)
 			}
 		}
 	}
 }
+
+// cancelDrain uncordons a draining machine.
+func (s *clusterState) keep(m *machine) {
+	m.emptying, m.why, m.spareSince, s.dirty = false, "", s.clock.Now(), true
+}
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -114,10 +114,6 @@
 	l.n.log.Debug("cloud request failed", "status", status)
 }
 
-// silentSince returns the time from which the silence of a machine counts: its last heartbeat, or
-// the start of the term if that is later.
-func (l *leadership) lastHeard(m *machine) Instant { return max(m.heard, l.since) }
-
 // drainUnresponsive drains machines that miss heartbeats, never reported, or run slowly.
 func (f *fleetControl) retire() {
 	l, now := f.l, f.l.n.now
@@ -154,18 +150,6 @@
 	}
 }
 
-// mayForceReturn reports whether a draining machine may be returned although tasks or results are
-// on it.
-func (m *machine) forced() bool {
-	switch m.why {
-	case silent, neverUp, notListed:
-		return true
-	case deaf:
-		return m.failedListing || !m.accounted || len(m.runs)+m.results == 0
-	}
-	return m.failedListing
-}
-
 // returnDrainedMachines returns the machines whose drain is complete. It reports whether the call
 // budget sufficed, so that other calls may follow.
 func (f *fleetControl) sendReturns() bool {
@@ -292,11 +276,6 @@
 	}
 }
 
-// cancelDrain uncordons a draining machine.
-func (l *leadership) keep(m *machine) {
-	m.emptying, m.why, m.spareSince, l.dirty = false, "", l.n.now, true
-}
-
 // minBilledTime is the shortest time that the cloud bills.
 const minCharge = 60 * time.Second
 
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -6,7 +6,6 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"hitchdoor/internal/config"
 	"hitchdoor/internal/fleet"
 	"hitchdoor/internal/storage"
 )
@@ -161,9 +160,6 @@
 		"costs", f.spent, "pendingWrites", l.writer.Pending())
 }
 
-// offering returns the offering that the machine was rented from.
-func (m *machine) option() fleet.Option { return fleet.Option{Type: m.typ, Zone: m.zone, Spot: m.spot} }
-
 // meanImageGB returns the mean image size of the runnable jobs, in GB.
 func (f *fleetControl) usualImage() float64 {
 	sum := 0.0
@@ -173,29 +169,6 @@
 	return sum / max(1, float64(len(f.l.runnable)))
 }
 
-// imagePullRate is the rate at which the machines pull images, as a mean weighted by their cores.
-type pull struct{ rate, cores float64 }
-
-// imagePullRate returns the pull rate of the machines held.
-func (l *leadership) pull() pull {
-	var p pull
-	for _, m := range l.machines {
-		if m.kind != nil {
-			p.rate += m.kind.PullGBPerS * m.kind.Cores
-			p.cores += m.kind.Cores
-		}
-	}
-	return p
-}
-
-// pullDuration returns how long an image of a size takes to pull; 0 if the rate is unknown.
-func (p pull) time(gb float64) time.Duration {
-	if p.rate <= 0 {
-		return 0
-	}
-	return config.Seconds(gb * p.cores / p.rate)
-}
-
 // startSLOReserve returns the part of a job's SLO on starting that the plan does not count on, as
 // slack for takeovers, outages and lost machines.
 func (l *leadership) reserve(j *job) time.Duration {
@@ -208,37 +181,6 @@
 // startSLOReservePercent is that part in percent.
 const startReserve = 40
 
-// plannedStartWithin is the time within which the plan lets every job start, even one without an
-// SLO or with a longer one. It is well inside maxStartDelay.
-const planBegin = mustBegin * 3 / 5
-
-// bootTime returns the shortest boot time of the machine types.
-func (l *leadership) bootTime() time.Duration {
-	boot := 0.0
-	for _, t := range l.n.catalog {
-		if boot == 0 || t.ReadyS < boot {
-			boot = t.ReadyS
-		}
-	}
-	return config.Seconds(boot)
-}
-
-// idleUntilEmpty returns the mean time, in seconds, for which a core of the machine would be idle
-// until the last task on it ends.
-func (l *leadership) idleTo(m *machine) float64 {
-	last, work := 0.0, 0.0
-	for _, r := range m.list {
-		left := l.remaining(r).Seconds()
-		last = max(last, left)
-		work += left * r.job.spec.Cores
-	}
-	return last - work/m.kind.Cores
-}
-
-// minCountedRun is how long a task must run uninterrupted for its start to count towards the SLOs,
-// by the worker protocol.
-const countsAfter = 30 * time.Second
-
 // consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
 // if all of them write checkpoints, other machines have room for them, and both the tasks and the
 // idle cores of the machine would go on for at least twice as long as the move takes.
--- a/internal/coordination/guarantee.go
+++ b/internal/coordination/guarantee.go
@@ -8,18 +8,18 @@
 
 // jobsWithinGuarantee returns the jobs that fit into their team's guaranteed resources together
 // with the team's earlier unfinished jobs (fair share).
-func (l *leadership) guaranteed() map[*job]bool {
-	if l.startWithin == 0 {
+func (s *scheduler) guaranteed() map[*job]bool {
+	if s.startWithin == 0 {
 		return nil
 	}
 	used := map[string]usage{}
 	inside := map[*job]bool{}
-	for _, j := range l.byAge() {
+	for _, j := range s.byAge() {
 		u := used[j.spec.Team]
 		u.cores += float64(j.spec.Tasks) * j.spec.Cores
 		u.accelerators += float64(j.spec.Tasks) * j.spec.Accelerators
 		used[j.spec.Team] = u
-		if t := l.n.team(j.spec.Team); t != nil && u.cores <= t.CPUs+slack && u.accelerators <= t.GPUs+slack {
+		if t := s.cluster.Team(j.spec.Team); t != nil && u.cores <= t.CPUs+slack && u.accelerators <= t.GPUs+slack {
 			inside[j] = true
 		}
 	}
@@ -28,9 +28,9 @@
 
 // exceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
 // have a start objective for guaranteed work.
-func (l *leadership) beyondGuarantee(j *job) bool {
-	t, use := l.n.team(j.spec.Team), l.usage[j.spec.Team]
-	return l.startWithin > 0 && t != nil && use != nil &&
+func (s *scheduler) beyondGuarantee(j *job) bool {
+	t, use := s.cluster.Team(j.spec.Team), s.usage[j.spec.Team]
+	return s.startWithin > 0 && t != nil && use != nil &&
 		(use.cores > t.CPUs+slack || use.accelerators > t.GPUs+slack)
 }
 
@@ -43,18 +43,17 @@
 // once and only after running long enough for its start to count, so that borrowed capacity still
 // does useful work. Without preemption, long tasks that borrowed a third of the cores made
 // guaranteed work wait for minutes.
-func (l *leadership) preempt() {
-	n := l.n
-	if l.startWithin == 0 || n.now < l.preemptedAt+n.report()/2 || !l.accountedAll() {
+func (s *scheduler) preempt() {
+	if s.startWithin == 0 || s.clock.Now() < s.preemptedAt+s.report()/2 || !s.accountedAll() {
 		return
 	}
-	l.preemptedAt = n.now
+	s.preemptedAt = s.clock.Now()
 	need := map[*job]float64{}
-	inside := l.guaranteedJobs
-	for _, r := range l.order {
+	inside := s.guaranteedJobs
+	for _, r := range s.order {
 		j := r.j
 		if inside[j] && !j.gone && !j.bad && j.pending > 0 && (j.waits == waitRoom || j.waits == waitImage) &&
-			n.now > j.from+l.startWithin/preemptAfter {
+			s.clock.Now() > j.from+s.startWithin/preemptAfter {
 			need[j] = float64(j.pending) * j.spec.Cores
 		}
 	}
@@ -63,7 +62,7 @@
 	}
 	freed := 0.0
 	var victims []*run
-	for _, m := range l.held() {
+	for _, m := range s.held() {
 		if !m.ready() {
 			continue
 		}
@@ -71,17 +70,17 @@
 			switch {
 			case r.stop != nil:
 				freed += r.job.spec.Cores
-			case r.phase == phaseRunning && r.job.spec.CheckpointS > 0 && n.now-r.started >= countsAfter &&
-				!r.job.moved[r.index] && !inside[r.job] && l.beyondGuarantee(r.job):
+			case r.phase == phaseRunning && r.job.spec.CheckpointS > 0 && s.clock.Now()-r.started >= countsAfter &&
+				!r.job.moved[r.index] && !inside[r.job] && s.beyondGuarantee(r.job):
 				victims = append(victims, r)
 			}
 		}
 	}
 	slices.SortStableFunc(victims, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(b.job.spec.Rank(), a.job.spec.Rank()), cmp.Compare(l.remaining(b), l.remaining(a)))
+		return cmp.Or(cmp.Compare(b.job.spec.Rank(), a.job.spec.Rank()), cmp.Compare(s.remaining(b), s.remaining(a)))
 	})
 	given := map[string]float64{} // by team that exceeds its guarantee
-	for _, w := range l.order {
+	for _, w := range s.order {
 		j := w.j
 		left := need[j]
 		taken := min(left, freed)
@@ -92,21 +91,21 @@
 					break
 				}
 				if r == nil || r.m.hasImage(j.spec.Image) != image || r.job.spec.Team == j.spec.Team || !allowed(&j.spec, r.m) ||
-					l.remaining(r) < time.Duration(2*r.job.spec.SaveS*float64(time.Second))+n.report() {
+					s.remaining(r) < time.Duration(2*r.job.spec.SaveS*float64(time.Second))+s.report() {
 					continue
 				}
 				team := r.job.spec.Team
-				if l.usage[team].cores-given[team] <= n.team(team).CPUs+slack {
+				if s.usage[team].cores-given[team] <= s.cluster.Team(team).CPUs+slack {
 					continue
 				}
 				given[team] += r.job.spec.Cores
 				left -= r.job.spec.Cores
-				l.move(r, l.saveGrace(r))
+				s.move(r, s.saveGrace(r))
 				victims[i] = nil
 			}
 		}
 	}
 	if len(given) > 0 {
-		n.log.Info("tasks preempted for guaranteed work", "coresByTeam", given)
+		s.log.Info("tasks preempted for guaranteed work", "coresByTeam", given)
 	}
 }
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"hitchdoor/internal/config"
 	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/storage"
 )
@@ -9,16 +8,16 @@
 // leader is the state of a node while it leads. It is created for one term and discarded when
 // the node steps down.
 type leadership struct {
-	n     *Node
-	term  uint64
-	since Instant
+	n    *Node
+	term uint64
 
-	jobTable
+	*clusterState
+	*scheduler
 	readingState
-	objectives
-	machineTable
-	scheduleState
 	serviceState
+	machineRecords
+	bitmapLayout
+	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job
 
 	attempts  uint64
 	writer    *storage.Writer
@@ -32,14 +31,14 @@
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
 // key, on which every write of the term is conditioned.
 func newLeadership(n *Node, term, leaderVer uint64) *leadership {
+	state := newClusterState(stateOptions{clock: n, cluster: &n.cfg.Cluster, settings: &n.set, log: n.log, catalog: n.catalog})
 	l := &leadership{
-		n: n, term: term, since: n.now,
-		jobTable: newJobTable(n), readingState: newReadingState(n),
-		objectives: newObjectives(&n.cfg.Cluster), machineTable: newMachineTable(n),
-		scheduleState: scheduleState{scheduled: never}, serviceState: newServiceState(n.now),
-		writer:   storage.NewWriter(n.cfg.Cluster.State.Ops(), leaderVer),
-		recovery: n.newRecovery(),
+		n: n, term: term, clusterState: state,
+		readingState: newReadingState(n), serviceState: newServiceState(n.now), machineRecords: newMachineRecords(&n.cfg.Cluster), bitmapLayout: newBitmapLayout(&n.cfg.Cluster),
+		cancelWaiters: map[string][]Origin{},
+		writer:        storage.NewWriter(n.cfg.Cluster.State.Ops(), leaderVer), recovery: n.newRecovery(),
 	}
+	l.scheduler = &scheduler{clusterState: state, scheduleState: scheduleState{scheduled: never}, host: l}
 	l.fleet.init(l)
 	l.admission.init(l)
 	return l
@@ -63,8 +62,8 @@
 
 // rejectWaitingRequests answers all pending requests with 503.
 func (l *leadership) close() {
-	for _, j := range l.jobs {
-		for _, o := range j.cancel {
+	for _, waiters := range l.cancelWaiters {
+		for _, o := range waiters {
 			l.n.unavailable(o)
 		}
 	}
@@ -146,13 +145,3 @@
 	}
 	l.pump()
 }
-
-// teamSettings returns the settings of a team, or nil if there is no such team.
-func (n *Node) team(name string) *config.Team {
-	for i := range n.cfg.Cluster.Teams {
-		if n.cfg.Cluster.Teams[i].Name == name {
-			return &n.cfg.Cluster.Teams[i]
-		}
-	}
-	return nil
-}
--- a/internal/coordination/loading.go
+++ b/internal/coordination/loading.go
@@ -14,6 +14,34 @@
 
 // Loading of the stored records by a new leader.
 
+// loadState tracks what is being read from the key-value store.
+type readingState struct {
+	loaded       bool                      // all records have been loaded
+	needs        map[string][]storage.Item // dependency records read before their jobs, by job id
+	reading      map[string]bool           // jobs whose dependency records are being read
+	needsReads   map[string]int            // reads of a job's dependency records
+	unreadBits   map[string][]storage.Item // bitmap parts of jobs that are not loaded yet
+	lookups      map[string]Instant        // dependencies that are not open here: when to read their outcome
+	lookupBudget bucket                    // limits reads of dependencies and of quarantined records
+	earlyReports []Request                 // workers' heartbeats received while loading
+	quarantine   quarantine
+
+	watchRevision uint64
+	watching      bool // a watch is in flight or scheduled
+	watchFailures int  // consecutive watches that failed or returned nothing new
+}
+
+// newLoadState returns the state at the start of a term, with nothing loaded.
+func newReadingState(n *Node) readingState {
+	reads := n.cfg.Cluster.State.RPS * lookupShare
+	return readingState{
+		needs: map[string][]storage.Item{}, reading: map[string]bool{},
+		needsReads: map[string]int{},
+		unreadBits: map[string][]storage.Item{}, lookups: map[string]Instant{},
+		lookupBudget: newBucket(reads, reads), quarantine: newQuarantine(),
+	}
+}
+
 // loadRecords reads all records. Scheduling starts only after all of them are loaded.
 func (l *leadership) load() {
 	steps := []struct {
@@ -229,12 +257,12 @@
 				m = l.loadMachine(name, r)
 			} else if m.group != nil {
 				// An earlier leader stopped while moving it between groups.
-				m.group.remove(l, m)
+				l.removeFromGroup(m.group, m)
 				l.storeGroup(m.group, false)
 			}
 			m.used = m.used || r.Used
 			m.wantsUse, m.accounted = m.used, !m.used
-			g.add(l, m)
+			l.addToGroup(g, m)
 			if !r.Used && m.used {
 				l.storeGroup(g, true) // before the other group's record, which has the mark, is deleted
 			}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -23,12 +23,6 @@
 	"hitchdoor/internal/storage"
 )
 
-// Instant is a reading of the monotonic clock, counted from the process's start.
-type Instant = time.Duration
-
-// never is an instant before all others: the event has not happened.
-const never Instant = -1 << 60
-
 // Origin identifies the source of a request: a connection of this node, or, if Peer is
 // set, the peer that forwarded it. RequestID is unique per source.
 type Origin struct {
@@ -205,33 +199,6 @@
 	policy  uint64 // latest revision of the admission policy that it has read
 }
 
-// tokenBucket is a token bucket rate limiter. rate is in tokens per second.
-type bucket struct {
-	rate, burst, level float64
-	at                 Instant
-}
-
-// newTokenBucket returns a full bucket.
-func newBucket(rate, burst float64) bucket { return bucket{rate: rate, burst: burst, level: burst} }
-
-// refill adds the tokens of the time since the last refill.
-func (b *bucket) refill(now Instant) {
-	if now > b.at {
-		b.level = min(b.burst, b.level+b.rate*(now-b.at).Seconds())
-		b.at = now
-	}
-}
-
-// take removes count tokens if there are that many, and reports whether it did.
-func (b *bucket) take(now Instant, n float64) bool {
-	b.refill(now)
-	if b.level < n {
-		return false
-	}
-	b.level -= n
-	return true
-}
-
 // Options are the dependencies and settings of a new Node.
 type Options struct {
 	Platform *config.Platform
@@ -363,6 +330,9 @@
 	}
 }
 
+// Now returns the time of the current step.
+func (n *Node) Now() Instant { return n.now }
+
 // workerLease returns the duration of the workers' lease. Most time spans of a controller are
 // defined as fractions of it.
 func (n *Node) lease() time.Duration { return config.Seconds(n.cfg.Cluster.Workers.LeaseS) }
@@ -375,10 +345,6 @@
 // answered.
 func (n *Node) HandOver() time.Duration { return n.termSpan() }
 
-// withClockDrift lengthens a span by the clock drift allowance: twice the bound on how far two
-// monotonic clocks drift apart.
-func drift(d time.Duration) time.Duration { return d + d/1000 }
-
 // nowUnixMilli returns the current wall clock in Unix milliseconds.
 func (n *Node) wallMS() int64 { return n.wall.Add(n.now).UnixMilli() }
 
--- a/internal/coordination/pipelines.go
+++ b/internal/coordination/pipelines.go
@@ -17,25 +17,6 @@
 // alone decide: a job is cancelled once the terminal record of any job that it depends on says
 // so. Nothing more has to be written, and a new leader continues from the same records.
 
-// dependencies holds a job's position in the DAG of jobs.
-type chain struct {
-	awaits  int     // dependencies whose completion is not durable, or not known to this leader
-	doomed  bool    // a dependency is durably cancelled
-	fresh   bool    // a dependency completed in this term, so no earlier leader can have started the job
-	endBy   Instant // latest end that keeps all dependents in time
-	urgency int     // best priority rank of the dependents
-}
-
-// forever is later than any other instant.
-const forever Instant = math.MaxInt64
-
-// newDependencies returns the value of a job without any dependency or dependent.
-func newChain() chain { return chain{endBy: forever, urgency: math.MaxInt} }
-
-// effectiveRank returns the job's priority rank, or the best rank of its dependents if that is
-// better.
-func (j *job) rank() int { return min(j.spec.Rank(), j.urgency) }
-
 // addDependencies registers a new job with its dependencies and updates their deadlines and
 // ranks.
 func (l *leadership) await(j *job) {
@@ -130,10 +111,10 @@
 		}
 		d.doomed = true
 		doomed = append(doomed, d)
-		for _, o := range d.cancel {
+		for _, o := range l.cancelWaiters[d.spec.UID] {
 			l.n.reply(o, 200, 0, d.state())
 		}
-		d.cancel = nil
+		delete(l.cancelWaiters, d.spec.UID)
 		if !d.gone {
 			l.finish(d, protocol.Withdrawn)
 		}
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -19,7 +19,6 @@
 type quarantine struct {
 	records map[string]*damagedRecord // by key
 	jobs    map[string]bool           // jobs with too little known to add them to the open jobs
-	groups  bool                      // there may be machines whose names can't be read
 	checkAt Instant                   // next check whether the records have changed
 }
 
@@ -90,21 +89,15 @@
 // no readable record names.
 func (l *leadership) holdGroup(it storage.Item, err error) {
 	l.setAside(it, err)
-	l.quarantine.groups, l.totalsValid = true, false
-}
-
-// inventoryIncomplete reports whether tasks of earlier leaders may be running on machines that no
-// readable record names.
-func (l *leadership) namesMissing() bool {
-	return l.quarantine.groups && l.n.now <= l.since+l.leaseOver()
+	l.unnamedUntil, l.totalsValid = l.since+l.leaseOver(), false
 }
 
 // tickQuarantine periodically checks the quarantined records. Once one has changed because an
 // operator repaired or deleted it, the leader steps down and the next one loads all records.
 func (l *leadership) tickQuarantine() {
 	q := &l.quarantine
-	if q.groups && l.n.now > l.since+l.leaseOver() {
-		q.groups, l.totalsValid, l.dirty = false, false, true
+	if l.unnamedUntil != never && l.n.now > l.unnamedUntil {
+		l.unnamedUntil, l.totalsValid, l.dirty = never, false, true
 	}
 	if len(q.records) == 0 || l.n.now < q.checkAt || l.n.elect.stateLost() {
 		return
@@ -152,10 +145,10 @@
 	delete(l.jobs, id)
 	delete(l.runnable, id)
 	l.ended(id, final, false)
-	for _, o := range j.cancel {
+	for _, o := range l.cancelWaiters[id] {
 		l.n.reply(o, 200, 0, finalState(id, final))
 	}
-	j.cancel = nil
+	delete(l.cancelWaiters, id)
 }
 
 var errOpenAndOver = errors.New("is of a job that is over")
--- a/internal/coordination/recovering.go
+++ b/internal/coordination/recovering.go
@@ -15,7 +15,7 @@
 // recoverySettings are the intervals and limits of a recovery, from the node's settings.
 func (n *Node) recoverySettings() recovery.Settings {
 	return recovery.Settings{
-		Report: n.report(), Lease: n.leaseOver(),
+		Report: n.report(), Lease: leaseOver(n.lease()),
 		Limits: recovery.Limits{Refill: n.set.RecoveryRefill, Replace: n.set.RecoveryReplace},
 	}
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -392,29 +392,6 @@
 	}
 }
 
-// touchImage marks an image as the most recently used of the machine and evicts the least recently
-// used ones beyond the cache size.
-func (m *machine) touch(name string, gb float64) {
-	m.images = slices.DeleteFunc(m.images, func(i image) bool { return i.name == name })
-	m.images = append(m.images, image{name, gb})
-	if m.kind == nil {
-		return
-	}
-	total := 0.0
-	for i := len(m.images) - 1; i >= 0; i-- {
-		total += m.images[i].gb
-		if total > m.kind.CacheGB {
-			m.images = slices.Clone(m.images[i+1:])
-			return
-		}
-	}
-}
-
-// hasImage reports whether the machine has cached an image. Every machine has the empty image.
-func (m *machine) hasImage(name string) bool {
-	return name == "" || slices.ContainsFunc(m.images, func(i image) bool { return i.name == name })
-}
-
 // handleTaskExit processes a task that has ended, and reports whether the worker may forget it. A
 // result may be forgotten only once it is durable, as the worker has the only copy.
 func (l *leadership) exited(m *machine, j *job, index int, r *run, t protocol.TaskReport) bool {
@@ -443,7 +420,7 @@
 			l.stopRun(x, 0)
 		}
 		l.setDone(j, index)
-		return l.durable(j, index)
+		return j.durable(index)
 	}
 	if !mine {
 		return true
--- a/internal/coordination/reservation.go
+++ b/internal/coordination/reservation.go
@@ -24,23 +24,17 @@
 // reservedMachineDivisor limits reservations to one in this many schedulable machines.
 const reservedShare = 2
 
-// reservation is the reserved machine of one job.
-type reservation struct {
-	machine *machine // nil: none
-	triedAt Instant  // when a machine was last searched
-}
-
 // renewReservations updates the reservations after a full pass. It releases those no longer
 // needed and adds at most one, because the search for a machine examines all attempts.
-func (l *leadership) renewReservations() {
+func (s *scheduler) renewReservations() {
 	wanted := map[*job]bool{}
-	for _, r := range l.order {
+	for _, r := range s.order {
 		if r.mayReserve && r.j.pending > 0 && r.j.waits == waitRoom && len(r.j.failedOn) == 0 {
 			wanted[r.j] = true
 		}
 	}
 	machines, reserved := 0, 0
-	for _, m := range l.held() {
+	for _, m := range s.held() {
 		if m.ready() {
 			machines++
 		}
@@ -48,45 +42,38 @@
 			continue
 		}
 		if !wanted[m.reservedFor] || !m.ready() || m.emptying {
-			l.unreserve(m.reservedFor)
+			s.unreserve(m.reservedFor)
 			continue
 		}
 		reserved++
 	}
-	for _, r := range l.order {
+	for _, r := range s.order {
 		if reserved >= max(1, machines/reservedShare) {
 			return
 		}
 		j := r.j
-		if !wanted[j] || j.reservation.machine != nil || l.n.now < j.reservation.triedAt+l.n.report() {
+		if !wanted[j] || j.reservation.machine != nil || s.clock.Now() < j.reservation.triedAt+s.report() {
 			continue
 		}
-		j.reservation.triedAt = l.n.now
-		if m := l.soonestRoom(j); m != nil {
+		j.reservation.triedAt = s.clock.Now()
+		if m := s.soonestRoom(j); m != nil {
 			j.reservation.machine, m.reservedFor = m, j
-			l.n.log.Debug("resource reservation made", "machine", m.name, "job", j.spec.UID, "age", l.n.now-j.from)
+			s.log.Debug("resource reservation made", "machine", m.name, "job", j.spec.UID, "age", s.clock.Now()-j.from)
 		}
 		return
 	}
 }
 
-// releaseReservation releases a job's reservation, if it has one.
-func (l *leadership) unreserve(j *job) {
-	if m := j.reservation.machine; m != nil {
-		m.reservedFor, j.reservation.machine = nil, nil
-	}
-}
-
 // machineWithEarliestRoom returns the machine that should be the first to have room for a task of
 // the job and its image, or nil if none is feasible.
-func (l *leadership) soonestRoom(j *job) *machine {
+func (s *scheduler) soonestRoom(j *job) *machine {
 	var best *machine
 	var soonest time.Duration
-	for _, m := range l.held() {
+	for _, m := range s.held() {
 		if !m.ready() || m.emptying || m.reservedFor != nil || !allowed(&j.spec, m) {
 			continue
 		}
-		wait := l.timeToRoom(m, &j.spec)
+		wait := s.timeToRoom(m, &j.spec)
 		if !m.hasImage(j.spec.Image) {
 			wait += config.Seconds(j.spec.ImageGB / m.kind.PullGBPerS)
 		}
@@ -99,46 +86,26 @@
 
 // timeToFreeCapacity returns the expected time until enough attempts on a machine have ended for
 // a task of the job.
-func (l *leadership) timeToRoom(m *machine, spec *protocol.Job) time.Duration {
+func (s *scheduler) timeToRoom(m *machine, spec *protocol.Job) time.Duration {
 	free := m.free()
 	runs := slices.Clone(m.list)
-	slices.SortStableFunc(runs, func(a, b *run) int { return cmp.Compare(l.remaining(a), l.remaining(b)) })
+	slices.SortStableFunc(runs, func(a, b *run) int { return cmp.Compare(s.remaining(a), s.remaining(b)) })
 	var wait time.Duration
 	for _, r := range runs {
 		if free.holds(spec) {
 			break
 		}
 		free.add(&r.job.spec)
-		wait = l.remaining(r)
+		wait = s.remaining(r)
 	}
 	return wait
 }
 
-// capacity is an amount of the resources of a machine.
-type capacity struct{ cores, ram, accelerators float64 }
-
-// add adds the resources of one task of a job.
-func (c *capacity) add(spec *protocol.Job) {
-	c.cores += spec.Cores
-	c.ram += spec.RAM
-	c.accelerators += spec.Accelerators
-}
-
-// fits reports whether one task of a job fits.
-func (c capacity) holds(spec *protocol.Job) bool {
-	return spec.Cores <= c.cores+slack && spec.RAM <= c.ram+slack && spec.Accelerators <= c.accelerators+slack
-}
-
-// freeCapacity returns the machine's resources that no attempt uses.
-func (m *machine) free() capacity {
-	return capacity{m.kind.Cores - m.cores, m.kind.RAM - m.ram, m.kind.Accelerators - m.accelerators}
-}
-
 // fitsBesideReservation reports whether a task of the job fits on a machine now, in addition to
 // the task for which the machine is reserved. Work within a guarantee does not wait for other
 // teams, so a reservation holds against it only if the reserved job would otherwise start too
 // late.
-func (l *leadership) mayPlace(j *job, m *machine) bool {
+func (s *scheduler) mayPlace(j *job, m *machine) bool {
 	free := m.free()
 	if !free.holds(&j.spec) {
 		return false
@@ -147,7 +114,7 @@
 	if other == nil || other == j {
 		return true
 	}
-	if l.guaranteedJobs[j] && (other.begun() || l.n.now < other.from+firmAfter) {
+	if s.guaranteedJobs[j] && (other.begun() || s.clock.Now() < other.from+firmAfter) {
 		return true
 	}
 	free.cores -= other.spec.Cores
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -3,10 +3,11 @@
 import (
 	"cmp"
 	"fmt"
-	"hitchdoor/internal/reachability"
 	"slices"
 	"strings"
 	"time"
+
+	"hitchdoor/internal/reachability"
 )
 
 // onHealth answers the health check of the load balancer. A node is unhealthy while it is
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -35,7 +35,7 @@
 // isSchedulable reports whether the job's team exists and may use enough resources for one task,
 // and whether a task of the job fits some machine type.
 func (n *Node) canRun(j *protocol.Job) bool {
-	team := n.team(j.Team)
+	team := n.cfg.Cluster.Team(j.Team)
 	if team == nil {
 		return false
 	}
