--- a/cmd/hitchdoor/commands_test.go
+++ b/cmd/hitchdoor/commands_test.go
@@ -36,7 +36,7 @@
 // The subcommands and flags are those of commit 5adb309. The flag -update writes the golden file
 // anew; that is a change for operators and needs a reason of its own.
 func TestCommandsAndFlags(t *testing.T) {
-	lines := flagsOf(t, root())
+	lines := flagsOf(t, newRootCommand())
 	slices.Sort(lines)
 	got := strings.Join(lines, "\n") + "\n"
 	path := filepath.Join("testdata", "commands.txt")
--- a/cmd/hitchdoor/main.go
+++ b/cmd/hitchdoor/main.go
@@ -22,52 +22,52 @@
 var version = ""
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "hitchdoor:", err)
 		os.Exit(1)
 	}
 }
 
 // newRootCommand returns the command that runs a controller, with all subcommands.
-func root() *cobra.Command {
-	var platform, operators string
-	load := func() (*config.Platform, config.Settings, error) {
-		if platform == "" {
+func newRootCommand() *cobra.Command {
+	var platformPath, settingsPath string
+	loadSettings := func() (*config.Platform, config.Settings, error) {
+		if platformPath == "" {
 			return nil, config.Settings{}, fmt.Errorf("--config: missing: name the platform's settings file")
 		}
-		p, err := config.Load(platform)
+		platform, err := config.LoadPlatform(platformPath)
 		if err != nil {
 			return nil, config.Settings{}, err
 		}
-		s, err := config.LoadSettings(operators)
-		return p, s, err
+		settings, err := config.LoadSettings(settingsPath)
+		return platform, settings, err
 	}
-	cmd := &cobra.Command{
+	rootCommand := &cobra.Command{
 		Use:           "hitchdoor --config FILE [--settings FILE]",
 		Short:         "A cluster scheduler that survives the loss of its own controllers",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
-			p, s, err := load()
+			platform, settings, err := loadSettings()
 			if err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			return daemon.Run(ctx, p, s, buildVersion(), logger())
+			return daemon.Run(ctx, platform, settings, buildVersion(), newLogger())
 		},
 	}
-	cmd.PersistentFlags().StringVar(&platform, "config", "", "the platform's settings file (TOML)")
-	cmd.PersistentFlags().StringVar(&operators, "settings", "", "the operators' own settings (YAML)")
-	cmd.AddCommand(&cobra.Command{
+	rootCommand.PersistentFlags().StringVar(&platformPath, "config", "", "the platform's settings file (TOML)")
+	rootCommand.PersistentFlags().StringVar(&settingsPath, "settings", "", "the operators' own settings (YAML)")
+	rootCommand.AddCommand(&cobra.Command{
 		Use:   "check",
 		Short: "Check the settings files and exit",
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			p, _, err := load()
+		RunE: func(command *cobra.Command, _ []string) error {
+			platform, _, err := loadSettings()
 			if err == nil {
-				fmt.Fprintf(c.OutOrStdout(), "ok: node %s of %d\n", p.Node, p.Cluster.Count)
+				fmt.Fprintf(command.OutOrStdout(), "ok: node %s of %d\n", platform.Node, platform.Cluster.ControllerCount)
 			}
 			return err
 		},
@@ -75,11 +75,13 @@
 		Use:   "version",
 		Short: "Print the version and exit",
 		Args:  cobra.NoArgs,
-		Run:   func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "hitchdoor", buildVersion()) },
+		Run: func(command *cobra.Command, _ []string) {
+			fmt.Fprintln(command.OutOrStdout(), "hitchdoor", buildVersion())
+		},
 	})
-	cmd.AddCommand(tools()...)
-	cmd.AddCommand(emulate())
-	return cmd
+	rootCommand.AddCommand(newOperatorCommands()...)
+	rootCommand.AddCommand(newEmulateCommand())
+	return rootCommand
 }
 
 // buildVersion returns the version of a release build, or else that of the module.
@@ -94,7 +96,7 @@
 }
 
 // newLogger returns a logger to standard error with the level of the environment variable LOG_LEVEL.
-func logger() *slog.Logger {
+func newLogger() *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
 	case "error":
--- a/cmd/hitchdoor/tools.go
+++ b/cmd/hitchdoor/tools.go
@@ -10,53 +10,53 @@
 )
 
 // newOperatorCommands returns the subcommands that query all controllers and change nothing.
-func tools() []*cobra.Command {
+func newOperatorCommands() []*cobra.Command {
 	var options toolbox.Options
-	var job string
-	admission := &cobra.Command{
+	var jobID string
+	admissionCommand := &cobra.Command{
 		Use:   "admission --nodes HOST:PORT,... [--job ID]",
 		Short: "Show what is admitted under overload, and why a job was refused",
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if err := options.Check(); err != nil {
+		RunE: func(command *cobra.Command, _ []string) error {
+			if err := options.Validate(); err != nil {
 				return err
 			}
-			return toolbox.Admission(c.OutOrStdout(), options, job)
+			return toolbox.PrintAdmission(command.OutOrStdout(), options, jobID)
 		},
 	}
-	admission.Flags().StringVar(&job, "job", "", "a job to tell about")
-	trace := &cobra.Command{
+	admissionCommand.Flags().StringVar(&jobID, "job", "", "a job to tell about")
+	traceCommand := &cobra.Command{
 		Use:   "trace --nodes HOST:PORT,... JOB",
 		Short: "Show what the controllers did with a job (see trace_steps)",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			if err := options.Check(); err != nil {
+		RunE: func(command *cobra.Command, args []string) error {
+			if err := options.Validate(); err != nil {
 				return err
 			}
-			return toolbox.Trace(c.OutOrStdout(), options, args[0])
+			return toolbox.PrintTrace(command.OutOrStdout(), options, args[0])
 		},
 	}
 	// newQueryCommand returns a subcommand without arguments of its own.
-	report := func(name, short string, ask func(io.Writer, toolbox.Options) error) *cobra.Command {
+	newQueryCommand := func(name, short string, query func(io.Writer, toolbox.Options) error) *cobra.Command {
 		return &cobra.Command{
 			Use:   name + " --nodes HOST:PORT,...",
 			Short: short,
 			Args:  cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error {
-				if err := options.Check(); err != nil {
+			RunE: func(command *cobra.Command, _ []string) error {
+				if err := options.Validate(); err != nil {
 					return err
 				}
-				return ask(c.OutOrStdout(), options)
+				return query(command.OutOrStdout(), options)
 			},
 		}
 	}
-	links := report("links", "Show which controllers hear each other, and who leads by whose word", toolbox.Links)
-	recovery := report("recovery",
-		"Show how far a new leader's recovery is, and what differs from the records", toolbox.Recovery)
-	commands := []*cobra.Command{admission, trace, links, recovery}
-	for _, c := range commands {
-		c.Flags().StringSliceVar(&options.Nodes, "nodes", nil, "the client addresses of all controllers")
-		c.Flags().DurationVar(&options.Timeout, "timeout", 2*time.Second, "how long to wait for each of them")
+	linksCommand := newQueryCommand("links", "Show which controllers hear each other, and who leads by whose word", toolbox.PrintLinks)
+	recoveryCommand := newQueryCommand("recovery",
+		"Show how far a new leader's recovery is, and what differs from the records", toolbox.PrintRecovery)
+	commands := []*cobra.Command{admissionCommand, traceCommand, linksCommand, recoveryCommand}
+	for _, command := range commands {
+		command.Flags().StringSliceVar(&options.Addresses, "nodes", nil, "the client addresses of all controllers")
+		command.Flags().DurationVar(&options.Timeout, "timeout", 2*time.Second, "how long to wait for each of them")
 	}
 	return commands
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 func randomDemands(rng *rand.Rand) []Demand {
 	demands := make([]Demand, 1+rng.IntN(40))
 	for i := range demands {
-		demands[i] = Demand{Group: Group{Team: fmt.Sprint("t", rng.IntN(8)), Class: fmt.Sprint("c", i), Rank: rng.IntN(4)},
+		demands[i] = Demand{Group: Group{Team: fmt.Sprint("t", rng.IntN(8)), Class: fmt.Sprint("c", i), PriorityRank: rng.IntN(4)},
 			Jobs: math.Exp(rng.Float64() * 9), Weight: 1 + 3*rng.Float64()}
 	}
 	return demands
@@ -33,7 +33,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for round := range 2000 {
 		demands, capacity, epochs := randomDemands(rng), math.Exp(rng.Float64()*9), 1+rng.IntN(12)
-		given := Allot(capacity, demands, epochs)
+		given := AllotCapacity(capacity, demands, epochs)
 		wanted, teams, got := 0.0, map[string]float64{}, map[string]float64{}
 		for i, d := range demands {
 			wanted += d.Jobs
@@ -46,7 +46,7 @@
 		if all := sum(given); math.Abs(all-min(wanted, capacity)) > small*capacity {
 			t.Fatalf("round %d: %v given of %v, %v wanted", round, all, capacity, wanted)
 		}
-		least := leastNeeded(demands, epochs)
+		least := minimumAllotments(demands, epochs)
 		inTime := sum(least) <= capacity
 		reserved := 0.0
 		for i := range demands {
@@ -71,15 +71,15 @@
 func checkPriority(t *testing.T, demands []Demand, given []float64, capacity float64, epochs int) {
 	t.Helper()
 	floors := make([]float64, len(demands))
-	if least := leastNeeded(demands, epochs); sum(least) <= capacity {
+	if least := minimumAllotments(demands, epochs); sum(least) <= capacity {
 		copy(floors, least)
 	}
 	allotFloor((capacity-sum(floors))*floorShare, demands, floors)
 	for i, urgent := range demands {
 		for k, other := range demands {
-			if urgent.Rank < other.Rank && given[i] < urgent.Jobs-1e-6 && given[k] > floors[k]+1e-6 {
+			if urgent.PriorityRank < other.PriorityRank && given[i] < urgent.Jobs-1e-6 && given[k] > floors[k]+1e-6 {
 				t.Fatalf("rank %d has %v of %v while rank %d has %v, its floor is %v",
-					urgent.Rank, given[i], urgent.Jobs, other.Rank, given[k], floors[k])
+					urgent.PriorityRank, given[i], urgent.Jobs, other.PriorityRank, given[k], floors[k])
 			}
 		}
 	}
@@ -91,28 +91,28 @@
 	rng := rand.New(rand.NewPCG(2, 2))
 	for range 500 {
 		share := Share{Tail: rng.Uint32()}
-		step := uint64(Ring * (minStep + rng.Float64()/8))
-		share.advance(step)
+		step := uint64(Ring * (minStepShare + rng.Float64()/8))
+		share.advanceArc(step)
 		position := rng.Uint32()
-		verdict := share.judge(position)
-		if verdict.Epochs > share.EpochsToAll() {
-			t.Fatalf("turn after %d epochs, all have had theirs after %d", verdict.Epochs, share.EpochsToAll())
+		verdict := share.evaluate(position)
+		if verdict.EpochsToTurn > share.EpochsToAdmitAll() {
+			t.Fatalf("turn after %d epochs, all have had theirs after %d", verdict.EpochsToTurn, share.EpochsToAdmitAll())
 		}
-		for range verdict.Epochs {
-			if share.judge(position).Admit {
+		for range verdict.EpochsToTurn {
+			if share.evaluate(position).Admit {
 				t.Fatal("its turn comes before it was told")
 			}
-			step = min(Ring, uint64(float64(step)*(1+rng.Float64()/float64(1+verdict.Epochs))))
-			share.advance(max(step, share.step()))
-			if share.judge(position).Admit {
+			step = min(Ring, uint64(float64(step)*(1+rng.Float64()/float64(1+verdict.EpochsToTurn))))
+			share.advanceArc(max(step, share.lastStep()))
+			if share.evaluate(position).Admit {
 				break
 			}
 		}
 		for late := range 2 {
-			if !share.judge(position).Admit {
+			if !share.evaluate(position).Admit {
 				t.Fatalf("not admitted %d epochs after its turn began", late)
 			}
-			share.advance(share.step())
+			share.advanceArc(share.lastStep())
 		}
 	}
 }
@@ -120,7 +120,7 @@
 // crowd is users who submit and come back when they are told to.
 type crowd struct {
 	rng      *rand.Rand
-	control  *Control
+	control  *Planner
 	capacity int
 	epoch    int
 	waiting  []*applicant
@@ -140,7 +140,7 @@
 
 func newCrowd(seed uint64, capacity int) *crowd {
 	return &crowd{rng: rand.New(rand.NewPCG(seed, 3)), capacity: capacity, patience: 17,
-		control: NewControl(Settings{LengthMS: 3500, EpochsToTurn: 11, MaxShares: 64}, nil),
+		control: NewPlanner(Settings{EpochLengthMS: 3500, MaxEpochsToTurn: 11, MaxShares: 64}, nil),
 		longest: map[Group]int{}, accepted: map[Group]int{}, gaveUp: map[Group]int{}}
 }
 
@@ -166,7 +166,7 @@
 			load = &Load{Group: a.group, Weight: 1}
 			loads[a.group] = load
 		}
-		verdict := c.control.Policy().Judge(a.group, a.id)
+		verdict := c.control.Policy().Evaluate(a.group, a.id)
 		switch {
 		case verdict.Admit && room > 0:
 			room--
@@ -176,10 +176,10 @@
 			continue
 		case verdict.Admit:
 			a.next = c.epoch + 1
-			load.TurnedAway++
+			load.RejectedForCapacity++
 		default:
-			a.next = c.epoch + verdict.Epochs + c.rng.IntN(2) // in time, or late by one
-			load.Refused++
+			a.next = c.epoch + verdict.EpochsToTurn + c.rng.IntN(2) // in time, or late by one
+			load.RejectedByPolicy++
 		}
 		if c.epoch-a.since >= c.patience {
 			c.gaveUp[a.group]++
@@ -194,7 +194,7 @@
 		list = append(list, *l)
 	}
 	was := c.control.Policy() != nil
-	c.control.Next(list, Capacity{Jobs: float64(c.capacity)}, uint64(c.epoch+1))
+	c.control.NextPolicy(list, Capacity{Jobs: float64(c.capacity)}, uint64(c.epoch+1))
 	if is := c.control.Policy() != nil; is != was {
 		c.switches++
 	}
@@ -313,17 +313,17 @@
 			c.submit(Group{fmt.Sprint("t", team), "c", 2}, 10*(team+1))
 		}
 		c.pass()
-		if p := c.control.Policy(); p != nil && (len(p.Shares) > 3 || p.Check() != nil) {
-			t.Fatalf("%+v: %v", p, p.Check())
+		if p := c.control.Policy(); p != nil && (len(p.Shares) > 3 || p.Validate() != nil) {
+			t.Fatalf("%+v: %v", p, p.Validate())
 		}
 	}
 	last := *c.control.Policy()
-	next := NewControl(c.control.settings, &last).Next(nil, Capacity{Jobs: 50}, 1)
+	next := NewPlanner(c.control.settings, &last).NextPolicy(nil, Capacity{Jobs: 50}, 1)
 	if next == nil || next.Epoch != last.Epoch+1 {
 		t.Fatalf("after %+v: %+v", last, next)
 	}
 	for _, s := range last.Shares {
-		if now := next.share(s.Group); now.Group == s.Group && now.Tail-s.Tail > uint32(s.Open()) {
+		if now := next.shareOf(s.Group); now.Group == s.Group && now.Tail-s.Tail > uint32(s.OpenPositions()) {
 			t.Errorf("%s begins at %d after %d", s.Team, now.Tail, s.Tail)
 		}
 	}
@@ -331,21 +331,21 @@
 
 // What can't be a policy is told from one.
 func TestCheckRefusesImpossiblePolicies(t *testing.T) {
-	good := Policy{Epoch: 1, LengthMS: 1, Rest: Everybody(Group{})}
-	if good.Check() != nil {
-		t.Fatal(good.Check())
+	good := Policy{Epoch: 1, EpochLengthMS: 1, DefaultShare: FullShare(Group{})}
+	if good.Validate() != nil {
+		t.Fatal(good.Validate())
 	}
 	for name, spoil := range map[string]func(p *Policy){
 		"no epoch":    func(p *Policy) { p.Epoch = 0 },
-		"no length":   func(p *Policy) { p.LengthMS = 0 },
+		"no length":   func(p *Policy) { p.EpochLengthMS = 0 },
 		"stands":      func(p *Policy) { p.Shares = []Share{{Steps: []uint64{5, 0}}} },
-		"too long":    func(p *Policy) { p.Rest.Steps = []uint64{1, 1, 1, 1} },
-		"no number":   func(p *Policy) { p.Rest.Demand = math.NaN() },
-		"no rest":     func(p *Policy) { p.Rest = Share{} },
-		"huge stride": func(p *Policy) { p.Rest.Steps = []uint64{Ring + 1} },
+		"too long":    func(p *Policy) { p.DefaultShare.Steps = []uint64{1, 1, 1, 1} },
+		"no number":   func(p *Policy) { p.DefaultShare.Demand = math.NaN() },
+		"no rest":     func(p *Policy) { p.DefaultShare = Share{} },
+		"huge stride": func(p *Policy) { p.DefaultShare.Steps = []uint64{Ring + 1} },
 	} {
 		p := good
-		if spoil(&p); p.Check() == nil {
+		if spoil(&p); p.Validate() == nil {
 			t.Errorf("%s: passes", name)
 		}
 	}
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -28,9 +28,9 @@
 
 // Group is a group of jobs that may have a share of its own.
 type Group struct {
-	Team  string `json:"team"`
-	Class string `json:"class"`
-	Rank  int    `json:"rank"` // of their priority; smaller is more urgent
+	Team         string `json:"team"`
+	Class        string `json:"class"`
+	PriorityRank int    `json:"rank"` // of their priority; smaller is more urgent
 }
 
 // Share is the part of a group that a policy admits: an arc of the ring that begins at Tail and
@@ -43,12 +43,12 @@
 }
 
 // FullShare is the share of a group that is admitted as a whole.
-func Everybody(group Group) Share { return Share{Group: group, Steps: []uint64{Ring}} }
+func FullShare(group Group) Share { return Share{Group: group, Steps: []uint64{Ring}} }
 
 // OpenPositions is the number of positions that are admitted.
-func (s *Share) Open() uint64 {
+func (share *Share) OpenPositions() uint64 {
 	open := uint64(0)
-	for _, step := range s.Steps {
+	for _, step := range share.Steps {
 		open += step
 	}
 	return min(open, Ring)
@@ -56,7 +56,7 @@
 
 // lastStep is by how much the end of the arc advanced in the last epoch, and will again if nothing
 // changes.
-func (s *Share) step() uint64 {
+func (s *Share) lastStep() uint64 {
 	if len(s.Steps) == 0 {
 		return 0
 	}
@@ -65,58 +65,58 @@
 
 // Policy determines which submissions every controller admits during an epoch.
 type Policy struct {
-	Epoch    uint64  `json:"epoch"`
-	LengthMS int64   `json:"lengthMs"` // of an epoch
-	Shares   []Share `json:"shares"`
-	Rest     Share   `json:"rest"` // of all groups that Shares does not name
+	Epoch         uint64  `json:"epoch"`
+	EpochLengthMS int64   `json:"lengthMs"` // of an epoch
+	Shares        []Share `json:"shares"`
+	DefaultShare  Share   `json:"rest"` // of all groups that Shares does not name
 }
 
 // Verdict is the decision of a policy about a submission.
 type Verdict struct {
 	Admit bool
 	// EpochsToTurn is the number of epochs until the job will be admitted, if it is not yet.
-	Epochs int
+	EpochsToTurn int
 }
 
 // Evaluate decides about a submission. A nil Policy admits every job.
-func (p *Policy) Judge(group Group, jobID string) Verdict {
+func (p *Policy) Evaluate(group Group, jobID string) Verdict {
 	if p == nil {
 		return Verdict{Admit: true}
 	}
-	return p.share(group).judge(Position(jobID))
+	return p.shareOf(group).evaluate(Position(jobID))
 }
 
 // shareOf is the share of a group.
-func (p *Policy) share(group Group) *Share {
+func (p *Policy) shareOf(group Group) *Share {
 	for i := range p.Shares {
 		if p.Shares[i].Group == group {
 			return &p.Shares[i]
 		}
 	}
-	return &p.Rest
+	return &p.DefaultShare
 }
 
 // evaluate decides about the job at a position.
-func (s *Share) judge(position uint32) Verdict {
-	from := uint64(position - s.Tail) // modulo the ring
-	open := s.Open()
-	if from < open {
+func (s *Share) evaluate(position uint32) Verdict {
+	offset := uint64(position - s.Tail) // modulo the ring
+	open := s.OpenPositions()
+	if offset < open {
 		return Verdict{Admit: true}
 	}
-	return Verdict{Epochs: 1 + int((from-open)/s.step())}
+	return Verdict{EpochsToTurn: 1 + int((offset-open)/s.lastStep())}
 }
 
 // EpochsToAdmitAll is the number of epochs after which every job of the share has been admitted once.
-func (s *Share) EpochsToAll() int {
-	open := s.Open()
+func (s *Share) EpochsToAdmitAll() int {
+	open := s.OpenPositions()
 	if open >= Ring {
 		return 0
 	}
-	return int((Ring - open + s.step() - 1) / s.step())
+	return int((Ring - open + s.lastStep() - 1) / s.lastStep())
 }
 
 // advanceArc advances the arc by one epoch, with a new step.
-func (s *Share) advance(step uint64) {
+func (s *Share) advanceArc(step uint64) {
 	steps := s.Steps
 	if len(steps) > graceEpochs {
 		s.Tail += uint32(steps[0])
@@ -132,14 +132,14 @@
 func (e *InvalidPolicyError) Error() string { return "admission policy: " + e.Reason }
 
 // Validate returns an InvalidPolicyError if a stored policy can't be used.
-func (p *Policy) Check() error {
-	if p.Epoch == 0 || p.LengthMS <= 0 {
+func (p *Policy) Validate() error {
+	if p.Epoch == 0 || p.EpochLengthMS <= 0 {
 		return &InvalidPolicyError{"epoch or its length missing"}
 	}
-	for _, s := range append([]Share{p.Rest}, p.Shares...) {
-		impossible := slices.ContainsFunc(s.Steps, func(step uint64) bool { return step == 0 || step > Ring })
-		if impossible || len(s.Steps) == 0 || len(s.Steps) > graceEpochs+1 || !(s.Demand >= 0) {
-			return &InvalidPolicyError{fmt.Sprintf("invalid share of team %q, class %q", s.Team, s.Class)}
+	for _, share := range append([]Share{p.DefaultShare}, p.Shares...) {
+		invalidStep := slices.ContainsFunc(share.Steps, func(step uint64) bool { return step == 0 || step > Ring })
+		if invalidStep || len(share.Steps) == 0 || len(share.Steps) > graceEpochs+1 || !(share.Demand >= 0) {
+			return &InvalidPolicyError{fmt.Sprintf("invalid share of team %q, class %q", share.Team, share.Class)}
 		}
 	}
 	return nil
--- a/internal/admission/shares.go
+++ b/internal/admission/shares.go
@@ -22,67 +22,67 @@
 // evenly among teams and among the groups of each; then the rest by priority, and among equal
 // priorities by weight. No group gets more than its demand. The result is in the order of the
 // demands.
-func Allot(capacity float64, demands []Demand, epochsToTurn int) []float64 {
-	given := make([]float64, len(demands))
-	if least := leastNeeded(demands, epochsToTurn); sum(least) <= capacity {
-		copy(given, least)
+func AllotCapacity(capacity float64, demands []Demand, epochsToTurn int) []float64 {
+	allotted := make([]float64, len(demands))
+	if minimum := minimumAllotments(demands, epochsToTurn); sum(minimum) <= capacity {
+		copy(allotted, minimum)
 	}
-	floor := (capacity - sum(given)) * floorShare
-	allotFloor(floor, demands, given)
-	allotByRank(capacity-sum(given), demands, given)
-	return given
+	floor := (capacity - sum(allotted)) * floorShare
+	allotFloor(floor, demands, allotted)
+	allotByRank(capacity-sum(allotted), demands, allotted)
+	return allotted
 }
 
 // minimumAllotments is, for each group, the number of jobs per epoch by which all of it is admitted
 // within epochsToTurn epochs.
-func leastNeeded(demands []Demand, epochsToTurn int) []float64 {
-	least := make([]float64, len(demands))
-	for i, d := range demands {
-		least[i] = d.Jobs / float64(max(1, epochsToTurn))
+func minimumAllotments(demands []Demand, epochsToTurn int) []float64 {
+	minimum := make([]float64, len(demands))
+	for i, demand := range demands {
+		minimum[i] = demand.Jobs / float64(max(1, epochsToTurn))
 	}
-	return least
+	return minimum
 }
 
 // allotFloor adds an even portion of the amount for each team and group to the allotments.
-func allotFloor(amount float64, demands []Demand, given []float64) {
+func allotFloor(amount float64, demands []Demand, allotted []float64) {
 	members := map[string][]int{}
-	for i, d := range demands {
-		members[d.Team] = append(members[d.Team], i)
+	for i, demand := range demands {
+		members[demand.Team] = append(members[demand.Team], i)
 	}
 	teams := slices.Sorted(maps.Keys(members))
-	wanted := make([]claim, len(teams))
-	for t, team := range teams {
-		wanted[t].weight = 1
+	claims := make([]claim, len(teams))
+	for teamIndex, team := range teams {
+		claims[teamIndex].weight = 1
 		for _, i := range members[team] {
-			wanted[t].demand += demands[i].Jobs - given[i]
+			claims[teamIndex].demand += demands[i].Jobs - allotted[i]
 		}
 	}
-	for t, part := range divide(amount, wanted) {
-		allotTo(part, members[teams[t]], demands, given, func(Demand) float64 { return 1 })
+	for teamIndex, portion := range divideMaxMin(amount, claims) {
+		allotToMembers(portion, members[teams[teamIndex]], demands, allotted, func(Demand) float64 { return 1 })
 	}
 }
 
 // allotByRank adds portions of the amount to the allotments by priority, most urgent first.
-func allotByRank(amount float64, demands []Demand, given []float64) {
+func allotByRank(amount float64, demands []Demand, allotted []float64) {
 	byRank := map[int][]int{}
-	for i, d := range demands {
-		byRank[d.Rank] = append(byRank[d.Rank], i)
+	for i, demand := range demands {
+		byRank[demand.PriorityRank] = append(byRank[demand.PriorityRank], i)
 	}
 	for _, rank := range slices.Sorted(maps.Keys(byRank)) {
-		before := sum(given)
-		allotTo(amount, byRank[rank], demands, given, func(d Demand) float64 { return d.Weight })
-		amount -= sum(given) - before
+		before := sum(allotted)
+		allotToMembers(amount, byRank[rank], demands, allotted, func(demand Demand) float64 { return demand.Weight })
+		amount -= sum(allotted) - before
 	}
 }
 
 // allotToMembers divides an amount among some of the groups.
-func allotTo(amount float64, members []int, demands []Demand, given []float64, weight func(Demand) float64) {
+func allotToMembers(amount float64, members []int, demands []Demand, allotted []float64, weight func(Demand) float64) {
 	claims := make([]claim, len(members))
 	for k, i := range members {
-		claims[k] = claim{demand: demands[i].Jobs - given[i], weight: weight(demands[i])}
+		claims[k] = claim{demand: demands[i].Jobs - allotted[i], weight: weight(demands[i])}
 	}
-	for k, part := range divide(amount, claims) {
-		given[members[k]] += part
+	for k, portion := range divideMaxMin(amount, claims) {
+		allotted[members[k]] += portion
 	}
 }
 
@@ -91,31 +91,31 @@
 
 // divideMaxMin divides an amount by weighted max-min fairness: no claim gets more than its demand,
 // and one that gets less gets no less, relative to its weight, than any other claim.
-func divide(amount float64, claims []claim) []float64 {
-	parts := make([]float64, len(claims))
+func divideMaxMin(amount float64, claims []claim) []float64 {
+	portions := make([]float64, len(claims))
 	order := make([]int, len(claims))
-	weights := 0.0
-	for i, c := range claims {
+	remainingWeight := 0.0
+	for i, claim := range claims {
 		order[i] = i
-		weights += c.weight
+		remainingWeight += claim.weight
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Compare(claims[a].demand/claims[a].weight, claims[b].demand/claims[b].weight)
 	})
 	for _, i := range order {
-		c := claims[i]
-		parts[i] = max(0, min(c.demand, amount*c.weight/weights))
-		amount -= parts[i]
-		weights -= c.weight
+		claim := claims[i]
+		portions[i] = max(0, min(claim.demand, amount*claim.weight/remainingWeight))
+		amount -= portions[i]
+		remainingWeight -= claim.weight
 	}
-	return parts
+	return portions
 }
 
 // sum adds up the values.
 func sum(values []float64) float64 {
-	all := 0.0
+	total := 0.0
 	for _, v := range values {
-		all += v
+		total += v
 	}
-	return all
+	return total
 }
--- a/internal/compatibility/records_test.go
+++ b/internal/compatibility/records_test.go
@@ -17,32 +17,32 @@
 	checkGolden(t, "keys.txt", []line{
 		{"term", storage.TermKey},
 		{"leader", storage.LeaderKey},
-		{"flow", storage.FlowKey},
+		{"flow", storage.ArrivalForecastKey},
 		{"catalog", storage.CatalogKey},
-		{"policy", storage.PolicyKey},
+		{"policy", storage.AdmissionPolicyKey},
 		{"open job", storage.JobKey("j-1")},
 		{"open jobs", storage.JobPrefix},
-		{"ended job", storage.FinalKey("j-1")},
-		{"ended jobs", storage.FinalPrefix},
-		{"group 0", storage.GroupKey(0)},
-		{"group 12", storage.GroupKey(12)},
-		{"group 1234", storage.GroupKey(1234)},
-		{"groups", storage.GroupPrefix},
-		{"machine of earlier versions", storage.MachinePrefix + "m-000001"},
-		{"rental", storage.RentPrefix + "r-4-17"},
+		{"ended job", storage.TerminalKey("j-1")},
+		{"ended jobs", storage.TerminalPrefix},
+		{"group 0", storage.MachineGroupKey(0)},
+		{"group 12", storage.MachineGroupKey(12)},
+		{"group 1234", storage.MachineGroupKey(1234)},
+		{"groups", storage.MachineGroupPrefix},
+		{"machine of earlier versions", storage.SingleMachinePrefix + "m-000001"},
+		{"rental", storage.RentalPrefix + "r-4-17"},
 		{"vote", storage.VotePrefix + "n1"},
 		{"version", storage.VersionPrefix + "n1"},
-		{"needs 0", storage.NeedsKey("j-1", 0)},
-		{"needs 12", storage.NeedsKey("j-1", 12)},
-		{"all needs", storage.NeedsPrefix},
-		{"bits by number", storage.BitsKey("j-1", 0)},
-		{"bits by number, 12", storage.BitsKey("j-1", 12)},
-		{"bits by first task", storage.BitsFromKey("j-1", 0)},
-		{"bits by first task, 4096", storage.BitsFromKey("j-1", 4096)},
-		{"all bits", storage.BitsPrefix},
+		{"needs 0", storage.DependenciesKey("j-1", 0)},
+		{"needs 12", storage.DependenciesKey("j-1", 12)},
+		{"all needs", storage.DependenciesPrefix},
+		{"bits by number", storage.BitmapKey("j-1", 0)},
+		{"bits by number, 12", storage.BitmapKey("j-1", 12)},
+		{"bits by first task", storage.BitmapKeyFromTask("j-1", 0)},
+		{"bits by first task, 4096", storage.BitmapKeyFromTask("j-1", 4096)},
+		{"all bits", storage.BitmapPrefix},
 		{"list", storage.ListPath("job/", "", 500)},
 		{"list from a key", storage.ListPath("job/", "job/j-1", 500)},
-		{"follow", storage.FollowPath("job/", 431, 10000)},
+		{"follow", storage.WatchPath("job/", 431, 10000)},
 	})
 }
 
@@ -50,20 +50,20 @@
 func TestKeysRead(t *testing.T) {
 	var got []line
 	for _, key := range []string{"job/j-1", "needs/j-1/003", "final/j-1", "leader", "jobs/j-1"} {
-		got = append(got, line{key, "job " + storage.JobOf(key)})
+		got = append(got, line{key, "job " + storage.JobIDOfKey(key)})
 	}
 	for _, key := range []string{"needs/j-1/000", "needs/j-1/012"} {
-		got = append(got, line{key, "needs of " + storage.NeedsOf(key)})
+		got = append(got, line{key, "needs of " + storage.JobIDOfDependenciesKey(key)})
 	}
 	for _, key := range []string{"machines/000", "machines/012", "machines/1234"} {
-		got = append(got, line{key, fmt.Sprintf("group %d", storage.GroupNumber(key))})
+		got = append(got, line{key, fmt.Sprintf("group %d", storage.MachineGroupNumber(key))})
 	}
 	for _, key := range []string{"bits/j-1/000", "bits/j-1/002", "bits/j-1/from-000000", "bits/j-1/from-004096", "bits/j-1/from-x", "bits/j-1/-01", "bits/j-1"} {
-		id, from, ok := storage.ParseBitsKey(key, 4000)
+		id, from, ok := storage.ParseBitmapKey(key, 4000)
 		got = append(got, line{key, fmt.Sprintf("job %q from task %d, %v", id, from, ok)})
 	}
 	for _, limit := range []int{1, 1000, 8 << 10, 32 << 10} {
-		got = append(got, line{fmt.Sprintf("values of %d bytes", limit), fmt.Sprintf("parts of %d tasks, groups of %d bytes", storage.PartTasks(limit), storage.GroupBytes(limit))})
+		got = append(got, line{fmt.Sprintf("values of %d bytes", limit), fmt.Sprintf("parts of %d tasks, groups of %d bytes", storage.TasksPerBitmapPart(limit), storage.MaxMachineGroupBytes(limit))})
 	}
 	checkGolden(t, "keys_read.txt", got)
 }
@@ -83,14 +83,14 @@
 }
 
 // bits reads a part of a bitmap and encodes it again.
-func bits(it storage.Item) (storage.BitsRecord, error) {
-	raw, err := storage.ReadBits(it)
-	return storage.EncodeBits(raw), err
+func bits(it storage.Item) (storage.BitmapRecord, error) {
+	raw, err := storage.ReadBitmap(it)
+	return storage.EncodeBitmap(raw), err
 }
 
 // group reads a group of machines that are all readable.
-func group(it storage.Item) (storage.GroupRecord, error) {
-	rec, unreadable, err := storage.ReadGroup(it)
+func group(it storage.Item) (storage.MachineGroupRecord, error) {
+	rec, unreadable, err := storage.ReadMachineGroup(it)
 	if err == nil && len(unreadable) > 0 {
 		err = fmt.Errorf("unreadable: %v", unreadable)
 	}
@@ -98,10 +98,10 @@
 }
 
 func TestRecords(t *testing.T) {
-	machine := storage.MachineRecord{Type: "t1", Zone: "a", Spot: true, AtMS: 1_000_000_000_123, Used: true}
-	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", Rank: 1}, Tail: 5, Steps: []uint64{6, 7}, Demand: 8.5}
+	machine := storage.MachineRecord{Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000_123, Used: true}
+	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Tail: 5, Steps: []uint64{6, 7}, Demand: 8.5}
 	least := leastJob()
-	least.UID = "j-77"
+	least.ID = "j-77"
 	checkMessages(t, "records.txt", []message{
 		full("term", storage.Term{Term: 9, Node: "n1"}),
 		part("term/level 0", storage.Term{Term: 9}),
@@ -109,22 +109,22 @@
 		full("vote", storage.VoteRecord{Term: 9}),
 		full("version", storage.VersionRecord{Level: 1, Build: "v1"}),
 		part("version/no build", storage.VersionRecord{Level: 1}),
-		record("job", storage.JobKey("j-77"), storage.JobRecord{Spec: fullJob(), AtMS: 1_000_000_000_123, More: 2}, storage.ReadJob),
-		level0("job/level 0", storage.JobKey("j-77"), storage.JobRecord{Spec: least, AtMS: 5}, storage.ReadJob),
-		record("final", storage.FinalKey("j-77"), storage.FinalRecord{State: protocol.Done, Tasks: 5, Done: 4, AtMS: 1_000_000_000_123}, storage.ReadFinal),
-		level0("final/level 0", storage.FinalKey("j-77"), storage.FinalRecord{State: protocol.Withdrawn, Tasks: 5}, storage.ReadFinal),
-		record("needs", storage.NeedsKey("j-77", 0), []string{"j-78", "j-79"}, storage.ReadNeeds),
-		record("bits", storage.BitsFromKey("j-77", 0), storage.EncodeBits([]byte{1, 0, 255, 16}), bits),
-		record("bits/by number", storage.BitsKey("j-77", 0), storage.EncodeBits([]byte{7}), bits),
-		record("rental", storage.RentPrefix+"r-4-17", protocol.Rental{Request: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}, storage.ReadRental),
+		record("job", storage.JobKey("j-77"), storage.JobRecord{Spec: fullJob(), AcceptedAtMillis: 1_000_000_000_123, DependencyRecords: 2}, storage.ReadJob),
+		level0("job/level 0", storage.JobKey("j-77"), storage.JobRecord{Spec: least, AcceptedAtMillis: 5}, storage.ReadJob),
+		record("final", storage.TerminalKey("j-77"), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 5, DoneTasks: 4, EndedAtMillis: 1_000_000_000_123}, storage.ReadTerminal),
+		level0("final/level 0", storage.TerminalKey("j-77"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 5}, storage.ReadTerminal),
+		record("needs", storage.DependenciesKey("j-77", 0), []string{"j-78", "j-79"}, storage.ReadDependencies),
+		record("bits", storage.BitmapKeyFromTask("j-77", 0), storage.EncodeBitmap([]byte{1, 0, 255, 16}), bits),
+		record("bits/by number", storage.BitmapKey("j-77", 0), storage.EncodeBitmap([]byte{7}), bits),
+		record("rental", storage.RentalPrefix+"r-4-17", protocol.RentalRequest{RequestID: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}, storage.ReadRental),
 		full("machine of earlier versions", machine),
-		part("machine/ordinary, unused", storage.MachineRecord{Type: "t1", Zone: "a", AtMS: 1}),
-		record("group", storage.GroupKey(3), storage.GroupRecord{"m-000002": machine, "m-000001": {Type: "t2", Zone: "b", AtMS: 2}}, group),
-		full("flow", storage.FlowRecord{AtMS: 1, OverS: 2.5, Classes: map[string]storage.Flow{"b": {Work: 3.5, Slow: 4.5, Jobs: 5.5, DueS: 6.5}, "a": {}}}),
-		full("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, RAM: 16.5, CacheGB: 40.5,
-			PullGBPerS: 0.75, Rate: 0.375, SpotRate: 0.125, ReadyS: 45.5, Zones: []string{"a"}}}}),
-		full("policy", admission.Policy{Epoch: 3, LengthMS: 4000, Shares: []admission.Share{share}, Rest: share}),
-		part("policy/no shares", admission.Policy{Epoch: 3, LengthMS: 4000, Rest: admission.Everybody(admission.Group{})}),
+		part("machine/ordinary, unused", storage.MachineRecord{Type: "t1", Zone: "a", RentedAtMillis: 1}),
+		record("group", storage.MachineGroupKey(3), storage.MachineGroupRecord{"m-000002": machine, "m-000001": {Type: "t2", Zone: "b", RentedAtMillis: 2}}, group),
+		full("flow", storage.ArrivalForecastRecord{RecordedAtMillis: 1, WindowSeconds: 2.5, Classes: map[string]storage.ClassArrivals{"b": {RecentWork: 3.5, LongTermWork: 4.5, JobCount: 5.5, DueSeconds: 6.5}, "a": {}}}),
+		full("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, MemoryGB: 16.5, ImageCacheGB: 40.5,
+			PullGBPerSecond: 0.75, OnDemandPrice: 0.375, SpotPrice: 0.125, BootSeconds: 45.5, Zones: []string{"a"}}}}),
+		full("policy", admission.Policy{Epoch: 3, EpochLengthMS: 4000, Shares: []admission.Share{share}, DefaultShare: share}),
+		part("policy/no shares", admission.Policy{Epoch: 3, EpochLengthMS: 4000, DefaultShare: admission.FullShare(admission.Group{})}),
 	})
 }
 
@@ -148,23 +148,23 @@
 	note("job, impossible", err)
 	_, err = storage.ReadJob(item("job/j-77", whole[:len(whole)-1]+`,"more":-1}`))
 	note("job, negative count", err)
-	_, err = storage.ReadFinal(item("final/j-1", `{"state":"queued"}`))
+	_, err = storage.ReadTerminal(item("final/j-1", `{"state":"queued"}`))
 	note("final", err)
-	_, err = storage.ReadNeeds(item("needs/j-1/000", `{}`))
+	_, err = storage.ReadDependencies(item("needs/j-1/000", `{}`))
 	note("needs, no list", err)
-	_, err = storage.ReadNeeds(item("needs/j-1/000", `["x"]`))
+	_, err = storage.ReadDependencies(item("needs/j-1/000", `["x"]`))
 	note("needs, no job", err)
-	_, err = storage.ReadBits(item("bits/j-1/000", `{"b":""}`))
+	_, err = storage.ReadBitmap(item("bits/j-1/000", `{"b":""}`))
 	note("bits, empty", err)
 	_, err = storage.ReadRental(item("rent/r-1", `{"pedido":"r-2"}`))
 	note("rental, other key", err)
-	_, _, err = storage.ReadGroup(item("machines/000", `[]`))
+	_, _, err = storage.ReadMachineGroup(item("machines/000", `[]`))
 	note("group, a list", err)
 	checkGolden(t, "records_errors.txt", got)
 
-	rec, unreadable, err := storage.ReadGroup(item("machines/000", `{"m-1":{"type":"t1","zone":"a","spot":true,"at":5,"used":true,"later":1},"m-2":7,"m-3":{"zone":"a"}}`))
+	rec, unreadable, err := storage.ReadMachineGroup(item("machines/000", `{"m-1":{"type":"t1","zone":"a","spot":true,"at":5,"used":true,"later":1},"m-2":7,"m-3":{"zone":"a"}}`))
 	slices.Sort(unreadable)
-	want := storage.GroupRecord{"m-1": {Type: "t1", Zone: "a", Spot: true, AtMS: 5, Used: true}}
+	want := storage.MachineGroupRecord{"m-1": {Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 5, Used: true}}
 	if err != nil || !reflect.DeepEqual(rec, want) || !reflect.DeepEqual(unreadable, []string{"m-2", "m-3"}) {
 		t.Errorf("group read as %v, unreadable %v: %v", rec, unreadable, err)
 	}
@@ -174,12 +174,12 @@
 func TestJobOfManyNeeds(t *testing.T) {
 	job := leastJob()
 	for i := range 60 {
-		job.Needs = append(job.Needs, fmt.Sprintf("j-needed-%04d", i))
+		job.Dependencies = append(job.Dependencies, fmt.Sprintf("j-needed-%04d", i))
 	}
-	writes := storage.JobWrites(storage.JobRecord{Spec: job, AtMS: 5}, 400)
+	writes := storage.JobWrites(storage.JobRecord{Spec: job, AcceptedAtMillis: 5}, 400)
 	var got []line
 	for _, w := range writes {
-		got = append(got, line{w.Set, string(w.Value)})
+		got = append(got, line{w.PutKey, string(w.Value)})
 	}
 	checkGolden(t, "records_many_needs.txt", got)
 	var more []storage.Item
@@ -188,7 +188,7 @@
 		more = append(more, storage.Item{Key: l.name, Value: json.RawMessage(l.value)})
 	}
 	rec, err := storage.ReadJob(storage.Item{Key: lines[0].name, Value: json.RawMessage(lines[0].value)})
-	if err != nil || !rec.TakeNeeds(more) || !reflect.DeepEqual(rec, storage.JobRecord{Spec: job, AtMS: 5}) {
+	if err != nil || !rec.RestoreDependencies(more) || !reflect.DeepEqual(rec, storage.JobRecord{Spec: job, AcceptedAtMillis: 5}) {
 		t.Errorf("read as %+v: %v", rec, err)
 	}
 }
--- a/internal/compatibility/settings_test.go
+++ b/internal/compatibility/settings_test.go
@@ -41,27 +41,27 @@
 
 // Each key of the platform's file arrives in its own field.
 func TestPlatformFile(t *testing.T) {
-	got, err := config.Load(filepath.Join("testdata", "platform.toml"))
+	got, err := config.LoadPlatform(filepath.Join("testdata", "platform.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &config.Platform{Node: "n0", Location: "loc-0", ClientListen: "10.9.0.1:8001", PeerBind: "10.9.0.1:8002",
-		Known: []config.Peer{{Node: "n1", Location: "loc-1", PeerAddr: "10.9.0.2:8003"}, {Node: "n2", Location: "loc-2", PeerAddr: "10.9.0.3:8004"}}}
-	want.Outside.Cloud, want.Outside.State = "10.9.1.1:8005", "10.9.1.2:8006"
+		Peers: []config.Peer{{Node: "n1", Location: "loc-1", Address: "10.9.0.2:8003"}, {Node: "n2", Location: "loc-2", Address: "10.9.0.3:8004"}}}
+	want.Services.Cloud, want.Services.Store = "10.9.1.1:8005", "10.9.1.2:8006"
 	c := &want.Cluster
-	c.Count, c.Zones, c.TimeBoundMS = 3, []string{"zone-a", "zone-b"}, 750.5
-	c.Teams = []config.Team{{Name: "team-a", CPUs: 1.5, CPUsMax: 2.5, GPUs: 3.5, GPUsMax: 4.5}, {Name: "team-b"}}
-	c.Objectives = []config.Objective{{Kind: "finished", Class: "class-a", WithinS: 60.5, Share: 0.85}}
-	c.Workers.ReportS, c.Workers.LeaseS, c.Workers.CancelS = 3.25, 18.25, 38.25
-	c.State.RPS, c.State.WriteRPS, c.State.ValueKB, c.State.TxnOps = 250.5, 100.5, 32.5, 48
-	c.State.Next.WriteRPS, c.State.Next.ValueKB, c.State.Next.TxnOps = of(50.5), of(16.5), of(24)
-	c.Cloud.RPS, c.Cloud.ListLagS = 4.25, 10.25
-	c.Resources = config.Resources{CoreShare: 0.18, MemMB: 179.5, MaxConnections: 1200}
+	c.ControllerCount, c.Zones, c.TimeBoundMS = 3, []string{"zone-a", "zone-b"}, 750.5
+	c.Teams = []config.Team{{Name: "team-a", GuaranteedCPUs: 1.5, MaxCPUs: 2.5, GuaranteedGPUs: 3.5, MaxGPUs: 4.5}, {Name: "team-b"}}
+	c.Objectives = []config.Objective{{Kind: "finished", Class: "class-a", WithinS: 60.5, MinShare: 0.85}}
+	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS = 3.25, 18.25, 38.25
+	c.Store.RequestsPerS, c.Store.WritesPerS, c.Store.ValueKB, c.Store.TxnOps = 250.5, 100.5, 32.5, 48
+	c.Store.Upcoming.WritesPerS, c.Store.Upcoming.ValueKB, c.Store.Upcoming.TxnOps = of(50.5), of(16.5), of(24)
+	c.Cloud.RequestsPerS, c.Cloud.ListLagS = 4.25, 10.25
+	c.Resources = config.Resources{CoreShare: 0.18, MemoryMB: 179.5, MaxConnections: 1200}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, not %+v", got, want)
 	}
-	if c.State.ValueBytes() != 16896 || c.State.Ops() != 24 || c.State.LowerWriteRPS() != 50.5 {
-		t.Errorf("lower limits: %d bytes, %d changes, %v a second", c.State.ValueBytes(), c.State.Ops(), c.State.LowerWriteRPS())
+	if c.Store.MaxValueBytes() != 16896 || c.Store.MaxTxnOps() != 24 || c.Store.LowerWritesPerS() != 50.5 {
+		t.Errorf("lower limits: %d bytes, %d changes, %v a second", c.Store.MaxValueBytes(), c.Store.MaxTxnOps(), c.Store.LowerWritesPerS())
 	}
 }
 
@@ -115,7 +115,7 @@
 		change{"gpus_max = 4.5", "gpus_max = -4.5"}, change{"share = 0.85", "share = 1.5"}, change{"within_s = 60.5", "within_s = -1.0"},
 		change{"[cluster]\n", "[cluster\n"}, change{"txn_ops = 48", "txn_ops = 1.5"}, change{"value_kb = 16.5\n", ""}, change{"unknown = \"ignored\"\n", ""})
 	checkGolden(t, "platform_errors.txt", errorsOf(t, "platform.toml", changes, func(path string) error {
-		_, err := config.Load(path)
+		_, err := config.LoadPlatform(path)
 		return err
 	}))
 }
@@ -123,8 +123,8 @@
 // Each key of the operators' file arrives in its own field.
 func TestSettingsFile(t *testing.T) {
 	got, err := config.LoadSettings(filepath.Join("testdata", "settings.yaml"))
-	want := config.Settings{SlotsPerCore: 3.5, SlotsBase: 7.5, ClassShare: 0.25, BorrowWaitS: 31.5, Headroom: 0.75, IdleKeep: 0.125, PriceExponent: of(1.5),
-		LoadSteps: 2, FairAdmission: true, RecoveryFrom: 200, RecoveryRefill: 0.5, RecoveryReplace: 2.5, TraceSteps: 300, MemoryRatio: 0.625}
+	want := config.Settings{SlotsPerCore: 3.5, BaseSlots: 7.5, BatchShare: 0.25, BorrowWaitS: 31.5, Headroom: 0.75, IdleRetention: 0.125, CostSensitivity: of(1.5),
+		LoadSteps: 2, FairAdmission: true, RecoveryMinMachines: 200, RecoveryRefillLeases: 0.5, RecoveryReplaceLeases: 2.5, MaxTraceSteps: 300, MemoryLimitRatio: 0.625}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, not %+v: %v", got, want, err)
 	}
@@ -132,10 +132,10 @@
 
 // The defaults, and the files that are deployed with the repository.
 func TestDeployedSettings(t *testing.T) {
-	defaults := config.Settings{SlotsPerCore: 2, SlotsBase: 6, ClassShare: 0.5, BorrowWaitS: 30, Headroom: 0.8, IdleKeep: 0.2, LoadSteps: 1, LinkDecisions: true,
-		Recovery: true, RecoveryFrom: 100, RecoveryRefill: 0.4, RecoveryReplace: 1, MemoryRatio: 0.6}
+	defaults := config.Settings{SlotsPerCore: 2, BaseSlots: 6, BatchShare: 0.5, BorrowWaitS: 30, Headroom: 0.8, IdleRetention: 0.2, LoadSteps: 1, LinkDecisions: true,
+		PacedRecovery: true, RecoveryMinMachines: 100, RecoveryRefillLeases: 0.4, RecoveryReplaceLeases: 1, MemoryLimitRatio: 0.6}
 	fair := defaults
-	fair.FairAdmission, fair.TraceSteps = true, 2000
+	fair.FairAdmission, fair.MaxTraceSteps = true, 2000
 	want := map[string]config.Settings{"": defaults, "fair-admission.yaml": fair, "half-open.yaml": defaults, "recovery.yaml": defaults}
 	files, err := filepath.Glob("../../deploy/*.yaml")
 	if err != nil || len(files) != len(want)-1 {
--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -30,25 +30,25 @@
 
 // fullJob is a submission with a value in each field.
 func fullJob() protocol.Job {
-	return protocol.Job{UID: "j-77", Class: "class-a", Team: "team-b", Kind: "batch", Priority: "prod", Tasks: 5, Cores: 1.25,
-		Accelerators: 2.5, RAM: 3.75, Image: "image-c", ImageGB: 4.5, Types: []string{"t1", "t2"}, Zone: "zone-d", SameZone: true,
-		Spread: true, Spot: true, EstimateS: 6.5, CheckpointS: 7.5, SaveS: 8.5, DeadlineS: of(9.5), Needs: []string{"j-78", "j-79"}}
+	return protocol.Job{ID: "j-77", Class: "class-a", Team: "team-b", Kind: "batch", Priority: "prod", TaskCount: 5, Cores: 1.25,
+		Accelerators: 2.5, MemoryGB: 3.75, Image: "image-c", ImageGB: 4.5, MachineTypes: []string{"t1", "t2"}, Zone: "zone-d", SameZone: true,
+		Spread: true, SpotAllowed: true, EstimatedSeconds: 6.5, CheckpointIntervalSeconds: 7.5, CheckpointSaveSeconds: 8.5, DeadlineSeconds: of(9.5), Dependencies: []string{"j-78", "j-79"}}
 }
 
 // leastJob is one with required fields only.
 func leastJob() protocol.Job {
-	return protocol.Job{UID: "j-1", Class: "c", Team: "t", Kind: "batch", Priority: "low", Tasks: 1}
+	return protocol.Job{ID: "j-1", Class: "c", Team: "t", Kind: "batch", Priority: "low", TaskCount: 1}
 }
 
 func TestUserMessages(t *testing.T) {
 	checkMessages(t, "wire_users.txt", []message{
 		full("submission/full", fullJob()),
 		part("submission/least", leastJob()),
-		full("job state/full", protocol.JobState{UID: "j-77", State: protocol.Running, Done: of(3), Running: of(4)}),
-		part("job state/none done", protocol.JobState{UID: "j-77", State: protocol.Queued, Done: of(0), Running: of(0)}),
-		part("job state/queued", protocol.JobState{UID: "j-77", State: protocol.Queued}),
-		part("job state/done", protocol.JobState{UID: "j-77", State: protocol.Done}),
-		part("job state/withdrawn", protocol.JobState{UID: "j-77", State: protocol.Withdrawn}),
+		full("job state/full", protocol.JobStatus{ID: "j-77", State: protocol.JobRunning, DoneTasks: of(3), RunningTasks: of(4)}),
+		part("job state/none done", protocol.JobStatus{ID: "j-77", State: protocol.JobQueued, DoneTasks: of(0), RunningTasks: of(0)}),
+		part("job state/queued", protocol.JobStatus{ID: "j-77", State: protocol.JobQueued}),
+		part("job state/done", protocol.JobStatus{ID: "j-77", State: protocol.JobDone}),
+		part("job state/withdrawn", protocol.JobStatus{ID: "j-77", State: protocol.JobCancelled}),
 	})
 }
 
@@ -66,7 +66,7 @@
 			"guardaS":0,"prazoS":null,"aguarda":null}`, leastJob()},
 	} {
 		job, err := protocol.ParseJob([]byte(c.body))
-		if err != nil || job.UID != c.want.UID || !reflect.DeepEqual(storage.Encode(job), storage.Encode(c.want)) {
+		if err != nil || job.ID != c.want.ID || !reflect.DeepEqual(storage.Encode(job), storage.Encode(c.want)) {
 			t.Errorf("%s: %+v, %v", c.body, job, err)
 		}
 	}
@@ -86,7 +86,7 @@
 	}
 	parse("not JSON", "{")
 	parse("null", "null")
-	parse("too large", plain+strings.Repeat(" ", protocol.MaxBody))
+	parse("too large", plain+strings.Repeat(" ", protocol.MaxBodyBytes))
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(plain), &fields); err != nil {
 		t.Fatal(err)
@@ -116,32 +116,32 @@
 }
 
 func TestWorkerMessages(t *testing.T) {
-	report := protocol.Report{Machine: "m-000007", Address: "10.9.8.7:6", Type: "t1", Zone: "zone-d", Spot: true, Session: 2, Seq: 3,
-		FencingToken: 1<<64 - 1, NoticeS: of(4.5), Tasks: []protocol.TaskReport{
-			{Task: protocol.TaskKey("j-77", 12), Attempt: 5, State: protocol.TaskExited, Why: protocol.WhyHalted, Saved: true}}}
-	tasks := protocol.Report{Machine: "m-000008", Session: 1, Tasks: []protocol.TaskReport{}}
-	for i, state := range []string{protocol.TaskFetching, protocol.TaskRunning, protocol.TaskSaving} {
-		tasks.Tasks = append(tasks.Tasks, protocol.TaskReport{Task: protocol.TaskKey("j-1", i), Attempt: 1, State: state})
+	report := protocol.WorkerHeartbeat{Machine: "m-000007", Address: "10.9.8.7:6", Type: "t1", Zone: "zone-d", Spot: true, Epoch: 2, Sequence: 3,
+		FencingToken: 1<<64 - 1, PreemptionNoticeSeconds: of(4.5), Tasks: []protocol.TaskStatus{
+			{TaskID: protocol.TaskID("j-77", 12), Attempt: 5, State: protocol.TaskExited, ExitReason: protocol.ExitStopped, CheckpointSaved: true}}}
+	tasks := protocol.WorkerHeartbeat{Machine: "m-000008", Epoch: 1, Tasks: []protocol.TaskStatus{}}
+	for i, state := range []string{protocol.TaskFetching, protocol.TaskRunning, protocol.TaskCheckpointing} {
+		tasks.Tasks = append(tasks.Tasks, protocol.TaskStatus{TaskID: protocol.TaskID("j-1", i), Attempt: 1, State: state})
 	}
-	for i, why := range []string{protocol.WhyDone, protocol.WhyHalted, protocol.WhyError, protocol.WhyFull, protocol.WhyInUse, protocol.WhyUnknown} {
-		tasks.Tasks = append(tasks.Tasks, protocol.TaskReport{Task: protocol.TaskKey("j-2", i), Attempt: 1, State: protocol.TaskExited, Why: why})
+	for i, why := range []string{protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitInsufficientResources, protocol.ExitDuplicateTask, protocol.ExitUnknownTask} {
+		tasks.Tasks = append(tasks.Tasks, protocol.TaskStatus{TaskID: protocol.TaskID("j-2", i), Attempt: 1, State: protocol.TaskExited, ExitReason: why})
 	}
 	checkMessages(t, "wire_workers.txt", []message{
 		full("report/full", report),
 		part("report/all task states", tasks),
-		part("report/no tasks", protocol.Report{Machine: "m-000009", Session: 1}),
-		part("answer/commands", protocol.ReportAnswer{FencingToken: 41, Commands: []protocol.Command{
-			{Op: protocol.OpStart, Task: "j-77/0", Attempt: 2},
-			{Op: protocol.OpStop, Task: "j-77/1", Attempt: 3, GraceS: of(10.5)},
-			{Op: protocol.OpStop, Task: "j-77/1", Attempt: 3, GraceS: of(0.0)},
-			{Op: protocol.OpForget, Task: "j-77/2", Attempt: 4}}}),
-		part("answer/no commands", protocol.ReportAnswer{FencingToken: 1, Commands: []protocol.Command{}}),
-		full("redirect", protocol.Redirect{ReportTo: "n-2"}),
-		part("redirect/nowhere", protocol.Redirect{}),
+		part("report/no tasks", protocol.WorkerHeartbeat{Machine: "m-000009", Epoch: 1}),
+		part("answer/commands", protocol.HeartbeatResponse{FencingToken: 41, Commands: []protocol.Command{
+			{Kind: protocol.CommandStart, TaskID: "j-77/0", Attempt: 2},
+			{Kind: protocol.CommandStop, TaskID: "j-77/1", Attempt: 3, GraceSeconds: of(10.5)},
+			{Kind: protocol.CommandStop, TaskID: "j-77/1", Attempt: 3, GraceSeconds: of(0.0)},
+			{Kind: protocol.CommandForget, TaskID: "j-77/2", Attempt: 4}}}),
+		part("answer/no commands", protocol.HeartbeatResponse{FencingToken: 1, Commands: []protocol.Command{}}),
+		full("redirect", protocol.HeartbeatRedirect{Node: "n-2"}),
+		part("redirect/nowhere", protocol.HeartbeatRedirect{}),
 	})
 	for _, l := range readGolden(t, "wire_workers.txt") {
 		if strings.HasPrefix(l.name, "report/") {
-			if read, err := protocol.ParseReport([]byte(l.value)); err != nil || string(storage.Encode(read)) != l.value {
+			if read, err := protocol.ParseWorkerHeartbeat([]byte(l.value)); err != nil || string(storage.Encode(read)) != l.value {
 				t.Errorf("%s: parsed as %+v: %v", l.name, read, err)
 			}
 		}
@@ -150,35 +150,35 @@
 
 func TestCloudMessages(t *testing.T) {
 	checkMessages(t, "wire_cloud.txt", []message{
-		full("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, RAM: 16.5, CacheGB: 40.5,
-			PullGBPerS: 0.75, Rate: 0.375, SpotRate: 0.125, ReadyS: 45.5, Zones: []string{"a", "b"}}}}),
+		full("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, MemoryGB: 16.5, ImageCacheGB: 40.5,
+			PullGBPerSecond: 0.75, OnDemandPrice: 0.375, SpotPrice: 0.125, BootSeconds: 45.5, Zones: []string{"a", "b"}}}}),
 		part("catalog/empty", protocol.Catalog{}),
-		full("rental", protocol.Rental{Request: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}),
-		part("rental/ordinary", protocol.Rental{Request: "r-4-18", Type: "t1", Zone: "a", Count: 1}),
+		full("rental", protocol.RentalRequest{RequestID: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}),
+		part("rental/ordinary", protocol.RentalRequest{RequestID: "r-4-18", Type: "t1", Zone: "a", Count: 1}),
 		full("machine names", protocol.MachineNames{Machines: []string{"m-000001", "m-000002"}}),
-		full("hosts", protocol.HostList{Machines: []protocol.Host{{UID: "m-000001", Address: "10.9.8.7:6", Type: "t1", Zone: "a", Spot: true,
-			State: protocol.HostFailed, HeldS: 61.5}}, Truncated: true}),
-		part("hosts/empty", protocol.HostList{}),
+		full("hosts", protocol.HostPage{Machines: []protocol.Host{{Name: "m-000001", Address: "10.9.8.7:6", Type: "t1", Zone: "a", Spot: true,
+			State: protocol.HostFailed, RentedSeconds: 61.5}}, Truncated: true}),
+		part("hosts/empty", protocol.HostPage{}),
 	})
 }
 
 func TestStateServiceMessages(t *testing.T) {
 	checkMessages(t, "wire_state.txt", []message{
-		full("item", storage.Item{Key: "a/b", Value: json.RawMessage(`{"x":1}`), Version: 412, Lease: 7}),
-		part("item/no lease", storage.Item{Key: "a/b", Value: json.RawMessage(`[]`), Version: 412}),
-		full("page", storage.Page{Items: []storage.Item{{Key: "c/1", Value: json.RawMessage(`"v"`), Version: 2, Lease: 3}}, Truncated: true, Revision: 431}),
-		full("events", storage.Events{Revision: 433, Log: []storage.Event{{Set: "c/9", Drop: "c/8", Value: json.RawMessage(`{}`), Version: 433}}}),
-		full("transaction", storage.Txn{If: []storage.Cond{{Key: "a/b", Version: 5}},
-			Writes: []storage.Write{{Set: "a/b", Value: json.RawMessage(`{}`), Lease: 7, Drop: "c/d"}}}),
-		part("transaction/set and drop", storage.Txn{If: []storage.Cond{{Key: "a/b"}}, Writes: []storage.Write{storage.Set("a/b", 1), storage.Drop("c/d")}}),
-		part("transaction/compare only", storage.Txn{If: []storage.Cond{{Key: "a/b", Version: 5}}}),
-		full("result", storage.TxnResult{Revision: 432, Failed: []string{"a/b"}}),
-		full("hold", storage.Hold{TTLMS: 5000, Lease: 7}),
-		part("hold/request", storage.Hold{TTLMS: 5000}),
-		part("hold/answer", storage.Hold{Lease: 7}),
+		full("item", storage.Item{Key: "a/b", Value: json.RawMessage(`{"x":1}`), ModRevision: 412, LeaseID: 7}),
+		part("item/no lease", storage.Item{Key: "a/b", Value: json.RawMessage(`[]`), ModRevision: 412}),
+		full("page", storage.ListResponse{Items: []storage.Item{{Key: "c/1", Value: json.RawMessage(`"v"`), ModRevision: 2, LeaseID: 3}}, Truncated: true, Revision: 431}),
+		full("events", storage.WatchResponse{Revision: 433, Events: []storage.WatchEvent{{PutKey: "c/9", DeletedKey: "c/8", Value: json.RawMessage(`{}`), ModRevision: 433}}}),
+		full("transaction", storage.Txn{Conditions: []storage.Condition{{Key: "a/b", ModRevision: 5}},
+			Writes: []storage.Write{{PutKey: "a/b", Value: json.RawMessage(`{}`), LeaseID: 7, DeleteKey: "c/d"}}}),
+		part("transaction/set and drop", storage.Txn{Conditions: []storage.Condition{{Key: "a/b"}}, Writes: []storage.Write{storage.Put("a/b", 1), storage.Delete("c/d")}}),
+		part("transaction/compare only", storage.Txn{Conditions: []storage.Condition{{Key: "a/b", ModRevision: 5}}}),
+		full("result", storage.TxnResponse{Revision: 432, FailedKeys: []string{"a/b"}}),
+		full("hold", storage.Lease{TTLMillis: 5000, ID: 7}),
+		part("hold/request", storage.Lease{TTLMillis: 5000}),
+		part("hold/answer", storage.Lease{ID: 7}),
 	})
-	var events storage.Events
-	want := storage.Events{Revision: 9, Log: []storage.Event{{Set: "c/9", Value: json.RawMessage(`{"y":2}`), Version: 8}, {Drop: "c/d", Version: 9}}}
+	var events storage.WatchResponse
+	want := storage.WatchResponse{Revision: 9, Events: []storage.WatchEvent{{PutKey: "c/9", Value: json.RawMessage(`{"y":2}`), ModRevision: 8}, {DeletedKey: "c/d", ModRevision: 9}}}
 	raw := `{"log":[{"versao":8,"data":{"y":2},"set":"c/9"},{"drop":"c/d","versao":9,"novo":0}],"edicao":9}`
 	if err := json.Unmarshal([]byte(raw), &events); err != nil || !reflect.DeepEqual(events, want) {
 		t.Errorf("%s: %+v, %v", raw, events, err)
@@ -197,23 +197,23 @@
 		message protocol.PeerMessage
 		full    bool
 	}{
-		{"heartbeat/full", protocol.Heartbeat{Term: 4, Leads: true, WantsGrant: true, Sent: 12, Uptime: 13, Process: 5, Heard: 7, Level: 1,
-			Slowed: true, Full: true, Room: 31, Policy: 77, Links: &protocol.LinkReport{Hears: []reachability.Heard{{Node: "n1", AgeMS: 20}},
-				State: true, Workers: 8, Stranded: 9, Worst: &reachability.Elsewhere{Node: "n2", Stranded: 10}}}, true},
-		{"heartbeat/least", protocol.Heartbeat{}, false},
-		{"heartbeat/links without worst", protocol.Heartbeat{Sent: 1, Links: &protocol.LinkReport{}}, false},
-		{"heartbeat/largest process", protocol.Heartbeat{Process: most}, false},
-		{"lease grant", protocol.LeaseGrant{Term: 4, Sent: 12}, true},
+		{"heartbeat/full", protocol.PeerHeartbeat{Term: 4, IsLeader: true, WantsLeaseGrant: true, SentAt: 12, Uptime: 13, ProcessID: 5, ReceiverProcessID: 7, VersionLevel: 1,
+			WritesThrottled: true, ConnectionsFull: true, SpareConnections: 31, PolicyRevision: 77, Links: &protocol.LinkReport{IncomingLinks: []reachability.IncomingLink{{Node: "n1", AgeMS: 20}},
+				StoreReachable: true, RecentWorkers: 8, StrandedWorkers: 9, MostStranded: &reachability.StrandedCount{Node: "n2", Workers: 10}}}, true},
+		{"heartbeat/least", protocol.PeerHeartbeat{}, false},
+		{"heartbeat/links without worst", protocol.PeerHeartbeat{SentAt: 1, Links: &protocol.LinkReport{}}, false},
+		{"heartbeat/largest process", protocol.PeerHeartbeat{ProcessID: most}, false},
+		{"lease grant", protocol.LeaseGrant{Term: 4, HeartbeatSentAt: 12}, true},
 		{"vote request", protocol.VoteRequest{Term: 5}, true},
 		{"vote", protocol.Vote{Term: 5, Granted: true}, true},
 		{"vote/refused", protocol.Vote{Term: 5}, false},
-		{"forwarded request/submit", protocol.ForwardedRequest{ID: 9, Kind: protocol.RequestSubmit, Job: "j-1", Body: json.RawMessage(`{"uid":"j-1"}`)}, true},
-		{"forwarded request/query", protocol.ForwardedRequest{ID: 9, Kind: protocol.RequestQuery, Job: "j-1"}, false},
-		{"forwarded request/cancel", protocol.ForwardedRequest{ID: 9, Kind: protocol.RequestCancel, Job: "j-1"}, false},
-		{"forwarded request/report", protocol.ForwardedRequest{ID: most, Kind: protocol.RequestReport, Body: json.RawMessage(`{"maquina":"m-1"}`)}, false},
-		{"forwarded answer", protocol.ForwardedAnswer{ID: 9, Status: 503, RetryAfter: 2, Body: json.RawMessage(`{"uid":"j-1"}`)}, true},
-		{"forwarded answer/no body", protocol.ForwardedAnswer{ID: 9, Status: 200}, false},
-		{"admission load", protocol.AdmissionLoad{Version: 12, Groups: []protocol.GroupLoad{{Team: "a", Class: "c", Rank: 3, TurnedAway: 7, Refused: 9}}}, true},
+		{"forwarded request/submit", protocol.ForwardedRequest{ID: 9, Kind: protocol.RequestSubmit, JobID: "j-1", Body: json.RawMessage(`{"uid":"j-1"}`)}, true},
+		{"forwarded request/query", protocol.ForwardedRequest{ID: 9, Kind: protocol.RequestQuery, JobID: "j-1"}, false},
+		{"forwarded request/cancel", protocol.ForwardedRequest{ID: 9, Kind: protocol.RequestCancel, JobID: "j-1"}, false},
+		{"forwarded request/report", protocol.ForwardedRequest{ID: most, Kind: protocol.RequestHeartbeat, Body: json.RawMessage(`{"maquina":"m-1"}`)}, false},
+		{"forwarded answer", protocol.ForwardedResponse{ID: 9, Status: 503, RetryAfter: 2, Body: json.RawMessage(`{"uid":"j-1"}`)}, true},
+		{"forwarded answer/no body", protocol.ForwardedResponse{ID: 9, Status: 200}, false},
+		{"admission load", protocol.AdmissionLoad{PolicyRevision: 12, Groups: []protocol.GroupLoad{{Team: "a", Class: "c", PriorityRank: 3, RejectedForCapacity: 7, RejectedByPolicy: 9}}}, true},
 		{"admission load/least", protocol.AdmissionLoad{Groups: []protocol.GroupLoad{{}}}, false},
 	}
 }
@@ -221,7 +221,7 @@
 func TestPeerMessages(t *testing.T) {
 	var got []line
 	for _, m := range peerMessages() {
-		raw, err := protocol.EncodePeer(m.message)
+		raw, err := protocol.EncodePeerMessage(m.message)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -232,12 +232,12 @@
 	}
 	checkGolden(t, "wire_peers.txt", got)
 	for i, l := range readGolden(t, "wire_peers.txt") {
-		read, err := protocol.DecodePeer([]byte(l.value))
+		read, err := protocol.DecodePeerMessage([]byte(l.value))
 		if err != nil || !reflect.DeepEqual(read, peerMessages()[i].message) {
 			t.Errorf("%s is read as %+v: %v", l.value, read, err)
 			continue
 		}
-		if again, err := protocol.EncodePeer(read); err != nil || string(again) != l.value {
+		if again, err := protocol.EncodePeerMessage(read); err != nil || string(again) != l.value {
 			t.Errorf("%s is written again as %s: %v", l.value, again, err)
 		}
 	}
@@ -250,8 +250,8 @@
 		`{"type":"cleared"}`, `{"type":"ask","kind":"query","job":"j-1"}`, `{"type":"ask","id":1,"kind":"query"}`,
 		`{"type":"ask","id":1,"kind":"submit","job":"j-1"}`, `{"type":"answer","id":1}`, `{"type":"load"}`, `{"type":"load","loads":[{"away":-1}]}`,
 		`{"type":"later","term":3}`, `{"type":"ask","id":1,"kind":"later"}`} {
-		_, err := protocol.DecodePeer([]byte(raw))
-		var unknown *protocol.UnknownPeerTypeError
+		_, err := protocol.DecodePeerMessage([]byte(raw))
+		var unknown *protocol.UnknownPeerMessageError
 		kind := "error: "
 		if errors.As(err, &unknown) {
 			kind = "ignored: "
@@ -272,8 +272,8 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	opt := transport.PeerOptions{Quiet: 5 * time.Second, Queue: 4, Log: slog.New(slog.DiscardHandler)}
-	sender := transport.NewPeers("n0", []config.Peer{{Node: "n1", PeerAddr: ln.Addr().String()}}, opt, func(coordination.PeerMessage) {})
+	opt := transport.PeerLinkOptions{IdleTimeout: 5 * time.Second, QueueLength: 4, Log: slog.New(slog.DiscardHandler)}
+	sender := transport.NewPeerLinks("n0", []config.Peer{{Node: "n1", Address: ln.Addr().String()}}, opt, func(coordination.InboundMessage) {})
 	sender.Send("n1", protocol.VoteRequest{Term: 5})
 	conn, err := ln.Accept()
 	if err != nil {
@@ -297,8 +297,8 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	took := make(chan coordination.PeerMessage, 1)
-	receiver := transport.NewPeers("n1", []config.Peer{{Node: "n0", PeerAddr: ln.Addr().String()}}, opt, func(m coordination.PeerMessage) { took <- m })
+	took := make(chan coordination.InboundMessage, 1)
+	receiver := transport.NewPeerLinks("n1", []config.Peer{{Node: "n0", Address: ln.Addr().String()}}, opt, func(m coordination.InboundMessage) { took <- m })
 	go receiver.Serve(in)
 	out, err := net.Dial("tcp4", in.Addr().String())
 	if err != nil {
@@ -317,7 +317,7 @@
 	}
 	select {
 	case m := <-took:
-		if m != (coordination.PeerMessage{From: "n0", Msg: protocol.VoteRequest{Term: 5}}) {
+		if m != (coordination.InboundMessage{From: "n0", Message: protocol.VoteRequest{Term: 5}}) {
 			t.Errorf("read as %+v", m)
 		}
 	case <-time.After(10 * time.Second):
@@ -328,19 +328,19 @@
 // owner answers each request with what reached it.
 type owner struct{}
 
-func (owner) Ask(r coordination.Request, _ time.Duration) coordination.Reply {
-	switch r.ID {
+func (owner) Handle(r coordination.Request, _ time.Duration) coordination.Reply {
+	switch r.JobID {
 	case "j-empty":
 		return coordination.Reply{Status: 404}
 	case "j-later":
 		return coordination.Reply{Status: 503, RetryAfter: 7}
 	}
-	body := string(r.Kind) + " " + r.ID
+	body := string(r.Kind) + " " + r.JobID
 	if r.Job != nil {
-		body += " job " + r.Job.UID
+		body += " job " + r.Job.ID
 	}
-	if r.Report != nil {
-		body += " report " + r.Report.Machine
+	if r.Heartbeat != nil {
+		body += " report " + r.Heartbeat.Machine
 	}
 	return coordination.Reply{Status: 200, Body: []byte(body)}
 }
@@ -356,7 +356,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	go transport.NewServer(owner{}, transport.ServerOptions{Connections: 64, Idle: 5 * time.Second, Patience: time.Second}).Serve(ln)
+	go transport.NewServer(owner{}, transport.ServerOptions{MaxConnections: 64, IdleTimeout: 5 * time.Second, RequestTimeout: time.Second}).Serve(ln)
 	job := string(storage.Encode(leastJob()))
 	var got []line
 	for _, c := range []struct{ method, path, body string }{
@@ -387,32 +387,32 @@
 
 // What the status pages say in full, with every optional field.
 func TestStatusPages(t *testing.T) {
-	group := admission.Group{Team: "team-b", Class: "class-a", Rank: 2}
+	group := admission.Group{Team: "team-b", Class: "class-a", PriorityRank: 2}
 	share := admission.Share{Group: group, Tail: 11, Steps: []uint64{12, admission.Ring}, Demand: 1.5}
 	checkMessages(t, "wire_status_pages.txt", []message{
-		full("links", reachability.NodeStatus{Node: "n0", Known: []string{"n1"}, Hears: []reachability.Heard{{Node: "n1", AgeMS: 20}}, FreshMS: 30,
-			State: true, Leads: true, Follows: "n1", Term: 4, Pausing: true, Workers: 5, Stranded: 6, ServedAgoS: 7.5}),
-		full("recovery", recovery.NodeStatus{Node: "n0", Leads: true, Follows: "n1", Term: 4, SetAside: []recovery.Record{{Key: "job/j-1", Reason: "why", Newer: true}},
-			Recovery: &recovery.Status{Term: 4, Phase: "pacing", Paced: true, ForS: 1.5, AfterS: 2.5, WaitsFor: "x", Machines: 3, Missing: 2,
-				Mismatches: map[string]int{"kind": 1}, Samples: []recovery.Sample{{Kind: "kind", Machine: "m-1", Subject: "j-1/0", AfterS: 3.5}},
-				Budgets: []recovery.Budget{{Order: "start", Left: 4.5, Rate: recovery.Rate{PerSecond: 5.5, Burst: 6.5}}}}}),
-		full("admission", admission.NodeStatus{Node: "n0", Leads: true, Enabled: true, Version: 9, Invalid: true, AgeS: 1.5, Capacity: 2.5,
-			Policy:  &admission.Policy{Epoch: 3, LengthMS: 4000, Shares: []admission.Share{share}, Rest: share},
-			Waiting: []admission.WaitingGroup{{Group: group, Jobs: 6}}, Job: &admission.JobStatus{ID: "j-1", Accepted: true, Refused: &group, Admit: true, TurnInS: 7}}),
+		full("links", reachability.NodeStatus{Node: "n0", Peers: []string{"n1"}, IncomingLinks: []reachability.IncomingLink{{Node: "n1", AgeMS: 20}}, LinkTimeoutMS: 30,
+			StoreReachable: true, IsLeader: true, LeaderName: "n1", Term: 4, CandidacyPaused: true, RecentWorkers: 5, StrandedWorkers: 6, SecondsSinceServed: 7.5}),
+		full("recovery", recovery.NodeStatus{Node: "n0", IsLeader: true, LeaderName: "n1", Term: 4, Quarantined: []recovery.QuarantinedRecord{{Key: "job/j-1", Reason: "why", MaybeNewerVersion: true}},
+			Recovery: &recovery.Status{Term: 4, Phase: "pacing", Paced: true, PhaseSeconds: 1.5, ElapsedSeconds: 2.5, WaitsFor: "x", Machines: 3, Unreconciled: 2,
+				Mismatches: map[string]int{"kind": 1}, Samples: []recovery.MismatchSample{{Kind: "kind", Machine: "m-1", Subject: "j-1/0", AfterSeconds: 3.5}},
+				Budgets: []recovery.Budget{{Operation: "start", Remaining: 4.5, Rate: recovery.Rate{PerSecond: 5.5, Burst: 6.5}}}}}),
+		full("admission", admission.NodeStatus{Node: "n0", IsLeader: true, Enabled: true, Version: 9, Invalid: true, PolicyAgeSeconds: 1.5, EpochCapacity: 2.5,
+			Policy:        &admission.Policy{Epoch: 3, EpochLengthMS: 4000, Shares: []admission.Share{share}, DefaultShare: share},
+			WaitingGroups: []admission.WaitingGroup{{Group: group, Jobs: 6}}, Job: &admission.JobStatus{ID: "j-1", Accepted: true, RejectedGroup: &group, AdmittedNow: true, TurnInSeconds: 7}}),
 		part("admission/no policy", admission.NodeStatus{Node: "n0"}),
 		full("trace step", tracing.Step{Job: "j-1", Node: "n0", Name: "stored", At: time.Unix(1_000_000, 5).UTC(), Note: "x", Term: 4, Epoch: 5}),
 	})
 	var names []line
-	var counts recovery.Counts
-	counts.Each(func(kind recovery.Mismatch, _ int) { names = append(names, line{"mismatch", kind.String()}) })
-	for _, phase := range []recovery.Phase{recovery.Reading, recovery.Collecting, recovery.Reconciling, recovery.Pacing, recovery.Normal} {
+	var counts recovery.MismatchCounts
+	counts.ForEach(func(kind recovery.Mismatch, _ int) { names = append(names, line{"mismatch", kind.String()}) })
+	for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting, recovery.PhaseReconciling, recovery.PhasePacing, recovery.PhaseNormal} {
 		names = append(names, line{"phase " + strconv.Itoa(int(phase)), phase.String()})
 	}
-	for _, order := range []recovery.Order{recovery.StartTask, recovery.StopTask, recovery.RentMachine, recovery.ReturnMachine} {
+	for _, order := range []recovery.Operation{recovery.StartTask, recovery.StopTask, recovery.RentMachine, recovery.ReturnMachine} {
 		names = append(names, line{"order", order.String()})
 	}
 	for rank := range 5 {
-		names = append(names, line{"rank " + strconv.Itoa(rank), protocol.PriorityOf(rank)})
+		names = append(names, line{"rank " + strconv.Itoa(rank), protocol.PriorityName(rank)})
 	}
 	checkGolden(t, "words.txt", names)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,10 +20,10 @@
 	Location     string `toml:"location"`
 	ClientListen string `toml:"client_listen"`
 	PeerBind     string `toml:"peer_bind"`
-	Known        []Peer `toml:"known"`
-	Outside      struct {
+	Peers        []Peer `toml:"known"`
+	Services     struct {
 		Cloud string `toml:"cloud"`
-		State string `toml:"state"`
+		Store string `toml:"state"`
 	} `toml:"outside"`
 	Cluster Cluster `toml:"cluster"`
 }
@@ -32,25 +32,25 @@
 type Peer struct {
 	Node     string `toml:"node"`
 	Location string `toml:"location"`
-	PeerAddr string `toml:"peer_addr"`
+	Address  string `toml:"peer_addr"`
 }
 
 // Cluster holds the settings that all controllers of a deployment share.
 type Cluster struct {
-	Count       int         `toml:"count"`
-	Zones       []string    `toml:"zones"`
-	TimeBoundMS float64     `toml:"time_bound_ms"`
-	Teams       []Team      `toml:"teams"`
-	Objectives  []Objective `toml:"objectives"`
-	Workers     struct {
-		ReportS float64 `toml:"report_s"`
-		LeaseS  float64 `toml:"lease_s"`
-		CancelS float64 `toml:"cancel_s"`
+	ControllerCount int         `toml:"count"`
+	Zones           []string    `toml:"zones"`
+	TimeBoundMS     float64     `toml:"time_bound_ms"`
+	Teams           []Team      `toml:"teams"`
+	Objectives      []Objective `toml:"objectives"`
+	Workers         struct {
+		HeartbeatIntervalS float64 `toml:"report_s"`
+		LeaseS             float64 `toml:"lease_s"`
+		CancelS            float64 `toml:"cancel_s"`
 	} `toml:"workers"`
-	State State `toml:"state"`
+	Store StoreLimits `toml:"state"`
 	Cloud struct {
-		RPS      float64 `toml:"rps"`
-		ListLagS float64 `toml:"list_lag_s"`
+		RequestsPerS float64 `toml:"rps"`
+		ListLagS     float64 `toml:"list_lag_s"`
 	} `toml:"cloud"`
 	Resources Resources `toml:"resources"`
 }
@@ -66,34 +66,38 @@
 }
 
 // StoreLimits are the limits of the key-value store.
-type State struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+type StoreLimits struct {
+	RequestsPerS float64 `toml:"rps"`
+	WritesPerS   float64 `toml:"write_rps"`
+	ValueKB      float64 `toml:"value_kb"`
+	TxnOps       int     `toml:"txn_ops"`
 	// Upcoming are the limits that will apply from some moment on, without notice. Limits that are
 	// not named stay as they are.
-	Next struct {
-		WriteRPS *float64 `toml:"write_rps"`
-		ValueKB  *float64 `toml:"value_kb"`
-		TxnOps   *int     `toml:"txn_ops"`
+	Upcoming struct {
+		WritesPerS *float64 `toml:"write_rps"`
+		ValueKB    *float64 `toml:"value_kb"`
+		TxnOps     *int     `toml:"txn_ops"`
 	} `toml:"next"`
 }
 
 // MaxValueBytes returns the largest size of a value that is allowed both now and later.
-func (s *State) ValueBytes() int { return int(min(s.ValueKB, or(s.Next.ValueKB, s.ValueKB)) * 1024) }
+func (s *StoreLimits) MaxValueBytes() int {
+	return int(min(s.ValueKB, valueOr(s.Upcoming.ValueKB, s.ValueKB)) * 1024)
+}
 
 // MaxTxnOps returns the largest number of operations in a transaction that is allowed both now and
 // later.
-func (s *State) Ops() int { return min(s.TxnOps, or(s.Next.TxnOps, s.TxnOps)) }
+func (s *StoreLimits) MaxTxnOps() int { return min(s.TxnOps, valueOr(s.Upcoming.TxnOps, s.TxnOps)) }
 
 // LowerWritesPerS returns the lower of the present and the upcoming rate of writes.
-func (s *State) LowerWriteRPS() float64 { return min(s.WriteRPS, or(s.Next.WriteRPS, s.WriteRPS)) }
+func (s *StoreLimits) LowerWritesPerS() float64 {
+	return min(s.WritesPerS, valueOr(s.Upcoming.WritesPerS, s.WritesPerS))
+}
 
 // valueOr returns *p, or the fallback if p is nil.
-func or[T any](p *T, otherwise T) T {
+func valueOr[T any](p *T, fallback T) T {
 	if p == nil {
-		return otherwise
+		return fallback
 	}
 	return *p
 }
@@ -101,124 +105,124 @@
 // Resources is the share of its host that the controller may use.
 type Resources struct {
 	CoreShare      float64 `toml:"core_share"`
-	MemMB          float64 `toml:"mem_mb"`
+	MemoryMB       float64 `toml:"mem_mb"`
 	MaxConnections int     `toml:"max_connections"`
 }
 
 // Team holds the guarantee and the quota of a team; a value of 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Objective is a service-level objective for a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
+	Kind     string  `toml:"kind"`
+	Class    string  `toml:"class"`
+	WithinS  float64 `toml:"within_s"`
+	MinShare float64 `toml:"share"`
 }
 
 // LoadPlatform reads and validates the settings file of the platform.
-func Load(path string) (*Platform, error) {
+func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	var p Platform
-	if err := toml.Unmarshal(raw, &p); err != nil {
-		var de *toml.DecodeError
-		if errors.As(err, &de) {
-			row, col := de.Position()
+	var platform Platform
+	if err := toml.Unmarshal(raw, &platform); err != nil {
+		var decodeError *toml.DecodeError
+		if errors.As(err, &decodeError) {
+			row, column := decodeError.Position()
 			return nil, fmt.Errorf("config: %s: line %d, column %d: %s: %s",
-				path, row, col, strings.Join(de.Key(), "."), de.Error())
+				path, row, column, strings.Join(decodeError.Key(), "."), decodeError.Error())
 		}
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
-	if err := p.check(); err != nil {
+	if err := platform.validate(); err != nil {
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
-	return &p, nil
+	return &platform, nil
 }
 
 // validate returns an error that names the first invalid setting.
-func (p *Platform) check() error {
-	text := []struct{ name, value string }{
+func (p *Platform) validate() error {
+	requiredTexts := []struct{ name, value string }{
 		{"node", p.Node}, {"client_listen", p.ClientListen}, {"peer_bind", p.PeerBind},
-		{"outside.cloud", p.Outside.Cloud}, {"outside.state", p.Outside.State},
+		{"outside.cloud", p.Services.Cloud}, {"outside.state", p.Services.Store},
 	}
-	for _, f := range text {
-		if f.value == "" {
-			return fmt.Errorf("%s: missing", f.name)
+	for _, field := range requiredTexts {
+		if field.value == "" {
+			return fmt.Errorf("%s: missing", field.name)
 		}
 	}
-	addrs := text[1:]
-	for i, k := range p.Known {
-		if k.Node == "" || k.Node == p.Node {
+	addresses := requiredTexts[1:]
+	for i, peer := range p.Peers {
+		if peer.Node == "" || peer.Node == p.Node {
 			return fmt.Errorf("known[%d].node: missing, or this node's own", i)
 		}
-		addrs = append(addrs, struct{ name, value string }{fmt.Sprintf("known[%d].peer_addr", i), k.PeerAddr})
+		addresses = append(addresses, struct{ name, value string }{fmt.Sprintf("known[%d].peer_addr", i), peer.Address})
 	}
-	for _, f := range addrs {
-		if _, _, err := net.SplitHostPort(f.value); err != nil {
-			return fmt.Errorf("%s: %q is not host:port", f.name, f.value)
+	for _, field := range addresses {
+		if _, _, err := net.SplitHostPort(field.value); err != nil {
+			return fmt.Errorf("%s: %q is not host:port", field.name, field.value)
 		}
 	}
-	c := &p.Cluster
-	if c.Count != len(p.Known)+1 {
-		return fmt.Errorf("cluster.count: %d, but known names %d other nodes", c.Count, len(p.Known))
+	cluster := &p.Cluster
+	if cluster.ControllerCount != len(p.Peers)+1 {
+		return fmt.Errorf("cluster.count: %d, but known names %d other nodes", cluster.ControllerCount, len(p.Peers))
 	}
 	positive := []struct {
 		name  string
 		value float64
 	}{
-		{"cluster.workers.report_s", c.Workers.ReportS},
-		{"cluster.workers.lease_s", c.Workers.LeaseS},
-		{"cluster.workers.cancel_s", c.Workers.CancelS},
-		{"cluster.state.rps", c.State.RPS},
-		{"cluster.state.write_rps", c.State.WriteRPS},
-		{"cluster.state.value_kb", c.State.ValueKB},
-		{"cluster.state.next.write_rps", c.State.LowerWriteRPS()},
-		{"cluster.cloud.rps", c.Cloud.RPS},
-		{"cluster.cloud.list_lag_s", c.Cloud.ListLagS},
-		{"cluster.resources.core_share", c.Resources.CoreShare},
-		{"cluster.resources.mem_mb", c.Resources.MemMB},
-		{"cluster.resources.max_connections", float64(c.Resources.MaxConnections)},
-	}
-	for _, f := range positive {
-		if !(f.value > 0) {
-			return fmt.Errorf("%s: must be above 0, is %v", f.name, f.value)
+		{"cluster.workers.report_s", cluster.Workers.HeartbeatIntervalS},
+		{"cluster.workers.lease_s", cluster.Workers.LeaseS},
+		{"cluster.workers.cancel_s", cluster.Workers.CancelS},
+		{"cluster.state.rps", cluster.Store.RequestsPerS},
+		{"cluster.state.write_rps", cluster.Store.WritesPerS},
+		{"cluster.state.value_kb", cluster.Store.ValueKB},
+		{"cluster.state.next.write_rps", cluster.Store.LowerWritesPerS()},
+		{"cluster.cloud.rps", cluster.Cloud.RequestsPerS},
+		{"cluster.cloud.list_lag_s", cluster.Cloud.ListLagS},
+		{"cluster.resources.core_share", cluster.Resources.CoreShare},
+		{"cluster.resources.mem_mb", cluster.Resources.MemoryMB},
+		{"cluster.resources.max_connections", float64(cluster.Resources.MaxConnections)},
+	}
+	for _, field := range positive {
+		if !(field.value > 0) {
+			return fmt.Errorf("%s: must be above 0, is %v", field.name, field.value)
 		}
 	}
-	if c.State.TxnOps < minTxnOps {
-		return fmt.Errorf("cluster.state.txn_ops: must be at least %d, is %d", minTxnOps, c.State.TxnOps)
+	if cluster.Store.TxnOps < minTxnOps {
+		return fmt.Errorf("cluster.state.txn_ops: must be at least %d, is %d", minTxnOps, cluster.Store.TxnOps)
 	}
-	if next := c.State.Next.ValueKB; next != nil && !(*next >= minNextKB) {
-		return fmt.Errorf("cluster.state.next.value_kb: must be at least %v, is %v", minNextKB, *next)
+	if next := cluster.Store.Upcoming.ValueKB; next != nil && !(*next >= minUpcomingValueKB) {
+		return fmt.Errorf("cluster.state.next.value_kb: must be at least %v, is %v", minUpcomingValueKB, *next)
 	}
-	if ops := c.State.Ops(); ops < minTxnOps {
+	if ops := cluster.Store.MaxTxnOps(); ops < minTxnOps {
 		return fmt.Errorf("cluster.state.next.txn_ops: must be at least %d, is %d", minTxnOps, ops)
 	}
-	if c.Workers.LeaseS <= c.Workers.ReportS {
-		return fmt.Errorf("cluster.workers.lease_s: must be above report_s (%v), is %v", c.Workers.ReportS, c.Workers.LeaseS)
+	if cluster.Workers.LeaseS <= cluster.Workers.HeartbeatIntervalS {
+		return fmt.Errorf("cluster.workers.lease_s: must be above report_s (%v), is %v", cluster.Workers.HeartbeatIntervalS, cluster.Workers.LeaseS)
 	}
 	seen := map[string]bool{}
-	for i, t := range c.Teams {
-		if t.Name == "" || seen[t.Name] {
+	for i, team := range cluster.Teams {
+		if team.Name == "" || seen[team.Name] {
 			return fmt.Errorf("cluster.teams[%d].name: missing or given twice", i)
 		}
-		seen[t.Name] = true
-		for _, f := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			if f < 0 {
-				return fmt.Errorf("cluster.teams[%d]: %s: amounts can't be negative", i, t.Name)
+		seen[team.Name] = true
+		for _, field := range []float64{team.GuaranteedCPUs, team.MaxCPUs, team.GuaranteedGPUs, team.MaxGPUs} {
+			if field < 0 {
+				return fmt.Errorf("cluster.teams[%d]: %s: amounts can't be negative", i, team.Name)
 			}
 		}
 	}
-	for i, o := range c.Objectives {
-		if o.Share < 0 || o.Share > 1 || o.WithinS < 0 {
+	for i, objective := range cluster.Objectives {
+		if objective.MinShare < 0 || objective.MinShare > 1 || objective.WithinS < 0 {
 			return fmt.Errorf("cluster.objectives[%d]: share must be within 0..1 and within_s not negative", i)
 		}
 	}
@@ -231,21 +235,21 @@
 	minTxnOps = 4
 	// minUpcomingValueKB is the lowest upcoming limit of the size of a value, and so of a job
 	// record.
-	minNextKB = 1.0
+	minUpcomingValueKB = 1.0
 )
 
 // maxDuration bounds the durations that Seconds returns, so that sums of several do not overflow
 // whatever a user or another service sends.
-const longest = 10 * 365 * 24 * time.Hour
+const maxDuration = 10 * 365 * 24 * time.Hour
 
 // Seconds converts a number of seconds to a duration, limited to maxDuration either way.
-func Seconds(s float64) time.Duration {
-	switch d := s * float64(time.Second); {
-	case d >= float64(longest):
-		return longest
-	case d <= -float64(longest):
-		return -longest
+func Seconds(seconds float64) time.Duration {
+	switch nanoseconds := seconds * float64(time.Second); {
+	case nanoseconds >= float64(maxDuration):
+		return maxDuration
+	case nanoseconds <= -float64(maxDuration):
+		return -maxDuration
 	default:
-		return time.Duration(d)
+		return time.Duration(nanoseconds)
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -59,8 +59,8 @@
 
 // A bad file ends with one line that names the field.
 func TestLoad(t *testing.T) {
-	p, err := Load(write(t, platform))
-	if err != nil || p.Cluster.Workers.LeaseS != 14 || p.Known[0].Node != "n1" {
+	p, err := LoadPlatform(write(t, platform))
+	if err != nil || p.Cluster.Workers.LeaseS != 14 || p.Peers[0].Node != "n1" {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
@@ -78,29 +78,29 @@
 		{`txn_ops = 20`, "txn_ops = 20\nnext = { write_rps = -1.0 }", "cluster.state.next.write_rps"},
 		{`txn_ops = 20`, "txn_ops = 20\nnext = { write_rps = \"x\" }", "next"},
 	} {
-		_, err := Load(write(t, strings.Replace(platform, c.old, c.new, 1)))
+		_, err := LoadPlatform(write(t, strings.Replace(platform, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q: %v", c.new, c.old, err)
 		}
 	}
-	if s := p.Cluster.State; s.ValueBytes() != 8<<10 || s.Ops() != 20 || s.LowerWriteRPS() != 25 {
-		t.Errorf("without lower limits: %d bytes, %d changes, %v a second", s.ValueBytes(), s.Ops(), s.LowerWriteRPS())
+	if s := p.Cluster.Store; s.MaxValueBytes() != 8<<10 || s.MaxTxnOps() != 20 || s.LowerWritesPerS() != 25 {
+		t.Errorf("without lower limits: %d bytes, %d changes, %v a second", s.MaxValueBytes(), s.MaxTxnOps(), s.LowerWritesPerS())
 	}
-	p, err = Load(write(t, strings.Replace(platform, "txn_ops = 20", "txn_ops = 20\n[cluster.state.next]\nwrite_rps = 30.0\nvalue_kb = 2.0", 1)))
+	p, err = LoadPlatform(write(t, strings.Replace(platform, "txn_ops = 20", "txn_ops = 20\n[cluster.state.next]\nwrite_rps = 30.0\nvalue_kb = 2.0", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := p.Cluster.State; s.ValueBytes() != 2<<10 || s.Ops() != 20 || s.LowerWriteRPS() != 25 {
-		t.Errorf("with lower limits: %d bytes, %d changes, %v a second", s.ValueBytes(), s.Ops(), s.LowerWriteRPS())
+	if s := p.Cluster.Store; s.MaxValueBytes() != 2<<10 || s.MaxTxnOps() != 20 || s.LowerWritesPerS() != 25 {
+		t.Errorf("with lower limits: %d bytes, %d changes, %v a second", s.MaxValueBytes(), s.MaxTxnOps(), s.LowerWritesPerS())
 	}
-	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
+	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("a missing file was read")
 	}
 }
 
 func TestSettings(t *testing.T) {
 	s, err := LoadSettings(write(t, "slots_per_core: 3\nthrift: 0.5\n"))
-	if err != nil || s.SlotsPerCore != 3 || s.SlotsBase != 6 || *s.PriceExponent != 0.5 {
+	if err != nil || s.SlotsPerCore != 3 || s.BaseSlots != 6 || *s.CostSensitivity != 0.5 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	if _, err := LoadSettings(write(t, "")); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -14,20 +14,20 @@
 type Settings struct {
 	// SlotsPerCore and BaseSlots give the slots of a machine: slots per core * cores + base.
 	SlotsPerCore float64 `yaml:"slots_per_core"`
-	SlotsBase    float64 `yaml:"slots_base"`
+	BaseSlots    float64 `yaml:"slots_base"`
 	// BatchShare is the share of all slots that belongs to batch work. The rest belongs to
 	// latency-sensitive work and is lent to batch work while that does not need it.
-	ClassShare float64 `yaml:"class_share"`
+	BatchShare float64 `yaml:"class_share"`
 	// BorrowWaitS is how long a latency-sensitive job has to be pending for lending to end.
 	BorrowWaitS float64 `yaml:"borrow_wait_s"`
 	// Headroom is the spare capacity, as a ratio to the usual load.
 	Headroom float64 `yaml:"headroom"`
 	// IdleRetention is how long an idle machine is kept, as a ratio to its boot time.
-	IdleKeep float64 `yaml:"idle_keep"`
+	IdleRetention float64 `yaml:"idle_keep"`
 	// CostSensitivity determines how much less headroom is held on dearer machines: it is scaled
 	// by (lowest price / price) to this power. The default is 0.3 if there are SLOs on starting
 	// soon, and 2 otherwise.
-	PriceExponent *float64 `yaml:"thrift"`
+	CostSensitivity *float64 `yaml:"thrift"`
 	// LoadSteps is the number of levels by which placement tells machine loads apart.
 	LoadSteps int `yaml:"load_steps"`
 	// FairAdmission lets the leader publish admission policies under overload.
@@ -37,93 +37,93 @@
 	LinkDecisions bool `yaml:"link_decisions"`
 	// PacedRecovery holds back rentals and returns of a new leader until its machines are
 	// reconciled, and limits the rate of its commands.
-	Recovery bool `yaml:"recovery"`
+	PacedRecovery bool `yaml:"recovery"`
 	// RecoveryMinMachines is the number of machines from which PacedRecovery applies: fewer can't
 	// cause a storm of requests.
-	RecoveryFrom int `yaml:"recovery_from"`
+	RecoveryMinMachines int `yaml:"recovery_from"`
 	// RecoveryRefillLeases is the part of a worker lease within which tasks may be started on all
 	// cores while commands are paced. RecoveryReplaceLeases is the same for renting and returning
 	// all machines.
-	RecoveryRefill  float64 `yaml:"recovery_refill"`
-	RecoveryReplace float64 `yaml:"recovery_replace"`
+	RecoveryRefillLeases  float64 `yaml:"recovery_refill"`
+	RecoveryReplaceLeases float64 `yaml:"recovery_replace"`
 	// MaxTraceSteps is how many processing steps of submissions a node retains; 0 means none.
-	TraceSteps int `yaml:"trace_steps"`
+	MaxTraceSteps int `yaml:"trace_steps"`
 	// MemoryLimitRatio is the soft memory limit of the garbage collector, as a ratio to mem_mb.
-	MemoryRatio float64 `yaml:"memory_ratio"`
+	MemoryLimitRatio float64 `yaml:"memory_ratio"`
 }
 
 // Defaults returns the settings that apply without a file.
 func Defaults() Settings {
 	return Settings{
-		SlotsPerCore: 2, SlotsBase: 6, ClassShare: 0.5, BorrowWaitS: 30,
-		Headroom: 0.8, IdleKeep: 0.2, LoadSteps: 1, MemoryRatio: 0.6, LinkDecisions: true,
-		Recovery: true, RecoveryFrom: 100, RecoveryRefill: 0.4, RecoveryReplace: 1,
+		SlotsPerCore: 2, BaseSlots: 6, BatchShare: 0.5, BorrowWaitS: 30,
+		Headroom: 0.8, IdleRetention: 0.2, LoadSteps: 1, MemoryLimitRatio: 0.6, LinkDecisions: true,
+		PacedRecovery: true, RecoveryMinMachines: 100, RecoveryRefillLeases: 0.4, RecoveryReplaceLeases: 1,
 	}
 }
 
 // LoadSettings reads the operators' YAML over the defaults. Unknown keys are errors: otherwise a
 // misspelt key would silently have no effect.
 func LoadSettings(path string) (Settings, error) {
-	s := Defaults()
+	settings := Defaults()
 	if path == "" {
-		return s, nil
+		return settings, nil
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return s, fmt.Errorf("settings: %w", err)
+		return settings, fmt.Errorf("settings: %w", err)
 	}
 	// The decoder would clear the defaults for a file without any key.
 	var keys map[string]any
 	if err := yaml.Unmarshal(raw, &keys); err != nil {
-		return s, fmt.Errorf("settings: %s: %s", path, oneLine(err))
+		return settings, fmt.Errorf("settings: %s: %s", path, singleLineError(err))
 	}
 	if len(keys) > 0 {
-		if err := yaml.UnmarshalWithOptions(raw, &s, yaml.Strict()); err != nil {
-			return s, fmt.Errorf("settings: %s: %s", path, oneLine(err))
+		if err := yaml.UnmarshalWithOptions(raw, &settings, yaml.Strict()); err != nil {
+			return settings, fmt.Errorf("settings: %s: %s", path, singleLineError(err))
 		}
 	}
-	if err := s.check(); err != nil {
-		return s, fmt.Errorf("settings: %s: %w", path, err)
+	if err := settings.validate(); err != nil {
+		return settings, fmt.Errorf("settings: %s: %w", path, err)
 	}
-	return s, nil
+	return settings, nil
 }
 
 // singleLineError returns the message of a YAML error without the excerpt of the file, and with
 // the key as the operator writes it in place of the name of the Go field.
-func oneLine(err error) string {
-	first, _, _ := strings.Cut(yaml.FormatError(err, false, false), "\n")
+func singleLineError(err error) string {
+	message, _, _ := strings.Cut(yaml.FormatError(err, false, false), "\n")
 	fields := reflect.TypeFor[Settings]()
 	for i := range fields.NumField() {
 		field := fields.Field(i)
-		first = strings.ReplaceAll(first, "Go struct field Settings."+field.Name+" ", field.Tag.Get("yaml")+" ")
+		message = strings.ReplaceAll(message, "Go struct field Settings."+field.Name+" ", field.Tag.Get("yaml")+" ")
 	}
-	return first
+	return message
 }
 
 // validate returns an error that names the first setting outside its range.
-func (s *Settings) check() error {
-	if s.PriceExponent != nil && !(*s.PriceExponent >= 0 && *s.PriceExponent <= 10) {
-		return fmt.Errorf("thrift: must be within 0..10, is %v", *s.PriceExponent)
+func (s *Settings) validate() error {
+	if s.CostSensitivity != nil && !(*s.CostSensitivity >= 0 && *s.CostSensitivity <= 10) {
+		return fmt.Errorf("thrift: must be within 0..10, is %v", *s.CostSensitivity)
 	}
-	for _, f := range []struct {
+	for _, setting := range []struct {
 		name           string
 		value, lo, top float64
 	}{
 		{"slots_per_core", s.SlotsPerCore, 0.01, 1000},
-		{"slots_base", s.SlotsBase, 0, 1000},
-		{"class_share", s.ClassShare, 0, 1},
+		{"slots_base", s.BaseSlots, 0, 1000},
+		{"class_share", s.BatchShare, 0, 1},
 		{"borrow_wait_s", s.BorrowWaitS, 0, 86400},
 		{"headroom", s.Headroom, 0, 10},
-		{"idle_keep", s.IdleKeep, 0, 1000},
+		{"idle_keep", s.IdleRetention, 0, 1000},
 		{"load_steps", float64(s.LoadSteps), 1, 1000},
-		{"memory_ratio", s.MemoryRatio, 0.1, 1},
-		{"recovery_from", float64(s.RecoveryFrom), 0, 1_000_000},
-		{"recovery_refill", s.RecoveryRefill, 0.01, 10},
-		{"recovery_replace", s.RecoveryReplace, 0.01, 10},
-		{"trace_steps", float64(s.TraceSteps), 0, 100_000},
+		{"memory_ratio", s.MemoryLimitRatio, 0.1, 1},
+		{"recovery_from", float64(s.RecoveryMinMachines), 0, 1_000_000},
+		{"recovery_refill", s.RecoveryRefillLeases, 0.01, 10},
+		{"recovery_replace", s.RecoveryReplaceLeases, 0.01, 10},
+		{"trace_steps", float64(s.MaxTraceSteps), 0, 100_000},
 	} {
-		if !(f.value >= f.lo && f.value <= f.top) {
-			return fmt.Errorf("%s: must be within %v..%v, is %v", f.name, f.lo, f.top, f.value)
+		if !(setting.value >= setting.lo && setting.value <= setting.top) {
+			return fmt.Errorf("%s: must be within %v..%v, is %v", setting.name, setting.lo, setting.top, setting.value)
 		}
 	}
 	return nil
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -18,52 +18,52 @@
 // admission_control.go.
 
 // admissionPolicyState is the admission policy's record as this node knows it.
-type policyState struct {
-	policy   *admission.Policy // nil: there is no record, or it is invalid
-	version  uint64            // of the record; 0: there is none
-	revision uint64            // of the last known change of the record, its removal included
-	since    Instant           // when this node learnt of it; the epoch began no later
-	invalid  bool              // the record can't be decoded, so no submission is admitted
-	reading  bool
-	waiting  []func() // called once the record is read
-	logged   uint64   // the invalid version that was logged last
+type admissionPolicyState struct {
+	current              *admission.Policy // nil: there is no record, or it is invalid
+	version              uint64            // of the record; 0: there is none
+	revision             uint64            // of the last known change of the record, its removal included
+	knownSince           Instant           // when this node learnt of it; the epoch began no later
+	invalid              bool              // the record can't be decoded, so no submission is admitted
+	reading              bool
+	readCallbacks        []func() // called once the record is read
+	loggedInvalidVersion uint64   // the invalid version that was logged last
 }
 
 // admissionGroup is the admission group that a job belongs to.
-func groupOf(j *protocol.Job) admission.Group {
-	return admission.Group{Team: j.Team, Class: j.Class, Rank: j.Rank()}
+func admissionGroup(spec *protocol.Job) admission.Group {
+	return admission.Group{Team: spec.Team, Class: spec.Class, PriorityRank: spec.PriorityRank()}
 }
 
 // evaluateSubmission queues a submission to be written if the policy admits it, and otherwise
 // answers when the policy will.
-func (n *Node) judgeSubmission(s submission) {
-	if n.policy.invalid {
-		n.answerKnown(s.r, s.lead, comeBack)
+func (n *Node) evaluateSubmission(submission pendingSubmission) {
+	if n.admissionPolicy.invalid {
+		n.answerFromStore(submission.request, submission.leader, retryLater)
 		return
 	}
-	group := groupOf(s.r.Job)
-	verdict := n.policy.policy.Judge(group, s.r.Job.UID)
-	n.trace(s.r.Job.UID, stepVerdict, verdictNote(verdict))
+	group := admissionGroup(submission.request.Job)
+	verdict := n.admissionPolicy.current.Evaluate(group, submission.request.Job.ID)
+	n.traceStep(submission.request.Job.ID, stepAdmissionVerdict, verdictNote(verdict))
 	if verdict.Admit {
-		s.policyVersion = n.policy.version
-		n.queueSubmission(s)
+		submission.policyVersion = n.admissionPolicy.version
+		n.queueSubmission(submission)
 		return
 	}
-	n.countLoad(group, func(l *protocol.GroupLoad) { l.Refused++ })
-	n.refused.put(s.r.Job.UID, group)
-	n.refuse(s, notYet(n.retryAfter(verdict)))
+	n.countGroupLoad(group, func(load *protocol.GroupLoad) { load.RejectedByPolicy++ })
+	n.policyRejections.put(submission.request.Job.ID, group)
+	n.rejectByPolicy(submission, admissionDeferred(n.retryAfterSeconds(verdict)))
 }
 
 // rejectByPolicy rejects a submission that the policy does not admit yet, unless the job is known
 // already. If too little of the read budget is left to find that out, it is rejected in either
 // case; the user retries.
-func (n *Node) refuse(s submission, why denial) {
-	n.stateBudget.refill(n.now)
-	if n.stateBudget.level < n.stateBudget.burst/2 {
-		n.reply(s.r.Origin, why.status, why.retryAfter, why)
+func (n *Node) rejectByPolicy(submission pendingSubmission, response errorResponse) {
+	n.userReadBudget.refill(n.now)
+	if n.userReadBudget.tokens < n.userReadBudget.burst/2 {
+		n.reply(submission.request.Origin, response.status, response.retryAfterSeconds, response)
 		return
 	}
-	n.answerKnown(s.r, s.lead, why)
+	n.answerFromStore(submission.request, submission.leader, response)
 }
 
 // Bounds of the waiting time that follows from a policy, so that no record overflows a duration.
@@ -73,87 +73,87 @@
 )
 
 // retryAfterSeconds is the number of seconds until the policy admits a job.
-func (n *Node) retryAfter(v admission.Verdict) int {
-	p := &n.policy
-	epochs := time.Duration(min(v.Epochs, maxEpochsAhead))
-	turn := p.since + epochs*time.Duration(min(p.policy.LengthMS, maxEpochMS))*time.Millisecond
+func (n *Node) retryAfterSeconds(verdict admission.Verdict) int {
+	state := &n.admissionPolicy
+	epochs := time.Duration(min(verdict.EpochsToTurn, maxEpochsAhead))
+	turn := state.knownSince + epochs*time.Duration(min(state.current.EpochLengthMS, maxEpochMS))*time.Millisecond
 	return max(1, int((turn-n.now+time.Second-1)/time.Second))
 }
 
 // rejectForCapacity rejects an admitted submission that can't be written in time; the user retries.
 // A job counts once per epoch, however often its user retries.
-func (n *Node) turnAway(s submission) {
-	id := s.r.Job.UID
-	if !n.elect.stateLost() && s.policyVersion == n.policy.version && !n.turnedAway[id] {
-		if len(n.turnedAway) < recentSize {
-			n.turnedAway[id] = true
+func (n *Node) rejectForCapacity(submission pendingSubmission) {
+	jobID := submission.request.Job.ID
+	if !n.election.storeUnavailable() && submission.policyVersion == n.admissionPolicy.version && !n.rejectedJobs[jobID] {
+		if len(n.rejectedJobs) < recentJobsLimit {
+			n.rejectedJobs[jobID] = true
 		}
-		n.countLoad(groupOf(s.r.Job), func(l *protocol.GroupLoad) { l.TurnedAway++ })
+		n.countGroupLoad(admissionGroup(submission.request.Job), func(load *protocol.GroupLoad) { load.RejectedForCapacity++ })
 	}
-	n.trace(id, stepTurnedAway, "")
-	n.unavailable(s.r.Origin)
+	n.traceStep(jobID, stepRejected, "")
+	n.replyUnavailable(submission.request.Origin)
 }
 
 // resetEpochCounts resets the counts of the last epoch.
-func (n *Node) newEpoch() {
-	clear(n.loads)
-	clear(n.turnedAway)
-	n.turnedAwayAt = n.now
+func (n *Node) resetEpochCounts() {
+	clear(n.unreportedLoads)
+	clear(n.rejectedJobs)
+	n.rejectedJobsSince = n.now
 }
 
 // countGroupLoad updates the counts of a group's submissions that this node reports to the leader.
-func (n *Node) countLoad(group admission.Group, add func(*protocol.GroupLoad)) {
-	load := n.loads[group]
+func (n *Node) countGroupLoad(group admission.Group, increment func(*protocol.GroupLoad)) {
+	load := n.unreportedLoads[group]
 	if load == nil {
-		if len(n.loads) >= protocol.MaxGroupLoads {
+		if len(n.unreportedLoads) >= protocol.MaxGroupLoads {
 			return // submissions under very many names; the groups counted so far show the overload
 		}
-		load = &protocol.GroupLoad{Team: group.Team, Class: group.Class, Rank: group.Rank}
-		n.loads[group] = load
+		load = &protocol.GroupLoad{Team: group.Team, Class: group.Class, PriorityRank: group.PriorityRank}
+		n.unreportedLoads[group] = load
 	}
-	add(load)
+	increment(load)
 }
 
 // tickAdmission reports the submissions that this node did not accept to the leader, at most once
 // per heartbeat, and reads the policy if a peer knows a newer one.
 func (n *Node) tickAdmission() {
-	if n.policy.heardRevision(n.peers) && !n.policy.reading && !n.elect.stateDown() {
+	if n.admissionPolicy.isOutdated(n.peers) && !n.admissionPolicy.reading && !n.election.storeFailing() {
 		n.readPolicy(nil)
 	}
-	if n.policy.version == 0 && n.now >= n.turnedAwayAt+n.epochLength() {
-		clear(n.turnedAway)
-		n.turnedAwayAt = n.now
+	if n.admissionPolicy.version == 0 && n.now >= n.rejectedJobsSince+n.epochLength() {
+		clear(n.rejectedJobs)
+		n.rejectedJobsSince = n.now
 	}
-	if len(n.loads) == 0 || n.now < n.loadsAt+n.lease()/heartbeatsPerLease {
+	if len(n.unreportedLoads) == 0 || n.now < n.loadsReportedAt+n.workerLease()/peerHeartbeatsPerLease {
 		return
 	}
-	n.loadsAt = n.now
-	message := protocol.AdmissionLoad{Version: n.policy.version, Groups: sortedLoads(n.loads)}
-	clear(n.loads)
-	switch leader := n.leaderPeer(); {
-	case n.authority():
-		n.lead.admission.take(message)
-	case leader != nil:
-		n.send(leader.name, message)
+	n.loadsReportedAt = n.now
+	message := protocol.AdmissionLoad{PolicyRevision: n.admissionPolicy.version, Groups: sortedLoads(n.unreportedLoads)}
+	clear(n.unreportedLoads)
+	switch leaderPeer := n.leaderPeer(); {
+	case n.holdsLeaderLease():
+		n.leader.admission.addNodeLoad(message)
+	case leaderPeer != nil:
+		n.send(leaderPeer.name, message)
 	}
 }
 
 // sortedLoads lists the loads by team, class and rank.
 func sortedLoads(loads map[admission.Group]*protocol.GroupLoad) []protocol.GroupLoad {
-	out := make([]protocol.GroupLoad, 0, len(loads))
-	for _, l := range loads {
-		out = append(out, *l)
+	sorted := make([]protocol.GroupLoad, 0, len(loads))
+	for _, load := range loads {
+		sorted = append(sorted, *load)
 	}
-	slices.SortFunc(out, func(a, b protocol.GroupLoad) int {
-		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class), a.Rank-b.Rank)
+	slices.SortFunc(sorted, func(a, b protocol.GroupLoad) int {
+		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class), a.PriorityRank-b.PriorityRank)
 	})
-	return out
+	return sorted
 }
 
 // isOutdated reports whether some peer knows a newer change of the record.
-func (p *policyState) heardRevision(peers map[string]*peer) bool {
+func (p *admissionPolicyState) isOutdated(peers map[string]*peer) bool {
 	for _, other := range peers {
-		if other.policy > p.revision {
+		if other.policyRevision > p.revision {
 			return true
 		}
 	}
@@ -162,134 +162,134 @@
 
 // readPolicy reads the record and then calls onRead, which may be nil, and all other callbacks
 // that wait for it.
-func (n *Node) readPolicy(then func()) {
-	p := &n.policy
-	if then != nil {
-		p.waiting = append(p.waiting, then)
+func (n *Node) readPolicy(onRead func()) {
+	state := &n.admissionPolicy
+	if onRead != nil {
+		state.readCallbacks = append(state.readCallbacks, onRead)
 	}
-	if p.reading {
+	if state.reading {
 		return
 	}
-	p.reading = true
-	n.stateCall("GET", "/store/"+storage.PolicyKey, nil, func(r Result) {
-		p.reading = false
+	state.reading = true
+	n.storeCall("GET", "/store/"+storage.AdmissionPolicyKey, nil, func(result CallResult) {
+		state.reading = false
 		var item storage.Item
-		var gone storage.TxnResult
+		var notFound storage.TxnResponse
 		switch {
-		case r.Status == 200 && json.Unmarshal(r.Body, &item) == nil:
-			n.takePolicy(item)
-		case r.Status == 404 && json.Unmarshal(r.Body, &gone) == nil:
-			n.policyEnded(gone.Revision)
+		case result.Status == 200 && json.Unmarshal(result.Body, &item) == nil:
+			n.applyPolicyRecord(item)
+		case result.Status == 404 && json.Unmarshal(result.Body, &notFound) == nil:
+			n.notePolicyRemoved(notFound.Revision)
 		}
-		waiting := p.waiting
-		p.waiting = nil
-		for _, f := range waiting {
-			f()
+		callbacks := state.readCallbacks
+		state.readCallbacks = nil
+		for _, callback := range callbacks {
+			callback()
 		}
 	})
 }
 
 // applyPolicyRecord applies the record as it was read or written, unless it is older than the one
 // known.
-func (n *Node) takePolicy(item storage.Item) {
-	p := &n.policy
-	if item.Version < p.revision {
+func (n *Node) applyPolicyRecord(item storage.Item) {
+	state := &n.admissionPolicy
+	if item.ModRevision < state.revision {
 		return // a delayed response with an older version
 	}
-	if item.Version == p.version {
+	if item.ModRevision == state.version {
 		return
 	}
-	p.version, p.revision, p.since = item.Version, item.Version, n.now
-	n.newEpoch()
+	state.version, state.revision, state.knownSince = item.ModRevision, item.ModRevision, n.now
+	n.resetEpochCounts()
 	policy := &admission.Policy{}
 	err := json.Unmarshal(item.Value, policy)
 	if err == nil {
-		err = policy.Check()
+		err = policy.Validate()
 	}
-	if p.invalid = err != nil; p.invalid {
-		p.policy = nil
-		if p.logged != item.Version {
-			p.logged = item.Version
-			n.log.Error("admission policy invalid, rejecting submissions", "version", item.Version, "error", err)
+	if state.invalid = err != nil; state.invalid {
+		state.current = nil
+		if state.loggedInvalidVersion != item.ModRevision {
+			state.loggedInvalidVersion = item.ModRevision
+			n.log.Error("admission policy invalid, rejecting submissions", "version", item.ModRevision, "error", err)
 		}
 		return
 	}
-	p.policy = policy
+	state.current = policy
 }
 
 // notePolicyRemoved records that there was no policy at a revision of the key-value store.
-func (n *Node) policyEnded(revision uint64) {
-	p := &n.policy
-	if revision < p.revision {
+func (n *Node) notePolicyRemoved(revision uint64) {
+	state := &n.admissionPolicy
+	if revision < state.revision {
 		return
 	}
-	if p.policy != nil || p.invalid {
+	if state.current != nil || state.invalid {
 		n.log.Info("admission policy removed")
 	}
-	if p.version != 0 {
-		n.newEpoch()
+	if state.version != 0 {
+		n.resetEpochCounts()
 	}
-	*p = policyState{revision: revision, reading: p.reading,
-		waiting: p.waiting, logged: p.logged}
+	*state = admissionPolicyState{revision: revision, reading: state.reading,
+		readCallbacks: state.readCallbacks, loggedInvalidVersion: state.loggedInvalidVersion}
 }
 
 // onlyPolicyChanged reports whether a transaction failed only because the policy has changed. Then
 // the job is still unknown and its submission is evaluated again.
-func policyMoved(failed []string, id string) bool {
-	return slices.Contains(failed, storage.PolicyKey) &&
-		!slices.Contains(failed, storage.JobKey(id)) && !slices.Contains(failed, storage.FinalKey(id))
+func onlyPolicyChanged(failedKeys []string, jobID string) bool {
+	return slices.Contains(failedKeys, storage.AdmissionPolicyKey) &&
+		!slices.Contains(failedKeys, storage.JobKey(jobID)) && !slices.Contains(failedKeys, storage.TerminalKey(jobID))
 }
 
 // onAdmissionStatus answers an operator's request for this node's admission policy and, if it
 // names a job, for the job's admission.
-func (n *Node) onAdmission(r Request) {
-	s := admission.NodeStatus{Node: n.cfg.Node, Leads: n.authority(), Enabled: n.set.FairAdmission,
-		Version: n.policy.version, Invalid: n.policy.invalid, Policy: n.policy.policy}
-	if n.policy.version != 0 {
-		s.AgeS = (n.now - n.policy.since).Round(time.Millisecond).Seconds()
+func (n *Node) onAdmissionStatus(request Request) {
+	status := admission.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), Enabled: n.settings.FairAdmission,
+		Version: n.admissionPolicy.version, Invalid: n.admissionPolicy.invalid, Policy: n.admissionPolicy.current}
+	if n.admissionPolicy.version != 0 {
+		status.PolicyAgeSeconds = (n.now - n.admissionPolicy.knownSince).Round(time.Millisecond).Seconds()
 	}
-	if s.Leads {
-		s.Capacity = n.lead.admission.capacity().Jobs
-		s.Waiting = n.lead.waitingGroups()
+	if status.IsLeader {
+		status.EpochCapacity = n.leader.admission.epochCapacity().Jobs
+		status.WaitingGroups = n.leader.waitingGroups()
 	}
-	if r.ID != "" {
-		s.Job = n.admissionOf(r.ID)
+	if request.JobID != "" {
+		status.Job = n.jobAdmissionStatus(request.JobID)
 	}
-	n.reply(r.Origin, 200, 0, s)
+	n.reply(request.Origin, 200, 0, status)
 }
 
 // jobAdmissionStatus is what this node knows of a job's admission.
-func (n *Node) admissionOf(id string) *admission.JobStatus {
-	s := &admission.JobStatus{ID: id, Accepted: n.accepted.byID[id]}
-	if _, over := n.finals.byID[id]; over || n.lead != nil && n.lead.jobs[id] != nil {
-		s.Accepted = true
+func (n *Node) jobAdmissionStatus(jobID string) *admission.JobStatus {
+	status := &admission.JobStatus{ID: jobID, Accepted: n.acceptedJobs.byID[jobID]}
+	if _, isTerminal := n.terminalJobs.byID[jobID]; isTerminal || n.leader != nil && n.leader.jobs[jobID] != nil {
+		status.Accepted = true
 	}
-	group, refused := n.refused.byID[id]
-	if s.Accepted || !refused {
-		return s
+	group, rejected := n.policyRejections.byID[jobID]
+	if status.Accepted || !rejected {
+		return status
 	}
-	s.Refused = &group
-	verdict := n.policy.policy.Judge(group, id)
-	if s.Admit = verdict.Admit && !n.policy.invalid; !s.Admit {
-		s.TurnInS = n.retryAfter(verdict)
+	status.RejectedGroup = &group
+	verdict := n.admissionPolicy.current.Evaluate(group, jobID)
+	if status.AdmittedNow = verdict.Admit && !n.admissionPolicy.invalid; !status.AdmittedNow {
+		status.TurnInSeconds = n.retryAfterSeconds(verdict)
 	}
-	return s
+	return status
 }
 
 // waitingGroups counts, by group, the accepted jobs of which no task has started.
-func (l *leadership) waitingGroups() []admission.WaitingGroup {
+func (l *leader) waitingGroups() []admission.WaitingGroup {
 	counts := map[admission.Group]int{}
-	for _, j := range l.runnable {
-		if j.firstStart == 0 && j.done == 0 && len(j.runs) == 0 {
-			counts[groupOf(&j.spec)]++
+	for _, job := range l.runnableJobs {
+		if job.firstStartAt == 0 && job.doneTasks == 0 && len(job.attempts) == 0 {
+			counts[admissionGroup(&job.spec)]++
 		}
 	}
 	groups := slices.SortedFunc(maps.Keys(counts), func(a, b admission.Group) int {
-		return cmp.Or(a.Rank-b.Rank, cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
+		return cmp.Or(a.PriorityRank-b.PriorityRank, cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
 	})
-	out := make([]admission.WaitingGroup, len(groups))
-	for i, g := range groups {
-		out[i] = admission.WaitingGroup{Group: g, Jobs: counts[g]}
+	waiting := make([]admission.WaitingGroup, len(groups))
+	for i, group := range groups {
+		waiting[i] = admission.WaitingGroup{Group: group, Jobs: counts[group]}
 	}
-	return out
+	return waiting
 }
--- a/internal/coordination/admission_control.go
+++ b/internal/coordination/admission_control.go
@@ -11,12 +11,12 @@
 // admissionControl is the leader's part of admission: it adds up the submissions that all nodes
 // report and publishes the policy of each epoch.
 type admissionControl struct {
-	l         *leadership
-	control   *admission.Control
-	loads     map[admission.Group]*admission.Load // of the current epoch
-	epochAt   Instant                             // when the current epoch began
-	writing   bool                                // the last policy is not durable yet
-	maxShares int
+	leader         *leader
+	planner        *admission.Planner
+	epochLoads     map[admission.Group]*admission.Load // of the current epoch
+	epochStartedAt Instant                             // when the current epoch began
+	publishing     bool                                // the last policy is not durable yet
+	maxShares      int
 }
 
 // Constants of the leader's part of admission.
@@ -25,56 +25,56 @@
 	epochsPerLease = 4
 	// turnDeadlineShare is the part of the time for which users retry a submission within which
 	// each job should be admitted. The rest is a margin for users who retry late.
-	turnShare = 2.0 / 3
+	turnDeadlineShare = 2.0 / 3
 	// maxShareBytes is an upper bound of the encoded size of a share in the policy's record.
-	shareBytes = 256
+	maxShareBytes = 256
 	// openJobsMemoryShare is the part of the memory that open jobs may use.
-	openJobsShare = 0.25
+	openJobsMemoryShare = 0.25
 	// openJobBytes is the memory of an open job, as estimated.
 	openJobBytes = 8 << 10
 )
 
 // epochLength is how long a policy is in force.
 func (n *Node) epochLength() time.Duration {
-	return (n.lease() / epochsPerLease).Truncate(time.Millisecond)
+	return (n.workerLease() / epochsPerLease).Truncate(time.Millisecond)
 }
 
 // start prepares admission for the leader that owns it.
-func (a *admissionControl) init(l *leadership) {
-	a.l, a.loads, a.epochAt = l, map[admission.Group]*admission.Load{}, l.n.now
-	a.maxShares = max(1, (l.n.cfg.Cluster.State.ValueBytes()-shareBytes)/shareBytes)
+func (a *admissionControl) start(owner *leader) {
+	a.leader, a.epochLoads, a.epochStartedAt = owner, map[admission.Group]*admission.Load{}, owner.node.now
+	a.maxShares = max(1, (owner.node.cfg.Cluster.Store.MaxValueBytes()-maxShareBytes)/maxShareBytes)
 }
 
 // plannerSettings are the bounds of the policies.
-func (a *admissionControl) settings() admission.Settings {
-	n := a.l.n
-	turn := turnShare * float64(protocol.RetrySpan)
-	return admission.Settings{LengthMS: n.epochLength().Milliseconds(), MaxShares: a.maxShares,
-		EpochsToTurn: max(1, int(turn/float64(n.epochLength())))}
+func (a *admissionControl) plannerSettings() admission.Settings {
+	node := a.leader.node
+	turnDeadline := turnDeadlineShare * float64(protocol.SubmissionRetryWindow)
+	return admission.Settings{EpochLengthMS: node.epochLength().Milliseconds(), MaxShares: a.maxShares,
+		MaxEpochsToTurn: max(1, int(turnDeadline/float64(node.epochLength())))}
 }
 
 // loadStoredPolicy applies the record that an earlier leader left, or its absence.
-func (a *admissionControl) load(items []storage.Item) {
-	a.l.knowAll(items)
+func (a *admissionControl) loadStoredPolicy(items []storage.Item) {
+	a.leader.noteVersions(items)
 	if len(items) == 0 {
-		a.l.n.policyEnded(a.l.watchRevision)
+		a.leader.node.notePolicyRemoved(a.leader.watchRevision)
 	}
-	for _, it := range items {
-		if it.Key == storage.PolicyKey {
-			a.l.n.takePolicy(it)
+	for _, item := range items {
+		if item.Key == storage.AdmissionPolicyKey {
+			a.leader.node.applyPolicyRecord(item)
 		}
 	}
 }
 
 // mayPublish reports whether policies may be published: the operators enable them, and every node
 // understands them. The heartbeats show a node that was downgraded since it wrote its version.
-func (a *admissionControl) enabled() bool {
-	n := a.l.n
-	if !n.set.FairAdmission || !n.allUnderstand(levelAdmission) {
+func (a *admissionControl) mayPublish() bool {
+	node := a.leader.node
+	if !node.settings.FairAdmission || !node.clusterSupports(protocolLevelAdmission) {
 		return false
 	}
-	for _, p := range n.peers {
-		if n.now-p.heard < n.termSpan() && p.level < levelAdmission {
+	for _, peer := range node.peers {
+		if node.now-peer.lastContact < node.leaderLease() && peer.protocolLevel < protocolLevelAdmission {
 			return false
 		}
 	}
@@ -82,129 +82,129 @@
 }
 
 // addNodeLoad adds the rejected submissions that a node reports.
-func (a *admissionControl) take(m protocol.AdmissionLoad) {
-	if a.writing || m.Version != a.l.n.policy.version {
+func (a *admissionControl) addNodeLoad(message protocol.AdmissionLoad) {
+	if a.publishing || message.PolicyRevision != a.leader.node.admissionPolicy.version {
 		return // counted under another policy
 	}
-	for _, g := range m.Groups {
-		load := a.loadOf(admission.Group{Team: g.Team, Class: g.Class, Rank: g.Rank})
+	for _, nodeLoad := range message.Groups {
+		load := a.groupLoad(admission.Group{Team: nodeLoad.Team, Class: nodeLoad.Class, PriorityRank: nodeLoad.PriorityRank})
 		if load != nil {
-			load.TurnedAway += g.TurnedAway
-			load.Refused += g.Refused
+			load.RejectedForCapacity += nodeLoad.RejectedForCapacity
+			load.RejectedByPolicy += nodeLoad.RejectedByPolicy
 		}
 	}
 }
 
 // countAccepted counts a job that some node has accepted.
-func (a *admissionControl) accepted(j *protocol.Job) {
-	if load := a.loadOf(groupOf(j)); load != nil {
+func (a *admissionControl) countAccepted(spec *protocol.Job) {
+	if load := a.groupLoad(admissionGroup(spec)); load != nil {
 		load.Accepted++
 	}
 }
 
 // groupLoad is the load of a group in this epoch, or nil if there are too many groups.
-func (a *admissionControl) loadOf(group admission.Group) *admission.Load {
-	load := a.loads[group]
-	if load == nil && len(a.loads) < protocol.MaxGroupLoads {
-		load = &admission.Load{Group: group, Weight: a.weight(group.Team)}
-		a.loads[group] = load
+func (a *admissionControl) groupLoad(group admission.Group) *admission.Load {
+	load := a.epochLoads[group]
+	if load == nil && len(a.epochLoads) < protocol.MaxGroupLoads {
+		load = &admission.Load{Group: group, Weight: a.teamWeight(group.Team)}
+		a.epochLoads[group] = load
 	}
 	return load
 }
 
 // teamWeight is a team's weight among all teams. It grows with the team's guarantee, from 1 to 2.
-func (a *admissionControl) weight(name string) float64 {
+func (a *admissionControl) teamWeight(teamName string) float64 {
 	largest := 0.0
-	for _, t := range a.l.n.cfg.Cluster.Teams {
-		largest = max(largest, t.CPUs)
+	for _, t := range a.leader.node.cfg.Cluster.Teams {
+		largest = max(largest, t.GuaranteedCPUs)
 	}
-	team := a.l.n.cfg.Cluster.Team(name)
+	team := a.leader.node.cfg.Cluster.Team(teamName)
 	if team == nil || largest == 0 {
 		return 1
 	}
-	return 1 + team.CPUs/largest
+	return 1 + team.GuaranteedCPUs/largest
 }
 
 // epochCapacity is the number of jobs that can be accepted in an epoch. It is limited by the rate
 // of writes, and by the memory left for open jobs, spread over the epochs within which every
 // waiting job is to be admitted.
-func (a *admissionControl) capacity() admission.Capacity {
-	n := a.l.n
-	epochs := n.epochLength().Seconds()
-	byRate := n.submitBudget.burst * epochs
-	most := openJobsShare * n.cfg.Cluster.Resources.MemMB * (1 << 20) / openJobBytes
-	byMemory := max(1, (most-float64(len(a.l.jobs)))/float64(a.settings().EpochsToTurn))
-	return admission.Capacity{Jobs: min(byRate, byMemory), Short: byMemory < byRate}
+func (a *admissionControl) epochCapacity() admission.Capacity {
+	node := a.leader.node
+	epochSeconds := node.epochLength().Seconds()
+	byRate := node.submissionBudget.burst * epochSeconds
+	maxOpenJobs := openJobsMemoryShare * node.cfg.Cluster.Resources.MemoryMB * (1 << 20) / openJobBytes
+	byMemory := max(1, (maxOpenJobs-float64(len(a.leader.jobs)))/float64(a.plannerSettings().MaxEpochsToTurn))
+	return admission.Capacity{Jobs: min(byRate, byMemory), MemoryLimited: byMemory < byRate}
 }
 
 // tick starts the next epoch once the current one is over.
 func (a *admissionControl) tick() {
-	l, n := a.l, a.l.n
-	if n.now < a.epochAt+n.epochLength() || a.writing {
+	leader, node := a.leader, a.leader.node
+	if node.now < a.epochStartedAt+node.epochLength() || a.publishing {
 		return
 	}
-	a.epochAt = n.now
-	loads := a.endEpoch()
-	if !a.enabled() || n.policy.invalid {
-		a.control = nil
-		if l.writer.Version(storage.PolicyKey) != 0 {
-			a.publish(nil) // remove the policy of an earlier leader, or an invalid one
+	a.epochStartedAt = node.now
+	loads := a.takeEpochLoads()
+	if !a.mayPublish() || node.admissionPolicy.invalid {
+		a.planner = nil
+		if leader.writer.ModRevision(storage.AdmissionPolicyKey) != 0 {
+			a.publishPolicy(nil) // remove the policy of an earlier leader, or an invalid one
 		}
 		return
 	}
-	if a.control == nil {
-		a.control = admission.NewControl(a.settings(), n.policy.policy)
+	if a.planner == nil {
+		a.planner = admission.NewPlanner(a.plannerSettings(), node.admissionPolicy.current)
 	}
-	had := a.control.Policy() != nil
+	hadPolicy := a.planner.Policy() != nil
 	// Each policy that is written raises the revision, so a series of epochs that starts at the
 	// next revision is numbered above all earlier ones.
-	next := a.control.Next(loads, a.capacity(), max(l.watchRevision, n.policy.revision)+1)
-	if next == nil && !had {
+	next := a.planner.NextPolicy(loads, a.epochCapacity(), max(leader.watchRevision, node.admissionPolicy.revision)+1)
+	if next == nil && !hadPolicy {
 		return
 	}
-	if (next != nil) != had {
-		n.log.Info("admission policy switched", "active", next != nil, "capacity", a.capacity().Jobs)
+	if (next != nil) != hadPolicy {
+		node.log.Info("admission policy switched", "active", next != nil, "capacity", a.epochCapacity().Jobs)
 	}
-	a.publish(next)
+	a.publishPolicy(next)
 }
 
 // takeEpochLoads returns the loads of the epoch that ends and resets them.
-func (a *admissionControl) endEpoch() []admission.Load {
-	loads := make([]admission.Load, 0, len(a.loads))
-	for _, load := range a.loads {
+func (a *admissionControl) takeEpochLoads() []admission.Load {
+	loads := make([]admission.Load, 0, len(a.epochLoads))
+	for _, load := range a.epochLoads {
 		loads = append(loads, *load)
 	}
-	clear(a.loads)
+	clear(a.epochLoads)
 	return loads
 }
 
 // publishPolicy writes a policy, or removes the record if it is nil. Like all writes of a leader
 // it is conditioned on the leader key, so a leader that has been replaced publishes nothing.
-func (a *admissionControl) publish(policy *admission.Policy) {
-	l, n := a.l, a.l.n
-	a.writing = true
-	write := storage.Drop(storage.PolicyKey)
+func (a *admissionControl) publishPolicy(policy *admission.Policy) {
+	leader, node := a.leader, a.leader.node
+	a.publishing = true
+	write := storage.Delete(storage.AdmissionPolicyKey)
 	if policy != nil {
-		write = storage.Set(storage.PolicyKey, policy)
+		write = storage.Put(storage.AdmissionPolicyKey, policy)
 	}
-	l.writer.Add(storage.Releases, storage.Unit{
-		Build: func() []storage.Write { return []storage.Write{write} },
-		Done: func() {
-			a.writing, a.epochAt = false, n.now // the epoch begins when the policy is durable
-			clear(a.loads)
+	leader.writer.Enqueue(storage.PriorityDependency, storage.Change{
+		BuildWrites: func() []storage.Write { return []storage.Write{write} },
+		OnApplied: func() {
+			a.publishing, a.epochStartedAt = false, node.now // the epoch begins when the policy is durable
+			clear(a.epochLoads)
 			if policy == nil {
-				n.policyEnded(max(n.policy.revision, l.writer.LastRevision()))
-				n.readPolicy(nil) // for the revision of the removal, which peers are told
+				node.notePolicyRemoved(max(node.admissionPolicy.revision, leader.writer.LastRevision()))
+				node.readPolicy(nil) // for the revision of the removal, which peers are told
 				return
 			}
-			n.takePolicy(storage.Item{Key: storage.PolicyKey, Value: write.Value,
-				Version: l.writer.Version(storage.PolicyKey)})
+			node.applyPolicyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: write.Value,
+				ModRevision: leader.writer.ModRevision(storage.AdmissionPolicyKey)})
 		},
-		Refused: func(bool) {
+		OnRejected: func(bool) {
 			// The limit of a value's size has shrunk: the next policy names fewer groups.
-			a.writing = false
+			a.publishing = false
 			a.maxShares = max(1, a.maxShares/2)
-			a.control = nil
+			a.planner = nil
 		},
 	})
 }
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	w := newSimulation(t, nodes)
 	w.fair = fair
-	w.cfg.State.WriteRPS = 12
+	w.cfg.Store.WritesPerS = 12
 	w.state.limited = true
 	w.runTime = func(string, int) time.Duration { return time.Second }
 	for _, name := range w.names {
@@ -59,17 +59,17 @@
 	began := a.now
 	var try func()
 	try = func() {
-		a.user(Request{Kind: protocol.RequestSubmit, ID: j.UID, Job: &j}, func(r Reply) {
+		a.user(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
 			switch {
 			case r.Status == 201 || r.Status == 200:
 				if r.Status == 201 {
-					a.created[j.UID]++
+					a.created[j.ID]++
 				}
-				a.waited[j.UID] = a.now - began
+				a.waited[j.ID] = a.now - began
 			case r.Status != 503 && r.Status != 0:
-				a.t.Errorf("%s: %d", j.UID, r.Status)
-			case a.now-began > protocol.RetrySpan:
-				a.gaveUp[j.UID] = true
+				a.t.Errorf("%s: %d", j.ID, r.Status)
+			case a.now-began > protocol.SubmissionRetryWindow:
+				a.gaveUp[j.ID] = true
 			default:
 				a.after(userRule(back(time.Duration(r.RetryAfter)*time.Second)), try)
 			}
@@ -119,10 +119,10 @@
 	}
 	c.run(80 * time.Second)
 	urgent, low := a.longest("urgent", 15), a.longest("low", 40)
-	if standard := a.longest("standard", 25); urgent > 30*time.Second || standard > protocol.RetrySpan || low > protocol.RetrySpan {
+	if standard := a.longest("standard", 25); urgent > 30*time.Second || standard > protocol.SubmissionRetryWindow || low > protocol.SubmissionRetryWindow {
 		t.Errorf("urgent work waited for %v, standard for %v, low for %v", urgent, standard, low)
 	}
-	if _, left := c.state.keys[storage.PolicyKey]; left {
+	if _, left := c.state.keys[storage.AdmissionPolicyKey]; left {
 		t.Error("the policy did not end")
 	}
 	c.settle(5 * time.Minute)
@@ -137,7 +137,7 @@
 	}
 	c.run(40 * time.Second)
 	for _, e := range c.state.log {
-		if e.Set == storage.PolicyKey {
+		if e.PutKey == storage.AdmissionPolicyKey {
 			t.Fatal("a policy was published")
 		}
 	}
@@ -164,7 +164,7 @@
 	c.run(80 * time.Second)
 	means := map[string]time.Duration{}
 	for class := range backs {
-		if w := a.longest(class, 25); w > protocol.RetrySpan+5*time.Second {
+		if w := a.longest(class, 25); w > protocol.SubmissionRetryWindow+5*time.Second {
 			t.Errorf("a user of %q waited for %v", class, w)
 		}
 		for i := range 25 {
@@ -192,7 +192,7 @@
 		a.submit(a.job("flood", "standard", i), inTime)
 	}
 	c.run(10 * time.Second)
-	if c.nodes[c.leader()].policy.policy == nil {
+	if c.nodes[c.leader()].admissionPolicy.current == nil {
 		t.Fatal("no policy holds")
 	}
 	for i := range 12 {
@@ -208,7 +208,7 @@
 			t.Errorf("%s was accepted %d times", id, times)
 		}
 	}
-	if w := a.longest("same", 12); w > protocol.RetrySpan+5*time.Second {
+	if w := a.longest("same", 12); w > protocol.SubmissionRetryWindow+5*time.Second {
 		t.Errorf("waited for %v", w)
 	}
 	c.settle(5 * time.Minute)
@@ -263,7 +263,7 @@
 				trouble(c, c.leader())
 				c.run(45 * time.Second)
 				c.settle(5 * time.Minute)
-				if !c.until(time.Minute, func() bool { _, left := c.state.keys[storage.PolicyKey]; return !left }) {
+				if !c.until(time.Minute, func() bool { _, left := c.state.keys[storage.AdmissionPolicyKey]; return !left }) {
 					t.Error("the policy did not end")
 				}
 			}
@@ -284,7 +284,7 @@
 	c := overloaded(t, 3, fair)
 	c.accept(c.leader(), spec("j-known", 1))
 	for _, value := range []any{"no policy", map[string]any{"epoch": 3, "lengthMs": 5, "rest": map[string]any{"steps": []int{0}}}} {
-		c.state.put(storage.PolicyKey, value)
+		c.state.put(storage.AdmissionPolicyKey, value)
 		if r := c.submit(c.followers()[0], spec("j-new", 1)); r.Status != 503 || r.RetryAfter == 0 {
 			t.Errorf("%v: %d, Retry-After %d", value, r.Status, r.RetryAfter)
 		}
@@ -298,7 +298,7 @@
 		c.restart(c.names[1])
 		c.restart(c.names[2])
 		c.waitLeader()
-		if !c.until(20*time.Second, func() bool { _, left := c.state.keys[storage.PolicyKey]; return !left }) {
+		if !c.until(20*time.Second, func() bool { _, left := c.state.keys[storage.AdmissionPolicyKey]; return !left }) {
 			t.Fatalf("%v: it is left", value)
 		}
 	}
@@ -325,7 +325,7 @@
 	c.old[follower] = true
 	c.back(follower, step)
 	c.run(2 * c.nodes[c.names[0]].epochLength())
-	if _, left := c.state.keys[storage.PolicyKey]; left {
+	if _, left := c.state.keys[storage.AdmissionPolicyKey]; left {
 		t.Error("the policy stands beside a node that does not know it")
 	}
 	clear(c.judged)
@@ -342,7 +342,7 @@
 func TestPolicyWaitsForSilentNodes(t *testing.T) {
 	w := newSimulation(t, 3)
 	w.fair = true
-	w.cfg.State.WriteRPS = 12
+	w.cfg.Store.WritesPerS = 12
 	w.state.limited = true
 	w.old["n2"] = true
 	for _, name := range w.names {
@@ -378,22 +378,22 @@
 func TestStalePolicyIsFoundOut(t *testing.T) {
 	c := overloaded(t, 3, false)
 	f := c.nodes[c.followers()[0]]
-	all := &admission.Policy{Epoch: 5, LengthMS: 3500, Rest: admission.Everybody(admission.Group{})}
+	all := &admission.Policy{Epoch: 5, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
 	raw := storage.Encode(all)
-	f.takePolicy(storage.Item{Key: storage.PolicyKey, Value: raw, Version: c.state.rev})
-	if r := c.submit(f.name, spec("j-1", 1)); r.Status != 201 || f.policy.policy != nil {
-		t.Errorf("answered %d, judges by %+v", r.Status, f.policy.policy)
+	f.applyPolicyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: c.state.rev})
+	if r := c.submit(f.name, spec("j-1", 1)); r.Status != 201 || f.admissionPolicy.current != nil {
+		t.Errorf("answered %d, judges by %+v", r.Status, f.admissionPolicy.current)
 	}
-	f.policyEnded(9_001)
-	f.takePolicy(storage.Item{Key: storage.PolicyKey, Value: raw, Version: 9_000})
-	if f.policy.policy != nil {
+	f.notePolicyRemoved(9_001)
+	f.applyPolicyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: 9_000})
+	if f.admissionPolicy.current != nil {
 		t.Error("an older answer is taken")
 	}
 	for _, n := range c.nodes {
-		n.policy = policyState{policy: all, version: 8, revision: 8}
+		n.admissionPolicy = admissionPolicyState{current: all, version: 8, revision: 8}
 	}
 	c.crash(c.leader())
-	if l := c.waitLeader(); l.policy.policy != nil {
+	if l := c.waitLeader(); l.admissionPolicy.current != nil {
 		t.Error("a new leader goes on from a policy that has ended")
 	}
 }
@@ -404,17 +404,17 @@
 	c := overloaded(t, 3, false)
 	c.accept(c.leader(), spec("j-1", 1))
 	c.run(time.Second)
-	none := &admission.Policy{Epoch: 5, LengthMS: 3500, Rest: admission.Share{Tail: admission.Position("j-1") + 1, Steps: []uint64{1}}}
-	c.state.put(storage.PolicyKey, none)
-	version := c.state.keys[storage.PolicyKey].Version
+	none := &admission.Policy{Epoch: 5, EpochLengthMS: 3500, DefaultShare: admission.Share{Tail: admission.Position("j-1") + 1, Steps: []uint64{1}}}
+	c.state.put(storage.AdmissionPolicyKey, none)
+	version := c.state.keys[storage.AdmissionPolicyKey].ModRevision
 	for _, name := range c.names {
 		n := c.nodes[name]
-		n.takePolicy(c.state.keys[storage.PolicyKey])
-		if n.lead != nil {
-			n.lead.admission.epochAt = n.now + time.Hour // it leaves the policy alone
-			clear(n.lead.admission.loads)
-			n.lead.admission.take(protocol.AdmissionLoad{Version: version - 1, Groups: []protocol.GroupLoad{{Team: "t", Class: "c", TurnedAway: 9}}})
-			if len(n.lead.admission.loads) > 0 {
+		n.applyPolicyRecord(c.state.keys[storage.AdmissionPolicyKey])
+		if n.leader != nil {
+			n.leader.admission.epochStartedAt = n.now + time.Hour // it leaves the policy alone
+			clear(n.leader.admission.epochLoads)
+			n.leader.admission.addNodeLoad(protocol.AdmissionLoad{PolicyRevision: version - 1, Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9}}})
+			if len(n.leader.admission.epochLoads) > 0 {
 				t.Error("loads of another policy count")
 			}
 		}
@@ -430,16 +430,16 @@
 // With many jobs open, the memory limits what an epoch takes before any node turns a job away.
 func TestCapacityFollowsMemory(t *testing.T) {
 	w := newSimulation(t, 1)
-	l := w.waitLeader().lead
-	free := l.admission.capacity()
-	if free.Short || free.Jobs <= 0 {
+	l := w.waitLeader().leader
+	free := l.admission.epochCapacity()
+	if free.MemoryLimited || free.Jobs <= 0 {
 		t.Errorf("without jobs: %+v", free)
 	}
-	most := int(openJobsShare * w.cfg.Resources.MemMB * (1 << 20) / openJobBytes)
+	most := int(openJobsMemoryShare * w.cfg.Resources.MemoryMB * (1 << 20) / openJobBytes)
 	for i := range most - 20 {
 		l.jobs[fmt.Sprintf("j-%d", i)] = nil
 	}
-	if c := l.admission.capacity(); !c.Short || c.Jobs >= free.Jobs || c.Jobs < 1 {
+	if c := l.admission.epochCapacity(); !c.MemoryLimited || c.Jobs >= free.Jobs || c.Jobs < 1 {
 		t.Errorf("with %d jobs: %+v", most-20, c)
 	}
 }
--- a/internal/coordination/begin_test.go
+++ b/internal/coordination/begin_test.go
@@ -38,7 +38,7 @@
 			w.after(30*time.Second, func() {
 				for i := range c.jobs {
 					wide := spec(fmt.Sprintf("j-wide-%d", i), 8)
-					wide.Priority, wide.Cores, wide.SameZone, wide.EstimateS = "low", c.cores, c.sameZone, 30
+					wide.Priority, wide.Cores, wide.SameZone, wide.EstimatedSeconds = "low", c.cores, c.sameZone, 30
 					if i%2 == 1 {
 						wide.Zone = "b"
 					}
@@ -52,22 +52,22 @@
 			fillUntil := func(end Instant) { // with more small work than the machines can do
 				for ; w.now < end; small++ {
 					j := spec(fmt.Sprintf("j-small-%d", small), 3)
-					j.EstimateS = 30
+					j.EstimatedSeconds = 30
 					users.submitUntil(j)
 					w.run(2 * time.Second)
 				}
 			}
-			fillUntil(submitted + mustBegin)
+			fillUntil(submitted + maxStartDelay)
 			for i := range c.jobs {
 				if id := fmt.Sprintf("j-wide-%d", i); w.begun[id] == 0 {
 					t.Errorf("%s has not begun after four minutes: %s", id, w.why(id))
 				}
 			}
-			fillUntil(submitted + 3*mustBegin)
+			fillUntil(submitted + 3*maxStartDelay)
 			// Six of them are more than half of the machines can do in this time; the
 			// oldest is served first.
-			if id := "j-wide-0"; w.final(id) != protocol.Done {
-				t.Errorf("%s is not done after %v: %s", id, 3*mustBegin, w.why(id))
+			if id := "j-wide-0"; w.final(id) != protocol.JobDone {
+				t.Errorf("%s is not done after %v: %s", id, 3*maxStartDelay, w.why(id))
 			}
 		})
 	}
@@ -81,8 +81,8 @@
 	wide := spec("j-wide", 1)
 	wide.Cores = 4
 	w.submit(l.name, wide)
-	reserved := func() bool { return l.lead.machines["m-000001"].reservedFor != nil }
-	if !w.until(mustBegin, reserved) {
+	reserved := func() bool { return l.leader.machines["m-000001"].reservedFor != nil }
+	if !w.until(maxStartDelay, reserved) {
 		t.Fatalf("no machine is reserved: %s", w.why("j-wide"))
 	}
 	w.cancel(l.name, "j-wide")
--- a/internal/coordination/bucket.go
+++ b/internal/coordination/bucket.go
@@ -1,28 +1,30 @@
 package coordination
 
 // tokenBucket is a token bucket rate limiter. rate is in tokens per second.
-type bucket struct {
-	rate, burst, level float64
-	at                 Instant
+type tokenBucket struct {
+	rate, burst, tokens float64
+	refilledAt          Instant
 }
 
 // newTokenBucket returns a full bucket.
-func newBucket(rate, burst float64) bucket { return bucket{rate: rate, burst: burst, level: burst} }
+func newTokenBucket(rate, burst float64) tokenBucket {
+	return tokenBucket{rate: rate, burst: burst, tokens: burst}
+}
 
 // refill adds the tokens of the time since the last refill.
-func (b *bucket) refill(now Instant) {
-	if now > b.at {
-		b.level = min(b.burst, b.level+b.rate*(now-b.at).Seconds())
-		b.at = now
+func (b *tokenBucket) refill(now Instant) {
+	if now > b.refilledAt {
+		b.tokens = min(b.burst, b.tokens+b.rate*(now-b.refilledAt).Seconds())
+		b.refilledAt = now
 	}
 }
 
 // take removes count tokens if there are that many, and reports whether it did.
-func (b *bucket) take(now Instant, n float64) bool {
+func (b *tokenBucket) take(now Instant, count float64) bool {
 	b.refill(now)
-	if b.level < n {
+	if b.tokens < count {
 		return false
 	}
-	b.level -= n
+	b.tokens -= count
 	return true
 }
--- a/internal/coordination/checks.go
+++ b/internal/coordination/checks.go
@@ -4,162 +4,162 @@
 
 // slotUsage counts the scheduler slots of all machines that are up, and the taken ones by class
 // of work: batch, and latency-sensitive (priorities prod and urgent).
-type slots struct {
-	total        float64
-	batch, quick int
-	quickWaits   bool
+type slotUsage struct {
+	totalSlots                        float64
+	batchTasks, latencySensitiveTasks int
+	latencySensitiveDelayed           bool
 }
 
 // takenSlots returns the number of slots in use by both classes.
-func (s *slots) taken() int { return s.batch + s.quick }
+func (s *slotUsage) takenSlots() int { return s.batchTasks + s.latencySensitiveTasks }
 
 // schedulingPass is the state shared by all checks and placements of one pass.
-type pass struct {
-	slots
+type schedulingPass struct {
+	slotUsage
 	machineTotals
 	machines []*machine // candidates of this pass
 }
 
 // newSchedulingPass returns a pass without machines, from the present totals.
-func (s *scheduler) newPass(quickWaits bool) *pass {
-	p := &pass{machineTotals: s.currentTotals()}
-	p.slots = slots{total: p.machineTotals.slots, batch: s.active[0], quick: s.active[1], quickWaits: quickWaits}
-	return p
+func (s *scheduler) newSchedulingPass(latencySensitiveDelayed bool) *schedulingPass {
+	pass := &schedulingPass{machineTotals: s.currentMachineTotals()}
+	pass.slotUsage = slotUsage{totalSlots: pass.machineTotals.slots, batchTasks: s.activeTasks[0], latencySensitiveTasks: s.activeTasks[1], latencySensitiveDelayed: latencySensitiveDelayed}
+	return pass
 }
 
 // scheduleQueue places tasks of the queued jobs on the machines of a pass. Within a rank,
 // machines that already have the image come first: a fetch occupies cores without progress and
 // may take as long as a task.
-func (s *scheduler) admitAll(p *pass) {
-	for waiting := s.order; len(waiting) > 0; {
-		same := 1
-		for same < len(waiting) && waiting[same].rank == waiting[0].rank {
-			same++
+func (s *scheduler) scheduleQueue(pass *schedulingPass) {
+	for queue := s.pendingOrder; len(queue) > 0; {
+		sameRank := 1
+		for sameRank < len(queue) && queue[sameRank].rank == queue[0].rank {
+			sameRank++
 		}
-		for _, fetch := range []bool{false, true} {
-			for _, r := range waiting[:same] {
-				s.looked++
-				if len(p.machines) == 1 && !p.machines[0].hasSpace() {
+		for _, mayFetch := range []bool{false, true} {
+			for _, queued := range queue[:sameRank] {
+				s.candidatesExamined++
+				if len(pass.machines) == 1 && !pass.machines[0].hasSpareCapacity() {
 					return // the only machine of the pass is full
 				}
-				if j := r.j; j.pending > 0 && !j.gone {
-					most := j.pending
-					if r.rank == rankOverdue {
-						most = j.spec.Tasks/beginShare + 1 - len(j.runs)
+				if j := queued.job; j.pendingTasks > 0 && !j.terminal {
+					maxTasks := j.pendingTasks
+					if queued.rank == rankOverdue {
+						maxTasks = j.spec.TaskCount/overdueTaskDivisor + 1 - len(j.attempts)
 					}
-					was := j.waits
-					j.waits = s.admit(j, p, fetch, most)
-					s.host.traceWait(j, was)
+					previous := j.blockedBy
+					j.blockedBy = s.scheduleJob(j, pass, mayFetch, maxTasks)
+					s.host.traceBlocked(j, previous)
 				}
 			}
 		}
-		waiting = waiting[same:]
+		queue = queue[sameRank:]
 	}
 }
 
 // scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
 // the check that stopped it.
-func (s *scheduler) admit(j *job, p *pass, fetch bool, most int) waitReason {
-	if j.held {
+func (s *scheduler) scheduleJob(j *job, pass *schedulingPass, mayFetch bool, maxTasks int) waitReason {
+	if j.quarantined {
 		return waitQuarantine
 	}
-	if s.host.mayRunUnseen(j, &p.machineTotals) {
-		return waitUnknown
+	if s.host.mayRunUnreported(j, &pass.machineTotals) {
+		return waitReconciliation
 	}
-	if j.bad && s.outlives(j) {
-		j.bad, j.probes = false, 0
-		s.log.Info("job no longer fails everywhere", "job", j.spec.UID)
+	if j.failsEverywhere && s.outlivesFailures(j) {
+		j.failsEverywhere, j.failedProbes = false, 0
+		s.log.Info("job no longer fails everywhere", "job", j.spec.ID)
 	}
-	if j.bad {
-		if len(j.runs) > 0 || s.clock.Now() < j.probeAt {
+	if j.failsEverywhere {
+		if len(j.attempts) > 0 || s.clock.Now() < j.nextProbeAt {
 			return waitBackoff
 		}
-		most = 1
+		maxTasks = 1
 	}
 	team := s.cluster.Team(j.spec.Team)
-	use := s.usage[j.spec.Team]
-	if team == nil || use == nil {
-		return waitTeam
+	teamUsage := s.teamUsage[j.spec.Team]
+	if team == nil || teamUsage == nil {
+		return waitTeamQuota
 	}
-	var at *candidates
-	stopped := waitNothing
-	leading := true // no pending task has been skipped yet
-	for index := j.first; index < j.spec.Tasks; index++ {
-		if j.pending == 0 || most <= 0 {
-			return stopped
+	var candidates *candidateHeap
+	reason := waitNone
+	noneSkipped := true // no pending task has been skipped yet
+	for index := j.firstPendingTask; index < j.spec.TaskCount; index++ {
+		if j.pendingTasks == 0 || maxTasks <= 0 {
+			return reason
 		}
 		if j.taskState(index) != taskPending {
-			if leading {
-				j.first = index + 1 // avoids scanning up to 100,000 tasks again
+			if noneSkipped {
+				j.firstPendingTask = index + 1 // avoids scanning up to 100,000 tasks again
 			}
 			continue
 		}
-		leading = false
-		t := j.failures[index]
-		if t != nil && s.clock.Now() < t.after {
-			stopped = waitBackoff
+		noneSkipped = false
+		history := j.failureHistories[index]
+		if history != nil && s.clock.Now() < history.retryAfter {
+			reason = waitBackoff
 			continue
 		}
-		if reason := s.checkLimits(j, p, team, use); reason != waitNothing {
-			return reason
+		if limit := s.checkLimits(j, pass, team, teamUsage); limit != waitNone {
+			return limit
 		}
-		avoid := ""
-		if t != nil && s.clock.Now() < t.until {
-			avoid = t.avoid
+		avoidedMachine := ""
+		if history != nil && s.clock.Now() < history.avoidUntil {
+			avoidedMachine = history.avoidedMachine
 		}
-		if at == nil {
-			at = s.candidates(j, p.machines, fetch)
+		if candidates == nil {
+			candidates = s.findCandidates(j, pass.machines, mayFetch)
 		}
-		m := at.leastLoaded(avoid)
+		m := candidates.bestMachine(avoidedMachine)
 		if m == nil {
-			if avoid != "" {
-				stopped = waitRoom
+			if avoidedMachine != "" {
+				reason = waitCapacity
 				continue
 			}
-			if at.quick {
+			if candidates.slowFetchExcluded {
 				return waitImage
 			}
-			return waitRoom
+			return waitCapacity
 		}
-		if m.emptying && m.why == surplus {
-			s.keep(m)
+		if m.draining && m.drainReason == surplusCapacity {
+			s.cancelDrain(m)
 		}
-		s.place(&run{job: j, index: index, attempt: s.host.nextAttempt(), m: m, phase: phaseAssigned, since: s.clock.Now()})
-		at.placed(m)
-		most--
-		if pressing(&j.spec) {
-			p.quick++
+		s.placeAttempt(&taskAttempt{job: j, taskIndex: index, number: s.host.nextAttemptNumber(), machine: m, phase: attemptAssigned, assignedAt: s.clock.Now()})
+		candidates.rescore(m)
+		maxTasks--
+		if isLatencySensitive(&j.spec) {
+			pass.latencySensitiveTasks++
 		} else {
-			p.batch++
+			pass.batchTasks++
 		}
 	}
-	return stopped
+	return reason
 }
 
 // checkLimits makes the three checks for one more task of a job, in order: scheduler slots, team
 // quota, overall quota.
-func (s *scheduler) checkLimits(j *job, p *pass, team *config.Team, use *usage) waitReason {
+func (s *scheduler) checkLimits(j *job, pass *schedulingPass, team *config.Team, teamUsage *resourceUsage) waitReason {
 	switch {
-	case !s.slotFree(j, p):
+	case !s.hasFreeSlot(j, pass):
 		return waitSlots
-	case team.CPUsMax > 0 && use.cores+p.unknown.cores+j.spec.Cores > team.CPUsMax+slack,
-		team.GPUsMax > 0 && use.accelerators+p.unknown.accelerators+j.spec.Accelerators > team.GPUsMax+slack:
-		return waitTeam
-	case float64(p.taken()+1) > p.total:
-		return waitOverall
+	case team.MaxCPUs > 0 && teamUsage.cores+pass.unknownUsage.cores+j.spec.Cores > team.MaxCPUs+resourceTolerance,
+		team.MaxGPUs > 0 && teamUsage.accelerators+pass.unknownUsage.accelerators+j.spec.Accelerators > team.MaxGPUs+resourceTolerance:
+		return waitTeamQuota
+	case float64(pass.takenSlots()+1) > pass.totalSlots:
+		return waitOverallQuota
 	}
-	return waitNothing
+	return waitNone
 }
 
 // hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work borrows the
 // slots reserved for latency-sensitive work unless that is delayed.
-func (s *scheduler) slotFree(j *job, p *pass) bool {
-	if pressing(&j.spec) {
-		return float64(p.quick+1) <= p.total
+func (s *scheduler) hasFreeSlot(j *job, pass *schedulingPass) bool {
+	if isLatencySensitive(&j.spec) {
+		return float64(pass.latencySensitiveTasks+1) <= pass.totalSlots
 	}
-	limit := p.total
-	if p.quickWaits {
-		limit *= s.settings.ClassShare
+	limit := pass.totalSlots
+	if pass.latencySensitiveDelayed {
+		limit *= s.settings.BatchShare
 	}
-	return float64(p.batch+1) <= limit
+	return float64(pass.batchTasks+1) <= limit
 }
--- a/internal/coordination/cluster_health.go
+++ b/internal/coordination/cluster_health.go
@@ -8,68 +8,68 @@
 )
 
 // delayTask delays the next attempt of a task, and lets it avoid a machine for one worker lease.
-func (s *clusterState) delay(j *job, index int, m *machine, d time.Duration) {
-	t := j.failures[index]
-	if t == nil {
-		t = &failureHistory{}
-		j.failures[index] = t
+func (s *clusterState) delayTask(j *job, taskIndex int, m *machine, delay time.Duration) {
+	history := j.failureHistories[taskIndex]
+	if history == nil {
+		history = &failureHistory{}
+		j.failureHistories[taskIndex] = history
 	}
-	t.after, t.avoid, t.until = s.clock.Now()+d, m.name, s.clock.Now()+d+s.lease()
+	history.retryAfter, history.avoidedMachine, history.avoidUntil = s.clock.Now()+delay, m.name, s.clock.Now()+delay+s.workerLease()
 }
 
 // Thresholds that tell faulty jobs from unhealthy machines.
 const (
 	// jobFaultMachines is the number of machines on which a job without any success must have
 	// failed to count as failing everywhere.
-	badJobMachines = 3
+	jobFaultMachines = 3
 	// machineFaultTasks is the number of consecutive failures that make a machine unhealthy.
-	sickMachineTasks = 2
+	machineFaultTasks = 2
 )
 
 // maxProbeDelay bounds the delay until a job that fails everywhere is tried again. Its fault may
 // lie in its input, and no job may be left without an attempt for 90 s.
-const probeWithin = mustBegin / 4
+const maxProbeDelay = maxStartDelay / 4
 
 // recordTaskFailure records the failure of a task that ran for runDuration. The task is retried at
 // once on another machine. After the second failure it backs off, as an accepted job has to run in
 // the end.
-func (s *clusterState) failed(m *machine, j *job, index int, ran time.Duration) {
-	j.failedOn[m.name] = true
-	j.failedAfter = max(j.failedAfter, ran)
-	if len(j.failedOn) >= badJobMachines && j.done == 0 {
+func (s *clusterState) recordTaskFailure(m *machine, j *job, taskIndex int, runDuration time.Duration) {
+	j.failedMachines[m.name] = true
+	j.longestFailedRun = max(j.longestFailedRun, runDuration)
+	if len(j.failedMachines) >= jobFaultMachines && j.doneTasks == 0 {
 		// The job fails everywhere, so the fault is its own and not the machines'.
-		if !j.bad {
-			s.log.Info("job fails everywhere", "job", j.spec.UID)
-			for _, r := range j.runs {
-				if r.phase == phaseAssigned {
-					s.release(r)
+		if !j.failsEverywhere {
+			s.log.Info("job fails everywhere", "job", j.spec.ID)
+			for _, attempt := range j.attempts {
+				if attempt.phase == attemptAssigned {
+					s.releaseAttempt(attempt)
 				}
 			}
 		}
-		j.bad = true
+		j.failsEverywhere = true
 	}
-	s.delay(j, index, m, 0)
-	t := j.failures[index]
-	t.failures++
-	if t.failures > 1 {
-		t.after = s.clock.Now() + min(s.report()<<min(t.failures-1, 10), 4*s.lease())
+	s.delayTask(j, taskIndex, m, 0)
+	history := j.failureHistories[taskIndex]
+	history.failures++
+	if history.failures > 1 {
+		history.retryAfter = s.clock.Now() + min(s.heartbeatInterval()<<min(history.failures-1, 10), 4*s.workerLease())
 	}
-	if j.bad {
+	if j.failsEverywhere {
 		// From now on one task at a time probes the job. Retrying each of hundreds of tasks
 		// takes capacity from work that succeeds.
-		if s.clock.Now() >= j.probeAt { // else the attempt started before the job was known to fail
-			j.probes++
-			j.probeAt = s.clock.Now() + min(s.lease()<<min(j.probes, 10)/2, probeWithin)
+		if s.clock.Now() >= j.nextProbeAt { // else the attempt started before the job was known to fail
+			j.failedProbes++
+			j.nextProbeAt = s.clock.Now() + min(s.workerLease()<<min(j.failedProbes, 10)/2, maxProbeDelay)
 		}
-		t.after = s.clock.Now()
+		history.retryAfter = s.clock.Now()
 		return
 	}
-	m.failures++
-	m.failedJobs[j.spec.UID] = true
-	if m.failures >= sickMachineTasks && !m.sick &&
-		(len(m.failedJobs) > 1 || j.done > 0 || m.failures >= 2*sickMachineTasks) {
-		m.sick = true
-		s.leave(m, sick)
+	m.consecutiveFailures++
+	m.failedJobs[j.spec.ID] = true
+	if m.consecutiveFailures >= machineFaultTasks && !m.unhealthy &&
+		(len(m.failedJobs) > 1 || j.doneTasks > 0 || m.consecutiveFailures >= 2*machineFaultTasks) {
+		m.unhealthy = true
+		s.beginDrain(m, unhealthy)
 	}
 }
 
@@ -77,9 +77,9 @@
 // longer than any failed attempt did that the machines were at fault. Waiting for the task to end
 // would cost a healthy job, whose first tasks all met faulty machines, the duration of a whole
 // task.
-func (s *clusterState) outlives(j *job) bool {
-	for _, r := range j.runs {
-		if r.phase == phaseRunning && s.clock.Now()-r.started > 2*(j.failedAfter+s.report()) {
+func (s *clusterState) outlivesFailures(j *job) bool {
+	for _, attempt := range j.attempts {
+		if attempt.phase == attemptRunning && s.clock.Now()-attempt.runningSince > 2*(j.longestFailedRun+s.heartbeatInterval()) {
 			return true
 		}
 	}
@@ -89,85 +89,85 @@
 // Thresholds of the detection of slow machines.
 const (
 	// maxPaceSamples is the number of recent tasks that are considered.
-	paceMemory = 4
+	maxPaceSamples = 4
 	// minPaceSamples is the least number of tasks that allow a decision.
-	paceTasks = 2
+	minPaceSamples = 2
 	// slowPaceFactor is the mean ratio of real to typical duration from which a machine counts
 	// as slow. Durations differ by a factor of two anyway.
-	paceTooSlow = 2.2
+	slowPaceFactor = 2.2
 	// minSiblingSamples is the number of finished tasks of a job that give its typical duration.
-	paceSiblings = 3
+	minSiblingSamples = 3
 )
 
 // recordPace records how long a machine took for a task in comparison with the other tasks of the
 // job. The estimate can't serve for that: it is wrong for all tasks of a job alike.
-func (s *clusterState) paced(m *machine, j *job, took time.Duration) {
-	if usual, ok := j.usualTook(); ok {
-		if len(m.pace) == paceMemory {
-			m.pace = m.pace[1:]
+func (s *clusterState) recordPace(m *machine, j *job, duration time.Duration) {
+	if typical, ok := j.typicalTaskDuration(); ok {
+		if len(m.logDurationRatios) == maxPaceSamples {
+			m.logDurationRatios = m.logDurationRatios[1:]
 		}
-		m.pace = append(m.pace, math.Log(float64(took)/float64(usual)))
+		m.logDurationRatios = append(m.logDurationRatios, math.Log(float64(duration)/float64(typical)))
 	}
-	j.tookSum += math.Log(float64(took))
-	j.tookCount++
-	j.usual = time.Duration(math.Exp(j.tookSum / j.tookCount))
+	j.logDurationSum += math.Log(float64(duration))
+	j.durationSamples++
+	j.typicalDuration = time.Duration(math.Exp(j.logDurationSum / j.durationSamples))
 }
 
 // typicalTaskDuration returns the typical duration of the finished tasks of the job, if there are
 // enough of them.
-func (j *job) usualTook() (time.Duration, bool) {
-	if j.tookCount < paceSiblings {
+func (j *job) typicalTaskDuration() (time.Duration, bool) {
+	if j.durationSamples < minSiblingSamples {
 		return 0, false
 	}
-	return j.usual, true
+	return j.typicalDuration, true
 }
 
 // drainIfSlow drains a machine that runs its tasks far slower than other machines run their
 // siblings. An attempt on it is rescheduled if it would end sooner when started anew.
-func (s *clusterState) checkPace(m *machine) {
-	if !m.up || m.why == slow {
+func (s *clusterState) drainIfSlow(m *machine) {
+	if !m.up || m.drainReason == slowExecution {
 		return
 	}
-	sum, count := 0.0, 0
-	for _, p := range m.pace {
-		sum += p
-		count++
+	logPaceSum, sampleCount := 0.0, 0
+	for _, logPace := range m.logDurationRatios {
+		logPaceSum += logPace
+		sampleCount++
 	}
-	for _, r := range m.list {
+	for _, attempt := range m.attemptsInOrder {
 		// A task past its typical duration counts like a finished one.
-		if r.phase != phaseRunning || r.job.moved[r.index] {
+		if attempt.phase != attemptRunning || attempt.job.movedTasks[attempt.taskIndex] {
 			continue
 		}
-		if usual, ok := r.job.usualTook(); ok && s.clock.Now()-r.started > 3*usual/2 {
-			ran := s.clock.Now() - r.started
-			sum += math.Log(float64(ran) / float64(usual))
-			count++
+		if typical, ok := attempt.job.typicalTaskDuration(); ok && s.clock.Now()-attempt.runningSince > 3*typical/2 {
+			elapsed := s.clock.Now() - attempt.runningSince
+			logPaceSum += math.Log(float64(elapsed) / float64(typical))
+			sampleCount++
 		}
 	}
-	if count < paceTasks || sum/float64(count) < math.Log(paceTooSlow) {
+	if sampleCount < minPaceSamples || logPaceSum/float64(sampleCount) < math.Log(slowPaceFactor) {
 		return
 	}
-	factor := math.Exp(sum / float64(count))
-	s.log.Info("machine slow", "machine", m.name, "slowdown", factor, "tasks", count)
-	s.leave(m, slow)
-	for _, r := range m.list {
-		want := s.expected(r.job)
-		if usual, ok := r.job.usualTook(); ok {
-			want = usual
+	slowdown := math.Exp(logPaceSum / float64(sampleCount))
+	s.log.Info("machine slow", "machine", m.name, "slowdown", slowdown, "tasks", sampleCount)
+	s.beginDrain(m, slowExecution)
+	for _, attempt := range m.attemptsInOrder {
+		expected := s.expectedTaskDuration(attempt.job)
+		if typical, ok := attempt.job.typicalTaskDuration(); ok {
+			expected = typical
 		}
-		ran := s.clock.Now() - r.started
-		left := time.Duration(float64(want)*factor) - ran
-		if left < ran && ran > want {
-			left = ran // overdue: the slowdown is only a lower bound
+		elapsed := s.clock.Now() - attempt.runningSince
+		remaining := time.Duration(float64(expected)*slowdown) - elapsed
+		if remaining < elapsed && elapsed > expected {
+			remaining = elapsed // overdue: the slowdown is only a lower bound
 		}
 		switch {
-		case r.stop != nil || r.job.moved[r.index]:
-		case r.phase != phaseRunning:
-			s.stopRun(r, 0)
-		case r.job.spec.CheckpointS > 0:
-			s.move(r, s.saveGrace(r))
-		case left > want:
-			s.move(r, 0)
+		case attempt.stopGrace != nil || attempt.job.movedTasks[attempt.taskIndex]:
+		case attempt.phase != attemptRunning:
+			s.requestStop(attempt, 0)
+		case attempt.job.spec.CheckpointIntervalSeconds > 0:
+			s.rescheduleAttempt(attempt, s.checkpointGraceS(attempt))
+		case remaining > expected:
+			s.rescheduleAttempt(attempt, 0)
 		}
 	}
 }
@@ -175,60 +175,60 @@
 // rescheduleAttempt stops an attempt so that its task restarts on another machine, once for each
 // task. A task that simply takes longer than its siblings looks slow on every machine and would be
 // stopped again and again.
-func (s *clusterState) move(r *run, grace float64) {
-	if r.job.moved == nil {
-		r.job.moved = map[int]bool{}
+func (s *clusterState) rescheduleAttempt(attempt *taskAttempt, grace float64) {
+	if attempt.job.movedTasks == nil {
+		attempt.job.movedTasks = map[int]bool{}
 	}
-	r.job.moved[r.index] = true
-	s.stopRun(r, grace)
+	attempt.job.movedTasks[attempt.taskIndex] = true
+	s.requestStop(attempt, grace)
 }
 
 // applyPreemptionNotice drains a spot machine that the cloud is about to preempt, and stops the
 // attempts that would not end before that.
-func (s *clusterState) takeNotice(m *machine, notice *float64) {
-	if notice == nil {
+func (s *clusterState) applyPreemptionNotice(m *machine, secondsLeft *float64) {
+	if secondsLeft == nil {
 		return
 	}
-	left := config.Seconds(*notice)
-	if m.notice == never {
-		s.log.Info("preemption notice", "machine", m.name, "left", left)
-		s.dirty = true
+	timeLeft := config.Seconds(*secondsLeft)
+	if m.preemptionNotice == never {
+		s.log.Info("preemption notice", "machine", m.name, "left", timeLeft)
+		s.schedulingNeeded = true
 	}
-	m.notice = s.clock.Now() + left
-	s.leave(m, noticed)
-	for _, r := range m.list {
-		if r.stop != nil {
+	m.preemptionNotice = s.clock.Now() + timeLeft
+	s.beginDrain(m, preemptionNoticed)
+	for _, attempt := range m.attemptsInOrder {
+		if attempt.stopGrace != nil {
 			continue
 		}
-		if s.remaining(r) <= left {
+		if s.remainingDuration(attempt) <= timeLeft {
 			continue
 		}
 		grace := 0.0
-		if r.job.spec.CheckpointS > 0 {
-			grace = *notice
+		if attempt.job.spec.CheckpointIntervalSeconds > 0 {
+			grace = *secondsLeft
 		}
-		s.stopRun(r, grace)
+		s.requestStop(attempt, grace)
 	}
 }
 
 // beginDrain cordons a machine and has it returned once it is empty. A later reason replaces an
 // earlier one, but surplus capacity replaces none.
-func (s *clusterState) leave(m *machine, why cause) {
-	if m.why == "" || why != surplus {
-		m.why = why
-	}
-	if !m.emptying {
-		m.emptying = true
-		s.dirty = true
-		for _, r := range m.list {
-			if r.phase == phaseAssigned {
-				s.release(r)
+func (s *clusterState) beginDrain(m *machine, reason drainReason) {
+	if m.drainReason == "" || reason != surplusCapacity {
+		m.drainReason = reason
+	}
+	if !m.draining {
+		m.draining = true
+		s.schedulingNeeded = true
+		for _, attempt := range m.attemptsInOrder {
+			if attempt.phase == attemptAssigned {
+				s.releaseAttempt(attempt)
 			}
 		}
 	}
 }
 
 // cancelDrain uncordons a draining machine.
-func (s *clusterState) keep(m *machine) {
-	m.emptying, m.why, m.spareSince, s.dirty = false, "", s.clock.Now(), true
+func (s *clusterState) cancelDrain(m *machine) {
+	m.draining, m.drainReason, m.surplusSince, s.schedulingNeeded = false, "", s.clock.Now(), true
 }
--- a/internal/coordination/cluster_job.go
+++ b/internal/coordination/cluster_job.go
@@ -9,41 +9,41 @@
 
 // job is an open job in the leader's state.
 type job struct {
-	spec    protocol.Job
-	at      Instant // when the submission was accepted
-	from    Instant // start of all time limits but the deadline: acceptance, or completion of the last dependency
-	version uint64  // key-value store revision of the job record
-	chain
-
-	runs    map[int]*run // by task index
-	pending int          // number of tasks without an attempt
-	first   int          // no task with a lower index is pending
-	done    int          // number of finished tasks
-
-	parts       []*partState            // bitmap of finished tasks
-	partTasks   int                     // tasks covered by each part
-	failures    map[int]*failureHistory // by task index
-	imageSeen   Instant                 // scheduling pass for which imageAvailable was determined
-	imageHeld   bool                    // some schedulable machine has the job's image
-	failedOn    map[string]bool         // machines on which a task failed; cleared by the first success
-	failedAfter time.Duration           // longest run of a task before it failed
-	bad         bool                    // the job itself is at fault, not the machines
-	probes      int                     // failures since failsEverywhere was set
-	probeAt     Instant                 // when the next single task is tried
-	reservation reservation
-	moved       map[int]bool // tasks already moved to another machine once, by index
-
-	tookSum, tookCount float64       // sum and number of logarithms of task run times
-	usual              time.Duration // geometric mean of task run times
-
-	gone                  bool       // cancelled or done: no task starts any more
-	withdrawn             bool       // terminal because of a cancellation
-	ending                bool       // the terminal record may be stored, but no response confirms it
-	waits                 waitReason // the check that stopped the last scheduling attempt
-	waiting               Instant    // since when the job has had pending tasks
-	firstStart, lastStart Instant    // of its tasks
-	commanded             bool       // a start command was sent in this term
-	held                  bool       // one of its records is quarantined: no task starts
+	spec          protocol.Job
+	acceptedAt    Instant // when the submission was accepted
+	eligibleAt    Instant // start of all time limits but the deadline: acceptance, or completion of the last dependency
+	recordVersion uint64  // key-value store revision of the job record
+	dependencies
+
+	attempts         map[int]*taskAttempt // by task index
+	pendingTasks     int                  // number of tasks without an attempt
+	firstPendingTask int                  // no task with a lower index is pending
+	doneTasks        int                  // number of finished tasks
+
+	bitmapParts      []*bitmapPart           // bitmap of finished tasks
+	tasksPerPart     int                     // tasks covered by each part
+	failureHistories map[int]*failureHistory // by task index
+	imageCheckedAt   Instant                 // scheduling pass for which imageAvailable was determined
+	imageAvailable   bool                    // some schedulable machine has the job's image
+	failedMachines   map[string]bool         // machines on which a task failed; cleared by the first success
+	longestFailedRun time.Duration           // longest run of a task before it failed
+	failsEverywhere  bool                    // the job itself is at fault, not the machines
+	failedProbes     int                     // failures since failsEverywhere was set
+	nextProbeAt      Instant                 // when the next single task is tried
+	reservation      reservation
+	movedTasks       map[int]bool // tasks already moved to another machine once, by index
+
+	logDurationSum, durationSamples float64       // sum and number of logarithms of task run times
+	typicalDuration                 time.Duration // geometric mean of task run times
+
+	terminal                  bool       // cancelled or done: no task starts any more
+	cancelled                 bool       // terminal because of a cancellation
+	completionUncertain       bool       // the terminal record may be stored, but no response confirms it
+	blockedBy                 waitReason // the check that stopped the last scheduling attempt
+	pendingSince              Instant    // since when the job has had pending tasks
+	firstStartAt, lastStartAt Instant    // of its tasks
+	startCommandSent          bool       // a start command was sent in this term
+	quarantined               bool       // one of its records is quarantined: no task starts
 }
 
 // taskState is the progress of one task of an open job. It is derived from the job's bitmap of
@@ -59,11 +59,11 @@
 
 // taskState returns the progress of a task.
 func (j *job) taskState(index int) taskState {
-	part, at, bit := j.partOf(index)
+	part, byteIndex, bit := j.bitmapPosition(index)
 	switch {
-	case at < len(part.bits) && part.bits[at]&bit != 0:
+	case byteIndex < len(part.bits) && part.bits[byteIndex]&bit != 0:
 		return taskDone
-	case j.runs[index] != nil:
+	case j.attempts[index] != nil:
 		return taskActive
 	default:
 		return taskPending
@@ -72,85 +72,87 @@
 
 // failureHistory records the failures of one task and its retry limits.
 type failureHistory struct {
-	failures int
-	after    Instant // earliest time of the next attempt
-	avoid    string  // machine skipped during placement,
-	until    Instant // until this time; afterwards it is used if no other fits
+	failures       int
+	retryAfter     Instant // earliest time of the next attempt
+	avoidedMachine string  // machine skipped during placement,
+	avoidUntil     Instant // until this time; afterwards it is used if no other fits
 }
 
 // bitmapPart is one part of a job's bitmap of finished tasks.
-type partState struct {
-	key     string
-	size    int    // of bits
-	bits    []byte // nil until the first bit is set
-	stored  []byte // last value known to be durable
-	queued  bool   // a write is in the writer's queue
-	retired bool   // replaced by another layout
+type bitmapPart struct {
+	key         string
+	sizeBytes   int    // of bits
+	bits        []byte // nil until the first bit is set
+	storedBits  []byte // last value known to be durable
+	writeQueued bool   // a write is in the writer's queue
+	superseded  bool   // replaced by another layout
 }
 
 // bitmapPosition returns the position of a task's bit: the part, the byte in it and the bit mask.
-func (j *job) partOf(index int) (part *partState, at int, bit byte) {
-	in := index % j.partTasks
-	return j.parts[index/j.partTasks], in / 8, 1 << (in % 8)
+func (j *job) bitmapPosition(index int) (part *bitmapPart, byteIndex int, bit byte) {
+	indexInPart := index % j.tasksPerPart
+	return j.bitmapParts[index/j.tasksPerPart], indexInPart / 8, 1 << (indexInPart % 8)
 }
 
 // setTaskBit marks a task as finished in the bitmap and returns the changed part.
-func (j *job) setBit(index int) *partState {
-	part, at, bit := j.partOf(index)
+func (j *job) setTaskBit(index int) *bitmapPart {
+	part, byteIndex, bit := j.bitmapPosition(index)
 	if part.bits == nil {
-		part.bits = make([]byte, part.size)
+		part.bits = make([]byte, part.sizeBytes)
 	}
-	part.bits[at] |= bit
+	part.bits[byteIndex] |= bit
 	return part
 }
 
 // finishDurable reports whether a finished task's bit is stored in the key-value store.
-func (j *job) durable(index int) bool {
-	p, at, bit := j.partOf(index)
-	return at < len(p.stored) && p.stored[at]&bit != 0
+func (j *job) taskDurable(index int) bool {
+	part, byteIndex, bit := j.bitmapPosition(index)
+	return byteIndex < len(part.storedBits) && part.storedBits[byteIndex]&bit != 0
 }
 
 // state returns the job's state as reported to users.
-func (j *job) state() protocol.JobState {
-	done, running := j.done, 0
-	for _, r := range j.runs {
-		if r.phase == phaseRunning || r.phase == phaseSaving {
+func (j *job) state() protocol.JobStatus {
+	done, running := j.doneTasks, 0
+	for _, r := range j.attempts {
+		if r.phase == attemptRunning || r.phase == attemptSaving {
 			running++
 		}
 	}
-	s := protocol.JobState{UID: j.spec.UID, State: protocol.Queued, Done: &done, Running: &running}
+	state := protocol.JobStatus{ID: j.spec.ID, State: protocol.JobQueued, DoneTasks: &done, RunningTasks: &running}
 	switch {
-	case j.doomed:
-		s.State = protocol.Withdrawn
+	case j.dependencyCancelled:
+		state.State = protocol.JobCancelled
 	case running > 0:
-		s.State = protocol.Running
+		state.State = protocol.JobRunning
 	}
-	return s
+	return state
 }
 
 // effectiveRank returns the job's priority rank, or the best rank of its dependents if that is
 // better.
-func (j *job) rank() int { return min(j.spec.Rank(), j.urgency) }
+func (j *job) effectiveRank() int { return min(j.spec.PriorityRank(), j.inheritedRank) }
 
 // hasStarted reports whether some task of the job has been started.
-func (j *job) begun() bool { return j.done > 0 || len(j.runs) > 0 || j.firstStart != 0 }
+func (j *job) hasStarted() bool { return j.doneTasks > 0 || len(j.attempts) > 0 || j.firstStartAt != 0 }
 
 // dependencies holds a job's position in the DAG of jobs.
-type chain struct {
-	awaits  int     // dependencies whose completion is not durable, or not known to this leader
-	doomed  bool    // a dependency is durably cancelled
-	fresh   bool    // a dependency completed in this term, so no earlier leader can have started the job
-	endBy   Instant // latest end that keeps all dependents in time
-	urgency int     // best priority rank of the dependents
+type dependencies struct {
+	pendingDependencies int     // dependencies whose completion is not durable, or not known to this leader
+	dependencyCancelled bool    // a dependency is durably cancelled
+	releasedThisTerm    bool    // a dependency completed in this term, so no earlier leader can have started the job
+	latestEnd           Instant // latest end that keeps all dependents in time
+	inheritedRank       int     // best priority rank of the dependents
 }
 
 // newDependencies returns the value of a job without any dependency or dependent.
-func newChain() chain { return chain{endBy: forever, urgency: math.MaxInt} }
+func newDependencies() dependencies {
+	return dependencies{latestEnd: forever, inheritedRank: math.MaxInt}
+}
 
 // reservation is the reserved machine of one job.
 type reservation struct {
-	machine *machine // nil: none
-	triedAt Instant  // when a machine was last searched
+	machine    *machine // nil: none
+	searchedAt Instant  // when a machine was last searched
 }
 
 // waitReason is the check that keeps a job from starting a task, as shown by its status.
@@ -158,19 +160,19 @@
 
 // Values of waitReason, in the order of the checks.
 const (
-	waitNeeds   waitReason = "jobs that it needs"
-	waitBackoff waitReason = "backing off"
-	waitUnknown waitReason = "a machine is not accounted for"
-	waitSlots   waitReason = "scheduler slots"
-	waitTeam    waitReason = "team quota"
-	waitOverall waitReason = "overall quota"
-	waitRoom    waitReason = "no machine with room"
-	waitImage   waitReason = "a machine with its image and room"
+	waitDependencies   waitReason = "jobs that it needs"
+	waitBackoff        waitReason = "backing off"
+	waitReconciliation waitReason = "a machine is not accounted for"
+	waitSlots          waitReason = "scheduler slots"
+	waitTeamQuota      waitReason = "team quota"
+	waitOverallQuota   waitReason = "overall quota"
+	waitCapacity       waitReason = "no machine with room"
+	waitImage          waitReason = "a machine with its image and room"
 	// waitQuarantine: one of the job's records cannot be read.
 	waitQuarantine waitReason = "a record of it that can't be read"
-	waitNothing    waitReason = ""
+	waitNone       waitReason = ""
 )
 
 // isLatencySensitive reports whether a job belongs to the latency-sensitive class (priorities
 // prod and urgent).
-func pressing(j *protocol.Job) bool { return j.Rank() <= 1 }
+func isLatencySensitive(j *protocol.Job) bool { return j.PriorityRank() <= 1 }
--- a/internal/coordination/cluster_state.go
+++ b/internal/coordination/cluster_state.go
@@ -13,24 +13,24 @@
 // clusterState holds the open jobs, the machines and the task attempts, with all their transitions.
 // It does no I/O and takes the time from its owner.
 type clusterState struct {
-	clock    timeSource
-	cluster  *config.Cluster
-	settings *config.Settings
-	log      *slog.Logger
-	since    Instant // start of the leader's term
-	catalog  map[string]*protocol.MachineType
+	clock     timeSource
+	cluster   *config.Cluster
+	settings  *config.Settings
+	log       *slog.Logger
+	startedAt Instant // start of the leader's term
+	catalog   map[string]*protocol.MachineType
 
 	jobTable
 	objectives
 	machineTable
-	dirty bool // the state has changed since the last full scheduling pass
+	schedulingNeeded bool // the state has changed since the last full scheduling pass
 	// candidatesExamined counts the machines and jobs examined for placement. Tests check that it does
 	// not grow with each heartbeat.
-	looked int
+	candidatesExamined int
 
 	// inventoryIncompleteUntil is the time until which tasks of earlier leaders may be running on
 	// machines that no readable record names; never: all machines are known.
-	unnamedUntil Instant
+	inventoryIncompleteUntil Instant
 }
 
 // timeSource tells the time.
@@ -51,235 +51,237 @@
 // newClusterState returns an empty cluster state at the start of a term.
 func newClusterState(o stateOptions) *clusterState {
 	return &clusterState{
-		clock: o.clock, cluster: o.cluster, settings: o.settings, log: o.log, since: o.clock.Now(), catalog: o.catalog,
-		jobTable: newJobTable(o.cluster), objectives: newObjectives(o.cluster), machineTable: newMachineTable(), unnamedUntil: never,
+		clock: o.clock, cluster: o.cluster, settings: o.settings, log: o.log, startedAt: o.clock.Now(), catalog: o.catalog,
+		jobTable: newJobTable(o.cluster), objectives: newObjectives(o.cluster), machineTable: newMachineTable(), inventoryIncompleteUntil: never,
 	}
 }
 
 // workerLease returns the duration of the workers' lease.
-func (s *clusterState) lease() time.Duration { return config.Seconds(s.cluster.Workers.LeaseS) }
+func (s *clusterState) workerLease() time.Duration { return config.Seconds(s.cluster.Workers.LeaseS) }
 
 // heartbeatInterval returns the interval of the workers' heartbeats.
-func (s *clusterState) report() time.Duration { return config.Seconds(s.cluster.Workers.ReportS) }
+func (s *clusterState) heartbeatInterval() time.Duration {
+	return config.Seconds(s.cluster.Workers.HeartbeatIntervalS)
+}
 
 // resourceUsage is what a team's tasks occupy, from the start command to the confirmed end.
-type usage struct{ cores, accelerators float64 }
+type resourceUsage struct{ cores, accelerators float64 }
 
 // jobTable holds the open jobs and the usage of their tasks.
 type jobTable struct {
-	jobs     map[string]*job
-	runnable map[string]*job   // open jobs without pending dependencies
-	after    map[string][]*job // jobs with a pending dependency, by the dependency's id
-	over     map[string]bool   // jobs that became terminal in this term
-	classes  map[string]*class
-	usage    map[string]*usage // by team
-	active   [2]int            // tasks on machines: batch, urgent
+	jobs         map[string]*job
+	runnableJobs map[string]*job   // open jobs without pending dependencies
+	dependents   map[string][]*job // jobs with a pending dependency, by the dependency's id
+	endedJobs    map[string]bool   // jobs that became terminal in this term
+	classes      map[string]*classDurations
+	teamUsage    map[string]*resourceUsage // by team
+	activeTasks  [2]int                    // tasks on machines: batch, urgent
 }
 
 // newJobTable returns an empty job table with the teams of the settings.
 func newJobTable(c *config.Cluster) jobTable {
 	table := jobTable{
-		jobs: map[string]*job{}, runnable: map[string]*job{}, after: map[string][]*job{},
-		over:    map[string]bool{},
-		classes: map[string]*class{}, usage: map[string]*usage{},
+		jobs: map[string]*job{}, runnableJobs: map[string]*job{}, dependents: map[string][]*job{},
+		endedJobs: map[string]bool{},
+		classes:   map[string]*classDurations{}, teamUsage: map[string]*resourceUsage{},
 	}
 	for _, t := range c.Teams {
-		table.usage[t.Name] = &usage{}
+		table.teamUsage[t.Name] = &resourceUsage{}
 	}
 	return table
 }
 
 // machineTable holds the machines, and the groups in which they are stored.
 type machineTable struct {
-	machines    map[string]*machine
-	gone        map[string]Instant // machines returned or preempted, and when
-	sorted      []*machine         // by name; nil: must be rebuilt
-	checkedAt   Instant            // when all machines were last checked
-	totals      machineTotals      // cached sums over the machines, if totalsValid
-	totalsValid bool
+	machines          map[string]*machine
+	removedMachines   map[string]Instant // machines returned or preempted, and when
+	sortedMachines    []*machine         // by name; nil: must be rebuilt
+	machinesCheckedAt Instant            // when all machines were last checked
+	totals            machineTotals      // cached sums over the machines, if totalsValid
+	totalsValid       bool
 }
 
 // newMachineTable returns an empty machine table.
 func newMachineTable() machineTable {
-	return machineTable{machines: map[string]*machine{}, gone: map[string]Instant{}, checkedAt: never}
+	return machineTable{machines: map[string]*machine{}, removedMachines: map[string]Instant{}, machinesCheckedAt: never}
 }
 
 // newMachine adds a machine to the machine table.
-func (s *clusterState) newMachine(name, typ, zone string, spot bool) *machine {
-	m := &machine{name: name, typ: typ, zone: zone, spot: spot, runs: map[string]*run{},
-		rentedAt: s.clock.Now(), heard: never, answered: never, servedAt: never, notice: never, spareSince: s.clock.Now(),
-		failedJobs: map[string]bool{}, kind: s.catalog[typ]}
+func (s *clusterState) newMachine(name, typeName, zone string, spot bool) *machine {
+	m := &machine{name: name, typeName: typeName, zone: zone, spot: spot, attempts: map[string]*taskAttempt{},
+		rentedAt: s.clock.Now(), lastHeartbeat: never, lastResponse: never, lastDelivery: never, preemptionNotice: never, surplusSince: s.clock.Now(),
+		failedJobs: map[string]bool{}, machineType: s.catalog[typeName]}
 	s.machines[name] = m
-	s.machinesChanged()
+	s.invalidateMachineIndex()
 	return m
 }
 
 // deleteMachine takes a machine out of the table, with everything on it.
 func (s *clusterState) deleteMachine(m *machine) {
-	for _, r := range m.list {
-		s.release(r)
+	for _, r := range m.attemptsInOrder {
+		s.releaseAttempt(r)
 	}
 	if m.reservedFor != nil {
-		s.unreserve(m.reservedFor)
+		s.releaseReservation(m.reservedFor)
 	}
 	delete(s.machines, m.name)
-	s.machinesChanged()
-	s.gone[m.name] = s.clock.Now()
-	s.dirty = true
+	s.invalidateMachineIndex()
+	s.removedMachines[m.name] = s.clock.Now()
+	s.schedulingNeeded = true
 }
 
 // machinesByName returns the machines sorted by name. The list is cached between changes:
 // rebuilding it in each step took two thirds of a busy leader's CPU time.
-func (s *clusterState) held() []*machine {
-	if s.sorted == nil {
-		s.sorted = make([]*machine, 0, len(s.machines))
+func (s *clusterState) machinesByName() []*machine {
+	if s.sortedMachines == nil {
+		s.sortedMachines = make([]*machine, 0, len(s.machines))
 		for _, m := range s.machines {
-			s.sorted = append(s.sorted, m)
+			s.sortedMachines = append(s.sortedMachines, m)
 		}
-		slices.SortFunc(s.sorted, func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
+		slices.SortFunc(s.sortedMachines, func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
 	}
-	return s.sorted
+	return s.sortedMachines
 }
 
 // invalidateMachineIndex discards the cached machine list and totals.
-func (s *clusterState) machinesChanged() { s.sorted, s.totalsValid = nil, false }
+func (s *clusterState) invalidateMachineIndex() { s.sortedMachines, s.totalsValid = nil, false }
 
 // placeAttempt binds an attempt to its machine and counts its resources for the machine and the
 // team.
-func (s *clusterState) place(r *run) {
-	j, m := r.job, r.m
-	if j.taskState(r.index) == taskPending {
-		j.pending--
+func (s *clusterState) placeAttempt(r *taskAttempt) {
+	j, m := r.job, r.machine
+	if j.taskState(r.taskIndex) == taskPending {
+		j.pendingTasks--
 	}
-	j.runs[r.index] = r
-	m.addRun(r)
-	s.count(j, 1)
-	m.touch(j.spec.Image, j.spec.ImageGB) // present, or fetched once for all tasks
-	m.cores += j.spec.Cores
-	m.ram += j.spec.RAM
-	m.accelerators += j.spec.Accelerators
-	if u := s.usage[j.spec.Team]; u != nil {
-		u.cores += j.spec.Cores
-		u.accelerators += j.spec.Accelerators
+	j.attempts[r.taskIndex] = r
+	m.addAttempt(r)
+	s.countActiveTasks(j, 1)
+	m.touchImage(j.spec.Image, j.spec.ImageGB) // present, or fetched once for all tasks
+	m.usedCores += j.spec.Cores
+	m.usedRAM += j.spec.MemoryGB
+	m.usedAccelerators += j.spec.Accelerators
+	if teamUsage := s.teamUsage[j.spec.Team]; teamUsage != nil {
+		teamUsage.cores += j.spec.Cores
+		teamUsage.accelerators += j.spec.Accelerators
 	}
 }
 
 // releaseAttempt removes an attempt whose end is confirmed and releases its resources.
-func (s *clusterState) release(r *run) {
-	j, m := r.job, r.m
-	if m.runs[r.key()] != r {
+func (s *clusterState) releaseAttempt(r *taskAttempt) {
+	j, m := r.job, r.machine
+	if m.attempts[r.key()] != r {
 		return
 	}
-	m.dropRun(r)
-	s.count(j, -1)
-	if j.runs[r.index] == r {
-		delete(j.runs, r.index)
+	m.dropAttempt(r)
+	s.countActiveTasks(j, -1)
+	if j.attempts[r.taskIndex] == r {
+		delete(j.attempts, r.taskIndex)
 	}
-	m.cores -= j.spec.Cores
-	m.ram -= j.spec.RAM
-	m.accelerators -= j.spec.Accelerators
-	if u := s.usage[j.spec.Team]; u != nil {
-		u.cores -= j.spec.Cores
-		u.accelerators -= j.spec.Accelerators
+	m.usedCores -= j.spec.Cores
+	m.usedRAM -= j.spec.MemoryGB
+	m.usedAccelerators -= j.spec.Accelerators
+	if teamUsage := s.teamUsage[j.spec.Team]; teamUsage != nil {
+		teamUsage.cores -= j.spec.Cores
+		teamUsage.accelerators -= j.spec.Accelerators
 	}
-	if len(m.runs) == 0 {
-		m.cores, m.ram, m.accelerators = 0, 0, 0
+	if len(m.attempts) == 0 {
+		m.usedCores, m.usedRAM, m.usedAccelerators = 0, 0, 0
 	}
-	if j.taskState(r.index) == taskPending {
-		j.pending++
-		j.first = min(j.first, r.index)
-		if j.pending == 1 {
-			j.waiting = s.clock.Now()
+	if j.taskState(r.taskIndex) == taskPending {
+		j.pendingTasks++
+		j.firstPendingTask = min(j.firstPendingTask, r.taskIndex)
+		if j.pendingTasks == 1 {
+			j.pendingSince = s.clock.Now()
 		}
 	}
-	s.dirty = true
+	s.schedulingNeeded = true
 }
 
 // requestStop requests the end of an attempt. An attempt that was never sent ends at once.
-func (s *clusterState) stopRun(r *run, grace float64) {
-	if r.phase == phaseAssigned {
-		s.release(r)
+func (s *clusterState) requestStop(r *taskAttempt, grace float64) {
+	if r.phase == attemptAssigned {
+		s.releaseAttempt(r)
 		return
 	}
-	if r.stop != nil && *r.stop <= grace {
+	if r.stopGrace != nil && *r.stopGrace <= grace {
 		return
 	}
-	r.stop = &grace
+	r.stopGrace = &grace
 }
 
 // countActiveTasks adjusts the number of tasks on machines of the job's class.
-func (s *clusterState) count(j *job, by int) {
+func (s *clusterState) countActiveTasks(j *job, delta int) {
 	class := 0
-	if pressing(&j.spec) {
+	if isLatencySensitive(&j.spec) {
 		class = 1
 	}
-	s.active[class] += by
+	s.activeTasks[class] += delta
 }
 
 // releaseReservation releases a job's reservation, if it has one.
-func (s *clusterState) unreserve(j *job) {
+func (s *clusterState) releaseReservation(j *job) {
 	if m := j.reservation.machine; m != nil {
 		m.reservedFor, j.reservation.machine = nil, nil
 	}
 }
 
 // jobsByAge returns the runnable jobs by the time at which they became eligible.
-func (s *clusterState) byAge() []*job {
-	jobs := make([]*job, 0, len(s.runnable))
-	for _, j := range s.runnable {
-		if !j.gone {
+func (s *clusterState) jobsByAge() []*job {
+	jobs := make([]*job, 0, len(s.runnableJobs))
+	for _, j := range s.runnableJobs {
+		if !j.terminal {
 			jobs = append(jobs, j)
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.spec.UID, b.spec.UID))
+		return cmp.Or(cmp.Compare(a.eligibleAt, b.eligibleAt), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
 	return jobs
 }
 
 // workerLeaseTimeout returns the node's worker lease timeout.
-func (s *clusterState) leaseOver() time.Duration { return leaseOver(s.lease()) }
+func (s *clusterState) workerLeaseTimeout() time.Duration { return workerLeaseTimeout(s.workerLease()) }
 
 // silentSince returns the time from which the silence of a machine counts: its last heartbeat, or
 // the start of the term if that is later.
-func (s *clusterState) lastHeard(m *machine) Instant { return max(m.heard, s.since) }
+func (s *clusterState) silentSince(m *machine) Instant { return max(m.lastHeartbeat, s.startedAt) }
 
 // leaseChecksPerHeartbeat is how often all worker leases are checked per heartbeat interval.
-const checksPerReport = 8
+const leaseChecksPerHeartbeat = 8
 
 // expireMachineLeases fences the machines whose worker lease has expired and releases their
 // attempts.
-func (s *clusterState) checkMachines() {
+func (s *clusterState) expireMachineLeases() {
 	now := s.clock.Now()
-	if now < s.checkedAt+s.report()/checksPerReport {
+	if now < s.machinesCheckedAt+s.heartbeatInterval()/leaseChecksPerHeartbeat {
 		return // a scan of all machines is too expensive for every heartbeat
 	}
-	s.checkedAt = now
-	for _, m := range s.held() {
-		since := max(m.answered, s.since)
-		if now <= since+s.leaseOver() {
+	s.machinesCheckedAt = now
+	for _, m := range s.machinesByName() {
+		lastRenewal := max(m.lastResponse, s.startedAt)
+		if now <= lastRenewal+s.workerLeaseTimeout() {
 			continue
 		}
-		if !m.accounted {
-			m.accounted, s.dirty, s.totalsValid = true, true, false
+		if !m.reconciled {
+			m.reconciled, s.schedulingNeeded, s.totalsValid = true, true, false
 		}
 		if m.up {
 			// The worker's own clock has ended its epoch, so its tasks have stopped, and the epoch never
 			// gets another 200.
-			s.log.Info("worker lease expired", "machine", m.name, "tasks", len(m.runs))
+			s.log.Info("worker lease expired", "machine", m.name, "tasks", len(m.attempts))
 			m.up, s.totalsValid = false, false
-			m.lost, m.address = m.session, ""
+			m.fencedEpoch, m.address = m.epoch, ""
 			m.unknownTasks = 0
-			for _, r := range m.list {
-				s.release(r)
+			for _, r := range m.attemptsInOrder {
+				s.releaseAttempt(r)
 			}
-			s.leave(m, silent)
+			s.beginDrain(m, heartbeatMissed)
 		}
 	}
-	if len(s.gone) > maxGone {
-		for name, at := range s.gone {
-			if now > at+8*config.Seconds(s.cluster.Cloud.ListLagS)+s.lease() {
-				delete(s.gone, name)
+	if len(s.removedMachines) > maxRemovedMachines {
+		for name, at := range s.removedMachines {
+			if now > at+8*config.Seconds(s.cluster.Cloud.ListLagS)+s.workerLease() {
+				delete(s.removedMachines, name)
 			}
 		}
 	}
@@ -288,4 +290,4 @@
 // maxRemovedMachines is the number of removed machines above which old names are discarded.
 // Within a term the names prevent a delayed listing or a late copy of a heartbeat from adding the
 // machine again.
-const maxGone = 20_000
+const maxRemovedMachines = 20_000
--- a/internal/coordination/cold_start_test.go
+++ b/internal/coordination/cold_start_test.go
@@ -36,9 +36,9 @@
 }
 
 // recovering is the leader whose recovery is not over.
-func (c *coldStart) recovering() *leadership {
-	if name := c.leader(); name != "" && !c.nodes[name].lead.recovery.Over() {
-		return c.nodes[name].lead
+func (c *coldStart) recovering() *leader {
+	if name := c.leader(); name != "" && !c.nodes[name].leader.recovery.Completed() {
+		return c.nodes[name].leader
 	}
 	return nil
 }
@@ -47,23 +47,23 @@
 // are not accounted for have cores for all that may be running unseen, nothing else waits, and the
 // usual load needs no more than what is held.
 func (c *coldStart) watchRentals() {
-	c.instead = func(call Call) (Result, bool) {
-		if l := c.recovering(); call.Target == Cloud && call.Path == "/hosts" && l != nil && l.recovery.Phase() <= recovery.Collecting &&
-			strings.Contains(string(call.Body), "r-"+utoa(l.term)+"-") {
-			totals := l.currentTotals()
-			unknown, waiting, surely := totals.unknown.cores, 0.0, 0
-			for _, j := range l.runnable {
-				if l.mayRunUnseen(j, &totals) {
-					waiting += float64(j.pending) * j.spec.Cores
+	c.instead = func(call ServiceCall) (CallResult, bool) {
+		if l := c.recovering(); call.Target == TargetCloud && call.Path == "/hosts" && l != nil && l.recovery.Phase() <= recovery.PhaseCollecting &&
+			strings.Contains(string(call.Body), "r-"+formatUint(l.term)+"-") {
+			totals := l.currentMachineTotals()
+			unknown, waiting, surely := totals.unknownUsage.cores, 0.0, 0
+			for _, j := range l.runnableJobs {
+				if l.mayRunUnreported(j, &totals) {
+					waiting += float64(j.pendingTasks) * j.spec.Cores
 				} else {
-					surely += j.pending
+					surely += j.pendingTasks
 				}
 			}
-			if usual := l.fleet.forecast.Usual() * (1 + l.n.set.Headroom); !l.loaded || waiting <= unknown && surely == 0 && usual <= totals.held {
+			if usual := l.autoscaler.forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.totalCores {
 				c.broken("rented too early", "in phase %v, %v cores wait, %v are unknown", l.recovery.Phase(), waiting, unknown)
 			}
 		}
-		return Result{}, false
+		return CallResult{}, false
 	}
 }
 
@@ -80,7 +80,7 @@
 				c.starts = append(c.starts, c.now)
 			}
 			counts := l.recovery.Counts()
-			counts.Each(func(kind recovery.Mismatch, count int) { c.seen[kind] = max(c.seen[kind], count) })
+			counts.ForEach(func(kind recovery.Mismatch, count int) { c.seen[kind] = max(c.seen[kind], count) })
 		}
 		all = now
 		c.after(step, look)
@@ -123,7 +123,7 @@
 func (c *coldStart) inPhase(p recovery.Phase, f func()) {
 	var look func()
 	look = func() {
-		if name := c.leader(); name != "" && c.now > c.began && c.nodes[name].lead.recovery.Phase() >= p {
+		if name := c.leader(); name != "" && c.now > c.began && c.nodes[name].leader.recovery.Phase() >= p {
 			f()
 			return
 		}
@@ -157,7 +157,7 @@
 	"copies of reports from before the loss": func(c *coldStart) { c.holdBack() },
 	"the state service is slow, then refuses one, then is out": func(c *coldStart) {
 		c.state.slow = func() time.Duration { return c.within(c.lease() / 30) }
-		c.inPhase(recovery.Collecting, func() {
+		c.inPhase(recovery.PhaseCollecting, func() {
 			refused := c.leader()
 			c.state.refuse[refused] = true
 			c.after(c.within(c.lease()/2), func() {
@@ -186,7 +186,7 @@
 		}
 	},
 	"cancellations in each phase": func(c *coldStart) {
-		for _, phase := range []recovery.Phase{recovery.Reading, recovery.Collecting, recovery.Reconciling, recovery.Pacing} {
+		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting, recovery.PhaseReconciling, recovery.PhasePacing} {
 			c.inPhase(phase, func() { c.cancelSome(3, c.lease()/20) })
 		}
 	},
@@ -199,14 +199,14 @@
 	"teams at their limits, machines silent": func(c *coldStart) {
 		// No more than the team can run in a minute and a half, once all is calm: with a longer queue
 		// some job waits for so long beside room that its team leaves between two tasks.
-		c.more(4, c.away+c.lease(), func(_ int, j *protocol.Job) { j.Team, j.Tasks = "team", 16 })
+		c.more(4, c.away+c.lease(), func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
 		c.someWorkers(4, func(x *worker) {
 			x.silent = true
 			c.after(c.away+c.within(c.lease()), func() { x.silent = false })
 		})
 	},
 	"leaders end in each phase": func(c *coldStart) {
-		for _, phase := range []recovery.Phase{recovery.Reading, recovery.Collecting, recovery.Reconciling, recovery.Pacing, recovery.Pacing} {
+		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting, recovery.PhaseReconciling, recovery.PhasePacing, recovery.PhasePacing} {
 			c.inPhase(phase, func() { c.back(c.leader(), c.within(time.Second)) })
 		}
 	},
@@ -277,12 +277,12 @@
 // checkMismatches fails the test if the leaders did not find what was arranged.
 func (c *coldStart) checkMismatches(t *testing.T) {
 	t.Helper()
-	for _, kind := range []recovery.Mismatch{recovery.JobNeverStored, recovery.MachineSilent} {
+	for _, kind := range []recovery.Mismatch{recovery.JobNeverStored, recovery.MachineUnresponsive} {
 		if c.away < c.lease()*9/10 && c.seen[kind] == 0 {
 			t.Errorf("nobody found %v: %v", kind, c.seen)
 		}
 	}
-	if c.away < c.lease()*9/10 && (c.seen[recovery.AsStored] == 0 || c.seen[recovery.FinishedNotStored] == 0) || c.away > c.lease() && c.seen[recovery.JobNotRunning] == 0 {
+	if c.away < c.lease()*9/10 && (c.seen[recovery.MatchesRecord] == 0 || c.seen[recovery.CompletionNotStored] == 0) || c.away > c.lease() && c.seen[recovery.JobNotRunning] == 0 {
 		t.Errorf("found only %v", c.seen)
 	}
 }
@@ -337,8 +337,8 @@
 	for i, zone := range []string{"a", "b", ""} {
 		j := spec(fmt.Sprintf("j-%s%d", strings.Repeat("z", i+1), i), 2)
 		j.Zone, j.Priority = zone, "urgent"
-		w.specs[j.UID] = j
-		w.state.put(storage.JobKey(j.UID), storage.JobRecord{Spec: j})
+		w.specs[j.ID] = j
+		w.state.put(storage.JobKey(j.ID), storage.JobRecord{Spec: j})
 	}
 	for _, name := range w.names {
 		w.restart(name)
