--- a/internal/coordination/compatibility_test.go
+++ b/internal/coordination/compatibility_test.go
@@ -101,7 +101,7 @@
 		id   string
 	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""}, {"links", protocol.RequestLinks, ""},
 		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""}, {"admission", protocol.RequestAdmission, job}} {
-		r := w.request(node, Request{Kind: page.kind, ID: page.id})
+		r := w.request(node, Request{Kind: page.kind, JobID: page.id})
 		if r.Status != 200 {
 			w.t.Fatalf("%s: %d", page.name, r.Status)
 		}
@@ -162,15 +162,15 @@
 // The words on the status page and in traces.
 func TestWordsOnPages(t *testing.T) {
 	lines := []string{"jobs wait for:"}
-	for _, waits := range []waitReason{waitNeeds, waitBackoff, waitUnknown, waitSlots, waitTeam, waitOverall, waitRoom, waitImage, waitQuarantine, waitNothing} {
+	for _, waits := range []waitReason{waitDependencies, waitBackoff, waitReconciliation, waitSlots, waitTeamQuota, waitOverallQuota, waitCapacity, waitImage, waitQuarantine, waitNone} {
 		lines = append(lines, string(waits))
 	}
 	lines = append(lines, "machines leave because:")
-	for _, why := range []cause{surplus, noticed, slow, sick, deaf, silent, neverUp, failedAlone, notListed} {
+	for _, why := range []drainReason{surplusCapacity, preemptionNoticed, slowExecution, unhealthy, commandsUndelivered, heartbeatMissed, neverReported, instanceFailed, notListed} {
 		lines = append(lines, string(why))
 	}
-	lines = append(lines, "steps of traces:", stepVerdict, stepTurnedAway, stepStored, stepKnown, stepWaits, stepStart, stepRuns, stepOver,
-		"level of records and messages:", fmt.Sprint(level))
+	lines = append(lines, "steps of traces:", stepAdmissionVerdict, stepRejected, stepStored, stepLoaded, stepBlocked, stepFirstStart, stepFirstRunning, stepTerminal,
+		"level of records and messages:", fmt.Sprint(protocolLevel))
 	checkGolden(t, "words.txt", lines)
 }
 
@@ -187,11 +187,11 @@
 	w.asked["j-2"] = true
 	for i := range 10 {
 		if i == 0 || i == 9 {
-			w.finished[protocol.TaskKey("j-1", i)] = true
+			w.finished[protocol.TaskID("j-1", i)] = true
 		}
 	}
 	for i := range 2 {
-		w.finished[protocol.TaskKey("j-0", i)] = true
+		w.finished[protocol.TaskID("j-0", i)] = true
 	}
 	for key, value := range map[string]string{
 		"term":              `{"term":7}`,
@@ -207,14 +207,14 @@
 	w.run(10 * time.Second)
 	var lines []string
 	for _, id := range []string{"j-0", "j-1", "j-2"} {
-		r := w.request(l.name, Request{Kind: protocol.RequestQuery, ID: id})
+		r := w.request(l.name, Request{Kind: protocol.RequestQuery, JobID: id})
 		lines = append(lines, fmt.Sprintf("%s: %d %s", id, r.Status, r.Body))
 	}
 	for i := range 11 {
-		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskKey("j-1", i), w.starts[protocol.TaskKey("j-1", i)]))
+		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i), w.starts[protocol.TaskID("j-1", i)]))
 	}
 	for _, key := range slices.Sorted(maps.Keys(w.state.keys)) {
-		if key != storage.FlowKey {
+		if key != storage.ArrivalForecastKey {
 			lines = append(lines, key+" "+string(w.state.keys[key].Value))
 		}
 	}
@@ -234,8 +234,8 @@
 		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status, reply.RetryAfter, reply.Body))
 	}
 	user := func(name, node string, kind protocol.RequestKind, job protocol.Job) {
-		w.specs[job.UID] = job
-		r := Request{Kind: kind, ID: job.UID}
+		w.specs[job.ID] = job
+		r := Request{Kind: kind, JobID: job.ID}
 		if kind == protocol.RequestSubmit {
 			r.Job = &job
 		}
@@ -248,9 +248,9 @@
 	user("submission", f, protocol.RequestSubmit, spec("j-1", 4))
 	user("submission, repeated", l, protocol.RequestSubmit, spec("j-1", 4))
 	user("query", l, protocol.RequestQuery, spec("j-1", 4))
-	w.waitState("j-1", protocol.Running, time.Minute)
+	w.waitState("j-1", protocol.JobRunning, time.Minute)
 	user("query of a running job", f, protocol.RequestQuery, spec("j-1", 4))
-	w.waitState("j-1", protocol.Done, time.Minute)
+	w.waitState("j-1", protocol.JobDone, time.Minute)
 	user("query of a job that is done", f, protocol.RequestQuery, spec("j-1", 4))
 	user("cancellation of a job that is done", l, protocol.RequestCancel, spec("j-1", 4))
 	user("submission of a job that is done", f, protocol.RequestSubmit, spec("j-1", 4))
@@ -259,25 +259,25 @@
 	user("cancellation, repeated", l, protocol.RequestCancel, spec("j-2", 4))
 	user("query of a cancelled job", l, protocol.RequestQuery, spec("j-2", 4))
 	for _, node := range []string{l, f} {
-		user("query of an unknown job", node, protocol.RequestQuery, protocol.Job{UID: "j-404"})
-		user("cancellation of an unknown job", node, protocol.RequestCancel, protocol.Job{UID: "j-404"})
+		user("query of an unknown job", node, protocol.RequestQuery, protocol.Job{ID: "j-404"})
+		user("cancellation of an unknown job", node, protocol.RequestCancel, protocol.Job{ID: "j-404"})
 		unknownTeam, tooMuch, needs := spec("j-3", 1), spec("j-4", 1), spec("j-5", 1)
 		unknownTeam.Team = "nobody"
 		tooMuch.Cores = 5
-		needs.Needs = []string{"j-404"}
+		needs.Dependencies = []string{"j-404"}
 		user("submission of an unknown team", node, protocol.RequestSubmit, unknownTeam)
 		user("submission that fits no machine", node, protocol.RequestSubmit, tooMuch)
 		user("submission that needs an unknown job", node, protocol.RequestSubmit, needs)
 	}
 	large := spec("j-6", 1)
-	large.Image = strings.Repeat("x", int(w.cfg.State.ValueKB*1024))
+	large.Image = strings.Repeat("x", int(w.cfg.Store.ValueKB*1024))
 	user("submission that is too large to be stored", l, protocol.RequestSubmit, large)
-	report := &protocol.Report{Machine: "m-000099", Type: "c4", Zone: "a", Session: 1, Seq: 1}
-	ask("report to a follower", f, Request{Kind: protocol.RequestReport, Report: report})
-	ask("report to the leader", l, Request{Kind: protocol.RequestReport, Report: report})
+	report := &protocol.WorkerHeartbeat{Machine: "m-000099", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+	ask("report to a follower", f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
+	ask("report to the leader", l, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
 	w.state.setDown(true)
 	w.run(3 * time.Second)
-	user("query of an unknown job in an outage", f, protocol.RequestQuery, protocol.Job{UID: "j-405"})
+	user("query of an unknown job in an outage", f, protocol.RequestQuery, protocol.Job{ID: "j-405"})
 	user("submission in an outage", l, protocol.RequestSubmit, spec("j-7", 1))
 	checkGolden(t, "answers.txt", lines)
 }
@@ -291,7 +291,7 @@
 	watch := func(w *simulation) {
 		w.watch = func(_ *simNode, effects []any) {
 			for _, e := range effects {
-				call, is := e.(Call)
+				call, is := e.(ServiceCall)
 				if !is {
 					continue
 				}
@@ -310,7 +310,7 @@
 					t.Fatal(err)
 				}
 				for _, wr := range txn.Writes {
-					if err := records.addFields(digits.ReplaceAllString(wr.Set, "N"), wr.Value); wr.Set != "" && err != nil {
+					if err := records.addFields(digits.ReplaceAllString(wr.PutKey, "N"), wr.Value); wr.PutKey != "" && err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -321,11 +321,11 @@
 	watch(w)
 	l := w.waitLeader()
 	job, next := spec("j-1", 6), spec("j-2", 1)
-	job.Types, job.DeadlineS = []string{"c4"}, of(900.0)
-	next.Needs = []string{"j-1"}
+	job.MachineTypes, job.DeadlineSeconds = []string{"c4"}, of(900.0)
+	next.Dependencies = []string{"j-1"}
 	w.submit(w.followers()[0], job)
 	w.submit(l.name, next)
-	w.waitState("j-2", protocol.Done, 2*time.Minute)
+	w.waitState("j-2", protocol.JobDone, 2*time.Minute)
 	w.cutOff(l.name)
 	w.run(time.Minute)
 	w.mend()
@@ -344,7 +344,7 @@
 }
 
 // withoutValues is the body of a call; of a transaction without the records in it.
-func withoutValues(t *testing.T, call Call) []byte {
+func withoutValues(t *testing.T, call ServiceCall) []byte {
 	if call.Path != "/multi" {
 		return call.Body
 	}
@@ -363,17 +363,17 @@
 // effectDigest sums up all effects of all nodes, in their order, by spans of simulated time, so
 // that a difference names the span in which it begins.
 type effectDigest struct {
-	w     *simulation
-	sum   hash.Hash
-	count int
-	ends  Instant
-	lines []string
+	w                *simulation
+	sum              hash.Hash
+	countActiveTasks int
+	ends             Instant
+	lines            []string
 }
 
 const digestSpan = 10 * time.Second
 
 // goldenTargets are the names of the targets in the golden files, whatever the log calls them.
-var goldenTargets = map[Target]string{State: "state service", Cloud: "cloud"}
+var goldenTargets = map[Target]string{TargetStore: "state service", TargetCloud: "cloud"}
 
 func newEffectDigest(w *simulation) *effectDigest {
 	d := &effectDigest{w: w, sum: sha256.New(), ends: digestSpan}
@@ -386,15 +386,15 @@
 		d.close()
 	}
 	for _, e := range effects {
-		d.count++
+		d.countActiveTasks++
 		fmt.Fprintf(d.sum, "%d %s ", d.w.now, n.name)
 		switch e := e.(type) {
-		case Call:
+		case ServiceCall:
 			fmt.Fprintf(d.sum, "call %d %s %s %s %s %d\n", e.ID, goldenTargets[e.Target], e.Method, e.Path, e.Body, e.Timeout)
 		case Reply:
-			fmt.Fprintf(d.sum, "reply %d %d %d %s\n", e.Ticket, e.Status, e.RetryAfter, e.Body)
-		case Send:
-			raw, err := protocol.EncodePeer(e.Msg)
+			fmt.Fprintf(d.sum, "reply %d %d %d %s\n", e.RequestID, e.Status, e.RetryAfter, e.Body)
+		case OutboundMessage:
+			raw, err := protocol.EncodePeerMessage(e.Message)
 			if err != nil {
 				d.w.t.Fatal(err)
 			}
@@ -408,7 +408,7 @@
 }
 
 func (d *effectDigest) close() {
-	d.lines = append(d.lines, fmt.Sprintf("until %v: %d effects, %x", d.ends, d.count, d.sum.Sum(nil)[:8]))
+	d.lines = append(d.lines, fmt.Sprintf("until %v: %d effects, %x", d.ends, d.countActiveTasks, d.sum.Sum(nil)[:8]))
 	d.ends += digestSpan
 }
 
@@ -422,7 +422,7 @@
 			w := newSimulation(t, 3)
 			d := newEffectDigest(w)
 			for _, name := range w.names {
-				w.nodes[name].set.TraceSteps = 1
+				w.nodes[name].settings.MaxTraceSteps = 1
 			}
 			l := w.waitLeader()
 			w.machines(6)
@@ -432,7 +432,7 @@
 				j.Cores = 1 + float64(i%3)*0.3
 				j.Class = []string{"c", "d"}[i%2]
 				if i == 5 {
-					j.Needs = []string{"j-0", "j-1"}
+					j.Dependencies = []string{"j-0", "j-1"}
 				}
 				w.submit(w.followers()[i%2], j)
 				w.run(time.Second)
@@ -445,7 +445,7 @@
 				w.restart(l.name)
 				w.waitLeader()
 			}
-			w.waitState("j-5", protocol.Done, 200*time.Second)
+			w.waitState("j-5", protocol.JobDone, 200*time.Second)
 			w.run(60 * time.Second)
 			d.close()
 			checkGolden(t, name, d.lines)
--- a/internal/coordination/durability_test.go
+++ b/internal/coordination/durability_test.go
@@ -17,7 +17,7 @@
 	w, l := running(t, 3, 20*time.Second, 3, 8)
 	w.state.lost[l.name] = true
 	w.cutOff(l.name)
-	if !w.until(5*time.Second, func() bool { return !l.authority() }) {
+	if !w.until(5*time.Second, func() bool { return !l.holdsLeaderLease() }) {
 		t.Fatal("it leads on")
 	}
 	answers := map[string]int{}
@@ -38,8 +38,8 @@
 		t.Fatal("a worker has not found the new leader")
 	}
 	for _, r := range []Request{
-		{Kind: protocol.RequestSubmit, ID: "j-2", Job: &protocol.Job{UID: "j-2", Team: "free", Tasks: 1}},
-		{Kind: protocol.RequestQuery, ID: "j-1"}, {Kind: protocol.RequestCancel, ID: "j-1"},
+		{Kind: protocol.RequestSubmit, JobID: "j-2", Job: &protocol.Job{ID: "j-2", Team: "free", TaskCount: 1}},
+		{Kind: protocol.RequestQuery, JobID: "j-1"}, {Kind: protocol.RequestCancel, JobID: "j-1"},
 	} {
 		asked := w.now
 		if got := w.request(l.name, r); got.Status != 503 || got.RetryAfter == 0 || w.now-asked > time.Second {
@@ -51,7 +51,7 @@
 	}
 	w.mend()
 	delete(w.state.lost, l.name)
-	w.waitState("j-1", protocol.Done, time.Minute)
+	w.waitState("j-1", protocol.JobDone, time.Minute)
 	w.startedOnce()
 }
 
@@ -77,7 +77,7 @@
 	if w.leader() != next {
 		t.Errorf("%s leads, not %s", w.leader(), next)
 	}
-	w.waitState("j-1", protocol.Done, time.Minute)
+	w.waitState("j-1", protocol.JobDone, time.Minute)
 	w.startedOnce()
 }
 
@@ -90,11 +90,11 @@
 	w.state.lost[f] = true
 	w.cutOff(f)
 	w.run(5 * time.Second)
-	rep := &protocol.Report{Machine: "m-9", Type: "c4", Zone: "a", Session: 1, Seq: 1}
-	if got := w.request(f, Request{Kind: protocol.RequestReport, Report: rep}); got.Status != 503 {
+	rep := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+	if got := w.request(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}); got.Status != 503 {
 		t.Errorf("report: %d", got.Status)
 	}
-	if got := w.request(f, Request{Kind: protocol.RequestQuery, ID: "j-1"}); got.Status != 503 || got.RetryAfter == 0 {
+	if got := w.request(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 || got.RetryAfter == 0 {
 		t.Errorf("query: %d, come back after %d", got.Status, got.RetryAfter)
 	}
 	if got := w.request(f, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
@@ -112,10 +112,10 @@
 	w.cloud.capacity = 1
 	const over, open = 4000, 400
 	for i := range over {
-		w.state.put(storage.FinalKey(fmt.Sprintf("j-%d", i)), storage.FinalRecord{State: protocol.Done, Tasks: 1, Done: 1})
+		w.state.put(storage.TerminalKey(fmt.Sprintf("j-%d", i)), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 1, DoneTasks: 1})
 	}
 	for i := over; i < over+open; i++ {
-		w.state.put(storage.JobKey(fmt.Sprintf("j-%d", i)), storage.JobRecord{Spec: spec(fmt.Sprintf("j-%d", i), 3), AtMS: 1})
+		w.state.put(storage.JobKey(fmt.Sprintf("j-%d", i)), storage.JobRecord{Spec: spec(fmt.Sprintf("j-%d", i), 3), AcceptedAtMillis: 1})
 	}
 	w.waitLeader()
 	w.state.setDown(true)
@@ -137,7 +137,7 @@
 			if answered[i] {
 				continue
 			}
-			w.ask(w.names[(i+int(w.now/time.Second))%3], Request{Kind: protocol.RequestQuery, ID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
+			w.ask(w.names[(i+int(w.now/time.Second))%3], Request{Kind: protocol.RequestQuery, JobID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
 				switch r.Status {
 				case 200:
 					answered[i] = true
@@ -173,17 +173,17 @@
 		if w.leader() != l.name {
 			t.Fatalf("%d nodes: refused connections alone cost the leader", nodes)
 		}
-		term := l.lead.term
+		term := l.leader.term
 		w.crash(l.name)
 		if !w.until(8*time.Second, func() bool { return w.leader() != "" }) {
 			t.Fatalf("%d nodes: nobody leads", nodes)
 		}
 		// Each raise takes the term from a candidate that others vote for: with
 		// seven nodes they went on until connections were no longer refused.
-		if raised := w.nodes[w.leader()].lead.term - term; raised > 2 {
+		if raised := w.nodes[w.leader()].leader.term - term; raised > 2 {
 			t.Errorf("%d nodes: the term was raised %d times", nodes, raised)
 		}
-		w.waitState("j-1", protocol.Done, time.Minute)
+		w.waitState("j-1", protocol.JobDone, time.Minute)
 		w.startedOnce()
 	}
 }
@@ -222,23 +222,23 @@
 	forwarded := func(r Request, f func(Reply)) uint64 {
 		w.ask(name, r, f)
 		w.run(2 * step)
-		for id := range w.nodes[name].forwards {
+		for id := range w.nodes[name].pendingForwards {
 			return id
 		}
 		t.Fatal("not passed on")
 		return 0
 	}
 	l.frozen = true
-	before := forwarded(Request{Kind: protocol.RequestCancel, ID: "j-1"}, func(Reply) {})
+	before := forwarded(Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
 	l.frozen = false
 	w.crash(name)
 	w.restart(name)
 	w.run(time.Second)
 	l.frozen = true
 	var got *Reply
-	forwarded(Request{Kind: protocol.RequestQuery, ID: "j-2"}, func(r Reply) { got = &r })
+	forwarded(Request{Kind: protocol.RequestQuery, JobID: "j-2"}, func(r Reply) { got = &r })
 	n := w.nodes[name]
-	n.inbox = append(n.inbox, PeerMessage{From: l.name, Msg: protocol.ForwardedAnswer{ID: before, Status: 200, Body: []byte(`{"uid":"j-1","situacao":"withdrawn"}`)}})
+	n.inbox = append(n.inbox, InboundMessage{From: l.name, Message: protocol.ForwardedResponse{ID: before, Status: 200, Body: []byte(`{"uid":"j-1","situacao":"withdrawn"}`)}})
 	w.run(5 * step)
 	if got != nil {
 		t.Errorf("it is handed %d %s", got.Status, got.Body)
@@ -256,8 +256,8 @@
 	round := func() (sent, relayed int) {
 		var batch []any
 		for i := range workers {
-			rep := &protocol.Report{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Session: 1, Seq: 1}
-			batch = append(batch, Request{Origin: Origin{Ticket: uint64(i + 1)}, Kind: protocol.RequestReport, Report: rep})
+			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 		}
 		for _, e := range f.Step(f.clock(w.now), batch) {
 			switch e := e.(type) {
@@ -265,8 +265,8 @@
 				if e.Status == 421 {
 					sent++
 				}
-			case Send:
-				if _, forwarded := e.Msg.(protocol.ForwardedRequest); forwarded {
+			case OutboundMessage:
+				if _, forwarded := e.Message.(protocol.ForwardedRequest); forwarded {
 					relayed++
 				}
 			}
@@ -280,8 +280,8 @@
 	if sent, relayed := round(); sent != 0 || relayed != workers {
 		t.Errorf("back again, %d are sent to the leader, %d of %d relayed", sent, relayed, workers)
 	}
-	w.run(4 * f.lease())
-	if len(f.routes) > 0 {
-		t.Errorf("%d are remembered for good", len(f.routes))
+	w.run(4 * f.workerLease())
+	if len(f.workerRoutes) > 0 {
+		t.Errorf("%d are remembered for good", len(f.workerRoutes))
 	}
 }
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -22,16 +22,16 @@
 // of lower terms.
 type election struct {
 	// availability of the key-value store
-	stateOK  Instant // last response other than an error
-	stateBad Instant // last 429, 5xx or missing response
-	badCalls int     // consecutive failures
+	storeOK                  Instant // last response other than an error
+	storeFailed              Instant // last 429, 5xx or missing response
+	consecutiveStoreFailures int     // consecutive failures
 
-	probeAt     Instant // last read of the leader key
-	probing     bool
-	heartbeatAt Instant // last heartbeat to the peers
-	abstain     bool    // no candidacy until a peer is heard: this node was isolated
-	standAt     Instant // start of the next candidacy; never: not scheduled
-	candidate   *candidacy
+	leaderKeyReadAt       Instant // last read of the leader key
+	leaderKeyReadInFlight bool
+	heartbeatSentAt       Instant // last heartbeat to the peers
+	isolated              bool    // no candidacy until a peer is heard: this node was isolated
+	candidacyAt           Instant // start of the next candidacy; never: not scheduled
+	candidacy             *candidacy
 
 	// as a peer
 	grantedTerm  uint64
@@ -39,170 +39,170 @@
 	votedTerm    uint64
 
 	// as a leader
-	lease     uint64  // lease of the leader key in the store
-	authUntil Instant // end of the leader lease, without grants
-	renewAt   Instant // last renewal sent
-	renewing  bool
-	renewBad  bool // the last renewal failed: ask for grants
+	leaderLeaseID   uint64  // lease of the leader key in the store
+	leaseValidUntil Instant // end of the leader lease, without grants
+	renewalSentAt   Instant // last renewal sent
+	renewalInFlight bool
+	renewalFailed   bool // the last renewal failed: ask for grants
 }
 
 // candidacy is one attempt of this node to become the leader in a new term.
 type candidacy struct {
-	term     uint64
-	termVer  uint64 // version of the term key that this candidate wrote
-	votes    map[string]bool
-	asking   bool // the term is raised and votes are being collected
-	since    Instant
-	askedAt  Instant // last vote requests sent
-	listedAt Instant // last read of votes from the key-value store
+	term             uint64
+	termVersion      uint64 // version of the term key that this candidate wrote
+	votes            map[string]bool
+	requestingVotes  bool // the term is raised and votes are being collected
+	startedAt        Instant
+	votesRequestedAt Instant // last vote requests sent
+	votesReadAt      Instant // last read of votes from the key-value store
 }
 
 // newElection returns the state of a node that has just started.
 func newElection() election {
-	return election{stateOK: never, stateBad: never, probeAt: never, heartbeatAt: never,
-		standAt:      never,
-		grantedUntil: never, authUntil: never, renewAt: never}
+	return election{storeOK: never, storeFailed: never, leaderKeyReadAt: never, heartbeatSentAt: never,
+		candidacyAt:  never,
+		grantedUntil: never, leaseValidUntil: never, renewalSentAt: never}
 }
 
 // recordStoreResponse records whether the key-value store answered a call with the status.
-func (e *election) saw(now Instant, status int) {
+func (e *election) recordStoreResponse(now Instant, status int) {
 	if status == 0 || status == 429 || status >= 500 {
-		e.stateBad = now
-		e.badCalls++
+		e.storeFailed = now
+		e.consecutiveStoreFailures++
 	} else {
-		e.stateOK = now
-		e.badCalls = 0
+		e.storeOK = now
+		e.consecutiveStoreFailures = 0
 	}
 }
 
 // storeFailing reports whether the last call to the store failed.
-func (e *election) stateDown() bool { return e.stateBad > e.stateOK }
+func (e *election) storeFailing() bool { return e.storeFailed > e.storeOK }
 
 // storeUnavailable reports whether the store is considered down, so that requests which need it
 // are rejected at once. A single failed call, as caused by a lost packet, does not count.
-func (e *election) stateLost() bool { return e.badCalls >= 2 }
+func (e *election) storeUnavailable() bool { return e.consecutiveStoreFailures >= 2 }
 
 // leaderLease returns the duration of the leader lease and of a peer's lease grant.
-func (n *Node) termSpan() time.Duration { return n.lease() / termsPerLease }
+func (n *Node) leaderLease() time.Duration { return n.workerLease() / leaderLeasesPerWorkerLease }
 
 // holdsLeaderLease reports whether this node may act as the leader: by its own lease in the
 // store, or by the lease grants of a quorum.
-func (n *Node) authority() bool {
-	if n.lead == nil {
+func (n *Node) holdsLeaderLease() bool {
+	if n.leader == nil {
 		return false
 	}
-	return n.now < n.elect.authUntil || n.now < n.quorumLease()
+	return n.now < n.election.leaseValidUntil || n.now < n.quorumLeaseUntil()
 }
 
 // quorumLeaseUntil returns until when a majority, including this node, is bound by lease grants
 // not to become candidates.
-func (n *Node) quorumLease() Instant {
-	others := n.cfg.Cluster.Count / 2 // needed besides this node
-	if others == 0 {
+func (n *Node) quorumLeaseUntil() Instant {
+	peersNeeded := n.cfg.Cluster.ControllerCount / 2 // needed besides this node
+	if peersNeeded == 0 {
 		return never
 	}
-	until := make([]Instant, 0, len(n.peers))
+	grants := make([]Instant, 0, len(n.peers))
 	for _, p := range n.peers {
-		until = append(until, p.granted)
+		grants = append(grants, p.grantedUntil)
 	}
-	sort.Slice(until, func(i, j int) bool { return until[i] > until[j] })
-	return until[others-1]
+	sort.Slice(grants, func(i, j int) bool { return grants[i] > grants[j] })
+	return grants[peersNeeded-1]
 }
 
 // leaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
 func (n *Node) leaderPeer() *peer {
-	var best *peer
+	var leading *peer
 	for _, p := range n.peers {
-		if p.leads && n.now-p.heard < n.termSpan() && (best == nil || p.term > best.term) {
-			best = p
+		if p.leading && n.now-p.lastContact < n.leaderLease() && (leading == nil || p.term > leading.term) {
+			leading = p
 		}
 	}
-	return best
+	return leading
 }
 
 // recentPeerCount returns the number of peers heard within a span.
-func (n *Node) peersHeard(within time.Duration) int {
-	heard := 0
+func (n *Node) recentPeerCount(within time.Duration) int {
+	count := 0
 	for _, p := range n.peers {
-		if n.now-p.heard < within {
-			heard++
+		if n.now-p.lastContact < within {
+			count++
 		}
 	}
-	return heard
+	return count
 }
 
 // tickElection sends the periodic heartbeat to the peers and advances the role of this node:
 // leader, candidate or follower.
 func (n *Node) tickElection() {
-	e := &n.elect
-	if n.now >= e.heartbeatAt+n.lease()/heartbeatsPerLease || e.heartbeatAt == never {
-		e.heartbeatAt = n.now
-		m := protocol.Heartbeat{Sent: n.now, Uptime: n.now, Process: n.run, Level: level,
-			Slowed: n.slowed, Full: n.connections.full, Room: n.connections.room(),
-			Links: n.linkReport(), Policy: n.policy.revision}
-		if n.lead != nil {
-			m.Term, m.Leads, m.WantsGrant =
-				n.lead.term, n.authority(), e.renewBad
-			if n.lead.wantsRelays() {
-				m.Full, m.Room = true, 0
-				if n.lead.probesRelays() {
-					m.Full, m.Room = false, len(n.peers) // one worker from each peer
+	election := &n.election
+	if n.now >= election.heartbeatSentAt+n.workerLease()/peerHeartbeatsPerLease || election.heartbeatSentAt == never {
+		election.heartbeatSentAt = n.now
+		heartbeat := protocol.PeerHeartbeat{SentAt: n.now, Uptime: n.now, ProcessID: n.processID, VersionLevel: protocolLevel,
+			WritesThrottled: n.writesThrottled, ConnectionsFull: n.connections.full, SpareConnections: n.connections.spareConnections(),
+			Links: n.connectivityReport(), PolicyRevision: n.admissionPolicy.revision}
+		if n.leader != nil {
+			heartbeat.Term, heartbeat.IsLeader, heartbeat.WantsLeaseGrant =
+				n.leader.term, n.holdsLeaderLease(), election.renewalFailed
+			if n.leader.needsRelays() {
+				heartbeat.ConnectionsFull, heartbeat.SpareConnections = true, 0
+				if n.leader.probesDirectRoute() {
+					heartbeat.ConnectionsFull, heartbeat.SpareConnections = false, len(n.peers) // one worker from each peer
 				}
 			}
 		}
-		for _, k := range n.cfg.Known {
-			m.Heard = n.peers[k.Node].run
-			n.send(k.Node, m)
+		for _, k := range n.cfg.Peers {
+			heartbeat.ReceiverProcessID = n.peers[k.Node].processID
+			n.send(k.Node, heartbeat)
 		}
 	}
-	if n.lead != nil {
+	if n.leader != nil {
 		n.tickLeader()
 		return
 	}
-	if e.candidate != nil {
+	if election.candidacy != nil {
 		n.tickCandidate()
 		return
 	}
-	if !n.draining && !e.probing &&
-		(e.probeAt == never || n.now >= e.probeAt+n.lease()/probesPerLease) {
-		n.probe()
+	if !n.draining && !election.leaderKeyReadInFlight &&
+		(election.leaderKeyReadAt == never || n.now >= election.leaderKeyReadAt+n.workerLease()/pollsPerLease) {
+		n.readLeaderKey()
 	}
 }
 
 // readLeaderKey reads the leader key, and starts a candidacy when it is absent. The read also
 // checks that the key-value store answers this node.
-func (n *Node) probe() {
-	e := &n.elect
-	e.probing, e.probeAt = true, n.now
-	n.stateCall("GET", "/store/"+storage.LeaderKey, nil, func(r Result) {
-		e.probing = false
-		if n.lead != nil || e.candidate != nil || n.draining {
+func (n *Node) readLeaderKey() {
+	election := &n.election
+	election.leaderKeyReadInFlight, election.leaderKeyReadAt = true, n.now
+	n.storeCall("GET", "/store/"+storage.LeaderKey, nil, func(result CallResult) {
+		election.leaderKeyReadInFlight = false
+		if n.leader != nil || election.candidacy != nil || n.draining {
 			return
 		}
-		switch r.Status {
+		switch result.Status {
 		case 200:
 			var item storage.Item
-			var l storage.Leader
-			if json.Unmarshal(r.Body, &item) != nil || json.Unmarshal(item.Value, &l) != nil {
+			var record storage.Leader
+			if json.Unmarshal(result.Body, &item) != nil || json.Unmarshal(item.Value, &record) != nil {
 				return
 			}
-			e.standAt, n.links.leaderless = never, never
-			if l.Node == n.cfg.Node && item.Lease != 0 {
+			election.candidacyAt, n.connectivity.leaderlessSince = never, never
+			if record.Node == n.cfg.Node && item.LeaseID != 0 {
 				// The key belongs to an earlier process of this node. That process has
 				// ended, as a node runs one process at a time: revoke its lease instead
 				// of waiting for it to expire.
-				n.stateCall("DELETE", "/holds/"+utoa(item.Lease), nil,
-					func(Result) { e.probeAt = never })
+				n.storeCall("DELETE", "/holds/"+formatUint(item.LeaseID), nil,
+					func(CallResult) { election.leaderKeyReadAt = never })
 			}
 		case 404:
-			if n.links.leaderless == never {
-				n.links.leaderless = n.now
+			if n.connectivity.leaderlessSince == never {
+				n.connectivity.leaderlessSince = n.now
 			}
-			if n.twoWayPeers() < n.cfg.Cluster.Count/2 {
-				n.voteByState()
+			if n.twoWayPeerCount() < n.cfg.Cluster.ControllerCount/2 {
+				n.voteThroughStore()
 				return
 			}
-			n.standInTurn()
+			n.startCandidacyInTurn()
 		}
 	})
 }
@@ -210,30 +210,30 @@
 // startCandidacyInTurn starts a candidacy once it is this node's turn. A random delay separates
 // the candidates. Nodes that restarted recently go first: in a rolling restart they will not be
 // restarted again.
-func (n *Node) standInTurn() {
-	e := &n.elect
-	if n.pausing() {
+func (n *Node) startCandidacyInTurn() {
+	election := &n.election
+	if n.candidacyPaused() {
 		return
 	}
-	if e.abstain {
-		if n.peersHeard(n.termSpan()) == 0 {
+	if election.isolated {
+		if n.recentPeerCount(n.leaderLease()) == 0 {
 			return
 		}
-		e.abstain = false
+		election.isolated = false
 	}
-	if e.standAt == never {
-		wait := n.rng.Float64()
+	if election.candidacyAt == never {
+		turn := n.rng.Float64()
 		for _, p := range n.peers {
-			if n.now-p.heard < n.termSpan() && p.up < n.now && p.up > drift(n.termSpan()) {
-				wait++
+			if n.now-p.lastContact < n.leaderLease() && p.uptime < n.now && p.uptime > withClockDrift(n.leaderLease()) {
+				turn++
 			}
 		}
-		e.standAt = n.now + time.Duration(wait*float64(n.lease())/probesPerLease)
+		election.candidacyAt = n.now + time.Duration(turn*float64(n.workerLease())/pollsPerLease)
 		return
 	}
-	if n.now >= e.standAt {
-		e.standAt = never
-		n.stand()
+	if n.now >= election.candidacyAt {
+		election.candidacyAt = never
+		n.startCandidacy()
 	}
 }
 
@@ -243,13 +243,13 @@
 // process, that it does not lead. A leader that stepped down never resumes its term, and a
 // grant holds for one term only.
 func (n *Node) freeToVote() bool {
-	return (n.now >= drift(n.termSpan()) || n.allIdle()) && n.now >= n.elect.grantedUntil
+	return (n.now >= withClockDrift(n.leaderLease()) || n.noPeerLeads()) && n.now >= n.election.grantedUntil
 }
 
 // noPeerLeads reports whether every peer has told this process that it does not lead.
-func (n *Node) allIdle() bool {
+func (n *Node) noPeerLeads() bool {
 	for _, p := range n.peers {
-		if !p.idle {
+		if !p.knownNotLeading {
 			return false
 		}
 	}
@@ -258,76 +258,76 @@
 
 // startCandidacy raises the term by compare-and-set and then collects votes for it. The
 // transaction also requires that there is no leader key.
-func (n *Node) stand() {
-	e := &n.elect
-	c := &candidacy{since: n.now, votes: map[string]bool{}, askedAt: never, listedAt: n.now}
-	e.candidate = c
-	n.readTerm(func(t storage.Term, version uint64, ok bool) {
-		if e.candidate != c {
+func (n *Node) startCandidacy() {
+	election := &n.election
+	current := &candidacy{startedAt: n.now, votes: map[string]bool{}, votesRequestedAt: never, votesReadAt: n.now}
+	election.candidacy = current
+	n.readTerm(func(lastTerm storage.Term, version uint64, ok bool) {
+		if election.candidacy != current {
 			return
 		}
 		if !ok {
-			e.candidate = nil
+			election.candidacy = nil
 			return
 		}
-		c.term = t.Term + 1
+		current.term = lastTerm.Term + 1
 		txn := storage.Txn{
-			If:     []storage.Cond{{Key: storage.TermKey, Version: version}, {Key: storage.LeaderKey}},
-			Writes: []storage.Write{storage.Set(storage.TermKey, storage.Term{Term: c.term, Node: n.cfg.Node})},
+			Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: version}, {Key: storage.LeaderKey}},
+			Writes:     []storage.Write{storage.Put(storage.TermKey, storage.Term{Term: current.term, Node: n.cfg.Node})},
 		}
-		n.stateCall("POST", "/multi", txn, func(r Result) {
-			var res storage.TxnResult
-			if e.candidate != c {
+		n.storeCall("POST", "/multi", txn, func(result CallResult) {
+			var txnResult storage.TxnResponse
+			if election.candidacy != current {
 				return
 			}
-			if r.Status != 200 || json.Unmarshal(r.Body, &res) != nil {
+			if result.Status != 200 || json.Unmarshal(result.Body, &txnResult) != nil {
 				// Lost, or the outcome is unclear. A term is never used unless it is known to
 				// be this node's; a later candidacy raises it again.
-				e.candidate = nil
+				election.candidacy = nil
 				return
 			}
-			c.termVer, c.asking = res.Revision, true
+			current.termVersion, current.requestingVotes = txnResult.Revision, true
 			n.tickCandidate()
 		})
 	})
 }
 
 // readTerm reads the last term and its version, both zero if there is none.
-func (n *Node) readTerm(then func(t storage.Term, version uint64, ok bool)) {
-	n.stateCall("GET", "/store/"+storage.TermKey, nil, func(r Result) {
+func (n *Node) readTerm(onTerm func(term storage.Term, version uint64, ok bool)) {
+	n.storeCall("GET", "/store/"+storage.TermKey, nil, func(result CallResult) {
 		var item storage.Item
-		var t storage.Term
-		ok := r.Status == 404 ||
-			r.Status == 200 && json.Unmarshal(r.Body, &item) == nil &&
-				json.Unmarshal(item.Value, &t) == nil
-		then(t, item.Version, ok)
+		var term storage.Term
+		ok := result.Status == 404 ||
+			result.Status == 200 && json.Unmarshal(result.Body, &item) == nil &&
+				json.Unmarshal(item.Value, &term) == nil
+		onTerm(term, item.ModRevision, ok)
 	})
 }
 
 // tickCandidate sends vote requests and takes the leader key once a quorum has voted. The
 // candidacy ends after the span of one leader lease.
 func (n *Node) tickCandidate() {
-	e := &n.elect
-	c := e.candidate
-	if n.now > c.since+n.termSpan() {
-		e.candidate = nil
+	election := &n.election
+	current := election.candidacy
+	if n.now > current.startedAt+n.leaderLease() {
+		election.candidacy = nil
 		return
 	}
-	if !c.asking {
+	if !current.requestingVotes {
 		return
 	}
-	if n.freeToVote() && len(c.votes) >= n.cfg.Cluster.Count/2 {
-		c.asking = false
-		e.votedTerm = max(e.votedTerm, c.term)
-		n.takeLeaderKey(c)
+	if n.freeToVote() && len(current.votes) >= n.cfg.Cluster.ControllerCount/2 {
+		current.requestingVotes = false
+		election.votedTerm = max(election.votedTerm, current.term)
+		n.acquireLeaderKey(current)
 		return
 	}
-	if n.now > c.listedAt+n.lease()/probesPerLease {
-		n.readVotes(c)
+	if n.now > current.votesReadAt+n.workerLease()/pollsPerLease {
+		n.readStoredVotes(current)
 	}
-	if c.askedAt == never || n.now > c.askedAt+n.lease()/heartbeatsPerLease {
-		c.askedAt = n.now
-		n.sendAll(protocol.VoteRequest{Term: c.term})
+	if current.votesRequestedAt == never || n.now > current.votesRequestedAt+n.workerLease()/peerHeartbeatsPerLease {
+		current.votesRequestedAt = n.now
+		n.broadcast(protocol.VoteRequest{Term: current.term})
 	}
 }
 
@@ -337,42 +337,42 @@
 // message does. This node becomes a candidate only if there is none to vote for: otherwise
 // each node would raise the term over the one that others vote for, and a cluster of
 // disconnected controllers would stay without a leader.
-func (n *Node) voteByState() {
-	e := &n.elect
-	n.readTerm(func(t storage.Term, _ uint64, ok bool) {
-		if n.lead != nil || e.candidate != nil || !ok || !n.freeToVote() {
+func (n *Node) voteThroughStore() {
+	election := &n.election
+	n.readTerm(func(lastTerm storage.Term, _ uint64, ok bool) {
+		if n.leader != nil || election.candidacy != nil || !ok || !n.freeToVote() {
 			return
 		}
-		led := false // some peer has led in the last term or in a later one
+		termTaken := false // some peer has led in the last term or in a later one
 		for _, p := range n.peers {
-			led = led || t.Term <= p.term
+			termTaken = termTaken || lastTerm.Term <= p.term
 		}
-		if led || t.Node == "" || t.Node == n.cfg.Node || !n.mayVote(t.Term) {
-			n.standInTurn()
+		if termTaken || lastTerm.Node == "" || lastTerm.Node == n.cfg.Node || !n.mayVoteInTerm(lastTerm.Term) {
+			n.startCandidacyInTurn()
 			return
 		}
-		e.votedTerm = t.Term
-		e.standAt = n.now + n.termSpan() // leave the time to that candidate
-		n.stateCall("POST", "/multi", storage.Txn{
-			Writes: []storage.Write{storage.Set(storage.VotePrefix+n.cfg.Node,
-				storage.VoteRecord{Term: t.Term})},
-		}, func(Result) {})
+		election.votedTerm = lastTerm.Term
+		election.candidacyAt = n.now + n.leaderLease() // leave the time to that candidate
+		n.storeCall("POST", "/multi", storage.Txn{
+			Writes: []storage.Write{storage.Put(storage.VotePrefix+n.cfg.Node,
+				storage.VoteRecord{Term: lastTerm.Term})},
+		}, func(CallResult) {})
 	})
 }
 
 // readStoredVotes counts the votes that other nodes wrote to the key-value store.
-func (n *Node) readVotes(c *candidacy) {
-	c.listedAt = n.now
-	n.stateCall("GET", storage.ListPath(storage.VotePrefix, "", n.cfg.Cluster.Count), nil, func(r Result) {
-		var page storage.Page
-		if n.elect.candidate != c || r.Status != 200 || json.Unmarshal(r.Body, &page) != nil {
+func (n *Node) readStoredVotes(current *candidacy) {
+	current.votesReadAt = n.now
+	n.storeCall("GET", storage.ListPath(storage.VotePrefix, "", n.cfg.Cluster.ControllerCount), nil, func(result CallResult) {
+		var page storage.ListResponse
+		if n.election.candidacy != current || result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
 			return
 		}
-		for _, it := range page.Items {
-			var rec storage.VoteRecord
-			name := strings.TrimPrefix(it.Key, storage.VotePrefix)
-			if json.Unmarshal(it.Value, &rec) == nil && rec.Term == c.term && n.peers[name] != nil {
-				c.votes[name] = true
+		for _, item := range page.Items {
+			var vote storage.VoteRecord
+			name := strings.TrimPrefix(item.Key, storage.VotePrefix)
+			if json.Unmarshal(item.Value, &vote) == nil && vote.Term == current.term && n.peers[name] != nil {
+				current.votes[name] = true
 			}
 		}
 		n.tickCandidate()
@@ -380,203 +380,203 @@
 }
 
 // mayVoteInTerm reports whether this node may vote for a candidate of a term.
-func (n *Node) mayVote(term uint64) bool {
-	return n.freeToVote() && term > n.elect.votedTerm &&
-		(n.lead == nil || n.lead.term < term && !n.authority())
+func (n *Node) mayVoteInTerm(term uint64) bool {
+	return n.freeToVote() && term > n.election.votedTerm &&
+		(n.leader == nil || n.leader.term < term && !n.holdsLeaderLease())
 }
 
 // acquireLeaderKey creates a lease and sets the leader key on it, provided that there is no
 // leader and the term is still this candidate's. On success this node leads.
-func (n *Node) takeLeaderKey(c *candidacy) {
-	e := &n.elect
+func (n *Node) acquireLeaderKey(current *candidacy) {
+	election := &n.election
 	sent := n.now
-	span := n.termSpan()
-	n.stateCall("POST", "/holds", storage.Hold{TTLMS: span.Milliseconds()}, func(r Result) {
-		var h storage.Hold
-		if e.candidate != c {
+	ttl := n.leaderLease()
+	n.storeCall("POST", "/holds", storage.Lease{TTLMillis: ttl.Milliseconds()}, func(result CallResult) {
+		var hold storage.Lease
+		if election.candidacy != current {
 			return
 		}
-		if r.Status != 200 || json.Unmarshal(r.Body, &h) != nil {
-			e.candidate = nil
+		if result.Status != 200 || json.Unmarshal(result.Body, &hold) != nil {
+			election.candidacy = nil
 			return
 		}
-		set := storage.Set(storage.LeaderKey, storage.Leader{Node: n.cfg.Node, Term: c.term})
-		set.Lease = h.Lease
+		leaderWrite := storage.Put(storage.LeaderKey, storage.Leader{Node: n.cfg.Node, Term: current.term})
+		leaderWrite.LeaseID = hold.ID
 		txn := storage.Txn{
-			If:     []storage.Cond{{Key: storage.LeaderKey}, {Key: storage.TermKey, Version: c.termVer}},
-			Writes: []storage.Write{set},
+			Conditions: []storage.Condition{{Key: storage.LeaderKey}, {Key: storage.TermKey, ModRevision: current.termVersion}},
+			Writes:     []storage.Write{leaderWrite},
 		}
-		n.stateCall("POST", "/multi", txn, func(r Result) {
-			var res storage.TxnResult
-			if e.candidate != c {
+		n.storeCall("POST", "/multi", txn, func(result CallResult) {
+			var txnResult storage.TxnResponse
+			if election.candidacy != current {
 				return
 			}
-			e.candidate = nil
-			if r.Status != 200 || json.Unmarshal(r.Body, &res) != nil {
+			election.candidacy = nil
+			if result.Status != 200 || json.Unmarshal(result.Body, &txnResult) != nil {
 				// If it was executed nevertheless, the key names this node, and
 				// readLeaderKey revokes its lease.
 				return
 			}
-			if n.now >= sent+leaseSafe(span) {
+			if n.now >= sent+safeLeaseSpan(ttl) {
 				return
 			}
-			n.becomeLeader(c.term, res.Revision, h.Lease, sent)
+			n.becomeLeader(current.term, txnResult.Revision, hold.ID, sent)
 		})
 	})
 }
 
 // safeLeaseSpan returns how long a lease of the key-value store, or a lease grant of a peer, is
 // guaranteed to hold by this node's clock.
-func leaseSafe(span time.Duration) time.Duration { return span - span/500 - time.Millisecond }
+func safeLeaseSpan(span time.Duration) time.Duration { return span - span/500 - time.Millisecond }
 
 // becomeLeader starts a term as the leader and begins to load the records. The leader lease
 // counts from when it was requested.
-func (n *Node) becomeLeader(term, leaderVer, lease uint64, sent Instant) {
-	e := &n.elect
-	e.lease, e.authUntil, e.renewing, e.renewBad =
-		lease, sent+leaseSafe(n.termSpan()), false, false
-	e.renewAt = sent
+func (n *Node) becomeLeader(term, leaderKeyVersion, leaseID uint64, sent Instant) {
+	election := &n.election
+	election.leaderLeaseID, election.leaseValidUntil, election.renewalInFlight, election.renewalFailed =
+		leaseID, sent+safeLeaseSpan(n.leaderLease()), false, false
+	election.renewalSentAt = sent
 	for _, p := range n.peers {
-		p.granted = never
+		p.grantedUntil = never
 	}
 	n.log.Info("became leader", "term", term)
-	n.links.leaderless = never
-	n.lead = newLeadership(n, term, leaderVer)
-	n.lead.load()
-	e.heartbeatAt = never
+	n.connectivity.leaderlessSince = never
+	n.leader = newLeader(n, term, leaderKeyVersion)
+	n.leader.loadRecords()
+	election.heartbeatSentAt = never
 }
 
 // stepDown ends this node's term as the leader, revokes its lease and discards the leader state.
-func (n *Node) stepDown(why string) {
-	if n.lead == nil {
+func (n *Node) stepDown(reason string) {
+	if n.leader == nil {
 		return
 	}
-	n.log.Info("stepped down", "term", n.lead.term, "reason", why)
-	n.lead.close()
-	n.lead = nil
-	e := &n.elect
-	if e.lease != 0 {
-		n.stateCall("DELETE", "/holds/"+utoa(e.lease), nil, func(Result) {})
+	n.log.Info("stepped down", "term", n.leader.term, "reason", reason)
+	n.leader.rejectWaitingRequests()
+	n.leader = nil
+	election := &n.election
+	if election.leaderLeaseID != 0 {
+		n.storeCall("DELETE", "/holds/"+formatUint(election.leaderLeaseID), nil, func(CallResult) {})
 	}
-	e.lease, e.authUntil, e.probeAt, e.heartbeatAt =
+	election.leaderLeaseID, election.leaseValidUntil, election.leaderKeyReadAt, election.heartbeatSentAt =
 		0, never, n.now, never
 }
 
 // tickLeader steps down if this node should not lead any longer, and renews its lease.
 func (n *Node) tickLeader() {
-	e := &n.elect
-	if !n.authority() {
+	election := &n.election
+	if !n.holdsLeaderLease() {
 		n.stepDown("leader lease expired")
 		return
 	}
-	if n.lead.attempts >= lastAttempt {
+	if n.leader.attemptCounter >= maxAttemptCounter {
 		n.stepDown("attempt numbers exhausted")
 		return
 	}
 	// A leader that hears neither peers nor workers is isolated from everything but the
 	// key-value store. As long as it renewed its lease, no other node could take over.
-	span := n.lease() / 4
-	if len(n.peers) > 0 && n.now-n.lead.since > span &&
-		n.peersHeard(span) == 0 && n.now-n.lead.heardWorker > span {
-		e.abstain = true
+	span := n.workerLease() / 4
+	if len(n.peers) > 0 && n.now-n.leader.startedAt > span &&
+		n.recentPeerCount(span) == 0 && n.now-n.leader.lastWorkerHeartbeat > span {
+		election.isolated = true
 		n.stepDown("isolated from peers and workers")
 		return
 	}
-	if n.handOver(); n.lead == nil {
+	if n.resignIfWorkersStranded(); n.leader == nil {
 		return
 	}
-	if e.renewing || n.now < e.renewAt+n.termSpan()/4 {
+	if election.renewalInFlight || n.now < election.renewalSentAt+n.leaderLease()/4 {
 		return
 	}
-	e.renewing, e.renewAt = true, n.now
-	sent, lead := n.now, n.lead
-	n.stateCall("POST", "/holds/"+utoa(e.lease)+"/touch", nil, func(r Result) {
-		if n.lead != lead {
+	election.renewalInFlight, election.renewalSentAt = true, n.now
+	sent, renewingLeader := n.now, n.leader
+	n.storeCall("POST", "/holds/"+formatUint(election.leaderLeaseID)+"/touch", nil, func(result CallResult) {
+		if n.leader != renewingLeader {
 			return
 		}
-		e.renewing = false
+		election.renewalInFlight = false
 		switch {
-		case r.Status == 200:
-			e.authUntil = max(e.authUntil, sent+leaseSafe(n.termSpan()))
-			e.renewBad = false
-		case r.Status == 404:
+		case result.Status == 200:
+			election.leaseValidUntil = max(election.leaseValidUntil, sent+safeLeaseSpan(n.leaderLease()))
+			election.renewalFailed = false
+		case result.Status == 404:
 			n.stepDown("leader lease lost")
 		default:
-			e.renewBad = true
-			e.heartbeatAt = never // ask for lease grants at once
+			election.renewalFailed = true
+			election.heartbeatSentAt = never // ask for lease grants at once
 		}
 	})
 }
 
 // onPeerMessage handles a message of another controller. Unknown senders are ignored.
-func (n *Node) onPeer(pm PeerMessage) {
-	p := n.peers[pm.From]
-	if p == nil {
+func (n *Node) onPeerMessage(inbound InboundMessage) {
+	sender := n.peers[inbound.From]
+	if sender == nil {
 		return
 	}
-	p.heard = n.now
-	switch m := pm.Msg.(type) {
-	case protocol.Heartbeat:
-		n.onHeartbeat(p, m)
+	sender.lastContact = n.now
+	switch message := inbound.Message.(type) {
+	case protocol.PeerHeartbeat:
+		n.onPeerHeartbeat(sender, message)
 	case protocol.LeaseGrant:
-		n.onLeaseGrant(p, m)
+		n.onLeaseGrant(sender, message)
 	case protocol.VoteRequest:
-		n.onVoteRequest(p, m)
+		n.onVoteRequest(sender, message)
 	case protocol.Vote:
-		n.onVote(p, m)
+		n.onVote(sender, message)
 	case protocol.AdmissionLoad:
-		if n.authority() {
-			n.lead.admission.take(m)
+		if n.holdsLeaderLease() {
+			n.leader.admission.addNodeLoad(message)
 		}
 	case protocol.ForwardedRequest:
-		n.onForwarded(p, m)
-	case protocol.ForwardedAnswer:
-		n.onAnswer(m)
+		n.onForwardedRequest(sender, message)
+	case protocol.ForwardedResponse:
+		n.onForwardedAnswer(message)
 	}
 }
 
 // onPeerHeartbeat records what a peer reports of itself, and grants it a lease if it asks for
 // one. A leader steps down if a peer leads in a higher term.
-func (n *Node) onHeartbeat(p *peer, m protocol.Heartbeat) {
-	p.leads, p.term, p.up, p.run, p.level =
-		m.Leads, m.Term, m.Uptime, m.Process, m.Level
-	p.policy = max(p.policy, m.Policy)
-	n.onLinkReport(p, m.Links)
-	p.room.heard(m, n.roomSharers(m))
-	if m.Slowed {
-		n.slowDown()
-	}
-	p.idle = p.idle || (m.Heard == n.run && !m.Leads)
-	if m.Leads && m.WantsGrant {
-		n.grantLease(p, m)
-	}
-	if m.Leads && n.lead != nil && m.Term > n.lead.term {
+func (n *Node) onPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
+	sender.leading, sender.term, sender.uptime, sender.processID, sender.protocolLevel =
+		heartbeat.IsLeader, heartbeat.Term, heartbeat.Uptime, heartbeat.ProcessID, heartbeat.VersionLevel
+	sender.policyRevision = max(sender.policyRevision, heartbeat.PolicyRevision)
+	n.onConnectivityReport(sender, heartbeat.Links)
+	sender.workerCapacity.recordHeartbeat(heartbeat, n.capacitySharers(heartbeat))
+	if heartbeat.WritesThrottled {
+		n.throttleWrites()
+	}
+	sender.knownNotLeading = sender.knownNotLeading || (heartbeat.ReceiverProcessID == n.processID && !heartbeat.IsLeader)
+	if heartbeat.IsLeader && heartbeat.WantsLeaseGrant {
+		n.grantLease(sender, heartbeat)
+	}
+	if heartbeat.IsLeader && n.leader != nil && heartbeat.Term > n.leader.term {
 		n.stepDown("peer leads in a higher term")
 	}
 }
 
 // onLeaseGrant records a lease grant for the current term.
-func (n *Node) onLeaseGrant(p *peer, m protocol.LeaseGrant) {
-	if n.lead == nil || m.Term != n.lead.term || !n.authority() {
+func (n *Node) onLeaseGrant(sender *peer, grant protocol.LeaseGrant) {
+	if n.leader == nil || grant.Term != n.leader.term || !n.holdsLeaderLease() {
 		return
 	}
 	// A grant counts from when it was requested, which can't be later than now: a wrong
 	// timestamp from the peer must not extend it.
-	p.granted = max(p.granted, min(m.Sent, n.now)+leaseSafe(n.termSpan()))
+	sender.grantedUntil = max(sender.grantedUntil, min(grant.HeartbeatSentAt, n.now)+safeLeaseSpan(n.leaderLease()))
 }
 
 // onVoteRequest votes for a candidate if this node is free to, or has voted in its term before.
-func (n *Node) onVoteRequest(p *peer, m protocol.VoteRequest) {
-	if n.mayVote(m.Term) || m.Term == n.elect.votedTerm {
-		n.elect.votedTerm = m.Term
-		n.send(p.name, protocol.Vote{Term: m.Term, Granted: true})
+func (n *Node) onVoteRequest(sender *peer, request protocol.VoteRequest) {
+	if n.mayVoteInTerm(request.Term) || request.Term == n.election.votedTerm {
+		n.election.votedTerm = request.Term
+		n.send(sender.name, protocol.Vote{Term: request.Term, Granted: true})
 	}
 }
 
 // onVote counts a vote for this node's candidacy.
-func (n *Node) onVote(p *peer, m protocol.Vote) {
-	if c := n.elect.candidate; c != nil && c.term == m.Term && m.Granted {
-		c.votes[p.name] = true
+func (n *Node) onVote(sender *peer, vote protocol.Vote) {
+	if current := n.election.candidacy; current != nil && current.term == vote.Term && vote.Granted {
+		current.votes[sender.name] = true
 		n.tickCandidate()
 	}
 }
@@ -584,13 +584,13 @@
 // grantLease binds this node, for the span of a leader lease, neither to become a candidate nor
 // to vote for one. A lease is granted only while this node can't reach the key-value store
 // either: otherwise only the leader is cut off from the store, and it should be replaced.
-func (n *Node) grantLease(p *peer, m protocol.Heartbeat) {
-	e := &n.elect
-	if n.lead != nil || !e.stateDown() || m.Term < e.votedTerm ||
-		m.Term < e.grantedTerm || n.now < drift(n.termSpan()) {
+func (n *Node) grantLease(sender *peer, heartbeat protocol.PeerHeartbeat) {
+	election := &n.election
+	if n.leader != nil || !election.storeFailing() || heartbeat.Term < election.votedTerm ||
+		heartbeat.Term < election.grantedTerm || n.now < withClockDrift(n.leaderLease()) {
 		return
 	}
-	e.grantedTerm = m.Term
-	e.grantedUntil = max(e.grantedUntil, n.now+drift(n.termSpan()))
-	n.send(p.name, protocol.LeaseGrant{Term: m.Term, Sent: m.Sent})
+	election.grantedTerm = heartbeat.Term
+	election.grantedUntil = max(election.grantedUntil, n.now+withClockDrift(n.leaderLease()))
+	n.send(sender.name, protocol.LeaseGrant{Term: heartbeat.Term, HeartbeatSentAt: heartbeat.SentAt})
 }
--- a/internal/coordination/election_test.go
+++ b/internal/coordination/election_test.go
@@ -15,14 +15,14 @@
 func TestOneLeaderAndQuickTakeover(t *testing.T) {
 	w := newSimulation(t, 3)
 	first := w.waitLeader()
-	term := first.lead.term
+	term := first.leader.term
 	w.crash(first.name)
 	start := w.now
 	second := w.waitLeader()
-	if second.lead.term <= term {
-		t.Fatalf("term %d after %d", second.lead.term, term)
+	if second.leader.term <= term {
+		t.Fatalf("term %d after %d", second.leader.term, term)
 	}
-	if took := w.now - start; took > 2*first.termSpan() {
+	if took := w.now - start; took > 2*first.leaderLease() {
 		t.Fatalf("takeover took %v", took)
 	}
 	// Back in the middle of things, the old leader follows.
@@ -51,7 +51,7 @@
 	w.runTime = func(string, int) time.Duration { return 60 * time.Second }
 	first := w.waitLeader()
 	w.submitAndStart(first.name, spec("j-1", 3), 3)
-	term := first.lead.term
+	term := first.leader.term
 	w.state.setDown(true)
 	for range 25 {
 		w.run(time.Second)
@@ -62,12 +62,12 @@
 	if r := w.submit(w.followers()[0], spec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
 		t.Fatalf("submission in an outage: %d, come back after %d", r.Status, r.RetryAfter)
 	}
-	if code, s := w.query(w.followers()[0], "j-1"); code != 200 || s.State != protocol.Running {
+	if code, s := w.query(w.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
 		t.Fatalf("query in an outage: %d %v", code, s)
 	}
 	w.state.setDown(false)
 	w.run(5 * time.Second)
-	if w.leader() != first.name || first.lead.term != term {
+	if w.leader() != first.name || first.leader.term != term {
 		t.Fatal("leadership moved after the outage")
 	}
 	if w.starts["j-1/0"] != 1 {
@@ -80,11 +80,11 @@
 
 // says tells whether an effect sends a message of a type to a peer.
 func says[M protocol.PeerMessage](effect any) bool {
-	s, ok := effect.(Send)
+	s, ok := effect.(OutboundMessage)
 	if !ok {
 		return false
 	}
-	_, is := s.Msg.(M)
+	_, is := s.Message.(M)
 	return is
 }
 
@@ -97,14 +97,14 @@
 	w.crash(peer)
 	w.restart(peer)
 	n := w.nodes[peer]
-	out := n.Step(step, []any{PeerMessage{From: first.name, Msg: protocol.VoteRequest{Term: 99}}})
+	out := n.Step(step, []any{InboundMessage{From: first.name, Message: protocol.VoteRequest{Term: 99}}})
 	for _, e := range out {
 		if says[protocol.Vote](e) {
 			t.Fatal("voted right after a restart")
 		}
 	}
-	n.elect.stateBad = step
-	out = n.Step(2*step, []any{PeerMessage{From: first.name, Msg: protocol.Heartbeat{Term: 99, Leads: true, WantsGrant: true}}})
+	n.election.storeFailed = step
+	out = n.Step(2*step, []any{InboundMessage{From: first.name, Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
 	for _, e := range out {
 		if says[protocol.LeaseGrant](e) {
 			t.Fatal("granted a lease right after a restart")
@@ -125,25 +125,25 @@
 	for _, name := range w.names {
 		w.restart(name)
 	}
-	span := w.nodes["n0"].termSpan()
+	span := w.nodes["n0"].leaderLease()
 	if !w.until(span*2/3, func() bool { return w.leader() != "" }) {
 		t.Fatalf("nobody leads %v after a full restart", span*2/3)
 	}
-	n := New(Options{Platform: w.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)), Wall: time.Unix(5, 0)})
-	voted := func(from string, m protocol.Heartbeat) bool {
-		out := n.Step(n.now+step, []any{PeerMessage{From: from, Msg: m}, PeerMessage{From: "n1", Msg: protocol.VoteRequest{Term: 99}}})
+	n := New(Options{Platform: w.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)), StartTime: time.Unix(5, 0)})
+	voted := func(from string, m protocol.PeerHeartbeat) bool {
+		out := n.Step(n.now+step, []any{InboundMessage{From: from, Message: m}, InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
 		return slices.ContainsFunc(out, says[protocol.Vote])
 	}
-	if voted("n1", protocol.Heartbeat{Heard: n.run}) {
+	if voted("n1", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
 		t.Error("votes while a peer is not heard")
 	}
-	if voted("n2", protocol.Heartbeat{Heard: n.run + 1}) {
+	if voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID + 1}) {
 		t.Error("votes by what its earlier process was told")
 	}
-	if voted("n2", protocol.Heartbeat{Heard: n.run, Leads: true, Term: 9}) {
+	if voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID, IsLeader: true, Term: 9}) {
 		t.Error("votes while a peer leads")
 	}
-	if !voted("n2", protocol.Heartbeat{Heard: n.run}) {
+	if !voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
 		t.Error("waits for a grant that nobody can live by")
 	}
 }
@@ -159,22 +159,22 @@
 	sent := func(is func(effect any) bool, messages ...protocol.PeerMessage) bool {
 		var batch []any
 		for _, m := range messages {
-			batch = append(batch, PeerMessage{From: "n1", Msg: m})
+			batch = append(batch, InboundMessage{From: "n1", Message: m})
 		}
 		now += step
 		return slices.ContainsFunc(n.Step(now, batch), is)
 	}
-	if !sent(says[protocol.LeaseGrant], protocol.Heartbeat{Term: 7, Leads: true, WantsGrant: true}) {
+	if !sent(says[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
 		t.Fatal("no lease granted in an outage")
 	}
 	if sent(says[protocol.Vote], protocol.VoteRequest{Term: 8}) {
 		t.Fatal("voted under a lease grant")
 	}
-	now += 2 * n.termSpan()
+	now += 2 * n.leaderLease()
 	if !sent(says[protocol.Vote], protocol.VoteRequest{Term: 8}) {
 		t.Fatal("did not vote after the grant")
 	}
-	if sent(says[protocol.LeaseGrant], protocol.Heartbeat{Term: 7, Leads: true, WantsGrant: true}) {
+	if sent(says[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
 		t.Fatal("granted a lease to an older leader after a vote")
 	}
 }
@@ -207,26 +207,26 @@
 			return false
 		}
 		for _, wr := range txn.Writes {
-			if wr.Set == storage.FinalKey("j-1") {
+			if wr.PutKey == storage.TerminalKey("j-1") {
 				return true
 			}
 		}
 		return false
 	}
-	w.ask(first.name, Request{Kind: protocol.RequestCancel, ID: "j-1"}, func(Reply) {})
-	if !w.until(5*time.Second, func() bool { return len(w.state.held) > 0 }) {
+	w.ask(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	if !w.until(5*time.Second, func() bool { return len(w.state.machinesByName) > 0 }) {
 		t.Fatal("the leader wrote nothing")
 	}
 	w.crash(first.name)
 	w.waitLeader()
-	for _, f := range w.state.held {
+	for _, f := range w.state.machinesByName {
 		f()
 	}
-	if _, over := w.state.keys[storage.FinalKey("j-1")]; over {
+	if _, over := w.state.keys[storage.TerminalKey("j-1")]; over {
 		t.Fatal("a late transaction of the old leader was applied")
 	}
 	w.state.hold = nil
-	w.waitState("j-1", protocol.Done, 60*time.Second)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
 }
 
 // Answers that are lost leave the outcome unclear; the transaction is sent again
@@ -236,7 +236,7 @@
 	first := w.waitLeader()
 	w.submit(first.name, spec("j-1", 2))
 	w.state.lose = 3
-	w.waitState("j-1", protocol.Done, 60*time.Second)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
 	if w.state.lose != 0 {
 		t.Fatal("no answer was lost")
 	}
@@ -281,7 +281,7 @@
 func TestAuthorityIsExclusive(t *testing.T) {
 	eachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
 		c := newUserSimulation(newSimulationOf(t, []int{3, 5, 7}[seed%3], deployments[seed/3%uint64(len(deployments))]), seed)
-		span := c.lease() / termsPerLease
+		span := c.lease() / leaderLeasesPerWorkerLease
 		soon := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(span) * 0.7) }
 		c.driftClocks()
 		c.holds = seed%2 == 0
@@ -343,10 +343,10 @@
 				t.Parallel()
 				w := newSimulation(t, nodes)
 				first := w.waitLeader()
-				w.run(time.Duration(offset) * first.termSpan() / 7)
+				w.run(time.Duration(offset) * first.leaderLease() / 7)
 				w.state.refuse[first.name] = true
-				if !w.until(first.lease(), func() bool { l := w.leader(); return l != "" && l != first.name }) {
-					t.Fatalf("not replaced within %v", first.lease())
+				if !w.until(first.workerLease(), func() bool { l := w.leader(); return l != "" && l != first.name }) {
+					t.Fatalf("not replaced within %v", first.workerLease())
 				}
 			})
 		}
@@ -369,20 +369,20 @@
 			w.state.refuse[name] = true
 		}
 		w.cut[[2]string{old.name, returning}] = true
-		w.run(2*old.termSpan() + time.Duration(offset)*20*time.Millisecond)
+		w.run(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
 		delete(w.state.refuse, voter) // its grant is the last one
 		asks := func() bool {
-			c := w.nodes[candidate].elect.candidate
+			c := w.nodes[candidate].election.candidacy
 			return c != nil && c.votes[returning]
 		}
-		if w.until(old.termSpan(), asks) {
+		if w.until(old.leaderLease(), asks) {
 			w.back(returning, 20*time.Millisecond)
 			w.after(50*time.Millisecond, func() {
 				w.mend()
 				w.state.refuse[returning] = true
 			})
 		}
-		w.run(2 * old.termSpan()) // the simulation sees two leaders, if there are
+		w.run(2 * old.leaderLease()) // the simulation sees two leaders, if there are
 		if w.leader() == candidate {
 			changed++
 		}
@@ -398,18 +398,18 @@
 	w := newSimulation(t, 3)
 	l := w.waitLeader()
 	now := l.clock(w.now)
-	var renewal Call
+	var renewal ServiceCall
 	for renewal.ID == 0 {
 		now += step
 		for _, effect := range l.Step(now, nil) {
-			if call, ok := effect.(Call); ok && strings.HasSuffix(call.Path, "/touch") {
+			if call, ok := effect.(ServiceCall); ok && strings.HasSuffix(call.Path, "/touch") {
 				renewal = call
 			}
 		}
 	}
 	sent := now
-	l.Step(sent+l.stateTimeout()*9/10, []any{Result{ID: renewal.ID, Status: 200}})
-	if until := l.elect.authUntil; until != sent+leaseSafe(l.termSpan()) {
+	l.Step(sent+l.storeTimeout()*9/10, []any{CallResult{ID: renewal.ID, Status: 200}})
+	if until := l.election.leaseValidUntil; until != sent+safeLeaseSpan(l.leaderLease()) {
 		t.Errorf("authority until %v after a renewal sent at %v", until, sent)
 	}
 }
@@ -417,15 +417,15 @@
 // A leader that stood still for longer than its lease finds reports and questions waiting
 // when it goes on, and its clocks have run on: it answers none of them as the leader.
 func TestLeaderThatStoodStillAnswersNothing(t *testing.T) {
-	for _, kind := range []protocol.RequestKind{protocol.RequestReport, protocol.RequestQuery, protocol.RequestCancel} {
+	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery, protocol.RequestCancel} {
 		t.Run(string(kind), func(t *testing.T) {
 			w, l := running(t, 3, time.Hour, 1, 4)
-			request := Request{Origin: Origin{Ticket: 1 << 40}, Kind: kind, ID: "j-1"}
-			if kind == protocol.RequestReport {
-				request.Report = w.inOrder()[0].report()
+			request := Request{Origin: Origin{RequestID: 1 << 40}, Kind: kind, JobID: "j-1"}
+			if kind == protocol.RequestHeartbeat {
+				request.Heartbeat = w.inOrder()[0].report()
 			}
-			for _, effect := range l.Step(l.clock(w.now)+l.lease(), []any{request}) {
-				if reply, ok := effect.(Reply); ok && reply.Ticket == request.Origin.Ticket && reply.Status == 200 {
+			for _, effect := range l.Step(l.clock(w.now)+l.workerLease(), []any{request}) {
+				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID && reply.Status == 200 {
 					t.Error("answered 200")
 				}
 			}
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -44,7 +44,7 @@
 	for _, x := range w.workers {
 		x.hanging = false
 	}
-	w.waitState("j-1", protocol.Done, 60*time.Second)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
 	if w.starts["j-1/0"] != 1 || w.starts["j-1/1"] != 1 {
 		t.Fatalf("starts: %v", w.starts)
 	}
@@ -60,7 +60,7 @@
 		t.Fatal("nothing rented")
 	}
 	w.cloud.boot = 0
-	w.waitState("j-1", protocol.Done, 3*time.Minute)
+	w.waitState("j-1", protocol.JobDone, 3*time.Minute)
 	if _, kept := w.cloud.hosts["m-000001"]; kept {
 		t.Fatal("a machine that never came up was kept")
 	}
@@ -74,13 +74,13 @@
 		w.runTime = func(string, int) time.Duration { return config.Seconds(10 * factor) }
 		l := w.waitLeader()
 		j := spec("j-1", 24)
-		j.EstimateS = 10
+		j.EstimatedSeconds = 10
 		w.submit(l.name, j)
-		w.waitState("j-1", protocol.Done, 10*time.Minute)
+		w.waitState("j-1", protocol.JobDone, 10*time.Minute)
 		next := spec("j-2", 1)
-		next.EstimateS = 10
+		next.EstimatedSeconds = 10
 		w.submit(l.name, next)
-		got := l.lead.expected(l.lead.jobs["j-2"]).Seconds()
+		got := l.leader.expectedTaskDuration(l.leader.jobs["j-2"]).Seconds()
 		if math.Abs(math.Log(got/(10*factor))) > 0.35 {
 			t.Errorf("real times are %v times the estimates: expects %.1f s for 10 s", factor, got)
 		}
@@ -97,20 +97,20 @@
 	due := 40.0
 	for i, tasks := range []int{8, 60, 8} {
 		j := spec(fmt.Sprintf("j-%d", i), tasks)
-		j.EstimateS, j.DeadlineS = 10, &due
+		j.EstimatedSeconds, j.DeadlineSeconds = 10, &due
 		w.submit(l.name, j)
 	}
 	urgent := spec("j-9", 2)
 	urgent.Priority = "urgent"
 	w.submit(l.name, urgent)
-	order := l.lead.waitingJobs()
-	if order[0].j.spec.UID != "j-9" {
-		t.Errorf("%s passes ahead of urgent work", order[0].j.spec.UID)
+	order := l.leader.buildQueue()
+	if order[0].job.spec.ID != "j-9" {
+		t.Errorf("%s passes ahead of urgent work", order[0].job.spec.ID)
 	}
 	for _, r := range order {
-		want := map[string]int{"j-0": rankInTime, "j-1": rankLate, "j-2": rankInTime, "j-9": 1}[r.j.spec.UID]
+		want := map[string]int{"j-0": rankOnTime, "j-1": rankLate, "j-2": rankOnTime, "j-9": 1}[r.job.spec.ID]
 		if r.rank != want {
-			t.Errorf("%s has rank %d, not %d", r.j.spec.UID, r.rank, want)
+			t.Errorf("%s has rank %d, not %d", r.job.spec.ID, r.rank, want)
 		}
 	}
 }
@@ -120,23 +120,23 @@
 func TestGuaranteedWorkGoesFirst(t *testing.T) {
 	w := newSimulation(t, 0)
 	w.names = []string{"n0"}
-	w.cfg.Count = 1
-	w.cfg.Teams = []config.Team{{Name: "team", CPUs: 4}, {Name: "free"}}
-	w.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 20, Share: 0.9}}
+	w.cfg.ControllerCount = 1
+	w.cfg.Teams = []config.Team{{Name: "team", GuaranteedCPUs: 4}, {Name: "free"}}
+	w.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 20, MinShare: 0.9}}
 	w.start("n0")
 	l := w.waitLeader()
 	w.cloud.down = true
 	early, inside, beyond := spec("j-1", 2), spec("j-2", 4), spec("j-3", 4)
 	due := 30.0
-	early.DeadlineS = &due
+	early.DeadlineSeconds = &due
 	inside.Team, beyond.Team = "team", "team"
 	for _, j := range []protocol.Job{early, inside, beyond} {
 		w.submit(l.name, j)
 	}
-	order := l.lead.waitingJobs()
-	if len(order) != 3 || order[0].j.spec.UID != "j-2" || order[2].j.spec.UID != "j-3" {
+	order := l.leader.buildQueue()
+	if len(order) != 3 || order[0].job.spec.ID != "j-2" || order[2].job.spec.ID != "j-3" {
 		for _, r := range order {
-			t.Errorf("%s at %v", r.j.spec.UID, r.at)
+			t.Errorf("%s at %v", r.job.spec.ID, r.latestStart)
 		}
 	}
 }
@@ -146,8 +146,8 @@
 	w := newSimulation(t, 1)
 	l := w.waitLeader()
 	w.machines(3)
-	with := l.lead.machines["m-000002"]
-	with.touch("special", 2)
+	with := l.leader.machines["m-000002"]
+	with.touchImage("special", 2)
 	j := spec("j-1", 1)
 	j.Image, j.ImageGB = "special", 2
 	w.submit(l.name, j)
@@ -171,7 +171,7 @@
 		delete(w.workers, name)
 		delete(w.cloud.hosts, name)
 	}
-	w.waitState("j-1", protocol.Done, 2*time.Minute)
+	w.waitState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
 // No worker reaches the leader, though its peers do: the followers relay, leases
@@ -184,8 +184,8 @@
 		t.Fatalf("%q leads", w.leader())
 	}
 	w.submit(w.followers()[0], spec("j-2", 2))
-	w.waitState("j-1", protocol.Done, 60*time.Second)
-	w.waitState("j-2", protocol.Done, 2*time.Minute)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
+	w.waitState("j-2", protocol.JobDone, 2*time.Minute)
 	for task, n := range w.starts {
 		if n != 1 {
 			t.Errorf("%s started %d times", task, n)
@@ -203,14 +203,14 @@
 	w.cloud.capacity = 2
 	due := 60.0
 	large := spec("j-large", 40)
-	large.EstimateS, large.DeadlineS = 10, &due
+	large.EstimatedSeconds, large.DeadlineSeconds = 10, &due
 	w.submit(l.name, large)
 	begun := Instant(0)
 	for i := 0; w.now < 12*time.Minute; i++ {
 		// Small and urgent work of 10 cores, while there are 8.
 		for k, priority := range []string{"standard", "urgent"} {
 			j := spec(fmt.Sprintf("j-%d-%d", i, k), 5)
-			j.Priority, j.EstimateS, j.DeadlineS = priority, 10, &due
+			j.Priority, j.EstimatedSeconds, j.DeadlineSeconds = priority, 10, &due
 			w.submit(l.name, j)
 		}
 		for end := w.now + 10*time.Second; w.now < end; {
@@ -219,11 +219,11 @@
 			}
 		}
 	}
-	if begun == 0 || begun > mustBegin {
+	if begun == 0 || begun > maxStartDelay {
 		t.Fatalf("the large job began after %v", begun)
 	}
-	if code, s := w.query(l.name, "j-large"); code != 200 || s.State != protocol.Done {
-		t.Fatalf("after %v the large job is %s, %d done", w.now, s.State, *s.Done)
+	if code, s := w.query(l.name, "j-large"); code != 200 || s.State != protocol.JobDone {
+		t.Fatalf("after %v the large job is %s, %d done", w.now, s.State, *s.DoneTasks)
 	}
 }
 
@@ -241,7 +241,7 @@
 	l := w.waitLeader()
 	w.machines(2)
 	w.submit(l.name, spec("j-1", 8))
-	w.waitState("j-1", protocol.Done, 4*time.Minute)
+	w.waitState("j-1", protocol.JobDone, 4*time.Minute)
 	if n := w.starts["j-1/7"]; n > 2 {
 		t.Fatalf("started %d times", n)
 	}
@@ -253,8 +253,8 @@
 func TestForecastOutlivesTheLeader(t *testing.T) {
 	w := newSimulation(t, 3)
 	w.cfg.Objectives = []config.Objective{
-		{Kind: "finished", Class: "quick", WithinS: 60, Share: 0.9},
-		{Kind: "wait", Class: "patient", WithinS: 200, Share: 0.9},
+		{Kind: "finished", Class: "quick", WithinS: 60, MinShare: 0.9},
+		{Kind: "wait", Class: "patient", WithinS: 200, MinShare: 0.9},
 	}
 	for _, name := range w.names {
 		w.start(name)
@@ -272,18 +272,18 @@
 	last := spec("j-60", 1)
 	last.Class = "patient"
 	w.submit(l.name, last)
-	j := l.lead.jobs["j-60"]
-	if got, want := l.lead.due(j)-j.from, 200*time.Second+l.lead.expected(j); got != want {
+	j := l.leader.jobs["j-60"]
+	if got, want := l.leader.due(j)-j.eligibleAt, 200*time.Second+l.leader.expectedTaskDuration(j); got != want {
 		t.Errorf("due after %v, not %v", got, want)
 	}
-	before := l.lead.fleet.forecast.Coming(200)
-	if before <= 0 || l.lead.fleet.forecast.Coming(50) != 0 {
-		t.Fatalf("to come within 200 s: %v, within 50 s: %v", before, l.lead.fleet.forecast.Coming(50))
+	before := l.leader.autoscaler.forecast.ExpectedWork(200)
+	if before <= 0 || l.leader.autoscaler.forecast.ExpectedWork(50) != 0 {
+		t.Fatalf("to come within 200 s: %v, within 50 s: %v", before, l.leader.autoscaler.forecast.ExpectedWork(50))
 	}
 	w.crash(l.name)
 	w.run(time.Second)
 	next := w.waitLeader()
-	if after := next.lead.fleet.forecast.Coming(200); after < before/2 || after > before*1.1 {
+	if after := next.leader.autoscaler.forecast.ExpectedWork(200); after < before/2 || after > before*1.1 {
 		t.Fatalf("to come within 200 s: %v, after the takeover %v", before, after)
 	}
 }
@@ -299,12 +299,12 @@
 		j.Class = strings.Repeat("x", 100) + fmt.Sprint(i)
 		w.submit(l.name, j)
 	}
-	term := l.lead.term
+	term := l.leader.term
 	w.run(35 * time.Second) // the state service refuses values over the limit
-	if it, ok := w.state.keys[storage.FlowKey]; !ok || len(it.Value) < 1000 {
+	if it, ok := w.state.keys[storage.ArrivalForecastKey]; !ok || len(it.Value) < 1000 {
 		t.Error("nothing is stored")
 	}
-	if l.lead == nil || l.lead.term != term {
+	if l.leader == nil || l.leader.term != term {
 		t.Error("the leader has stepped down")
 	}
 }
@@ -314,30 +314,30 @@
 func TestUrgentWorkWaitsForItsImage(t *testing.T) {
 	w := newSimulation(t, 1)
 	w.runTime = func(string, int) time.Duration { return time.Hour }
-	w.cloud.types = []protocol.MachineType{{Name: "c4", Cores: 4, RAM: 16, CacheGB: 40, PullGBPerS: 0.2, Rate: 0.3, SpotRate: 0.1, ReadyS: 5, Zones: []string{"a"}}}
-	w.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 5, Share: 0.8}}
+	w.cloud.types = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 0.2, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a"}}}
+	w.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 5, MinShare: 0.8}}
 	w.start("n0")
 	l := w.waitLeader()
 	w.run(2 * time.Second)
 	w.machines(2)
-	x := l.lead
+	x := l.leader
 	has, other := x.machines["m-000001"], x.machines["m-000002"]
-	has.touch("i", 2)
-	j := x.addJob(storage.JobRecord{Spec: spec("j-1", 1), AtMS: l.wallMS()}, 1)
+	has.touchImage("i", 2)
+	j := x.addJob(storage.JobRecord{Spec: spec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
 	j.spec.ImageGB = 2 // 10 s of fetching
-	fits := func(m *machine) bool { return x.candidates(j, []*machine{m}, true).leastLoaded("") == m }
+	fits := func(m *machine) bool { return x.findCandidates(j, []*machine{m}, true).bestMachine("") == m }
 	if fits(other) {
 		t.Error("it fetches where it must miss its aim, though another machine has the image")
 	}
 	if !fits(has) {
 		t.Error("it does not start where its image is")
 	}
-	j.from -= 4 * time.Second
+	j.eligibleAt -= 4 * time.Second
 	if !fits(other) {
 		t.Error("it waits for longer than its aim leaves")
 	}
-	j.from += 4 * time.Second
-	has.images, j.imageSeen = nil, never // as in the next pass
+	j.eligibleAt += 4 * time.Second
+	has.images, j.imageCheckedAt = nil, never // as in the next pass
 	if !fits(other) {
 		t.Error("it waits for an image that no machine has")
 	}
@@ -349,19 +349,19 @@
 	w := newSimulation(t, 1)
 	l := w.waitLeader()
 	w.machines(1)
-	x := l.lead
+	x := l.leader
 	w.submit(l.name, spec("j-1", 1))
 	j := x.jobs["j-1"]
-	j.failures[0] = &failureHistory{after: l.now + 10*time.Second}
-	for _, r := range j.runs {
-		x.release(r)
+	j.failureHistories[0] = &failureHistory{retryAfter: l.now + 10*time.Second}
+	for _, r := range j.attempts {
+		x.releaseAttempt(r)
 	}
 	w.run(9 * time.Second)
 	if w.starts["j-1/0"] > 0 {
 		t.Fatal("started while backing off")
 	}
 	w.cloud.down = true // nor does the fleet change
-	x.dirty = false
+	x.schedulingNeeded = false
 	if !w.until(5*time.Second, func() bool { return w.starts["j-1/0"] == 1 }) {
 		t.Fatal("not started after its back-off")
 	}
@@ -372,18 +372,18 @@
 // rest of its tasks started after the aim.
 func TestBegunJobIsPlannedForItsAim(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, Share: 0.9}}
+	w.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, MinShare: 0.9}}
 	w.start("n0")
-	x := w.waitLeader().lead
+	x := w.waitLeader().leader
 	w.machines(1)
 	s := spec("j-1", 100)
-	s.EstimateS = 50
-	j := x.addJob(storage.JobRecord{Spec: s, AtMS: x.n.wallMS()}, 1)
-	j.from -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
-	unbegun := x.fleet.demand(1000)
-	j.firstStart = x.n.now
+	s.EstimatedSeconds = 50
+	j := x.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
+	j.eligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
+	unbegun := x.autoscaler.requiredCores(1000)
+	j.firstStartAt = x.node.now
 	left := 100.0 // seconds until its last task should have ended
-	if got := x.fleet.demand(1000); got < 100*50/left || got > unbegun {
+	if got := x.autoscaler.requiredCores(1000); got < 100*50/left || got > unbegun {
 		t.Errorf("%v cores are planned, and %v before it began", got, unbegun)
 	}
 }
@@ -395,31 +395,31 @@
 	w := newSimulation(t, 3)
 	w.cloud.capacity = 1
 	l := w.waitLeader()
-	lease := l.lease()
+	lease := l.workerLease()
 	for i := range 120 { // one a second
 		w.submit(l.name, spec(fmt.Sprintf("j-%d", i), 1))
 		w.run(time.Second - 2*step)
 	}
-	fleet := &l.lead.fleet
+	fleet := &l.leader.autoscaler
 	f := fleet.forecast
-	fleet.decay()
-	steady, coming := f.Usual(), f.Coming(100)
+	fleet.decayForecast()
+	steady, coming := f.UsualLoad(), f.ExpectedWork(100)
 	if f.Confidence() != 1 || steady == 0 || coming == 0 {
 		t.Fatalf("jobs arrive: believed %v, usual %v, coming %v", f.Confidence(), steady, coming)
 	}
 	w.state.setDown(true)
 	w.run(2 * lease)
-	if fleet.decay(); f.Confidence() != 1 {
+	if fleet.decayForecast(); f.Confidence() != 1 {
 		t.Error("silence in an outage counts")
 	}
 	w.state.setDown(false)
 	w.run(lease)
-	if fleet.decay(); f.Confidence() != 1 {
+	if fleet.decayForecast(); f.Confidence() != 1 {
 		t.Error("users have had no time to come back")
 	}
 	w.run(lease)
-	if fleet.decay(); f.Confidence() > 0.4 || f.Coming(100) > coming/3 {
-		t.Errorf("two leases without a job: believed %v, coming %v of %v", f.Confidence(), f.Coming(100), coming)
+	if fleet.decayForecast(); f.Confidence() > 0.4 || f.ExpectedWork(100) > coming/3 {
+		t.Errorf("two leases without a job: believed %v, coming %v of %v", f.Confidence(), f.ExpectedWork(100), coming)
 	}
 	w.submit(l.name, spec("j-999", 1))
 	if f.Confidence() != 1 {
@@ -431,13 +431,13 @@
 func TestPlanHasAMarginWhereAimsAreStrict(t *testing.T) {
 	demand := func(share float64) float64 {
 		w := newSimulation(t, 1)
-		w.cfg.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, Share: share}}
+		w.cfg.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, MinShare: share}}
 		w.start("n0")
-		x := w.waitLeader().lead
+		x := w.waitLeader().leader
 		s := spec("j-1", 200)
-		s.EstimateS = 20
-		x.addJob(storage.JobRecord{Spec: s, AtMS: x.n.wallMS()}, 1)
-		return x.fleet.demand(1000)
+		s.EstimatedSeconds = 20
+		x.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
+		return x.autoscaler.requiredCores(1000)
 	}
 	loose, usual, strict := demand(0.8), demand(0.9), demand(0.99)
 	if loose != usual || strict < usual*1.2 || strict > usual*1.4 {
@@ -452,7 +452,7 @@
 func TestFleetFailsAtOnce(t *testing.T) {
 	w := newSimulation(t, 3)
 	w.runTime = func(string, int) time.Duration { return 25 * time.Second }
-	w.cfg.Cloud.RPS, w.cfg.State.WriteRPS, w.cfg.State.RPS = 6, 250, 600
+	w.cfg.Cloud.RequestsPerS, w.cfg.Store.WritesPerS, w.cfg.Store.RequestsPerS = 6, 250, 600
 	for _, name := range w.names {
 		w.start(name)
 	}
@@ -466,7 +466,7 @@
 		j := spec(fmt.Sprintf("j-%d", i), 90)
 		if i%4 == 0 {
 			j.Team = "team" // with a limit of 16 cores
-			j.Tasks = 20
+			j.TaskCount = 20
 		}
 		w.submit(l.name, j)
 	}
@@ -509,7 +509,7 @@
 	delete(w.state.lost, zone)
 	w.mend()
 	for i := range 8 {
-		w.waitState(fmt.Sprintf("j-%d", i), protocol.Done, 4*time.Minute)
+		w.waitState(fmt.Sprintf("j-%d", i), protocol.JobDone, 4*time.Minute)
 	}
 }
 
@@ -522,23 +522,23 @@
 	at := time.Unix(1_000_000, 0).UnixMilli()
 	for i := range 30 {
 		s := spec(fmt.Sprintf("j-%d", i), 10)
-		w.state.put(storage.JobKey(s.UID), storage.JobRecord{Spec: s, AtMS: at})
+		w.state.put(storage.JobKey(s.ID), storage.JobRecord{Spec: s, AcceptedAtMillis: at})
 	}
 	first := w.waitLeader()
-	if seen := first.lead.fleet.forecast.JobsSeen(); math.Abs(seen-30) > 1 {
+	if seen := first.leader.autoscaler.forecast.JobsSeen(); math.Abs(seen-30) > 1 {
 		t.Fatalf("of 30 jobs found, %v have arrived", seen)
 	}
-	w.run(2*first.lease() + 2*time.Second) // until that is stored
-	if _, stored := w.state.keys[storage.FlowKey]; !stored {
+	w.run(2*first.workerLease() + 2*time.Second) // until that is stored
+	if _, stored := w.state.keys[storage.ArrivalForecastKey]; !stored {
 		t.Fatal("nothing is stored")
 	}
-	seen := first.lead.fleet.forecast.JobsSeen()
+	seen := first.leader.autoscaler.forecast.JobsSeen()
 	for i := range 5 {
 		w.submit(first.name, spec(fmt.Sprintf("j-late%d", i), 10))
 	}
 	w.crash(first.name)
 	second := w.waitLeader()
-	if got := second.lead.fleet.forecast.JobsSeen(); got < seen+3 || got > seen+5 {
+	if got := second.leader.autoscaler.forecast.JobsSeen(); got < seen+3 || got > seen+5 {
 		t.Errorf("%v jobs seen by a leader, 5 since its record, %v by the next", seen, got)
 	}
 }
--- a/internal/coordination/fault_combinations_test.go
+++ b/internal/coordination/fault_combinations_test.go
@@ -43,7 +43,7 @@
 	c.machines((jobs*tasks + 3) / 4)
 	for i := range jobs {
 		j := spec(fmt.Sprintf("j-%d", i), tasks)
-		j.EstimateS = 3600
+		j.EstimatedSeconds = 3600
 		c.submit(c.anyNode(), j)
 	}
 	if !c.until(time.Minute, func() bool {
@@ -122,7 +122,7 @@
 		if change != nil {
 			change(i, &j)
 		}
-		c.submitted[j.UID] = true
+		c.submitted[j.ID] = true
 		c.after(c.within(d), func() { c.submitUntil(j) })
 	}
 }
@@ -130,8 +130,8 @@
 // holdBack keeps copies of the reports, and gives them to all nodes when there is another
 // leader, and again and again for some time after.
 func (c *userSimulation) holdBack() {
-	var kept []*protocol.Report
-	c.copies = func(_ *worker, rep *protocol.Report) {
+	var kept []*protocol.WorkerHeartbeat
+	c.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
 		if c.rng.IntN(6) == 0 {
 			again := *rep
 			kept = append(kept, &again)
@@ -151,7 +151,7 @@
 				for range 2 {
 					c.after(c.within(c.lease()/10), func() {
 						again := *rep
-						c.ask(node, Request{Kind: protocol.RequestReport, Report: &again}, func(Reply) {})
+						c.ask(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
 					})
 				}
 			}
@@ -169,7 +169,7 @@
 		c.runTime = func(task string, _ int) time.Duration {
 			return 2*time.Second + time.Duration(task[len(task)-1]-'0')*20*time.Second
 		}
-		c.more(10, 10*time.Second, func(_ int, j *protocol.Job) { j.Tasks = 2 + c.rng.IntN(2) })
+		c.more(10, 10*time.Second, func(_ int, j *protocol.Job) { j.TaskCount = 2 + c.rng.IntN(2) })
 		for i := range 3 {
 			c.after(time.Duration(i)*15*time.Second+c.within(10*time.Second), c.newLeader)
 		}
@@ -338,7 +338,7 @@
 			if i%3 == 2 {
 				j.Zone = "a"
 			}
-			j.Tasks = 2 + c.rng.IntN(6)
+			j.TaskCount = 2 + c.rng.IntN(6)
 		})
 		for range 3 {
 			c.after(c.within(30*time.Second), func() {
@@ -365,20 +365,20 @@
 				case 1:
 					c.submitUntil(j)
 				default:
-					c.user(Request{Kind: protocol.RequestQuery, ID: id}, func(Reply) {})
+					c.user(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
 				}
 			})
 			return d
 		}
-		c.more(30, 30*time.Second, func(_ int, j *protocol.Job) { j.Tasks = 1 + c.rng.IntN(2) })
+		c.more(30, 30*time.Second, func(_ int, j *protocol.Job) { j.TaskCount = 1 + c.rng.IntN(2) })
 		return 45 * time.Second
 	},
 	"old reports after newer ones": func(c *userSimulation) time.Duration {
-		c.copies = func(_ *worker, rep *protocol.Report) {
+		c.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
 			if c.rng.IntN(2) == 0 {
 				again := *rep
 				c.after(time.Duration(c.rng.ExpFloat64()*float64(c.lease())), func() {
-					c.ask(c.anyNode(), Request{Kind: protocol.RequestReport, Report: &again}, func(Reply) {})
+					c.ask(c.anyNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
 				})
 			}
 		}
@@ -402,7 +402,7 @@
 		return 50 * time.Second
 	},
 	"teams at their limits, machines cut off or hanging, cancellations, a takeover": func(c *userSimulation) time.Duration {
-		c.more(16, 5*time.Second, func(i int, j *protocol.Job) { j.Team, j.Tasks = []string{"team", "small"}[i%2], 4 })
+		c.more(16, 5*time.Second, func(i int, j *protocol.Job) { j.Team, j.TaskCount = []string{"team", "small"}[i%2], 4 })
 		at := 8*time.Second + c.within(4*time.Second)
 		c.after(at, func() {
 			c.cancelSome(2, time.Second)
@@ -505,7 +505,7 @@
 	"jobs with a mistake beside a faulty machine, and a change of leader": func(c *userSimulation) time.Duration {
 		c.more(12, 20*time.Second, func(i int, j *protocol.Job) {
 			if i%4 == 0 {
-				c.mistake[j.UID] = true
+				c.mistake[j.ID] = true
 			}
 		})
 		c.after(5*time.Second, func() { c.someWorkers(6, func(x *worker) { x.faulty = true }) })
@@ -563,16 +563,16 @@
 	switch c.rng.IntN(3) {
 	case 0:
 		again := c.specs[id]
-		again.Cores, again.Tasks, again.Team = 400, 77, "nobody"
-		c.user(Request{Kind: protocol.RequestSubmit, ID: id, Job: &again}, func(Reply) {})
+		again.Cores, again.TaskCount, again.Team = 400, 77, "nobody"
+		c.user(Request{Kind: protocol.RequestSubmit, JobID: id, Job: &again}, func(Reply) {})
 	case 1:
 		if c.over[id] != "" {
-			c.user(Request{Kind: protocol.RequestCancel, ID: id}, func(Reply) {})
+			c.user(Request{Kind: protocol.RequestCancel, JobID: id}, func(Reply) {})
 		}
 	default:
 		j := spec(fmt.Sprintf("j-odd-%d", c.rng.IntN(5)), 1)
 		j.Cores = 400
-		c.user(Request{Kind: protocol.RequestSubmit, ID: j.UID, Job: &j}, func(r Reply) {
+		c.user(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
 			if r.Status != 422 && r.Status != 503 && r.Status != 0 {
 				c.t.Errorf("a job that fits no machine: %d", r.Status)
 			}
@@ -588,7 +588,7 @@
 		t.Run(name, func(t *testing.T) {
 			eachSeed(t, 8, 60, func(t *testing.T, seed uint64) {
 				w := newSimulationOf(t, []int{3, 7}[seed%2], deployments[seed/2%uint64(len(deployments))])
-				w.cfg.Teams = append(w.cfg.Teams, config.Team{Name: "small", CPUsMax: 8})
+				w.cfg.Teams = append(w.cfg.Teams, config.Team{Name: "small", MaxCPUs: 8})
 				c := newUserSimulation(w, seed*31+uint64(len(name)))
 				for _, node := range c.names {
 					c.start(node)
@@ -634,15 +634,15 @@
 				c.after(time.Duration(i)*time.Second/rate, func() { c.submitUntil(j) })
 				if i%4 == 0 {
 					c.after(time.Duration(i)*time.Second/rate+time.Second+c.within(5*time.Second), func() {
-						if !c.knows(j.UID) {
+						if !c.knows(j.ID) {
 							return // it is not accepted yet, as the leader changes
 						}
 						asked := c.now
-						c.user(Request{Kind: protocol.RequestCancel, ID: j.UID}, func(r Reply) {
+						c.user(Request{Kind: protocol.RequestCancel, JobID: j.ID}, func(r Reply) {
 							if r.Status == 200 {
 								slowest = max(slowest, c.now-asked)
 							} else {
-								c.cancelUntil(j.UID)
+								c.cancelUntil(j.ID)
 							}
 						})
 					})
@@ -651,7 +651,7 @@
 			c.after(minutes*30*time.Second, c.newLeader)
 			for end := c.now + minutes*time.Minute; c.now < end; c.run(time.Second) {
 				if name := c.leader(); name != "" {
-					most = max(most, c.nodes[name].lead.writer.Pending())
+					most = max(most, c.nodes[name].leader.writer.PendingChanges())
 				}
 			}
 			if slowest > 2*time.Second {
--- a/internal/coordination/finals.go
+++ b/internal/coordination/finals.go
@@ -9,71 +9,73 @@
 
 // recentJobsLimit bounds the jobs in each cache of immutable facts. Older ones are read from the
 // key-value store again.
-const recentSize = 20_000
+const recentJobsLimit = 20_000
 
 // recentJobs caches a value per job id and evicts the oldest entries beyond its limit.
-type recent[T any] struct {
-	limit int
-	byID  map[string]T
-	order []string
+type recentJobs[T any] struct {
+	limit          int
+	byID           map[string]T
+	insertionOrder []string
 }
 
 // newRecentJobs returns an empty cache.
-func newRecent[T any](limit int) recent[T] { return recent[T]{limit: limit, byID: map[string]T{}} }
+func newRecentJobs[T any](limit int) recentJobs[T] {
+	return recentJobs[T]{limit: limit, byID: map[string]T{}}
+}
 
 // put stores the value of a job and evicts the oldest entry if the cache is full.
-func (c *recent[T]) put(id string, value T) {
-	if _, ok := c.byID[id]; !ok {
-		c.order = append(c.order, id)
-		if len(c.order) > c.limit {
-			delete(c.byID, c.order[0])
-			c.order = c.order[1:]
+func (c *recentJobs[T]) put(jobID string, value T) {
+	if _, ok := c.byID[jobID]; !ok {
+		c.insertionOrder = append(c.insertionOrder, jobID)
+		if len(c.insertionOrder) > c.limit {
+			delete(c.byID, c.insertionOrder[0])
+			c.insertionOrder = c.insertionOrder[1:]
 		}
 	}
-	c.byID[id] = value
+	c.byID[jobID] = value
 }
 
 // terminalJobCache caches the records of terminal jobs, which never change.
-type finalCache struct {
-	recent[storage.FinalRecord]
+type terminalJobCache struct {
+	recentJobs[storage.TerminalRecord]
 
 	// State of the initial load: whether it is complete, whether a request is under way, the last
 	// key that was read, and when the next request is due.
-	read, busy bool
-	since      string
-	at         Instant
+	loaded, loading bool
+	lastKey         string
+	nextReadAt      Instant
 }
 
 // loadTerminalJobs loads the terminal records page by page after a start. If they were read one by
 // one as users poll, thousands of reads would take longer than users may be left without an answer.
-func (n *Node) tickFinals() {
-	f := n.finals
-	if f.read || f.busy || n.now < f.at ||
-		n.elect.stateDown() || n.elect.stateOK == never {
+func (n *Node) loadTerminalJobs() {
+	cache := n.terminalJobs
+	if cache.loaded || cache.loading || n.now < cache.nextReadAt ||
+		n.election.storeFailing() || n.election.storeOK == never {
 		return
 	}
-	f.busy = true
-	n.stateCall("GET", storage.ListPath(storage.FinalPrefix, f.since, finalsPage), nil,
-		func(r Result) {
-			f.busy, f.at = false, n.now+n.lease()/probesPerLease
-			var page storage.Page
-			if r.Status != 200 || json.Unmarshal(r.Body, &page) != nil {
+	cache.loading = true
+	n.storeCall("GET", storage.ListPath(storage.TerminalPrefix, cache.lastKey, terminalPageSize), nil,
+		func(result CallResult) {
+			cache.loading, cache.nextReadAt = false, n.now+n.workerLease()/pollsPerLease
+			var page storage.ListResponse
+			if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
 				return
 			}
-			for _, it := range page.Items {
-				n.finalFound(it)
-				f.since = it.Key
+			for _, item := range page.Items {
+				n.onTerminalRecord(item)
+				cache.lastKey = item.Key
 			}
-			f.read = !page.Truncated || len(f.byID) >= f.limit
+			cache.loaded = !page.Truncated || len(cache.byID) >= cache.limit
 		})
 }
 
 // terminalPageSize is the number of records in one page of the initial load. It bounds the memory
 // and processor time of a step.
-const finalsPage = 500
+const terminalPageSize = 500
 
 // terminalJobState is the state of a terminal job as users see it.
-func finalState(id string, f storage.FinalRecord) protocol.JobState {
-	none := 0
-	return protocol.JobState{UID: id, State: f.State, Done: &f.Done, Running: &none}
+func terminalJobState(jobID string, record storage.TerminalRecord) protocol.JobStatus {
+	noneRunning := 0
+	return protocol.JobStatus{ID: jobID, State: record.State, DoneTasks: &record.DoneTasks, RunningTasks: &noneRunning}
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -16,135 +16,137 @@
 
 // autoscaler rents machines from the cloud and returns them: it has a capacity plan made at
 // regular intervals and carries it out.
-type fleetControl struct {
-	l *leadership
+type autoscaler struct {
+	leader *leader
 
-	requests    uint64
-	rentals     []*renting
-	retryAt     Instant // end of the backoff after a failed call to the cloud
-	failedCalls int     // of calls to the cloud
+	requestCounter      uint64
+	pendingRentals      []*pendingRental
+	retryAt             Instant // end of the backoff after a failed call to the cloud
+	consecutiveFailures int     // of calls to the cloud
 
-	listAt   Instant
-	listing  bool
-	listed   map[string]bool
-	planAt   Instant
-	returnAt Instant
+	listStartedAt Instant
+	listing       bool
+	listedNames   map[string]bool
+	plannedAt     Instant
+	nextReturnAt  Instant
 
-	forecast    *fleet.Forecast
-	planner     *fleet.Planner
-	savedAt     Instant // when the forecast was last stored
-	recordAt    Instant // time of the stored forecast that was restored; never: there was none
-	loggedAt    Instant
-	accountedAt Instant
-	spent       spending
-	target      float64 // cores to hold
-	patient     bool    // all SLOs on starting leave the time to boot a machine
+	forecast          *fleet.Forecast
+	planner           *fleet.Planner
+	forecastSavedAt   Instant // when the forecast was last stored
+	storedForecastAt  Instant // time of the stored forecast that was restored; never: there was none
+	planLoggedAt      Instant
+	costsCountedAt    Instant
+	costs             costBreakdown
+	targetCores       float64 // cores to hold
+	slosAllowQueueing bool    // all SLOs on starting leave the time to boot a machine
 }
 
 // pendingRental is a rental that the cloud has not answered. Its request name is stored before the
 // request is sent: no other node can use the name for another request, and the next leader can
 // repeat the request and gets the same answer.
-type renting struct {
-	protocol.Rental
-	durable, busy bool
-	charged       int // machines charged to the recovery budget
+type pendingRental struct {
+	protocol.RentalRequest
+	finishDurable, inFlight bool
+	chargedMachines         int // machines charged to the recovery budget
 }
 
 // Defaults of fleet.Settings.CostSensitivity.
 const (
 	// startSLOCostSensitivity applies if some SLO on starting is so short that only machines that
 	// are up already can meet it.
-	impatientPriceExponent = 0.3
+	startSLOCostSensitivity = 0.3
 	// defaultCostSensitivity applies otherwise.
-	patientPriceExponent = 2
+	defaultCostSensitivity = 2
 )
 
 // init prepares the autoscaler of a new leader.
-func (f *fleetControl) init(l *leadership) {
-	f.l = l
-	exponent := float64(patientPriceExponent)
-	f.patient = true
-	for _, o := range l.n.cfg.Cluster.Objectives {
-		if (o.Kind == "wait" || o.Kind == "guarantee") && l.tooSoonToRent(config.Seconds(o.WithinS)) {
-			exponent, f.patient = impatientPriceExponent, false
+func (a *autoscaler) init(l *leader) {
+	a.leader = l
+	costSensitivity := float64(defaultCostSensitivity)
+	a.slosAllowQueueing = true
+	for _, objective := range l.node.cfg.Cluster.Objectives {
+		if (objective.Kind == "wait" || objective.Kind == "guarantee") && l.tooSoonToScaleOut(config.Seconds(objective.WithinS)) {
+			costSensitivity, a.slosAllowQueueing = startSLOCostSensitivity, false
 		}
 	}
-	if set := l.n.set.PriceExponent; set != nil {
-		exponent = *set
+	if override := l.node.settings.CostSensitivity; override != nil {
+		costSensitivity = *override
 	}
-	f.planner = fleet.NewPlanner(fleet.Settings{Headroom: l.n.set.Headroom, PriceExponent: exponent, Lease: l.n.lease()})
-	f.forecast = fleet.NewForecast(l.n.lease())
-	f.listAt, f.planAt, f.retryAt, f.returnAt, f.loggedAt, f.savedAt = never, never, never, never, never, f.l.n.now
-	f.recordAt = never
+	a.planner = fleet.NewPlanner(fleet.Settings{Headroom: l.node.settings.Headroom, CostSensitivity: costSensitivity, Lease: l.node.workerLease()})
+	a.forecast = fleet.NewForecast(l.node.workerLease())
+	a.listStartedAt, a.plannedAt, a.retryAt, a.nextReturnAt, a.planLoggedAt, a.forecastSavedAt = never, never, never, never, never, a.leader.node.now
+	a.storedForecastAt = never
 }
 
 // listLag returns the time by which the machine list of the cloud may be outdated.
-func (f *fleetControl) lag() time.Duration { return config.Seconds(f.l.n.cfg.Cluster.Cloud.ListLagS) }
+func (a *autoscaler) listLag() time.Duration {
+	return config.Seconds(a.leader.node.cfg.Cluster.Cloud.ListLagS)
+}
 
 // tick makes a new plan if one is due and sends the requests to the cloud that may be sent now.
-func (f *fleetControl) tick() {
-	l, now := f.l, f.l.n.now
-	if now >= f.planAt+l.n.report()/2 {
-		f.planAt = now
-		l.unassign()
-		f.retire()
-		if l.n.catalog != nil {
-			f.plan()
+func (a *autoscaler) tick() {
+	l, now := a.leader, a.leader.node.now
+	if now >= a.plannedAt+l.node.heartbeatInterval()/2 {
+		a.plannedAt = now
+		l.releaseUndelivered()
+		a.drainUnresponsive()
+		if l.node.catalog != nil {
+			a.applyPlan()
 		}
-		f.saveForecast()
+		a.saveForecast()
 	}
-	if now < f.retryAt {
+	if now < a.retryAt {
 		return
 	}
-	if f.sendReturns() {
+	if a.returnDrainedMachines() {
 		// Returns go first: they end costs, and they unblock jobs after a takeover. Rentals are
 		// repeated for as long as the cloud lacks capacity and must not use up the call budget.
-		if l.mayRent() {
-			f.sendRentals()
+		if l.mayScaleOut() {
+			a.sendRentals()
 		}
-		f.list()
+		a.listMachines()
 	}
 }
 
 // recordCallFailure backs off after a call that the cloud did not answer or refused.
-func (f *fleetControl) failedCall(status int) {
-	l := f.l
-	f.failedCalls = min(f.failedCalls+1, 4)
-	f.retryAt = l.n.now + (l.n.lease()/16)<<f.failedCalls
-	l.n.log.Debug("cloud request failed", "status", status)
+func (a *autoscaler) recordCallFailure(status int) {
+	l := a.leader
+	a.consecutiveFailures = min(a.consecutiveFailures+1, 4)
+	a.retryAt = l.node.now + (l.node.workerLease()/16)<<a.consecutiveFailures
+	l.node.log.Debug("cloud request failed", "status", status)
 }
 
 // drainUnresponsive drains machines that miss heartbeats, never reported, or run slowly.
-func (f *fleetControl) retire() {
-	l, now := f.l, f.l.n.now
-	quiet := func(m *machine) bool { return l.silenceAllows(m, now-l.lastHeard(m)) }
-	up, missed := 0, 0
+func (a *autoscaler) drainUnresponsive() {
+	l, now := a.leader, a.leader.node.now
+	heartbeatOverdue := func(m *machine) bool { return l.mayReturnUnresponsive(m, now-l.silentSince(m)) }
+	expectedCount, missedCount := 0, 0
 	// After a takeover, machines that were used before are expected to report too.
-	expected := func(m *machine) bool { return m.up || (m.used && m.heard == never) }
+	expectedToReport := func(m *machine) bool { return m.up || (m.useDurable && m.lastHeartbeat == never) }
 	for _, m := range l.machines {
-		if expected(m) {
-			up++
+		if expectedToReport(m) {
+			expectedCount++
 			// Two missed heartbeats count here although they do not cause a drain yet. When
 			// the leader itself is partitioned from its workers, the machines that reported
 			// first would otherwise be returned before it shows that most are missing.
-			if quiet(m) || now-l.lastHeard(m) > 2*l.n.report() {
-				missed++
+			if heartbeatOverdue(m) || now-l.silentSince(m) > 2*l.node.heartbeatInterval() {
+				missedCount++
 			}
 		}
 	}
-	for _, m := range l.held() {
-		l.checkPace(m)
+	for _, m := range l.machinesByName() {
+		l.drainIfSlow(m)
 		switch {
-		case expected(m) && quiet(m) && 2*missed <= up:
+		case expectedToReport(m) && heartbeatOverdue(m) && 2*missedCount <= expectedCount:
 			// Its return ends its tasks for certain, and sooner than its lease does.
-			l.leave(m, silent)
-		case !m.up && m.heard == never:
-			boot := l.n.lease()
-			if m.kind != nil {
-				boot += config.Seconds(3 * m.kind.ReadyS)
+			l.beginDrain(m, heartbeatMissed)
+		case !m.up && m.lastHeartbeat == never:
+			bootLimit := l.node.workerLease()
+			if m.machineType != nil {
+				bootLimit += config.Seconds(3 * m.machineType.BootSeconds)
 			}
-			if now-m.rentedAt > boot && now-l.since > l.n.lease() {
-				l.leave(m, neverUp)
+			if now-m.rentedAt > bootLimit && now-l.startedAt > l.node.workerLease() {
+				l.beginDrain(m, neverReported)
 			}
 		}
 	}
@@ -152,40 +154,40 @@
 
 // returnDrainedMachines returns the machines whose drain is complete. It reports whether the call
 // budget sufficed, so that other calls may follow.
-func (f *fleetControl) sendReturns() bool {
-	l, n := f.l, f.l.n
-	if n.now < f.returnAt {
+func (a *autoscaler) returnDrainedMachines() bool {
+	l, node := a.leader, a.leader.node
+	if node.now < a.nextReturnAt {
 		return true
 	}
-	f.returnAt = n.now + n.report()/checksPerReport
+	a.nextReturnAt = node.now + node.heartbeatInterval()/leaseChecksPerHeartbeat
 	var names []string
-	for _, m := range l.held() {
-		if m.why == surplus && (n.now-m.rentedAt < minCharge ||
-			n.now-m.spareSince < config.Seconds(n.set.IdleKeep*m.kind.ReadyS)) {
+	for _, m := range l.machinesByName() {
+		if m.drainReason == surplusCapacity && (node.now-m.rentedAt < minBilledTime ||
+			node.now-m.surplusSince < config.Seconds(node.settings.IdleRetention*m.machineType.BootSeconds)) {
 			continue // already billed, or work may return sooner than a new machine would boot
 		}
-		if m.emptying && !m.returning && len(names) < 100 &&
-			(m.forced() || (len(m.runs) == 0 && m.results == 0 && m.unknownTasks == 0)) {
+		if m.draining && !m.terminating && len(names) < 100 &&
+			(m.mayForceReturn() || (len(m.attempts) == 0 && m.retainedResults == 0 && m.unknownTasks == 0)) {
 			names = append(names, m.name)
 		}
 	}
 	if len(names) == 0 {
 		return true
 	}
-	if !n.cloudBudget.take(n.now, 1) {
-		f.returnAt = never
+	if !node.cloudBudget.take(node.now, 1) {
+		a.nextReturnAt = never
 		return false
 	}
-	f.returnAt = n.now + n.report()/4
-	if names = names[:l.affordable(recovery.ReturnMachine, len(names))]; len(names) == 0 {
-		n.cloudBudget.level++ // no call is made, so its token goes back
+	a.nextReturnAt = node.now + node.heartbeatInterval()/4
+	if names = names[:l.allowedOperations(recovery.ReturnMachine, len(names))]; len(names) == 0 {
+		node.cloudBudget.tokens++ // no call is made, so its token goes back
 		return true
 	}
 	for _, name := range names {
-		l.machines[name].returning, l.machines[name].asked = true, true
+		l.machines[name].terminating, l.machines[name].terminationRequested = true, true
 	}
-	n.call(Cloud, "POST", "/hosts/return", protocol.MachineNames{Machines: names}, n.lease()/4, func(r Result) {
-		if n.lead != l {
+	node.callService(TargetCloud, "POST", "/hosts/return", protocol.MachineNames{Machines: names}, node.workerLease()/4, func(result CallResult) {
+		if node.leader != l {
 			return
 		}
 		for _, name := range names {
@@ -193,186 +195,186 @@
 			if m == nil {
 				continue
 			}
-			if r.Status == 200 {
-				n.log.Info("machine returned", "machine", name, "reason", m.why, "type", m.typ, "spot", m.spot)
-				l.forgetMachine(m)
+			if result.Status == 200 {
+				node.log.Info("machine returned", "machine", name, "reason", m.drainReason, "type", m.typeName, "spot", m.spot)
+				l.removeMachine(m)
 			} else {
-				m.returning = false // it goes on draining, as a late copy of the request may return it
+				m.terminating = false // it goes on draining, as a late copy of the request may return it
 			}
 		}
-		if r.Status == 200 {
-			f.failedCalls = 0
+		if result.Status == 200 {
+			a.consecutiveFailures = 0
 		} else {
-			f.failedCall(r.Status)
+			a.recordCallFailure(result.Status)
 		}
 	})
 	return true
 }
 
 // listMachines reads the machine list of the cloud, page by page.
-func (f *fleetControl) list() {
-	l, n := f.l, f.l.n
-	if f.listing || n.now < f.listAt+f.lag() || !n.cloudBudget.take(n.now, 1) {
+func (a *autoscaler) listMachines() {
+	l, node := a.leader, a.leader.node
+	if a.listing || node.now < a.listStartedAt+a.listLag() || !node.cloudBudget.take(node.now, 1) {
 		return
 	}
-	f.listing, f.listAt, f.listed = true, n.now, map[string]bool{}
-	asked := n.now
-	var page func(since string)
-	page = func(since string) {
-		n.call(Cloud, "GET", "/hosts?limit=500&since="+since, nil, n.lease()/4, func(r Result) {
-			if n.lead != l {
+	a.listing, a.listStartedAt, a.listedNames = true, node.now, map[string]bool{}
+	requestedAt := node.now
+	var fetchPage func(afterUID string)
+	fetchPage = func(afterUID string) {
+		node.callService(TargetCloud, "GET", "/hosts?limit=500&since="+afterUID, nil, node.workerLease()/4, func(result CallResult) {
+			if node.leader != l {
 				return
 			}
-			var list protocol.HostList
-			if r.Status != 200 || json.Unmarshal(r.Body, &list) != nil {
-				f.listing = false
-				f.failedCall(r.Status)
+			var page protocol.HostPage
+			if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
+				a.listing = false
+				a.recordCallFailure(result.Status)
 				return
 			}
-			f.failedCalls = 0
-			for _, h := range list.Machines {
-				f.found(h)
+			a.consecutiveFailures = 0
+			for _, host := range page.Machines {
+				a.recordListedHost(host)
 			}
-			if list.Truncated {
-				page(list.Machines[len(list.Machines)-1].UID)
+			if page.Truncated {
+				fetchPage(page.Machines[len(page.Machines)-1].Name)
 				return
 			}
-			f.listing = false
-			f.missing(asked)
+			a.listing = false
+			a.drainUnlisted(requestedAt)
 		})
 	}
-	page("")
+	fetchPage("")
 }
 
 // recordListedHost adds a listed machine that is unknown, and drains one that is listed as failed.
-func (f *fleetControl) found(h protocol.Host) {
-	l := f.l
-	f.listed[h.UID] = true
-	if _, gone := l.gone[h.UID]; gone {
+func (a *autoscaler) recordListedHost(host protocol.Host) {
+	l := a.leader
+	a.listedNames[host.Name] = true
+	if _, removed := l.removedMachines[host.Name]; removed {
 		return
 	}
-	m := l.machines[h.UID]
+	m := l.machines[host.Name]
 	if m == nil {
-		m = l.listed(h)
-		l.n.log.Info("cloud lists unknown machine", "machine", m.name, "state", h.State)
+		m = l.addListedMachine(host)
+		l.node.log.Info("cloud lists unknown machine", "machine", m.name, "state", host.State)
 	}
-	if h.State == protocol.HostFailed && !m.failedListing && l.n.now-m.heard > 2*l.n.report() {
+	if host.State == protocol.HostFailed && !m.listedAsFailed && l.node.now-m.lastHeartbeat > 2*l.node.heartbeatInterval() {
 		// A machine that sends heartbeats has not failed, whatever the list says. Its return
 		// would kill all tasks on it.
-		m.failedListing = true
-		l.leave(m, failedAlone)
+		m.listedAsFailed = true
+		l.beginDrain(m, instanceFailed)
 	}
 }
 
 // drainUnlisted drains the machines that are missing from a list which was requested at
 // requestedAt. Lists lag, so only machines that are old enough and silent count, and the call that
 // returns them settles it.
-func (f *fleetControl) missing(asked Instant) {
-	l := f.l
-	for _, m := range l.held() {
-		if !f.listed[m.name] && asked-m.rentedAt > 4*f.lag() && asked-l.lastHeard(m) > l.n.lease()/2 {
-			l.leave(m, notListed)
+func (a *autoscaler) drainUnlisted(requestedAt Instant) {
+	l := a.leader
+	for _, m := range l.machinesByName() {
+		if !a.listedNames[m.name] && requestedAt-m.rentedAt > 4*a.listLag() && requestedAt-l.silentSince(m) > l.node.workerLease()/2 {
+			l.beginDrain(m, notListed)
 		}
 	}
 }
 
 // minBilledTime is the shortest time that the cloud bills.
-const minCharge = 60 * time.Second
+const minBilledTime = 60 * time.Second
 
 // beginRentals stores a rental for each offering that the plan scales out. They are sent once they
 // are durable.
-func (f *fleetControl) rent(fresh []fleet.Option) {
-	counts := map[fleet.Option]int{}
-	var order []fleet.Option
-	for _, opt := range fresh {
-		if counts[opt] == 0 {
-			order = append(order, opt)
+func (a *autoscaler) beginRentals(offerings []fleet.Offering) {
+	counts := map[fleet.Offering]int{}
+	var order []fleet.Offering
+	for _, offering := range offerings {
+		if counts[offering] == 0 {
+			order = append(order, offering)
 		}
-		counts[opt]++
+		counts[offering]++
 	}
-	l := f.l
-	for _, opt := range order {
-		if len(f.rentals) >= maxRentals {
+	l := a.leader
+	for _, offering := range order {
+		if len(a.pendingRentals) >= maxPendingRentals {
 			return
 		}
-		f.requests++
-		r := &renting{Rental: protocol.Rental{
-			Request: "r-" + utoa(l.term) + "-" + utoa(f.requests), Type: opt.Type, Zone: opt.Zone, Spot: opt.Spot,
-			Count: min(counts[opt], 50),
+		a.requestCounter++
+		rental := &pendingRental{RentalRequest: protocol.RentalRequest{
+			RequestID: "r-" + formatUint(l.term) + "-" + formatUint(a.requestCounter), Type: offering.Type, Zone: offering.Zone, Spot: offering.Spot,
+			Count: min(counts[offering], 50),
 		}}
-		if r.Count = l.affordable(recovery.RentMachine, r.Count); r.Count == 0 {
+		if rental.Count = l.allowedOperations(recovery.RentMachine, rental.Count); rental.Count == 0 {
 			return
 		}
-		r.charged = r.Count
-		f.rentals = append(f.rentals, r)
-		key := storage.RentPrefix + r.Request
-		l.writer.Add(storage.Soon, storage.Unit{
-			Build: func() []storage.Write { return []storage.Write{storage.Set(key, r.Rental)} },
-			Done:  func() { r.durable = true },
+		rental.chargedMachines = rental.Count
+		a.pendingRentals = append(a.pendingRentals, rental)
+		key := storage.RentalPrefix + rental.RequestID
+		l.writer.Enqueue(storage.PriorityNormal, storage.Change{
+			BuildWrites: func() []storage.Write { return []storage.Write{storage.Put(key, rental.RentalRequest)} },
+			OnApplied:   func() { rental.finishDurable = true },
 		})
 	}
 }
 
 // maxPendingRentals bounds the pending rentals.
-const maxRentals = 8
+const maxPendingRentals = 8
 
 // sendRentals sends the durable rentals that are not in flight, within the call budget.
-func (f *fleetControl) sendRentals() {
-	n := f.l.n
-	for _, r := range f.rentals {
-		if !r.durable || r.busy {
+func (a *autoscaler) sendRentals() {
+	node := a.leader.node
+	for _, rental := range a.pendingRentals {
+		if !rental.finishDurable || rental.inFlight {
 			continue
 		}
-		if !n.cloudBudget.take(n.now, 1) {
+		if !node.cloudBudget.take(node.now, 1) {
 			return
 		}
-		f.sendRental(r)
+		a.sendRental(rental)
 	}
 }
 
 // sendRental requests the machines of one rental and processes the response. A rental whose
 // outcome is unknown stays pending and is sent again.
-func (f *fleetControl) sendRental(r *renting) {
-	l, n := f.l, f.l.n
-	r.busy = true
-	n.call(Cloud, "POST", "/hosts", r.Rental, n.lease()/4, func(res Result) {
-		if n.lead != l {
+func (a *autoscaler) sendRental(rental *pendingRental) {
+	l, node := a.leader, a.leader.node
+	rental.inFlight = true
+	node.callService(TargetCloud, "POST", "/hosts", rental.RentalRequest, node.workerLease()/4, func(result CallResult) {
+		if node.leader != l {
 			return
 		}
-		r.busy = false
-		opt := fleet.Option{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-		var got protocol.MachineNames
+		rental.inFlight = false
+		offering := fleet.Offering{Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot}
+		var rented protocol.MachineNames
 		switch {
-		case res.Status == 200 && json.Unmarshal(res.Body, &got) == nil:
-			f.failedCalls = 0
-			n.log.Info("machines rented", "request", r.Request, "type", r.Type, "zone", r.Zone, "spot", r.Spot,
-				"requested", r.Count, "count", len(got.Machines), "target", f.target)
-			for _, name := range got.Machines {
-				if _, gone := l.gone[name]; gone || l.machines[name] != nil {
+		case result.Status == 200 && json.Unmarshal(result.Body, &rented) == nil:
+			a.consecutiveFailures = 0
+			node.log.Info("machines rented", "request", rental.RequestID, "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
+				"requested", rental.Count, "count", len(rented.Machines), "target", a.targetCores)
+			for _, name := range rented.Machines {
+				if _, removed := l.removedMachines[name]; removed || l.machines[name] != nil {
 					continue
 				}
-				l.obtained(name, r.Type, r.Zone, r.Spot, n.now)
+				l.addRentedMachine(name, rental.Type, rental.Zone, rental.Spot, node.now)
 			}
-			r.refund(l, len(got.Machines))
-			if len(got.Machines) < r.Count {
-				f.refuse(opt)
+			rental.refundUnrented(l, len(rented.Machines))
+			if len(rented.Machines) < rental.Count {
+				a.markUnavailable(offering)
 			} else {
-				f.planner.Served(opt)
+				a.planner.MarkAvailable(offering)
 			}
-			f.settle(r)
-		case res.Status == 503 && strings.Contains(string(res.Body), "no capacity"):
-			f.failedCalls = 0
-			n.log.Debug("cloud has no capacity", "type", r.Type, "zone", r.Zone, "spot", r.Spot)
-			r.refund(l, 0)
-			f.refuse(opt)
-			f.settle(r)
-		case res.Status == 400:
-			n.log.Error("rental rejected as malformed", "request", r.Request, "error", string(res.Body))
-			r.refund(l, 0)
-			f.refuse(opt)
-			f.settle(r)
+			a.finishRental(rental)
+		case result.Status == 503 && strings.Contains(string(result.Body), "no capacity"):
+			a.consecutiveFailures = 0
+			node.log.Debug("cloud has no capacity", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot)
+			rental.refundUnrented(l, 0)
+			a.markUnavailable(offering)
+			a.finishRental(rental)
+		case result.Status == 400:
+			node.log.Error("rental rejected as malformed", "request", rental.RequestID, "error", string(result.Body))
+			rental.refundUnrented(l, 0)
+			a.markUnavailable(offering)
+			a.finishRental(rental)
 		default:
-			f.failedCall(res.Status)
+			a.recordCallFailure(result.Status)
 		}
 	})
 }
@@ -380,20 +382,20 @@
 // refundUnrented gives back to the recovery budget what was charged for machines that the cloud
 // did not provide. Where capacity is scarce, the whole budget of a small fleet went to requests
 // without effect.
-func (r *renting) refund(l *leadership, got int) {
-	l.recovery.Refund(l.n.now, recovery.RentMachine, r.charged-got)
-	r.charged = 0
+func (r *pendingRental) refundUnrented(l *leader, rentedCount int) {
+	l.recovery.RefundOperations(l.node.now, recovery.RentMachine, r.chargedMachines-rentedCount)
+	r.chargedMachines = 0
 }
 
 // markUnavailable has an offering left out for a while, and makes a new plan due.
-func (f *fleetControl) refuse(o fleet.Option) {
-	f.planner.Refuse(o, f.l.n.now)
-	f.planAt = never
+func (a *autoscaler) markUnavailable(offering fleet.Offering) {
+	a.planner.MarkUnavailable(offering, a.leader.node.now)
+	a.plannedAt = never
 }
 
 // finishRental removes a rental and deletes its record. Its machines are stored before that.
-func (f *fleetControl) settle(r *renting) {
-	f.rentals = slices.DeleteFunc(f.rentals, func(x *renting) bool { return x == r })
-	key := storage.RentPrefix + r.Request
-	f.l.writer.Add(storage.Soon, storage.Unit{Build: func() []storage.Write { return []storage.Write{storage.Drop(key)} }})
+func (a *autoscaler) finishRental(rental *pendingRental) {
+	a.pendingRentals = slices.DeleteFunc(a.pendingRentals, func(other *pendingRental) bool { return other == rental })
+	key := storage.RentalPrefix + rental.RequestID
+	a.leader.writer.Enqueue(storage.PriorityNormal, storage.Change{BuildWrites: func() []storage.Write { return []storage.Write{storage.Delete(key)} }})
 }
--- a/internal/coordination/fleet_plan.go
+++ b/internal/coordination/fleet_plan.go
@@ -13,281 +13,283 @@
 // Inputs of the capacity plan, and how the plan is carried out.
 
 // applyPlan has a capacity plan made and carries it out.
-func (f *fleetControl) plan() {
-	l, n := f.l, f.l.n
-	f.account()
-	f.decay()
-	held := map[*fleet.Machine]*machine{}
-	view := f.view(held)
-	plan := f.planner.Plan(view)
-	f.target = plan.Target
-	for _, m := range plan.TakeBack {
-		l.keep(held[m])
+func (a *autoscaler) applyPlan() {
+	l, node := a.leader, a.leader.node
+	a.accountCosts()
+	a.decayForecast()
+	machineOf := map[*fleet.Machine]*machine{}
+	view := a.planView(machineOf)
+	capacityPlan := a.planner.Plan(view)
+	a.targetCores = capacityPlan.TargetCores
+	for _, m := range capacityPlan.CancelDrain {
+		l.cancelDrain(machineOf[m])
 	}
-	if len(plan.Rent) > 0 {
-		f.rent(plan.Rent)
+	if len(capacityPlan.ScaleOut) > 0 {
+		a.beginRentals(capacityPlan.ScaleOut)
 	}
-	f.logPlan(plan, view.Usual)
-	for _, m := range plan.Needed {
-		held[m].spareSince = n.now
+	a.logPlan(capacityPlan, view.UsualLoad)
+	for _, m := range capacityPlan.Needed {
+		machineOf[m].surplusSince = node.now
 	}
-	for _, m := range plan.Surplus {
-		l.leave(held[m], surplus)
+	for _, m := range capacityPlan.Surplus {
+		l.beginDrain(machineOf[m], surplusCapacity)
 	}
-	if view.MayShrink {
-		f.gather(machinesOf(held, append(view.Kept, plan.TakeBack...)))
+	if view.ScaleInAllowed {
+		a.consolidate(heldMachines(machineOf, append(view.Kept, capacityPlan.CancelDrain...)))
 	}
 }
 
 // heldMachines returns the machines that entries of a plan stand for.
-func machinesOf(held map[*fleet.Machine]*machine, list []*fleet.Machine) []*machine {
-	machines := make([]*machine, 0, len(list))
-	for _, m := range list {
-		machines = append(machines, held[m])
+func heldMachines(machineOf map[*fleet.Machine]*machine, planned []*fleet.Machine) []*machine {
+	machines := make([]*machine, 0, len(planned))
+	for _, m := range planned {
+		machines = append(machines, machineOf[m])
 	}
 	return machines
 }
 
 // planView returns the input of the planner. It adds to machineOf which machine each entry stands
 // for.
-func (f *fleetControl) view(held map[*fleet.Machine]*machine) *fleet.View {
-	l, n := f.l, f.l.n
-	v := &fleet.View{Now: n.now, Catalog: n.catalog, Demand: f.demandView(),
-		Usual: f.forecast.Usual(), UsualImage: f.usualImage(),
-		MayRent: l.mayRent(), MayShrink: l.mayShrink()}
-	for _, m := range l.held() {
-		if m.kind == nil || m.returning || m.emptying && m.why != surplus {
+func (a *autoscaler) planView(machineOf map[*fleet.Machine]*machine) *fleet.View {
+	l, node := a.leader, a.leader.node
+	view := &fleet.View{Now: node.now, Catalog: node.catalog, Demand: a.demandInputs(),
+		UsualLoad: a.forecast.UsualLoad(), MeanImageGB: a.meanImageGB(),
+		ScaleOutAllowed: l.mayScaleOut(), ScaleInAllowed: l.mayScaleIn()}
+	for _, m := range l.machinesByName() {
+		if m.machineType == nil || m.terminating || m.draining && m.drainReason != surplusCapacity {
 			continue
 		}
-		x := &fleet.Machine{Name: m.name, Option: m.option(), Type: m.kind, Up: m.up,
-			Reserved: m.reservedFor != nil, IdleTo: l.idleTo(m)}
-		held[x] = m
-		if m.emptying {
-			v.Leaving = append(v.Leaving, x)
+		planned := &fleet.Machine{Name: m.name, Offering: m.offering(), Type: m.machineType, Up: m.up,
+			Reserved: m.reservedFor != nil, IdleUntilEmpty: l.idleUntilEmpty(m)}
+		machineOf[planned] = m
+		if m.draining {
+			view.Draining = append(view.Draining, planned)
 		} else {
-			v.Kept = append(v.Kept, x)
+			view.Kept = append(view.Kept, planned)
 		}
 	}
-	for _, r := range f.rentals {
-		v.Rentals = append(v.Rentals, r.Rental)
+	for _, r := range a.pendingRentals {
+		view.PendingRentals = append(view.PendingRentals, r.RentalRequest)
 	}
-	for _, r := range l.order {
-		if j := r.j; !(j.bad && n.now < j.probeAt) && !j.gone && j.pending > 0 {
-			v.Waiting = append(v.Waiting, fleet.Wish{Spec: &j.spec, Pending: j.pending})
+	for _, r := range l.pendingOrder {
+		if j := r.job; !(j.failsEverywhere && node.now < j.nextProbeAt) && !j.terminal && j.pendingTasks > 0 {
+			view.PendingJobs = append(view.PendingJobs, fleet.PendingJob{Spec: &j.spec, PendingTasks: j.pendingTasks})
 		}
 	}
-	return v
+	return view
 }
 
 // demandInputs returns the input of the demand for cores.
-func (f *fleetControl) demandView() fleet.Demand {
-	l, n := f.l, f.l.n
-	d := fleet.Demand{Now: n.now, Boot: l.bootTime(), Begin: planBegin}
-	if f.patient {
+func (a *autoscaler) demandInputs() fleet.Demand {
+	l, node := a.leader, a.leader.node
+	demand := fleet.Demand{Now: node.now, BootTime: l.bootTime(), StartWithin: plannedStartWithin}
+	if a.slosAllowQueueing {
 		// Otherwise headroom is held for work that has to start soon anyway.
-		d.Forecast = f.forecast
+		demand.Forecast = a.forecast
 	}
-	pull := l.pull()
-	totals := l.currentTotals()
-	unserved := l.unservedShare(&totals)
-	for _, j := range l.runnable {
-		if j.gone {
+	pullRate := l.imagePullRate()
+	totals := l.currentMachineTotals()
+	surelyPending := l.surelyPendingShare(&totals)
+	for _, j := range l.runnableJobs {
+		if j.terminal {
 			continue
 		}
-		x := l.fleetJob(j, pull)
-		if l.mayRunUnseen(j, &totals) {
-			x.Work *= unserved
+		planned := l.planJob(j, pullRate)
+		if l.mayRunUnreported(j, &totals) {
+			planned.RemainingWork *= surelyPending
 		}
-		d.Jobs = append(d.Jobs, x)
+		demand.Jobs = append(demand.Jobs, planned)
 	}
-	return d
+	return demand
 }
 
 // surelyPendingShare returns the share of the work that may be running on unreconciled machines
 // which is certainly still pending, as those machines can't run more than their cores allow.
 // Without it, a fleet that was short of machines did not scale out until the leases of machines
 // that hung had expired.
-func (l *leadership) unservedShare(totals *machineTotals) float64 {
-	if !l.restrained() {
+func (l *leader) surelyPendingShare(totals *machineTotals) float64 {
+	if !l.limitedByRecovery() {
 		return 1
 	}
 	pending := 0.0
-	for _, j := range l.runnable {
-		if !j.gone && l.mayRunUnseen(j, totals) {
-			pending += float64(j.pending) * j.spec.Cores
+	for _, j := range l.runnableJobs {
+		if !j.terminal && l.mayRunUnreported(j, totals) {
+			pending += float64(j.pendingTasks) * j.spec.Cores
 		}
 	}
-	return max(0, 1-totals.unknown.cores/max(pending, slack))
+	return max(0, 1-totals.unknownUsage.cores/max(pending, resourceTolerance))
 }
 
 // planJob returns the planner's view of a job.
-func (l *leadership) fleetJob(j *job, p pull) fleet.Job {
-	x := fleet.Job{Cores: j.spec.Cores, Each: l.expected(j) + p.time(j.spec.ImageGB),
-		Work: l.workLeft(j, p), Failing: j.bad, Due: l.due(j), From: j.from,
-		Reserve: l.reserve(j), Begun: j.begun(), Share: l.shares[j.spec.Class]}
-	for _, d := range l.next(j, l.bootTime()) {
-		x.Next = append(x.Next, fleet.Upcoming{Each: l.expected(d) + p.time(d.spec.ImageGB),
-			Due: l.dueFrom(d, l.n.now) - l.n.now, Work: l.workLeft(d, p)})
+func (l *leader) planJob(j *job, pullRate imagePullRate) fleet.Job {
+	planned := fleet.Job{CoresPerTask: j.spec.Cores, TaskDuration: l.expectedTaskDuration(j) + pullRate.pullDuration(j.spec.ImageGB),
+		RemainingWork: l.remainingCoreSeconds(j, pullRate), FailsEverywhere: j.failsEverywhere, Due: l.due(j), EligibleAt: j.eligibleAt,
+		SLOReserve: l.startSLOReserve(j), Started: j.hasStarted(), MinShare: l.minShare[j.spec.Class]}
+	for _, dependent := range l.soonReleasedDependents(j, l.bootTime()) {
+		planned.UpcomingDependents = append(planned.UpcomingDependents, fleet.UpcomingJob{TaskDuration: l.expectedTaskDuration(dependent) + pullRate.pullDuration(dependent.spec.ImageGB),
+			DueIn: l.dueFrom(dependent, l.node.now) - l.node.now, Work: l.remainingCoreSeconds(dependent, pullRate)})
 	}
-	return x
+	return planned
 }
 
 // requiredCores returns how many cores the open jobs require, given that heldCores are held.
-func (f *fleetControl) demand(held float64) float64 {
-	d := f.demandView()
-	return d.Cores(held)
+func (a *autoscaler) requiredCores(heldCores float64) float64 {
+	demand := a.demandInputs()
+	return demand.RequiredCores(heldCores)
 }
 
 // logPlan logs the figures of a plan, at most four times per worker lease.
-func (f *fleetControl) logPlan(plan *fleet.Plan, usual float64) {
-	l, n := f.l, f.l.n
-	if n.now <= f.loggedAt+n.lease()/4 {
+func (a *autoscaler) logPlan(plan *fleet.Plan, usualLoad float64) {
+	l, node := a.leader, a.leader.node
+	if node.now <= a.planLoggedAt+node.workerLease()/4 {
 		return
 	}
-	f.loggedAt = n.now
+	a.planLoggedAt = node.now
 	used, up, pending := 0.0, 0.0, 0.0
 	for _, m := range l.machines {
-		used += m.cores
-		if m.up && m.kind != nil {
-			up += m.kind.Cores
+		used += m.usedCores
+		if m.up && m.machineType != nil {
+			up += m.machineType.Cores
 		}
 	}
-	for _, j := range l.runnable {
-		pending += float64(j.pending) * j.spec.Cores
+	for _, j := range l.runnableJobs {
+		pending += float64(j.pendingTasks) * j.spec.Cores
 	}
-	n.log.Debug("capacity plan", "held", plan.Held, "up", up, "used", used, "pending", pending,
-		"demand", plan.Demand, "usual", usual, "target", plan.Target,
-		"costs", f.spent, "pendingWrites", l.writer.Pending())
+	node.log.Debug("capacity plan", "held", plan.HeldCores, "up", up, "used", used, "pending", pending,
+		"demand", plan.DemandCores, "usual", usualLoad, "target", plan.TargetCores,
+		"costs", a.costs, "pendingWrites", l.writer.PendingChanges())
 }
 
 // meanImageGB returns the mean image size of the runnable jobs, in GB.
-func (f *fleetControl) usualImage() float64 {
+func (a *autoscaler) meanImageGB() float64 {
 	sum := 0.0
-	for _, j := range f.l.runnable {
+	for _, j := range a.leader.runnableJobs {
 		sum += j.spec.ImageGB
 	}
-	return sum / max(1, float64(len(f.l.runnable)))
+	return sum / max(1, float64(len(a.leader.runnableJobs)))
 }
 
 // startSLOReserve returns the part of a job's SLO on starting that the plan does not count on, as
 // slack for takeovers, outages and lost machines.
-func (l *leadership) reserve(j *job) time.Duration {
-	if j.spec.DeadlineS != nil {
+func (l *leader) startSLOReserve(j *job) time.Duration {
+	if j.spec.DeadlineSeconds != nil {
 		return 0
 	}
-	return l.startAim(j) * startReserve / 100
+	return l.startSLO(j) * startSLOReservePercent / 100
 }
 
 // startSLOReservePercent is that part in percent.
-const startReserve = 40
+const startSLOReservePercent = 40
 
 // consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
 // if all of them write checkpoints, other machines have room for them, and both the tasks and the
 // idle cores of the machine would go on for at least twice as long as the move takes.
-func (f *fleetControl) gather(kept []*machine) {
-	l, n := f.l, f.l.n
-	free := 0.0
+func (a *autoscaler) consolidate(kept []*machine) {
+	l, node := a.leader, a.leader.node
+	freeCores := 0.0
 	for _, m := range kept {
-		if m.ready() && !m.emptying {
-			free += m.kind.Cores - m.cores
+		if m.schedulable() && !m.draining {
+			freeCores += m.machineType.Cores - m.usedCores
 		}
 	}
-	for _, j := range l.runnable {
-		if !j.gone {
-			free -= float64(j.pending) * j.spec.Cores
+	for _, j := range l.runnableJobs {
+		if !j.terminal {
+			freeCores -= float64(j.pendingTasks) * j.spec.Cores
 		}
 	}
-	for _, m := range l.held() {
-		if m.why != surplus || !m.emptying || len(m.list) == 0 || m.cores > free || n.now-m.rentedAt < minCharge {
+	for _, m := range l.machinesByName() {
+		if m.drainReason != surplusCapacity || !m.draining || len(m.attemptsInOrder) == 0 || m.usedCores > freeCores || node.now-m.rentedAt < minBilledTime {
 			continue
 		}
-		move, last, takes := 0.0, 0.0, 0.0
-		for _, r := range m.list {
-			if r.job.spec.CheckpointS <= 0 || r.phase != phaseRunning || r.stop != nil || n.now-r.started < countsAfter {
-				move = math.Inf(1)
+		moveCost, longestRemaining, longestMove := 0.0, 0.0, 0.0
+		for _, attempt := range m.attemptsInOrder {
+			if attempt.job.spec.CheckpointIntervalSeconds <= 0 || attempt.phase != attemptRunning || attempt.stopGrace != nil || node.now-attempt.runningSince < minCountedRun {
+				moveCost = math.Inf(1)
 				break
 			}
-			each := r.job.spec.SaveS + r.job.spec.ImageGB/m.kind.PullGBPerS + 2*n.report().Seconds()
-			move += each * r.job.spec.Cores
-			last, takes = max(last, l.remaining(r).Seconds()), max(takes, each)
+			moveSeconds := attempt.job.spec.CheckpointSaveSeconds + attempt.job.spec.ImageGB/m.machineType.PullGBPerSecond + 2*node.heartbeatInterval().Seconds()
+			moveCost += moveSeconds * attempt.job.spec.Cores
+			longestRemaining, longestMove = max(longestRemaining, l.remainingDuration(attempt).Seconds()), max(longestMove, moveSeconds)
 		}
-		if last < 2*takes || l.idleTo(m)*m.kind.Cores < 2*move {
+		if longestRemaining < 2*longestMove || l.idleUntilEmpty(m)*m.machineType.Cores < 2*moveCost {
 			continue
 		}
-		free -= m.cores
-		for _, r := range m.list {
-			l.stopRun(r, l.saveGrace(r))
+		freeCores -= m.usedCores
+		for _, attempt := range m.attemptsInOrder {
+			l.requestStop(attempt, l.checkpointGraceS(attempt))
 		}
 	}
 }
 
 // recordArrival adds the work of a new job to the forecast.
-func (f *fleetControl) arrived(j *job) {
-	f.decay()
-	work := float64(j.spec.Tasks) * j.spec.Cores * f.l.expected(j).Seconds()
-	f.forecast.Arrived(j.spec.Class, work, f.l.due(j)-j.from)
+func (a *autoscaler) recordArrival(j *job) {
+	a.decayForecast()
+	work := float64(j.spec.TaskCount) * j.spec.Cores * a.leader.expectedTaskDuration(j).Seconds()
+	a.forecast.RecordArrival(j.spec.Class, work, a.leader.due(j)-j.eligibleAt)
 }
 
 // decayForecast decays the forecast up to the present.
-func (f *fleetControl) decay() { f.forecast.Decay(f.l.n.now, !f.l.n.elect.stateDown()) }
+func (a *autoscaler) decayForecast() {
+	a.forecast.DecayTo(a.leader.node.now, !a.leader.node.election.storeFailing())
+}
 
 // forecastValueDivisor limits the stored forecast to this fraction, one in so many, of the largest
 // value.
-const forecastShare = 2
+const forecastValueDivisor = 2
 
 // saveForecast stores the forecast for the next leader, every two worker leases.
-func (f *fleetControl) saveForecast() {
-	n := f.l.n
-	if n.now < f.savedAt+2*n.lease() || f.forecast.Empty() {
+func (a *autoscaler) saveForecast() {
+	node := a.leader.node
+	if node.now < a.forecastSavedAt+2*node.workerLease() || a.forecast.Empty() {
 		return
 	}
-	f.savedAt = n.now
-	f.l.writer.Add(storage.Lazy, storage.Unit{Build: func() []storage.Write {
-		f.decay()
-		return []storage.Write{storage.Set(storage.FlowKey,
-			f.forecast.Record(n.wallMS(), n.cfg.Cluster.State.ValueBytes()/forecastShare))}
+	a.forecastSavedAt = node.now
+	a.leader.writer.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: func() []storage.Write {
+		a.decayForecast()
+		return []storage.Write{storage.Put(storage.ArrivalForecastKey,
+			a.forecast.Snapshot(node.nowUnixMilli(), node.cfg.Cluster.Store.MaxValueBytes()/forecastValueDivisor))}
 	}})
 }
 
 // loadForecast restores the forecast that an earlier leader stored.
-func (f *fleetControl) loadForecast(items []storage.Item) {
-	n := f.l.n
-	for _, it := range items {
-		if it.Key != storage.FlowKey {
+func (a *autoscaler) loadForecast(items []storage.Item) {
+	node := a.leader.node
+	for _, item := range items {
+		if item.Key != storage.ArrivalForecastKey {
 			continue
 		}
 		// The version is needed in any case, as a record that can't be read is overwritten.
-		f.l.writer.Know(it.Key, it.Version)
-		var rec storage.FlowRecord
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
-			n.log.Warn("stored forecast unreadable", "error", err)
+		a.leader.writer.SetModRevision(item.Key, item.ModRevision)
+		var record storage.ArrivalForecastRecord
+		if err := json.Unmarshal(item.Value, &record); err != nil {
+			node.log.Warn("stored forecast unreadable", "error", err)
 			continue
 		}
-		f.recordAt = min(n.instantOf(rec.AtMS), n.now)
-		f.forecast.Restore(rec, f.recordAt)
-		f.decay()
+		a.storedForecastAt = min(node.instantFromUnixMilli(record.RecordedAtMillis), node.now)
+		a.forecast.Restore(record, a.storedForecastAt)
+		a.decayForecast()
 	}
 }
 
 // inheritUsualLoad takes the cores held at a takeover as the usual load, unless the restored
 // forecast and the arrivals since then amount to more.
-func (f *fleetControl) inherit() {
-	held := 0.0
-	for _, m := range f.l.machines {
-		if m.kind != nil {
-			held += m.kind.Cores
+func (a *autoscaler) inheritUsualLoad() {
+	heldCores := 0.0
+	for _, m := range a.leader.machines {
+		if m.machineType != nil {
+			heldCores += m.machineType.Cores
 		}
 	}
-	f.accountedAt = f.l.n.now
-	if f.forecast.Empty() {
-		f.forecast.Begin(f.l.n.now)
+	a.costsCountedAt = a.leader.node.now
+	if a.forecast.Empty() {
+		a.forecast.StartCounting(a.leader.node.now)
 	}
 	// Jobs accepted after the forecast was stored count as arrivals too, as do those submitted
 	// before there was a first leader.
-	for _, j := range f.l.byAge() {
-		if j.from > f.recordAt {
-			f.arrived(j)
+	for _, j := range a.leader.jobsByAge() {
+		if j.eligibleAt > a.storedForecastAt {
+			a.recordArrival(j)
 		}
 	}
-	f.forecast.Inherit(held / (1 + f.l.n.set.Headroom))
+	a.forecast.InheritLoad(heldCores / (1 + a.leader.node.settings.Headroom))
 }
--- a/internal/coordination/flood_test.go
+++ b/internal/coordination/flood_test.go
@@ -21,9 +21,9 @@
 	l := w.waitLeader()
 	before := heapInUse()
 	for i := range jobs {
-		rec := storage.JobRecord{Spec: spec(fmt.Sprintf("j-%d", i), protocol.MaxTasks), AtMS: l.wallMS()}
-		w.specs[rec.Spec.UID] = rec.Spec
-		l.lead.addJob(rec, uint64(i+1))
+		rec := storage.JobRecord{Spec: spec(fmt.Sprintf("j-%d", i), protocol.MaxTasksPerJob), AcceptedAtMillis: l.nowUnixMilli()}
+		w.specs[rec.Spec.ID] = rec.Spec
+		l.leader.addJob(rec, uint64(i+1))
 	}
 	if grown := int64(heapInUse()) - int64(before); grown > jobs*perJob {
 		t.Errorf("%d jobs that wait take %d bytes each", jobs, grown/jobs)
@@ -56,11 +56,11 @@
 	other := spec("j-other", 4)
 	other.Team, other.Class = "team", "other"
 	c.submitUntil(other)
-	if !w.until(mustBegin, func() bool { return w.begun["j-other"] != 0 }) {
+	if !w.until(maxStartDelay, func() bool { return w.begun["j-other"] != 0 }) {
 		t.Fatalf("not begun after four minutes: %s", w.why("j-other"))
 	}
 	c.cancelUntil("j-flood-7")
-	if !w.until(5*time.Second, func() bool { return w.over["j-flood-7"] == protocol.Withdrawn }) {
+	if !w.until(5*time.Second, func() bool { return w.over["j-flood-7"] == protocol.JobCancelled }) {
 		t.Error("a cancellation is not confirmed within 5 s")
 	}
 }
@@ -68,25 +68,25 @@
 // setAsideLargest sets aside the same jobs as a plain walk over all of them does.
 func TestSacrificeIsMooresRule(t *testing.T) {
 	_, l := running(t, 1, time.Hour, 2, 8)
-	cores := l.lead.coresToStay()
+	cores := l.leader.retainedCores()
 	if cores == 0 {
 		t.Fatal("no machine stays")
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 300 {
-		var all, plain []*ranked
+		var all, plain []*queuedJob
 		for i := range 1 + rng.IntN(30) {
-			j := &job{spec: spec(fmt.Sprintf("j-%d", i), 1), pending: rng.IntN(3)}
-			r := ranked{j: j, rank: []int{rankPressing, rankInTime, rankLate}[rng.IntN(3)],
-				due: l.now + time.Duration(rng.IntN(200))*time.Second, work: float64(rng.IntN(20) * 10)}
+			j := &job{spec: spec(fmt.Sprintf("j-%d", i), 1), pendingTasks: rng.IntN(3)}
+			r := queuedJob{job: j, rank: []int{rankLatencySensitive, rankOnTime, rankLate}[rng.IntN(3)],
+				due: l.now + time.Duration(rng.IntN(200))*time.Second, remainingCoreSeconds: float64(rng.IntN(20) * 10)}
 			again := r
 			all, plain = append(all, &r), append(plain, &again)
 		}
-		byDue := func(a, b *ranked) int { return int(a.due - b.due) }
+		byDue := func(a, b *queuedJob) int { return int(a.due - b.due) }
 		slices.SortStableFunc(all, byDue)
 		slices.SortStableFunc(plain, byDue)
-		l.lead.setAsideLargest(all)
-		plainSacrifice(plain, cores*packing, l.now)
+		l.leader.demoteLargestJobs(all)
+		plainSacrifice(plain, cores*packingEfficiency, l.now)
 		for i := range all {
 			if all[i].rank != plain[i].rank {
 				t.Fatalf("round %d: job %d has rank %d, not %d", round, i, all[i].rank, plain[i].rank)
@@ -96,26 +96,26 @@
 }
 
 // plainSacrifice is Moore's rule for the fewest late jobs, written down as it is defined.
-func plainSacrifice(all []*ranked, cores float64, now Instant) {
+func plainSacrifice(all []*queuedJob, cores float64, now Instant) {
 	sum := 0.0
-	var kept []*ranked
+	var kept []*queuedJob
 	for _, r := range all {
-		if r.rank != rankInTime && r.j.rank() > rankPressing {
+		if r.rank != rankOnTime && r.job.effectiveRank() > rankLatencySensitive {
 			continue
 		}
-		sum += r.work
+		sum += r.remainingCoreSeconds
 		kept = append(kept, r)
 		for sum/cores > (r.due - now).Seconds() {
 			worst := -1
 			for i, k := range kept {
-				if k.rank == rankInTime && k.j.pending > 0 && (worst < 0 || k.work > kept[worst].work) {
+				if k.rank == rankOnTime && k.job.pendingTasks > 0 && (worst < 0 || k.remainingCoreSeconds > kept[worst].remainingCoreSeconds) {
 					worst = i
 				}
 			}
 			if worst < 0 {
 				break
 			}
-			sum -= kept[worst].work
+			sum -= kept[worst].remainingCoreSeconds
 			kept[worst].rank = rankLate
 			kept = slices.Delete(kept, worst, worst+1)
 		}
--- a/internal/coordination/guarantee_test.go
+++ b/internal/coordination/guarantee_test.go
@@ -25,8 +25,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newSimulation(t, 3)
-			w.cfg.Teams = append(w.cfg.Teams, config.Team{Name: "owner", CPUs: 4})
-			w.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, Share: 0.9}}
+			w.cfg.Teams = append(w.cfg.Teams, config.Team{Name: "owner", GuaranteedCPUs: 4})
+			w.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
 			for _, name := range w.names {
 				w.start(name)
 			}
@@ -35,11 +35,11 @@
 			l := w.waitLeader()
 			w.machines(2)
 			guest := spec("j-guest", 12)
-			guest.Priority, guest.EstimateS, guest.CheckpointS, guest.SaveS = "low", 3600, c.checkpoint, 1
+			guest.Priority, guest.EstimatedSeconds, guest.CheckpointIntervalSeconds, guest.CheckpointSaveSeconds = "low", 3600, c.checkpoint, 1
 			w.submitAndStart(l.name, guest, 8)
 			w.run(c.ran)
 			owner := spec("j-owner", 3)
-			owner.Team, owner.EstimateS = "owner", 60
+			owner.Team, owner.EstimatedSeconds = "owner", 60
 			w.submit(l.name, owner)
 			if got := w.until(c.begins, func() bool { return w.onMachines("j-owner") == 3 }); got != c.within {
 				t.Fatalf("%d of 3 guaranteed tasks run after %v", w.onMachines("j-owner"), c.begins)
--- a/internal/coordination/halfopen_bench_test.go
+++ b/internal/coordination/halfopen_bench_test.go
@@ -27,7 +27,7 @@
 						continue
 					}
 					w, l := running(&testing.T{}, nodes, 20*time.Second, 4, 8)
-					leader, term, from := l.name, l.lead.term, w.now
+					leader, term, from := l.name, l.leader.term, w.now
 					halfOpenCuts[first](w, leader, true)
 					halfOpenCuts[second](w, leader, true)
 					newUserSimulation(w, uint64(nodes)).submitUntil(spec("j-2", 2))
@@ -38,8 +38,8 @@
 					w.run(longest - (w.now - from))
 					highest, sessions := term, 0
 					for _, n := range w.nodes {
-						if n.lead != nil {
-							highest = max(highest, n.lead.term)
+						if n.leader != nil {
+							highest = max(highest, n.leader.term)
 						}
 					}
 					for _, x := range w.workers {
--- a/internal/coordination/halfopen_test.go
+++ b/internal/coordination/halfopen_test.go
@@ -114,11 +114,11 @@
 	halfOpenCuts[b](w, leader, true)
 	w.run(2 * time.Second)
 	c.submitUntil(spec("j-2", 2))
-	began := w.until(cutSpan*l.lease(), func() bool { return w.begun["j-2"] != 0 })
+	began := w.until(cutSpan*l.workerLease(), func() bool { return w.begun["j-2"] != 0 })
 	if !began && reachable(a, b) {
 		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, a, b, w.now-from, w.noLeader())
 	}
-	w.run(l.lease())
+	w.run(l.workerLease())
 	halfOpenCuts[a](w, leader, false)
 	halfOpenCuts[b](w, leader, false)
 	c.settle(5 * time.Minute)
@@ -131,10 +131,10 @@
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for _, period := range []float64{1.0 / heartbeatsPerLease, 0.2, 0.5, 1.1} {
+			for _, period := range []float64{1.0 / peerHeartbeatsPerLease, 0.2, 0.5, 1.1} {
 				w, l := running(t, 3, 3*time.Second, 4, 4)
 				c := newUserSimulation(w, 3)
-				leader, lease := l.name, l.lease()
+				leader, lease := l.name, l.workerLease()
 				half := max(2*step, time.Duration(period*float64(lease))/2)
 				const leases = 12
 				end := w.now + leases*lease
@@ -147,7 +147,7 @@
 					}
 				}
 				flap()
-				first := l.lead.term
+				first := l.leader.term
 				for i := range 2 * leases {
 					c.submitUntil(spec(fmt.Sprintf("j-f%d", i), 1))
 					w.run(lease / 2)
@@ -155,7 +155,7 @@
 				w.run(2 * half)
 				halfOpenCuts[name](w, leader, false)
 				c.settle(5 * time.Minute)
-				if terms := w.waitLeader().lead.term - first; terms > leases+2 {
+				if terms := w.waitLeader().leader.term - first; terms > leases+2 {
 					t.Errorf("period of %.2f leases: %d terms in %d leases", period, terms, leases)
 				}
 			}
@@ -180,7 +180,7 @@
 					c.submitUntil(spec(fmt.Sprintf("j-h%d", i), 2))
 				}
 				c.after(time.Second, func() { c.cancelUntil("j-1") })
-				w.run(time.Duration(float64(moment+1) * 0.37 * float64(l.lease())))
+				w.run(time.Duration(float64(moment+1) * 0.37 * float64(l.workerLease())))
 				halfOpenCuts[name](w, leader, false)
 				w.mend()
 				c.settle(5 * time.Minute)
@@ -217,9 +217,9 @@
 				w.noReports[leader], w.noReports[third] = true, true
 				w.setOneWay(leader, stranded, true)
 				c.submitUntil(spec("j-2", 2))
-				w.run(time.Duration(moment+1) * l.leases(handOverAfter) / 4)
+				w.run(time.Duration(moment+1) * l.workerLeases(strandedResignLeases) / 4)
 				trouble(w, leader, stranded)
-				if !w.until(cutSpan*l.lease(), func() bool { return w.begun["j-2"] != 0 }) {
+				if !w.until(cutSpan*l.workerLease(), func() bool { return w.begun["j-2"] != 0 }) {
 					t.Errorf("moment %d: nothing begins: %s", moment, w.noLeader())
 				}
 				w.oneWay, w.noReports = map[[2]string]bool{}, map[string]bool{}
@@ -231,7 +231,7 @@
 
 // hearsUs tells whether a peer says that it hears this node.
 func (n *Node) hearsUs(name string) reachability.Link {
-	return n.links.matrix.Link(n.cfg.Node, name, n.now, n.termSpan())
+	return n.connectivity.matrix.Link(n.cfg.Node, name, n.now, n.leaderLease())
 }
 
 // What a peer says of links and can't be true changes nothing and is named once; a message
@@ -242,19 +242,19 @@
 	peer := w.followers()[0]
 	before := l.hearsUs(peer)
 	for _, bad := range []*protocol.LinkReport{
-		{Hears: []reachability.Heard{{Node: "nobody"}}}, {Hears: []reachability.Heard{{Node: peer}}},
-		{Hears: []reachability.Heard{{Node: l.name, AgeMS: -1}}}, {Workers: -1},
+		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}}, {IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
+		{IncomingLinks: []reachability.IncomingLink{{Node: l.name, AgeMS: -1}}}, {RecentWorkers: -1},
 	} {
-		l.Step(l.clock(w.now), []any{PeerMessage{From: peer, Msg: protocol.Heartbeat{Process: 3, Links: bad}}})
+		l.Step(l.clock(w.now), []any{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
 	}
-	if l.hearsUs(peer) != before || before != reachability.Works || len(l.links.refusedLog) != 1 {
+	if l.hearsUs(peer) != before || before != reachability.LinkUp || len(l.connectivity.invalidReportLogged) != 1 {
 		t.Errorf("link %v after %v", l.hearsUs(peer), before)
 	}
 	fresh := w.nodes[w.followers()[1]]
-	fresh.links = newLinkState(fresh.name, fresh.peers)
-	fresh.Step(fresh.clock(w.now), []any{PeerMessage{From: peer, Msg: protocol.Heartbeat{Process: 3}}})
-	if got := fresh.hearsUs(peer); got != reachability.Unknown || fresh.twoWayPeers() == 0 {
-		t.Errorf("an earlier version: %v, %d two ways", got, fresh.twoWayPeers())
+	fresh.connectivity = newConnectivity(fresh.name, fresh.peers)
+	fresh.Step(fresh.clock(w.now), []any{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
+	if got := fresh.hearsUs(peer); got != reachability.LinkUnknown || fresh.twoWayPeerCount() == 0 {
+		t.Errorf("an earlier version: %v, %d two ways", got, fresh.twoWayPeerCount())
 	}
 }
 
@@ -263,22 +263,22 @@
 func TestRelaysEndAfterTheCut(t *testing.T) {
 	w, l := running(t, 3, time.Hour, 4, 8)
 	w.noReports[l.name] = true
-	w.run(3 * l.lease())
+	w.run(3 * l.workerLease())
 	direct := func() int {
 		count := 0
-		for _, m := range l.lead.machines {
-			if m.up && m.via == "" {
+		for _, m := range l.leader.machines {
+			if m.up && m.relayPeer == "" {
 				count++
 			}
 		}
 		return count
 	}
-	if l.lead == nil || direct() > 0 || !l.lead.wantsRelays() {
+	if l.leader == nil || direct() > 0 || !l.leader.needsRelays() {
 		t.Fatal("the leader does not have others relay")
 	}
 	w.noReports[l.name] = false
-	if !w.until(8*l.lease(), func() bool { return l.lead != nil && direct() == len(l.lead.machines) }) {
-		t.Errorf("%d of %d are served directly", direct(), len(l.lead.machines))
+	if !w.until(8*l.workerLease(), func() bool { return l.leader != nil && direct() == len(l.leader.machines) }) {
+		t.Errorf("%d of %d are served directly", direct(), len(l.leader.machines))
 	}
 }
 
@@ -287,7 +287,7 @@
 func TestHandOverToWhereMostWorkersAre(t *testing.T) {
 	for _, x := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
 		w, l := running(t, 3, time.Hour, x.served+x.stranded, 4)
-		leader, term := l.name, l.lead.term
+		leader, term := l.name, l.leader.term
 		other, third := w.after1(leader), w.after1(w.after1(leader))
 		w.cloud.capacity, w.cloud.noReturn = x.served+x.stranded, true // else it would rent others
 		split := map[string]bool{}                                     // those that reach the other node alone
@@ -297,12 +297,12 @@
 		w.reach = func(m *worker, node string) bool { return split[m.name] == (node == other) }
 		w.noReports[third] = true
 		w.setOneWay(leader, other, true)
-		moved := w.until(cutSpan*l.lease(), func() bool { now := w.leader(); return now != "" && now != leader })
+		moved := w.until(cutSpan*l.workerLease(), func() bool { now := w.leader(); return now != "" && now != leader })
 		if moved != (x.stranded > x.served) {
 			t.Errorf("%d served, %d stranded: %s leads after %s", x.served, x.stranded, w.leader(), leader)
 		}
-		w.run(10 * l.lease())
-		if terms := w.waitLeader().lead.term - term; terms > 6 {
+		w.run(10 * l.workerLease())
+		if terms := w.waitLeader().leader.term - term; terms > 6 {
 			t.Errorf("%d served, %d stranded: %d terms in 12 leases", x.served, x.stranded, terms)
 		}
 	}
--- a/internal/coordination/instant.go
+++ b/internal/coordination/instant.go
@@ -16,8 +16,8 @@
 
 // withClockDrift lengthens a span by the clock drift allowance: twice the bound on how far two
 // monotonic clocks drift apart.
-func drift(d time.Duration) time.Duration { return d + d/1000 }
+func withClockDrift(span time.Duration) time.Duration { return span + span/1000 }
 
 // workerLeaseTimeout returns the silence after which a worker's lease is certain to have expired,
 // with clock drift.
-func leaseOver(lease time.Duration) time.Duration { return drift(lease) + lease/50 }
+func workerLeaseTimeout(lease time.Duration) time.Duration { return withClockDrift(lease) + lease/50 }
--- a/internal/coordination/invariants_test.go
+++ b/internal/coordination/invariants_test.go
@@ -59,10 +59,10 @@
 
 // jobLoad is how many tasks of a job run, and what each uses.
 type jobLoad struct {
-	id          string
-	tasks       int
-	team        string
-	cores, gpus float64
+	id           string
+	tasks        int
+	teamSettings string
+	cores, gpus  float64
 }
 
 func newInvariantChecker() invariantChecker {
@@ -88,7 +88,7 @@
 // hears judges the answer to a user's request that was sent at some moment.
 func (w *simulation) hears(r Request, node string, sent Instant, reply Reply) {
 	w.t.Helper()
-	id := r.ID
+	id := r.JobID
 	accepted, known := w.accepted[id]
 	if reply.Status == 503 && reply.RetryAfter == 0 {
 		w.broken("silent wait", "%s of %s at %s: 503 without Retry-After", r.Kind, id, node)
@@ -100,7 +100,7 @@
 	if reply.Status != 200 && reply.Status != 201 {
 		return
 	}
-	var s protocol.JobState
+	var s protocol.JobStatus
 	if json.Unmarshal(reply.Body, &s) != nil {
 		w.t.Fatalf("%s of %s: %s", r.Kind, id, reply.Body)
 	}
@@ -113,21 +113,21 @@
 		w.tells(id, "accepted")
 	}
 	was, over := w.over[id]
-	final := s.State == protocol.Done || s.State == protocol.Withdrawn
+	final := s.State == protocol.JobDone || s.State == protocol.JobCancelled
 	switch {
 	case over && s.State != was && (final || sent >= w.overAt[id]):
 		w.broken("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id, node, s.State, was, sent, w.overAt[id])
-	case s.State == protocol.Withdrawn && !w.mayBeCancelled(id):
+	case s.State == protocol.JobCancelled && !w.mayBeCancelled(id):
 		w.broken("went_back", "%s is cancelled, and nobody asked for it", id)
-	case s.State == protocol.Done:
-		for i := range w.specs[id].Tasks {
+	case s.State == protocol.JobDone:
+		for i := range w.specs[id].TaskCount {
 			if !w.finished[taskKey(id, i)] {
 				w.broken("not_done", "%s is done, but %s is not", id, taskKey(id, i))
 				break
 			}
 		}
 	}
-	if since, orphan := w.cancelledAt(id); orphan && !over && sent > since+w.cancelSpan() && s.State != protocol.Withdrawn {
+	if since, orphan := w.cancelledAt(id); orphan && !over && sent > since+w.cancelSpan() && s.State != protocol.JobCancelled {
 		w.broken("orphaned", "%s is %s", id, s.State)
 	}
 	if final && !over {
@@ -144,16 +144,16 @@
 
 // mayBeCancelled tells whether a user has asked to cancel a job or one that it needs.
 func (w *simulation) mayBeCancelled(id string) bool {
-	return w.asked[id] || slices.ContainsFunc(w.specs[id].Needs, w.mayBeCancelled)
+	return w.asked[id] || slices.ContainsFunc(w.specs[id].Dependencies, w.mayBeCancelled)
 }
 
 // cancelledAt is when users were first told that a job, or one that it needs, is cancelled;
 // of the latter not before it was itself accepted.
 func (w *simulation) cancelledAt(id string) (at Instant, ok bool) {
-	if w.over[id] == protocol.Withdrawn {
+	if w.over[id] == protocol.JobCancelled {
 		at, ok = w.overAt[id], true
 	}
-	for _, need := range w.specs[id].Needs {
+	for _, need := range w.specs[id].Dependencies {
 		since, is := w.cancelledAt(need)
 		accepted, known := w.accepted[id]
 		if since = max(since, accepted); is && known && (!ok || since < at) {
@@ -173,7 +173,7 @@
 	}
 	leaders := 0
 	for _, n := range w.nodes {
-		if n.lead != nil && !n.down && !n.frozen && n.authority() {
+		if n.leader != nil && !n.down && !n.frozen && n.holdsLeaderLease() {
 			leaders++
 		}
 	}
@@ -200,8 +200,8 @@
 	for i := range load.jobs {
 		running := &load.jobs[i]
 		j := w.specs[running.id]
-		if running.team != j.Team || running.cores != j.Cores || running.gpus != j.Accelerators {
-			running.team, running.cores, running.gpus = j.Team, j.Cores, j.Accelerators
+		if running.teamSettings != j.Team || running.cores != j.Cores || running.gpus != j.Accelerators {
+			running.teamSettings, running.cores, running.gpus = j.Team, j.Cores, j.Accelerators
 			same = false
 		}
 		if since, cancelled := w.cancelledAt(running.id); cancelled && w.now > since+w.cancelSpan() {
@@ -217,7 +217,7 @@
 		load.sum()
 	}
 	for _, team := range w.cfg.Teams {
-		if team.CPUsMax > 0 && load.cores[team.Name] > team.CPUsMax || team.GPUsMax > 0 && load.gpus[team.Name] > team.GPUsMax {
+		if team.MaxCPUs > 0 && load.cores[team.Name] > team.MaxCPUs || team.MaxGPUs > 0 && load.gpus[team.Name] > team.MaxGPUs {
 			w.t.Helper()
 			w.broken("quota", "%s uses %v cores, %v accelerators", team.Name, load.cores[team.Name], load.gpus[team.Name])
 		}
@@ -230,8 +230,8 @@
 	clear(l.gpus)
 	for _, j := range l.jobs {
 		for range j.tasks {
-			l.cores[j.team] += j.cores
-			l.gpus[j.team] += j.gpus
+			l.cores[j.teamSettings] += j.cores
+			l.gpus[j.teamSettings] += j.gpus
 		}
 	}
 }
@@ -309,7 +309,7 @@
 			w.broken("waits", "%s waits for 90 s beside a machine with room: %s", id, w.why(id))
 		}
 		from := max(w.calm, w.accepted[id])
-		for _, need := range w.specs[id].Needs {
+		for _, need := range w.specs[id].Dependencies {
 			from = max(from, w.overAt[need]) // times begin when all that it needs is done
 		}
 		if w.begun[id] == 0 && w.now > from+4*time.Minute {
@@ -321,16 +321,16 @@
 // hasRoom tells whether a task of a job waits though it could run somewhere.
 func (w *simulation) hasRoom(id string, where map[string]string, cores map[string]float64) bool {
 	j := w.specs[id]
-	if slices.ContainsFunc(j.Needs, func(need string) bool { return w.over[need] != protocol.Done }) {
+	if slices.ContainsFunc(j.Dependencies, func(need string) bool { return w.over[need] != protocol.JobDone }) {
 		return false
 	}
 	waiting := false
-	for i := range j.Tasks {
+	for i := range j.TaskCount {
 		key := taskKey(id, i)
 		waiting = waiting || !w.finished[key] && where[key] == ""
 	}
 	for _, team := range w.cfg.Teams {
-		if team.Name == j.Team && team.CPUsMax > 0 && cores[team.Name]+j.Cores > team.CPUsMax {
+		if team.Name == j.Team && team.MaxCPUs > 0 && cores[team.Name]+j.Cores > team.MaxCPUs {
 			return false
 		}
 	}
@@ -354,11 +354,11 @@
 // misplaced tells why a job's next task may not start on a machine now, if so.
 func (w *simulation) misplaced(j *protocol.Job, x *worker) string {
 	switch {
-	case len(j.Types) > 0 && !slices.Contains(j.Types, x.typ):
+	case len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, x.typ):
 		return "type " + x.typ
 	case j.Zone != "" && j.Zone != x.zone:
 		return "zone " + x.zone
-	case !j.Spot && x.spot:
+	case !j.SpotAllowed && x.spot:
 		return "a spot machine"
 	}
 	if !j.SameZone && !j.Spread {
@@ -367,7 +367,7 @@
 	same, other := 0, 0
 	for _, y := range w.workers {
 		for _, t := range y.tasks {
-			if jobOf(t.key) == j.UID && t.state != protocol.TaskExited {
+			if jobOf(t.key) == j.ID && t.state != protocol.TaskExited {
 				if y.zone == x.zone {
 					same++
 				} else {
@@ -379,7 +379,7 @@
 	switch {
 	case j.SameZone && other > 0:
 		return "not where the other tasks are"
-	case j.Spread && same+1 > (j.Tasks+1)/2:
+	case j.Spread && same+1 > (j.TaskCount+1)/2:
 		return "more than half in one zone"
 	}
 	return ""
@@ -391,8 +391,8 @@
 	w.t.Helper()
 	id := jobOf(key)
 	j := w.specs[id]
-	for _, need := range j.Needs {
-		if w.final(need) != protocol.Done {
+	for _, need := range j.Dependencies {
+		if w.final(need) != protocol.JobDone {
 			w.broken("too_early", "%s, while the end of %s is %q", key, need, w.final(need))
 		}
 	}
@@ -417,34 +417,34 @@
 	state := func(s string) Reply {
 		return Reply{Status: 200, Body: []byte(`{"uid":"j-1","situacao":"` + s + `"}`)}
 	}
-	query, submit := Request{Kind: protocol.RequestQuery, ID: "j-1"}, Request{Kind: protocol.RequestSubmit, ID: "j-1"}
+	query, submit := Request{Kind: protocol.RequestQuery, JobID: "j-1"}, Request{Kind: protocol.RequestSubmit, JobID: "j-1"}
 	put := func(w *simulation, name, key string, attempt uint64) {
 		w.workers[name].tasks = append(w.workers[name].tasks,
 			&simTask{key: key, attempt: attempt, state: protocol.TaskRunning, end: w.now + time.Hour})
 	}
 	start := func(w *simulation, name, key string) {
-		w.workers[name].execute(protocol.Command{Op: protocol.OpStart, Task: key, Attempt: 99})
+		w.workers[name].execute(protocol.Command{Kind: protocol.CommandStart, TaskID: key, Attempt: 99})
 	}
 	for rule, breaks := range map[string]func(w *simulation){
 		"forgotten":  func(w *simulation) { w.hears(query, "n0", w.now, Reply{Status: 404}) },
 		"forgotten ": func(w *simulation) { w.hears(submit, "n0", w.now, Reply{Status: 422}) },
 		"invented": func(w *simulation) {
-			w.hears(Request{Kind: protocol.RequestQuery, ID: "j-x"}, "n0", w.now, state(protocol.Queued))
+			w.hears(Request{Kind: protocol.RequestQuery, JobID: "j-x"}, "n0", w.now, state(protocol.JobQueued))
 		},
 		"went_back": func(w *simulation) {
-			w.over["j-1"], w.overAt["j-1"] = protocol.Withdrawn, w.now
-			w.hears(query, "n0", w.now, state(protocol.Running))
+			w.over["j-1"], w.overAt["j-1"] = protocol.JobCancelled, w.now
+			w.hears(query, "n0", w.now, state(protocol.JobRunning))
 		},
-		"went_back ":  func(w *simulation) { w.hears(query, "n0", w.now, state(protocol.Withdrawn)) },
-		"not_done":    func(w *simulation) { w.hears(query, "n0", w.now, state(protocol.Done)) },
+		"went_back ":  func(w *simulation) { w.hears(query, "n0", w.now, state(protocol.JobCancelled)) },
+		"not_done":    func(w *simulation) { w.hears(query, "n0", w.now, state(protocol.JobDone)) },
 		"silent wait": func(w *simulation) { w.hears(query, "n0", w.now, Reply{Status: 503}) },
 		"orphaned": func(w *simulation) {
 			j := w.specs["j-1"]
-			j.Needs = []string{"j-0"}
+			j.Dependencies = []string{"j-0"}
 			w.specs["j-1"] = j
-			w.over["j-0"], w.overAt["j-0"] = protocol.Withdrawn, w.now-time.Minute
+			w.over["j-0"], w.overAt["j-0"] = protocol.JobCancelled, w.now-time.Minute
 			w.accepted["j-1"] -= time.Minute
-			w.hears(query, "n0", w.now, state(protocol.Queued))
+			w.hears(query, "n0", w.now, state(protocol.JobQueued))
 		},
 		"ran_twice": func(w *simulation) {
 			put(w, "m-000001", "j-1/0", 1)
@@ -461,12 +461,12 @@
 			w.check()
 		},
 		"ran_cancelled": func(w *simulation) {
-			w.over["j-1"], w.overAt["j-1"] = protocol.Withdrawn, w.now-w.cancelSpan()-time.Second
+			w.over["j-1"], w.overAt["j-1"] = protocol.JobCancelled, w.now-w.cancelSpan()-time.Second
 			put(w, "m-000001", "j-1/0", 1)
 			w.check()
 		},
 		"started after its cancellation": func(w *simulation) {
-			w.over["j-1"], w.overAt["j-1"] = protocol.Withdrawn, w.now-5*time.Second
+			w.over["j-1"], w.overAt["j-1"] = protocol.JobCancelled, w.now-5*time.Second
 			start(w, "m-000001", "j-1/0")
 		},
 		"too_early": func(w *simulation) {
@@ -476,7 +476,7 @@
 		},
 		"wrong_place": func(w *simulation) {
 			j := spec("j-2", 1)
-			j.Spot = false
+			j.SpotAllowed = false
 			w.specs["j-2"] = j
 			start(w, "m-000001", "j-2/0")
 		},
@@ -489,7 +489,7 @@
 		},
 		"two leaders": func(w *simulation) {
 			for _, n := range w.nodes {
-				if n.lead == nil {
+				if n.leader == nil {
 					n.becomeLeader(99, 0, 0, n.now)
 				}
 			}
@@ -538,22 +538,22 @@
 // the policy in force does not admit, unless its writer knows of no policies.
 func (w *simulation) checkPolicy(t storage.Txn) {
 	w.t.Helper()
-	record, exists := w.state.keys[storage.PolicyKey]
-	if !exists || !slices.ContainsFunc(t.If, func(c storage.Cond) bool { return c.Key == storage.PolicyKey }) {
+	record, exists := w.state.keys[storage.AdmissionPolicyKey]
+	if !exists || !slices.ContainsFunc(t.Conditions, func(c storage.Condition) bool { return c.Key == storage.AdmissionPolicyKey }) {
 		return
 	}
 	policy := &admission.Policy{}
 	if json.Unmarshal(record.Value, policy) != nil {
-		policy = &admission.Policy{Rest: admission.Share{Steps: []uint64{0}}} // nobody
+		policy = &admission.Policy{DefaultShare: admission.Share{Steps: []uint64{0}}} // nobody
 	}
 	for _, wr := range t.Writes {
 		var job storage.JobRecord
-		if !strings.HasPrefix(wr.Set, storage.JobPrefix) || json.Unmarshal(wr.Value, &job) != nil {
+		if !strings.HasPrefix(wr.PutKey, storage.JobPrefix) || json.Unmarshal(wr.Value, &job) != nil {
 			continue
 		}
 		w.judged[policy.Epoch]++
-		if !policy.Judge(groupOf(&job.Spec), job.Spec.UID).Admit {
-			w.broken("policy", "%s is accepted in epoch %d", job.Spec.UID, policy.Epoch)
+		if !policy.Evaluate(admissionGroup(&job.Spec), job.Spec.ID).Admit {
+			w.broken("policy", "%s is accepted in epoch %d", job.Spec.ID, policy.Epoch)
 		}
 	}
 }
--- a/internal/coordination/job_records.go
+++ b/internal/coordination/job_records.go
@@ -12,52 +12,52 @@
 
 // bitmapLayout is the number of tasks that one part of a stored bitmap covers.
 type bitmapLayout struct {
-	partTasks int
-	widePart  int // the same at protocol level 0
+	bitmapPartTasks       int
+	legacyBitmapPartTasks int // the same at protocol level 0
 }
 
 // newBitmapLayout derives the layout from the limits of the key-value store.
-func newBitmapLayout(c *config.Cluster) bitmapLayout {
+func newBitmapLayout(cluster *config.Cluster) bitmapLayout {
 	return bitmapLayout{
-		partTasks: storage.PartTasks(c.State.ValueBytes()),
-		widePart:  storage.PartTasks(int(c.State.ValueKB * 1024)),
+		bitmapPartTasks:       storage.TasksPerBitmapPart(cluster.Store.MaxValueBytes()),
+		legacyBitmapPartTasks: storage.TasksPerBitmapPart(int(cluster.Store.ValueKB * 1024)),
 	}
 }
 
 // addJob adds an open job to the job table and returns it. It returns the known job if there is
 // one, and nil if the job is terminal.
-func (l *leadership) addJob(rec storage.JobRecord, version uint64) *job {
-	id := rec.Spec.UID
+func (l *leader) addJob(record storage.JobRecord, version uint64) *job {
+	id := record.Spec.ID
 	if j := l.jobs[id]; j != nil {
 		return j
 	}
-	if _, over := l.n.finals.byID[id]; over {
+	if _, ended := l.node.terminalJobs.byID[id]; ended {
 		return nil
 	}
-	if l.over[id] {
+	if l.endedJobs[id] {
 		return nil
 	}
-	at := min(l.n.instantOf(rec.AtMS), l.n.now)
+	acceptedAt := min(l.node.instantFromUnixMilli(record.AcceptedAtMillis), l.node.now)
 	j := &job{
-		spec: rec.Spec, at: at, from: at, version: version,
-		runs: map[int]*run{}, pending: rec.Spec.Tasks,
-		failures: map[int]*failureHistory{}, failedOn: map[string]bool{},
-		waiting: l.n.now, imageSeen: never, chain: newChain(),
+		spec: record.Spec, acceptedAt: acceptedAt, eligibleAt: acceptedAt, recordVersion: version,
+		attempts: map[int]*taskAttempt{}, pendingTasks: record.Spec.TaskCount,
+		failureHistories: map[int]*failureHistory{}, failedMachines: map[string]bool{},
+		pendingSince: l.node.now, imageCheckedAt: never, dependencies: newDependencies(),
 	}
-	l.layOut(j)
+	l.layOutBitmap(j)
 	l.jobs[id] = j
-	l.writer.Know(storage.JobKey(id), version)
-	l.await(j)
-	if l.loaded {
-		l.admission.accepted(&rec.Spec)
-		l.n.trace(id, stepKnown, "")
+	l.writer.SetModRevision(storage.JobKey(id), version)
+	l.addDependencies(j)
+	if l.recordsLoaded {
+		l.admission.countAccepted(&record.Spec)
+		l.node.traceStep(id, stepLoaded, "")
 	}
 	return j
 }
 
 // adoptStoredJob adds a job that was read from the key-value store to the job table.
-func (l *leadership) adopt(id string, item storage.Item) *job {
-	if !l.loaded {
+func (l *leader) adoptStoredJob(id string, item storage.Item) *job {
+	if !l.recordsLoaded {
 		return nil
 	}
 	if j := l.jobs[id]; j != nil {
@@ -70,147 +70,147 @@
 // layOutBitmap divides the job's bitmap into parts that fit the value size limit. Controllers of
 // version level 0 use larger parts and identify them by number, so a job of several parts keeps
 // that layout as long as such a controller may become leader.
-func (l *leadership) layOut(j *job) {
-	id := j.spec.UID
-	size, key := l.partTasks, func(part int) string { return storage.BitsFromKey(id, part*l.partTasks) }
+func (l *leader) layOutBitmap(j *job) {
+	id := j.spec.ID
+	tasksPerPart, partKey := l.bitmapPartTasks, func(part int) string { return storage.BitmapKeyFromTask(id, part*l.bitmapPartTasks) }
 	switch {
-	case j.spec.Tasks <= size:
-		key = func(int) string { return storage.BitsKey(id, 0) }
-	case !l.n.allUnderstand(levelPipelines):
-		size, key = l.widePart, func(part int) string { return storage.BitsKey(id, part) }
+	case j.spec.TaskCount <= tasksPerPart:
+		partKey = func(int) string { return storage.BitmapKey(id, 0) }
+	case !l.node.clusterSupports(protocolLevelDependencies):
+		tasksPerPart, partKey = l.legacyBitmapPartTasks, func(part int) string { return storage.BitmapKey(id, part) }
 	}
-	j.partTasks, j.parts = size, nil
-	for from := 0; from < j.spec.Tasks; from += size {
-		j.parts = append(j.parts, &partState{
-			key: key(len(j.parts)), size: (min(size, j.spec.Tasks-from) + 7) / 8})
+	j.tasksPerPart, j.bitmapParts = tasksPerPart, nil
+	for firstTask := 0; firstTask < j.spec.TaskCount; firstTask += tasksPerPart {
+		j.bitmapParts = append(j.bitmapParts, &bitmapPart{
+			key: partKey(len(j.bitmapParts)), sizeBytes: (min(tasksPerPart, j.spec.TaskCount-firstTask) + 7) / 8})
 	}
 }
 
 // upgradeBitmapLayouts switches jobs to the layout that level 0 cannot read. Bits are only ever
 // set, so a reader that finds both layouts merges them; the old parts are deleted last.
-func (l *leadership) levelRaised() {
+func (l *leader) upgradeBitmapLayouts() {
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		j := l.jobs[id]
-		if j.spec.Tasks <= l.partTasks || j.gone {
+		if j.spec.TaskCount <= l.bitmapPartTasks || j.terminal {
 			continue
 		}
-		old := j.parts
-		var done []int
-		for index := range j.spec.Tasks {
+		oldParts := j.bitmapParts
+		var doneTasks []int
+		for index := range j.spec.TaskCount {
 			if j.taskState(index) == taskDone {
-				done = append(done, index)
+				doneTasks = append(doneTasks, index)
 			}
 		}
-		l.layOut(j)
-		for _, index := range done {
-			j.setBit(index)
+		l.layOutBitmap(j)
+		for _, index := range doneTasks {
+			j.setTaskBit(index)
 		}
-		for _, p := range j.parts {
-			l.storeBits(j, p)
+		for _, part := range j.bitmapParts {
+			l.storeBitmapPart(j, part)
 		}
-		for _, p := range old {
-			p.retired = true
-			l.dropKnown(p.key)
+		for _, part := range oldParts {
+			part.superseded = true
+			l.dropStoredKey(part.key)
 		}
 	}
 }
 
 // markTaskDone counts a task as finished and finishes the job after its last task.
-func (l *leadership) setDone(j *job, index int) {
+func (l *leader) markTaskDone(j *job, index int) {
 	switch j.taskState(index) {
 	case taskDone:
 		return
 	case taskPending:
-		j.pending--
-	}
-	p := j.setBit(index)
-	j.done++
-	delete(j.failures, index)
-	j.bad, j.probes = false, 0
-	l.dirty = true
-	if j.gone {
+		j.pendingTasks--
+	}
+	part := j.setTaskBit(index)
+	j.doneTasks++
+	delete(j.failureHistories, index)
+	j.failsEverywhere, j.failedProbes = false, 0
+	l.schedulingNeeded = true
+	if j.terminal {
 		return
 	}
-	if j.done == j.spec.Tasks {
-		l.finish(j, protocol.Done)
+	if j.doneTasks == j.spec.TaskCount {
+		l.finishJob(j, protocol.JobDone)
 		return
 	}
-	l.storeBits(j, p)
+	l.storeBitmapPart(j, part)
 }
 
 // storeBitmapPart queues the write of one bitmap part. The value is taken when the write is
 // formed, so tasks that finish meanwhile share the write.
-func (l *leadership) storeBits(j *job, p *partState) {
-	if p.queued {
+func (l *leader) storeBitmapPart(j *job, part *bitmapPart) {
+	if part.writeQueued {
 		return
 	}
-	p.queued = true
+	part.writeQueued = true
 	var written []byte
-	l.writer.Add(storage.Lazy, storage.Unit{
-		Build: func() []storage.Write {
-			written = append([]byte(nil), p.bits...)
-			if j.gone || p.retired || bytes.Equal(written, p.stored) || l.quarantine.holds(p.key) {
+	l.writer.Enqueue(storage.PriorityLow, storage.Change{
+		BuildWrites: func() []storage.Write {
+			written = append([]byte(nil), part.bits...)
+			if j.terminal || part.superseded || bytes.Equal(written, part.storedBits) || l.quarantine.contains(part.key) {
 				return nil
 			}
-			return []storage.Write{storage.Set(p.key, storage.EncodeBits(written))}
+			return []storage.Write{storage.Put(part.key, storage.EncodeBitmap(written))}
 		},
-		Done: func() {
-			p.queued = false
-			if j.gone || p.retired {
+		OnApplied: func() {
+			part.writeQueued = false
+			if j.terminal || part.superseded {
 				return
 			}
-			if l.quarantine.holds(p.key) {
+			if l.quarantine.contains(part.key) {
 				return // nothing was written, so workers must retain the results
 			}
-			p.stored = written
-			if !bytes.Equal(p.stored, p.bits) {
-				l.storeBits(j, p)
+			part.storedBits = written
+			if !bytes.Equal(part.storedBits, part.bits) {
+				l.storeBitmapPart(j, part)
 			}
 		},
 	})
 }
 
 // finishJob makes a job terminal. Users are notified only after the terminal record is durable.
-func (l *leadership) finish(j *job, state string) {
-	j.gone, j.withdrawn = true, state == protocol.Withdrawn
-	id := j.spec.UID
-	final := storage.FinalRecord{State: state, Tasks: j.spec.Tasks, Done: j.done}
-	for _, r := range j.runs {
-		l.stopRun(r, 0)
-	}
-	if j.withdrawn && !j.doomed {
-		l.relax(j)
-	}
-	l.writer.Add(l.importance(j), storage.Unit{
-		Build: func() []storage.Write {
-			final.AtMS = l.n.wallMS()
-			return []storage.Write{storage.Drop(storage.JobKey(id)), storage.Set(storage.FinalKey(id), final)}
+func (l *leader) finishJob(j *job, state string) {
+	j.terminal, j.cancelled = true, state == protocol.JobCancelled
+	id := j.spec.ID
+	final := storage.TerminalRecord{State: state, TaskCount: j.spec.TaskCount, DoneTasks: j.doneTasks}
+	for _, r := range j.attempts {
+		l.requestStop(r, 0)
+	}
+	if j.cancelled && !j.dependencyCancelled {
+		l.relaxDeadlines(j)
+	}
+	l.writer.Enqueue(l.completionPriority(j), storage.Change{
+		BuildWrites: func() []storage.Write {
+			final.EndedAtMillis = l.node.nowUnixMilli()
+			return []storage.Write{storage.Delete(storage.JobKey(id)), storage.Put(storage.TerminalKey(id), final)}
 		},
-		Taken: func() {
-			j.ending = true
-			if j.withdrawn {
-				l.eachAfter(j, func(d *job) { d.ending = true })
+		OnSent: func() {
+			j.completionUncertain = true
+			if j.cancelled {
+				l.forEachDependent(j, func(dependent *job) { dependent.completionUncertain = true })
 			}
 		},
-		Done: func() {
-			l.n.log.Debug("job finished", "job", id, "state", state, "class", j.spec.Class, "tasks", j.spec.Tasks,
-				"after", l.n.now-j.at, "waited", j.from-j.at,
-				"firstStart", j.firstStart-j.at, "lastStart", j.lastStart-j.at, "expected", l.expected(j))
-			l.n.trace(id, stepOver, state+" after "+l.sinceAccepted(j))
-			l.n.finals.put(id, final)
-			l.over[id] = true
+		OnApplied: func() {
+			l.node.log.Debug("job finished", "job", id, "state", state, "class", j.spec.Class, "tasks", j.spec.TaskCount,
+				"after", l.node.now-j.acceptedAt, "waited", j.eligibleAt-j.acceptedAt,
+				"firstStart", j.firstStartAt-j.acceptedAt, "lastStart", j.lastStartAt-j.acceptedAt, "expected", l.expectedTaskDuration(j))
+			l.node.traceStep(id, stepTerminal, state+" after "+l.jobAge(j))
+			l.node.terminalJobs.put(id, final)
+			l.endedJobs[id] = true
 			delete(l.jobs, id)
-			delete(l.runnable, id)
-			l.ended(id, final, true)
-			for _, o := range l.cancelWaiters[id] {
-				l.n.reply(o, 200, 0, protocol.JobState{UID: id, State: state})
+			delete(l.runnableJobs, id)
+			l.releaseDependents(id, final, true)
+			for _, origin := range l.cancelWaiters[id] {
+				l.node.reply(origin, 200, 0, protocol.JobStatus{ID: id, State: state})
 			}
 			delete(l.cancelWaiters, id)
-			for _, p := range j.parts {
-				l.dropKnown(p.key)
+			for _, part := range j.bitmapParts {
+				l.dropStoredKey(part.key)
 			}
-			for i := 0; l.writer.Version(storage.NeedsKey(id, i)) != 0; i++ {
-				l.dropKnown(storage.NeedsKey(id, i))
+			for i := 0; l.writer.ModRevision(storage.DependenciesKey(id, i)) != 0; i++ {
+				l.dropStoredKey(storage.DependenciesKey(id, i))
 			}
 		},
 	})
@@ -218,11 +218,11 @@
 
 // dropStoredKey queues the deletion of a key, with low priority, if it is stored when the write
 // is formed.
-func (l *leadership) dropKnown(key string) {
-	l.writer.Add(storage.Lazy, storage.Unit{Build: func() []storage.Write {
-		if l.writer.Version(key) == 0 || l.quarantine.holds(key) {
+func (l *leader) dropStoredKey(key string) {
+	l.writer.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: func() []storage.Write {
+		if l.writer.ModRevision(key) == 0 || l.quarantine.contains(key) {
 			return nil
 		}
-		return []storage.Write{storage.Drop(key)}
+		return []storage.Write{storage.Delete(key)}
 	}})
 }
--- a/internal/coordination/job_requests.go
+++ b/internal/coordination/job_requests.go
@@ -8,29 +8,29 @@
 // Handling of users' requests about jobs by the leader.
 
 // onUserRequest serves a user's request as the leader.
-func (l *leadership) onUser(r Request) {
-	n := l.n
-	if !l.loaded && r.Kind != protocol.RequestSubmit {
+func (l *leader) onUserRequest(r Request) {
+	n := l.node
+	if !l.recordsLoaded && r.Kind != protocol.RequestSubmit {
 		if r.Kind == protocol.RequestQuery {
-			n.queryDirect(r, l)
+			n.answerQueryFromStore(r, l)
 			return
 		}
-		n.unavailable(r.Origin)
+		n.replyUnavailable(r.Origin)
 		return
 	}
 	switch r.Kind {
 	case protocol.RequestSubmit:
-		if j := l.jobs[r.Job.UID]; j != nil {
-			l.answer(r, j)
+		if j := l.jobs[r.Job.ID]; j != nil {
+			l.answerJobState(r, j)
 			return
 		}
-		n.submitDirect(r, l)
+		n.submitToStore(r, l)
 	case protocol.RequestQuery:
-		if j := l.jobs[r.ID]; j != nil {
-			l.answer(r, j)
+		if j := l.jobs[r.JobID]; j != nil {
+			l.answerJobState(r, j)
 			return
 		}
-		n.queryDirect(r, l)
+		n.answerQueryFromStore(r, l)
 	case protocol.RequestCancel:
 		l.onCancel(r)
 	}
@@ -43,37 +43,37 @@
 //
 // The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
 // leader may have reported that.
-func (l *leadership) answer(r Request, j *job) {
-	if !j.doomed && (j.ending || (j.awaits > 0 && len(l.lookups) > 0)) {
-		l.n.answerKnown(r, l, comeBack)
+func (l *leader) answerJobState(r Request, j *job) {
+	if !j.dependencyCancelled && (j.completionUncertain || (j.pendingDependencies > 0 && len(l.dependencyLookups) > 0)) {
+		l.node.answerFromStore(r, l, retryLater)
 		return
 	}
-	l.n.reply(r.Origin, 200, 0, j.state())
+	l.node.reply(r.Origin, 200, 0, j.state())
 }
 
 // onCancel serves a cancellation, also of a job that is not in the job table.
-func (l *leadership) onCancel(r Request) {
-	n := l.n
-	if j := l.jobs[r.ID]; j != nil {
+func (l *leader) onCancel(r Request) {
+	n := l.node
+	if j := l.jobs[r.JobID]; j != nil {
 		l.cancelJob(j, r.Origin)
 		return
 	}
-	if !protocol.ValidJobID(r.ID) {
+	if !protocol.ValidJobID(r.JobID) {
 		n.reply(r.Origin, 404, 0, nil)
 		return
 	}
-	n.readJob(r.ID, func(ok bool, open *storage.Item, final *storage.FinalRecord) {
+	n.readJobRecord(r.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
 		switch {
-		case !ok || n.lead != l || !n.authority():
-			n.unavailable(r.Origin)
+		case !ok || n.leader != l || !n.holdsLeaderLease():
+			n.replyUnavailable(r.Origin)
 		case final != nil:
-			n.reply(r.Origin, 200, 0, protocol.JobState{UID: r.ID, State: final.State})
+			n.reply(r.Origin, 200, 0, protocol.JobStatus{ID: r.JobID, State: final.State})
 		case open != nil:
-			if j := l.adopt(r.ID, *open); j != nil {
+			if j := l.adoptStoredJob(r.JobID, *open); j != nil {
 				l.cancelJob(j, r.Origin)
 				return
 			}
-			n.unavailable(r.Origin)
+			n.replyUnavailable(r.Origin)
 		default:
 			n.reply(r.Origin, 404, 0, nil)
 		}
@@ -82,22 +82,22 @@
 
 // cancelJob stops a job at once and replies when the cancellation is durable. While the key-value
 // store is unavailable the user is told to retry; the cancellation remains in effect.
-func (l *leadership) cancelJob(j *job, o Origin) {
-	if j.doomed {
-		l.n.reply(o, 200, 0, j.state())
+func (l *leader) cancelJob(j *job, origin Origin) {
+	if j.dependencyCancelled {
+		l.node.reply(origin, 200, 0, j.state())
 		return
 	}
-	if !j.gone {
-		l.finish(j, protocol.Withdrawn)
+	if !j.terminal {
+		l.finishJob(j, protocol.JobCancelled)
 	}
-	if l.n.elect.stateLost() {
-		l.n.unavailable(o)
+	if l.node.election.storeUnavailable() {
+		l.node.replyUnavailable(origin)
 		return
 	}
-	waiters := append(l.cancelWaiters[j.spec.UID], o)
-	if len(waiters) > l.n.maxWaiting() {
-		l.n.unavailable(waiters[0])
+	waiters := append(l.cancelWaiters[j.spec.ID], origin)
+	if len(waiters) > l.node.maxPendingRequests() {
+		l.node.replyUnavailable(waiters[0])
 		waiters = waiters[1:]
 	}
-	l.cancelWaiters[j.spec.UID] = waiters
+	l.cancelWaiters[j.spec.ID] = waiters
 }
--- a/internal/coordination/late_reports_test.go
+++ b/internal/coordination/late_reports_test.go
@@ -18,14 +18,14 @@
 	w.runTime = func(string, int) time.Duration { return time.Hour }
 	w.workers["m-000001"].dropAnswers = true
 	j := spec("j-1", 60)
-	j.EstimateS = 3600
+	j.EstimatedSeconds = 3600
 	w.submit(l.name, j)
 	w.run(25 * time.Second)
 	if got := w.onMachines("j-1"); got != 60 {
 		t.Fatalf("%d of 60 tasks run beside a deaf machine", got)
 	}
 	next := spec("j-2", 4)
-	next.EstimateS = 3600
+	next.EstimatedSeconds = 3600
 	w.submit(l.name, next)
 	if !w.until(12*time.Second, func() bool { return w.onMachines("j-2") == 4 }) {
 		t.Fatalf("%d of 4 tasks run beside a deaf machine", w.onMachines("j-2"))
@@ -43,7 +43,7 @@
 	for _, name := range []string{"m-000001", "m-000002"} {
 		w.workers[name].dropAnswers = true
 	}
-	w.waitState("j-1", protocol.Done, 2*time.Minute)
+	w.waitState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
 // After a takeover a deaf machine must not hold up the older jobs: it never shows
@@ -70,15 +70,15 @@
 	for _, x := range w.workers {
 		if x.dropAnswers {
 			x.node = next.name
-			w.copies = func(y *worker, _ *protocol.Report) {
+			w.copies = func(y *worker, _ *protocol.WorkerHeartbeat) {
 				if y == x {
 					x.node = next.name
 				}
 			}
 		}
 	}
-	w.waitState("j-2", protocol.Done, 50*time.Second)
-	w.waitState("j-1", protocol.Done, time.Minute)
+	w.waitState("j-2", protocol.JobDone, 50*time.Second)
+	w.waitState("j-1", protocol.JobDone, time.Minute)
 }
 
 // A machine that hears again after it was taken for deaf is safe: nothing of it
@@ -97,7 +97,7 @@
 		x.dropAnswers = false
 	}
 	w.cloud.noReturn = false
-	w.waitState("j-1", protocol.Done, 2*time.Minute)
+	w.waitState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
 // Late copies of reports arrive from seconds to well over a lease late: after
@@ -112,19 +112,19 @@
 		return 15 * time.Second
 	}
 	w.waitLeader()
-	var seen []*protocol.Report
-	w.copies = func(_ *worker, rep *protocol.Report) {
+	var seen []*protocol.WorkerHeartbeat
+	w.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
 		copied := *rep
-		copied.Tasks = append([]protocol.TaskReport(nil), rep.Tasks...)
+		copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
 		seen = append(seen, &copied)
 	}
 	j := spec("j-1", 16)
 	j.Team = "team" // its limit is 16 cores
 	w.machines(5)
 	w.submitAndStart(w.leader(), j, 16)
-	w.waitState("j-1", protocol.Done, time.Minute)
+	w.waitState("j-1", protocol.JobDone, time.Minute)
 	// All machines are returned, and their records dropped.
-	if !w.until(5*time.Minute, func() bool { return len(w.workers) == 0 && len(w.nodes[w.leader()].lead.machines) == 0 }) {
+	if !w.until(5*time.Minute, func() bool { return len(w.workers) == 0 && len(w.nodes[w.leader()].leader.machines) == 0 }) {
 		t.Fatalf("machines are kept: %d", len(w.workers))
 	}
 	old := seen
@@ -133,22 +133,22 @@
 		for i := range old {
 			rep := *old[i]
 			for _, name := range w.names {
-				w.ask(name, Request{Kind: protocol.RequestReport, Report: &rep}, func(Reply) {})
+				w.ask(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &rep}, func(Reply) {})
 			}
 		}
 		w.run(time.Second)
 	}
 	look := func(when string) {
 		t.Helper()
-		l := w.nodes[w.leader()].lead
-		if c := l.currentTotals(); c.slots != 0 || c.unknown.cores != 0 || !c.complete {
+		l := w.nodes[w.leader()].leader
+		if c := l.currentMachineTotals(); c.slots != 0 || c.unknownUsage.cores != 0 || !c.allReconciled {
 			t.Fatalf("%s: late copies count: %+v", when, c)
 		}
-		if u := l.usage["team"]; u.cores != 0 {
+		if u := l.teamUsage["team"]; u.cores != 0 {
 			t.Fatalf("%s: late copies use %v cores of a quota", when, u.cores)
 		}
 		for name, m := range l.machines {
-			if m.ready() {
+			if m.schedulable() {
 				t.Fatalf("%s: late copies make %s ready", when, name)
 			}
 		}
@@ -162,7 +162,7 @@
 	look("after a takeover")
 	// A job of the full quota starts as if nothing had come.
 	j = spec("j-2", 16)
-	j.EstimateS = 3600
+	j.EstimatedSeconds = 3600
 	j.Team = "team"
 	w.submit(w.leader(), j)
 	for i := range 30 {
@@ -184,14 +184,14 @@
 	w.runTime = func(string, int) time.Duration { return 4 * time.Second }
 	l := w.waitLeader()
 	count := 0
-	w.copies = func(x *worker, rep *protocol.Report) {
+	w.copies = func(x *worker, rep *protocol.WorkerHeartbeat) {
 		count++
 		copied := *rep
-		copied.Tasks = append([]protocol.TaskReport(nil), rep.Tasks...)
+		copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
 		for _, late := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second, 25 * time.Second} {
 			w.after(late, func() {
-				w.ask(l.name, Request{Kind: protocol.RequestReport, Report: &copied}, func(r Reply) {
-					if r.Status == 200 && (copied.Session < x.session || copied.Seq < x.seq-1) {
+				w.ask(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(r Reply) {
+					if r.Status == 200 && (copied.Epoch < x.session || copied.Sequence < x.seq-1) {
 						t.Errorf("a copy %v late is answered 200", late)
 					}
 				})
@@ -207,9 +207,9 @@
 	}
 	w.run(40 * time.Second)
 	for i := range 6 {
-		want := protocol.Done
+		want := protocol.JobDone
 		if i == 2 {
-			want = protocol.Withdrawn
+			want = protocol.JobCancelled
 		}
 		w.waitState(fmt.Sprintf("j-%d", i), want, time.Minute)
 	}
@@ -234,8 +234,8 @@
 	if !w.until(3*time.Second, func() bool { return w.onMachines("j-1") == 4 }) {
 		t.Fatalf("%d of 4 tasks run again", w.onMachines("j-1"))
 	}
-	w.waitState("j-1", protocol.Done, 30*time.Second)
-	if m := l.lead.machines["m-000001"]; m == nil || m.why == deaf {
+	w.waitState("j-1", protocol.JobDone, 30*time.Second)
+	if m := l.leader.machines["m-000001"]; m == nil || m.drainReason == commandsUndelivered {
 		t.Fatal("the machine is taken for deaf")
 	}
 }
@@ -268,14 +268,14 @@
 	w.cloud.down = true
 	cut(3, 0)
 	w.run(10 * time.Second)
-	if m := l.lead.machines["m-000001"]; m.why != silent {
-		t.Fatalf("a silent machine is not to be returned (%q)", m.why)
+	if m := l.leader.machines["m-000001"]; m.drainReason != heartbeatMissed {
+		t.Fatalf("a silent machine is not to be returned (%q)", m.drainReason)
 	}
-	l.lead.machines["m-000003"].sick = true
+	l.leader.machines["m-000003"].unhealthy = true
 	back()
 	w.run(4 * time.Second)
-	if m := l.lead.machines["m-000003"]; m.why != sick {
-		t.Errorf("a sick machine that was silent is kept (%q)", m.why)
+	if m := l.leader.machines["m-000003"]; m.drainReason != unhealthy {
+		t.Errorf("a sick machine that was silent is kept (%q)", m.drainReason)
 	}
 	w.cloud.down = false
 	w.run(10 * time.Second)
@@ -298,10 +298,10 @@
 				l := w.waitLeader()
 				w.machines(1)
 				j := spec("j-1", 4)
-				j.EstimateS = 80
+				j.EstimatedSeconds = 80
 				w.submitAndStart(l.name, j, 4)
-				kept := map[string]*protocol.Report{}
-				w.copies = func(x *worker, rep *protocol.Report) {
+				kept := map[string]*protocol.WorkerHeartbeat{}
+				w.copies = func(x *worker, rep *protocol.WorkerHeartbeat) {
 					if len(rep.Tasks) > 0 {
 						copied := *rep
 						kept[x.name] = &copied
@@ -328,7 +328,7 @@
 					for _, rep := range kept {
 						for _, name := range w.names {
 							again := *rep
-							w.ask(name, Request{Kind: protocol.RequestReport, Report: &again}, func(Reply) {})
+							w.ask(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
 						}
 					}
 				}
@@ -341,7 +341,7 @@
 					t.Errorf("%d of 4 tasks run, %d starts after %d", w.onMachines("j-1"), now, total)
 				}
 				w.cloud.noReturn = false
-				w.waitState("j-1", protocol.Done, 2*time.Minute)
+				w.waitState("j-1", protocol.JobDone, 2*time.Minute)
 			})
 		}
 	}
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -12,141 +12,143 @@
 
 // connectivity is what a node knows of the links between all controllers, and its record of
 // resignations caused by them.
-type linkState struct {
-	matrix     *reachability.Matrix
-	refusedLog map[string]bool // peers whose invalid reports were logged
-
-	resignations int     // consecutive ones, each within resignationMemoryLeases of the previous
-	resignedAt   Instant // last resignation
-	pauseUntil   Instant // this node starts no candidacy before
-	leaderless   Instant // since when the leader key is absent; never: it was present
+type connectivity struct {
+	matrix              *reachability.Matrix
+	invalidReportLogged map[string]bool // peers whose invalid reports were logged
+
+	consecutiveResignations int     // consecutive ones, each within resignationMemoryLeases of the previous
+	lastResignation         Instant // last resignation
+	candidacyPausedUntil    Instant // this node starts no candidacy before
+	leaderlessSince         Instant // since when the leader key is absent; never: it was present
 }
 
 // Time spans of these decisions, in worker leases.
 const (
 	// strandedResignLeases is how long a leader serves too few workers before it resigns for those
 	// stranded at another node. It limits these resignations to one per worker lease.
-	handOverAfter = 1.0
+	strandedResignLeases = 1.0
 	// relayAfterLeases is how long a leader that no worker reaches waits before it makes its
 	// peers relay for all workers that connect to them. Every directProbeIntervalLeases a few
 	// workers are redirected to the leader for directProbeLeases, to test the direct route.
-	relaysAfter      = 0.5
-	probeRelaysEvery = 4.0
-	probeRelaysFor   = 0.25
+	relayAfterLeases          = 0.5
+	directProbeIntervalLeases = 4.0
+	directProbeLeases         = 0.25
 	// After a resignation a node starts no candidacy for firstPauseLeases. The pause doubles
 	// with each further resignation up to maxPauseLeases, and is reset if the last one is more
 	// than resignationMemoryLeases ago.
-	firstPause   = 1.0
-	longestPause = 8.0
-	pauseMemory  = 32.0
+	firstPauseLeases        = 1.0
+	maxPauseLeases          = 8.0
+	resignationMemoryLeases = 32.0
 )
 
 // newConnectivity returns the state of a node that has heard of no link yet.
-func newLinkState(self string, peers map[string]*peer) linkState {
+func newConnectivity(self string, peers map[string]*peer) connectivity {
 	names := []string{self}
 	for name := range peers {
 		names = append(names, name)
 	}
-	return linkState{matrix: reachability.NewMatrix(names), refusedLog: map[string]bool{},
-		resignedAt: never, pauseUntil: never, leaderless: never}
+	return connectivity{matrix: reachability.NewMatrix(names), invalidReportLogged: map[string]bool{},
+		lastResignation: never, candidacyPausedUntil: never, leaderlessSince: never}
 }
 
 // workerLeases converts a number of worker leases to a duration.
-func (n *Node) leases(count float64) time.Duration { return time.Duration(count * float64(n.lease())) }
+func (n *Node) workerLeases(count float64) time.Duration {
+	return time.Duration(count * float64(n.workerLease()))
+}
 
 // connectivityReport returns what this node tells its peers about its links and workers.
-func (n *Node) linkReport() *protocol.LinkReport {
-	r := &protocol.LinkReport{State: !n.elect.stateDown()}
-	for _, k := range n.cfg.Known {
-		if age := n.now - n.peers[k.Node].heard; age < n.lease() {
-			r.Hears = append(r.Hears, reachability.Heard{Node: k.Node, AgeMS: age.Milliseconds()})
+func (n *Node) connectivityReport() *protocol.LinkReport {
+	report := &protocol.LinkReport{StoreReachable: !n.election.storeFailing()}
+	for _, k := range n.cfg.Peers {
+		if age := n.now - n.peers[k.Node].lastContact; age < n.workerLease() {
+			report.IncomingLinks = append(report.IncomingLinks, reachability.IncomingLink{Node: k.Node, AgeMS: age.Milliseconds()})
 		}
 	}
-	for _, route := range n.routes {
-		if n.now-route.came < n.searchSpan() {
-			r.Workers++
+	for _, route := range n.workerRoutes {
+		if n.now-route.lastArrival < n.nodeSearchDuration() {
+			report.RecentWorkers++
 		}
-		if n.now-route.stranded < n.searchSpan() {
-			r.Stranded++
+		if n.now-route.strandedAt < n.nodeSearchDuration() {
+			report.StrandedWorkers++
 		}
 	}
-	if worst := n.links.matrix.WorstElsewhere(n.cfg.Node, n.now, n.termSpan()); worst.Stranded > 0 {
-		r.Worst = &worst
+	if worst := n.connectivity.matrix.MostStrandedElsewhere(n.cfg.Node, n.now, n.leaderLease()); worst.Workers > 0 {
+		report.MostStranded = &worst
 	}
-	return r
+	return report
 }
 
 // onConnectivityReport records a peer's connectivity report. An invalid report is ignored and
 // logged once per peer.
-func (n *Node) onLinkReport(p *peer, r *protocol.LinkReport) {
-	if r == nil {
+func (n *Node) onConnectivityReport(sender *peer, report *protocol.LinkReport) {
+	if report == nil {
 		return // an earlier version, which sends no report
 	}
-	err := n.links.matrix.Observe(p.name, n.now, r.Report())
-	if err != nil && !n.links.refusedLog[p.name] {
-		n.links.refusedLog[p.name] = true
-		n.log.Warn("invalid connectivity report from peer", "peer", p.name, "error", err)
+	err := n.connectivity.matrix.RecordReport(sender.name, n.now, report.ReachabilityReport())
+	if err != nil && !n.connectivity.invalidReportLogged[sender.name] {
+		n.connectivity.invalidReportLogged[sender.name] = true
+		n.log.Warn("invalid connectivity report from peer", "peer", sender.name, "error", err)
 	}
 }
 
 // twoWayPeerCount returns the number of peers with which messages pass in both directions.
-func (n *Node) twoWayPeers() int {
-	return n.links.matrix.TwoWay(n.cfg.Node, n.now, n.termSpan(), func(node string) bool {
+func (n *Node) twoWayPeerCount() int {
+	return n.connectivity.matrix.CountBidirectional(n.cfg.Node, n.now, n.leaderLease(), func(node string) bool {
 		p := n.peers[node]
-		return p != nil && n.now-p.heard < n.termSpan()
+		return p != nil && n.now-p.lastContact < n.leaderLease()
 	})
 }
 
 // arrivedBySameRoute reports whether a worker's heartbeat arrived by the same route as the one
 // before it. If so, the response to the previous one has reached the worker: without a response
 // the worker would have turned to another node. With a single node nothing can be concluded.
-func (l *leadership) stayed(m *machine, rep *protocol.Report, via string) bool {
-	return len(l.n.peers) > 0 && m.heard != never && m.via == via &&
-		rep.Session == m.session && rep.Seq == m.seq+1
+func (l *leader) arrivedBySameRoute(m *machine, heartbeat *protocol.WorkerHeartbeat, via string) bool {
+	return len(l.node.peers) > 0 && m.lastHeartbeat != never && m.relayPeer == via &&
+		heartbeat.Epoch == m.epoch && heartbeat.Sequence == m.heartbeatSeq+1
 }
 
 // recordDelivery records that a response has reached a machine's worker, through the peer via if
 // that is set.
-func (l *leadership) served(m *machine, via string) {
-	l.servedAt, m.servedAt = l.n.now, l.n.now
+func (l *leader) recordDelivery(m *machine, via string) {
+	l.lastDelivery, m.lastDelivery = l.node.now, l.node.now
 	if via == "" {
-		l.servedDirectAt = l.n.now
+		l.lastDirectDelivery = l.node.now
 	}
 }
 
 // needsRelays reports whether peers should relay for all workers that connect to them. This is
 // the case if workers connect to other nodes while no response is delivered directly: the
 // workers can't reach this node, and a redirect would cost each of them seconds of its lease.
-func (l *leadership) wantsRelays() bool {
-	return l.alone() > l.n.leases(relaysAfter)
+func (l *leader) needsRelays() bool {
+	return l.timeWithoutDirectDelivery() > l.node.workerLeases(relayAfterLeases)
 }
 
 // probesDirectRoute reports whether a few workers should be redirected to this node now although
 // relays are needed. There is no other way to detect that they can reach it again.
-func (l *leadership) probesRelays() bool {
-	return l.alone()%l.n.leases(probeRelaysEvery) <
-		l.n.leases(probeRelaysFor)
+func (l *leader) probesDirectRoute() bool {
+	return l.timeWithoutDirectDelivery()%l.node.workerLeases(directProbeIntervalLeases) <
+		l.node.workerLeases(directProbeLeases)
 }
 
 // timeWithoutDirectDelivery returns how long workers have connected to other nodes while no
 // response was delivered directly.
-func (l *leadership) alone() time.Duration {
-	n := l.n
-	if !n.set.LinkDecisions || !l.workersElsewhere() {
-		l.elsewhereSince = never
+func (l *leader) timeWithoutDirectDelivery() time.Duration {
+	node := l.node
+	if !node.settings.LinkDecisions || !l.workersReachPeers() {
+		l.workersElsewhereSince = never
 		return 0
 	}
-	if l.elsewhereSince == never {
-		l.elsewhereSince = n.now
+	if l.workersElsewhereSince == never {
+		l.workersElsewhereSince = node.now
 	}
-	return n.now - max(l.elsewhereSince, l.servedDirectAt)
+	return node.now - max(l.workersElsewhereSince, l.lastDirectDelivery)
 }
 
 // workersReachPeers reports whether some peer reports workers that connect to it.
-func (l *leadership) workersElsewhere() bool {
-	for name := range l.n.peers {
-		if said, ok := l.n.links.matrix.Latest(name, l.n.now, l.n.termSpan()); ok &&
-			said.Workers > 0 {
+func (l *leader) workersReachPeers() bool {
+	for name := range l.node.peers {
+		if report, ok := l.node.connectivity.matrix.LatestReport(name, l.node.now, l.node.leaderLease()); ok &&
+			report.RecentWorkers > 0 {
 			return true
 		}
 	}
@@ -156,32 +158,32 @@
 // resignIfWorkersStranded makes a leader resign if another node would serve more workers. That is
 // the case if workers are stranded at another node and either this leader has served none for one
 // worker lease, or the stranded ones have clearly outnumbered those served here for as long.
-func (n *Node) handOver() {
-	l := n.lead
-	to := n.links.matrix.Successor(n.cfg.Node, n.now, n.termSpan())
-	if !n.set.LinkDecisions || to.Stranded == 0 {
-		l.servesMostAt = n.now
+func (n *Node) resignIfWorkersStranded() {
+	current := n.leader
+	successor := n.connectivity.matrix.Successor(n.cfg.Node, n.now, n.leaderLease())
+	if !n.settings.LinkDecisions || successor.Workers == 0 {
+		current.lastServedMajority = n.now
 		return // the common case: don't iterate over all machines
 	}
-	if to.Stranded <= clearlyMore*l.servedWorkers() {
-		l.servesMostAt = n.now
+	if successor.Workers <= strandedMajorityFactor*current.recentlyServedWorkers() {
+		current.lastServedMajority = n.now
 	}
-	patience := n.leases(handOverAfter)
-	if n.now-l.servedAt >= patience || n.now-l.servesMostAt >= patience {
-		n.resign("workers stranded at " + to.Node)
+	patience := n.workerLeases(strandedResignLeases)
+	if n.now-current.lastDelivery >= patience || n.now-current.lastServedMajority >= patience {
+		n.resign("workers stranded at " + successor.Node)
 	}
 }
 
 // strandedMajorityFactor is the ratio of workers stranded elsewhere to those served here above
 // which the stranded ones clearly outnumber the others.
-const clearlyMore = 2
+const strandedMajorityFactor = 2
 
 // recentlyServedWorkers returns the number of machines whose worker received a response within
 // the last worker lease.
-func (l *leadership) servedWorkers() int {
+func (l *leader) recentlyServedWorkers() int {
 	count := 0
 	for _, m := range l.machines {
-		if m.up && l.n.now-m.servedAt < l.n.lease() {
+		if m.up && l.node.now-m.lastDelivery < l.node.workerLease() {
 			count++
 		}
 	}
@@ -189,23 +191,23 @@
 }
 
 // resign steps down and pauses this node's candidacies, longer with each resignation.
-func (n *Node) resign(why string) {
-	k := &n.links
-	if n.now-k.resignedAt > n.leases(pauseMemory) {
-		k.resignations = 0
+func (n *Node) resign(reason string) {
+	links := &n.connectivity
+	if n.now-links.lastResignation > n.workerLeases(resignationMemoryLeases) {
+		links.consecutiveResignations = 0
 	}
-	k.resignedAt = n.now
-	pause := min(n.leases(longestPause),
-		n.leases(firstPause)<<min(k.resignations, 8))
-	k.resignations++
-	k.pauseUntil, k.leaderless = n.now+pause, never
-	n.stepDown(why)
+	links.lastResignation = n.now
+	pause := min(n.workerLeases(maxPauseLeases),
+		n.workerLeases(firstPauseLeases)<<min(links.consecutiveResignations, 8))
+	links.consecutiveResignations++
+	links.candidacyPausedUntil, links.leaderlessSince = n.now+pause, never
+	n.stepDown(reason)
 }
 
 // candidacyPaused reports whether this node must not become a candidate after a resignation. The
 // pause ends early if there has been no leader for one worker lease.
-func (n *Node) pausing() bool {
-	k := &n.links
-	return n.now < k.pauseUntil &&
-		(k.leaderless == never || n.now-k.leaderless < n.lease())
+func (n *Node) candidacyPaused() bool {
+	links := &n.connectivity
+	return n.now < links.candidacyPausedUntil &&
+		(links.leaderlessSince == never || n.now-links.leaderlessSince < n.workerLease())
 }
--- a/internal/coordination/load_test.go
+++ b/internal/coordination/load_test.go
@@ -41,32 +41,32 @@
 func TestReportCostsTheSameAtAnySize(t *testing.T) {
 	cost := func(machines, tasks int) int {
 		w, n := busyLeader(t, machines, tasks)
-		l, now := n.lead, w.now-n.boot
-		l.startWithin = 10 * time.Second
-		for i, r := range l.order {
-			r.j.from, r.j.spec.Image, r.j.spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
-			if i < len(l.order)/2 {
-				r.j.spec.RAM = 15 // no room on any machine, but each is asked
+		l, now := n.leader, w.now-n.boot
+		l.guaranteedStartWithin = 10 * time.Second
+		for i, r := range l.pendingOrder {
+			r.job.eligibleAt, r.job.spec.Image, r.job.spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
+			if i < len(l.pendingOrder)/2 {
+				r.job.spec.MemoryGB = 15 // no room on any machine, but each is asked
 			}
-			l.aims[r.j.spec.Class] = []aim{{within: 10 * time.Second, start: true}}
+			l.slos[r.job.spec.Class] = []slo{{limit: 10 * time.Second, onStart: true}}
 		}
-		at := l.looked
-		for i, m := range l.held()[:21] {
+		at := l.candidatesExamined
+		for i, m := range l.machinesByName()[:21] {
 			rep := w.workers[m.name].report()
 			if i%2 == 0 { // a task has ended
-				rep.Tasks[0].State, rep.Tasks[0].Why = protocol.TaskExited, protocol.WhyDone
+				rep.Tasks[0].State, rep.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
 			}
-			rep.Seq = m.seq + 1
-			n.elect.authUntil = now + time.Hour
-			l.onReport(Request{Origin: Origin{Ticket: uint64(i)}, Kind: protocol.RequestReport, Report: rep})
-			if m.seq != rep.Seq {
+			rep.Sequence = m.heartbeatSeq + 1
+			n.election.leaseValidUntil = now + time.Hour
+			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
+			if m.heartbeatSeq != rep.Sequence {
 				t.Fatal("a report was not taken")
 			}
 			if i == 0 {
-				at = l.looked // the first one after a pass looks for the images
+				at = l.candidatesExamined // the first one after a pass looks for the images
 			}
 		}
-		return l.looked - at
+		return l.candidatesExamined - at
 	}
 	small, large := cost(24, 20), cost(96, 80)
 	if small == 0 || large > small*5/4 {
@@ -78,16 +78,16 @@
 // work, so it must not grow with machines x tasks.
 func BenchmarkReport(b *testing.B) {
 	w, l := busy(b)
-	m := l.lead.machines["m-000001"]
+	m := l.leader.machines["m-000001"]
 	rep := w.workers["m-000001"].report()
 	now := w.now - l.boot
 	for i := 0; b.Loop(); i++ {
 		// The clock stands still but for the leader's heartbeat and lease.
-		rep.Seq = m.seq + 1
-		l.elect.authUntil = now + time.Hour
-		l.Step(now, []any{Request{Origin: Origin{Ticket: uint64(i)}, Kind: protocol.RequestReport, Report: rep}})
+		rep.Sequence = m.heartbeatSeq + 1
+		l.election.leaseValidUntil = now + time.Hour
+		l.Step(now, []any{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 	}
-	if m.seq != rep.Seq {
+	if m.heartbeatSeq != rep.Sequence {
 		b.Fatal("the reports were not taken")
 	}
 }
@@ -97,14 +97,14 @@
 func BenchmarkPass(b *testing.B) {
 	_, l := busy(b)
 	for b.Loop() {
-		for i, m := range l.lead.held() {
+		for i, m := range l.leader.machinesByName() {
 			if i%10 == 0 {
-				for _, r := range m.list {
-					l.lead.release(r)
+				for _, r := range m.attemptsInOrder {
+					l.leader.releaseAttempt(r)
 				}
 			}
 		}
-		l.lead.schedule()
+		l.leader.schedule()
 	}
 }
 
@@ -112,6 +112,6 @@
 func BenchmarkPlan(b *testing.B) {
 	_, l := busy(b)
 	for b.Loop() {
-		l.lead.fleet.plan()
+		l.leader.autoscaler.applyPlan()
 	}
 }
