--- a/internal/coordination/loading.go
+++ b/internal/coordination/loading.go
@@ -15,152 +15,152 @@
 // Loading of the stored records by a new leader.
 
 // loadState tracks what is being read from the key-value store.
-type readingState struct {
-	loaded       bool                      // all records have been loaded
-	needs        map[string][]storage.Item // dependency records read before their jobs, by job id
-	reading      map[string]bool           // jobs whose dependency records are being read
-	needsReads   map[string]int            // reads of a job's dependency records
-	unreadBits   map[string][]storage.Item // bitmap parts of jobs that are not loaded yet
-	lookups      map[string]Instant        // dependencies that are not open here: when to read their outcome
-	lookupBudget bucket                    // limits reads of dependencies and of quarantined records
-	earlyReports []Request                 // workers' heartbeats received while loading
-	quarantine   quarantine
+type loadState struct {
+	recordsLoaded       bool                      // all records have been loaded
+	dependencyRecords   map[string][]storage.Item // dependency records read before their jobs, by job id
+	loadingDependencies map[string]bool           // jobs whose dependency records are being read
+	dependencyReadCount map[string]int            // reads of a job's dependency records
+	deferredBitmaps     map[string][]storage.Item // bitmap parts of jobs that are not loaded yet
+	dependencyLookups   map[string]Instant        // dependencies that are not open here: when to read their outcome
+	lookupBudget        tokenBucket               // limits reads of dependencies and of quarantined records
+	earlyHeartbeats     []Request                 // workers' heartbeats received while loading
+	quarantine          quarantine
 
 	watchRevision uint64
-	watching      bool // a watch is in flight or scheduled
+	watchActive   bool // a watch is in flight or scheduled
 	watchFailures int  // consecutive watches that failed or returned nothing new
 }
 
 // newLoadState returns the state at the start of a term, with nothing loaded.
-func newReadingState(n *Node) readingState {
-	reads := n.cfg.Cluster.State.RPS * lookupShare
-	return readingState{
-		needs: map[string][]storage.Item{}, reading: map[string]bool{},
-		needsReads: map[string]int{},
-		unreadBits: map[string][]storage.Item{}, lookups: map[string]Instant{},
-		lookupBudget: newBucket(reads, reads), quarantine: newQuarantine(),
+func newLoadState(node *Node) loadState {
+	readRate := node.cfg.Cluster.Store.RequestsPerS * dependencyLookupShare
+	return loadState{
+		dependencyRecords: map[string][]storage.Item{}, loadingDependencies: map[string]bool{},
+		dependencyReadCount: map[string]int{},
+		deferredBitmaps:     map[string][]storage.Item{}, dependencyLookups: map[string]Instant{},
+		lookupBudget: newTokenBucket(readRate, readRate), quarantine: newQuarantine(),
 	}
 }
 
 // loadRecords reads all records. Scheduling starts only after all of them are loaded.
-func (l *leadership) load() {
+func (l *leader) loadRecords() {
 	steps := []struct {
 		prefix string
 		take   func([]storage.Item)
 	}{
-		{storage.VersionPrefix, l.n.takeVersions},
-		{storage.NeedsPrefix, l.loadNeeds}, // before the jobs: later ones are read with their job
+		{storage.VersionPrefix, l.node.applyProtocolLevels},
+		{storage.DependenciesPrefix, l.loadDependencies}, // before the jobs: later ones are read with their job
 		{storage.JobPrefix, l.loadJobs},
-		{storage.BitsPrefix, l.loadBits},
-		{storage.GroupPrefix, l.loadGroups},
-		{storage.MachinePrefix, l.loadMachines},
-		{storage.RentPrefix, l.loadRentals},
-		{storage.FlowKey, l.fleet.loadForecast},
-		{storage.CatalogKey, l.knowAll},
-		{storage.PolicyKey, l.admission.load},
+		{storage.BitmapPrefix, l.loadBitmaps},
+		{storage.MachineGroupPrefix, l.loadMachineGroups},
+		{storage.SingleMachinePrefix, l.loadSingleMachines},
+		{storage.RentalPrefix, l.loadRentals},
+		{storage.ArrivalForecastKey, l.autoscaler.loadForecast},
+		{storage.CatalogKey, l.noteVersions},
+		{storage.AdmissionPolicyKey, l.admission.loadStoredPolicy},
 	}
 	var next func(int)
 	next = func(i int) {
 		if i == len(steps) {
-			l.ready()
+			l.finishLoading()
 			return
 		}
-		l.readAll(steps[i].prefix, "", steps[i].take, func() { next(i + 1) })
+		l.readPages(steps[i].prefix, "", steps[i].take, func() { next(i + 1) })
 	}
 	next(0)
 }
 
 // maxPageItems limits one page of a listing, to bound memory use.
-const pageItems = 200
+const maxPageItems = 200
 
 // readPages reads all records with a prefix whose keys are after a key, page by page. It passes
 // each page to apply and then calls onDone. A failed read is retried until this leader's term ends.
-func (l *leadership) readAll(prefix, since string, take func([]storage.Item), then func()) {
-	n := l.n
-	n.stateCall("GET", storage.ListPath(prefix, since, pageItems), nil, func(r Result) {
-		if n.lead != l {
+func (l *leader) readPages(prefix, afterKey string, apply func([]storage.Item), onDone func()) {
+	node := l.node
+	node.storeCall("GET", storage.ListPath(prefix, afterKey, maxPageItems), nil, func(result CallResult) {
+		if node.leader != l {
 			return
 		}
-		var page storage.Page
-		if r.Status != 200 || json.Unmarshal(r.Body, &page) != nil {
-			l.later(func() { l.readAll(prefix, since, take, then) })
+		var page storage.ListResponse
+		if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
+			l.scheduleRetry(func() { l.readPages(prefix, afterKey, apply, onDone) })
 			return
 		}
-		if prefix == storage.JobPrefix && since == "" {
+		if prefix == storage.JobPrefix && afterKey == "" {
 			l.watchRevision = page.Revision
 		}
-		take(page.Items)
+		apply(page.Items)
 		if page.Truncated && len(page.Items) > 0 {
-			l.readAll(prefix, page.Items[len(page.Items)-1].Key, take, then)
+			l.readPages(prefix, page.Items[len(page.Items)-1].Key, apply, onDone)
 			return
 		}
-		then()
+		onDone()
 	})
 }
 
 // loadJobs adds the jobs of a page of records to the open jobs.
-func (l *leadership) loadJobs(items []storage.Item) {
-	for _, it := range items {
-		id := strings.TrimPrefix(it.Key, storage.JobPrefix)
-		if l.quarantine.jobs[id] {
+func (l *leader) loadJobs(items []storage.Item) {
+	for _, item := range items {
+		id := strings.TrimPrefix(item.Key, storage.JobPrefix)
+		if l.quarantine.unreadableJobs[id] {
 			// The quarantined record was repaired, or is read again. The revision of a repaired
 			// one would imply that no earlier leader has started the job, so only the next leader
 			// loads it.
-			l.quarantine.checkAt = l.n.now
+			l.quarantine.nextCheck = l.node.now
 			continue
 		}
-		rec, err := storage.ReadJob(it)
+		record, err := storage.ReadJob(item)
 		if err != nil {
-			l.holdUnreadJob(id, it, err)
+			l.quarantineUnreadableJob(id, item, err)
 			continue
 		}
-		if !rec.TakeNeeds(l.needs[id]) {
-			l.readNeeds(it, rec.More)
+		if !record.RestoreDependencies(l.dependencyRecords[id]) {
+			l.readDependencies(item, record.DependencyRecords)
 			continue
 		}
-		delete(l.needs, id)
-		if _, over := l.n.finals.byID[id]; over && !l.loaded {
-			l.setAside(it, errOpenAndOver)
+		delete(l.dependencyRecords, id)
+		if _, over := l.node.terminalJobs.byID[id]; over && !l.recordsLoaded {
+			l.quarantineRecord(item, errOpenAndTerminal)
 			continue
 		}
-		if l.addJob(rec, it.Version) != nil {
-			bits := l.unreadBits[id]
-			delete(l.unreadBits, id)
-			l.loadBits(bits)
+		if l.addJob(record, item.ModRevision) != nil {
+			bits := l.deferredBitmaps[id]
+			delete(l.deferredBitmaps, id)
+			l.loadBitmaps(bits)
 		}
 	}
 }
 
 // loadDependencies keeps the records of dependencies that do not fit into the records of their
 // jobs, until those jobs are loaded.
-func (l *leadership) loadNeeds(items []storage.Item) {
-	l.knowAll(items)
-	for _, it := range items {
-		id := storage.NeedsOf(it.Key)
-		if _, err := storage.ReadNeeds(it); err != nil {
-			l.holdUnreadJob(id, it, err)
+func (l *leader) loadDependencies(items []storage.Item) {
+	l.noteVersions(items)
+	for _, item := range items {
+		id := storage.JobIDOfDependenciesKey(item.Key)
+		if _, err := storage.ReadDependencies(item); err != nil {
+			l.quarantineUnreadableJob(id, item, err)
 		}
-		l.needs[id] = append(l.needs[id], it)
+		l.dependencyRecords[id] = append(l.dependencyRecords[id], item)
 	}
 }
 
 // readDependencies reads the dependency records of one job that was accepted since, and loads the
 // job after that. A job loaded without its dependencies would start at once.
-func (l *leadership) readNeeds(job storage.Item, records int) {
+func (l *leader) readDependencies(job storage.Item, records int) {
 	id := strings.TrimPrefix(job.Key, storage.JobPrefix)
-	if l.jobs[id] != nil || l.reading[id] || l.quarantine.jobs[id] {
+	if l.jobs[id] != nil || l.loadingDependencies[id] || l.quarantine.unreadableJobs[id] {
 		return
 	}
-	if l.needsReads[id]++; l.needsReads[id] > maxNeedsReads {
-		l.holdUnreadJob(id, job, errNeedsMissing)
+	if l.dependencyReadCount[id]++; l.dependencyReadCount[id] > maxDependencyReads {
+		l.quarantineUnreadableJob(id, job, errDependenciesMissing)
 		return
 	}
-	l.reading[id] = true
-	delete(l.needs, id)
-	l.readAll(storage.NeedsPrefix+id+"/", "", l.loadNeeds, func() {
-		delete(l.reading, id)
-		if len(l.needs[id]) != records {
-			l.later(func() { l.readNeeds(job, records) })
+	l.loadingDependencies[id] = true
+	delete(l.dependencyRecords, id)
+	l.readPages(storage.DependenciesPrefix+id+"/", "", l.loadDependencies, func() {
+		delete(l.loadingDependencies, id)
+		if len(l.dependencyRecords[id]) != records {
+			l.scheduleRetry(func() { l.readDependencies(job, records) })
 			return
 		}
 		l.loadJobs([]storage.Item{job})
@@ -169,102 +169,102 @@
 
 // maxDependencyReads limits the reads of a job's dependency records. They are written in one
 // transaction with the job, so all of them exist unless a page was read before that.
-const maxNeedsReads = 3
+const maxDependencyReads = 3
 
-var errNeedsMissing = errors.New("names more records of the jobs that it needs than there are")
+var errDependenciesMissing = errors.New("names more records of the jobs that it needs than there are")
 
 // dropStaleDependencies deletes the dependency records of jobs that are no longer open.
-func (l *leadership) dropNeeds() {
-	for _, id := range slices.Sorted(maps.Keys(l.needs)) {
-		for _, it := range l.needs[id] {
-			if l.jobs[id] == nil && !l.reading[id] && !l.quarantine.jobs[id] {
-				l.dropKnown(it.Key)
+func (l *leader) dropStaleDependencies() {
+	for _, id := range slices.Sorted(maps.Keys(l.dependencyRecords)) {
+		for _, item := range l.dependencyRecords[id] {
+			if l.jobs[id] == nil && !l.loadingDependencies[id] && !l.quarantine.unreadableJobs[id] {
+				l.dropStoredKey(item.Key)
 			}
 		}
-		delete(l.needs, id)
+		delete(l.dependencyRecords, id)
 	}
 }
 
 // loadBitmaps marks the tasks done that the bitmap parts list. Parts of jobs that are not loaded
 // yet are kept until they are; parts of unknown jobs and of other layouts are deleted.
-func (l *leadership) loadBits(items []storage.Item) {
-	for _, it := range items {
-		l.writer.Know(it.Key, it.Version)
-		id, from, ok := storage.ParseBitsKey(it.Key, l.widePart)
+func (l *leader) loadBitmaps(items []storage.Item) {
+	for _, item := range items {
+		l.writer.SetModRevision(item.Key, item.ModRevision)
+		id, firstTask, ok := storage.ParseBitmapKey(item.Key, l.legacyBitmapPartTasks)
 		if !ok {
 			continue // unknown key format, perhaps of a newer version
 		}
-		if l.reading[id] || l.quarantine.jobs[id] {
-			l.unreadBits[id] = append(l.unreadBits[id], it)
+		if l.loadingDependencies[id] || l.quarantine.unreadableJobs[id] {
+			l.deferredBitmaps[id] = append(l.deferredBitmaps[id], item)
 			continue
 		}
 		j := l.jobs[id]
 		if j == nil {
-			l.dropKnown(it.Key)
+			l.dropStoredKey(item.Key)
 			continue
 		}
-		bits, err := storage.ReadBits(it)
+		bits, err := storage.ReadBitmap(item)
 		if err != nil {
-			l.holdJob(j, it, err)
+			l.quarantineJob(j, item, err)
 			continue
 		}
-		if from >= j.spec.Tasks {
-			l.dropKnown(it.Key)
+		if firstTask >= j.spec.TaskCount {
+			l.dropStoredKey(item.Key)
 			continue
 		}
-		at := slices.IndexFunc(j.parts, func(p *partState) bool { return p.key == it.Key })
-		if at >= 0 {
-			j.parts[at].stored = bits
+		partIndex := slices.IndexFunc(j.bitmapParts, func(p *bitmapPart) bool { return p.key == item.Key })
+		if partIndex >= 0 {
+			j.bitmapParts[partIndex].storedBits = bits
 		}
 		for i := range bits {
-			for b := 0; b < 8; b++ {
-				index := from + i*8 + b
-				if bits[i]&(1<<b) != 0 && index < j.spec.Tasks {
-					l.setDone(j, index)
+			for bit := 0; bit < 8; bit++ {
+				index := firstTask + i*8 + bit
+				if bits[i]&(1<<bit) != 0 && index < j.spec.TaskCount {
+					l.markTaskDone(j, index)
 				}
 			}
 		}
-		if at < 0 {
-			l.dropKnown(it.Key) // other layout; its bits are written to the new parts first
+		if partIndex < 0 {
+			l.dropStoredKey(item.Key) // other layout; its bits are written to the new parts first
 		}
 	}
 }
 
 // noteVersions records the versions of records whose content is read elsewhere.
-func (l *leadership) knowAll(items []storage.Item) {
-	for _, it := range items {
-		l.writer.Know(it.Key, it.Version)
+func (l *leader) noteVersions(items []storage.Item) {
+	for _, item := range items {
+		l.writer.SetModRevision(item.Key, item.ModRevision)
 	}
 }
 
 // loadMachineGroups adds the machines of a page of group records.
-func (l *leadership) loadGroups(items []storage.Item) {
-	for _, it := range items {
-		rec, unreadable, err := storage.ReadGroup(it)
+func (l *leader) loadMachineGroups(items []storage.Item) {
+	for _, item := range items {
+		record, unreadable, err := storage.ReadMachineGroup(item)
 		if err != nil {
-			l.holdGroup(it, err)
+			l.quarantineMachineGroup(item, err)
 			continue
 		}
 		if len(unreadable) > 0 {
-			l.loadDamagedGroup(it, rec, unreadable)
+			l.loadDamagedMachineGroup(item, record, unreadable)
 			continue
 		}
-		l.writer.Know(it.Key, it.Version)
-		g := l.newGroup(it.Key)
-		for name, r := range rec {
+		l.writer.SetModRevision(item.Key, item.ModRevision)
+		group := l.newMachineGroup(item.Key)
+		for name, entry := range record {
 			m := l.machines[name]
 			if m == nil {
-				m = l.loadMachine(name, r)
+				m = l.addStoredMachine(name, entry)
 			} else if m.group != nil {
 				// An earlier leader stopped while moving it between groups.
 				l.removeFromGroup(m.group, m)
-				l.storeGroup(m.group, false)
+				l.storeMachineGroup(m.group, false)
 			}
-			m.used = m.used || r.Used
-			m.wantsUse, m.accounted = m.used, !m.used
-			l.addToGroup(g, m)
-			if !r.Used && m.used {
-				l.storeGroup(g, true) // before the other group's record, which has the mark, is deleted
+			m.useDurable = m.useDurable || entry.Used
+			m.markedUsed, m.reconciled = m.useDurable, !m.useDurable
+			l.addToGroup(group, m)
+			if !entry.Used && m.useDurable {
+				l.storeMachineGroup(group, true) // before the other group's record, which has the mark, is deleted
 			}
 		}
 	}
@@ -273,68 +273,68 @@
 // loadDamagedMachineGroup loads the machines of a group with unreadable entries. The group's
 // record is quarantined and its machines are stored in other groups. Of a machine with an
 // unreadable entry only the name is known, so it is treated as if it may be running any task.
-func (l *leadership) loadDamagedGroup(it storage.Item, rec storage.GroupRecord, unreadable []string) {
+func (l *leader) loadDamagedMachineGroup(item storage.Item, record storage.MachineGroupRecord, unreadable []string) {
 	slices.Sort(unreadable)
-	l.setAside(it, fmt.Errorf("the entries of these machines can't be read: %s",
+	l.quarantineRecord(item, fmt.Errorf("the entries of these machines can't be read: %s",
 		strings.Join(unreadable, ", ")))
 	for _, name := range unreadable {
-		rec[name] = storage.MachineRecord{Used: true, AtMS: l.n.wallMS()}
+		record[name] = storage.MachineRecord{Used: true, RentedAtMillis: l.node.nowUnixMilli()}
 	}
-	for _, name := range slices.Sorted(maps.Keys(rec)) {
+	for _, name := range slices.Sorted(maps.Keys(record)) {
 		m := l.machines[name]
 		if m == nil {
-			m = l.loadMachine(name, rec[name])
+			m = l.addStoredMachine(name, record[name])
 		}
-		m.used = m.used || rec[name].Used
-		m.accounted = m.accounted && !rec[name].Used
-		if m.typ != "" {
-			l.record(m, m.used)
+		m.useDurable = m.useDurable || record[name].Used
+		m.reconciled = m.reconciled && !record[name].Used
+		if m.typeName != "" {
+			l.recordMachine(m, m.useDurable)
 		}
 	}
 }
 
 // loadSingleMachines adds the machines of single-machine records, as written by earlier versions,
 // and moves them into groups.
-func (l *leadership) loadMachines(items []storage.Item) {
-	for _, it := range items {
-		var rec storage.MachineRecord
-		name := strings.TrimPrefix(it.Key, storage.MachinePrefix)
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
-			l.setAside(it, err)
+func (l *leader) loadSingleMachines(items []storage.Item) {
+	for _, item := range items {
+		var record storage.MachineRecord
+		name := strings.TrimPrefix(item.Key, storage.SingleMachinePrefix)
+		if err := json.Unmarshal(item.Value, &record); err != nil {
+			l.quarantineRecord(item, err)
 			if l.machines[name] == nil {
-				l.loadMachine(name, storage.MachineRecord{Used: true, AtMS: l.n.wallMS()})
+				l.addStoredMachine(name, storage.MachineRecord{Used: true, RentedAtMillis: l.node.nowUnixMilli()})
 			}
 			continue
 		}
-		l.writer.Know(it.Key, it.Version)
+		l.writer.SetModRevision(item.Key, item.ModRevision)
 		m := l.machines[name]
 		if m == nil {
-			m = l.loadMachine(name, rec)
+			m = l.addStoredMachine(name, record)
 		}
-		m.accounted = m.accounted && !rec.Used
-		l.record(m, rec.Used)
-		l.dropKnown(it.Key)
+		m.reconciled = m.reconciled && !record.Used
+		l.recordMachine(m, record.Used)
+		l.dropStoredKey(item.Key)
 	}
 }
 
 // addStoredMachine adds a machine from its stored record. A machine that was used by an earlier
 // leader is not reconciled yet.
-func (l *leadership) loadMachine(name string, rec storage.MachineRecord) *machine {
-	m := l.newMachine(name, rec.Type, rec.Zone, rec.Spot)
-	m.accounted = !rec.Used
-	m.rentedAt = min(l.n.instantOf(rec.AtMS), l.n.now)
+func (l *leader) addStoredMachine(name string, record storage.MachineRecord) *machine {
+	m := l.newMachine(name, record.Type, record.Zone, record.Spot)
+	m.reconciled = !record.Used
+	m.rentedAt = min(l.node.instantFromUnixMilli(record.RentedAtMillis), l.node.now)
 	return m
 }
 
 // loadRentals adds the rentals that an earlier leader had stored but not completed.
-func (l *leadership) loadRentals(items []storage.Item) {
-	for _, it := range items {
-		rental, err := storage.ReadRental(it)
+func (l *leader) loadRentals(items []storage.Item) {
+	for _, item := range items {
+		rental, err := storage.ReadRental(item)
 		if err != nil {
-			l.setAside(it, err)
+			l.quarantineRecord(item, err)
 			continue
 		}
-		l.writer.Know(it.Key, it.Version)
-		l.fleet.rentals = append(l.fleet.rentals, &renting{Rental: rental, durable: true})
+		l.writer.SetModRevision(item.Key, item.ModRevision)
+		l.autoscaler.pendingRentals = append(l.autoscaler.pendingRentals, &pendingRental{RentalRequest: rental, finishDurable: true})
 	}
 }
--- a/internal/coordination/mixed_faults_test.go
+++ b/internal/coordination/mixed_faults_test.go
@@ -32,8 +32,8 @@
 	c := &mixedFaults{userSimulation: newUserSimulation(newSimulationOf(t, 3+4*int(seed%3/2), deployments[seed/6%uint64(len(deployments))]), seed)}
 	if seed%5 == 2 {
 		// One team has a guarantee, for which others give room back.
-		c.cfg.Teams[0].CPUs = 8
-		c.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, Share: 0.9}}
+		c.cfg.Teams[0].GuaranteedCPUs = 8
+		c.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
 		c.cloud.capacity = 6
 		for _, name := range c.names {
 			c.start(name)
@@ -64,15 +64,17 @@
 		c.holdBack()
 	}
 	kept := c.copies
-	c.copies = func(x *worker, rep *protocol.Report) {
+	c.copies = func(x *worker, rep *protocol.WorkerHeartbeat) {
 		if kept != nil {
 			kept(x, rep)
 		}
 		if c.rng.IntN(4) == 0 {
 			copied := *rep
-			copied.Tasks = append([]protocol.TaskReport(nil), rep.Tasks...)
+			copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
 			late := time.Duration(c.rng.ExpFloat64() * float64(config.Seconds(c.cfg.Workers.LeaseS)))
-			c.after(late, func() { c.ask(c.anyNode(), Request{Kind: protocol.RequestReport, Report: &copied}, func(Reply) {}) })
+			c.after(late, func() {
+				c.ask(c.anyNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(Reply) {})
+			})
 		}
 	}
 	c.waitLeader()
@@ -99,17 +101,17 @@
 		j.Team = "team"
 	}
 	if c.rng.IntN(2) == 0 {
-		j.CheckpointS, j.SaveS = 10, 1
+		j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 10, 1
 	}
 	for range c.rng.IntN(4) {
 		if id := fmt.Sprintf("j-%d", c.rng.IntN(i+1)); c.knows(id) && len(c.old) == 0 {
-			j.Needs = append(j.Needs, id)
+			j.Dependencies = append(j.Dependencies, id)
 		}
 	}
 	if c.limits && c.rng.IntN(4) == 0 && len(c.old) == 0 {
 		c.state.lowered = true
 	}
-	c.specs[j.UID] = j
+	c.specs[j.ID] = j
 	c.submitUntil(j)
 	if i > 2 && c.rng.IntN(3) == 0 {
 		id := fmt.Sprintf("j-%d", i-2)
@@ -222,8 +224,8 @@
 	s := c.state
 	s.hold = holdOne(s)
 	c.after(time.Duration(c.rng.IntN(60))*time.Second, func() {
-		held := s.held
-		s.held = nil
+		held := s.machinesByName
+		s.machinesByName = nil
 		for _, f := range held {
 			f()
 		}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -26,45 +26,45 @@
 // Origin identifies the source of a request: a connection of this node, or, if Peer is
 // set, the peer that forwarded it. RequestID is unique per source.
 type Origin struct {
-	Ticket uint64
-	Peer   string
+	RequestID uint64
+	Peer      string
 }
 
 // Request is a command: an HTTP request of a user or a worker.
 type Request struct {
-	Origin Origin
-	Kind   protocol.RequestKind
-	ID     string           // set for queries and cancellations
-	Job    *protocol.Job    // parsed body of a submission
-	Report *protocol.Report // parsed body of a worker's heartbeat
+	Origin    Origin
+	Kind      protocol.RequestKind
+	JobID     string                    // set for queries and cancellations
+	Job       *protocol.Job             // parsed body of a submission
+	Heartbeat *protocol.WorkerHeartbeat // parsed body of a worker's heartbeat
 
-	passed bool // a submission that was forwarded to the leader before
+	forwarded bool // a submission that was forwarded to the leader before
 }
 
 // InboundMessage is a command: a message received from the peer From.
-type PeerMessage struct {
-	From string
-	Msg  protocol.PeerMessage
+type InboundMessage struct {
+	From    string
+	Message protocol.PeerMessage
 }
 
 // IsReadOnly reports whether a request changes nothing, so that it may queue behind all
 // requests that do.
-func (r Request) IsQuestion() bool {
+func (r Request) IsReadOnly() bool {
 	return r.Kind == protocol.RequestQuery || r.Kind == protocol.RequestStatus || r.Kind == protocol.RequestMetrics ||
 		r.Kind == protocol.RequestAdmission || r.Kind == protocol.RequestLinks || r.Kind == protocol.RequestRecovery
 }
 
 // IsReadOnly reports whether the message forwards a read-only request.
-func (m PeerMessage) IsQuestion() bool {
-	request, forwarded := m.Msg.(protocol.ForwardedRequest)
+func (m InboundMessage) IsReadOnly() bool {
+	request, forwarded := m.Message.(protocol.ForwardedRequest)
 	return forwarded && request.Kind == protocol.RequestQuery
 }
 
 // UnavailableResponse returns the response to a forwarded read-only request that can't be
 // processed now.
-func (m PeerMessage) Refusal() Send {
-	request, _ := m.Msg.(protocol.ForwardedRequest)
-	return Send{To: m.From, Msg: protocol.ForwardedAnswer{ID: request.ID, Status: 503, RetryAfter: 1}}
+func (m InboundMessage) UnavailableResponse() OutboundMessage {
+	request, _ := m.Message.(protocol.ForwardedRequest)
+	return OutboundMessage{To: m.From, Message: protocol.ForwardedResponse{ID: request.ID, Status: 503, RetryAfter: 1}}
 }
 
 // Drain is the command to shut down: the node resigns as leader, starts no more candidacies,
@@ -76,13 +76,13 @@
 
 // The external services of a controller.
 const (
-	State Target = iota
-	Cloud
+	TargetStore Target = iota
+	TargetCloud
 )
 
 // String returns the target's name for log lines.
 func (t Target) String() string {
-	if t == Cloud {
+	if t == TargetCloud {
 		return "cloud"
 	}
 	return "key-value store"
@@ -90,14 +90,14 @@
 
 // CallResult is a command: the outcome of the ServiceCall with the same ID. Status 0 means
 // that no usable response arrived; the request may have been executed, or may be later.
-type Result struct {
+type CallResult struct {
 	ID     uint64
 	Status int
 	Body   []byte
 }
 
 // ServiceCall is an effect: an HTTP request to an external service.
-type Call struct {
+type ServiceCall struct {
 	ID      uint64
 	Target  Target
 	Method  string
@@ -108,105 +108,105 @@
 
 // Reply is an effect: the response to a request received on one of this node's connections.
 type Reply struct {
-	Ticket     uint64
+	RequestID  uint64
 	Status     int
 	RetryAfter int
 	Body       []byte
 }
 
 // OutboundMessage is an effect: a message to a peer.
-type Send struct {
-	To  string
-	Msg protocol.PeerMessage
+type OutboundMessage struct {
+	To      string
+	Message protocol.PeerMessage
 }
 
 // Node holds all state of a controller. It is not safe for concurrent use: one goroutine
 // owns it and calls Step.
 type Node struct {
-	cfg *config.Platform
-	set config.Settings
-	log *slog.Logger
-	rng *rand.Rand
+	cfg      *config.Platform
+	settings config.Settings
+	log      *slog.Logger
+	rng      *rand.Rand
 	// startTime is the wall clock at instant 0. It is used only in stored records and traces.
-	wall time.Time
+	startTime time.Time
 	// processID distinguishes this process from earlier ones of the same node.
-	run      uint64
-	build    string
-	draining bool // a Drain command was received
+	processID uint64
+	build     string
+	draining  bool // a Drain command was received
 
 	now     Instant
 	effects []any
 
-	nextCall   uint64
-	calls      map[uint64]func(Result)
-	oddAnswers map[Target]Instant // last response that failed validation
-
-	elect    election
-	peers    map[string]*peer
-	forwards map[uint64]*forward
-	nextFwd  uint64
-	routes   map[string]*workerRoute // by worker name
-	routesAt Instant                 // when expired routes were last removed
-
-	connections connections
-	links       linkState
-
-	policy       policyState
-	refused      recent[admission.Group]                 // jobs rejected here by an admission policy, by id
-	loads        map[admission.Group]*protocol.GroupLoad // rejected submissions not yet reported to the leader
-	loadsAt      Instant                                 // last report of them
-	turnedAway   map[string]bool                         // jobs rejected in this epoch
-	turnedAwayAt Instant                                 // start of that epoch
-
-	catalog     map[string]*protocol.MachineType
-	catalogSure bool // read from the cloud, with no type missing; not an earlier leader's record
-	catalogAt   Instant
-	catalogBusy bool
+	nextCallID        uint64
+	pendingCalls      map[uint64]func(CallResult)
+	invalidResponseAt map[Target]Instant // last response that failed validation
+
+	election        election
+	peers           map[string]*peer
+	pendingForwards map[uint64]*pendingForward
+	nextForwardID   uint64
+	workerRoutes    map[string]*workerRoute // by worker name
+	routesPrunedAt  Instant                 // when expired routes were last removed
+
+	connections  serverConnections
+	connectivity connectivity
+
+	admissionPolicy   admissionPolicyState
+	policyRejections  recentJobs[admission.Group]             // jobs rejected here by an admission policy, by id
+	unreportedLoads   map[admission.Group]*protocol.GroupLoad // rejected submissions not yet reported to the leader
+	loadsReportedAt   Instant                                 // last report of them
+	rejectedJobs      map[string]bool                         // jobs rejected in this epoch
+	rejectedJobsSince Instant                                 // start of that epoch
+
+	catalog                map[string]*protocol.MachineType
+	catalogConfirmed       bool // read from the cloud, with no type missing; not an earlier leader's record
+	catalogRequestedAt     Instant
+	catalogRequestInFlight bool
 	// missingTypes are the known types that the last catalog lacked. A type is removed only
 	// when two catalogs in a row lack it.
 	missingTypes map[string]bool
 
-	finals *finalCache
+	terminalJobs *terminalJobCache
 	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job id.
-	unreadFinals map[string]*damagedRecord
-	mismatches   recovery.Counts // of all recoveries in this process
-	accepted     recent[bool]    // ids of jobs known to have been accepted
-	lead         *leadership
-	versions     versions
-
-	submits []submission // queued for writing
-
-	stateBudget  bucket // reads on behalf of users
-	cloudBudget  bucket
-	writeBudget  bucket  // writes of the leader's records
-	submitBudget bucket  // writes of submissions
-	slowed       bool    // writes are limited to the store's lower rate
-	crowdedUntil Instant // until then the submission rate is shared with other nodes
+	unreadableTerminalRecords map[string]*quarantinedRecord
+	mismatches                recovery.MismatchCounts // of all recoveries in this process
+	acceptedJobs              recentJobs[bool]        // ids of jobs known to have been accepted
+	leader                    *leader
+	protocolLevels            protocolLevels
+
+	pendingSubmissions []pendingSubmission // queued for writing
+
+	userReadBudget    tokenBucket // reads on behalf of users
+	cloudBudget       tokenBucket
+	leaderWriteBudget tokenBucket // writes of the leader's records
+	submissionBudget  tokenBucket // writes of submissions
+	writesThrottled   bool        // writes are limited to the store's lower rate
+	contendedUntil    Instant     // until then the submission rate is shared with other nodes
 }
 
 // peer is what this node knows of another controller.
 type peer struct {
-	name    string
-	heard   Instant       // last message of any kind
-	run     uint64        // processID in its last heartbeat
-	idle    bool          // it has heard from this process and reported that it does not lead
-	up      time.Duration // its uptime in its last heartbeat
-	term    uint64
-	leads   bool
-	granted Instant // end of its lease grant to this node
-	level   int     // protocol level of its version; 0: not announced
-	room    peerRoom
-	policy  uint64 // latest revision of the admission policy that it has read
+	name            string
+	lastContact     Instant       // last message of any kind
+	processID       uint64        // processID in its last heartbeat
+	knownNotLeading bool          // it has heard from this process and reported that it does not lead
+	uptime          time.Duration // its uptime in its last heartbeat
+	term            uint64
+	leading         bool
+	grantedUntil    Instant // end of its lease grant to this node
+	protocolLevel   int     // protocol level of its version; 0: not announced
+	workerCapacity  peerCapacity
+	policyRevision  uint64 // latest revision of the admission policy that it has read
 }
 
 // Options are the dependencies and settings of a new Node.
 type Options struct {
-	Platform *config.Platform
-	Settings config.Settings
-	Log      *slog.Logger
-	Rand     *rand.Rand
-	Wall     time.Time // wall clock at instant 0
-	Build    string    // build version, shown to operators
+	Platform  *config.Platform
+	Settings  config.Settings
+	Log       *slog.Logger
+	Rand      *rand.Rand
+	StartTime time.Time // wall clock at instant 0
+	Build     string    // build version, shown to operators
 }
 
 // Shares of the external services' rate limits, and time spans as fractions of a worker
@@ -214,70 +214,70 @@
 // their own share so that they never queue behind the leader's records. The shares leave a
 // margin for requests of a previous leader that are still in flight.
 const (
-	leaderWriteShare   = 0.6
-	submitWriteShare   = 0.3 // total of all nodes, see shareSubmissions
-	followerReadShare  = 0.1
-	lookupShare        = 0.2 // reads of dependencies' outcomes and of quarantined records
-	cloudShare         = 0.75
-	probesPerLease     = 28
-	heartbeatsPerLease = 32
-	termsPerLease      = 6 // a leader lease, or a lease grant, lasts 1/6 of a worker lease
+	leaderWriteShare           = 0.6
+	submissionWriteShare       = 0.3 // total of all nodes, see shareSubmissions
+	followerReadShare          = 0.1
+	dependencyLookupShare      = 0.2 // reads of dependencies' outcomes and of quarantined records
+	cloudRequestShare          = 0.75
+	pollsPerLease              = 28
+	peerHeartbeatsPerLease     = 32
+	leaderLeasesPerWorkerLease = 6 // a leader lease, or a lease grant, lasts 1/6 of a worker lease
 )
 
 // New returns a node in follower state.
-func New(o Options) *Node {
-	c := &o.Platform.Cluster
-	n := &Node{
-		cfg: o.Platform, set: o.Settings, log: o.Log, rng: o.Rand,
-		wall: o.Wall, build: o.Build,
-		calls: map[uint64]func(Result){}, oddAnswers: map[Target]Instant{},
+func New(options Options) *Node {
+	cluster := &options.Platform.Cluster
+	node := &Node{
+		cfg: options.Platform, settings: options.Settings, log: options.Log, rng: options.Rand,
+		startTime: options.StartTime, build: options.Build,
+		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]Instant{},
 		missingTypes: map[string]bool{}, peers: map[string]*peer{},
-		forwards: map[uint64]*forward{}, routes: map[string]*workerRoute{},
-		loads: map[admission.Group]*protocol.GroupLoad{}, turnedAway: map[string]bool{},
-		accepted: newRecent[bool](recentSize), refused: newRecent[admission.Group](recentSize),
-		finals:       &finalCache{recent: newRecent[storage.FinalRecord](recentSize)},
-		unreadFinals: map[string]*damagedRecord{},
-		catalogAt:    never, crowdedUntil: never,
-		versions:    versions{at: never},
-		stateBudget: newBucket(c.State.RPS*followerReadShare, c.State.RPS*followerReadShare),
-		cloudBudget: newBucket(c.Cloud.RPS*cloudShare,
-			max(1, c.Cloud.RPS*cloudShare)),
+		pendingForwards: map[uint64]*pendingForward{}, workerRoutes: map[string]*workerRoute{},
+		unreportedLoads: map[admission.Group]*protocol.GroupLoad{}, rejectedJobs: map[string]bool{},
+		acceptedJobs: newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
+		terminalJobs:              &terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
+		unreadableTerminalRecords: map[string]*quarantinedRecord{},
+		catalogRequestedAt:        never, contendedUntil: never,
+		protocolLevels: protocolLevels{lastRead: never},
+		userReadBudget: newTokenBucket(cluster.Store.RequestsPerS*followerReadShare, cluster.Store.RequestsPerS*followerReadShare),
+		cloudBudget: newTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
+			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
-	n.writeBudget, n.submitBudget = writeBuckets(c, c.State.WriteRPS)
-	for _, k := range o.Platform.Known {
-		n.peers[k.Node] = &peer{name: k.Node, heard: never, granted: never}
+	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
+	for _, known := range options.Platform.Peers {
+		node.peers[known.Node] = &peer{name: known.Node, lastContact: never, grantedUntil: never}
 	}
-	n.elect = newElection()
-	n.links = newLinkState(n.cfg.Node, n.peers)
-	n.run = n.rng.Uint64() ^ uint64(n.wall.UnixNano()) | 1 // never 0, which means unknown
+	node.election = newElection()
+	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
+	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
 	// A response to a request that an earlier process of this node forwarded may still
 	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
 	// therefore start at a random number per process; if every process counted from one, a
 	// late response would be delivered to an unrelated request.
-	n.nextFwd = n.run
-	return n
+	node.nextForwardID = node.processID
+	return node
 }
 
 // newWriteBudgets splits a write rate between the leader's records and submissions. The
 // leader's burst is at least two, as its smallest unit of work has two writes.
-func writeBuckets(c *config.Cluster, rps float64) (leader, submissions bucket) {
-	return newBucket(rps*leaderWriteShare, max(2, rps*leaderWriteShare)),
-		newBucket(rps*submitWriteShare, max(1, rps*submitWriteShare))
+func newWriteBudgets(cluster *config.Cluster, rps float64) (leaderBudget, submissionBudget tokenBucket) {
+	return newTokenBucket(rps*leaderWriteShare, max(2, rps*leaderWriteShare)),
+		newTokenBucket(rps*submissionWriteShare, max(1, rps*submissionWriteShare))
 }
 
 // throttleWrites limits writes to the lower rate from the settings. It is called when the
 // store rejects a write for its rate. Finding the lower rate by repeated rejections would
 // delay urgent writes as much as the others.
-func (n *Node) slowDown() {
-	c := &n.cfg.Cluster
-	if n.slowed || c.State.LowerWriteRPS() == c.State.WriteRPS {
+func (n *Node) throttleWrites() {
+	cluster := &n.cfg.Cluster
+	if n.writesThrottled || cluster.Store.LowerWritesPerS() == cluster.Store.WritesPerS {
 		return
 	}
-	n.slowed = true
-	n.log.Info("writes throttled to the lower rate", "rps", c.State.LowerWriteRPS())
-	n.writeBudget, n.submitBudget = writeBuckets(c, c.State.LowerWriteRPS())
-	n.writeBudget.level, n.writeBudget.at = 0, n.now
-	n.submitBudget.level, n.submitBudget.at = 0, n.now
+	n.writesThrottled = true
+	n.log.Info("writes throttled to the lower rate", "rps", cluster.Store.LowerWritesPerS())
+	n.leaderWriteBudget, n.submissionBudget = newWriteBudgets(cluster, cluster.Store.LowerWritesPerS())
+	n.leaderWriteBudget.tokens, n.leaderWriteBudget.refilledAt = 0, n.now
+	n.submissionBudget.tokens, n.submissionBudget.refilledAt = 0, n.now
 }
 
 // Step processes a batch of commands at the instant now and returns the resulting effects.
@@ -287,46 +287,46 @@
 		n.now = now
 	}
 	n.effects = nil
-	for _, c := range batch {
-		switch c := c.(type) {
+	for _, command := range batch {
+		switch command := command.(type) {
 		case Request:
-			n.onRequest(c)
-		case PeerMessage:
-			n.onPeer(c)
-		case Result:
-			if f, ok := n.calls[c.ID]; ok {
-				delete(n.calls, c.ID)
-				f(c)
+			n.onRequest(command)
+		case InboundMessage:
+			n.onPeerMessage(command)
+		case CallResult:
+			if onResult, ok := n.pendingCalls[command.ID]; ok {
+				delete(n.pendingCalls, command.ID)
+				onResult(command)
 			}
 		case Drain:
 			n.draining = true
-			n.elect.candidate = nil
+			n.election.candidacy = nil
 			n.stepDown("shutting down")
 		case ServerLoad:
-			n.connections.take(c)
+			n.connections.update(command)
 		case nil: // tick only
 		default:
-			panic(fmt.Sprintf("controller: unknown command type %T", c))
+			panic(fmt.Sprintf("controller: unknown command type %T", command))
 		}
 	}
 	n.tick()
-	out := n.effects
+	effects := n.effects
 	n.effects = nil
-	return out
+	return effects
 }
 
 // tick runs the periodic work of every node, and of the leader if this node leads.
 func (n *Node) tick() {
 	n.tickElection()
 	n.tickCatalog()
-	n.tickForwards()
-	n.tickRoutes()
-	n.writeSubmissions()
-	n.tickFinals()
-	n.tickVersions()
+	n.expireForwards()
+	n.expireRoutes()
+	n.writeQueuedSubmissions()
+	n.loadTerminalJobs()
+	n.tickProtocolLevels()
 	n.tickAdmission()
-	if n.lead != nil && n.authority() {
-		n.lead.tick()
+	if n.leader != nil && n.holdsLeaderLease() {
+		n.leader.tick()
 	}
 }
 
@@ -335,187 +335,189 @@
 
 // workerLease returns the duration of the workers' lease. Most time spans of a controller are
 // defined as fractions of it.
-func (n *Node) lease() time.Duration { return config.Seconds(n.cfg.Cluster.Workers.LeaseS) }
+func (n *Node) workerLease() time.Duration { return config.Seconds(n.cfg.Cluster.Workers.LeaseS) }
 
 // heartbeatInterval returns the interval of the workers' heartbeats.
-func (n *Node) report() time.Duration { return config.Seconds(n.cfg.Cluster.Workers.ReportS) }
+func (n *Node) heartbeatInterval() time.Duration {
+	return config.Seconds(n.cfg.Cluster.Workers.HeartbeatIntervalS)
+}
 
 // DrainDuration returns how long a node keeps running after a Drain command: long enough for
 // another node to lead, for the load balancer to notice, and for pending requests to be
 // answered.
-func (n *Node) HandOver() time.Duration { return n.termSpan() }
+func (n *Node) DrainDuration() time.Duration { return n.leaderLease() }
 
 // nowUnixMilli returns the current wall clock in Unix milliseconds.
-func (n *Node) wallMS() int64 { return n.wall.Add(n.now).UnixMilli() }
+func (n *Node) nowUnixMilli() int64 { return n.startTime.Add(n.now).UnixMilli() }
 
 // instantFromUnixMilli converts a stored wall clock time to an instant.
-func (n *Node) instantOf(ms int64) Instant { return time.UnixMilli(ms).Sub(n.wall) }
+func (n *Node) instantFromUnixMilli(ms int64) Instant { return time.UnixMilli(ms).Sub(n.startTime) }
 
 // encodeBody encodes a request or response body. A nil body stays empty and bytes are passed
 // through.
-func encode(body any) []byte {
-	switch b := body.(type) {
+func encodeBody(body any) []byte {
+	switch value := body.(type) {
 	case nil:
 		return nil
 	case []byte:
-		return b
+		return value
 	default:
-		return storage.Encode(b)
+		return storage.Encode(value)
 	}
 }
 
 // callService emits a request to an external service and passes its validated result to onResult.
-func (n *Node) call(t Target, method, path string, body any, timeout time.Duration,
-	then func(Result)) {
-	n.nextCall++
-	raw := encode(body)
-	n.calls[n.nextCall] = func(r Result) { then(n.checked(t, method, path, r)) }
-	n.effects = append(n.effects, Call{ID: n.nextCall, Target: t, Method: method, Path: path,
-		Body: raw, Timeout: timeout})
+func (n *Node) callService(target Target, method, path string, body any, timeout time.Duration,
+	onResult func(CallResult)) {
+	n.nextCallID++
+	encodedBody := encodeBody(body)
+	n.pendingCalls[n.nextCallID] = func(result CallResult) { onResult(n.validateResult(target, method, path, result)) }
+	n.effects = append(n.effects, ServiceCall{ID: n.nextCallID, Target: target, Method: method, Path: path,
+		Body: encodedBody, Timeout: timeout})
 }
 
 // validateResult returns the result of a call. If the service can't have sent this response, it
 // returns a result with status 0, as the request may or may not have been executed.
-func (n *Node) checked(t Target, method, path string, r Result) Result {
-	check := storage.CheckAnswer
-	if t == Cloud {
-		check = protocol.CheckCloudAnswer
+func (n *Node) validateResult(target Target, method, path string, result CallResult) CallResult {
+	check := storage.CheckResponse
+	if target == TargetCloud {
+		check = protocol.CheckCloudResponse
 	}
-	err := check(method, path, r.Status, r.Body)
+	err := check(method, path, result.Status, result.Body)
 	if err == nil {
-		return r
+		return result
 	}
 	// Rate-limited: during such a fault every response may be invalid.
-	if last, seen := n.oddAnswers[t]; !seen || n.now > last+4*n.lease() {
-		n.log.Warn("invalid response from service", "service", t.String(), "error", err)
+	if last, seen := n.invalidResponseAt[target]; !seen || n.now > last+4*n.workerLease() {
+		n.log.Warn("invalid response from service", "service", target.String(), "error", err)
 	}
-	n.oddAnswers[t] = n.now
-	return Result{ID: r.ID}
+	n.invalidResponseAt[target] = n.now
+	return CallResult{ID: result.ID}
 }
 
 // storeTimeout returns the timeout of one call to the key-value store.
-func (n *Node) stateTimeout() time.Duration { return n.lease() / 14 }
+func (n *Node) storeTimeout() time.Duration { return n.workerLease() / 14 }
 
 // storeCall emits a request to the key-value store and records whether the store answered it.
-func (n *Node) stateCall(method, path string, body any, then func(Result)) {
-	n.call(State, method, path, body, n.stateTimeout(), func(r Result) {
-		n.elect.saw(n.now, r.Status)
-		if r.Status == 429 && path == "/multi" {
-			n.slowDown()
+func (n *Node) storeCall(method, path string, body any, onResult func(CallResult)) {
+	n.callService(TargetStore, method, path, body, n.storeTimeout(), func(result CallResult) {
+		n.election.recordStoreResponse(n.now, result.Status)
+		if result.Status == 429 && path == "/multi" {
+			n.throttleWrites()
 		}
-		then(r)
+		onResult(result)
 	})
 }
 
 // send emits a message to one peer.
-func (n *Node) send(to string, m protocol.PeerMessage) {
-	n.effects = append(n.effects, Send{To: to, Msg: m})
+func (n *Node) send(to string, message protocol.PeerMessage) {
+	n.effects = append(n.effects, OutboundMessage{To: to, Message: message})
 }
 
 // broadcast emits a message to every peer.
-func (n *Node) sendAll(m protocol.PeerMessage) {
-	for _, k := range n.cfg.Known {
-		n.send(k.Node, m)
+func (n *Node) broadcast(message protocol.PeerMessage) {
+	for _, k := range n.cfg.Peers {
+		n.send(k.Node, message)
 	}
 }
 
 // reply answers a request, through the peer that forwarded it if there is one.
-func (n *Node) reply(o Origin, status, retry int, body any) {
-	raw := encode(body)
-	if o.Peer != "" {
-		n.send(o.Peer, protocol.ForwardedAnswer{ID: o.Ticket, Status: status, RetryAfter: retry,
-			Body: raw})
+func (n *Node) reply(origin Origin, status, retryAfter int, body any) {
+	encodedBody := encodeBody(body)
+	if origin.Peer != "" {
+		n.send(origin.Peer, protocol.ForwardedResponse{ID: origin.RequestID, Status: status, RetryAfter: retryAfter,
+			Body: encodedBody})
 		return
 	}
-	n.effects = append(n.effects, Reply{Ticket: o.Ticket, Status: status, RetryAfter: retry,
-		Body: raw})
+	n.effects = append(n.effects, Reply{RequestID: origin.RequestID, Status: status, RetryAfter: retryAfter,
+		Body: encodedBody})
 }
 
 // replyUnavailable answers that the request can't be processed now and may be retried.
-func (n *Node) unavailable(o Origin) { n.reply(o, 503, 1, nil) }
+func (n *Node) replyUnavailable(origin Origin) { n.reply(origin, 503, 1, nil) }
 
 // tickCatalog reads the cloud's catalog of machine types when the last one is too old. Until
 // a catalog is known, it also reads the one that an earlier leader stored.
 func (n *Node) tickCatalog() {
-	if n.catalogBusy {
+	if n.catalogRequestInFlight {
 		return
 	}
-	wait := n.lease() / 10
+	wait := n.workerLease() / 10
 	switch {
 	case len(n.missingTypes) > 0:
-		wait = n.lease()
-	case n.catalogSure && n.lead != nil:
-		wait = 4 * n.lease()
-	case n.catalogSure:
-		wait = 16 * n.lease()
+		wait = n.workerLease()
+	case n.catalogConfirmed && n.leader != nil:
+		wait = 4 * n.workerLease()
+	case n.catalogConfirmed:
+		wait = 16 * n.workerLease()
 	}
-	if n.catalogAt != never && n.now < n.catalogAt+wait {
+	if n.catalogRequestedAt != never && n.now < n.catalogRequestedAt+wait {
 		return
 	}
 	if !n.cloudBudget.take(n.now, 1) {
 		return
 	}
-	n.catalogBusy, n.catalogAt = true, n.now
-	n.call(Cloud, "GET", "/catalog", nil, n.lease()/4, func(r Result) {
-		n.catalogBusy = false
-		var c protocol.Catalog
-		if r.Status != 200 || json.Unmarshal(r.Body, &c) != nil || len(c.Types) == 0 {
-			n.log.Debug("catalog read failed", "status", r.Status)
+	n.catalogRequestInFlight, n.catalogRequestedAt = true, n.now
+	n.callService(TargetCloud, "GET", "/catalog", nil, n.workerLease()/4, func(result CallResult) {
+		n.catalogRequestInFlight = false
+		var catalog protocol.Catalog
+		if result.Status != 200 || json.Unmarshal(result.Body, &catalog) != nil || len(catalog.Types) == 0 {
+			n.log.Debug("catalog read failed", "status", result.Status)
 			return
 		}
-		n.takeCatalog(c)
+		n.mergeCatalog(catalog)
 	})
 	if n.catalog == nil {
-		n.readCatalog()
+		n.readStoredCatalog()
 	}
 }
 
 // mergeCatalog applies a catalog read from the cloud. A known type that is missing from one
 // catalog is kept until the next one lacks it too, because a job that fits only that type
 // would be rejected permanently.
-func (n *Node) takeCatalog(c protocol.Catalog) {
+func (n *Node) mergeCatalog(catalog protocol.Catalog) {
 	missing := map[string]bool{}
 	named := map[string]bool{}
-	for _, t := range c.Types {
+	for _, t := range catalog.Types {
 		named[t.Name] = true
 	}
-	if n.catalogSure || len(n.missingTypes) > 0 {
+	if n.catalogConfirmed || len(n.missingTypes) > 0 {
 		for _, name := range slices.Sorted(maps.Keys(n.catalog)) {
 			if !named[name] && !n.missingTypes[name] {
 				missing[name] = true
-				c.Types = append(c.Types, *n.catalog[name])
+				catalog.Types = append(catalog.Types, *n.catalog[name])
 			}
 		}
 	}
 	n.missingTypes = missing
-	n.catalogSure = len(missing) == 0
-	n.setCatalog(c)
+	n.catalogConfirmed = len(missing) == 0
+	n.setCatalog(catalog)
 }
 
 // setCatalog replaces the known machine types.
-func (n *Node) setCatalog(c protocol.Catalog) {
-	usable := c.Usable()
+func (n *Node) setCatalog(catalog protocol.Catalog) {
+	usable := catalog.UsableTypes()
 	types := make(map[string]*protocol.MachineType, len(usable))
 	for i := range usable {
 		types[usable[i].Name] = &usable[i]
 	}
 	n.catalog = types
-	if n.lead != nil {
-		n.lead.typesChanged()
+	if n.leader != nil {
+		n.leader.applyMachineTypes()
 	}
 }
 
 // readStoredCatalog loads the machine types that an earlier leader stored. Without them, a
 // cluster that restarts during an outage of the cloud could neither accept jobs nor use its
 // machines.
-func (n *Node) readCatalog() {
-	n.stateCall("GET", "/store/"+storage.CatalogKey, nil, func(r Result) {
+func (n *Node) readStoredCatalog() {
+	n.storeCall("GET", "/store/"+storage.CatalogKey, nil, func(result CallResult) {
 		var item storage.Item
-		var c protocol.Catalog
-		if n.catalog == nil && r.Status == 200 && json.Unmarshal(r.Body, &item) == nil &&
-			json.Unmarshal(item.Value, &c) == nil && len(c.Types) > 0 {
+		var catalog protocol.Catalog
+		if n.catalog == nil && result.Status == 200 && json.Unmarshal(result.Body, &item) == nil &&
+			json.Unmarshal(item.Value, &catalog) == nil && len(catalog.Types) > 0 {
 			n.log.Info("machine types loaded from the stored catalog")
-			n.setCatalog(c)
+			n.setCatalog(catalog)
 		}
 	})
 }
--- a/internal/coordination/outside_faults_test.go
+++ b/internal/coordination/outside_faults_test.go
@@ -16,27 +16,29 @@
 
 // answerFaults are what a service, or something on the way to it, makes of an answer. The
 // call itself was carried out.
-var answerFaults = map[string]func(r Result) Result{
-	"cut short":          func(r Result) Result { r.Body = r.Body[:len(r.Body)/2]; return r },
-	"a page of a proxy":  func(r Result) Result { r.Body = []byte("<html>ok</html>"); return r },
-	"no body":            func(r Result) Result { r.Body = nil; return r },
-	"an empty object":    func(r Result) Result { r.Body = []byte("{}"); return r },
-	"null":               func(r Result) Result { r.Body = []byte("null"); return r },
-	"a list":             func(r Result) Result { r.Body = []byte("[1,2]"); return r },
-	"wrong types":        func(r Result) Result { return retyped(r) },
-	"a redirect":         func(r Result) Result { return Result{ID: r.ID, Status: 302} },
-	"not found":          func(r Result) Result { return Result{ID: r.ID, Status: 404, Body: []byte("<html>404</html>")} },
-	"forbidden":          func(r Result) Result { return Result{ID: r.ID, Status: 403} },
-	"a conflict":         func(r Result) Result { return Result{ID: r.ID, Status: 409} },
-	"an odd status":      func(r Result) Result { return Result{ID: r.ID, Status: 207, Body: r.Body} },
-	"an error of a node": func(r Result) Result { return Result{ID: r.ID, Status: 500, Body: []byte("oops")} },
-	"refused for the rate": func(r Result) Result {
-		return Result{ID: r.ID, Status: 429}
+var answerFaults = map[string]func(r CallResult) CallResult{
+	"cut short":         func(r CallResult) CallResult { r.Body = r.Body[:len(r.Body)/2]; return r },
+	"a page of a proxy": func(r CallResult) CallResult { r.Body = []byte("<html>ok</html>"); return r },
+	"no body":           func(r CallResult) CallResult { r.Body = nil; return r },
+	"an empty object":   func(r CallResult) CallResult { r.Body = []byte("{}"); return r },
+	"null":              func(r CallResult) CallResult { r.Body = []byte("null"); return r },
+	"a list":            func(r CallResult) CallResult { r.Body = []byte("[1,2]"); return r },
+	"wrong types":       func(r CallResult) CallResult { return retyped(r) },
+	"a redirect":        func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 302} },
+	"not found": func(r CallResult) CallResult {
+		return CallResult{ID: r.ID, Status: 404, Body: []byte("<html>404</html>")}
+	},
+	"forbidden":          func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 403} },
+	"a conflict":         func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 409} },
+	"an odd status":      func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 207, Body: r.Body} },
+	"an error of a node": func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 500, Body: []byte("oops")} },
+	"refused for the rate": func(r CallResult) CallResult {
+		return CallResult{ID: r.ID, Status: 429}
 	},
 }
 
 // retyped turns each number of an answer into a string.
-func retyped(r Result) Result {
+func retyped(r CallResult) CallResult {
 	var fields map[string]any
 	if json.Unmarshal(r.Body, &fields) != nil {
 		return r
@@ -55,7 +57,7 @@
 // on by itself, and everything is served once the answers are right again.
 func TestOddAnswersOfOutsideServices(t *testing.T) {
 	for fault, alter := range answerFaults {
-		for _, target := range []Target{State, Cloud} {
+		for _, target := range []Target{TargetStore, TargetCloud} {
 			for i, share := range []float64{0.1, 0.3, 0.6, 1} {
 				t.Run(fmt.Sprintf("%v/%s/%v", target, fault, share), func(t *testing.T) {
 					t.Parallel()
@@ -81,8 +83,8 @@
 					}
 					calls := c.countCalls()
 					c.run(30 * time.Second)
-					if most := int(30 * c.cfg.State.RPS); calls() > most {
-						t.Errorf("%d calls in 30 s: %v a second are allowed", calls(), c.cfg.State.RPS)
+					if most := int(30 * c.cfg.Store.RequestsPerS); calls() > most {
+						t.Errorf("%d calls in 30 s: %v a second are allowed", calls(), c.cfg.Store.RequestsPerS)
 					}
 					c.mangle = nil
 					c.settle(5 * time.Minute)
@@ -93,8 +95,8 @@
 }
 
 // mangleAnswers alters a share of a service's answers, to one node or to all.
-func (c *userSimulation) mangleAnswers(target Target, only string, share float64, alter func(Result) Result) {
-	c.mangle = func(node string, call Call, r Result) Result {
+func (c *userSimulation) mangleAnswers(target Target, only string, share float64, alter func(CallResult) CallResult) {
+	c.mangle = func(node string, call ServiceCall, r CallResult) CallResult {
 		if call.Target != target || c.rng.Float64() > share || (only != "" && node != only) {
 			return r
 		}
@@ -106,8 +108,8 @@
 func (c *userSimulation) countCalls() func() int {
 	calls := 0
 	inner := c.mangle
-	c.mangle = func(node string, call Call, r Result) Result {
-		if call.Target == State {
+	c.mangle = func(node string, call ServiceCall, r CallResult) CallResult {
+		if call.Target == TargetStore {
 			calls++
 		}
 		return inner(node, call, r)
@@ -119,19 +121,19 @@
 // after a pause that grows: without it, a leader asked as fast as answers came. Jobs that
 // other nodes write are found all the same.
 func TestWatchThatComesBackAtOnce(t *testing.T) {
-	for name, answer := range map[string]Result{
-		"empty":       {Status: 200, Body: storage.Encode(storage.Events{Revision: 1})},
+	for name, answer := range map[string]CallResult{
+		"empty":       {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
 		"gone":        {Status: 410},
 		"no answer":   {Status: 0},
 		"unreadable":  {Status: 200, Body: []byte("{")},
-		"old changes": {Status: 200, Body: storage.Encode(storage.Events{Revision: 1, Log: []storage.Event{{Drop: "job/j-9", Version: 1}}})},
+		"old changes": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1, Events: []storage.WatchEvent{{DeletedKey: "job/j-9", ModRevision: 1}}})},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newSimulation(t, 3)
 			l := w.waitLeader()
 			w.machines(1)
 			watches, reads := 0, 0
-			w.instead = func(call Call) (Result, bool) {
+			w.instead = func(call ServiceCall) (CallResult, bool) {
 				switch {
 				case strings.HasPrefix(call.Path, "/follow"):
 					watches++
@@ -139,7 +141,7 @@
 				case strings.HasPrefix(call.Path, "/store?under=job"):
 					reads++
 				}
-				return Result{}, false
+				return CallResult{}, false
 			}
 			w.run(time.Minute)
 			if most := 60; watches > most || reads > most {
@@ -149,7 +151,7 @@
 				return // it may be that nothing has changed: only its own lease tells
 			}
 			w.submit(w.followers()[0], spec("j-1", 1))
-			if !w.until(20*time.Second, func() bool { return l.lead.jobs["j-1"] != nil || w.final("j-1") != "" }) {
+			if !w.until(20*time.Second, func() bool { return l.leader.jobs["j-1"] != nil || w.final("j-1") != "" }) {
 				t.Error("a job that another node wrote is not found")
 			}
 		})
@@ -160,22 +162,22 @@
 // JSON allows: types that are missing once or given away, lists that repeat, contradict or
 // name nobody, rentals answered with machines that are known.
 func TestOddCloudFacts(t *testing.T) {
-	c4 := protocol.MachineType{Name: "c4", Cores: 4, RAM: 16, CacheGB: 40, PullGBPerS: 1, Rate: 0.3, SpotRate: 0.1, ReadyS: 5, Zones: []string{"a", "b"}}
+	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
 	with := func(change func(*protocol.MachineType)) []protocol.MachineType {
 		t := c4
 		change(&t)
 		return []protocol.MachineType{t}
 	}
 	catalogs := map[string][]protocol.MachineType{
-		"a type is given away":      with(func(t *protocol.MachineType) { t.Rate, t.SpotRate = 0, 0 }),
-		"prices a thousandfold":     with(func(t *protocol.MachineType) { t.Rate, t.SpotRate = 300, 100 }),
-		"prices below nothing":      with(func(t *protocol.MachineType) { t.Rate, t.SpotRate = -3, -1 }),
-		"images are never fetched":  with(func(t *protocol.MachineType) { t.PullGBPerS = 0 }),
+		"a type is given away":      with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 0, 0 }),
+		"prices a thousandfold":     with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 300, 100 }),
+		"prices below nothing":      with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = -3, -1 }),
+		"images are never fetched":  with(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
 		"no cores":                  with(func(t *protocol.MachineType) { t.Cores = 0 }),
 		"another type only":         with(func(t *protocol.MachineType) { t.Name = "x9" }),
 		"the same type twice":       {c4, c4},
-		"a boot of a hundred years": with(func(t *protocol.MachineType) { t.ReadyS = 3e9 }),
-		"amounts beyond all bounds": with(func(t *protocol.MachineType) { t.ReadyS, t.CacheGB, t.Rate = 1e300, 1e300, 1e300 }),
+		"a boot of a hundred years": with(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
+		"amounts beyond all bounds": with(func(t *protocol.MachineType) { t.BootSeconds, t.ImageCacheGB, t.OnDemandPrice = 1e300, 1e300, 1e300 }),
 	}
 	for name, types := range catalogs {
 		t.Run(name, func(t *testing.T) {
@@ -187,7 +189,7 @@
 			c.run(5 * time.Second)
 			c.cloud.types = types
 			for _, node := range c.names { // all read the catalogue anew
-				c.nodes[node].catalogAt = never
+				c.nodes[node].catalogRequestedAt = never
 			}
 			c.more(4, 5*time.Second, nil)
 			c.run(20 * time.Second)
@@ -196,7 +198,7 @@
 			}
 			c.cloud.types = nil
 			for _, node := range c.names {
-				c.nodes[node].catalogAt = never
+				c.nodes[node].catalogRequestedAt = never
 			}
 			c.settle(5 * time.Minute)
 		})
@@ -210,11 +212,11 @@
 	catalog := func(names ...string) protocol.Catalog {
 		var c protocol.Catalog
 		for _, name := range names {
-			c.Types = append(c.Types, protocol.MachineType{Name: name, Cores: 4, RAM: 16})
+			c.Types = append(c.Types, protocol.MachineType{Name: name, Cores: 4, MemoryGB: 16})
 		}
 		return c
 	}
-	n.takeCatalog(catalog("c4", "g8"))
+	n.mergeCatalog(catalog("c4", "g8"))
 	for i, step := range []struct {
 		names  []string
 		known  bool
@@ -225,9 +227,9 @@
 		{[]string{"c4"}, true, false},
 		{[]string{"c4"}, false, true},
 	} {
-		n.takeCatalog(catalog(step.names...))
-		if (n.catalog["g8"] != nil) != step.known || n.catalogSure != step.secure {
-			t.Errorf("step %d: known %v, sure %v", i, n.catalog["g8"] != nil, n.catalogSure)
+		n.mergeCatalog(catalog(step.names...))
+		if (n.catalog["g8"] != nil) != step.known || n.catalogConfirmed != step.secure {
+			t.Errorf("step %d: known %v, sure %v", i, n.catalog["g8"] != nil, n.catalogConfirmed)
 		}
 	}
 }
@@ -236,9 +238,9 @@
 // reports, and are not read without end.
 func TestOddMachineLists(t *testing.T) {
 	host := func(name, state string) protocol.Host {
-		return protocol.Host{UID: name, Type: "c4", Zone: "a", Spot: true, State: state, HeldS: 500}
+		return protocol.Host{Name: name, Type: "c4", Zone: "a", Spot: true, State: state, RentedSeconds: 500}
 	}
-	for name, list := range map[string]protocol.HostList{
+	for name, list := range map[string]protocol.HostPage{
 		"empty":                    {},
 		"empty, and more to come":  {Truncated: true},
 		"the same page for ever":   {Machines: []protocol.Host{host("m-000001", "running")}, Truncated: true},
@@ -246,28 +248,28 @@
 		"all have failed":          {Machines: []protocol.Host{host("m-000001", "failed"), host("m-000002", "failed")}},
 		"nameless":                 {Machines: []protocol.Host{host("", "running")}},
 		"unknown states":           {Machines: []protocol.Host{host("m-000001", "?"), host("m-000002", "")}},
-		"held since the beginning": {Machines: []protocol.Host{{UID: "m-000001", State: "running", HeldS: 1e300}, {UID: "m-000003", State: "running", HeldS: -1e300}}},
+		"held since the beginning": {Machines: []protocol.Host{{Name: "m-000001", State: "running", RentedSeconds: 1e300}, {Name: "m-000003", State: "running", RentedSeconds: -1e300}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, l := running(t, 1, 2*time.Minute, 2, 8)
 			lists := 0
-			w.instead = func(call Call) (Result, bool) {
+			w.instead = func(call ServiceCall) (CallResult, bool) {
 				if !strings.HasPrefix(call.Path, "/hosts?") {
-					return Result{}, false
+					return CallResult{}, false
 				}
 				lists++
-				return Result{Status: 200, Body: storage.Encode(list)}, true
+				return CallResult{Status: 200, Body: storage.Encode(list)}, true
 			}
 			w.run(90 * time.Second)
 			if lists > 60 {
 				t.Errorf("%d pages were read in 90 s", lists)
 			}
-			if l.lead == nil || w.leader() != l.name {
+			if l.leader == nil || w.leader() != l.name {
 				t.Fatal("the leader is gone")
 			}
-			w.waitState("j-1", protocol.Done, 2*time.Minute)
+			w.waitState("j-1", protocol.JobDone, 2*time.Minute)
 			w.startedOnce()
-			for name := range l.lead.machines {
+			for name := range l.leader.machines {
 				if name == "" {
 					t.Error("a machine without a name is held")
 				}
@@ -289,17 +291,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, l := running(t, 1, 30*time.Second, 2, 8)
-			l.lead.gone["m-000050"] = w.now
-			w.mangle = func(_ string, call Call, r Result) Result {
+			l.leader.removedMachines["m-000050"] = w.now
+			w.mangle = func(_ string, call ServiceCall, r CallResult) CallResult {
 				if call.Path == "/hosts" && r.Status == 200 {
-					return Result{ID: r.ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: machines})}
+					return CallResult{ID: r.ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: machines})}
 				}
 				return r
 			}
 			w.submit(l.name, spec("j-2", 40))
 			w.run(30 * time.Second)
 			w.mangle = nil
-			w.waitState("j-2", protocol.Done, 5*time.Minute)
+			w.waitState("j-2", protocol.JobDone, 5*time.Minute)
 			w.startedOnce()
 		})
 	}
@@ -320,9 +322,9 @@
 	w, l := running(t, 1, 2*time.Minute, 1, 4)
 	x := w.inOrder()[0]
 	other := func(session, seq uint64) int {
-		rep := &protocol.Report{Machine: x.name, Address: "10.9.9.9:9000", Type: "c4", Zone: x.zone, Spot: true,
-			Session: session, Seq: seq, FencingToken: x.token}
-		return w.request(l.name, Request{Kind: protocol.RequestReport, Report: rep}).Status
+		rep := &protocol.WorkerHeartbeat{Machine: x.name, Address: "10.9.9.9:9000", Type: "c4", Zone: x.zone, Spot: true,
+			Epoch: session, Sequence: seq, FencingToken: x.token}
+		return w.request(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}).Status
 	}
 	for i := range uint64(20) {
 		if status := other(1+i/4, 1000+i); status != 503 {
@@ -332,8 +334,8 @@
 	}
 	w.startedOnce()
 	delete(w.workers, x.name)
-	w.run(l.lead.leaseOver() + time.Second)
-	if m := l.lead.machines[x.name]; m != nil && m.address != "" {
+	w.run(l.leader.workerLeaseTimeout() + time.Second)
+	if m := l.leader.machines[x.name]; m != nil && m.address != "" {
 		t.Errorf("the name still belongs to %s", m.address)
 	}
 }
@@ -342,33 +344,33 @@
 // left alone, and no amount of time is believed beyond all bounds.
 func TestOddReports(t *testing.T) {
 	notice := func(s float64) *float64 { return &s }
-	for name, change := range map[string]func(rep *protocol.Report){
-		"an unknown state": func(rep *protocol.Report) {
+	for name, change := range map[string]func(rep *protocol.WorkerHeartbeat){
+		"an unknown state": func(rep *protocol.WorkerHeartbeat) {
 			for i := range rep.Tasks {
 				rep.Tasks[i].State = "sleeping"
 			}
 		},
-		"an unknown reason": func(rep *protocol.Report) {
+		"an unknown reason": func(rep *protocol.WorkerHeartbeat) {
 			for i := range rep.Tasks {
-				if rep.Tasks[i].State == protocol.TaskExited && rep.Tasks[i].Why != protocol.WhyDone {
-					rep.Tasks[i].Why = "bored"
+				if rep.Tasks[i].State == protocol.TaskExited && rep.Tasks[i].ExitReason != protocol.ExitDone {
+					rep.Tasks[i].ExitReason = "bored"
 				}
 			}
 		},
-		"tasks that nobody started": func(rep *protocol.Report) {
+		"tasks that nobody started": func(rep *protocol.WorkerHeartbeat) {
 			rep.Tasks = append(rep.Tasks,
-				protocol.TaskReport{Task: "j-nobodys/0", Attempt: 1, State: protocol.TaskRunning},
-				protocol.TaskReport{Task: "j-1/99999", Attempt: 1, State: protocol.TaskRunning},
-				protocol.TaskReport{Task: "j-1/-1", Attempt: 1, State: protocol.TaskRunning},
-				protocol.TaskReport{Task: "", Attempt: 1, State: ""},
-				protocol.TaskReport{Task: "j-1/0", Attempt: 1 << 63, State: protocol.TaskExited, Why: protocol.WhyError})
+				protocol.TaskStatus{TaskID: "j-nobodys/0", Attempt: 1, State: protocol.TaskRunning},
+				protocol.TaskStatus{TaskID: "j-1/99999", Attempt: 1, State: protocol.TaskRunning},
+				protocol.TaskStatus{TaskID: "j-1/-1", Attempt: 1, State: protocol.TaskRunning},
+				protocol.TaskStatus{TaskID: "", Attempt: 1, State: ""},
+				protocol.TaskStatus{TaskID: "j-1/0", Attempt: 1 << 63, State: protocol.TaskExited, ExitReason: protocol.ExitFailed})
 		},
-		"each task twice":   func(rep *protocol.Report) { rep.Tasks = append(rep.Tasks, rep.Tasks...) },
-		"a notice long ago": func(rep *protocol.Report) { rep.NoticeS = notice(-1e300) },
-		"a notice of years": func(rep *protocol.Report) { rep.NoticeS = notice(1e300) },
-		"another type":      func(rep *protocol.Report) { rep.Type, rep.Zone = "x9", "nowhere" },
-		"no type":           func(rep *protocol.Report) { rep.Type, rep.Zone, rep.Address = "", "", "" },
-		"the last sequence": func(rep *protocol.Report) { rep.Seq += 1 << 62 },
+		"each task twice":   func(rep *protocol.WorkerHeartbeat) { rep.Tasks = append(rep.Tasks, rep.Tasks...) },
+		"a notice long ago": func(rep *protocol.WorkerHeartbeat) { rep.PreemptionNoticeSeconds = notice(-1e300) },
+		"a notice of years": func(rep *protocol.WorkerHeartbeat) { rep.PreemptionNoticeSeconds = notice(1e300) },
+		"another type":      func(rep *protocol.WorkerHeartbeat) { rep.Type, rep.Zone = "x9", "nowhere" },
+		"no type":           func(rep *protocol.WorkerHeartbeat) { rep.Type, rep.Zone, rep.Address = "", "", "" },
+		"the last sequence": func(rep *protocol.WorkerHeartbeat) { rep.Sequence += 1 << 62 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -377,7 +379,7 @@
 			c.waitLeader()
 			c.machines(3)
 			odd := true
-			c.copies = func(_ *worker, rep *protocol.Report) {
+			c.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
 				if odd && c.rng.IntN(3) == 0 {
 					change(rep)
 				}
@@ -426,17 +428,17 @@
 	w.machines(2)
 	w.cloud.capacity = 2
 	c := newUserSimulation(w, 1)
-	c.more(10, 5*time.Second, func(_ int, j *protocol.Job) { j.Tasks, j.Team = 8, "free" })
+	c.more(10, 5*time.Second, func(_ int, j *protocol.Job) { j.TaskCount, j.Team = 8, "free" })
 	w.run(10 * time.Second)
 	asked := 0
-	w.mangle = func(_ string, call Call, r Result) Result {
+	w.mangle = func(_ string, call ServiceCall, r CallResult) CallResult {
 		if call.Path == "/hosts" {
 			asked++
 		}
 		return r
 	}
 	w.run(time.Minute)
-	if most := int(60 * w.cfg.Cloud.RPS / 4); asked > most {
+	if most := int(60 * w.cfg.Cloud.RequestsPerS / 4); asked > most {
 		t.Errorf("%d rentals were asked for in a minute", asked)
 	}
 	w.cloud.capacity = 0
--- a/internal/coordination/pipelines.go
+++ b/internal/coordination/pipelines.go
@@ -19,81 +19,81 @@
 
 // addDependencies registers a new job with its dependencies and updates their deadlines and
 // ranks.
-func (l *leadership) await(j *job) {
-	doomed := false
-	for _, id := range j.spec.Needs {
-		if f, over := l.n.finals.byID[id]; over {
-			doomed = doomed || f.State == protocol.Withdrawn
-			j.from = max(j.from, min(l.n.instantOf(f.AtMS), l.n.now))
+func (l *leader) addDependencies(j *job) {
+	cancelled := false
+	for _, id := range j.spec.Dependencies {
+		if final, ended := l.node.terminalJobs.byID[id]; ended {
+			cancelled = cancelled || final.State == protocol.JobCancelled
+			j.eligibleAt = max(j.eligibleAt, min(l.node.instantFromUnixMilli(final.EndedAtMillis), l.node.now))
 			continue
 		}
-		j.awaits++
-		l.after[id] = append(l.after[id], j)
-		if before := l.jobs[id]; before != nil {
-			doomed = doomed || before.doomed
+		j.pendingDependencies++
+		l.dependents[id] = append(l.dependents[id], j)
+		if dependency := l.jobs[id]; dependency != nil {
+			cancelled = cancelled || dependency.dependencyCancelled
 			// The cancellation of the dependency, or of one before it, may have been read by another
 			// controller.
-			j.ending = j.ending || (before.ending && (before.withdrawn || !before.gone))
+			j.completionUncertain = j.completionUncertain || (dependency.completionUncertain && (dependency.cancelled || !dependency.terminal))
 		} else {
 			// The record may follow with the next page or the watch, or the job may be terminal.
-			l.lookups[id] = l.n.now
+			l.dependencyLookups[id] = l.node.now
 		}
 	}
-	delete(l.lookups, j.spec.UID)
-	l.hasten(l.after[j.spec.UID]...)
+	delete(l.dependencyLookups, j.spec.ID)
+	l.tightenDeadlines(l.dependents[j.spec.ID]...)
 	switch {
-	case doomed:
-		l.doom(j)
-	case j.awaits == 0:
-		l.unblock(j)
+	case cancelled:
+		l.cancelWithDependents(j)
+	case j.pendingDependencies == 0:
+		l.releaseJob(j)
 	default:
-		l.hasten(j)
+		l.tightenDeadlines(j)
 	}
 }
 
 // releaseJob makes a job without pending dependencies available to scheduling.
-func (l *leadership) unblock(j *job) {
-	l.runnable[j.spec.UID] = j
-	j.waiting = l.n.now
-	l.dirty = true
-	if l.loaded {
-		l.fleet.arrived(j)
+func (l *leader) releaseJob(j *job) {
+	l.runnableJobs[j.spec.ID] = j
+	j.pendingSince = l.node.now
+	l.schedulingNeeded = true
+	if l.recordsLoaded {
+		l.autoscaler.recordArrival(j)
 	}
 }
 
 // soonReleasedDependents returns the jobs for which this is the last pending dependency, if it
 // should end within the horizon (the boot time of a machine), so that capacity and images can be
 // prepared.
-func (l *leadership) next(j *job, near time.Duration) []*job {
-	after := l.after[j.spec.UID]
-	if len(after) == 0 || j.pending > 0 {
+func (l *leader) soonReleasedDependents(j *job, horizon time.Duration) []*job {
+	dependents := l.dependents[j.spec.ID]
+	if len(dependents) == 0 || j.pendingTasks > 0 {
 		return nil
 	}
-	want := l.expected(j)
-	for _, r := range j.runs {
-		if l.remainingOf(r, want) > max(near, want/8) { // an overdue attempt may end at any time
+	expected := l.expectedTaskDuration(j)
+	for _, r := range j.attempts {
+		if l.remainingOfExpected(r, expected) > max(horizon, expected/8) { // an overdue attempt may end at any time
 			return nil
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(after), func(d *job) bool { return d.gone || d.awaits > 1 })
+	return slices.DeleteFunc(slices.Clone(dependents), func(dependent *job) bool { return dependent.terminal || dependent.pendingDependencies > 1 })
 }
 
 // releaseDependents processes the durable terminal record of a job: its dependents are cancelled
 // or released. writtenHere reports whether this leader has written the record.
-func (l *leadership) ended(id string, final storage.FinalRecord, ours bool) {
-	waiting := l.after[id]
-	delete(l.after, id)
-	delete(l.lookups, id)
-	for _, d := range waiting {
+func (l *leader) releaseDependents(id string, final storage.TerminalRecord, writtenHere bool) {
+	dependents := l.dependents[id]
+	delete(l.dependents, id)
+	delete(l.dependencyLookups, id)
+	for _, dependent := range dependents {
 		switch {
-		case d.gone:
-		case final.State == protocol.Withdrawn:
-			l.doom(d)
+		case dependent.terminal:
+		case final.State == protocol.JobCancelled:
+			l.cancelWithDependents(dependent)
 		default:
-			d.from = max(d.from, min(l.n.instantOf(final.AtMS), l.n.now))
-			d.fresh = d.fresh || ours
-			if d.awaits--; d.awaits == 0 {
-				l.unblock(d)
+			dependent.eligibleAt = max(dependent.eligibleAt, min(l.node.instantFromUnixMilli(final.EndedAtMillis), l.node.now))
+			dependent.releasedThisTerm = dependent.releasedThisTerm || writtenHere
+			if dependent.pendingDependencies--; dependent.pendingDependencies == 0 {
+				l.releaseJob(dependent)
 			}
 		}
 	}
@@ -102,99 +102,99 @@
 // cancelWithDependents cancels a job and all its dependents because a dependency is cancelled.
 // That cancellation is already durable, so users are notified at once; the terminal records of
 // the jobs are written with low priority.
-func (l *leadership) doom(j *job) {
-	var doomed []*job
-	for todo := []*job{j}; len(todo) > 0; todo = todo[1:] {
-		d := todo[0]
-		if d.doomed {
+func (l *leader) cancelWithDependents(j *job) {
+	var cancelled []*job
+	for queue := []*job{j}; len(queue) > 0; queue = queue[1:] {
+		next := queue[0]
+		if next.dependencyCancelled {
 			continue
 		}
-		d.doomed = true
-		doomed = append(doomed, d)
-		for _, o := range l.cancelWaiters[d.spec.UID] {
-			l.n.reply(o, 200, 0, d.state())
+		next.dependencyCancelled = true
+		cancelled = append(cancelled, next)
+		for _, origin := range l.cancelWaiters[next.spec.ID] {
+			l.node.reply(origin, 200, 0, next.state())
 		}
-		delete(l.cancelWaiters, d.spec.UID)
-		if !d.gone {
-			l.finish(d, protocol.Withdrawn)
+		delete(l.cancelWaiters, next.spec.ID)
+		if !next.terminal {
+			l.finishJob(next, protocol.JobCancelled)
 		}
-		todo = append(todo, l.after[d.spec.UID]...)
+		queue = append(queue, l.dependents[next.spec.ID]...)
 	}
-	l.relax(doomed...)
+	l.relaxDeadlines(cancelled...)
 }
 
 // forEachDependent visits all direct and indirect dependents of a job once.
-func (l *leadership) eachAfter(j *job, f func(*job)) {
+func (l *leader) forEachDependent(j *job, visit func(*job)) {
 	seen := map[*job]bool{}
-	for todo := slices.Clone(l.after[j.spec.UID]); len(todo) > 0; todo = todo[1:] {
-		if d := todo[0]; !seen[d] {
-			seen[d] = true
-			f(d)
-			todo = append(todo, l.after[d.spec.UID]...)
+	for queue := slices.Clone(l.dependents[j.spec.ID]); len(queue) > 0; queue = queue[1:] {
+		if dependent := queue[0]; !seen[dependent] {
+			seen[dependent] = true
+			visit(dependent)
+			queue = append(queue, l.dependents[dependent.spec.ID]...)
 		}
 	}
 }
 
 // relaxDeadlines recomputes latestEnd and inheritedRank of the jobs on which cancelled jobs
 // depended.
-func (l *leadership) relax(jobs ...*job) {
-	var before, after []*job
-	for todo := slices.Clone(jobs); len(todo) > 0; todo = todo[1:] {
-		for _, id := range todo[0].spec.Needs {
-			if b := l.jobs[id]; b != nil && !b.gone && (b.endBy != forever || b.urgency != math.MaxInt) {
-				b.endBy, b.urgency = forever, math.MaxInt
-				before, todo = append(before, b), append(todo, b)
+func (l *leader) relaxDeadlines(jobs ...*job) {
+	var relaxed, dependents []*job
+	for queue := slices.Clone(jobs); len(queue) > 0; queue = queue[1:] {
+		for _, id := range queue[0].spec.Dependencies {
+			if dependency := l.jobs[id]; dependency != nil && !dependency.terminal && (dependency.latestEnd != forever || dependency.inheritedRank != math.MaxInt) {
+				dependency.latestEnd, dependency.inheritedRank = forever, math.MaxInt
+				relaxed, queue = append(relaxed, dependency), append(queue, dependency)
 			}
 		}
 	}
-	for _, b := range before {
-		after = append(after, l.after[b.spec.UID]...)
+	for _, dependency := range relaxed {
+		dependents = append(dependents, l.dependents[dependency.spec.ID]...)
 	}
-	l.hasten(after...)
+	l.tightenDeadlines(dependents...)
 }
 
 // completionPriority returns the write priority of a job's terminal record, which matters when
 // writes are throttled.
-func (l *leadership) importance(j *job) storage.Priority {
+func (l *leader) completionPriority(j *job) storage.Priority {
 	switch {
-	case j.doomed:
-		return storage.Lazy // it follows from records already stored
-	case j.withdrawn:
-		return storage.Cancels
-	case len(l.after[j.spec.UID]) > 0:
-		return storage.Releases
+	case j.dependencyCancelled:
+		return storage.PriorityLow // it follows from records already stored
+	case j.cancelled:
+		return storage.PriorityCancellation
+	case len(l.dependents[j.spec.ID]) > 0:
+		return storage.PriorityDependency
 	}
-	return storage.Soon
+	return storage.PriorityNormal
 }
 
 // tightenDeadlines propagates deadlines and ranks from the given jobs to their direct and
 // indirect dependencies. A job is due when the longest path from it to a deadline (the critical
 // path) leaves no more time, so the slack of a pipeline is counted only once.
-func (l *leadership) hasten(jobs ...*job) {
+func (l *leader) tightenDeadlines(jobs ...*job) {
 	if len(jobs) == 0 {
 		return
 	}
-	pull := l.pull()
-	for todo := slices.Clone(jobs); len(todo) > 0; todo = todo[1:] {
-		d := todo[0]
-		if d.gone {
+	pullRate := l.imagePullRate()
+	for queue := slices.Clone(jobs); len(queue) > 0; queue = queue[1:] {
+		dependent := queue[0]
+		if dependent.terminal {
 			continue
 		}
-		end := d.endBy
-		if d.spec.DeadlineS != nil {
-			end = min(end, l.ownDue(d, d.from))
+		latestStart := dependent.latestEnd
+		if dependent.spec.DeadlineSeconds != nil {
+			latestStart = min(latestStart, l.ownDue(dependent, dependent.eligibleAt))
 		}
-		if end < forever {
-			end -= l.lasts(d, pull)
+		if latestStart < forever {
+			latestStart -= l.expectedJobDuration(dependent, pullRate)
 		}
-		for _, id := range d.spec.Needs {
-			b := l.jobs[id]
-			if b == nil || b.gone || (end >= b.endBy && d.rank() >= b.urgency) {
+		for _, id := range dependent.spec.Dependencies {
+			dependency := l.jobs[id]
+			if dependency == nil || dependency.terminal || (latestStart >= dependency.latestEnd && dependent.effectiveRank() >= dependency.inheritedRank) {
 				continue
 			}
-			b.endBy, b.urgency = min(b.endBy, end), min(b.urgency, d.rank())
-			l.dirty = true
-			todo = append(todo, b)
+			dependency.latestEnd, dependency.inheritedRank = min(dependency.latestEnd, latestStart), min(dependency.inheritedRank, dependent.effectiveRank())
+			l.schedulingNeeded = true
+			queue = append(queue, dependency)
 		}
 	}
 }
@@ -202,24 +202,24 @@
 // expectedJobDuration returns the expected time from the completion of a job's last dependency to
 // its own: its longest task, the image fetch, and the two heartbeats that carry the start and the
 // end.
-func (l *leadership) lasts(j *job, p pull) time.Duration {
-	longest := math.Exp(taskSpread * math.Sqrt(2*math.Log(float64(j.spec.Tasks))))
-	return time.Duration(longest*float64(l.expected(j))) + p.time(j.spec.ImageGB) + 2*l.n.report()
+func (l *leader) expectedJobDuration(j *job, pullRate imagePullRate) time.Duration {
+	longestTaskFactor := math.Exp(taskDurationLogDeviation * math.Sqrt(2*math.Log(float64(j.spec.TaskCount))))
+	return time.Duration(longestTaskFactor*float64(l.expectedTaskDuration(j))) + pullRate.pullDuration(j.spec.ImageGB) + 2*l.node.heartbeatInterval()
 }
 
 // taskDurationLogDeviation is the standard deviation of the logarithms of the run times of a
 // job's tasks.
-const taskSpread = 0.25
+const taskDurationLogDeviation = 0.25
 
 // tickDependencyLookups reads the state of dependencies that are not in the job table.
-func (l *leadership) tickLookups() {
-	for _, id := range slices.Sorted(maps.Keys(l.lookups)) {
-		switch at := l.lookups[id]; {
-		case l.jobs[id] != nil || l.after[id] == nil:
-			delete(l.lookups, id)
-		case l.n.now >= at && !l.n.elect.stateLost() && l.lookupBudget.take(l.n.now, 1):
-			l.lookups[id] = l.n.now + l.n.lease()/probesPerLease
-			l.lookUp(id)
+func (l *leader) tickDependencyLookups() {
+	for _, id := range slices.Sorted(maps.Keys(l.dependencyLookups)) {
+		switch lookupAt := l.dependencyLookups[id]; {
+		case l.jobs[id] != nil || l.dependents[id] == nil:
+			delete(l.dependencyLookups, id)
+		case l.node.now >= lookupAt && !l.node.election.storeUnavailable() && l.lookupBudget.take(l.node.now, 1):
+			l.dependencyLookups[id] = l.node.now + l.node.workerLease()/pollsPerLease
+			l.lookUpDependency(id)
 		}
 	}
 }
@@ -227,18 +227,18 @@
 // lookUpDependency reads the terminal record of a dependency, or its open record if there is
 // none. If neither is found, the job moved from one to the other between the reads, and a later
 // lookup finds it.
-func (l *leadership) lookUp(id string) {
-	n := l.n
-	n.readFinal(id, func(ok bool, final *storage.FinalRecord) {
+func (l *leader) lookUpDependency(id string) {
+	n := l.node
+	n.readTerminalRecord(id, func(ok bool, final *storage.TerminalRecord) {
 		switch {
-		case n.lead != l:
+		case n.leader != l:
 		case final != nil:
-			l.ended(id, *final, false)
+			l.releaseDependents(id, *final, false)
 		case ok:
-			n.stateCall("GET", "/store/"+storage.JobKey(id), nil, func(r Result) {
+			n.storeCall("GET", "/store/"+storage.JobKey(id), nil, func(r CallResult) {
 				var item storage.Item
-				if n.lead == l && r.Status == 200 && json.Unmarshal(r.Body, &item) == nil {
-					l.adopt(id, item)
+				if n.leader == l && r.Status == 200 && json.Unmarshal(r.Body, &item) == nil {
+					l.adoptStoredJob(id, item)
 				}
 			})
 		}
@@ -246,39 +246,39 @@
 }
 
 // readDependencies reads the IDs of the jobs on which an open job depends.
-func (n *Node) needsOf(open *storage.Item, then func(ok bool, ids []string)) {
-	rec, err := storage.ReadJob(*open)
+func (n *Node) readDependencies(open *storage.Item, then func(ok bool, ids []string)) {
+	record, err := storage.ReadJob(*open)
 	if err != nil {
 		// If the job may have dependencies, one may be cancelled, which cancels this job too.
-		then(!storage.MayNeedOthers(*open), nil)
+		then(!storage.MayHaveDependencies(*open), nil)
 		return
 	}
-	if rec.TakeNeeds(nil) {
-		then(true, rec.Spec.Needs)
+	if record.RestoreDependencies(nil) {
+		then(true, record.Spec.Dependencies)
 		return
 	}
-	n.stateCall("GET", storage.ListPath(storage.NeedsPrefix+rec.Spec.UID+"/", "", rec.More), nil, func(r Result) {
-		var page storage.Page
-		ok := r.Status == 200 && json.Unmarshal(r.Body, &page) == nil && rec.TakeNeeds(page.Items)
-		then(ok, rec.Spec.Needs)
+	n.storeCall("GET", storage.ListPath(storage.DependenciesPrefix+record.Spec.ID+"/", "", record.DependencyRecords), nil, func(r CallResult) {
+		var page storage.ListResponse
+		ok := r.Status == 200 && json.Unmarshal(r.Body, &page) == nil && record.RestoreDependencies(page.Items)
+		then(ok, record.Spec.Dependencies)
 	})
 }
 
 // readEffectiveState reads a job's state from the records: an open job is cancelled if any of its
 // direct or indirect dependencies is. All controllers answer by this rule, so none contradicts
 // what another has told a user.
-func (n *Node) readTruth(id string, then func(ok bool, open *storage.Item, final *storage.FinalRecord)) {
-	n.readJob(id, func(ok bool, open *storage.Item, final *storage.FinalRecord) {
+func (n *Node) readEffectiveState(id string, then func(ok bool, open *storage.Item, final *storage.TerminalRecord)) {
+	n.readJobRecord(id, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
 		if open == nil {
 			then(ok, open, final)
 			return
 		}
-		n.anyWithdrawn(open, nil, map[string]bool{}, func(ok, withdrawn bool) {
+		n.anyDependencyCancelled(open, nil, map[string]bool{}, func(ok, cancelled bool) {
 			switch {
 			case !ok:
 				then(false, nil, nil)
-			case withdrawn:
-				then(true, nil, &storage.FinalRecord{State: protocol.Withdrawn})
+			case cancelled:
+				then(true, nil, &storage.TerminalRecord{State: protocol.JobCancelled})
 			default:
 				then(true, open, nil)
 			}
@@ -289,33 +289,33 @@
 // anyDependencyCancelled reads whether a direct or indirect dependency of an open job, or one of
 // otherIDs, is cancelled. A completed job needs no check, as all its dependencies were completed
 // before.
-func (n *Node) anyWithdrawn(open *storage.Item, more []string, seen map[string]bool, then func(ok, withdrawn bool)) {
-	n.needsOf(open, func(ok bool, ids []string) {
+func (n *Node) anyDependencyCancelled(open *storage.Item, otherIDs []string, visited map[string]bool, then func(ok, cancelled bool)) {
+	n.readDependencies(open, func(ok bool, ids []string) {
 		if !ok {
 			then(false, false)
 			return
 		}
-		n.oneWithdrawn(append(slices.Clone(more), ids...), seen, then)
+		n.anyJobCancelled(append(slices.Clone(otherIDs), ids...), visited, then)
 	})
 }
 
 // anyJobCancelled reads whether any of some jobs, or of their dependencies, is cancelled.
-func (n *Node) oneWithdrawn(ids []string, seen map[string]bool, then func(ok, withdrawn bool)) {
+func (n *Node) anyJobCancelled(ids []string, visited map[string]bool, then func(ok, cancelled bool)) {
 	for i, id := range ids {
-		if seen[id] {
+		if visited[id] {
 			continue
 		}
-		seen[id] = true
-		n.readJob(id, func(ok bool, open *storage.Item, final *storage.FinalRecord) {
+		visited[id] = true
+		n.readJobRecord(id, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
 			switch {
 			case !ok:
 				then(false, false)
-			case final != nil && final.State == protocol.Withdrawn:
+			case final != nil && final.State == protocol.JobCancelled:
 				then(true, true)
 			case open != nil:
-				n.anyWithdrawn(open, ids[i+1:], seen, then)
+				n.anyDependencyCancelled(open, ids[i+1:], visited, then)
 			default:
-				n.oneWithdrawn(ids[i+1:], seen, then)
+				n.anyJobCancelled(ids[i+1:], visited, then)
 			}
 		})
 		return
@@ -325,31 +325,31 @@
 
 // withoutKnownAcceptance returns the IDs that this node does not know to be accepted. Acceptance
 // is never withdrawn, so a known one needs no further check.
-func (n *Node) notKnownAccepted(ids []string) []string {
+func (n *Node) withoutKnownAcceptance(ids []string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(id string) bool {
-		_, over := n.finals.byID[id]
-		return over || n.accepted.byID[id] || (n.lead != nil && n.lead.jobs[id] != nil)
+		_, ended := n.terminalJobs.byID[id]
+		return ended || n.acceptedJobs.byID[id] || (n.leader != nil && n.leader.jobs[id] != nil)
 	})
 }
 
 // maxDirectJobReads is the number of jobs whose acceptance a node reads itself instead of asking
 // the leader.
-const needsRead = 4
+const maxDirectJobReads = 4
 
 // readAcceptance reads whether all of some jobs were accepted by any node. Only the key-value
 // store counts: another node may have accepted one a moment ago.
-func (n *Node) wereAccepted(ids []string, then func(ok, all bool)) {
-	left, readable, all := len(ids), true, true
-	if left == 0 {
+func (n *Node) readAcceptance(ids []string, then func(ok, allAccepted bool)) {
+	pendingReads, readable, allAccepted := len(ids), true, true
+	if pendingReads == 0 {
 		then(true, true)
 		return
 	}
 	for _, id := range ids {
-		n.readJob(id, func(ok bool, open *storage.Item, final *storage.FinalRecord) {
+		n.readJobRecord(id, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
 			readable = readable && ok
-			all = all && (open != nil || final != nil)
-			if left--; left == 0 {
-				then(readable, all)
+			allAccepted = allAccepted && (open != nil || final != nil)
+			if pendingReads--; pendingReads == 0 {
+				then(readable, allAccepted)
 			}
 		})
 	}
--- a/internal/coordination/pipelines_test.go
+++ b/internal/coordination/pipelines_test.go
@@ -14,7 +14,7 @@
 // after is a job of so many tasks that needs others.
 func after(id string, tasks int, needs ...string) protocol.Job {
 	j := spec(id, tasks)
-	j.Needs = needs
+	j.Dependencies = needs
 	return j
 }
 
@@ -31,7 +31,7 @@
 func (w *simulation) accept(node string, j protocol.Job) {
 	w.t.Helper()
 	if r := w.submit(node, j); r.Status != 201 {
-		w.t.Fatalf("%s: submission answered %d", j.UID, r.Status)
+		w.t.Fatalf("%s: submission answered %d", j.ID, r.Status)
 	}
 }
 
@@ -43,20 +43,20 @@
 	w.accept(other, spec("j-a", 3))
 	w.accept(l.name, after("j-b", 2, "j-a"))
 	w.accept(other, after("j-c", 1, "j-a", "j-b"))
-	if _, s := w.query(other, "j-c"); s.State != protocol.Queued {
+	if _, s := w.query(other, "j-c"); s.State != protocol.JobQueued {
 		t.Errorf("a job that waits is called %q", s.State)
 	}
-	if l.lead.runnable["j-b"] != nil || len(l.lead.waitingJobs()) > 1 {
+	if l.leader.runnableJobs["j-b"] != nil || len(l.leader.buildQueue()) > 1 {
 		t.Error("a job that waits for another takes part in the passes")
 	}
-	w.waitState("j-c", protocol.Done, time.Minute)
-	if n := len(l.lead.after) + len(l.lead.lookups) + len(l.lead.runnable); n != 0 {
+	w.waitState("j-c", protocol.JobDone, time.Minute)
+	if n := len(l.leader.dependents) + len(l.leader.dependencyLookups) + len(l.leader.runnableJobs); n != 0 {
 		t.Errorf("%d entries are left of jobs that are over", n)
 	}
 	// One that is submitted when all is over begins at once, and one that repeats a
 	// submission is told how the job is.
 	w.accept(other, after("j-d", 1, "j-a", "j-c"))
-	w.waitState("j-d", protocol.Done, 20*time.Second)
+	w.waitState("j-d", protocol.JobDone, 20*time.Second)
 	if r := w.submit(other, after("j-d", 1, "j-a", "j-c")); r.Status != 200 || !strings.Contains(string(r.Body), "done") {
 		t.Errorf("a repeat is answered %d %s", r.Status, r.Body)
 	}
@@ -72,7 +72,7 @@
 	}
 	w.accept(l.name, after("j-d", 1, "j-a", "j-b", "j-c"))
 	w.accept(l.name, after("j-e", 1, "j-d", "j-b"))
-	w.waitState("j-e", protocol.Done, time.Minute)
+	w.waitState("j-e", protocol.JobDone, time.Minute)
 	w.startedOnce()
 }
 
@@ -88,7 +88,7 @@
 		t.Fatal("started before the end of j-a was durable")
 	}
 	w.state.setDown(false)
-	w.waitState("j-b", protocol.Done, time.Minute)
+	w.waitState("j-b", protocol.JobDone, time.Minute)
 }
 
 // A job whose answer was lost ended all the same: what needs it goes on, once.
@@ -98,18 +98,18 @@
 	w.accept(l.name, after("j-b", 1, "j-a"))
 	w.until(20*time.Second, func() bool { return w.onMachines("j-a") == 1 })
 	w.state.hold = func(_ string, txn storage.Txn) bool {
-		if !slices.ContainsFunc(txn.Writes, func(wr storage.Write) bool { return wr.Set == storage.FinalKey("j-a") }) {
+		if !slices.ContainsFunc(txn.Writes, func(wr storage.Write) bool { return wr.PutKey == storage.TerminalKey("j-a") }) {
 			return false
 		}
 		w.state.hold = nil
 		w.after(3*time.Second, func() {
-			for _, f := range w.state.held {
+			for _, f := range w.state.machinesByName {
 				f()
 			}
 		})
 		return true
 	}
-	w.waitState("j-b", protocol.Done, time.Minute)
+	w.waitState("j-b", protocol.JobDone, time.Minute)
 	w.startedOnce()
 }
 
@@ -130,7 +130,7 @@
 	w.accept(other, after("j-b", 1, "j-a"))
 	w.cancel(l.name, "j-a")
 	for _, node := range w.names {
-		if r := w.submit(node, after("j-b", 1, "j-a")); r.Status != 200 || !strings.Contains(string(r.Body), protocol.Withdrawn) {
+		if r := w.submit(node, after("j-b", 1, "j-a")); r.Status != 200 || !strings.Contains(string(r.Body), protocol.JobCancelled) {
 			t.Errorf("%s: a repeat is answered %d %s", node, r.Status, r.Body)
 		}
 	}
@@ -154,7 +154,7 @@
 		w.accept(l.name, spec(all[i], 1))
 	}
 	w.accept(w.followers()[0], after("j-all", 1, all...))
-	w.waitState("j-all", protocol.Done, 2*time.Minute)
+	w.waitState("j-all", protocol.JobDone, 2*time.Minute)
 }
 
 // What a job needs may take more than one value of the state service: it is stored with
@@ -185,7 +185,7 @@
 		if n := len(w.state.keys[storage.JobKey(id)].Value); n > 1024 || n == 0 {
 			t.Errorf("the record of %s has %d bytes", id, n)
 		}
-		if j := l.lead.jobs[id]; j == nil || len(j.spec.Needs) != 200 {
+		if j := l.leader.jobs[id]; j == nil || len(j.spec.Dependencies) != 200 {
 			t.Errorf("%s is known as %+v", id, j)
 		}
 	}
@@ -203,13 +203,13 @@
 	l = w.waitLeader()
 	w.run(time.Second)
 	w.cancel(l.name, "j-mine")
-	w.waitState("j-most", protocol.Done, 5*time.Minute)
+	w.waitState("j-most", protocol.JobDone, 5*time.Minute)
 	if len(w.state.refused) > 0 {
 		t.Errorf("too large: %v", w.state.refused)
 	}
 	w.run(5 * time.Second)
 	for key := range w.state.keys {
-		if strings.HasPrefix(key, storage.NeedsPrefix) {
+		if strings.HasPrefix(key, storage.DependenciesPrefix) {
 			t.Errorf("%s is kept", key)
 		}
 	}
@@ -226,15 +226,15 @@
 	w.accept(other, after("j-b", 1, "j-a"))
 	w.accept(other, after("j-c", 1, "j-k", "j-b"))
 	w.accept(other, after("j-d", 1, "j-k"))
-	if r := w.cancel(other, "j-b"); !strings.Contains(string(r.Body), protocol.Withdrawn) {
+	if r := w.cancel(other, "j-b"); !strings.Contains(string(r.Body), protocol.JobCancelled) {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	w.accept(other, after("j-e", 1, "j-c"))
 	for _, id := range []string{"j-b", "j-c", "j-e"} {
-		w.waitState(id, protocol.Withdrawn, 2*time.Second)
+		w.waitState(id, protocol.JobCancelled, 2*time.Second)
 	}
 	for _, id := range []string{"j-a", "j-k", "j-d"} {
-		w.waitState(id, protocol.Done, time.Minute)
+		w.waitState(id, protocol.JobDone, time.Minute)
 	}
 }
 
@@ -252,10 +252,10 @@
 				w.accept(l.name, after(fmt.Sprintf("j-%d", i), 1, fmt.Sprintf("j-%d", i-1)))
 			}
 			last := fmt.Sprintf("j-%d", length-1)
-			if r := w.cancel(l.name, "j-0"); !strings.Contains(string(r.Body), protocol.Withdrawn) {
+			if r := w.cancel(l.name, "j-0"); !strings.Contains(string(r.Body), protocol.JobCancelled) {
 				t.Fatalf("%d %s", r.Status, r.Body)
 			}
-			if _, s := w.query(l.name, last); s.State != protocol.Withdrawn {
+			if _, s := w.query(l.name, last); s.State != protocol.JobCancelled {
 				t.Errorf("the last job is %q after the answer", s.State)
 			}
 			told := w.now
@@ -272,14 +272,14 @@
 					if w.nodes[node].down {
 						continue
 					}
-					if code, s := w.query(node, last); code == 404 || code == 200 && s.State != protocol.Withdrawn {
+					if code, s := w.query(node, last); code == 404 || code == 200 && s.State != protocol.JobCancelled {
 						t.Fatalf("went_back: at %v %s says %d %q of the last job", w.now-told, node, code, s.State)
 					}
 				}
 				w.run(500 * time.Millisecond)
 			}
 			for i := range length {
-				w.waitState(fmt.Sprintf("j-%d", i), protocol.Withdrawn, 30*time.Second)
+				w.waitState(fmt.Sprintf("j-%d", i), protocol.JobCancelled, 30*time.Second)
 			}
 		})
 	}
@@ -294,16 +294,16 @@
 		w.runTime = func(string, int) time.Duration { return time.Minute }
 		w.accept(l.name, spec("j-a", 1))
 		w.state.hold = func(_ string, txn storage.Txn) bool {
-			return slices.ContainsFunc(txn.Writes, func(wr storage.Write) bool { return wr.Set == storage.JobKey("j-b") })
+			return slices.ContainsFunc(txn.Writes, func(wr storage.Write) bool { return wr.PutKey == storage.JobKey("j-b") })
 		}
 		j := after("j-b", 1, "j-a")
 		w.specs["j-b"] = j
 		accepted := 0
-		w.ask(other, Request{Kind: protocol.RequestSubmit, ID: "j-b", Job: &j}, func(r Reply) { accepted = r.Status })
+		w.ask(other, Request{Kind: protocol.RequestSubmit, JobID: "j-b", Job: &j}, func(r Reply) { accepted = r.Status })
 		w.run(200 * time.Millisecond)
 		w.cancel(l.name, "j-a")
 		w.state.hold = nil
-		for _, f := range w.state.held {
+		for _, f := range w.state.machinesByName {
 			f() // written after the cancellation
 		}
 		if crash {
@@ -313,7 +313,7 @@
 		if accepted != 201 && accepted != 200 {
 			t.Errorf("the submission is answered %d", accepted)
 		}
-		w.waitState("j-b", protocol.Withdrawn, 20*time.Second)
+		w.waitState("j-b", protocol.JobCancelled, 20*time.Second)
 	}
 }
 
@@ -321,16 +321,16 @@
 // a predecessor may have told its user that it is cancelled.
 func TestNeedNotReadYet(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.state.put(storage.FinalKey("j-a"), storage.FinalRecord{State: protocol.Withdrawn, Tasks: 1})
-	w.state.put(storage.JobKey("j-b"), storage.JobRecord{Spec: after("j-b", 1, "j-a"), AtMS: time.Unix(1_000_000, 0).UnixMilli()})
-	w.state.put(storage.JobKey("j-c"), storage.JobRecord{Spec: after("j-c", 1, "j-b"), AtMS: time.Unix(1_000_000, 0).UnixMilli()})
+	w.state.put(storage.TerminalKey("j-a"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 1})
+	w.state.put(storage.JobKey("j-b"), storage.JobRecord{Spec: after("j-b", 1, "j-a"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
+	w.state.put(storage.JobKey("j-c"), storage.JobRecord{Spec: after("j-c", 1, "j-b"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
 	for w.now < 20*time.Second {
-		if code, s := w.query("n0", "j-c"); code == 200 && s.State != protocol.Withdrawn {
+		if code, s := w.query("n0", "j-c"); code == 200 && s.State != protocol.JobCancelled {
 			t.Fatalf("at %v it is called %q", w.now, s.State)
 		}
 		w.run(20 * time.Millisecond)
 	}
-	if w.final("j-c") != protocol.Withdrawn {
+	if w.final("j-c") != protocol.JobCancelled {
 		t.Error("its end is not written")
 	}
 }
@@ -340,30 +340,30 @@
 func TestDeadlineAndPriorityReachBack(t *testing.T) {
 	w, n := pipelines(t, 1)
 	w.runTime = func(string, int) time.Duration { return time.Hour }
-	l := n.lead
+	l := n.leader
 	w.accept(n.name, spec("j-a", 1))
 	w.accept(n.name, after("j-b", 1, "j-a"))
 	slow := after("j-s", 1, "j-a")
-	slow.EstimateS = 40
+	slow.EstimatedSeconds = 40
 	w.accept(n.name, slow)
 	last := after("j-z", 1, "j-b", "j-s")
 	deadline := 120.0
-	last.DeadlineS, last.Priority = &deadline, "urgent"
+	last.DeadlineSeconds, last.Priority = &deadline, "urgent"
 	w.accept(n.name, last)
 	a, b, s, z := l.jobs["j-a"], l.jobs["j-b"], l.jobs["j-s"], l.jobs["j-z"]
-	end := z.at + 120*time.Second
-	if want := end - l.lasts(z, l.pull()); l.due(b) != want || l.due(s) != want {
+	end := z.acceptedAt + 120*time.Second
+	if want := end - l.expectedJobDuration(z, l.imagePullRate()); l.due(b) != want || l.due(s) != want {
 		t.Errorf("b is due at %v, s at %v, not %v", l.due(b), l.due(s), want)
 	}
-	if want := end - l.lasts(z, l.pull()) - l.lasts(s, l.pull()); l.due(a) != want {
+	if want := end - l.expectedJobDuration(z, l.imagePullRate()) - l.expectedJobDuration(s, l.imagePullRate()); l.due(a) != want {
 		t.Errorf("a is due at %v, not %v: the longest way counts", l.due(a), want)
 	}
-	if a.rank() != 1 || b.rank() != 1 || a.spec.Rank() != 2 {
-		t.Errorf("ranks %d and %d", a.rank(), b.rank())
+	if a.effectiveRank() != 1 || b.effectiveRank() != 1 || a.spec.PriorityRank() != 2 {
+		t.Errorf("ranks %d and %d", a.effectiveRank(), b.effectiveRank())
 	}
 	w.cancel(n.name, "j-z")
-	if a.rank() != 2 || a.endBy != forever {
-		t.Errorf("rank %d, end by %v, though nothing needs it in time", a.rank(), a.endBy)
+	if a.effectiveRank() != 2 || a.latestEnd != forever {
+		t.Errorf("rank %d, end by %v, though nothing needs it in time", a.effectiveRank(), a.latestEnd)
 	}
 }
 
@@ -384,12 +384,12 @@
 	w.crash(l.name)
 	l = w.waitLeader()
 	w.until(20*time.Second, func() bool { return w.onMachines("j-b") == 1 })
-	b := l.lead.jobs["j-b"]
-	if from := b.from + l.boot; from < ended-time.Second || from > ended+time.Second {
+	b := l.leader.jobs["j-b"]
+	if from := b.eligibleAt + l.boot; from < ended-time.Second || from > ended+time.Second {
 		t.Errorf("its times count from %v, not %v", from, ended)
 	}
-	if b.at+l.boot > 20*time.Second {
-		t.Errorf("accepted at %v", b.at+l.boot)
+	if b.acceptedAt+l.boot > 20*time.Second {
+		t.Errorf("accepted at %v", b.acceptedAt+l.boot)
 	}
 }
 
@@ -399,20 +399,20 @@
 	w, n := pipelines(t, 1)
 	w.runTime = func(string, int) time.Duration { return time.Hour }
 	a := spec("j-a", 1)
-	a.EstimateS = 60
+	a.EstimatedSeconds = 60
 	w.accept(n.name, a)
 	w.until(20*time.Second, func() bool { return w.onMachines("j-a") == 1 })
 	w.run(time.Second)
-	f := &n.lead.fleet
-	alone := f.demand(1000)
+	f := &n.leader.autoscaler
+	alone := f.requiredCores(1000)
 	w.accept(n.name, after("j-b", 200, "j-a"))
 	w.accept(n.name, after("j-c", 200, "j-a", "j-b")) // must wait for j-b as well
-	if got := f.demand(1000); got > alone {
+	if got := f.requiredCores(1000); got > alone {
 		t.Errorf("%v cores are planned for work that waits, %v without it", got, alone)
 	}
 	w.run(56 * time.Second) // a machine boots in 5 s
-	due := n.lead.dueFrom(n.lead.jobs["j-b"], n.now) - n.now
-	if got, want := f.demand(1000), 200*5/due.Seconds(); got < want || got > 2*want {
+	due := n.leader.dueFrom(n.leader.jobs["j-b"], n.now) - n.now
+	if got, want := f.requiredCores(1000), 200*5/due.Seconds(); got < want || got > 2*want {
 		t.Errorf("%v cores are planned for the next stage, not %v", got, want)
 	}
 }
@@ -444,7 +444,7 @@
 	if !w.until(30*time.Second, func() bool { return w.onMachines("j-b") == 1 }) || silenced == 0 {
 		t.Fatal("not started")
 	}
-	if l.lead.accountedBefore {
+	if l.leader.reconciledOnce {
 		t.Errorf("started only when all machines were accounted for, %v after the takeover", w.now-took)
 	}
 }
@@ -456,15 +456,15 @@
 	w.accept(n.name, spec("j-0", 1))
 	w.until(20*time.Second, func() bool { return w.onMachines("j-0") == 1 })
 	cost := func() int {
-		at := n.lead.looked
+		at := n.leader.candidatesExamined
 		w.run(15 * time.Second)
-		return n.lead.looked - at
+		return n.leader.candidatesExamined - at
 	}
 	before := cost()
 	for i := 1; i < 200; i++ {
 		w.accept(n.name, after(fmt.Sprintf("j-%d", i), 50, fmt.Sprintf("j-%d", i/2)))
 	}
-	if got := cost(); got > before+before/4 || len(n.lead.byAge()) != 1 {
-		t.Errorf("looked at %d with 200 jobs that wait, %d without; %d are served", got, before, len(n.lead.byAge()))
+	if got := cost(); got > before+before/4 || len(n.leader.jobsByAge()) != 1 {
+		t.Errorf("looked at %d with 200 jobs that wait, %d without; %d are served", got, before, len(n.leader.jobsByAge()))
 	}
 }
--- a/internal/coordination/quarantine_test.go
+++ b/internal/coordination/quarantine_test.go
@@ -15,8 +15,8 @@
 	was, known := s.keys[key]
 	set := func(value []byte) {
 		s.rev++
-		s.keys[key] = storage.Item{Key: key, Value: value, Version: s.rev}
-		s.log = append(s.log, storage.Event{Set: key, Value: value, Version: s.rev})
+		s.keys[key] = storage.Item{Key: key, Value: value, ModRevision: s.rev}
+		s.log = append(s.log, storage.WatchEvent{PutKey: key, Value: value, ModRevision: s.rev})
 		s.wake()
 	}
 	set([]byte(value))
@@ -69,17 +69,17 @@
 		"job of another key":  {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-7","pecas":4}}`},
 		"job impossible":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-1","lote":"c","dono":"free","feitio":"batch","vez":"low","pecas":-4}}`},
 		"job with needs":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-1","aguarda":7}}`, silent: true},
-		"bitmap":              {key: func(*simulation) string { return storage.BitsKey("j-1", 0) }, value: `{"b":"%%%"}`},
-		"bitmap no object":    {key: func(*simulation) string { return storage.BitsKey("j-1", 0) }, value: `[]`},
-		"group":               {key: func(w *simulation) string { return w.state.keyOf(w.t, storage.GroupPrefix) }, value: `"?"`, frees: true},
-		"group entry":         {key: func(w *simulation) string { return w.state.keyOf(w.t, storage.GroupPrefix) }, value: `{"m-000001":{"type":"c4","zone":"a","used":true},"m-000002":7}`, frees: true},
-		"single machine":      {key: func(*simulation) string { return storage.MachinePrefix + "m-000002" }, value: `"?"`, frees: true},
-		"rental":              {key: func(*simulation) string { return storage.RentPrefix + "r-1-99" }, value: `{"pedido":"r-1-98"}`, frees: true},
-		"end of another":      {key: func(*simulation) string { return storage.FinalKey("j-9") }, value: `{"state":"?"}`, frees: true},
-		"forecast":            {key: func(*simulation) string { return storage.FlowKey }, value: `"?"`, rewritten: true, frees: true},
-		"needs of no job":     {key: func(*simulation) string { return storage.NeedsKey("j-9", 0) }, value: `7`, frees: true},
-		"a newer version's":   {key: func(*simulation) string { return storage.BitsKey("j-1", 0) + "-x" }, value: `7`, frees: true},
-		"unknown job's group": {key: func(*simulation) string { return storage.GroupKey(77) }, value: `{"m-000099":{"type":"c9","zone":"a","used":true}}`, rewritten: true, frees: true},
+		"bitmap":              {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `{"b":"%%%"}`},
+		"bitmap no object":    {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `[]`},
+		"group":               {key: func(w *simulation) string { return w.state.keyOf(w.t, storage.MachineGroupPrefix) }, value: `"?"`, frees: true},
+		"group entry":         {key: func(w *simulation) string { return w.state.keyOf(w.t, storage.MachineGroupPrefix) }, value: `{"m-000001":{"type":"c4","zone":"a","used":true},"m-000002":7}`, frees: true},
+		"single machine":      {key: func(*simulation) string { return storage.SingleMachinePrefix + "m-000002" }, value: `"?"`, frees: true},
+		"rental":              {key: func(*simulation) string { return storage.RentalPrefix + "r-1-99" }, value: `{"pedido":"r-1-98"}`, frees: true},
+		"end of another":      {key: func(*simulation) string { return storage.TerminalKey("j-9") }, value: `{"state":"?"}`, frees: true},
+		"forecast":            {key: func(*simulation) string { return storage.ArrivalForecastKey }, value: `"?"`, rewritten: true, frees: true},
+		"needs of no job":     {key: func(*simulation) string { return storage.DependenciesKey("j-9", 0) }, value: `7`, frees: true},
+		"a newer version's":   {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) + "-x" }, value: `7`, frees: true},
+		"unknown job's group": {key: func(*simulation) string { return storage.MachineGroupKey(77) }, value: `{"m-000099":{"type":"c9","zone":"a","used":true}}`, rewritten: true, frees: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -93,9 +93,9 @@
 			l := w.waitLeader()
 			w.machines(2)
 			j := spec("j-1", 4)
-			j.EstimateS = 50
+			j.EstimatedSeconds = 50
 			w.submitAndStart(l.name, j, 4)
-			if !w.until(20*time.Second, func() bool { return w.finished["j-1/0"] && w.state.keys[storage.BitsKey("j-1", 0)].Version > 0 }) {
+			if !w.until(20*time.Second, func() bool { return w.finished["j-1/0"] && w.state.keys[storage.BitmapKey("j-1", 0)].ModRevision > 0 }) {
 				t.Fatal("no task is done")
 			}
 			w.run(time.Second)
@@ -105,16 +105,16 @@
 			w.endAll(2 * time.Second)
 			l = w.waitLeader()
 			w.submit(l.name, spec("j-2", 6))
-			w.waitState("j-2", protocol.Done, 40*time.Second)
+			w.waitState("j-2", protocol.JobDone, 40*time.Second)
 			if got := string(w.state.keys[key].Value); got != x.value && !x.rewritten {
 				t.Errorf("the record is now %s", got)
 			}
 			for _, node := range w.names {
 				status, s := w.query(node, "j-1")
-				if x.silent && status != 503 || !x.silent && (status != 200 || s.State != protocol.Queued && s.State != protocol.Running) {
+				if x.silent && status != 503 || !x.silent && (status != 200 || s.State != protocol.JobQueued && s.State != protocol.JobRunning) {
 					t.Errorf("%s says %d, %q of the job", node, status, s.State)
 				}
-				if reply := w.request(node, Request{Kind: protocol.RequestSubmit, ID: "j-1", Job: &j}); reply.Status != 200 && !x.silent {
+				if reply := w.request(node, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &j}); reply.Status != 200 && !x.silent {
 					t.Errorf("%s answers %d to the job's submission", node, reply.Status)
 				}
 			}
@@ -129,7 +129,7 @@
 				t.Error("the leader has changed")
 			}
 			mend()
-			w.waitState("j-1", protocol.Done, 60*time.Second)
+			w.waitState("j-1", protocol.JobDone, 60*time.Second)
 			w.startedOnce()
 		})
 	}
@@ -138,13 +138,13 @@
 // A job that is open by one record, be that readable or not, and over by another is over, on every
 // node, and its tasks are stopped.
 func TestOpenAndOverIsOver(t *testing.T) {
-	for i, state := range []string{protocol.Done, protocol.Withdrawn, protocol.Done, protocol.Withdrawn} {
+	for i, state := range []string{protocol.JobDone, protocol.JobCancelled, protocol.JobDone, protocol.JobCancelled} {
 		w, _ := running(t, 3, time.Hour, 1, 2)
 		for i := range 2 {
-			w.finished[taskKey("j-1", i)] = state == protocol.Done
+			w.finished[taskKey("j-1", i)] = state == protocol.JobDone
 		}
 		w.asked["j-1"] = true
-		w.state.put(storage.FinalKey("j-1"), storage.FinalRecord{State: state, Tasks: 2})
+		w.state.put(storage.TerminalKey("j-1"), storage.TerminalRecord{State: state, TaskCount: 2})
 		if i >= 2 {
 			w.state.damage(storage.JobKey("j-1"), `{}`)
 		}
@@ -159,7 +159,7 @@
 		if on := w.onMachines("j-1"); on != 0 {
 			t.Errorf("%d tasks go on of a job that is %s", on, state)
 		}
-		if w.state.keys[storage.JobKey("j-1")].Version == 0 {
+		if w.state.keys[storage.JobKey("j-1")].ModRevision == 0 {
 			t.Error("the open record was deleted")
 		}
 	}
@@ -170,20 +170,20 @@
 	w, _ := running(t, 3, 10*time.Second, 2, 4)
 	for i := range 30 {
 		w.state.damage(storage.JobKey(fmt.Sprintf("j-x%d", i)), `{}`)
-		w.state.damage(storage.FinalKey(fmt.Sprintf("j-y%d", i)), `[]`)
-		w.state.damage(storage.GroupKey(100+i), `"?"`)
-		w.state.damage(storage.NeedsKey(fmt.Sprintf("j-x%d", i), 0), `{}`)
+		w.state.damage(storage.TerminalKey(fmt.Sprintf("j-y%d", i)), `[]`)
+		w.state.damage(storage.MachineGroupKey(100+i), `"?"`)
+		w.state.damage(storage.DependenciesKey(fmt.Sprintf("j-x%d", i), 0), `{}`)
 	}
 	w.endAll(time.Second)
 	l := w.waitLeader()
-	w.waitState("j-1", protocol.Done, time.Minute)
+	w.waitState("j-1", protocol.JobDone, time.Minute)
 	w.submit(l.name, spec("j-2", 8))
-	w.waitState("j-2", protocol.Done, time.Minute)
-	if got := len(l.lead.quarantine.records); got != 60 {
+	w.waitState("j-2", protocol.JobDone, time.Minute)
+	if got := len(l.leader.quarantine.records); got != 60 {
 		t.Errorf("%d of 60 records are set aside", got)
 	}
 	for _, node := range w.names {
-		if got := len(w.nodes[node].unreadFinals); got != 30 {
+		if got := len(w.nodes[node].unreadableTerminalRecords); got != 30 {
 			t.Errorf("%s: %d of 30 records of ends are set aside", node, got)
 		}
 	}
--- a/internal/coordination/recovering.go
+++ b/internal/coordination/recovering.go
@@ -15,47 +15,47 @@
 // recoverySettings are the intervals and limits of a recovery, from the node's settings.
 func (n *Node) recoverySettings() recovery.Settings {
 	return recovery.Settings{
-		Report: n.report(), Lease: leaseOver(n.lease()),
-		Limits: recovery.Limits{Refill: n.set.RecoveryRefill, Replace: n.set.RecoveryReplace},
+		HeartbeatInterval: n.heartbeatInterval(), WorkerLease: workerLeaseTimeout(n.workerLease()),
+		Limits: recovery.Limits{RefillLeases: n.settings.RecoveryRefillLeases, ReplaceLeases: n.settings.RecoveryReplaceLeases},
 	}
 }
 
 // tickRecovery advances the recovery, and steps down if the stored records can't be read in time.
-func (l *leadership) tickRecovery() {
-	if !l.loaded && l.recovery.ReadingTooLong(l.n.now) {
-		l.n.stepDown("timeout reading stored records")
+func (l *leader) tickRecovery() {
+	if !l.recordsLoaded && l.recovery.ReadingTimedOut(l.node.now) {
+		l.node.stepDown("timeout reading stored records")
 		return
 	}
-	if l.recovery.Over() {
+	if l.recovery.Completed() {
 		return
 	}
-	for _, moved := range l.recovery.Advance(l.n.now, l.recoveryView()) {
-		l.n.log.Info("recovery phase changed",
-			"phase", moved.To, "after", moved.After, "timeout", moved.Bound,
+	for _, transition := range l.recovery.Advance(l.node.now, l.recoveryView()) {
+		l.node.log.Info("recovery phase changed",
+			"phase", transition.To, "after", transition.Duration, "timeout", transition.TimedOut,
 			"machines", len(l.machines), "mismatches", mismatchTotal(l.recovery.Counts()))
-		l.dirty = true
-		switch moved.To {
-		case recovery.Reconciling:
-			l.noteSilentMachines()
-		case recovery.Pacing:
-			l.noteIdleJobs()
+		l.schedulingNeeded = true
+		switch transition.To {
+		case recovery.PhaseReconciling:
+			l.noteUnresponsiveMachines()
+		case recovery.PhasePacing:
+			l.noteJobsNotRunning()
 		}
 	}
 }
 
 // recoveryView is the state of the cluster that the recovery depends on.
-func (l *leadership) recoveryView() recovery.View {
-	totals := l.currentTotals()
-	return recovery.View{RecordsRead: l.loaded, NamesMissing: l.namesMissing(),
-		Machines: len(l.machines), Unaccounted: totals.unaccounted,
-		Cores: totals.held, LargestCores: totals.largest}
+func (l *leader) recoveryView() recovery.View {
+	totals := l.currentMachineTotals()
+	return recovery.View{RecordsRead: l.recordsLoaded, InventoryIncomplete: l.inventoryIncomplete(),
+		Machines: len(l.machines), Unreconciled: totals.unreconciledMachines,
+		Cores: totals.totalCores, LargestCores: totals.largestMachineCores}
 }
 
 // mismatchTotal is the number of mismatches of all kinds. Tasks that are as stored don't count.
-func mismatchTotal(counts recovery.Counts) int {
+func mismatchTotal(counts recovery.MismatchCounts) int {
 	total := 0
-	counts.Each(func(kind recovery.Mismatch, count int) {
-		if kind != recovery.AsStored {
+	counts.ForEach(func(kind recovery.Mismatch, count int) {
+		if kind != recovery.MatchesRecord {
 			total += count
 		}
 	})
@@ -63,28 +63,28 @@
 }
 
 // noteMismatch counts a mismatch, for this leader and for this process.
-func (l *leadership) note(kind recovery.Mismatch, machine, subject string) {
-	if l.recovery.Note(l.n.now, kind, machine, subject) {
-		l.n.mismatches[kind]++
+func (l *leader) noteMismatch(kind recovery.Mismatch, machine, subject string) {
+	if l.recovery.NoteMismatch(l.node.now, kind, machine, subject) {
+		l.node.mismatches[kind]++
 	}
 }
 
 // noteUnresponsiveMachines counts, at the end of the collecting phase, the machines that have not
 // sent a heartbeat.
-func (l *leadership) noteSilentMachines() {
-	for _, m := range l.held() {
-		if !m.accounted && m.heard == never {
-			l.note(recovery.MachineSilent, m.name, "")
+func (l *leader) noteUnresponsiveMachines() {
+	for _, m := range l.machinesByName() {
+		if !m.reconciled && m.lastHeartbeat == never {
+			l.noteMismatch(recovery.MachineUnresponsive, m.name, "")
 		}
 	}
 }
 
 // noteJobsNotRunning counts, once all machines are reconciled, the jobs of earlier leaders that no
 // worker reports a task of.
-func (l *leadership) noteIdleJobs() {
-	for _, j := range l.byAge() {
-		if j.version <= l.writer.LeaderVer && len(j.runs) == 0 && j.pending > 0 {
-			l.note(recovery.JobNotRunning, "", j.spec.UID)
+func (l *leader) noteJobsNotRunning() {
+	for _, j := range l.jobsByAge() {
+		if j.recordVersion <= l.writer.LeaderRevision && len(j.attempts) == 0 && j.pendingTasks > 0 {
+			l.noteMismatch(recovery.JobNotRunning, "", j.spec.ID)
 		}
 	}
 }
@@ -93,27 +93,27 @@
 // fleets of this size and not completed. Small fleets are exempt: in a simulated day of 40
 // machines, on which all controllers ended six times while their workers were cut off, delaying
 // rentals reduced the jobs completed in time by a third.
-func (l *leadership) restrained() bool {
-	return l.n.set.Recovery && !l.recovery.Over() && len(l.machines) >= l.n.set.RecoveryFrom
+func (l *leader) limitedByRecovery() bool {
+	return l.node.settings.PacedRecovery && !l.recovery.Completed() && len(l.machines) >= l.node.settings.RecoveryMinMachines
 }
 
 // mayScaleOut reports whether machines may be rented.
-func (l *leadership) mayRent() bool { return !l.restrained() || l.recovery.MayRent() }
+func (l *leader) mayScaleOut() bool { return !l.limitedByRecovery() || l.recovery.MayScaleOut() }
 
 // mayScaleIn reports whether machines may be returned because there are too many.
-func (l *leadership) mayShrink() bool { return !l.restrained() || l.recovery.MayShrink() }
+func (l *leader) mayScaleIn() bool { return !l.limitedByRecovery() || l.recovery.MayScaleIn() }
 
 // allowOperation reports whether an operation is within the recovery's budgets now, and takes it
 // from its budget.
-func (l *leadership) allowOrder(order recovery.Order, urgency recovery.Urgency, team string) bool {
-	return !l.restrained() || l.recovery.Allow(l.n.now, order, urgency, team)
+func (l *leader) allowOperation(operation recovery.Operation, urgency recovery.Urgency, team string) bool {
+	return !l.limitedByRecovery() || l.recovery.Allow(l.node.now, operation, urgency, team)
 }
 
 // allowedOperations is how many of count operations on machines are within the budget now. It takes
 // them from the budget.
-func (l *leadership) affordable(order recovery.Order, count int) int {
+func (l *leader) allowedOperations(operation recovery.Operation, count int) int {
 	for i := range count {
-		if !l.allowOrder(order, recovery.Pressing, "") {
+		if !l.allowOperation(operation, recovery.LatencySensitive, "") {
 			return i
 		}
 	}
@@ -121,48 +121,48 @@
 }
 
 // urgencyOf is the urgency of operations on a job's tasks.
-func urgencyOf(j *job) recovery.Urgency {
+func urgencyOf(job *job) recovery.Urgency {
 	switch {
-	case j.gone:
-		return recovery.Cancelled
-	case j.rank() <= rankPressing:
-		return recovery.Pressing
+	case job.terminal:
+		return recovery.CancelledWork
+	case job.effectiveRank() <= rankLatencySensitive:
+		return recovery.LatencySensitive
 	default:
-		return recovery.Ordinary
+		return recovery.OrdinaryWork
 	}
 }
 
 // startsPerResponseDivisor bounds the tasks that one response starts while starts are paced: one per
 // so many cores of the machine. The budget is then spread over more machines, and these send
 // their next heartbeat as soon as the tasks start.
-const startsPerAnswer = 4
+const startsPerResponseDivisor = 4
 
 // mayStartTask reports whether a response that starts some tasks already may start one more.
-func (l *leadership) mayStart(r *run, already int) bool {
-	if !l.restrained() {
+func (l *leader) mayStartTask(attempt *taskAttempt, startedCount int) bool {
+	if !l.limitedByRecovery() {
 		return true
 	}
-	if most := max(1, int(r.m.kind.Cores/startsPerAnswer)); already >= most {
+	if maxStarts := max(1, int(attempt.machine.machineType.Cores/startsPerResponseDivisor)); startedCount >= maxStarts {
 		return false
 	}
-	return l.allowOrder(recovery.StartTask, urgencyOf(r.job), r.job.spec.Team)
+	return l.allowOperation(recovery.StartTask, urgencyOf(attempt.job), attempt.job.spec.Team)
 }
 
 // mayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled.
 // An earlier leader can't have started a job that was accepted after the leader key was written,
 // nor one that depends on a job whose end this leader has written. Nor can a job be running there
 // that may use none of those machines.
-func (l *leadership) mayRunUnseen(j *job, totals *machineTotals) bool {
-	if totals.complete || j.version > l.writer.LeaderVer || j.fresh {
+func (l *leader) mayRunUnreported(job *job, totals *machineTotals) bool {
+	if totals.allReconciled || job.recordVersion > l.writer.LeaderRevision || job.releasedThisTerm {
 		return false
 	}
-	if totals.anything {
+	if totals.unreconciledTypeUnknown {
 		return true
 	}
-	for o := range totals.unknownOptions {
+	for option := range totals.unreconciledOptions {
 		// Only the constraints are checked: the sizes in the catalogue may have been different
 		// when an earlier leader placed the job.
-		if o.MayServe(&j.spec) {
+		if option.MatchesConstraints(&job.spec) {
 			return true
 		}
 	}
@@ -171,136 +171,136 @@
 
 // reportedTask is a task in a worker's heartbeat, with this leader's state of it.
 type reportedTask struct {
-	protocol.TaskReport
-	jobID string
-	index int
-	job   *job // nil: the job is not open
-	run   *run // the attempt at this task on this machine, whatever its number; nil: none
+	protocol.TaskStatus
+	jobID   string
+	index   int
+	job     *job         // nil: the job is not open
+	attempt *taskAttempt // the attempt at this task on this machine, whatever its number; nil: none
 }
 
 // isTracked reports whether this leader tracks the reported attempt on the machine.
-func (x *reportedTask) followed() bool { return x.run != nil && x.run.attempt == x.Attempt }
+func (x *reportedTask) isTracked() bool { return x.attempt != nil && x.attempt.number == x.Attempt }
 
 // lookUpReportedTask looks up the state of a task that a machine reports.
-func (l *leadership) reportedTask(m *machine, t protocol.TaskReport) *reportedTask {
-	x := &reportedTask{TaskReport: t, run: m.runs[t.Task]}
+func (l *leader) lookUpReportedTask(machine *machine, report protocol.TaskStatus) *reportedTask {
+	task := &reportedTask{TaskStatus: report, attempt: machine.attempts[report.TaskID]}
 	var ok bool
-	x.jobID, x.index, ok = splitTask(t.Task)
-	if j := l.jobs[x.jobID]; ok && j != nil && x.index < j.spec.Tasks {
-		x.job = j
+	task.jobID, task.index, ok = parseTaskKey(report.TaskID)
+	if j := l.jobs[task.jobID]; ok && j != nil && task.index < j.spec.TaskCount {
+		task.job = j
 	}
-	return x
+	return task
 }
 
 // reportedTaskAction decides what to do with a reported task, and counts a mismatch if there is one.
-func (l *leadership) judgeTask(m *machine, x *reportedTask, tokenShown bool) recovery.Action {
-	facts := recovery.Task{Job: l.jobState(x.jobID, x.job),
-		Exited: x.State == protocol.TaskExited, Done: x.Why == protocol.WhyDone,
-		Followed: x.followed(), TokenShown: tokenShown}
-	if x.job != nil {
-		other := x.job.runs[x.index]
-		facts.Elsewhere = other != nil && other != x.run ||
-			x.run != nil && !facts.Followed
-		facts.Finished = x.job.taskState(x.index) == taskDone
+func (l *leader) reportedTaskAction(machine *machine, task *reportedTask, tokenAcknowledged bool) recovery.Action {
+	facts := recovery.ReportedTask{JobState: l.reconciliationJobState(task.jobID, task.job),
+		Exited: task.State == protocol.TaskExited, Completed: task.ExitReason == protocol.ExitDone,
+		Tracked: task.isTracked(), TokenAcknowledged: tokenAcknowledged}
+	if task.job != nil {
+		currentAttempt := task.job.attempts[task.index]
+		facts.TrackedElsewhere = currentAttempt != nil && currentAttempt != task.attempt ||
+			task.attempt != nil && !facts.Tracked
+		facts.CompletionKnown = task.job.taskState(task.index) == taskDone
 	}
-	action, kind, differs := recovery.Decide(facts)
-	if differs && (kind != recovery.JobNeverStored || l.n.finals.read) {
-		l.note(kind, m.name, x.Task)
+	action, kind, differs := recovery.ReconcileTask(facts)
+	if differs && (kind != recovery.JobNeverStored || l.node.terminalJobs.loaded) {
+		l.noteMismatch(kind, machine.name, task.TaskID)
 	}
 	return action
 }
 
 // reconciliationJobState is the state of a reported task's job, as the reconciliation needs it.
-func (l *leadership) jobState(id string, j *job) recovery.JobState {
-	_, over := l.n.finals.byID[id]
+func (l *leader) reconciliationJobState(jobID string, job *job) recovery.JobState {
+	_, isTerminal := l.node.terminalJobs.byID[jobID]
 	switch {
-	case j != nil && j.gone || over || l.over[id]:
-		return recovery.JobOver
-	case l.quarantine.jobs[id]:
-		return recovery.JobUnread
-	case j != nil:
-		return recovery.JobAccepted
+	case job != nil && job.terminal || isTerminal || l.endedJobs[jobID]:
+		return recovery.JobStateTerminal
+	case l.quarantine.unreadableJobs[jobID]:
+		return recovery.JobStateQuarantined
+	case job != nil:
+		return recovery.JobStateOpen
 	default:
-		return recovery.JobUnknown
+		return recovery.JobStateUnknown
 	}
 }
 
 // mayStopUnexpectedTask reports whether a task that should not be running may be stopped now. One
 // whose job is terminal, or unknown, has the highest urgency.
-func (l *leadership) mayStopUnknown(j *job) bool {
-	if j == nil {
-		return l.allowOrder(recovery.StopTask, recovery.Cancelled, "")
+func (l *leader) mayStopUnexpectedTask(job *job) bool {
+	if job == nil {
+		return l.allowOperation(recovery.StopTask, recovery.CancelledWork, "")
 	}
-	return l.allowOrder(recovery.StopTask, urgencyOf(j), j.spec.Team)
+	return l.allowOperation(recovery.StopTask, urgencyOf(job), job.spec.Team)
 }
 
 // noteOvercommitted counts a machine whose tasks use more cores than it has.
-func (l *leadership) noteOverCommitted(m *machine) {
-	if m.kind != nil && m.cores > m.kind.Cores+slack {
-		l.note(recovery.OverCommitted, m.name, "")
+func (l *leader) noteOvercommitted(machine *machine) {
+	if machine.machineType != nil && machine.usedCores > machine.machineType.Cores+resourceTolerance {
+		l.noteMismatch(recovery.MachineOvercommitted, machine.name, "")
 	}
 }
 
 // recoveryStatus is the state of recovery on this node, as operators see it.
 func (n *Node) recoveryStatus() recovery.NodeStatus {
-	s := recovery.NodeStatus{Node: n.cfg.Node, Leads: n.authority()}
-	if leader := n.leaderPeer(); leader != nil {
-		s.Follows, s.Term = leader.name, leader.term
+	status := recovery.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease()}
+	if leaderPeer := n.leaderPeer(); leaderPeer != nil {
+		status.LeaderName, status.Term = leaderPeer.name, leaderPeer.term
 	}
-	if s.Leads {
-		l := n.lead
-		s.Follows, s.Term = "", l.term
-		s.Recovery = l.recovery.Status(n.now)
-		s.Recovery.Term, s.Recovery.Paced = l.term,
-			n.set.Recovery && len(l.machines) >= n.set.RecoveryFrom
-		for _, record := range l.quarantine.list() {
-			s.SetAside = append(s.SetAside, record.status())
+	if status.IsLeader {
+		current := n.leader
+		status.LeaderName, status.Term = "", current.term
+		status.Recovery = current.recovery.Status(n.now)
+		status.Recovery.Term, status.Recovery.Paced = current.term,
+			n.settings.PacedRecovery && len(current.machines) >= n.settings.RecoveryMinMachines
+		for _, record := range current.quarantine.recordsByKey() {
+			status.Quarantined = append(status.Quarantined, record.status())
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.unreadFinals)) {
-		s.SetAside = append(s.SetAside, n.unreadFinals[id].status())
+	for _, id := range slices.Sorted(maps.Keys(n.unreadableTerminalRecords)) {
+		status.Quarantined = append(status.Quarantined, n.unreadableTerminalRecords[id].status())
 	}
-	return s
+	return status
 }
 
 // status describes a quarantined record to operators.
-func (r *damagedRecord) status() recovery.Record {
-	return recovery.Record{Key: r.key, Reason: r.reason, Newer: r.newer}
+func (r *quarantinedRecord) status() recovery.QuarantinedRecord {
+	return recovery.QuarantinedRecord{Key: r.key, Reason: r.reason, MaybeNewerVersion: r.fromNewerVersion}
 }
 
 // onRecoveryStatus answers an operator's request for the state of recovery.
-func (n *Node) onRecovery(r Request) { n.reply(r.Origin, 200, 0, n.recoveryStatus()) }
+func (n *Node) onRecoveryStatus(request Request) { n.reply(request.Origin, 200, 0, n.recoveryStatus()) }
 
 // recoveryMetrics adds the metrics of recovery to a page.
-func (n *Node) recoveryMetrics(p *metricsPage) {
-	p.labelled("recovery_mismatches", "Mismatches that this process has found in recoveries, by kind.", "kind",
+func (n *Node) recoveryMetrics(page *metricsPage) {
+	page.labelledGauge("recovery_mismatches", "Mismatches that this process has found in recoveries, by kind.", "kind",
 		func(each func(label string, value float64)) {
-			n.mismatches.Each(func(kind recovery.Mismatch, count int) { each(kind.String(), float64(count)) })
+			n.mismatches.ForEach(func(kind recovery.Mismatch, count int) { each(kind.String(), float64(count)) })
 		})
-	setAside := len(n.unreadFinals)
-	if n.authority() {
-		l := n.lead
-		setAside += len(l.quarantine.records)
-		p.gauge("recovery_phase",
+	quarantined := len(n.unreadableTerminalRecords)
+	if n.holdsLeaderLease() {
+		current := n.leader
+		quarantined += len(current.quarantine.records)
+		page.gauge("recovery_phase",
 			"The leader's phase of recovery: 0 reading, 1 collecting, 2 reconciling, 3 pacing, 4 normal.",
-			float64(l.recovery.Phase()))
-		budgets := l.recovery.Budgets(n.now)
+			float64(current.recovery.Phase()))
+		budgets := current.recovery.Budgets(n.now)
 		if len(budgets) > 0 {
-			p.labelled("recovery_budget", "Orders that may be given at once, by kind.", "order",
+			page.labelledGauge("recovery_budget", "Orders that may be given at once, by kind.", "order",
 				func(each func(label string, value float64)) {
-					for _, b := range budgets {
-						each(b.Order, b.Left)
+					for _, budget := range budgets {
+						each(budget.Operation, budget.Remaining)
 					}
 				})
 		}
 	}
-	p.gauge("records_set_aside", "Stored records that this node can't use.", float64(setAside))
+	page.gauge("records_set_aside", "Stored records that this node can't use.", float64(quarantined))
 }
 
 // mayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
-func (l *leadership) silenceAllows(m *machine, silence time.Duration) bool {
-	if m.accounted {
-		return silence > l.n.lease()*6/10
+func (l *leader) mayReturnUnresponsive(machine *machine, silence time.Duration) bool {
+	if machine.reconciled {
+		return silence > l.node.workerLease()*6/10
 	}
-	return l.recovery.MayReturnSilent(silence)
+	return l.recovery.MayReturnUnresponsive(silence)
 }
--- a/internal/coordination/refusal_outage_test.go
+++ b/internal/coordination/refusal_outage_test.go
@@ -91,7 +91,7 @@
 						}
 						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, p.lease, i), func(t *testing.T) {
 							t.Parallel()
-							gap(t, nodes, p, uint64(i), time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/termsPerLease*p.lease*1e9), prepare)
+							gap(t, nodes, p, uint64(i), time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/leaderLeasesPerWorkerLease*p.lease*1e9), prepare)
 						})
 					}
 				}
@@ -136,7 +136,7 @@
 	c.t.Helper()
 	if !c.until(time.Minute, func() bool {
 		for i := range jobs {
-			if c.final(fmt.Sprintf("j-%d", i)) != protocol.Withdrawn {
+			if c.final(fmt.Sprintf("j-%d", i)) != protocol.JobCancelled {
 				return false
 			}
 		}
--- a/internal/coordination/reservation.go
+++ b/internal/coordination/reservation.go
@@ -19,46 +19,46 @@
 // firmReservationAfter is the age from which a job's reservation also holds against work within a
 // guarantee: late enough that such work is rarely affected, early enough that tasks of typical
 // length end before the start limit of the job.
-const firmAfter = mustBegin * 5 / 8
+const firmReservationAfter = maxStartDelay * 5 / 8
 
 // reservedMachineDivisor limits reservations to one in this many schedulable machines.
-const reservedShare = 2
+const reservedMachineDivisor = 2
 
 // renewReservations updates the reservations after a full pass. It releases those no longer
 // needed and adds at most one, because the search for a machine examines all attempts.
 func (s *scheduler) renewReservations() {
-	wanted := map[*job]bool{}
-	for _, r := range s.order {
-		if r.mayReserve && r.j.pending > 0 && r.j.waits == waitRoom && len(r.j.failedOn) == 0 {
-			wanted[r.j] = true
+	eligibleJobs := map[*job]bool{}
+	for _, queued := range s.pendingOrder {
+		if queued.mayReserve && queued.job.pendingTasks > 0 && queued.job.blockedBy == waitCapacity && len(queued.job.failedMachines) == 0 {
+			eligibleJobs[queued.job] = true
 		}
 	}
-	machines, reserved := 0, 0
-	for _, m := range s.held() {
-		if m.ready() {
-			machines++
+	schedulableMachines, reserved := 0, 0
+	for _, m := range s.machinesByName() {
+		if m.schedulable() {
+			schedulableMachines++
 		}
 		if m.reservedFor == nil {
 			continue
 		}
-		if !wanted[m.reservedFor] || !m.ready() || m.emptying {
-			s.unreserve(m.reservedFor)
+		if !eligibleJobs[m.reservedFor] || !m.schedulable() || m.draining {
+			s.releaseReservation(m.reservedFor)
 			continue
 		}
 		reserved++
 	}
-	for _, r := range s.order {
-		if reserved >= max(1, machines/reservedShare) {
+	for _, queued := range s.pendingOrder {
+		if reserved >= max(1, schedulableMachines/reservedMachineDivisor) {
 			return
 		}
-		j := r.j
-		if !wanted[j] || j.reservation.machine != nil || s.clock.Now() < j.reservation.triedAt+s.report() {
+		j := queued.job
+		if !eligibleJobs[j] || j.reservation.machine != nil || s.clock.Now() < j.reservation.searchedAt+s.heartbeatInterval() {
 			continue
 		}
-		j.reservation.triedAt = s.clock.Now()
-		if m := s.soonestRoom(j); m != nil {
+		j.reservation.searchedAt = s.clock.Now()
+		if m := s.machineWithEarliestRoom(j); m != nil {
 			j.reservation.machine, m.reservedFor = m, j
-			s.log.Debug("resource reservation made", "machine", m.name, "job", j.spec.UID, "age", s.clock.Now()-j.from)
+			s.log.Debug("resource reservation made", "machine", m.name, "job", j.spec.ID, "age", s.clock.Now()-j.eligibleAt)
 		}
 		return
 	}
@@ -66,16 +66,16 @@
 
 // machineWithEarliestRoom returns the machine that should be the first to have room for a task of
 // the job and its image, or nil if none is feasible.
-func (s *scheduler) soonestRoom(j *job) *machine {
+func (s *scheduler) machineWithEarliestRoom(j *job) *machine {
 	var best *machine
 	var soonest time.Duration
-	for _, m := range s.held() {
-		if !m.ready() || m.emptying || m.reservedFor != nil || !allowed(&j.spec, m) {
+	for _, m := range s.machinesByName() {
+		if !m.schedulable() || m.draining || m.reservedFor != nil || !feasible(&j.spec, m) {
 			continue
 		}
-		wait := s.timeToRoom(m, &j.spec)
+		wait := s.timeToFreeCapacity(m, &j.spec)
 		if !m.hasImage(j.spec.Image) {
-			wait += config.Seconds(j.spec.ImageGB / m.kind.PullGBPerS)
+			wait += config.Seconds(j.spec.ImageGB / m.machineType.PullGBPerSecond)
 		}
 		if best == nil || wait < soonest {
 			best, soonest = m, wait
@@ -86,17 +86,19 @@
 
 // timeToFreeCapacity returns the expected time until enough attempts on a machine have ended for
 // a task of the job.
-func (s *scheduler) timeToRoom(m *machine, spec *protocol.Job) time.Duration {
-	free := m.free()
-	runs := slices.Clone(m.list)
-	slices.SortStableFunc(runs, func(a, b *run) int { return cmp.Compare(s.remaining(a), s.remaining(b)) })
+func (s *scheduler) timeToFreeCapacity(m *machine, spec *protocol.Job) time.Duration {
+	free := m.freeCapacity()
+	attempts := slices.Clone(m.attemptsInOrder)
+	slices.SortStableFunc(attempts, func(first, second *taskAttempt) int {
+		return cmp.Compare(s.remainingDuration(first), s.remainingDuration(second))
+	})
 	var wait time.Duration
-	for _, r := range runs {
-		if free.holds(spec) {
+	for _, attempt := range attempts {
+		if free.fits(spec) {
 			break
 		}
-		free.add(&r.job.spec)
-		wait = s.remaining(r)
+		free.add(&attempt.job.spec)
+		wait = s.remainingDuration(attempt)
 	}
 	return wait
 }
@@ -105,20 +107,20 @@
 // the task for which the machine is reserved. Work within a guarantee does not wait for other
 // teams, so a reservation holds against it only if the reserved job would otherwise start too
 // late.
-func (s *scheduler) mayPlace(j *job, m *machine) bool {
-	free := m.free()
-	if !free.holds(&j.spec) {
+func (s *scheduler) fitsBesideReservation(j *job, m *machine) bool {
+	free := m.freeCapacity()
+	if !free.fits(&j.spec) {
 		return false
 	}
-	other := m.reservedFor
-	if other == nil || other == j {
+	reservedJob := m.reservedFor
+	if reservedJob == nil || reservedJob == j {
 		return true
 	}
-	if s.guaranteedJobs[j] && (other.begun() || s.clock.Now() < other.from+firmAfter) {
+	if s.guaranteedJobs[j] && (reservedJob.hasStarted() || s.clock.Now() < reservedJob.eligibleAt+firmReservationAfter) {
 		return true
 	}
-	free.cores -= other.spec.Cores
-	free.ram -= other.spec.RAM
-	free.accelerators -= other.spec.Accelerators
-	return free.holds(&j.spec)
+	free.cores -= reservedJob.spec.Cores
+	free.ram -= reservedJob.spec.MemoryGB
+	free.accelerators -= reservedJob.spec.Accelerators
+	return free.fits(&j.spec)
 }
--- a/internal/coordination/routes_test.go
+++ b/internal/coordination/routes_test.go
@@ -54,13 +54,13 @@
 	for i := range jobs {
 		c.submitUntil(spec(fmt.Sprintf("j-%d", i), 50))
 	}
-	w.run(2 * w.nodes["n0"].lease())
+	w.run(2 * w.nodes["n0"].workerLease())
 	w.sessionsHold("all up")
 	if served := w.direct(w.leader()); served > sockets*7/8 {
 		t.Errorf("the leader has %d of %d connections in use", served, sockets)
 	}
-	if l := w.nodes[w.leader()].lead; !l.accountedAll() || len(l.held()) != machines {
-		t.Errorf("%d machines are known", len(l.held()))
+	if l := w.nodes[w.leader()].leader; !l.allReconciled() || len(l.machinesByName()) != machines {
+		t.Errorf("%d machines are known", len(l.machinesByName()))
 	}
 	started := w.allStarts()
 	if started != jobs*50 {
@@ -68,7 +68,7 @@
 	}
 
 	w.back(w.leader(), 10*time.Second)
-	w.run(2 * w.nodes["n0"].lease())
+	w.run(2 * w.nodes["n0"].workerLease())
 	w.waitLeader()
 	w.sessionsHold("after a takeover")
 
@@ -77,10 +77,10 @@
 	}
 	w.run(8 * time.Second)
 	w.waitLeader()
-	if !w.until(w.nodes["n0"].lease(), func() bool { l := w.leader(); return l != "" && w.nodes[l].lead.accountedAll() }) {
+	if !w.until(w.nodes["n0"].workerLease(), func() bool { l := w.leader(); return l != "" && w.nodes[l].leader.allReconciled() }) {
 		t.Error("not all machines are accounted for within a lease")
 	}
-	w.run(w.nodes["n0"].lease())
+	w.run(w.nodes["n0"].workerLease())
 	w.sessionsHold("after an end of all")
 	if again := w.allStarts(); again != started {
 		t.Errorf("%d tasks were started anew", again-started)
@@ -98,7 +98,7 @@
 	for _, name := range w.followers() {
 		w.crash(name)
 	}
-	w.run(4 * w.nodes["n0"].lease())
+	w.run(4 * w.nodes["n0"].workerLease())
 	if w.leader() == "" {
 		t.Fatal("it does not lead")
 	}
@@ -112,12 +112,12 @@
 	w := newSimulation(t, 3)
 	l := w.waitLeader()
 	for i, name := range w.followers() {
-		l.Step(l.clock(w.now), []any{PeerMessage{From: name, Msg: protocol.Heartbeat{Process: 7, Level: level, Room: 10 * (i + 1)}}})
+		l.Step(l.clock(w.now), []any{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, SpareConnections: 10 * (i + 1)}}})
 	}
 	roomiest := w.followers()[1]
 	report := func(name string, seq uint64) Reply {
-		rep := &protocol.Report{Machine: name, Type: "c4", Zone: "a", Session: 1, Seq: seq}
-		for _, e := range l.Step(l.clock(w.now), []any{Request{Origin: Origin{Ticket: 1}, Kind: protocol.RequestReport, Report: rep}}) {
+		rep := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
+		for _, e := range l.Step(l.clock(w.now), []any{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
 			if reply, is := e.(Reply); is {
 				return reply
 			}
@@ -139,7 +139,7 @@
 		t.Errorf("back again: %+v", r)
 	}
 	for _, name := range w.followers() {
-		l.Step(l.clock(w.now), []any{PeerMessage{From: name, Msg: protocol.Heartbeat{Process: 7, Level: level, Full: true}}})
+		l.Step(l.clock(w.now), []any{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
 	}
 	if r := report("m-3", 1); r.Status != 200 {
 		t.Errorf("with all nodes full: %+v", r)
@@ -148,15 +148,15 @@
 
 // Below the mark nothing changes, and a node is full until clearly fewer are open.
 func TestFullAndRoom(t *testing.T) {
-	c := connections{}
+	c := serverConnections{}
 	for _, x := range []struct {
 		open int
 		full bool
 		room int
 	}{{0, false, 81}, {80, false, 1}, {82, true, 0}, {70, true, 0}, {68, false, 13}, {81, false, 0}, {200, true, 0}} {
-		c.take(ServerLoad{Open: x.open, Limit: 100})
-		if c.full != x.full || c.room() != x.room {
-			t.Errorf("%d open: full %v, room %d", x.open, c.full, c.room())
+		c.update(ServerLoad{Open: x.open, Limit: 100})
+		if c.full != x.full || c.spareConnections() != x.room {
+			t.Errorf("%d open: full %v, room %d", x.open, c.full, c.spareConnections())
 		}
 	}
 }
@@ -210,19 +210,19 @@
 	w := newSimulation(t, 3)
 	leader := w.waitLeader()
 	f := w.nodes[w.followers()[0]]
-	counts := func(beat protocol.Heartbeat, workers string) (sent, relayed int) {
-		beat.Term, beat.Leads, beat.Process, beat.Level = leader.lead.term, true, leader.run, level
-		batch := []any{PeerMessage{From: leader.name, Msg: beat}}
+	counts := func(beat protocol.PeerHeartbeat, workers string) (sent, relayed int) {
+		beat.Term, beat.IsLeader, beat.ProcessID, beat.VersionLevel = leader.leader.term, true, leader.processID, protocolLevel
+		batch := []any{InboundMessage{From: leader.name, Message: beat}}
 		for i := range 20 {
-			rep := &protocol.Report{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4", Zone: "a", Session: 1, Seq: 1}
-			batch = append(batch, Request{Origin: Origin{Ticket: uint64(i + 1)}, Kind: protocol.RequestReport, Report: rep})
+			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 		}
 		for _, e := range f.Step(f.clock(w.now), batch) {
 			switch e := e.(type) {
 			case Reply:
 				sent++
-			case Send:
-				if _, forwarded := e.Msg.(protocol.ForwardedRequest); forwarded {
+			case OutboundMessage:
+				if _, forwarded := e.Message.(protocol.ForwardedRequest); forwarded {
 					relayed++
 				}
 			}
@@ -231,12 +231,12 @@
 	}
 	for _, x := range []struct {
 		name          string
-		beat          protocol.Heartbeat
+		beat          protocol.PeerHeartbeat
 		sent, relayed int
 	}{
-		{"an earlier version", protocol.Heartbeat{}, 20, 0},
-		{"full", protocol.Heartbeat{Full: true}, 0, 20},
-		{"room for ten, of which half", protocol.Heartbeat{Room: 10}, 5, 15},
+		{"an earlier version", protocol.PeerHeartbeat{}, 20, 0},
+		{"full", protocol.PeerHeartbeat{ConnectionsFull: true}, 0, 20},
+		{"room for ten, of which half", protocol.PeerHeartbeat{SpareConnections: 10}, 5, 15},
 	} {
 		if sent, relayed := counts(x.beat, x.name); sent != x.sent || relayed != x.relayed {
 			t.Errorf("%s: %d are sent to the leader, %d relayed", x.name, sent, relayed)
@@ -250,15 +250,15 @@
 	w := newSimulation(t, 3)
 	leader := w.waitLeader()
 	f := w.nodes[w.followers()[0]]
-	rep := &protocol.Report{Machine: "m-1", Type: "c4", Zone: "a", Session: 1, Seq: 1}
+	rep := &protocol.WorkerHeartbeat{Machine: "m-1", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	for _, x := range []struct {
 		after  time.Duration
 		status int
-	}{{f.relayPatience() - step, 200}, {f.relayPatience(), 503}} {
+	}{{f.relayTimeout() - step, 200}, {f.relayTimeout(), 503}} {
 		f.routeOf("m-1").relayUntil = f.now + time.Hour
-		f.Step(f.clock(w.now), []any{PeerMessage{From: leader.name, Msg: protocol.Heartbeat{Term: leader.lead.term, Leads: true, Process: leader.run}},
-			Request{Origin: Origin{Ticket: 1}, Kind: protocol.RequestReport, Report: rep}})
-		answer := PeerMessage{From: leader.name, Msg: protocol.ForwardedAnswer{ID: f.nextFwd, Status: 200, Body: []byte("{}")}}
+		f.Step(f.clock(w.now), []any{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
+			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
+		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.nextForwardID, Status: 200, Body: []byte("{}")}}
 		w.now += x.after
 		got := 0
 		for _, e := range f.Step(f.clock(w.now), []any{answer}) {
@@ -279,11 +279,11 @@
 	w := newSimulation(t, 5)
 	w.cfg.Resources.MaxConnections = 1000
 	l := w.waitLeader()
-	l.lead.loaded = false
+	l.leader.recordsLoaded = false
 	batch := make([]any, 0, machines)
 	for i := range machines {
-		rep := &protocol.Report{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Session: 1, Seq: 1}
-		batch = append(batch, Request{Origin: Origin{Ticket: uint64(i + 1)}, Kind: protocol.RequestReport, Report: rep})
+		rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 	}
 	for _, e := range l.Step(l.clock(w.now), batch) {
 		if reply, is := e.(Reply); is {
@@ -297,11 +297,11 @@
 func TestAttemptsAreNeverUsedTwice(t *testing.T) {
 	w := newSimulation(t, 3)
 	l := w.waitLeader()
-	term := l.lead.term
-	l.lead.attempts = lastAttempt - 1
-	last := l.lead.nextAttempt()
+	term := l.leader.term
+	l.leader.attemptCounter = maxAttemptCounter - 1
+	last := l.leader.nextAttemptNumber()
 	w.run(20 * step)
-	if next := w.waitLeader().lead; next.term <= term || next.nextAttempt() <= last {
+	if next := w.waitLeader().leader; next.term <= term || next.nextAttemptNumber() <= last {
 		t.Errorf("term %d goes on after %d", next.term, term)
 	}
 }
--- a/internal/coordination/rules_test.go
+++ b/internal/coordination/rules_test.go
@@ -23,7 +23,7 @@
 	if r := w.submit(f, spec("j-1", 20)); r.Status != 200 {
 		t.Fatalf("repeated submission: %d", r.Status)
 	}
-	w.waitState("j-1", protocol.Done, 90*time.Second)
+	w.waitState("j-1", protocol.JobDone, 90*time.Second)
 	for i := range 20 {
 		if n := w.starts[fmt.Sprintf("j-1/%d", i)]; n != 1 {
 			t.Fatalf("task %d started %d times", i, n)
@@ -44,7 +44,7 @@
 	w := newSimulation(t, 3)
 	w.waitLeader()
 	w.submit("n0", spec("j-1", 1))
-	w.waitState("j-1", protocol.Done, 60*time.Second)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
 	w.submit("n1", spec("j-2", 2))
 	if r := w.cancel("n2", "j-2"); r.Status != 200 {
 		t.Fatalf("cancel: %d", r.Status)
@@ -57,7 +57,7 @@
 		w.restart(n)
 	}
 	for _, n := range w.names {
-		for id, want := range map[string]string{"j-1": protocol.Done, "j-2": protocol.Withdrawn, "j-3": protocol.Queued} {
+		for id, want := range map[string]string{"j-1": protocol.JobDone, "j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
 			if code, s := w.query(n, id); code != 200 || s.State != want {
 				t.Fatalf("%s on %s: %d %v", id, n, code, s.State)
 			}
@@ -66,7 +66,7 @@
 			t.Fatalf("repeated submission: %d", r.Status)
 		}
 	}
-	w.waitState("j-3", protocol.Done, 60*time.Second)
+	w.waitState("j-3", protocol.JobDone, 60*time.Second)
 }
 
 // invented, forgotten: 404 only after the state service has said so.
@@ -94,15 +94,15 @@
 	first := w.waitLeader()
 	j := spec("j-1", 1)
 	w.specs["j-1"] = j
-	w.ask(first.name, Request{Kind: protocol.RequestSubmit, ID: "j-1", Job: &j}, func(Reply) {})
-	if !w.until(time.Second, func() bool { return w.state.keys[storage.JobKey("j-1")].Version != 0 }) {
+	w.ask(first.name, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &j}, func(Reply) {})
+	if !w.until(time.Second, func() bool { return w.state.keys[storage.JobKey("j-1")].ModRevision != 0 }) {
 		t.Fatal("nothing written")
 	}
 	w.crash(first.name)
 	if r := w.submit(w.followers()[0], j); r.Status != 200 {
 		t.Fatalf("repeated submission: %d", r.Status)
 	}
-	w.waitState("j-1", protocol.Done, 60*time.Second)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
 }
 
 // ran_twice: a new leader finds the tasks that run and lets them run.
@@ -110,7 +110,7 @@
 	w, first := running(t, 3, 40*time.Second, 2, 8)
 	w.crash(first.name)
 	w.waitLeader()
-	w.waitState("j-1", protocol.Done, 90*time.Second)
+	w.waitState("j-1", protocol.JobDone, 90*time.Second)
 	for i := range 8 {
 		if n := w.starts[fmt.Sprintf("j-1/%d", i)]; n != 1 {
 			t.Fatalf("task %d started %d times", i, n)
@@ -141,13 +141,13 @@
 	if !w.until(8*time.Second, func() bool { return w.onMachines("j-2") == 1 }) {
 		t.Fatal("a new job waits for a machine it can't be on")
 	}
-	if waits := w.nodes[w.leader()].lead.jobs["j-1"].waits; waits != waitUnknown {
+	if waits := w.nodes[w.leader()].leader.jobs["j-1"].blockedBy; waits != waitReconciliation {
 		t.Fatalf("the old job waits for %q", waits)
 	}
 	if !w.until(90*time.Second, func() bool { return w.starts["j-1/0"] == 2 }) {
 		t.Fatal("the lost tasks did not start again")
 	}
-	if w.now-took < config.Seconds(w.cfg.Workers.LeaseS)-w.nodes[w.leader()].termSpan() {
+	if w.now-took < config.Seconds(w.cfg.Workers.LeaseS)-w.nodes[w.leader()].leaderLease() {
 		t.Fatalf("started again after %v", w.now-took)
 	}
 }
@@ -167,11 +167,11 @@
 	}
 	late := victim.report()
 	victim.silent, w.cloud.down = true, true
-	if !w.until(30*time.Second, func() bool { return !l.lead.machines[victim.name].up }) {
+	if !w.until(30*time.Second, func() bool { return !l.leader.machines[victim.name].up }) {
 		t.Fatal("the silent machine was not declared lost")
 	}
-	late.Seq += 100
-	if r := w.request(l.name, Request{Kind: protocol.RequestReport, Report: late}); r.Status == 200 {
+	late.Sequence += 100
+	if r := w.request(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
 		t.Fatal("a lost session got a 200")
 	}
 }
@@ -184,13 +184,13 @@
 	w.submitAndStart(l.name, spec("j-1", 1), 1)
 	w.run(5 * time.Second)
 	for _, x := range w.workers {
-		m := l.lead.machines[x.name]
-		runs := len(m.runs)
-		late := &protocol.Report{Machine: x.name, Type: x.typ, Zone: x.zone, Spot: x.spot, Session: x.session, Seq: 1, FencingToken: l.lead.term}
-		if r := w.request(l.name, Request{Kind: protocol.RequestReport, Report: late}); r.Status == 200 {
+		m := l.leader.machines[x.name]
+		runs := len(m.attempts)
+		late := &protocol.WorkerHeartbeat{Machine: x.name, Type: x.typ, Zone: x.zone, Spot: x.spot, Epoch: x.session, Sequence: 1, FencingToken: l.leader.term}
+		if r := w.request(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
 			t.Fatal("a late report got a 200")
 		}
-		if len(m.runs) != runs {
+		if len(m.attempts) != runs {
 			t.Fatal("a late report changed what is known of the machine")
 		}
 	}
@@ -216,7 +216,7 @@
 	for _, x := range w.workers {
 		x.dropAnswers = false
 	}
-	w.waitState("j-1", protocol.Done, 60*time.Second)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
 	if w.starts["j-1/0"] != 1 {
 		t.Fatalf("started %d times", w.starts["j-1/0"])
 	}
@@ -229,9 +229,9 @@
 	w.waitLeader()
 	w.submit("n0", spec("j-1", 6))
 	started := func() bool {
-		for _, m := range w.nodes[w.leader()].lead.machines {
-			for _, r := range m.runs {
-				if r.phase == phaseSent {
+		for _, m := range w.nodes[w.leader()].leader.machines {
+			for _, r := range m.attempts {
+				if r.phase == attemptSent {
 					return true
 				}
 			}
@@ -248,7 +248,7 @@
 	if n := w.onMachines("j-1"); n != 0 {
 		t.Fatalf("%d tasks of a cancelled job are on machines", n)
 	}
-	w.waitState("j-1", protocol.Withdrawn, time.Second)
+	w.waitState("j-1", protocol.JobCancelled, time.Second)
 	if r := w.cancel("n0", "j-404"); r.Status != 404 {
 		t.Fatalf("cancel of an unknown job: %d", r.Status)
 	}
@@ -261,13 +261,13 @@
 	w.submit(first.name, spec("j-1", 4))
 	w.state.setDown(true)
 	var got *Reply
-	w.ask(first.name, Request{Kind: protocol.RequestCancel, ID: "j-1"}, func(r Reply) { got = &r })
+	w.ask(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(r Reply) { got = &r })
 	w.run(4 * time.Second)
 	if got != nil && got.Status == 200 {
 		t.Fatal("told withdrawn without a write")
 	}
 	w.state.setDown(false)
-	w.waitState("j-1", protocol.Withdrawn, 10*time.Second)
+	w.waitState("j-1", protocol.JobCancelled, 10*time.Second)
 }
 
 // A result is forgotten by its worker only once its bit is durable; it is the
@@ -291,7 +291,7 @@
 	}
 	w.crash(first.name)
 	w.state.setDown(false)
-	w.waitState("j-1", protocol.Done, 120*time.Second)
+	w.waitState("j-1", protocol.JobDone, 120*time.Second)
 	if w.starts["j-1/0"] != 1 {
 		t.Fatalf("a finished task was started %d times", w.starts["j-1/0"])
 	}
@@ -327,7 +327,7 @@
 	w.submit(w.leader(), next)
 	w.run(20 * time.Second)
 	w.cloud.noReturn = false
-	w.waitState("j-1", protocol.Done, 6*time.Minute)
+	w.waitState("j-1", protocol.JobDone, 6*time.Minute)
 }
 
 // wrong_place: types, zone, kind and the places of the job's other tasks.
@@ -337,7 +337,7 @@
 	l := w.waitLeader()
 	zoned, plain, one, apart := spec("j-1", 3), spec("j-2", 3), spec("j-3", 6), spec("j-4", 5)
 	zoned.Zone = "b"
-	plain.Spot = false
+	plain.SpotAllowed = false
 	one.SameZone = true
 	apart.Spread = true
 	for _, j := range []protocol.Job{zoned, plain, one, apart} {
@@ -388,16 +388,16 @@
 	if !w.until(60*time.Second, func() bool { return w.onMachines("j-1") == 16 }) {
 		t.Fatal("quota not filled")
 	}
-	l.lead.schedule()
-	job := l.lead.jobs["j-1"]
-	if job.waits != waitTeam {
-		t.Fatalf("waits for %q", job.waits)
+	l.leader.schedule()
+	job := l.leader.jobs["j-1"]
+	if job.blockedBy != waitTeamQuota {
+		t.Fatalf("waits for %q", job.blockedBy)
 	}
-	l.Node.set.SlotsPerCore, l.Node.set.SlotsBase = 0.01, 0
-	l.lead.machinesChanged()
-	l.lead.schedule()
-	if job.waits != waitSlots {
-		t.Fatalf("waits for %q, though the slots come first", job.waits)
+	l.Node.settings.SlotsPerCore, l.Node.settings.BaseSlots = 0.01, 0
+	l.leader.invalidateMachineIndex()
+	l.leader.schedule()
+	if job.blockedBy != waitSlots {
+		t.Fatalf("waits for %q, though the slots come first", job.blockedBy)
 	}
 }
 
@@ -409,15 +409,15 @@
 	urgent.Priority = "urgent"
 	w.submit(l.name, low)
 	w.submit(l.name, urgent)
-	x := l.lead
-	if x.quickWaits(x.waitingJobs()) {
+	x := l.leader
+	if x.latencySensitiveWorkDelayed(x.buildQueue()) {
 		t.Fatal("lending ended at once")
 	}
-	x.jobs["j-2"].waiting = x.n.now - config.Seconds(x.n.set.BorrowWaitS) - time.Second
-	if !x.quickWaits(x.waitingJobs()) {
+	x.jobs["j-2"].pendingSince = x.node.now - config.Seconds(x.node.settings.BorrowWaitS) - time.Second
+	if !x.latencySensitiveWorkDelayed(x.buildQueue()) {
 		t.Fatal("lending goes on though pressing work has waited")
 	}
-	if first := x.waitingJobs()[0].j.spec.UID; first != "j-2" {
+	if first := x.buildQueue()[0].job.spec.ID; first != "j-2" {
 		t.Fatalf("%s passes first", first)
 	}
 }
@@ -441,8 +441,8 @@
 	if !w.until(60*time.Second, func() bool { return w.cloud.hosts[sick.name] == nil }) {
 		t.Fatal("the sick machine was kept")
 	}
-	w.waitState("j-1", protocol.Done, 60*time.Second)
-	w.waitState("j-2", protocol.Done, 60*time.Second)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
+	w.waitState("j-2", protocol.JobDone, 60*time.Second)
 }
 
 // A job that fails on every machine is the job's own mistake: no machine is
@@ -457,22 +457,22 @@
 		for _, x := range w.workers {
 			for _, task := range x.tasks {
 				if jobOf(task.key) == "j-9" && task.state == protocol.TaskRunning {
-					task.state, task.why, x.changed = protocol.TaskExited, protocol.WhyError, true
+					task.state, task.why, x.changed = protocol.TaskExited, protocol.ExitFailed, true
 				}
 			}
 		}
 		return false
 	}
 	w.until(40*time.Second, spoil)
-	if !l.lead.jobs["j-9"].bad {
+	if !l.leader.jobs["j-9"].failsEverywhere {
 		t.Fatal("the job was not found bad")
 	}
-	for _, m := range l.lead.machines {
-		if m.sick {
+	for _, m := range l.leader.machines {
+		if m.unhealthy {
 			t.Fatalf("%s was condemned for a bad job", m.name)
 		}
 	}
-	w.waitState("j-1", protocol.Done, 60*time.Second)
+	w.waitState("j-1", protocol.JobDone, 60*time.Second)
 	if r := w.cancel(l.name, "j-9"); r.Status != 200 {
 		t.Fatalf("cancel: %d", r.Status)
 	}
@@ -485,7 +485,7 @@
 	w.runTime = func(string, int) time.Duration { return 100 * time.Second }
 	l := w.waitLeader()
 	j := spec("j-1", 4)
-	j.EstimateS, j.CheckpointS, j.SaveS = 100, 10, 3
+	j.EstimatedSeconds, j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 100, 10, 3
 	w.submitAndStart(l.name, j, 4)
 	var taken *worker
 	for _, x := range w.workers {
@@ -499,7 +499,7 @@
 		t.Fatal("nothing was stopped")
 	}
 	for _, g := range taken.grace {
-		if g < j.SaveS {
+		if g < j.CheckpointSaveSeconds {
 			t.Fatalf("stopped with %v s to save", g)
 		}
 	}
@@ -520,7 +520,7 @@
 	w.submit(l.name, spec("j-1", 4))
 	w.run(20 * time.Second)
 	w.cloud.down, w.cloud.noSpot = false, true
-	w.waitState("j-1", protocol.Done, 90*time.Second)
+	w.waitState("j-1", protocol.JobDone, 90*time.Second)
 	if len(w.cloud.hosts) > 4 {
 		t.Fatalf("%d machines rented in a burst", len(w.cloud.hosts))
 	}
@@ -542,10 +542,10 @@
 	w := newSimulation(t, 3)
 	l := w.waitLeader()
 	f := w.followers()[0]
-	rep := &protocol.Report{Machine: "m-9", Type: "c4", Zone: "a", Session: 1, Seq: 1}
+	rep := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	ask := func() Reply {
-		rep.Seq++
-		return w.request(f, Request{Kind: protocol.RequestReport, Report: rep})
+		rep.Sequence++
+		return w.request(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 	}
 	if r := ask(); r.Status != 421 {
 		t.Fatalf("first report: %d", r.Status)
@@ -554,7 +554,7 @@
 	if r := ask(); r.Status != 200 {
 		t.Fatalf("report of a worker that came back: %d", r.Status)
 	}
-	if l.lead.machines["m-9"] == nil {
+	if l.leader.machines["m-9"] == nil {
 		t.Fatal("the leader did not get the report")
 	}
 }
@@ -579,7 +579,7 @@
 	if !w.until(30*time.Second, func() bool { return w.cloud.hosts[victim] == nil }) {
 		t.Fatal("the slow machine was kept")
 	}
-	w.waitState("j-1", protocol.Done, 30*time.Second)
+	w.waitState("j-1", protocol.JobDone, 30*time.Second)
 }
 
 // The largest job fits the value limit (the stand-in checks each write), and what
@@ -588,14 +588,14 @@
 	w := newSimulation(t, 3)
 	w.runTime = func(string, int) time.Duration { return time.Second }
 	w.waitLeader()
-	j := spec("j-1", protocol.MaxTasks)
+	j := spec("j-1", protocol.MaxTasksPerJob)
 	w.submit("n0", j)
 	done := func() int {
 		l := w.leader()
-		if l == "" || w.nodes[l].lead.jobs["j-1"] == nil {
+		if l == "" || w.nodes[l].leader.jobs["j-1"] == nil {
 			return 0
 		}
-		return w.nodes[l].lead.jobs["j-1"].done
+		return w.nodes[l].leader.jobs["j-1"].doneTasks
 	}
 	if !w.until(40*time.Second, func() bool { return done() >= 40 }) {
 		t.Fatalf("%d tasks done", done())
@@ -608,7 +608,7 @@
 	if done() < before*9/10 {
 		t.Fatalf("%d tasks done before the takeover, %d after", before, done())
 	}
-	if parts := len(l.lead.jobs["j-1"].parts); parts < 2 {
+	if parts := len(l.leader.jobs["j-1"].bitmapParts); parts < 2 {
 		t.Fatalf("the bitmap is in %d part", parts)
 	}
 }
@@ -619,20 +619,20 @@
 	w := newSimulation(t, 3)
 	w.waitLeader()
 	f := w.nodes[w.followers()[0]]
-	rep, err := protocol.ParseReport([]byte("{\"maquina\":\"m-9\",\n\"porte\":\"c4\",\"praca\":\"a\",\"turno\":1,\n\"contagem\":1,\"pecas\":[]}\n"))
+	rep, err := protocol.ParseWorkerHeartbeat([]byte("{\"maquina\":\"m-9\",\n\"porte\":\"c4\",\"praca\":\"a\",\"turno\":1,\n\"contagem\":1,\"pecas\":[]}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	asked := false
 	for range 2 { // a worker that comes back can't reach the leader and is relayed
-		for _, e := range f.Step(w.now-f.boot+step, []any{Request{Origin: Origin{Ticket: 99}, Kind: protocol.RequestReport, Report: rep}}) {
-			s, ok := e.(Send)
+		for _, e := range f.Step(w.now-f.boot+step, []any{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
+			s, ok := e.(OutboundMessage)
 			if !ok {
 				continue
 			}
-			if _, forwarded := s.Msg.(protocol.ForwardedRequest); forwarded {
+			if _, forwarded := s.Message.(protocol.ForwardedRequest); forwarded {
 				asked = true
-				line, err := protocol.EncodePeer(s.Msg)
+				line, err := protocol.EncodePeerMessage(s.Message)
 				if err != nil || strings.Contains(string(line), "\n") {
 					t.Fatalf("a message of several lines: %q", line)
 				}
@@ -648,7 +648,7 @@
 // machines once used up all changes and users were turned away.
 func TestSubmissionsPassMachineRecords(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.cfg.State.WriteRPS = 25
+	w.cfg.Store.WritesPerS = 25
 	for _, name := range w.names {
 		w.start(name)
 	}
@@ -661,10 +661,10 @@
 	sent, answered := w.now, 0
 	for i := range 9 {
 		j := spec(fmt.Sprintf("j-%d", i), 3)
-		w.specs[j.UID] = j
-		w.ask(w.names[i%3], Request{Kind: protocol.RequestSubmit, ID: j.UID, Job: &j}, func(r Reply) {
+		w.specs[j.ID] = j
+		w.ask(w.names[i%3], Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
 			if r.Status != 201 {
-				t.Errorf("%s: answered %d after %v", j.UID, r.Status, w.now-sent)
+				t.Errorf("%s: answered %d after %v", j.ID, r.Status, w.now-sent)
 			}
 			answered++
 		})
@@ -678,7 +678,7 @@
 // first task without waiting for one another's changes.
 func TestMachinesShareRecords(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.cfg.State.WriteRPS = 25
+	w.cfg.Store.WritesPerS = 25
 	w.start("n0")
 	l := w.waitLeader()
 	w.state.limited = true
@@ -687,8 +687,8 @@
 	}
 	ready := func() int {
 		count := 0
-		for _, m := range l.lead.machines {
-			if m.ready() {
+		for _, m := range l.leader.machines {
+			if m.schedulable() {
 				count++
 			}
 		}
@@ -703,7 +703,7 @@
 	w.crash(l.name)
 	w.restart(l.name)
 	l = w.waitLeader()
-	if n := len(l.lead.machines); n != 300 {
+	if n := len(l.leader.machines); n != 300 {
 		t.Fatalf("%d of 300 machines were read", n)
 	}
 	if !w.until(5*time.Minute, func() bool { return len(w.cloud.hosts) == 0 }) {
@@ -711,7 +711,7 @@
 	}
 	w.run(5 * time.Second)
 	for key := range w.state.keys {
-		if strings.HasPrefix(key, storage.GroupPrefix) {
+		if strings.HasPrefix(key, storage.MachineGroupPrefix) {
 			t.Errorf("%s is kept for machines that are gone", key)
 		}
 	}
@@ -724,20 +724,20 @@
 	x := w.cloud.rent("c4", "a", true)
 	w.cloud.boot = time.Hour
 	w.cloud.rent("c4", "a", true) // recorded, but never up
-	w.state.put(storage.MachinePrefix+x.name, storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
-	w.state.put(storage.MachinePrefix+"m-000002", storage.MachineRecord{Type: "c4", Zone: "a", Spot: true})
+	w.state.put(storage.SingleMachinePrefix+x.name, storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
+	w.state.put(storage.SingleMachinePrefix+"m-000002", storage.MachineRecord{Type: "c4", Zone: "a", Spot: true})
 	l := w.waitLeader()
-	if a, b := l.lead.machines[x.name], l.lead.machines["m-000002"]; a == nil || a.accounted || b == nil || !b.accounted {
+	if a, b := l.leader.machines[x.name], l.leader.machines["m-000002"]; a == nil || a.reconciled || b == nil || !b.reconciled {
 		t.Fatalf("read as %+v and %+v", a, b)
 	}
 	w.run(2 * time.Second)
 	for key := range w.state.keys {
-		if strings.HasPrefix(key, storage.MachinePrefix) {
+		if strings.HasPrefix(key, storage.SingleMachinePrefix) {
 			t.Errorf("%s is kept", key)
 		}
 	}
-	var rec storage.GroupRecord
-	if json.Unmarshal(w.state.keys[storage.GroupKey(0)].Value, &rec) != nil || !rec[x.name].Used || rec["m-000002"].Used {
+	var rec storage.MachineGroupRecord
+	if json.Unmarshal(w.state.keys[storage.MachineGroupKey(0)].Value, &rec) != nil || !rec[x.name].Used || rec["m-000002"].Used {
 		t.Errorf("moved as %+v", rec)
 	}
 }
@@ -747,7 +747,7 @@
 // all older jobs until it is returned.
 func TestReturnsGoBeforeRentals(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.cfg.Cloud.RPS = 0.4
+	w.cfg.Cloud.RequestsPerS = 0.4
 	w.runTime = func(string, int) time.Duration { return 8 * time.Second }
 	for _, name := range w.names {
 		w.start(name)
@@ -762,7 +762,7 @@
 	w.workers["m-000003"].hanging = true
 	next := w.waitLeader()
 	led := w.now
-	if !w.until(time.Minute, next.lead.accountedAll) {
+	if !w.until(time.Minute, next.leader.allReconciled) {
 		t.Fatal("not accounted for")
 	}
 	if took := w.now - led; took > 8*time.Second {
@@ -791,7 +791,7 @@
 	if r := w.submit(w.leader(), spec("j-2", 4)); r.Status != 201 {
 		t.Fatalf("answered %d", r.Status)
 	}
-	w.waitState("j-2", protocol.Done, time.Minute)
+	w.waitState("j-2", protocol.JobDone, time.Minute)
 	big := spec("j-3", 1)
 	big.Cores = 64
 	if r := w.submit(w.followers()[0], big); r.Status != 503 {
@@ -813,35 +813,35 @@
 		moves  bool
 	}{
 		{"two of 32 cores are used for minutes", func(*machine, *machine, *job) {}, true},
-		{"they don't save", func(_, _ *machine, j *job) { j.spec.CheckpointS = 0 }, false},
-		{"no other machine has room", func(_, to *machine, _ *job) { to.cores = 31 }, false},
-		{"they are nearly done", func(_, _ *machine, j *job) { j.spec.EstimateS = 62 }, false},
-		{"one has just started", func(from, _ *machine, _ *job) { from.list[0].started += 50 * time.Second }, false},
-		{"the machine is needed", func(from, _ *machine, _ *job) { from.emptying, from.why = false, "" }, false},
+		{"they don't save", func(_, _ *machine, j *job) { j.spec.CheckpointIntervalSeconds = 0 }, false},
+		{"no other machine has room", func(_, to *machine, _ *job) { to.usedCores = 31 }, false},
+		{"they are nearly done", func(_, _ *machine, j *job) { j.spec.EstimatedSeconds = 62 }, false},
+		{"one has just started", func(from, _ *machine, _ *job) { from.attemptsInOrder[0].runningSince += 50 * time.Second }, false},
+		{"the machine is needed", func(from, _ *machine, _ *job) { from.draining, from.drainReason = false, "" }, false},
 	} {
 		w := newSimulation(t, 1)
-		w.cloud.types = []protocol.MachineType{{Name: "c4", Cores: 32, RAM: 128, CacheGB: 40, PullGBPerS: 1, Rate: 0.3, SpotRate: 0.1, ReadyS: 5, Zones: []string{"a", "b"}}}
+		w.cloud.types = []protocol.MachineType{{Name: "c4", Cores: 32, MemoryGB: 128, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
 		w.start("n0")
 		l := w.waitLeader()
 		w.machines(2)
-		x := l.lead
+		x := l.leader
 		from, to := x.machines["m-000001"], x.machines["m-000002"]
-		x.keep(to)
-		from.emptying, from.why = true, surplus
+		x.cancelDrain(to)
+		from.draining, from.drainReason = true, surplusCapacity
 		from.rentedAt -= time.Hour
 		spec := spec("j-1", 2)
-		spec.EstimateS, spec.CheckpointS, spec.SaveS = 300, 30, 4
-		j := x.addJob(storage.JobRecord{Spec: spec, AtMS: l.wallMS()}, 1)
+		spec.EstimatedSeconds, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 300, 30, 4
+		j := x.addJob(storage.JobRecord{Spec: spec, AcceptedAtMillis: l.nowUnixMilli()}, 1)
 		for i := range 2 {
-			x.place(&run{job: j, index: i, attempt: x.nextAttempt(), m: from, phase: phaseRunning, started: l.now - time.Minute})
+			x.placeAttempt(&taskAttempt{job: j, taskIndex: i, number: x.nextAttemptNumber(), machine: from, phase: attemptRunning, runningSince: l.now - time.Minute})
 		}
 		c.change(from, to, j)
-		x.fleet.gather([]*machine{to})
-		for _, r := range from.list {
-			if (r.stop != nil) != c.moves {
-				t.Errorf("%s: moved %v", c.name, r.stop != nil)
-			} else if c.moves && *r.stop < spec.SaveS {
-				t.Errorf("%s: %v s to save", c.name, *r.stop)
+		x.autoscaler.consolidate([]*machine{to})
+		for _, r := range from.attemptsInOrder {
+			if (r.stopGrace != nil) != c.moves {
+				t.Errorf("%s: moved %v", c.name, r.stopGrace != nil)
+			} else if c.moves && *r.stopGrace < spec.CheckpointSaveSeconds {
+				t.Errorf("%s: %v s to save", c.name, *r.stopGrace)
 			}
 		}
 	}
@@ -855,7 +855,7 @@
 	w.machines(1)
 	j := spec("j-1", 1)
 	for i := range 1000 {
-		j.Types = append(j.Types, fmt.Sprintf("type-%d", i))
+		j.MachineTypes = append(j.MachineTypes, fmt.Sprintf("type-%d", i))
 	}
 	if r := w.submit(l.name, j); r.Status != 400 {
 		t.Errorf("answered %d", r.Status)
@@ -876,7 +876,7 @@
 	w.run(2 * time.Second)
 	w.state.hold = func(_ string, txn storage.Txn) bool { // executed, but not answered
 		for _, wr := range txn.Writes {
-			if wr.Set == storage.FinalKey("j-1") {
+			if wr.PutKey == storage.TerminalKey("j-1") {
 				w.state.hold = nil
 				w.state.multi(txn)
 				return true
@@ -884,13 +884,13 @@
 		}
 		return false
 	}
-	w.ask(l.name, Request{Kind: protocol.RequestCancel, ID: "j-1"}, func(Reply) {})
-	if !w.until(2*time.Second, func() bool { return w.state.keys[storage.FinalKey("j-1")].Version > 0 }) {
+	w.ask(l.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	if !w.until(2*time.Second, func() bool { return w.state.keys[storage.TerminalKey("j-1")].ModRevision > 0 }) {
 		t.Fatal("not written")
 	}
 	w.accept(w.followers()[0], after("j-4", 1, "j-3"))
 	for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} { // those that need it are cancelled with it
-		if _, s := w.query(l.name, id); s.State != protocol.Withdrawn {
+		if _, s := w.query(l.name, id); s.State != protocol.JobCancelled {
 			t.Fatalf("the leader says %q of %s after the end was written", s.State, id)
 		}
 	}
@@ -903,10 +903,10 @@
 	w.runTime = func(string, int) time.Duration { return time.Hour }
 	l := w.waitLeader()
 	j := spec("j-1", 16) // the team's limit
-	j.Team, j.EstimateS = "team", 3600
+	j.Team, j.EstimatedSeconds = "team", 3600
 	w.submitAndStart(l.name, j, 16)
-	w.cloud.types = []protocol.MachineType{{Name: "c9", Cores: 4, RAM: 16, CacheGB: 40, PullGBPerS: 1, Rate: 0.3, SpotRate: 0.1, ReadyS: 5, Zones: []string{"a", "b"}}}
-	w.state.keys[storage.CatalogKey] = storage.Item{Key: storage.CatalogKey, Value: storage.Encode(protocol.Catalog{Types: w.cloud.types}), Version: 1}
+	w.cloud.types = []protocol.MachineType{{Name: "c9", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
+	w.state.keys[storage.CatalogKey] = storage.Item{Key: storage.CatalogKey, Value: storage.Encode(protocol.Catalog{Types: w.cloud.types}), ModRevision: 1}
 	w.cloud.noReturn = true
 	for _, x := range w.workers {
 		x.hanging = true
@@ -916,7 +916,7 @@
 	}
 	next := w.waitLeader()
 	j = spec("j-2", 4)
-	j.Team, j.EstimateS = "team", 3600
+	j.Team, j.EstimatedSeconds = "team", 3600
 	w.submit(next.name, j)
 	w.run(config.Seconds(w.cfg.Workers.LeaseS) - 4*time.Second)
 	if n := w.onMachines("j-2"); n > 0 {
@@ -958,14 +958,14 @@
 	w.submitAndStart(l.name, spec("j-3", 30), 8)
 	faulty := w.inOrder()[0]
 	faulty.faulty = true
-	w.waitState("j-3", protocol.Done, time.Minute)
-	for name, m := range l.lead.machines {
-		if m.sick && name != faulty.name {
+	w.waitState("j-3", protocol.JobDone, time.Minute)
+	for name, m := range l.leader.machines {
+		if m.unhealthy && name != faulty.name {
 			t.Errorf("%s is condemned", name)
 		}
 	}
 	delete(w.mistake, "j-2")
-	w.waitState("j-2", protocol.Done, 2*time.Minute)
+	w.waitState("j-2", protocol.JobDone, 2*time.Minute)
 	if r := w.cancel(l.name, "j-1"); r.Status != 200 {
 		t.Fatalf("cancel: %d", r.Status)
 	}
@@ -989,20 +989,20 @@
 		for _, x := range w.workers {
 			x.faulty = true
 		}
-		j = l.lead.jobs["j-1"]
-		return j != nil && j.bad
+		j = l.leader.jobs["j-1"]
+		return j != nil && j.failsEverywhere
 	}
 	if !w.until(time.Minute, bad) {
 		t.Fatal("the job was not found bad")
 	}
 	for name, x := range w.workers {
-		x.faulty = j.failedOn[name]
+		x.faulty = j.failedMachines[name]
 	}
 	w.cloud.rent("c4", "a", true)
-	if !w.until(config.Seconds(w.cfg.Workers.LeaseS)+12*time.Second, func() bool { return j.done > 0 }) {
-		t.Fatalf("nothing is done after %d more tries, failed on %v", j.probes, j.failedOn)
+	if !w.until(config.Seconds(w.cfg.Workers.LeaseS)+12*time.Second, func() bool { return j.doneTasks > 0 }) {
+		t.Fatalf("nothing is done after %d more tries, failed on %v", j.failedProbes, j.failedMachines)
 	}
-	w.waitState("j-1", protocol.Done, 2*time.Minute)
+	w.waitState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
 // A healthy job whose first tasks all met faulty machines is taken for one with a mistake.
@@ -1019,7 +1019,7 @@
 		x.faulty, x.failsAfter = true, time.Second
 	}
 	w.submit(l.name, spec("j-1", 12))
-	if !w.until(time.Minute, func() bool { j := l.lead.jobs["j-1"]; return j != nil && j.bad }) {
+	if !w.until(time.Minute, func() bool { j := l.leader.jobs["j-1"]; return j != nil && j.failsEverywhere }) {
 		t.Fatal("the job was not found bad")
 	}
 	for range 4 {
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -12,73 +12,73 @@
 type schedulerHost interface {
 	// mayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
-	mayRunUnseen(j *job, totals *machineTotals) bool
+	mayRunUnreported(j *job, totals *machineTotals) bool
 	// nextAttemptNumber returns a number that no other attempt has.
-	nextAttempt() uint64
+	nextAttemptNumber() uint64
 	// traceBlocked records the check that blocks a job, when it changes.
-	traceWait(j *job, was waitReason)
+	traceBlocked(j *job, was waitReason)
 }
 
 // scheduleState holds the results of the last full scheduling pass.
 type scheduleState struct {
-	scheduled       Instant       // last pass
-	order           []ranked      // pending jobs in scheduling order
-	guaranteedJobs  map[*job]bool // jobs that fit into their team's guarantee
-	pressingWaited  bool          // urgent work had waited for too long
-	preemptedAt     Instant
-	accountedBefore bool // all machines were reconciled at some time in this term
+	lastPass          Instant       // last pass
+	pendingOrder      []queuedJob   // pending jobs in scheduling order
+	guaranteedJobs    map[*job]bool // jobs that fit into their team's guarantee
+	urgentWorkDelayed bool          // urgent work had waited for too long
+	preemptedAt       Instant
+	reconciledOnce    bool // all machines were reconciled at some time in this term
 }
 
 // passesPerHeartbeat is the maximum number of full scheduling passes per heartbeat interval.
-const passesPerReport = 12
+const passesPerHeartbeat = 12
 
 // schedule runs a full pass. For each job in queue order it checks the scheduler slots, the team
 // quota and the overall quota, and then places the task on the best machine.
 func (s *scheduler) schedule() {
-	s.dirty, s.scheduled = false, s.clock.Now()
-	s.order = s.waitingJobs()
-	s.pressingWaited = s.quickWaits(s.order)
-	if len(s.order) == 0 {
+	s.schedulingNeeded, s.lastPass = false, s.clock.Now()
+	s.pendingOrder = s.buildQueue()
+	s.urgentWorkDelayed = s.latencySensitiveWorkDelayed(s.pendingOrder)
+	if len(s.pendingOrder) == 0 {
 		s.renewReservations()
 		return
 	}
-	p := s.newPass(s.pressingWaited)
-	if p.complete && !s.accountedBefore {
-		s.accountedBefore = true
-		s.log.Info("all machines reconciled", "after", s.clock.Now()-s.since)
+	pass := s.newSchedulingPass(s.urgentWorkDelayed)
+	if pass.allReconciled && !s.reconciledOnce {
+		s.reconciledOnce = true
+		s.log.Info("all machines reconciled", "after", s.clock.Now()-s.startedAt)
 	}
-	for _, m := range s.held() {
-		if (m.ready() || m.lastResort()) && m.hasSpace() {
-			p.machines = append(p.machines, m)
+	for _, m := range s.machinesByName() {
+		if (m.schedulable() || m.isLastResort()) && m.hasSpareCapacity() {
+			pass.machines = append(pass.machines, m)
 		}
 	}
-	s.admitAll(p)
+	s.scheduleQueue(pass)
 	s.renewReservations()
-	s.preempt()
+	s.preemptForGuarantees()
 }
 
 // scheduleOnMachine places waiting tasks on a machine that sends a heartbeat, in the queue order
 // of the last full pass, so that the response carries new tasks in place of finished ones. A full
 // pass for each heartbeat would cost machines x tasks.
-func (s *scheduler) fill(m *machine) {
-	if len(s.order) == 0 || !m.ready() || m.emptying || !m.hasSpace() {
+func (s *scheduler) scheduleOnMachine(m *machine) {
+	if len(s.pendingOrder) == 0 || !m.schedulable() || m.draining || !m.hasSpareCapacity() {
 		return
 	}
-	p := s.newPass(s.pressingWaited)
-	p.machines = []*machine{m}
-	s.admitAll(p)
+	pass := s.newSchedulingPass(s.urgentWorkDelayed)
+	pass.machines = []*machine{m}
+	s.scheduleQueue(pass)
 }
 
 // releaseUndelivered releases attempts that were not delivered to their machine in time, because
 // its heartbeats stopped or its responses are lost. Received heartbeats alone do not prove that
 // the machine will ever start them.
-func (s *scheduler) unassign() {
-	patience := 2*s.report() + s.report()/2
-	for _, m := range s.held() {
-		for _, r := range m.list {
-			if r.phase == phaseAssigned && s.clock.Now()-r.since > patience {
-				s.release(r)
-				s.delay(r.job, r.index, m, 0)
+func (s *scheduler) releaseUndelivered() {
+	patience := 2*s.heartbeatInterval() + s.heartbeatInterval()/2
+	for _, m := range s.machinesByName() {
+		for _, r := range m.attemptsInOrder {
+			if r.phase == attemptAssigned && s.clock.Now()-r.assignedAt > patience {
+				s.releaseAttempt(r)
+				s.delayTask(r.job, r.taskIndex, m, 0)
 			}
 		}
 	}
--- a/internal/coordination/simulated_cloud_test.go
+++ b/internal/coordination/simulated_cloud_test.go
@@ -30,7 +30,7 @@
 	types    []protocol.MachineType
 }
 
-func (c *fakeCloud) serve(call Call, back func(int, any)) {
+func (c *fakeCloud) serve(call ServiceCall, back func(int, any)) {
 	if c.down {
 		back(503, map[string]string{"error": "trouble"})
 		return
@@ -39,27 +39,27 @@
 	case call.Path == "/catalog":
 		types := c.types
 		if types == nil {
-			types = []protocol.MachineType{{Name: "c4", Cores: 4, RAM: 16, CacheGB: 40, PullGBPerS: 1, Rate: 0.3, SpotRate: 0.1, ReadyS: 5, Zones: []string{"a", "b"}}}
+			types = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
 		}
 		back(200, protocol.Catalog{Types: types})
 	case call.Path == "/hosts":
-		var r protocol.Rental
+		var r protocol.RentalRequest
 		if err := json.Unmarshal(call.Body, &r); err != nil {
 			c.w.t.Fatal(err)
 		}
-		if _, stored := c.w.state.keys[storage.RentPrefix+r.Request]; !stored && c.requests[r.Request] == nil {
-			c.w.t.Fatalf("rental %s is not stored", r.Request) // nor has it been answered before
+		if _, stored := c.w.state.keys[storage.RentalPrefix+r.RequestID]; !stored && c.requests[r.RequestID] == nil {
+			c.w.t.Fatalf("rental %s is not stored", r.RequestID) // nor has it been answered before
 		}
 		if (c.noSpot && r.Spot) || (c.capacity > 0 && len(c.hosts)+r.Count > c.capacity) {
 			back(503, map[string]string{"error": "no capacity"})
 			return
 		}
-		names, again := c.requests[r.Request]
+		names, again := c.requests[r.RequestID]
 		if !again {
 			for range r.Count {
 				names = append(names, c.rent(r.Type, r.Zone, r.Spot).name)
 			}
-			c.requests[r.Request] = names
+			c.requests[r.RequestID] = names
 		}
 		back(200, protocol.MachineNames{Machines: names})
 	case call.Path == "/hosts/return" && c.noReturn:
@@ -75,14 +75,14 @@
 		}
 		back(200, nil)
 	case strings.HasPrefix(call.Path, "/hosts?"):
-		var list protocol.HostList
+		var list protocol.HostPage
 		for _, x := range c.hosts {
 			if c.hides {
 				break
 			}
-			list.Machines = append(list.Machines, protocol.Host{UID: x.name, Type: x.typ, Zone: x.zone, Spot: x.spot, State: "running"})
+			list.Machines = append(list.Machines, protocol.Host{Name: x.name, Type: x.typ, Zone: x.zone, Spot: x.spot, State: "running"})
 		}
-		sort.Slice(list.Machines, func(i, j int) bool { return list.Machines[i].UID < list.Machines[j].UID })
+		sort.Slice(list.Machines, func(i, j int) bool { return list.Machines[i].Name < list.Machines[j].Name })
 		back(200, list)
 	default:
 		c.w.t.Fatalf("cloud: %s", call.Path)
@@ -152,12 +152,12 @@
 	end     Instant
 }
 
-func (x *worker) report() *protocol.Report {
+func (x *worker) report() *protocol.WorkerHeartbeat {
 	x.seq++
-	r := &protocol.Report{Machine: x.name, Address: x.name + ":9000", Type: x.typ, Zone: x.zone, Spot: x.spot, Session: x.session, Seq: x.seq,
-		FencingToken: x.token, NoticeS: x.notice}
+	r := &protocol.WorkerHeartbeat{Machine: x.name, Address: x.name + ":9000", Type: x.typ, Zone: x.zone, Spot: x.spot, Epoch: x.session, Sequence: x.seq,
+		FencingToken: x.token, PreemptionNoticeSeconds: x.notice}
 	for _, t := range x.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.key, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: t.key, Attempt: t.attempt, State: t.state, ExitReason: t.why, CheckpointSaved: t.saved})
 	}
 	return r
 }
@@ -181,9 +181,9 @@
 	}
 	for _, t := range x.tasks {
 		if t.state == protocol.TaskRunning && w.now >= t.end {
-			t.state, t.why, x.changed = protocol.TaskExited, protocol.WhyDone, true
+			t.state, t.why, x.changed = protocol.TaskExited, protocol.ExitDone, true
 			if x.faulty || w.mistake[jobOf(t.key)] {
-				t.why = protocol.WhyError
+				t.why = protocol.ExitFailed
 			} else {
 				w.finished[t.key] = true
 			}
@@ -196,14 +196,14 @@
 }
 
 // send sends a report to the worker's node and deals with the answer.
-func (x *worker) send(rep *protocol.Report) {
+func (x *worker) send(rep *protocol.WorkerHeartbeat) {
 	w := x.w
 	if w.copies != nil {
 		w.copies(x, rep)
 	}
 	x.busy, x.changed = true, false
 	sent, session := w.now, x.session
-	x.next = w.now + config.Seconds(w.cfg.Workers.ReportS)
+	x.next = w.now + config.Seconds(w.cfg.Workers.HeartbeatIntervalS)
 	done := false
 	finish := func(r Reply) {
 		if done {
@@ -221,7 +221,7 @@
 		return
 	}
 	node := x.node
-	w.ask(node, Request{Kind: protocol.RequestReport, Report: rep}, func(r Reply) {
+	w.ask(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}, func(r Reply) {
 		if !x.silent && !x.dropAnswers && !w.noAnswers[node] {
 			w.after(x.lag, func() { finish(r) })
 		}
@@ -266,7 +266,7 @@
 	switch r.Status {
 	case 200:
 		x.answers++
-		var a protocol.ReportAnswer
+		var a protocol.HeartbeatResponse
 		if err := json.Unmarshal(r.Body, &a); err != nil {
 			w.t.Fatal(err)
 		}
@@ -281,13 +281,13 @@
 			x.execute(c)
 		}
 	case 421:
-		var to protocol.Redirect
+		var to protocol.HeartbeatRedirect
 		json.Unmarshal(r.Body, &to)
-		if to.ReportTo == "" || to.ReportTo == x.node {
+		if to.Node == "" || to.Node == x.node {
 			other()
 			return
 		}
-		x.node, x.next = to.ReportTo, w.now
+		x.node, x.next = to.Node, w.now
 	default:
 		x.refused++
 		other()
@@ -295,36 +295,36 @@
 }
 
 func (x *worker) execute(c protocol.Command) {
-	i := slices.IndexFunc(x.tasks, func(t *simTask) bool { return t.key == c.Task && t.attempt == c.Attempt })
+	i := slices.IndexFunc(x.tasks, func(t *simTask) bool { return t.key == c.TaskID && t.attempt == c.Attempt })
 	x.changed = true
-	switch c.Op {
-	case protocol.OpStart:
+	switch c.Kind {
+	case protocol.CommandStart:
 		if i >= 0 {
 			return
 		}
-		x.w.starts[c.Task]++
-		x.w.checkStart(x, c.Task)
+		x.w.starts[c.TaskID]++
+		x.w.checkStart(x, c.TaskID)
 		end := x.w.now
-		if !x.w.finished[c.Task] { // else its result was kept
-			takes := x.w.runTime(c.Task, x.w.starts[c.Task])
+		if !x.w.finished[c.TaskID] { // else its result was kept
+			takes := x.w.runTime(c.TaskID, x.w.starts[c.TaskID])
 			if x.faulty && x.failsAfter > 0 {
 				takes = x.failsAfter
 			}
 			end += takes
 		}
-		x.tasks = append(x.tasks, &simTask{key: c.Task, attempt: c.Attempt, state: protocol.TaskRunning, end: end})
-	case protocol.OpStop:
+		x.tasks = append(x.tasks, &simTask{key: c.TaskID, attempt: c.Attempt, state: protocol.TaskRunning, end: end})
+	case protocol.CommandStop:
 		if i >= 0 && x.tasks[i].state != protocol.TaskExited {
-			x.grace = append(x.grace, *c.GraceS)
+			x.grace = append(x.grace, *c.GraceSeconds)
 			t := x.tasks[i]
 			x.w.stoppedTasks = append(x.w.stoppedTasks, t.key)
-			t.state, t.why = protocol.TaskExited, protocol.WhyHalted
-			j := x.w.specs[jobOf(c.Task)]
-			t.saved = j.CheckpointS > 0 && *c.GraceS >= j.SaveS
+			t.state, t.why = protocol.TaskExited, protocol.ExitStopped
+			j := x.w.specs[jobOf(c.TaskID)]
+			t.saved = j.CheckpointIntervalSeconds > 0 && *c.GraceSeconds >= j.CheckpointSaveSeconds
 		}
-	case protocol.OpForget:
+	case protocol.CommandForget:
 		if i >= 0 {
-			x.forgotten = append(x.forgotten, c.Task)
+			x.forgotten = append(x.forgotten, c.TaskID)
 			x.tasks = slices.Delete(x.tasks, i, i+1)
 		}
 	}
--- a/internal/coordination/simulated_state_test.go
+++ b/internal/coordination/simulated_state_test.go
@@ -17,28 +17,28 @@
 
 // fakeState is the state service.
 type fakeState struct {
-	w         *simulation
-	keys      map[string]storage.Item
-	rev       uint64
-	log       []storage.Event
-	leases    map[uint64]*fakeLease
-	last      uint64
-	down      bool
-	refuse    map[string]bool
-	lost      map[string]bool        // nodes whose calls vanish
-	mute      map[string]bool        // nodes that get no answers, though their calls are carried out
-	limited   bool                   // enforce the changes per second
-	lowered   bool                   // the limits that the settings announce hold
-	refused   []string               // keys of transactions that were too large for those
-	slowed    int                    // changes that came too fast for those
-	refuseTxn func(storage.Txn) bool // transactions to refuse for good
-	writes    bucket
-	lose      int                                   // answers of executed transactions to swallow
-	hold      func(node string, t storage.Txn) bool // transactions to keep back
-	held      []func()
-	late      func() (d time.Duration, is bool) // calls that get no answer and are carried out so much later
-	slow      func() time.Duration              // by how much each call is held up on its way
-	watchers  []func() bool
+	w              *simulation
+	keys           map[string]storage.Item
+	rev            uint64
+	log            []storage.WatchEvent
+	leases         map[uint64]*fakeLease
+	last           uint64
+	down           bool
+	refuse         map[string]bool
+	lost           map[string]bool        // nodes whose calls vanish
+	mute           map[string]bool        // nodes that get no answers, though their calls are carried out
+	limited        bool                   // enforce the changes per second
+	lowered        bool                   // the limits that the settings announce hold
+	refused        []string               // keys of transactions that were too large for those
+	slowed         int                    // changes that came too fast for those
+	refuseTxn      func(storage.Txn) bool // transactions to refuse for good
+	writes         tokenBucket
+	lose           int                                   // answers of executed transactions to swallow
+	hold           func(node string, t storage.Txn) bool // transactions to keep back
+	machinesByName []func()
+	late           func() (d time.Duration, is bool) // calls that get no answer and are carried out so much later
+	slow           func() time.Duration              // by how much each call is held up on its way
+	watchers       []func() bool
 }
 
 type fakeLease struct{ ttl, left time.Duration }
@@ -57,7 +57,7 @@
 func (s *fakeState) end(id uint64) {
 	delete(s.leases, id)
 	for k, it := range s.keys {
-		if it.Lease == id {
+		if it.LeaseID == id {
 			s.rev++
 			s.drop(k)
 		}
@@ -66,7 +66,7 @@
 
 func (s *fakeState) drop(key string) {
 	delete(s.keys, key)
-	s.log = append(s.log, storage.Event{Drop: key, Version: s.rev})
+	s.log = append(s.log, storage.WatchEvent{DeletedKey: key, ModRevision: s.rev})
 	s.wake()
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-func (s *fakeState) serve(node string, c Call, back func(int, any)) {
+func (s *fakeState) serve(node string, c ServiceCall, back func(int, any)) {
 	if s.lost[node] {
 		return
 	}
@@ -101,7 +101,7 @@
 	s.carryOut(node, c, back)
 }
 
-func (s *fakeState) carryOut(node string, c Call, back func(int, any)) {
+func (s *fakeState) carryOut(node string, c ServiceCall, back func(int, any)) {
 	if s.down || s.refuse[node] {
 		if !strings.HasPrefix(c.Path, "/follow") {
 			s.w.after(step, func() { back(503, nil) })
@@ -118,10 +118,10 @@
 		if it, ok := s.keys[strings.TrimPrefix(u.Path, "/store/")]; ok {
 			back(200, it)
 		} else {
-			back(404, storage.TxnResult{Revision: s.rev})
+			back(404, storage.TxnResponse{Revision: s.rev})
 		}
 	case c.Method == "GET" && u.Path == "/store":
-		page := storage.Page{Revision: s.rev}
+		page := storage.ListResponse{Revision: s.rev}
 		var keys []string
 		for k := range s.keys {
 			if strings.HasPrefix(k, q.Get("under")) && k > q.Get("since") {
@@ -147,9 +147,9 @@
 			back(400, nil)
 			return
 		}
-		rate := s.w.cfg.State.WriteRPS
+		rate := s.w.cfg.Store.WritesPerS
 		if s.lowered {
-			rate = s.w.cfg.State.LowerWriteRPS()
+			rate = s.w.cfg.Store.LowerWritesPerS()
 			if key := s.tooLarge(t); key != "" {
 				s.refused = append(s.refused, key)
 				back(400, nil)
@@ -165,7 +165,7 @@
 			}
 		}
 		if s.hold != nil && s.hold(node, t) {
-			s.held = append(s.held, func() { s.multi(t) })
+			s.machinesByName = append(s.machinesByName, func() { s.multi(t) })
 			return // no answer: it may be executed later
 		}
 		status, res := s.multi(t)
@@ -176,12 +176,12 @@
 		}
 		back(status, res)
 	case u.Path == "/holds":
-		var h storage.Hold
+		var h storage.Lease
 		json.Unmarshal(c.Body, &h)
 		s.last++
-		ttl := time.Duration(h.TTLMS) * time.Millisecond
+		ttl := time.Duration(h.TTLMillis) * time.Millisecond
 		s.leases[s.last] = &fakeLease{ttl, ttl}
-		back(200, storage.Hold{Lease: s.last})
+		back(200, storage.Lease{ID: s.last})
 	case strings.HasPrefix(u.Path, "/holds/"):
 		num, touch := strings.CutSuffix(strings.TrimPrefix(u.Path, "/holds/"), "/touch")
 		id, _ := strconv.ParseUint(num, 10, 64)
@@ -191,7 +191,7 @@
 			back(404, nil)
 		case touch:
 			l.left = l.ttl
-			back(200, storage.Hold{Lease: id})
+			back(200, storage.Lease{ID: id})
 		default:
 			s.end(id)
 			back(200, nil)
@@ -205,13 +205,13 @@
 			if s.down {
 				return false
 			}
-			ev := storage.Events{Revision: s.rev}
+			ev := storage.WatchResponse{Revision: s.rev}
 			for _, e := range s.after(since) {
-				if strings.HasPrefix(cmp.Or(e.Set, e.Drop), under) {
-					ev.Log = append(ev.Log, e)
+				if strings.HasPrefix(cmp.Or(e.PutKey, e.DeletedKey), under) {
+					ev.Events = append(ev.Events, e)
 				}
 			}
-			if len(ev.Log) == 0 && s.w.now < end {
+			if len(ev.Events) == 0 && s.w.now < end {
 				return false
 			}
 			back(200, ev)
@@ -228,15 +228,15 @@
 
 // after are the events of the log that are newer than a revision. The log is in their order, as revisions
 // only grow.
-func (s *fakeState) after(revision uint64) []storage.Event {
-	from := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > revision })
+func (s *fakeState) after(revision uint64) []storage.WatchEvent {
+	from := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > revision })
 	return s.log[from:]
 }
 
 // tooLarge names a key of a transaction that is over the announced limits.
 func (s *fakeState) tooLarge(t storage.Txn) string {
 	for _, wr := range t.Writes {
-		if len(wr.Value) > s.w.cfg.State.ValueBytes() || len(t.Writes) > s.w.cfg.State.Ops() {
+		if len(wr.Value) > s.w.cfg.Store.MaxValueBytes() || len(t.Writes) > s.w.cfg.Store.MaxTxnOps() {
 			return wr.Key()
 		}
 	}
@@ -247,13 +247,13 @@
 func (s *fakeState) put(key string, value any) {
 	switch rec := value.(type) {
 	case storage.JobRecord:
-		s.w.submitted[rec.Spec.UID], s.w.specs[rec.Spec.UID] = true, rec.Spec
-	case storage.FinalRecord:
-		id := strings.TrimPrefix(key, storage.FinalPrefix)
-		s.w.submitted[id], s.w.asked[id] = true, rec.State == protocol.Withdrawn
+		s.w.submitted[rec.Spec.ID], s.w.specs[rec.Spec.ID] = true, rec.Spec
+	case storage.TerminalRecord:
+		id := strings.TrimPrefix(key, storage.TerminalPrefix)
+		s.w.submitted[id], s.w.asked[id] = true, rec.State == protocol.JobCancelled
 	}
 	s.rev++
-	s.keys[key] = storage.Item{Key: key, Value: storage.Encode(value), Version: s.rev}
+	s.keys[key] = storage.Item{Key: key, Value: storage.Encode(value), ModRevision: s.rev}
 }
 
 // holdOne keeps back the next transaction, which was not answered.
@@ -266,35 +266,35 @@
 
 func (s *fakeState) multi(t storage.Txn) (int, any) {
 	for _, wr := range t.Writes {
-		if wr.Lease != 0 && s.leases[wr.Lease] == nil {
+		if wr.LeaseID != 0 && s.leases[wr.LeaseID] == nil {
 			return 400, map[string]string{"error": "no such lease"}
 		}
 	}
 	var failed []string
-	for _, c := range t.If {
-		if s.keys[c.Key].Version != c.Version {
+	for _, c := range t.Conditions {
+		if s.keys[c.Key].ModRevision != c.ModRevision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		return 409, storage.TxnResult{Failed: failed, Revision: s.rev}
+		return 409, storage.TxnResponse{FailedKeys: failed, Revision: s.rev}
 	}
-	if len(t.Writes) > s.w.cfg.State.TxnOps {
+	if len(t.Writes) > s.w.cfg.Store.TxnOps {
 		s.w.t.Fatalf("transaction of %d writes", len(t.Writes))
 	}
 	s.w.checkPolicy(t)
 	s.rev++
 	for _, wr := range t.Writes {
-		if wr.Set == "" {
-			s.drop(wr.Drop)
+		if wr.PutKey == "" {
+			s.drop(wr.DeleteKey)
 			continue
 		}
-		if len(wr.Value) > int(s.w.cfg.State.ValueKB*1024) {
-			s.w.t.Fatalf("value of %d bytes at %s", len(wr.Value), wr.Set)
+		if len(wr.Value) > int(s.w.cfg.Store.ValueKB*1024) {
+			s.w.t.Fatalf("value of %d bytes at %s", len(wr.Value), wr.PutKey)
 		}
-		s.keys[wr.Set] = storage.Item{Key: wr.Set, Value: wr.Value, Version: s.rev, Lease: wr.Lease}
-		s.log = append(s.log, storage.Event{Set: wr.Set, Value: wr.Value, Version: s.rev})
+		s.keys[wr.PutKey] = storage.Item{Key: wr.PutKey, Value: wr.Value, ModRevision: s.rev, LeaseID: wr.LeaseID}
+		s.log = append(s.log, storage.WatchEvent{PutKey: wr.PutKey, Value: wr.Value, ModRevision: s.rev})
 	}
 	s.wake()
-	return 200, storage.TxnResult{Revision: s.rev}
+	return 200, storage.TxnResponse{Revision: s.rev}
 }
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -52,11 +52,11 @@
 func (c *userSimulation) submitUntil(j protocol.Job) {
 	var try func(int)
 	try = func(tries int) {
-		c.user(Request{Kind: protocol.RequestSubmit, ID: j.UID, Job: &j}, func(r Reply) {
+		c.user(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
 			switch {
 			case r.Status == 201 || r.Status == 200:
 			case r.Status != 503 && r.Status != 0:
-				c.t.Errorf("%s: submission answered %d", j.UID, r.Status)
+				c.t.Errorf("%s: submission answered %d", j.ID, r.Status)
 			case tries < 40:
 				c.after(time.Second, func() { try(tries + 1) })
 			}
@@ -67,7 +67,7 @@
 
 // cancelUntil cancels a job until some node has confirmed it, or says that it is done.
 func (c *userSimulation) cancelUntil(id string) {
-	c.user(Request{Kind: protocol.RequestCancel, ID: id}, func(r Reply) {
+	c.user(Request{Kind: protocol.RequestCancel, JobID: id}, func(r Reply) {
 		switch {
 		case r.Status == 200:
 		case r.Status == 404 || r.Status == 400:
@@ -81,9 +81,9 @@
 // poll asks any nodes about all jobs, and about one that nobody submitted.
 func (c *userSimulation) poll() {
 	for _, id := range slices.Sorted(maps.Keys(c.accepted)) {
-		c.user(Request{Kind: protocol.RequestQuery, ID: id}, func(Reply) {})
+		c.user(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
 	}
-	c.user(Request{Kind: protocol.RequestQuery, ID: "j-nobodys"}, func(Reply) {})
+	c.user(Request{Kind: protocol.RequestQuery, JobID: "j-nobodys"}, func(Reply) {})
 }
 
 // lookClosely lets users ask at all nodes, again and again within milliseconds, and repeat
@@ -94,9 +94,9 @@
 		for i := range 6 {
 			c.after(time.Duration(i*i)*step, func() {
 				for _, name := range c.names {
-					c.ask(name, Request{Kind: protocol.RequestQuery, ID: id}, func(Reply) {})
-					if i%3 == 1 && j.UID == id {
-						c.ask(name, Request{Kind: protocol.RequestSubmit, ID: id, Job: &j}, func(Reply) {})
+					c.ask(name, Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
+					if i%3 == 1 && j.ID == id {
+						c.ask(name, Request{Kind: protocol.RequestSubmit, JobID: id, Job: &j}, func(Reply) {})
 					}
 				}
 			})
@@ -130,11 +130,11 @@
 	c.calmDown()
 	isOver := func(id string) bool {
 		switch state := c.final(id); {
-		case state == protocol.Withdrawn:
+		case state == protocol.JobCancelled:
 			return c.mayBeCancelled(id)
 		default:
 			_, cancelled := c.cancelledAt(id)
-			return state == protocol.Done && !cancelled
+			return state == protocol.JobDone && !cancelled
 		}
 	}
 	open := func() []string {
@@ -166,14 +166,14 @@
 	if name == "" {
 		return "nobody leads: " + w.noLeader()
 	}
-	l := w.nodes[name].lead
+	l := w.nodes[name].leader
 	j := l.jobs[id]
 	if j == nil {
 		return "the leader does not know it"
 	}
-	out := fmt.Sprintf("%d pending, waits for %q", j.pending, j.waits)
-	for _, r := range j.runs {
-		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.key(), r.phase, r.m.name, r.m.up, r.m.shown, r.m.why)
+	out := fmt.Sprintf("%d pending, waits for %q", j.pendingTasks, j.blockedBy)
+	for _, r := range j.attempts {
+		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.key(), r.phase, r.machine.name, r.machine.up, r.machine.tokenAcknowledged, r.machine.drainReason)
 	}
 	for name, x := range w.workers {
 		for _, t := range x.tasks {
@@ -190,9 +190,9 @@
 	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", w.state.down, w.state.refuse, w.state.lost, w.state.keys[storage.LeaderKey].Value)
 	for _, name := range w.names {
 		n := w.nodes[name]
-		e := &n.elect
+		e := &n.election
 		out += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.frozen, n.draining,
-			n.lead != nil, e.candidate != nil, e.stateDown(), e.abstain, n.peersHeard(n.termSpan()))
+			n.leader != nil, e.candidacy != nil, e.storeFailing(), e.isolated, n.recentPeerCount(n.leaderLease()))
 	}
 	return out
 }
