--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/admission"
@@ -22,7 +24,7 @@
 	current              *admission.Policy // nil: there is no record, or it is invalid
 	version              uint64            // of the record; 0: there is none
 	revision             uint64            // of the last known change of the record, its removal included
-	knownSince           Instant           // when this node learnt of it; the epoch began no later
+	knownSince           clock.Instant     // when this node learnt of it; the epoch began no later
 	invalid              bool              // the record can't be decoded, so no submission is admitted
 	reading              bool
 	readCallbacks        []func() // called once the record is read
@@ -58,8 +60,8 @@
 // already. If too little of the read budget is left to find that out, it is rejected in either
 // case; the user retries.
 func (n *Node) rejectByPolicy(submission pendingSubmission, response errorResponse) {
-	n.userReadBudget.refill(n.now)
-	if n.userReadBudget.tokens < n.userReadBudget.burst/2 {
+	n.userReadBudget.Refill(n.now)
+	if n.userReadBudget.Tokens < n.userReadBudget.Burst/2 {
 		n.reply(submission.request.Origin, response.status, response.retryAfterSeconds, response)
 		return
 	}
--- a/internal/controller/admission_control.go
+++ b/internal/controller/admission_control.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/admission"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -14,7 +16,7 @@
 	leader         *leader
 	planner        *admission.Planner
 	epochLoads     map[admission.Group]*admission.Load // of the current epoch
-	epochStartedAt Instant                             // when the current epoch began
+	epochStartedAt clock.Instant                       // when the current epoch began
 	publishing     bool                                // the last policy is not durable yet
 	maxShares      int
 }
@@ -131,7 +133,7 @@
 func (a *admissionControl) epochCapacity() admission.Capacity {
 	node := a.leader.node
 	epochSeconds := node.epochLength().Seconds()
-	byRate := node.submissionBudget.burst * epochSeconds
+	byRate := node.submissionBudget.Burst * epochSeconds
 	maxOpenJobs := openJobsMemoryShare * node.cfg.Cluster.Resources.MemoryMB * (1 << 20) / openJobBytes
 	byMemory := max(1, (maxOpenJobs-float64(len(a.leader.jobs)))/float64(a.plannerSettings().MaxEpochsToTurn))
 	return admission.Capacity{Jobs: min(byRate, byMemory), MemoryLimited: byMemory < byRate}
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -5,6 +5,8 @@
 	"strings"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/config"
@@ -21,21 +23,21 @@
 
 	requestCounter      uint64
 	pendingRentals      []*pendingRental
-	retryAt             Instant // end of the backoff after a failed call to the cloud
-	consecutiveFailures int     // of calls to the cloud
+	retryAt             clock.Instant // end of the backoff after a failed call to the cloud
+	consecutiveFailures int           // of calls to the cloud
 
-	listStartedAt Instant
+	listStartedAt clock.Instant
 	listing       bool
 	listedNames   map[string]bool
-	plannedAt     Instant
-	nextReturnAt  Instant
+	plannedAt     clock.Instant
+	nextReturnAt  clock.Instant
 
 	forecast          *fleet.Forecast
 	planner           *fleet.Planner
-	forecastSavedAt   Instant // when the forecast was last stored
-	storedForecastAt  Instant // time of the stored forecast that was restored; never: there was none
-	planLoggedAt      Instant
-	costsCountedAt    Instant
+	forecastSavedAt   clock.Instant // when the forecast was last stored
+	storedForecastAt  clock.Instant // time of the stored forecast that was restored; never: there was none
+	planLoggedAt      clock.Instant
+	costsCountedAt    clock.Instant
 	costs             costBreakdown
 	targetCores       float64 // cores to hold
 	slosAllowQueueing bool    // all SLOs on starting leave the time to boot a machine
@@ -74,8 +76,8 @@
 	}
 	a.planner = fleet.NewPlanner(fleet.Settings{Headroom: l.node.settings.Headroom, CostSensitivity: costSensitivity, Lease: l.node.workerLease()})
 	a.forecast = fleet.NewForecast(l.node.workerLease())
-	a.listStartedAt, a.plannedAt, a.retryAt, a.nextReturnAt, a.planLoggedAt, a.forecastSavedAt = never, never, never, never, never, a.leader.node.now
-	a.storedForecastAt = never
+	a.listStartedAt, a.plannedAt, a.retryAt, a.nextReturnAt, a.planLoggedAt, a.forecastSavedAt = clock.Never, clock.Never, clock.Never, clock.Never, clock.Never, a.leader.node.now
+	a.storedForecastAt = clock.Never
 }
 
 // listLag returns the time by which the machine list of the cloud may be outdated.
@@ -122,7 +124,7 @@
 	heartbeatOverdue := func(m *machine) bool { return l.mayReturnUnresponsive(m, now-l.silentSince(m)) }
 	expectedCount, missedCount := 0, 0
 	// After a takeover, machines that were used before are expected to report too.
-	expectedToReport := func(m *machine) bool { return m.up || (m.useDurable && m.lastHeartbeat == never) }
+	expectedToReport := func(m *machine) bool { return m.up || (m.useDurable && m.lastHeartbeat == clock.Never) }
 	for _, m := range l.machines {
 		if expectedToReport(m) {
 			expectedCount++
@@ -140,7 +142,7 @@
 		case expectedToReport(m) && heartbeatOverdue(m) && 2*missedCount <= expectedCount:
 			// Its return ends its tasks for certain, and sooner than its lease does.
 			l.beginDrain(m, heartbeatMissed)
-		case !m.up && m.lastHeartbeat == never:
+		case !m.up && m.lastHeartbeat == clock.Never:
 			bootLimit := l.node.workerLease()
 			if m.machineType != nil {
 				bootLimit += config.Seconds(3 * m.machineType.BootSeconds)
@@ -174,13 +176,13 @@
 	if len(names) == 0 {
 		return true
 	}
-	if !node.cloudBudget.take(node.now, 1) {
-		a.nextReturnAt = never
+	if !node.cloudBudget.Take(node.now, 1) {
+		a.nextReturnAt = clock.Never
 		return false
 	}
 	a.nextReturnAt = node.now + node.heartbeatInterval()/4
 	if names = names[:l.allowedOperations(recovery.ReturnMachine, len(names))]; len(names) == 0 {
-		node.cloudBudget.tokens++ // no call is made, so its token goes back
+		node.cloudBudget.Tokens++ // no call is made, so its token goes back
 		return true
 	}
 	for _, name := range names {
@@ -214,7 +216,7 @@
 // listMachines reads the machine list of the cloud, page by page.
 func (a *autoscaler) listMachines() {
 	l, node := a.leader, a.leader.node
-	if a.listing || node.now < a.listStartedAt+a.listLag() || !node.cloudBudget.take(node.now, 1) {
+	if a.listing || node.now < a.listStartedAt+a.listLag() || !node.cloudBudget.Take(node.now, 1) {
 		return
 	}
 	a.listing, a.listStartedAt, a.listedNames = true, node.now, map[string]bool{}
@@ -269,7 +271,7 @@
 // drainUnlisted drains the machines that are missing from a list which was requested at
 // requestedAt. Lists lag, so only machines that are old enough and silent count, and the call that
 // returns them settles it.
-func (a *autoscaler) drainUnlisted(requestedAt Instant) {
+func (a *autoscaler) drainUnlisted(requestedAt clock.Instant) {
 	l := a.leader
 	for _, m := range l.machinesByName() {
 		if !a.listedNames[m.name] && requestedAt-m.rentedAt > 4*a.listLag() && requestedAt-l.silentSince(m) > l.node.workerLease()/2 {
@@ -325,7 +327,7 @@
 		if !rental.finishDurable || rental.inFlight {
 			continue
 		}
-		if !node.cloudBudget.take(node.now, 1) {
+		if !node.cloudBudget.Take(node.now, 1) {
 			return
 		}
 		a.sendRental(rental)
@@ -390,7 +392,7 @@
 // markUnavailable has an offering left out for a while, and makes a new plan due.
 func (a *autoscaler) markUnavailable(offering fleet.Offering) {
 	a.planner.MarkUnavailable(offering, a.leader.node.now)
-	a.plannedAt = never
+	a.plannedAt = clock.Never
 }
 
 // finishRental removes a rental and deletes its record. Its machines are stored before that.
--- a/internal/controller/begin_test.go
+++ b/internal/controller/begin_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 )
 
@@ -49,7 +51,7 @@
 				w.after(120*time.Second, users.newLeader)
 			}
 			small := 0
-			fillUntil := func(end Instant) { // with more small work than the machines can do
+			fillUntil := func(end clock.Instant) { // with more small work than the machines can do
 				for ; w.now < end; small++ {
 					j := spec(fmt.Sprintf("j-small-%d", small), 3)
 					j.EstimatedSeconds = 30
--- a/internal/controller/cluster_attempt.go
+++ b/internal/controller/cluster_attempt.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 )
 
@@ -13,11 +15,11 @@
 	number       uint64 // unique across terms
 	machine      *machine
 	phase        attemptPhase
-	assignedAt   Instant  // when the attempt was placed
-	runningSince Instant  // first heartbeat that showed it running
-	stopGrace    *float64 // seconds of grace of a requested stop; nil: no stop requested
-	reported     bool     // contained in the heartbeat being processed
-	cachedKey    string   // see key
+	assignedAt   clock.Instant // when the attempt was placed
+	runningSince clock.Instant // first heartbeat that showed it running
+	stopGrace    *float64      // seconds of grace of a requested stop; nil: no stop requested
+	reported     bool          // contained in the heartbeat being processed
+	cachedKey    string        // see key
 }
 
 // attemptPhase is how far an attempt has come on its machine.
--- a/internal/controller/cluster_health.go
+++ b/internal/controller/cluster_health.go
@@ -4,6 +4,8 @@
 	"math"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/config"
 )
 
@@ -190,7 +192,7 @@
 		return
 	}
 	timeLeft := config.Seconds(*secondsLeft)
-	if m.preemptionNotice == never {
+	if m.preemptionNotice == clock.Never {
 		s.log.Info("preemption notice", "machine", m.name, "left", timeLeft)
 		s.schedulingNeeded = true
 	}
--- a/internal/controller/cluster_job.go
+++ b/internal/controller/cluster_job.go
@@ -4,15 +4,17 @@
 	"math"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 )
 
 // job is an open job in the leader's state.
 type job struct {
 	spec          protocol.Job
-	acceptedAt    Instant // when the submission was accepted
-	eligibleAt    Instant // start of all time limits but the deadline: acceptance, or completion of the last dependency
-	recordVersion uint64  // key-value store revision of the job record
+	acceptedAt    clock.Instant // when the submission was accepted
+	eligibleAt    clock.Instant // start of all time limits but the deadline: acceptance, or completion of the last dependency
+	recordVersion uint64        // key-value store revision of the job record
 	dependencies
 
 	attempts         map[int]*taskAttempt // by task index
@@ -23,27 +25,27 @@
 	bitmapParts      []*bitmapPart           // bitmap of finished tasks
 	tasksPerPart     int                     // tasks covered by each part
 	failureHistories map[int]*failureHistory // by task index
-	imageCheckedAt   Instant                 // scheduling pass for which imageAvailable was determined
+	imageCheckedAt   clock.Instant           // scheduling pass for which imageAvailable was determined
 	imageAvailable   bool                    // some schedulable machine has the job's image
 	failedMachines   map[string]bool         // machines on which a task failed; cleared by the first success
 	longestFailedRun time.Duration           // longest run of a task before it failed
 	failsEverywhere  bool                    // the job itself is at fault, not the machines
 	failedProbes     int                     // failures since failsEverywhere was set
-	nextProbeAt      Instant                 // when the next single task is tried
+	nextProbeAt      clock.Instant           // when the next single task is tried
 	reservation      reservation
 	movedTasks       map[int]bool // tasks already moved to another machine once, by index
 
 	logDurationSum, durationSamples float64       // sum and number of logarithms of task run times
 	typicalDuration                 time.Duration // geometric mean of task run times
 
-	terminal                  bool       // cancelled or done: no task starts any more
-	cancelled                 bool       // terminal because of a cancellation
-	completionUncertain       bool       // the terminal record may be stored, but no response confirms it
-	blockedBy                 waitReason // the check that stopped the last scheduling attempt
-	pendingSince              Instant    // since when the job has had pending tasks
-	firstStartAt, lastStartAt Instant    // of its tasks
-	startCommandSent          bool       // a start command was sent in this term
-	quarantined               bool       // one of its records is quarantined: no task starts
+	terminal                  bool          // cancelled or done: no task starts any more
+	cancelled                 bool          // terminal because of a cancellation
+	completionUncertain       bool          // the terminal record may be stored, but no response confirms it
+	blockedBy                 waitReason    // the check that stopped the last scheduling attempt
+	pendingSince              clock.Instant // since when the job has had pending tasks
+	firstStartAt, lastStartAt clock.Instant // of its tasks
+	startCommandSent          bool          // a start command was sent in this term
+	quarantined               bool          // one of its records is quarantined: no task starts
 }
 
 // taskState is the progress of one task of an open job. It is derived from the job's bitmap of
@@ -73,9 +75,9 @@
 // failureHistory records the failures of one task and its retry limits.
 type failureHistory struct {
 	failures       int
-	retryAfter     Instant // earliest time of the next attempt
-	avoidedMachine string  // machine skipped during placement,
-	avoidUntil     Instant // until this time; afterwards it is used if no other fits
+	retryAfter     clock.Instant // earliest time of the next attempt
+	avoidedMachine string        // machine skipped during placement,
+	avoidUntil     clock.Instant // until this time; afterwards it is used if no other fits
 }
 
 // bitmapPart is one part of a job's bitmap of finished tasks.
@@ -137,22 +139,22 @@
 
 // dependencies holds a job's position in the DAG of jobs.
 type dependencies struct {
-	pendingDependencies int     // dependencies whose completion is not durable, or not known to this leader
-	dependencyCancelled bool    // a dependency is durably cancelled
-	releasedThisTerm    bool    // a dependency completed in this term, so no earlier leader can have started the job
-	latestEnd           Instant // latest end that keeps all dependents in time
-	inheritedRank       int     // best priority rank of the dependents
+	pendingDependencies int           // dependencies whose completion is not durable, or not known to this leader
+	dependencyCancelled bool          // a dependency is durably cancelled
+	releasedThisTerm    bool          // a dependency completed in this term, so no earlier leader can have started the job
+	latestEnd           clock.Instant // latest end that keeps all dependents in time
+	inheritedRank       int           // best priority rank of the dependents
 }
 
 // newDependencies returns the value of a job without any dependency or dependent.
 func newDependencies() dependencies {
-	return dependencies{latestEnd: forever, inheritedRank: math.MaxInt}
+	return dependencies{latestEnd: clock.Forever, inheritedRank: math.MaxInt}
 }
 
 // reservation is the reserved machine of one job.
 type reservation struct {
-	machine    *machine // nil: none
-	searchedAt Instant  // when a machine was last searched
+	machine    *machine      // nil: none
+	searchedAt clock.Instant // when a machine was last searched
 }
 
 // waitReason is the check that keeps a job from starting a task, as shown by its status.
--- a/internal/controller/cluster_machine.go
+++ b/internal/controller/cluster_machine.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/fleet"
 	"hitchdoor/internal/protocol"
 )
@@ -17,22 +19,22 @@
 	useDurable, markedUsed bool // whether it may have tasks: as stored, and as to be stored
 	group                  *machineGroup
 	reconciled             bool // no attempt runs on it that this leader does not know
-	rentedAt               Instant
+	rentedAt               clock.Instant
 
 	up                  bool   // its heartbeats arrive, and its worker lease has not expired
 	address             string // source address of its heartbeats; empty: unknown
 	relayPeer           string // the peer that relayed its last heartbeat; empty: none
 	epoch, heartbeatSeq uint64
 	fencedEpoch         uint64                      // highest epoch whose worker lease has expired
-	lastHeartbeat       Instant                     // last heartbeat in sequence
-	lastResponse        Instant                     // last response that may have renewed the worker lease
-	lastDelivery        Instant                     // when a response was last known to have arrived
+	lastHeartbeat       clock.Instant               // last heartbeat in sequence
+	lastResponse        clock.Instant               // last response that may have renewed the worker lease
+	lastDelivery        clock.Instant               // when a response was last known to have arrived
 	tokenAcknowledged   bool                        // its last heartbeat carried this term's fencing token
 	missedResponses     int                         // consecutive responses without effect on its heartbeats
 	duplicateName       bool                        // another worker sends heartbeats under the same name
 	unexpectedRestart   bool                        // it began a new epoch although its heartbeats never stopped
 	unconfirmedResponse *protocol.HeartbeatResponse // last response, until the next heartbeat
-	preemptionNotice    Instant                     // when the cloud preempts it; never: no notice received
+	preemptionNotice    clock.Instant               // when the cloud preempts it; never: no notice received
 
 	attempts             map[string]*taskAttempt // by task key
 	attemptsInOrder      []*taskAttempt          // the same attempts in order of their numbers
@@ -42,7 +44,7 @@
 	usedAccelerators     float64
 	images               []cachedImage   // least recently used first
 	reservedFor          *job            // the job that holds a reservation on it
-	surplusSince         Instant         // since when it has exceeded the required capacity
+	surplusSince         clock.Instant   // since when it has exceeded the required capacity
 	consecutiveFailures  int             // consecutive task failures
 	failedJobs           map[string]bool // distinct jobs among those failures
 	unhealthy            bool            // tasks fail on it through no fault of their jobs
--- a/internal/controller/cluster_objectives.go
+++ b/internal/controller/cluster_objectives.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/config"
 )
 
@@ -63,16 +65,16 @@
 // objective; such jobs can wait for capacity on cheap machines.
 //
 // A job with dependents is due no later than their deadlines allow (latestEnd).
-func (s *clusterState) due(j *job) Instant { return s.dueFrom(j, j.eligibleAt) }
+func (s *clusterState) due(j *job) clock.Instant { return s.dueFrom(j, j.eligibleAt) }
 
 // dueFrom returns the due time of a job that becomes eligible at the given time.
-func (s *clusterState) dueFrom(j *job, from Instant) Instant {
+func (s *clusterState) dueFrom(j *job, from clock.Instant) clock.Instant {
 	return min(s.ownDue(j, from), j.latestEnd)
 }
 
 // ownDue returns the due time by the job's own deadline or objectives. Without either, latestEnd
 // or a bound in proportion to the run time applies.
-func (s *clusterState) ownDue(j *job, from Instant) Instant {
+func (s *clusterState) ownDue(j *job, from clock.Instant) clock.Instant {
 	if j.spec.DeadlineSeconds != nil {
 		return j.acceptedAt + config.Seconds(*j.spec.DeadlineSeconds)
 	}
@@ -86,7 +88,7 @@
 			return end
 		}
 	}
-	if j.latestEnd < forever {
+	if j.latestEnd < clock.Forever {
 		return j.latestEnd
 	}
 	// Without an objective the wait is still bounded, in proportion to the run time.
--- a/internal/controller/cluster_state.go
+++ b/internal/controller/cluster_state.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 )
@@ -17,7 +19,7 @@
 	cluster   *config.Cluster
 	settings  *config.Settings
 	log       *slog.Logger
-	startedAt Instant // start of the leader's term
+	startedAt clock.Instant // start of the leader's term
 	catalog   map[string]*protocol.MachineType
 
 	jobTable
@@ -30,13 +32,13 @@
 
 	// inventoryIncompleteUntil is the time until which tasks of earlier leaders may be running on
 	// machines that no readable record names; never: all machines are known.
-	inventoryIncompleteUntil Instant
+	inventoryIncompleteUntil clock.Instant
 }
 
 // timeSource tells the time.
 type timeSource interface {
 	// Now returns the time of the current step.
-	Now() Instant
+	Now() clock.Instant
 }
 
 // stateOptions are the settings and dependencies of a cluster state.
@@ -52,7 +54,7 @@
 func newClusterState(o stateOptions) *clusterState {
 	return &clusterState{
 		clock: o.clock, cluster: o.cluster, settings: o.settings, log: o.log, startedAt: o.clock.Now(), catalog: o.catalog,
-		jobTable: newJobTable(o.cluster), objectives: newObjectives(o.cluster), machineTable: newMachineTable(), inventoryIncompleteUntil: never,
+		jobTable: newJobTable(o.cluster), objectives: newObjectives(o.cluster), machineTable: newMachineTable(), inventoryIncompleteUntil: clock.Never,
 	}
 }
 
@@ -94,22 +96,22 @@
 // machineTable holds the machines, and the groups in which they are stored.
 type machineTable struct {
 	machines          map[string]*machine
-	removedMachines   map[string]Instant // machines returned or preempted, and when
-	sortedMachines    []*machine         // by name; nil: must be rebuilt
-	machinesCheckedAt Instant            // when all machines were last checked
-	totals            machineTotals      // cached sums over the machines, if totalsValid
+	removedMachines   map[string]clock.Instant // machines returned or preempted, and when
+	sortedMachines    []*machine               // by name; nil: must be rebuilt
+	machinesCheckedAt clock.Instant            // when all machines were last checked
+	totals            machineTotals            // cached sums over the machines, if totalsValid
 	totalsValid       bool
 }
 
 // newMachineTable returns an empty machine table.
 func newMachineTable() machineTable {
-	return machineTable{machines: map[string]*machine{}, removedMachines: map[string]Instant{}, machinesCheckedAt: never}
+	return machineTable{machines: map[string]*machine{}, removedMachines: map[string]clock.Instant{}, machinesCheckedAt: clock.Never}
 }
 
 // newMachine adds a machine to the machine table.
 func (s *clusterState) newMachine(name, typeName, zone string, spot bool) *machine {
 	m := &machine{name: name, typeName: typeName, zone: zone, spot: spot, attempts: map[string]*taskAttempt{},
-		rentedAt: s.clock.Now(), lastHeartbeat: never, lastResponse: never, lastDelivery: never, preemptionNotice: never, surplusSince: s.clock.Now(),
+		rentedAt: s.clock.Now(), lastHeartbeat: clock.Never, lastResponse: clock.Never, lastDelivery: clock.Never, preemptionNotice: clock.Never, surplusSince: s.clock.Now(),
 		failedJobs: map[string]bool{}, machineType: s.catalog[typeName]}
 	s.machines[name] = m
 	s.invalidateMachineIndex()
@@ -240,11 +242,15 @@
 }
 
 // workerLeaseTimeout returns the node's worker lease timeout.
-func (s *clusterState) workerLeaseTimeout() time.Duration { return workerLeaseTimeout(s.workerLease()) }
+func (s *clusterState) workerLeaseTimeout() time.Duration {
+	return clock.WorkerLeaseTimeout(s.workerLease())
+}
 
 // silentSince returns the time from which the silence of a machine counts: its last heartbeat, or
 // the start of the term if that is later.
-func (s *clusterState) silentSince(m *machine) Instant { return max(m.lastHeartbeat, s.startedAt) }
+func (s *clusterState) silentSince(m *machine) clock.Instant {
+	return max(m.lastHeartbeat, s.startedAt)
+}
 
 // leaseChecksPerHeartbeat is how often all worker leases are checked per heartbeat interval.
 const leaseChecksPerHeartbeat = 8
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/storage"
@@ -17,8 +19,8 @@
 type coldStart struct {
 	*userSimulation
 	away      time.Duration
-	began     Instant   // when the first controller was back
-	starts    []Instant // at workers, since then, while a leader was recovering
+	began     clock.Instant   // when the first controller was back
+	starts    []clock.Instant // at workers, since then, while a leader was recovering
 	rates     recovery.Rates
 	seen      map[recovery.Mismatch]int // by all leaders
 	leaderSet map[uint64]bool           // terms since the loss
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -14,6 +14,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/protocol"
@@ -366,7 +368,7 @@
 	w                *simulation
 	sum              hash.Hash
 	countActiveTasks int
-	ends             Instant
+	ends             clock.Instant
 	lines            []string
 }
 
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/reachability"
 )
@@ -16,10 +18,10 @@
 	matrix              *reachability.Matrix
 	invalidReportLogged map[string]bool // peers whose invalid reports were logged
 
-	consecutiveResignations int     // consecutive ones, each within resignationMemoryLeases of the previous
-	lastResignation         Instant // last resignation
-	candidacyPausedUntil    Instant // this node starts no candidacy before
-	leaderlessSince         Instant // since when the leader key is absent; never: it was present
+	consecutiveResignations int           // consecutive ones, each within resignationMemoryLeases of the previous
+	lastResignation         clock.Instant // last resignation
+	candidacyPausedUntil    clock.Instant // this node starts no candidacy before
+	leaderlessSince         clock.Instant // since when the leader key is absent; never: it was present
 }
 
 // Time spans of these decisions, in worker leases.
@@ -48,7 +50,7 @@
 		names = append(names, name)
 	}
 	return connectivity{matrix: reachability.NewMatrix(names), invalidReportLogged: map[string]bool{},
-		lastResignation: never, candidacyPausedUntil: never, leaderlessSince: never}
+		lastResignation: clock.Never, candidacyPausedUntil: clock.Never, leaderlessSince: clock.Never}
 }
 
 // workerLeases converts a number of worker leases to a duration.
@@ -103,7 +105,7 @@
 // before it. If so, the response to the previous one has reached the worker: without a response
 // the worker would have turned to another node. With a single node nothing can be concluded.
 func (l *leader) arrivedBySameRoute(m *machine, heartbeat *protocol.WorkerHeartbeat, via string) bool {
-	return len(l.node.peers) > 0 && m.lastHeartbeat != never && m.relayPeer == via &&
+	return len(l.node.peers) > 0 && m.lastHeartbeat != clock.Never && m.relayPeer == via &&
 		heartbeat.Epoch == m.epoch && heartbeat.Sequence == m.heartbeatSeq+1
 }
 
@@ -135,10 +137,10 @@
 func (l *leader) timeWithoutDirectDelivery() time.Duration {
 	node := l.node
 	if !node.settings.LinkDecisions || !l.workersReachPeers() {
-		l.workersElsewhereSince = never
+		l.workersElsewhereSince = clock.Never
 		return 0
 	}
-	if l.workersElsewhereSince == never {
+	if l.workersElsewhereSince == clock.Never {
 		l.workersElsewhereSince = node.now
 	}
 	return node.now - max(l.workersElsewhereSince, l.lastDirectDelivery)
@@ -200,7 +202,7 @@
 	pause := min(n.workerLeases(maxPauseLeases),
 		n.workerLeases(firstPauseLeases)<<min(links.consecutiveResignations, 8))
 	links.consecutiveResignations++
-	links.candidacyPausedUntil, links.leaderlessSince = n.now+pause, never
+	links.candidacyPausedUntil, links.leaderlessSince = n.now+pause, clock.Never
 	n.stepDown(reason)
 }
 
@@ -209,5 +211,5 @@
 func (n *Node) candidacyPaused() bool {
 	links := &n.connectivity
 	return n.now < links.candidacyPausedUntil &&
-		(links.leaderlessSince == never || n.now-links.leaderlessSince < n.workerLease())
+		(links.leaderlessSince == clock.Never || n.now-links.leaderlessSince < n.workerLease())
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/protocol"
@@ -141,8 +143,8 @@
 	var relaxed, dependents []*job
 	for queue := slices.Clone(jobs); len(queue) > 0; queue = queue[1:] {
 		for _, id := range queue[0].spec.Dependencies {
-			if dependency := l.jobs[id]; dependency != nil && !dependency.terminal && (dependency.latestEnd != forever || dependency.inheritedRank != math.MaxInt) {
-				dependency.latestEnd, dependency.inheritedRank = forever, math.MaxInt
+			if dependency := l.jobs[id]; dependency != nil && !dependency.terminal && (dependency.latestEnd != clock.Forever || dependency.inheritedRank != math.MaxInt) {
+				dependency.latestEnd, dependency.inheritedRank = clock.Forever, math.MaxInt
 				relaxed, queue = append(relaxed, dependency), append(queue, dependency)
 			}
 		}
@@ -184,7 +186,7 @@
 		if dependent.spec.DeadlineSeconds != nil {
 			latestStart = min(latestStart, l.ownDue(dependent, dependent.eligibleAt))
 		}
-		if latestStart < forever {
+		if latestStart < clock.Forever {
 			latestStart -= l.expectedJobDuration(dependent, pullRate)
 		}
 		for _, id := range dependent.spec.Dependencies {
@@ -217,7 +219,7 @@
 		switch lookupAt := l.dependencyLookups[id]; {
 		case l.jobs[id] != nil || l.dependents[id] == nil:
 			delete(l.dependencyLookups, id)
-		case l.node.now >= lookupAt && !l.node.election.storeUnavailable() && l.lookupBudget.take(l.node.now, 1):
+		case l.node.now >= lookupAt && !l.node.election.storeUnavailable() && l.lookupBudget.Take(l.node.now, 1):
 			l.dependencyLookups[id] = l.node.now + l.node.workerLease()/pollsPerLease
 			l.lookUpDependency(id)
 		}
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -5,6 +5,8 @@
 	"strings"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/protocol"
@@ -22,26 +24,26 @@
 // of lower terms.
 type election struct {
 	// availability of the key-value store
-	storeOK                  Instant // last response other than an error
-	storeFailed              Instant // last 429, 5xx or missing response
-	consecutiveStoreFailures int     // consecutive failures
+	storeOK                  clock.Instant // last response other than an error
+	storeFailed              clock.Instant // last 429, 5xx or missing response
+	consecutiveStoreFailures int           // consecutive failures
 
-	leaderKeyReadAt       Instant // last read of the leader key
+	leaderKeyReadAt       clock.Instant // last read of the leader key
 	leaderKeyReadInFlight bool
-	heartbeatSentAt       Instant // last heartbeat to the peers
-	isolated              bool    // no candidacy until a peer is heard: this node was isolated
-	candidacyAt           Instant // start of the next candidacy; never: not scheduled
+	heartbeatSentAt       clock.Instant // last heartbeat to the peers
+	isolated              bool          // no candidacy until a peer is heard: this node was isolated
+	candidacyAt           clock.Instant // start of the next candidacy; never: not scheduled
 	candidacy             *candidacy
 
 	// as a peer
 	grantedTerm  uint64
-	grantedUntil Instant
+	grantedUntil clock.Instant
 	votedTerm    uint64
 
 	// as a leader
-	leaderLeaseID   uint64  // lease of the leader key in the store
-	leaseValidUntil Instant // end of the leader lease, without grants
-	renewalSentAt   Instant // last renewal sent
+	leaderLeaseID   uint64        // lease of the leader key in the store
+	leaseValidUntil clock.Instant // end of the leader lease, without grants
+	renewalSentAt   clock.Instant // last renewal sent
 	renewalInFlight bool
 	renewalFailed   bool // the last renewal failed: ask for grants
 }
@@ -52,20 +54,20 @@
 	termVersion      uint64 // version of the term key that this candidate wrote
 	votes            map[string]bool
 	requestingVotes  bool // the term is raised and votes are being collected
-	startedAt        Instant
-	votesRequestedAt Instant // last vote requests sent
-	votesReadAt      Instant // last read of votes from the key-value store
+	startedAt        clock.Instant
+	votesRequestedAt clock.Instant // last vote requests sent
+	votesReadAt      clock.Instant // last read of votes from the key-value store
 }
 
 // newElection returns the state of a node that has just started.
 func newElection() election {
-	return election{storeOK: never, storeFailed: never, leaderKeyReadAt: never, heartbeatSentAt: never,
-		candidacyAt:  never,
-		grantedUntil: never, leaseValidUntil: never, renewalSentAt: never}
+	return election{storeOK: clock.Never, storeFailed: clock.Never, leaderKeyReadAt: clock.Never, heartbeatSentAt: clock.Never,
+		candidacyAt:  clock.Never,
+		grantedUntil: clock.Never, leaseValidUntil: clock.Never, renewalSentAt: clock.Never}
 }
 
 // recordStoreResponse records whether the key-value store answered a call with the status.
-func (e *election) recordStoreResponse(now Instant, status int) {
+func (e *election) recordStoreResponse(now clock.Instant, status int) {
 	if status == 0 || status == 429 || status >= 500 {
 		e.storeFailed = now
 		e.consecutiveStoreFailures++
@@ -96,12 +98,12 @@
 
 // quorumLeaseUntil returns until when a majority, including this node, is bound by lease grants
 // not to become candidates.
-func (n *Node) quorumLeaseUntil() Instant {
+func (n *Node) quorumLeaseUntil() clock.Instant {
 	peersNeeded := n.cfg.Cluster.ControllerCount / 2 // needed besides this node
 	if peersNeeded == 0 {
-		return never
+		return clock.Never
 	}
-	grants := make([]Instant, 0, len(n.peers))
+	grants := make([]clock.Instant, 0, len(n.peers))
 	for _, p := range n.peers {
 		grants = append(grants, p.grantedUntil)
 	}
@@ -135,7 +137,7 @@
 // leader, candidate or follower.
 func (n *Node) tickElection() {
 	election := &n.election
-	if n.now >= election.heartbeatSentAt+n.workerLease()/peerHeartbeatsPerLease || election.heartbeatSentAt == never {
+	if n.now >= election.heartbeatSentAt+n.workerLease()/peerHeartbeatsPerLease || election.heartbeatSentAt == clock.Never {
 		election.heartbeatSentAt = n.now
 		heartbeat := protocol.PeerHeartbeat{SentAt: n.now, Uptime: n.now, ProcessID: n.processID, VersionLevel: protocolLevel,
 			WritesThrottled: n.writesThrottled, ConnectionsFull: n.connections.full, SpareConnections: n.connections.spareConnections(),
@@ -164,7 +166,7 @@
 		return
 	}
 	if !n.draining && !election.leaderKeyReadInFlight &&
-		(election.leaderKeyReadAt == never || n.now >= election.leaderKeyReadAt+n.workerLease()/pollsPerLease) {
+		(election.leaderKeyReadAt == clock.Never || n.now >= election.leaderKeyReadAt+n.workerLease()/pollsPerLease) {
 		n.readLeaderKey()
 	}
 }
@@ -186,16 +188,16 @@
 			if json.Unmarshal(result.Body, &item) != nil || json.Unmarshal(item.Value, &record) != nil {
 				return
 			}
-			election.candidacyAt, n.connectivity.leaderlessSince = never, never
+			election.candidacyAt, n.connectivity.leaderlessSince = clock.Never, clock.Never
 			if record.Node == n.cfg.Node && item.LeaseID != 0 {
 				// The key belongs to an earlier process of this node. That process has
 				// ended, as a node runs one process at a time: revoke its lease instead
 				// of waiting for it to expire.
 				n.storeCall("DELETE", "/holds/"+formatUint(item.LeaseID), nil,
-					func(CallResult) { election.leaderKeyReadAt = never })
+					func(CallResult) { election.leaderKeyReadAt = clock.Never })
 			}
 		case 404:
-			if n.connectivity.leaderlessSince == never {
+			if n.connectivity.leaderlessSince == clock.Never {
 				n.connectivity.leaderlessSince = n.now
 			}
 			if n.twoWayPeerCount() < n.cfg.Cluster.ControllerCount/2 {
@@ -221,10 +223,10 @@
 		}
 		election.isolated = false
 	}
-	if election.candidacyAt == never {
+	if election.candidacyAt == clock.Never {
 		turn := n.rng.Float64()
 		for _, p := range n.peers {
-			if n.now-p.lastContact < n.leaderLease() && p.uptime < n.now && p.uptime > withClockDrift(n.leaderLease()) {
+			if n.now-p.lastContact < n.leaderLease() && p.uptime < n.now && p.uptime > clock.WithDrift(n.leaderLease()) {
 				turn++
 			}
 		}
@@ -232,7 +234,7 @@
 		return
 	}
 	if n.now >= election.candidacyAt {
-		election.candidacyAt = never
+		election.candidacyAt = clock.Never
 		n.startCandidacy()
 	}
 }
@@ -243,7 +245,7 @@
 // process, that it does not lead. A leader that stepped down never resumes its term, and a
 // grant holds for one term only.
 func (n *Node) freeToVote() bool {
-	return (n.now >= withClockDrift(n.leaderLease()) || n.noPeerLeads()) && n.now >= n.election.grantedUntil
+	return (n.now >= clock.WithDrift(n.leaderLease()) || n.noPeerLeads()) && n.now >= n.election.grantedUntil
 }
 
 // noPeerLeads reports whether every peer has told this process that it does not lead.
@@ -260,7 +262,7 @@
 // transaction also requires that there is no leader key.
 func (n *Node) startCandidacy() {
 	election := &n.election
-	current := &candidacy{startedAt: n.now, votes: map[string]bool{}, votesRequestedAt: never, votesReadAt: n.now}
+	current := &candidacy{startedAt: n.now, votes: map[string]bool{}, votesRequestedAt: clock.Never, votesReadAt: n.now}
 	election.candidacy = current
 	n.readTerm(func(lastTerm storage.Term, version uint64, ok bool) {
 		if election.candidacy != current {
@@ -325,7 +327,7 @@
 	if n.now > current.votesReadAt+n.workerLease()/pollsPerLease {
 		n.readStoredVotes(current)
 	}
-	if current.votesRequestedAt == never || n.now > current.votesRequestedAt+n.workerLease()/peerHeartbeatsPerLease {
+	if current.votesRequestedAt == clock.Never || n.now > current.votesRequestedAt+n.workerLease()/peerHeartbeatsPerLease {
 		current.votesRequestedAt = n.now
 		n.broadcast(protocol.VoteRequest{Term: current.term})
 	}
@@ -431,19 +433,19 @@
 
 // becomeLeader starts a term as the leader and begins to load the records. The leader lease
 // counts from when it was requested.
-func (n *Node) becomeLeader(term, leaderKeyVersion, leaseID uint64, sent Instant) {
+func (n *Node) becomeLeader(term, leaderKeyVersion, leaseID uint64, sent clock.Instant) {
 	election := &n.election
 	election.leaderLeaseID, election.leaseValidUntil, election.renewalInFlight, election.renewalFailed =
 		leaseID, sent+safeLeaseSpan(n.leaderLease()), false, false
 	election.renewalSentAt = sent
 	for _, p := range n.peers {
-		p.grantedUntil = never
+		p.grantedUntil = clock.Never
 	}
 	n.log.Info("became leader", "term", term)
-	n.connectivity.leaderlessSince = never
+	n.connectivity.leaderlessSince = clock.Never
 	n.leader = newLeader(n, term, leaderKeyVersion)
 	n.leader.loadRecords()
-	election.heartbeatSentAt = never
+	election.heartbeatSentAt = clock.Never
 }
 
 // stepDown ends this node's term as the leader, revokes its lease and discards the leader state.
@@ -459,7 +461,7 @@
 		n.storeCall("DELETE", "/holds/"+formatUint(election.leaderLeaseID), nil, func(CallResult) {})
 	}
 	election.leaderLeaseID, election.leaseValidUntil, election.leaderKeyReadAt, election.heartbeatSentAt =
-		0, never, n.now, never
+		0, clock.Never, n.now, clock.Never
 }
 
 // tickLeader steps down if this node should not lead any longer, and renews its lease.
@@ -503,7 +505,7 @@
 			n.stepDown("leader lease lost")
 		default:
 			election.renewalFailed = true
-			election.heartbeatSentAt = never // ask for lease grants at once
+			election.heartbeatSentAt = clock.Never // ask for lease grants at once
 		}
 	})
 }
@@ -587,10 +589,10 @@
 func (n *Node) grantLease(sender *peer, heartbeat protocol.PeerHeartbeat) {
 	election := &n.election
 	if n.leader != nil || !election.storeFailing() || heartbeat.Term < election.votedTerm ||
-		heartbeat.Term < election.grantedTerm || n.now < withClockDrift(n.leaderLease()) {
+		heartbeat.Term < election.grantedTerm || n.now < clock.WithDrift(n.leaderLease()) {
 		return
 	}
 	election.grantedTerm = heartbeat.Term
-	election.grantedUntil = max(election.grantedUntil, n.now+withClockDrift(n.leaderLease()))
+	election.grantedUntil = max(election.grantedUntil, n.now+clock.WithDrift(n.leaderLease()))
 	n.send(sender.name, protocol.LeaseGrant{Term: heartbeat.Term, HeartbeatSentAt: heartbeat.SentAt})
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -205,7 +207,7 @@
 	large := spec("j-large", 40)
 	large.EstimatedSeconds, large.DeadlineSeconds = 10, &due
 	w.submit(l.name, large)
-	begun := Instant(0)
+	begun := clock.Instant(0)
 	for i := 0; w.now < 12*time.Minute; i++ {
 		// Small and urgent work of 10 cores, while there are 8.
 		for k, priority := range []string{"standard", "urgent"} {
@@ -337,7 +339,7 @@
 		t.Error("it waits for longer than its aim leaves")
 	}
 	j.eligibleAt += 4 * time.Second
-	has.images, j.imageCheckedAt = nil, never // as in the next pass
+	has.images, j.imageCheckedAt = nil, clock.Never // as in the next pass
 	if !fits(other) {
 		t.Error("it waits for an image that no machine has")
 	}
--- a/internal/controller/flood_test.go
+++ b/internal/controller/flood_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -96,7 +98,7 @@
 }
 
 // plainSacrifice is Moore's rule for the fewest late jobs, written down as it is defined.
-func plainSacrifice(all []*queuedJob, cores float64, now Instant) {
+func plainSacrifice(all []*queuedJob, cores float64, now clock.Instant) {
 	sum := 0.0
 	var kept []*queuedJob
 	for _, r := range all {
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/admission"
@@ -22,16 +24,16 @@
 // nothing older, milliseconds later at another node included.
 type invariantChecker struct {
 	submitted map[string]bool
-	accepted  map[string]Instant // when a user was first told so
-	over      map[string]string  // final states that users were told
-	overAt    map[string]Instant // when the first of them was
-	asked     map[string]bool    // jobs that a user has begun to cancel
-	answered  map[string]Instant // when a question about a job was last answered
-	finished  map[string]bool    // tasks that have completed
-	begun     map[string]Instant // when a job's first task started
-	calm      Instant            // since when there are no troubles; never: there are
-	waits     map[string]Instant // since when a job waits though there is room for it
-	lookedAt  Instant
+	accepted  map[string]clock.Instant // when a user was first told so
+	over      map[string]string        // final states that users were told
+	overAt    map[string]clock.Instant // when the first of them was
+	asked     map[string]bool          // jobs that a user has begun to cancel
+	answered  map[string]clock.Instant // when a question about a job was last answered
+	finished  map[string]bool          // tasks that have completed
+	begun     map[string]clock.Instant // when a job's first task started
+	calm      clock.Instant            // since when there are no troubles; never: there are
+	waits     map[string]clock.Instant // since when a job waits though there is room for it
+	lookedAt  clock.Instant
 	told      func(id, state string) // is told what users are told for the first time
 	judged    map[uint64]int         // jobs accepted under a policy, by epoch
 	what      string                 // what is tested, for the messages
@@ -66,9 +68,9 @@
 }
 
 func newInvariantChecker() invariantChecker {
-	return invariantChecker{submitted: map[string]bool{}, accepted: map[string]Instant{}, over: map[string]string{},
-		overAt: map[string]Instant{}, asked: map[string]bool{}, answered: map[string]Instant{},
-		finished: map[string]bool{}, begun: map[string]Instant{}, load: newMachineLoad(), judged: map[uint64]int{}, calm: never, waits: map[string]Instant{}}
+	return invariantChecker{submitted: map[string]bool{}, accepted: map[string]clock.Instant{}, over: map[string]string{},
+		overAt: map[string]clock.Instant{}, asked: map[string]bool{}, answered: map[string]clock.Instant{},
+		finished: map[string]bool{}, begun: map[string]clock.Instant{}, load: newMachineLoad(), judged: map[uint64]int{}, calm: clock.Never, waits: map[string]clock.Instant{}}
 }
 
 func newMachineLoad() machineLoad {
@@ -86,7 +88,7 @@
 }
 
 // hears judges the answer to a user's request that was sent at some moment.
-func (w *simulation) hears(r Request, node string, sent Instant, reply Reply) {
+func (w *simulation) hears(r Request, node string, sent clock.Instant, reply Reply) {
 	w.t.Helper()
 	id := r.JobID
 	accepted, known := w.accepted[id]
@@ -149,7 +151,7 @@
 
 // cancelledAt is when users were first told that a job, or one that it needs, is cancelled;
 // of the latter not before it was itself accepted.
-func (w *simulation) cancelledAt(id string) (at Instant, ok bool) {
+func (w *simulation) cancelledAt(id string) (at clock.Instant, ok bool) {
 	if w.over[id] == protocol.JobCancelled {
 		at, ok = w.overAt[id], true
 	}
@@ -181,7 +183,7 @@
 		w.broken("two leaders", "%d nodes have authority", leaders)
 	}
 	w.checkRunning()
-	if w.calm != never && w.now >= w.lookedAt+time.Second {
+	if w.calm != clock.Never && w.now >= w.lookedAt+time.Second {
 		w.lookedAt = w.now
 		w.checkWaiting(w.load.where, w.load.cores)
 	}
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -5,6 +5,8 @@
 	"maps"
 	"slices"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -42,7 +44,7 @@
 		spec: record.Spec, acceptedAt: acceptedAt, eligibleAt: acceptedAt, recordVersion: version,
 		attempts: map[int]*taskAttempt{}, pendingTasks: record.Spec.TaskCount,
 		failureHistories: map[int]*failureHistory{}, failedMachines: map[string]bool{},
-		pendingSince: l.node.now, imageCheckedAt: never, dependencies: newDependencies(),
+		pendingSince: l.node.now, imageCheckedAt: clock.Never, dependencies: newDependencies(),
 	}
 	l.layOutBitmap(j)
 	l.jobs[id] = j
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"hitchdoor/internal/clock"
 	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/storage"
 )
@@ -38,7 +39,7 @@
 		cancelWaiters: map[string][]Origin{},
 		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: node.newRecovery(),
 	}
-	l.scheduler = &scheduler{clusterState: state, scheduleState: scheduleState{lastPass: never}, host: l}
+	l.scheduler = &scheduler{clusterState: state, scheduleState: scheduleState{lastPass: clock.Never}, host: l}
 	l.autoscaler.init(l)
 	l.admission.start(l)
 	return l
@@ -87,7 +88,7 @@
 
 // delayedCall is a function to run at an instant.
 type delayedCall struct {
-	dueAt Instant
+	dueAt clock.Instant
 	run   func()
 }
 
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
 )
@@ -15,7 +17,7 @@
 // recoverySettings are the intervals and limits of a recovery, from the node's settings.
 func (n *Node) recoverySettings() recovery.Settings {
 	return recovery.Settings{
-		HeartbeatInterval: n.heartbeatInterval(), WorkerLease: workerLeaseTimeout(n.workerLease()),
+		HeartbeatInterval: n.heartbeatInterval(), WorkerLease: clock.WorkerLeaseTimeout(n.workerLease()),
 		Limits: recovery.Limits{RefillLeases: n.settings.RecoveryRefillLeases, ReplaceLeases: n.settings.RecoveryReplaceLeases},
 	}
 }
@@ -73,7 +75,7 @@
 // sent a heartbeat.
 func (l *leader) noteUnresponsiveMachines() {
 	for _, m := range l.machinesByName() {
-		if !m.reconciled && m.lastHeartbeat == never {
+		if !m.reconciled && m.lastHeartbeat == clock.Never {
 			l.noteMismatch(recovery.MachineUnresponsive, m.name, "")
 		}
 	}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -25,7 +27,7 @@
 
 // addRentedMachine adds a machine that this leader rented. It needs no reconciliation, as no
 // earlier leader placed tasks on it.
-func (l *leader) addRentedMachine(name, typeName, zone string, spot bool, rentedAt Instant) *machine {
+func (l *leader) addRentedMachine(name, typeName, zone string, spot bool, rentedAt clock.Instant) *machine {
 	m := l.newMachine(name, typeName, zone, spot)
 	m.reconciled, m.rentedAt = true, rentedAt
 	l.recordMachine(m, false)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -14,6 +14,10 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/ratelimit"
+
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/admission"
@@ -134,19 +138,19 @@
 	build     string
 	draining  bool // a Drain command was received
 
-	now     Instant
+	now     clock.Instant
 	effects []any
 
 	nextCallID        uint64
 	pendingCalls      map[uint64]func(CallResult)
-	invalidResponseAt map[Target]Instant // last response that failed validation
+	invalidResponseAt map[Target]clock.Instant // last response that failed validation
 
 	election        election
 	peers           map[string]*peer
 	pendingForwards map[uint64]*pendingForward
 	nextForwardID   uint64
 	workerRoutes    map[string]*workerRoute // by worker name
-	routesPrunedAt  Instant                 // when expired routes were last removed
+	routesPrunedAt  clock.Instant           // when expired routes were last removed
 
 	connections  serverConnections
 	connectivity connectivity
@@ -154,13 +158,13 @@
 	admissionPolicy   admissionPolicyState
 	policyRejections  recentJobs[admission.Group]             // jobs rejected here by an admission policy, by id
 	unreportedLoads   map[admission.Group]*protocol.GroupLoad // rejected submissions not yet reported to the leader
-	loadsReportedAt   Instant                                 // last report of them
+	loadsReportedAt   clock.Instant                           // last report of them
 	rejectedJobs      map[string]bool                         // jobs rejected in this epoch
-	rejectedJobsSince Instant                                 // start of that epoch
+	rejectedJobsSince clock.Instant                           // start of that epoch
 
 	catalog                map[string]*protocol.MachineType
 	catalogConfirmed       bool // read from the cloud, with no type missing; not an earlier leader's record
-	catalogRequestedAt     Instant
+	catalogRequestedAt     clock.Instant
 	catalogRequestInFlight bool
 	// missingTypes are the known types that the last catalog lacked. A type is removed only
 	// when two catalogs in a row lack it.
@@ -176,25 +180,25 @@
 
 	pendingSubmissions []pendingSubmission // queued for writing
 
-	userReadBudget    tokenBucket // reads on behalf of users
-	cloudBudget       tokenBucket
-	leaderWriteBudget tokenBucket // writes of the leader's records
-	submissionBudget  tokenBucket // writes of submissions
-	writesThrottled   bool        // writes are limited to the store's lower rate
-	contendedUntil    Instant     // until then the submission rate is shared with other nodes
+	userReadBudget    ratelimit.TokenBucket // reads on behalf of users
+	cloudBudget       ratelimit.TokenBucket
+	leaderWriteBudget ratelimit.TokenBucket // writes of the leader's records
+	submissionBudget  ratelimit.TokenBucket // writes of submissions
+	writesThrottled   bool                  // writes are limited to the store's lower rate
+	contendedUntil    clock.Instant         // until then the submission rate is shared with other nodes
 }
 
 // peer is what this node knows of another controller.
 type peer struct {
 	name            string
-	lastContact     Instant       // last message of any kind
+	lastContact     clock.Instant // last message of any kind
 	processID       uint64        // processID in its last heartbeat
 	knownNotLeading bool          // it has heard from this process and reported that it does not lead
 	uptime          time.Duration // its uptime in its last heartbeat
 	term            uint64
 	leading         bool
-	grantedUntil    Instant // end of its lease grant to this node
-	protocolLevel   int     // protocol level of its version; 0: not announced
+	grantedUntil    clock.Instant // end of its lease grant to this node
+	protocolLevel   int           // protocol level of its version; 0: not announced
 	workerCapacity  peerCapacity
 	policyRevision  uint64 // latest revision of the admission policy that it has read
 }
@@ -230,22 +234,22 @@
 	node := &Node{
 		cfg: options.Platform, settings: options.Settings, log: options.Log, rng: options.Rand,
 		startTime: options.StartTime, build: options.Build,
-		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]Instant{},
+		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
 		missingTypes: map[string]bool{}, peers: map[string]*peer{},
 		pendingForwards: map[uint64]*pendingForward{}, workerRoutes: map[string]*workerRoute{},
 		unreportedLoads: map[admission.Group]*protocol.GroupLoad{}, rejectedJobs: map[string]bool{},
 		acceptedJobs: newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
 		terminalJobs:              &terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
 		unreadableTerminalRecords: map[string]*quarantinedRecord{},
-		catalogRequestedAt:        never, contendedUntil: never,
-		protocolLevels: protocolLevels{lastRead: never},
-		userReadBudget: newTokenBucket(cluster.Store.RequestsPerS*followerReadShare, cluster.Store.RequestsPerS*followerReadShare),
-		cloudBudget: newTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
+		catalogRequestedAt:        clock.Never, contendedUntil: clock.Never,
+		protocolLevels: protocolLevels{lastRead: clock.Never},
+		userReadBudget: ratelimit.NewTokenBucket(cluster.Store.RequestsPerS*followerReadShare, cluster.Store.RequestsPerS*followerReadShare),
+		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
 	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
 	for _, known := range options.Platform.Peers {
-		node.peers[known.Node] = &peer{name: known.Node, lastContact: never, grantedUntil: never}
+		node.peers[known.Node] = &peer{name: known.Node, lastContact: clock.Never, grantedUntil: clock.Never}
 	}
 	node.election = newElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
@@ -260,9 +264,9 @@
 
 // newWriteBudgets splits a write rate between the leader's records and submissions. The
 // leader's burst is at least two, as its smallest unit of work has two writes.
-func newWriteBudgets(cluster *config.Cluster, rps float64) (leaderBudget, submissionBudget tokenBucket) {
-	return newTokenBucket(rps*leaderWriteShare, max(2, rps*leaderWriteShare)),
-		newTokenBucket(rps*submissionWriteShare, max(1, rps*submissionWriteShare))
+func newWriteBudgets(cluster *config.Cluster, rps float64) (leaderBudget, submissionBudget ratelimit.TokenBucket) {
+	return ratelimit.NewTokenBucket(rps*leaderWriteShare, max(2, rps*leaderWriteShare)),
+		ratelimit.NewTokenBucket(rps*submissionWriteShare, max(1, rps*submissionWriteShare))
 }
 
 // throttleWrites limits writes to the lower rate from the settings. It is called when the
@@ -276,13 +280,13 @@
 	n.writesThrottled = true
 	n.log.Info("writes throttled to the lower rate", "rps", cluster.Store.LowerWritesPerS())
 	n.leaderWriteBudget, n.submissionBudget = newWriteBudgets(cluster, cluster.Store.LowerWritesPerS())
-	n.leaderWriteBudget.tokens, n.leaderWriteBudget.refilledAt = 0, n.now
-	n.submissionBudget.tokens, n.submissionBudget.refilledAt = 0, n.now
+	n.leaderWriteBudget.Tokens, n.leaderWriteBudget.RefilledAt = 0, n.now
+	n.submissionBudget.Tokens, n.submissionBudget.RefilledAt = 0, n.now
 }
 
 // Step processes a batch of commands at the instant now and returns the resulting effects.
 // A nil command only advances time. It panics on a command of unknown type.
-func (n *Node) Step(now Instant, batch []any) []any {
+func (n *Node) Step(now clock.Instant, batch []any) []any {
 	if now > n.now {
 		n.now = now
 	}
@@ -331,7 +335,7 @@
 }
 
 // Now returns the time of the current step.
-func (n *Node) Now() Instant { return n.now }
+func (n *Node) Now() clock.Instant { return n.now }
 
 // workerLease returns the duration of the workers' lease. Most time spans of a controller are
 // defined as fractions of it.
@@ -351,7 +355,9 @@
 func (n *Node) nowUnixMilli() int64 { return n.startTime.Add(n.now).UnixMilli() }
 
 // instantFromUnixMilli converts a stored wall clock time to an instant.
-func (n *Node) instantFromUnixMilli(ms int64) Instant { return time.UnixMilli(ms).Sub(n.startTime) }
+func (n *Node) instantFromUnixMilli(ms int64) clock.Instant {
+	return time.UnixMilli(ms).Sub(n.startTime)
+}
 
 // encodeBody encodes a request or response body. A nil body stays empty and bytes are passed
 // through.
@@ -451,10 +457,10 @@
 	case n.catalogConfirmed:
 		wait = 16 * n.workerLease()
 	}
-	if n.catalogRequestedAt != never && n.now < n.catalogRequestedAt+wait {
+	if n.catalogRequestedAt != clock.Never && n.now < n.catalogRequestedAt+wait {
 		return
 	}
-	if !n.cloudBudget.take(n.now, 1) {
+	if !n.cloudBudget.Take(n.now, 1) {
 		return
 	}
 	n.catalogRequestInFlight, n.catalogRequestedAt = true, n.now
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -362,7 +364,7 @@
 		t.Errorf("ranks %d and %d", a.effectiveRank(), b.effectiveRank())
 	}
 	w.cancel(n.name, "j-z")
-	if a.effectiveRank() != 2 || a.latestEnd != forever {
+	if a.effectiveRank() != 2 || a.latestEnd != clock.Forever {
 		t.Errorf("rank %d, end by %v, though nothing needs it in time", a.effectiveRank(), a.latestEnd)
 	}
 }
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/storage"
@@ -22,10 +24,10 @@
 // upgraded is never downgraded, so the minimum that was read stays valid regardless of late
 // messages and late writes from earlier processes.
 type protocolLevels struct {
-	clusterLevel    int     // minimum over all configured nodes
-	highestSeen     int     // maximum that any node has written
-	requestInFlight bool    // a read or write of levels is in flight
-	lastRead        Instant // last read of the levels
+	clusterLevel    int           // minimum over all configured nodes
+	highestSeen     int           // maximum that any node has written
+	requestInFlight bool          // a read or write of levels is in flight
+	lastRead        clock.Instant // last read of the levels
 }
 
 // clusterSupports reports whether every configured node is known to have at least a level.
@@ -36,7 +38,7 @@
 	levels := &n.protocolLevels
 	if levels.clusterLevel >= protocolLevel || levels.requestInFlight ||
 		n.now < levels.lastRead+n.workerLease()/pollsPerLease ||
-		n.election.storeFailing() || n.election.storeOK == never {
+		n.election.storeFailing() || n.election.storeOK == clock.Never {
 		return
 	}
 	n.readProtocolLevels()
@@ -107,7 +109,7 @@
 	}, func(result CallResult) {
 		n.protocolLevels.requestInFlight = false
 		if result.Status == 200 {
-			n.protocolLevels.lastRead = never
+			n.protocolLevels.lastRead = clock.Never
 		}
 	})
 }
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/storage"
@@ -19,7 +21,7 @@
 type quarantine struct {
 	records        map[string]*quarantinedRecord // by key
 	unreadableJobs map[string]bool               // jobs with too little known to add them to the open jobs
-	nextCheck      Instant                       // next check whether the records have changed
+	nextCheck      clock.Instant                 // next check whether the records have changed
 }
 
 // quarantinedRecord is one quarantined record.
@@ -96,15 +98,15 @@
 // operator repaired or deleted it, the leader steps down and the next one loads all records.
 func (l *leader) tickQuarantine() {
 	records := &l.quarantine
-	if l.inventoryIncompleteUntil != never && l.node.now > l.inventoryIncompleteUntil {
-		l.inventoryIncompleteUntil, l.totalsValid, l.schedulingNeeded = never, false, true
+	if l.inventoryIncompleteUntil != clock.Never && l.node.now > l.inventoryIncompleteUntil {
+		l.inventoryIncompleteUntil, l.totalsValid, l.schedulingNeeded = clock.Never, false, true
 	}
 	if len(records.records) == 0 || l.node.now < records.nextCheck || l.node.election.storeUnavailable() {
 		return
 	}
 	records.nextCheck = l.node.now + l.node.workerLease()
 	for _, record := range records.recordsByKey() {
-		if !l.lookupBudget.take(l.node.now, 1) {
+		if !l.lookupBudget.Take(l.node.now, 1) {
 			return
 		}
 		l.recheckRecord(record)
--- a/internal/controller/queue.go
+++ b/internal/controller/queue.go
@@ -5,15 +5,17 @@
 	"container/heap"
 	"slices"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/config"
 )
 
 // queuedJob is a job with the values that determine its position in the queue.
 type queuedJob struct {
 	job                  *job
-	rank                 int     // see rankOverdue and following
-	latestStart          Instant // latest start that is still in time
-	due                  Instant
+	rank                 int           // see rankOverdue and following
+	latestStart          clock.Instant // latest start that is still in time
+	due                  clock.Instant
 	remainingCoreSeconds float64 // remaining work in core seconds
 
 	mayReserve bool // has waited long enough for a resource reservation
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/config"
@@ -1025,7 +1027,7 @@
 	for range 4 {
 		w.cloud.rent("c4", "a", true) // these are not faulty
 	}
-	first := Instant(0)
+	first := clock.Instant(0)
 	if !w.until(2*time.Minute, func() bool {
 		if n := w.onMachines("j-1"); n > 0 && first == 0 {
 			first = w.now
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -1,5 +1,7 @@
 package controller
 
+import "hitchdoor/internal/clock"
+
 // scheduler orders the pending jobs, makes the admission checks in their fixed order, places tasks on
 // machines and preempts tasks in favour of guaranteed work.
 type scheduler struct {
@@ -21,11 +23,11 @@
 
 // scheduleState holds the results of the last full scheduling pass.
 type scheduleState struct {
-	lastPass          Instant       // last pass
+	lastPass          clock.Instant // last pass
 	pendingOrder      []queuedJob   // pending jobs in scheduling order
 	guaranteedJobs    map[*job]bool // jobs that fit into their team's guarantee
 	urgentWorkDelayed bool          // urgent work had waited for too long
-	preemptedAt       Instant
+	preemptedAt       clock.Instant
 	reconciledOnce    bool // all machines were reconciled at some time in this term
 }
 
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/config"
@@ -127,8 +129,8 @@
 	node             string
 	connected        string // the node that its connection goes to, where those are counted
 	tasks            []*simTask
-	renewed          Instant // when the last answered report was sent
-	next             Instant
+	renewed          clock.Instant // when the last answered report was sent
+	next             clock.Instant
 	busy             bool
 	changed          bool
 	notice           *float64
@@ -149,7 +151,7 @@
 	state   string
 	why     string
 	saved   bool
-	end     Instant
+	end     clock.Instant
 }
 
 func (x *worker) report() *protocol.WorkerHeartbeat {
@@ -253,7 +255,7 @@
 	}
 }
 
-func (x *worker) answer(r Reply, sent Instant, session uint64) {
+func (x *worker) answer(r Reply, sent clock.Instant, session uint64) {
 	w := x.w
 	if w.sockets > 0 && (r.Status != 200 || w.open[x.connected] > w.sockets-w.sockets/8) {
 		x.disconnect() // it goes elsewhere, or its server takes turns
--- a/internal/controller/simulated_state_test.go
+++ b/internal/controller/simulated_state_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"time"
 
+	"hitchdoor/internal/ratelimit"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/protocol"
@@ -32,7 +34,7 @@
 	refused        []string               // keys of transactions that were too large for those
 	slowed         int                    // changes that came too fast for those
 	refuseTxn      func(storage.Txn) bool // transactions to refuse for good
-	writes         tokenBucket
+	writes         ratelimit.TokenBucket
 	lose           int                                   // answers of executed transactions to swallow
 	hold           func(node string, t storage.Txn) bool // transactions to keep back
 	machinesByName []func()
@@ -157,8 +159,8 @@
 			}
 		}
 		if s.limited || s.lowered {
-			s.writes.rate, s.writes.burst = rate, rate
-			if !s.writes.take(s.w.now, float64(len(t.Writes))) {
+			s.writes.Rate, s.writes.Burst = rate, rate
+			if !s.writes.Take(s.w.now, float64(len(t.Writes))) {
 				s.slowed++
 				back(429, nil)
 				return
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/config"
@@ -28,7 +30,7 @@
 
 type simulation struct {
 	t            *testing.T
-	now          Instant
+	now          clock.Instant
 	cfg          config.Cluster
 	nodes        map[string]*simNode
 	names        []string
@@ -64,7 +66,7 @@
 }
 
 type event struct {
-	at  Instant
+	at  clock.Instant
 	seq int
 	f   func()
 }
@@ -115,7 +117,7 @@
 type simNode struct {
 	*Node
 	name    string
-	boot    Instant
+	boot    clock.Instant
 	epoch   int
 	inbox   []any
 	asks    map[uint64]func(Reply)
@@ -125,18 +127,18 @@
 	frozen  bool          // it stands still, while its clocks run on
 	old     bool          // it speaks and writes as level 0 does
 	stall   time.Duration // for how long it will, before it carries out what it next decides
-	counted Instant       // when it was last told how many connections are open
+	counted clock.Instant // when it was last told how many connections are open
 }
 
 // loadEvery is how often a node is told how many connections are open.
 const loadEvery = 20 * step
 
 // clock is the node's steady clock.
-func (n *simNode) clock(now Instant) Instant {
+func (n *simNode) clock(now clock.Instant) clock.Instant {
 	if n.rate == 0 {
 		return now - n.boot
 	}
-	return Instant(float64(now-n.boot) * n.rate)
+	return clock.Instant(float64(now-n.boot) * n.rate)
 }
 
 // proportions are the workers' settings of a deployment.
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/fleet"
@@ -56,7 +58,7 @@
 	record   storage.JobRecord
 	writes   []storage.Write // of the record; encoded once, because they may be sent again
 	leader   *leader         // the leader that received it; nil on a follower
-	deadline Instant         // when it is rejected if it has not been written
+	deadline clock.Instant   // when it is rejected if it has not been written
 	retries  int
 	// policyVersion is the version of the admission policy record that admitted it.
 	policyVersion uint64
@@ -128,7 +130,7 @@
 // noteContention records that the key-value store refused a submission because of its rate limit.
 func (n *Node) noteContention() {
 	n.contendedUntil = n.now + n.workerLease()
-	n.submissionBudget.tokens = 0
+	n.submissionBudget.Tokens = 0
 }
 
 // updateSubmissionRate sets the rate at which this node writes submissions. It is the rate of the
@@ -136,10 +138,10 @@
 // rate limit, which shows that other nodes are writing too, it is an equal part of it.
 func (n *Node) updateSubmissionRate() {
 	cluster := &n.cfg.Cluster
-	n.submissionBudget.refill(n.now)
-	n.submissionBudget.rate = n.submissionBudget.burst
+	n.submissionBudget.Refill(n.now)
+	n.submissionBudget.Rate = n.submissionBudget.Burst
 	if n.now < n.contendedUntil {
-		n.submissionBudget.rate /= float64(cluster.ControllerCount)
+		n.submissionBudget.Rate /= float64(cluster.ControllerCount)
 	}
 }
 
@@ -156,7 +158,7 @@
 		switch {
 		case n.now >= submission.deadline || n.election.storeUnavailable():
 			n.rejectForCapacity(submission)
-		case n.submissionBudget.take(n.now, min(n.submissionBudget.burst, float64(len(submission.writes)))):
+		case n.submissionBudget.Take(n.now, min(n.submissionBudget.Burst, float64(len(submission.writes)))):
 			n.writeSubmission(submission)
 		default:
 			n.pendingSubmissions = append(n.pendingSubmissions, submission)
--- a/internal/controller/terminal_jobs.go
+++ b/internal/controller/terminal_jobs.go
@@ -3,6 +3,8 @@
 import (
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -43,7 +45,7 @@
 	// key that was read, and when the next request is due.
 	loaded, loading bool
 	lastKey         string
-	nextReadAt      Instant
+	nextReadAt      clock.Instant
 }
 
 // loadTerminalJobs loads the terminal records page by page after a start. If they were read one by
@@ -51,7 +53,7 @@
 func (n *Node) loadTerminalJobs() {
 	cache := n.terminalJobs
 	if cache.loaded || cache.loading || n.now < cache.nextReadAt ||
-		n.election.storeFailing() || n.election.storeOK == never {
+		n.election.storeFailing() || n.election.storeOK == clock.Never {
 		return
 	}
 	cache.loading = true
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -15,8 +15,8 @@
 	if l.resolvingTransaction || l.writer.InFlight() || l.writer.PendingChanges() == 0 {
 		return
 	}
-	node.leaderWriteBudget.refill(node.now)
-	if txn := l.writer.NextTxn(int(node.leaderWriteBudget.tokens)); txn != nil {
+	node.leaderWriteBudget.Refill(node.now)
+	if txn := l.writer.NextTxn(int(node.leaderWriteBudget.Tokens)); txn != nil {
 		l.sendTransaction(txn)
 	}
 }
@@ -26,7 +26,7 @@
 // outcome is read first.
 func (l *leader) sendTransaction(txn *storage.Txn) {
 	node := l.node
-	node.leaderWriteBudget.tokens -= float64(l.writer.InFlightWrites())
+	node.leaderWriteBudget.Tokens -= float64(l.writer.InFlightWrites())
 	node.storeCall("POST", "/multi", txn, func(result CallResult) {
 		if node.leader != l {
 			return
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -4,6 +4,8 @@
 	"strconv"
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/protocol"
@@ -22,7 +24,7 @@
 // pendingForward is a request that was forwarded to the leader and has no response yet.
 type pendingForward struct {
 	request  Request
-	deadline Instant
+	deadline clock.Instant
 }
 
 // nodeRequestHandlers maps the kinds of requests that have a handler of their own. All other
@@ -146,7 +148,7 @@
 	}
 	delete(n.pendingForwards, answer.ID)
 	if pending.request.Kind == protocol.RequestHeartbeat && answer.Status == 200 {
-		n.routeOf(pending.request.Heartbeat.Machine).strandedAt = never
+		n.routeOf(pending.request.Heartbeat.Machine).strandedAt = clock.Never
 	}
 	if pending.request.Kind == protocol.RequestHeartbeat && n.now >= pending.deadline {
 		// This process was paused, or the response was delayed on its way. The worker discards
@@ -190,7 +192,7 @@
 		onRead(true, nil, &record)
 		return
 	}
-	if n.election.storeUnavailable() || !n.userReadBudget.take(n.now, 2) {
+	if n.election.storeUnavailable() || !n.userReadBudget.Take(n.now, 2) {
 		onRead(false, nil, nil)
 		return
 	}
--- a/internal/controller/worker_routes.go
+++ b/internal/controller/worker_routes.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/clock"
+
 	"hitchdoor/internal/protocol"
 )
 
@@ -80,18 +82,18 @@
 
 // workerRoute is the routing state of a worker that this node doesn't serve as the leader.
 type workerRoute struct {
-	redirectedAt Instant // when the worker was last redirected to another node
-	relayUntil   Instant // its heartbeats are relayed until then
-	redirectedTo string  // the node that it was last redirected to
-	lastArrival  Instant // when it last sent a heartbeat to this node
-	strandedAt   Instant // when this node last could neither serve nor relay it
+	redirectedAt clock.Instant // when the worker was last redirected to another node
+	relayUntil   clock.Instant // its heartbeats are relayed until then
+	redirectedTo string        // the node that it was last redirected to
+	lastArrival  clock.Instant // when it last sent a heartbeat to this node
+	strandedAt   clock.Instant // when this node last could neither serve nor relay it
 }
 
 // routeOf returns the routing state of a worker and creates it if there is none.
 func (n *Node) routeOf(worker string) *workerRoute {
 	route := n.workerRoutes[worker]
 	if route == nil {
-		route = &workerRoute{redirectedAt: never, relayUntil: never, lastArrival: never, strandedAt: never}
+		route = &workerRoute{redirectedAt: clock.Never, relayUntil: clock.Never, lastArrival: clock.Never, strandedAt: clock.Never}
 		n.workerRoutes[worker] = route
 	}
 	return route
