--- /dev/null
+++ b/internal/cluster/attempt.go
@@ -0,0 +1,88 @@
+package cluster
+
+import (
+	"time"
+
+	"hitchdoor/internal/clock"
+
+	"hitchdoor/internal/protocol"
+)
+
+// TaskAttempt is one attempt to run a task on a machine.
+type TaskAttempt struct {
+	Job          *Job
+	TaskIndex    int
+	Number       uint64 // unique across terms
+	Machine      *Machine
+	Phase        attemptPhase
+	AssignedAt   clock.Instant // when the attempt was placed
+	RunningSince clock.Instant // first heartbeat that showed it running
+	StopGrace    *float64      // seconds of grace of a requested stop; nil: no stop requested
+	Reported     bool          // contained in the heartbeat being processed
+	cachedKey    string        // see key
+}
+
+// attemptPhase is how far an attempt has come on its machine.
+type attemptPhase uint8
+
+const (
+	AttemptAssigned attemptPhase = iota // not included in any heartbeat response yet
+	AttemptSent                         // included in a response that no heartbeat has confirmed yet
+	AttemptFetching                     // the image is being fetched
+	AttemptRunning
+	AttemptSaving // the task is saving its state
+)
+
+// Key returns the task key of the attempt, computed once.
+func (r *TaskAttempt) Key() string {
+	if r.cachedKey == "" {
+		r.cachedKey = TaskKey(r.Job.Spec.ID, r.TaskIndex)
+	}
+	return r.cachedKey
+}
+
+// TaskKey returns the key that identifies a task on the wire and in logs.
+func TaskKey(id string, index int) string { return protocol.TaskID(id, index) }
+
+// ParseTaskKey splits a task key into job ID and task index.
+func ParseTaskKey(key string) (id string, index int, ok bool) {
+	for i := len(key) - 1; i > 0; i-- {
+		if key[i] == '/' {
+			if i+1 == len(key) {
+				return "", 0, false
+			}
+			for _, digit := range key[i+1:] {
+				if digit < '0' || digit > '9' || index > protocol.MaxTasksPerJob {
+					return "", 0, false
+				}
+				index = index*10 + int(digit-'0')
+			}
+			return key[:i], index, true
+		}
+	}
+	return "", 0, false
+}
+
+// RemainingDuration returns how long an attempt should still run.
+func (s *State) RemainingDuration(attempt *TaskAttempt) time.Duration {
+	return s.RemainingOfExpected(attempt, s.ExpectedTaskDuration(attempt.Job))
+}
+
+// RemainingOfExpected returns how long an attempt should still run, given its expected total
+// duration.
+func (s *State) RemainingOfExpected(attempt *TaskAttempt, expected time.Duration) time.Duration {
+	if attempt.Phase == AttemptRunning {
+		return max(expected-(s.Clock.Now()-attempt.RunningSince), expected/8)
+	}
+	return expected
+}
+
+// CheckpointGraceS returns the grace period, in seconds, for an attempt to save a checkpoint, with
+// a margin for a slow machine.
+func (s *State) CheckpointGraceS(attempt *TaskAttempt) float64 {
+	return 2*attempt.Job.Spec.CheckpointSaveSeconds + s.HeartbeatInterval().Seconds()
+}
+
+// MinCountedRun is how long a task must run uninterrupted for its start to count towards the SLOs,
+// by the worker protocol.
+const MinCountedRun = 30 * time.Second
--- /dev/null
+++ b/internal/cluster/job.go
@@ -0,0 +1,180 @@
+package cluster
+
+import (
+	"math"
+	"time"
+
+	"hitchdoor/internal/clock"
+
+	"hitchdoor/internal/protocol"
+)
+
+// Job is an open job in the leader's state.
+type Job struct {
+	Spec          protocol.Job
+	AcceptedAt    clock.Instant // when the submission was accepted
+	EligibleAt    clock.Instant // start of all time limits but the deadline: acceptance, or completion of the last dependency
+	RecordVersion uint64        // key-value store revision of the job record
+	Dependencies
+
+	Attempts         map[int]*TaskAttempt // by task index
+	PendingTasks     int                  // number of tasks without an attempt
+	FirstPendingTask int                  // no task with a lower index is pending
+	DoneTasks        int                  // number of finished tasks
+
+	BitmapParts      []*BitmapPart           // bitmap of finished tasks
+	TasksPerPart     int                     // tasks covered by each part
+	FailureHistories map[int]*FailureHistory // by task index
+	ImageCheckedAt   clock.Instant           // scheduling pass for which imageAvailable was determined
+	ImageAvailable   bool                    // some schedulable machine has the job's image
+	FailedMachines   map[string]bool         // machines on which a task failed; cleared by the first success
+	longestFailedRun time.Duration           // longest run of a task before it failed
+	FailsEverywhere  bool                    // the job itself is at fault, not the machines
+	FailedProbes     int                     // failures since failsEverywhere was set
+	NextProbeAt      clock.Instant           // when the next single task is tried
+	Reservation      reservation
+	MovedTasks       map[int]bool // tasks already moved to another machine once, by index
+
+	logDurationSum, durationSamples float64       // sum and number of logarithms of task run times
+	typicalDuration                 time.Duration // geometric mean of task run times
+
+	Terminal                  bool          // cancelled or done: no task starts any more
+	Cancelled                 bool          // terminal because of a cancellation
+	CompletionUncertain       bool          // the terminal record may be stored, but no response confirms it
+	BlockedBy                 WaitReason    // the check that stopped the last scheduling attempt
+	PendingSince              clock.Instant // since when the job has had pending tasks
+	FirstStartAt, LastStartAt clock.Instant // of its tasks
+	StartCommandSent          bool          // a start command was sent in this term
+	Quarantined               bool          // one of its records is quarantined: no task starts
+}
+
+// taskState is the progress of one task of an open job. It is derived from the job's bitmap of
+// finished tasks and its attempts instead of being stored: one byte per task, for hundreds of
+// jobs of up to 100,000 tasks, exceeded a controller's memory.
+type taskState uint8
+
+const (
+	TaskPending taskState = iota // neither started nor finished
+	taskActive                   // has an attempt on a machine
+	TaskDone                     // its bit is set in the bitmap
+)
+
+// TaskState returns the progress of a task.
+func (j *Job) TaskState(index int) taskState {
+	part, byteIndex, bit := j.bitmapPosition(index)
+	switch {
+	case byteIndex < len(part.Bits) && part.Bits[byteIndex]&bit != 0:
+		return TaskDone
+	case j.Attempts[index] != nil:
+		return taskActive
+	default:
+		return TaskPending
+	}
+}
+
+// FailureHistory records the failures of one task and its retry limits.
+type FailureHistory struct {
+	failures       int
+	RetryAfter     clock.Instant // earliest time of the next attempt
+	AvoidedMachine string        // machine skipped during placement,
+	AvoidUntil     clock.Instant // until this time; afterwards it is used if no other fits
+}
+
+// BitmapPart is one part of a job's bitmap of finished tasks.
+type BitmapPart struct {
+	Key         string
+	SizeBytes   int    // of bits
+	Bits        []byte // nil until the first bit is set
+	StoredBits  []byte // last value known to be durable
+	WriteQueued bool   // a write is in the writer's queue
+	Superseded  bool   // replaced by another layout
+}
+
+// bitmapPosition returns the position of a task's bit: the part, the byte in it and the bit mask.
+func (j *Job) bitmapPosition(index int) (part *BitmapPart, byteIndex int, bit byte) {
+	indexInPart := index % j.TasksPerPart
+	return j.BitmapParts[index/j.TasksPerPart], indexInPart / 8, 1 << (indexInPart % 8)
+}
+
+// SetTaskBit marks a task as finished in the bitmap and returns the changed part.
+func (j *Job) SetTaskBit(index int) *BitmapPart {
+	part, byteIndex, bit := j.bitmapPosition(index)
+	if part.Bits == nil {
+		part.Bits = make([]byte, part.SizeBytes)
+	}
+	part.Bits[byteIndex] |= bit
+	return part
+}
+
+// finishDurable reports whether a finished task's bit is stored in the key-value store.
+func (j *Job) TaskDurable(index int) bool {
+	part, byteIndex, bit := j.bitmapPosition(index)
+	return byteIndex < len(part.StoredBits) && part.StoredBits[byteIndex]&bit != 0
+}
+
+// State returns the job's state as reported to users.
+func (j *Job) State() protocol.JobStatus {
+	done, running := j.DoneTasks, 0
+	for _, r := range j.Attempts {
+		if r.Phase == AttemptRunning || r.Phase == AttemptSaving {
+			running++
+		}
+	}
+	state := protocol.JobStatus{ID: j.Spec.ID, State: protocol.JobQueued, DoneTasks: &done, RunningTasks: &running}
+	switch {
+	case j.DependencyCancelled:
+		state.State = protocol.JobCancelled
+	case running > 0:
+		state.State = protocol.JobRunning
+	}
+	return state
+}
+
+// EffectiveRank returns the job's priority rank, or the best rank of its dependents if that is
+// better.
+func (j *Job) EffectiveRank() int { return min(j.Spec.PriorityRank(), j.InheritedRank) }
+
+// HasStarted reports whether some task of the job has been started.
+func (j *Job) HasStarted() bool { return j.DoneTasks > 0 || len(j.Attempts) > 0 || j.FirstStartAt != 0 }
+
+// Dependencies holds a job's position in the DAG of jobs.
+type Dependencies struct {
+	PendingDependencies int           // dependencies whose completion is not durable, or not known to this leader
+	DependencyCancelled bool          // a dependency is durably cancelled
+	ReleasedThisTerm    bool          // a dependency completed in this term, so no earlier leader can have started the job
+	LatestEnd           clock.Instant // latest end that keeps all dependents in time
+	InheritedRank       int           // best priority rank of the dependents
+}
+
+// NewDependencies returns the value of a job without any dependency or dependent.
+func NewDependencies() Dependencies {
+	return Dependencies{LatestEnd: clock.Forever, InheritedRank: math.MaxInt}
+}
+
+// reservation is the reserved machine of one job.
+type reservation struct {
+	Machine    *Machine      // nil: none
+	SearchedAt clock.Instant // when a machine was last searched
+}
+
+// WaitReason is the check that keeps a job from starting a task, as shown by its status.
+type WaitReason string
+
+// Values of waitReason, in the order of the checks.
+const (
+	WaitDependencies   WaitReason = "jobs that it needs"
+	WaitBackoff        WaitReason = "backing off"
+	WaitReconciliation WaitReason = "a machine is not accounted for"
+	WaitSlots          WaitReason = "scheduler slots"
+	WaitTeamQuota      WaitReason = "team quota"
+	WaitOverallQuota   WaitReason = "overall quota"
+	WaitCapacity       WaitReason = "no machine with room"
+	WaitImage          WaitReason = "a machine with its image and room"
+	// WaitQuarantine: one of the job's records cannot be read.
+	WaitQuarantine WaitReason = "a record of it that can't be read"
+	WaitNone       WaitReason = ""
+)
+
+// IsLatencySensitive reports whether a job belongs to the latency-sensitive class (priorities
+// prod and urgent).
+func IsLatencySensitive(j *protocol.Job) bool { return j.PriorityRank() <= 1 }
--- /dev/null
+++ b/internal/cluster/state.go
@@ -0,0 +1,299 @@
+package cluster
+
+import (
+	"cmp"
+	"log/slog"
+	"slices"
+	"time"
+
+	"hitchdoor/internal/clock"
+
+	"hitchdoor/internal/config"
+	"hitchdoor/internal/protocol"
+)
+
+// State holds the open jobs, the machines and the task attempts, with all their transitions.
+// It does no I/O and takes the time from its owner.
+type State struct {
+	Clock     timeSource
+	Cluster   *config.Cluster
+	Settings  *config.Settings
+	Log       *slog.Logger
+	StartedAt clock.Instant // start of the leader's term
+	Catalog   map[string]*protocol.MachineType
+
+	jobTable
+	objectives
+	machineTable
+	SchedulingNeeded bool // the state has changed since the last full scheduling pass
+	// candidatesExamined counts the machines and jobs examined for placement. Tests check that it does
+	// not grow with each heartbeat.
+	CandidatesExamined int
+
+	// inventoryIncompleteUntil is the time until which tasks of earlier leaders may be running on
+	// machines that no readable record names; never: all machines are known.
+	InventoryIncompleteUntil clock.Instant
+}
+
+// timeSource tells the time.
+type timeSource interface {
+	// Now returns the time of the current step.
+	Now() clock.Instant
+}
+
+// Options are the settings and dependencies of a cluster state.
+type Options struct {
+	Clock    timeSource
+	Cluster  *config.Cluster
+	Settings *config.Settings
+	Log      *slog.Logger
+	Catalog  map[string]*protocol.MachineType
+}
+
+// New returns an empty cluster state at the start of a term.
+func New(o Options) *State {
+	return &State{
+		Clock: o.Clock, Cluster: o.Cluster, Settings: o.Settings, Log: o.Log, StartedAt: o.Clock.Now(), Catalog: o.Catalog,
+		jobTable: newJobTable(o.Cluster), objectives: newObjectives(o.Cluster), machineTable: newMachineTable(), InventoryIncompleteUntil: clock.Never,
+	}
+}
+
+// workerLease returns the duration of the workers' lease.
+func (s *State) workerLease() time.Duration { return config.Seconds(s.Cluster.Workers.LeaseS) }
+
+// HeartbeatInterval returns the interval of the workers' heartbeats.
+func (s *State) HeartbeatInterval() time.Duration {
+	return config.Seconds(s.Cluster.Workers.HeartbeatIntervalS)
+}
+
+// ResourceUsage is what a team's tasks occupy, from the start command to the confirmed end.
+type ResourceUsage struct{ Cores, Accelerators float64 }
+
+// jobTable holds the open jobs and the usage of their tasks.
+type jobTable struct {
+	Jobs         map[string]*Job
+	RunnableJobs map[string]*Job   // open jobs without pending dependencies
+	Dependents   map[string][]*Job // jobs with a pending dependency, by the dependency's id
+	EndedJobs    map[string]bool   // jobs that became terminal in this term
+	classes      map[string]*classDurations
+	TeamUsage    map[string]*ResourceUsage // by team
+	ActiveTasks  [2]int                    // tasks on machines: batch, urgent
+}
+
+// newJobTable returns an empty job table with the teams of the settings.
+func newJobTable(c *config.Cluster) jobTable {
+	table := jobTable{
+		Jobs: map[string]*Job{}, RunnableJobs: map[string]*Job{}, Dependents: map[string][]*Job{},
+		EndedJobs: map[string]bool{},
+		classes:   map[string]*classDurations{}, TeamUsage: map[string]*ResourceUsage{},
+	}
+	for _, t := range c.Teams {
+		table.TeamUsage[t.Name] = &ResourceUsage{}
+	}
+	return table
+}
+
+// machineTable holds the machines, and the groups in which they are stored.
+type machineTable struct {
+	Machines          map[string]*Machine
+	RemovedMachines   map[string]clock.Instant // machines returned or preempted, and when
+	sortedMachines    []*Machine               // by name; nil: must be rebuilt
+	machinesCheckedAt clock.Instant            // when all machines were last checked
+	totals            MachineTotals            // cached sums over the machines, if totalsValid
+	TotalsValid       bool
+}
+
+// newMachineTable returns an empty machine table.
+func newMachineTable() machineTable {
+	return machineTable{Machines: map[string]*Machine{}, RemovedMachines: map[string]clock.Instant{}, machinesCheckedAt: clock.Never}
+}
+
+// NewMachine adds a machine to the machine table.
+func (s *State) NewMachine(name, typeName, zone string, spot bool) *Machine {
+	m := &Machine{Name: name, TypeName: typeName, Zone: zone, Spot: spot, Attempts: map[string]*TaskAttempt{},
+		RentedAt: s.Clock.Now(), LastHeartbeat: clock.Never, LastResponse: clock.Never, LastDelivery: clock.Never, preemptionNotice: clock.Never, SurplusSince: s.Clock.Now(),
+		FailedJobs: map[string]bool{}, MachineType: s.Catalog[typeName]}
+	s.Machines[name] = m
+	s.InvalidateMachineIndex()
+	return m
+}
+
+// DeleteMachine takes a machine out of the table, with everything on it.
+func (s *State) DeleteMachine(m *Machine) {
+	for _, r := range m.AttemptsInOrder {
+		s.ReleaseAttempt(r)
+	}
+	if m.ReservedFor != nil {
+		s.ReleaseReservation(m.ReservedFor)
+	}
+	delete(s.Machines, m.Name)
+	s.InvalidateMachineIndex()
+	s.RemovedMachines[m.Name] = s.Clock.Now()
+	s.SchedulingNeeded = true
+}
+
+// MachinesByName returns the machines sorted by name. The list is cached between changes:
+// rebuilding it in each step took two thirds of a busy leader's CPU time.
+func (s *State) MachinesByName() []*Machine {
+	if s.sortedMachines == nil {
+		s.sortedMachines = make([]*Machine, 0, len(s.Machines))
+		for _, m := range s.Machines {
+			s.sortedMachines = append(s.sortedMachines, m)
+		}
+		slices.SortFunc(s.sortedMachines, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
+	}
+	return s.sortedMachines
+}
+
+// InvalidateMachineIndex discards the cached machine list and totals.
+func (s *State) InvalidateMachineIndex() { s.sortedMachines, s.TotalsValid = nil, false }
+
+// PlaceAttempt binds an attempt to its machine and counts its resources for the machine and the
+// team.
+func (s *State) PlaceAttempt(r *TaskAttempt) {
+	j, m := r.Job, r.Machine
+	if j.TaskState(r.TaskIndex) == TaskPending {
+		j.PendingTasks--
+	}
+	j.Attempts[r.TaskIndex] = r
+	m.addAttempt(r)
+	s.countActiveTasks(j, 1)
+	m.TouchImage(j.Spec.Image, j.Spec.ImageGB) // present, or fetched once for all tasks
+	m.UsedCores += j.Spec.Cores
+	m.UsedRAM += j.Spec.MemoryGB
+	m.usedAccelerators += j.Spec.Accelerators
+	if teamUsage := s.TeamUsage[j.Spec.Team]; teamUsage != nil {
+		teamUsage.Cores += j.Spec.Cores
+		teamUsage.Accelerators += j.Spec.Accelerators
+	}
+}
+
+// ReleaseAttempt removes an attempt whose end is confirmed and releases its resources.
+func (s *State) ReleaseAttempt(r *TaskAttempt) {
+	j, m := r.Job, r.Machine
+	if m.Attempts[r.Key()] != r {
+		return
+	}
+	m.dropAttempt(r)
+	s.countActiveTasks(j, -1)
+	if j.Attempts[r.TaskIndex] == r {
+		delete(j.Attempts, r.TaskIndex)
+	}
+	m.UsedCores -= j.Spec.Cores
+	m.UsedRAM -= j.Spec.MemoryGB
+	m.usedAccelerators -= j.Spec.Accelerators
+	if teamUsage := s.TeamUsage[j.Spec.Team]; teamUsage != nil {
+		teamUsage.Cores -= j.Spec.Cores
+		teamUsage.Accelerators -= j.Spec.Accelerators
+	}
+	if len(m.Attempts) == 0 {
+		m.UsedCores, m.UsedRAM, m.usedAccelerators = 0, 0, 0
+	}
+	if j.TaskState(r.TaskIndex) == TaskPending {
+		j.PendingTasks++
+		j.FirstPendingTask = min(j.FirstPendingTask, r.TaskIndex)
+		if j.PendingTasks == 1 {
+			j.PendingSince = s.Clock.Now()
+		}
+	}
+	s.SchedulingNeeded = true
+}
+
+// RequestStop requests the end of an attempt. An attempt that was never sent ends at once.
+func (s *State) RequestStop(r *TaskAttempt, grace float64) {
+	if r.Phase == AttemptAssigned {
+		s.ReleaseAttempt(r)
+		return
+	}
+	if r.StopGrace != nil && *r.StopGrace <= grace {
+		return
+	}
+	r.StopGrace = &grace
+}
+
+// countActiveTasks adjusts the number of tasks on machines of the job's class.
+func (s *State) countActiveTasks(j *Job, delta int) {
+	class := 0
+	if IsLatencySensitive(&j.Spec) {
+		class = 1
+	}
+	s.ActiveTasks[class] += delta
+}
+
+// ReleaseReservation releases a job's reservation, if it has one.
+func (s *State) ReleaseReservation(j *Job) {
+	if m := j.Reservation.Machine; m != nil {
+		m.ReservedFor, j.Reservation.Machine = nil, nil
+	}
+}
+
+// JobsByAge returns the runnable jobs by the time at which they became eligible.
+func (s *State) JobsByAge() []*Job {
+	jobs := make([]*Job, 0, len(s.RunnableJobs))
+	for _, j := range s.RunnableJobs {
+		if !j.Terminal {
+			jobs = append(jobs, j)
+		}
+	}
+	slices.SortFunc(jobs, func(a, b *Job) int {
+		return cmp.Or(cmp.Compare(a.EligibleAt, b.EligibleAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
+	})
+	return jobs
+}
+
+// WorkerLeaseTimeout returns the node's worker lease timeout.
+func (s *State) WorkerLeaseTimeout() time.Duration {
+	return clock.WorkerLeaseTimeout(s.workerLease())
+}
+
+// SilentSince returns the time from which the silence of a machine counts: its last heartbeat, or
+// the start of the term if that is later.
+func (s *State) SilentSince(m *Machine) clock.Instant {
+	return max(m.LastHeartbeat, s.StartedAt)
+}
+
+// LeaseChecksPerHeartbeat is how often all worker leases are checked per heartbeat interval.
+const LeaseChecksPerHeartbeat = 8
+
+// ExpireMachineLeases fences the machines whose worker lease has expired and releases their
+// attempts.
+func (s *State) ExpireMachineLeases() {
+	now := s.Clock.Now()
+	if now < s.machinesCheckedAt+s.HeartbeatInterval()/LeaseChecksPerHeartbeat {
+		return // a scan of all machines is too expensive for every heartbeat
+	}
+	s.machinesCheckedAt = now
+	for _, m := range s.MachinesByName() {
+		lastRenewal := max(m.LastResponse, s.StartedAt)
+		if now <= lastRenewal+s.WorkerLeaseTimeout() {
+			continue
+		}
+		if !m.Reconciled {
+			m.Reconciled, s.SchedulingNeeded, s.TotalsValid = true, true, false
+		}
+		if m.Up {
+			// The worker's own clock has ended its epoch, so its tasks have stopped, and the epoch never
+			// gets another 200.
+			s.Log.Info("worker lease expired", "machine", m.Name, "tasks", len(m.Attempts))
+			m.Up, s.TotalsValid = false, false
+			m.FencedEpoch, m.Address = m.Epoch, ""
+			m.UnknownTasks = 0
+			for _, r := range m.AttemptsInOrder {
+				s.ReleaseAttempt(r)
+			}
+			s.BeginDrain(m, HeartbeatMissed)
+		}
+	}
+	if len(s.RemovedMachines) > maxRemovedMachines {
+		for name, at := range s.RemovedMachines {
+			if now > at+8*config.Seconds(s.Cluster.Cloud.ListLagS)+s.workerLease() {
+				delete(s.RemovedMachines, name)
+			}
+		}
+	}
+}
+
+// maxRemovedMachines is the number of removed machines above which old names are discarded.
+// Within a term the names prevent a delayed listing or a late copy of a heartbeat from adding the
+// machine again.
+const maxRemovedMachines = 20_000
--- /dev/null
+++ b/internal/cluster/totals.go
@@ -0,0 +1,139 @@
+package cluster
+
+import (
+	"math"
+	"time"
+
+	"hitchdoor/internal/config"
+	"hitchdoor/internal/fleet"
+)
+
+// MachineTotals aggregates what the scheduling checks need to know of all machines.
+type MachineTotals struct {
+	Slots         float64       // of the machines that are up
+	AllReconciled bool          // no attempt of an earlier leader runs unknown to this one
+	UnknownUsage  ResourceUsage // upper bound of the resources in use by unknown attempts
+
+	TotalCores, LargestMachineCores float64                 // cores of all machines, and of the largest one
+	UnreconciledMachines            int                     // number of machines not reconciled yet
+	UnreconciledOptions             map[fleet.Offering]bool // their options
+	UnreconciledTypeUnknown         bool                    // some of them have an unknown type
+}
+
+// CurrentMachineTotals returns the totals, recomputed if a machine has changed.
+func (s *State) CurrentMachineTotals() MachineTotals {
+	if s.TotalsValid {
+		return s.totals
+	}
+	totals := MachineTotals{AllReconciled: true, UnreconciledOptions: map[fleet.Offering]bool{}}
+	if s.InventoryIncomplete() {
+		totals.AllReconciled, totals.UnreconciledTypeUnknown, totals.UnknownUsage = false, true, ResourceUsage{math.Inf(1), math.Inf(1)}
+	}
+	settings := s.Settings
+	for _, m := range s.MachinesByName() {
+		s.CandidatesExamined++
+		if !m.Reconciled {
+			totals.AllReconciled = false
+			totals.UnreconciledMachines++
+			totals.UnreconciledTypeUnknown = totals.UnreconciledTypeUnknown || m.TypeName == ""
+			totals.UnreconciledOptions[m.Offering()] = true
+		}
+		if m.MachineType == nil {
+			if !m.Reconciled || m.UnknownTasks > 0 {
+				// The resources in use on a machine of an unknown type have no upper bound, so no quota has
+				// room. Counting them as zero let teams exceed their quota through machines of types no
+				// longer sold.
+				totals.UnknownUsage.Cores, totals.UnknownUsage.Accelerators = math.Inf(1), math.Inf(1)
+			}
+			continue
+		}
+		totals.TotalCores += m.MachineType.Cores
+		totals.LargestMachineCores = max(totals.LargestMachineCores, m.MachineType.Cores)
+		if m.Up && m.TokenAcknowledged {
+			totals.Slots += settings.SlotsPerCore*m.MachineType.Cores + settings.BaseSlots
+		}
+		if !m.Reconciled || m.UnknownTasks > 0 {
+			totals.UnknownUsage.Cores += m.MachineType.Cores
+			totals.UnknownUsage.Accelerators += m.MachineType.Accelerators
+		}
+	}
+	s.totals, s.TotalsValid = totals, true
+	return totals
+}
+
+// AllReconciled reports whether no attempt of an earlier leader can be running unknown to this
+// one.
+func (s *State) AllReconciled() bool { return s.CurrentMachineTotals().AllReconciled }
+
+// InventoryIncomplete reports whether tasks of earlier leaders may be running on machines that no
+// readable record names.
+func (s *State) InventoryIncomplete() bool {
+	return s.Clock.Now() <= s.InventoryIncompleteUntil
+}
+
+// ImagePullRate is the rate at which the machines pull images, as a mean weighted by their cores.
+type ImagePullRate struct{ weightedGBPerS, cores float64 }
+
+// ImagePullRate returns the pull rate of the machines held.
+func (s *State) ImagePullRate() ImagePullRate {
+	var pullRate ImagePullRate
+	for _, m := range s.Machines {
+		if m.MachineType != nil {
+			pullRate.weightedGBPerS += m.MachineType.PullGBPerSecond * m.MachineType.Cores
+			pullRate.cores += m.MachineType.Cores
+		}
+	}
+	return pullRate
+}
+
+// PullDuration returns how long an image of a size takes to pull; 0 if the rate is unknown.
+func (p ImagePullRate) PullDuration(sizeGB float64) time.Duration {
+	if p.weightedGBPerS <= 0 {
+		return 0
+	}
+	return config.Seconds(sizeGB * p.cores / p.weightedGBPerS)
+}
+
+// RemainingCoreSeconds returns the work that a job still needs, with image fetches.
+func (s *State) RemainingCoreSeconds(j *Job, pullRate ImagePullRate) float64 {
+	expected := s.ExpectedTaskDuration(j)
+	work := float64(j.PendingTasks) * (expected + pullRate.PullDuration(j.Spec.ImageGB)).Seconds()
+	for _, r := range j.Attempts {
+		work += s.RemainingOfExpected(r, expected).Seconds()
+	}
+	return work * j.Spec.Cores
+}
+
+// RetainedCores returns the cores of the machines that are up and not draining.
+func (s *State) RetainedCores() float64 {
+	cores := 0.0
+	for _, m := range s.Machines {
+		if m.MachineType != nil && m.Up && !m.Draining {
+			cores += m.MachineType.Cores
+		}
+	}
+	return cores
+}
+
+// BootTime returns the shortest boot time of the machine types.
+func (s *State) BootTime() time.Duration {
+	shortest := 0.0
+	for _, t := range s.Catalog {
+		if shortest == 0 || t.BootSeconds < shortest {
+			shortest = t.BootSeconds
+		}
+	}
+	return config.Seconds(shortest)
+}
+
+// IdleUntilEmpty returns the mean time, in seconds, for which a core of the machine would be idle
+// until the last task on it ends.
+func (s *State) IdleUntilEmpty(m *Machine) float64 {
+	longestRemaining, work := 0.0, 0.0
+	for _, attempt := range m.AttemptsInOrder {
+		remaining := s.RemainingDuration(attempt).Seconds()
+		longestRemaining = max(longestRemaining, remaining)
+		work += remaining * attempt.Job.Spec.Cores
+	}
+	return longestRemaining - work/m.MachineType.Cores
+}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -263,7 +263,7 @@
 // jobAdmissionStatus is what this node knows of a job's admission.
 func (n *Node) jobAdmissionStatus(jobID string) *admission.JobStatus {
 	status := &admission.JobStatus{ID: jobID, Accepted: n.acceptedJobs.byID[jobID]}
-	if _, isTerminal := n.terminalJobs.byID[jobID]; isTerminal || n.leader != nil && n.leader.jobs[jobID] != nil {
+	if _, isTerminal := n.terminalJobs.byID[jobID]; isTerminal || n.leader != nil && n.leader.Jobs[jobID] != nil {
 		status.Accepted = true
 	}
 	group, rejected := n.policyRejections.byID[jobID]
@@ -281,9 +281,9 @@
 // waitingGroups counts, by group, the accepted jobs of which no task has started.
 func (l *leader) waitingGroups() []admission.WaitingGroup {
 	counts := map[admission.Group]int{}
-	for _, job := range l.runnableJobs {
-		if job.firstStartAt == 0 && job.doneTasks == 0 && len(job.attempts) == 0 {
-			counts[admissionGroup(&job.spec)]++
+	for _, job := range l.RunnableJobs {
+		if job.FirstStartAt == 0 && job.DoneTasks == 0 && len(job.Attempts) == 0 {
+			counts[admissionGroup(&job.Spec)]++
 		}
 	}
 	groups := slices.SortedFunc(maps.Keys(counts), func(a, b admission.Group) int {
--- a/internal/controller/admission_control.go
+++ b/internal/controller/admission_control.go
@@ -135,7 +135,7 @@
 	epochSeconds := node.epochLength().Seconds()
 	byRate := node.submissionBudget.Burst * epochSeconds
 	maxOpenJobs := openJobsMemoryShare * node.cfg.Cluster.Resources.MemoryMB * (1 << 20) / openJobBytes
-	byMemory := max(1, (maxOpenJobs-float64(len(a.leader.jobs)))/float64(a.plannerSettings().MaxEpochsToTurn))
+	byMemory := max(1, (maxOpenJobs-float64(len(a.leader.Jobs)))/float64(a.plannerSettings().MaxEpochsToTurn))
 	return admission.Capacity{Jobs: min(byRate, byMemory), MemoryLimited: byMemory < byRate}
 }
 
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -437,7 +437,7 @@
 	}
 	most := int(openJobsMemoryShare * w.cfg.Resources.MemoryMB * (1 << 20) / openJobBytes)
 	for i := range most - 20 {
-		l.jobs[fmt.Sprintf("j-%d", i)] = nil
+		l.Jobs[fmt.Sprintf("j-%d", i)] = nil
 	}
 	if c := l.admission.epochCapacity(); !c.MemoryLimited || c.Jobs >= free.Jobs || c.Jobs < 1 {
 		t.Errorf("with %d jobs: %+v", most-20, c)
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -5,6 +5,8 @@
 	"strings"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"github.com/segmentio/encoding/json"
@@ -67,7 +69,7 @@
 	costSensitivity := float64(defaultCostSensitivity)
 	a.slosAllowQueueing = true
 	for _, objective := range l.node.cfg.Cluster.Objectives {
-		if (objective.Kind == "wait" || objective.Kind == "guarantee") && l.tooSoonToScaleOut(config.Seconds(objective.WithinS)) {
+		if (objective.Kind == "wait" || objective.Kind == "guarantee") && l.TooSoonToScaleOut(config.Seconds(objective.WithinS)) {
 			costSensitivity, a.slosAllowQueueing = startSLOCostSensitivity, false
 		}
 	}
@@ -121,34 +123,34 @@
 // drainUnresponsive drains machines that miss heartbeats, never reported, or run slowly.
 func (a *autoscaler) drainUnresponsive() {
 	l, now := a.leader, a.leader.node.now
-	heartbeatOverdue := func(m *machine) bool { return l.mayReturnUnresponsive(m, now-l.silentSince(m)) }
+	heartbeatOverdue := func(m *cluster.Machine) bool { return l.mayReturnUnresponsive(m, now-l.SilentSince(m)) }
 	expectedCount, missedCount := 0, 0
 	// After a takeover, machines that were used before are expected to report too.
-	expectedToReport := func(m *machine) bool { return m.up || (m.useDurable && m.lastHeartbeat == clock.Never) }
-	for _, m := range l.machines {
+	expectedToReport := func(m *cluster.Machine) bool { return m.Up || (m.UseDurable && m.LastHeartbeat == clock.Never) }
+	for _, m := range l.Machines {
 		if expectedToReport(m) {
 			expectedCount++
 			// Two missed heartbeats count here although they do not cause a drain yet. When
 			// the leader itself is partitioned from its workers, the machines that reported
 			// first would otherwise be returned before it shows that most are missing.
-			if heartbeatOverdue(m) || now-l.silentSince(m) > 2*l.node.heartbeatInterval() {
+			if heartbeatOverdue(m) || now-l.SilentSince(m) > 2*l.node.heartbeatInterval() {
 				missedCount++
 			}
 		}
 	}
-	for _, m := range l.machinesByName() {
-		l.drainIfSlow(m)
+	for _, m := range l.MachinesByName() {
+		l.DrainIfSlow(m)
 		switch {
 		case expectedToReport(m) && heartbeatOverdue(m) && 2*missedCount <= expectedCount:
 			// Its return ends its tasks for certain, and sooner than its lease does.
-			l.beginDrain(m, heartbeatMissed)
-		case !m.up && m.lastHeartbeat == clock.Never:
+			l.BeginDrain(m, cluster.HeartbeatMissed)
+		case !m.Up && m.LastHeartbeat == clock.Never:
 			bootLimit := l.node.workerLease()
-			if m.machineType != nil {
-				bootLimit += config.Seconds(3 * m.machineType.BootSeconds)
+			if m.MachineType != nil {
+				bootLimit += config.Seconds(3 * m.MachineType.BootSeconds)
 			}
-			if now-m.rentedAt > bootLimit && now-l.startedAt > l.node.workerLease() {
-				l.beginDrain(m, neverReported)
+			if now-m.RentedAt > bootLimit && now-l.StartedAt > l.node.workerLease() {
+				l.BeginDrain(m, cluster.NeverReported)
 			}
 		}
 	}
@@ -161,16 +163,16 @@
 	if node.now < a.nextReturnAt {
 		return true
 	}
-	a.nextReturnAt = node.now + node.heartbeatInterval()/leaseChecksPerHeartbeat
+	a.nextReturnAt = node.now + node.heartbeatInterval()/cluster.LeaseChecksPerHeartbeat
 	var names []string
-	for _, m := range l.machinesByName() {
-		if m.drainReason == surplusCapacity && (node.now-m.rentedAt < minBilledTime ||
-			node.now-m.surplusSince < config.Seconds(node.settings.IdleRetention*m.machineType.BootSeconds)) {
+	for _, m := range l.MachinesByName() {
+		if m.DrainReason == cluster.SurplusCapacity && (node.now-m.RentedAt < minBilledTime ||
+			node.now-m.SurplusSince < config.Seconds(node.settings.IdleRetention*m.MachineType.BootSeconds)) {
 			continue // already billed, or work may return sooner than a new machine would boot
 		}
-		if m.draining && !m.terminating && len(names) < 100 &&
-			(m.mayForceReturn() || (len(m.attempts) == 0 && m.retainedResults == 0 && m.unknownTasks == 0)) {
-			names = append(names, m.name)
+		if m.Draining && !m.Terminating && len(names) < 100 &&
+			(m.MayForceReturn() || (len(m.Attempts) == 0 && m.RetainedResults == 0 && m.UnknownTasks == 0)) {
+			names = append(names, m.Name)
 		}
 	}
 	if len(names) == 0 {
@@ -186,22 +188,22 @@
 		return true
 	}
 	for _, name := range names {
-		l.machines[name].terminating, l.machines[name].terminationRequested = true, true
+		l.Machines[name].Terminating, l.Machines[name].TerminationRequested = true, true
 	}
 	node.callService(TargetCloud, "POST", "/hosts/return", protocol.MachineNames{Machines: names}, node.workerLease()/4, func(result CallResult) {
 		if node.leader != l {
 			return
 		}
 		for _, name := range names {
-			m := l.machines[name]
+			m := l.Machines[name]
 			if m == nil {
 				continue
 			}
 			if result.Status == 200 {
-				node.log.Info("machine returned", "machine", name, "reason", m.drainReason, "type", m.typeName, "spot", m.spot)
+				node.log.Info("machine returned", "machine", name, "reason", m.DrainReason, "type", m.TypeName, "spot", m.Spot)
 				l.removeMachine(m)
 			} else {
-				m.terminating = false // it goes on draining, as a late copy of the request may return it
+				m.Terminating = false // it goes on draining, as a late copy of the request may return it
 			}
 		}
 		if result.Status == 200 {
@@ -252,19 +254,19 @@
 func (a *autoscaler) recordListedHost(host protocol.Host) {
 	l := a.leader
 	a.listedNames[host.Name] = true
-	if _, removed := l.removedMachines[host.Name]; removed {
+	if _, removed := l.RemovedMachines[host.Name]; removed {
 		return
 	}
-	m := l.machines[host.Name]
+	m := l.Machines[host.Name]
 	if m == nil {
 		m = l.addListedMachine(host)
-		l.node.log.Info("cloud lists unknown machine", "machine", m.name, "state", host.State)
+		l.node.log.Info("cloud lists unknown machine", "machine", m.Name, "state", host.State)
 	}
-	if host.State == protocol.HostFailed && !m.listedAsFailed && l.node.now-m.lastHeartbeat > 2*l.node.heartbeatInterval() {
+	if host.State == protocol.HostFailed && !m.ListedAsFailed && l.node.now-m.LastHeartbeat > 2*l.node.heartbeatInterval() {
 		// A machine that sends heartbeats has not failed, whatever the list says. Its return
 		// would kill all tasks on it.
-		m.listedAsFailed = true
-		l.beginDrain(m, instanceFailed)
+		m.ListedAsFailed = true
+		l.BeginDrain(m, cluster.InstanceFailed)
 	}
 }
 
@@ -273,9 +275,9 @@
 // returns them settles it.
 func (a *autoscaler) drainUnlisted(requestedAt clock.Instant) {
 	l := a.leader
-	for _, m := range l.machinesByName() {
-		if !a.listedNames[m.name] && requestedAt-m.rentedAt > 4*a.listLag() && requestedAt-l.silentSince(m) > l.node.workerLease()/2 {
-			l.beginDrain(m, notListed)
+	for _, m := range l.MachinesByName() {
+		if !a.listedNames[m.Name] && requestedAt-m.RentedAt > 4*a.listLag() && requestedAt-l.SilentSince(m) > l.node.workerLease()/2 {
+			l.BeginDrain(m, cluster.NotListed)
 		}
 	}
 }
@@ -352,7 +354,7 @@
 			node.log.Info("machines rented", "request", rental.RequestID, "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
 				"requested", rental.Count, "count", len(rented.Machines), "target", a.targetCores)
 			for _, name := range rented.Machines {
-				if _, removed := l.removedMachines[name]; removed || l.machines[name] != nil {
+				if _, removed := l.RemovedMachines[name]; removed || l.Machines[name] != nil {
 					continue
 				}
 				l.addRentedMachine(name, rental.Type, rental.Zone, rental.Spot, node.now)
--- a/internal/controller/autoscaler_plan.go
+++ b/internal/controller/autoscaler_plan.go
@@ -4,6 +4,8 @@
 	"math"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/fleet"
@@ -17,22 +19,22 @@
 	l, node := a.leader, a.leader.node
 	a.accountCosts()
 	a.decayForecast()
-	machineOf := map[*fleet.Machine]*machine{}
+	machineOf := map[*fleet.Machine]*cluster.Machine{}
 	view := a.planView(machineOf)
 	capacityPlan := a.planner.Plan(view)
 	a.targetCores = capacityPlan.TargetCores
 	for _, m := range capacityPlan.CancelDrain {
-		l.cancelDrain(machineOf[m])
+		l.CancelDrain(machineOf[m])
 	}
 	if len(capacityPlan.ScaleOut) > 0 {
 		a.beginRentals(capacityPlan.ScaleOut)
 	}
 	a.logPlan(capacityPlan, view.UsualLoad)
 	for _, m := range capacityPlan.Needed {
-		machineOf[m].surplusSince = node.now
+		machineOf[m].SurplusSince = node.now
 	}
 	for _, m := range capacityPlan.Surplus {
-		l.beginDrain(machineOf[m], surplusCapacity)
+		l.BeginDrain(machineOf[m], cluster.SurplusCapacity)
 	}
 	if view.ScaleInAllowed {
 		a.consolidate(heldMachines(machineOf, append(view.Kept, capacityPlan.CancelDrain...)))
@@ -40,8 +42,8 @@
 }
 
 // heldMachines returns the machines that entries of a plan stand for.
-func heldMachines(machineOf map[*fleet.Machine]*machine, planned []*fleet.Machine) []*machine {
-	machines := make([]*machine, 0, len(planned))
+func heldMachines(machineOf map[*fleet.Machine]*cluster.Machine, planned []*fleet.Machine) []*cluster.Machine {
+	machines := make([]*cluster.Machine, 0, len(planned))
 	for _, m := range planned {
 		machines = append(machines, machineOf[m])
 	}
@@ -50,19 +52,19 @@
 
 // planView returns the input of the planner. It adds to machineOf which machine each entry stands
 // for.
-func (a *autoscaler) planView(machineOf map[*fleet.Machine]*machine) *fleet.View {
+func (a *autoscaler) planView(machineOf map[*fleet.Machine]*cluster.Machine) *fleet.View {
 	l, node := a.leader, a.leader.node
 	view := &fleet.View{Now: node.now, Catalog: node.catalog, Demand: a.demandInputs(),
 		UsualLoad: a.forecast.UsualLoad(), MeanImageGB: a.meanImageGB(),
 		ScaleOutAllowed: l.mayScaleOut(), ScaleInAllowed: l.mayScaleIn()}
-	for _, m := range l.machinesByName() {
-		if m.machineType == nil || m.terminating || m.draining && m.drainReason != surplusCapacity {
+	for _, m := range l.MachinesByName() {
+		if m.MachineType == nil || m.Terminating || m.Draining && m.DrainReason != cluster.SurplusCapacity {
 			continue
 		}
-		planned := &fleet.Machine{Name: m.name, Offering: m.offering(), Type: m.machineType, Up: m.up,
-			Reserved: m.reservedFor != nil, IdleUntilEmpty: l.idleUntilEmpty(m)}
+		planned := &fleet.Machine{Name: m.Name, Offering: m.Offering(), Type: m.MachineType, Up: m.Up,
+			Reserved: m.ReservedFor != nil, IdleUntilEmpty: l.IdleUntilEmpty(m)}
 		machineOf[planned] = m
-		if m.draining {
+		if m.Draining {
 			view.Draining = append(view.Draining, planned)
 		} else {
 			view.Kept = append(view.Kept, planned)
@@ -72,8 +74,8 @@
 		view.PendingRentals = append(view.PendingRentals, r.RentalRequest)
 	}
 	for _, r := range l.pendingOrder {
-		if j := r.job; !(j.failsEverywhere && node.now < j.nextProbeAt) && !j.terminal && j.pendingTasks > 0 {
-			view.PendingJobs = append(view.PendingJobs, fleet.PendingJob{Spec: &j.spec, PendingTasks: j.pendingTasks})
+		if j := r.job; !(j.FailsEverywhere && node.now < j.NextProbeAt) && !j.Terminal && j.PendingTasks > 0 {
+			view.PendingJobs = append(view.PendingJobs, fleet.PendingJob{Spec: &j.Spec, PendingTasks: j.PendingTasks})
 		}
 	}
 	return view
@@ -82,16 +84,16 @@
 // demandInputs returns the input of the demand for cores.
 func (a *autoscaler) demandInputs() fleet.Demand {
 	l, node := a.leader, a.leader.node
-	demand := fleet.Demand{Now: node.now, BootTime: l.bootTime(), StartWithin: plannedStartWithin}
+	demand := fleet.Demand{Now: node.now, BootTime: l.BootTime(), StartWithin: cluster.PlannedStartWithin}
 	if a.slosAllowQueueing {
 		// Otherwise headroom is held for work that has to start soon anyway.
 		demand.Forecast = a.forecast
 	}
-	pullRate := l.imagePullRate()
-	totals := l.currentMachineTotals()
+	pullRate := l.ImagePullRate()
+	totals := l.CurrentMachineTotals()
 	surelyPending := l.surelyPendingShare(&totals)
-	for _, j := range l.runnableJobs {
-		if j.terminal {
+	for _, j := range l.RunnableJobs {
+		if j.Terminal {
 			continue
 		}
 		planned := l.planJob(j, pullRate)
@@ -107,27 +109,27 @@
 // which is certainly still pending, as those machines can't run more than their cores allow.
 // Without it, a fleet that was short of machines did not scale out until the leases of machines
 // that hung had expired.
-func (l *leader) surelyPendingShare(totals *machineTotals) float64 {
+func (l *leader) surelyPendingShare(totals *cluster.MachineTotals) float64 {
 	if !l.limitedByRecovery() {
 		return 1
 	}
 	pending := 0.0
-	for _, j := range l.runnableJobs {
-		if !j.terminal && l.mayRunUnreported(j, totals) {
-			pending += float64(j.pendingTasks) * j.spec.Cores
+	for _, j := range l.RunnableJobs {
+		if !j.Terminal && l.mayRunUnreported(j, totals) {
+			pending += float64(j.PendingTasks) * j.Spec.Cores
 		}
 	}
-	return max(0, 1-totals.unknownUsage.cores/max(pending, resourceTolerance))
+	return max(0, 1-totals.UnknownUsage.Cores/max(pending, cluster.ResourceTolerance))
 }
 
 // planJob returns the planner's view of a job.
-func (l *leader) planJob(j *job, pullRate imagePullRate) fleet.Job {
-	planned := fleet.Job{CoresPerTask: j.spec.Cores, TaskDuration: l.expectedTaskDuration(j) + pullRate.pullDuration(j.spec.ImageGB),
-		RemainingWork: l.remainingCoreSeconds(j, pullRate), FailsEverywhere: j.failsEverywhere, Due: l.due(j), EligibleAt: j.eligibleAt,
-		SLOReserve: l.startSLOReserve(j), Started: j.hasStarted(), MinShare: l.minShare[j.spec.Class]}
-	for _, dependent := range l.soonReleasedDependents(j, l.bootTime()) {
-		planned.UpcomingDependents = append(planned.UpcomingDependents, fleet.UpcomingJob{TaskDuration: l.expectedTaskDuration(dependent) + pullRate.pullDuration(dependent.spec.ImageGB),
-			DueIn: l.dueFrom(dependent, l.node.now) - l.node.now, Work: l.remainingCoreSeconds(dependent, pullRate)})
+func (l *leader) planJob(j *cluster.Job, pullRate cluster.ImagePullRate) fleet.Job {
+	planned := fleet.Job{CoresPerTask: j.Spec.Cores, TaskDuration: l.ExpectedTaskDuration(j) + pullRate.PullDuration(j.Spec.ImageGB),
+		RemainingWork: l.RemainingCoreSeconds(j, pullRate), FailsEverywhere: j.FailsEverywhere, Due: l.Due(j), EligibleAt: j.EligibleAt,
+		SLOReserve: l.startSLOReserve(j), Started: j.HasStarted(), MinShare: l.MinShare[j.Spec.Class]}
+	for _, dependent := range l.soonReleasedDependents(j, l.BootTime()) {
+		planned.UpcomingDependents = append(planned.UpcomingDependents, fleet.UpcomingJob{TaskDuration: l.ExpectedTaskDuration(dependent) + pullRate.PullDuration(dependent.Spec.ImageGB),
+			DueIn: l.DueFrom(dependent, l.node.now) - l.node.now, Work: l.RemainingCoreSeconds(dependent, pullRate)})
 	}
 	return planned
 }
@@ -146,14 +148,14 @@
 	}
 	a.planLoggedAt = node.now
 	used, up, pending := 0.0, 0.0, 0.0
-	for _, m := range l.machines {
-		used += m.usedCores
-		if m.up && m.machineType != nil {
-			up += m.machineType.Cores
+	for _, m := range l.Machines {
+		used += m.UsedCores
+		if m.Up && m.MachineType != nil {
+			up += m.MachineType.Cores
 		}
 	}
-	for _, j := range l.runnableJobs {
-		pending += float64(j.pendingTasks) * j.spec.Cores
+	for _, j := range l.RunnableJobs {
+		pending += float64(j.PendingTasks) * j.Spec.Cores
 	}
 	node.log.Debug("capacity plan", "held", plan.HeldCores, "up", up, "used", used, "pending", pending,
 		"demand", plan.DemandCores, "usual", usualLoad, "target", plan.TargetCores,
@@ -163,19 +165,19 @@
 // meanImageGB returns the mean image size of the runnable jobs, in GB.
 func (a *autoscaler) meanImageGB() float64 {
 	sum := 0.0
-	for _, j := range a.leader.runnableJobs {
-		sum += j.spec.ImageGB
+	for _, j := range a.leader.RunnableJobs {
+		sum += j.Spec.ImageGB
 	}
-	return sum / max(1, float64(len(a.leader.runnableJobs)))
+	return sum / max(1, float64(len(a.leader.RunnableJobs)))
 }
 
 // startSLOReserve returns the part of a job's SLO on starting that the plan does not count on, as
 // slack for takeovers, outages and lost machines.
-func (l *leader) startSLOReserve(j *job) time.Duration {
-	if j.spec.DeadlineSeconds != nil {
+func (l *leader) startSLOReserve(j *cluster.Job) time.Duration {
+	if j.Spec.DeadlineSeconds != nil {
 		return 0
 	}
-	return l.startSLO(j) * startSLOReservePercent / 100
+	return l.StartSLO(j) * startSLOReservePercent / 100
 }
 
 // startSLOReservePercent is that part in percent.
@@ -184,48 +186,48 @@
 // consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
 // if all of them write checkpoints, other machines have room for them, and both the tasks and the
 // idle cores of the machine would go on for at least twice as long as the move takes.
-func (a *autoscaler) consolidate(kept []*machine) {
+func (a *autoscaler) consolidate(kept []*cluster.Machine) {
 	l, node := a.leader, a.leader.node
 	freeCores := 0.0
 	for _, m := range kept {
-		if m.schedulable() && !m.draining {
-			freeCores += m.machineType.Cores - m.usedCores
+		if m.Schedulable() && !m.Draining {
+			freeCores += m.MachineType.Cores - m.UsedCores
 		}
 	}
-	for _, j := range l.runnableJobs {
-		if !j.terminal {
-			freeCores -= float64(j.pendingTasks) * j.spec.Cores
+	for _, j := range l.RunnableJobs {
+		if !j.Terminal {
+			freeCores -= float64(j.PendingTasks) * j.Spec.Cores
 		}
 	}
-	for _, m := range l.machinesByName() {
-		if m.drainReason != surplusCapacity || !m.draining || len(m.attemptsInOrder) == 0 || m.usedCores > freeCores || node.now-m.rentedAt < minBilledTime {
+	for _, m := range l.MachinesByName() {
+		if m.DrainReason != cluster.SurplusCapacity || !m.Draining || len(m.AttemptsInOrder) == 0 || m.UsedCores > freeCores || node.now-m.RentedAt < minBilledTime {
 			continue
 		}
 		moveCost, longestRemaining, longestMove := 0.0, 0.0, 0.0
-		for _, attempt := range m.attemptsInOrder {
-			if attempt.job.spec.CheckpointIntervalSeconds <= 0 || attempt.phase != attemptRunning || attempt.stopGrace != nil || node.now-attempt.runningSince < minCountedRun {
+		for _, attempt := range m.AttemptsInOrder {
+			if attempt.Job.Spec.CheckpointIntervalSeconds <= 0 || attempt.Phase != cluster.AttemptRunning || attempt.StopGrace != nil || node.now-attempt.RunningSince < cluster.MinCountedRun {
 				moveCost = math.Inf(1)
 				break
 			}
-			moveSeconds := attempt.job.spec.CheckpointSaveSeconds + attempt.job.spec.ImageGB/m.machineType.PullGBPerSecond + 2*node.heartbeatInterval().Seconds()
-			moveCost += moveSeconds * attempt.job.spec.Cores
-			longestRemaining, longestMove = max(longestRemaining, l.remainingDuration(attempt).Seconds()), max(longestMove, moveSeconds)
+			moveSeconds := attempt.Job.Spec.CheckpointSaveSeconds + attempt.Job.Spec.ImageGB/m.MachineType.PullGBPerSecond + 2*node.heartbeatInterval().Seconds()
+			moveCost += moveSeconds * attempt.Job.Spec.Cores
+			longestRemaining, longestMove = max(longestRemaining, l.RemainingDuration(attempt).Seconds()), max(longestMove, moveSeconds)
 		}
-		if longestRemaining < 2*longestMove || l.idleUntilEmpty(m)*m.machineType.Cores < 2*moveCost {
+		if longestRemaining < 2*longestMove || l.IdleUntilEmpty(m)*m.MachineType.Cores < 2*moveCost {
 			continue
 		}
-		freeCores -= m.usedCores
-		for _, attempt := range m.attemptsInOrder {
-			l.requestStop(attempt, l.checkpointGraceS(attempt))
+		freeCores -= m.UsedCores
+		for _, attempt := range m.AttemptsInOrder {
+			l.RequestStop(attempt, l.CheckpointGraceS(attempt))
 		}
 	}
 }
 
 // recordArrival adds the work of a new job to the forecast.
-func (a *autoscaler) recordArrival(j *job) {
+func (a *autoscaler) recordArrival(j *cluster.Job) {
 	a.decayForecast()
-	work := float64(j.spec.TaskCount) * j.spec.Cores * a.leader.expectedTaskDuration(j).Seconds()
-	a.forecast.RecordArrival(j.spec.Class, work, a.leader.due(j)-j.eligibleAt)
+	work := float64(j.Spec.TaskCount) * j.Spec.Cores * a.leader.ExpectedTaskDuration(j).Seconds()
+	a.forecast.RecordArrival(j.Spec.Class, work, a.leader.Due(j)-j.EligibleAt)
 }
 
 // decayForecast decays the forecast up to the present.
@@ -275,9 +277,9 @@
 // forecast and the arrivals since then amount to more.
 func (a *autoscaler) inheritUsualLoad() {
 	heldCores := 0.0
-	for _, m := range a.leader.machines {
-		if m.machineType != nil {
-			heldCores += m.machineType.Cores
+	for _, m := range a.leader.Machines {
+		if m.MachineType != nil {
+			heldCores += m.MachineType.Cores
 		}
 	}
 	a.costsCountedAt = a.leader.node.now
@@ -286,8 +288,8 @@
 	}
 	// Jobs accepted after the forecast was stored count as arrivals too, as do those submitted
 	// before there was a first leader.
-	for _, j := range a.leader.jobsByAge() {
-		if j.eligibleAt > a.storedForecastAt {
+	for _, j := range a.leader.JobsByAge() {
+		if j.EligibleAt > a.storedForecastAt {
 			a.recordArrival(j)
 		}
 	}
--- a/internal/controller/begin_test.go
+++ b/internal/controller/begin_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"hitchdoor/internal/protocol"
@@ -59,17 +61,17 @@
 					w.run(2 * time.Second)
 				}
 			}
-			fillUntil(submitted + maxStartDelay)
+			fillUntil(submitted + cluster.MaxStartDelay)
 			for i := range c.jobs {
 				if id := fmt.Sprintf("j-wide-%d", i); w.begun[id] == 0 {
 					t.Errorf("%s has not begun after four minutes: %s", id, w.why(id))
 				}
 			}
-			fillUntil(submitted + 3*maxStartDelay)
+			fillUntil(submitted + 3*cluster.MaxStartDelay)
 			// Six of them are more than half of the machines can do in this time; the
 			// oldest is served first.
 			if id := "j-wide-0"; w.final(id) != protocol.JobDone {
-				t.Errorf("%s is not done after %v: %s", id, 3*maxStartDelay, w.why(id))
+				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, w.why(id))
 			}
 		})
 	}
@@ -83,8 +85,8 @@
 	wide := spec("j-wide", 1)
 	wide.Cores = 4
 	w.submit(l.name, wide)
-	reserved := func() bool { return l.leader.machines["m-000001"].reservedFor != nil }
-	if !w.until(maxStartDelay, reserved) {
+	reserved := func() bool { return l.leader.Machines["m-000001"].ReservedFor != nil }
+	if !w.until(cluster.MaxStartDelay, reserved) {
 		t.Fatalf("no machine is reserved: %s", w.why("j-wide"))
 	}
 	w.cancel(l.name, "j-wide")
--- a/internal/controller/checks.go
+++ b/internal/controller/checks.go
@@ -1,6 +1,9 @@
 package controller
 
-import "hitchdoor/internal/config"
+import (
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/config"
+)
 
 // slotUsage counts the scheduler slots of all machines that are up, and the taken ones by class
 // of work: batch, and latency-sensitive (priorities prod and urgent).
@@ -16,14 +19,14 @@
 // schedulingPass is the state shared by all checks and placements of one pass.
 type schedulingPass struct {
 	slotUsage
-	machineTotals
-	machines []*machine // candidates of this pass
+	cluster.MachineTotals
+	machines []*cluster.Machine // candidates of this pass
 }
 
 // newSchedulingPass returns a pass without machines, from the present totals.
 func (s *scheduler) newSchedulingPass(latencySensitiveDelayed bool) *schedulingPass {
-	pass := &schedulingPass{machineTotals: s.currentMachineTotals()}
-	pass.slotUsage = slotUsage{totalSlots: pass.machineTotals.slots, batchTasks: s.activeTasks[0], latencySensitiveTasks: s.activeTasks[1], latencySensitiveDelayed: latencySensitiveDelayed}
+	pass := &schedulingPass{MachineTotals: s.CurrentMachineTotals()}
+	pass.slotUsage = slotUsage{totalSlots: pass.MachineTotals.Slots, batchTasks: s.ActiveTasks[0], latencySensitiveTasks: s.ActiveTasks[1], latencySensitiveDelayed: latencySensitiveDelayed}
 	return pass
 }
 
@@ -38,17 +41,17 @@
 		}
 		for _, mayFetch := range []bool{false, true} {
 			for _, queued := range queue[:sameRank] {
-				s.candidatesExamined++
-				if len(pass.machines) == 1 && !pass.machines[0].hasSpareCapacity() {
+				s.CandidatesExamined++
+				if len(pass.machines) == 1 && !pass.machines[0].HasSpareCapacity() {
 					return // the only machine of the pass is full
 				}
-				if j := queued.job; j.pendingTasks > 0 && !j.terminal {
-					maxTasks := j.pendingTasks
+				if j := queued.job; j.PendingTasks > 0 && !j.Terminal {
+					maxTasks := j.PendingTasks
 					if queued.rank == rankOverdue {
-						maxTasks = j.spec.TaskCount/overdueTaskDivisor + 1 - len(j.attempts)
+						maxTasks = j.Spec.TaskCount/cluster.OverdueTaskDivisor + 1 - len(j.Attempts)
 					}
-					previous := j.blockedBy
-					j.blockedBy = s.scheduleJob(j, pass, mayFetch, maxTasks)
+					previous := j.BlockedBy
+					j.BlockedBy = s.scheduleJob(j, pass, mayFetch, maxTasks)
 					s.host.traceBlocked(j, previous)
 				}
 			}
@@ -59,53 +62,53 @@
 
 // scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
 // the check that stopped it.
-func (s *scheduler) scheduleJob(j *job, pass *schedulingPass, mayFetch bool, maxTasks int) waitReason {
-	if j.quarantined {
-		return waitQuarantine
+func (s *scheduler) scheduleJob(j *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int) cluster.WaitReason {
+	if j.Quarantined {
+		return cluster.WaitQuarantine
 	}
-	if s.host.mayRunUnreported(j, &pass.machineTotals) {
-		return waitReconciliation
+	if s.host.mayRunUnreported(j, &pass.MachineTotals) {
+		return cluster.WaitReconciliation
 	}
-	if j.failsEverywhere && s.outlivesFailures(j) {
-		j.failsEverywhere, j.failedProbes = false, 0
-		s.log.Info("job no longer fails everywhere", "job", j.spec.ID)
+	if j.FailsEverywhere && s.OutlivesFailures(j) {
+		j.FailsEverywhere, j.FailedProbes = false, 0
+		s.Log.Info("job no longer fails everywhere", "job", j.Spec.ID)
 	}
-	if j.failsEverywhere {
-		if len(j.attempts) > 0 || s.clock.Now() < j.nextProbeAt {
-			return waitBackoff
+	if j.FailsEverywhere {
+		if len(j.Attempts) > 0 || s.Clock.Now() < j.NextProbeAt {
+			return cluster.WaitBackoff
 		}
 		maxTasks = 1
 	}
-	team := s.cluster.Team(j.spec.Team)
-	teamUsage := s.teamUsage[j.spec.Team]
+	team := s.Cluster.Team(j.Spec.Team)
+	teamUsage := s.TeamUsage[j.Spec.Team]
 	if team == nil || teamUsage == nil {
-		return waitTeamQuota
+		return cluster.WaitTeamQuota
 	}
 	var candidates *candidateHeap
-	reason := waitNone
+	reason := cluster.WaitNone
 	noneSkipped := true // no pending task has been skipped yet
-	for index := j.firstPendingTask; index < j.spec.TaskCount; index++ {
-		if j.pendingTasks == 0 || maxTasks <= 0 {
+	for index := j.FirstPendingTask; index < j.Spec.TaskCount; index++ {
+		if j.PendingTasks == 0 || maxTasks <= 0 {
 			return reason
 		}
-		if j.taskState(index) != taskPending {
+		if j.TaskState(index) != cluster.TaskPending {
 			if noneSkipped {
-				j.firstPendingTask = index + 1 // avoids scanning up to 100,000 tasks again
+				j.FirstPendingTask = index + 1 // avoids scanning up to 100,000 tasks again
 			}
 			continue
 		}
 		noneSkipped = false
-		history := j.failureHistories[index]
-		if history != nil && s.clock.Now() < history.retryAfter {
-			reason = waitBackoff
+		history := j.FailureHistories[index]
+		if history != nil && s.Clock.Now() < history.RetryAfter {
+			reason = cluster.WaitBackoff
 			continue
 		}
-		if limit := s.checkLimits(j, pass, team, teamUsage); limit != waitNone {
+		if limit := s.checkLimits(j, pass, team, teamUsage); limit != cluster.WaitNone {
 			return limit
 		}
 		avoidedMachine := ""
-		if history != nil && s.clock.Now() < history.avoidUntil {
-			avoidedMachine = history.avoidedMachine
+		if history != nil && s.Clock.Now() < history.AvoidUntil {
+			avoidedMachine = history.AvoidedMachine
 		}
 		if candidates == nil {
 			candidates = s.findCandidates(j, pass.machines, mayFetch)
@@ -113,21 +116,21 @@
 		m := candidates.bestMachine(avoidedMachine)
 		if m == nil {
 			if avoidedMachine != "" {
-				reason = waitCapacity
+				reason = cluster.WaitCapacity
 				continue
 			}
 			if candidates.slowFetchExcluded {
-				return waitImage
+				return cluster.WaitImage
 			}
-			return waitCapacity
+			return cluster.WaitCapacity
 		}
-		if m.draining && m.drainReason == surplusCapacity {
-			s.cancelDrain(m)
+		if m.Draining && m.DrainReason == cluster.SurplusCapacity {
+			s.CancelDrain(m)
 		}
-		s.placeAttempt(&taskAttempt{job: j, taskIndex: index, number: s.host.nextAttemptNumber(), machine: m, phase: attemptAssigned, assignedAt: s.clock.Now()})
+		s.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: index, Number: s.host.nextAttemptNumber(), Machine: m, Phase: cluster.AttemptAssigned, AssignedAt: s.Clock.Now()})
 		candidates.rescore(m)
 		maxTasks--
-		if isLatencySensitive(&j.spec) {
+		if cluster.IsLatencySensitive(&j.Spec) {
 			pass.latencySensitiveTasks++
 		} else {
 			pass.batchTasks++
@@ -138,28 +141,28 @@
 
 // checkLimits makes the three checks for one more task of a job, in order: scheduler slots, team
 // quota, overall quota.
-func (s *scheduler) checkLimits(j *job, pass *schedulingPass, team *config.Team, teamUsage *resourceUsage) waitReason {
+func (s *scheduler) checkLimits(j *cluster.Job, pass *schedulingPass, team *config.Team, teamUsage *cluster.ResourceUsage) cluster.WaitReason {
 	switch {
 	case !s.hasFreeSlot(j, pass):
-		return waitSlots
-	case team.MaxCPUs > 0 && teamUsage.cores+pass.unknownUsage.cores+j.spec.Cores > team.MaxCPUs+resourceTolerance,
-		team.MaxGPUs > 0 && teamUsage.accelerators+pass.unknownUsage.accelerators+j.spec.Accelerators > team.MaxGPUs+resourceTolerance:
-		return waitTeamQuota
+		return cluster.WaitSlots
+	case team.MaxCPUs > 0 && teamUsage.Cores+pass.UnknownUsage.Cores+j.Spec.Cores > team.MaxCPUs+cluster.ResourceTolerance,
+		team.MaxGPUs > 0 && teamUsage.Accelerators+pass.UnknownUsage.Accelerators+j.Spec.Accelerators > team.MaxGPUs+cluster.ResourceTolerance:
+		return cluster.WaitTeamQuota
 	case float64(pass.takenSlots()+1) > pass.totalSlots:
-		return waitOverallQuota
+		return cluster.WaitOverallQuota
 	}
-	return waitNone
+	return cluster.WaitNone
 }
 
 // hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work borrows the
 // slots reserved for latency-sensitive work unless that is delayed.
-func (s *scheduler) hasFreeSlot(j *job, pass *schedulingPass) bool {
-	if isLatencySensitive(&j.spec) {
+func (s *scheduler) hasFreeSlot(j *cluster.Job, pass *schedulingPass) bool {
+	if cluster.IsLatencySensitive(&j.Spec) {
 		return float64(pass.latencySensitiveTasks+1) <= pass.totalSlots
 	}
 	limit := pass.totalSlots
 	if pass.latencySensitiveDelayed {
-		limit *= s.settings.BatchShare
+		limit *= s.Settings.BatchShare
 	}
 	return float64(pass.batchTasks+1) <= limit
 }
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -52,16 +52,16 @@
 	c.instead = func(call ServiceCall) (CallResult, bool) {
 		if l := c.recovering(); call.Target == TargetCloud && call.Path == "/hosts" && l != nil && l.recovery.Phase() <= recovery.PhaseCollecting &&
 			strings.Contains(string(call.Body), "r-"+formatUint(l.term)+"-") {
-			totals := l.currentMachineTotals()
-			unknown, waiting, surely := totals.unknownUsage.cores, 0.0, 0
-			for _, j := range l.runnableJobs {
+			totals := l.CurrentMachineTotals()
+			unknown, waiting, surely := totals.UnknownUsage.Cores, 0.0, 0
+			for _, j := range l.RunnableJobs {
 				if l.mayRunUnreported(j, &totals) {
-					waiting += float64(j.pendingTasks) * j.spec.Cores
+					waiting += float64(j.PendingTasks) * j.Spec.Cores
 				} else {
-					surely += j.pendingTasks
+					surely += j.PendingTasks
 				}
 			}
-			if usual := l.autoscaler.forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.totalCores {
+			if usual := l.autoscaler.forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.TotalCores {
 				c.broken("rented too early", "in phase %v, %v cores wait, %v are unknown", l.recovery.Phase(), waiting, unknown)
 			}
 		}
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -14,6 +14,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"github.com/segmentio/encoding/json"
@@ -164,11 +166,11 @@
 // The words on the status page and in traces.
 func TestWordsOnPages(t *testing.T) {
 	lines := []string{"jobs wait for:"}
-	for _, waits := range []waitReason{waitDependencies, waitBackoff, waitReconciliation, waitSlots, waitTeamQuota, waitOverallQuota, waitCapacity, waitImage, waitQuarantine, waitNone} {
+	for _, waits := range []cluster.WaitReason{cluster.WaitDependencies, cluster.WaitBackoff, cluster.WaitReconciliation, cluster.WaitSlots, cluster.WaitTeamQuota, cluster.WaitOverallQuota, cluster.WaitCapacity, cluster.WaitImage, cluster.WaitQuarantine, cluster.WaitNone} {
 		lines = append(lines, string(waits))
 	}
 	lines = append(lines, "machines leave because:")
-	for _, why := range []drainReason{surplusCapacity, preemptionNoticed, slowExecution, unhealthy, commandsUndelivered, heartbeatMissed, neverReported, instanceFailed, notListed} {
+	for _, why := range []cluster.DrainReason{cluster.SurplusCapacity, cluster.PreemptionNoticed, cluster.SlowExecution, cluster.Unhealthy, cluster.CommandsUndelivered, cluster.HeartbeatMissed, cluster.NeverReported, cluster.InstanceFailed, cluster.NotListed} {
 		lines = append(lines, string(why))
 	}
 	lines = append(lines, "steps of traces:", stepAdmissionVerdict, stepRejected, stepStored, stepLoaded, stepBlocked, stepFirstStart, stepFirstRunning, stepTerminal,
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"hitchdoor/internal/protocol"
@@ -104,15 +106,15 @@
 // arrivedBySameRoute reports whether a worker's heartbeat arrived by the same route as the one
 // before it. If so, the response to the previous one has reached the worker: without a response
 // the worker would have turned to another node. With a single node nothing can be concluded.
-func (l *leader) arrivedBySameRoute(m *machine, heartbeat *protocol.WorkerHeartbeat, via string) bool {
-	return len(l.node.peers) > 0 && m.lastHeartbeat != clock.Never && m.relayPeer == via &&
-		heartbeat.Epoch == m.epoch && heartbeat.Sequence == m.heartbeatSeq+1
+func (l *leader) arrivedBySameRoute(m *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, via string) bool {
+	return len(l.node.peers) > 0 && m.LastHeartbeat != clock.Never && m.RelayPeer == via &&
+		heartbeat.Epoch == m.Epoch && heartbeat.Sequence == m.HeartbeatSeq+1
 }
 
 // recordDelivery records that a response has reached a machine's worker, through the peer via if
 // that is set.
-func (l *leader) recordDelivery(m *machine, via string) {
-	l.lastDelivery, m.lastDelivery = l.node.now, l.node.now
+func (l *leader) recordDelivery(m *cluster.Machine, via string) {
+	l.lastDelivery, m.LastDelivery = l.node.now, l.node.now
 	if via == "" {
 		l.lastDirectDelivery = l.node.now
 	}
@@ -184,8 +186,8 @@
 // the last worker lease.
 func (l *leader) recentlyServedWorkers() int {
 	count := 0
-	for _, m := range l.machines {
-		if m.up && l.node.now-m.lastDelivery < l.node.workerLease() {
+	for _, m := range l.Machines {
+		if m.Up && l.node.now-m.LastDelivery < l.node.workerLease() {
 			count++
 		}
 	}
--- a/internal/controller/costs.go
+++ b/internal/controller/costs.go
@@ -1,5 +1,7 @@
 package controller
 
+import "hitchdoor/internal/cluster"
+
 // costBreakdown is the machine cost of this term by use.
 type costBreakdown struct{ booting, idle, fetching, working float64 }
 
@@ -8,25 +10,25 @@
 	now := a.leader.node.now
 	hours := (now - a.costsCountedAt).Hours()
 	a.costsCountedAt = now
-	for _, m := range a.leader.machines {
-		if m.machineType == nil {
+	for _, m := range a.leader.Machines {
+		if m.MachineType == nil {
 			continue
 		}
-		cost := m.machineType.Price(m.spot) * hours
-		if !m.up {
+		cost := m.MachineType.Price(m.Spot) * hours
+		if !m.Up {
 			a.costs.booting += cost
 			continue
 		}
 		fetchingCores, runningCores := 0.0, 0.0
-		for _, r := range m.attempts {
-			if r.phase == attemptRunning || r.phase == attemptSaving {
-				runningCores += r.job.spec.Cores
+		for _, r := range m.Attempts {
+			if r.Phase == cluster.AttemptRunning || r.Phase == cluster.AttemptSaving {
+				runningCores += r.Job.Spec.Cores
 			} else {
-				fetchingCores += r.job.spec.Cores
+				fetchingCores += r.Job.Spec.Cores
 			}
 		}
-		a.costs.fetching += cost * fetchingCores / m.machineType.Cores
-		a.costs.working += cost * runningCores / m.machineType.Cores
-		a.costs.idle += cost * max(0, 1-(fetchingCores+runningCores)/m.machineType.Cores)
+		a.costs.fetching += cost * fetchingCores / m.MachineType.Cores
+		a.costs.working += cost * runningCores / m.MachineType.Cores
+		a.costs.idle += cost * max(0, 1-(fetchingCores+runningCores)/m.MachineType.Cores)
 	}
 }
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -478,7 +478,7 @@
 	// A leader that hears neither peers nor workers is isolated from everything but the
 	// key-value store. As long as it renewed its lease, no other node could take over.
 	span := n.workerLease() / 4
-	if len(n.peers) > 0 && n.now-n.leader.startedAt > span &&
+	if len(n.peers) > 0 && n.now-n.leader.StartedAt > span &&
 		n.recentPeerCount(span) == 0 && n.now-n.leader.lastWorkerHeartbeat > span {
 		election.isolated = true
 		n.stepDown("isolated from peers and workers")
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"hitchdoor/internal/config"
@@ -82,7 +84,7 @@
 		next := spec("j-2", 1)
 		next.EstimatedSeconds = 10
 		w.submit(l.name, next)
-		got := l.leader.expectedTaskDuration(l.leader.jobs["j-2"]).Seconds()
+		got := l.leader.ExpectedTaskDuration(l.leader.Jobs["j-2"]).Seconds()
 		if math.Abs(math.Log(got/(10*factor))) > 0.35 {
 			t.Errorf("real times are %v times the estimates: expects %.1f s for 10 s", factor, got)
 		}
@@ -106,13 +108,13 @@
 	urgent.Priority = "urgent"
 	w.submit(l.name, urgent)
 	order := l.leader.buildQueue()
-	if order[0].job.spec.ID != "j-9" {
-		t.Errorf("%s passes ahead of urgent work", order[0].job.spec.ID)
+	if order[0].job.Spec.ID != "j-9" {
+		t.Errorf("%s passes ahead of urgent work", order[0].job.Spec.ID)
 	}
 	for _, r := range order {
-		want := map[string]int{"j-0": rankOnTime, "j-1": rankLate, "j-2": rankOnTime, "j-9": 1}[r.job.spec.ID]
+		want := map[string]int{"j-0": rankOnTime, "j-1": rankLate, "j-2": rankOnTime, "j-9": 1}[r.job.Spec.ID]
 		if r.rank != want {
-			t.Errorf("%s has rank %d, not %d", r.job.spec.ID, r.rank, want)
+			t.Errorf("%s has rank %d, not %d", r.job.Spec.ID, r.rank, want)
 		}
 	}
 }
@@ -136,9 +138,9 @@
 		w.submit(l.name, j)
 	}
 	order := l.leader.buildQueue()
-	if len(order) != 3 || order[0].job.spec.ID != "j-2" || order[2].job.spec.ID != "j-3" {
+	if len(order) != 3 || order[0].job.Spec.ID != "j-2" || order[2].job.Spec.ID != "j-3" {
 		for _, r := range order {
-			t.Errorf("%s at %v", r.job.spec.ID, r.latestStart)
+			t.Errorf("%s at %v", r.job.Spec.ID, r.latestStart)
 		}
 	}
 }
@@ -148,8 +150,8 @@
 	w := newSimulation(t, 1)
 	l := w.waitLeader()
 	w.machines(3)
-	with := l.leader.machines["m-000002"]
-	with.touchImage("special", 2)
+	with := l.leader.Machines["m-000002"]
+	with.TouchImage("special", 2)
 	j := spec("j-1", 1)
 	j.Image, j.ImageGB = "special", 2
 	w.submit(l.name, j)
@@ -221,7 +223,7 @@
 			}
 		}
 	}
-	if begun == 0 || begun > maxStartDelay {
+	if begun == 0 || begun > cluster.MaxStartDelay {
 		t.Fatalf("the large job began after %v", begun)
 	}
 	if code, s := w.query(l.name, "j-large"); code != 200 || s.State != protocol.JobDone {
@@ -274,8 +276,8 @@
 	last := spec("j-60", 1)
 	last.Class = "patient"
 	w.submit(l.name, last)
-	j := l.leader.jobs["j-60"]
-	if got, want := l.leader.due(j)-j.eligibleAt, 200*time.Second+l.leader.expectedTaskDuration(j); got != want {
+	j := l.leader.Jobs["j-60"]
+	if got, want := l.leader.Due(j)-j.EligibleAt, 200*time.Second+l.leader.ExpectedTaskDuration(j); got != want {
 		t.Errorf("due after %v, not %v", got, want)
 	}
 	before := l.leader.autoscaler.forecast.ExpectedWork(200)
@@ -323,23 +325,25 @@
 	w.run(2 * time.Second)
 	w.machines(2)
 	x := l.leader
-	has, other := x.machines["m-000001"], x.machines["m-000002"]
-	has.touchImage("i", 2)
+	has, other := x.Machines["m-000001"], x.Machines["m-000002"]
+	has.TouchImage("i", 2)
 	j := x.addJob(storage.JobRecord{Spec: spec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
-	j.spec.ImageGB = 2 // 10 s of fetching
-	fits := func(m *machine) bool { return x.findCandidates(j, []*machine{m}, true).bestMachine("") == m }
+	j.Spec.ImageGB = 2 // 10 s of fetching
+	fits := func(m *cluster.Machine) bool {
+		return x.findCandidates(j, []*cluster.Machine{m}, true).bestMachine("") == m
+	}
 	if fits(other) {
 		t.Error("it fetches where it must miss its aim, though another machine has the image")
 	}
 	if !fits(has) {
 		t.Error("it does not start where its image is")
 	}
-	j.eligibleAt -= 4 * time.Second
+	j.EligibleAt -= 4 * time.Second
 	if !fits(other) {
 		t.Error("it waits for longer than its aim leaves")
 	}
-	j.eligibleAt += 4 * time.Second
-	has.images, j.imageCheckedAt = nil, clock.Never // as in the next pass
+	j.EligibleAt += 4 * time.Second
+	has.Images, j.ImageCheckedAt = nil, clock.Never // as in the next pass
 	if !fits(other) {
 		t.Error("it waits for an image that no machine has")
 	}
@@ -353,17 +357,17 @@
 	w.machines(1)
 	x := l.leader
 	w.submit(l.name, spec("j-1", 1))
-	j := x.jobs["j-1"]
-	j.failureHistories[0] = &failureHistory{retryAfter: l.now + 10*time.Second}
-	for _, r := range j.attempts {
-		x.releaseAttempt(r)
+	j := x.Jobs["j-1"]
+	j.FailureHistories[0] = &cluster.FailureHistory{RetryAfter: l.now + 10*time.Second}
+	for _, r := range j.Attempts {
+		x.ReleaseAttempt(r)
 	}
 	w.run(9 * time.Second)
 	if w.starts["j-1/0"] > 0 {
 		t.Fatal("started while backing off")
 	}
 	w.cloud.down = true // nor does the fleet change
-	x.schedulingNeeded = false
+	x.SchedulingNeeded = false
 	if !w.until(5*time.Second, func() bool { return w.starts["j-1/0"] == 1 }) {
 		t.Fatal("not started after its back-off")
 	}
@@ -381,9 +385,9 @@
 	s := spec("j-1", 100)
 	s.EstimatedSeconds = 50
 	j := x.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
-	j.eligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
+	j.EligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
 	unbegun := x.autoscaler.requiredCores(1000)
-	j.firstStartAt = x.node.now
+	j.FirstStartAt = x.node.now
 	left := 100.0 // seconds until its last task should have ended
 	if got := x.autoscaler.requiredCores(1000); got < 100*50/left || got > unbegun {
 		t.Errorf("%v cores are planned, and %v before it began", got, unbegun)
--- a/internal/controller/flood_test.go
+++ b/internal/controller/flood_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"hitchdoor/internal/protocol"
@@ -58,7 +60,7 @@
 	other := spec("j-other", 4)
 	other.Team, other.Class = "team", "other"
 	c.submitUntil(other)
-	if !w.until(maxStartDelay, func() bool { return w.begun["j-other"] != 0 }) {
+	if !w.until(cluster.MaxStartDelay, func() bool { return w.begun["j-other"] != 0 }) {
 		t.Fatalf("not begun after four minutes: %s", w.why("j-other"))
 	}
 	c.cancelUntil("j-flood-7")
@@ -70,7 +72,7 @@
 // setAsideLargest sets aside the same jobs as a plain walk over all of them does.
 func TestSacrificeIsMooresRule(t *testing.T) {
 	_, l := running(t, 1, time.Hour, 2, 8)
-	cores := l.leader.retainedCores()
+	cores := l.leader.RetainedCores()
 	if cores == 0 {
 		t.Fatal("no machine stays")
 	}
@@ -78,7 +80,7 @@
 	for round := range 300 {
 		var all, plain []*queuedJob
 		for i := range 1 + rng.IntN(30) {
-			j := &job{spec: spec(fmt.Sprintf("j-%d", i), 1), pendingTasks: rng.IntN(3)}
+			j := &cluster.Job{Spec: spec(fmt.Sprintf("j-%d", i), 1), PendingTasks: rng.IntN(3)}
 			r := queuedJob{job: j, rank: []int{rankLatencySensitive, rankOnTime, rankLate}[rng.IntN(3)],
 				due: l.now + time.Duration(rng.IntN(200))*time.Second, remainingCoreSeconds: float64(rng.IntN(20) * 10)}
 			again := r
@@ -102,7 +104,7 @@
 	sum := 0.0
 	var kept []*queuedJob
 	for _, r := range all {
-		if r.rank != rankOnTime && r.job.effectiveRank() > rankLatencySensitive {
+		if r.rank != rankOnTime && r.job.EffectiveRank() > rankLatencySensitive {
 			continue
 		}
 		sum += r.remainingCoreSeconds
@@ -110,7 +112,7 @@
 		for sum/cores > (r.due - now).Seconds() {
 			worst := -1
 			for i, k := range kept {
-				if k.rank == rankOnTime && k.job.pendingTasks > 0 && (worst < 0 || k.remainingCoreSeconds > kept[worst].remainingCoreSeconds) {
+				if k.rank == rankOnTime && k.job.PendingTasks > 0 && (worst < 0 || k.remainingCoreSeconds > kept[worst].remainingCoreSeconds) {
 					worst = i
 				}
 			}
--- a/internal/controller/halfopen_test.go
+++ b/internal/controller/halfopen_test.go
@@ -266,8 +266,8 @@
 	w.run(3 * l.workerLease())
 	direct := func() int {
 		count := 0
-		for _, m := range l.leader.machines {
-			if m.up && m.relayPeer == "" {
+		for _, m := range l.leader.Machines {
+			if m.Up && m.RelayPeer == "" {
 				count++
 			}
 		}
@@ -277,8 +277,8 @@
 		t.Fatal("the leader does not have others relay")
 	}
 	w.noReports[l.name] = false
-	if !w.until(8*l.workerLease(), func() bool { return l.leader != nil && direct() == len(l.leader.machines) }) {
-		t.Errorf("%d of %d are served directly", direct(), len(l.leader.machines))
+	if !w.until(8*l.workerLease(), func() bool { return l.leader != nil && direct() == len(l.leader.Machines) }) {
+		t.Errorf("%d of %d are served directly", direct(), len(l.leader.Machines))
 	}
 }
 
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"github.com/segmentio/encoding/json"
@@ -123,8 +125,8 @@
 		w.broken("went_back", "%s is cancelled, and nobody asked for it", id)
 	case s.State == protocol.JobDone:
 		for i := range w.specs[id].TaskCount {
-			if !w.finished[taskKey(id, i)] {
-				w.broken("not_done", "%s is done, but %s is not", id, taskKey(id, i))
+			if !w.finished[cluster.TaskKey(id, i)] {
+				w.broken("not_done", "%s is done, but %s is not", id, cluster.TaskKey(id, i))
 				break
 			}
 		}
@@ -328,7 +330,7 @@
 	}
 	waiting := false
 	for i := range j.TaskCount {
-		key := taskKey(id, i)
+		key := cluster.TaskKey(id, i)
 		waiting = waiting || !w.finished[key] && where[key] == ""
 	}
 	for _, team := range w.cfg.Teams {
@@ -458,7 +460,7 @@
 			j.Team = "team"
 			w.specs["j-2"] = j
 			for i := range 17 {
-				put(w, "m-000001", taskKey("j-2", i), 1)
+				put(w, "m-000001", cluster.TaskKey("j-2", i), 1)
 			}
 			w.check()
 		},
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -20,13 +21,13 @@
 	}
 	switch r.Kind {
 	case protocol.RequestSubmit:
-		if j := l.jobs[r.Job.ID]; j != nil {
+		if j := l.Jobs[r.Job.ID]; j != nil {
 			l.answerJobState(r, j)
 			return
 		}
 		n.submitToStore(r, l)
 	case protocol.RequestQuery:
-		if j := l.jobs[r.JobID]; j != nil {
+		if j := l.Jobs[r.JobID]; j != nil {
 			l.answerJobState(r, j)
 			return
 		}
@@ -43,18 +44,18 @@
 //
 // The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
 // leader may have reported that.
-func (l *leader) answerJobState(r Request, j *job) {
-	if !j.dependencyCancelled && (j.completionUncertain || (j.pendingDependencies > 0 && len(l.dependencyLookups) > 0)) {
+func (l *leader) answerJobState(r Request, j *cluster.Job) {
+	if !j.DependencyCancelled && (j.CompletionUncertain || (j.PendingDependencies > 0 && len(l.dependencyLookups) > 0)) {
 		l.node.answerFromStore(r, l, retryLater)
 		return
 	}
-	l.node.reply(r.Origin, 200, 0, j.state())
+	l.node.reply(r.Origin, 200, 0, j.State())
 }
 
 // onCancel serves a cancellation, also of a job that is not in the job table.
 func (l *leader) onCancel(r Request) {
 	n := l.node
-	if j := l.jobs[r.JobID]; j != nil {
+	if j := l.Jobs[r.JobID]; j != nil {
 		l.cancelJob(j, r.Origin)
 		return
 	}
@@ -82,22 +83,22 @@
 
 // cancelJob stops a job at once and replies when the cancellation is durable. While the key-value
 // store is unavailable the user is told to retry; the cancellation remains in effect.
-func (l *leader) cancelJob(j *job, origin Origin) {
-	if j.dependencyCancelled {
-		l.node.reply(origin, 200, 0, j.state())
+func (l *leader) cancelJob(j *cluster.Job, origin Origin) {
+	if j.DependencyCancelled {
+		l.node.reply(origin, 200, 0, j.State())
 		return
 	}
-	if !j.terminal {
+	if !j.Terminal {
 		l.finishJob(j, protocol.JobCancelled)
 	}
 	if l.node.election.storeUnavailable() {
 		l.node.replyUnavailable(origin)
 		return
 	}
-	waiters := append(l.cancelWaiters[j.spec.ID], origin)
+	waiters := append(l.cancelWaiters[j.Spec.ID], origin)
 	if len(waiters) > l.node.maxPendingRequests() {
 		l.node.replyUnavailable(waiters[0])
 		waiters = waiters[1:]
 	}
-	l.cancelWaiters[j.spec.ID] = waiters
+	l.cancelWaiters[j.Spec.ID] = waiters
 }
--- a/internal/controller/late_reports_test.go
+++ b/internal/controller/late_reports_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/protocol"
 )
 
@@ -124,7 +126,7 @@
 	w.submitAndStart(w.leader(), j, 16)
 	w.waitState("j-1", protocol.JobDone, time.Minute)
 	// All machines are returned, and their records dropped.
-	if !w.until(5*time.Minute, func() bool { return len(w.workers) == 0 && len(w.nodes[w.leader()].leader.machines) == 0 }) {
+	if !w.until(5*time.Minute, func() bool { return len(w.workers) == 0 && len(w.nodes[w.leader()].leader.Machines) == 0 }) {
 		t.Fatalf("machines are kept: %d", len(w.workers))
 	}
 	old := seen
@@ -141,14 +143,14 @@
 	look := func(when string) {
 		t.Helper()
 		l := w.nodes[w.leader()].leader
-		if c := l.currentMachineTotals(); c.slots != 0 || c.unknownUsage.cores != 0 || !c.allReconciled {
+		if c := l.CurrentMachineTotals(); c.Slots != 0 || c.UnknownUsage.Cores != 0 || !c.AllReconciled {
 			t.Fatalf("%s: late copies count: %+v", when, c)
 		}
-		if u := l.teamUsage["team"]; u.cores != 0 {
-			t.Fatalf("%s: late copies use %v cores of a quota", when, u.cores)
+		if u := l.TeamUsage["team"]; u.Cores != 0 {
+			t.Fatalf("%s: late copies use %v cores of a quota", when, u.Cores)
 		}
-		for name, m := range l.machines {
-			if m.schedulable() {
+		for name, m := range l.Machines {
+			if m.Schedulable() {
 				t.Fatalf("%s: late copies make %s ready", when, name)
 			}
 		}
@@ -235,7 +237,7 @@
 		t.Fatalf("%d of 4 tasks run again", w.onMachines("j-1"))
 	}
 	w.waitState("j-1", protocol.JobDone, 30*time.Second)
-	if m := l.leader.machines["m-000001"]; m == nil || m.drainReason == commandsUndelivered {
+	if m := l.leader.Machines["m-000001"]; m == nil || m.DrainReason == cluster.CommandsUndelivered {
 		t.Fatal("the machine is taken for deaf")
 	}
 }
@@ -268,14 +270,14 @@
 	w.cloud.down = true
 	cut(3, 0)
 	w.run(10 * time.Second)
-	if m := l.leader.machines["m-000001"]; m.drainReason != heartbeatMissed {
-		t.Fatalf("a silent machine is not to be returned (%q)", m.drainReason)
+	if m := l.leader.Machines["m-000001"]; m.DrainReason != cluster.HeartbeatMissed {
+		t.Fatalf("a silent machine is not to be returned (%q)", m.DrainReason)
 	}
-	l.leader.machines["m-000003"].unhealthy = true
+	l.leader.Machines["m-000003"].Unhealthy = true
 	back()
 	w.run(4 * time.Second)
-	if m := l.leader.machines["m-000003"]; m.drainReason != unhealthy {
-		t.Errorf("a sick machine that was silent is kept (%q)", m.drainReason)
+	if m := l.leader.Machines["m-000003"]; m.DrainReason != cluster.Unhealthy {
+		t.Errorf("a sick machine that was silent is kept (%q)", m.DrainReason)
 	}
 	w.cloud.down = false
 	w.run(10 * time.Second)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -2,6 +2,7 @@
 
 import (
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/storage"
 )
@@ -12,7 +13,7 @@
 	node *Node
 	term uint64
 
-	*clusterState
+	*cluster.State
 	*scheduler
 	loadState
 	workerServiceState
@@ -32,14 +33,14 @@
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
 // key, on which every write of the term is conditioned.
 func newLeader(node *Node, term, leaderKeyVersion uint64) *leader {
-	state := newClusterState(stateOptions{clock: node, cluster: &node.cfg.Cluster, settings: &node.settings, log: node.log, catalog: node.catalog})
+	state := cluster.New(cluster.Options{Clock: node, Cluster: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog})
 	l := &leader{
-		node: node, term: term, clusterState: state,
+		node: node, term: term, State: state,
 		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), machineRecords: newMachineRecords(&node.cfg.Cluster), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
 		cancelWaiters: map[string][]Origin{},
 		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: node.newRecovery(),
 	}
-	l.scheduler = &scheduler{clusterState: state, scheduleState: scheduleState{lastPass: clock.Never}, host: l}
+	l.scheduler = &scheduler{State: state, scheduleState: scheduleState{lastPass: clock.Never}, host: l}
 	l.autoscaler.init(l)
 	l.admission.start(l)
 	return l
@@ -94,13 +95,13 @@
 
 // finishLoading starts scheduling once all records are loaded.
 func (l *leader) finishLoading() {
-	l.recordsLoaded, l.schedulingNeeded = true, true
+	l.recordsLoaded, l.SchedulingNeeded = true, true
 	l.dropStaleDependencies()
 	l.splitOversizedGroups()
 	l.autoscaler.inheritUsualLoad()
 	l.storeCatalog()
 	l.tickRecovery()
-	l.node.log.Info("records loaded", "jobs", len(l.jobs), "machines", len(l.machines))
+	l.node.log.Info("records loaded", "jobs", len(l.Jobs), "machines", len(l.Machines))
 	earlyHeartbeats := l.earlyHeartbeats
 	l.earlyHeartbeats = nil
 	for _, r := range earlyHeartbeats {
@@ -136,11 +137,11 @@
 	if node.leader != l {
 		return
 	}
-	l.expireMachineLeases()
+	l.ExpireMachineLeases()
 	l.autoscaler.tick()
 	l.admission.tick()
 	if node.now >= l.lastPass+node.heartbeatInterval()/passesPerHeartbeat &&
-		(l.schedulingNeeded || node.now >= l.lastPass+node.heartbeatInterval()) {
+		(l.SchedulingNeeded || node.now >= l.lastPass+node.heartbeatInterval()) {
 		// Also without a change: pending jobs may have become due.
 		l.schedule()
 	}
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"hitchdoor/internal/protocol"
@@ -34,8 +36,8 @@
 	for _, transition := range l.recovery.Advance(l.node.now, l.recoveryView()) {
 		l.node.log.Info("recovery phase changed",
 			"phase", transition.To, "after", transition.Duration, "timeout", transition.TimedOut,
-			"machines", len(l.machines), "mismatches", mismatchTotal(l.recovery.Counts()))
-		l.schedulingNeeded = true
+			"machines", len(l.Machines), "mismatches", mismatchTotal(l.recovery.Counts()))
+		l.SchedulingNeeded = true
 		switch transition.To {
 		case recovery.PhaseReconciling:
 			l.noteUnresponsiveMachines()
@@ -47,10 +49,10 @@
 
 // recoveryView is the state of the cluster that the recovery depends on.
 func (l *leader) recoveryView() recovery.View {
-	totals := l.currentMachineTotals()
-	return recovery.View{RecordsRead: l.recordsLoaded, InventoryIncomplete: l.inventoryIncomplete(),
-		Machines: len(l.machines), Unreconciled: totals.unreconciledMachines,
-		Cores: totals.totalCores, LargestCores: totals.largestMachineCores}
+	totals := l.CurrentMachineTotals()
+	return recovery.View{RecordsRead: l.recordsLoaded, InventoryIncomplete: l.InventoryIncomplete(),
+		Machines: len(l.Machines), Unreconciled: totals.UnreconciledMachines,
+		Cores: totals.TotalCores, LargestCores: totals.LargestMachineCores}
 }
 
 // mismatchTotal is the number of mismatches of all kinds. Tasks that are as stored don't count.
@@ -74,9 +76,9 @@
 // noteUnresponsiveMachines counts, at the end of the collecting phase, the machines that have not
 // sent a heartbeat.
 func (l *leader) noteUnresponsiveMachines() {
-	for _, m := range l.machinesByName() {
-		if !m.reconciled && m.lastHeartbeat == clock.Never {
-			l.noteMismatch(recovery.MachineUnresponsive, m.name, "")
+	for _, m := range l.MachinesByName() {
+		if !m.Reconciled && m.LastHeartbeat == clock.Never {
+			l.noteMismatch(recovery.MachineUnresponsive, m.Name, "")
 		}
 	}
 }
@@ -84,9 +86,9 @@
 // noteJobsNotRunning counts, once all machines are reconciled, the jobs of earlier leaders that no
 // worker reports a task of.
 func (l *leader) noteJobsNotRunning() {
-	for _, j := range l.jobsByAge() {
-		if j.recordVersion <= l.writer.LeaderRevision && len(j.attempts) == 0 && j.pendingTasks > 0 {
-			l.noteMismatch(recovery.JobNotRunning, "", j.spec.ID)
+	for _, j := range l.JobsByAge() {
+		if j.RecordVersion <= l.writer.LeaderRevision && len(j.Attempts) == 0 && j.PendingTasks > 0 {
+			l.noteMismatch(recovery.JobNotRunning, "", j.Spec.ID)
 		}
 	}
 }
@@ -96,7 +98,7 @@
 // machines, on which all controllers ended six times while their workers were cut off, delaying
 // rentals reduced the jobs completed in time by a third.
 func (l *leader) limitedByRecovery() bool {
-	return l.node.settings.PacedRecovery && !l.recovery.Completed() && len(l.machines) >= l.node.settings.RecoveryMinMachines
+	return l.node.settings.PacedRecovery && !l.recovery.Completed() && len(l.Machines) >= l.node.settings.RecoveryMinMachines
 }
 
 // mayScaleOut reports whether machines may be rented.
@@ -123,11 +125,11 @@
 }
 
 // urgencyOf is the urgency of operations on a job's tasks.
-func urgencyOf(job *job) recovery.Urgency {
+func urgencyOf(job *cluster.Job) recovery.Urgency {
 	switch {
-	case job.terminal:
+	case job.Terminal:
 		return recovery.CancelledWork
-	case job.effectiveRank() <= rankLatencySensitive:
+	case job.EffectiveRank() <= rankLatencySensitive:
 		return recovery.LatencySensitive
 	default:
 		return recovery.OrdinaryWork
@@ -140,31 +142,31 @@
 const startsPerResponseDivisor = 4
 
 // mayStartTask reports whether a response that starts some tasks already may start one more.
-func (l *leader) mayStartTask(attempt *taskAttempt, startedCount int) bool {
+func (l *leader) mayStartTask(attempt *cluster.TaskAttempt, startedCount int) bool {
 	if !l.limitedByRecovery() {
 		return true
 	}
-	if maxStarts := max(1, int(attempt.machine.machineType.Cores/startsPerResponseDivisor)); startedCount >= maxStarts {
+	if maxStarts := max(1, int(attempt.Machine.MachineType.Cores/startsPerResponseDivisor)); startedCount >= maxStarts {
 		return false
 	}
-	return l.allowOperation(recovery.StartTask, urgencyOf(attempt.job), attempt.job.spec.Team)
+	return l.allowOperation(recovery.StartTask, urgencyOf(attempt.Job), attempt.Job.Spec.Team)
 }
 
 // mayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled.
 // An earlier leader can't have started a job that was accepted after the leader key was written,
 // nor one that depends on a job whose end this leader has written. Nor can a job be running there
 // that may use none of those machines.
-func (l *leader) mayRunUnreported(job *job, totals *machineTotals) bool {
-	if totals.allReconciled || job.recordVersion > l.writer.LeaderRevision || job.releasedThisTerm {
+func (l *leader) mayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
+	if totals.AllReconciled || job.RecordVersion > l.writer.LeaderRevision || job.ReleasedThisTerm {
 		return false
 	}
-	if totals.unreconciledTypeUnknown {
+	if totals.UnreconciledTypeUnknown {
 		return true
 	}
-	for option := range totals.unreconciledOptions {
+	for option := range totals.UnreconciledOptions {
 		// Only the constraints are checked: the sizes in the catalogue may have been different
 		// when an earlier leader placed the job.
-		if option.MatchesConstraints(&job.spec) {
+		if option.MatchesConstraints(&job.Spec) {
 			return true
 		}
 	}
@@ -176,47 +178,47 @@
 	protocol.TaskStatus
 	jobID   string
 	index   int
-	job     *job         // nil: the job is not open
-	attempt *taskAttempt // the attempt at this task on this machine, whatever its number; nil: none
+	job     *cluster.Job         // nil: the job is not open
+	attempt *cluster.TaskAttempt // the attempt at this task on this machine, whatever its number; nil: none
 }
 
 // isTracked reports whether this leader tracks the reported attempt on the machine.
-func (x *reportedTask) isTracked() bool { return x.attempt != nil && x.attempt.number == x.Attempt }
+func (x *reportedTask) isTracked() bool { return x.attempt != nil && x.attempt.Number == x.Attempt }
 
 // lookUpReportedTask looks up the state of a task that a machine reports.
-func (l *leader) lookUpReportedTask(machine *machine, report protocol.TaskStatus) *reportedTask {
-	task := &reportedTask{TaskStatus: report, attempt: machine.attempts[report.TaskID]}
+func (l *leader) lookUpReportedTask(machine *cluster.Machine, report protocol.TaskStatus) *reportedTask {
+	task := &reportedTask{TaskStatus: report, attempt: machine.Attempts[report.TaskID]}
 	var ok bool
-	task.jobID, task.index, ok = parseTaskKey(report.TaskID)
-	if j := l.jobs[task.jobID]; ok && j != nil && task.index < j.spec.TaskCount {
+	task.jobID, task.index, ok = cluster.ParseTaskKey(report.TaskID)
+	if j := l.Jobs[task.jobID]; ok && j != nil && task.index < j.Spec.TaskCount {
 		task.job = j
 	}
 	return task
 }
 
 // reportedTaskAction decides what to do with a reported task, and counts a mismatch if there is one.
-func (l *leader) reportedTaskAction(machine *machine, task *reportedTask, tokenAcknowledged bool) recovery.Action {
+func (l *leader) reportedTaskAction(machine *cluster.Machine, task *reportedTask, tokenAcknowledged bool) recovery.Action {
 	facts := recovery.ReportedTask{JobState: l.reconciliationJobState(task.jobID, task.job),
 		Exited: task.State == protocol.TaskExited, Completed: task.ExitReason == protocol.ExitDone,
 		Tracked: task.isTracked(), TokenAcknowledged: tokenAcknowledged}
 	if task.job != nil {
-		currentAttempt := task.job.attempts[task.index]
+		currentAttempt := task.job.Attempts[task.index]
 		facts.TrackedElsewhere = currentAttempt != nil && currentAttempt != task.attempt ||
 			task.attempt != nil && !facts.Tracked
-		facts.CompletionKnown = task.job.taskState(task.index) == taskDone
+		facts.CompletionKnown = task.job.TaskState(task.index) == cluster.TaskDone
 	}
 	action, kind, differs := recovery.ReconcileTask(facts)
 	if differs && (kind != recovery.JobNeverStored || l.node.terminalJobs.loaded) {
-		l.noteMismatch(kind, machine.name, task.TaskID)
+		l.noteMismatch(kind, machine.Name, task.TaskID)
 	}
 	return action
 }
 
 // reconciliationJobState is the state of a reported task's job, as the reconciliation needs it.
-func (l *leader) reconciliationJobState(jobID string, job *job) recovery.JobState {
+func (l *leader) reconciliationJobState(jobID string, job *cluster.Job) recovery.JobState {
 	_, isTerminal := l.node.terminalJobs.byID[jobID]
 	switch {
-	case job != nil && job.terminal || isTerminal || l.endedJobs[jobID]:
+	case job != nil && job.Terminal || isTerminal || l.EndedJobs[jobID]:
 		return recovery.JobStateTerminal
 	case l.quarantine.unreadableJobs[jobID]:
 		return recovery.JobStateQuarantined
@@ -229,17 +231,17 @@
 
 // mayStopUnexpectedTask reports whether a task that should not be running may be stopped now. One
 // whose job is terminal, or unknown, has the highest urgency.
-func (l *leader) mayStopUnexpectedTask(job *job) bool {
+func (l *leader) mayStopUnexpectedTask(job *cluster.Job) bool {
 	if job == nil {
 		return l.allowOperation(recovery.StopTask, recovery.CancelledWork, "")
 	}
-	return l.allowOperation(recovery.StopTask, urgencyOf(job), job.spec.Team)
+	return l.allowOperation(recovery.StopTask, urgencyOf(job), job.Spec.Team)
 }
 
 // noteOvercommitted counts a machine whose tasks use more cores than it has.
-func (l *leader) noteOvercommitted(machine *machine) {
-	if machine.machineType != nil && machine.usedCores > machine.machineType.Cores+resourceTolerance {
-		l.noteMismatch(recovery.MachineOvercommitted, machine.name, "")
+func (l *leader) noteOvercommitted(machine *cluster.Machine) {
+	if machine.MachineType != nil && machine.UsedCores > machine.MachineType.Cores+cluster.ResourceTolerance {
+		l.noteMismatch(recovery.MachineOvercommitted, machine.Name, "")
 	}
 }
 
@@ -254,7 +256,7 @@
 		status.LeaderName, status.Term = "", current.term
 		status.Recovery = current.recovery.Status(n.now)
 		status.Recovery.Term, status.Recovery.Paced = current.term,
-			n.settings.PacedRecovery && len(current.machines) >= n.settings.RecoveryMinMachines
+			n.settings.PacedRecovery && len(current.Machines) >= n.settings.RecoveryMinMachines
 		for _, record := range current.quarantine.recordsByKey() {
 			status.Quarantined = append(status.Quarantined, record.status())
 		}
@@ -300,8 +302,8 @@
 }
 
 // mayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
-func (l *leader) mayReturnUnresponsive(machine *machine, silence time.Duration) bool {
-	if machine.reconciled {
+func (l *leader) mayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
+	if machine.Reconciled {
 		return silence > l.node.workerLease()*6/10
 	}
 	return l.recovery.MayReturnUnresponsive(silence)
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/protocol"
 )
 
@@ -42,31 +44,31 @@
 	cost := func(machines, tasks int) int {
 		w, n := busyLeader(t, machines, tasks)
 		l, now := n.leader, w.now-n.boot
-		l.guaranteedStartWithin = 10 * time.Second
+		l.GuaranteedStartWithin = 10 * time.Second
 		for i, r := range l.pendingOrder {
-			r.job.eligibleAt, r.job.spec.Image, r.job.spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
+			r.job.EligibleAt, r.job.Spec.Image, r.job.Spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
 			if i < len(l.pendingOrder)/2 {
-				r.job.spec.MemoryGB = 15 // no room on any machine, but each is asked
+				r.job.Spec.MemoryGB = 15 // no room on any machine, but each is asked
 			}
-			l.slos[r.job.spec.Class] = []slo{{limit: 10 * time.Second, onStart: true}}
+			l.Slos[r.job.Spec.Class] = []cluster.Slo{{Limit: 10 * time.Second, OnStart: true}}
 		}
-		at := l.candidatesExamined
-		for i, m := range l.machinesByName()[:21] {
-			rep := w.workers[m.name].report()
+		at := l.CandidatesExamined
+		for i, m := range l.MachinesByName()[:21] {
+			rep := w.workers[m.Name].report()
 			if i%2 == 0 { // a task has ended
 				rep.Tasks[0].State, rep.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
 			}
-			rep.Sequence = m.heartbeatSeq + 1
+			rep.Sequence = m.HeartbeatSeq + 1
 			n.election.leaseValidUntil = now + time.Hour
 			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
-			if m.heartbeatSeq != rep.Sequence {
+			if m.HeartbeatSeq != rep.Sequence {
 				t.Fatal("a report was not taken")
 			}
 			if i == 0 {
-				at = l.candidatesExamined // the first one after a pass looks for the images
+				at = l.CandidatesExamined // the first one after a pass looks for the images
 			}
 		}
-		return l.candidatesExamined - at
+		return l.CandidatesExamined - at
 	}
 	small, large := cost(24, 20), cost(96, 80)
 	if small == 0 || large > small*5/4 {
@@ -78,16 +80,16 @@
 // work, so it must not grow with machines x tasks.
 func BenchmarkReport(b *testing.B) {
 	w, l := busy(b)
-	m := l.leader.machines["m-000001"]
+	m := l.leader.Machines["m-000001"]
 	rep := w.workers["m-000001"].report()
 	now := w.now - l.boot
 	for i := 0; b.Loop(); i++ {
 		// The clock stands still but for the leader's heartbeat and lease.
-		rep.Sequence = m.heartbeatSeq + 1
+		rep.Sequence = m.HeartbeatSeq + 1
 		l.election.leaseValidUntil = now + time.Hour
 		l.Step(now, []any{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 	}
-	if m.heartbeatSeq != rep.Sequence {
+	if m.HeartbeatSeq != rep.Sequence {
 		b.Fatal("the reports were not taken")
 	}
 }
@@ -97,10 +99,10 @@
 func BenchmarkPass(b *testing.B) {
 	_, l := busy(b)
 	for b.Loop() {
-		for i, m := range l.leader.machinesByName() {
+		for i, m := range l.leader.MachinesByName() {
 			if i%10 == 0 {
-				for _, r := range m.attemptsInOrder {
-					l.leader.releaseAttempt(r)
+				for _, r := range m.AttemptsInOrder {
+					l.leader.ReleaseAttempt(r)
 				}
 			}
 		}
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/ratelimit"
 
 	"hitchdoor/internal/clock"
@@ -152,7 +154,7 @@
 // job after that. A job loaded without its dependencies would start at once.
 func (l *leader) readDependencies(job storage.Item, records int) {
 	id := strings.TrimPrefix(job.Key, storage.JobPrefix)
-	if l.jobs[id] != nil || l.loadingDependencies[id] || l.quarantine.unreadableJobs[id] {
+	if l.Jobs[id] != nil || l.loadingDependencies[id] || l.quarantine.unreadableJobs[id] {
 		return
 	}
 	if l.dependencyReadCount[id]++; l.dependencyReadCount[id] > maxDependencyReads {
@@ -181,7 +183,7 @@
 func (l *leader) dropStaleDependencies() {
 	for _, id := range slices.Sorted(maps.Keys(l.dependencyRecords)) {
 		for _, item := range l.dependencyRecords[id] {
-			if l.jobs[id] == nil && !l.loadingDependencies[id] && !l.quarantine.unreadableJobs[id] {
+			if l.Jobs[id] == nil && !l.loadingDependencies[id] && !l.quarantine.unreadableJobs[id] {
 				l.dropStoredKey(item.Key)
 			}
 		}
@@ -202,7 +204,7 @@
 			l.deferredBitmaps[id] = append(l.deferredBitmaps[id], item)
 			continue
 		}
-		j := l.jobs[id]
+		j := l.Jobs[id]
 		if j == nil {
 			l.dropStoredKey(item.Key)
 			continue
@@ -212,18 +214,18 @@
 			l.quarantineJob(j, item, err)
 			continue
 		}
-		if firstTask >= j.spec.TaskCount {
+		if firstTask >= j.Spec.TaskCount {
 			l.dropStoredKey(item.Key)
 			continue
 		}
-		partIndex := slices.IndexFunc(j.bitmapParts, func(p *bitmapPart) bool { return p.key == item.Key })
+		partIndex := slices.IndexFunc(j.BitmapParts, func(p *cluster.BitmapPart) bool { return p.Key == item.Key })
 		if partIndex >= 0 {
-			j.bitmapParts[partIndex].storedBits = bits
+			j.BitmapParts[partIndex].StoredBits = bits
 		}
 		for i := range bits {
 			for bit := 0; bit < 8; bit++ {
 				index := firstTask + i*8 + bit
-				if bits[i]&(1<<bit) != 0 && index < j.spec.TaskCount {
+				if bits[i]&(1<<bit) != 0 && index < j.Spec.TaskCount {
 					l.markTaskDone(j, index)
 				}
 			}
@@ -256,18 +258,18 @@
 		l.writer.SetModRevision(item.Key, item.ModRevision)
 		group := l.newMachineGroup(item.Key)
 		for name, entry := range record {
-			m := l.machines[name]
+			m := l.Machines[name]
 			if m == nil {
 				m = l.addStoredMachine(name, entry)
-			} else if m.group != nil {
+			} else if m.Group != nil {
 				// An earlier leader stopped while moving it between groups.
-				l.removeFromGroup(m.group, m)
-				l.storeMachineGroup(m.group, false)
+				l.removeFromGroup(m.Group, m)
+				l.storeMachineGroup(m.Group, false)
 			}
-			m.useDurable = m.useDurable || entry.Used
-			m.markedUsed, m.reconciled = m.useDurable, !m.useDurable
+			m.UseDurable = m.UseDurable || entry.Used
+			m.MarkedUsed, m.Reconciled = m.UseDurable, !m.UseDurable
 			l.addToGroup(group, m)
-			if !entry.Used && m.useDurable {
+			if !entry.Used && m.UseDurable {
 				l.storeMachineGroup(group, true) // before the other group's record, which has the mark, is deleted
 			}
 		}
@@ -285,14 +287,14 @@
 		record[name] = storage.MachineRecord{Used: true, RentedAtMillis: l.node.nowUnixMilli()}
 	}
 	for _, name := range slices.Sorted(maps.Keys(record)) {
-		m := l.machines[name]
+		m := l.Machines[name]
 		if m == nil {
 			m = l.addStoredMachine(name, record[name])
 		}
-		m.useDurable = m.useDurable || record[name].Used
-		m.reconciled = m.reconciled && !record[name].Used
-		if m.typeName != "" {
-			l.recordMachine(m, m.useDurable)
+		m.UseDurable = m.UseDurable || record[name].Used
+		m.Reconciled = m.Reconciled && !record[name].Used
+		if m.TypeName != "" {
+			l.recordMachine(m, m.UseDurable)
 		}
 	}
 }
@@ -305,17 +307,17 @@
 		name := strings.TrimPrefix(item.Key, storage.SingleMachinePrefix)
 		if err := json.Unmarshal(item.Value, &record); err != nil {
 			l.quarantineRecord(item, err)
-			if l.machines[name] == nil {
+			if l.Machines[name] == nil {
 				l.addStoredMachine(name, storage.MachineRecord{Used: true, RentedAtMillis: l.node.nowUnixMilli()})
 			}
 			continue
 		}
 		l.writer.SetModRevision(item.Key, item.ModRevision)
-		m := l.machines[name]
+		m := l.Machines[name]
 		if m == nil {
 			m = l.addStoredMachine(name, record)
 		}
-		m.reconciled = m.reconciled && !record.Used
+		m.Reconciled = m.Reconciled && !record.Used
 		l.recordMachine(m, record.Used)
 		l.dropStoredKey(item.Key)
 	}
@@ -323,10 +325,10 @@
 
 // addStoredMachine adds a machine from its stored record. A machine that was used by an earlier
 // leader is not reconciled yet.
-func (l *leader) addStoredMachine(name string, record storage.MachineRecord) *machine {
-	m := l.newMachine(name, record.Type, record.Zone, record.Spot)
-	m.reconciled = !record.Used
-	m.rentedAt = min(l.node.instantFromUnixMilli(record.RentedAtMillis), l.node.now)
+func (l *leader) addStoredMachine(name string, record storage.MachineRecord) *cluster.Machine {
+	m := l.NewMachine(name, record.Type, record.Zone, record.Spot)
+	m.Reconciled = !record.Used
+	m.RentedAt = min(l.node.instantFromUnixMilli(record.RentedAtMillis), l.node.now)
 	return m
 }
 
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"hitchdoor/internal/config"
@@ -15,7 +17,7 @@
 type machineRecords struct {
 	storedCatalogShape string // machine types last stored, without prices
 
-	unknownMachines []*machineGroup
+	unknownMachines []*cluster.MachineGroup
 	maxGroupBytes   int // size limit of a group's record
 	minGroupNumber  int // lowest number for a new group
 }
@@ -27,31 +29,31 @@
 
 // addRentedMachine adds a machine that this leader rented. It needs no reconciliation, as no
 // earlier leader placed tasks on it.
-func (l *leader) addRentedMachine(name, typeName, zone string, spot bool, rentedAt clock.Instant) *machine {
-	m := l.newMachine(name, typeName, zone, spot)
-	m.reconciled, m.rentedAt = true, rentedAt
+func (l *leader) addRentedMachine(name, typeName, zone string, spot bool, rentedAt clock.Instant) *cluster.Machine {
+	m := l.NewMachine(name, typeName, zone, spot)
+	m.Reconciled, m.RentedAt = true, rentedAt
 	l.recordMachine(m, false)
 	return m
 }
 
 // addListedMachine adds a machine that the cloud lists and no record names. No leader placed
 // tasks on it, unless machine records are unreadable and the inventory is therefore incomplete.
-func (l *leader) addListedMachine(host protocol.Host) *machine {
+func (l *leader) addListedMachine(host protocol.Host) *cluster.Machine {
 	m := l.addRentedMachine(host.Name, host.Type, host.Zone, host.Spot, l.node.now-config.Seconds(max(host.RentedSeconds, 0)))
-	m.reconciled = !l.inventoryIncomplete()
+	m.Reconciled = !l.InventoryIncomplete()
 	return m
 }
 
 // applyMachineTypes updates the machines after a change of the machine type catalog.
 func (l *leader) applyMachineTypes() {
-	l.catalog = l.node.catalog
-	for _, m := range l.machines {
-		if machineType := l.node.catalog[m.typeName]; machineType != nil {
-			m.machineType = machineType
+	l.Catalog = l.node.catalog
+	for _, m := range l.Machines {
+		if machineType := l.node.catalog[m.TypeName]; machineType != nil {
+			m.MachineType = machineType
 		}
 	}
-	l.invalidateMachineIndex()
-	l.schedulingNeeded = true
+	l.InvalidateMachineIndex()
+	l.SchedulingNeeded = true
 	l.storeCatalog()
 }
 
@@ -79,51 +81,51 @@
 }
 
 // recordMachine makes the machine durable by name, and as used before its first task.
-func (l *leader) recordMachine(m *machine, used bool) {
-	if m.group != nil && (m.markedUsed || !used) {
+func (l *leader) recordMachine(m *cluster.Machine, used bool) {
+	if m.Group != nil && (m.MarkedUsed || !used) {
 		return
 	}
-	m.markedUsed = used
-	if m.group == nil {
+	m.MarkedUsed = used
+	if m.Group == nil {
 		l.addToGroup(l.groupWithRoom(l.machineRecordBytes(m)), m)
 	}
-	l.storeMachineGroup(m.group, true)
+	l.storeMachineGroup(m.Group, true)
 }
 
 // machineRecord returns the machine's entry in the record of its group.
-func (l *leader) machineRecord(m *machine) storage.MachineRecord {
-	return storage.MachineRecord{Type: m.typeName, Zone: m.zone, Spot: m.spot, Used: m.markedUsed,
-		RentedAtMillis: l.node.startTime.Add(m.rentedAt).UnixMilli()}
+func (l *leader) machineRecord(m *cluster.Machine) storage.MachineRecord {
+	return storage.MachineRecord{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot, Used: m.MarkedUsed,
+		RentedAtMillis: l.node.startTime.Add(m.RentedAt).UnixMilli()}
 }
 
 // machineRecordBytes returns the encoded size of the machine's entry.
-func (l *leader) machineRecordBytes(m *machine) int {
-	return storage.MachineEntryBytes(m.name, l.machineRecord(m))
+func (l *leader) machineRecordBytes(m *cluster.Machine) int {
+	return storage.MachineEntryBytes(m.Name, l.machineRecord(m))
 }
 
 // addMachine adds a machine to the group.
-func (l *leader) addToGroup(g *machineGroup, m *machine) {
-	m.group = g
-	g.machines[m.name] = m
-	g.recordBytes += l.machineRecordBytes(m)
+func (l *leader) addToGroup(g *cluster.MachineGroup, m *cluster.Machine) {
+	m.Group = g
+	g.Machines[m.Name] = m
+	g.RecordBytes += l.machineRecordBytes(m)
 }
 
 // removeMachine removes a machine from the group.
-func (l *leader) removeFromGroup(g *machineGroup, m *machine) {
-	delete(g.machines, m.name)
-	g.recordBytes -= l.machineRecordBytes(m)
+func (l *leader) removeFromGroup(g *cluster.MachineGroup, m *cluster.Machine) {
+	delete(g.Machines, m.Name)
+	g.RecordBytes -= l.machineRecordBytes(m)
 }
 
 // groupWithRoom returns a group that has room for an entry of the given size, or a new group.
-func (l *leader) groupWithRoom(recordBytes int) *machineGroup {
+func (l *leader) groupWithRoom(recordBytes int) *cluster.MachineGroup {
 	for _, g := range l.unknownMachines {
-		if g.recordBytes+recordBytes <= l.maxGroupBytes {
+		if g.RecordBytes+recordBytes <= l.maxGroupBytes {
 			return g
 		}
 	}
 	usedKeys := map[string]bool{}
 	for _, g := range l.unknownMachines {
-		usedKeys[g.key] = true
+		usedKeys[g.Key] = true
 	}
 	for i := l.minGroupNumber; ; i++ {
 		if key := storage.MachineGroupKey(i); !usedKeys[key] && !l.quarantine.contains(key) {
@@ -138,20 +140,20 @@
 // records hold a machine; level 0 uses the entry that it reads last, so the new groups get later
 // keys.
 func (l *leader) splitOversizedGroups() {
-	oversized := slices.DeleteFunc(slices.Clone(l.unknownMachines), func(g *machineGroup) bool {
-		return g.recordBytes <= l.maxGroupBytes || len(g.machines) < 2
+	oversized := slices.DeleteFunc(slices.Clone(l.unknownMachines), func(g *cluster.MachineGroup) bool {
+		return g.RecordBytes <= l.maxGroupBytes || len(g.Machines) < 2
 	})
 	if len(oversized) == 0 {
 		return
 	}
 	for _, g := range l.unknownMachines {
-		l.minGroupNumber = max(l.minGroupNumber, storage.MachineGroupNumber(g.key)+1)
+		l.minGroupNumber = max(l.minGroupNumber, storage.MachineGroupNumber(g.Key)+1)
 	}
-	kept := slices.DeleteFunc(l.unknownMachines, func(g *machineGroup) bool { return slices.Contains(oversized, g) })
+	kept := slices.DeleteFunc(l.unknownMachines, func(g *cluster.MachineGroup) bool { return slices.Contains(oversized, g) })
 	l.unknownMachines = nil // so that the machines are assigned to new groups
 	for _, oversizedGroup := range oversized {
-		for _, name := range slices.Sorted(maps.Keys(oversizedGroup.machines)) {
-			m := oversizedGroup.machines[name]
+		for _, name := range slices.Sorted(maps.Keys(oversizedGroup.Machines)) {
+			m := oversizedGroup.Machines[name]
 			l.addToGroup(l.groupWithRoom(l.machineRecordBytes(m)), m)
 		}
 	}
@@ -159,15 +161,15 @@
 		l.storeMachineGroup(g, true)
 	}
 	for _, oversizedGroup := range oversized {
-		oversizedGroup.machines = nil
-		l.dropStoredKey(oversizedGroup.key)
+		oversizedGroup.Machines = nil
+		l.dropStoredKey(oversizedGroup.Key)
 	}
 	l.unknownMachines = append(kept, l.unknownMachines...)
 }
 
 // newMachineGroup adds an empty group with the given key.
-func (l *leader) newMachineGroup(key string) *machineGroup {
-	g := &machineGroup{key: key, machines: map[string]*machine{}}
+func (l *leader) newMachineGroup(key string) *cluster.MachineGroup {
+	g := &cluster.MachineGroup{Key: key, Machines: map[string]*cluster.Machine{}}
 	l.unknownMachines = append(l.unknownMachines, g)
 	return g
 }
@@ -175,43 +177,43 @@
 // storeMachineGroup queues the write of a group, with the contents it has when the write is
 // formed. Removed machines can wait for that; new or newly used ones get a higher priority
 // (soon).
-func (l *leader) storeMachineGroup(g *machineGroup, soon bool) {
-	g.changedSinceWrite = true
-	if g.soonWriteQueued || (g.lazyWriteQueued && !soon) {
+func (l *leader) storeMachineGroup(g *cluster.MachineGroup, soon bool) {
+	g.ChangedSinceWrite = true
+	if g.SoonWriteQueued || (g.LazyWriteQueued && !soon) {
 		return
 	}
-	writeQueued, priority := &g.lazyWriteQueued, storage.PriorityLow
+	writeQueued, priority := &g.LazyWriteQueued, storage.PriorityLow
 	if soon {
-		writeQueued, priority = &g.soonWriteQueued, storage.PriorityNormal
+		writeQueued, priority = &g.SoonWriteQueued, storage.PriorityNormal
 	}
 	*writeQueued = true
-	var used []*machine
+	var used []*cluster.Machine
 	l.writer.Enqueue(priority, storage.Change{
 		BuildWrites: func() []storage.Write {
 			used = used[:0]
 			switch {
-			case !g.changedSinceWrite || (len(g.machines) == 0 && l.writer.ModRevision(g.key) == 0):
+			case !g.ChangedSinceWrite || (len(g.Machines) == 0 && l.writer.ModRevision(g.Key) == 0):
 				*writeQueued = false
 				return nil
-			case len(g.machines) == 0:
-				return []storage.Write{storage.Delete(g.key)}
+			case len(g.Machines) == 0:
+				return []storage.Write{storage.Delete(g.Key)}
 			}
-			record := make(storage.MachineGroupRecord, len(g.machines))
-			for name, m := range g.machines {
+			record := make(storage.MachineGroupRecord, len(g.Machines))
+			for name, m := range g.Machines {
 				record[name] = l.machineRecord(m)
-				if m.markedUsed {
+				if m.MarkedUsed {
 					used = append(used, m)
 				}
 			}
-			return []storage.Write{storage.Put(g.key, record)}
+			return []storage.Write{storage.Put(g.Key, record)}
 		},
-		OnSent: func() { *writeQueued, g.changedSinceWrite = false, false },
+		OnSent: func() { *writeQueued, g.ChangedSinceWrite = false, false },
 		OnRejected: func(alone bool) {
 			if alone {
-				l.maxGroupBytes = max(1, min(l.maxGroupBytes, g.recordBytes)/2)
+				l.maxGroupBytes = max(1, min(l.maxGroupBytes, g.RecordBytes)/2)
 				l.splitOversizedGroups()
-				if len(g.machines) > 0 {
-					l.node.log.Error("machine record rejected by key-value store", "group", g.key)
+				if len(g.Machines) > 0 {
+					l.node.log.Error("machine record rejected by key-value store", "group", g.Key)
 				}
 				return
 			}
@@ -219,8 +221,8 @@
 		},
 		OnApplied: func() {
 			for _, m := range used {
-				if !m.useDurable {
-					m.useDurable, l.schedulingNeeded = true, true
+				if !m.UseDurable {
+					m.UseDurable, l.SchedulingNeeded = true, true
 				}
 			}
 		},
@@ -228,9 +230,9 @@
 }
 
 // removeMachine removes a machine that is certain to be gone, with all its attempts.
-func (l *leader) removeMachine(m *machine) {
-	l.deleteMachine(m)
-	if g := m.group; g != nil {
+func (l *leader) removeMachine(m *cluster.Machine) {
+	l.DeleteMachine(m)
+	if g := m.Group; g != nil {
 		l.removeFromGroup(g, m)
 		l.storeMachineGroup(g, false)
 	}
--- a/internal/controller/outside_faults_test.go
+++ b/internal/controller/outside_faults_test.go
@@ -153,7 +153,7 @@
 				return // it may be that nothing has changed: only its own lease tells
 			}
 			w.submit(w.followers()[0], spec("j-1", 1))
-			if !w.until(20*time.Second, func() bool { return l.leader.jobs["j-1"] != nil || w.final("j-1") != "" }) {
+			if !w.until(20*time.Second, func() bool { return l.leader.Jobs["j-1"] != nil || w.final("j-1") != "" }) {
 				t.Error("a job that another node wrote is not found")
 			}
 		})
@@ -271,7 +271,7 @@
 			}
 			w.waitState("j-1", protocol.JobDone, 2*time.Minute)
 			w.startedOnce()
-			for name := range l.leader.machines {
+			for name := range l.leader.Machines {
 				if name == "" {
 					t.Error("a machine without a name is held")
 				}
@@ -293,7 +293,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, l := running(t, 1, 30*time.Second, 2, 8)
-			l.leader.removedMachines["m-000050"] = w.now
+			l.leader.RemovedMachines["m-000050"] = w.now
 			w.mangle = func(_ string, call ServiceCall, r CallResult) CallResult {
 				if call.Path == "/hosts" && r.Status == 200 {
 					return CallResult{ID: r.ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: machines})}
@@ -336,9 +336,9 @@
 	}
 	w.startedOnce()
 	delete(w.workers, x.name)
-	w.run(l.leader.workerLeaseTimeout() + time.Second)
-	if m := l.leader.machines[x.name]; m != nil && m.address != "" {
-		t.Errorf("the name still belongs to %s", m.address)
+	w.run(l.leader.WorkerLeaseTimeout() + time.Second)
+	if m := l.leader.Machines[x.name]; m != nil && m.Address != "" {
+		t.Errorf("the name still belongs to %s", m.Address)
 	}
 }
 
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -48,11 +48,11 @@
 	if _, s := w.query(other, "j-c"); s.State != protocol.JobQueued {
 		t.Errorf("a job that waits is called %q", s.State)
 	}
-	if l.leader.runnableJobs["j-b"] != nil || len(l.leader.buildQueue()) > 1 {
+	if l.leader.RunnableJobs["j-b"] != nil || len(l.leader.buildQueue()) > 1 {
 		t.Error("a job that waits for another takes part in the passes")
 	}
 	w.waitState("j-c", protocol.JobDone, time.Minute)
-	if n := len(l.leader.dependents) + len(l.leader.dependencyLookups) + len(l.leader.runnableJobs); n != 0 {
+	if n := len(l.leader.Dependents) + len(l.leader.dependencyLookups) + len(l.leader.RunnableJobs); n != 0 {
 		t.Errorf("%d entries are left of jobs that are over", n)
 	}
 	// One that is submitted when all is over begins at once, and one that repeats a
@@ -187,7 +187,7 @@
 		if n := len(w.state.keys[storage.JobKey(id)].Value); n > 1024 || n == 0 {
 			t.Errorf("the record of %s has %d bytes", id, n)
 		}
-		if j := l.leader.jobs[id]; j == nil || len(j.spec.Dependencies) != 200 {
+		if j := l.leader.Jobs[id]; j == nil || len(j.Spec.Dependencies) != 200 {
 			t.Errorf("%s is known as %+v", id, j)
 		}
 	}
@@ -352,20 +352,20 @@
 	deadline := 120.0
 	last.DeadlineSeconds, last.Priority = &deadline, "urgent"
 	w.accept(n.name, last)
-	a, b, s, z := l.jobs["j-a"], l.jobs["j-b"], l.jobs["j-s"], l.jobs["j-z"]
-	end := z.acceptedAt + 120*time.Second
-	if want := end - l.expectedJobDuration(z, l.imagePullRate()); l.due(b) != want || l.due(s) != want {
-		t.Errorf("b is due at %v, s at %v, not %v", l.due(b), l.due(s), want)
+	a, b, s, z := l.Jobs["j-a"], l.Jobs["j-b"], l.Jobs["j-s"], l.Jobs["j-z"]
+	end := z.AcceptedAt + 120*time.Second
+	if want := end - l.expectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want || l.Due(s) != want {
+		t.Errorf("b is due at %v, s at %v, not %v", l.Due(b), l.Due(s), want)
 	}
-	if want := end - l.expectedJobDuration(z, l.imagePullRate()) - l.expectedJobDuration(s, l.imagePullRate()); l.due(a) != want {
-		t.Errorf("a is due at %v, not %v: the longest way counts", l.due(a), want)
+	if want := end - l.expectedJobDuration(z, l.ImagePullRate()) - l.expectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
+		t.Errorf("a is due at %v, not %v: the longest way counts", l.Due(a), want)
 	}
-	if a.effectiveRank() != 1 || b.effectiveRank() != 1 || a.spec.PriorityRank() != 2 {
-		t.Errorf("ranks %d and %d", a.effectiveRank(), b.effectiveRank())
+	if a.EffectiveRank() != 1 || b.EffectiveRank() != 1 || a.Spec.PriorityRank() != 2 {
+		t.Errorf("ranks %d and %d", a.EffectiveRank(), b.EffectiveRank())
 	}
 	w.cancel(n.name, "j-z")
-	if a.effectiveRank() != 2 || a.latestEnd != clock.Forever {
-		t.Errorf("rank %d, end by %v, though nothing needs it in time", a.effectiveRank(), a.latestEnd)
+	if a.EffectiveRank() != 2 || a.LatestEnd != clock.Forever {
+		t.Errorf("rank %d, end by %v, though nothing needs it in time", a.EffectiveRank(), a.LatestEnd)
 	}
 }
 
@@ -386,12 +386,12 @@
 	w.crash(l.name)
 	l = w.waitLeader()
 	w.until(20*time.Second, func() bool { return w.onMachines("j-b") == 1 })
-	b := l.leader.jobs["j-b"]
-	if from := b.eligibleAt + l.boot; from < ended-time.Second || from > ended+time.Second {
+	b := l.leader.Jobs["j-b"]
+	if from := b.EligibleAt + l.boot; from < ended-time.Second || from > ended+time.Second {
 		t.Errorf("its times count from %v, not %v", from, ended)
 	}
-	if b.acceptedAt+l.boot > 20*time.Second {
-		t.Errorf("accepted at %v", b.acceptedAt+l.boot)
+	if b.AcceptedAt+l.boot > 20*time.Second {
+		t.Errorf("accepted at %v", b.AcceptedAt+l.boot)
 	}
 }
 
@@ -413,7 +413,7 @@
 		t.Errorf("%v cores are planned for work that waits, %v without it", got, alone)
 	}
 	w.run(56 * time.Second) // a machine boots in 5 s
-	due := n.leader.dueFrom(n.leader.jobs["j-b"], n.now) - n.now
+	due := n.leader.DueFrom(n.leader.Jobs["j-b"], n.now) - n.now
 	if got, want := f.requiredCores(1000), 200*5/due.Seconds(); got < want || got > 2*want {
 		t.Errorf("%v cores are planned for the next stage, not %v", got, want)
 	}
@@ -458,15 +458,15 @@
 	w.accept(n.name, spec("j-0", 1))
 	w.until(20*time.Second, func() bool { return w.onMachines("j-0") == 1 })
 	cost := func() int {
-		at := n.leader.candidatesExamined
+		at := n.leader.CandidatesExamined
 		w.run(15 * time.Second)
-		return n.leader.candidatesExamined - at
+		return n.leader.CandidatesExamined - at
 	}
 	before := cost()
 	for i := 1; i < 200; i++ {
 		w.accept(n.name, after(fmt.Sprintf("j-%d", i), 50, fmt.Sprintf("j-%d", i/2)))
 	}
-	if got := cost(); got > before+before/4 || len(n.leader.jobsByAge()) != 1 {
-		t.Errorf("looked at %d with 200 jobs that wait, %d without; %d are served", got, before, len(n.leader.jobsByAge()))
+	if got := cost(); got > before+before/4 || len(n.leader.JobsByAge()) != 1 {
+		t.Errorf("looked at %d with 200 jobs that wait, %d without; %d are served", got, before, len(n.leader.JobsByAge()))
 	}
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -5,6 +5,8 @@
 	"container/heap"
 	"math"
 	"slices"
+
+	"hitchdoor/internal/cluster"
 )
 
 // candidateHeap is a heap of the machines on which tasks of a job may start now, best first: by
@@ -12,7 +14,7 @@
 // once for all tasks of the job; scoring them for each task would cost machines x tasks.
 type candidateHeap struct {
 	scheduler *scheduler
-	job       *job
+	job       *cluster.Job
 	entries   []candidate // in heap order
 
 	slowFetchExcluded bool // machines with a long image fetch are excluded
@@ -20,7 +22,7 @@
 
 // candidate is a feasible machine with its score; lower values are better.
 type candidate struct {
-	machine                *machine
+	machine                *cluster.Machine
 	drainPenalty, loadStep int
 	fetchSeconds, load     float64
 }
@@ -35,7 +37,7 @@
 func (c *candidateHeap) Less(i, j int) bool {
 	a, b := &c.entries[i], &c.entries[j]
 	return cmp.Or(cmp.Compare(a.drainPenalty, b.drainPenalty), cmp.Compare(a.loadStep, b.loadStep), cmp.Compare(a.fetchSeconds, b.fetchSeconds),
-		cmp.Compare(a.load, b.load), cmp.Compare(a.machine.name, b.machine.name)) < 0
+		cmp.Compare(a.load, b.load), cmp.Compare(a.machine.Name, b.machine.Name)) < 0
 }
 
 func (c *candidateHeap) Pop() any {
@@ -46,7 +48,7 @@
 
 // findCandidates filters and scores the machines for a job. Unless mayFetch is set, only machines
 // that have the job's image qualify.
-func (s *scheduler) findCandidates(j *job, machines []*machine, mayFetch bool) *candidateHeap {
+func (s *scheduler) findCandidates(j *cluster.Job, machines []*cluster.Machine, mayFetch bool) *candidateHeap {
 	candidates := &candidateHeap{scheduler: s, job: j}
 	maxFetch := math.Inf(1)
 	if mayFetch {
@@ -54,14 +56,14 @@
 		candidates.slowFetchExcluded = !math.IsInf(maxFetch, 1)
 	}
 	// Faulty machines are idle, so the score alone would choose them again and again.
-	avoidFailedMachines := j.failsEverywhere && s.clock.Now() < j.nextProbeAt+3*s.heartbeatInterval()
+	avoidFailedMachines := j.FailsEverywhere && s.Clock.Now() < j.NextProbeAt+3*s.HeartbeatInterval()
 	for _, m := range machines {
-		s.candidatesExamined++
-		if avoidFailedMachines && j.failedMachines[m.name] {
+		s.CandidatesExamined++
+		if avoidFailedMachines && j.FailedMachines[m.Name] {
 			continue
 		}
-		if (m.schedulable() || m.isLastResort() && s.mayUseLastResort(j)) && s.fitsBesideReservation(j, m) && feasible(&j.spec, m) &&
-			(m.hasImage(j.spec.Image) || (mayFetch && j.spec.ImageGB/m.machineType.PullGBPerSecond <= maxFetch)) {
+		if (m.Schedulable() || m.IsLastResort() && s.mayUseLastResort(j)) && s.fitsBesideReservation(j, m) && cluster.Feasible(&j.Spec, m) &&
+			(m.HasImage(j.Spec.Image) || (mayFetch && j.Spec.ImageGB/m.MachineType.PullGBPerSecond <= maxFetch)) {
 			candidates.entries = append(candidates.entries, candidates.score(m))
 		}
 	}
@@ -73,24 +75,24 @@
 // objective of seconds waits for a machine that has the image, if there is one, because a long
 // fetch elsewhere would miss the objective for certain; but it waits only for imageWaitPercent of
 // that objective.
-func (s *scheduler) maxFetchSeconds(j *job) float64 {
-	limit := s.startSLO(j)
-	if limit == 0 || !s.tooSoonToScaleOut(limit) || s.clock.Now() > j.eligibleAt+limit*imageWaitPercent/100 {
+func (s *scheduler) maxFetchSeconds(j *cluster.Job) float64 {
+	limit := s.StartSLO(j)
+	if limit == 0 || !s.TooSoonToScaleOut(limit) || s.Clock.Now() > j.EligibleAt+limit*imageWaitPercent/100 {
 		return math.Inf(1)
 	}
-	if j.imageCheckedAt != s.lastPass {
+	if j.ImageCheckedAt != s.lastPass {
 		// Once per full pass: scanning all machines on each heartbeat would cost machines x jobs.
-		j.imageCheckedAt, j.imageAvailable = s.lastPass, false
-		for _, m := range s.machinesByName() {
-			s.candidatesExamined++
-			if m.schedulable() && m.hasImage(j.spec.Image) && feasible(&j.spec, m) {
-				j.imageAvailable = true
+		j.ImageCheckedAt, j.ImageAvailable = s.lastPass, false
+		for _, m := range s.MachinesByName() {
+			s.CandidatesExamined++
+			if m.Schedulable() && m.HasImage(j.Spec.Image) && cluster.Feasible(&j.Spec, m) {
+				j.ImageAvailable = true
 				break
 			}
 		}
 	}
-	if j.imageAvailable {
-		return (j.eligibleAt + limit - s.clock.Now()).Seconds()
+	if j.ImageAvailable {
+		return (j.EligibleAt + limit - s.Clock.Now()).Seconds()
 	}
 	return math.Inf(1)
 }
@@ -100,15 +102,15 @@
 const imageWaitPercent = 60
 
 // score returns a machine's score for the job.
-func (c *candidateHeap) score(m *machine) candidate {
-	scored := candidate{machine: m, load: max(m.usedCores/m.machineType.Cores, m.usedRAM/m.machineType.MemoryGB)}
-	scored.loadStep = int(scored.load * float64(c.scheduler.settings.LoadSteps))
-	if image := c.job.spec.Image; !m.hasImage(image) {
-		scored.fetchSeconds = c.job.spec.ImageGB / m.machineType.PullGBPerSecond
+func (c *candidateHeap) score(m *cluster.Machine) candidate {
+	scored := candidate{machine: m, load: max(m.UsedCores/m.MachineType.Cores, m.UsedRAM/m.MachineType.MemoryGB)}
+	scored.loadStep = int(scored.load * float64(c.scheduler.Settings.LoadSteps))
+	if image := c.job.Spec.Image; !m.HasImage(image) {
+		scored.fetchSeconds = c.job.Spec.ImageGB / m.MachineType.PullGBPerSecond
 	}
-	if m.draining {
+	if m.Draining {
 		scored.drainPenalty = 1 // keep surplus machines empty unless no other has room
-		if m.drainReason == slowExecution {
+		if m.DrainReason == cluster.SlowExecution {
 			scored.drainPenalty = 2
 		}
 	}
@@ -117,7 +119,7 @@
 
 // bestMachine returns the best machine for a task, or nil. It skips the machine on which the task
 // failed last.
-func (c *candidateHeap) bestMachine(avoidedMachine string) *machine {
+func (c *candidateHeap) bestMachine(avoidedMachine string) *cluster.Machine {
 	var avoided *candidate
 	defer func() {
 		if avoided != nil {
@@ -129,7 +131,7 @@
 		switch {
 		case !c.satisfiesZoneConstraints(m):
 			heap.Pop(c)
-		case m.name == avoidedMachine:
+		case m.Name == avoidedMachine:
 			skipped := heap.Pop(c).(candidate)
 			avoided = &skipped
 		default:
@@ -141,14 +143,14 @@
 
 // satisfiesZoneConstraints reports whether the placement of the job's other tasks allows one in
 // the machine's zone.
-func (c *candidateHeap) satisfiesZoneConstraints(m *machine) bool {
-	spec := &c.job.spec
+func (c *candidateHeap) satisfiesZoneConstraints(m *cluster.Machine) bool {
+	spec := &c.job.Spec
 	if !spec.SameZone && !spec.Spread {
 		return true
 	}
 	tasksInZone := 0
-	for _, r := range c.job.attempts {
-		if r.machine.zone == m.zone {
+	for _, r := range c.job.Attempts {
+		if r.Machine.Zone == m.Zone {
 			tasksInZone++
 		} else if spec.SameZone {
 			return false
@@ -158,7 +160,7 @@
 }
 
 // rescore updates a machine's score after a task was placed on it.
-func (c *candidateHeap) rescore(m *machine) {
+func (c *candidateHeap) rescore(m *cluster.Machine) {
 	position := slices.IndexFunc(c.entries, func(x candidate) bool { return x.machine == m })
 	if c.scheduler.fitsBesideReservation(c.job, m) {
 		c.entries[position] = c.score(m)
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -4,22 +4,24 @@
 	"cmp"
 	"slices"
 	"time"
+
+	"hitchdoor/internal/cluster"
 )
 
 // jobsWithinGuarantee returns the jobs that fit into their team's guaranteed resources together
 // with the team's earlier unfinished jobs (fair share).
-func (s *scheduler) jobsWithinGuarantee() map[*job]bool {
-	if s.guaranteedStartWithin == 0 {
+func (s *scheduler) jobsWithinGuarantee() map[*cluster.Job]bool {
+	if s.GuaranteedStartWithin == 0 {
 		return nil
 	}
-	usageByTeam := map[string]resourceUsage{}
-	withinGuarantee := map[*job]bool{}
-	for _, j := range s.jobsByAge() {
-		teamUsage := usageByTeam[j.spec.Team]
-		teamUsage.cores += float64(j.spec.TaskCount) * j.spec.Cores
-		teamUsage.accelerators += float64(j.spec.TaskCount) * j.spec.Accelerators
-		usageByTeam[j.spec.Team] = teamUsage
-		if team := s.cluster.Team(j.spec.Team); team != nil && teamUsage.cores <= team.GuaranteedCPUs+resourceTolerance && teamUsage.accelerators <= team.GuaranteedGPUs+resourceTolerance {
+	usageByTeam := map[string]cluster.ResourceUsage{}
+	withinGuarantee := map[*cluster.Job]bool{}
+	for _, j := range s.JobsByAge() {
+		teamUsage := usageByTeam[j.Spec.Team]
+		teamUsage.Cores += float64(j.Spec.TaskCount) * j.Spec.Cores
+		teamUsage.Accelerators += float64(j.Spec.TaskCount) * j.Spec.Accelerators
+		usageByTeam[j.Spec.Team] = teamUsage
+		if team := s.Cluster.Team(j.Spec.Team); team != nil && teamUsage.Cores <= team.GuaranteedCPUs+cluster.ResourceTolerance && teamUsage.Accelerators <= team.GuaranteedGPUs+cluster.ResourceTolerance {
 			withinGuarantee[j] = true
 		}
 	}
@@ -28,10 +30,10 @@
 
 // exceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
 // have a start objective for guaranteed work.
-func (s *scheduler) exceedsGuarantee(j *job) bool {
-	team, teamUsage := s.cluster.Team(j.spec.Team), s.teamUsage[j.spec.Team]
-	return s.guaranteedStartWithin > 0 && team != nil && teamUsage != nil &&
-		(teamUsage.cores > team.GuaranteedCPUs+resourceTolerance || teamUsage.accelerators > team.GuaranteedGPUs+resourceTolerance)
+func (s *scheduler) exceedsGuarantee(j *cluster.Job) bool {
+	team, teamUsage := s.Cluster.Team(j.Spec.Team), s.TeamUsage[j.Spec.Team]
+	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil &&
+		(teamUsage.Cores > team.GuaranteedCPUs+cluster.ResourceTolerance || teamUsage.Accelerators > team.GuaranteedGPUs+cluster.ResourceTolerance)
 }
 
 // preemptAfterDivisor sets how long guaranteed work waits before preemption, as a fraction of its
@@ -44,40 +46,40 @@
 // does useful work. Without preemption, long tasks that borrowed a third of the cores made
 // guaranteed work wait for minutes.
 func (s *scheduler) preemptForGuarantees() {
-	if s.guaranteedStartWithin == 0 || s.clock.Now() < s.preemptedAt+s.heartbeatInterval()/2 || !s.allReconciled() {
+	if s.GuaranteedStartWithin == 0 || s.Clock.Now() < s.preemptedAt+s.HeartbeatInterval()/2 || !s.AllReconciled() {
 		return
 	}
-	s.preemptedAt = s.clock.Now()
-	neededCores := map[*job]float64{}
+	s.preemptedAt = s.Clock.Now()
+	neededCores := map[*cluster.Job]float64{}
 	withinGuarantee := s.guaranteedJobs
 	for _, r := range s.pendingOrder {
 		j := r.job
-		if withinGuarantee[j] && !j.terminal && !j.failsEverywhere && j.pendingTasks > 0 && (j.blockedBy == waitCapacity || j.blockedBy == waitImage) &&
-			s.clock.Now() > j.eligibleAt+s.guaranteedStartWithin/preemptAfterDivisor {
-			neededCores[j] = float64(j.pendingTasks) * j.spec.Cores
+		if withinGuarantee[j] && !j.Terminal && !j.FailsEverywhere && j.PendingTasks > 0 && (j.BlockedBy == cluster.WaitCapacity || j.BlockedBy == cluster.WaitImage) &&
+			s.Clock.Now() > j.EligibleAt+s.GuaranteedStartWithin/preemptAfterDivisor {
+			neededCores[j] = float64(j.PendingTasks) * j.Spec.Cores
 		}
 	}
 	if len(neededCores) == 0 {
 		return
 	}
 	coresBeingFreed := 0.0
-	var victims []*taskAttempt
-	for _, m := range s.machinesByName() {
-		if !m.schedulable() {
+	var victims []*cluster.TaskAttempt
+	for _, m := range s.MachinesByName() {
+		if !m.Schedulable() {
 			continue
 		}
-		for _, r := range m.attemptsInOrder {
+		for _, r := range m.AttemptsInOrder {
 			switch {
-			case r.stopGrace != nil:
-				coresBeingFreed += r.job.spec.Cores
-			case r.phase == attemptRunning && r.job.spec.CheckpointIntervalSeconds > 0 && s.clock.Now()-r.runningSince >= minCountedRun &&
-				!r.job.movedTasks[r.taskIndex] && !withinGuarantee[r.job] && s.exceedsGuarantee(r.job):
+			case r.StopGrace != nil:
+				coresBeingFreed += r.Job.Spec.Cores
+			case r.Phase == cluster.AttemptRunning && r.Job.Spec.CheckpointIntervalSeconds > 0 && s.Clock.Now()-r.RunningSince >= cluster.MinCountedRun &&
+				!r.Job.MovedTasks[r.TaskIndex] && !withinGuarantee[r.Job] && s.exceedsGuarantee(r.Job):
 				victims = append(victims, r)
 			}
 		}
 	}
-	slices.SortStableFunc(victims, func(a, b *taskAttempt) int {
-		return cmp.Or(cmp.Compare(b.job.spec.PriorityRank(), a.job.spec.PriorityRank()), cmp.Compare(s.remainingDuration(b), s.remainingDuration(a)))
+	slices.SortStableFunc(victims, func(a, b *cluster.TaskAttempt) int {
+		return cmp.Or(cmp.Compare(b.Job.Spec.PriorityRank(), a.Job.Spec.PriorityRank()), cmp.Compare(s.RemainingDuration(b), s.RemainingDuration(a)))
 	})
 	reclaimedCores := map[string]float64{} // by team that exceeds its guarantee
 	for _, queued := range s.pendingOrder {
@@ -87,25 +89,25 @@
 		missingCores, coresBeingFreed = missingCores-covered, coresBeingFreed-covered
 		for _, withImage := range []bool{true, false} {
 			for i, r := range victims {
-				if missingCores <= resourceTolerance {
+				if missingCores <= cluster.ResourceTolerance {
 					break
 				}
-				if r == nil || r.machine.hasImage(j.spec.Image) != withImage || r.job.spec.Team == j.spec.Team || !feasible(&j.spec, r.machine) ||
-					s.remainingDuration(r) < time.Duration(2*r.job.spec.CheckpointSaveSeconds*float64(time.Second))+s.heartbeatInterval() {
+				if r == nil || r.Machine.HasImage(j.Spec.Image) != withImage || r.Job.Spec.Team == j.Spec.Team || !cluster.Feasible(&j.Spec, r.Machine) ||
+					s.RemainingDuration(r) < time.Duration(2*r.Job.Spec.CheckpointSaveSeconds*float64(time.Second))+s.HeartbeatInterval() {
 					continue
 				}
-				team := r.job.spec.Team
-				if s.teamUsage[team].cores-reclaimedCores[team] <= s.cluster.Team(team).GuaranteedCPUs+resourceTolerance {
+				team := r.Job.Spec.Team
+				if s.TeamUsage[team].Cores-reclaimedCores[team] <= s.Cluster.Team(team).GuaranteedCPUs+cluster.ResourceTolerance {
 					continue
 				}
-				reclaimedCores[team] += r.job.spec.Cores
-				missingCores -= r.job.spec.Cores
-				s.rescheduleAttempt(r, s.checkpointGraceS(r))
+				reclaimedCores[team] += r.Job.Spec.Cores
+				missingCores -= r.Job.Spec.Cores
+				s.RescheduleAttempt(r, s.CheckpointGraceS(r))
 				victims[i] = nil
 			}
 		}
 	}
 	if len(reclaimedCores) > 0 {
-		s.log.Info("tasks preempted for guaranteed work", "coresByTeam", reclaimedCores)
+		s.Log.Info("tasks preempted for guaranteed work", "coresByTeam", reclaimedCores)
 	}
 }
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"github.com/segmentio/encoding/json"
@@ -81,9 +83,9 @@
 
 // quarantineJob quarantines a record that belongs to an open job. The job's running tasks continue,
 // and no others are started.
-func (l *leader) quarantineJob(j *job, item storage.Item, err error) {
+func (l *leader) quarantineJob(j *cluster.Job, item storage.Item, err error) {
 	l.quarantineRecord(item, err)
-	j.quarantined = true
+	j.Quarantined = true
 }
 
 // quarantineMachineGroup quarantines a machine group in which not even the names can be decoded.
@@ -91,15 +93,15 @@
 // no readable record names.
 func (l *leader) quarantineMachineGroup(item storage.Item, err error) {
 	l.quarantineRecord(item, err)
-	l.inventoryIncompleteUntil, l.totalsValid = l.startedAt+l.workerLeaseTimeout(), false
+	l.InventoryIncompleteUntil, l.TotalsValid = l.StartedAt+l.WorkerLeaseTimeout(), false
 }
 
 // tickQuarantine periodically checks the quarantined records. Once one has changed because an
 // operator repaired or deleted it, the leader steps down and the next one loads all records.
 func (l *leader) tickQuarantine() {
 	records := &l.quarantine
-	if l.inventoryIncompleteUntil != clock.Never && l.node.now > l.inventoryIncompleteUntil {
-		l.inventoryIncompleteUntil, l.totalsValid, l.schedulingNeeded = clock.Never, false, true
+	if l.InventoryIncompleteUntil != clock.Never && l.node.now > l.InventoryIncompleteUntil {
+		l.InventoryIncompleteUntil, l.TotalsValid, l.SchedulingNeeded = clock.Never, false, true
 	}
 	if len(records.records) == 0 || l.node.now < records.nextCheck || l.node.election.storeUnavailable() {
 		return
@@ -134,18 +136,18 @@
 // quarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
 // takes precedence, as a user may have been notified of it. The open record is quarantined.
 func (l *leader) quarantineOpenRecord(id string, final storage.TerminalRecord) {
-	j := l.jobs[id]
-	if j == nil || j.terminal || j.completionUncertain || l.endedJobs[id] {
+	j := l.Jobs[id]
+	if j == nil || j.Terminal || j.CompletionUncertain || l.EndedJobs[id] {
 		return
 	}
 	l.node.log.Error("job has both an open and a terminal record", "job", id)
-	j.terminal, l.schedulingNeeded = true, true
-	for _, r := range j.attempts {
-		l.requestStop(r, 0)
+	j.Terminal, l.SchedulingNeeded = true, true
+	for _, r := range j.Attempts {
+		l.RequestStop(r, 0)
 	}
-	l.quarantineRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.recordVersion}, errOpenAndTerminal)
-	delete(l.jobs, id)
-	delete(l.runnableJobs, id)
+	l.quarantineRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
+	delete(l.Jobs, id)
+	delete(l.RunnableJobs, id)
 	l.releaseDependents(id, final, false)
 	for _, origin := range l.cancelWaiters[id] {
 		l.node.reply(origin, 200, 0, terminalJobState(id, final))
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -141,7 +143,7 @@
 	for i, state := range []string{protocol.JobDone, protocol.JobCancelled, protocol.JobDone, protocol.JobCancelled} {
 		w, _ := running(t, 3, time.Hour, 1, 2)
 		for i := range 2 {
-			w.finished[taskKey("j-1", i)] = state == protocol.JobDone
+			w.finished[cluster.TaskKey("j-1", i)] = state == protocol.JobDone
 		}
 		w.asked["j-1"] = true
 		w.state.put(storage.TerminalKey("j-1"), storage.TerminalRecord{State: state, TaskCount: 2})
--- a/internal/controller/queue.go
+++ b/internal/controller/queue.go
@@ -5,6 +5,8 @@
 	"container/heap"
 	"slices"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"hitchdoor/internal/config"
@@ -12,7 +14,7 @@
 
 // queuedJob is a job with the values that determine its position in the queue.
 type queuedJob struct {
-	job                  *job
+	job                  *cluster.Job
 	rank                 int           // see rankOverdue and following
 	latestStart          clock.Instant // latest start that is still in time
 	due                  clock.Instant
@@ -32,61 +34,61 @@
 
 // mayUseLastResort reports whether tasks of the job have waited so long that a slow machine is
 // better than none: no job may wait for 90 s while some machine has room.
-func (s *scheduler) mayUseLastResort(j *job) bool {
-	return s.clock.Now()-j.pendingSince > lastResortAfter
+func (s *scheduler) mayUseLastResort(j *cluster.Job) bool {
+	return s.Clock.Now()-j.PendingSince > lastResortAfter
 }
 
 // lastResortAfter is the waiting time after which slow machines are used too.
-const lastResortAfter = maxStartDelay / 4
+const lastResortAfter = cluster.MaxStartDelay / 4
 
 // latencySensitiveWorkDelayed reports whether latency-sensitive work has waited longer than
 // borrowing allows.
 func (s *scheduler) latencySensitiveWorkDelayed(queue []queuedJob) bool {
 	return slices.ContainsFunc(queue, func(r queuedJob) bool {
-		return isLatencySensitive(&r.job.spec) && s.clock.Now()-r.job.pendingSince > config.Seconds(s.settings.BorrowWaitS)
+		return cluster.IsLatencySensitive(&r.job.Spec) && s.Clock.Now()-r.job.PendingSince > config.Seconds(s.Settings.BorrowWaitS)
 	})
 }
 
 // buildQueue returns the runnable jobs with pending tasks in queue order.
 func (s *scheduler) buildQueue() []queuedJob {
-	now := s.clock.Now()
+	now := s.Clock.Now()
 	var all []*queuedJob
 	s.guaranteedJobs = s.jobsWithinGuarantee()
-	pullRate := s.imagePullRate()
-	for _, j := range s.runnableJobs {
-		if j.terminal {
+	pullRate := s.ImagePullRate()
+	for _, j := range s.RunnableJobs {
+		if j.Terminal {
 			continue
 		}
-		queued := &queuedJob{job: j, rank: min(j.effectiveRank(), rankOnTime), due: s.due(j), remainingCoreSeconds: s.remainingCoreSeconds(j, pullRate)}
-		queued.latestStart = queued.due - s.expectedTaskDuration(j)
-		if queued.rank == rankOnTime && j.pendingTasks > 0 && queued.latestStart < now {
+		queued := &queuedJob{job: j, rank: min(j.EffectiveRank(), rankOnTime), due: s.Due(j), remainingCoreSeconds: s.RemainingCoreSeconds(j, pullRate)}
+		queued.latestStart = queued.due - s.ExpectedTaskDuration(j)
+		if queued.rank == rankOnTime && j.PendingTasks > 0 && queued.latestStart < now {
 			queued.rank = rankLate
 		}
-		switch age := now - j.eligibleAt; {
-		case age > overdueAfter && !j.hasStarted():
-			queued.rank, queued.latestStart, queued.mayReserve = rankOverdue, j.eligibleAt, true
-		case age > maxStartDelay && queued.rank > rankLatencySensitive && !(j.hasStarted() && s.exceedsGuarantee(j)):
+		switch age := now - j.EligibleAt; {
+		case age > cluster.OverdueAfter && !j.HasStarted():
+			queued.rank, queued.latestStart, queued.mayReserve = rankOverdue, j.EligibleAt, true
+		case age > cluster.MaxStartDelay && queued.rank > rankLatencySensitive && !(j.HasStarted() && s.exceedsGuarantee(j)):
 			// A started job that exceeds its team's guarantee is not moved ahead.
-			queued.rank, queued.latestStart, queued.mayReserve = rankLatencySensitive, j.eligibleAt, true
+			queued.rank, queued.latestStart, queued.mayReserve = rankLatencySensitive, j.EligibleAt, true
 		}
-		if start := j.eligibleAt + s.guaranteedStartWithin; s.guaranteedStartWithin > 0 && start > now && s.guaranteedJobs[j] {
+		if start := j.EligibleAt + s.GuaranteedStartWithin; s.GuaranteedStartWithin > 0 && start > now && s.guaranteedJobs[j] {
 			// Guaranteed work has a start objective of its own.
 			queued.latestStart = min(queued.latestStart, start)
 		}
 		all = append(all, queued)
 	}
 	slices.SortFunc(all, func(a, b *queuedJob) int {
-		return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.job.spec.ID, b.job.spec.ID))
+		return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
 	})
 	s.demoteLargestJobs(all)
 	var queue []queuedJob
 	for _, queued := range all {
-		if queued.job.pendingTasks > 0 {
+		if queued.job.PendingTasks > 0 {
 			queue = append(queue, *queued)
 		}
 	}
 	slices.SortFunc(queue, func(a, b queuedJob) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.latestStart, b.latestStart), cmp.Compare(a.job.spec.ID, b.job.spec.ID))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.latestStart, b.latestStart), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
 	})
 	return queue
 }
@@ -96,21 +98,21 @@
 // due time, the largest so far is demoted whenever the next would be late (Moore-Hodgson
 // algorithm for the fewest late jobs).
 func (s *scheduler) demoteLargestJobs(all []*queuedJob) {
-	cores := s.retainedCores()
+	cores := s.RetainedCores()
 	if cores == 0 {
 		return
 	}
 	totalWork := 0.0
 	largest := &workHeap{}
 	for order, queued := range all {
-		if queued.rank != rankOnTime && queued.job.effectiveRank() > rankLatencySensitive {
+		if queued.rank != rankOnTime && queued.job.EffectiveRank() > rankLatencySensitive {
 			continue
 		}
 		totalWork += queued.remainingCoreSeconds
-		if queued.rank == rankOnTime && queued.job.pendingTasks > 0 {
+		if queued.rank == rankOnTime && queued.job.PendingTasks > 0 {
 			heap.Push(largest, workHeapItem{queued: queued, dueOrder: order})
 		}
-		for totalWork/(cores*packingEfficiency) > (queued.due-s.clock.Now()).Seconds() && largest.Len() > 0 {
+		for totalWork/(cores*packingEfficiency) > (queued.due-s.Clock.Now()).Seconds() && largest.Len() > 0 {
 			demoted := heap.Pop(largest).(workHeapItem).queued
 			totalWork -= demoted.remainingCoreSeconds
 			demoted.rank = rankLate
--- a/internal/controller/reservation.go
+++ b/internal/controller/reservation.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 )
@@ -19,7 +21,7 @@
 // firmReservationAfter is the age from which a job's reservation also holds against work within a
 // guarantee: late enough that such work is rarely affected, early enough that tasks of typical
 // length end before the start limit of the job.
-const firmReservationAfter = maxStartDelay * 5 / 8
+const firmReservationAfter = cluster.MaxStartDelay * 5 / 8
 
 // reservedMachineDivisor limits reservations to one in this many schedulable machines.
 const reservedMachineDivisor = 2
@@ -27,22 +29,22 @@
 // renewReservations updates the reservations after a full pass. It releases those no longer
 // needed and adds at most one, because the search for a machine examines all attempts.
 func (s *scheduler) renewReservations() {
-	eligibleJobs := map[*job]bool{}
+	eligibleJobs := map[*cluster.Job]bool{}
 	for _, queued := range s.pendingOrder {
-		if queued.mayReserve && queued.job.pendingTasks > 0 && queued.job.blockedBy == waitCapacity && len(queued.job.failedMachines) == 0 {
+		if queued.mayReserve && queued.job.PendingTasks > 0 && queued.job.BlockedBy == cluster.WaitCapacity && len(queued.job.FailedMachines) == 0 {
 			eligibleJobs[queued.job] = true
 		}
 	}
 	schedulableMachines, reserved := 0, 0
-	for _, m := range s.machinesByName() {
-		if m.schedulable() {
+	for _, m := range s.MachinesByName() {
+		if m.Schedulable() {
 			schedulableMachines++
 		}
-		if m.reservedFor == nil {
+		if m.ReservedFor == nil {
 			continue
 		}
-		if !eligibleJobs[m.reservedFor] || !m.schedulable() || m.draining {
-			s.releaseReservation(m.reservedFor)
+		if !eligibleJobs[m.ReservedFor] || !m.Schedulable() || m.Draining {
+			s.ReleaseReservation(m.ReservedFor)
 			continue
 		}
 		reserved++
@@ -52,13 +54,13 @@
 			return
 		}
 		j := queued.job
-		if !eligibleJobs[j] || j.reservation.machine != nil || s.clock.Now() < j.reservation.searchedAt+s.heartbeatInterval() {
+		if !eligibleJobs[j] || j.Reservation.Machine != nil || s.Clock.Now() < j.Reservation.SearchedAt+s.HeartbeatInterval() {
 			continue
 		}
-		j.reservation.searchedAt = s.clock.Now()
+		j.Reservation.SearchedAt = s.Clock.Now()
 		if m := s.machineWithEarliestRoom(j); m != nil {
-			j.reservation.machine, m.reservedFor = m, j
-			s.log.Debug("resource reservation made", "machine", m.name, "job", j.spec.ID, "age", s.clock.Now()-j.eligibleAt)
+			j.Reservation.Machine, m.ReservedFor = m, j
+			s.Log.Debug("resource reservation made", "machine", m.Name, "job", j.Spec.ID, "age", s.Clock.Now()-j.EligibleAt)
 		}
 		return
 	}
@@ -66,16 +68,16 @@
 
 // machineWithEarliestRoom returns the machine that should be the first to have room for a task of
 // the job and its image, or nil if none is feasible.
-func (s *scheduler) machineWithEarliestRoom(j *job) *machine {
-	var best *machine
+func (s *scheduler) machineWithEarliestRoom(j *cluster.Job) *cluster.Machine {
+	var best *cluster.Machine
 	var soonest time.Duration
-	for _, m := range s.machinesByName() {
-		if !m.schedulable() || m.draining || m.reservedFor != nil || !feasible(&j.spec, m) {
+	for _, m := range s.MachinesByName() {
+		if !m.Schedulable() || m.Draining || m.ReservedFor != nil || !cluster.Feasible(&j.Spec, m) {
 			continue
 		}
-		wait := s.timeToFreeCapacity(m, &j.spec)
-		if !m.hasImage(j.spec.Image) {
-			wait += config.Seconds(j.spec.ImageGB / m.machineType.PullGBPerSecond)
+		wait := s.timeToFreeCapacity(m, &j.Spec)
+		if !m.HasImage(j.Spec.Image) {
+			wait += config.Seconds(j.Spec.ImageGB / m.MachineType.PullGBPerSecond)
 		}
 		if best == nil || wait < soonest {
 			best, soonest = m, wait
@@ -86,19 +88,19 @@
 
 // timeToFreeCapacity returns the expected time until enough attempts on a machine have ended for
 // a task of the job.
-func (s *scheduler) timeToFreeCapacity(m *machine, spec *protocol.Job) time.Duration {
-	free := m.freeCapacity()
-	attempts := slices.Clone(m.attemptsInOrder)
-	slices.SortStableFunc(attempts, func(first, second *taskAttempt) int {
-		return cmp.Compare(s.remainingDuration(first), s.remainingDuration(second))
+func (s *scheduler) timeToFreeCapacity(m *cluster.Machine, spec *protocol.Job) time.Duration {
+	free := m.FreeCapacity()
+	attempts := slices.Clone(m.AttemptsInOrder)
+	slices.SortStableFunc(attempts, func(first, second *cluster.TaskAttempt) int {
+		return cmp.Compare(s.RemainingDuration(first), s.RemainingDuration(second))
 	})
 	var wait time.Duration
 	for _, attempt := range attempts {
-		if free.fits(spec) {
+		if free.Fits(spec) {
 			break
 		}
-		free.add(&attempt.job.spec)
-		wait = s.remainingDuration(attempt)
+		free.Add(&attempt.Job.Spec)
+		wait = s.RemainingDuration(attempt)
 	}
 	return wait
 }
@@ -107,20 +109,20 @@
 // the task for which the machine is reserved. Work within a guarantee does not wait for other
 // teams, so a reservation holds against it only if the reserved job would otherwise start too
 // late.
-func (s *scheduler) fitsBesideReservation(j *job, m *machine) bool {
-	free := m.freeCapacity()
-	if !free.fits(&j.spec) {
+func (s *scheduler) fitsBesideReservation(j *cluster.Job, m *cluster.Machine) bool {
+	free := m.FreeCapacity()
+	if !free.Fits(&j.Spec) {
 		return false
 	}
-	reservedJob := m.reservedFor
+	reservedJob := m.ReservedFor
 	if reservedJob == nil || reservedJob == j {
 		return true
 	}
-	if s.guaranteedJobs[j] && (reservedJob.hasStarted() || s.clock.Now() < reservedJob.eligibleAt+firmReservationAfter) {
+	if s.guaranteedJobs[j] && (reservedJob.HasStarted() || s.Clock.Now() < reservedJob.EligibleAt+firmReservationAfter) {
 		return true
 	}
-	free.cores -= reservedJob.spec.Cores
-	free.ram -= reservedJob.spec.MemoryGB
-	free.accelerators -= reservedJob.spec.Accelerators
-	return free.fits(&j.spec)
+	free.Cores -= reservedJob.Spec.Cores
+	free.Ram -= reservedJob.Spec.MemoryGB
+	free.Accelerators -= reservedJob.Spec.Accelerators
+	return free.Fits(&j.Spec)
 }
--- a/internal/controller/routes_test.go
+++ b/internal/controller/routes_test.go
@@ -59,8 +59,8 @@
 	if served := w.direct(w.leader()); served > sockets*7/8 {
 		t.Errorf("the leader has %d of %d connections in use", served, sockets)
 	}
-	if l := w.nodes[w.leader()].leader; !l.allReconciled() || len(l.machinesByName()) != machines {
-		t.Errorf("%d machines are known", len(l.machinesByName()))
+	if l := w.nodes[w.leader()].leader; !l.AllReconciled() || len(l.MachinesByName()) != machines {
+		t.Errorf("%d machines are known", len(l.MachinesByName()))
 	}
 	started := w.allStarts()
 	if started != jobs*50 {
@@ -77,7 +77,7 @@
 	}
 	w.run(8 * time.Second)
 	w.waitLeader()
-	if !w.until(w.nodes["n0"].workerLease(), func() bool { l := w.leader(); return l != "" && w.nodes[l].leader.allReconciled() }) {
+	if !w.until(w.nodes["n0"].workerLease(), func() bool { l := w.leader(); return l != "" && w.nodes[l].leader.AllReconciled() }) {
 		t.Error("not all machines are accounted for within a lease")
 	}
 	w.run(w.nodes["n0"].workerLease())
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/clock"
 
 	"github.com/segmentio/encoding/json"
@@ -143,7 +145,7 @@
 	if !w.until(8*time.Second, func() bool { return w.onMachines("j-2") == 1 }) {
 		t.Fatal("a new job waits for a machine it can't be on")
 	}
-	if waits := w.nodes[w.leader()].leader.jobs["j-1"].blockedBy; waits != waitReconciliation {
+	if waits := w.nodes[w.leader()].leader.Jobs["j-1"].BlockedBy; waits != cluster.WaitReconciliation {
 		t.Fatalf("the old job waits for %q", waits)
 	}
 	if !w.until(90*time.Second, func() bool { return w.starts["j-1/0"] == 2 }) {
@@ -169,7 +171,7 @@
 	}
 	late := victim.report()
 	victim.silent, w.cloud.down = true, true
-	if !w.until(30*time.Second, func() bool { return !l.leader.machines[victim.name].up }) {
+	if !w.until(30*time.Second, func() bool { return !l.leader.Machines[victim.name].Up }) {
 		t.Fatal("the silent machine was not declared lost")
 	}
 	late.Sequence += 100
@@ -186,13 +188,13 @@
 	w.submitAndStart(l.name, spec("j-1", 1), 1)
 	w.run(5 * time.Second)
 	for _, x := range w.workers {
-		m := l.leader.machines[x.name]
-		runs := len(m.attempts)
+		m := l.leader.Machines[x.name]
+		runs := len(m.Attempts)
 		late := &protocol.WorkerHeartbeat{Machine: x.name, Type: x.typ, Zone: x.zone, Spot: x.spot, Epoch: x.session, Sequence: 1, FencingToken: l.leader.term}
 		if r := w.request(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
 			t.Fatal("a late report got a 200")
 		}
-		if len(m.attempts) != runs {
+		if len(m.Attempts) != runs {
 			t.Fatal("a late report changed what is known of the machine")
 		}
 	}
@@ -231,9 +233,9 @@
 	w.waitLeader()
 	w.submit("n0", spec("j-1", 6))
 	started := func() bool {
-		for _, m := range w.nodes[w.leader()].leader.machines {
-			for _, r := range m.attempts {
-				if r.phase == attemptSent {
+		for _, m := range w.nodes[w.leader()].leader.Machines {
+			for _, r := range m.Attempts {
+				if r.Phase == cluster.AttemptSent {
 					return true
 				}
 			}
@@ -391,15 +393,15 @@
 		t.Fatal("quota not filled")
 	}
 	l.leader.schedule()
-	job := l.leader.jobs["j-1"]
-	if job.blockedBy != waitTeamQuota {
-		t.Fatalf("waits for %q", job.blockedBy)
+	job := l.leader.Jobs["j-1"]
+	if job.BlockedBy != cluster.WaitTeamQuota {
+		t.Fatalf("waits for %q", job.BlockedBy)
 	}
 	l.Node.settings.SlotsPerCore, l.Node.settings.BaseSlots = 0.01, 0
-	l.leader.invalidateMachineIndex()
+	l.leader.InvalidateMachineIndex()
 	l.leader.schedule()
-	if job.blockedBy != waitSlots {
-		t.Fatalf("waits for %q, though the slots come first", job.blockedBy)
+	if job.BlockedBy != cluster.WaitSlots {
+		t.Fatalf("waits for %q, though the slots come first", job.BlockedBy)
 	}
 }
 
@@ -415,11 +417,11 @@
 	if x.latencySensitiveWorkDelayed(x.buildQueue()) {
 		t.Fatal("lending ended at once")
 	}
-	x.jobs["j-2"].pendingSince = x.node.now - config.Seconds(x.node.settings.BorrowWaitS) - time.Second
+	x.Jobs["j-2"].PendingSince = x.node.now - config.Seconds(x.node.settings.BorrowWaitS) - time.Second
 	if !x.latencySensitiveWorkDelayed(x.buildQueue()) {
 		t.Fatal("lending goes on though pressing work has waited")
 	}
-	if first := x.buildQueue()[0].job.spec.ID; first != "j-2" {
+	if first := x.buildQueue()[0].job.Spec.ID; first != "j-2" {
 		t.Fatalf("%s passes first", first)
 	}
 }
@@ -466,12 +468,12 @@
 		return false
 	}
 	w.until(40*time.Second, spoil)
-	if !l.leader.jobs["j-9"].failsEverywhere {
+	if !l.leader.Jobs["j-9"].FailsEverywhere {
 		t.Fatal("the job was not found bad")
 	}
-	for _, m := range l.leader.machines {
-		if m.unhealthy {
-			t.Fatalf("%s was condemned for a bad job", m.name)
+	for _, m := range l.leader.Machines {
+		if m.Unhealthy {
+			t.Fatalf("%s was condemned for a bad job", m.Name)
 		}
 	}
 	w.waitState("j-1", protocol.JobDone, 60*time.Second)
@@ -556,7 +558,7 @@
 	if r := ask(); r.Status != 200 {
 		t.Fatalf("report of a worker that came back: %d", r.Status)
 	}
-	if l.leader.machines["m-9"] == nil {
+	if l.leader.Machines["m-9"] == nil {
 		t.Fatal("the leader did not get the report")
 	}
 }
@@ -594,10 +596,10 @@
 	w.submit("n0", j)
 	done := func() int {
 		l := w.leader()
-		if l == "" || w.nodes[l].leader.jobs["j-1"] == nil {
+		if l == "" || w.nodes[l].leader.Jobs["j-1"] == nil {
 			return 0
 		}
-		return w.nodes[l].leader.jobs["j-1"].doneTasks
+		return w.nodes[l].leader.Jobs["j-1"].DoneTasks
 	}
 	if !w.until(40*time.Second, func() bool { return done() >= 40 }) {
 		t.Fatalf("%d tasks done", done())
@@ -610,7 +612,7 @@
 	if done() < before*9/10 {
 		t.Fatalf("%d tasks done before the takeover, %d after", before, done())
 	}
-	if parts := len(l.leader.jobs["j-1"].bitmapParts); parts < 2 {
+	if parts := len(l.leader.Jobs["j-1"].BitmapParts); parts < 2 {
 		t.Fatalf("the bitmap is in %d part", parts)
 	}
 }
@@ -689,8 +691,8 @@
 	}
 	ready := func() int {
 		count := 0
-		for _, m := range l.leader.machines {
-			if m.schedulable() {
+		for _, m := range l.leader.Machines {
+			if m.Schedulable() {
 				count++
 			}
 		}
@@ -705,7 +707,7 @@
 	w.crash(l.name)
 	w.restart(l.name)
 	l = w.waitLeader()
-	if n := len(l.leader.machines); n != 300 {
+	if n := len(l.leader.Machines); n != 300 {
 		t.Fatalf("%d of 300 machines were read", n)
 	}
 	if !w.until(5*time.Minute, func() bool { return len(w.cloud.hosts) == 0 }) {
@@ -729,7 +731,7 @@
 	w.state.put(storage.SingleMachinePrefix+x.name, storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
 	w.state.put(storage.SingleMachinePrefix+"m-000002", storage.MachineRecord{Type: "c4", Zone: "a", Spot: true})
 	l := w.waitLeader()
-	if a, b := l.leader.machines[x.name], l.leader.machines["m-000002"]; a == nil || a.reconciled || b == nil || !b.reconciled {
+	if a, b := l.leader.Machines[x.name], l.leader.Machines["m-000002"]; a == nil || a.Reconciled || b == nil || !b.Reconciled {
 		t.Fatalf("read as %+v and %+v", a, b)
 	}
 	w.run(2 * time.Second)
@@ -764,7 +766,7 @@
 	w.workers["m-000003"].hanging = true
 	next := w.waitLeader()
 	led := w.now
-	if !w.until(time.Minute, next.leader.allReconciled) {
+	if !w.until(time.Minute, next.leader.AllReconciled) {
 		t.Fatal("not accounted for")
 	}
 	if took := w.now - led; took > 8*time.Second {
@@ -811,15 +813,17 @@
 func TestSavingTasksAreGathered(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(from, to *machine, j *job)
+		change func(from, to *cluster.Machine, j *cluster.Job)
 		moves  bool
 	}{
-		{"two of 32 cores are used for minutes", func(*machine, *machine, *job) {}, true},
-		{"they don't save", func(_, _ *machine, j *job) { j.spec.CheckpointIntervalSeconds = 0 }, false},
-		{"no other machine has room", func(_, to *machine, _ *job) { to.usedCores = 31 }, false},
-		{"they are nearly done", func(_, _ *machine, j *job) { j.spec.EstimatedSeconds = 62 }, false},
-		{"one has just started", func(from, _ *machine, _ *job) { from.attemptsInOrder[0].runningSince += 50 * time.Second }, false},
-		{"the machine is needed", func(from, _ *machine, _ *job) { from.draining, from.drainReason = false, "" }, false},
+		{"two of 32 cores are used for minutes", func(*cluster.Machine, *cluster.Machine, *cluster.Job) {}, true},
+		{"they don't save", func(_, _ *cluster.Machine, j *cluster.Job) { j.Spec.CheckpointIntervalSeconds = 0 }, false},
+		{"no other machine has room", func(_, to *cluster.Machine, _ *cluster.Job) { to.UsedCores = 31 }, false},
+		{"they are nearly done", func(_, _ *cluster.Machine, j *cluster.Job) { j.Spec.EstimatedSeconds = 62 }, false},
+		{"one has just started", func(from, _ *cluster.Machine, _ *cluster.Job) {
+			from.AttemptsInOrder[0].RunningSince += 50 * time.Second
+		}, false},
+		{"the machine is needed", func(from, _ *cluster.Machine, _ *cluster.Job) { from.Draining, from.DrainReason = false, "" }, false},
 	} {
 		w := newSimulation(t, 1)
 		w.cloud.types = []protocol.MachineType{{Name: "c4", Cores: 32, MemoryGB: 128, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
@@ -827,23 +831,23 @@
 		l := w.waitLeader()
 		w.machines(2)
 		x := l.leader
-		from, to := x.machines["m-000001"], x.machines["m-000002"]
-		x.cancelDrain(to)
-		from.draining, from.drainReason = true, surplusCapacity
-		from.rentedAt -= time.Hour
+		from, to := x.Machines["m-000001"], x.Machines["m-000002"]
+		x.CancelDrain(to)
+		from.Draining, from.DrainReason = true, cluster.SurplusCapacity
+		from.RentedAt -= time.Hour
 		spec := spec("j-1", 2)
 		spec.EstimatedSeconds, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 300, 30, 4
 		j := x.addJob(storage.JobRecord{Spec: spec, AcceptedAtMillis: l.nowUnixMilli()}, 1)
 		for i := range 2 {
-			x.placeAttempt(&taskAttempt{job: j, taskIndex: i, number: x.nextAttemptNumber(), machine: from, phase: attemptRunning, runningSince: l.now - time.Minute})
+			x.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: i, Number: x.nextAttemptNumber(), Machine: from, Phase: cluster.AttemptRunning, RunningSince: l.now - time.Minute})
 		}
 		c.change(from, to, j)
-		x.autoscaler.consolidate([]*machine{to})
-		for _, r := range from.attemptsInOrder {
-			if (r.stopGrace != nil) != c.moves {
-				t.Errorf("%s: moved %v", c.name, r.stopGrace != nil)
-			} else if c.moves && *r.stopGrace < spec.CheckpointSaveSeconds {
-				t.Errorf("%s: %v s to save", c.name, *r.stopGrace)
+		x.autoscaler.consolidate([]*cluster.Machine{to})
+		for _, r := range from.AttemptsInOrder {
+			if (r.StopGrace != nil) != c.moves {
+				t.Errorf("%s: moved %v", c.name, r.StopGrace != nil)
+			} else if c.moves && *r.StopGrace < spec.CheckpointSaveSeconds {
+				t.Errorf("%s: %v s to save", c.name, *r.StopGrace)
 			}
 		}
 	}
@@ -961,8 +965,8 @@
 	faulty := w.inOrder()[0]
 	faulty.faulty = true
 	w.waitState("j-3", protocol.JobDone, time.Minute)
-	for name, m := range l.leader.machines {
-		if m.unhealthy && name != faulty.name {
+	for name, m := range l.leader.Machines {
+		if m.Unhealthy && name != faulty.name {
 			t.Errorf("%s is condemned", name)
 		}
 	}
@@ -986,23 +990,23 @@
 	l := w.waitLeader()
 	w.machines(4)
 	w.submit(l.name, spec("j-1", 4))
-	var j *job
+	var j *cluster.Job
 	bad := func() bool {
 		for _, x := range w.workers {
 			x.faulty = true
 		}
-		j = l.leader.jobs["j-1"]
-		return j != nil && j.failsEverywhere
+		j = l.leader.Jobs["j-1"]
+		return j != nil && j.FailsEverywhere
 	}
 	if !w.until(time.Minute, bad) {
 		t.Fatal("the job was not found bad")
 	}
 	for name, x := range w.workers {
-		x.faulty = j.failedMachines[name]
+		x.faulty = j.FailedMachines[name]
 	}
 	w.cloud.rent("c4", "a", true)
-	if !w.until(config.Seconds(w.cfg.Workers.LeaseS)+12*time.Second, func() bool { return j.doneTasks > 0 }) {
-		t.Fatalf("nothing is done after %d more tries, failed on %v", j.failedProbes, j.failedMachines)
+	if !w.until(config.Seconds(w.cfg.Workers.LeaseS)+12*time.Second, func() bool { return j.DoneTasks > 0 }) {
+		t.Fatalf("nothing is done after %d more tries, failed on %v", j.FailedProbes, j.FailedMachines)
 	}
 	w.waitState("j-1", protocol.JobDone, 2*time.Minute)
 }
@@ -1021,7 +1025,7 @@
 		x.faulty, x.failsAfter = true, time.Second
 	}
 	w.submit(l.name, spec("j-1", 12))
-	if !w.until(time.Minute, func() bool { j := l.leader.jobs["j-1"]; return j != nil && j.failsEverywhere }) {
+	if !w.until(time.Minute, func() bool { j := l.leader.Jobs["j-1"]; return j != nil && j.FailsEverywhere }) {
 		t.Fatal("the job was not found bad")
 	}
 	for range 4 {
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -1,11 +1,14 @@
 package controller
 
-import "hitchdoor/internal/clock"
+import (
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+)
 
 // scheduler orders the pending jobs, makes the admission checks in their fixed order, places tasks on
 // machines and preempts tasks in favour of guaranteed work.
 type scheduler struct {
-	*clusterState
+	*cluster.State
 	scheduleState
 	host schedulerHost
 }
@@ -14,19 +17,19 @@
 type schedulerHost interface {
 	// mayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
-	mayRunUnreported(j *job, totals *machineTotals) bool
+	mayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool
 	// nextAttemptNumber returns a number that no other attempt has.
 	nextAttemptNumber() uint64
 	// traceBlocked records the check that blocks a job, when it changes.
-	traceBlocked(j *job, was waitReason)
+	traceBlocked(j *cluster.Job, was cluster.WaitReason)
 }
 
 // scheduleState holds the results of the last full scheduling pass.
 type scheduleState struct {
-	lastPass          clock.Instant // last pass
-	pendingOrder      []queuedJob   // pending jobs in scheduling order
-	guaranteedJobs    map[*job]bool // jobs that fit into their team's guarantee
-	urgentWorkDelayed bool          // urgent work had waited for too long
+	lastPass          clock.Instant         // last pass
+	pendingOrder      []queuedJob           // pending jobs in scheduling order
+	guaranteedJobs    map[*cluster.Job]bool // jobs that fit into their team's guarantee
+	urgentWorkDelayed bool                  // urgent work had waited for too long
 	preemptedAt       clock.Instant
 	reconciledOnce    bool // all machines were reconciled at some time in this term
 }
@@ -37,7 +40,7 @@
 // schedule runs a full pass. For each job in queue order it checks the scheduler slots, the team
 // quota and the overall quota, and then places the task on the best machine.
 func (s *scheduler) schedule() {
-	s.schedulingNeeded, s.lastPass = false, s.clock.Now()
+	s.SchedulingNeeded, s.lastPass = false, s.Clock.Now()
 	s.pendingOrder = s.buildQueue()
 	s.urgentWorkDelayed = s.latencySensitiveWorkDelayed(s.pendingOrder)
 	if len(s.pendingOrder) == 0 {
@@ -45,12 +48,12 @@
 		return
 	}
 	pass := s.newSchedulingPass(s.urgentWorkDelayed)
-	if pass.allReconciled && !s.reconciledOnce {
+	if pass.AllReconciled && !s.reconciledOnce {
 		s.reconciledOnce = true
-		s.log.Info("all machines reconciled", "after", s.clock.Now()-s.startedAt)
+		s.Log.Info("all machines reconciled", "after", s.Clock.Now()-s.StartedAt)
 	}
-	for _, m := range s.machinesByName() {
-		if (m.schedulable() || m.isLastResort()) && m.hasSpareCapacity() {
+	for _, m := range s.MachinesByName() {
+		if (m.Schedulable() || m.IsLastResort()) && m.HasSpareCapacity() {
 			pass.machines = append(pass.machines, m)
 		}
 	}
@@ -62,12 +65,12 @@
 // scheduleOnMachine places waiting tasks on a machine that sends a heartbeat, in the queue order
 // of the last full pass, so that the response carries new tasks in place of finished ones. A full
 // pass for each heartbeat would cost machines x tasks.
-func (s *scheduler) scheduleOnMachine(m *machine) {
-	if len(s.pendingOrder) == 0 || !m.schedulable() || m.draining || !m.hasSpareCapacity() {
+func (s *scheduler) scheduleOnMachine(m *cluster.Machine) {
+	if len(s.pendingOrder) == 0 || !m.Schedulable() || m.Draining || !m.HasSpareCapacity() {
 		return
 	}
 	pass := s.newSchedulingPass(s.urgentWorkDelayed)
-	pass.machines = []*machine{m}
+	pass.machines = []*cluster.Machine{m}
 	s.scheduleQueue(pass)
 }
 
@@ -75,12 +78,12 @@
 // its heartbeats stopped or its responses are lost. Received heartbeats alone do not prove that
 // the machine will ever start them.
 func (s *scheduler) releaseUndelivered() {
-	patience := 2*s.heartbeatInterval() + s.heartbeatInterval()/2
-	for _, m := range s.machinesByName() {
-		for _, r := range m.attemptsInOrder {
-			if r.phase == attemptAssigned && s.clock.Now()-r.assignedAt > patience {
-				s.releaseAttempt(r)
-				s.delayTask(r.job, r.taskIndex, m, 0)
+	patience := 2*s.HeartbeatInterval() + s.HeartbeatInterval()/2
+	for _, m := range s.MachinesByName() {
+		for _, r := range m.AttemptsInOrder {
+			if r.Phase == cluster.AttemptAssigned && s.Clock.Now()-r.AssignedAt > patience {
+				s.ReleaseAttempt(r)
+				s.DelayTask(r.Job, r.TaskIndex, m, 0)
 			}
 		}
 	}
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -167,13 +167,13 @@
 		return "nobody leads: " + w.noLeader()
 	}
 	l := w.nodes[name].leader
-	j := l.jobs[id]
+	j := l.Jobs[id]
 	if j == nil {
 		return "the leader does not know it"
 	}
-	out := fmt.Sprintf("%d pending, waits for %q", j.pendingTasks, j.blockedBy)
-	for _, r := range j.attempts {
-		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.key(), r.phase, r.machine.name, r.machine.up, r.machine.tokenAcknowledged, r.machine.drainReason)
+	out := fmt.Sprintf("%d pending, waits for %q", j.PendingTasks, j.BlockedBy)
+	for _, r := range j.Attempts {
+		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.Key(), r.Phase, r.Machine.Name, r.Machine.Up, r.Machine.TokenAcknowledged, r.Machine.DrainReason)
 	}
 	for name, x := range w.workers {
 		for _, t := range x.tasks {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -7,6 +7,8 @@
 	"strings"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/reachability"
 )
 
@@ -122,26 +124,26 @@
 // writeMetrics adds the leader's metrics to a page.
 func (l *leader) writeMetrics(page *metricsPage) {
 	running, pending := 0, 0
-	for _, j := range l.runnableJobs {
-		running += len(j.attempts)
-		pending += j.pendingTasks
+	for _, j := range l.RunnableJobs {
+		running += len(j.Attempts)
+		pending += j.PendingTasks
 	}
 	machinesUp, coresHeld := 0, 0.0
-	for _, m := range l.machines {
-		if m.up {
+	for _, m := range l.Machines {
+		if m.Up {
 			machinesUp++
 		}
-		if m.machineType != nil {
-			coresHeld += m.machineType.Cores
+		if m.MachineType != nil {
+			coresHeld += m.MachineType.Cores
 		}
 	}
 	page.gauge("term", "The leader's term.", float64(l.term))
-	page.gauge("jobs_open", "Jobs that are not over.", float64(len(l.jobs)))
+	page.gauge("jobs_open", "Jobs that are not over.", float64(len(l.Jobs)))
 	page.gauge("jobs_waiting", "Those of them that wait for others to be done.",
-		float64(len(l.jobs)-len(l.runnableJobs)))
+		float64(len(l.Jobs)-len(l.RunnableJobs)))
 	page.gauge("tasks_active", "Tasks on machines.", float64(running))
 	page.gauge("tasks_pending", "Tasks that wait.", float64(pending))
-	page.gauge("machines", "Machines held.", float64(len(l.machines)))
+	page.gauge("machines", "Machines held.", float64(len(l.Machines)))
 	page.gauge("machines_up", "Machines that report.", float64(machinesUp))
 	page.gauge("cores_held", "Cores of the machines held.", coresHeld)
 	page.gauge("cores_target", "Cores that the fleet aims at.", l.autoscaler.targetCores)
@@ -161,46 +163,46 @@
 
 // jobStatus is the status of one open job.
 type jobStatus struct {
-	ID        string     `json:"id"`
-	Class     string     `json:"class"`
-	Team      string     `json:"team"`
-	Done      int        `json:"done"`
-	Active    int        `json:"active"`
-	Pending   int        `json:"pending"`
-	BlockedBy waitReason `json:"waitsFor,omitempty"`
-	AgeS      float64    `json:"ageS"`
+	ID        string             `json:"id"`
+	Class     string             `json:"class"`
+	Team      string             `json:"team"`
+	Done      int                `json:"done"`
+	Active    int                `json:"active"`
+	Pending   int                `json:"pending"`
+	BlockedBy cluster.WaitReason `json:"waitsFor,omitempty"`
+	AgeS      float64            `json:"ageS"`
 }
 
 // machineStatus is the status of one machine.
 type machineStatus struct {
-	Name        string      `json:"name"`
-	Type        string      `json:"type"`
-	Zone        string      `json:"zone"`
-	Spot        bool        `json:"spot"`
-	Up          bool        `json:"up"`
-	Tasks       int         `json:"tasks"`
-	UsedCores   float64     `json:"coresUsed"`
-	DrainReason drainReason `json:"leaving,omitempty"`
+	Name        string              `json:"name"`
+	Type        string              `json:"type"`
+	Zone        string              `json:"zone"`
+	Spot        bool                `json:"spot"`
+	Up          bool                `json:"up"`
+	Tasks       int                 `json:"tasks"`
+	UsedCores   float64             `json:"coresUsed"`
+	DrainReason cluster.DrainReason `json:"leaving,omitempty"`
 }
 
 // status returns the leader's status with its jobs and machines, sorted by name.
 func (l *leader) status() *leaderStatus {
-	status := &leaderStatus{RecordsLoaded: l.recordsLoaded, AllReconciled: l.allReconciled(),
+	status := &leaderStatus{RecordsLoaded: l.recordsLoaded, AllReconciled: l.AllReconciled(),
 		RecoveryPhase: l.recovery.Phase().String(),
 		PendingWrites: l.writer.PendingChanges(), TargetCores: l.autoscaler.targetCores}
-	for _, j := range l.jobs {
-		blockedBy := j.blockedBy
-		if j.pendingDependencies > 0 {
-			blockedBy = waitDependencies
+	for _, j := range l.Jobs {
+		blockedBy := j.BlockedBy
+		if j.PendingDependencies > 0 {
+			blockedBy = cluster.WaitDependencies
 		}
-		status.Jobs = append(status.Jobs, jobStatus{ID: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team,
-			Done: j.doneTasks, Active: len(j.attempts), Pending: j.pendingTasks, BlockedBy: blockedBy,
-			AgeS: (l.node.now - j.acceptedAt).Round(time.Millisecond).Seconds()})
+		status.Jobs = append(status.Jobs, jobStatus{ID: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team,
+			Done: j.DoneTasks, Active: len(j.Attempts), Pending: j.PendingTasks, BlockedBy: blockedBy,
+			AgeS: (l.node.now - j.AcceptedAt).Round(time.Millisecond).Seconds()})
 	}
 	slices.SortFunc(status.Jobs, func(a, b jobStatus) int { return cmp.Compare(a.ID, b.ID) })
-	for _, m := range l.machinesByName() {
-		status.Machines = append(status.Machines, machineStatus{Name: m.name, Type: m.typeName, Zone: m.zone,
-			Spot: m.spot, Up: m.up, Tasks: len(m.attempts), UsedCores: m.usedCores, DrainReason: m.drainReason})
+	for _, m := range l.MachinesByName() {
+		status.Machines = append(status.Machines, machineStatus{Name: m.Name, Type: m.TypeName, Zone: m.Zone,
+			Spot: m.Spot, Up: m.Up, Tasks: len(m.Attempts), UsedCores: m.UsedCores, DrainReason: m.DrainReason})
 	}
 	return status
 }
@@ -218,7 +220,7 @@
 		status.LeaderName, status.Term = followed.name, followed.term
 	}
 	if n.leader != nil {
-		status.Term, status.RecentWorkers = n.leader.term, len(n.leader.machines)
+		status.Term, status.RecentWorkers = n.leader.term, len(n.leader.Machines)
 		status.SecondsSinceServed = (n.now - n.leader.lastDelivery).Round(time.Millisecond).Seconds()
 	}
 	n.reply(request.Origin, 200, 0, status)
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -4,6 +4,8 @@
 	"strconv"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"hitchdoor/internal/admission"
 	"hitchdoor/internal/tracing"
 )
@@ -47,13 +49,13 @@
 }
 
 // traceBlocked traces which check blocks a job, when that has changed.
-func (l *leader) traceBlocked(j *job, previous waitReason) {
-	if j.blockedBy != previous && j.blockedBy != "" {
-		l.node.traceStep(j.spec.ID, stepBlocked, string(j.blockedBy))
+func (l *leader) traceBlocked(j *cluster.Job, previous cluster.WaitReason) {
+	if j.BlockedBy != previous && j.BlockedBy != "" {
+		l.node.traceStep(j.Spec.ID, stepBlocked, string(j.BlockedBy))
 	}
 }
 
 // jobAge formats the time since a job was accepted.
-func (l *leader) jobAge(j *job) string {
-	return (l.node.now - j.acceptedAt).Round(time.Millisecond).String()
+func (l *leader) jobAge(j *cluster.Job) string {
+	return (l.node.now - j.AcceptedAt).Round(time.Millisecond).String()
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -255,7 +255,7 @@
 		case openItem != nil:
 			if asLeader != nil && n.leader == asLeader && n.holdsLeaderLease() {
 				if j := asLeader.adoptStoredJob(request.JobID, *openItem); j != nil {
-					n.reply(request.Origin, 200, 0, j.state())
+					n.reply(request.Origin, 200, 0, j.State())
 					return
 				}
 			}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/cluster"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/protocol"
@@ -52,8 +54,8 @@
 	if l.leader.term != 5 {
 		t.Errorf("term %d", l.leader.term)
 	}
-	m := l.leader.machines["m-000001"]
-	if m == nil || !m.useDurable {
+	m := l.leader.Machines["m-000001"]
+	if m == nil || !m.UseDurable {
 		t.Fatalf("the machine is read as %+v", m)
 	}
 	j := after("j-n", 1, "j-q", "j-p")
@@ -156,7 +158,7 @@
 			w.state.put(storage.MachineGroupKey(i), storage.MachineGroupRecord{"m-000900": {Type: "c4", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000, Used: used}})
 		}
 		l := w.waitLeader()
-		if m := l.leader.machines["m-000900"]; m == nil || !m.useDurable || m.reconciled {
+		if m := l.leader.Machines["m-000900"]; m == nil || !m.UseDurable || m.Reconciled {
 			t.Errorf("first used: %v: read as %+v", first, m)
 		}
 		w.run(500 * time.Millisecond)
@@ -186,7 +188,7 @@
 	w.runTime = func(task string, _ int) time.Duration { return 2 * time.Second }
 	l := w.waitLeader()
 	w.machines(2)
-	w.until(20*time.Second, func() bool { return l.leader == nil || l.leader.jobs["j-l"].doneTasks > 3 })
+	w.until(20*time.Second, func() bool { return l.leader == nil || l.leader.Jobs["j-l"].DoneTasks > 3 })
 	w.run(2 * time.Second)
 	count := func() (numbered, byTask int) {
 		for key := range w.state.keys {
@@ -206,16 +208,16 @@
 	w.allNew()
 	w.run(2 * time.Second)
 	w.state.lowered = true
-	done := w.nodes[w.leader()].leader.jobs["j-l"].doneTasks
+	done := w.nodes[w.leader()].leader.Jobs["j-l"].DoneTasks
 	w.crash(w.leader())
 	l = w.waitLeader()
 	w.run(time.Second)
 	if numbered, byTask := count(); numbered != 0 || byTask < 2 {
 		t.Errorf("with new nodes there are %d numbered parts, %d by task", numbered, byTask)
 	}
-	j := l.leader.jobs["j-l"]
-	if j.doneTasks < done || j.taskState(doneTask) != taskDone {
-		t.Errorf("%d tasks are done, %d were; the first: %v", j.doneTasks, done, j.taskState(doneTask))
+	j := l.leader.Jobs["j-l"]
+	if j.DoneTasks < done || j.TaskState(doneTask) != cluster.TaskDone {
+		t.Errorf("%d tasks are done, %d were; the first: %v", j.DoneTasks, done, j.TaskState(doneTask))
 	}
 	w.run(5 * time.Second)
 	if len(w.state.refused) > 0 {
--- a/internal/controller/worker_routes.go
+++ b/internal/controller/worker_routes.go
@@ -196,8 +196,8 @@
 // servesDirectly reports whether the worker's last heartbeat arrived within the last lease on a
 // connection of this node's own.
 func (l *leader) servesDirectly(worker string) bool {
-	machine := l.machines[worker]
-	return machine != nil && machine.relayPeer == "" && l.node.now-machine.lastHeartbeat < l.node.workerLease()
+	machine := l.Machines[worker]
+	return machine != nil && machine.RelayPeer == "" && l.node.now-machine.LastHeartbeat < l.node.workerLease()
 }
 
 // expireRoutes removes the workers that have not returned. The table is bounded by age and not by
