--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -92,7 +92,7 @@
 	l, now := a.leader, a.leader.node.now
 	if now >= a.plannedAt+l.node.heartbeatInterval()/2 {
 		a.plannedAt = now
-		l.releaseUndelivered()
+		l.ReleaseUndelivered()
 		a.drainUnresponsive()
 		if l.node.catalog != nil {
 			a.applyPlan()
--- a/internal/controller/autoscaler_plan.go
+++ b/internal/controller/autoscaler_plan.go
@@ -73,8 +73,8 @@
 	for _, r := range a.pendingRentals {
 		view.PendingRentals = append(view.PendingRentals, r.RentalRequest)
 	}
-	for _, r := range l.pendingOrder {
-		if j := r.job; !(j.FailsEverywhere && node.now < j.NextProbeAt) && !j.Terminal && j.PendingTasks > 0 {
+	for _, r := range l.PendingOrder {
+		if j := r.Job; !(j.FailsEverywhere && node.now < j.NextProbeAt) && !j.Terminal && j.PendingTasks > 0 {
 			view.PendingJobs = append(view.PendingJobs, fleet.PendingJob{Spec: &j.Spec, PendingTasks: j.PendingTasks})
 		}
 	}
@@ -97,7 +97,7 @@
 			continue
 		}
 		planned := l.planJob(j, pullRate)
-		if l.mayRunUnreported(j, &totals) {
+		if l.MayRunUnreported(j, &totals) {
 			planned.RemainingWork *= surelyPending
 		}
 		demand.Jobs = append(demand.Jobs, planned)
@@ -115,7 +115,7 @@
 	}
 	pending := 0.0
 	for _, j := range l.RunnableJobs {
-		if !j.Terminal && l.mayRunUnreported(j, totals) {
+		if !j.Terminal && l.MayRunUnreported(j, totals) {
 			pending += float64(j.PendingTasks) * j.Spec.Cores
 		}
 	}
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -55,7 +55,7 @@
 			totals := l.CurrentMachineTotals()
 			unknown, waiting, surely := totals.UnknownUsage.Cores, 0.0, 0
 			for _, j := range l.RunnableJobs {
-				if l.mayRunUnreported(j, &totals) {
+				if l.MayRunUnreported(j, &totals) {
 					waiting += float64(j.PendingTasks) * j.Spec.Cores
 				} else {
 					surely += j.PendingTasks
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/scheduler"
+
 	"hitchdoor/internal/cluster"
 
 	"hitchdoor/internal/clock"
@@ -107,14 +109,14 @@
 	urgent := spec("j-9", 2)
 	urgent.Priority = "urgent"
 	w.submit(l.name, urgent)
-	order := l.leader.buildQueue()
-	if order[0].job.Spec.ID != "j-9" {
-		t.Errorf("%s passes ahead of urgent work", order[0].job.Spec.ID)
+	order := l.leader.BuildQueue()
+	if order[0].Job.Spec.ID != "j-9" {
+		t.Errorf("%s passes ahead of urgent work", order[0].Job.Spec.ID)
 	}
 	for _, r := range order {
-		want := map[string]int{"j-0": rankOnTime, "j-1": rankLate, "j-2": rankOnTime, "j-9": 1}[r.job.Spec.ID]
-		if r.rank != want {
-			t.Errorf("%s has rank %d, not %d", r.job.Spec.ID, r.rank, want)
+		want := map[string]int{"j-0": scheduler.RankOnTime, "j-1": scheduler.RankLate, "j-2": scheduler.RankOnTime, "j-9": 1}[r.Job.Spec.ID]
+		if r.Rank != want {
+			t.Errorf("%s has rank %d, not %d", r.Job.Spec.ID, r.Rank, want)
 		}
 	}
 }
@@ -137,10 +139,10 @@
 	for _, j := range []protocol.Job{early, inside, beyond} {
 		w.submit(l.name, j)
 	}
-	order := l.leader.buildQueue()
-	if len(order) != 3 || order[0].job.Spec.ID != "j-2" || order[2].job.Spec.ID != "j-3" {
+	order := l.leader.BuildQueue()
+	if len(order) != 3 || order[0].Job.Spec.ID != "j-2" || order[2].Job.Spec.ID != "j-3" {
 		for _, r := range order {
-			t.Errorf("%s at %v", r.job.Spec.ID, r.latestStart)
+			t.Errorf("%s at %v", r.Job.Spec.ID, r.LatestStart)
 		}
 	}
 }
@@ -330,7 +332,7 @@
 	j := x.addJob(storage.JobRecord{Spec: spec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
 	j.Spec.ImageGB = 2 // 10 s of fetching
 	fits := func(m *cluster.Machine) bool {
-		return x.findCandidates(j, []*cluster.Machine{m}, true).bestMachine("") == m
+		return x.FindCandidates(j, []*cluster.Machine{m}, true).BestMachine("") == m
 	}
 	if fits(other) {
 		t.Error("it fetches where it must miss its aim, though another machine has the image")
--- a/internal/controller/flood_test.go
+++ b/internal/controller/flood_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/scheduler"
+
 	"hitchdoor/internal/cluster"
 
 	"hitchdoor/internal/clock"
@@ -78,49 +80,49 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 300 {
-		var all, plain []*queuedJob
+		var all, plain []*scheduler.QueuedJob
 		for i := range 1 + rng.IntN(30) {
 			j := &cluster.Job{Spec: spec(fmt.Sprintf("j-%d", i), 1), PendingTasks: rng.IntN(3)}
-			r := queuedJob{job: j, rank: []int{rankLatencySensitive, rankOnTime, rankLate}[rng.IntN(3)],
-				due: l.now + time.Duration(rng.IntN(200))*time.Second, remainingCoreSeconds: float64(rng.IntN(20) * 10)}
+			r := scheduler.QueuedJob{Job: j, Rank: []int{scheduler.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
+				Due: l.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
 			again := r
 			all, plain = append(all, &r), append(plain, &again)
 		}
-		byDue := func(a, b *queuedJob) int { return int(a.due - b.due) }
+		byDue := func(a, b *scheduler.QueuedJob) int { return int(a.Due - b.Due) }
 		slices.SortStableFunc(all, byDue)
 		slices.SortStableFunc(plain, byDue)
-		l.leader.demoteLargestJobs(all)
-		plainSacrifice(plain, cores*packingEfficiency, l.now)
+		l.leader.DemoteLargestJobs(all)
+		plainSacrifice(plain, cores*scheduler.PackingEfficiency, l.now)
 		for i := range all {
-			if all[i].rank != plain[i].rank {
-				t.Fatalf("round %d: job %d has rank %d, not %d", round, i, all[i].rank, plain[i].rank)
+			if all[i].Rank != plain[i].Rank {
+				t.Fatalf("round %d: job %d has rank %d, not %d", round, i, all[i].Rank, plain[i].Rank)
 			}
 		}
 	}
 }
 
 // plainSacrifice is Moore's rule for the fewest late jobs, written down as it is defined.
-func plainSacrifice(all []*queuedJob, cores float64, now clock.Instant) {
+func plainSacrifice(all []*scheduler.QueuedJob, cores float64, now clock.Instant) {
 	sum := 0.0
-	var kept []*queuedJob
+	var kept []*scheduler.QueuedJob
 	for _, r := range all {
-		if r.rank != rankOnTime && r.job.EffectiveRank() > rankLatencySensitive {
+		if r.Rank != scheduler.RankOnTime && r.Job.EffectiveRank() > scheduler.RankLatencySensitive {
 			continue
 		}
-		sum += r.remainingCoreSeconds
+		sum += r.RemainingCoreSeconds
 		kept = append(kept, r)
-		for sum/cores > (r.due - now).Seconds() {
+		for sum/cores > (r.Due - now).Seconds() {
 			worst := -1
 			for i, k := range kept {
-				if k.rank == rankOnTime && k.job.PendingTasks > 0 && (worst < 0 || k.remainingCoreSeconds > kept[worst].remainingCoreSeconds) {
+				if k.Rank == scheduler.RankOnTime && k.Job.PendingTasks > 0 && (worst < 0 || k.RemainingCoreSeconds > kept[worst].RemainingCoreSeconds) {
 					worst = i
 				}
 			}
 			if worst < 0 {
 				break
 			}
-			sum -= kept[worst].remainingCoreSeconds
-			kept[worst].rank = rankLate
+			sum -= kept[worst].RemainingCoreSeconds
+			kept[worst].Rank = scheduler.RankLate
 			kept = slices.Delete(kept, worst, worst+1)
 		}
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -42,7 +42,7 @@
 	if !m.UseDurable {
 		l.recordMachine(m, true)
 	}
-	l.scheduleOnMachine(m)
+	l.ScheduleOnMachine(m)
 	l.sendNextTransaction()
 	if node.leader != l || !node.holdsLeaderLease() {
 		node.replyUnavailable(request.Origin)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,6 +4,7 @@
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/recovery"
+	"hitchdoor/internal/scheduler"
 	"hitchdoor/internal/storage"
 )
 
@@ -14,7 +15,7 @@
 	term uint64
 
 	*cluster.State
-	*scheduler
+	*scheduler.Scheduler
 	loadState
 	workerServiceState
 	machineRecords
@@ -40,7 +41,7 @@
 		cancelWaiters: map[string][]Origin{},
 		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: node.newRecovery(),
 	}
-	l.scheduler = &scheduler{State: state, scheduleState: scheduleState{lastPass: clock.Never}, host: l}
+	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.autoscaler.init(l)
 	l.admission.start(l)
 	return l
@@ -57,7 +58,7 @@
 const maxAttemptCounter = 1<<attemptCounterBits - 1<<24
 
 // nextAttemptNumber returns a number that no other task attempt has.
-func (l *leader) nextAttemptNumber() uint64 {
+func (l *leader) NextAttemptNumber() uint64 {
 	l.attemptCounter++
 	return l.term<<attemptCounterBits | l.attemptCounter
 }
@@ -140,10 +141,10 @@
 	l.ExpireMachineLeases()
 	l.autoscaler.tick()
 	l.admission.tick()
-	if node.now >= l.lastPass+node.heartbeatInterval()/passesPerHeartbeat &&
-		(l.SchedulingNeeded || node.now >= l.lastPass+node.heartbeatInterval()) {
+	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
+		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
 		// Also without a change: pending jobs may have become due.
-		l.schedule()
+		l.Schedule()
 	}
 	l.sendNextTransaction()
 }
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"hitchdoor/internal/scheduler"
+
 	"hitchdoor/internal/cluster"
 
 	"hitchdoor/internal/clock"
@@ -129,7 +131,7 @@
 	switch {
 	case job.Terminal:
 		return recovery.CancelledWork
-	case job.EffectiveRank() <= rankLatencySensitive:
+	case job.EffectiveRank() <= scheduler.RankLatencySensitive:
 		return recovery.LatencySensitive
 	default:
 		return recovery.OrdinaryWork
@@ -156,7 +158,7 @@
 // An earlier leader can't have started a job that was accepted after the leader key was written,
 // nor one that depends on a job whose end this leader has written. Nor can a job be running there
 // that may use none of those machines.
-func (l *leader) mayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
+func (l *leader) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
 	if totals.AllReconciled || job.RecordVersion > l.writer.LeaderRevision || job.ReleasedThisTerm {
 		return false
 	}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -45,12 +45,12 @@
 		w, n := busyLeader(t, machines, tasks)
 		l, now := n.leader, w.now-n.boot
 		l.GuaranteedStartWithin = 10 * time.Second
-		for i, r := range l.pendingOrder {
-			r.job.EligibleAt, r.job.Spec.Image, r.job.Spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
-			if i < len(l.pendingOrder)/2 {
-				r.job.Spec.MemoryGB = 15 // no room on any machine, but each is asked
+		for i, r := range l.PendingOrder {
+			r.Job.EligibleAt, r.Job.Spec.Image, r.Job.Spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
+			if i < len(l.PendingOrder)/2 {
+				r.Job.Spec.MemoryGB = 15 // no room on any machine, but each is asked
 			}
-			l.Slos[r.job.Spec.Class] = []cluster.Slo{{Limit: 10 * time.Second, OnStart: true}}
+			l.Slos[r.Job.Spec.Class] = []cluster.Slo{{Limit: 10 * time.Second, OnStart: true}}
 		}
 		at := l.CandidatesExamined
 		for i, m := range l.MachinesByName()[:21] {
@@ -106,7 +106,7 @@
 				}
 			}
 		}
-		l.leader.schedule()
+		l.leader.Schedule()
 	}
 }
 
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -48,7 +48,7 @@
 	if _, s := w.query(other, "j-c"); s.State != protocol.JobQueued {
 		t.Errorf("a job that waits is called %q", s.State)
 	}
-	if l.leader.RunnableJobs["j-b"] != nil || len(l.leader.buildQueue()) > 1 {
+	if l.leader.RunnableJobs["j-b"] != nil || len(l.leader.BuildQueue()) > 1 {
 		t.Error("a job that waits for another takes part in the passes")
 	}
 	w.waitState("j-c", protocol.JobDone, time.Minute)
@@ -446,7 +446,7 @@
 	if !w.until(30*time.Second, func() bool { return w.onMachines("j-b") == 1 }) || silenced == 0 {
 		t.Fatal("not started")
 	}
-	if l.leader.reconciledOnce {
+	if l.leader.ReconciledOnce {
 		t.Errorf("started only when all machines were accounted for, %v after the takeover", w.now-took)
 	}
 }
--- a/internal/controller/routes_test.go
+++ b/internal/controller/routes_test.go
@@ -299,9 +299,9 @@
 	l := w.waitLeader()
 	term := l.leader.term
 	l.leader.attemptCounter = maxAttemptCounter - 1
-	last := l.leader.nextAttemptNumber()
+	last := l.leader.NextAttemptNumber()
 	w.run(20 * step)
-	if next := w.waitLeader().leader; next.term <= term || next.nextAttemptNumber() <= last {
+	if next := w.waitLeader().leader; next.term <= term || next.NextAttemptNumber() <= last {
 		t.Errorf("term %d goes on after %d", next.term, term)
 	}
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -392,14 +392,14 @@
 	if !w.until(60*time.Second, func() bool { return w.onMachines("j-1") == 16 }) {
 		t.Fatal("quota not filled")
 	}
-	l.leader.schedule()
+	l.leader.Schedule()
 	job := l.leader.Jobs["j-1"]
 	if job.BlockedBy != cluster.WaitTeamQuota {
 		t.Fatalf("waits for %q", job.BlockedBy)
 	}
 	l.Node.settings.SlotsPerCore, l.Node.settings.BaseSlots = 0.01, 0
 	l.leader.InvalidateMachineIndex()
-	l.leader.schedule()
+	l.leader.Schedule()
 	if job.BlockedBy != cluster.WaitSlots {
 		t.Fatalf("waits for %q, though the slots come first", job.BlockedBy)
 	}
@@ -414,14 +414,14 @@
 	w.submit(l.name, low)
 	w.submit(l.name, urgent)
 	x := l.leader
-	if x.latencySensitiveWorkDelayed(x.buildQueue()) {
+	if x.LatencySensitiveWorkDelayed(x.BuildQueue()) {
 		t.Fatal("lending ended at once")
 	}
 	x.Jobs["j-2"].PendingSince = x.node.now - config.Seconds(x.node.settings.BorrowWaitS) - time.Second
-	if !x.latencySensitiveWorkDelayed(x.buildQueue()) {
+	if !x.LatencySensitiveWorkDelayed(x.BuildQueue()) {
 		t.Fatal("lending goes on though pressing work has waited")
 	}
-	if first := x.buildQueue()[0].job.Spec.ID; first != "j-2" {
+	if first := x.BuildQueue()[0].Job.Spec.ID; first != "j-2" {
 		t.Fatalf("%s passes first", first)
 	}
 }
@@ -839,7 +839,7 @@
 		spec.EstimatedSeconds, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 300, 30, 4
 		j := x.addJob(storage.JobRecord{Spec: spec, AcceptedAtMillis: l.nowUnixMilli()}, 1)
 		for i := range 2 {
-			x.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: i, Number: x.nextAttemptNumber(), Machine: from, Phase: cluster.AttemptRunning, RunningSince: l.now - time.Minute})
+			x.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: i, Number: x.NextAttemptNumber(), Machine: from, Phase: cluster.AttemptRunning, RunningSince: l.now - time.Minute})
 		}
 		c.change(from, to, j)
 		x.autoscaler.consolidate([]*cluster.Machine{to})
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -49,7 +49,7 @@
 }
 
 // traceBlocked traces which check blocks a job, when that has changed.
-func (l *leader) traceBlocked(j *cluster.Job, previous cluster.WaitReason) {
+func (l *leader) TraceBlocked(j *cluster.Job, previous cluster.WaitReason) {
 	if j.BlockedBy != previous && j.BlockedBy != "" {
 		l.node.traceStep(j.Spec.ID, stepBlocked, string(j.BlockedBy))
 	}
--- a/internal/controller/checks.go
+++ b/internal/scheduler/checks.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"hitchdoor/internal/cluster"
@@ -24,7 +24,7 @@
 }
 
 // newSchedulingPass returns a pass without machines, from the present totals.
-func (s *scheduler) newSchedulingPass(latencySensitiveDelayed bool) *schedulingPass {
+func (s *Scheduler) newSchedulingPass(latencySensitiveDelayed bool) *schedulingPass {
 	pass := &schedulingPass{MachineTotals: s.CurrentMachineTotals()}
 	pass.slotUsage = slotUsage{totalSlots: pass.MachineTotals.Slots, batchTasks: s.ActiveTasks[0], latencySensitiveTasks: s.ActiveTasks[1], latencySensitiveDelayed: latencySensitiveDelayed}
 	return pass
@@ -33,10 +33,10 @@
 // scheduleQueue places tasks of the queued jobs on the machines of a pass. Within a rank,
 // machines that already have the image come first: a fetch occupies cores without progress and
 // may take as long as a task.
-func (s *scheduler) scheduleQueue(pass *schedulingPass) {
-	for queue := s.pendingOrder; len(queue) > 0; {
+func (s *Scheduler) scheduleQueue(pass *schedulingPass) {
+	for queue := s.PendingOrder; len(queue) > 0; {
 		sameRank := 1
-		for sameRank < len(queue) && queue[sameRank].rank == queue[0].rank {
+		for sameRank < len(queue) && queue[sameRank].Rank == queue[0].Rank {
 			sameRank++
 		}
 		for _, mayFetch := range []bool{false, true} {
@@ -45,14 +45,14 @@
 				if len(pass.machines) == 1 && !pass.machines[0].HasSpareCapacity() {
 					return // the only machine of the pass is full
 				}
-				if j := queued.job; j.PendingTasks > 0 && !j.Terminal {
+				if j := queued.Job; j.PendingTasks > 0 && !j.Terminal {
 					maxTasks := j.PendingTasks
-					if queued.rank == rankOverdue {
+					if queued.Rank == rankOverdue {
 						maxTasks = j.Spec.TaskCount/cluster.OverdueTaskDivisor + 1 - len(j.Attempts)
 					}
 					previous := j.BlockedBy
 					j.BlockedBy = s.scheduleJob(j, pass, mayFetch, maxTasks)
-					s.host.traceBlocked(j, previous)
+					s.Host.TraceBlocked(j, previous)
 				}
 			}
 		}
@@ -62,11 +62,11 @@
 
 // scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
 // the check that stopped it.
-func (s *scheduler) scheduleJob(j *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int) cluster.WaitReason {
+func (s *Scheduler) scheduleJob(j *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int) cluster.WaitReason {
 	if j.Quarantined {
 		return cluster.WaitQuarantine
 	}
-	if s.host.mayRunUnreported(j, &pass.MachineTotals) {
+	if s.Host.MayRunUnreported(j, &pass.MachineTotals) {
 		return cluster.WaitReconciliation
 	}
 	if j.FailsEverywhere && s.OutlivesFailures(j) {
@@ -111,9 +111,9 @@
 			avoidedMachine = history.AvoidedMachine
 		}
 		if candidates == nil {
-			candidates = s.findCandidates(j, pass.machines, mayFetch)
+			candidates = s.FindCandidates(j, pass.machines, mayFetch)
 		}
-		m := candidates.bestMachine(avoidedMachine)
+		m := candidates.BestMachine(avoidedMachine)
 		if m == nil {
 			if avoidedMachine != "" {
 				reason = cluster.WaitCapacity
@@ -127,7 +127,7 @@
 		if m.Draining && m.DrainReason == cluster.SurplusCapacity {
 			s.CancelDrain(m)
 		}
-		s.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: index, Number: s.host.nextAttemptNumber(), Machine: m, Phase: cluster.AttemptAssigned, AssignedAt: s.Clock.Now()})
+		s.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: index, Number: s.Host.NextAttemptNumber(), Machine: m, Phase: cluster.AttemptAssigned, AssignedAt: s.Clock.Now()})
 		candidates.rescore(m)
 		maxTasks--
 		if cluster.IsLatencySensitive(&j.Spec) {
@@ -141,7 +141,7 @@
 
 // checkLimits makes the three checks for one more task of a job, in order: scheduler slots, team
 // quota, overall quota.
-func (s *scheduler) checkLimits(j *cluster.Job, pass *schedulingPass, team *config.Team, teamUsage *cluster.ResourceUsage) cluster.WaitReason {
+func (s *Scheduler) checkLimits(j *cluster.Job, pass *schedulingPass, team *config.Team, teamUsage *cluster.ResourceUsage) cluster.WaitReason {
 	switch {
 	case !s.hasFreeSlot(j, pass):
 		return cluster.WaitSlots
@@ -156,7 +156,7 @@
 
 // hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work borrows the
 // slots reserved for latency-sensitive work unless that is delayed.
-func (s *scheduler) hasFreeSlot(j *cluster.Job, pass *schedulingPass) bool {
+func (s *Scheduler) hasFreeSlot(j *cluster.Job, pass *schedulingPass) bool {
 	if cluster.IsLatencySensitive(&j.Spec) {
 		return float64(pass.latencySensitiveTasks+1) <= pass.totalSlots
 	}
--- a/internal/controller/placement.go
+++ b/internal/scheduler/placement.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 // load in steps, then by fetch time of the image, then by exact load. The machines are scored
 // once for all tasks of the job; scoring them for each task would cost machines x tasks.
 type candidateHeap struct {
-	scheduler *scheduler
+	scheduler *Scheduler
 	job       *cluster.Job
 	entries   []candidate // in heap order
 
@@ -46,9 +46,9 @@
 	return last
 }
 
-// findCandidates filters and scores the machines for a job. Unless mayFetch is set, only machines
+// FindCandidates filters and scores the machines for a job. Unless mayFetch is set, only machines
 // that have the job's image qualify.
-func (s *scheduler) findCandidates(j *cluster.Job, machines []*cluster.Machine, mayFetch bool) *candidateHeap {
+func (s *Scheduler) FindCandidates(j *cluster.Job, machines []*cluster.Machine, mayFetch bool) *candidateHeap {
 	candidates := &candidateHeap{scheduler: s, job: j}
 	maxFetch := math.Inf(1)
 	if mayFetch {
@@ -75,14 +75,14 @@
 // objective of seconds waits for a machine that has the image, if there is one, because a long
 // fetch elsewhere would miss the objective for certain; but it waits only for imageWaitPercent of
 // that objective.
-func (s *scheduler) maxFetchSeconds(j *cluster.Job) float64 {
+func (s *Scheduler) maxFetchSeconds(j *cluster.Job) float64 {
 	limit := s.StartSLO(j)
 	if limit == 0 || !s.TooSoonToScaleOut(limit) || s.Clock.Now() > j.EligibleAt+limit*imageWaitPercent/100 {
 		return math.Inf(1)
 	}
-	if j.ImageCheckedAt != s.lastPass {
+	if j.ImageCheckedAt != s.LastPass {
 		// Once per full pass: scanning all machines on each heartbeat would cost machines x jobs.
-		j.ImageCheckedAt, j.ImageAvailable = s.lastPass, false
+		j.ImageCheckedAt, j.ImageAvailable = s.LastPass, false
 		for _, m := range s.MachinesByName() {
 			s.CandidatesExamined++
 			if m.Schedulable() && m.HasImage(j.Spec.Image) && cluster.Feasible(&j.Spec, m) {
@@ -117,9 +117,9 @@
 	return scored
 }
 
-// bestMachine returns the best machine for a task, or nil. It skips the machine on which the task
+// BestMachine returns the best machine for a task, or nil. It skips the machine on which the task
 // failed last.
-func (c *candidateHeap) bestMachine(avoidedMachine string) *cluster.Machine {
+func (c *candidateHeap) BestMachine(avoidedMachine string) *cluster.Machine {
 	var avoided *candidate
 	defer func() {
 		if avoided != nil {
--- a/internal/controller/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 
 // jobsWithinGuarantee returns the jobs that fit into their team's guaranteed resources together
 // with the team's earlier unfinished jobs (fair share).
-func (s *scheduler) jobsWithinGuarantee() map[*cluster.Job]bool {
+func (s *Scheduler) jobsWithinGuarantee() map[*cluster.Job]bool {
 	if s.GuaranteedStartWithin == 0 {
 		return nil
 	}
@@ -30,7 +30,7 @@
 
 // exceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
 // have a start objective for guaranteed work.
-func (s *scheduler) exceedsGuarantee(j *cluster.Job) bool {
+func (s *Scheduler) exceedsGuarantee(j *cluster.Job) bool {
 	team, teamUsage := s.Cluster.Team(j.Spec.Team), s.TeamUsage[j.Spec.Team]
 	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil &&
 		(teamUsage.Cores > team.GuaranteedCPUs+cluster.ResourceTolerance || teamUsage.Accelerators > team.GuaranteedGPUs+cluster.ResourceTolerance)
@@ -45,15 +45,15 @@
 // once and only after running long enough for its start to count, so that borrowed capacity still
 // does useful work. Without preemption, long tasks that borrowed a third of the cores made
 // guaranteed work wait for minutes.
-func (s *scheduler) preemptForGuarantees() {
+func (s *Scheduler) preemptForGuarantees() {
 	if s.GuaranteedStartWithin == 0 || s.Clock.Now() < s.preemptedAt+s.HeartbeatInterval()/2 || !s.AllReconciled() {
 		return
 	}
 	s.preemptedAt = s.Clock.Now()
 	neededCores := map[*cluster.Job]float64{}
 	withinGuarantee := s.guaranteedJobs
-	for _, r := range s.pendingOrder {
-		j := r.job
+	for _, r := range s.PendingOrder {
+		j := r.Job
 		if withinGuarantee[j] && !j.Terminal && !j.FailsEverywhere && j.PendingTasks > 0 && (j.BlockedBy == cluster.WaitCapacity || j.BlockedBy == cluster.WaitImage) &&
 			s.Clock.Now() > j.EligibleAt+s.GuaranteedStartWithin/preemptAfterDivisor {
 			neededCores[j] = float64(j.PendingTasks) * j.Spec.Cores
@@ -82,8 +82,8 @@
 		return cmp.Or(cmp.Compare(b.Job.Spec.PriorityRank(), a.Job.Spec.PriorityRank()), cmp.Compare(s.RemainingDuration(b), s.RemainingDuration(a)))
 	})
 	reclaimedCores := map[string]float64{} // by team that exceeds its guarantee
-	for _, queued := range s.pendingOrder {
-		j := queued.job
+	for _, queued := range s.PendingOrder {
+		j := queued.Job
 		missingCores := neededCores[j]
 		covered := min(missingCores, coresBeingFreed)
 		missingCores, coresBeingFreed = missingCores-covered, coresBeingFreed-covered
--- a/internal/controller/queue.go
+++ b/internal/scheduler/queue.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -12,13 +12,13 @@
 	"hitchdoor/internal/config"
 )
 
-// queuedJob is a job with the values that determine its position in the queue.
-type queuedJob struct {
-	job                  *cluster.Job
-	rank                 int           // see rankOverdue and following
-	latestStart          clock.Instant // latest start that is still in time
-	due                  clock.Instant
-	remainingCoreSeconds float64 // remaining work in core seconds
+// QueuedJob is a job with the values that determine its position in the queue.
+type QueuedJob struct {
+	Job                  *cluster.Job
+	Rank                 int           // see rankOverdue and following
+	LatestStart          clock.Instant // latest start that is still in time
+	Due                  clock.Instant
+	RemainingCoreSeconds float64 // remaining work in core seconds
 
 	mayReserve bool // has waited long enough for a resource reservation
 }
@@ -27,77 +27,77 @@
 // finish in time, and jobs that cannot.
 const (
 	rankOverdue          = -1
-	rankLatencySensitive = 1
-	rankOnTime           = 2
-	rankLate             = 3
+	RankLatencySensitive = 1
+	RankOnTime           = 2
+	RankLate             = 3
 )
 
 // mayUseLastResort reports whether tasks of the job have waited so long that a slow machine is
 // better than none: no job may wait for 90 s while some machine has room.
-func (s *scheduler) mayUseLastResort(j *cluster.Job) bool {
+func (s *Scheduler) mayUseLastResort(j *cluster.Job) bool {
 	return s.Clock.Now()-j.PendingSince > lastResortAfter
 }
 
 // lastResortAfter is the waiting time after which slow machines are used too.
 const lastResortAfter = cluster.MaxStartDelay / 4
 
-// latencySensitiveWorkDelayed reports whether latency-sensitive work has waited longer than
+// LatencySensitiveWorkDelayed reports whether latency-sensitive work has waited longer than
 // borrowing allows.
-func (s *scheduler) latencySensitiveWorkDelayed(queue []queuedJob) bool {
-	return slices.ContainsFunc(queue, func(r queuedJob) bool {
-		return cluster.IsLatencySensitive(&r.job.Spec) && s.Clock.Now()-r.job.PendingSince > config.Seconds(s.Settings.BorrowWaitS)
+func (s *Scheduler) LatencySensitiveWorkDelayed(queue []QueuedJob) bool {
+	return slices.ContainsFunc(queue, func(r QueuedJob) bool {
+		return cluster.IsLatencySensitive(&r.Job.Spec) && s.Clock.Now()-r.Job.PendingSince > config.Seconds(s.Settings.BorrowWaitS)
 	})
 }
 
-// buildQueue returns the runnable jobs with pending tasks in queue order.
-func (s *scheduler) buildQueue() []queuedJob {
+// BuildQueue returns the runnable jobs with pending tasks in queue order.
+func (s *Scheduler) BuildQueue() []QueuedJob {
 	now := s.Clock.Now()
-	var all []*queuedJob
+	var all []*QueuedJob
 	s.guaranteedJobs = s.jobsWithinGuarantee()
 	pullRate := s.ImagePullRate()
 	for _, j := range s.RunnableJobs {
 		if j.Terminal {
 			continue
 		}
-		queued := &queuedJob{job: j, rank: min(j.EffectiveRank(), rankOnTime), due: s.Due(j), remainingCoreSeconds: s.RemainingCoreSeconds(j, pullRate)}
-		queued.latestStart = queued.due - s.ExpectedTaskDuration(j)
-		if queued.rank == rankOnTime && j.PendingTasks > 0 && queued.latestStart < now {
-			queued.rank = rankLate
+		queued := &QueuedJob{Job: j, Rank: min(j.EffectiveRank(), RankOnTime), Due: s.Due(j), RemainingCoreSeconds: s.RemainingCoreSeconds(j, pullRate)}
+		queued.LatestStart = queued.Due - s.ExpectedTaskDuration(j)
+		if queued.Rank == RankOnTime && j.PendingTasks > 0 && queued.LatestStart < now {
+			queued.Rank = RankLate
 		}
 		switch age := now - j.EligibleAt; {
 		case age > cluster.OverdueAfter && !j.HasStarted():
-			queued.rank, queued.latestStart, queued.mayReserve = rankOverdue, j.EligibleAt, true
-		case age > cluster.MaxStartDelay && queued.rank > rankLatencySensitive && !(j.HasStarted() && s.exceedsGuarantee(j)):
+			queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, j.EligibleAt, true
+		case age > cluster.MaxStartDelay && queued.Rank > RankLatencySensitive && !(j.HasStarted() && s.exceedsGuarantee(j)):
 			// A started job that exceeds its team's guarantee is not moved ahead.
-			queued.rank, queued.latestStart, queued.mayReserve = rankLatencySensitive, j.EligibleAt, true
+			queued.Rank, queued.LatestStart, queued.mayReserve = RankLatencySensitive, j.EligibleAt, true
 		}
 		if start := j.EligibleAt + s.GuaranteedStartWithin; s.GuaranteedStartWithin > 0 && start > now && s.guaranteedJobs[j] {
 			// Guaranteed work has a start objective of its own.
-			queued.latestStart = min(queued.latestStart, start)
+			queued.LatestStart = min(queued.LatestStart, start)
 		}
 		all = append(all, queued)
 	}
-	slices.SortFunc(all, func(a, b *queuedJob) int {
-		return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
+	slices.SortFunc(all, func(a, b *QueuedJob) int {
+		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID))
 	})
-	s.demoteLargestJobs(all)
-	var queue []queuedJob
+	s.DemoteLargestJobs(all)
+	var queue []QueuedJob
 	for _, queued := range all {
-		if queued.job.PendingTasks > 0 {
+		if queued.Job.PendingTasks > 0 {
 			queue = append(queue, *queued)
 		}
 	}
-	slices.SortFunc(queue, func(a, b queuedJob) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.latestStart, b.latestStart), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
+	slices.SortFunc(queue, func(a, b QueuedJob) int {
+		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.LatestStart, b.LatestStart), cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID))
 	})
 	return queue
 }
 
-// demoteLargestJobs ranks jobs as late that cannot all be in time on the present machines.
+// DemoteLargestJobs ranks jobs as late that cannot all be in time on the present machines.
 // Objectives count jobs regardless of size, so the largest are demoted: going through the jobs by
 // due time, the largest so far is demoted whenever the next would be late (Moore-Hodgson
 // algorithm for the fewest late jobs).
-func (s *scheduler) demoteLargestJobs(all []*queuedJob) {
+func (s *Scheduler) DemoteLargestJobs(all []*QueuedJob) {
 	cores := s.RetainedCores()
 	if cores == 0 {
 		return
@@ -105,17 +105,17 @@
 	totalWork := 0.0
 	largest := &workHeap{}
 	for order, queued := range all {
-		if queued.rank != rankOnTime && queued.job.EffectiveRank() > rankLatencySensitive {
+		if queued.Rank != RankOnTime && queued.Job.EffectiveRank() > RankLatencySensitive {
 			continue
 		}
-		totalWork += queued.remainingCoreSeconds
-		if queued.rank == rankOnTime && queued.job.PendingTasks > 0 {
+		totalWork += queued.RemainingCoreSeconds
+		if queued.Rank == RankOnTime && queued.Job.PendingTasks > 0 {
 			heap.Push(largest, workHeapItem{queued: queued, dueOrder: order})
 		}
-		for totalWork/(cores*packingEfficiency) > (queued.due-s.Clock.Now()).Seconds() && largest.Len() > 0 {
+		for totalWork/(cores*PackingEfficiency) > (queued.Due-s.Clock.Now()).Seconds() && largest.Len() > 0 {
 			demoted := heap.Pop(largest).(workHeapItem).queued
-			totalWork -= demoted.remainingCoreSeconds
-			demoted.rank = rankLate
+			totalWork -= demoted.RemainingCoreSeconds
+			demoted.Rank = RankLate
 		}
 	}
 }
@@ -126,7 +126,7 @@
 
 // workHeapItem is a job with its position in the order of due times, which breaks ties.
 type workHeapItem struct {
-	queued   *queuedJob
+	queued   *QueuedJob
 	dueOrder int
 }
 
@@ -138,7 +138,7 @@
 func (h *workHeap) Push(x any) { *h = append(*h, x.(workHeapItem)) }
 
 func (h workHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[j].queued.remainingCoreSeconds, h[i].queued.remainingCoreSeconds), cmp.Compare(h[i].dueOrder, h[j].dueOrder)) < 0
+	return cmp.Or(cmp.Compare(h[j].queued.RemainingCoreSeconds, h[i].queued.RemainingCoreSeconds), cmp.Compare(h[i].dueOrder, h[j].dueOrder)) < 0
 }
 
 // Pop removes the last element, as container/heap requires.
@@ -148,5 +148,5 @@
 	return last
 }
 
-// packingEfficiency is the share of the machines' time that tasks use under full load.
-const packingEfficiency = 0.9
+// PackingEfficiency is the share of the machines' time that tasks use under full load.
+const PackingEfficiency = 0.9
--- a/internal/controller/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -1,4 +1,4 @@
-package controller
+package scheduler
 
 import (
 	"cmp"
@@ -28,11 +28,11 @@
 
 // renewReservations updates the reservations after a full pass. It releases those no longer
 // needed and adds at most one, because the search for a machine examines all attempts.
-func (s *scheduler) renewReservations() {
+func (s *Scheduler) renewReservations() {
 	eligibleJobs := map[*cluster.Job]bool{}
-	for _, queued := range s.pendingOrder {
-		if queued.mayReserve && queued.job.PendingTasks > 0 && queued.job.BlockedBy == cluster.WaitCapacity && len(queued.job.FailedMachines) == 0 {
-			eligibleJobs[queued.job] = true
+	for _, queued := range s.PendingOrder {
+		if queued.mayReserve && queued.Job.PendingTasks > 0 && queued.Job.BlockedBy == cluster.WaitCapacity && len(queued.Job.FailedMachines) == 0 {
+			eligibleJobs[queued.Job] = true
 		}
 	}
 	schedulableMachines, reserved := 0, 0
@@ -49,11 +49,11 @@
 		}
 		reserved++
 	}
-	for _, queued := range s.pendingOrder {
+	for _, queued := range s.PendingOrder {
 		if reserved >= max(1, schedulableMachines/reservedMachineDivisor) {
 			return
 		}
-		j := queued.job
+		j := queued.Job
 		if !eligibleJobs[j] || j.Reservation.Machine != nil || s.Clock.Now() < j.Reservation.SearchedAt+s.HeartbeatInterval() {
 			continue
 		}
@@ -68,7 +68,7 @@
 
 // machineWithEarliestRoom returns the machine that should be the first to have room for a task of
 // the job and its image, or nil if none is feasible.
-func (s *scheduler) machineWithEarliestRoom(j *cluster.Job) *cluster.Machine {
+func (s *Scheduler) machineWithEarliestRoom(j *cluster.Job) *cluster.Machine {
 	var best *cluster.Machine
 	var soonest time.Duration
 	for _, m := range s.MachinesByName() {
@@ -88,7 +88,7 @@
 
 // timeToFreeCapacity returns the expected time until enough attempts on a machine have ended for
 // a task of the job.
-func (s *scheduler) timeToFreeCapacity(m *cluster.Machine, spec *protocol.Job) time.Duration {
+func (s *Scheduler) timeToFreeCapacity(m *cluster.Machine, spec *protocol.Job) time.Duration {
 	free := m.FreeCapacity()
 	attempts := slices.Clone(m.AttemptsInOrder)
 	slices.SortStableFunc(attempts, func(first, second *cluster.TaskAttempt) int {
@@ -109,7 +109,7 @@
 // the task for which the machine is reserved. Work within a guarantee does not wait for other
 // teams, so a reservation holds against it only if the reserved job would otherwise start too
 // late.
-func (s *scheduler) fitsBesideReservation(j *cluster.Job, m *cluster.Machine) bool {
+func (s *Scheduler) fitsBesideReservation(j *cluster.Job, m *cluster.Machine) bool {
 	free := m.FreeCapacity()
 	if !free.Fits(&j.Spec) {
 		return false
--- a/internal/controller/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,55 +1,55 @@
-package controller
+package scheduler
 
 import (
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 )
 
-// scheduler orders the pending jobs, makes the admission checks in their fixed order, places tasks on
+// Scheduler orders the pending jobs, makes the admission checks in their fixed order, places tasks on
 // machines and preempts tasks in favour of guaranteed work.
-type scheduler struct {
+type Scheduler struct {
 	*cluster.State
-	scheduleState
-	host schedulerHost
+	ScheduleState
+	Host Host
 }
 
-// schedulerHost is what the scheduler needs from the leader.
-type schedulerHost interface {
+// Host is what the scheduler needs from the leader.
+type Host interface {
 	// mayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
-	mayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool
+	MayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool
 	// nextAttemptNumber returns a number that no other attempt has.
-	nextAttemptNumber() uint64
+	NextAttemptNumber() uint64
 	// traceBlocked records the check that blocks a job, when it changes.
-	traceBlocked(j *cluster.Job, was cluster.WaitReason)
+	TraceBlocked(j *cluster.Job, was cluster.WaitReason)
 }
 
-// scheduleState holds the results of the last full scheduling pass.
-type scheduleState struct {
-	lastPass          clock.Instant         // last pass
-	pendingOrder      []queuedJob           // pending jobs in scheduling order
+// ScheduleState holds the results of the last full scheduling pass.
+type ScheduleState struct {
+	LastPass          clock.Instant         // last pass
+	PendingOrder      []QueuedJob           // pending jobs in scheduling order
 	guaranteedJobs    map[*cluster.Job]bool // jobs that fit into their team's guarantee
 	urgentWorkDelayed bool                  // urgent work had waited for too long
 	preemptedAt       clock.Instant
-	reconciledOnce    bool // all machines were reconciled at some time in this term
+	ReconciledOnce    bool // all machines were reconciled at some time in this term
 }
 
-// passesPerHeartbeat is the maximum number of full scheduling passes per heartbeat interval.
-const passesPerHeartbeat = 12
+// PassesPerHeartbeat is the maximum number of full scheduling passes per heartbeat interval.
+const PassesPerHeartbeat = 12
 
-// schedule runs a full pass. For each job in queue order it checks the scheduler slots, the team
+// Schedule runs a full pass. For each job in queue order it checks the scheduler slots, the team
 // quota and the overall quota, and then places the task on the best machine.
-func (s *scheduler) schedule() {
-	s.SchedulingNeeded, s.lastPass = false, s.Clock.Now()
-	s.pendingOrder = s.buildQueue()
-	s.urgentWorkDelayed = s.latencySensitiveWorkDelayed(s.pendingOrder)
-	if len(s.pendingOrder) == 0 {
+func (s *Scheduler) Schedule() {
+	s.SchedulingNeeded, s.LastPass = false, s.Clock.Now()
+	s.PendingOrder = s.BuildQueue()
+	s.urgentWorkDelayed = s.LatencySensitiveWorkDelayed(s.PendingOrder)
+	if len(s.PendingOrder) == 0 {
 		s.renewReservations()
 		return
 	}
 	pass := s.newSchedulingPass(s.urgentWorkDelayed)
-	if pass.AllReconciled && !s.reconciledOnce {
-		s.reconciledOnce = true
+	if pass.AllReconciled && !s.ReconciledOnce {
+		s.ReconciledOnce = true
 		s.Log.Info("all machines reconciled", "after", s.Clock.Now()-s.StartedAt)
 	}
 	for _, m := range s.MachinesByName() {
@@ -62,11 +62,11 @@
 	s.preemptForGuarantees()
 }
 
-// scheduleOnMachine places waiting tasks on a machine that sends a heartbeat, in the queue order
+// ScheduleOnMachine places waiting tasks on a machine that sends a heartbeat, in the queue order
 // of the last full pass, so that the response carries new tasks in place of finished ones. A full
 // pass for each heartbeat would cost machines x tasks.
-func (s *scheduler) scheduleOnMachine(m *cluster.Machine) {
-	if len(s.pendingOrder) == 0 || !m.Schedulable() || m.Draining || !m.HasSpareCapacity() {
+func (s *Scheduler) ScheduleOnMachine(m *cluster.Machine) {
+	if len(s.PendingOrder) == 0 || !m.Schedulable() || m.Draining || !m.HasSpareCapacity() {
 		return
 	}
 	pass := s.newSchedulingPass(s.urgentWorkDelayed)
@@ -74,10 +74,10 @@
 	s.scheduleQueue(pass)
 }
 
-// releaseUndelivered releases attempts that were not delivered to their machine in time, because
+// ReleaseUndelivered releases attempts that were not delivered to their machine in time, because
 // its heartbeats stopped or its responses are lost. Received heartbeats alone do not prove that
 // the machine will ever start them.
-func (s *scheduler) releaseUndelivered() {
+func (s *Scheduler) ReleaseUndelivered() {
 	patience := 2*s.HeartbeatInterval() + s.HeartbeatInterval()/2
 	for _, m := range s.MachinesByName() {
 		for _, r := range m.AttemptsInOrder {
