--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -46,9 +46,9 @@
 func FullShare(group Group) Share { return Share{Group: group, Steps: []uint64{Ring}} }
 
 // OpenPositions is the number of positions that are admitted.
-func (share *Share) OpenPositions() uint64 {
+func (s *Share) OpenPositions() uint64 {
 	open := uint64(0)
-	for _, step := range share.Steps {
+	for _, step := range s.Steps {
 		open += step
 	}
 	return min(open, Ring)
--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -1,3 +1,5 @@
+// Package clock has the instants of the monotonic clock and the margins that allow for clock drift.
+// It reads no clock: every instant comes from the caller.
 package clock
 
 import (
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -14,7 +14,7 @@
 	TaskIndex    int
 	Number       uint64 // unique across terms
 	Machine      *Machine
-	Phase        attemptPhase
+	Phase        AttemptPhase
 	AssignedAt   clock.Instant // when the attempt was placed
 	RunningSince clock.Instant // first heartbeat that showed it running
 	StopGrace    *float64      // seconds of grace of a requested stop; nil: no stop requested
@@ -22,11 +22,12 @@
 	cachedKey    string        // see key
 }
 
-// attemptPhase is how far an attempt has come on its machine.
-type attemptPhase uint8
+// AttemptPhase is how far an attempt has come on its machine.
+type AttemptPhase uint8
 
+// The phases of an attempt, in their order.
 const (
-	AttemptAssigned attemptPhase = iota // not included in any heartbeat response yet
+	AttemptAssigned AttemptPhase = iota // not included in any heartbeat response yet
 	AttemptSent                         // included in a response that no heartbeat has confirmed yet
 	AttemptFetching                     // the image is being fetched
 	AttemptRunning
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -25,14 +25,14 @@
 	BitmapParts      []*BitmapPart           // bitmap of finished tasks
 	TasksPerPart     int                     // tasks covered by each part
 	FailureHistories map[int]*FailureHistory // by task index
-	ImageCheckedAt   clock.Instant           // scheduling pass for which imageAvailable was determined
+	ImageCheckedAt   clock.Instant           // scheduling pass for which ImageAvailable was determined
 	ImageAvailable   bool                    // some schedulable machine has the job's image
 	FailedMachines   map[string]bool         // machines on which a task failed; cleared by the first success
 	longestFailedRun time.Duration           // longest run of a task before it failed
 	FailsEverywhere  bool                    // the job itself is at fault, not the machines
-	FailedProbes     int                     // failures since failsEverywhere was set
+	FailedProbes     int                     // failures since FailsEverywhere was set
 	NextProbeAt      clock.Instant           // when the next single task is tried
-	Reservation      reservation
+	Reservation      Reservation
 	MovedTasks       map[int]bool // tasks already moved to another machine once, by index
 
 	logDurationSum, durationSamples float64       // sum and number of logarithms of task run times
@@ -48,19 +48,20 @@
 	Quarantined               bool          // one of its records is quarantined: no task starts
 }
 
-// taskState is the progress of one task of an open job. It is derived from the job's bitmap of
+// TaskState is the progress of one task of an open job. It is derived from the job's bitmap of
 // finished tasks and its attempts instead of being stored: one byte per task, for hundreds of
 // jobs of up to 100,000 tasks, exceeded a controller's memory.
-type taskState uint8
+type TaskState uint8
 
+// The states of a task.
 const (
-	TaskPending taskState = iota // neither started nor finished
+	TaskPending TaskState = iota // neither started nor finished
 	taskActive                   // has an attempt on a machine
 	TaskDone                     // its bit is set in the bitmap
 )
 
 // TaskState returns the progress of a task.
-func (j *Job) TaskState(index int) taskState {
+func (j *Job) TaskState(index int) TaskState {
 	part, byteIndex, bit := j.bitmapPosition(index)
 	switch {
 	case byteIndex < len(part.Bits) && part.Bits[byteIndex]&bit != 0:
@@ -106,7 +107,7 @@
 	return part
 }
 
-// finishDurable reports whether a finished task's bit is stored in the key-value store.
+// TaskDurable reports whether a finished task's bit is stored in the key-value store.
 func (j *Job) TaskDurable(index int) bool {
 	part, byteIndex, bit := j.bitmapPosition(index)
 	return byteIndex < len(part.StoredBits) && part.StoredBits[byteIndex]&bit != 0
@@ -151,8 +152,8 @@
 	return Dependencies{LatestEnd: clock.Forever, InheritedRank: math.MaxInt}
 }
 
-// reservation is the reserved machine of one job.
-type reservation struct {
+// Reservation is the reserved machine of one job.
+type Reservation struct {
 	Machine    *Machine      // nil: none
 	SearchedAt clock.Instant // when a machine was last searched
 }
@@ -160,7 +161,7 @@
 // WaitReason is the check that keeps a job from starting a task, as shown by its status.
 type WaitReason string
 
-// Values of waitReason, in the order of the checks.
+// Values of WaitReason, in the order of the checks.
 const (
 	WaitDependencies   WaitReason = "jobs that it needs"
 	WaitBackoff        WaitReason = "backing off"
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -42,7 +42,7 @@
 	RetainedResults      int                     // reported results that the worker must retain
 	UsedCores, UsedRAM   float64                 // resources used by its attempts, with accelerators
 	usedAccelerators     float64
-	Images               []cachedImage   // least recently used first
+	Images               []CachedImage   // least recently used first
 	ReservedFor          *Job            // the job that holds a reservation on it
 	SurplusSince         clock.Instant   // since when it has exceeded the required capacity
 	ConsecutiveFailures  int             // consecutive task failures
@@ -56,8 +56,8 @@
 	logDurationRatios    []float64       // log(actual / expected run time) of its last tasks
 }
 
-// cachedImage is an image in a machine's local cache.
-type cachedImage struct {
+// CachedImage is an image in a machine's local cache.
+type CachedImage struct {
 	name   string
 	sizeGB float64
 }
@@ -136,8 +136,8 @@
 // TouchImage marks an image as the most recently used of the machine and evicts the least recently
 // used ones beyond the cache size.
 func (m *Machine) TouchImage(name string, sizeGB float64) {
-	m.Images = slices.DeleteFunc(m.Images, func(i cachedImage) bool { return i.name == name })
-	m.Images = append(m.Images, cachedImage{name, sizeGB})
+	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.name == name })
+	m.Images = append(m.Images, CachedImage{name, sizeGB})
 	if m.MachineType == nil {
 		return
 	}
@@ -153,10 +153,10 @@
 
 // HasImage reports whether the machine has cached an image. Every machine has the empty image.
 func (m *Machine) HasImage(name string) bool {
-	return name == "" || slices.ContainsFunc(m.Images, func(i cachedImage) bool { return i.name == name })
+	return name == "" || slices.ContainsFunc(m.Images, func(i CachedImage) bool { return i.name == name })
 }
 
-// addAttempt adds an attempt to the machine. attemptsInOrder is sorted by attempt number to keep
+// addAttempt adds an attempt to the machine. AttemptsInOrder is sorted by attempt number to keep
 // every step deterministic. Callers may release attempts while they iterate, so existing elements
 // are never changed in place.
 func (m *Machine) addAttempt(r *TaskAttempt) {
@@ -177,24 +177,24 @@
 	m.AttemptsInOrder = slices.DeleteFunc(slices.Clone(m.AttemptsInOrder), func(other *TaskAttempt) bool { return other == r })
 }
 
-// capacity is an amount of the resources of a machine.
-type capacity struct{ Cores, Ram, Accelerators float64 }
+// Capacity is an amount of the resources of a machine.
+type Capacity struct{ Cores, RAM, Accelerators float64 }
 
 // Add adds the resources of one task of a job.
-func (c *capacity) Add(spec *protocol.Job) {
+func (c *Capacity) Add(spec *protocol.Job) {
 	c.Cores += spec.Cores
-	c.Ram += spec.MemoryGB
+	c.RAM += spec.MemoryGB
 	c.Accelerators += spec.Accelerators
 }
 
 // Fits reports whether one task of a job fits.
-func (c capacity) Fits(spec *protocol.Job) bool {
-	return spec.Cores <= c.Cores+ResourceTolerance && spec.MemoryGB <= c.Ram+ResourceTolerance && spec.Accelerators <= c.Accelerators+ResourceTolerance
+func (c Capacity) Fits(spec *protocol.Job) bool {
+	return spec.Cores <= c.Cores+ResourceTolerance && spec.MemoryGB <= c.RAM+ResourceTolerance && spec.Accelerators <= c.Accelerators+ResourceTolerance
 }
 
 // FreeCapacity returns the machine's resources that no attempt uses.
-func (m *Machine) FreeCapacity() capacity {
-	return capacity{m.MachineType.Cores - m.UsedCores, m.MachineType.MemoryGB - m.UsedRAM, m.MachineType.Accelerators - m.usedAccelerators}
+func (m *Machine) FreeCapacity() Capacity {
+	return Capacity{m.MachineType.Cores - m.UsedCores, m.MachineType.MemoryGB - m.UsedRAM, m.MachineType.Accelerators - m.usedAccelerators}
 }
 
 // ResourceTolerance absorbs rounding errors in sums of resource amounts.
--- a/internal/cluster/objectives.go
+++ b/internal/cluster/objectives.go
@@ -64,7 +64,7 @@
 // that can still be met. A start objective applies only to classes without a completion
 // objective; such jobs can wait for capacity on cheap machines.
 //
-// A job with dependents is due no later than their deadlines allow (latestEnd).
+// A job with dependents is due no later than their deadlines allow (LatestEnd).
 func (s *State) Due(j *Job) clock.Instant { return s.DueFrom(j, j.EligibleAt) }
 
 // DueFrom returns the due time of a job that becomes eligible at the given time.
@@ -72,7 +72,7 @@
 	return min(s.OwnDue(j, from), j.LatestEnd)
 }
 
-// OwnDue returns the due time by the job's own deadline or objectives. Without either, latestEnd
+// OwnDue returns the due time by the job's own deadline or objectives. Without either, LatestEnd
 // or a bound in proportion to the run time applies.
 func (s *State) OwnDue(j *Job, from clock.Instant) clock.Instant {
 	if j.Spec.DeadlineSeconds != nil {
@@ -132,10 +132,10 @@
 func (s *State) TooSoonToScaleOut(limit time.Duration) bool { return limit < 2*s.workerLease() }
 
 // Large jobs yield while not all jobs can be in time, and late jobs come last. Still, every job
-// must start within maxStartDelay, however long a burst of small or latency-sensitive work lasts,
-// and no class or team may starve another. So a job that has not started after overdueAfter is
+// must start within MaxStartDelay, however long a burst of small or latency-sensitive work lasts,
+// and no class or team may starve another. So a job that has not started after OverdueAfter is
 // overdue and starts ahead of all others, with a part of its tasks; and a job older than
-// maxStartDelay is ordered with the latency-sensitive work, by age.
+// MaxStartDelay is ordered with the latency-sensitive work, by age.
 const (
 	MaxStartDelay      = 4 * time.Minute // limit of the protocol
 	OverdueAfter       = MaxStartDelay * 3 / 8
@@ -143,5 +143,5 @@
 )
 
 // PlannedStartWithin is the time within which the plan lets every job start, even one without an
-// SLO or with a longer one. It is well inside maxStartDelay.
+// SLO or with a longer one. It is well inside MaxStartDelay.
 const PlannedStartWithin = MaxStartDelay * 3 / 5
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,3 +1,6 @@
+// Package cluster owns what a leader knows of the jobs, the task attempts and the machines, and each
+// of their transitions. It does no I/O, reads no clock and stores nothing: the controller writes the
+// records, and package scheduler decides which attempt goes where.
 package cluster
 
 import (
@@ -15,8 +18,8 @@
 // State holds the open jobs, the machines and the task attempts, with all their transitions.
 // It does no I/O and takes the time from its owner.
 type State struct {
-	Clock     timeSource
-	Cluster   *config.Cluster
+	Clock     TimeSource
+	Config    *config.Cluster
 	Settings  *config.Settings
 	Log       *slog.Logger
 	StartedAt clock.Instant // start of the leader's term
@@ -26,25 +29,25 @@
 	objectives
 	machineTable
 	SchedulingNeeded bool // the state has changed since the last full scheduling pass
-	// candidatesExamined counts the machines and jobs examined for placement. Tests check that it does
+	// CandidatesExamined counts the machines and jobs examined for placement. Tests check that it does
 	// not grow with each heartbeat.
 	CandidatesExamined int
 
-	// inventoryIncompleteUntil is the time until which tasks of earlier leaders may be running on
+	// InventoryIncompleteUntil is the time until which tasks of earlier leaders may be running on
 	// machines that no readable record names; never: all machines are known.
 	InventoryIncompleteUntil clock.Instant
 }
 
-// timeSource tells the time.
-type timeSource interface {
+// TimeSource tells the time.
+type TimeSource interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 }
 
 // Options are the settings and dependencies of a cluster state.
 type Options struct {
-	Clock    timeSource
-	Cluster  *config.Cluster
+	Clock    TimeSource
+	Config   *config.Cluster
 	Settings *config.Settings
 	Log      *slog.Logger
 	Catalog  map[string]*protocol.MachineType
@@ -53,17 +56,17 @@
 // New returns an empty cluster state at the start of a term.
 func New(o Options) *State {
 	return &State{
-		Clock: o.Clock, Cluster: o.Cluster, Settings: o.Settings, Log: o.Log, StartedAt: o.Clock.Now(), Catalog: o.Catalog,
-		jobTable: newJobTable(o.Cluster), objectives: newObjectives(o.Cluster), machineTable: newMachineTable(), InventoryIncompleteUntil: clock.Never,
+		Clock: o.Clock, Config: o.Config, Settings: o.Settings, Log: o.Log, StartedAt: o.Clock.Now(), Catalog: o.Catalog,
+		jobTable: newJobTable(o.Config), objectives: newObjectives(o.Config), machineTable: newMachineTable(), InventoryIncompleteUntil: clock.Never,
 	}
 }
 
 // workerLease returns the duration of the workers' lease.
-func (s *State) workerLease() time.Duration { return config.Seconds(s.Cluster.Workers.LeaseS) }
+func (s *State) workerLease() time.Duration { return config.Seconds(s.Config.Workers.LeaseS) }
 
 // HeartbeatInterval returns the interval of the workers' heartbeats.
 func (s *State) HeartbeatInterval() time.Duration {
-	return config.Seconds(s.Cluster.Workers.HeartbeatIntervalS)
+	return config.Seconds(s.Config.Workers.HeartbeatIntervalS)
 }
 
 // ResourceUsage is what a team's tasks occupy, from the start command to the confirmed end.
@@ -99,7 +102,7 @@
 	RemovedMachines   map[string]clock.Instant // machines returned or preempted, and when
 	sortedMachines    []*Machine               // by name; nil: must be rebuilt
 	machinesCheckedAt clock.Instant            // when all machines were last checked
-	totals            MachineTotals            // cached sums over the machines, if totalsValid
+	totals            MachineTotals            // cached sums over the machines, if TotalsValid
 	TotalsValid       bool
 }
 
@@ -286,7 +289,7 @@
 	}
 	if len(s.RemovedMachines) > maxRemovedMachines {
 		for name, at := range s.RemovedMachines {
-			if now > at+8*config.Seconds(s.Cluster.Cloud.ListLagS)+s.workerLease() {
+			if now > at+8*config.Seconds(s.Config.Cloud.ListLagS)+s.workerLease() {
 				delete(s.RemovedMachines, name)
 			}
 		}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// relaxDeadlines recomputes latestEnd and inheritedRank of the jobs on which cancelled jobs
+// relaxDeadlines recomputes LatestEnd and InheritedRank of the jobs on which cancelled jobs
 // depended.
 func (l *leader) relaxDeadlines(jobs ...*cluster.Job) {
 	var relaxed, dependents []*cluster.Job
--- a/internal/controller/flood_test.go
+++ b/internal/controller/flood_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// setAsideLargest sets aside the same jobs as a plain walk over all of them does.
+// DemoteLargestJobs demotes the same jobs as a plain walk over all of them does.
 func TestSacrificeIsMooresRule(t *testing.T) {
 	_, l := running(t, 1, time.Hour, 2, 8)
 	cores := l.leader.RetainedCores()
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -34,7 +34,7 @@
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
 // key, on which every write of the term is conditioned.
 func newLeader(node *Node, term, leaderKeyVersion uint64) *leader {
-	state := cluster.New(cluster.Options{Clock: node, Cluster: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog})
+	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog})
 	l := &leader{
 		node: node, term: term, State: state,
 		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), machineRecords: newMachineRecords(&node.cfg.Cluster), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
@@ -57,7 +57,7 @@
 // its counter overflows.
 const maxAttemptCounter = 1<<attemptCounterBits - 1<<24
 
-// nextAttemptNumber returns a number that no other task attempt has.
+// NextAttemptNumber returns a number that no other task attempt has.
 func (l *leader) NextAttemptNumber() uint64 {
 	l.attemptCounter++
 	return l.term<<attemptCounterBits | l.attemptCounter
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -154,7 +154,7 @@
 	return l.allowOperation(recovery.StartTask, urgencyOf(attempt.Job), attempt.Job.Spec.Team)
 }
 
-// mayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled.
+// MayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled.
 // An earlier leader can't have started a job that was accepted after the leader key was written,
 // nor one that depends on a job whose end this leader has written. Nor can a job be running there
 // that may use none of those machines.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -219,7 +219,7 @@
 // margin for requests of a previous leader that are still in flight.
 const (
 	leaderWriteShare           = 0.6
-	submissionWriteShare       = 0.3 // total of all nodes, see shareSubmissions
+	submissionWriteShare       = 0.3 // total of all nodes, see updateSubmissionRate
 	followerReadShare          = 0.1
 	dependencyLookupShare      = 0.2 // reads of dependencies' outcomes and of quarantined records
 	cloudRequestShare          = 0.75
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -48,7 +48,7 @@
 	return "turn in " + strconv.Itoa(verdict.EpochsToTurn) + " epochs"
 }
 
-// traceBlocked traces which check blocks a job, when that has changed.
+// TraceBlocked traces which check blocks a job, when that has changed.
 func (l *leader) TraceBlocked(j *cluster.Job, previous cluster.WaitReason) {
 	if j.BlockedBy != previous && j.BlockedBy != "" {
 		l.node.traceStep(j.Spec.ID, stepBlocked, string(j.BlockedBy))
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -1,3 +1,4 @@
+// Package ratelimit has a token bucket whose time comes from its caller.
 package ratelimit
 
 import "hitchdoor/internal/clock"
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -79,7 +79,7 @@
 		}
 		maxTasks = 1
 	}
-	team := s.Cluster.Team(j.Spec.Team)
+	team := s.Config.Team(j.Spec.Team)
 	teamUsage := s.TeamUsage[j.Spec.Team]
 	if team == nil || teamUsage == nil {
 		return cluster.WaitTeamQuota
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -21,7 +21,7 @@
 		teamUsage.Cores += float64(j.Spec.TaskCount) * j.Spec.Cores
 		teamUsage.Accelerators += float64(j.Spec.TaskCount) * j.Spec.Accelerators
 		usageByTeam[j.Spec.Team] = teamUsage
-		if team := s.Cluster.Team(j.Spec.Team); team != nil && teamUsage.Cores <= team.GuaranteedCPUs+cluster.ResourceTolerance && teamUsage.Accelerators <= team.GuaranteedGPUs+cluster.ResourceTolerance {
+		if team := s.Config.Team(j.Spec.Team); team != nil && teamUsage.Cores <= team.GuaranteedCPUs+cluster.ResourceTolerance && teamUsage.Accelerators <= team.GuaranteedGPUs+cluster.ResourceTolerance {
 			withinGuarantee[j] = true
 		}
 	}
@@ -31,7 +31,7 @@
 // exceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
 // have a start objective for guaranteed work.
 func (s *Scheduler) exceedsGuarantee(j *cluster.Job) bool {
-	team, teamUsage := s.Cluster.Team(j.Spec.Team), s.TeamUsage[j.Spec.Team]
+	team, teamUsage := s.Config.Team(j.Spec.Team), s.TeamUsage[j.Spec.Team]
 	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil &&
 		(teamUsage.Cores > team.GuaranteedCPUs+cluster.ResourceTolerance || teamUsage.Accelerators > team.GuaranteedGPUs+cluster.ResourceTolerance)
 }
@@ -97,7 +97,7 @@
 					continue
 				}
 				team := r.Job.Spec.Team
-				if s.TeamUsage[team].Cores-reclaimedCores[team] <= s.Cluster.Team(team).GuaranteedCPUs+cluster.ResourceTolerance {
+				if s.TeamUsage[team].Cores-reclaimedCores[team] <= s.Config.Team(team).GuaranteedCPUs+cluster.ResourceTolerance {
 					continue
 				}
 				reclaimedCores[team] += r.Job.Spec.Cores
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -122,7 +122,7 @@
 		return true
 	}
 	free.Cores -= reservedJob.Spec.Cores
-	free.Ram -= reservedJob.Spec.MemoryGB
+	free.RAM -= reservedJob.Spec.MemoryGB
 	free.Accelerators -= reservedJob.Spec.Accelerators
 	return free.Fits(&j.Spec)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,3 +1,8 @@
+// Package scheduler decides which task starts next and where: it orders the pending jobs, makes the
+// admission checks (scheduler slots, team quota, overall quota), places tasks on the least loaded
+// machines, reserves room for jobs that waited too long and preempts tasks in favour of guaranteed
+// work. It changes the cluster state through the transitions of package cluster alone, and sends
+// nothing: the commands go out with the responses to heartbeats.
 package scheduler
 
 import (
@@ -15,12 +20,12 @@
 
 // Host is what the scheduler needs from the leader.
 type Host interface {
-	// mayRunUnreported reports whether tasks of a job may be running on machines that are not
+	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
 	MayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool
-	// nextAttemptNumber returns a number that no other attempt has.
+	// NextAttemptNumber returns a number that no other attempt has.
 	NextAttemptNumber() uint64
-	// traceBlocked records the check that blocks a job, when it changes.
+	// TraceBlocked records the check that blocks a job, when it changes.
 	TraceBlocked(j *cluster.Job, was cluster.WaitReason)
 }
 
