--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -43,7 +43,7 @@
 		l.recordMachine(m, true)
 	}
 	l.ScheduleOnMachine(m)
-	l.sendNextTransaction()
+	l.writer.sendNextTransaction()
 	if node.leader != l || !node.holdsLeaderLease() {
 		node.replyUnavailable(request.Origin)
 		return
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -5,7 +5,6 @@
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/scheduler"
-	"hitchdoor/internal/storage"
 )
 
 // leader is the state of a node while it leads. It is created for one term and discarded when
@@ -22,13 +21,12 @@
 	bitmapLayout
 	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job
 
-	attemptCounter       uint64
-	writer               *storage.Writer
-	resolvingTransaction bool // a read of an unclear transaction's outcome is in flight
-	delayedCalls         []delayedCall
-	recovery             *recovery.Recovery
-	autoscaler           autoscaler
-	admission            admissionControl
+	attemptCounter uint64
+	writer         *transactionWriter
+	delayedCalls   []delayedCall
+	recovery       *recovery.Recovery
+	autoscaler     autoscaler
+	admission      admissionControl
 }
 
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
@@ -39,8 +37,9 @@
 		node: node, term: term, State: state,
 		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), machineRecords: newMachineRecords(&node.cfg.Cluster), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
 		cancelWaiters: map[string][]Origin{},
-		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: node.newRecovery(),
+		recovery:      node.newRecovery(),
 	}
+	l.writer = newTransactionWriter(l, leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.autoscaler.init(l)
 	l.admission.start(l)
@@ -146,5 +145,5 @@
 		// Also without a change: pending jobs may have become due.
 		l.Schedule()
 	}
-	l.sendNextTransaction()
+	l.writer.sendNextTransaction()
 }
--- /dev/null
+++ b/internal/controller/record_store.go
@@ -0,0 +1,43 @@
+package controller
+
+import (
+	"time"
+
+	"hitchdoor/internal/clock"
+)
+
+// recordStore is the key-value store as the records of one term use it.
+type recordStore interface {
+	// CallStore sends a request. It passes the response to onResponse, unless the term has ended by
+	// then.
+	CallStore(method, path string, body any, onResponse func(storeResponse))
+}
+
+// storeResponse is the response of the key-value store to a request. Status 0 means that no usable
+// response arrived; the request may have been executed, or may be later.
+type storeResponse struct {
+	Status int
+	Body   []byte
+}
+
+// recordClock tells the time, and converts it to the wall clock time of stored records.
+type recordClock interface {
+	// Now returns the time of the current step.
+	Now() clock.Instant
+	// UnixMilli returns the wall clock time of an instant in Unix milliseconds.
+	UnixMilli(at clock.Instant) int64
+	// InstantFromUnixMilli converts a stored wall clock time to an instant.
+	InstantFromUnixMilli(milliseconds int64) clock.Instant
+	// WorkerLease returns the duration of the workers' lease, of which other time spans are
+	// fractions.
+	WorkerLease() time.Duration
+}
+
+// delayer calls functions later, while the term lasts.
+type delayer interface {
+	// CallAfter calls a function after a delay, if the term lasts until then.
+	CallAfter(delay time.Duration, call func())
+}
+
+// retryDelay returns the pause before a failed request is sent again.
+func retryDelay(clock recordClock) time.Duration { return clock.WorkerLease() / 50 }
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -1,98 +1,125 @@
 package controller
 
 import (
+	"log/slog"
+
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/storage"
 )
 
-// Writes of a leader's records: by one writer, one transaction at a time.
+// transactionWriter writes the queued changes of a leader to the key-value store: within its write
+// budget, one compare-and-swap transaction at a time. It retries a transaction without a usable
+// response, and reads whether a transaction with an unclear outcome was executed.
+type transactionWriter struct {
+	*storage.Writer
+	host             transactionHost
+	clock            recordClock
+	log              *slog.Logger
+	budget           *ratelimit.TokenBucket // limits the writes
+	resolvingOutcome bool                   // a read of an unclear transaction's outcome is in flight
+}
 
-// sendNextTransaction sends the writer's next transaction, unless one is in flight or the write
-// budget is exhausted.
-func (l *leader) sendNextTransaction() {
-	node := l.node
-	if l.resolvingTransaction || l.writer.InFlight() || l.writer.PendingChanges() == 0 {
+// transactionHost is what the transaction writer needs from the leader.
+type transactionHost interface {
+	recordStore
+	delayer
+	// StepDown ends the leader's term.
+	StepDown(reason string)
+}
+
+// sendNextTransaction sends the next transaction, unless one is in flight or the write budget is
+// exhausted.
+func (w *transactionWriter) sendNextTransaction() {
+	if w.resolvingOutcome || w.InFlight() || w.PendingChanges() == 0 {
 		return
 	}
-	node.leaderWriteBudget.Refill(node.now)
-	if txn := l.writer.NextTxn(int(node.leaderWriteBudget.Tokens)); txn != nil {
-		l.sendTransaction(txn)
+	w.budget.Refill(w.clock.Now())
+	if transaction := w.NextTxn(int(w.budget.Tokens)); transaction != nil {
+		w.send(transaction)
 	}
 }
 
-// sendTransaction sends a transaction and handles its outcome. A refusal for a conflict, or as
+// send sends a transaction and handles its response.
+func (w *transactionWriter) send(transaction *storage.Txn) {
+	w.budget.Tokens -= float64(w.InFlightWrites())
+	w.host.CallStore("POST", "/multi", transaction, w.onResponse)
+}
+
+// onResponse handles the response to the transaction in flight. A refusal for a conflict, or as
 // invalid, may also mean that an earlier copy with an unclear outcome was executed; then the
 // outcome is read first.
-func (l *leader) sendTransaction(txn *storage.Txn) {
-	node := l.node
-	node.leaderWriteBudget.Tokens -= float64(l.writer.InFlightWrites())
-	node.storeCall("POST", "/multi", txn, func(result CallResult) {
-		if node.leader != l {
-			return
-		}
-		var txnResult storage.TxnResponse
-		switch {
-		case result.Status == 200 && json.Unmarshal(result.Body, &txnResult) == nil:
-			l.writer.CompleteInFlight(txnResult.Revision)
-			l.sendNextTransaction()
-		case result.Status == 409 && l.writer.OutcomeUnknown():
-			l.resolveTransaction(func() { node.stepDown("transaction conflict") })
-		case result.Status == 400 && l.writer.OutcomeUnknown():
-			l.resolveTransaction(l.splitRefusedTransaction)
-		case result.Status == 400:
-			node.log.Warn("transaction rejected as invalid", "status", result.Status, "body", string(result.Body))
-			l.splitRefusedTransaction()
-		case result.Status == 409:
-			// Another writer changed a key that only the leader writes: this leader was
-			// replaced, or its state is stale. Either way the records must be loaded again.
-			node.log.Warn("transaction conflict", "status", result.Status, "body", string(result.Body))
-			node.stepDown("transaction conflict")
-		default:
-			if result.Status == 0 || result.Status == 504 {
-				l.writer.MarkOutcomeUnknown()
-			}
-			l.retryTransaction()
+func (w *transactionWriter) onResponse(response storeResponse) {
+	var result storage.TxnResponse
+	switch {
+	case response.Status == 200 && json.Unmarshal(response.Body, &result) == nil:
+		w.CompleteInFlight(result.Revision)
+		w.sendNextTransaction()
+	case response.Status == 409 && w.OutcomeUnknown():
+		w.resolveOutcome(w.stepDownOnConflict)
+	case response.Status == 400 && w.OutcomeUnknown():
+		w.resolveOutcome(w.splitRefusedTransaction)
+	case response.Status == 400:
+		w.log.Warn("transaction rejected as invalid", "status", response.Status, "body", string(response.Body))
+		w.splitRefusedTransaction()
+	case response.Status == 409:
+		w.log.Warn("transaction conflict", "status", response.Status, "body", string(response.Body))
+		w.stepDownOnConflict()
+	default:
+		if response.Status == 0 || response.Status == 504 {
+			w.MarkOutcomeUnknown()
 		}
-	})
+		w.scheduleRetry(w.sendAgain)
+	}
 }
 
-// retryTransaction sends the current transaction again after a delay, byte for byte the same.
-// If an earlier copy was executed, or is executed late, the conditions admit only one of them.
-func (l *leader) retryTransaction() {
-	l.scheduleRetry(func() { l.sendTransaction(l.writer.RetryTxn()) })
+// stepDownOnConflict ends the term: another writer changed a key that only the leader writes, so
+// this leader was replaced, or its state is stale. Either way the records must be loaded again.
+func (w *transactionWriter) stepDownOnConflict() { w.host.StepDown("transaction conflict") }
+
+// sendAgain sends the transaction in flight again, byte for byte the same. If an earlier copy was
+// executed, or is executed late, the conditions admit only one of them.
+func (w *transactionWriter) sendAgain() { w.send(w.RetryTxn()) }
+
+// scheduleRetry calls retry after a short delay.
+func (w *transactionWriter) scheduleRetry(retry func()) {
+	w.host.CallAfter(retryDelay(w.clock), retry)
 }
 
 // splitRefusedTransaction splits a transaction that the key-value store rejects as invalid into
 // smaller ones, as the store's limits may be lower than the settings say. The leader continues.
 // A unit of writes that is rejected on its own is dropped.
-func (l *leader) splitRefusedTransaction() {
-	for _, key := range l.writer.RejectInFlight() {
-		l.node.log.Error("write rejected permanently", "key", key)
+func (w *transactionWriter) splitRefusedTransaction() {
+	for _, key := range w.RejectInFlight() {
+		w.log.Error("write rejected permanently", "key", key)
 	}
 }
 
-// resolveTransaction determines whether a transaction with an unclear outcome was executed, by
-// reading one of its keys. It calls onNotApplied if the transaction was not executed.
-func (l *leader) resolveTransaction(onNotApplied func()) {
-	node := l.node
-	l.resolvingTransaction = true
-	node.storeCall("GET", "/store/"+l.writer.ProbeKey(), nil, func(result CallResult) {
-		if node.leader != l {
-			return
-		}
-		l.resolvingTransaction = false
+// resolveOutcome determines whether a transaction with an unclear outcome was executed, by reading
+// one of its keys. It calls onNotApplied if the transaction was not executed.
+func (w *transactionWriter) resolveOutcome(onNotApplied func()) {
+	w.resolvingOutcome = true
+	w.host.CallStore("GET", "/store/"+w.ProbeKey(), nil, func(response storeResponse) {
+		w.resolvingOutcome = false
 		var item storage.Item
 		switch {
-		case result.Status == 404 && l.writer.MatchesProbe(nil):
-			l.writer.CompleteInFlight(0)
-		case result.Status == 200 && json.Unmarshal(result.Body, &item) == nil && l.writer.MatchesProbe(&item):
-			l.writer.CompleteInFlight(item.ModRevision)
-		case result.Status == 200 || result.Status == 404:
+		case response.Status == 404 && w.MatchesProbe(nil):
+			w.CompleteInFlight(0)
+		case response.Status == 200 && json.Unmarshal(response.Body, &item) == nil && w.MatchesProbe(&item):
+			w.CompleteInFlight(item.ModRevision)
+		case response.Status == 200 || response.Status == 404:
 			onNotApplied()
 		default:
-			l.scheduleRetry(func() { l.resolveTransaction(onNotApplied) })
-			l.resolvingTransaction = true
+			w.scheduleRetry(func() { w.resolveOutcome(onNotApplied) })
+			w.resolvingOutcome = true
 		}
 	})
 }
+
+// noteRevisions records the revisions of stored records that were read.
+func (w *transactionWriter) noteRevisions(items []storage.Item) {
+	for _, item := range items {
+		w.SetModRevision(item.Key, item.ModRevision)
+	}
+}
