--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -39,6 +39,7 @@
 		cancelWaiters: map[string][]Origin{},
 		recovery:      node.newRecovery(),
 	}
+	l.quarantine = newQuarantine(l)
 	l.writer = newTransactionWriter(l, leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.autoscaler.init(l)
@@ -133,7 +134,7 @@
 		l.watchJobs()
 	}
 	l.tickDependencyLookups()
-	l.tickQuarantine()
+	l.quarantine.tick()
 	if node.leader != l {
 		return
 	}
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"strings"
 	"time"
 
 	"hitchdoor/internal/clock"
@@ -54,3 +55,70 @@
 
 // StepDown ends the leader's term.
 func (h recordsHost) StepDown(reason string) { h.leader.node.stepDown(reason) }
+
+// newQuarantine returns the empty quarantine of a new leader.
+func newQuarantine(l *leader) *quarantine {
+	host := recordsHost{l}
+	return &quarantine{
+		state: l.State, host: host, clock: host, lookupBudget: &l.lookupBudget,
+		records: map[string]*quarantinedRecord{}, unreadableJobs: map[string]bool{},
+	}
+}
+
+// StoreUnavailable reports whether the key-value store is considered down.
+func (h recordsHost) StoreUnavailable() bool { return h.leader.node.election.storeUnavailable() }
+
+// NewerVersionSeen reports whether a controller has written a higher protocol level than this
+// version's.
+func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.newerVersionSeen() }
+
+// newerVersionSeen reports whether a controller has written a higher protocol level than this
+// version's.
+func (n *Node) newerVersionSeen() bool { return n.protocolLevels.highestSeen > protocolLevel }
+
+// MarkJobAccepted records that a job is known to have been accepted.
+func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.acceptedJobs.put(jobID, true) }
+
+// ReadTerminalRecord reads a job's terminal record, if there is one, and applies it.
+func (h recordsHost) ReadTerminalRecord(jobID string) {
+	h.leader.node.readTerminalRecord(jobID, func(bool, *storage.TerminalRecord) {})
+}
+
+// onTerminalRecord handles a job's terminal record that was read from the key-value store.
+func (n *Node) onTerminalRecord(item storage.Item) {
+	id := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
+	final, err := storage.ReadTerminal(item)
+	if err != nil {
+		if n.unreadableTerminalRecords[id] == nil {
+			n.unreadableTerminalRecords[id] = newQuarantinedRecord(n.log, item, err, n.newerVersionSeen())
+		}
+		return
+	}
+	delete(n.unreadableTerminalRecords, id)
+	n.terminalJobs.put(id, final)
+	if n.holdsLeaderLease() {
+		n.leader.quarantineOpenRecord(id, final)
+	}
+}
+
+// quarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
+// takes precedence, as a user may have been notified of it. The open record is quarantined.
+func (l *leader) quarantineOpenRecord(id string, final storage.TerminalRecord) {
+	j := l.Jobs[id]
+	if j == nil || j.Terminal || j.CompletionUncertain || l.EndedJobs[id] {
+		return
+	}
+	l.node.log.Error("job has both an open and a terminal record", "job", id)
+	j.Terminal, l.SchedulingNeeded = true, true
+	for _, r := range j.Attempts {
+		l.RequestStop(r, 0)
+	}
+	l.quarantine.addRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
+	delete(l.Jobs, id)
+	delete(l.RunnableJobs, id)
+	l.releaseDependents(id, final, false)
+	for _, origin := range l.cancelWaiters[id] {
+		l.node.reply(origin, 200, 0, terminalJobState(id, final))
+	}
+	delete(l.cancelWaiters, id)
+}
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -269,11 +269,6 @@
 	return status
 }
 
-// status describes a quarantined record to operators.
-func (r *quarantinedRecord) status() recovery.QuarantinedRecord {
-	return recovery.QuarantinedRecord{Key: r.key, Reason: r.reason, MaybeNewerVersion: r.fromNewerVersion}
-}
-
 // onRecoveryStatus answers an operator's request for the state of recovery.
 func (n *Node) onRecoveryStatus(request Request) { n.reply(request.Origin, 200, 0, n.recoveryStatus()) }
 
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -30,7 +30,7 @@
 	dependencyLookups   map[string]clock.Instant  // dependencies that are not open here: when to read their outcome
 	lookupBudget        ratelimit.TokenBucket     // limits reads of dependencies and of quarantined records
 	earlyHeartbeats     []Request                 // workers' heartbeats received while loading
-	quarantine          quarantine
+	quarantine          *quarantine
 
 	watchRevision uint64
 	watchActive   bool // a watch is in flight or scheduled
@@ -44,7 +44,7 @@
 		dependencyRecords: map[string][]storage.Item{}, loadingDependencies: map[string]bool{},
 		dependencyReadCount: map[string]int{},
 		deferredBitmaps:     map[string][]storage.Item{}, dependencyLookups: map[string]clock.Instant{},
-		lookupBudget: ratelimit.NewTokenBucket(readRate, readRate), quarantine: newQuarantine(),
+		lookupBudget: ratelimit.NewTokenBucket(readRate, readRate),
 	}
 }
 
@@ -112,12 +112,12 @@
 			// The quarantined record was repaired, or is read again. The revision of a repaired
 			// one would imply that no earlier leader has started the job, so only the next leader
 			// loads it.
-			l.quarantine.nextCheck = l.node.now
+			l.quarantine.checkSoon()
 			continue
 		}
 		record, err := storage.ReadJob(item)
 		if err != nil {
-			l.quarantineUnreadableJob(id, item, err)
+			l.quarantine.addUnreadableJob(id, item, err)
 			continue
 		}
 		if !record.RestoreDependencies(l.dependencyRecords[id]) {
@@ -126,7 +126,7 @@
 		}
 		delete(l.dependencyRecords, id)
 		if _, over := l.node.terminalJobs.byID[id]; over && !l.recordsLoaded {
-			l.quarantineRecord(item, errOpenAndTerminal)
+			l.quarantine.addRecord(item, errOpenAndTerminal)
 			continue
 		}
 		if l.addJob(record, item.ModRevision) != nil {
@@ -144,7 +144,7 @@
 	for _, item := range items {
 		id := storage.JobIDOfDependenciesKey(item.Key)
 		if _, err := storage.ReadDependencies(item); err != nil {
-			l.quarantineUnreadableJob(id, item, err)
+			l.quarantine.addUnreadableJob(id, item, err)
 		}
 		l.dependencyRecords[id] = append(l.dependencyRecords[id], item)
 	}
@@ -158,7 +158,7 @@
 		return
 	}
 	if l.dependencyReadCount[id]++; l.dependencyReadCount[id] > maxDependencyReads {
-		l.quarantineUnreadableJob(id, job, errDependenciesMissing)
+		l.quarantine.addUnreadableJob(id, job, errDependenciesMissing)
 		return
 	}
 	l.loadingDependencies[id] = true
@@ -211,7 +211,7 @@
 		}
 		bits, err := storage.ReadBitmap(item)
 		if err != nil {
-			l.quarantineJob(j, item, err)
+			l.quarantine.addJob(j, item, err)
 			continue
 		}
 		if firstTask >= j.Spec.TaskCount {
@@ -248,7 +248,7 @@
 	for _, item := range items {
 		record, unreadable, err := storage.ReadMachineGroup(item)
 		if err != nil {
-			l.quarantineMachineGroup(item, err)
+			l.quarantine.addMachineGroup(item, err)
 			continue
 		}
 		if len(unreadable) > 0 {
@@ -281,7 +281,7 @@
 // unreadable entry only the name is known, so it is treated as if it may be running any task.
 func (l *leader) loadDamagedMachineGroup(item storage.Item, record storage.MachineGroupRecord, unreadable []string) {
 	slices.Sort(unreadable)
-	l.quarantineRecord(item, fmt.Errorf("the entries of these machines can't be read: %s",
+	l.quarantine.addRecord(item, fmt.Errorf("the entries of these machines can't be read: %s",
 		strings.Join(unreadable, ", ")))
 	for _, name := range unreadable {
 		record[name] = storage.MachineRecord{Used: true, RentedAtMillis: l.node.nowUnixMilli()}
@@ -306,7 +306,7 @@
 		var record storage.MachineRecord
 		name := strings.TrimPrefix(item.Key, storage.SingleMachinePrefix)
 		if err := json.Unmarshal(item.Value, &record); err != nil {
-			l.quarantineRecord(item, err)
+			l.quarantine.addRecord(item, err)
 			if l.Machines[name] == nil {
 				l.addStoredMachine(name, storage.MachineRecord{Used: true, RentedAtMillis: l.node.nowUnixMilli()})
 			}
@@ -337,7 +337,7 @@
 	for _, item := range items {
 		rental, err := storage.ReadRental(item)
 		if err != nil {
-			l.quarantineRecord(item, err)
+			l.quarantine.addRecord(item, err)
 			continue
 		}
 		l.writer.SetModRevision(item.Key, item.ModRevision)
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -3,16 +3,16 @@
 import (
 	"cmp"
 	"errors"
+	"log/slog"
 	"maps"
 	"slices"
-	"strings"
-
-	"hitchdoor/internal/cluster"
-
-	"hitchdoor/internal/clock"
 
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/ratelimit"
+	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/storage"
 )
 
@@ -21,11 +21,31 @@
 // to exist: its job is accepted and none of its tasks is started, and its machines may be running
 // any task.
 type quarantine struct {
+	state          *cluster.State
+	host           quarantineHost
+	clock          recordClock
+	lookupBudget   *ratelimit.TokenBucket        // limits the reads of quarantined records
 	records        map[string]*quarantinedRecord // by key
 	unreadableJobs map[string]bool               // jobs with too little known to add them to the open jobs
 	nextCheck      clock.Instant                 // next check whether the records have changed
 }
 
+// quarantineHost is what the quarantine needs from the leader.
+type quarantineHost interface {
+	recordStore
+	// StoreUnavailable reports whether the key-value store is considered down.
+	StoreUnavailable() bool
+	// StepDown ends the leader's term.
+	StepDown(reason string)
+	// NewerVersionSeen reports whether a controller has written a higher protocol level than the
+	// one of this version.
+	NewerVersionSeen() bool
+	// MarkJobAccepted records that a job is known to have been accepted.
+	MarkJobAccepted(jobID string)
+	// ReadTerminalRecord reads a job's terminal record, if there is one, and applies it.
+	ReadTerminalRecord(jobID string)
+}
+
 // quarantinedRecord is one quarantined record.
 type quarantinedRecord struct {
 	key              string
@@ -34,9 +54,29 @@
 	fromNewerVersion bool // some node has written a higher protocol level than this one's
 }
 
-// newQuarantine returns an empty quarantine.
-func newQuarantine() quarantine {
-	return quarantine{records: map[string]*quarantinedRecord{}, unreadableJobs: map[string]bool{}}
+// errOpenAndTerminal is the reason to quarantine the open record of a job that has a terminal record
+// too.
+var errOpenAndTerminal = errors.New("is of a job that is over")
+
+// newQuarantinedRecord logs a record that can't be used and returns its description.
+func newQuarantinedRecord(log *slog.Logger, item storage.Item, err error, newerVersionSeen bool) *quarantinedRecord {
+	record := &quarantinedRecord{key: item.Key, revision: item.ModRevision, reason: err.Error(),
+		fromNewerVersion: newerVersionSeen}
+	var recordError *storage.RecordError
+	if errors.As(err, &recordError) {
+		record.reason = recordError.Reason
+	}
+	if record.fromNewerVersion {
+		log.Info("record quarantined: a newer version may have written it", "key", item.Key, "reason", record.reason)
+	} else {
+		log.Error("record quarantined", "key", item.Key, "reason", record.reason)
+	}
+	return record
+}
+
+// status describes a quarantined record to operators.
+func (r *quarantinedRecord) status() recovery.QuarantinedRecord {
+	return recovery.QuarantinedRecord{Key: r.key, Reason: r.reason, MaybeNewerVersion: r.fromNewerVersion}
 }
 
 // contains reports whether the record with a key is quarantined.
@@ -48,128 +88,89 @@
 		func(a, b *quarantinedRecord) int { return cmp.Compare(a.key, b.key) })
 }
 
-// quarantineRecord adds a record to the quarantine and logs it once.
-func (l *leader) quarantineRecord(item storage.Item, err error) {
-	if l.quarantine.contains(item.Key) {
+// addRecord quarantines a record and logs it once.
+func (q *quarantine) addRecord(item storage.Item, err error) {
+	if q.contains(item.Key) {
 		return
 	}
-	l.quarantine.records[item.Key] = l.node.newQuarantinedRecord(item, err)
-	l.quarantine.nextCheck = l.node.now // check soon whether its job is terminal
+	q.records[item.Key] = newQuarantinedRecord(q.state.Log, item, err, q.host.NewerVersionSeen())
+	q.checkSoon() // its job may be terminal
 }
 
-// newQuarantinedRecord logs a record that can't be used and returns its description.
-func (n *Node) newQuarantinedRecord(item storage.Item, err error) *quarantinedRecord {
-	record := &quarantinedRecord{key: item.Key, revision: item.ModRevision, reason: err.Error(),
-		fromNewerVersion: n.protocolLevels.highestSeen > protocolLevel}
-	var recordError *storage.RecordError
-	if errors.As(err, &recordError) {
-		record.reason = recordError.Reason
-	}
-	if record.fromNewerVersion {
-		n.log.Info("record quarantined: a newer version may have written it", "key", item.Key, "reason", record.reason)
-	} else {
-		n.log.Error("record quarantined", "key", item.Key, "reason", record.reason)
-	}
-	return record
-}
+// checkSoon makes the next tick check whether the quarantined records have changed.
+func (q *quarantine) checkSoon() { q.nextCheck = q.clock.Now() }
 
-// quarantineUnreadableJob quarantines a record without which the specification of an open job is
-// unknown. The job counts as accepted.
-func (l *leader) quarantineUnreadableJob(id string, item storage.Item, err error) {
-	l.quarantineRecord(item, err)
-	l.quarantine.unreadableJobs[id] = true
-	l.node.acceptedJobs.put(id, true)
+// addUnreadableJob quarantines a record without which the specification of an open job is unknown.
+// The job counts as accepted.
+func (q *quarantine) addUnreadableJob(id string, item storage.Item, err error) {
+	q.addRecord(item, err)
+	q.unreadableJobs[id] = true
+	q.host.MarkJobAccepted(id)
 }
 
-// quarantineJob quarantines a record that belongs to an open job. The job's running tasks continue,
-// and no others are started.
-func (l *leader) quarantineJob(j *cluster.Job, item storage.Item, err error) {
-	l.quarantineRecord(item, err)
+// addJob quarantines a record that belongs to an open job. The job's running tasks continue, and no
+// others are started.
+func (q *quarantine) addJob(j *cluster.Job, item storage.Item, err error) {
+	q.addRecord(item, err)
 	j.Quarantined = true
 }
 
-// quarantineMachineGroup quarantines a machine group in which not even the names can be decoded.
-// Until the leases of its machines have expired, tasks of earlier leaders may run on machines that
-// no readable record names.
-func (l *leader) quarantineMachineGroup(item storage.Item, err error) {
-	l.quarantineRecord(item, err)
-	l.InventoryIncompleteUntil, l.TotalsValid = l.StartedAt+l.WorkerLeaseTimeout(), false
+// addMachineGroup quarantines a machine group in which not even the names can be decoded. Until the
+// leases of its machines have expired, tasks of earlier leaders may run on machines that no readable
+// record names.
+func (q *quarantine) addMachineGroup(item storage.Item, err error) {
+	q.addRecord(item, err)
+	q.state.InventoryIncompleteUntil = q.state.StartedAt + q.state.WorkerLeaseTimeout()
+	q.state.TotalsValid = false
 }
 
-// tickQuarantine periodically checks the quarantined records. Once one has changed because an
-// operator repaired or deleted it, the leader steps down and the next one loads all records.
-func (l *leader) tickQuarantine() {
-	records := &l.quarantine
-	if l.InventoryIncompleteUntil != clock.Never && l.node.now > l.InventoryIncompleteUntil {
-		l.InventoryIncompleteUntil, l.TotalsValid, l.SchedulingNeeded = clock.Never, false, true
-	}
-	if len(records.records) == 0 || l.node.now < records.nextCheck || l.node.election.storeUnavailable() {
+// tick ends the time in which the inventory is incomplete, and periodically checks the quarantined
+// records. Once one has changed because an operator repaired or deleted it, the leader steps down
+// and the next one loads all records.
+func (q *quarantine) tick() {
+	q.expireIncompleteInventory()
+	if len(q.records) == 0 || q.clock.Now() < q.nextCheck || q.host.StoreUnavailable() {
 		return
 	}
-	records.nextCheck = l.node.now + l.node.workerLease()
-	for _, record := range records.recordsByKey() {
-		if !l.lookupBudget.Take(l.node.now, 1) {
+	q.nextCheck = q.clock.Now() + q.clock.WorkerLease()
+	for _, record := range q.recordsByKey() {
+		if !q.lookupBudget.Take(q.clock.Now(), 1) {
 			return
 		}
-		l.recheckRecord(record)
+		q.recheckRecord(record)
+	}
+}
+
+// expireIncompleteInventory treats all machines as known once the leases of the others have expired.
+func (q *quarantine) expireIncompleteInventory() {
+	state := q.state
+	if state.InventoryIncompleteUntil == clock.Never || q.clock.Now() <= state.InventoryIncompleteUntil {
+		return
 	}
+	state.InventoryIncompleteUntil = clock.Never
+	state.TotalsValid = false
+	state.SchedulingNeeded = true
 }
 
 // recheckRecord reads a quarantined record, and steps down if it has changed. It also reads whether
 // the record's job is terminal.
-func (l *leader) recheckRecord(record *quarantinedRecord) {
-	node := l.node
-	if id := storage.JobIDOfKey(record.key); l.quarantine.unreadableJobs[id] {
-		node.readTerminalRecord(id, func(bool, *storage.TerminalRecord) {})
+func (q *quarantine) recheckRecord(record *quarantinedRecord) {
+	if id := storage.JobIDOfKey(record.key); q.unreadableJobs[id] {
+		q.host.ReadTerminalRecord(id)
 	}
-	node.storeCall("GET", "/store/"+record.key, nil, func(result CallResult) {
-		var item storage.Item
-		switch {
-		case node.leader != l:
-		case result.Status == 404, result.Status == 200 && json.Unmarshal(result.Body, &item) == nil &&
-			item.ModRevision != record.revision:
-			node.stepDown("quarantined record changed: " + record.key)
+	q.host.CallStore("GET", "/store/"+record.key, nil, func(response storeResponse) {
+		if record.hasChanged(response) {
+			q.host.StepDown("quarantined record changed: " + record.key)
 		}
 	})
 }
 
-// quarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
-// takes precedence, as a user may have been notified of it. The open record is quarantined.
-func (l *leader) quarantineOpenRecord(id string, final storage.TerminalRecord) {
-	j := l.Jobs[id]
-	if j == nil || j.Terminal || j.CompletionUncertain || l.EndedJobs[id] {
-		return
-	}
-	l.node.log.Error("job has both an open and a terminal record", "job", id)
-	j.Terminal, l.SchedulingNeeded = true, true
-	for _, r := range j.Attempts {
-		l.RequestStop(r, 0)
-	}
-	l.quarantineRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
-	delete(l.Jobs, id)
-	delete(l.RunnableJobs, id)
-	l.releaseDependents(id, final, false)
-	for _, origin := range l.cancelWaiters[id] {
-		l.node.reply(origin, 200, 0, terminalJobState(id, final))
-	}
-	delete(l.cancelWaiters, id)
-}
-
-var errOpenAndTerminal = errors.New("is of a job that is over")
-
-// onTerminalRecord handles a job's terminal record that was read from the key-value store.
-func (n *Node) onTerminalRecord(item storage.Item) {
-	id := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
-	final, err := storage.ReadTerminal(item)
-	if err != nil {
-		if n.unreadableTerminalRecords[id] == nil {
-			n.unreadableTerminalRecords[id] = n.newQuarantinedRecord(item, err)
-		}
-		return
-	}
-	delete(n.unreadableTerminalRecords, id)
-	n.terminalJobs.put(id, final)
-	if n.holdsLeaderLease() {
-		n.leader.quarantineOpenRecord(id, final)
+// hasChanged reports whether the response to a read of the record shows that it was written again or
+// deleted.
+func (r *quarantinedRecord) hasChanged(response storeResponse) bool {
+	if response.Status == 404 {
+		return true
 	}
+	var item storage.Item
+	return response.Status == 200 && json.Unmarshal(response.Body, &item) == nil && item.ModRevision != r.revision
 }
