--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -201,7 +201,7 @@
 			}
 			if result.Status == 200 {
 				node.log.Info("machine returned", "machine", name, "reason", m.DrainReason, "type", m.TypeName, "spot", m.Spot)
-				l.removeMachine(m)
+				l.machineRecords.removeMachine(m)
 			} else {
 				m.Terminating = false // it goes on draining, as a late copy of the request may return it
 			}
@@ -259,7 +259,7 @@
 	}
 	m := l.Machines[host.Name]
 	if m == nil {
-		m = l.addListedMachine(host)
+		m = l.machineRecords.addListedMachine(host)
 		l.node.log.Info("cloud lists unknown machine", "machine", m.Name, "state", host.State)
 	}
 	if host.State == protocol.HostFailed && !m.ListedAsFailed && l.node.now-m.LastHeartbeat > 2*l.node.heartbeatInterval() {
@@ -357,7 +357,7 @@
 				if _, removed := l.RemovedMachines[name]; removed || l.Machines[name] != nil {
 					continue
 				}
-				l.addRentedMachine(name, rental.Type, rental.Zone, rental.Spot, node.now)
+				l.machineRecords.addRentedMachine(name, rental.Type, rental.Zone, rental.Spot, node.now)
 			}
 			rental.refundUnrented(l, len(rented.Machines))
 			if len(rented.Machines) < rental.Count {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -40,7 +40,7 @@
 	l.cancelMissedHeartbeatDrain(m)
 	l.ApplyPreemptionNotice(m, heartbeat.PreemptionNoticeSeconds)
 	if !m.UseDurable {
-		l.recordMachine(m, true)
+		l.machineRecords.recordMachine(m, true)
 	}
 	l.ScheduleOnMachine(m)
 	l.writer.sendNextTransaction()
@@ -143,7 +143,7 @@
 	}
 	m.TypeName, m.Zone, m.Spot, m.MachineType = heartbeat.Type, heartbeat.Zone, heartbeat.Spot, l.node.catalog[heartbeat.Type]
 	l.InvalidateMachineIndex()
-	l.recordMachine(m, true)
+	l.machineRecords.recordMachine(m, true)
 }
 
 // isStaleHeartbeat reports whether a heartbeat must be ignored because it comes from another
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -114,7 +114,7 @@
 		}
 		for _, part := range oldParts {
 			part.Superseded = true
-			l.dropStoredKey(part.Key)
+			l.machineRecords.dropStoredKey(part.Key)
 		}
 	}
 }
@@ -211,22 +211,11 @@
 			}
 			delete(l.cancelWaiters, id)
 			for _, part := range j.BitmapParts {
-				l.dropStoredKey(part.Key)
+				l.machineRecords.dropStoredKey(part.Key)
 			}
 			for i := 0; l.writer.ModRevision(storage.DependenciesKey(id, i)) != 0; i++ {
-				l.dropStoredKey(storage.DependenciesKey(id, i))
+				l.machineRecords.dropStoredKey(storage.DependenciesKey(id, i))
 			}
 		},
 	})
 }
-
-// dropStoredKey queues the deletion of a key, with low priority, if it is stored when the write
-// is formed.
-func (l *leader) dropStoredKey(key string) {
-	l.writer.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: func() []storage.Write {
-		if l.writer.ModRevision(key) == 0 || l.quarantine.contains(key) {
-			return nil
-		}
-		return []storage.Write{storage.Delete(key)}
-	}})
-}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -17,12 +17,12 @@
 	*scheduler.Scheduler
 	loadState
 	workerServiceState
-	machineRecords
 	bitmapLayout
 	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job
 
 	attemptCounter uint64
 	writer         *transactionWriter
+	machineRecords *machineRecords
 	delayedCalls   []delayedCall
 	recovery       *recovery.Recovery
 	autoscaler     autoscaler
@@ -35,12 +35,11 @@
 	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog})
 	l := &leader{
 		node: node, term: term, State: state,
-		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), machineRecords: newMachineRecords(&node.cfg.Cluster), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
+		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
 		cancelWaiters: map[string][]Origin{},
 		recovery:      node.newRecovery(),
 	}
-	l.quarantine = newQuarantine(l)
-	l.writer = newTransactionWriter(l, leaderKeyVersion)
+	l.initRecords(leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.autoscaler.init(l)
 	l.admission.start(l)
@@ -98,7 +97,7 @@
 func (l *leader) finishLoading() {
 	l.recordsLoaded, l.SchedulingNeeded = true, true
 	l.dropStaleDependencies()
-	l.splitOversizedGroups()
+	l.machineRecords.splitOversizedGroups()
 	l.autoscaler.inheritUsualLoad()
 	l.storeCatalog()
 	l.tickRecovery()
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -11,6 +11,15 @@
 // recordsHost gives the records of a leader what they need from the leader and its node.
 type recordsHost struct{ leader *leader }
 
+// initRecords creates the parts that store the leader's records. leaderKeyVersion is the version of
+// the leader key.
+func (l *leader) initRecords(leaderKeyVersion uint64) {
+	l.quarantine = newQuarantine(l)
+	l.writer = newTransactionWriter(l, leaderKeyVersion)
+	access := &recordAccess{state: l.State, writer: l.writer, quarantine: l.quarantine, clock: recordsHost{l}}
+	l.machineRecords = newMachineRecords(access)
+}
+
 // newTransactionWriter returns the writer of a leader whose key has the given version.
 func newTransactionWriter(l *leader, leaderKeyVersion uint64) *transactionWriter {
 	node, host := l.node, recordsHost{l}
@@ -122,3 +131,23 @@
 	}
 	delete(l.cancelWaiters, id)
 }
+
+// applyMachineTypes updates the machines after a change of the machine type catalog.
+func (l *leader) applyMachineTypes() {
+	l.Catalog = l.node.catalog
+	for _, m := range l.Machines {
+		if machineType := l.Catalog[m.TypeName]; machineType != nil {
+			m.MachineType = machineType
+		}
+	}
+	l.InvalidateMachineIndex()
+	l.SchedulingNeeded = true
+	l.storeCatalog()
+}
+
+// storeCatalog stores a confirmed catalog of machine types for the next start.
+func (l *leader) storeCatalog() {
+	if l.recordsLoaded && l.node.catalogConfirmed {
+		l.machineRecords.storeCatalog()
+	}
+}
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -184,7 +184,7 @@
 	for _, id := range slices.Sorted(maps.Keys(l.dependencyRecords)) {
 		for _, item := range l.dependencyRecords[id] {
 			if l.Jobs[id] == nil && !l.loadingDependencies[id] && !l.quarantine.unreadableJobs[id] {
-				l.dropStoredKey(item.Key)
+				l.machineRecords.dropStoredKey(item.Key)
 			}
 		}
 		delete(l.dependencyRecords, id)
@@ -206,7 +206,7 @@
 		}
 		j := l.Jobs[id]
 		if j == nil {
-			l.dropStoredKey(item.Key)
+			l.machineRecords.dropStoredKey(item.Key)
 			continue
 		}
 		bits, err := storage.ReadBitmap(item)
@@ -215,7 +215,7 @@
 			continue
 		}
 		if firstTask >= j.Spec.TaskCount {
-			l.dropStoredKey(item.Key)
+			l.machineRecords.dropStoredKey(item.Key)
 			continue
 		}
 		partIndex := slices.IndexFunc(j.BitmapParts, func(p *cluster.BitmapPart) bool { return p.Key == item.Key })
@@ -231,7 +231,7 @@
 			}
 		}
 		if partIndex < 0 {
-			l.dropStoredKey(item.Key) // other layout; its bits are written to the new parts first
+			l.machineRecords.dropStoredKey(item.Key) // other layout; its bits are written to the new parts first
 		}
 	}
 }
@@ -256,21 +256,21 @@
 			continue
 		}
 		l.writer.SetModRevision(item.Key, item.ModRevision)
-		group := l.newMachineGroup(item.Key)
+		group := l.machineRecords.newGroup(item.Key)
 		for name, entry := range record {
 			m := l.Machines[name]
 			if m == nil {
 				m = l.addStoredMachine(name, entry)
 			} else if m.Group != nil {
 				// An earlier leader stopped while moving it between groups.
-				l.removeFromGroup(m.Group, m)
-				l.storeMachineGroup(m.Group, false)
+				l.machineRecords.removeFromGroup(m.Group, m)
+				l.machineRecords.storeGroup(m.Group, groupWriteLazy)
 			}
 			m.UseDurable = m.UseDurable || entry.Used
 			m.MarkedUsed, m.Reconciled = m.UseDurable, !m.UseDurable
-			l.addToGroup(group, m)
+			l.machineRecords.addToGroup(group, m)
 			if !entry.Used && m.UseDurable {
-				l.storeMachineGroup(group, true) // before the other group's record, which has the mark, is deleted
+				l.machineRecords.storeGroup(group, groupWriteSoon) // before the other group's record, which has the mark, is deleted
 			}
 		}
 	}
@@ -294,7 +294,7 @@
 		m.UseDurable = m.UseDurable || record[name].Used
 		m.Reconciled = m.Reconciled && !record[name].Used
 		if m.TypeName != "" {
-			l.recordMachine(m, m.UseDurable)
+			l.machineRecords.recordMachine(m, m.UseDurable)
 		}
 	}
 }
@@ -318,8 +318,8 @@
 			m = l.addStoredMachine(name, record)
 		}
 		m.Reconciled = m.Reconciled && !record.Used
-		l.recordMachine(m, record.Used)
-		l.dropStoredKey(item.Key)
+		l.machineRecords.recordMachine(m, record.Used)
+		l.machineRecords.dropStoredKey(item.Key)
 	}
 }
 
--- /dev/null
+++ b/internal/controller/machine_group_write.go
@@ -0,0 +1,115 @@
+package controller
+
+import (
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/storage"
+)
+
+// groupWriteUrgency is how soon a changed machine group must be written.
+type groupWriteUrgency int
+
+// The urgencies of a group's write.
+const (
+	groupWriteLazy groupWriteUrgency = iota // machines were removed
+	groupWriteSoon                          // machines are new, or about to get their first task
+)
+
+// groupWrite is a queued write of a machine group, with the contents that the group has when the
+// write is built.
+type groupWrite struct {
+	records      *machineRecords
+	group        *cluster.MachineGroup
+	urgency      groupWriteUrgency
+	usedMachines []*cluster.Machine // machines that the built record marks as used
+}
+
+// storeGroup queues the write of a changed group, unless a queued write will include the change in
+// time.
+func (r *machineRecords) storeGroup(group *cluster.MachineGroup, urgency groupWriteUrgency) {
+	group.ChangedSinceWrite = true
+	if group.SoonWriteQueued || (group.LazyWriteQueued && urgency == groupWriteLazy) {
+		return
+	}
+	write := &groupWrite{records: r, group: group, urgency: urgency}
+	write.setQueued(true)
+	r.writer.Enqueue(write.priority(), storage.Change{
+		BuildWrites: write.buildWrites,
+		OnSent:      write.onSent,
+		OnRejected:  write.onRejected,
+		OnApplied:   write.onApplied,
+	})
+}
+
+// setQueued records in the group whether this write is queued.
+func (w *groupWrite) setQueued(queued bool) {
+	if w.urgency == groupWriteSoon {
+		w.group.SoonWriteQueued = queued
+	} else {
+		w.group.LazyWriteQueued = queued
+	}
+}
+
+// priority returns the priority of the write in the writer's queue.
+func (w *groupWrite) priority() storage.Priority {
+	if w.urgency == groupWriteSoon {
+		return storage.PriorityNormal
+	}
+	return storage.PriorityLow
+}
+
+// buildWrites returns the write of the group's record, or its deletion if the group is empty. It
+// returns none if another write has included all changes, or an empty group was never stored.
+func (w *groupWrite) buildWrites() []storage.Write {
+	w.usedMachines = w.usedMachines[:0]
+	isEmpty := len(w.group.Machines) == 0
+	if !w.group.ChangedSinceWrite || (isEmpty && w.records.writer.ModRevision(w.group.Key) == 0) {
+		w.setQueued(false)
+		return nil
+	}
+	if isEmpty {
+		return []storage.Write{storage.Delete(w.group.Key)}
+	}
+	return []storage.Write{storage.Put(w.group.Key, w.buildRecord())}
+}
+
+// buildRecord returns the group's record and notes the machines that it marks as used.
+func (w *groupWrite) buildRecord() storage.MachineGroupRecord {
+	record := make(storage.MachineGroupRecord, len(w.group.Machines))
+	for name, m := range w.group.Machines {
+		record[name] = w.records.entry(m)
+		if m.MarkedUsed {
+			w.usedMachines = append(w.usedMachines, m)
+		}
+	}
+	return record
+}
+
+// onSent handles the sending of the write: later changes of the group need another one.
+func (w *groupWrite) onSent() {
+	w.setQueued(false)
+	w.group.ChangedSinceWrite = false
+}
+
+// onRejected handles the permanent rejection of the write. If the key-value store rejects it even
+// alone, its value limit is lower than the settings say, and the group is split.
+func (w *groupWrite) onRejected(alone bool) {
+	r := w.records
+	if !alone {
+		r.storeGroup(w.group, w.urgency)
+		return
+	}
+	r.maxGroupBytes = max(1, min(r.maxGroupBytes, w.group.RecordBytes)/2)
+	r.splitOversizedGroups()
+	if len(w.group.Machines) > 0 {
+		r.state.Log.Error("machine record rejected by key-value store", "group", w.group.Key)
+	}
+}
+
+// onApplied marks the machines whose use has become durable, so that they may get tasks.
+func (w *groupWrite) onApplied() {
+	for _, m := range w.usedMachines {
+		if !m.UseDurable {
+			m.UseDurable, w.records.state.SchedulingNeeded = true, true
+		}
+	}
+}
