--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -120,7 +120,7 @@
 		}
 		delete(l.cancelWaiters, next.Spec.ID)
 		if !next.Terminal {
-			l.finishJob(next, protocol.JobCancelled)
+			l.jobRecords.finishJob(next, protocol.JobCancelled)
 		}
 		queue = append(queue, l.Dependents[next.Spec.ID]...)
 	}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -329,7 +329,7 @@
 	x := l.leader
 	has, other := x.Machines["m-000001"], x.Machines["m-000002"]
 	has.TouchImage("i", 2)
-	j := x.addJob(storage.JobRecord{Spec: spec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
+	j := x.jobRecords.addJob(storage.JobRecord{Spec: spec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
 	j.Spec.ImageGB = 2 // 10 s of fetching
 	fits := func(m *cluster.Machine) bool {
 		return x.FindCandidates(j, []*cluster.Machine{m}, true).BestMachine("") == m
@@ -386,7 +386,7 @@
 	w.machines(1)
 	s := spec("j-1", 100)
 	s.EstimatedSeconds = 50
-	j := x.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
+	j := x.jobRecords.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
 	j.EligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
 	unbegun := x.autoscaler.requiredCores(1000)
 	j.FirstStartAt = x.node.now
@@ -444,7 +444,7 @@
 		x := w.waitLeader().leader
 		s := spec("j-1", 200)
 		s.EstimatedSeconds = 20
-		x.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
+		x.jobRecords.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
 		return x.autoscaler.requiredCores(1000)
 	}
 	loose, usual, strict := demand(0.8), demand(0.9), demand(0.99)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -425,7 +425,7 @@
 		if otherAttempt := j.Attempts[taskIndex]; otherAttempt != nil && otherAttempt != attempt {
 			l.RequestStop(otherAttempt, 0)
 		}
-		l.markTaskDone(j, taskIndex)
+		l.jobRecords.markTaskDone(j, taskIndex)
 		return j.TaskDurable(taskIndex)
 	}
 	if !isTracked {
--- /dev/null
+++ b/internal/controller/job_completion.go
@@ -0,0 +1,104 @@
+package controller
+
+import (
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+// jobCompletion is the queued transaction that replaces a job's open record by its terminal record.
+type jobCompletion struct {
+	records  *jobRecords
+	job      *cluster.Job
+	terminal storage.TerminalRecord
+}
+
+// finishJob makes a job terminal. Users are notified only after the terminal record is durable.
+func (r *jobRecords) finishJob(j *cluster.Job, state string) {
+	j.Terminal, j.Cancelled = true, state == protocol.JobCancelled
+	terminal := storage.TerminalRecord{State: state, TaskCount: j.Spec.TaskCount, DoneTasks: j.DoneTasks}
+	r.stopAttempts(j)
+	if j.Cancelled && !j.DependencyCancelled {
+		r.host.RelaxDeadlines(j)
+	}
+	completion := &jobCompletion{records: r, job: j, terminal: terminal}
+	r.writer.Enqueue(r.host.CompletionPriority(j), storage.Change{
+		BuildWrites: completion.buildWrites,
+		OnSent:      completion.onSent,
+		OnApplied:   completion.onApplied,
+	})
+}
+
+// buildWrites returns the transaction, with the current time as the end of the job.
+func (c *jobCompletion) buildWrites() []storage.Write {
+	id := c.job.Spec.ID
+	c.terminal.EndedAtMillis = c.records.clock.UnixMilli(c.records.clock.Now())
+	return []storage.Write{storage.Delete(storage.JobKey(id)), storage.Put(storage.TerminalKey(id), c.terminal)}
+}
+
+// onSent marks the job, and the dependents that are cancelled with it, as uncertain: from now on
+// another controller may read the terminal record.
+func (c *jobCompletion) onSent() {
+	c.job.CompletionUncertain = true
+	if c.job.Cancelled {
+		c.records.host.ForEachDependent(c.job, func(dependent *cluster.Job) { dependent.CompletionUncertain = true })
+	}
+}
+
+// onApplied removes the job, whose end is durable now.
+func (c *jobCompletion) onApplied() {
+	r, id := c.records, c.job.Spec.ID
+	c.log()
+	r.host.JobFinished(c.job, c.terminal)
+	r.state.EndedJobs[id] = true
+	r.removeOpenJob(id)
+	r.host.JobEnded(id, c.terminal, true)
+	c.dropOtherRecords()
+}
+
+// log writes the times of the finished job to the log.
+func (c *jobCompletion) log() {
+	j, state := c.job, c.records.state
+	state.Log.Debug("job finished", "job", j.Spec.ID, "state", c.terminal.State, "class", j.Spec.Class, "tasks", j.Spec.TaskCount,
+		"after", c.records.clock.Now()-j.AcceptedAt, "waited", j.EligibleAt-j.AcceptedAt,
+		"firstStart", j.FirstStartAt-j.AcceptedAt, "lastStart", j.LastStartAt-j.AcceptedAt, "expected", state.ExpectedTaskDuration(j))
+}
+
+// dropOtherRecords queues the deletion of the job's bitmap and of its dependency records.
+func (c *jobCompletion) dropOtherRecords() {
+	r, id := c.records, c.job.Spec.ID
+	for _, part := range c.job.BitmapParts {
+		r.dropStoredKey(part.Key)
+	}
+	for i := 0; r.writer.ModRevision(storage.DependenciesKey(id, i)) != 0; i++ {
+		r.dropStoredKey(storage.DependenciesKey(id, i))
+	}
+}
+
+// quarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
+// takes precedence, as a user may have been notified of it. The open record is quarantined.
+func (r *jobRecords) quarantineOpenRecord(id string, terminal storage.TerminalRecord) {
+	j := r.state.Jobs[id]
+	if j == nil || j.Terminal || j.CompletionUncertain || r.state.EndedJobs[id] {
+		return
+	}
+	r.state.Log.Error("job has both an open and a terminal record", "job", id)
+	j.Terminal, r.state.SchedulingNeeded = true, true
+	r.stopAttempts(j)
+	r.quarantine.addRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
+	r.removeOpenJob(id)
+	r.host.JobEnded(id, terminal, false)
+}
+
+// stopAttempts requests the end of all attempts of a terminal job.
+func (r *jobRecords) stopAttempts(j *cluster.Job) {
+	for _, attempt := range j.Attempts {
+		r.state.RequestStop(attempt, 0)
+	}
+}
+
+// removeOpenJob removes a job from the open jobs.
+func (r *jobRecords) removeOpenJob(id string) {
+	delete(r.state.Jobs, id)
+	delete(r.state.RunnableJobs, id)
+}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if !j.Terminal {
-		l.finishJob(j, protocol.JobCancelled)
+		l.jobRecords.finishJob(j, protocol.JobCancelled)
 	}
 	if l.node.election.storeUnavailable() {
 		l.node.replyUnavailable(origin)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -17,12 +17,12 @@
 	*scheduler.Scheduler
 	loadState
 	workerServiceState
-	bitmapLayout
 	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job
 
 	attemptCounter uint64
 	writer         *transactionWriter
 	machineRecords *machineRecords
+	jobRecords     *jobRecords
 	delayedCalls   []delayedCall
 	recovery       *recovery.Recovery
 	autoscaler     autoscaler
@@ -35,7 +35,7 @@
 	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog})
 	l := &leader{
 		node: node, term: term, State: state,
-		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
+		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now),
 		cancelWaiters: map[string][]Origin{},
 		recovery:      node.newRecovery(),
 	}
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
 
@@ -18,6 +20,7 @@
 	l.writer = newTransactionWriter(l, leaderKeyVersion)
 	access := &recordAccess{state: l.State, writer: l.writer, quarantine: l.quarantine, clock: recordsHost{l}}
 	l.machineRecords = newMachineRecords(access)
+	l.jobRecords = newJobRecords(access, recordsHost{l})
 }
 
 // newTransactionWriter returns the writer of a leader whose key has the given version.
@@ -106,32 +109,10 @@
 	delete(n.unreadableTerminalRecords, id)
 	n.terminalJobs.put(id, final)
 	if n.holdsLeaderLease() {
-		n.leader.quarantineOpenRecord(id, final)
+		n.leader.jobRecords.quarantineOpenRecord(id, final)
 	}
 }
 
-// quarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
-// takes precedence, as a user may have been notified of it. The open record is quarantined.
-func (l *leader) quarantineOpenRecord(id string, final storage.TerminalRecord) {
-	j := l.Jobs[id]
-	if j == nil || j.Terminal || j.CompletionUncertain || l.EndedJobs[id] {
-		return
-	}
-	l.node.log.Error("job has both an open and a terminal record", "job", id)
-	j.Terminal, l.SchedulingNeeded = true, true
-	for _, r := range j.Attempts {
-		l.RequestStop(r, 0)
-	}
-	l.quarantine.addRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
-	delete(l.Jobs, id)
-	delete(l.RunnableJobs, id)
-	l.releaseDependents(id, final, false)
-	for _, origin := range l.cancelWaiters[id] {
-		l.node.reply(origin, 200, 0, terminalJobState(id, final))
-	}
-	delete(l.cancelWaiters, id)
-}
-
 // applyMachineTypes updates the machines after a change of the machine type catalog.
 func (l *leader) applyMachineTypes() {
 	l.Catalog = l.node.catalog
@@ -151,3 +132,71 @@
 		l.machineRecords.storeCatalog()
 	}
 }
+
+// adoptStoredJob adds a job that was read from the key-value store to the job table.
+func (l *leader) adoptStoredJob(id string, item storage.Item) *cluster.Job {
+	if !l.recordsLoaded {
+		return nil
+	}
+	if j := l.Jobs[id]; j != nil {
+		return j
+	}
+	l.loadJobs([]storage.Item{item})
+	return l.Jobs[id]
+}
+
+// IsTerminal reports whether a job's terminal record is known.
+func (h recordsHost) IsTerminal(jobID string) bool {
+	_, ended := h.leader.node.terminalJobs.byID[jobID]
+	return ended
+}
+
+// LegacyLeaderPossible reports whether a controller of version level 0 may become leader.
+func (h recordsHost) LegacyLeaderPossible() bool {
+	return !h.leader.node.clusterSupports(protocolLevelDependencies)
+}
+
+// JobAdded handles a job that was added to the job table.
+func (h recordsHost) JobAdded(j *cluster.Job) {
+	l := h.leader
+	l.addDependencies(j)
+	if l.recordsLoaded {
+		l.admission.countAccepted(&j.Spec)
+		l.node.traceStep(j.Spec.ID, stepLoaded, "")
+	}
+}
+
+// CompletionPriority returns the write priority of a job's terminal record.
+func (h recordsHost) CompletionPriority(j *cluster.Job) storage.Priority {
+	return h.leader.completionPriority(j)
+}
+
+// RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
+func (h recordsHost) RelaxDeadlines(cancelled *cluster.Job) { h.leader.relaxDeadlines(cancelled) }
+
+// ForEachDependent visits all direct and indirect dependents of a job once.
+func (h recordsHost) ForEachDependent(j *cluster.Job, visit func(dependent *cluster.Job)) {
+	h.leader.forEachDependent(j, visit)
+}
+
+// JobFinished traces the end of a job and remembers its terminal record.
+func (h recordsHost) JobFinished(j *cluster.Job, terminal storage.TerminalRecord) {
+	l := h.leader
+	l.node.traceStep(j.Spec.ID, stepTerminal, terminal.State+" after "+l.jobAge(j))
+	l.node.terminalJobs.put(j.Spec.ID, terminal)
+}
+
+// JobEnded releases or cancels the dependents of an ended job and answers the users that wait for
+// its cancellation.
+func (h recordsHost) JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
+	l := h.leader
+	l.releaseDependents(jobID, terminal, writtenHere)
+	status := protocol.JobStatus{ID: jobID, State: terminal.State}
+	if !writtenHere {
+		status = terminalJobState(jobID, terminal)
+	}
+	for _, origin := range l.cancelWaiters[jobID] {
+		l.node.reply(origin, 200, 0, status)
+	}
+	delete(l.cancelWaiters, jobID)
+}
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -129,7 +129,7 @@
 			l.quarantine.addRecord(item, errOpenAndTerminal)
 			continue
 		}
-		if l.addJob(record, item.ModRevision) != nil {
+		if l.jobRecords.addJob(record, item.ModRevision) != nil {
 			bits := l.deferredBitmaps[id]
 			delete(l.deferredBitmaps, id)
 			l.loadBitmaps(bits)
@@ -184,7 +184,7 @@
 	for _, id := range slices.Sorted(maps.Keys(l.dependencyRecords)) {
 		for _, item := range l.dependencyRecords[id] {
 			if l.Jobs[id] == nil && !l.loadingDependencies[id] && !l.quarantine.unreadableJobs[id] {
-				l.machineRecords.dropStoredKey(item.Key)
+				l.jobRecords.dropStoredKey(item.Key)
 			}
 		}
 		delete(l.dependencyRecords, id)
@@ -196,7 +196,7 @@
 func (l *leader) loadBitmaps(items []storage.Item) {
 	for _, item := range items {
 		l.writer.SetModRevision(item.Key, item.ModRevision)
-		id, firstTask, ok := storage.ParseBitmapKey(item.Key, l.legacyBitmapPartTasks)
+		id, firstTask, ok := storage.ParseBitmapKey(item.Key, l.jobRecords.layout.legacyTasksPerPart)
 		if !ok {
 			continue // unknown key format, perhaps of a newer version
 		}
@@ -206,7 +206,7 @@
 		}
 		j := l.Jobs[id]
 		if j == nil {
-			l.machineRecords.dropStoredKey(item.Key)
+			l.jobRecords.dropStoredKey(item.Key)
 			continue
 		}
 		bits, err := storage.ReadBitmap(item)
@@ -215,7 +215,7 @@
 			continue
 		}
 		if firstTask >= j.Spec.TaskCount {
-			l.machineRecords.dropStoredKey(item.Key)
+			l.jobRecords.dropStoredKey(item.Key)
 			continue
 		}
 		partIndex := slices.IndexFunc(j.BitmapParts, func(p *cluster.BitmapPart) bool { return p.Key == item.Key })
@@ -226,12 +226,12 @@
 			for bit := 0; bit < 8; bit++ {
 				index := firstTask + i*8 + bit
 				if bits[i]&(1<<bit) != 0 && index < j.Spec.TaskCount {
-					l.markTaskDone(j, index)
+					l.jobRecords.markTaskDone(j, index)
 				}
 			}
 		}
 		if partIndex < 0 {
-			l.machineRecords.dropStoredKey(item.Key) // other layout; its bits are written to the new parts first
+			l.jobRecords.dropStoredKey(item.Key) // other layout; its bits are written to the new parts first
 		}
 	}
 }
@@ -319,7 +319,7 @@
 		}
 		m.Reconciled = m.Reconciled && !record.Used
 		l.machineRecords.recordMachine(m, record.Used)
-		l.machineRecords.dropStoredKey(item.Key)
+		l.jobRecords.dropStoredKey(item.Key)
 	}
 }
 
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -94,7 +94,7 @@
 	n.protocolLevels.clusterLevel = clusterLevel
 	n.log.Info("cluster protocol level raised", "level", clusterLevel)
 	if n.leader != nil && previousLevel < protocolLevelDependencies {
-		n.leader.upgradeBitmapLayouts()
+		n.leader.jobRecords.upgradeBitmapLayouts()
 	}
 }
 
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -185,7 +185,7 @@
 				for _, write := range submission.writes {
 					submission.leader.writer.SetModRevision(write.Key(), txnResult.Revision)
 				}
-				submission.leader.addJob(submission.record, txnResult.Revision)
+				submission.leader.jobRecords.addJob(submission.record, txnResult.Revision)
 			}
 			n.reply(submission.request.Origin, 201, 0, protocol.JobStatus{ID: jobID, State: protocol.JobQueued})
 		case response.Status == 409 && submission.retries < maxSubmissionRetries &&
