--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -1,74 +1,97 @@
 package controller
 
 import (
+	"time"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/storage"
 )
 
-// The leader's watch on jobs that other nodes accept.
+// jobWatch watches the open jobs in the key-value store with long polls, as any node may write a
+// submission.
+type jobWatch struct {
+	loader   *loader
+	host     jobWatchHost
+	clock    recordClock
+	active   bool // a watch is in flight or scheduled
+	failures int  // consecutive watches that failed or returned nothing new
+}
 
-// watchJobs watches the open jobs in the key-value store with a long poll, as any node may write
-// a submission.
-func (l *leader) watchJobs() {
-	node := l.node
-	l.watchActive = true
-	sent, longPoll := node.now, node.workerLease()/2
-	node.callService(TargetStore, "GET",
-		storage.WatchPath(storage.JobPrefix, l.watchRevision, longPoll.Milliseconds()), nil,
-		4*node.workerLease(), func(result CallResult) {
-			if node.leader != l {
-				return
-			}
-			var events storage.WatchResponse
-			switch {
-			case result.Status == 200 && json.Unmarshal(result.Body, &events) == nil:
-				l.applyJobEvents(events, node.now < sent+longPoll/2)
-			case result.Status == 410:
-				// The revision was compacted: list the open jobs again. Loaded jobs stay.
-				l.rereadJobs()
-			case result.Status == 503:
-				l.watchFailures = 1 // an outage, perhaps a short one: keep the pause short
-				l.scheduleWatch()
-			case l.watchFailures == 0:
-				l.watchFailures = 1
-				l.scheduleWatch()
-			default:
-				// The second failure in a row. The events may be too large for one response, while
-				// a paged listing succeeds.
-				l.rereadJobs()
-			}
-		})
+// jobWatchHost is what the watch needs from the leader.
+type jobWatchHost interface {
+	delayer
+	// WatchStore sends a long poll to the key-value store and passes its response to onResponse,
+	// unless the term has ended by then.
+	WatchStore(path string, timeout time.Duration, onResponse func(storeResponse))
 }
 
 // maxWatchFailures limits the pause between two watches, which doubles with each failure.
 const maxWatchFailures = 4
 
-// applyJobEvents loads the jobs from the events of a watch. After a watch that returned early
-// without anything new, the next one is delayed: otherwise the watch would become a busy loop.
-func (l *leader) applyJobEvents(events storage.WatchResponse, early bool) {
+// tick sends the next long poll unless one is in flight or scheduled.
+func (w *jobWatch) tick() {
+	if w.active {
+		return
+	}
+	w.active = true
+	sentAt, longPoll := w.clock.Now(), w.clock.WorkerLease()/2
+	path := storage.WatchPath(storage.JobPrefix, w.loader.jobsRevision, longPoll.Milliseconds())
+	w.host.WatchStore(path, 4*w.clock.WorkerLease(), func(response storeResponse) {
+		answeredEarly := w.clock.Now() < sentAt+longPoll/2
+		w.onResponse(response, answeredEarly)
+	})
+}
+
+// onResponse handles the response to a long poll.
+func (w *jobWatch) onResponse(response storeResponse, early bool) {
+	var events storage.WatchResponse
+	switch {
+	case response.Status == 200 && json.Unmarshal(response.Body, &events) == nil:
+		w.applyEvents(events, early)
+	case response.Status == 410:
+		// The revision was compacted: list the open jobs again. Loaded jobs stay.
+		w.rereadJobs()
+	case response.Status == 503:
+		w.failures = 1 // an outage, perhaps a short one: keep the pause short
+		w.scheduleWatch()
+	case w.failures == 0:
+		w.failures = 1
+		w.scheduleWatch()
+	default:
+		// The second failure in a row. The events may be too large for one response, while
+		// a paged listing succeeds.
+		w.rereadJobs()
+	}
+}
+
+// applyEvents loads the jobs from the events of a watch. After a watch that returned early without
+// anything new, the next one is delayed: otherwise the watch would become a busy loop.
+func (w *jobWatch) applyEvents(events storage.WatchResponse, early bool) {
 	for _, event := range events.Events {
 		if event.PutKey != "" {
-			l.loadJobs([]storage.Item{{Key: event.PutKey, Value: event.Value, ModRevision: event.ModRevision}})
+			w.loader.loadJob(storage.Item{Key: event.PutKey, Value: event.Value, ModRevision: event.ModRevision})
 		}
 	}
-	if early && (len(events.Events) == 0 || events.Revision <= l.watchRevision) {
-		l.watchFailures = min(l.watchFailures+1, maxWatchFailures)
-		l.scheduleWatch()
+	if early && (len(events.Events) == 0 || events.Revision <= w.loader.jobsRevision) {
+		w.countFailure()
+		w.scheduleWatch()
 		return
 	}
-	l.watchRevision = max(l.watchRevision, events.Revision)
-	l.watchActive, l.watchFailures = false, 0
+	w.loader.jobsRevision = max(w.loader.jobsRevision, events.Revision)
+	w.active, w.failures = false, 0
 }
 
 // rereadJobs lists the open jobs again and then resumes watching.
-func (l *leader) rereadJobs() {
-	l.watchFailures = min(l.watchFailures+1, maxWatchFailures)
-	l.readPages(storage.JobPrefix, "", l.loadJobs, l.scheduleWatch)
+func (w *jobWatch) rereadJobs() {
+	w.countFailure()
+	w.loader.rereadJobs(w.scheduleWatch)
 }
 
+// countFailure counts a watch that failed or returned nothing new.
+func (w *jobWatch) countFailure() { w.failures = min(w.failures+1, maxWatchFailures) }
+
 // scheduleWatch resumes watching after a pause that doubles with each consecutive failure.
-func (l *leader) scheduleWatch() {
-	at := l.node.now + l.node.workerLease()/100<<l.watchFailures
-	l.delayedCalls = append(l.delayedCalls, delayedCall{at, func() { l.watchActive = false }})
+func (w *jobWatch) scheduleWatch() {
+	w.host.CallAfter(w.clock.WorkerLease()/100<<w.failures, func() { w.active = false })
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -23,6 +23,9 @@
 	writer         *transactionWriter
 	machineRecords *machineRecords
 	jobRecords     *jobRecords
+	quarantine     *quarantine
+	loader         *loader
+	jobWatch       *jobWatch
 	delayedCalls   []delayedCall
 	recovery       *recovery.Recovery
 	autoscaler     autoscaler
@@ -81,12 +84,6 @@
 	l.earlyHeartbeats = nil
 }
 
-// scheduleRetry calls retry after a short delay.
-func (l *leader) scheduleRetry(retry func()) {
-	at := l.node.now + l.node.workerLease()/50
-	l.delayedCalls = append(l.delayedCalls, delayedCall{at, retry})
-}
-
 // delayedCall is a function to run at an instant.
 type delayedCall struct {
 	dueAt clock.Instant
@@ -96,7 +93,7 @@
 // finishLoading starts scheduling once all records are loaded.
 func (l *leader) finishLoading() {
 	l.recordsLoaded, l.SchedulingNeeded = true, true
-	l.dropStaleDependencies()
+	l.loader.dropStaleDependencies()
 	l.machineRecords.splitOversizedGroups()
 	l.autoscaler.inheritUsualLoad()
 	l.storeCatalog()
@@ -129,9 +126,7 @@
 	if !l.recordsLoaded || node.leader != l {
 		return
 	}
-	if !l.watchActive {
-		l.watchJobs()
-	}
+	l.jobWatch.tick()
 	l.tickDependencyLookups()
 	l.quarantine.tick()
 	if node.leader != l {
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -7,9 +7,55 @@
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/storage"
 )
 
+// loadState is the progress of a leader that loads the stored records, and what depends on it.
+type loadState struct {
+	recordsLoaded     bool                     // all records have been loaded
+	dependencyLookups map[string]clock.Instant // dependencies that are not open here: when to read their outcome
+	lookupBudget      ratelimit.TokenBucket    // limits reads of dependencies and of quarantined records
+	earlyHeartbeats   []Request                // workers' heartbeats received while loading
+}
+
+// newLoadState returns the state at the start of a term, with nothing loaded.
+func newLoadState(node *Node) loadState {
+	readRate := node.cfg.Cluster.Store.RequestsPerS * dependencyLookupShare
+	return loadState{
+		dependencyLookups: map[string]clock.Instant{}, lookupBudget: ratelimit.NewTokenBucket(readRate, readRate),
+	}
+}
+
+// loadRecords reads all records. Scheduling starts only after all of them are loaded.
+func (l *leader) loadRecords() {
+	l.loader.readListings([]recordListing{
+		{storage.VersionPrefix, l.node.applyProtocolLevels},
+		{storage.DependenciesPrefix, l.loader.loadDependencies}, // before the jobs: later ones are read with their job
+		{storage.JobPrefix, l.loader.loadJobs},
+		{storage.BitmapPrefix, l.loader.loadBitmaps},
+		{storage.MachineGroupPrefix, l.loader.loadMachineGroups},
+		{storage.SingleMachinePrefix, l.loader.loadSingleMachines},
+		{storage.RentalPrefix, l.loadRentals},
+		{storage.ArrivalForecastKey, l.autoscaler.loadForecast},
+		{storage.CatalogKey, l.writer.noteRevisions},
+		{storage.AdmissionPolicyKey, l.admission.loadStoredPolicy},
+	}, l.finishLoading)
+}
+
+// loadRentals adds the rentals that an earlier leader had stored but not completed.
+func (l *leader) loadRentals(items []storage.Item) {
+	for _, item := range items {
+		rental, err := storage.ReadRental(item)
+		if err != nil {
+			l.quarantine.addRecord(item, err)
+			continue
+		}
+		l.writer.SetModRevision(item.Key, item.ModRevision)
+		l.autoscaler.pendingRentals = append(l.autoscaler.pendingRentals, &pendingRental{RentalRequest: rental, finishDurable: true})
+	}
+}
+
 // recordsHost gives the records of a leader what they need from the leader and its node.
 type recordsHost struct{ leader *leader }
 
@@ -21,6 +67,8 @@
 	access := &recordAccess{state: l.State, writer: l.writer, quarantine: l.quarantine, clock: recordsHost{l}}
 	l.machineRecords = newMachineRecords(access)
 	l.jobRecords = newJobRecords(access, recordsHost{l})
+	l.loader = newLoader(recordsHost{l}, l.machineRecords, l.jobRecords)
+	l.jobWatch = &jobWatch{loader: l.loader, host: recordsHost{l}, clock: recordsHost{l}}
 }
 
 // newTransactionWriter returns the writer of a leader whose key has the given version.
@@ -59,6 +107,20 @@
 	})
 }
 
+// WatchStore sends a long poll to the key-value store and passes its response to onResponse, unless
+// the term has ended by then. It does not count for the availability of the store.
+func (h recordsHost) WatchStore(path string, timeout time.Duration, onResponse func(storeResponse)) {
+	node := h.leader.node
+	node.callService(TargetStore, "GET", path, nil, timeout, func(result CallResult) {
+		if node.leader == h.leader {
+			onResponse(storeResponse{Status: result.Status, Body: result.Body})
+		}
+	})
+}
+
+// RecordsLoaded reports whether all records were read that were stored at the start of the term.
+func (h recordsHost) RecordsLoaded() bool { return h.leader.recordsLoaded }
+
 // CallAfter calls a function after a delay, if the term lasts until then.
 func (h recordsHost) CallAfter(delay time.Duration, call func()) {
 	l := h.leader
@@ -141,7 +203,7 @@
 	if j := l.Jobs[id]; j != nil {
 		return j
 	}
-	l.loadJobs([]storage.Item{item})
+	l.loader.loadJob(item)
 	return l.Jobs[id]
 }
 
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -2,145 +2,138 @@
 
 import (
 	"errors"
-	"fmt"
 	"maps"
 	"slices"
 	"strings"
 
-	"hitchdoor/internal/cluster"
-
-	"hitchdoor/internal/ratelimit"
-
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/storage"
 )
 
-// Loading of the stored records by a new leader.
+// loader reads the stored records of earlier leaders into the cluster state, and those of jobs that
+// are accepted later.
+type loader struct {
+	*recordAccess
+	host     loaderHost
+	machines *machineRecords
+	jobs     *jobRecords
 
-// loadState tracks what is being read from the key-value store.
-type loadState struct {
-	recordsLoaded       bool                      // all records have been loaded
+	jobsRevision        uint64                    // revision up to which the open jobs were read
 	dependencyRecords   map[string][]storage.Item // dependency records read before their jobs, by job id
 	loadingDependencies map[string]bool           // jobs whose dependency records are being read
 	dependencyReadCount map[string]int            // reads of a job's dependency records
 	deferredBitmaps     map[string][]storage.Item // bitmap parts of jobs that are not loaded yet
-	dependencyLookups   map[string]clock.Instant  // dependencies that are not open here: when to read their outcome
-	lookupBudget        ratelimit.TokenBucket     // limits reads of dependencies and of quarantined records
-	earlyHeartbeats     []Request                 // workers' heartbeats received while loading
-	quarantine          *quarantine
+}
 
-	watchRevision uint64
-	watchActive   bool // a watch is in flight or scheduled
-	watchFailures int  // consecutive watches that failed or returned nothing new
+// loaderHost is what the loader needs from the leader.
+type loaderHost interface {
+	recordStore
+	delayer
+	// RecordsLoaded reports whether all records were read that were stored at the start of the term.
+	RecordsLoaded() bool
 }
 
-// newLoadState returns the state at the start of a term, with nothing loaded.
-func newLoadState(node *Node) loadState {
-	readRate := node.cfg.Cluster.Store.RequestsPerS * dependencyLookupShare
-	return loadState{
+// newLoader returns the loader of a new leader, with nothing loaded.
+func newLoader(host loaderHost, machines *machineRecords, jobs *jobRecords) *loader {
+	return &loader{
+		recordAccess: jobs.recordAccess, host: host, machines: machines, jobs: jobs,
 		dependencyRecords: map[string][]storage.Item{}, loadingDependencies: map[string]bool{},
-		dependencyReadCount: map[string]int{},
-		deferredBitmaps:     map[string][]storage.Item{}, dependencyLookups: map[string]clock.Instant{},
-		lookupBudget: ratelimit.NewTokenBucket(readRate, readRate),
+		dependencyReadCount: map[string]int{}, deferredBitmaps: map[string][]storage.Item{},
 	}
 }
 
-// loadRecords reads all records. Scheduling starts only after all of them are loaded.
-func (l *leader) loadRecords() {
-	steps := []struct {
-		prefix string
-		take   func([]storage.Item)
-	}{
-		{storage.VersionPrefix, l.node.applyProtocolLevels},
-		{storage.DependenciesPrefix, l.loadDependencies}, // before the jobs: later ones are read with their job
-		{storage.JobPrefix, l.loadJobs},
-		{storage.BitmapPrefix, l.loadBitmaps},
-		{storage.MachineGroupPrefix, l.loadMachineGroups},
-		{storage.SingleMachinePrefix, l.loadSingleMachines},
-		{storage.RentalPrefix, l.loadRentals},
-		{storage.ArrivalForecastKey, l.autoscaler.loadForecast},
-		{storage.CatalogKey, l.noteVersions},
-		{storage.AdmissionPolicyKey, l.admission.loadStoredPolicy},
-	}
-	var next func(int)
-	next = func(i int) {
-		if i == len(steps) {
-			l.finishLoading()
-			return
-		}
-		l.readPages(steps[i].prefix, "", steps[i].take, func() { next(i + 1) })
+// recordListing is a set of records to read: those whose keys have a prefix.
+type recordListing struct {
+	prefix string
+	apply  func([]storage.Item) // called with each page
+}
+
+// readListings reads listings one after the other and then calls onDone.
+func (l *loader) readListings(listings []recordListing, onDone func()) {
+	if len(listings) == 0 {
+		onDone()
+		return
 	}
-	next(0)
+	l.readPages(listings[0], "", func() { l.readListings(listings[1:], onDone) })
 }
 
 // maxPageItems limits one page of a listing, to bound memory use.
 const maxPageItems = 200
 
-// readPages reads all records with a prefix whose keys are after a key, page by page. It passes
-// each page to apply and then calls onDone. A failed read is retried until this leader's term ends.
-func (l *leader) readPages(prefix, afterKey string, apply func([]storage.Item), onDone func()) {
-	node := l.node
-	node.storeCall("GET", storage.ListPath(prefix, afterKey, maxPageItems), nil, func(result CallResult) {
-		if node.leader != l {
-			return
-		}
+// readPages reads the records of a listing whose keys are after a key, page by page, and then calls
+// onDone. A failed read is retried until this leader's term ends.
+func (l *loader) readPages(listing recordListing, afterKey string, onDone func()) {
+	path := storage.ListPath(listing.prefix, afterKey, maxPageItems)
+	l.host.CallStore("GET", path, nil, func(response storeResponse) {
 		var page storage.ListResponse
-		if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
-			l.scheduleRetry(func() { l.readPages(prefix, afterKey, apply, onDone) })
+		if response.Status != 200 || json.Unmarshal(response.Body, &page) != nil {
+			l.scheduleRetry(func() { l.readPages(listing, afterKey, onDone) })
 			return
 		}
-		if prefix == storage.JobPrefix && afterKey == "" {
-			l.watchRevision = page.Revision
+		if listing.prefix == storage.JobPrefix && afterKey == "" {
+			l.jobsRevision = page.Revision
 		}
-		apply(page.Items)
+		listing.apply(page.Items)
 		if page.Truncated && len(page.Items) > 0 {
-			l.readPages(prefix, page.Items[len(page.Items)-1].Key, apply, onDone)
+			l.readPages(listing, page.Items[len(page.Items)-1].Key, onDone)
 			return
 		}
 		onDone()
 	})
 }
 
+// scheduleRetry calls retry after a short delay.
+func (l *loader) scheduleRetry(retry func()) { l.host.CallAfter(retryDelay(l.clock), retry) }
+
+// rereadJobs lists the open jobs again, loads the new ones and then calls onDone.
+func (l *loader) rereadJobs(onDone func()) {
+	l.readPages(recordListing{storage.JobPrefix, l.loadJobs}, "", onDone)
+}
+
 // loadJobs adds the jobs of a page of records to the open jobs.
-func (l *leader) loadJobs(items []storage.Item) {
+func (l *loader) loadJobs(items []storage.Item) {
 	for _, item := range items {
-		id := strings.TrimPrefix(item.Key, storage.JobPrefix)
-		if l.quarantine.unreadableJobs[id] {
-			// The quarantined record was repaired, or is read again. The revision of a repaired
-			// one would imply that no earlier leader has started the job, so only the next leader
-			// loads it.
-			l.quarantine.checkSoon()
-			continue
-		}
-		record, err := storage.ReadJob(item)
-		if err != nil {
-			l.quarantine.addUnreadableJob(id, item, err)
-			continue
-		}
-		if !record.RestoreDependencies(l.dependencyRecords[id]) {
-			l.readDependencies(item, record.DependencyRecords)
-			continue
-		}
-		delete(l.dependencyRecords, id)
-		if _, over := l.node.terminalJobs.byID[id]; over && !l.recordsLoaded {
-			l.quarantine.addRecord(item, errOpenAndTerminal)
-			continue
-		}
-		if l.jobRecords.addJob(record, item.ModRevision) != nil {
-			bits := l.deferredBitmaps[id]
-			delete(l.deferredBitmaps, id)
-			l.loadBitmaps(bits)
-		}
+		l.loadJob(item)
+	}
+}
+
+// loadJob adds a job to the open jobs, once all its dependency records are read.
+func (l *loader) loadJob(item storage.Item) {
+	id := strings.TrimPrefix(item.Key, storage.JobPrefix)
+	if l.quarantine.unreadableJobs[id] {
+		// The quarantined record was repaired, or is read again. The revision of a repaired
+		// one would imply that no earlier leader has started the job, so only the next leader
+		// loads it.
+		l.quarantine.checkSoon()
+		return
+	}
+	record, err := storage.ReadJob(item)
+	if err != nil {
+		l.quarantine.addUnreadableJob(id, item, err)
+		return
+	}
+	if !record.RestoreDependencies(l.dependencyRecords[id]) {
+		l.readDependencies(item, record.DependencyRecords)
+		return
+	}
+	delete(l.dependencyRecords, id)
+	if l.jobs.host.IsTerminal(id) && !l.host.RecordsLoaded() {
+		l.quarantine.addRecord(item, errOpenAndTerminal)
+		return
+	}
+	if l.jobs.addJob(record, item.ModRevision) != nil {
+		bitmaps := l.deferredBitmaps[id]
+		delete(l.deferredBitmaps, id)
+		l.loadBitmaps(bitmaps)
 	}
 }
 
 // loadDependencies keeps the records of dependencies that do not fit into the records of their
 // jobs, until those jobs are loaded.
-func (l *leader) loadDependencies(items []storage.Item) {
-	l.noteVersions(items)
+func (l *loader) loadDependencies(items []storage.Item) {
+	l.writer.noteRevisions(items)
 	for _, item := range items {
 		id := storage.JobIDOfDependenciesKey(item.Key)
 		if _, err := storage.ReadDependencies(item); err != nil {
@@ -152,9 +145,9 @@
 
 // readDependencies reads the dependency records of one job that was accepted since, and loads the
 // job after that. A job loaded without its dependencies would start at once.
-func (l *leader) readDependencies(job storage.Item, records int) {
+func (l *loader) readDependencies(job storage.Item, recordCount int) {
 	id := strings.TrimPrefix(job.Key, storage.JobPrefix)
-	if l.Jobs[id] != nil || l.loadingDependencies[id] || l.quarantine.unreadableJobs[id] {
+	if l.state.Jobs[id] != nil || l.isLoadDeferred(id) {
 		return
 	}
 	if l.dependencyReadCount[id]++; l.dependencyReadCount[id] > maxDependencyReads {
@@ -163,10 +156,11 @@
 	}
 	l.loadingDependencies[id] = true
 	delete(l.dependencyRecords, id)
-	l.readPages(storage.DependenciesPrefix+id+"/", "", l.loadDependencies, func() {
+	listing := recordListing{storage.DependenciesPrefix + id + "/", l.loadDependencies}
+	l.readPages(listing, "", func() {
 		delete(l.loadingDependencies, id)
-		if len(l.dependencyRecords[id]) != records {
-			l.scheduleRetry(func() { l.readDependencies(job, records) })
+		if len(l.dependencyRecords[id]) != recordCount {
+			l.scheduleRetry(func() { l.readDependencies(job, recordCount) })
 			return
 		}
 		l.loadJobs([]storage.Item{job})
@@ -177,170 +171,84 @@
 // transaction with the job, so all of them exist unless a page was read before that.
 const maxDependencyReads = 3
 
+// errDependenciesMissing is the reason to quarantine a job whose dependency records are incomplete.
 var errDependenciesMissing = errors.New("names more records of the jobs that it needs than there are")
 
+// isLoadDeferred reports whether an open job is not in the job table yet, because its dependency
+// records are being read or one of its records is unreadable.
+func (l *loader) isLoadDeferred(jobID string) bool {
+	return l.loadingDependencies[jobID] || l.quarantine.unreadableJobs[jobID]
+}
+
 // dropStaleDependencies deletes the dependency records of jobs that are no longer open.
-func (l *leader) dropStaleDependencies() {
+func (l *loader) dropStaleDependencies() {
 	for _, id := range slices.Sorted(maps.Keys(l.dependencyRecords)) {
 		for _, item := range l.dependencyRecords[id] {
-			if l.Jobs[id] == nil && !l.loadingDependencies[id] && !l.quarantine.unreadableJobs[id] {
-				l.jobRecords.dropStoredKey(item.Key)
+			if l.state.Jobs[id] == nil && !l.isLoadDeferred(id) {
+				l.dropStoredKey(item.Key)
 			}
 		}
 		delete(l.dependencyRecords, id)
 	}
 }
 
-// loadBitmaps marks the tasks done that the bitmap parts list. Parts of jobs that are not loaded
-// yet are kept until they are; parts of unknown jobs and of other layouts are deleted.
-func (l *leader) loadBitmaps(items []storage.Item) {
+// loadBitmaps marks the tasks done that the bitmap parts list.
+func (l *loader) loadBitmaps(items []storage.Item) {
 	for _, item := range items {
 		l.writer.SetModRevision(item.Key, item.ModRevision)
-		id, firstTask, ok := storage.ParseBitmapKey(item.Key, l.jobRecords.layout.legacyTasksPerPart)
-		if !ok {
-			continue // unknown key format, perhaps of a newer version
-		}
-		if l.loadingDependencies[id] || l.quarantine.unreadableJobs[id] {
-			l.deferredBitmaps[id] = append(l.deferredBitmaps[id], item)
-			continue
-		}
-		j := l.Jobs[id]
-		if j == nil {
-			l.jobRecords.dropStoredKey(item.Key)
-			continue
-		}
-		bits, err := storage.ReadBitmap(item)
-		if err != nil {
-			l.quarantine.addJob(j, item, err)
-			continue
-		}
-		if firstTask >= j.Spec.TaskCount {
-			l.jobRecords.dropStoredKey(item.Key)
-			continue
-		}
-		partIndex := slices.IndexFunc(j.BitmapParts, func(p *cluster.BitmapPart) bool { return p.Key == item.Key })
-		if partIndex >= 0 {
-			j.BitmapParts[partIndex].StoredBits = bits
-		}
-		for i := range bits {
-			for bit := 0; bit < 8; bit++ {
-				index := firstTask + i*8 + bit
-				if bits[i]&(1<<bit) != 0 && index < j.Spec.TaskCount {
-					l.jobRecords.markTaskDone(j, index)
-				}
-			}
-		}
-		if partIndex < 0 {
-			l.jobRecords.dropStoredKey(item.Key) // other layout; its bits are written to the new parts first
-		}
+		l.loadBitmap(item)
 	}
 }
 
-// noteVersions records the versions of records whose content is read elsewhere.
-func (l *leader) noteVersions(items []storage.Item) {
-	for _, item := range items {
-		l.writer.SetModRevision(item.Key, item.ModRevision)
+// loadBitmap marks the tasks done that a bitmap part lists. The part of a job that is not loaded yet
+// is kept until it is; a part of an unknown job is deleted.
+func (l *loader) loadBitmap(item storage.Item) {
+	id, firstTask, ok := storage.ParseBitmapKey(item.Key, l.jobs.layout.legacyTasksPerPart)
+	if !ok {
+		return // unknown key format, perhaps of a newer version
 	}
-}
-
-// loadMachineGroups adds the machines of a page of group records.
-func (l *leader) loadMachineGroups(items []storage.Item) {
-	for _, item := range items {
-		record, unreadable, err := storage.ReadMachineGroup(item)
-		if err != nil {
-			l.quarantine.addMachineGroup(item, err)
-			continue
-		}
-		if len(unreadable) > 0 {
-			l.loadDamagedMachineGroup(item, record, unreadable)
-			continue
-		}
-		l.writer.SetModRevision(item.Key, item.ModRevision)
-		group := l.machineRecords.newGroup(item.Key)
-		for name, entry := range record {
-			m := l.Machines[name]
-			if m == nil {
-				m = l.addStoredMachine(name, entry)
-			} else if m.Group != nil {
-				// An earlier leader stopped while moving it between groups.
-				l.machineRecords.removeFromGroup(m.Group, m)
-				l.machineRecords.storeGroup(m.Group, groupWriteLazy)
-			}
-			m.UseDurable = m.UseDurable || entry.Used
-			m.MarkedUsed, m.Reconciled = m.UseDurable, !m.UseDurable
-			l.machineRecords.addToGroup(group, m)
-			if !entry.Used && m.UseDurable {
-				l.machineRecords.storeGroup(group, groupWriteSoon) // before the other group's record, which has the mark, is deleted
-			}
-		}
+	if l.isLoadDeferred(id) {
+		l.deferredBitmaps[id] = append(l.deferredBitmaps[id], item)
+		return
 	}
-}
-
-// loadDamagedMachineGroup loads the machines of a group with unreadable entries. The group's
-// record is quarantined and its machines are stored in other groups. Of a machine with an
-// unreadable entry only the name is known, so it is treated as if it may be running any task.
-func (l *leader) loadDamagedMachineGroup(item storage.Item, record storage.MachineGroupRecord, unreadable []string) {
-	slices.Sort(unreadable)
-	l.quarantine.addRecord(item, fmt.Errorf("the entries of these machines can't be read: %s",
-		strings.Join(unreadable, ", ")))
-	for _, name := range unreadable {
-		record[name] = storage.MachineRecord{Used: true, RentedAtMillis: l.node.nowUnixMilli()}
+	j := l.state.Jobs[id]
+	if j == nil {
+		l.dropStoredKey(item.Key)
+		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(record)) {
-		m := l.Machines[name]
-		if m == nil {
-			m = l.addStoredMachine(name, record[name])
-		}
-		m.UseDurable = m.UseDurable || record[name].Used
-		m.Reconciled = m.Reconciled && !record[name].Used
-		if m.TypeName != "" {
-			l.machineRecords.recordMachine(m, m.UseDurable)
-		}
+	bits, err := storage.ReadBitmap(item)
+	if err != nil {
+		l.quarantine.addJob(j, item, err)
+		return
 	}
-}
-
-// loadSingleMachines adds the machines of single-machine records, as written by earlier versions,
-// and moves them into groups.
-func (l *leader) loadSingleMachines(items []storage.Item) {
-	for _, item := range items {
-		var record storage.MachineRecord
-		name := strings.TrimPrefix(item.Key, storage.SingleMachinePrefix)
-		if err := json.Unmarshal(item.Value, &record); err != nil {
-			l.quarantine.addRecord(item, err)
-			if l.Machines[name] == nil {
-				l.addStoredMachine(name, storage.MachineRecord{Used: true, RentedAtMillis: l.node.nowUnixMilli()})
-			}
-			continue
-		}
-		l.writer.SetModRevision(item.Key, item.ModRevision)
-		m := l.Machines[name]
-		if m == nil {
-			m = l.addStoredMachine(name, record)
-		}
-		m.Reconciled = m.Reconciled && !record.Used
-		l.machineRecords.recordMachine(m, record.Used)
-		l.jobRecords.dropStoredKey(item.Key)
+	if firstTask >= j.Spec.TaskCount {
+		l.dropStoredKey(item.Key)
+		return
 	}
+	l.applyBitmap(j, item.Key, firstTask, bits)
 }
 
-// addStoredMachine adds a machine from its stored record. A machine that was used by an earlier
-// leader is not reconciled yet.
-func (l *leader) addStoredMachine(name string, record storage.MachineRecord) *cluster.Machine {
-	m := l.NewMachine(name, record.Type, record.Zone, record.Spot)
-	m.Reconciled = !record.Used
-	m.RentedAt = min(l.node.instantFromUnixMilli(record.RentedAtMillis), l.node.now)
-	return m
+// applyBitmap marks the tasks done that a readable bitmap part lists. A part of another layout is
+// deleted after that; its bits are written to the new parts first.
+func (l *loader) applyBitmap(j *cluster.Job, key string, firstTask int, bits []byte) {
+	partIndex := slices.IndexFunc(j.BitmapParts, func(part *cluster.BitmapPart) bool { return part.Key == key })
+	if partIndex >= 0 {
+		j.BitmapParts[partIndex].StoredBits = bits
+	}
+	l.markTasksDone(j, firstTask, bits)
+	if partIndex < 0 {
+		l.dropStoredKey(key)
+	}
 }
 
-// loadRentals adds the rentals that an earlier leader had stored but not completed.
-func (l *leader) loadRentals(items []storage.Item) {
-	for _, item := range items {
-		rental, err := storage.ReadRental(item)
-		if err != nil {
-			l.quarantine.addRecord(item, err)
-			continue
+// markTasksDone marks the tasks done whose bits are set. The first bit is the one of firstTask.
+func (l *loader) markTasksDone(j *cluster.Job, firstTask int, bits []byte) {
+	for i := range bits {
+		for bit := range 8 {
+			index := firstTask + i*8 + bit
+			if bits[i]&(1<<bit) != 0 && index < j.Spec.TaskCount {
+				l.jobs.markTaskDone(j, index)
+			}
 		}
-		l.writer.SetModRevision(item.Key, item.ModRevision)
-		l.autoscaler.pendingRentals = append(l.autoscaler.pendingRentals, &pendingRental{RentalRequest: rental, finishDurable: true})
 	}
 }
--- /dev/null
+++ b/internal/controller/machine_loading.go
@@ -0,0 +1,113 @@
+package controller
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/storage"
+)
+
+// loadMachineGroups adds the machines of a page of group records.
+func (l *loader) loadMachineGroups(items []storage.Item) {
+	for _, item := range items {
+		record, unreadable, err := storage.ReadMachineGroup(item)
+		if err != nil {
+			l.quarantine.addMachineGroup(item, err)
+			continue
+		}
+		if len(unreadable) > 0 {
+			l.loadDamagedMachineGroup(item, record, unreadable)
+			continue
+		}
+		l.writer.SetModRevision(item.Key, item.ModRevision)
+		group := l.machines.newGroup(item.Key)
+		for name, entry := range record {
+			l.loadGroupEntry(group, name, entry)
+		}
+	}
+}
+
+// loadGroupEntry adds a machine with the entry that the record of its group has of it.
+func (l *loader) loadGroupEntry(group *cluster.MachineGroup, name string, entry storage.MachineRecord) {
+	m := l.state.Machines[name]
+	if m == nil {
+		m = l.addStoredMachine(name, entry)
+	} else if m.Group != nil {
+		// An earlier leader stopped while moving it between groups.
+		l.machines.removeFromGroup(m.Group, m)
+		l.machines.storeGroup(m.Group, groupWriteLazy)
+	}
+	m.UseDurable = m.UseDurable || entry.Used
+	m.MarkedUsed, m.Reconciled = m.UseDurable, !m.UseDurable
+	l.machines.addToGroup(group, m)
+	if !entry.Used && m.UseDurable {
+		l.machines.storeGroup(group, groupWriteSoon) // before the other group's record, which has the mark, is deleted
+	}
+}
+
+// loadDamagedMachineGroup loads the machines of a group with unreadable entries. The group's
+// record is quarantined and its machines are stored in other groups. Of a machine with an
+// unreadable entry only the name is known, so it is treated as if it may be running any task.
+func (l *loader) loadDamagedMachineGroup(item storage.Item, record storage.MachineGroupRecord, unreadable []string) {
+	slices.Sort(unreadable)
+	l.quarantine.addRecord(item, fmt.Errorf("the entries of these machines can't be read: %s",
+		strings.Join(unreadable, ", ")))
+	for _, name := range unreadable {
+		record[name] = l.unreadableMachine()
+	}
+	for _, name := range slices.Sorted(maps.Keys(record)) {
+		m := l.state.Machines[name]
+		if m == nil {
+			m = l.addStoredMachine(name, record[name])
+		}
+		m.UseDurable = m.UseDurable || record[name].Used
+		m.Reconciled = m.Reconciled && !record[name].Used
+		if m.TypeName != "" {
+			l.machines.recordMachine(m, m.UseDurable)
+		}
+	}
+}
+
+// loadSingleMachines adds the machines of single-machine records, as written by earlier versions,
+// and moves them into groups.
+func (l *loader) loadSingleMachines(items []storage.Item) {
+	for _, item := range items {
+		var record storage.MachineRecord
+		name := strings.TrimPrefix(item.Key, storage.SingleMachinePrefix)
+		if err := json.Unmarshal(item.Value, &record); err != nil {
+			l.quarantine.addRecord(item, err)
+			if l.state.Machines[name] == nil {
+				l.addStoredMachine(name, l.unreadableMachine())
+			}
+			continue
+		}
+		l.writer.SetModRevision(item.Key, item.ModRevision)
+		m := l.state.Machines[name]
+		if m == nil {
+			m = l.addStoredMachine(name, record)
+		}
+		m.Reconciled = m.Reconciled && !record.Used
+		l.machines.recordMachine(m, record.Used)
+		l.dropStoredKey(item.Key)
+	}
+}
+
+// unreadableMachine returns what is assumed of a machine whose entry can't be read: it may be
+// running any task.
+func (l *loader) unreadableMachine() storage.MachineRecord {
+	return storage.MachineRecord{Used: true, RentedAtMillis: l.clock.UnixMilli(l.clock.Now())}
+}
+
+// addStoredMachine adds a machine from its stored record. A machine that was used by an earlier
+// leader is not reconciled yet.
+func (l *loader) addStoredMachine(name string, record storage.MachineRecord) *cluster.Machine {
+	m := l.state.NewMachine(name, record.Type, record.Zone, record.Spot)
+	m.Reconciled = !record.Used
+	m.RentedAt = min(l.clock.InstantFromUnixMilli(record.RentedAtMillis), l.clock.Now())
+	return m
+}
