--- a/internal/controller/admission_control.go
+++ b/internal/controller/admission_control.go
@@ -59,7 +59,7 @@
 func (a *admissionControl) loadStoredPolicy(items []storage.Item) {
 	a.leader.writer.noteRevisions(items)
 	if len(items) == 0 {
-		a.leader.node.notePolicyRemoved(a.leader.loader.jobsRevision)
+		a.leader.node.notePolicyRemoved(a.leader.loader.jobsRevision())
 	}
 	for _, item := range items {
 		if item.Key == storage.AdmissionPolicyKey {
@@ -160,7 +160,7 @@
 	hadPolicy := a.planner.Policy() != nil
 	// Each policy that is written raises the revision, so a series of epochs that starts at the
 	// next revision is numbered above all earlier ones.
-	next := a.planner.NextPolicy(loads, a.epochCapacity(), max(leader.loader.jobsRevision, node.admissionPolicy.revision)+1)
+	next := a.planner.NextPolicy(loads, a.epochCapacity(), max(leader.loader.jobsRevision(), node.admissionPolicy.revision)+1)
 	if next == nil && !hadPolicy {
 		return
 	}
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -26,6 +26,11 @@
 	WatchStore(path string, timeout time.Duration, onResponse func(storeResponse))
 }
 
+// newJobWatch returns the watch of a new leader, which continues where the loader ends.
+func newJobWatch(loader *loader, host jobWatchHost, clock recordClock) *jobWatch {
+	return &jobWatch{loader: loader, host: host, clock: clock}
+}
+
 // maxWatchFailures limits the pause between two watches, which doubles with each failure.
 const maxWatchFailures = 4
 
@@ -36,7 +41,7 @@
 	}
 	w.active = true
 	sentAt, longPoll := w.clock.Now(), w.clock.WorkerLease()/2
-	path := storage.WatchPath(storage.JobPrefix, w.loader.jobsRevision, longPoll.Milliseconds())
+	path := storage.WatchPath(storage.JobPrefix, w.loader.revision, longPoll.Milliseconds())
 	w.host.WatchStore(path, 4*w.clock.WorkerLease(), func(response storeResponse) {
 		answeredEarly := w.clock.Now() < sentAt+longPoll/2
 		w.onResponse(response, answeredEarly)
@@ -73,12 +78,12 @@
 			w.loader.loadJob(storage.Item{Key: event.PutKey, Value: event.Value, ModRevision: event.ModRevision})
 		}
 	}
-	if early && (len(events.Events) == 0 || events.Revision <= w.loader.jobsRevision) {
+	if early && (len(events.Events) == 0 || events.Revision <= w.loader.revision) {
 		w.countFailure()
 		w.scheduleWatch()
 		return
 	}
-	w.loader.jobsRevision = max(w.loader.jobsRevision, events.Revision)
+	w.loader.revision = max(w.loader.revision, events.Revision)
 	w.active, w.failures = false, 0
 }
 
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -222,7 +222,7 @@
 	switch {
 	case job != nil && job.Terminal || isTerminal || l.EndedJobs[jobID]:
 		return recovery.JobStateTerminal
-	case l.quarantine.unreadableJobs[jobID]:
+	case l.quarantine.isUnreadableJob(jobID):
 		return recovery.JobStateQuarantined
 	case job != nil:
 		return recovery.JobStateOpen
@@ -281,7 +281,7 @@
 	quarantined := len(n.unreadableTerminalRecords)
 	if n.holdsLeaderLease() {
 		current := n.leader
-		quarantined += len(current.quarantine.records)
+		quarantined += current.quarantine.recordCount()
 		page.gauge("recovery_phase",
 			"The leader's phase of recovery: 0 reading, 1 collecting, 2 reconciling, 3 pacing, 4 normal.",
 			float64(current.recovery.Phase()))
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -20,7 +20,7 @@
 	machines *machineRecords
 	jobs     *jobRecords
 
-	jobsRevision        uint64                    // revision up to which the open jobs were read
+	revision            uint64                    // revision up to which the open jobs were read
 	dependencyRecords   map[string][]storage.Item // dependency records read before their jobs, by job id
 	loadingDependencies map[string]bool           // jobs whose dependency records are being read
 	dependencyReadCount map[string]int            // reads of a job's dependency records
@@ -44,10 +44,13 @@
 	}
 }
 
+// jobsRevision returns the revision of the key-value store up to which the open jobs were read.
+func (l *loader) jobsRevision() uint64 { return l.revision }
+
 // recordListing is a set of records to read: those whose keys have a prefix.
 type recordListing struct {
-	prefix string
-	apply  func([]storage.Item) // called with each page
+	Prefix string
+	Apply  func([]storage.Item) // called with each page
 }
 
 // readListings reads listings one after the other and then calls onDone.
@@ -65,17 +68,17 @@
 // readPages reads the records of a listing whose keys are after a key, page by page, and then calls
 // onDone. A failed read is retried until this leader's term ends.
 func (l *loader) readPages(listing recordListing, afterKey string, onDone func()) {
-	path := storage.ListPath(listing.prefix, afterKey, maxPageItems)
+	path := storage.ListPath(listing.Prefix, afterKey, maxPageItems)
 	l.host.CallStore("GET", path, nil, func(response storeResponse) {
 		var page storage.ListResponse
 		if response.Status != 200 || json.Unmarshal(response.Body, &page) != nil {
 			l.scheduleRetry(func() { l.readPages(listing, afterKey, onDone) })
 			return
 		}
-		if listing.prefix == storage.JobPrefix && afterKey == "" {
-			l.jobsRevision = page.Revision
+		if listing.Prefix == storage.JobPrefix && afterKey == "" {
+			l.revision = page.Revision
 		}
-		listing.apply(page.Items)
+		listing.Apply(page.Items)
 		if page.Truncated && len(page.Items) > 0 {
 			l.readPages(listing, page.Items[len(page.Items)-1].Key, onDone)
 			return
@@ -89,7 +92,7 @@
 
 // rereadJobs lists the open jobs again, loads the new ones and then calls onDone.
 func (l *loader) rereadJobs(onDone func()) {
-	l.readPages(recordListing{storage.JobPrefix, l.loadJobs}, "", onDone)
+	l.readPages(recordListing{Prefix: storage.JobPrefix, Apply: l.loadJobs}, "", onDone)
 }
 
 // loadJobs adds the jobs of a page of records to the open jobs.
@@ -102,7 +105,7 @@
 // loadJob adds a job to the open jobs, once all its dependency records are read.
 func (l *loader) loadJob(item storage.Item) {
 	id := strings.TrimPrefix(item.Key, storage.JobPrefix)
-	if l.quarantine.unreadableJobs[id] {
+	if l.quarantine.isUnreadableJob(id) {
 		// The quarantined record was repaired, or is read again. The revision of a repaired
 		// one would imply that no earlier leader has started the job, so only the next leader
 		// loads it.
@@ -156,7 +159,7 @@
 	}
 	l.loadingDependencies[id] = true
 	delete(l.dependencyRecords, id)
-	listing := recordListing{storage.DependenciesPrefix + id + "/", l.loadDependencies}
+	listing := recordListing{Prefix: storage.DependenciesPrefix + id + "/", Apply: l.loadDependencies}
 	l.readPages(listing, "", func() {
 		delete(l.loadingDependencies, id)
 		if len(l.dependencyRecords[id]) != recordCount {
@@ -177,7 +180,7 @@
 // isLoadDeferred reports whether an open job is not in the job table yet, because its dependency
 // records are being read or one of its records is unreadable.
 func (l *loader) isLoadDeferred(jobID string) bool {
-	return l.loadingDependencies[jobID] || l.quarantine.unreadableJobs[jobID]
+	return l.loadingDependencies[jobID] || l.quarantine.isUnreadableJob(jobID)
 }
 
 // dropStaleDependencies deletes the dependency records of jobs that are no longer open.
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -33,6 +33,10 @@
 // clusterSupports reports whether every configured node is known to have at least a level.
 func (n *Node) clusterSupports(level int) bool { return n.protocolLevels.clusterLevel >= level }
 
+// newerVersionSeen reports whether a controller has written a higher protocol level than this
+// version's.
+func (n *Node) newerVersionSeen() bool { return n.protocolLevels.highestSeen > protocolLevel }
+
 // tickProtocolLevels reads the levels until all nodes are known to have this node's level.
 func (n *Node) tickProtocolLevels() {
 	levels := &n.protocolLevels
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -54,6 +54,15 @@
 	fromNewerVersion bool // some node has written a higher protocol level than this one's
 }
 
+// newQuarantine returns the empty quarantine of a new leader. lookupBudget limits its reads.
+func newQuarantine(state *cluster.State, host quarantineHost, clock recordClock,
+	lookupBudget *ratelimit.TokenBucket) *quarantine {
+	return &quarantine{
+		state: state, host: host, clock: clock, lookupBudget: lookupBudget,
+		records: map[string]*quarantinedRecord{}, unreadableJobs: map[string]bool{},
+	}
+}
+
 // errOpenAndTerminal is the reason to quarantine the open record of a job that has a terminal record
 // too.
 var errOpenAndTerminal = errors.New("is of a job that is over")
@@ -82,6 +91,12 @@
 // contains reports whether the record with a key is quarantined.
 func (q *quarantine) contains(key string) bool { return q.records[key] != nil }
 
+// isUnreadableJob reports whether too little of an open job can be read to add it to the open jobs.
+func (q *quarantine) isUnreadableJob(jobID string) bool { return q.unreadableJobs[jobID] }
+
+// recordCount returns the number of quarantined records.
+func (q *quarantine) recordCount() int { return len(q.records) }
+
 // recordsByKey returns the quarantined records, sorted by key.
 func (q *quarantine) recordsByKey() []*quarantinedRecord {
 	return slices.SortedFunc(maps.Values(q.records),
@@ -155,7 +170,7 @@
 // recheckRecord reads a quarantined record, and steps down if it has changed. It also reads whether
 // the record's job is terminal.
 func (q *quarantine) recheckRecord(record *quarantinedRecord) {
-	if id := storage.JobIDOfKey(record.key); q.unreadableJobs[id] {
+	if id := storage.JobIDOfKey(record.key); q.isUnreadableJob(id) {
 		q.host.ReadTerminalRecord(id)
 	}
 	q.host.CallStore("GET", "/store/"+record.key, nil, func(response storeResponse) {
--- a/internal/controller/record_access.go
+++ b/internal/controller/record_access.go
@@ -13,6 +13,11 @@
 	clock      recordClock
 }
 
+// newRecordAccess returns the access to the records of a new leader.
+func newRecordAccess(state *cluster.State, writer *transactionWriter, quarantine *quarantine, clock recordClock) *recordAccess {
+	return &recordAccess{state: state, writer: writer, quarantine: quarantine, clock: clock}
+}
+
 // dropStoredKey queues the deletion of a key, with low priority, if it is stored when the write
 // is formed.
 func (a *recordAccess) dropStoredKey(key string) {
--- /dev/null
+++ b/internal/controller/records_host.go
@@ -0,0 +1,134 @@
+package controller
+
+import (
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+// recordsHost gives the records of a leader what they need from the leader and its node.
+type recordsHost struct{ leader *leader }
+
+// Now returns the time of the current step.
+func (h recordsHost) Now() clock.Instant { return h.leader.node.now }
+
+// UnixMilli returns the wall clock time of an instant in Unix milliseconds.
+func (h recordsHost) UnixMilli(at clock.Instant) int64 {
+	return h.leader.node.startTime.Add(at).UnixMilli()
+}
+
+// InstantFromUnixMilli converts a stored wall clock time to an instant.
+func (h recordsHost) InstantFromUnixMilli(milliseconds int64) clock.Instant {
+	return h.leader.node.instantFromUnixMilli(milliseconds)
+}
+
+// WorkerLease returns the duration of the workers' lease.
+func (h recordsHost) WorkerLease() time.Duration { return h.leader.node.workerLease() }
+
+// CallStore sends a request to the key-value store and passes its response to onResponse, unless
+// the term has ended by then.
+func (h recordsHost) CallStore(method, path string, body any, onResponse func(storeResponse)) {
+	node := h.leader.node
+	node.storeCall(method, path, body, func(result CallResult) {
+		if node.leader == h.leader {
+			onResponse(storeResponse{Status: result.Status, Body: result.Body})
+		}
+	})
+}
+
+// WatchStore sends a long poll to the key-value store and passes its response to onResponse, unless
+// the term has ended by then. It does not count for the availability of the store.
+func (h recordsHost) WatchStore(path string, timeout time.Duration, onResponse func(storeResponse)) {
+	node := h.leader.node
+	node.callService(TargetStore, "GET", path, nil, timeout, func(result CallResult) {
+		if node.leader == h.leader {
+			onResponse(storeResponse{Status: result.Status, Body: result.Body})
+		}
+	})
+}
+
+// RecordsLoaded reports whether all records were read that were stored at the start of the term.
+func (h recordsHost) RecordsLoaded() bool { return h.leader.recordsLoaded }
+
+// CallAfter calls a function after a delay, if the term lasts until then.
+func (h recordsHost) CallAfter(delay time.Duration, call func()) {
+	l := h.leader
+	l.delayedCalls = append(l.delayedCalls, delayedCall{l.node.now + delay, call})
+}
+
+// StepDown ends the leader's term.
+func (h recordsHost) StepDown(reason string) { h.leader.node.stepDown(reason) }
+
+// StoreUnavailable reports whether the key-value store is considered down.
+func (h recordsHost) StoreUnavailable() bool { return h.leader.node.election.storeUnavailable() }
+
+// NewerVersionSeen reports whether a controller has written a higher protocol level than this
+// version's.
+func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.newerVersionSeen() }
+
+// MarkJobAccepted records that a job is known to have been accepted.
+func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.acceptedJobs.put(jobID, true) }
+
+// ReadTerminalRecord reads a job's terminal record, if there is one, and applies it.
+func (h recordsHost) ReadTerminalRecord(jobID string) {
+	h.leader.node.readTerminalRecord(jobID, func(bool, *storage.TerminalRecord) {})
+}
+
+// IsTerminal reports whether a job's terminal record is known.
+func (h recordsHost) IsTerminal(jobID string) bool {
+	_, ended := h.leader.node.terminalJobs.byID[jobID]
+	return ended
+}
+
+// LegacyLeaderPossible reports whether a controller of version level 0 may become leader.
+func (h recordsHost) LegacyLeaderPossible() bool {
+	return !h.leader.node.clusterSupports(protocolLevelDependencies)
+}
+
+// JobAdded handles a job that was added to the job table.
+func (h recordsHost) JobAdded(j *cluster.Job) {
+	l := h.leader
+	l.addDependencies(j)
+	if l.recordsLoaded {
+		l.admission.countAccepted(&j.Spec)
+		l.node.traceStep(j.Spec.ID, stepLoaded, "")
+	}
+}
+
+// CompletionPriority returns the write priority of a job's terminal record.
+func (h recordsHost) CompletionPriority(j *cluster.Job) storage.Priority {
+	return h.leader.completionPriority(j)
+}
+
+// RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
+func (h recordsHost) RelaxDeadlines(cancelled *cluster.Job) { h.leader.relaxDeadlines(cancelled) }
+
+// ForEachDependent visits all direct and indirect dependents of a job once.
+func (h recordsHost) ForEachDependent(j *cluster.Job, visit func(dependent *cluster.Job)) {
+	h.leader.forEachDependent(j, visit)
+}
+
+// JobFinished traces the end of a job and remembers its terminal record.
+func (h recordsHost) JobFinished(j *cluster.Job, terminal storage.TerminalRecord) {
+	l := h.leader
+	l.node.traceStep(j.Spec.ID, stepTerminal, terminal.State+" after "+l.jobAge(j))
+	l.node.terminalJobs.put(j.Spec.ID, terminal)
+}
+
+// JobEnded releases or cancels the dependents of an ended job and answers the users that wait for
+// its cancellation.
+func (h recordsHost) JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
+	l := h.leader
+	l.releaseDependents(jobID, terminal, writtenHere)
+	status := protocol.JobStatus{ID: jobID, State: terminal.State}
+	if !writtenHere {
+		status = terminalJobState(jobID, terminal)
+	}
+	for _, origin := range l.cancelWaiters[jobID] {
+		l.node.reply(origin, 200, 0, status)
+	}
+	delete(l.cancelWaiters, jobID)
+}
--- a/internal/controller/terminal_jobs.go
+++ b/internal/controller/terminal_jobs.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"strings"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/clock"
@@ -76,6 +78,23 @@
 // and processor time of a step.
 const terminalPageSize = 500
 
+// onTerminalRecord handles a job's terminal record that was read from the key-value store.
+func (n *Node) onTerminalRecord(item storage.Item) {
+	id := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
+	final, err := storage.ReadTerminal(item)
+	if err != nil {
+		if n.unreadableTerminalRecords[id] == nil {
+			n.unreadableTerminalRecords[id] = newQuarantinedRecord(n.log, item, err, n.newerVersionSeen())
+		}
+		return
+	}
+	delete(n.unreadableTerminalRecords, id)
+	n.terminalJobs.put(id, final)
+	if n.holdsLeaderLease() {
+		n.leader.jobRecords.quarantineOpenRecord(id, final)
+	}
+}
+
 // terminalJobState is the state of a terminal job as users see it.
 func terminalJobState(jobID string, record storage.TerminalRecord) protocol.JobStatus {
 	noneRunning := 0
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -29,6 +29,12 @@
 	StepDown(reason string)
 }
 
+// newTransactionWriter returns a writer that sends the changes of a queue.
+func newTransactionWriter(queue *storage.Writer, host transactionHost, clock recordClock, log *slog.Logger,
+	budget *ratelimit.TokenBucket) *transactionWriter {
+	return &transactionWriter{Writer: queue, host: host, clock: clock, log: log, budget: budget}
+}
+
 // sendNextTransaction sends the next transaction, unless one is in flight or the write budget is
 // exhausted.
 func (w *transactionWriter) sendNextTransaction() {
