--- /dev/null
+++ b/internal/controller/machine_records_test.go
@@ -0,0 +1,97 @@
+package controller
+
+import (
+	"bytes"
+	"io"
+	"log/slog"
+	"testing"
+
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/config"
+	"hitchdoor/internal/ratelimit"
+	"hitchdoor/internal/storage"
+)
+
+// newTestMachineRecords returns the records of an empty cluster whose groups have at most the given
+// size, and their host.
+func newTestMachineRecords(maxGroupBytes int) (*machineRecords, *testHost) {
+	host := &testHost{}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	budget := ratelimit.NewTokenBucket(0, 100)
+	state := cluster.New(cluster.Options{Clock: host, Config: &config.Cluster{}, Settings: &config.Settings{}, Log: log})
+	writer := newTransactionWriter(storage.NewWriter(20, 1), host, host, log, &budget)
+	quarantine := newQuarantine(state, nil, host, &budget)
+	records := newMachineRecords(newRecordAccess(state, writer, quarantine, host))
+	records.maxGroupBytes = maxGroupBytes
+	return records, host
+}
+
+// A machine's use is durable only once the write that marks it is applied.
+func TestMachineRecordsMarkUseDurable(t *testing.T) {
+	records, host := newTestMachineRecords(1000)
+	machine := records.addRentedMachine("m-1", "small", "zone", false, 0)
+	records.recordMachine(machine, true)
+	records.writer.sendNextTransaction()
+	host.expectRequests(t, 1, "POST", "/multi")
+	if machine.UseDurable {
+		t.Fatal("use durable before the write is applied")
+	}
+	host.respond(200, storage.TxnResponse{Revision: 5})
+	if !machine.UseDurable || records.writer.PendingChanges() != 0 {
+		t.Fatalf("use durable: %v; %d changes pending", machine.UseDurable, records.writer.PendingChanges())
+	}
+}
+
+// The record of a group is deleted with its last machine; a group that was never stored needs no
+// write.
+func TestMachineRecordsDeleteEmptyGroup(t *testing.T) {
+	records, host := newTestMachineRecords(1000)
+	records.removeMachine(records.addRentedMachine("m-1", "small", "zone", false, 0))
+	records.writer.sendNextTransaction()
+	if len(host.requests) != 0 {
+		t.Fatalf("wrote a group that was never stored: %s", host.last().body)
+	}
+	machine := records.addRentedMachine("m-2", "small", "zone", false, 0)
+	records.writer.sendNextTransaction()
+	host.respond(200, storage.TxnResponse{Revision: 5})
+	key := machine.Group.Key
+	records.removeMachine(machine)
+	records.writer.sendNextTransaction()
+	if want := storage.Encode(storage.Delete(key)); !bytes.Contains(host.last().body, want) {
+		t.Fatalf("sent %s, want %s in it", host.last().body, want)
+	}
+}
+
+// Groups stay within the size limit, and a group that the key-value store rejects is split: the
+// new groups are written before the old record is deleted.
+func TestMachineRecordsSplitRejectedGroup(t *testing.T) {
+	records, host := newTestMachineRecords(1000)
+	for _, name := range []string{"m-1", "m-2", "m-3", "m-4"} {
+		records.addRentedMachine(name, "small", "zone", false, 0)
+	}
+	if len(records.groups) != 1 {
+		t.Fatalf("%d groups", len(records.groups))
+	}
+	stored := records.groups[0]
+	records.writer.SetModRevision(stored.Key, 3)
+	records.writer.sendNextTransaction()
+	host.respond(400, nil)
+	if len(records.groups) != 2 || stored.Machines != nil {
+		t.Fatalf("%d groups, %d machines left in the rejected one", len(records.groups), len(stored.Machines))
+	}
+	for _, group := range records.groups {
+		if group.RecordBytes > records.maxGroupBytes || group.Key <= stored.Key {
+			t.Fatalf("group %s has %d bytes of at most %d", group.Key, group.RecordBytes, records.maxGroupBytes)
+		}
+	}
+	records.writer.sendNextTransaction()
+	if body := host.last().body; bytes.Contains(body, storage.Encode(storage.Delete(stored.Key))) &&
+		!bytes.Contains(body, []byte(records.groups[1].Key)) {
+		t.Fatalf("deleted the old record before the new groups: %s", body)
+	}
+	host.respond(200, storage.TxnResponse{Revision: 8})
+	if records.writer.ModRevision(stored.Key) != 0 || records.writer.ModRevision(records.groups[0].Key) != 8 {
+		t.Fatalf("old record at %d, new group at %d", records.writer.ModRevision(stored.Key),
+			records.writer.ModRevision(records.groups[0].Key))
+	}
+}
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -14,11 +14,10 @@
 // response, and reads whether a transaction with an unclear outcome was executed.
 type transactionWriter struct {
 	*storage.Writer
-	host             transactionHost
-	clock            recordClock
-	log              *slog.Logger
-	budget           *ratelimit.TokenBucket // limits the writes
-	resolvingOutcome bool                   // a read of an unclear transaction's outcome is in flight
+	host   transactionHost
+	clock  recordClock
+	log    *slog.Logger
+	budget *ratelimit.TokenBucket // limits the writes
 }
 
 // transactionHost is what the transaction writer needs from the leader.
@@ -38,7 +37,7 @@
 // sendNextTransaction sends the next transaction, unless one is in flight or the write budget is
 // exhausted.
 func (w *transactionWriter) sendNextTransaction() {
-	if w.resolvingOutcome || w.InFlight() || w.PendingChanges() == 0 {
+	if w.InFlight() || w.PendingChanges() == 0 {
 		return
 	}
 	w.budget.Refill(w.clock.Now())
@@ -103,11 +102,10 @@
 }
 
 // resolveOutcome determines whether a transaction with an unclear outcome was executed, by reading
-// one of its keys. It calls onNotApplied if the transaction was not executed.
+// one of its keys. It calls onNotApplied if the transaction was not executed. Meanwhile the
+// transaction stays in flight, so no other one is sent.
 func (w *transactionWriter) resolveOutcome(onNotApplied func()) {
-	w.resolvingOutcome = true
 	w.host.CallStore("GET", "/store/"+w.ProbeKey(), nil, func(response storeResponse) {
-		w.resolvingOutcome = false
 		var item storage.Item
 		switch {
 		case response.Status == 404 && w.MatchesProbe(nil):
@@ -118,7 +116,6 @@
 			onNotApplied()
 		default:
 			w.scheduleRetry(func() { w.resolveOutcome(onNotApplied) })
-			w.resolvingOutcome = true
 		}
 	})
 }
