--- /dev/null
+++ b/internal/controller/commands.go
@@ -0,0 +1,93 @@
+package controller
+
+import "hitchdoor/internal/protocol"
+
+// Command is an input of Node.Step. The commands are Request, InboundMessage, CallResult, Drain and
+// ServerLoad.
+type Command interface {
+	// apply processes the command. It is called by Step alone.
+	apply(n *Node)
+}
+
+// Origin identifies the source of a request: a connection of this node, or, if Peer is
+// set, the peer that forwarded it. RequestID is unique per source.
+type Origin struct {
+	RequestID uint64
+	Peer      string
+}
+
+// Request is a command: an HTTP request of a user or a worker.
+type Request struct {
+	Origin    Origin
+	Kind      protocol.RequestKind
+	JobID     string                    // set for queries and cancellations
+	Job       *protocol.Job             // parsed body of a submission
+	Heartbeat *protocol.WorkerHeartbeat // parsed body of a worker's heartbeat
+
+	forwarded bool // a submission that was forwarded to the leader before
+}
+
+// InboundMessage is a command: a message received from the peer From.
+type InboundMessage struct {
+	From    string
+	Message protocol.PeerMessage
+}
+
+// IsReadOnly reports whether a request changes nothing, so that it may queue behind all
+// requests that do.
+func (r Request) IsReadOnly() bool {
+	return r.Kind == protocol.RequestQuery || r.Kind == protocol.RequestStatus || r.Kind == protocol.RequestMetrics ||
+		r.Kind == protocol.RequestAdmission || r.Kind == protocol.RequestLinks || r.Kind == protocol.RequestRecovery
+}
+
+// IsReadOnly reports whether the message forwards a read-only request.
+func (m InboundMessage) IsReadOnly() bool {
+	request, forwarded := m.Message.(protocol.ForwardedRequest)
+	return forwarded && request.Kind == protocol.RequestQuery
+}
+
+// UnavailableResponse returns the response to a forwarded read-only request that can't be
+// processed now.
+func (m InboundMessage) UnavailableResponse() OutboundMessage {
+	request, _ := m.Message.(protocol.ForwardedRequest)
+	return OutboundMessage{To: m.From, Message: protocol.ForwardedResponse{ID: request.ID, Status: 503, RetryAfter: 1}}
+}
+
+// Drain is the command to shut down: the node resigns as leader, starts no more candidacies,
+// and sends workers and users to other nodes until its process exits.
+type Drain struct{}
+
+// CallResult is a command: the outcome of the ServiceCall with the same ID. Status 0 means
+// that no usable response arrived; the request may have been executed, or may be later.
+type CallResult struct {
+	ID     uint64
+	Status int
+	Body   []byte
+}
+
+// ServerLoad is a command that reports how many connections of users and workers are open, and
+// how many the server accepts at most.
+type ServerLoad struct{ Open, Limit int }
+
+func (r Request) apply(n *Node) { n.onRequest(r) }
+
+func (m InboundMessage) apply(n *Node) { n.onPeerMessage(m) }
+
+// apply passes the result to the function that waits for it. A result without one is of a call whose
+// sender has been dropped.
+func (r CallResult) apply(n *Node) {
+	onResult, ok := n.pendingCalls[r.ID]
+	if !ok {
+		return
+	}
+	delete(n.pendingCalls, r.ID)
+	onResult(r)
+}
+
+func (Drain) apply(n *Node) {
+	n.draining = true
+	n.election.candidacy = nil
+	n.stepDown("shutting down")
+}
+
+func (l ServerLoad) apply(n *Node) { n.connections.update(l) }
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -293,7 +293,7 @@
 func TestCallsAndRecords(t *testing.T) {
 	calls, records := nameSet{}, nameSet{}
 	watch := func(w *simulation) {
-		w.watch = func(_ *simNode, effects []any) {
+		w.watch = func(_ *simNode, effects []Effect) {
 			for _, e := range effects {
 				call, is := e.(ServiceCall)
 				if !is {
@@ -385,7 +385,7 @@
 	return d
 }
 
-func (d *effectDigest) add(n *simNode, effects []any) {
+func (d *effectDigest) add(n *simNode, effects []Effect) {
 	for d.w.now > d.ends {
 		d.close()
 	}
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -254,7 +254,7 @@
 	f := w.nodes[w.followers()[0]]
 	const workers = 3000
 	round := func() (sent, relayed int) {
-		var batch []any
+		var batch []Command
 		for i := range workers {
 			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -79,7 +79,7 @@
 }
 
 // says tells whether an effect sends a message of a type to a peer.
-func says[M protocol.PeerMessage](effect any) bool {
+func says[M protocol.PeerMessage](effect Effect) bool {
 	s, ok := effect.(OutboundMessage)
 	if !ok {
 		return false
@@ -97,14 +97,14 @@
 	w.crash(peer)
 	w.restart(peer)
 	n := w.nodes[peer]
-	out := n.Step(step, []any{InboundMessage{From: first.name, Message: protocol.VoteRequest{Term: 99}}})
+	out := n.Step(step, []Command{InboundMessage{From: first.name, Message: protocol.VoteRequest{Term: 99}}})
 	for _, e := range out {
 		if says[protocol.Vote](e) {
 			t.Fatal("voted right after a restart")
 		}
 	}
 	n.election.storeFailed = step
-	out = n.Step(2*step, []any{InboundMessage{From: first.name, Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
+	out = n.Step(2*step, []Command{InboundMessage{From: first.name, Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
 	for _, e := range out {
 		if says[protocol.LeaseGrant](e) {
 			t.Fatal("granted a lease right after a restart")
@@ -131,7 +131,7 @@
 	}
 	n := New(Options{Platform: w.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)), StartTime: time.Unix(5, 0)})
 	voted := func(from string, m protocol.PeerHeartbeat) bool {
-		out := n.Step(n.now+step, []any{InboundMessage{From: from, Message: m}, InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
+		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m}, InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
 		return slices.ContainsFunc(out, says[protocol.Vote])
 	}
 	if voted("n1", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
@@ -156,8 +156,8 @@
 	w.run(10 * time.Second)
 	n := w.nodes["n0"]
 	now := w.now - n.boot
-	sent := func(is func(effect any) bool, messages ...protocol.PeerMessage) bool {
-		var batch []any
+	sent := func(is func(effect Effect) bool, messages ...protocol.PeerMessage) bool {
+		var batch []Command
 		for _, m := range messages {
 			batch = append(batch, InboundMessage{From: "n1", Message: m})
 		}
@@ -408,7 +408,7 @@
 		}
 	}
 	sent := now
-	l.Step(sent+l.storeTimeout()*9/10, []any{CallResult{ID: renewal.ID, Status: 200}})
+	l.Step(sent+l.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
 	if until := l.election.leaseValidUntil; until != sent+safeLeaseSpan(l.leaderLease()) {
 		t.Errorf("authority until %v after a renewal sent at %v", until, sent)
 	}
@@ -424,7 +424,7 @@
 			if kind == protocol.RequestHeartbeat {
 				request.Heartbeat = w.inOrder()[0].report()
 			}
-			for _, effect := range l.Step(l.clock(w.now)+l.workerLease(), []any{request}) {
+			for _, effect := range l.Step(l.clock(w.now)+l.workerLease(), []Command{request}) {
 				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID && reply.Status == 200 {
 					t.Error("answered 200")
 				}
--- a/internal/controller/halfopen_test.go
+++ b/internal/controller/halfopen_test.go
@@ -245,14 +245,14 @@
 		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}}, {IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
 		{IncomingLinks: []reachability.IncomingLink{{Node: l.name, AgeMS: -1}}}, {RecentWorkers: -1},
 	} {
-		l.Step(l.clock(w.now), []any{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
+		l.Step(l.clock(w.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
 	}
 	if l.hearsUs(peer) != before || before != reachability.LinkUp || len(l.connectivity.invalidReportLogged) != 1 {
 		t.Errorf("link %v after %v", l.hearsUs(peer), before)
 	}
 	fresh := w.nodes[w.followers()[1]]
 	fresh.connectivity = newConnectivity(fresh.name, fresh.peers)
-	fresh.Step(fresh.clock(w.now), []any{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
+	fresh.Step(fresh.clock(w.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
 	if got := fresh.hearsUs(peer); got != reachability.LinkUnknown || fresh.twoWayPeerCount() == 0 {
 		t.Errorf("an earlier version: %v, %d two ways", got, fresh.twoWayPeerCount())
 	}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -87,7 +87,7 @@
 		// The clock stands still but for the leader's heartbeat and lease.
 		rep.Sequence = m.HeartbeatSeq + 1
 		l.election.leaseValidUntil = now + time.Hour
-		l.Step(now, []any{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
+		l.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 	}
 	if m.HeartbeatSeq != rep.Sequence {
 		b.Fatal("the reports were not taken")
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -7,7 +7,6 @@
 package controller
 
 import (
-	"fmt"
 	"log/slog"
 	"maps"
 	"math/rand/v2"
@@ -27,103 +26,6 @@
 	"hitchdoor/internal/storage"
 )
 
-// Origin identifies the source of a request: a connection of this node, or, if Peer is
-// set, the peer that forwarded it. RequestID is unique per source.
-type Origin struct {
-	RequestID uint64
-	Peer      string
-}
-
-// Request is a command: an HTTP request of a user or a worker.
-type Request struct {
-	Origin    Origin
-	Kind      protocol.RequestKind
-	JobID     string                    // set for queries and cancellations
-	Job       *protocol.Job             // parsed body of a submission
-	Heartbeat *protocol.WorkerHeartbeat // parsed body of a worker's heartbeat
-
-	forwarded bool // a submission that was forwarded to the leader before
-}
-
-// InboundMessage is a command: a message received from the peer From.
-type InboundMessage struct {
-	From    string
-	Message protocol.PeerMessage
-}
-
-// IsReadOnly reports whether a request changes nothing, so that it may queue behind all
-// requests that do.
-func (r Request) IsReadOnly() bool {
-	return r.Kind == protocol.RequestQuery || r.Kind == protocol.RequestStatus || r.Kind == protocol.RequestMetrics ||
-		r.Kind == protocol.RequestAdmission || r.Kind == protocol.RequestLinks || r.Kind == protocol.RequestRecovery
-}
-
-// IsReadOnly reports whether the message forwards a read-only request.
-func (m InboundMessage) IsReadOnly() bool {
-	request, forwarded := m.Message.(protocol.ForwardedRequest)
-	return forwarded && request.Kind == protocol.RequestQuery
-}
-
-// UnavailableResponse returns the response to a forwarded read-only request that can't be
-// processed now.
-func (m InboundMessage) UnavailableResponse() OutboundMessage {
-	request, _ := m.Message.(protocol.ForwardedRequest)
-	return OutboundMessage{To: m.From, Message: protocol.ForwardedResponse{ID: request.ID, Status: 503, RetryAfter: 1}}
-}
-
-// Drain is the command to shut down: the node resigns as leader, starts no more candidacies,
-// and sends workers and users to other nodes until its process exits.
-type Drain struct{}
-
-// Target is the external service that a ServiceCall addresses.
-type Target int
-
-// The external services of a controller.
-const (
-	TargetStore Target = iota
-	TargetCloud
-)
-
-// String returns the target's name for log lines.
-func (t Target) String() string {
-	if t == TargetCloud {
-		return "cloud"
-	}
-	return "key-value store"
-}
-
-// CallResult is a command: the outcome of the ServiceCall with the same ID. Status 0 means
-// that no usable response arrived; the request may have been executed, or may be later.
-type CallResult struct {
-	ID     uint64
-	Status int
-	Body   []byte
-}
-
-// ServiceCall is an effect: an HTTP request to an external service.
-type ServiceCall struct {
-	ID      uint64
-	Target  Target
-	Method  string
-	Path    string
-	Body    []byte
-	Timeout time.Duration
-}
-
-// Reply is an effect: the response to a request received on one of this node's connections.
-type Reply struct {
-	RequestID  uint64
-	Status     int
-	RetryAfter int
-	Body       []byte
-}
-
-// OutboundMessage is an effect: a message to a peer.
-type OutboundMessage struct {
-	To      string
-	Message protocol.PeerMessage
-}
-
 // Node holds all state of a controller. It is not safe for concurrent use: one goroutine
 // owns it and calls Step.
 type Node struct {
@@ -139,7 +41,7 @@
 	draining  bool // a Drain command was received
 
 	now     clock.Instant
-	effects []any
+	effects []Effect
 
 	nextCallID        uint64
 	pendingCalls      map[uint64]func(CallResult)
@@ -284,34 +186,15 @@
 	n.submissionBudget.Tokens, n.submissionBudget.RefilledAt = 0, n.now
 }
 
-// Step processes a batch of commands at the instant now and returns the resulting effects.
-// A nil command only advances time. It panics on a command of unknown type.
-func (n *Node) Step(now clock.Instant, batch []any) []any {
+// Step processes a batch of commands at the instant now and returns the resulting effects. An empty
+// batch only advances time.
+func (n *Node) Step(now clock.Instant, batch []Command) []Effect {
 	if now > n.now {
 		n.now = now
 	}
 	n.effects = nil
 	for _, command := range batch {
-		switch command := command.(type) {
-		case Request:
-			n.onRequest(command)
-		case InboundMessage:
-			n.onPeerMessage(command)
-		case CallResult:
-			if onResult, ok := n.pendingCalls[command.ID]; ok {
-				delete(n.pendingCalls, command.ID)
-				onResult(command)
-			}
-		case Drain:
-			n.draining = true
-			n.election.candidacy = nil
-			n.stepDown("shutting down")
-		case ServerLoad:
-			n.connections.update(command)
-		case nil: // tick only
-		default:
-			panic(fmt.Sprintf("controller: unknown command type %T", command))
-		}
+		command.apply(n)
 	}
 	n.tick()
 	effects := n.effects
--- a/internal/controller/routes_test.go
+++ b/internal/controller/routes_test.go
@@ -112,12 +112,12 @@
 	w := newSimulation(t, 3)
 	l := w.waitLeader()
 	for i, name := range w.followers() {
-		l.Step(l.clock(w.now), []any{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, SpareConnections: 10 * (i + 1)}}})
+		l.Step(l.clock(w.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, SpareConnections: 10 * (i + 1)}}})
 	}
 	roomiest := w.followers()[1]
 	report := func(name string, seq uint64) Reply {
 		rep := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
-		for _, e := range l.Step(l.clock(w.now), []any{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
+		for _, e := range l.Step(l.clock(w.now), []Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
 			if reply, is := e.(Reply); is {
 				return reply
 			}
@@ -128,7 +128,7 @@
 	if r := report("m-1", 1); r.Status != 200 {
 		t.Errorf("with room: %+v", r)
 	}
-	l.Step(l.clock(w.now), []any{ServerLoad{Open: 90, Limit: 100}})
+	l.Step(l.clock(w.now), []Command{ServerLoad{Open: 90, Limit: 100}})
 	if r := report("m-1", 2); r.Status != 200 {
 		t.Errorf("one that is served: %+v", r)
 	}
@@ -139,7 +139,7 @@
 		t.Errorf("back again: %+v", r)
 	}
 	for _, name := range w.followers() {
-		l.Step(l.clock(w.now), []any{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
+		l.Step(l.clock(w.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
 	}
 	if r := report("m-3", 1); r.Status != 200 {
 		t.Errorf("with all nodes full: %+v", r)
@@ -212,7 +212,7 @@
 	f := w.nodes[w.followers()[0]]
 	counts := func(beat protocol.PeerHeartbeat, workers string) (sent, relayed int) {
 		beat.Term, beat.IsLeader, beat.ProcessID, beat.VersionLevel = leader.leader.term, true, leader.processID, protocolLevel
-		batch := []any{InboundMessage{From: leader.name, Message: beat}}
+		batch := []Command{InboundMessage{From: leader.name, Message: beat}}
 		for i := range 20 {
 			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
@@ -256,12 +256,12 @@
 		status int
 	}{{f.relayTimeout() - step, 200}, {f.relayTimeout(), 503}} {
 		f.routeOf("m-1").relayUntil = f.now + time.Hour
-		f.Step(f.clock(w.now), []any{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
+		f.Step(f.clock(w.now), []Command{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
 			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.nextForwardID, Status: 200, Body: []byte("{}")}}
 		w.now += x.after
 		got := 0
-		for _, e := range f.Step(f.clock(w.now), []any{answer}) {
+		for _, e := range f.Step(f.clock(w.now), []Command{answer}) {
 			if reply, is := e.(Reply); is {
 				got = reply.Status
 			}
@@ -280,7 +280,7 @@
 	w.cfg.Resources.MaxConnections = 1000
 	l := w.waitLeader()
 	l.leader.recordsLoaded = false
-	batch := make([]any, 0, machines)
+	batch := make([]Command, 0, machines)
 	for i := range machines {
 		rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -629,7 +629,7 @@
 	}
 	asked := false
 	for range 2 { // a worker that comes back can't reach the leader and is relayed
-		for _, e := range f.Step(w.now-f.boot+step, []any{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
+		for _, e := range f.Step(w.now-f.boot+step, []Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
 			s, ok := e.(OutboundMessage)
 			if !ok {
 				continue
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -53,7 +53,7 @@
 	copies       func(x *worker, rep *protocol.WorkerHeartbeat)               // sees every report that is sent
 	mangle       func(node string, call ServiceCall, r CallResult) CallResult // alters the answers of outside services
 	instead      func(call ServiceCall) (r CallResult, ok bool)               // answers calls at once, in the place of outside services
-	watch        func(n *simNode, effects []any)                              // sees all effects of nodes
+	watch        func(n *simNode, effects []Effect)                           // sees all effects of nodes
 	starts       map[string]int                                               // by task
 	stoppedTasks []string                                                     // by command
 	mistake      map[string]bool                                              // jobs that fail on every machine
@@ -119,7 +119,7 @@
 	name    string
 	boot    clock.Instant
 	epoch   int
-	inbox   []any
+	inbox   []Command
 	asks    map[uint64]func(Reply)
 	ticket  uint64
 	down    bool
@@ -312,7 +312,7 @@
 	})
 }
 
-func (w *simulation) carryOut(n *simNode, effects []any) {
+func (w *simulation) carryOut(n *simNode, effects []Effect) {
 	epoch := n.epoch
 	for _, e := range effects {
 		switch e := e.(type) {
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -22,9 +22,6 @@
 	stepTerminal         = "over"            // its terminal record is durable
 )
 
-// TraceStep is an effect: a step in the processing of a job by this node, to be traced.
-type TraceStep struct{ tracing.Step }
-
 // traceStep emits a trace step of a job, if tracing is enabled in the settings.
 func (n *Node) traceStep(job, name, note string) {
 	if n.settings.MaxTraceSteps == 0 {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	n := w.nodes["n0"]
-	n.Step(time.Second, []any{InboundMessage{From: "n1", Message: m}})
+	n.Step(time.Second, []Command{InboundMessage{From: "n1", Message: m}})
 	if p := n.leaderPeer(); p == nil || p.name != "n1" || p.protocolLevel != 0 {
 		t.Errorf("taken as %+v", p)
 	}
--- a/internal/controller/worker_routes.go
+++ b/internal/controller/worker_routes.go
@@ -13,10 +13,6 @@
 // with the most spare connections, and the followers relay heartbeats and responses over their
 // link to the leader.
 
-// ServerLoad is a command that reports how many connections of users and workers are open, and
-// how many the server accepts at most.
-type ServerLoad struct{ Open, Limit int }
-
 // Thresholds as shares of a server's connections. A node becomes full at fullThreshold and stays
 // so until it is below spareThreshold. The hysteresis keeps workers from being redirected back
 // and forth.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -36,11 +36,11 @@
 // mu guards the fields below it.
 type daemon struct {
 	startedAt    time.Time
-	commandQueue chan any
+	commandQueue chan controller.Command
 	server       *transport.Server
 	// queryQueue holds read-only requests. During an overload there are many of them, and
 	// heartbeats, lease renewals, submissions and cancellations must not be queued behind them.
-	queryQueue chan any
+	queryQueue chan controller.Command
 	node       *controller.Node
 	clients    map[controller.Target]*transport.Client
 	peerLinks  *transport.PeerLinks
@@ -61,8 +61,8 @@
 	heartbeatInterval := config.Seconds(platform.Cluster.Workers.HeartbeatIntervalS)
 	d := &daemon{
 		startedAt:      time.Now(),
-		commandQueue:   make(chan any, commandQueueLength(&platform.Cluster)),
-		queryQueue:     make(chan any, commandQueueLength(&platform.Cluster)/queryDivisor),
+		commandQueue:   make(chan controller.Command, commandQueueLength(&platform.Cluster)),
+		queryQueue:     make(chan controller.Command, commandQueueLength(&platform.Cluster)/queryDivisor),
 		pendingReplies: map[uint64]chan controller.Reply{},
 	}
 	d.node = controller.New(controller.Options{
@@ -145,7 +145,7 @@
 	defer ticker.Stop()
 	shutdownRequested := ctx.Done()
 	var handoverDone <-chan time.Time
-	batch := make([]any, 0, maxBatchSize)
+	batch := make([]controller.Command, 0, maxBatchSize)
 	for {
 		batch = batch[:0]
 		select {
@@ -171,7 +171,7 @@
 }
 
 // fillBatch adds queued commands to a batch, and then a limited number of queries.
-func (d *daemon) fillBatch(batch []any) []any {
+func (d *daemon) fillBatch(batch []controller.Command) []controller.Command {
 	for len(batch) < maxBatchSize && len(d.commandQueue) > 0 {
 		batch = append(batch, <-d.commandQueue)
 	}
@@ -198,7 +198,7 @@
 }
 
 // execute executes one effect of the node.
-func (d *daemon) execute(effect any) {
+func (d *daemon) execute(effect controller.Effect) {
 	switch effect := effect.(type) {
 	case controller.ServiceCall:
 		client := d.clients[effect.Target]
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -30,7 +30,7 @@
 func TestQuestionsWaitBehindTheRest(t *testing.T) {
 	const size = 4096
 	d := &daemon{
-		commandQueue: make(chan any, size), queryQueue: make(chan any, size/queryDivisor),
+		commandQueue: make(chan controller.Command, size), queryQueue: make(chan controller.Command, size/queryDivisor),
 		pendingReplies: map[uint64]chan controller.Reply{},
 	}
 	answers := make(chan controller.Reply, 2*size)
