--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -26,7 +26,10 @@
 // newSchedulingPass returns a pass without machines, from the present totals.
 func (s *Scheduler) newSchedulingPass(latencySensitiveDelayed bool) *schedulingPass {
 	pass := &schedulingPass{MachineTotals: s.CurrentMachineTotals()}
-	pass.slotUsage = slotUsage{totalSlots: pass.MachineTotals.Slots, batchTasks: s.ActiveTasks[0], latencySensitiveTasks: s.ActiveTasks[1], latencySensitiveDelayed: latencySensitiveDelayed}
+	pass.slotUsage = slotUsage{
+		totalSlots: pass.MachineTotals.Slots, batchTasks: s.ActiveTasks[0], latencySensitiveTasks: s.ActiveTasks[1],
+		latencySensitiveDelayed: latencySensitiveDelayed,
+	}
 	return pass
 }
 
@@ -35,56 +38,69 @@
 // may take as long as a task.
 func (s *Scheduler) scheduleQueue(pass *schedulingPass) {
 	for queue := s.PendingOrder; len(queue) > 0; {
-		sameRank := 1
-		for sameRank < len(queue) && queue[sameRank].Rank == queue[0].Rank {
-			sameRank++
-		}
+		sameRank := queue[:jobsOfFirstRank(queue)]
 		for _, mayFetch := range []bool{false, true} {
-			for _, queued := range queue[:sameRank] {
-				s.CandidatesExamined++
-				if len(pass.machines) == 1 && !pass.machines[0].HasSpareCapacity() {
-					return // the only machine of the pass is full
-				}
-				if j := queued.Job; j.PendingTasks > 0 && !j.Terminal {
-					maxTasks := j.PendingTasks
-					if queued.Rank == rankOverdue {
-						maxTasks = j.Spec.TaskCount/cluster.OverdueTaskDivisor + 1 - len(j.Attempts)
-					}
-					previous := j.BlockedBy
-					j.BlockedBy = s.scheduleJob(j, pass, mayFetch, maxTasks)
-					s.Host.TraceBlocked(j, previous)
-				}
+			if !s.scheduleRank(sameRank, pass, mayFetch) {
+				return
 			}
 		}
-		queue = queue[sameRank:]
+		queue = queue[len(sameRank):]
+	}
+}
+
+// jobsOfFirstRank returns how many jobs at the head of a queue share a rank.
+func jobsOfFirstRank(queue []QueuedJob) int {
+	count := 1
+	for count < len(queue) && queue[count].Rank == queue[0].Rank {
+		count++
 	}
+	return count
+}
+
+// scheduleRank places tasks of jobs that share a rank, and reports whether the pass may still have
+// room: it has none once its only machine is full.
+func (s *Scheduler) scheduleRank(sameRank []QueuedJob, pass *schedulingPass, mayFetch bool) bool {
+	for _, queued := range sameRank {
+		s.CandidatesExamined++
+		if len(pass.machines) == 1 && !pass.machines[0].HasSpareCapacity() {
+			return false
+		}
+		j := queued.Job
+		if j.PendingTasks == 0 || j.Terminal {
+			continue
+		}
+		maxTasks := j.PendingTasks
+		if queued.Rank == rankOverdue {
+			maxTasks = j.Spec.TaskCount/cluster.OverdueTaskDivisor + 1 - len(j.Attempts)
+		}
+		previous := j.BlockedBy
+		j.BlockedBy = s.scheduleJob(j, pass, mayFetch, maxTasks)
+		s.Host.TraceBlocked(j, previous)
+	}
+	return true
+}
+
+// jobPlacement is the placement of one job's tasks in a pass.
+type jobPlacement struct {
+	job        *cluster.Job
+	pass       *schedulingPass
+	team       *config.Team
+	teamUsage  *cluster.ResourceUsage
+	mayFetch   bool
+	candidates *candidateHeap // nil until the first task passes the checks
 }
 
 // scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
 // the check that stopped it.
 func (s *Scheduler) scheduleJob(j *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int) cluster.WaitReason {
-	if j.Quarantined {
-		return cluster.WaitQuarantine
-	}
-	if s.Host.MayRunUnreported(j, &pass.MachineTotals) {
-		return cluster.WaitReconciliation
-	}
-	if j.FailsEverywhere && s.OutlivesFailures(j) {
-		j.FailsEverywhere, j.FailedProbes = false, 0
-		s.Log.Info("job no longer fails everywhere", "job", j.Spec.ID)
+	if reason := s.checkJob(j, pass); reason != cluster.WaitNone {
+		return reason
 	}
 	if j.FailsEverywhere {
-		if len(j.Attempts) > 0 || s.Clock.Now() < j.NextProbeAt {
-			return cluster.WaitBackoff
-		}
-		maxTasks = 1
-	}
-	team := s.Config.Team(j.Spec.Team)
-	teamUsage := s.TeamUsage[j.Spec.Team]
-	if team == nil || teamUsage == nil {
-		return cluster.WaitTeamQuota
+		maxTasks = 1 // one task probes whether the job still fails
 	}
-	var candidates *candidateHeap
+	placement := jobPlacement{job: j, pass: pass, mayFetch: mayFetch,
+		team: s.Config.Team(j.Spec.Team), teamUsage: s.TeamUsage[j.Spec.Team]}
 	reason := cluster.WaitNone
 	noneSkipped := true // no pending task has been skipped yet
 	for index := j.FirstPendingTask; index < j.Spec.TaskCount; index++ {
@@ -98,55 +114,102 @@
 			continue
 		}
 		noneSkipped = false
-		history := j.FailureHistories[index]
-		if history != nil && s.Clock.Now() < history.RetryAfter {
-			reason = cluster.WaitBackoff
-			continue
-		}
-		if limit := s.checkLimits(j, pass, team, teamUsage); limit != cluster.WaitNone {
-			return limit
-		}
-		avoidedMachine := ""
-		if history != nil && s.Clock.Now() < history.AvoidUntil {
-			avoidedMachine = history.AvoidedMachine
-		}
-		if candidates == nil {
-			candidates = s.FindCandidates(j, pass.machines, mayFetch)
-		}
-		m := candidates.BestMachine(avoidedMachine)
-		if m == nil {
-			if avoidedMachine != "" {
-				reason = cluster.WaitCapacity
-				continue
-			}
-			if candidates.slowFetchExcluded {
-				return cluster.WaitImage
-			}
-			return cluster.WaitCapacity
-		}
-		if m.Draining && m.DrainReason == cluster.SurplusCapacity {
-			s.CancelDrain(m)
-		}
-		s.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: index, Number: s.Host.NextAttemptNumber(), Machine: m, Phase: cluster.AttemptAssigned, AssignedAt: s.Clock.Now()})
-		candidates.rescore(m)
-		maxTasks--
-		if cluster.IsLatencySensitive(&j.Spec) {
-			pass.latencySensitiveTasks++
-		} else {
-			pass.batchTasks++
+		outcome := s.scheduleTask(&placement, index)
+		switch {
+		case outcome.stopsJob:
+			return outcome.reason
+		case outcome.reason != cluster.WaitNone:
+			reason = outcome.reason
+		default:
+			maxTasks--
 		}
 	}
 	return reason
 }
 
+// checkJob makes the checks that hold for all tasks of a job alike, before those of each task.
+func (s *Scheduler) checkJob(j *cluster.Job, pass *schedulingPass) cluster.WaitReason {
+	if j.Quarantined {
+		return cluster.WaitQuarantine
+	}
+	if s.Host.MayRunUnreported(j, &pass.MachineTotals) {
+		return cluster.WaitReconciliation
+	}
+	if j.FailsEverywhere && s.OutlivesFailures(j) {
+		j.FailsEverywhere, j.FailedProbes = false, 0
+		s.Log.Info("job no longer fails everywhere", "job", j.Spec.ID)
+	}
+	if j.FailsEverywhere && (len(j.Attempts) > 0 || s.Clock.Now() < j.NextProbeAt) {
+		return cluster.WaitBackoff
+	}
+	if s.Config.Team(j.Spec.Team) == nil || s.TeamUsage[j.Spec.Team] == nil {
+		return cluster.WaitTeamQuota
+	}
+	return cluster.WaitNone
+}
+
+// taskOutcome is what became of one task in a pass: it was placed, or reason says why not.
+type taskOutcome struct {
+	reason   cluster.WaitReason
+	stopsJob bool // the job's other tasks would fail the same check
+}
+
+// scheduleTask checks and places one pending task.
+func (s *Scheduler) scheduleTask(placement *jobPlacement, index int) taskOutcome {
+	j := placement.job
+	history := j.FailureHistories[index]
+	if history != nil && s.Clock.Now() < history.RetryAfter {
+		return taskOutcome{reason: cluster.WaitBackoff}
+	}
+	if limit := s.checkLimits(placement); limit != cluster.WaitNone {
+		return taskOutcome{reason: limit, stopsJob: true}
+	}
+	avoidedMachine := ""
+	if history != nil && s.Clock.Now() < history.AvoidUntil {
+		avoidedMachine = history.AvoidedMachine
+	}
+	if placement.candidates == nil {
+		placement.candidates = s.FindCandidates(j, placement.pass.machines, placement.mayFetch)
+	}
+	m := placement.candidates.BestMachine(avoidedMachine)
+	switch {
+	case m != nil:
+		s.placeTask(placement, index, m)
+		return taskOutcome{}
+	case avoidedMachine != "":
+		return taskOutcome{reason: cluster.WaitCapacity}
+	case placement.candidates.slowFetchExcluded:
+		return taskOutcome{reason: cluster.WaitImage, stopsJob: true}
+	default:
+		return taskOutcome{reason: cluster.WaitCapacity, stopsJob: true}
+	}
+}
+
+// placeTask places a task on a machine and counts it in the pass.
+func (s *Scheduler) placeTask(placement *jobPlacement, index int, m *cluster.Machine) {
+	if m.Draining && m.DrainReason == cluster.SurplusCapacity {
+		s.CancelDrain(m)
+	}
+	s.PlaceAttempt(&cluster.TaskAttempt{
+		Job: placement.job, TaskIndex: index, Number: s.Host.NextAttemptNumber(), Machine: m,
+		Phase: cluster.AttemptAssigned, AssignedAt: s.Clock.Now(),
+	})
+	placement.candidates.rescore(m)
+	if cluster.IsLatencySensitive(&placement.job.Spec) {
+		placement.pass.latencySensitiveTasks++
+	} else {
+		placement.pass.batchTasks++
+	}
+}
+
 // checkLimits makes the three checks for one more task of a job, in order: scheduler slots, team
 // quota, overall quota.
-func (s *Scheduler) checkLimits(j *cluster.Job, pass *schedulingPass, team *config.Team, teamUsage *cluster.ResourceUsage) cluster.WaitReason {
+func (s *Scheduler) checkLimits(placement *jobPlacement) cluster.WaitReason {
+	pass := placement.pass
 	switch {
-	case !s.hasFreeSlot(j, pass):
+	case !s.hasFreeSlot(placement.job, pass):
 		return cluster.WaitSlots
-	case team.MaxCPUs > 0 && teamUsage.Cores+pass.UnknownUsage.Cores+j.Spec.Cores > team.MaxCPUs+cluster.ResourceTolerance,
-		team.MaxGPUs > 0 && teamUsage.Accelerators+pass.UnknownUsage.Accelerators+j.Spec.Accelerators > team.MaxGPUs+cluster.ResourceTolerance:
+	case exceedsTeamQuota(placement):
 		return cluster.WaitTeamQuota
 	case float64(pass.takenSlots()+1) > pass.totalSlots:
 		return cluster.WaitOverallQuota
@@ -154,6 +217,17 @@
 	return cluster.WaitNone
 }
 
+// exceedsTeamQuota reports whether one more task of the job would exceed its team's quota, with all
+// that may be in use unknown to this leader. A quota of 0 is none.
+func exceedsTeamQuota(placement *jobPlacement) bool {
+	team, used, unknown := placement.team, placement.teamUsage, &placement.pass.UnknownUsage
+	spec := &placement.job.Spec
+	cores := used.Cores + unknown.Cores + spec.Cores
+	accelerators := used.Accelerators + unknown.Accelerators + spec.Accelerators
+	return team.MaxCPUs > 0 && cores > team.MaxCPUs+cluster.ResourceTolerance ||
+		team.MaxGPUs > 0 && accelerators > team.MaxGPUs+cluster.ResourceTolerance
+}
+
 // hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work borrows the
 // slots reserved for latency-sensitive work unless that is delayed.
 func (s *Scheduler) hasFreeSlot(j *cluster.Job, pass *schedulingPass) bool {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/config"
 )
 
 // jobsWithinGuarantee returns the jobs that fit into their team's guaranteed resources together
@@ -21,7 +22,7 @@
 		teamUsage.Cores += float64(j.Spec.TaskCount) * j.Spec.Cores
 		teamUsage.Accelerators += float64(j.Spec.TaskCount) * j.Spec.Accelerators
 		usageByTeam[j.Spec.Team] = teamUsage
-		if team := s.Config.Team(j.Spec.Team); team != nil && teamUsage.Cores <= team.GuaranteedCPUs+cluster.ResourceTolerance && teamUsage.Accelerators <= team.GuaranteedGPUs+cluster.ResourceTolerance {
+		if team := s.Config.Team(j.Spec.Team); team != nil && !exceeds(&teamUsage, team) {
 			withinGuarantee[j] = true
 		}
 	}
@@ -32,8 +33,13 @@
 // have a start objective for guaranteed work.
 func (s *Scheduler) exceedsGuarantee(j *cluster.Job) bool {
 	team, teamUsage := s.Config.Team(j.Spec.Team), s.TeamUsage[j.Spec.Team]
-	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil &&
-		(teamUsage.Cores > team.GuaranteedCPUs+cluster.ResourceTolerance || teamUsage.Accelerators > team.GuaranteedGPUs+cluster.ResourceTolerance)
+	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil && exceeds(teamUsage, team)
+}
+
+// exceeds reports whether a usage exceeds the guarantee of a team.
+func exceeds(usage *cluster.ResourceUsage, team *config.Team) bool {
+	return usage.Cores > team.GuaranteedCPUs+cluster.ResourceTolerance ||
+		usage.Accelerators > team.GuaranteedGPUs+cluster.ResourceTolerance
 }
 
 // preemptAfterDivisor sets how long guaranteed work waits before preemption, as a fraction of its
@@ -46,68 +52,108 @@
 // does useful work. Without preemption, long tasks that borrowed a third of the cores made
 // guaranteed work wait for minutes.
 func (s *Scheduler) preemptForGuarantees() {
-	if s.GuaranteedStartWithin == 0 || s.Clock.Now() < s.preemptedAt+s.HeartbeatInterval()/2 || !s.AllReconciled() {
+	now := s.Clock.Now()
+	if s.GuaranteedStartWithin == 0 || now < s.preemptedAt+s.HeartbeatInterval()/2 || !s.AllReconciled() {
 		return
 	}
-	s.preemptedAt = s.Clock.Now()
-	neededCores := map[*cluster.Job]float64{}
-	withinGuarantee := s.guaranteedJobs
-	for _, r := range s.PendingOrder {
-		j := r.Job
-		if withinGuarantee[j] && !j.Terminal && !j.FailsEverywhere && j.PendingTasks > 0 && (j.BlockedBy == cluster.WaitCapacity || j.BlockedBy == cluster.WaitImage) &&
-			s.Clock.Now() > j.EligibleAt+s.GuaranteedStartWithin/preemptAfterDivisor {
-			neededCores[j] = float64(j.PendingTasks) * j.Spec.Cores
-		}
-	}
+	s.preemptedAt = now
+	neededCores := s.coresNeededWithinGuarantees()
 	if len(neededCores) == 0 {
 		return
 	}
-	coresBeingFreed := 0.0
-	var victims []*cluster.TaskAttempt
+	victims, coresBeingFreed := s.preemptibleAttempts()
+	reclaimedCores := map[string]float64{} // by team that exceeds its guarantee
+	for _, queued := range s.PendingOrder {
+		missingCores := neededCores[queued.Job]
+		covered := min(missingCores, coresBeingFreed)
+		coresBeingFreed -= covered
+		s.preemptFor(queued.Job, missingCores-covered, victims, reclaimedCores)
+	}
+	if len(reclaimedCores) > 0 {
+		s.Log.Info("tasks preempted for guaranteed work", "coresByTeam", reclaimedCores)
+	}
+}
+
+// coresNeededWithinGuarantees returns the cores that jobs within their team's guarantee lack after
+// waiting for a part of their start objective.
+func (s *Scheduler) coresNeededWithinGuarantees() map[*cluster.Job]float64 {
+	needed := map[*cluster.Job]float64{}
+	for _, queued := range s.PendingOrder {
+		j := queued.Job
+		if !s.guaranteedJobs[j] || j.Terminal || j.FailsEverywhere || j.PendingTasks == 0 {
+			continue
+		}
+		lacksCapacity := j.BlockedBy == cluster.WaitCapacity || j.BlockedBy == cluster.WaitImage
+		if lacksCapacity && s.Clock.Now() > j.EligibleAt+s.GuaranteedStartWithin/preemptAfterDivisor {
+			needed[j] = float64(j.PendingTasks) * j.Spec.Cores
+		}
+	}
+	return needed
+}
+
+// preemptibleAttempts returns the attempts that may be preempted, lowest priority first and then by
+// longest remaining duration, and the cores that attempts already being stopped will free.
+func (s *Scheduler) preemptibleAttempts() (victims []*cluster.TaskAttempt, coresBeingFreed float64) {
 	for _, m := range s.MachinesByName() {
 		if !m.Schedulable() {
 			continue
 		}
-		for _, r := range m.AttemptsInOrder {
+		for _, attempt := range m.AttemptsInOrder {
 			switch {
-			case r.StopGrace != nil:
-				coresBeingFreed += r.Job.Spec.Cores
-			case r.Phase == cluster.AttemptRunning && r.Job.Spec.CheckpointIntervalSeconds > 0 && s.Clock.Now()-r.RunningSince >= cluster.MinCountedRun &&
-				!r.Job.MovedTasks[r.TaskIndex] && !withinGuarantee[r.Job] && s.exceedsGuarantee(r.Job):
-				victims = append(victims, r)
+			case attempt.StopGrace != nil:
+				coresBeingFreed += attempt.Job.Spec.Cores
+			case s.preemptible(attempt):
+				victims = append(victims, attempt)
 			}
 		}
 	}
 	slices.SortStableFunc(victims, func(a, b *cluster.TaskAttempt) int {
-		return cmp.Or(cmp.Compare(b.Job.Spec.PriorityRank(), a.Job.Spec.PriorityRank()), cmp.Compare(s.RemainingDuration(b), s.RemainingDuration(a)))
+		return cmp.Or(cmp.Compare(b.Job.Spec.PriorityRank(), a.Job.Spec.PriorityRank()),
+			cmp.Compare(s.RemainingDuration(b), s.RemainingDuration(a)))
 	})
-	reclaimedCores := map[string]float64{} // by team that exceeds its guarantee
-	for _, queued := range s.PendingOrder {
-		j := queued.Job
-		missingCores := neededCores[j]
-		covered := min(missingCores, coresBeingFreed)
-		missingCores, coresBeingFreed = missingCores-covered, coresBeingFreed-covered
-		for _, withImage := range []bool{true, false} {
-			for i, r := range victims {
-				if missingCores <= cluster.ResourceTolerance {
-					break
-				}
-				if r == nil || r.Machine.HasImage(j.Spec.Image) != withImage || r.Job.Spec.Team == j.Spec.Team || !cluster.Feasible(&j.Spec, r.Machine) ||
-					s.RemainingDuration(r) < time.Duration(2*r.Job.Spec.CheckpointSaveSeconds*float64(time.Second))+s.HeartbeatInterval() {
-					continue
-				}
-				team := r.Job.Spec.Team
-				if s.TeamUsage[team].Cores-reclaimedCores[team] <= s.Config.Team(team).GuaranteedCPUs+cluster.ResourceTolerance {
-					continue
-				}
-				reclaimedCores[team] += r.Job.Spec.Cores
-				missingCores -= r.Job.Spec.Cores
-				s.RescheduleAttempt(r, s.CheckpointGraceS(r))
-				victims[i] = nil
+	return victims, coresBeingFreed
+}
+
+// preemptible reports whether an attempt may be preempted for guaranteed work of another team.
+func (s *Scheduler) preemptible(attempt *cluster.TaskAttempt) bool {
+	j := attempt.Job
+	if attempt.Phase != cluster.AttemptRunning || j.Spec.CheckpointIntervalSeconds <= 0 {
+		return false
+	}
+	return s.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun && !j.MovedTasks[attempt.TaskIndex] &&
+		!s.guaranteedJobs[j] && s.exceedsGuarantee(j)
+}
+
+// preemptFor preempts victims until the missing cores of a job are covered, on machines with the
+// job's image first. It sets the victims that it preempts to nil and adds up the cores reclaimed
+// from each team.
+func (s *Scheduler) preemptFor(j *cluster.Job, missingCores float64, victims []*cluster.TaskAttempt, reclaimedCores map[string]float64) {
+	for _, withImage := range []bool{true, false} {
+		for i, victim := range victims {
+			if missingCores <= cluster.ResourceTolerance {
+				return
+			}
+			if victim == nil || victim.Machine.HasImage(j.Spec.Image) != withImage || !s.makesRoom(victim, j) {
+				continue
+			}
+			team := victim.Job.Spec.Team
+			if s.TeamUsage[team].Cores-reclaimedCores[team] <= s.Config.Team(team).GuaranteedCPUs+cluster.ResourceTolerance {
+				continue // the team is back within its guarantee
 			}
+			reclaimedCores[team] += victim.Job.Spec.Cores
+			missingCores -= victim.Job.Spec.Cores
+			s.RescheduleAttempt(victim, s.CheckpointGraceS(victim))
+			victims[i] = nil
 		}
 	}
-	if len(reclaimedCores) > 0 {
-		s.Log.Info("tasks preempted for guaranteed work", "coresByTeam", reclaimedCores)
+}
+
+// makesRoom reports whether preempting a victim makes room for a job of another team, and earlier
+// than its own end would.
+func (s *Scheduler) makesRoom(victim *cluster.TaskAttempt, j *cluster.Job) bool {
+	if victim.Job.Spec.Team == j.Spec.Team || !cluster.Feasible(&j.Spec, victim.Machine) {
+		return false
 	}
+	preemption := time.Duration(2*victim.Job.Spec.CheckpointSaveSeconds*float64(time.Second)) + s.HeartbeatInterval()
+	return s.RemainingDuration(victim) >= preemption
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -51,31 +51,13 @@
 
 // BuildQueue returns the runnable jobs with pending tasks in queue order.
 func (s *Scheduler) BuildQueue() []QueuedJob {
-	now := s.Clock.Now()
 	var all []*QueuedJob
 	s.guaranteedJobs = s.jobsWithinGuarantee()
 	pullRate := s.ImagePullRate()
 	for _, j := range s.RunnableJobs {
-		if j.Terminal {
-			continue
-		}
-		queued := &QueuedJob{Job: j, Rank: min(j.EffectiveRank(), RankOnTime), Due: s.Due(j), RemainingCoreSeconds: s.RemainingCoreSeconds(j, pullRate)}
-		queued.LatestStart = queued.Due - s.ExpectedTaskDuration(j)
-		if queued.Rank == RankOnTime && j.PendingTasks > 0 && queued.LatestStart < now {
-			queued.Rank = RankLate
+		if !j.Terminal {
+			all = append(all, s.rankJob(j, pullRate))
 		}
-		switch age := now - j.EligibleAt; {
-		case age > cluster.OverdueAfter && !j.HasStarted():
-			queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, j.EligibleAt, true
-		case age > cluster.MaxStartDelay && queued.Rank > RankLatencySensitive && !(j.HasStarted() && s.exceedsGuarantee(j)):
-			// A started job that exceeds its team's guarantee is not moved ahead.
-			queued.Rank, queued.LatestStart, queued.mayReserve = RankLatencySensitive, j.EligibleAt, true
-		}
-		if start := j.EligibleAt + s.GuaranteedStartWithin; s.GuaranteedStartWithin > 0 && start > now && s.guaranteedJobs[j] {
-			// Guaranteed work has a start objective of its own.
-			queued.LatestStart = min(queued.LatestStart, start)
-		}
-		all = append(all, queued)
 	}
 	slices.SortFunc(all, func(a, b *QueuedJob) int {
 		return cmp.Or(cmp.Compare(a.Due, b.Due), cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID))
@@ -88,11 +70,37 @@
 		}
 	}
 	slices.SortFunc(queue, func(a, b QueuedJob) int {
-		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.LatestStart, b.LatestStart), cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID))
+		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.LatestStart, b.LatestStart),
+			cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID))
 	})
 	return queue
 }
 
+// rankJob returns a job with its rank and its latest start. A job that has waited too long moves
+// ahead by its age.
+func (s *Scheduler) rankJob(j *cluster.Job, pullRate cluster.ImagePullRate) *QueuedJob {
+	now := s.Clock.Now()
+	queued := &QueuedJob{Job: j, Rank: min(j.EffectiveRank(), RankOnTime), Due: s.Due(j),
+		RemainingCoreSeconds: s.RemainingCoreSeconds(j, pullRate)}
+	queued.LatestStart = queued.Due - s.ExpectedTaskDuration(j)
+	if queued.Rank == RankOnTime && j.PendingTasks > 0 && queued.LatestStart < now {
+		queued.Rank = RankLate
+	}
+	switch age := now - j.EligibleAt; {
+	case age > cluster.OverdueAfter && !j.HasStarted():
+		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, j.EligibleAt, true
+	case age > cluster.MaxStartDelay && queued.Rank > RankLatencySensitive && !(j.HasStarted() && s.exceedsGuarantee(j)):
+		// A started job that exceeds its team's guarantee is not moved ahead.
+		queued.Rank, queued.LatestStart, queued.mayReserve = RankLatencySensitive, j.EligibleAt, true
+	}
+	guaranteedStart := j.EligibleAt + s.GuaranteedStartWithin
+	if s.GuaranteedStartWithin > 0 && guaranteedStart > now && s.guaranteedJobs[j] {
+		// Guaranteed work has a start objective of its own.
+		queued.LatestStart = min(queued.LatestStart, guaranteedStart)
+	}
+	return queued
+}
+
 // DemoteLargestJobs ranks jobs as late that cannot all be in time on the present machines.
 // Objectives count jobs regardless of size, so the largest are demoted: going through the jobs by
 // due time, the largest so far is demoted whenever the next would be late (Moore-Hodgson
