--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -16,7 +16,9 @@
 		history = &FailureHistory{}
 		j.FailureHistories[taskIndex] = history
 	}
-	history.RetryAfter, history.AvoidedMachine, history.AvoidUntil = s.Clock.Now()+delay, m.Name, s.Clock.Now()+delay+s.workerLease()
+	history.RetryAfter = s.Clock.Now() + delay
+	history.AvoidedMachine = m.Name
+	history.AvoidUntil = history.RetryAfter + s.workerLease()
 }
 
 // Thresholds that tell faulty jobs from unhealthy machines.
@@ -80,8 +82,9 @@
 // would cost a healthy job, whose first tasks all met faulty machines, the duration of a whole
 // task.
 func (s *State) OutlivesFailures(j *Job) bool {
+	faultless := 2 * (j.longestFailedRun + s.HeartbeatInterval())
 	for _, attempt := range j.Attempts {
-		if attempt.Phase == AttemptRunning && s.Clock.Now()-attempt.RunningSince > 2*(j.longestFailedRun+s.HeartbeatInterval()) {
+		if attempt.Phase == AttemptRunning && s.Clock.Now()-attempt.RunningSince > faultless {
 			return true
 		}
 	}
@@ -130,48 +133,61 @@
 	if !m.Up || m.DrainReason == SlowExecution {
 		return
 	}
-	logPaceSum, sampleCount := 0.0, 0
-	for _, logPace := range m.logDurationRatios {
-		logPaceSum += logPace
-		sampleCount++
+	logSlowdown, samples := s.logSlowdown(m)
+	if samples < minPaceSamples || logSlowdown < math.Log(slowPaceFactor) {
+		return
 	}
+	slowdown := math.Exp(logSlowdown)
+	s.Log.Info("machine slow", "machine", m.Name, "slowdown", slowdown, "tasks", samples)
+	s.BeginDrain(m, SlowExecution)
 	for _, attempt := range m.AttemptsInOrder {
-		// A task past its typical duration counts like a finished one.
-		if attempt.Phase != AttemptRunning || attempt.Job.MovedTasks[attempt.TaskIndex] {
-			continue
-		}
-		if typical, ok := attempt.Job.typicalTaskDuration(); ok && s.Clock.Now()-attempt.RunningSince > 3*typical/2 {
-			elapsed := s.Clock.Now() - attempt.RunningSince
-			logPaceSum += math.Log(float64(elapsed) / float64(typical))
-			sampleCount++
-		}
+		s.leaveSlowMachine(attempt, slowdown)
 	}
-	if sampleCount < minPaceSamples || logPaceSum/float64(sampleCount) < math.Log(slowPaceFactor) {
-		return
+}
+
+// logSlowdown returns the mean logarithm of the ratio of actual to typical duration of the last
+// tasks of a machine, and the number of tasks. A running task past its typical duration counts
+// like a finished one.
+func (s *State) logSlowdown(m *Machine) (mean float64, samples int) {
+	logRatioSum := 0.0
+	for _, logRatio := range m.logDurationRatios {
+		logRatioSum += logRatio
+		samples++
 	}
-	slowdown := math.Exp(logPaceSum / float64(sampleCount))
-	s.Log.Info("machine slow", "machine", m.Name, "slowdown", slowdown, "tasks", sampleCount)
-	s.BeginDrain(m, SlowExecution)
 	for _, attempt := range m.AttemptsInOrder {
-		expected := s.ExpectedTaskDuration(attempt.Job)
-		if typical, ok := attempt.Job.typicalTaskDuration(); ok {
-			expected = typical
+		if attempt.Phase != AttemptRunning || attempt.Job.MovedTasks[attempt.TaskIndex] {
+			continue
 		}
 		elapsed := s.Clock.Now() - attempt.RunningSince
-		remaining := time.Duration(float64(expected)*slowdown) - elapsed
-		if remaining < elapsed && elapsed > expected {
-			remaining = elapsed // overdue: the slowdown is only a lower bound
-		}
-		switch {
-		case attempt.StopGrace != nil || attempt.Job.MovedTasks[attempt.TaskIndex]:
-		case attempt.Phase != AttemptRunning:
-			s.RequestStop(attempt, 0)
-		case attempt.Job.Spec.CheckpointIntervalSeconds > 0:
-			s.RescheduleAttempt(attempt, s.CheckpointGraceS(attempt))
-		case remaining > expected:
-			s.RescheduleAttempt(attempt, 0)
+		if typical, ok := attempt.Job.typicalTaskDuration(); ok && elapsed > 3*typical/2 {
+			logRatioSum += math.Log(float64(elapsed) / float64(typical))
+			samples++
 		}
 	}
+	return logRatioSum / float64(samples), samples
+}
+
+// leaveSlowMachine stops or reschedules an attempt on a slow machine, unless it will end there
+// sooner.
+func (s *State) leaveSlowMachine(attempt *TaskAttempt, slowdown float64) {
+	expected := s.ExpectedTaskDuration(attempt.Job)
+	if typical, ok := attempt.Job.typicalTaskDuration(); ok {
+		expected = typical
+	}
+	elapsed := s.Clock.Now() - attempt.RunningSince
+	remaining := time.Duration(float64(expected)*slowdown) - elapsed
+	if remaining < elapsed && elapsed > expected {
+		remaining = elapsed // overdue: the slowdown is only a lower bound
+	}
+	switch {
+	case attempt.StopGrace != nil || attempt.Job.MovedTasks[attempt.TaskIndex]:
+	case attempt.Phase != AttemptRunning:
+		s.RequestStop(attempt, 0)
+	case attempt.Job.Spec.CheckpointIntervalSeconds > 0:
+		s.RescheduleAttempt(attempt, s.CheckpointGraceS(attempt))
+	case remaining > expected:
+		s.RescheduleAttempt(attempt, 0)
+	}
 }
 
 // RescheduleAttempt stops an attempt so that its task restarts on another machine, once for each
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -11,41 +11,72 @@
 
 // Job is an open job in the leader's state.
 type Job struct {
-	Spec          protocol.Job
-	AcceptedAt    clock.Instant // when the submission was accepted
-	EligibleAt    clock.Instant // start of all time limits but the deadline: acceptance, or completion of the last dependency
-	RecordVersion uint64        // key-value store revision of the job record
+	Spec       protocol.Job
+	AcceptedAt clock.Instant // when the submission was accepted
+	// EligibleAt is the start of all time limits but the deadline: acceptance, or the completion of
+	// the last dependency.
+	EligibleAt    clock.Instant
+	RecordVersion uint64 // key-value store revision of the job record
+
 	Dependencies
+	TaskProgress
+	JobFailures
+	JobDurations
+	JobLifecycle
+
+	Reservation    Reservation
+	BlockedBy      WaitReason    // the check that stopped the last scheduling attempt
+	PendingSince   clock.Instant // since when the job has had pending tasks
+	ImageCheckedAt clock.Instant // scheduling pass for which ImageAvailable was determined
+	ImageAvailable bool          // some schedulable machine has the job's image
+}
 
+// TaskProgress is how far the tasks of a job are.
+type TaskProgress struct {
 	Attempts         map[int]*TaskAttempt // by task index
 	PendingTasks     int                  // number of tasks without an attempt
 	FirstPendingTask int                  // no task with a lower index is pending
 	DoneTasks        int                  // number of finished tasks
+	BitmapParts      []*BitmapPart        // bitmap of finished tasks
+	TasksPerPart     int                  // tasks covered by each part
+	MovedTasks       map[int]bool         // tasks already moved to another machine once, by index
+}
 
-	BitmapParts      []*BitmapPart           // bitmap of finished tasks
-	TasksPerPart     int                     // tasks covered by each part
+// JobFailures is the failure history of a job and its tasks.
+type JobFailures struct {
 	FailureHistories map[int]*FailureHistory // by task index
-	ImageCheckedAt   clock.Instant           // scheduling pass for which ImageAvailable was determined
-	ImageAvailable   bool                    // some schedulable machine has the job's image
 	FailedMachines   map[string]bool         // machines on which a task failed; cleared by the first success
 	longestFailedRun time.Duration           // longest run of a task before it failed
 	FailsEverywhere  bool                    // the job itself is at fault, not the machines
 	FailedProbes     int                     // failures since FailsEverywhere was set
 	NextProbeAt      clock.Instant           // when the next single task is tried
-	Reservation      Reservation
-	MovedTasks       map[int]bool // tasks already moved to another machine once, by index
+}
 
+// JobDurations is what the finished tasks of a job have shown of their duration.
+type JobDurations struct {
 	logDurationSum, durationSamples float64       // sum and number of logarithms of task run times
 	typicalDuration                 time.Duration // geometric mean of task run times
+}
 
+// JobLifecycle is how far a job as a whole is.
+type JobLifecycle struct {
 	Terminal                  bool          // cancelled or done: no task starts any more
 	Cancelled                 bool          // terminal because of a cancellation
 	CompletionUncertain       bool          // the terminal record may be stored, but no response confirms it
-	BlockedBy                 WaitReason    // the check that stopped the last scheduling attempt
-	PendingSince              clock.Instant // since when the job has had pending tasks
-	FirstStartAt, LastStartAt clock.Instant // of its tasks
 	StartCommandSent          bool          // a start command was sent in this term
 	Quarantined               bool          // one of its records is quarantined: no task starts
+	FirstStartAt, LastStartAt clock.Instant // of its tasks
+}
+
+// NewJob returns a job none of whose tasks has started.
+func NewJob(spec protocol.Job, acceptedAt clock.Instant, recordVersion uint64, now clock.Instant) *Job {
+	return &Job{
+		Spec: spec, AcceptedAt: acceptedAt, EligibleAt: acceptedAt, RecordVersion: recordVersion,
+		Dependencies: NewDependencies(),
+		TaskProgress: TaskProgress{Attempts: map[int]*TaskAttempt{}, PendingTasks: spec.TaskCount},
+		JobFailures:  JobFailures{FailureHistories: map[int]*FailureHistory{}, FailedMachines: map[string]bool{}},
+		PendingSince: now, ImageCheckedAt: clock.Never,
+	}
 }
 
 // TaskState is the progress of one task of an open job. It is derived from the job's bitmap of
@@ -140,11 +171,13 @@
 
 // Dependencies holds a job's position in the DAG of jobs.
 type Dependencies struct {
-	PendingDependencies int           // dependencies whose completion is not durable, or not known to this leader
-	DependencyCancelled bool          // a dependency is durably cancelled
-	ReleasedThisTerm    bool          // a dependency completed in this term, so no earlier leader can have started the job
-	LatestEnd           clock.Instant // latest end that keeps all dependents in time
-	InheritedRank       int           // best priority rank of the dependents
+	PendingDependencies int  // dependencies whose completion is not durable, or not known to this leader
+	DependencyCancelled bool // a dependency is durably cancelled
+	// ReleasedThisTerm is set once a dependency completed in this term, so that no earlier leader can
+	// have started the job.
+	ReleasedThisTerm bool
+	LatestEnd        clock.Instant // latest end that keeps all dependents in time
+	InheritedRank    int           // best priority rank of the dependents
 }
 
 // NewDependencies returns the value of a job without any dependency or dependent.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -15,12 +15,25 @@
 	Name, TypeName, Zone string
 	Spot                 bool
 	MachineType          *protocol.MachineType // nil while the type is missing from the catalog
+	RentedAt             clock.Instant
+	Reconciled           bool // no attempt runs on it that this leader does not know
 
+	RecordState
+	WorkerLink
+	Occupancy
+	MachineHealth
+	DrainState
+}
+
+// RecordState is how a machine is stored.
+type RecordState struct {
 	UseDurable, MarkedUsed bool // whether it may have tasks: as stored, and as to be stored
 	Group                  *MachineGroup
-	Reconciled             bool // no attempt runs on it that this leader does not know
-	RentedAt               clock.Instant
+}
 
+// WorkerLink is what the leader knows of the exchange of heartbeats and responses with a machine's
+// worker.
+type WorkerLink struct {
 	Up                  bool   // its heartbeats arrive, and its worker lease has not expired
 	Address             string // source address of its heartbeats; empty: unknown
 	RelayPeer           string // the peer that relayed its last heartbeat; empty: none
@@ -34,26 +47,37 @@
 	DuplicateName       bool                        // another worker sends heartbeats under the same name
 	UnexpectedRestart   bool                        // it began a new epoch although its heartbeats never stopped
 	UnconfirmedResponse *protocol.HeartbeatResponse // last response, until the next heartbeat
-	preemptionNotice    clock.Instant               // when the cloud preempts it; never: no notice received
-
-	Attempts             map[string]*TaskAttempt // by task key
-	AttemptsInOrder      []*TaskAttempt          // the same attempts in order of their numbers
-	UnknownTasks         int                     // reported tasks without a known attempt
-	RetainedResults      int                     // reported results that the worker must retain
-	UsedCores, UsedRAM   float64                 // resources used by its attempts, with accelerators
-	usedAccelerators     float64
-	Images               []CachedImage   // least recently used first
-	ReservedFor          *Job            // the job that holds a reservation on it
-	SurplusSince         clock.Instant   // since when it has exceeded the required capacity
-	ConsecutiveFailures  int             // consecutive task failures
-	FailedJobs           map[string]bool // distinct jobs among those failures
-	Unhealthy            bool            // tasks fail on it through no fault of their jobs
-	Draining             bool            // terminated once it is empty
-	Terminating          bool            // a return request to the cloud is under way
-	ListedAsFailed       bool            // the cloud lists it as failed
-	TerminationRequested bool            // the cloud may still carry out a return request
-	DrainReason          DrainReason     // reason for the drain
-	logDurationRatios    []float64       // log(actual / expected run time) of its last tasks
+}
+
+// Occupancy is what a machine runs, holds and is reserved for.
+type Occupancy struct {
+	Attempts           map[string]*TaskAttempt // by task key
+	AttemptsInOrder    []*TaskAttempt          // the same attempts in order of their numbers
+	UnknownTasks       int                     // reported tasks without a known attempt
+	RetainedResults    int                     // reported results that the worker must retain
+	UsedCores, UsedRAM float64                 // resources used by its attempts, with accelerators
+	usedAccelerators   float64
+	Images             []CachedImage // least recently used first
+	ReservedFor        *Job          // the job that holds a reservation on it
+}
+
+// MachineHealth is what finished and failed tasks have shown of a machine.
+type MachineHealth struct {
+	ConsecutiveFailures int             // consecutive task failures
+	FailedJobs          map[string]bool // distinct jobs among those failures
+	Unhealthy           bool            // tasks fail on it through no fault of their jobs
+	logDurationRatios   []float64       // log(actual / expected run time) of its last tasks
+}
+
+// DrainState is how far a machine is on its way back to the cloud.
+type DrainState struct {
+	Draining             bool          // returned once it is empty
+	DrainReason          DrainReason   // reason for the drain; empty: none
+	SurplusSince         clock.Instant // since when it has exceeded the required capacity
+	Terminating          bool          // a return request to the cloud is under way
+	TerminationRequested bool          // the cloud may still carry out a return request
+	ListedAsFailed       bool          // the cloud lists it as failed
+	preemptionNotice     clock.Instant // when the cloud preempts it; never: no notice received
 }
 
 // CachedImage is an image in a machine's local cache.
@@ -174,7 +198,8 @@
 // dropAttempt removes an attempt from the machine.
 func (m *Machine) dropAttempt(r *TaskAttempt) {
 	delete(m.Attempts, r.Key())
-	m.AttemptsInOrder = slices.DeleteFunc(slices.Clone(m.AttemptsInOrder), func(other *TaskAttempt) bool { return other == r })
+	m.AttemptsInOrder = slices.DeleteFunc(slices.Clone(m.AttemptsInOrder),
+		func(other *TaskAttempt) bool { return other == r })
 }
 
 // Capacity is an amount of the resources of a machine.
@@ -189,12 +214,18 @@
 
 // Fits reports whether one task of a job fits.
 func (c Capacity) Fits(spec *protocol.Job) bool {
-	return spec.Cores <= c.Cores+ResourceTolerance && spec.MemoryGB <= c.RAM+ResourceTolerance && spec.Accelerators <= c.Accelerators+ResourceTolerance
+	return spec.Cores <= c.Cores+ResourceTolerance &&
+		spec.MemoryGB <= c.RAM+ResourceTolerance &&
+		spec.Accelerators <= c.Accelerators+ResourceTolerance
 }
 
 // FreeCapacity returns the machine's resources that no attempt uses.
 func (m *Machine) FreeCapacity() Capacity {
-	return Capacity{m.MachineType.Cores - m.UsedCores, m.MachineType.MemoryGB - m.UsedRAM, m.MachineType.Accelerators - m.usedAccelerators}
+	return Capacity{
+		Cores:        m.MachineType.Cores - m.UsedCores,
+		RAM:          m.MachineType.MemoryGB - m.UsedRAM,
+		Accelerators: m.MachineType.Accelerators - m.usedAccelerators,
+	}
 }
 
 // ResourceTolerance absorbs rounding errors in sums of resource amounts.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -57,7 +57,8 @@
 func New(o Options) *State {
 	return &State{
 		Clock: o.Clock, Config: o.Config, Settings: o.Settings, Log: o.Log, StartedAt: o.Clock.Now(), Catalog: o.Catalog,
-		jobTable: newJobTable(o.Config), objectives: newObjectives(o.Config), machineTable: newMachineTable(), InventoryIncompleteUntil: clock.Never,
+		jobTable: newJobTable(o.Config), objectives: newObjectives(o.Config), machineTable: newMachineTable(),
+		InventoryIncompleteUntil: clock.Never,
 	}
 }
 
@@ -108,14 +109,21 @@
 
 // newMachineTable returns an empty machine table.
 func newMachineTable() machineTable {
-	return machineTable{Machines: map[string]*Machine{}, RemovedMachines: map[string]clock.Instant{}, machinesCheckedAt: clock.Never}
+	return machineTable{
+		Machines: map[string]*Machine{}, RemovedMachines: map[string]clock.Instant{}, machinesCheckedAt: clock.Never,
+	}
 }
 
 // NewMachine adds a machine to the machine table.
 func (s *State) NewMachine(name, typeName, zone string, spot bool) *Machine {
-	m := &Machine{Name: name, TypeName: typeName, Zone: zone, Spot: spot, Attempts: map[string]*TaskAttempt{},
-		RentedAt: s.Clock.Now(), LastHeartbeat: clock.Never, LastResponse: clock.Never, LastDelivery: clock.Never, preemptionNotice: clock.Never, SurplusSince: s.Clock.Now(),
-		FailedJobs: map[string]bool{}, MachineType: s.Catalog[typeName]}
+	now := s.Clock.Now()
+	m := &Machine{
+		Name: name, TypeName: typeName, Zone: zone, Spot: spot, MachineType: s.Catalog[typeName], RentedAt: now,
+		WorkerLink:    WorkerLink{LastHeartbeat: clock.Never, LastResponse: clock.Never, LastDelivery: clock.Never},
+		Occupancy:     Occupancy{Attempts: map[string]*TaskAttempt{}},
+		MachineHealth: MachineHealth{FailedJobs: map[string]bool{}},
+		DrainState:    DrainState{SurplusSince: now, preemptionNotice: clock.Never},
+	}
 	s.Machines[name] = m
 	s.InvalidateMachineIndex()
 	return m
@@ -268,30 +276,44 @@
 	s.machinesCheckedAt = now
 	for _, m := range s.MachinesByName() {
 		lastRenewal := max(m.LastResponse, s.StartedAt)
-		if now <= lastRenewal+s.WorkerLeaseTimeout() {
-			continue
-		}
-		if !m.Reconciled {
-			m.Reconciled, s.SchedulingNeeded, s.TotalsValid = true, true, false
-		}
-		if m.Up {
-			// The worker's own clock has ended its epoch, so its tasks have stopped, and the epoch never
-			// gets another 200.
-			s.Log.Info("worker lease expired", "machine", m.Name, "tasks", len(m.Attempts))
-			m.Up, s.TotalsValid = false, false
-			m.FencedEpoch, m.Address = m.Epoch, ""
-			m.UnknownTasks = 0
-			for _, r := range m.AttemptsInOrder {
-				s.ReleaseAttempt(r)
-			}
-			s.BeginDrain(m, HeartbeatMissed)
+		if now > lastRenewal+s.WorkerLeaseTimeout() {
+			s.expireWorkerLease(m)
 		}
 	}
-	if len(s.RemovedMachines) > maxRemovedMachines {
-		for name, at := range s.RemovedMachines {
-			if now > at+8*config.Seconds(s.Config.Cloud.ListLagS)+s.workerLease() {
-				delete(s.RemovedMachines, name)
-			}
+	s.forgetRemovedMachines()
+}
+
+// expireWorkerLease fences a machine. Nothing of an earlier leader can run there any more, nor
+// anything that this leader started.
+func (s *State) expireWorkerLease(m *Machine) {
+	if !m.Reconciled {
+		m.Reconciled, s.SchedulingNeeded, s.TotalsValid = true, true, false
+	}
+	if !m.Up {
+		return
+	}
+	// The worker's own clock has ended its epoch, so its tasks have stopped, and the epoch never
+	// gets another 200.
+	s.Log.Info("worker lease expired", "machine", m.Name, "tasks", len(m.Attempts))
+	m.Up, s.TotalsValid = false, false
+	m.FencedEpoch, m.Address = m.Epoch, ""
+	m.UnknownTasks = 0
+	for _, attempt := range m.AttemptsInOrder {
+		s.ReleaseAttempt(attempt)
+	}
+	s.BeginDrain(m, HeartbeatMissed)
+}
+
+// forgetRemovedMachines discards names of removed machines that no delayed list can name any more,
+// once there are many.
+func (s *State) forgetRemovedMachines() {
+	if len(s.RemovedMachines) <= maxRemovedMachines {
+		return
+	}
+	retention := 8*config.Seconds(s.Config.Cloud.ListLagS) + s.workerLease()
+	for name, removedAt := range s.RemovedMachines {
+		if s.Clock.Now() > removedAt+retention {
+			delete(s.RemovedMachines, name)
 		}
 	}
 }
--- a/internal/cluster/totals.go
+++ b/internal/cluster/totals.go
@@ -20,6 +20,9 @@
 	UnreconciledTypeUnknown         bool                    // some of them have an unknown type
 }
 
+// unboundedUsage is the usage of machines whose size is unknown.
+var unboundedUsage = ResourceUsage{Cores: math.Inf(1), Accelerators: math.Inf(1)}
+
 // CurrentMachineTotals returns the totals, recomputed if a machine has changed.
 func (s *State) CurrentMachineTotals() MachineTotals {
 	if s.TotalsValid {
@@ -27,7 +30,8 @@
 	}
 	totals := MachineTotals{AllReconciled: true, UnreconciledOptions: map[fleet.Offering]bool{}}
 	if s.InventoryIncomplete() {
-		totals.AllReconciled, totals.UnreconciledTypeUnknown, totals.UnknownUsage = false, true, ResourceUsage{math.Inf(1), math.Inf(1)}
+		totals.AllReconciled, totals.UnreconciledTypeUnknown = false, true
+		totals.UnknownUsage = unboundedUsage
 	}
 	settings := s.Settings
 	for _, m := range s.MachinesByName() {
@@ -43,7 +47,7 @@
 				// The resources in use on a machine of an unknown type have no upper bound, so no quota has
 				// room. Counting them as zero let teams exceed their quota through machines of types no
 				// longer sold.
-				totals.UnknownUsage.Cores, totals.UnknownUsage.Accelerators = math.Inf(1), math.Inf(1)
+				totals.UnknownUsage = unboundedUsage
 			}
 			continue
 		}
--- a/internal/controller/flood_test.go
+++ b/internal/controller/flood_test.go
@@ -82,7 +82,7 @@
 	for round := range 300 {
 		var all, plain []*scheduler.QueuedJob
 		for i := range 1 + rng.IntN(30) {
-			j := &cluster.Job{Spec: spec(fmt.Sprintf("j-%d", i), 1), PendingTasks: rng.IntN(3)}
+			j := &cluster.Job{Spec: spec(fmt.Sprintf("j-%d", i), 1), TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
 			r := scheduler.QueuedJob{Job: j, Rank: []int{scheduler.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
 				Due: l.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
 			again := r
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -7,8 +7,6 @@
 
 	"hitchdoor/internal/cluster"
 
-	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -42,12 +40,7 @@
 		return nil
 	}
 	acceptedAt := min(l.node.instantFromUnixMilli(record.AcceptedAtMillis), l.node.now)
-	j := &cluster.Job{
-		Spec: record.Spec, AcceptedAt: acceptedAt, EligibleAt: acceptedAt, RecordVersion: version,
-		Attempts: map[int]*cluster.TaskAttempt{}, PendingTasks: record.Spec.TaskCount,
-		FailureHistories: map[int]*cluster.FailureHistory{}, FailedMachines: map[string]bool{},
-		PendingSince: l.node.now, ImageCheckedAt: clock.Never, Dependencies: cluster.NewDependencies(),
-	}
+	j := cluster.NewJob(record.Spec, acceptedAt, version, l.node.now)
 	l.layOutBitmap(j)
 	l.Jobs[id] = j
 	l.writer.SetModRevision(storage.JobKey(id), version)
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -92,7 +92,9 @@
 
 // scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
 // the check that stopped it.
-func (s *Scheduler) scheduleJob(j *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int) cluster.WaitReason {
+func (s *Scheduler) scheduleJob(
+	j *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int,
+) cluster.WaitReason {
 	if reason := s.checkJob(j, pass); reason != cluster.WaitNone {
 		return reason
 	}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -36,10 +36,16 @@
 
 func (c *candidateHeap) Less(i, j int) bool {
 	a, b := &c.entries[i], &c.entries[j]
-	return cmp.Or(cmp.Compare(a.drainPenalty, b.drainPenalty), cmp.Compare(a.loadStep, b.loadStep), cmp.Compare(a.fetchSeconds, b.fetchSeconds),
-		cmp.Compare(a.load, b.load), cmp.Compare(a.machine.Name, b.machine.Name)) < 0
+	return cmp.Or(
+		cmp.Compare(a.drainPenalty, b.drainPenalty),
+		cmp.Compare(a.loadStep, b.loadStep),
+		cmp.Compare(a.fetchSeconds, b.fetchSeconds),
+		cmp.Compare(a.load, b.load),
+		cmp.Compare(a.machine.Name, b.machine.Name),
+	) < 0
 }
 
+// Pop removes the last element, as container/heap requires.
 func (c *candidateHeap) Pop() any {
 	last := c.entries[len(c.entries)-1]
 	c.entries = c.entries[:len(c.entries)-1]
@@ -62,8 +68,10 @@
 		if avoidFailedMachines && j.FailedMachines[m.Name] {
 			continue
 		}
-		if (m.Schedulable() || m.IsLastResort() && s.mayUseLastResort(j)) && s.fitsBesideReservation(j, m) && cluster.Feasible(&j.Spec, m) &&
-			(m.HasImage(j.Spec.Image) || (mayFetch && j.Spec.ImageGB/m.MachineType.PullGBPerSecond <= maxFetch)) {
+		if !s.acceptsTask(m, j) {
+			continue
+		}
+		if m.HasImage(j.Spec.Image) || mayFetch && j.Spec.ImageGB/m.MachineType.PullGBPerSecond <= maxFetch {
 			candidates.entries = append(candidates.entries, candidates.score(m))
 		}
 	}
@@ -71,6 +79,12 @@
 	return candidates
 }
 
+// acceptsTask reports whether a machine may run a task of the job now, image aside.
+func (s *Scheduler) acceptsTask(m *cluster.Machine, j *cluster.Job) bool {
+	available := m.Schedulable() || m.IsLastResort() && s.mayUseLastResort(j)
+	return available && s.fitsBesideReservation(j, m) && cluster.Feasible(&j.Spec, m)
+}
+
 // maxFetchSeconds returns how long a task of the job may fetch its image. A job with a start
 // objective of seconds waits for a machine that has the image, if there is one, because a long
 // fetch elsewhere would miss the objective for certain; but it waits only for imageWaitPercent of
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -127,7 +127,9 @@
 // preemptFor preempts victims until the missing cores of a job are covered, on machines with the
 // job's image first. It sets the victims that it preempts to nil and adds up the cores reclaimed
 // from each team.
-func (s *Scheduler) preemptFor(j *cluster.Job, missingCores float64, victims []*cluster.TaskAttempt, reclaimedCores map[string]float64) {
+func (s *Scheduler) preemptFor(
+	j *cluster.Job, missingCores float64, victims []*cluster.TaskAttempt, reclaimedCores map[string]float64,
+) {
 	for _, withImage := range []bool{true, false} {
 		for i, victim := range victims {
 			if missingCores <= cluster.ResourceTolerance {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -44,8 +44,9 @@
 // LatencySensitiveWorkDelayed reports whether latency-sensitive work has waited longer than
 // borrowing allows.
 func (s *Scheduler) LatencySensitiveWorkDelayed(queue []QueuedJob) bool {
-	return slices.ContainsFunc(queue, func(r QueuedJob) bool {
-		return cluster.IsLatencySensitive(&r.Job.Spec) && s.Clock.Now()-r.Job.PendingSince > config.Seconds(s.Settings.BorrowWaitS)
+	patience := config.Seconds(s.Settings.BorrowWaitS)
+	return slices.ContainsFunc(queue, func(queued QueuedJob) bool {
+		return cluster.IsLatencySensitive(&queued.Job.Spec) && s.Clock.Now()-queued.Job.PendingSince > patience
 	})
 }
 
@@ -146,7 +147,10 @@
 func (h *workHeap) Push(x any) { *h = append(*h, x.(workHeapItem)) }
 
 func (h workHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[j].queued.RemainingCoreSeconds, h[i].queued.RemainingCoreSeconds), cmp.Compare(h[i].dueOrder, h[j].dueOrder)) < 0
+	return cmp.Or(
+		cmp.Compare(h[j].queued.RemainingCoreSeconds, h[i].queued.RemainingCoreSeconds),
+		cmp.Compare(h[i].dueOrder, h[j].dueOrder),
+	) < 0
 }
 
 // Pop removes the last element, as container/heap requires.
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -29,12 +29,7 @@
 // renewReservations updates the reservations after a full pass. It releases those no longer
 // needed and adds at most one, because the search for a machine examines all attempts.
 func (s *Scheduler) renewReservations() {
-	eligibleJobs := map[*cluster.Job]bool{}
-	for _, queued := range s.PendingOrder {
-		if queued.mayReserve && queued.Job.PendingTasks > 0 && queued.Job.BlockedBy == cluster.WaitCapacity && len(queued.Job.FailedMachines) == 0 {
-			eligibleJobs[queued.Job] = true
-		}
-	}
+	eligibleJobs := s.jobsEligibleForReservation()
 	schedulableMachines, reserved := 0, 0
 	for _, m := range s.MachinesByName() {
 		if m.Schedulable() {
@@ -49,18 +44,37 @@
 		}
 		reserved++
 	}
+	if reserved < max(1, schedulableMachines/reservedMachineDivisor) {
+		s.addReservation(eligibleJobs)
+	}
+}
+
+// jobsEligibleForReservation returns the jobs that have waited long and lack nothing but capacity.
+func (s *Scheduler) jobsEligibleForReservation() map[*cluster.Job]bool {
+	eligibleJobs := map[*cluster.Job]bool{}
 	for _, queued := range s.PendingOrder {
-		if reserved >= max(1, schedulableMachines/reservedMachineDivisor) {
-			return
+		j := queued.Job
+		if queued.mayReserve && j.PendingTasks > 0 && j.BlockedBy == cluster.WaitCapacity && len(j.FailedMachines) == 0 {
+			eligibleJobs[j] = true
 		}
+	}
+	return eligibleJobs
+}
+
+// addReservation reserves a machine for the first eligible job in queue order that has none and was
+// not tried a moment ago.
+func (s *Scheduler) addReservation(eligibleJobs map[*cluster.Job]bool) {
+	now := s.Clock.Now()
+	for _, queued := range s.PendingOrder {
 		j := queued.Job
-		if !eligibleJobs[j] || j.Reservation.Machine != nil || s.Clock.Now() < j.Reservation.SearchedAt+s.HeartbeatInterval() {
+		triedRecently := now < j.Reservation.SearchedAt+s.HeartbeatInterval()
+		if !eligibleJobs[j] || j.Reservation.Machine != nil || triedRecently {
 			continue
 		}
-		j.Reservation.SearchedAt = s.Clock.Now()
+		j.Reservation.SearchedAt = now
 		if m := s.machineWithEarliestRoom(j); m != nil {
 			j.Reservation.Machine, m.ReservedFor = m, j
-			s.Log.Debug("resource reservation made", "machine", m.Name, "job", j.Spec.ID, "age", s.Clock.Now()-j.EligibleAt)
+			s.Log.Debug("resource reservation made", "machine", m.Name, "job", j.Spec.ID, "age", now-j.EligibleAt)
 		}
 		return
 	}
