--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -188,21 +188,6 @@
 	contendedUntil    clock.Instant         // until then the submission rate is shared with other nodes
 }
 
-// peer is what this node knows of another controller.
-type peer struct {
-	name            string
-	lastContact     clock.Instant // last message of any kind
-	processID       uint64        // processID in its last heartbeat
-	knownNotLeading bool          // it has heard from this process and reported that it does not lead
-	uptime          time.Duration // its uptime in its last heartbeat
-	term            uint64
-	leading         bool
-	grantedUntil    clock.Instant // end of its lease grant to this node
-	protocolLevel   int           // protocol level of its version; 0: not announced
-	workerCapacity  peerCapacity
-	policyRevision  uint64 // latest revision of the admission policy that it has read
-}
-
 // Options are the dependencies and settings of a new Node.
 type Options struct {
 	Platform  *config.Platform
