--- a/internal/controller/candidacy.go
+++ b/internal/controller/candidacy.go
@@ -21,185 +21,166 @@
 	votesReadAt      clock.Instant // last read of votes from the key-value store
 }
 
-// readLeaderKey reads the leader key, and starts a candidacy when it is absent. The read also
-// checks that the key-value store answers this node.
-func (n *Node) readLeaderKey() {
-	election := &n.election
-	election.leaderKeyReadInFlight, election.leaderKeyReadAt = true, n.now
-	n.storeCall("GET", "/store/"+storage.LeaderKey, nil, func(result CallResult) {
-		election.leaderKeyReadInFlight = false
-		if n.leader != nil || election.candidacy != nil || n.draining {
-			return
-		}
-		switch result.Status {
-		case 200:
-			var item storage.Item
-			var record storage.Leader
-			if json.Unmarshal(result.Body, &item) != nil || json.Unmarshal(item.Value, &record) != nil {
-				return
-			}
-			election.candidacyAt, n.connectivity.leaderlessSince = clock.Never, clock.Never
-			if record.Node == n.cfg.Node && item.LeaseID != 0 {
-				// The key belongs to an earlier process of this node. That process has
-				// ended, as a node runs one process at a time: revoke its lease instead
-				// of waiting for it to expire.
-				n.storeCall("DELETE", "/holds/"+formatUint(item.LeaseID), nil,
-					func(CallResult) { election.leaderKeyReadAt = clock.Never })
-			}
-		case 404:
-			if n.connectivity.leaderlessSince == clock.Never {
-				n.connectivity.leaderlessSince = n.now
-			}
-			if n.twoWayPeerCount() < n.cfg.Cluster.ControllerCount/2 {
-				n.voteThroughStore()
-				return
-			}
-			n.startCandidacyInTurn()
-		}
-	})
-}
-
-// startCandidacyInTurn starts a candidacy once it is this node's turn. A random delay separates
-// the candidates. Nodes that restarted recently go first: in a rolling restart they will not be
-// restarted again.
-func (n *Node) startCandidacyInTurn() {
-	election := &n.election
-	if n.candidacyPaused() {
+// startCandidacyInTurn starts a candidacy once it is this node's turn.
+func (e *election) startCandidacyInTurn() {
+	if e.candidacyPaused() {
 		return
 	}
-	if election.isolated {
-		if n.recentPeerCount(n.leaderLease()) == 0 {
+	if e.isolated {
+		if e.recentPeerCount(e.leaderLease()) == 0 {
 			return
 		}
-		election.isolated = false
+		e.isolated = false
 	}
-	if election.candidacyAt == clock.Never {
-		turn := n.rng.Float64()
-		for _, p := range n.peers {
-			if n.now-p.lastContact < n.leaderLease() && p.uptime < n.now && p.uptime > clock.WithDrift(n.leaderLease()) {
-				turn++
-			}
-		}
-		election.candidacyAt = n.now + time.Duration(turn*float64(n.workerLease())/pollsPerLease)
+	now := e.host.Now()
+	if e.candidacyAt == clock.Never {
+		e.candidacyAt = now + e.candidacyDelay()
 		return
 	}
-	if n.now >= election.candidacyAt {
-		election.candidacyAt = clock.Never
-		n.startCandidacy()
+	if now >= e.candidacyAt {
+		e.candidacyAt = clock.Never
+		e.startCandidacy()
 	}
 }
 
-// startCandidacy raises the term by compare-and-set and then collects votes for it. The
-// transaction also requires that there is no leader key.
-func (n *Node) startCandidacy() {
-	election := &n.election
-	current := &candidacy{startedAt: n.now, votes: map[string]bool{}, votesRequestedAt: clock.Never, votesReadAt: n.now}
-	election.candidacy = current
-	n.readTerm(func(lastTerm storage.Term, version uint64, ok bool) {
-		if election.candidacy != current {
+// candidacyDelay returns the delay of this node's next candidacy. A random part separates the
+// candidates. Nodes that restarted recently go first: in a rolling restart they will not be
+// restarted again.
+func (e *election) candidacyDelay() time.Duration {
+	turn := e.rng.Float64()
+	for _, peer := range e.peers {
+		if e.recentlyHeard(peer) && peer.uptime < e.host.Now() && peer.uptime > clock.WithDrift(e.leaderLease()) {
+			turn++
+		}
+	}
+	return time.Duration(turn * float64(e.workerLease()) / leaderKeyReadsPerWorkerLease)
+}
+
+// startCandidacy raises the term by compare-and-set and then collects votes for it.
+func (e *election) startCandidacy() {
+	now := e.host.Now()
+	current := &candidacy{startedAt: now, votes: map[string]bool{}, votesRequestedAt: clock.Never, votesReadAt: now}
+	e.candidacy = current
+	e.readTerm(func(lastTerm storage.Term, version uint64, ok bool) {
+		if e.candidacy != current {
 			return
 		}
 		if !ok {
-			election.candidacy = nil
+			e.candidacy = nil
 			return
 		}
 		current.term = lastTerm.Term + 1
-		txn := storage.Txn{
-			Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: version}, {Key: storage.LeaderKey}},
-			Writes:     []storage.Write{storage.Put(storage.TermKey, storage.Term{Term: current.term, Node: n.cfg.Node})},
-		}
-		n.storeCall("POST", "/multi", txn, func(result CallResult) {
-			var txnResult storage.TxnResponse
-			if election.candidacy != current {
-				return
-			}
-			if result.Status != 200 || json.Unmarshal(result.Body, &txnResult) != nil {
-				// Lost, or the outcome is unclear. A term is never used unless it is known to
-				// be this node's; a later candidacy raises it again.
-				election.candidacy = nil
-				return
-			}
-			current.termVersion, current.requestingVotes = txnResult.Revision, true
-			n.tickCandidate()
-		})
+		e.raiseTerm(current, version)
 	})
 }
 
 // readTerm reads the last term and its version, both zero if there is none.
-func (n *Node) readTerm(onTerm func(term storage.Term, version uint64, ok bool)) {
-	n.storeCall("GET", "/store/"+storage.TermKey, nil, func(result CallResult) {
+func (e *election) readTerm(onTerm func(term storage.Term, version uint64, ok bool)) {
+	e.host.CallStore("GET", "/store/"+storage.TermKey, nil, func(response storeResponse) {
 		var item storage.Item
 		var term storage.Term
-		ok := result.Status == 404 ||
-			result.Status == 200 && json.Unmarshal(result.Body, &item) == nil &&
-				json.Unmarshal(item.Value, &term) == nil
+		ok := response.Status == 404 || response.decode(&item) && json.Unmarshal(item.Value, &term) == nil
 		onTerm(term, item.ModRevision, ok)
 	})
 }
 
+// raiseTerm writes the candidate's term over the last one, of the given version. The transaction
+// also requires that there is no leader key.
+func (e *election) raiseTerm(current *candidacy, lastVersion uint64) {
+	txn := storage.Txn{
+		Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: lastVersion}, {Key: storage.LeaderKey}},
+		Writes:     []storage.Write{storage.Put(storage.TermKey, storage.Term{Term: current.term, Node: e.node})},
+	}
+	e.host.CallStore("POST", "/multi", txn, func(response storeResponse) {
+		var result storage.TxnResponse
+		if e.candidacy != current {
+			return
+		}
+		if !response.decode(&result) {
+			// Lost, or the outcome is unclear. A term is never used unless it is known to
+			// be this node's; a later candidacy raises it again.
+			e.candidacy = nil
+			return
+		}
+		current.termVersion, current.requestingVotes = result.Revision, true
+		e.tickCandidate()
+	})
+}
+
 // tickCandidate sends vote requests and takes the leader key once a quorum has voted. The
 // candidacy ends after the span of one leader lease.
-func (n *Node) tickCandidate() {
-	election := &n.election
-	current := election.candidacy
-	if n.now > current.startedAt+n.leaderLease() {
-		election.candidacy = nil
+func (e *election) tickCandidate() {
+	current, now := e.candidacy, e.host.Now()
+	if now > current.startedAt+e.leaderLease() {
+		e.candidacy = nil
 		return
 	}
 	if !current.requestingVotes {
 		return
 	}
-	if n.freeToVote() && len(current.votes) >= n.cfg.Cluster.ControllerCount/2 {
+	// This node's own vote counts as well, so a lease grant binds it like any voter.
+	if e.freeToVote() && len(current.votes) >= e.peersInQuorum() {
 		current.requestingVotes = false
-		election.votedTerm = max(election.votedTerm, current.term)
-		n.acquireLeaderKey(current)
+		e.votedTerm = max(e.votedTerm, current.term)
+		e.requestLeaderLease(current)
 		return
 	}
-	if n.now > current.votesReadAt+n.workerLease()/pollsPerLease {
-		n.readStoredVotes(current)
+	if now > current.votesReadAt+e.leaderKeyReadInterval() {
+		e.readStoredVotes(current)
 	}
-	if current.votesRequestedAt == clock.Never || n.now > current.votesRequestedAt+n.workerLease()/peerHeartbeatsPerLease {
-		current.votesRequestedAt = n.now
-		n.broadcast(protocol.VoteRequest{Term: current.term})
+	if current.votesRequestedAt == clock.Never || now > current.votesRequestedAt+e.peerHeartbeatInterval() {
+		e.requestVotes(current)
 	}
 }
 
-// acquireLeaderKey creates a lease and sets the leader key on it, provided that there is no
-// leader and the term is still this candidate's. On success this node leads.
-func (n *Node) acquireLeaderKey(current *candidacy) {
-	election := &n.election
-	sent := n.now
-	ttl := n.leaderLease()
-	n.storeCall("POST", "/holds", storage.Lease{TTLMillis: ttl.Milliseconds()}, func(result CallResult) {
-		var hold storage.Lease
-		if election.candidacy != current {
+// requestVotes sends a vote request to every peer.
+func (e *election) requestVotes(current *candidacy) {
+	current.votesRequestedAt = e.host.Now()
+	for _, name := range e.peerNames {
+		e.host.SendMessage(name, protocol.VoteRequest{Term: current.term})
+	}
+}
+
+// requestLeaderLease creates the lease of the leader key and then takes the key.
+func (e *election) requestLeaderLease(current *candidacy) {
+	requestedAt := e.host.Now()
+	request := storage.Lease{TTLMillis: e.leaderLease().Milliseconds()}
+	e.host.CallStore("POST", "/holds", request, func(response storeResponse) {
+		var lease storage.Lease
+		if e.candidacy != current {
 			return
 		}
-		if result.Status != 200 || json.Unmarshal(result.Body, &hold) != nil {
-			election.candidacy = nil
+		if !response.decode(&lease) {
+			e.candidacy = nil
 			return
 		}
-		leaderWrite := storage.Put(storage.LeaderKey, storage.Leader{Node: n.cfg.Node, Term: current.term})
-		leaderWrite.LeaseID = hold.ID
-		txn := storage.Txn{
-			Conditions: []storage.Condition{{Key: storage.LeaderKey}, {Key: storage.TermKey, ModRevision: current.termVersion}},
-			Writes:     []storage.Write{leaderWrite},
+		e.takeLeaderKey(current, lease.ID, requestedAt)
+	})
+}
+
+// takeLeaderKey sets the leader key on a lease, provided that there is no leader and the term is
+// still this candidate's. On success this node leads.
+func (e *election) takeLeaderKey(current *candidacy, leaseID uint64, leaseRequestedAt clock.Instant) {
+	leaderWrite := storage.Put(storage.LeaderKey, storage.Leader{Node: e.node, Term: current.term})
+	leaderWrite.LeaseID = leaseID
+	txn := storage.Txn{
+		Conditions: []storage.Condition{{Key: storage.LeaderKey}, {Key: storage.TermKey, ModRevision: current.termVersion}},
+		Writes:     []storage.Write{leaderWrite},
+	}
+	e.host.CallStore("POST", "/multi", txn, func(response storeResponse) {
+		var result storage.TxnResponse
+		if e.candidacy != current {
+			return
+		}
+		e.candidacy = nil
+		if !response.decode(&result) {
+			// If it was executed nevertheless, the key names this node, and
+			// revokeEarlierLease revokes its lease.
+			return
+		}
+		if e.host.Now() >= leaseRequestedAt+safeLeaseSpan(e.leaderLease()) {
+			return
 		}
-		n.storeCall("POST", "/multi", txn, func(result CallResult) {
-			var txnResult storage.TxnResponse
-			if election.candidacy != current {
-				return
-			}
-			election.candidacy = nil
-			if result.Status != 200 || json.Unmarshal(result.Body, &txnResult) != nil {
-				// If it was executed nevertheless, the key names this node, and
-				// readLeaderKey revokes its lease.
-				return
-			}
-			if n.now >= sent+safeLeaseSpan(ttl) {
-				return
-			}
-			n.becomeLeader(current.term, txnResult.Revision, hold.ID, sent)
-		})
+		e.becomeLeader(current.term, result.Revision, leaseID, leaseRequestedAt)
 	})
 }
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -14,16 +14,10 @@
 // Connectivity between controllers, by direction, and the reaction to asymmetric partitions.
 // Package reachability evaluates the reports; this file collects them and acts on the result.
 
-// connectivity is what a node knows of the links between all controllers, and its record of
-// resignations caused by them.
+// connectivity is what a node knows of the links between all controllers.
 type connectivity struct {
 	matrix              *reachability.Matrix
 	invalidReportLogged map[string]bool // peers whose invalid reports were logged
-
-	consecutiveResignations int           // consecutive ones, each within resignationMemoryLeases of the previous
-	lastResignation         clock.Instant // last resignation
-	candidacyPausedUntil    clock.Instant // this node starts no candidacy before
-	leaderlessSince         clock.Instant // since when the leader key is absent; never: it was present
 }
 
 // Time spans of these decisions, in worker leases.
@@ -45,8 +39,7 @@
 	for name := range peers {
 		names = append(names, name)
 	}
-	return connectivity{matrix: reachability.NewMatrix(names), invalidReportLogged: map[string]bool{},
-		lastResignation: clock.Never, candidacyPausedUntil: clock.Never, leaderlessSince: clock.Never}
+	return connectivity{matrix: reachability.NewMatrix(names), invalidReportLogged: map[string]bool{}}
 }
 
 // workerLeases converts a number of worker leases to a duration.
@@ -153,23 +146,25 @@
 	return false
 }
 
-// resignIfWorkersStranded makes a leader resign if another node would serve more workers. That is
-// the case if workers are stranded at another node and either this leader has served none for one
-// worker lease, or the stranded ones have clearly outnumbered those served here for as long.
-func (n *Node) resignIfWorkersStranded() {
+// resignReason returns why this leader should resign in favour of another node that would serve
+// more workers, or "" if there is none. That is the case if workers are stranded at another node and
+// either this leader has served none for one worker lease, or the stranded ones have clearly
+// outnumbered those served here for as long.
+func (n *Node) resignReason() string {
 	current := n.leader
 	successor := n.connectivity.matrix.Successor(n.cfg.Node, n.now, n.leaderLease())
 	if !n.settings.LinkDecisions || successor.Workers == 0 {
 		current.lastServedMajority = n.now
-		return // the common case: don't iterate over all machines
+		return "" // the common case: don't iterate over all machines
 	}
 	if successor.Workers <= strandedMajorityFactor*current.recentlyServedWorkers() {
 		current.lastServedMajority = n.now
 	}
 	patience := n.workerLeases(strandedResignLeases)
 	if n.now-current.lastDelivery >= patience || n.now-current.lastServedMajority >= patience {
-		n.resign("workers stranded at " + successor.Node)
+		return "workers stranded at " + successor.Node
 	}
+	return ""
 }
 
 // strandedMajorityFactor is the ratio of workers stranded elsewhere to those served here above
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -1,11 +1,16 @@
 package controller
 
 import (
+	"math/rand/v2"
+
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 )
 
-// election is the state of leader election on one node.
+// election is the state of leader election on one node. It is a pure step on the time, on the
+// messages of peers and on the responses of the key-value store: its owner drives it with them, and
+// it acts through its host.
 //
 // The leader holds the leader key, which is attached to a lease of the key-value store. The
 // leader lease counts from when its last renewal was sent. While the store is down, leases do
@@ -14,73 +19,123 @@
 // Both mechanisms exclude each other: besides the keys, a candidate needs votes from a quorum
 // that is bound by no grant, and a peer that has voted for a candidate grants nothing to leaders
 // of lower terms.
+//
+// A controller may be stopped between any two steps, and between a decision and its effect, while
+// its clocks run on. Therefore each step takes the time anew and checks the leader lease before it
+// answers or commands, and a renewal, a grant or a vote counts from when it was requested.
 type election struct {
-	// availability of the key-value store
-	storeOK                  clock.Instant // last response other than an error
-	storeFailed              clock.Instant // last 429, 5xx or missing response
-	consecutiveStoreFailures int           // consecutive failures
+	node      string // name of this node
+	processID uint64 // distinguishes this process from earlier ones of the same node
+	timing
+	rng  *rand.Rand
+	host electionHost
+
+	storeAvailability
+	peerTable
+	heartbeatSentAt clock.Instant // last heartbeat to the peers
 
-	leaderKeyReadAt       clock.Instant // last read of the leader key
-	leaderKeyReadInFlight bool
-	heartbeatSentAt       clock.Instant // last heartbeat to the peers
-	isolated              bool          // no candidacy until a peer is heard: this node was isolated
-	candidacyAt           clock.Instant // start of the next candidacy; never: not scheduled
-	candidacy             *candidacy
+	// as a follower or a candidate
+	leaderKey   leaderKeyState
+	draining    bool // this node starts no more candidacies
+	isolated    bool // no candidacy until a peer is heard: this node was isolated
+	pause       candidacyPause
+	candidacyAt clock.Instant // start of the next candidacy; never: not scheduled
+	candidacy   *candidacy    // nil: not a candidate
 
 	// as a peer
 	grantedTerm  uint64
-	grantedUntil clock.Instant
+	grantedUntil clock.Instant // end of the last lease grant of this node
 	votedTerm    uint64
 
-	// as a leader
-	leaderLeaseID   uint64        // lease of the leader key in the store
-	leaseValidUntil clock.Instant // end of the leader lease, without grants
-	renewalSentAt   clock.Instant // last renewal sent
-	renewalInFlight bool
-	renewalFailed   bool // the last renewal failed: ask for grants
+	leadership *leadership // nil: this node does not lead
+}
+
+// electionOptions are the settings and dependencies of an election.
+type electionOptions struct {
+	Node      string
+	ProcessID uint64   // not 0, which means unknown
+	Peers     []string // names of the other controllers
+	Cluster   *config.Cluster
+	Rand      *rand.Rand
+	Host      electionHost
 }
 
 // newElection returns the state of a node that has just started.
-func newElection() election {
-	return election{storeOK: clock.Never, storeFailed: clock.Never, leaderKeyReadAt: clock.Never, heartbeatSentAt: clock.Never,
-		candidacyAt:  clock.Never,
-		grantedUntil: clock.Never, leaseValidUntil: clock.Never, renewalSentAt: clock.Never}
+func newElection(options electionOptions) *election {
+	spans := timing{options.Cluster}
+	return &election{
+		node: options.Node, processID: options.ProcessID,
+		timing: spans, rng: options.Rand, host: options.Host,
+		storeAvailability: newStoreAvailability(),
+		peerTable:         newPeerTable(options.Peers, spans, options.Host),
+		heartbeatSentAt:   clock.Never,
+		leaderKey:         leaderKeyState{readAt: clock.Never, absentSince: clock.Never},
+		pause:             candidacyPause{lastResignation: clock.Never, until: clock.Never},
+		candidacyAt:       clock.Never,
+		grantedUntil:      clock.Never,
+	}
 }
 
-// tickElection sends the periodic heartbeat to the peers and advances the role of this node:
-// leader, candidate or follower.
-func (n *Node) tickElection() {
-	election := &n.election
-	if n.now >= election.heartbeatSentAt+n.workerLease()/peerHeartbeatsPerLease || election.heartbeatSentAt == clock.Never {
-		election.heartbeatSentAt = n.now
-		heartbeat := protocol.PeerHeartbeat{SentAt: n.now, Uptime: n.now, ProcessID: n.processID, VersionLevel: protocolLevel,
-			WritesThrottled: n.writesThrottled, ConnectionsFull: n.connections.full, SpareConnections: n.connections.spareConnections(),
-			Links: n.connectivityReport(), PolicyRevision: n.admissionPolicy.revision}
-		if n.leader != nil {
-			heartbeat.Term, heartbeat.IsLeader, heartbeat.WantsLeaseGrant =
-				n.leader.term, n.holdsLeaderLease(), election.renewalFailed
-			if n.leader.needsRelays() {
-				heartbeat.ConnectionsFull, heartbeat.SpareConnections = true, 0
-				if n.leader.probesDirectRoute() {
-					heartbeat.ConnectionsFull, heartbeat.SpareConnections = false, len(n.peers) // one worker from each peer
-				}
-			}
-		}
-		for _, k := range n.cfg.Peers {
-			heartbeat.ReceiverProcessID = n.peers[k.Node].processID
-			n.send(k.Node, heartbeat)
-		}
+// tick sends the periodic heartbeat to the peers and advances the role of this node: leader,
+// candidate or follower.
+func (e *election) tick() {
+	now := e.host.Now()
+	if e.heartbeatSentAt == clock.Never || now >= e.heartbeatSentAt+e.peerHeartbeatInterval() {
+		e.sendHeartbeats()
+	}
+	switch {
+	case e.leadership != nil:
+		e.tickLeader()
+	case e.candidacy != nil:
+		e.tickCandidate()
+	case !e.draining && e.leaderKey.readDue(now, e.leaderKeyReadInterval()):
+		e.readLeaderKey()
 	}
-	if n.leader != nil {
-		n.tickLeader()
-		return
+}
+
+// handleMessage records that a peer was heard, and handles the message if it belongs to the
+// election. The peer must be one of the configured ones.
+func (e *election) handleMessage(from string, message protocol.PeerMessage) {
+	sender := e.peers[from]
+	sender.lastContact = e.host.Now()
+	switch message := message.(type) {
+	case protocol.PeerHeartbeat:
+		e.onPeerHeartbeat(sender, message)
+	case protocol.LeaseGrant:
+		e.onLeaseGrant(sender, message)
+	case protocol.VoteRequest:
+		e.onVoteRequest(sender, message)
+	case protocol.Vote:
+		e.onVote(sender, message)
 	}
-	if election.candidacy != nil {
-		n.tickCandidate()
-		return
+}
+
+// drain ends this node's candidacy and its term as the leader. It starts no more candidacies.
+func (e *election) drain() {
+	e.draining = true
+	e.candidacy = nil
+	e.stepDown("shutting down")
+}
+
+// electionStatus is the state of an election for diagnostics.
+type electionStatus struct {
+	IsCandidate     bool
+	Votes           []string // peers that voted for this candidate, in no order
+	Isolated        bool     // no candidacy until a peer is heard
+	LeaseValidUntil clock.Instant
+}
+
+// status returns the state of the election for diagnostics.
+func (e *election) status() electionStatus {
+	status := electionStatus{Isolated: e.isolated, LeaseValidUntil: clock.Never}
+	if e.candidacy != nil {
+		status.IsCandidate = true
+		for name := range e.candidacy.votes {
+			status.Votes = append(status.Votes, name)
+		}
 	}
-	if !n.draining && !election.leaderKeyReadInFlight &&
-		(election.leaderKeyReadAt == clock.Never || n.now >= election.leaderKeyReadAt+n.workerLease()/pollsPerLease) {
-		n.readLeaderKey()
+	if e.leadership != nil {
+		status.LeaseValidUntil = e.leadership.leaseValidUntil
 	}
+	return status
 }
--- /dev/null
+++ b/internal/controller/election_adapter.go
@@ -0,0 +1,97 @@
+package controller
+
+import (
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/protocol"
+)
+
+// startElection creates the election and the records of the peers.
+func (n *Node) startElection() {
+	names := make([]string, 0, len(n.cfg.Peers))
+	for _, known := range n.cfg.Peers {
+		names = append(names, known.Node)
+	}
+	n.election = newElection(electionOptions{Node: n.cfg.Node, ProcessID: n.processID, Peers: names,
+		Cluster: &n.cfg.Cluster, Rand: n.rng, Host: electionAdapter{n}})
+	for _, name := range names {
+		n.peers[name] = &peer{electionPeer: n.election.peer(name)}
+	}
+}
+
+// holdsLeaderLease reports whether this node may act as the leader.
+func (n *Node) holdsLeaderLease() bool { return n.election.holdsLeaderLease() }
+
+// leaderLease returns the duration of the leader lease.
+func (n *Node) leaderLease() time.Duration { return n.election.leaderLease() }
+
+// stepDown ends this node's term as the leader.
+func (n *Node) stepDown(reason string) { n.election.stepDown(reason) }
+
+// electionAdapter gives the election access to its node.
+type electionAdapter struct{ node *Node }
+
+// Now returns the time of the current step.
+func (a electionAdapter) Now() clock.Instant { return a.node.now }
+
+// CallStore sends a request to the key-value store.
+func (a electionAdapter) CallStore(method, path string, body any, onResponse func(storeResponse)) {
+	a.node.storeCall(method, path, body, func(result CallResult) {
+		onResponse(storeResponse{Status: result.Status, Body: result.Body})
+	})
+}
+
+// SendMessage sends a message to a peer.
+func (a electionAdapter) SendMessage(to string, message protocol.PeerMessage) {
+	a.node.send(to, message)
+}
+
+// DescribeController sets what peers need to know of this node apart from the election. A leader
+// that workers can't reach claims to have no spare connections, so that its peers relay for
+// them, except while it probes the direct route.
+func (a electionAdapter) DescribeController(heartbeat *protocol.PeerHeartbeat) {
+	node := a.node
+	heartbeat.VersionLevel = protocolLevel
+	heartbeat.WritesThrottled = node.writesThrottled
+	heartbeat.ConnectionsFull = node.connections.full
+	heartbeat.SpareConnections = node.connections.spareConnections()
+	heartbeat.Links = node.connectivityReport()
+	heartbeat.PolicyRevision = node.admissionPolicy.revision
+	if node.leader == nil || !node.leader.needsRelays() {
+		return
+	}
+	heartbeat.ConnectionsFull, heartbeat.SpareConnections = true, 0
+	if node.leader.probesDirectRoute() {
+		heartbeat.ConnectionsFull, heartbeat.SpareConnections = false, len(node.peers) // one worker from each peer
+	}
+}
+
+// TwoWayPeerCount returns the number of peers with which messages pass in both directions.
+func (a electionAdapter) TwoWayPeerCount() int { return a.node.twoWayPeerCount() }
+
+// BecameLeader creates the leader state of a term and begins to load the records.
+func (a electionAdapter) BecameLeader(term, leaderKeyVersion uint64) {
+	node := a.node
+	node.log.Info("became leader", "term", term)
+	node.leader = newLeader(node, term, leaderKeyVersion)
+	node.leader.loadRecords()
+}
+
+// LeaderCondition returns whether this leader should go on to lead.
+func (a electionAdapter) LeaderCondition() leaderCondition {
+	current := a.node.leader
+	condition := leaderCondition{LastWorkerHeartbeat: current.lastWorkerHeartbeat, ResignReason: a.node.resignReason()}
+	if current.attemptCounter >= maxAttemptCounter {
+		condition.StepDownReason = "attempt numbers exhausted"
+	}
+	return condition
+}
+
+// SteppedDown discards the leader state.
+func (a electionAdapter) SteppedDown(reason string) {
+	node := a.node
+	node.log.Info("stepped down", "term", node.leader.term, "reason", reason)
+	node.leader.rejectWaitingRequests()
+	node.leader = nil
+}
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -103,7 +104,7 @@
 			t.Fatal("voted right after a restart")
 		}
 	}
-	n.election.storeFailed = step
+	n.election.recordStoreResponse(step, 503)
 	out = n.Step(2*step, []any{InboundMessage{From: first.name, Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
 	for _, e := range out {
 		if says[protocol.LeaseGrant](e) {
@@ -372,8 +373,7 @@
 		w.run(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
 		delete(w.state.refuse, voter) // its grant is the last one
 		asks := func() bool {
-			c := w.nodes[candidate].election.candidacy
-			return c != nil && c.votes[returning]
+			return slices.Contains(w.nodes[candidate].election.status().Votes, returning)
 		}
 		if w.until(old.leaderLease(), asks) {
 			w.back(returning, 20*time.Millisecond)
@@ -409,7 +409,7 @@
 	}
 	sent := now
 	l.Step(sent+l.storeTimeout()*9/10, []any{CallResult{ID: renewal.ID, Status: 200}})
-	if until := l.election.leaseValidUntil; until != sent+safeLeaseSpan(l.leaderLease()) {
+	if until := l.election.status().LeaseValidUntil; until != sent+safeLeaseSpan(l.leaderLease()) {
 		t.Errorf("authority until %v after a renewal sent at %v", until, sent)
 	}
 }
@@ -432,3 +432,40 @@
 		})
 	}
 }
+
+// agreeingStore is the host of an election whose key-value store has no leader key and answers
+// each request of a candidate with success. It has a clock of its own.
+type agreeingStore struct {
+	electionAdapter
+	now      clock.Instant
+	lastTerm uint64
+}
+
+func (h *agreeingStore) Now() clock.Instant { return h.now }
+
+func (h *agreeingStore) CallStore(_, path string, _ any, onResponse func(storeResponse)) {
+	switch path {
+	case "/store/" + storage.TermKey:
+		term := storage.Encode(storage.Term{Term: h.lastTerm})
+		onResponse(storeResponse{Status: 200, Body: storage.Encode(storage.Item{Value: term})})
+	case "/holds":
+		onResponse(storeResponse{Status: 200, Body: storage.Encode(storage.Lease{ID: 1})})
+	case "/multi":
+		onResponse(storeResponse{Status: 200, Body: storage.Encode(storage.TxnResponse{})})
+	default:
+		onResponse(storeResponse{Status: 404})
+	}
+}
+
+// forceLeadership makes a node the leader of a term, whoever else leads: in place of its election
+// comes one without peers, at a store that agrees to everything.
+func forceLeadership(n *Node, term uint64) {
+	host := &agreeingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
+	alone := n.cfg.Cluster
+	alone.ControllerCount = 1
+	n.election = newElection(electionOptions{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone, Rand: n.rng, Host: host})
+	for !n.holdsLeaderLease() {
+		host.now += step
+		n.election.tick()
+	}
+}
--- /dev/null
+++ b/internal/controller/host.go
@@ -0,0 +1,60 @@
+package controller
+
+import (
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/protocol"
+
+	"github.com/segmentio/encoding/json"
+)
+
+// timeSource tells the time.
+type timeSource interface {
+	// Now returns the time of the current step.
+	Now() clock.Instant
+}
+
+// electionHost is what an election needs from the controller that owns it.
+type electionHost interface {
+	// Now returns the time of the current step.
+	Now() clock.Instant
+	// CallStore sends a request to the key-value store and passes the response to onResponse in a
+	// later step. Before that, the host records the response as it does with all others of the
+	// store, so that the election knows whether the store answers this node.
+	CallStore(method, path string, body any, onResponse func(storeResponse))
+	// SendMessage sends a message to a peer.
+	SendMessage(to string, message protocol.PeerMessage)
+	// DescribeController sets the fields of a heartbeat that are not the election's.
+	DescribeController(heartbeat *protocol.PeerHeartbeat)
+	// TwoWayPeerCount returns the number of peers with which messages pass in both directions.
+	TwoWayPeerCount() int
+	// BecameLeader tells that this node leads a term. Every write of the term must be conditioned
+	// on the version of the leader key.
+	BecameLeader(term, leaderKeyVersion uint64)
+	// LeaderCondition returns the state of the controller as the leader. It is called while this
+	// node leads.
+	LeaderCondition() leaderCondition
+	// SteppedDown tells that this node does not lead any longer, and why.
+	SteppedDown(reason string)
+}
+
+// storeResponse is the response of the key-value store to a request. Status 0 means that no usable
+// response arrived; the request may have been executed, or may be later.
+type storeResponse struct {
+	Status int
+	Body   []byte
+}
+
+// decode decodes the body of a successful response. It reports whether there is one.
+func (r storeResponse) decode(value any) bool {
+	return r.Status == 200 && json.Unmarshal(r.Body, value) == nil
+}
+
+// ignoreResponse handles the response to a request on whose outcome nothing depends.
+func ignoreResponse(storeResponse) {}
+
+// leaderCondition is the state of a leader that decides whether it should go on to lead.
+type leaderCondition struct {
+	StepDownReason      string        // why the term can't go on; empty: it can
+	LastWorkerHeartbeat clock.Instant // last heartbeat of any worker
+	ResignReason        string        // why another node should lead for some time; empty: none should
+}
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -494,7 +494,7 @@
 		"two leaders": func(w *simulation) {
 			for _, n := range w.nodes {
 				if n.leader == nil {
-					n.becomeLeader(99, 0, 0, n.now)
+					forceLeadership(n.Node, 99)
 				}
 			}
 			w.check()
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -1,102 +1,137 @@
 package controller
 
 import (
+	"strconv"
 	"time"
 
 	"hitchdoor/internal/clock"
 )
 
-// leaderLease returns the duration of the leader lease and of a peer's lease grant.
-func (n *Node) leaderLease() time.Duration { return n.workerLease() / leaderLeasesPerWorkerLease }
+// leadership is the state of this node's term as the leader.
+type leadership struct {
+	term            uint64
+	startedAt       clock.Instant
+	leaseID         uint64                   // lease of the leader key in the store
+	leaseValidUntil clock.Instant            // end of the leader lease, without grants
+	grantedUntil    map[string]clock.Instant // end of each peer's lease grant
+	renewalSentAt   clock.Instant            // last renewal sent
+	renewalInFlight bool
+	renewalFailed   bool // the last renewal failed: ask for grants
+}
+
+// newLeadership returns the state of a term that begins now, with a lease that was requested at an
+// earlier instant.
+func (e *election) newLeadership(term, leaseID uint64, requestedAt clock.Instant) *leadership {
+	started := &leadership{
+		term: term, startedAt: e.host.Now(), leaseID: leaseID,
+		leaseValidUntil: requestedAt + safeLeaseSpan(e.leaderLease()),
+		grantedUntil:    make(map[string]clock.Instant, len(e.peers)),
+		renewalSentAt:   requestedAt,
+	}
+	for name := range e.peers {
+		started.grantedUntil[name] = clock.Never
+	}
+	return started
+}
+
+// renewalDue reports whether it is time to renew the leader lease.
+func (l *leadership) renewalDue(now clock.Instant, leaderLease time.Duration) bool {
+	return !l.renewalInFlight && now >= l.renewalSentAt+leaderLease/renewalsPerLeaderLease
+}
+
+// Fractions of a lease by which a leader acts.
+const (
+	renewalsPerLeaderLease = 4
+	// isolationPerWorkerLease is the fraction of a worker lease after which a leader that hears
+	// neither peers nor workers steps down.
+	isolationPerWorkerLease = 4
+)
 
 // holdsLeaderLease reports whether this node may act as the leader: by its own lease in the
 // store, or by the lease grants of a quorum.
-func (n *Node) holdsLeaderLease() bool {
-	if n.leader == nil {
+func (e *election) holdsLeaderLease() bool {
+	if e.leadership == nil {
 		return false
 	}
-	return n.now < n.election.leaseValidUntil || n.now < n.quorumLeaseUntil()
+	now := e.host.Now()
+	return now < e.leadership.leaseValidUntil || now < e.leadership.quorumLeaseUntil(e.peersInQuorum())
 }
 
-// safeLeaseSpan returns how long a lease of the key-value store, or a lease grant of a peer, is
-// guaranteed to hold by this node's clock.
-func safeLeaseSpan(span time.Duration) time.Duration { return span - span/500 - time.Millisecond }
+// leasePath returns the path of a lease in the key-value store.
+func leasePath(id uint64) string { return "/holds/" + strconv.FormatUint(id, 10) }
 
-// becomeLeader starts a term as the leader and begins to load the records. The leader lease
-// counts from when it was requested.
-func (n *Node) becomeLeader(term, leaderKeyVersion, leaseID uint64, sent clock.Instant) {
-	election := &n.election
-	election.leaderLeaseID, election.leaseValidUntil, election.renewalInFlight, election.renewalFailed =
-		leaseID, sent+safeLeaseSpan(n.leaderLease()), false, false
-	election.renewalSentAt = sent
-	for _, p := range n.peers {
-		p.grantedUntil = clock.Never
-	}
-	n.log.Info("became leader", "term", term)
-	n.connectivity.leaderlessSince = clock.Never
-	n.leader = newLeader(n, term, leaderKeyVersion)
-	n.leader.loadRecords()
-	election.heartbeatSentAt = clock.Never
+// becomeLeader starts a term as the leader. The leader lease counts from when it was requested:
+// counted from the response, a delayed response would extend it beyond its end in the store.
+func (e *election) becomeLeader(term, leaderKeyVersion, leaseID uint64, requestedAt clock.Instant) {
+	e.leadership = e.newLeadership(term, leaseID, requestedAt)
+	e.leaderKey.absentSince = clock.Never
+	e.host.BecameLeader(term, leaderKeyVersion)
+	e.heartbeatSentAt = clock.Never
 }
 
-// stepDown ends this node's term as the leader, revokes its lease and discards the leader state.
-func (n *Node) stepDown(reason string) {
-	if n.leader == nil {
+// stepDown ends this node's term as the leader and revokes its lease.
+func (e *election) stepDown(reason string) {
+	ended := e.leadership
+	if ended == nil {
 		return
 	}
-	n.log.Info("stepped down", "term", n.leader.term, "reason", reason)
-	n.leader.rejectWaitingRequests()
-	n.leader = nil
-	election := &n.election
-	if election.leaderLeaseID != 0 {
-		n.storeCall("DELETE", "/holds/"+formatUint(election.leaderLeaseID), nil, func(CallResult) {})
+	e.leadership = nil
+	e.host.SteppedDown(reason)
+	if ended.leaseID != 0 {
+		e.host.CallStore("DELETE", leasePath(ended.leaseID), nil, ignoreResponse)
 	}
-	election.leaderLeaseID, election.leaseValidUntil, election.leaderKeyReadAt, election.heartbeatSentAt =
-		0, clock.Never, n.now, clock.Never
+	e.leaderKey.readAt = e.host.Now()
+	e.heartbeatSentAt = clock.Never
 }
 
 // tickLeader steps down if this node should not lead any longer, and renews its lease.
-func (n *Node) tickLeader() {
-	election := &n.election
-	if !n.holdsLeaderLease() {
-		n.stepDown("leader lease expired")
+func (e *election) tickLeader() {
+	if !e.holdsLeaderLease() {
+		e.stepDown("leader lease expired")
 		return
 	}
-	if n.leader.attemptCounter >= maxAttemptCounter {
-		n.stepDown("attempt numbers exhausted")
-		return
+	condition := e.host.LeaderCondition()
+	switch {
+	case condition.StepDownReason != "":
+		e.stepDown(condition.StepDownReason)
+	case e.leaderIsolated(condition.LastWorkerHeartbeat):
+		e.isolated = true
+		e.stepDown("isolated from peers and workers")
+	case condition.ResignReason != "":
+		e.resign(condition.ResignReason)
+	case e.leadership.renewalDue(e.host.Now(), e.leaderLease()):
+		e.renewLease()
 	}
-	// A leader that hears neither peers nor workers is isolated from everything but the
-	// key-value store. As long as it renewed its lease, no other node could take over.
-	span := n.workerLease() / 4
-	if len(n.peers) > 0 && n.now-n.leader.StartedAt > span &&
-		n.recentPeerCount(span) == 0 && n.now-n.leader.lastWorkerHeartbeat > span {
-		election.isolated = true
-		n.stepDown("isolated from peers and workers")
-		return
-	}
-	if n.resignIfWorkersStranded(); n.leader == nil {
-		return
-	}
-	if election.renewalInFlight || n.now < election.renewalSentAt+n.leaderLease()/4 {
-		return
-	}
-	election.renewalInFlight, election.renewalSentAt = true, n.now
-	sent, renewingLeader := n.now, n.leader
-	n.storeCall("POST", "/holds/"+formatUint(election.leaderLeaseID)+"/touch", nil, func(result CallResult) {
-		if n.leader != renewingLeader {
+}
+
+// leaderIsolated reports whether this leader hears neither peers nor workers: it is isolated from
+// everything but the key-value store. As long as it renewed its lease, no other node could take
+// over.
+func (e *election) leaderIsolated(lastWorkerHeartbeat clock.Instant) bool {
+	now, span := e.host.Now(), e.workerLease()/isolationPerWorkerLease
+	return len(e.peers) > 0 && now-e.leadership.startedAt > span &&
+		e.recentPeerCount(span) == 0 && now-lastWorkerHeartbeat > span
+}
+
+// renewLease renews the lease of the leader key. The leader lease counts from when the renewal is
+// sent, see becomeLeader.
+func (e *election) renewLease() {
+	current, sentAt := e.leadership, e.host.Now()
+	current.renewalInFlight, current.renewalSentAt = true, sentAt
+	e.host.CallStore("POST", leasePath(current.leaseID)+"/touch", nil, func(response storeResponse) {
+		if e.leadership != current {
 			return
 		}
-		election.renewalInFlight = false
-		switch {
-		case result.Status == 200:
-			election.leaseValidUntil = max(election.leaseValidUntil, sent+safeLeaseSpan(n.leaderLease()))
-			election.renewalFailed = false
-		case result.Status == 404:
-			n.stepDown("leader lease lost")
+		current.renewalInFlight = false
+		switch response.Status {
+		case 200:
+			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+safeLeaseSpan(e.leaderLease()))
+			current.renewalFailed = false
+		case 404:
+			e.stepDown("leader lease lost")
 		default:
-			election.renewalFailed = true
-			election.heartbeatSentAt = clock.Never // ask for lease grants at once
+			current.renewalFailed = true
+			e.heartbeatSentAt = clock.Never // ask for lease grants at once
 		}
 	})
 }
--- a/internal/controller/lease_grants.go
+++ b/internal/controller/lease_grants.go
@@ -1,47 +1,72 @@
 package controller
 
 import (
-	"sort"
+	"maps"
+	"slices"
 
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
 )
 
-// quorumLeaseUntil returns until when a majority, including this node, is bound by lease grants
-// not to become candidates.
-func (n *Node) quorumLeaseUntil() clock.Instant {
-	peersNeeded := n.cfg.Cluster.ControllerCount / 2 // needed besides this node
-	if peersNeeded == 0 {
+// quorumLeaseUntil returns until when a quorum, of this node and a number of peers, is bound by
+// lease grants not to become candidates.
+func (l *leadership) quorumLeaseUntil(peersInQuorum int) clock.Instant {
+	if peersInQuorum == 0 {
 		return clock.Never
 	}
-	grants := make([]clock.Instant, 0, len(n.peers))
-	for _, p := range n.peers {
-		grants = append(grants, p.grantedUntil)
-	}
-	sort.Slice(grants, func(i, j int) bool { return grants[i] > grants[j] })
-	return grants[peersNeeded-1]
+	grants := slices.Sorted(maps.Values(l.grantedUntil))
+	return grants[len(grants)-peersInQuorum]
 }
 
 // onLeaseGrant records a lease grant for the current term.
-func (n *Node) onLeaseGrant(sender *peer, grant protocol.LeaseGrant) {
-	if n.leader == nil || grant.Term != n.leader.term || !n.holdsLeaderLease() {
+func (e *election) onLeaseGrant(sender *electionPeer, grant protocol.LeaseGrant) {
+	current := e.leadership
+	if current == nil || grant.Term != current.term || !e.holdsLeaderLease() {
 		return
 	}
 	// A grant counts from when it was requested, which can't be later than now: a wrong
 	// timestamp from the peer must not extend it.
-	sender.grantedUntil = max(sender.grantedUntil, min(grant.HeartbeatSentAt, n.now)+safeLeaseSpan(n.leaderLease()))
+	requestedAt := min(grant.HeartbeatSentAt, e.host.Now())
+	current.grantedUntil[sender.name] = max(current.grantedUntil[sender.name], requestedAt+safeLeaseSpan(e.leaderLease()))
 }
 
 // grantLease binds this node, for the span of a leader lease, neither to become a candidate nor
-// to vote for one. A lease is granted only while this node can't reach the key-value store
-// either: otherwise only the leader is cut off from the store, and it should be replaced.
-func (n *Node) grantLease(sender *peer, heartbeat protocol.PeerHeartbeat) {
-	election := &n.election
-	if n.leader != nil || !election.storeFailing() || heartbeat.Term < election.votedTerm ||
-		heartbeat.Term < election.grantedTerm || n.now < clock.WithDrift(n.leaderLease()) {
+// to vote for one.
+func (e *election) grantLease(sender *electionPeer, heartbeat protocol.PeerHeartbeat) {
+	if !e.mayGrantLease(heartbeat.Term) {
 		return
 	}
-	election.grantedTerm = heartbeat.Term
-	election.grantedUntil = max(election.grantedUntil, n.now+clock.WithDrift(n.leaderLease()))
-	n.send(sender.name, protocol.LeaseGrant{Term: heartbeat.Term, HeartbeatSentAt: heartbeat.SentAt})
+	e.grantedTerm = heartbeat.Term
+	e.grantedUntil = max(e.grantedUntil, e.host.Now()+clock.WithDrift(e.leaderLease()))
+	e.host.SendMessage(sender.name, protocol.LeaseGrant{Term: heartbeat.Term, HeartbeatSentAt: heartbeat.SentAt})
+}
+
+// mayGrantLease reports whether this node may grant a lease to the leader of a term.
+//
+// The conditions that keep two leaders apart:
+//
+//   - This node can't reach the key-value store either. Otherwise only the leader is cut off from
+//     the store, and it should be replaced; with grants it would go on for as long as it asks.
+//   - This process has been up for the span of a grant. An earlier process may have voted for a
+//     candidate, which relies on that vote. If a restarted node, its vote forgotten, granted a
+//     lease to the old leader, it could complete that leader's quorum beside the new leader.
+//   - This node has not voted in a higher term, as a vote and a grant exclude each other, and has
+//     not granted a lease to the leader of one.
+//
+// A candidate may grant. Until it takes the leader key, its own grant makes it wait like any voter
+// (freeToVote). When it takes the key, it has recorded its own term as voted for, so a leader of a
+// lower term gets no grant; and a leader of a higher term has changed the term key, on which the
+// candidate's transaction is conditioned.
+func (e *election) mayGrantLease(term uint64) bool {
+	return e.leadership == nil &&
+		e.storeFailing() &&
+		term >= e.votedTerm &&
+		term >= e.grantedTerm &&
+		e.upForGrantSpan()
+}
+
+// upForGrantSpan reports whether this process has been up for so long that every grant, and every
+// candidacy, that relies on an earlier process of this node is over.
+func (e *election) upForGrantSpan() bool {
+	return e.host.Now() >= clock.WithDrift(e.leaderLease())
 }
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -59,7 +59,9 @@
 				rep.Tasks[0].State, rep.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
 			}
 			rep.Sequence = m.HeartbeatSeq + 1
-			n.election.leaseValidUntil = now + time.Hour
+			if !n.holdsLeaderLease() {
+				t.Fatal("the lease has ended, though the clock stands still")
+			}
 			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 			if m.HeartbeatSeq != rep.Sequence {
 				t.Fatal("a report was not taken")
@@ -84,9 +86,8 @@
 	rep := w.workers["m-000001"].report()
 	now := w.now - l.boot
 	for i := 0; b.Loop(); i++ {
-		// The clock stands still but for the leader's heartbeat and lease.
+		// The clock stands still, within the leader's lease.
 		rep.Sequence = m.HeartbeatSeq + 1
-		l.election.leaseValidUntil = now + time.Hour
 		l.Step(now, []any{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 	}
 	if m.HeartbeatSeq != rep.Sequence {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -145,7 +145,7 @@
 	pendingCalls      map[uint64]func(CallResult)
 	invalidResponseAt map[Target]clock.Instant // last response that failed validation
 
-	election        election
+	election        *election
 	peers           map[string]*peer
 	pendingForwards map[uint64]*pendingForward
 	nextForwardID   uint64
@@ -203,14 +203,12 @@
 // their own share so that they never queue behind the leader's records. The shares leave a
 // margin for requests of a previous leader that are still in flight.
 const (
-	leaderWriteShare           = 0.6
-	submissionWriteShare       = 0.3 // total of all nodes, see updateSubmissionRate
-	followerReadShare          = 0.1
-	dependencyLookupShare      = 0.2 // reads of dependencies' outcomes and of quarantined records
-	cloudRequestShare          = 0.75
-	pollsPerLease              = 28
-	peerHeartbeatsPerLease     = 32
-	leaderLeasesPerWorkerLease = 6 // a leader lease, or a lease grant, lasts 1/6 of a worker lease
+	leaderWriteShare      = 0.6
+	submissionWriteShare  = 0.3 // total of all nodes, see updateSubmissionRate
+	followerReadShare     = 0.1
+	dependencyLookupShare = 0.2 // reads of dependencies' outcomes and of quarantined records
+	cloudRequestShare     = 0.75
+	pollsPerLease         = 28
 )
 
 // New returns a node in follower state.
@@ -233,12 +231,9 @@
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
 	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
-	for _, known := range options.Platform.Peers {
-		node.peers[known.Node] = &peer{name: known.Node, lastContact: clock.Never, grantedUntil: clock.Never}
-	}
-	node.election = newElection()
-	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
 	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
+	node.startElection()
+	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
 	// A response to a request that an earlier process of this node forwarded may still
 	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
 	// therefore start at a random number per process; if every process counted from one, a
@@ -289,8 +284,7 @@
 			}
 		case Drain:
 			n.draining = true
-			n.election.candidacy = nil
-			n.stepDown("shutting down")
+			n.election.drain()
 		case ServerLoad:
 			n.connections.update(command)
 		case nil: // tick only
@@ -306,7 +300,7 @@
 
 // tick runs the periodic work of every node, and of the leader if this node leads.
 func (n *Node) tick() {
-	n.tickElection()
+	n.election.tick()
 	n.tickCatalog()
 	n.expireForwards()
 	n.expireRoutes()
@@ -405,13 +399,6 @@
 	n.effects = append(n.effects, OutboundMessage{To: to, Message: message})
 }
 
-// broadcast emits a message to every peer.
-func (n *Node) broadcast(message protocol.PeerMessage) {
-	for _, k := range n.cfg.Peers {
-		n.send(k.Node, message)
-	}
-}
-
 // reply answers a request, through the peer that forwarded it if there is one.
 func (n *Node) reply(origin Origin, status, retryAfter int, body any) {
 	encodedBody := encodeBody(body)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -1,25 +1,13 @@
 package controller
 
-import (
-	"time"
-
-	"hitchdoor/internal/clock"
-	"hitchdoor/internal/protocol"
-)
+import "hitchdoor/internal/protocol"
 
 // peer is what this node knows of another controller.
 type peer struct {
-	name            string
-	lastContact     clock.Instant // last message of any kind
-	processID       uint64        // processID in its last heartbeat
-	knownNotLeading bool          // it has heard from this process and reported that it does not lead
-	uptime          time.Duration // its uptime in its last heartbeat
-	term            uint64
-	leading         bool
-	grantedUntil    clock.Instant // end of its lease grant to this node
-	protocolLevel   int           // protocol level of its version; 0: not announced
-	workerCapacity  peerCapacity
-	policyRevision  uint64 // latest revision of the admission policy that it has read
+	*electionPeer
+	protocolLevel  int // protocol level of its version; 0: not announced
+	workerCapacity peerCapacity
+	policyRevision uint64 // latest revision of the admission policy that it has read
 }
 
 // onPeerMessage handles a message of another controller. Unknown senders are ignored.
@@ -28,16 +16,11 @@
 	if sender == nil {
 		return
 	}
-	sender.lastContact = n.now
+	if heartbeat, ok := inbound.Message.(protocol.PeerHeartbeat); ok {
+		n.recordPeerHeartbeat(sender, heartbeat)
+	}
+	n.election.handleMessage(sender.name, inbound.Message)
 	switch message := inbound.Message.(type) {
-	case protocol.PeerHeartbeat:
-		n.onPeerHeartbeat(sender, message)
-	case protocol.LeaseGrant:
-		n.onLeaseGrant(sender, message)
-	case protocol.VoteRequest:
-		n.onVoteRequest(sender, message)
-	case protocol.Vote:
-		n.onVote(sender, message)
 	case protocol.AdmissionLoad:
 		if n.holdsLeaderLease() {
 			n.leader.admission.addNodeLoad(message)
@@ -48,3 +31,23 @@
 		n.onForwardedAnswer(message)
 	}
 }
+
+// recordPeerHeartbeat records what a peer reports of itself, apart from the election.
+func (n *Node) recordPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
+	sender.protocolLevel = heartbeat.VersionLevel
+	sender.policyRevision = max(sender.policyRevision, heartbeat.PolicyRevision)
+	n.onConnectivityReport(sender, heartbeat.Links)
+	sender.workerCapacity.recordHeartbeat(heartbeat, n.capacitySharers(heartbeat))
+	if heartbeat.WritesThrottled {
+		n.throttleWrites()
+	}
+}
+
+// leaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
+func (n *Node) leaderPeer() *peer {
+	leading := n.election.leaderPeer()
+	if leading == nil {
+		return nil
+	}
+	return n.peers[leading.name]
+}
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -38,7 +38,7 @@
 	levels := &n.protocolLevels
 	if levels.clusterLevel >= protocolLevel || levels.requestInFlight ||
 		n.now < levels.lastRead+n.workerLease()/pollsPerLease ||
-		n.election.storeFailing() || n.election.storeOK == clock.Never {
+		!n.election.storeReachable() {
 		return
 	}
 	n.readProtocolLevels()
--- a/internal/controller/resignation.go
+++ b/internal/controller/resignation.go
@@ -1,34 +1,51 @@
 package controller
 
-import "hitchdoor/internal/clock"
+import (
+	"time"
+
+	"hitchdoor/internal/clock"
+)
+
+// candidacyPause is the record of this node's resignations, after which it starts no candidacies
+// for some time, so that another node can lead.
+type candidacyPause struct {
+	consecutiveResignations int           // consecutive ones, each within resignationMemoryLeases of the previous
+	lastResignation         clock.Instant // last resignation
+	until                   clock.Instant // this node starts no candidacy before
+}
 
 const (
 	// After a resignation a node starts no candidacy for firstPauseLeases. The pause doubles
 	// with each further resignation up to maxPauseLeases, and is reset if the last one is more
-	// than resignationMemoryLeases ago.
-	firstPauseLeases        = 1.0
-	maxPauseLeases          = 8.0
-	resignationMemoryLeases = 32.0
+	// than resignationMemoryLeases ago. All are in worker leases.
+	firstPauseLeases        = 1
+	maxPauseLeases          = 8
+	resignationMemoryLeases = 32
+	// maxPauseDoublings keeps the doubled pause within the range of a duration.
+	maxPauseDoublings = 8
 )
 
-// resign steps down and pauses this node's candidacies, longer with each resignation.
-func (n *Node) resign(reason string) {
-	links := &n.connectivity
-	if n.now-links.lastResignation > n.workerLeases(resignationMemoryLeases) {
-		links.consecutiveResignations = 0
+// extend records a resignation, and pauses the candidacies for longer with each further one.
+func (p *candidacyPause) extend(now clock.Instant, workerLease time.Duration) {
+	if now-p.lastResignation > resignationMemoryLeases*workerLease {
+		p.consecutiveResignations = 0
 	}
-	links.lastResignation = n.now
-	pause := min(n.workerLeases(maxPauseLeases),
-		n.workerLeases(firstPauseLeases)<<min(links.consecutiveResignations, 8))
-	links.consecutiveResignations++
-	links.candidacyPausedUntil, links.leaderlessSince = n.now+pause, clock.Never
-	n.stepDown(reason)
+	p.lastResignation = now
+	doublings := min(p.consecutiveResignations, maxPauseDoublings)
+	p.until = now + min(maxPauseLeases*workerLease, firstPauseLeases*workerLease<<doublings)
+	p.consecutiveResignations++
+}
+
+// resign steps down and pauses this node's candidacies, longer with each resignation.
+func (e *election) resign(reason string) {
+	e.pause.extend(e.host.Now(), e.workerLease())
+	e.leaderKey.absentSince = clock.Never
+	e.stepDown(reason)
 }
 
 // candidacyPaused reports whether this node must not become a candidate after a resignation. The
 // pause ends early if there has been no leader for one worker lease.
-func (n *Node) candidacyPaused() bool {
-	links := &n.connectivity
-	return n.now < links.candidacyPausedUntil &&
-		(links.leaderlessSince == clock.Never || n.now-links.leaderlessSince < n.workerLease())
+func (e *election) candidacyPaused() bool {
+	now := e.host.Now()
+	return now < e.pause.until && e.leaderKey.absentFor(now) < e.workerLease()
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -16,7 +16,7 @@
 // draining, or while it reaches neither the key-value store nor another controller and does not
 // lead.
 func (n *Node) onHealth(request Request) {
-	isolated := len(n.peers) > 0 && n.recentPeerCount(n.workerLease()/4) == 0
+	isolated := len(n.peers) > 0 && n.election.recentPeerCount(n.workerLease()/4) == 0
 	if n.draining || isolated && n.election.storeFailing() && !n.holdsLeaderLease() {
 		n.reply(request.Origin, 503, 0, nil)
 		return
@@ -212,7 +212,7 @@
 	report := n.connectivityReport()
 	status := reachability.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreReachable: report.StoreReachable,
 		IncomingLinks: report.IncomingLinks, RecentWorkers: report.RecentWorkers, StrandedWorkers: report.StrandedWorkers,
-		LinkTimeoutMS: n.leaderLease().Milliseconds(), CandidacyPaused: n.candidacyPaused()}
+		LinkTimeoutMS: n.leaderLease().Milliseconds(), CandidacyPaused: n.election.candidacyPaused()}
 	for _, known := range n.cfg.Peers {
 		status.Peers = append(status.Peers, known.Node)
 	}
--- a/internal/controller/terminal_jobs.go
+++ b/internal/controller/terminal_jobs.go
@@ -53,7 +53,7 @@
 func (n *Node) loadTerminalJobs() {
 	cache := n.terminalJobs
 	if cache.loaded || cache.loading || n.now < cache.nextReadAt ||
-		n.election.storeFailing() || n.election.storeOK == clock.Never {
+		!n.election.storeReachable() {
 		return
 	}
 	cache.loading = true
--- a/internal/controller/votes.go
+++ b/internal/controller/votes.go
@@ -5,28 +5,40 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
 
 // freeToVote reports whether no lease grant binds this node, so that it may vote. A restarted
 // node does not remember its grants, so it waits for the span of one. The wait is skipped if
-// no leader can depend on such a grant: every peer has reported, after hearing from this
-// process, that it does not lead. A leader that stepped down never resumes its term, and a
-// grant holds for one term only.
-func (n *Node) freeToVote() bool {
-	return (n.now >= clock.WithDrift(n.leaderLease()) || n.noPeerLeads()) && n.now >= n.election.grantedUntil
+// no leader can depend on such a grant, see noPeerLeads.
+func (e *election) freeToVote() bool {
+	return (e.upForGrantSpan() || e.noPeerLeads()) && e.host.Now() >= e.grantedUntil
 }
 
-// noPeerLeads reports whether every peer has told this process that it does not lead.
-func (n *Node) noPeerLeads() bool {
-	for _, p := range n.peers {
-		if !p.knownNotLeading {
-			return false
-		}
+// mayVoteInTerm reports whether this node may vote for a candidate of a term.
+func (e *election) mayVoteInTerm(term uint64) bool {
+	return e.freeToVote() && term > e.votedTerm &&
+		(e.leadership == nil || e.leadership.term < term && !e.holdsLeaderLease())
+}
+
+// onVoteRequest votes for a candidate if this node is free to, or has voted in its term before.
+func (e *election) onVoteRequest(sender *electionPeer, request protocol.VoteRequest) {
+	if !e.mayVoteInTerm(request.Term) && request.Term != e.votedTerm {
+		return
+	}
+	e.votedTerm = request.Term
+	e.host.SendMessage(sender.name, protocol.Vote{Term: request.Term, Granted: true})
+}
+
+// onVote counts a vote for this node's candidacy.
+func (e *election) onVote(sender *electionPeer, vote protocol.Vote) {
+	current := e.candidacy
+	if current == nil || current.term != vote.Term || !vote.Granted {
+		return
 	}
-	return true
+	current.votes[sender.name] = true
+	e.tickCandidate()
 }
 
 // voteThroughStore writes a vote to the key-value store for a candidate that can't reach this
@@ -35,66 +47,44 @@
 // message does. This node becomes a candidate only if there is none to vote for: otherwise
 // each node would raise the term over the one that others vote for, and a cluster of
 // disconnected controllers would stay without a leader.
-func (n *Node) voteThroughStore() {
-	election := &n.election
-	n.readTerm(func(lastTerm storage.Term, _ uint64, ok bool) {
-		if n.leader != nil || election.candidacy != nil || !ok || !n.freeToVote() {
+func (e *election) voteThroughStore() {
+	e.readTerm(func(lastTerm storage.Term, _ uint64, ok bool) {
+		if e.leadership != nil || e.candidacy != nil || !ok || !e.freeToVote() {
 			return
 		}
-		termTaken := false // some peer has led in the last term or in a later one
-		for _, p := range n.peers {
-			termTaken = termTaken || lastTerm.Term <= p.term
-		}
-		if termTaken || lastTerm.Node == "" || lastTerm.Node == n.cfg.Node || !n.mayVoteInTerm(lastTerm.Term) {
-			n.startCandidacyInTurn()
+		if !e.isOpenCandidacy(lastTerm) || !e.mayVoteInTerm(lastTerm.Term) {
+			e.startCandidacyInTurn()
 			return
 		}
-		election.votedTerm = lastTerm.Term
-		election.candidacyAt = n.now + n.leaderLease() // leave the time to that candidate
-		n.storeCall("POST", "/multi", storage.Txn{
-			Writes: []storage.Write{storage.Put(storage.VotePrefix+n.cfg.Node,
-				storage.VoteRecord{Term: lastTerm.Term})},
-		}, func(CallResult) {})
+		e.votedTerm = lastTerm.Term
+		e.candidacyAt = e.host.Now() + e.leaderLease() // leave the time to that candidate
+		vote := storage.Put(storage.VotePrefix+e.node, storage.VoteRecord{Term: lastTerm.Term})
+		e.host.CallStore("POST", "/multi", storage.Txn{Writes: []storage.Write{vote}}, ignoreResponse)
 	})
 }
 
+// isOpenCandidacy reports whether a term belongs to another node's candidacy that has not ended by
+// the election of a leader, in this term or in a later one.
+func (e *election) isOpenCandidacy(term storage.Term) bool {
+	return !e.isTermTaken(term.Term) && term.Node != "" && term.Node != e.node
+}
+
 // readStoredVotes counts the votes that other nodes wrote to the key-value store.
-func (n *Node) readStoredVotes(current *candidacy) {
-	current.votesReadAt = n.now
-	n.storeCall("GET", storage.ListPath(storage.VotePrefix, "", n.cfg.Cluster.ControllerCount), nil, func(result CallResult) {
+func (e *election) readStoredVotes(current *candidacy) {
+	current.votesReadAt = e.host.Now()
+	path := storage.ListPath(storage.VotePrefix, "", e.cluster.ControllerCount)
+	e.host.CallStore("GET", path, nil, func(response storeResponse) {
 		var page storage.ListResponse
-		if n.election.candidacy != current || result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
+		if e.candidacy != current || !response.decode(&page) {
 			return
 		}
 		for _, item := range page.Items {
 			var vote storage.VoteRecord
 			name := strings.TrimPrefix(item.Key, storage.VotePrefix)
-			if json.Unmarshal(item.Value, &vote) == nil && vote.Term == current.term && n.peers[name] != nil {
+			if json.Unmarshal(item.Value, &vote) == nil && vote.Term == current.term && e.peers[name] != nil {
 				current.votes[name] = true
 			}
 		}
-		n.tickCandidate()
+		e.tickCandidate()
 	})
 }
-
-// mayVoteInTerm reports whether this node may vote for a candidate of a term.
-func (n *Node) mayVoteInTerm(term uint64) bool {
-	return n.freeToVote() && term > n.election.votedTerm &&
-		(n.leader == nil || n.leader.term < term && !n.holdsLeaderLease())
-}
-
-// onVoteRequest votes for a candidate if this node is free to, or has voted in its term before.
-func (n *Node) onVoteRequest(sender *peer, request protocol.VoteRequest) {
-	if n.mayVoteInTerm(request.Term) || request.Term == n.election.votedTerm {
-		n.election.votedTerm = request.Term
-		n.send(sender.name, protocol.Vote{Term: request.Term, Granted: true})
-	}
-}
-
-// onVote counts a vote for this node's candidacy.
-func (n *Node) onVote(sender *peer, vote protocol.Vote) {
-	if current := n.election.candidacy; current != nil && current.term == vote.Term && vote.Granted {
-		current.votes[sender.name] = true
-		n.tickCandidate()
-	}
-}
