--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -86,8 +86,7 @@
 
 func (Drain) apply(n *Node) {
 	n.draining = true
-	n.election.candidacy = nil
-	n.stepDown("shutting down")
+	n.election.drain()
 }
 
 func (l ServerLoad) apply(n *Node) { n.connections.update(l) }
--- /dev/null
+++ b/internal/controller/peers.go
@@ -0,0 +1,53 @@
+package controller
+
+import "hitchdoor/internal/protocol"
+
+// peer is what this node knows of another controller.
+type peer struct {
+	*electionPeer
+	protocolLevel  int // protocol level of its version; 0: not announced
+	workerCapacity peerCapacity
+	policyRevision uint64 // latest revision of the admission policy that it has read
+}
+
+// onPeerMessage handles a message of another controller. Unknown senders are ignored.
+func (n *Node) onPeerMessage(inbound InboundMessage) {
+	sender := n.peers[inbound.From]
+	if sender == nil {
+		return
+	}
+	if heartbeat, ok := inbound.Message.(protocol.PeerHeartbeat); ok {
+		n.recordPeerHeartbeat(sender, heartbeat)
+	}
+	n.election.handleMessage(sender.name, inbound.Message)
+	switch message := inbound.Message.(type) {
+	case protocol.AdmissionLoad:
+		if n.holdsLeaderLease() {
+			n.leader.admission.addNodeLoad(message)
+		}
+	case protocol.ForwardedRequest:
+		n.onForwardedRequest(sender, message)
+	case protocol.ForwardedResponse:
+		n.onForwardedAnswer(message)
+	}
+}
+
+// recordPeerHeartbeat records what a peer reports of itself, apart from the election.
+func (n *Node) recordPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
+	sender.protocolLevel = heartbeat.VersionLevel
+	sender.policyRevision = max(sender.policyRevision, heartbeat.PolicyRevision)
+	n.onConnectivityReport(sender, heartbeat.Links)
+	sender.workerCapacity.recordHeartbeat(heartbeat, n.capacitySharers(heartbeat))
+	if heartbeat.WritesThrottled {
+		n.throttleWrites()
+	}
+}
+
+// leaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
+func (n *Node) leaderPeer() *peer {
+	leading := n.election.leaderPeer()
+	if leading == nil {
+		return nil
+	}
+	return n.peers[leading.name]
+}
--- /dev/null
+++ b/internal/controller/votes.go
@@ -0,0 +1,90 @@
+package controller
+
+import (
+	"strings"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+// freeToVote reports whether no lease grant binds this node, so that it may vote. A restarted
+// node does not remember its grants, so it waits for the span of one. The wait is skipped if
+// no leader can depend on such a grant, see noPeerLeads.
+func (e *election) freeToVote() bool {
+	return (e.upForGrantSpan() || e.noPeerLeads()) && e.host.Now() >= e.grantedUntil
+}
+
+// mayVoteInTerm reports whether this node may vote for a candidate of a term.
+func (e *election) mayVoteInTerm(term uint64) bool {
+	return e.freeToVote() && term > e.votedTerm &&
+		(e.leadership == nil || e.leadership.term < term && !e.holdsLeaderLease())
+}
+
+// onVoteRequest votes for a candidate if this node is free to, or has voted in its term before.
+func (e *election) onVoteRequest(sender *electionPeer, request protocol.VoteRequest) {
+	if !e.mayVoteInTerm(request.Term) && request.Term != e.votedTerm {
+		return
+	}
+	e.votedTerm = request.Term
+	e.host.SendMessage(sender.name, protocol.Vote{Term: request.Term, Granted: true})
+}
+
+// onVote counts a vote for this node's candidacy.
+func (e *election) onVote(sender *electionPeer, vote protocol.Vote) {
+	current := e.candidacy
+	if current == nil || current.term != vote.Term || !vote.Granted {
+		return
+	}
+	current.votes[sender.name] = true
+	e.tickCandidate()
+}
+
+// voteThroughStore writes a vote to the key-value store for a candidate that can't reach this
+// node. Without it a failed leader could not be replaced while connections between controllers
+// fail, as no candidate would receive a quorum of votes. The vote binds this node just as a vote
+// message does. This node becomes a candidate only if there is none to vote for: otherwise
+// each node would raise the term over the one that others vote for, and a cluster of
+// disconnected controllers would stay without a leader.
+func (e *election) voteThroughStore() {
+	e.readTerm(func(lastTerm storage.Term, _ uint64, ok bool) {
+		if e.leadership != nil || e.candidacy != nil || !ok || !e.freeToVote() {
+			return
+		}
+		if !e.isOpenCandidacy(lastTerm) || !e.mayVoteInTerm(lastTerm.Term) {
+			e.startCandidacyInTurn()
+			return
+		}
+		e.votedTerm = lastTerm.Term
+		e.candidacyAt = e.host.Now() + e.leaderLease() // leave the time to that candidate
+		vote := storage.Put(storage.VotePrefix+e.node, storage.VoteRecord{Term: lastTerm.Term})
+		e.host.CallStore("POST", "/multi", storage.Txn{Writes: []storage.Write{vote}}, ignoreResponse)
+	})
+}
+
+// isOpenCandidacy reports whether a term belongs to another node's candidacy that has not ended by
+// the election of a leader, in this term or in a later one.
+func (e *election) isOpenCandidacy(term storage.Term) bool {
+	return !e.isTermTaken(term.Term) && term.Node != "" && term.Node != e.node
+}
+
+// readStoredVotes counts the votes that other nodes wrote to the key-value store.
+func (e *election) readStoredVotes(current *candidacy) {
+	current.votesReadAt = e.host.Now()
+	path := storage.ListPath(storage.VotePrefix, "", e.cluster.ControllerCount)
+	e.host.CallStore("GET", path, nil, func(response storeResponse) {
+		var page storage.ListResponse
+		if e.candidacy != current || !response.decode(&page) {
+			return
+		}
+		for _, item := range page.Items {
+			var vote storage.VoteRecord
+			name := strings.TrimPrefix(item.Key, storage.VotePrefix)
+			if json.Unmarshal(item.Value, &vote) == nil && vote.Term == current.term && e.peers[name] != nil {
+				current.votes[name] = true
+			}
+		}
+		e.tickCandidate()
+	})
+}
