--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 
-	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -60,7 +59,9 @@
 	if r.host.IsTerminal(id) || r.state.EndedJobs[id] {
 		return nil
 	}
-	j := r.newJob(record, version)
+	now := r.clock.Now()
+	acceptedAt := min(r.clock.InstantFromUnixMilli(record.AcceptedAtMillis), now)
+	j := cluster.NewJob(record.Spec, acceptedAt, version, now)
 	r.layOutBitmap(j)
 	r.state.Jobs[id] = j
 	r.writer.SetModRevision(storage.JobKey(id), version)
@@ -68,18 +69,6 @@
 	return j
 }
 
-// newJob returns an open job as its record describes it.
-func (r *jobRecords) newJob(record storage.JobRecord, version uint64) *cluster.Job {
-	now := r.clock.Now()
-	acceptedAt := min(r.clock.InstantFromUnixMilli(record.AcceptedAtMillis), now)
-	return &cluster.Job{
-		Spec: record.Spec, AcceptedAt: acceptedAt, EligibleAt: acceptedAt, RecordVersion: version,
-		Attempts: map[int]*cluster.TaskAttempt{}, PendingTasks: record.Spec.TaskCount,
-		FailureHistories: map[int]*cluster.FailureHistory{}, FailedMachines: map[string]bool{},
-		PendingSince: now, ImageCheckedAt: clock.Never, Dependencies: cluster.NewDependencies(),
-	}
-}
-
 // markTaskDone counts a task as finished and finishes the job after its last task.
 func (r *jobRecords) markTaskDone(j *cluster.Job, index int) {
 	switch j.TaskState(index) {
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -3,8 +3,6 @@
 import (
 	"time"
 
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/storage"
 )
 
@@ -23,7 +21,7 @@
 	delayer
 	// WatchStore sends a long poll to the key-value store and passes its response to onResponse,
 	// unless the term has ended by then.
-	WatchStore(path string, timeout time.Duration, onResponse func(storeResponse))
+	WatchStore(path string, timeout time.Duration, onResponse func(storage.Response))
 }
 
 // newJobWatch returns the watch of a new leader, which continues where the loader ends.
@@ -42,17 +40,17 @@
 	w.active = true
 	sentAt, longPoll := w.clock.Now(), w.clock.WorkerLease()/2
 	path := storage.WatchPath(storage.JobPrefix, w.loader.revision, longPoll.Milliseconds())
-	w.host.WatchStore(path, 4*w.clock.WorkerLease(), func(response storeResponse) {
+	w.host.WatchStore(path, 4*w.clock.WorkerLease(), func(response storage.Response) {
 		answeredEarly := w.clock.Now() < sentAt+longPoll/2
 		w.onResponse(response, answeredEarly)
 	})
 }
 
 // onResponse handles the response to a long poll.
-func (w *jobWatch) onResponse(response storeResponse, early bool) {
+func (w *jobWatch) onResponse(response storage.Response, early bool) {
 	var events storage.WatchResponse
 	switch {
-	case response.Status == 200 && json.Unmarshal(response.Body, &events) == nil:
+	case response.Decode(&events):
 		w.applyEvents(events, early)
 	case response.Status == 410:
 		// The revision was compacted: list the open jobs again. Loaded jobs stay.
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -6,8 +6,6 @@
 	"slices"
 	"strings"
 
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/storage"
 )
@@ -69,9 +67,9 @@
 // onDone. A failed read is retried until this leader's term ends.
 func (l *loader) readPages(listing recordListing, afterKey string, onDone func()) {
 	path := storage.ListPath(listing.Prefix, afterKey, maxPageItems)
-	l.host.CallStore("GET", path, nil, func(response storeResponse) {
+	l.host.CallStore("GET", path, nil, func(response storage.Response) {
 		var page storage.ListResponse
-		if response.Status != 200 || json.Unmarshal(response.Body, &page) != nil {
+		if !response.Decode(&page) {
 			l.scheduleRetry(func() { l.readPages(listing, afterKey, onDone) })
 			return
 		}
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -7,8 +7,6 @@
 	"maps"
 	"slices"
 
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/ratelimit"
@@ -173,7 +171,7 @@
 	if id := storage.JobIDOfKey(record.key); q.isUnreadableJob(id) {
 		q.host.ReadTerminalRecord(id)
 	}
-	q.host.CallStore("GET", "/store/"+record.key, nil, func(response storeResponse) {
+	q.host.CallStore("GET", "/store/"+record.key, nil, func(response storage.Response) {
 		if record.hasChanged(response) {
 			q.host.StepDown("quarantined record changed: " + record.key)
 		}
@@ -182,10 +180,10 @@
 
 // hasChanged reports whether the response to a read of the record shows that it was written again or
 // deleted.
-func (r *quarantinedRecord) hasChanged(response storeResponse) bool {
+func (r *quarantinedRecord) hasChanged(response storage.Response) bool {
 	if response.Status == 404 {
 		return true
 	}
 	var item storage.Item
-	return response.Status == 200 && json.Unmarshal(response.Body, &item) == nil && item.ModRevision != r.revision
+	return response.Decode(&item) && item.ModRevision != r.revision
 }
--- a/internal/controller/record_store.go
+++ b/internal/controller/record_store.go
@@ -4,20 +4,14 @@
 	"time"
 
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/storage"
 )
 
 // recordStore is the key-value store as the records of one term use it.
 type recordStore interface {
 	// CallStore sends a request. It passes the response to onResponse, unless the term has ended by
 	// then.
-	CallStore(method, path string, body any, onResponse func(storeResponse))
-}
-
-// storeResponse is the response of the key-value store to a request. Status 0 means that no usable
-// response arrived; the request may have been executed, or may be later.
-type storeResponse struct {
-	Status int
-	Body   []byte
+	CallStore(method, path string, body any, onResponse func(storage.Response))
 }
 
 // recordClock tells the time, and converts it to the wall clock time of stored records.
--- a/internal/controller/record_store_test.go
+++ b/internal/controller/record_store_test.go
@@ -12,7 +12,7 @@
 type storeRequest struct {
 	method, path string
 	body         []byte
-	onResponse   func(storeResponse)
+	onResponse   func(storage.Response)
 }
 
 // delayedTestCall is a call that a part under test has delayed.
@@ -36,7 +36,7 @@
 func (h *testHost) WorkerLease() time.Duration { return 10 * time.Second }
 func (h *testHost) StepDown(reason string)     { h.stepDowns = append(h.stepDowns, reason) }
 
-func (h *testHost) CallStore(method, path string, body any, onResponse func(storeResponse)) {
+func (h *testHost) CallStore(method, path string, body any, onResponse func(storage.Response)) {
 	h.requests = append(h.requests, storeRequest{method, path, storage.Encode(body), onResponse})
 }
 
@@ -46,7 +46,7 @@
 
 // respond answers the last request.
 func (h *testHost) respond(status int, body any) {
-	h.requests[len(h.requests)-1].onResponse(storeResponse{Status: status, Body: storage.Encode(body)})
+	h.requests[len(h.requests)-1].onResponse(storage.Response{Status: status, Body: storage.Encode(body)})
 }
 
 // last returns the last request.
@@ -60,7 +60,7 @@
 	}
 }
 
-func (h *testHost) WatchStore(path string, _ time.Duration, onResponse func(storeResponse)) {
+func (h *testHost) WatchStore(path string, _ time.Duration, onResponse func(storage.Response)) {
 	h.requests = append(h.requests, storeRequest{"GET", path, nil, onResponse})
 }
 
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -30,22 +30,22 @@
 
 // CallStore sends a request to the key-value store and passes its response to onResponse, unless
 // the term has ended by then.
-func (h recordsHost) CallStore(method, path string, body any, onResponse func(storeResponse)) {
+func (h recordsHost) CallStore(method, path string, body any, onResponse func(storage.Response)) {
 	node := h.leader.node
 	node.storeCall(method, path, body, func(result CallResult) {
 		if node.leader == h.leader {
-			onResponse(storeResponse{Status: result.Status, Body: result.Body})
+			onResponse(storage.Response{Status: result.Status, Body: result.Body})
 		}
 	})
 }
 
 // WatchStore sends a long poll to the key-value store and passes its response to onResponse, unless
 // the term has ended by then. It does not count for the availability of the store.
-func (h recordsHost) WatchStore(path string, timeout time.Duration, onResponse func(storeResponse)) {
+func (h recordsHost) WatchStore(path string, timeout time.Duration, onResponse func(storage.Response)) {
 	node := h.leader.node
 	node.callService(TargetStore, "GET", path, nil, timeout, func(result CallResult) {
 		if node.leader == h.leader {
-			onResponse(storeResponse{Status: result.Status, Body: result.Body})
+			onResponse(storage.Response{Status: result.Status, Body: result.Body})
 		}
 	})
 }
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -3,8 +3,6 @@
 import (
 	"log/slog"
 
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/storage"
 )
@@ -55,10 +53,10 @@
 // onResponse handles the response to the transaction in flight. A refusal for a conflict, or as
 // invalid, may also mean that an earlier copy with an unclear outcome was executed; then the
 // outcome is read first.
-func (w *transactionWriter) onResponse(response storeResponse) {
+func (w *transactionWriter) onResponse(response storage.Response) {
 	var result storage.TxnResponse
 	switch {
-	case response.Status == 200 && json.Unmarshal(response.Body, &result) == nil:
+	case response.Decode(&result):
 		w.CompleteInFlight(result.Revision)
 		w.sendNextTransaction()
 	case response.Status == 409 && w.OutcomeUnknown():
@@ -105,12 +103,12 @@
 // one of its keys. It calls onNotApplied if the transaction was not executed. Meanwhile the
 // transaction stays in flight, so no other one is sent.
 func (w *transactionWriter) resolveOutcome(onNotApplied func()) {
-	w.host.CallStore("GET", "/store/"+w.ProbeKey(), nil, func(response storeResponse) {
+	w.host.CallStore("GET", "/store/"+w.ProbeKey(), nil, func(response storage.Response) {
 		var item storage.Item
 		switch {
 		case response.Status == 404 && w.MatchesProbe(nil):
 			w.CompleteInFlight(0)
-		case response.Status == 200 && json.Unmarshal(response.Body, &item) == nil && w.MatchesProbe(&item):
+		case response.Decode(&item) && w.MatchesProbe(&item):
 			w.CompleteInFlight(item.ModRevision)
 		case response.Status == 200 || response.Status == 404:
 			onNotApplied()
