--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -6,8 +6,6 @@
 
 	"hitchdoor/internal/clock"
 
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -183,53 +181,6 @@
 	}
 }
 
-// readJobRecord reads a job's stored record, open or terminal. The open record is read first,
-// because a job moves from open to terminal and never back. The callback gets ok = false if
-// the key-value store did not answer, and neither record if the job is unknown.
-func (n *Node) readJobRecord(jobID string,
-	onRead func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord)) {
-	if record, ok := n.terminalJobs.byID[jobID]; ok {
-		onRead(true, nil, &record)
-		return
-	}
-	if n.election.storeUnavailable() || !n.userReadBudget.Take(n.now, 2) {
-		onRead(false, nil, nil)
-		return
-	}
-	n.storeCall("GET", "/store/"+storage.JobKey(jobID), nil, func(result CallResult) {
-		var item storage.Item
-		if result.Status == 200 && json.Unmarshal(result.Body, &item) == nil {
-			n.acceptedJobs.put(jobID, true)
-			onRead(true, &item, nil)
-			return
-		}
-		if result.Status != 404 {
-			onRead(false, nil, nil)
-			return
-		}
-		n.readTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) { onRead(ok, nil, terminal) })
-	})
-}
-
-// readTerminalRecord reads a job's terminal record. The callback gets nil if there is none.
-func (n *Node) readTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
-	n.storeCall("GET", "/store/"+storage.TerminalKey(jobID), nil, func(result CallResult) {
-		var item storage.Item
-		if result.Status == 200 && json.Unmarshal(result.Body, &item) == nil {
-			n.onTerminalRecord(item)
-		}
-		terminal, known := n.terminalJobs.byID[jobID]
-		switch {
-		case known:
-			onRead(true, &terminal)
-		case result.Status == 404:
-			onRead(true, nil)
-		default:
-			onRead(false, nil)
-		}
-	})
-}
-
 // answerQueryFromStore answers a query from the key-value store. asLeader is the leader on whose
 // behalf it is answered, or nil.
 func (n *Node) answerQueryFromStore(request Request, asLeader *leader) {
