--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -60,8 +60,7 @@
 // already. If too little of the read budget is left to find that out, it is rejected in either
 // case; the user retries.
 func (n *Node) rejectByPolicy(submission pendingSubmission, response errorResponse) {
-	n.userReadBudget.Refill(n.now)
-	if n.userReadBudget.Tokens < n.userReadBudget.Burst/2 {
+	if !n.jobReader.hasSpareReads() {
 		n.reply(submission.request.Origin, response.status, response.retryAfterSeconds, response)
 		return
 	}
@@ -262,11 +261,8 @@
 
 // jobAdmissionStatus is what this node knows of a job's admission.
 func (n *Node) jobAdmissionStatus(jobID string) *admission.JobStatus {
-	status := &admission.JobStatus{ID: jobID, Accepted: n.acceptedJobs.byID[jobID]}
-	if _, isTerminal := n.terminalJobs.byID[jobID]; isTerminal || n.leader != nil && n.leader.Jobs[jobID] != nil {
-		status.Accepted = true
-	}
-	group, rejected := n.policyRejections.byID[jobID]
+	status := &admission.JobStatus{ID: jobID, Accepted: n.jobReader.knownAccepted(jobID)}
+	group, rejected := n.policyRejections.get(jobID)
 	if status.Accepted || !rejected {
 		return status
 	}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -26,7 +26,7 @@
 func (l *leader) addDependencies(j *cluster.Job) {
 	cancelled := false
 	for _, id := range j.Spec.Dependencies {
-		if final, ended := l.node.terminalJobs.byID[id]; ended {
+		if final, ended := l.node.jobReader.terminalRecord(id); ended {
 			cancelled = cancelled || final.State == protocol.JobCancelled
 			j.EligibleAt = max(j.EligibleAt, min(l.node.instantFromUnixMilli(final.EndedAtMillis), l.node.now))
 			continue
@@ -233,7 +233,7 @@
 // lookup finds it.
 func (l *leader) lookUpDependency(id string) {
 	n := l.node
-	n.readTerminalRecord(id, func(ok bool, final *storage.TerminalRecord) {
+	n.jobReader.readTerminalRecord(id, func(ok bool, final *storage.TerminalRecord) {
 		switch {
 		case n.leader != l:
 		case final != nil:
--- /dev/null
+++ b/internal/controller/effective_state.go
@@ -0,0 +1,97 @@
+package controller
+
+import (
+	"slices"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+// readEffectiveState reads a job's state from the records: an open job is cancelled if any of its
+// direct or indirect dependencies is. All controllers answer by this rule, so none contradicts
+// what another has told a user.
+func (r *jobReader) readEffectiveState(jobID string, onRead jobCallback) {
+	r.readJob(jobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
+		if openItem == nil {
+			onRead(ok, nil, terminal)
+			return
+		}
+		search := cancellationSearch{reader: r, visited: map[string]bool{}}
+		search.onResult = func(ok, cancelled bool) {
+			switch {
+			case !ok:
+				onRead(false, nil, nil)
+			case cancelled:
+				onRead(true, nil, &storage.TerminalRecord{State: protocol.JobCancelled})
+			default:
+				onRead(true, openItem, nil)
+			}
+		}
+		search.checkDependencies(openItem, nil)
+	})
+}
+
+// cancellationSearch reads whether any of some jobs, or of their direct and indirect dependencies,
+// is cancelled. It reads each job once, one after the other.
+type cancellationSearch struct {
+	reader   *jobReader
+	visited  map[string]bool // ids of jobs that were read
+	onResult func(ok, cancelled bool)
+}
+
+// checkDependencies checks the jobs with the given ids and the dependencies of an open job.
+func (s *cancellationSearch) checkDependencies(openItem *storage.Item, otherIDs []string) {
+	s.reader.readDependencies(openItem, func(ok bool, ids []string) {
+		if !ok {
+			s.onResult(false, false)
+			return
+		}
+		s.checkJobs(append(slices.Clone(otherIDs), ids...))
+	})
+}
+
+// checkJobs checks some jobs, in order. A completed job needs no further check, as all its
+// dependencies were completed before.
+func (s *cancellationSearch) checkJobs(ids []string) {
+	next := slices.IndexFunc(ids, func(id string) bool { return !s.visited[id] })
+	if next < 0 {
+		s.onResult(true, false)
+		return
+	}
+	id, remaining := ids[next], ids[next+1:]
+	s.visited[id] = true
+	s.reader.readJob(id, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
+		switch {
+		case !ok:
+			s.onResult(false, false)
+		case terminal != nil && terminal.State == protocol.JobCancelled:
+			s.onResult(true, true)
+		case openItem != nil:
+			s.checkDependencies(openItem, remaining)
+		default:
+			s.checkJobs(remaining)
+		}
+	})
+}
+
+// readDependencies reads the IDs of the jobs on which an open job depends.
+func (r *jobReader) readDependencies(openItem *storage.Item, onRead func(ok bool, ids []string)) {
+	record, err := storage.ReadJob(*openItem)
+	if err != nil {
+		// If the job may have dependencies, one may be cancelled, which cancels this job too.
+		onRead(!storage.MayHaveDependencies(*openItem), nil)
+		return
+	}
+	if record.RestoreDependencies(nil) {
+		onRead(true, record.Spec.Dependencies)
+		return
+	}
+	path := storage.ListPath(storage.DependenciesPrefix+record.Spec.ID+"/", "", record.DependencyRecords)
+	r.host.Get(path, func(status int, body []byte) {
+		var page storage.ListResponse
+		ok := status == 200 && json.Unmarshal(body, &page) == nil && record.RestoreDependencies(page.Items)
+		onRead(ok, record.Spec.Dependencies)
+	})
+}
--- a/internal/controller/job_reader.go
+++ b/internal/controller/job_reader.go
@@ -1,167 +1,117 @@
 package controller
 
 import (
-	"slices"
+	"time"
 
 	"github.com/segmentio/encoding/json"
 
-	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/storage"
 )
 
-// readJobRecord reads a job's stored record, open or terminal. The open record is read first,
-// because a job moves from open to terminal and never back. The callback gets ok = false if
-// the key-value store did not answer, and neither record if the job is unknown.
-func (n *Node) readJobRecord(jobID string,
-	onRead func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord)) {
-	if record, ok := n.terminalJobs.byID[jobID]; ok {
+// jobReader reads what the key-value store holds of jobs, on behalf of users and of the leader. It
+// caches what never changes: the records of terminal jobs, and which jobs were accepted.
+type jobReader struct {
+	host         jobReaderHost
+	readBudget   ratelimit.TokenBucket // reads on behalf of users
+	pollInterval time.Duration         // pause between two pages of the initial load
+	terminalJobs terminalJobCache
+	acceptedJobs recentJobs[bool] // ids of jobs known to have been accepted
+}
+
+// jobReaderHost is what the reader needs from the node.
+type jobReaderHost interface {
+	// Now returns the time of the current step.
+	Now() clock.Instant
+	// Get sends a GET request to the key-value store. A response with status 0 means that no usable
+	// one arrived.
+	Get(path string, onResponse func(status int, body []byte))
+	// StoreUnavailable reports whether the key-value store is considered down, so that requests
+	// which need it are rejected at once.
+	StoreUnavailable() bool
+	// StoreResponding reports whether the last call to the key-value store succeeded.
+	StoreResponding() bool
+	// HasOpenJob reports whether this node leads and has the job among its open jobs.
+	HasOpenJob(jobID string) bool
+	// TerminalRecordRead handles a job's terminal record that was read from the key-value store.
+	TerminalRecordRead(jobID string, record storage.TerminalRecord)
+	// TerminalRecordUnreadable handles a terminal record that can't be decoded.
+	TerminalRecordUnreadable(jobID string, item storage.Item, err error)
+}
+
+// jobCallback receives what the key-value store holds of a job: its open record or its terminal
+// record, or neither if the job is unknown. ok is false if the key-value store did not answer.
+type jobCallback func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord)
+
+// newJobReader returns a reader with empty caches. It makes at most readsPerSecond reads on behalf
+// of users.
+func newJobReader(host jobReaderHost, readsPerSecond float64, pollInterval time.Duration) *jobReader {
+	return &jobReader{
+		host:         host,
+		readBudget:   ratelimit.NewTokenBucket(readsPerSecond, readsPerSecond),
+		pollInterval: pollInterval,
+		terminalJobs: terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
+		acceptedJobs: newRecentJobs[bool](recentJobsLimit),
+	}
+}
+
+// hasSpareReads reports whether at least half of the read budget is left.
+func (r *jobReader) hasSpareReads() bool {
+	r.readBudget.Refill(r.host.Now())
+	return r.readBudget.Tokens >= r.readBudget.Burst/2
+}
+
+// readItem reads one record. The callback gets nil unless the response has a record.
+func (r *jobReader) readItem(key string, onRead func(status int, item *storage.Item)) {
+	r.host.Get("/store/"+key, func(status int, body []byte) {
+		var item storage.Item
+		if status != 200 || json.Unmarshal(body, &item) != nil {
+			onRead(status, nil)
+			return
+		}
+		onRead(status, &item)
+	})
+}
+
+// readJob reads a job's record, open or terminal. The open record is read first, because a job
+// moves from open to terminal and never back.
+func (r *jobReader) readJob(jobID string, onRead jobCallback) {
+	if record, ok := r.terminalRecord(jobID); ok {
 		onRead(true, nil, &record)
 		return
 	}
-	if n.election.storeUnavailable() || !n.userReadBudget.Take(n.now, 2) {
+	if r.host.StoreUnavailable() || !r.readBudget.Take(r.host.Now(), 2) {
 		onRead(false, nil, nil)
 		return
 	}
-	n.storeCall("GET", "/store/"+storage.JobKey(jobID), nil, func(result CallResult) {
-		var item storage.Item
-		if result.Status == 200 && json.Unmarshal(result.Body, &item) == nil {
-			n.acceptedJobs.put(jobID, true)
-			onRead(true, &item, nil)
-			return
-		}
-		if result.Status != 404 {
+	r.readItem(storage.JobKey(jobID), func(status int, item *storage.Item) {
+		switch {
+		case item != nil:
+			r.recordAccepted(jobID)
+			onRead(true, item, nil)
+		case status == 404:
+			r.readTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) { onRead(ok, nil, terminal) })
+		default:
 			onRead(false, nil, nil)
-			return
 		}
-		n.readTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) { onRead(ok, nil, terminal) })
 	})
 }
 
 // readTerminalRecord reads a job's terminal record. The callback gets nil if there is none.
-func (n *Node) readTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
-	n.storeCall("GET", "/store/"+storage.TerminalKey(jobID), nil, func(result CallResult) {
-		var item storage.Item
-		if result.Status == 200 && json.Unmarshal(result.Body, &item) == nil {
-			n.onTerminalRecord(item)
+func (r *jobReader) readTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
+	r.readItem(storage.TerminalKey(jobID), func(status int, item *storage.Item) {
+		if item != nil {
+			r.cacheTerminalItem(*item)
 		}
-		terminal, known := n.terminalJobs.byID[jobID]
+		terminal, known := r.terminalRecord(jobID)
 		switch {
 		case known:
 			onRead(true, &terminal)
-		case result.Status == 404:
+		case status == 404:
 			onRead(true, nil)
 		default:
 			onRead(false, nil)
 		}
 	})
 }
-
-// readDependencies reads the IDs of the jobs on which an open job depends.
-func (n *Node) readDependencies(open *storage.Item, then func(ok bool, ids []string)) {
-	record, err := storage.ReadJob(*open)
-	if err != nil {
-		// If the job may have dependencies, one may be cancelled, which cancels this job too.
-		then(!storage.MayHaveDependencies(*open), nil)
-		return
-	}
-	if record.RestoreDependencies(nil) {
-		then(true, record.Spec.Dependencies)
-		return
-	}
-	n.storeCall("GET", storage.ListPath(storage.DependenciesPrefix+record.Spec.ID+"/", "", record.DependencyRecords), nil, func(r CallResult) {
-		var page storage.ListResponse
-		ok := r.Status == 200 && json.Unmarshal(r.Body, &page) == nil && record.RestoreDependencies(page.Items)
-		then(ok, record.Spec.Dependencies)
-	})
-}
-
-// readEffectiveState reads a job's state from the records: an open job is cancelled if any of its
-// direct or indirect dependencies is. All controllers answer by this rule, so none contradicts
-// what another has told a user.
-func (n *Node) readEffectiveState(id string, then func(ok bool, open *storage.Item, final *storage.TerminalRecord)) {
-	n.readJobRecord(id, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
-		if open == nil {
-			then(ok, open, final)
-			return
-		}
-		n.anyDependencyCancelled(open, nil, map[string]bool{}, func(ok, cancelled bool) {
-			switch {
-			case !ok:
-				then(false, nil, nil)
-			case cancelled:
-				then(true, nil, &storage.TerminalRecord{State: protocol.JobCancelled})
-			default:
-				then(true, open, nil)
-			}
-		})
-	})
-}
-
-// anyDependencyCancelled reads whether a direct or indirect dependency of an open job, or one of
-// otherIDs, is cancelled. A completed job needs no check, as all its dependencies were completed
-// before.
-func (n *Node) anyDependencyCancelled(open *storage.Item, otherIDs []string, visited map[string]bool, then func(ok, cancelled bool)) {
-	n.readDependencies(open, func(ok bool, ids []string) {
-		if !ok {
-			then(false, false)
-			return
-		}
-		n.anyJobCancelled(append(slices.Clone(otherIDs), ids...), visited, then)
-	})
-}
-
-// anyJobCancelled reads whether any of some jobs, or of their dependencies, is cancelled.
-func (n *Node) anyJobCancelled(ids []string, visited map[string]bool, then func(ok, cancelled bool)) {
-	for i, id := range ids {
-		if visited[id] {
-			continue
-		}
-		visited[id] = true
-		n.readJobRecord(id, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
-			switch {
-			case !ok:
-				then(false, false)
-			case final != nil && final.State == protocol.JobCancelled:
-				then(true, true)
-			case open != nil:
-				n.anyDependencyCancelled(open, ids[i+1:], visited, then)
-			default:
-				n.anyJobCancelled(ids[i+1:], visited, then)
-			}
-		})
-		return
-	}
-	then(true, false)
-}
-
-// withoutKnownAcceptance returns the IDs that this node does not know to be accepted. Acceptance
-// is never withdrawn, so a known one needs no further check.
-func (n *Node) withoutKnownAcceptance(ids []string) []string {
-	return slices.DeleteFunc(slices.Clone(ids), func(id string) bool {
-		_, ended := n.terminalJobs.byID[id]
-		return ended || n.acceptedJobs.byID[id] || (n.leader != nil && n.leader.Jobs[id] != nil)
-	})
-}
-
-// maxDirectJobReads is the number of jobs whose acceptance a node reads itself instead of asking
-// the leader.
-const maxDirectJobReads = 4
-
-// readAcceptance reads whether all of some jobs were accepted by any node. Only the key-value
-// store counts: another node may have accepted one a moment ago.
-func (n *Node) readAcceptance(ids []string, then func(ok, allAccepted bool)) {
-	pendingReads, readable, allAccepted := len(ids), true, true
-	if pendingReads == 0 {
-		then(true, true)
-		return
-	}
-	for _, id := range ids {
-		n.readJobRecord(id, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
-			readable = readable && ok
-			allAccepted = allAccepted && (open != nil || final != nil)
-			if pendingReads--; pendingReads == 0 {
-				then(readable, allAccepted)
-			}
-		})
-	}
-}
--- /dev/null
+++ b/internal/controller/job_reader_host.go
@@ -0,0 +1,41 @@
+package controller
+
+import (
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/storage"
+)
+
+// nodeJobReaderHost connects the job reader to its node.
+type nodeJobReaderHost struct{ node *Node }
+
+// Now implements jobReaderHost.
+func (h nodeJobReaderHost) Now() clock.Instant { return h.node.now }
+
+// Get implements jobReaderHost.
+func (h nodeJobReaderHost) Get(path string, onResponse func(status int, body []byte)) {
+	h.node.storeCall("GET", path, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
+}
+
+// StoreUnavailable implements jobReaderHost.
+func (h nodeJobReaderHost) StoreUnavailable() bool { return h.node.election.storeUnavailable() }
+
+// StoreResponding implements jobReaderHost.
+func (h nodeJobReaderHost) StoreResponding() bool {
+	election := &h.node.election
+	return !election.storeFailing() && election.storeOK != clock.Never
+}
+
+// HasOpenJob implements jobReaderHost.
+func (h nodeJobReaderHost) HasOpenJob(jobID string) bool {
+	return h.node.leader != nil && h.node.leader.Jobs[jobID] != nil
+}
+
+// TerminalRecordRead implements jobReaderHost.
+func (h nodeJobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
+	h.node.onTerminalRecord(jobID, record)
+}
+
+// TerminalRecordUnreadable implements jobReaderHost.
+func (h nodeJobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
+	h.node.onUnreadableTerminalRecord(jobID, item, err)
+}
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -35,7 +35,7 @@
 	if j := l.Jobs[id]; j != nil {
 		return j
 	}
-	if _, ended := l.node.terminalJobs.byID[id]; ended {
+	if _, ended := l.node.jobReader.terminalRecord(id); ended {
 		return nil
 	}
 	if l.EndedJobs[id] {
@@ -201,7 +201,7 @@
 				"after", l.node.now-j.AcceptedAt, "waited", j.EligibleAt-j.AcceptedAt,
 				"firstStart", j.FirstStartAt-j.AcceptedAt, "lastStart", j.LastStartAt-j.AcceptedAt, "expected", l.ExpectedTaskDuration(j))
 			l.node.traceStep(id, stepTerminal, state+" after "+l.jobAge(j))
-			l.node.terminalJobs.put(id, final)
+			l.node.jobReader.cacheTerminalRecord(id, final)
 			l.EndedJobs[id] = true
 			delete(l.Jobs, id)
 			delete(l.RunnableJobs, id)
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -210,7 +210,7 @@
 		facts.CompletionKnown = task.job.TaskState(task.index) == cluster.TaskDone
 	}
 	action, kind, differs := recovery.ReconcileTask(facts)
-	if differs && (kind != recovery.JobNeverStored || l.node.terminalJobs.loaded) {
+	if differs && (kind != recovery.JobNeverStored || l.node.jobReader.terminalJobsLoaded()) {
 		l.noteMismatch(kind, machine.Name, task.TaskID)
 	}
 	return action
@@ -218,7 +218,7 @@
 
 // reconciliationJobState is the state of a reported task's job, as the reconciliation needs it.
 func (l *leader) reconciliationJobState(jobID string, job *cluster.Job) recovery.JobState {
-	_, isTerminal := l.node.terminalJobs.byID[jobID]
+	_, isTerminal := l.node.jobReader.terminalRecord(jobID)
 	switch {
 	case job != nil && job.Terminal || isTerminal || l.EndedJobs[jobID]:
 		return recovery.JobStateTerminal
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -125,7 +125,7 @@
 			continue
 		}
 		delete(l.dependencyRecords, id)
-		if _, over := l.node.terminalJobs.byID[id]; over && !l.recordsLoaded {
+		if _, over := l.node.jobReader.terminalRecord(id); over && !l.recordsLoaded {
 			l.quarantineRecord(item, errOpenAndTerminal)
 			continue
 		}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -170,17 +170,15 @@
 	// when two catalogs in a row lack it.
 	missingTypes map[string]bool
 
-	terminalJobs *terminalJobCache
+	jobReader *jobReader
 	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job id.
 	unreadableTerminalRecords map[string]*quarantinedRecord
 	mismatches                recovery.MismatchCounts // of all recoveries in this process
-	acceptedJobs              recentJobs[bool]        // ids of jobs known to have been accepted
 	leader                    *leader
 	protocolLevels            protocolLevels
 
 	pendingSubmissions []pendingSubmission // queued for writing
 
-	userReadBudget    ratelimit.TokenBucket // reads on behalf of users
 	cloudBudget       ratelimit.TokenBucket
 	leaderWriteBudget ratelimit.TokenBucket // writes of the leader's records
 	submissionBudget  ratelimit.TokenBucket // writes of submissions
@@ -238,15 +236,14 @@
 		missingTypes: map[string]bool{}, peers: map[string]*peer{},
 		pendingForwards: map[uint64]*pendingForward{}, workerRoutes: map[string]*workerRoute{},
 		unreportedLoads: map[admission.Group]*protocol.GroupLoad{}, rejectedJobs: map[string]bool{},
-		acceptedJobs: newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
-		terminalJobs:              &terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
+		policyRejections:          newRecentJobs[admission.Group](recentJobsLimit),
 		unreadableTerminalRecords: map[string]*quarantinedRecord{},
 		catalogRequestedAt:        clock.Never, contendedUntil: clock.Never,
 		protocolLevels: protocolLevels{lastRead: clock.Never},
-		userReadBudget: ratelimit.NewTokenBucket(cluster.Store.RequestsPerS*followerReadShare, cluster.Store.RequestsPerS*followerReadShare),
 		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
+	node.jobReader = newJobReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare, node.workerLease()/pollsPerLease)
 	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
 	for _, known := range options.Platform.Peers {
 		node.peers[known.Node] = &peer{name: known.Node, lastContact: clock.Never, grantedUntil: clock.Never}
@@ -326,7 +323,7 @@
 	n.expireForwards()
 	n.expireRoutes()
 	n.writeQueuedSubmissions()
-	n.loadTerminalJobs()
+	n.jobReader.loadTerminalJobs()
 	n.tickProtocolLevels()
 	n.tickAdmission()
 	if n.leader != nil && n.holdsLeaderLease() {
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -5,7 +5,6 @@
 	"errors"
 	"maps"
 	"slices"
-	"strings"
 
 	"hitchdoor/internal/cluster"
 
@@ -78,7 +77,7 @@
 func (l *leader) quarantineUnreadableJob(id string, item storage.Item, err error) {
 	l.quarantineRecord(item, err)
 	l.quarantine.unreadableJobs[id] = true
-	l.node.acceptedJobs.put(id, true)
+	l.node.jobReader.recordAccepted(id)
 }
 
 // quarantineJob quarantines a record that belongs to an open job. The job's running tasks continue,
@@ -120,7 +119,7 @@
 func (l *leader) recheckRecord(record *quarantinedRecord) {
 	node := l.node
 	if id := storage.JobIDOfKey(record.key); l.quarantine.unreadableJobs[id] {
-		node.readTerminalRecord(id, func(bool, *storage.TerminalRecord) {})
+		node.jobReader.readTerminalRecord(id, func(bool, *storage.TerminalRecord) {})
 	}
 	node.storeCall("GET", "/store/"+record.key, nil, func(result CallResult) {
 		var item storage.Item
@@ -157,19 +156,17 @@
 
 var errOpenAndTerminal = errors.New("is of a job that is over")
 
-// onTerminalRecord handles a job's terminal record that was read from the key-value store.
-func (n *Node) onTerminalRecord(item storage.Item) {
-	id := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
-	final, err := storage.ReadTerminal(item)
-	if err != nil {
-		if n.unreadableTerminalRecords[id] == nil {
-			n.unreadableTerminalRecords[id] = n.newQuarantinedRecord(item, err)
-		}
-		return
+// onUnreadableTerminalRecord quarantines a job's terminal record that can't be decoded.
+func (n *Node) onUnreadableTerminalRecord(jobID string, item storage.Item, err error) {
+	if n.unreadableTerminalRecords[jobID] == nil {
+		n.unreadableTerminalRecords[jobID] = n.newQuarantinedRecord(item, err)
 	}
-	delete(n.unreadableTerminalRecords, id)
-	n.terminalJobs.put(id, final)
+}
+
+// onTerminalRecord handles a job's terminal record that was read from the key-value store.
+func (n *Node) onTerminalRecord(jobID string, record storage.TerminalRecord) {
+	delete(n.unreadableTerminalRecords, jobID)
 	if n.holdsLeaderLease() {
-		n.leader.quarantineOpenRecord(id, final)
+		n.leader.quarantineOpenRecord(jobID, record)
 	}
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -64,6 +64,10 @@
 	policyVersion uint64
 }
 
+// maxDirectJobReads is the number of jobs whose acceptance a node reads itself instead of asking
+// the leader.
+const maxDirectJobReads = 4
+
 // submitToStore validates a submission and queues it to be written on condition that the job is
 // unknown. The user is answered after the write. Any node may do so, because the leader watches
 // the open jobs.
@@ -98,13 +102,13 @@
 		n.answerFromStore(request, asLeader, retryLater)
 		return
 	}
-	unconfirmed := n.withoutKnownAcceptance(request.Job.Dependencies)
+	unconfirmed := n.jobReader.withoutKnownAccepted(request.Job.Dependencies)
 	if len(unconfirmed) > maxDirectJobReads && asLeader == nil && n.forwardSubmissionOnce(request) {
 		return // the leader has most of them in memory
 	}
 	submission := pendingSubmission{request: request, record: record, writes: writes, leader: asLeader,
 		deadline: n.now + n.workerLease()/10}
-	n.readAcceptance(unconfirmed, func(ok, allAccepted bool) {
+	n.jobReader.readAcceptance(unconfirmed, func(ok, allAccepted bool) {
 		switch {
 		case !ok:
 			n.answerFromStore(request, asLeader, retryLater)
@@ -179,7 +183,7 @@
 		var txnResult storage.TxnResponse
 		switch {
 		case response.Status == 200 && json.Unmarshal(response.Body, &txnResult) == nil:
-			n.acceptedJobs.put(jobID, true)
+			n.jobReader.recordAccepted(jobID)
 			n.traceStep(jobID, stepStored, "")
 			if submission.leader != nil && n.leader == submission.leader {
 				for _, write := range submission.writes {
--- a/internal/controller/terminal_jobs.go
+++ b/internal/controller/terminal_jobs.go
@@ -1,18 +1,15 @@
 package controller
 
 import (
+	"strings"
+
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
 
-// recentJobsLimit bounds the jobs in each cache of immutable facts. Older ones are read from the
-// key-value store again.
-const recentJobsLimit = 20_000
-
 // terminalJobCache caches the records of terminal jobs, which never change.
 type terminalJobCache struct {
 	recentJobs[storage.TerminalRecord]
@@ -24,28 +21,52 @@
 	nextReadAt      clock.Instant
 }
 
+// terminalRecord returns the terminal record of a job, if it is cached.
+func (r *jobReader) terminalRecord(jobID string) (storage.TerminalRecord, bool) {
+	return r.terminalJobs.get(jobID)
+}
+
+// cacheTerminalRecord caches the terminal record of a job, which this node has read or written.
+func (r *jobReader) cacheTerminalRecord(jobID string, record storage.TerminalRecord) {
+	r.terminalJobs.put(jobID, record)
+}
+
+// cacheTerminalItem decodes and caches a terminal record that was read from the key-value store.
+func (r *jobReader) cacheTerminalItem(item storage.Item) {
+	jobID := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
+	record, err := storage.ReadTerminal(item)
+	if err != nil {
+		r.host.TerminalRecordUnreadable(jobID, item, err)
+		return
+	}
+	r.cacheTerminalRecord(jobID, record)
+	r.host.TerminalRecordRead(jobID, record)
+}
+
+// terminalJobsLoaded reports whether the initial load of the terminal records is complete.
+func (r *jobReader) terminalJobsLoaded() bool { return r.terminalJobs.loaded }
+
 // loadTerminalJobs loads the terminal records page by page after a start. If they were read one by
 // one as users poll, thousands of reads would take longer than users may be left without an answer.
-func (n *Node) loadTerminalJobs() {
-	cache := n.terminalJobs
-	if cache.loaded || cache.loading || n.now < cache.nextReadAt ||
-		n.election.storeFailing() || n.election.storeOK == clock.Never {
+func (r *jobReader) loadTerminalJobs() {
+	cache := &r.terminalJobs
+	if cache.loaded || cache.loading || r.host.Now() < cache.nextReadAt || !r.host.StoreResponding() {
 		return
 	}
 	cache.loading = true
-	n.storeCall("GET", storage.ListPath(storage.TerminalPrefix, cache.lastKey, terminalPageSize), nil,
-		func(result CallResult) {
-			cache.loading, cache.nextReadAt = false, n.now+n.workerLease()/pollsPerLease
-			var page storage.ListResponse
-			if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
-				return
-			}
-			for _, item := range page.Items {
-				n.onTerminalRecord(item)
-				cache.lastKey = item.Key
-			}
-			cache.loaded = !page.Truncated || len(cache.byID) >= cache.limit
-		})
+	path := storage.ListPath(storage.TerminalPrefix, cache.lastKey, terminalPageSize)
+	r.host.Get(path, func(status int, body []byte) {
+		cache.loading, cache.nextReadAt = false, r.host.Now()+r.pollInterval
+		var page storage.ListResponse
+		if status != 200 || json.Unmarshal(body, &page) != nil {
+			return
+		}
+		for _, item := range page.Items {
+			r.cacheTerminalItem(item)
+			cache.lastKey = item.Key
+		}
+		cache.loaded = !page.Truncated || cache.full()
+	})
 }
 
 // terminalPageSize is the number of records in one page of the initial load. It bounds the memory
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -44,7 +44,7 @@
 		handler(n, request)
 		return
 	}
-	if record, ok := n.terminalJobs.byID[request.JobID]; ok {
+	if record, ok := n.jobReader.terminalRecord(request.JobID); ok {
 		// Terminal states never change, so any node may answer.
 		n.reply(request.Origin, 200, 0, terminalJobState(request.JobID, record))
 		return
@@ -155,7 +155,7 @@
 		return
 	}
 	if pending.request.Kind != protocol.RequestHeartbeat && (answer.Status == 200 || answer.Status == 201) {
-		n.acceptedJobs.put(pending.request.JobID, true)
+		n.jobReader.recordAccepted(pending.request.JobID)
 	}
 	if answer.Status == 503 && pending.request.Kind != protocol.RequestHeartbeat &&
 		pending.request.Kind != protocol.RequestCancel {
@@ -195,7 +195,7 @@
 // store has no record of it. An open job is added to the state of asLeader, if that still leads
 // and holds its leader lease when the record arrives.
 func (n *Node) answerFromStore(request Request, asLeader *leader, ifUnknown errorResponse) {
-	n.readEffectiveState(request.JobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
+	n.jobReader.readEffectiveState(request.JobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
 		case !ok && ifUnknown.retryAfterSeconds == 0:
 			n.replyUnavailable(request.Origin)
@@ -211,7 +211,7 @@
 				}
 			}
 			// The job may have ended after its record was read. Then its terminal record is cached.
-			if record, isTerminal := n.terminalJobs.byID[request.JobID]; isTerminal {
+			if record, isTerminal := n.jobReader.terminalRecord(request.JobID); isTerminal {
 				n.reply(request.Origin, 200, 0, terminalJobState(request.JobID, record))
 				return
 			}
