--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -75,9 +75,8 @@
 // jobTable holds the open jobs and the usage of their tasks.
 type jobTable struct {
 	Jobs         map[string]*Job
-	RunnableJobs map[string]*Job   // open jobs without pending dependencies
-	Dependents   map[string][]*Job // jobs with a pending dependency, by the dependency's id
-	EndedJobs    map[string]bool   // jobs that became terminal in this term
+	RunnableJobs map[string]*Job // open jobs without pending dependencies
+	EndedJobs    map[string]bool // jobs that became terminal in this term
 	classes      map[string]*classDurations
 	TeamUsage    map[string]*ResourceUsage // by team
 	ActiveTasks  [2]int                    // tasks on machines: batch, urgent
@@ -86,7 +85,7 @@
 // newJobTable returns an empty job table with the teams of the settings.
 func newJobTable(c *config.Cluster) jobTable {
 	table := jobTable{
-		Jobs: map[string]*Job{}, RunnableJobs: map[string]*Job{}, Dependents: map[string][]*Job{},
+		Jobs: map[string]*Job{}, RunnableJobs: map[string]*Job{},
 		EndedJobs: map[string]bool{},
 		classes:   map[string]*classDurations{}, TeamUsage: map[string]*ResourceUsage{},
 	}
--- a/internal/controller/autoscaler_plan.go
+++ b/internal/controller/autoscaler_plan.go
@@ -127,7 +127,7 @@
 	planned := fleet.Job{CoresPerTask: j.Spec.Cores, TaskDuration: l.ExpectedTaskDuration(j) + pullRate.PullDuration(j.Spec.ImageGB),
 		RemainingWork: l.RemainingCoreSeconds(j, pullRate), FailsEverywhere: j.FailsEverywhere, Due: l.Due(j), EligibleAt: j.EligibleAt,
 		SLOReserve: l.startSLOReserve(j), Started: j.HasStarted(), MinShare: l.MinShare[j.Spec.Class]}
-	for _, dependent := range l.soonReleasedDependents(j, l.BootTime()) {
+	for _, dependent := range l.dependencies.soonReleasedDependents(j, l.BootTime()) {
 		planned.UpcomingDependents = append(planned.UpcomingDependents, fleet.UpcomingJob{TaskDuration: l.ExpectedTaskDuration(dependent) + pullRate.PullDuration(dependent.Spec.ImageGB),
 			DueIn: l.DueFrom(dependent, l.node.now) - l.node.now, Work: l.RemainingCoreSeconds(dependent, pullRate)})
 	}
--- /dev/null
+++ b/internal/controller/dependency_deadlines.go
@@ -0,0 +1,87 @@
+package controller
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+)
+
+// tightenDeadlines propagates deadlines and ranks from the given jobs to their direct and
+// indirect dependencies. A job is due when the longest path from it to a deadline (the critical
+// path) leaves no more time, so the slack of a pipeline is counted only once.
+func (g *dependencyGraph) tightenDeadlines(jobs ...*cluster.Job) {
+	if len(jobs) == 0 {
+		return
+	}
+	pullRate := g.state.ImagePullRate()
+	for queue := slices.Clone(jobs); len(queue) > 0; queue = queue[1:] {
+		dependent := queue[0]
+		if dependent.Terminal {
+			continue
+		}
+		latestStart, rank := g.latestStart(dependent, pullRate), dependent.EffectiveRank()
+		for _, id := range dependent.Spec.Dependencies {
+			dependency := g.state.Jobs[id]
+			if dependency == nil || dependency.Terminal ||
+				(latestStart >= dependency.LatestEnd && rank >= dependency.InheritedRank) {
+				continue
+			}
+			dependency.LatestEnd = min(dependency.LatestEnd, latestStart)
+			dependency.InheritedRank = min(dependency.InheritedRank, rank)
+			g.state.SchedulingNeeded = true
+			queue = append(queue, dependency)
+		}
+	}
+}
+
+// latestStart returns the time by which the dependencies of a job must be complete, so that the job
+// meets its own deadline and those of its dependents.
+func (g *dependencyGraph) latestStart(j *cluster.Job, pullRate cluster.ImagePullRate) clock.Instant {
+	latestEnd := j.LatestEnd
+	if j.Spec.DeadlineSeconds != nil {
+		latestEnd = min(latestEnd, g.state.OwnDue(j, j.EligibleAt))
+	}
+	if latestEnd == clock.Forever {
+		return clock.Forever
+	}
+	return latestEnd - g.expectedJobDuration(j, pullRate)
+}
+
+// relaxDeadlines recomputes LatestEnd and InheritedRank of the jobs on which cancelled jobs
+// depended.
+func (g *dependencyGraph) relaxDeadlines(cancelledJobs ...*cluster.Job) {
+	var relaxed []*cluster.Job
+	for queue := slices.Clone(cancelledJobs); len(queue) > 0; queue = queue[1:] {
+		for _, id := range queue[0].Spec.Dependencies {
+			dependency := g.state.Jobs[id]
+			if dependency == nil || dependency.Terminal ||
+				(dependency.LatestEnd == clock.Forever && dependency.InheritedRank == math.MaxInt) {
+				continue
+			}
+			dependency.LatestEnd, dependency.InheritedRank = clock.Forever, math.MaxInt
+			relaxed = append(relaxed, dependency)
+			queue = append(queue, dependency)
+		}
+	}
+	var dependents []*cluster.Job
+	for _, dependency := range relaxed {
+		dependents = append(dependents, g.dependents[dependency.Spec.ID]...)
+	}
+	g.tightenDeadlines(dependents...)
+}
+
+// expectedJobDuration returns the expected time from the completion of a job's last dependency to
+// its own: its longest task, the image fetch, and the two heartbeats that carry the start and the
+// end.
+func (g *dependencyGraph) expectedJobDuration(j *cluster.Job, pullRate cluster.ImagePullRate) time.Duration {
+	longestTaskFactor := math.Exp(taskDurationLogDeviation * math.Sqrt(2*math.Log(float64(j.Spec.TaskCount))))
+	longestTask := time.Duration(longestTaskFactor * float64(g.state.ExpectedTaskDuration(j)))
+	return longestTask + pullRate.PullDuration(j.Spec.ImageGB) + 2*g.state.HeartbeatInterval()
+}
+
+// taskDurationLogDeviation is the standard deviation of the logarithms of the run times of a
+// job's tasks.
+const taskDurationLogDeviation = 0.25
--- /dev/null
+++ b/internal/controller/dependency_host.go
@@ -0,0 +1,67 @@
+package controller
+
+import (
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+// leaderDependencyHost connects the dependency graph to its leader.
+type leaderDependencyHost struct{ leader *leader }
+
+// TerminalRecord implements dependencyHost.
+func (h leaderDependencyHost) TerminalRecord(jobID string) (storage.TerminalRecord, bool) {
+	return h.leader.node.jobReader.terminalRecord(jobID)
+}
+
+// InstantFromUnixMilli implements dependencyHost.
+func (h leaderDependencyHost) InstantFromUnixMilli(unixMilli int64) clock.Instant {
+	return h.leader.node.instantFromUnixMilli(unixMilli)
+}
+
+// JobReleased implements dependencyHost. The forecast counts the jobs that are released while the
+// records are loading once all of them are loaded.
+func (h leaderDependencyHost) JobReleased(j *cluster.Job) {
+	if h.leader.recordsLoaded {
+		h.leader.autoscaler.recordArrival(j)
+	}
+}
+
+// CancelJob implements dependencyHost.
+func (h leaderDependencyHost) CancelJob(j *cluster.Job) {
+	waiters := h.leader.cancelWaiters
+	for _, origin := range waiters[j.Spec.ID] {
+		h.leader.node.reply(origin, 200, 0, j.State())
+	}
+	delete(waiters, j.Spec.ID)
+	if !j.Terminal {
+		h.leader.finishJob(j, protocol.JobCancelled)
+	}
+}
+
+// MayLookUp implements dependencyHost.
+func (h leaderDependencyHost) MayLookUp() bool {
+	node := h.leader.node
+	return !node.election.storeUnavailable() && h.leader.lookupBudget.Take(node.now, 1)
+}
+
+// ReadTerminalRecord implements dependencyHost.
+func (h leaderDependencyHost) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
+	node := h.leader.node
+	node.jobReader.readTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) {
+		if node.leader == h.leader {
+			onRead(ok, terminal)
+		}
+	})
+}
+
+// LoadOpenJob implements dependencyHost.
+func (h leaderDependencyHost) LoadOpenJob(jobID string) {
+	node := h.leader.node
+	node.jobReader.readItem(storage.JobKey(jobID), func(_ int, item *storage.Item) {
+		if item != nil && node.leader == h.leader {
+			h.leader.adoptStoredJob(jobID, *item)
+		}
+	})
+}
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -51,7 +51,7 @@
 	l.layOutBitmap(j)
 	l.Jobs[id] = j
 	l.writer.SetModRevision(storage.JobKey(id), version)
-	l.addDependencies(j)
+	l.dependencies.addJob(j)
 	if l.recordsLoaded {
 		l.admission.countAccepted(&record.Spec)
 		l.node.traceStep(id, stepLoaded, "")
@@ -183,9 +183,9 @@
 		l.RequestStop(r, 0)
 	}
 	if j.Cancelled && !j.DependencyCancelled {
-		l.relaxDeadlines(j)
+		l.dependencies.relaxDeadlines(j)
 	}
-	l.writer.Enqueue(l.completionPriority(j), storage.Change{
+	l.writer.Enqueue(l.dependencies.completionPriority(j), storage.Change{
 		BuildWrites: func() []storage.Write {
 			final.EndedAtMillis = l.node.nowUnixMilli()
 			return []storage.Write{storage.Delete(storage.JobKey(id)), storage.Put(storage.TerminalKey(id), final)}
@@ -193,7 +193,7 @@
 		OnSent: func() {
 			j.CompletionUncertain = true
 			if j.Cancelled {
-				l.forEachDependent(j, func(dependent *cluster.Job) { dependent.CompletionUncertain = true })
+				l.dependencies.forEachDependent(j, func(dependent *cluster.Job) { dependent.CompletionUncertain = true })
 			}
 		},
 		OnApplied: func() {
@@ -205,7 +205,7 @@
 			l.EndedJobs[id] = true
 			delete(l.Jobs, id)
 			delete(l.RunnableJobs, id)
-			l.releaseDependents(id, final, true)
+			l.dependencies.releaseDependents(id, final, true)
 			for _, origin := range l.cancelWaiters[id] {
 				l.node.reply(origin, 200, 0, protocol.JobStatus{ID: id, State: state})
 			}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -27,6 +27,7 @@
 	resolvingTransaction bool // a read of an unclear transaction's outcome is in flight
 	delayedCalls         []delayedCall
 	recovery             *recovery.Recovery
+	dependencies         *dependencyGraph
 	autoscaler           autoscaler
 	admission            admissionControl
 }
@@ -42,6 +43,7 @@
 		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: node.newRecovery(),
 	}
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
+	l.dependencies = newDependencyGraph(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
 	l.autoscaler.init(l)
 	l.admission.start(l)
 	return l
@@ -133,7 +135,7 @@
 	if !l.watchActive {
 		l.watchJobs()
 	}
-	l.tickDependencyLookups()
+	l.dependencies.tickLookups()
 	l.tickQuarantine()
 	if node.leader != l {
 		return
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -11,8 +11,6 @@
 
 	"hitchdoor/internal/ratelimit"
 
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/storage"
@@ -27,7 +25,6 @@
 	loadingDependencies map[string]bool           // jobs whose dependency records are being read
 	dependencyReadCount map[string]int            // reads of a job's dependency records
 	deferredBitmaps     map[string][]storage.Item // bitmap parts of jobs that are not loaded yet
-	dependencyLookups   map[string]clock.Instant  // dependencies that are not open here: when to read their outcome
 	lookupBudget        ratelimit.TokenBucket     // limits reads of dependencies and of quarantined records
 	earlyHeartbeats     []Request                 // workers' heartbeats received while loading
 	quarantine          quarantine
@@ -43,8 +40,8 @@
 	return loadState{
 		dependencyRecords: map[string][]storage.Item{}, loadingDependencies: map[string]bool{},
 		dependencyReadCount: map[string]int{},
-		deferredBitmaps:     map[string][]storage.Item{}, dependencyLookups: map[string]clock.Instant{},
-		lookupBudget: ratelimit.NewTokenBucket(readRate, readRate), quarantine: newQuarantine(),
+		deferredBitmaps:     map[string][]storage.Item{},
+		lookupBudget:        ratelimit.NewTokenBucket(readRate, readRate), quarantine: newQuarantine(),
 	}
 }
 
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -147,7 +147,7 @@
 	l.quarantineRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
 	delete(l.Jobs, id)
 	delete(l.RunnableJobs, id)
-	l.releaseDependents(id, final, false)
+	l.dependencies.releaseDependents(id, final, false)
 	for _, origin := range l.cancelWaiters[id] {
 		l.node.reply(origin, 200, 0, terminalJobState(id, final))
 	}
