--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -387,7 +387,7 @@
 // did not provide. Where capacity is scarce, the whole budget of a small fleet went to requests
 // without effect.
 func (r *pendingRental) refundUnrented(l *leader, rentedCount int) {
-	l.recovery.RefundOperations(l.node.now, recovery.RentMachine, r.chargedMachines-rentedCount)
+	l.recovery.RefundOperations(recovery.RentMachine, r.chargedMachines-rentedCount)
 	r.chargedMachines = 0
 }
 
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -32,7 +32,7 @@
 		c.back(name, c.away+c.within(spread+step))
 	}
 	c.began = c.now + c.away
-	c.rates = c.nodes[c.names[0]].recoverySettings().Rates(len(c.cloud.hosts), 4*float64(len(c.cloud.hosts)), 4)
+	c.rates = recoverySettings(&c.nodes[c.names[0]].cfg.Cluster, &c.nodes[c.names[0]].settings).Rates(len(c.cloud.hosts), 4*float64(len(c.cloud.hosts)), 4)
 	c.watchRentals()
 	c.watchStarts()
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -14,7 +14,7 @@
 	}
 	l.lastWorkerHeartbeat = node.now
 	if heartbeat.FencingToken > l.term {
-		l.noteMismatch(recovery.NewerToken, heartbeat.Machine, "")
+		l.recovery.NoteMismatch(recovery.NewerToken, heartbeat.Machine, "")
 		// The worker has seen a newer leader and would drop the responses of this one.
 		node.replyUnavailable(request.Origin)
 		node.stepDown("a worker has seen a higher token")
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -3,7 +3,6 @@
 import (
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
-	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/scheduler"
 	"hitchdoor/internal/storage"
 )
@@ -26,7 +25,7 @@
 	writer               *storage.Writer
 	resolvingTransaction bool // a read of an unclear transaction's outcome is in flight
 	delayedCalls         []delayedCall
-	recovery             *recovery.Recovery
+	recovery             *recoveryGate
 	autoscaler           autoscaler
 	admission            admissionControl
 }
@@ -39,7 +38,7 @@
 		node: node, term: term, State: state,
 		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), machineRecords: newMachineRecords(&node.cfg.Cluster), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
 		cancelWaiters: map[string][]Origin{},
-		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: node.newRecovery(),
+		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: newRecoveryGate(state, leaderKeyVersion, &node.mismatches),
 	}
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.autoscaler.init(l)
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -3,31 +3,44 @@
 import (
 	"maps"
 	"slices"
+	"time"
 
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/recovery"
 )
 
 // tickRecovery advances the recovery, and steps down if the stored records can't be read in time.
 func (l *leader) tickRecovery() {
-	if !l.recordsLoaded && l.recovery.ReadingTimedOut(l.node.now) {
+	if !l.recordsLoaded && l.recovery.ReadingTimedOut() {
 		l.node.stepDown("timeout reading stored records")
 		return
 	}
-	if l.recovery.Completed() {
-		return
-	}
-	for _, transition := range l.recovery.Advance(l.node.now, l.recoveryView()) {
-		l.node.log.Info("recovery phase changed",
-			"phase", transition.To, "after", transition.Duration, "timeout", transition.TimedOut,
-			"machines", len(l.Machines), "mismatches", mismatchTotal(l.recovery.Counts()))
-		l.SchedulingNeeded = true
-		switch transition.To {
-		case recovery.PhaseReconciling:
-			l.noteUnresponsiveMachines()
-		case recovery.PhasePacing:
-			l.noteJobsNotRunning()
-		}
-	}
+	l.recovery.Advance(l.recordsLoaded)
+}
+
+// MayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled.
+func (l *leader) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
+	return l.recovery.MayRunUnreported(job, totals)
+}
+
+// limitedByRecovery reports whether the recovery limits what this leader does.
+func (l *leader) limitedByRecovery() bool { return l.recovery.Limited() }
+
+// mayScaleOut reports whether machines may be rented.
+func (l *leader) mayScaleOut() bool { return l.recovery.MayScaleOut() }
+
+// mayScaleIn reports whether machines may be returned because there are too many.
+func (l *leader) mayScaleIn() bool { return l.recovery.MayScaleIn() }
+
+// mayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
+func (l *leader) mayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
+	return l.recovery.MayReturnUnresponsive(machine, silence)
+}
+
+// allowedOperations is how many of count operations on machines are within the budget now. It takes
+// them from the budget.
+func (l *leader) allowedOperations(operation recovery.Operation, count int) int {
+	return l.recovery.AllowedOperations(operation, count)
 }
 
 // recoveryStatus is the state of recovery on this node, as operators see it.
@@ -39,9 +52,7 @@
 	if status.IsLeader {
 		current := n.leader
 		status.LeaderName, status.Term = "", current.term
-		status.Recovery = current.recovery.Status(n.now)
-		status.Recovery.Term, status.Recovery.Paced = current.term,
-			n.settings.PacedRecovery && len(current.Machines) >= n.settings.RecoveryMinMachines
+		status.Recovery = current.recovery.Status(current.term)
 		for _, record := range current.quarantine.recordsByKey() {
 			status.Quarantined = append(status.Quarantined, record.status())
 		}
@@ -73,7 +84,7 @@
 		page.gauge("recovery_phase",
 			"The leader's phase of recovery: 0 reading, 1 collecting, 2 reconciling, 3 pacing, 4 normal.",
 			float64(current.recovery.Phase()))
-		budgets := current.recovery.Budgets(n.now)
+		budgets := current.recovery.Budgets()
 		if len(budgets) > 0 {
 			page.labelledGauge("recovery_budget", "Orders that may be given at once, by kind.", "order",
 				func(each func(label string, value float64)) {
--- a/internal/controller/reconciler.go
+++ b/internal/controller/reconciler.go
@@ -68,10 +68,10 @@
 		// after it has certainly ended. An unrecorded machine with tasks is therefore a late
 		// copy of a heartbeat from before its return. It must neither block jobs nor count
 		// against a quota.
-		l.noteMismatch(recovery.MachineNotRecorded, heartbeat.Machine, "")
+		l.recovery.NoteMismatch(recovery.MachineNotRecorded, heartbeat.Machine, "")
 		return nil
 	}
-	l.noteMismatch(recovery.MachineNotRecorded, heartbeat.Machine, "")
+	l.recovery.NoteMismatch(recovery.MachineNotRecorded, heartbeat.Machine, "")
 	m := l.NewMachine(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	// No leader has stored the machine, so none has started a task on it. It is used only
 	// once its heartbeats carry the token of this term.
@@ -117,7 +117,7 @@
 // beginEpoch handles the first heartbeat of a new worker epoch. The worker has killed all earlier
 // tasks.
 func (l *leader) beginEpoch(m *cluster.Machine) {
-	l.noteMismatch(recovery.NewerEpoch, m.Name, "")
+	l.recovery.NoteMismatch(recovery.NewerEpoch, m.Name, "")
 	m.UnknownTasks, l.TotalsValid = 0, false
 	for _, attempt := range m.AttemptsInOrder {
 		if attempt.Phase != cluster.AttemptAssigned {
--- a/internal/controller/recovery_gate.go
+++ b/internal/controller/recovery_gate.go
@@ -5,26 +5,95 @@
 
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/config"
 	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/scheduler"
 )
 
-// newRecovery starts the recovery of a new leader.
-func (n *Node) newRecovery() *recovery.Recovery { return recovery.New(n.recoverySettings(), n.now) }
+// recoveryGate applies the limits of a new leader's recovery to its decisions: whether machines may
+// be rented or returned, how many commands may be sent now, and which jobs may be running on machines
+// that are not reconciled. It owns the leader's recovery.Recovery and feeds it with views of the
+// cluster state.
+type recoveryGate struct {
+	state    *cluster.State
+	recovery *recovery.Recovery
+	// leaderRevision is the revision of the key-value store at which this leader wrote the leader
+	// key. Records with a later revision are from its own term.
+	leaderRevision uint64
+	// processMismatches counts the mismatches of all recoveries in this process.
+	processMismatches *recovery.MismatchCounts
+}
+
+// newRecoveryGate starts the recovery of a new leader, whose leader key was written at
+// leaderRevision.
+func newRecoveryGate(state *cluster.State, leaderRevision uint64, processMismatches *recovery.MismatchCounts) *recoveryGate {
+	return &recoveryGate{
+		state: state, recovery: recovery.New(recoverySettings(state.Config, state.Settings), state.Clock.Now()),
+		leaderRevision: leaderRevision, processMismatches: processMismatches,
+	}
+}
 
-// recoverySettings are the intervals and limits of a recovery, from the node's settings.
-func (n *Node) recoverySettings() recovery.Settings {
+// recoverySettings are the intervals and limits of a recovery, from a controller's settings.
+func recoverySettings(platform *config.Cluster, settings *config.Settings) recovery.Settings {
 	return recovery.Settings{
-		HeartbeatInterval: n.heartbeatInterval(), WorkerLease: clock.WorkerLeaseTimeout(n.workerLease()),
-		Limits: recovery.Limits{RefillLeases: n.settings.RecoveryRefillLeases, ReplaceLeases: n.settings.RecoveryReplaceLeases},
+		HeartbeatInterval: config.Seconds(platform.Workers.HeartbeatIntervalS),
+		WorkerLease:       clock.WorkerLeaseTimeout(config.Seconds(platform.Workers.LeaseS)),
+		Limits:            recovery.Limits{RefillLeases: settings.RecoveryRefillLeases, ReplaceLeases: settings.RecoveryReplaceLeases},
 	}
 }
 
-// recoveryView is the state of the cluster that the recovery depends on.
-func (l *leader) recoveryView() recovery.View {
-	totals := l.CurrentMachineTotals()
-	return recovery.View{RecordsRead: l.recordsLoaded, InventoryIncomplete: l.InventoryIncomplete(),
-		Machines: len(l.Machines), Unreconciled: totals.UnreconciledMachines,
+// ReadingTimedOut reports whether reading the records takes so long that another leader should try.
+func (g *recoveryGate) ReadingTimedOut() bool { return g.recovery.ReadingTimedOut(g.state.Clock.Now()) }
+
+// Phase returns the present phase of the recovery.
+func (g *recoveryGate) Phase() recovery.Phase { return g.recovery.Phase() }
+
+// Completed reports whether the recovery is completed.
+func (g *recoveryGate) Completed() bool { return g.recovery.Completed() }
+
+// Counts returns the number of mismatches of each kind.
+func (g *recoveryGate) Counts() recovery.MismatchCounts { return g.recovery.Counts() }
+
+// Budgets lists the present budgets. There are none once the recovery is completed.
+func (g *recoveryGate) Budgets() []recovery.Budget { return g.recovery.Budgets(g.state.Clock.Now()) }
+
+// Status returns the state of the recovery in a term, as operators see it.
+func (g *recoveryGate) Status(term uint64) *recovery.Status {
+	status := g.recovery.Status(g.state.Clock.Now())
+	status.Term, status.Paced = term, g.appliesToFleet()
+	return status
+}
+
+// Advance moves the recovery on to the phase that follows from the cluster state. recordsRead tells
+// whether all stored records have been read.
+func (g *recoveryGate) Advance(recordsRead bool) {
+	if g.recovery.Completed() {
+		return
+	}
+	for _, transition := range g.recovery.Advance(g.state.Clock.Now(), g.view(recordsRead)) {
+		g.onTransition(transition)
+	}
+}
+
+// onTransition logs a change of phase and counts the mismatches that show at that moment.
+func (g *recoveryGate) onTransition(transition recovery.Transition) {
+	g.state.Log.Info("recovery phase changed",
+		"phase", transition.To, "after", transition.Duration, "timeout", transition.TimedOut,
+		"machines", len(g.state.Machines), "mismatches", mismatchTotal(g.recovery.Counts()))
+	g.state.SchedulingNeeded = true
+	switch transition.To {
+	case recovery.PhaseReconciling:
+		g.noteUnresponsiveMachines()
+	case recovery.PhasePacing:
+		g.noteJobsNotRunning()
+	}
+}
+
+// view is the state of the cluster that the recovery depends on.
+func (g *recoveryGate) view(recordsRead bool) recovery.View {
+	totals := g.state.CurrentMachineTotals()
+	return recovery.View{RecordsRead: recordsRead, InventoryIncomplete: g.state.InventoryIncomplete(),
+		Machines: len(g.state.Machines), Unreconciled: totals.UnreconciledMachines,
 		Cores: totals.TotalCores, LargestCores: totals.LargestMachineCores}
 }
 
@@ -39,81 +108,80 @@
 	return total
 }
 
-// noteMismatch counts a mismatch, for this leader and for this process.
-func (l *leader) noteMismatch(kind recovery.Mismatch, machine, subject string) {
-	if l.recovery.NoteMismatch(l.node.now, kind, machine, subject) {
-		l.node.mismatches[kind]++
+// NoteMismatch counts a mismatch, for this leader and for this process. The subject is a task or a
+// job.
+func (g *recoveryGate) NoteMismatch(kind recovery.Mismatch, machine, subject string) {
+	if g.recovery.NoteMismatch(g.state.Clock.Now(), kind, machine, subject) {
+		g.processMismatches[kind]++
 	}
 }
 
 // noteUnresponsiveMachines counts, at the end of the collecting phase, the machines that have not
 // sent a heartbeat.
-func (l *leader) noteUnresponsiveMachines() {
-	for _, m := range l.MachinesByName() {
+func (g *recoveryGate) noteUnresponsiveMachines() {
+	for _, m := range g.state.MachinesByName() {
 		if !m.Reconciled && m.LastHeartbeat == clock.Never {
-			l.noteMismatch(recovery.MachineUnresponsive, m.Name, "")
+			g.NoteMismatch(recovery.MachineUnresponsive, m.Name, "")
 		}
 	}
 }
 
 // noteJobsNotRunning counts, once all machines are reconciled, the jobs of earlier leaders that no
 // worker reports a task of.
-func (l *leader) noteJobsNotRunning() {
-	for _, j := range l.JobsByAge() {
-		if j.RecordVersion <= l.writer.LeaderRevision && len(j.Attempts) == 0 && j.PendingTasks > 0 {
-			l.noteMismatch(recovery.JobNotRunning, "", j.Spec.ID)
+func (g *recoveryGate) noteJobsNotRunning() {
+	for _, job := range g.state.JobsByAge() {
+		if job.RecordVersion <= g.leaderRevision && len(job.Attempts) == 0 && job.PendingTasks > 0 {
+			g.NoteMismatch(recovery.JobNotRunning, "", job.Spec.ID)
 		}
 	}
 }
 
-// noteOvercommitted counts a machine whose tasks use more cores than it has.
-func (l *leader) noteOvercommitted(machine *cluster.Machine) {
-	if machine.MachineType != nil && machine.UsedCores > machine.MachineType.Cores+cluster.ResourceTolerance {
-		l.noteMismatch(recovery.MachineOvercommitted, machine.Name, "")
-	}
-}
+// Limited reports whether the recovery limits what this leader does: it applies to this fleet and is
+// not completed.
+func (g *recoveryGate) Limited() bool { return !g.recovery.Completed() && g.appliesToFleet() }
 
-// limitedByRecovery reports whether the recovery limits what this leader does: it is enabled for
-// fleets of this size and not completed. Small fleets are exempt: in a simulated day of 40
-// machines, on which all controllers ended six times while their workers were cut off, delaying
-// rentals reduced the jobs completed in time by a third.
-func (l *leader) limitedByRecovery() bool {
-	return l.node.settings.PacedRecovery && !l.recovery.Completed() && len(l.Machines) >= l.node.settings.RecoveryMinMachines
+// appliesToFleet reports whether a recovery limits the leader of a fleet of this size. Small fleets
+// are exempt: in a simulated day of 40 machines, on which all controllers ended six times while their
+// workers were cut off, delaying rentals reduced the jobs completed in time by a third.
+func (g *recoveryGate) appliesToFleet() bool {
+	return g.state.Settings.PacedRecovery && len(g.state.Machines) >= g.state.Settings.RecoveryMinMachines
 }
 
-// mayScaleOut reports whether machines may be rented.
-func (l *leader) mayScaleOut() bool { return !l.limitedByRecovery() || l.recovery.MayScaleOut() }
+// MayScaleOut reports whether machines may be rented.
+func (g *recoveryGate) MayScaleOut() bool { return !g.Limited() || g.recovery.MayScaleOut() }
+
+// MayScaleIn reports whether machines may be returned because there are too many.
+func (g *recoveryGate) MayScaleIn() bool { return !g.Limited() || g.recovery.MayScaleIn() }
 
-// mayScaleIn reports whether machines may be returned because there are too many.
-func (l *leader) mayScaleIn() bool { return !l.limitedByRecovery() || l.recovery.MayScaleIn() }
+// MayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
+func (g *recoveryGate) MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
+	if machine.Reconciled {
+		workerLease := config.Seconds(g.state.Config.Workers.LeaseS)
+		return silence > workerLease*6/10
+	}
+	return g.recovery.MayReturnUnresponsive(silence)
+}
 
 // allowOperation reports whether an operation is within the recovery's budgets now, and takes it
 // from its budget.
-func (l *leader) allowOperation(operation recovery.Operation, urgency recovery.Urgency, team string) bool {
-	return !l.limitedByRecovery() || l.recovery.Allow(l.node.now, operation, urgency, team)
+func (g *recoveryGate) allowOperation(operation recovery.Operation, urgency recovery.Urgency, team string) bool {
+	return !g.Limited() || g.recovery.Allow(g.state.Clock.Now(), operation, urgency, team)
 }
 
-// allowedOperations is how many of count operations on machines are within the budget now. It takes
+// AllowedOperations is how many of count operations on machines are within the budget now. It takes
 // them from the budget.
-func (l *leader) allowedOperations(operation recovery.Operation, count int) int {
+func (g *recoveryGate) AllowedOperations(operation recovery.Operation, count int) int {
 	for i := range count {
-		if !l.allowOperation(operation, recovery.LatencySensitive, "") {
+		if !g.allowOperation(operation, recovery.LatencySensitive, "") {
 			return i
 		}
 	}
 	return count
 }
 
-// urgencyOf is the urgency of operations on a job's tasks.
-func urgencyOf(job *cluster.Job) recovery.Urgency {
-	switch {
-	case job.Terminal:
-		return recovery.CancelledWork
-	case job.EffectiveRank() <= scheduler.RankLatencySensitive:
-		return recovery.LatencySensitive
-	default:
-		return recovery.OrdinaryWork
-	}
+// RefundOperations returns to the budget what was taken for operations that were not carried out.
+func (g *recoveryGate) RefundOperations(operation recovery.Operation, count int) {
+	g.recovery.RefundOperations(g.state.Clock.Now(), operation, count)
 }
 
 // startsPerResponseDivisor bounds the tasks that one response starts while starts are paced: one per
@@ -121,32 +189,44 @@
 // their next heartbeat as soon as the tasks start.
 const startsPerResponseDivisor = 4
 
-// mayStartTask reports whether a response that starts some tasks already may start one more.
-func (l *leader) mayStartTask(attempt *cluster.TaskAttempt, startedCount int) bool {
-	if !l.limitedByRecovery() {
+// MayStartTask reports whether a response that starts some tasks already may start one more.
+func (g *recoveryGate) MayStartTask(attempt *cluster.TaskAttempt, startedCount int) bool {
+	if !g.Limited() {
 		return true
 	}
 	if maxStarts := max(1, int(attempt.Machine.MachineType.Cores/startsPerResponseDivisor)); startedCount >= maxStarts {
 		return false
 	}
-	return l.allowOperation(recovery.StartTask, urgencyOf(attempt.Job), attempt.Job.Spec.Team)
+	return g.allowOperation(recovery.StartTask, urgencyOf(attempt.Job), attempt.Job.Spec.Team)
 }
 
-// mayStopUnexpectedTask reports whether a task that should not be running may be stopped now. One
-// whose job is terminal, or unknown, has the highest urgency.
-func (l *leader) mayStopUnexpectedTask(job *cluster.Job) bool {
+// MayStopTask reports whether a task may be stopped now. The job is nil if it is not open: its task
+// should not be running, and stopping it has the highest urgency.
+func (g *recoveryGate) MayStopTask(job *cluster.Job) bool {
 	if job == nil {
-		return l.allowOperation(recovery.StopTask, recovery.CancelledWork, "")
+		return g.allowOperation(recovery.StopTask, recovery.CancelledWork, "")
+	}
+	return g.allowOperation(recovery.StopTask, urgencyOf(job), job.Spec.Team)
+}
+
+// urgencyOf is the urgency of operations on a job's tasks.
+func urgencyOf(job *cluster.Job) recovery.Urgency {
+	switch {
+	case job.Terminal:
+		return recovery.CancelledWork
+	case job.EffectiveRank() <= scheduler.RankLatencySensitive:
+		return recovery.LatencySensitive
+	default:
+		return recovery.OrdinaryWork
 	}
-	return l.allowOperation(recovery.StopTask, urgencyOf(job), job.Spec.Team)
 }
 
 // MayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled.
 // An earlier leader can't have started a job that was accepted after the leader key was written,
 // nor one that depends on a job whose end this leader has written. Nor can a job be running there
 // that may use none of those machines.
-func (l *leader) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
-	if totals.AllReconciled || job.RecordVersion > l.writer.LeaderRevision || job.ReleasedThisTerm {
+func (g *recoveryGate) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
+	if totals.AllReconciled || job.RecordVersion > g.leaderRevision || job.ReleasedThisTerm {
 		return false
 	}
 	if totals.UnreconciledTypeUnknown {
@@ -161,11 +241,3 @@
 	}
 	return false
 }
-
-// mayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
-func (l *leader) mayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
-	if machine.Reconciled {
-		return silence > l.node.workerLease()*6/10
-	}
-	return l.recovery.MayReturnUnresponsive(silence)
-}
--- a/internal/controller/reported_tasks.go
+++ b/internal/controller/reported_tasks.go
@@ -72,7 +72,7 @@
 		l.updateAttempt(m, reported.attempt, task)
 	case recovery.StopAttempt:
 		m.UnknownTasks++
-		if !l.mayStopUnexpectedTask(reported.job) {
+		if !l.recovery.MayStopTask(reported.job) {
 			return nil
 		}
 		noGrace := 0.0
@@ -117,7 +117,7 @@
 	}
 	action, kind, differs := recovery.ReconcileTask(facts)
 	if differs && (kind != recovery.JobNeverStored || l.node.terminalJobs.loaded) {
-		l.noteMismatch(kind, machine.Name, task.TaskID)
+		l.recovery.NoteMismatch(kind, machine.Name, task.TaskID)
 	}
 	return action
 }
@@ -209,3 +209,10 @@
 	}
 	return true
 }
+
+// noteOvercommitted counts a machine whose tasks use more cores than it has.
+func (l *leader) noteOvercommitted(machine *cluster.Machine) {
+	if machine.MachineType != nil && machine.UsedCores > machine.MachineType.Cores+cluster.ResourceTolerance {
+		l.recovery.NoteMismatch(recovery.MachineOvercommitted, machine.Name, "")
+	}
+}
--- a/internal/controller/worker_commands.go
+++ b/internal/controller/worker_commands.go
@@ -3,7 +3,6 @@
 import (
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
-	"hitchdoor/internal/recovery"
 )
 
 // maxCommandsPerResponse keeps a response well below 64 KiB.
@@ -22,13 +21,13 @@
 		}
 		switch {
 		case attempt.StopGrace != nil && attempt.Phase != cluster.AttemptAssigned:
-			if !l.allowOperation(recovery.StopTask, urgencyOf(attempt.Job), attempt.Job.Spec.Team) {
+			if !l.recovery.MayStopTask(attempt.Job) {
 				continue
 			}
 			commands = append(commands, protocol.Command{
 				Kind: protocol.CommandStop, TaskID: attempt.Key(), Attempt: attempt.Number, GraceSeconds: attempt.StopGrace})
 		case attempt.Phase == cluster.AttemptAssigned && m.TokenAcknowledged && m.UseDurable:
-			if !l.mayStartTask(attempt, startCount) {
+			if !l.recovery.MayStartTask(attempt, startCount) {
 				continue
 			}
 			startCount++
