--- a/internal/controller/command_delivery.go
+++ b/internal/controller/command_delivery.go
@@ -17,21 +17,21 @@
 // of a response without commands shows by the worker using the same route again. Without that rule
 // a machine that had missed a response while idle got no more commands, and so could never show a
 // sign of delivery.
-func (l *leader) trackCommandDelivery(m *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, tokenAcknowledged, sameRoute bool) {
-	lastResponse := m.UnconfirmedResponse
-	m.UnconfirmedResponse = nil
+func trackCommandDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, tokenAcknowledged, sameRoute bool) {
+	lastResponse := machine.UnconfirmedResponse
+	machine.UnconfirmedResponse = nil
 	switch {
 	case lastResponse == nil:
 	case !tokenAcknowledged:
-		m.MissedResponses++
+		machine.MissedResponses++
 	case len(lastResponse.Commands) > 0:
 		if !commandExecuted(lastResponse.Commands[0], heartbeat) {
-			m.MissedResponses++
+			machine.MissedResponses++
 			return
 		}
-		m.MissedResponses, m.UnexpectedRestart = 0, false
-	case !m.TokenAcknowledged || sameRoute:
-		m.MissedResponses, m.UnexpectedRestart = 0, false
+		machine.MissedResponses, machine.UnexpectedRestart = 0, false
+	case !machine.TokenAcknowledged || sameRoute:
+		machine.MissedResponses, machine.UnexpectedRestart = 0, false
 	}
 }
 
@@ -49,7 +49,8 @@
 	case command.Kind == protocol.CommandForget:
 		return false
 	default:
-		return heartbeat.Tasks[taskIndex].State == protocol.TaskCheckpointing || heartbeat.Tasks[taskIndex].State == protocol.TaskExited
+		state := heartbeat.Tasks[taskIndex].State
+		return state == protocol.TaskCheckpointing || state == protocol.TaskExited
 	}
 }
 
@@ -58,25 +59,33 @@
 // assigned tasks, count as capacity, and block older jobs after a takeover. It gets no more tasks
 // and responses and is returned. Its tasks end by a heartbeat, with the lease, or with the
 // machine.
-func (l *leader) drainIfCommandsUndelivered(m *cluster.Machine) bool {
-	if m.MissedResponses < maxMissedResponses {
+func (r *reconciler) drainIfCommandsUndelivered(machine *cluster.Machine) bool {
+	if machine.MissedResponses < maxMissedResponses {
 		return false
 	}
-	if m.DrainReason != cluster.CommandsUndelivered {
-		undeliveredCount, upCount := 0, 0
-		for _, other := range l.MachinesByName() {
-			if other.Up {
-				upCount++
-				if other.MissedResponses > 0 {
-					undeliveredCount++
-				}
-			}
+	if machine.DrainReason == cluster.CommandsUndelivered {
+		return true
+	}
+	if r.mostMachinesMissResponses() {
+		return false
+	}
+	r.Log.Info("commands do not reach machine", "machine", machine.Name, "tasks", len(machine.Attempts))
+	r.BeginDrain(machine, cluster.CommandsUndelivered)
+	return true
+}
+
+// mostMachinesMissResponses reports whether responses of this node do not get through at all, so that
+// the fault is not that of a single machine.
+func (r *reconciler) mostMachinesMissResponses() bool {
+	undeliveredCount, upCount := 0, 0
+	for _, machine := range r.MachinesByName() {
+		if !machine.Up {
+			continue
 		}
-		if upCount > 1 && 2*undeliveredCount > upCount {
-			return false // responses of this node do not get through at all
+		upCount++
+		if machine.MissedResponses > 0 {
+			undeliveredCount++
 		}
-		l.node.log.Info("commands do not reach machine", "machine", m.Name, "tasks", len(m.Attempts))
-		l.BeginDrain(m, cluster.CommandsUndelivered)
 	}
-	return true
+	return upCount > 1 && 2*undeliveredCount > upCount
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
 )
@@ -20,31 +21,18 @@
 		node.stepDown("a worker has seen a higher token")
 		return
 	}
-	m := l.reportingMachine(heartbeat)
-	if m == nil || l.isStaleHeartbeat(m, heartbeat) {
+	result, ok := l.reconciler.Reconcile(heartbeat, request.Origin.Peer)
+	if !ok {
 		node.replyUnavailable(request.Origin)
 		return
 	}
-	commands := l.applyHeartbeat(m, heartbeat, request.Origin.Peer)
-	if l.drainIfCommandsUndelivered(m) {
-		// The response would be lost, and a 200 would only postpone the time from which the
-		// worker's lease has certainly expired.
-		node.replyUnavailable(request.Origin)
-		return
-	}
-	l.cancelMissedHeartbeatDrain(m)
-	l.ApplyPreemptionNotice(m, heartbeat.PreemptionNoticeSeconds)
-	if !m.UseDurable {
-		l.recordMachine(m, true)
-	}
-	l.ScheduleOnMachine(m)
+	l.ScheduleOnMachine(result.Machine)
 	l.sendNextTransaction()
 	if node.leader != l || !node.holdsLeaderLease() {
 		node.replyUnavailable(request.Origin)
 		return
 	}
-	m.LastResponse, m.UnconfirmedResponse = node.now, &protocol.HeartbeatResponse{FencingToken: l.term, Commands: l.appendAttemptCommands(m, commands)}
-	node.reply(request.Origin, 200, 0, m.UnconfirmedResponse)
+	node.reply(request.Origin, 200, 0, l.reconciler.Respond(result))
 }
 
 // queueEarlyHeartbeat holds a heartbeat until all records have been read.
@@ -55,3 +43,54 @@
 	}
 	l.earlyHeartbeats = append(l.earlyHeartbeats, request)
 }
+
+// reconcilerAdapter gives the reconciler what it needs from the leader. It implements
+// reconcilerHost.
+type reconcilerAdapter struct{ leader *leader }
+
+// RecordMachine makes a machine durable as one that may have tasks.
+func (a reconcilerAdapter) RecordMachine(machine *cluster.Machine) {
+	a.leader.recordMachine(machine, true)
+}
+
+// MarkTaskDone records that a task is completed and makes that durable.
+func (a reconcilerAdapter) MarkTaskDone(job *cluster.Job, taskIndex int) {
+	a.leader.markTaskDone(job, taskIndex)
+}
+
+// ClosedJobState returns the state of a job according to its terminal record, or to one that can't be
+// read.
+func (a reconcilerAdapter) ClosedJobState(jobID string) recovery.JobState {
+	if _, isTerminal := a.leader.node.terminalJobs.byID[jobID]; isTerminal {
+		return recovery.JobStateTerminal
+	}
+	if a.leader.quarantine.unreadableJobs[jobID] {
+		return recovery.JobStateQuarantined
+	}
+	return recovery.JobStateUnknown
+}
+
+// TerminalJobsLoaded reports whether the records of all terminal jobs have been read.
+func (a reconcilerAdapter) TerminalJobsLoaded() bool { return a.leader.node.terminalJobs.loaded }
+
+// ConfirmDelivery reports whether the route of a heartbeat shows that the last response has reached
+// the worker, and records that.
+func (a reconcilerAdapter) ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) bool {
+	if !a.leader.arrivedBySameRoute(machine, heartbeat, relayPeer) {
+		return false
+	}
+	a.leader.recordDelivery(machine, relayPeer)
+	return true
+}
+
+// TraceFirstStart traces the first start command of a job in this term.
+func (a reconcilerAdapter) TraceFirstStart(attempt *cluster.TaskAttempt) {
+	a.leader.node.traceStep(attempt.Job.Spec.ID, stepFirstStart, attempt.Key()+" on "+attempt.Machine.Name)
+}
+
+// TraceFirstRunning traces the first task of a job that is running.
+func (a reconcilerAdapter) TraceFirstRunning(attempt *cluster.TaskAttempt) {
+	job := attempt.Job
+	a.leader.node.traceStep(job.Spec.ID, stepFirstRunning,
+		attempt.Key()+" on "+attempt.Machine.Name+" after "+a.leader.jobAge(job))
+}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -26,6 +26,7 @@
 	resolvingTransaction bool // a read of an unclear transaction's outcome is in flight
 	delayedCalls         []delayedCall
 	recovery             *recoveryGate
+	reconciler           *reconciler
 	autoscaler           autoscaler
 	admission            admissionControl
 }
@@ -41,6 +42,7 @@
 		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: newRecoveryGate(state, leaderKeyVersion, &node.mismatches),
 	}
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
+	l.reconciler = newReconciler(state, term, l.recovery, reconcilerAdapter{leader: l})
 	l.autoscaler.init(l)
 	l.admission.start(l)
 	return l
--- a/internal/controller/reconciler.go
+++ b/internal/controller/reconciler.go
@@ -1,138 +1,249 @@
 package controller
 
 import (
+	"time"
+
 	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
 )
 
+// reconciler compares the heartbeats of workers with the cluster state of one term: it brings the
+// state up to date and determines the commands of each response. It changes the state through the
+// transitions of package cluster, and sends and stores nothing itself.
+//
+// A heartbeat is processed in two steps. Reconcile applies it to the state. The leader may then
+// schedule tasks on the machine, and Respond builds the response with all commands.
+type reconciler struct {
+	*cluster.State
+	fencingToken uint64 // the term, which responses and heartbeats carry
+	recovery     reconcilerRecovery
+	host         reconcilerHost
+}
+
+// reconcilerRecovery is the recovery of the leader, which limits the commands of a new leader and
+// counts how heartbeats differ from the stored state.
+type reconcilerRecovery interface {
+	// NoteMismatch counts a mismatch of a machine. The subject is a task, or empty.
+	NoteMismatch(kind recovery.Mismatch, machine, subject string)
+	// MayStartTask reports whether a response that starts some tasks already may start one more.
+	MayStartTask(attempt *cluster.TaskAttempt, startedCount int) bool
+	// MayStopTask reports whether a task may be stopped now. The job is nil if it is not open.
+	MayStopTask(job *cluster.Job) bool
+}
+
+// reconcilerHost is what the reconciler needs from the leader.
+type reconcilerHost interface {
+	// RecordMachine makes a machine durable as one that may have tasks.
+	RecordMachine(machine *cluster.Machine)
+	// MarkTaskDone records that a task is completed and makes that durable.
+	MarkTaskDone(job *cluster.Job, taskIndex int)
+	// ClosedJobState returns the state of a job that may not be open: terminal or quarantined
+	// according to its records, and otherwise unknown.
+	ClosedJobState(jobID string) recovery.JobState
+	// TerminalJobsLoaded reports whether the records of all terminal jobs have been read, so that a
+	// job without any record was certainly never stored.
+	TerminalJobsLoaded() bool
+	// ConfirmDelivery reports whether the route of a heartbeat shows that the last response has
+	// reached the worker, and records that. relayPeer is the peer that relayed the heartbeat.
+	ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) bool
+	// TraceFirstStart records the first start command of a job in this term.
+	TraceFirstStart(attempt *cluster.TaskAttempt)
+	// TraceFirstRunning records the first task of a job that is running.
+	TraceFirstRunning(attempt *cluster.TaskAttempt)
+}
+
+// newReconciler returns the reconciler of a term.
+func newReconciler(state *cluster.State, term uint64, gate reconcilerRecovery, host reconcilerHost) *reconciler {
+	return &reconciler{State: state, fencingToken: term, recovery: gate, host: host}
+}
+
+// reconciliation is the result of a heartbeat that was applied to the state of its machine.
+type reconciliation struct {
+	Machine  *cluster.Machine
+	commands []protocol.Command // stop or forget tasks that should not be on the machine
+}
+
+// Reconcile applies a heartbeat to the cluster state. relayPeer is the peer that relayed it, or empty.
+// ok is false if the worker must get no commands and no renewal of its lease.
+func (r *reconciler) Reconcile(heartbeat *protocol.WorkerHeartbeat, relayPeer string) (result reconciliation, ok bool) {
+	machine := r.reportingMachine(heartbeat)
+	if machine == nil || r.isStaleHeartbeat(machine, heartbeat) {
+		return reconciliation{}, false
+	}
+	commands := r.applyHeartbeat(machine, heartbeat, relayPeer)
+	if r.drainIfCommandsUndelivered(machine) {
+		// The response would be lost, and a 200 would only postpone the time from which the
+		// worker's lease has certainly expired.
+		return reconciliation{}, false
+	}
+	r.cancelMissedHeartbeatDrain(machine)
+	r.ApplyPreemptionNotice(machine, heartbeat.PreemptionNoticeSeconds)
+	if !machine.UseDurable {
+		r.host.RecordMachine(machine)
+	}
+	return reconciliation{Machine: machine, commands: commands}, true
+}
+
+// Respond returns the response to the heartbeat of a reconciliation, with the commands that the state
+// requires by now. The response may renew the worker's lease.
+func (r *reconciler) Respond(result reconciliation) *protocol.HeartbeatResponse {
+	machine := result.Machine
+	response := &protocol.HeartbeatResponse{FencingToken: r.fencingToken, Commands: r.appendAttemptCommands(machine, result.commands)}
+	machine.LastResponse = r.Clock.Now()
+	machine.UnconfirmedResponse = response
+	return response
+}
+
 // applyHeartbeat updates the state of a machine from its heartbeat. It returns the commands that
 // stop or forget tasks that should not be on the machine.
-func (l *leader) applyHeartbeat(m *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, via string) []protocol.Command {
-	tokenAcknowledged := l.carriesToken(heartbeat)
-	if heartbeat.Epoch > m.Epoch && m.Epoch != 0 {
-		l.beginEpoch(m)
-	}
-	sameRoute := l.arrivedBySameRoute(m, heartbeat, via)
-	if sameRoute {
-		l.recordDelivery(m, via)
-	}
-	l.trackCommandDelivery(m, heartbeat, tokenAcknowledged, sameRoute)
-	if m.TokenAcknowledged != tokenAcknowledged || !m.Up {
-		m.TokenAcknowledged, m.Up, l.SchedulingNeeded, l.TotalsValid = tokenAcknowledged, true, true, false
-	}
-	m.Epoch, m.HeartbeatSeq, m.LastHeartbeat, m.Address, m.RelayPeer = heartbeat.Epoch, heartbeat.Sequence, l.node.now, heartbeat.Address, via
-	previousUnknownTasks := m.UnknownTasks
-	commands := l.reconcileMachine(m, heartbeat)
-	if (m.UnknownTasks > 0) != (previousUnknownTasks > 0) {
-		l.TotalsValid = false
-	}
-	if tokenAcknowledged && !m.Reconciled {
-		m.Reconciled, l.SchedulingNeeded, l.TotalsValid = true, true, false
+func (r *reconciler) applyHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) []protocol.Command {
+	tokenAcknowledged := r.carriesToken(heartbeat)
+	if heartbeat.Epoch > machine.Epoch && machine.Epoch != 0 {
+		r.beginEpoch(machine)
+	}
+	deliveryConfirmed := r.host.ConfirmDelivery(machine, heartbeat, relayPeer)
+	trackCommandDelivery(machine, heartbeat, tokenAcknowledged, deliveryConfirmed)
+	if machine.TokenAcknowledged != tokenAcknowledged || !machine.Up {
+		machine.TokenAcknowledged, machine.Up = tokenAcknowledged, true
+		r.capacityChanged()
+	}
+	machine.Epoch, machine.HeartbeatSeq = heartbeat.Epoch, heartbeat.Sequence
+	machine.LastHeartbeat = r.Clock.Now()
+	machine.Address, machine.RelayPeer = heartbeat.Address, relayPeer
+	previousUnknownTasks := machine.UnknownTasks
+	commands := r.reconcileTasks(machine, heartbeat)
+	if (machine.UnknownTasks > 0) != (previousUnknownTasks > 0) {
+		r.TotalsValid = false
+	}
+	if tokenAcknowledged && !machine.Reconciled {
+		machine.Reconciled = true
+		r.capacityChanged()
 	}
 	return commands
 }
 
+// capacityChanged has the totals of the machines recomputed and a scheduling pass made.
+func (r *reconciler) capacityChanged() {
+	r.SchedulingNeeded = true
+	r.TotalsValid = false
+}
+
 // carriesToken reports whether a heartbeat carries the fencing token of the current term.
-func (l *leader) carriesToken(heartbeat *protocol.WorkerHeartbeat) bool {
-	return heartbeat.FencingToken == l.term
+func (r *reconciler) carriesToken(heartbeat *protocol.WorkerHeartbeat) bool {
+	return heartbeat.FencingToken == r.fencingToken
 }
 
 // cancelMissedHeartbeatDrain cancels the drain of a machine that missed heartbeats and reports
 // again, unless its termination has been requested already. The worker or this leader may only
 // have been partitioned. Without this, a thousand machines were returned after an outage of the
 // cloud API although they had been running tasks again for half a minute.
-func (l *leader) cancelMissedHeartbeatDrain(m *cluster.Machine) {
-	if m.DrainReason != cluster.HeartbeatMissed || m.TerminationRequested {
+func (r *reconciler) cancelMissedHeartbeatDrain(machine *cluster.Machine) {
+	if machine.DrainReason != cluster.HeartbeatMissed || machine.TerminationRequested {
 		return
 	}
-	l.CancelDrain(m)
-	if m.Unhealthy {
-		l.BeginDrain(m, cluster.Unhealthy)
+	r.CancelDrain(machine)
+	if machine.Unhealthy {
+		r.BeginDrain(machine, cluster.Unhealthy)
 	}
 }
 
 // reportingMachine returns the machine that sent a heartbeat and adds it if it is unknown. It
 // returns nil for a machine that has been removed, or whose heartbeat is a late copy.
-func (l *leader) reportingMachine(heartbeat *protocol.WorkerHeartbeat) *cluster.Machine {
-	if m := l.Machines[heartbeat.Machine]; m != nil {
-		l.adoptReportedType(m, heartbeat)
-		return m
+func (r *reconciler) reportingMachine(heartbeat *protocol.WorkerHeartbeat) *cluster.Machine {
+	if machine := r.Machines[heartbeat.Machine]; machine != nil {
+		r.adoptReportedType(machine, heartbeat)
+		return machine
 	}
-	if _, removed := l.RemovedMachines[heartbeat.Machine]; removed {
+	if _, removed := r.RemovedMachines[heartbeat.Machine]; removed {
 		return nil
 	}
-	inventoryIncomplete := l.InventoryIncomplete()
+	r.recovery.NoteMismatch(recovery.MachineNotRecorded, heartbeat.Machine, "")
+	inventoryIncomplete := r.InventoryIncomplete()
 	if len(heartbeat.Tasks) > 0 && !inventoryIncomplete {
 		// A machine is stored before its first task starts, and its record is deleted only
 		// after it has certainly ended. An unrecorded machine with tasks is therefore a late
 		// copy of a heartbeat from before its return. It must neither block jobs nor count
 		// against a quota.
-		l.recovery.NoteMismatch(recovery.MachineNotRecorded, heartbeat.Machine, "")
 		return nil
 	}
-	l.recovery.NoteMismatch(recovery.MachineNotRecorded, heartbeat.Machine, "")
-	m := l.NewMachine(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
+	machine := r.NewMachine(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	// No leader has stored the machine, so none has started a task on it. It is used only
 	// once its heartbeats carry the token of this term.
-	m.Reconciled = !inventoryIncomplete
-	l.node.log.Info("heartbeat from unknown machine", "machine", m.Name, "type", m.TypeName)
-	return m
+	machine.Reconciled = !inventoryIncomplete
+	r.Log.Info("heartbeat from unknown machine", "machine", machine.Name, "type", machine.TypeName)
+	return machine
 }
 
 // adoptReportedType sets the type of a machine from its heartbeat where its record could not be
 // read.
-func (l *leader) adoptReportedType(m *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
-	if m.TypeName != "" || heartbeat.Type == "" {
+func (r *reconciler) adoptReportedType(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
+	if machine.TypeName != "" || heartbeat.Type == "" {
 		return
 	}
-	m.TypeName, m.Zone, m.Spot, m.MachineType = heartbeat.Type, heartbeat.Zone, heartbeat.Spot, l.node.catalog[heartbeat.Type]
-	l.InvalidateMachineIndex()
-	l.recordMachine(m, true)
+	machine.TypeName, machine.Zone, machine.Spot = heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	machine.MachineType = r.Catalog[heartbeat.Type]
+	r.InvalidateMachineIndex()
+	r.host.RecordMachine(machine)
 }
 
 // isStaleHeartbeat reports whether a heartbeat must be ignored because it comes from another
 // worker, arrives late, or is a copy.
-func (l *leader) isStaleHeartbeat(m *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) bool {
-	if m.Address != "" && heartbeat.Address != "" && heartbeat.Address != m.Address {
-		// Two workers use one name, or a copy was altered on the way. The first one stays
-		// accepted until its lease has certainly expired: a new epoch of the other would be
-		// mistaken for the end of all tasks of the first.
-		if !m.DuplicateName {
-			m.DuplicateName = true
-			l.node.log.Warn("two workers use one machine name", "machine", m.Name,
-				"address", m.Address, "otherAddress", heartbeat.Address)
-		}
+func (r *reconciler) isStaleHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) bool {
+	switch {
+	case machine.Address != "" && heartbeat.Address != "" && heartbeat.Address != machine.Address:
+		r.noteDuplicateName(machine, heartbeat)
+		return true
+	case heartbeat.Epoch < machine.Epoch:
 		return true
+	case heartbeat.Epoch == machine.Epoch && heartbeat.Sequence <= machine.HeartbeatSeq:
+		return true
+	case heartbeat.Epoch <= machine.FencedEpoch:
+		return true // a fenced epoch never gets a 200 again
+	default:
+		// A reconciled machine runs nothing that an earlier leader started: its record says so, or
+		// its lease has certainly expired without a response. All later starts carry the token of
+		// this term, so a heartbeat with tasks but without the token is an old copy.
+		return machine.Reconciled && !r.carriesToken(heartbeat) && len(heartbeat.Tasks) > 0
 	}
-	if heartbeat.Epoch < m.Epoch || (heartbeat.Epoch == m.Epoch && heartbeat.Sequence <= m.HeartbeatSeq) || heartbeat.Epoch <= m.FencedEpoch {
-		return true // late, or of a fenced epoch, which never gets a 200 again
+}
+
+// noteDuplicateName logs once that two workers use the name of a machine, or that a copy of a
+// heartbeat was altered on the way. The first worker stays accepted until its lease has certainly
+// expired: a new epoch of the other would be mistaken for the end of all tasks of the first.
+func (r *reconciler) noteDuplicateName(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
+	if machine.DuplicateName {
+		return
 	}
-	// A reconciled machine runs nothing that an earlier leader started: its record says so, or
-	// its lease has certainly expired without a response. All later starts carry the token of
-	// this term, so a heartbeat with tasks but without the token is an old copy.
-	return m.Reconciled && !l.carriesToken(heartbeat) && len(heartbeat.Tasks) > 0
+	machine.DuplicateName = true
+	r.Log.Warn("two workers use one machine name", "machine", machine.Name,
+		"address", machine.Address, "otherAddress", heartbeat.Address)
 }
 
 // beginEpoch handles the first heartbeat of a new worker epoch. The worker has killed all earlier
 // tasks.
-func (l *leader) beginEpoch(m *cluster.Machine) {
-	l.recovery.NoteMismatch(recovery.NewerEpoch, m.Name, "")
-	m.UnknownTasks, l.TotalsValid = 0, false
-	for _, attempt := range m.AttemptsInOrder {
+func (r *reconciler) beginEpoch(machine *cluster.Machine) {
+	r.recovery.NoteMismatch(recovery.NewerEpoch, machine.Name, "")
+	machine.UnknownTasks = 0
+	r.TotalsValid = false
+	for _, attempt := range machine.AttemptsInOrder {
 		if attempt.Phase != cluster.AttemptAssigned {
-			l.ReleaseAttempt(attempt)
+			r.ReleaseAttempt(attempt)
 		}
 	}
-	if l.node.now-m.LastHeartbeat >= l.node.workerLease()/2 {
+	if r.Clock.Now()-machine.LastHeartbeat >= r.workerLease()/2 {
 		return
 	}
 	// Heartbeats arrived without a gap. Either the worker's lease expired because responses do
 	// not reach it, or the worker restarted at once. The next command that it executes decides,
 	// or a second new epoch without any sign of a delivered response.
-	m.MissedResponses++
-	if m.UnexpectedRestart {
-		m.MissedResponses = max(m.MissedResponses, maxMissedResponses)
+	machine.MissedResponses++
+	if machine.UnexpectedRestart {
+		machine.MissedResponses = max(machine.MissedResponses, maxMissedResponses)
 	}
-	m.UnexpectedRestart = true
+	machine.UnexpectedRestart = true
 }
+
+// workerLease returns the duration of the workers' lease.
+func (r *reconciler) workerLease() time.Duration { return config.Seconds(r.Config.Workers.LeaseS) }
--- a/internal/controller/reported_tasks.go
+++ b/internal/controller/reported_tasks.go
@@ -8,107 +8,116 @@
 	"hitchdoor/internal/recovery"
 )
 
-// reconcileMachine compares a heartbeat with the recorded state of its machine, and returns the
-// commands that stop or forget tasks that should not be there.
-func (l *leader) reconcileMachine(m *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) []protocol.Command {
+// reportedTask is a task in a worker's heartbeat, with this leader's state of it.
+type reportedTask struct {
+	protocol.TaskStatus
+	machine *cluster.Machine // the machine that reports it
+	jobID   string
+	index   int
+	job     *cluster.Job         // nil: the job is not open
+	attempt *cluster.TaskAttempt // the attempt at this task on this machine, whatever its number; nil: none
+}
+
+// isTracked reports whether this leader tracks the reported attempt on the machine.
+func (t *reportedTask) isTracked() bool { return t.attempt != nil && t.attempt.Number == t.Attempt }
+
+// lookUpReportedTask looks up the state of a task that a machine reports.
+func (r *reconciler) lookUpReportedTask(machine *cluster.Machine, report protocol.TaskStatus) *reportedTask {
+	task := &reportedTask{TaskStatus: report, machine: machine, attempt: machine.Attempts[report.TaskID]}
+	var ok bool
+	task.jobID, task.index, ok = cluster.ParseTaskKey(report.TaskID)
+	if job := r.Jobs[task.jobID]; ok && job != nil && task.index < job.Spec.TaskCount {
+		task.job = job
+	}
+	return task
+}
+
+// reconcileTasks compares the tasks in a heartbeat with the recorded state of its machine, and returns
+// the commands that stop or forget tasks that should not be there.
+func (r *reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) []protocol.Command {
 	var commands []protocol.Command
-	for _, attempt := range m.AttemptsInOrder {
+	for _, attempt := range machine.AttemptsInOrder {
 		attempt.Reported = false
 	}
-	m.UnknownTasks, m.RetainedResults = 0, 0
-	for _, task := range heartbeat.Tasks {
-		if command := l.reconcileTask(m, task, l.carriesToken(heartbeat)); command != nil && len(commands) < maxCommandsPerResponse {
+	machine.UnknownTasks, machine.RetainedResults = 0, 0
+	tokenAcknowledged := r.carriesToken(heartbeat)
+	for _, report := range heartbeat.Tasks {
+		command := r.reconcileTask(r.lookUpReportedTask(machine, report), tokenAcknowledged)
+		if command != nil && len(commands) < maxCommandsPerResponse {
 			commands = append(commands, *command)
 		}
 	}
-	l.noteOvercommitted(m)
-	for _, attempt := range m.AttemptsInOrder {
-		if attempt.Reported || attempt.Phase == cluster.AttemptAssigned {
-			continue
-		}
-		if attempt.Phase == cluster.AttemptSent {
-			// The heartbeat is newer than the response with the start command, and workers
-			// drop responses that they no longer wait for. The command was not executed and
-			// never will be.
-			if attempt.StopGrace != nil || attempt.Job.Terminal {
-				l.ReleaseAttempt(attempt)
-			} else {
-				attempt.Phase = cluster.AttemptAssigned
-			}
-			continue
+	r.noteOvercommitted(machine)
+	for _, attempt := range machine.AttemptsInOrder {
+		if !attempt.Reported {
+			r.reconcileUnreported(attempt)
 		}
-		l.ReleaseAttempt(attempt)
 	}
 	return commands
 }
 
+// reconcileUnreported processes an attempt that its machine does not report. It has ended, unless its
+// start command was not executed.
+func (r *reconciler) reconcileUnreported(attempt *cluster.TaskAttempt) {
+	switch attempt.Phase {
+	case cluster.AttemptAssigned: // its start command has not been sent
+	case cluster.AttemptSent:
+		// The heartbeat is newer than the response with the start command, and workers
+		// drop responses that they no longer wait for. The command was not executed and
+		// never will be.
+		if attempt.StopGrace != nil || attempt.Job.Terminal {
+			r.ReleaseAttempt(attempt)
+		} else {
+			attempt.Phase = cluster.AttemptAssigned
+		}
+	default:
+		r.ReleaseAttempt(attempt)
+	}
+}
+
+// noteOvercommitted counts a machine whose tasks use more cores than it has.
+func (r *reconciler) noteOvercommitted(machine *cluster.Machine) {
+	if machine.MachineType != nil && machine.UsedCores > machine.MachineType.Cores+cluster.ResourceTolerance {
+		r.recovery.NoteMismatch(recovery.MachineOvercommitted, machine.Name, "")
+	}
+}
+
 // reconcileTask compares one reported task with the recorded state of its machine. It returns the
 // command that stops or forgets the task if it should not be there, and nil otherwise.
-func (l *leader) reconcileTask(m *cluster.Machine, task protocol.TaskStatus, tokenAcknowledged bool) *protocol.Command {
-	reported := l.lookUpReportedTask(m, task)
-	if reported.isTracked() {
-		reported.attempt.Reported = true
+func (r *reconciler) reconcileTask(task *reportedTask, tokenAcknowledged bool) *protocol.Command {
+	if task.isTracked() {
+		task.attempt.Reported = true
 	}
-	switch l.reportedTaskAction(m, reported, tokenAcknowledged) {
+	switch r.reportedTaskAction(task, tokenAcknowledged) {
 	case recovery.IgnoreAttempt:
 		if task.State == protocol.TaskExited {
-			m.RetainedResults++
+			task.machine.RetainedResults++
 		} else {
-			m.UnknownTasks++
+			task.machine.UnknownTasks++
 		}
 	case recovery.StoreResult, recovery.ForgetAttempt:
-		if l.handleTaskExit(m, reported.job, reported.index, reported.attempt, task) {
-			return &protocol.Command{Kind: protocol.CommandForget, TaskID: task.TaskID, Attempt: task.Attempt}
-		}
-		m.RetainedResults++
+		return r.forgetIfSettled(task)
 	case recovery.AwaitToken:
-		m.UnknownTasks++
+		task.machine.UnknownTasks++
 	case recovery.AdoptAttempt:
-		attempt := &cluster.TaskAttempt{Job: reported.job, TaskIndex: reported.index, Number: task.Attempt, Machine: m, Phase: cluster.AttemptSent, AssignedAt: l.node.now}
-		l.PlaceAttempt(attempt)
-		attempt.Reported = true
-		l.updateAttempt(m, attempt, task)
+		r.adoptAttempt(task)
 	case recovery.KeepAttempt:
-		l.updateAttempt(m, reported.attempt, task)
+		r.updateAttempt(task.attempt, task.TaskStatus)
 	case recovery.StopAttempt:
-		m.UnknownTasks++
-		if !l.recovery.MayStopTask(reported.job) {
-			return nil
-		}
-		noGrace := 0.0
-		return &protocol.Command{Kind: protocol.CommandStop, TaskID: task.TaskID, Attempt: task.Attempt, GraceSeconds: &noGrace}
+		return r.stopUnexpectedTask(task)
 	}
 	return nil
 }
 
-// reportedTask is a task in a worker's heartbeat, with this leader's state of it.
-type reportedTask struct {
-	protocol.TaskStatus
-	jobID   string
-	index   int
-	job     *cluster.Job         // nil: the job is not open
-	attempt *cluster.TaskAttempt // the attempt at this task on this machine, whatever its number; nil: none
-}
-
-// isTracked reports whether this leader tracks the reported attempt on the machine.
-func (x *reportedTask) isTracked() bool { return x.attempt != nil && x.attempt.Number == x.Attempt }
-
-// lookUpReportedTask looks up the state of a task that a machine reports.
-func (l *leader) lookUpReportedTask(machine *cluster.Machine, report protocol.TaskStatus) *reportedTask {
-	task := &reportedTask{TaskStatus: report, attempt: machine.Attempts[report.TaskID]}
-	var ok bool
-	task.jobID, task.index, ok = cluster.ParseTaskKey(report.TaskID)
-	if j := l.Jobs[task.jobID]; ok && j != nil && task.index < j.Spec.TaskCount {
-		task.job = j
-	}
-	return task
-}
-
 // reportedTaskAction decides what to do with a reported task, and counts a mismatch if there is one.
-func (l *leader) reportedTaskAction(machine *cluster.Machine, task *reportedTask, tokenAcknowledged bool) recovery.Action {
-	facts := recovery.ReportedTask{JobState: l.reconciliationJobState(task.jobID, task.job),
-		Exited: task.State == protocol.TaskExited, Completed: task.ExitReason == protocol.ExitDone,
-		Tracked: task.isTracked(), TokenAcknowledged: tokenAcknowledged}
+func (r *reconciler) reportedTaskAction(task *reportedTask, tokenAcknowledged bool) recovery.Action {
+	facts := recovery.ReportedTask{
+		JobState:          r.jobState(task.jobID, task.job),
+		Exited:            task.State == protocol.TaskExited,
+		Completed:         task.ExitReason == protocol.ExitDone,
+		Tracked:           task.isTracked(),
+		TokenAcknowledged: tokenAcknowledged,
+	}
 	if task.job != nil {
 		currentAttempt := task.job.Attempts[task.index]
 		facts.TrackedElsewhere = currentAttempt != nil && currentAttempt != task.attempt ||
@@ -116,103 +125,147 @@
 		facts.CompletionKnown = task.job.TaskState(task.index) == cluster.TaskDone
 	}
 	action, kind, differs := recovery.ReconcileTask(facts)
-	if differs && (kind != recovery.JobNeverStored || l.node.terminalJobs.loaded) {
-		l.recovery.NoteMismatch(kind, machine.Name, task.TaskID)
+	if differs && (kind != recovery.JobNeverStored || r.host.TerminalJobsLoaded()) {
+		r.recovery.NoteMismatch(kind, task.machine.Name, task.TaskID)
 	}
 	return action
 }
 
-// reconciliationJobState is the state of a reported task's job, as the reconciliation needs it.
-func (l *leader) reconciliationJobState(jobID string, job *cluster.Job) recovery.JobState {
-	_, isTerminal := l.node.terminalJobs.byID[jobID]
-	switch {
-	case job != nil && job.Terminal || isTerminal || l.EndedJobs[jobID]:
+// jobState is the state of a reported task's job, as the reconciliation needs it. The job is nil if it
+// is not open.
+func (r *reconciler) jobState(jobID string, job *cluster.Job) recovery.JobState {
+	if job != nil && job.Terminal || r.EndedJobs[jobID] {
 		return recovery.JobStateTerminal
-	case l.quarantine.unreadableJobs[jobID]:
-		return recovery.JobStateQuarantined
-	case job != nil:
+	}
+	state := r.host.ClosedJobState(jobID)
+	if state == recovery.JobStateUnknown && job != nil {
 		return recovery.JobStateOpen
-	default:
-		return recovery.JobStateUnknown
 	}
+	return state
+}
+
+// adoptAttempt starts to track an attempt that an earlier leader started.
+func (r *reconciler) adoptAttempt(task *reportedTask) {
+	attempt := &cluster.TaskAttempt{Job: task.job, TaskIndex: task.index, Number: task.Attempt, Machine: task.machine,
+		Phase: cluster.AttemptSent, AssignedAt: r.Clock.Now()}
+	r.PlaceAttempt(attempt)
+	attempt.Reported = true
+	r.updateAttempt(attempt, task.TaskStatus)
+}
+
+// stopUnexpectedTask returns the command to stop a task that should not be on the machine, or nil
+// while it has to wait for its budget.
+func (r *reconciler) stopUnexpectedTask(task *reportedTask) *protocol.Command {
+	task.machine.UnknownTasks++
+	if !r.recovery.MayStopTask(task.job) {
+		return nil
+	}
+	noGrace := 0.0
+	return &protocol.Command{Kind: protocol.CommandStop, TaskID: task.TaskID, Attempt: task.Attempt, GraceSeconds: &noGrace}
 }
 
 // updateAttempt updates a task attempt from the state that its machine reports.
-func (l *leader) updateAttempt(m *cluster.Machine, attempt *cluster.TaskAttempt, task protocol.TaskStatus) {
-	switch task.State {
+func (r *reconciler) updateAttempt(attempt *cluster.TaskAttempt, report protocol.TaskStatus) {
+	switch report.State {
 	case protocol.TaskFetching:
 		attempt.Phase = cluster.AttemptFetching
 	case protocol.TaskRunning:
 		if attempt.Phase != cluster.AttemptRunning {
-			attempt.Phase, attempt.RunningSince = cluster.AttemptRunning, l.node.now
-			attempt.Job.LastStartAt = l.node.now
-			if attempt.Job.FirstStartAt == 0 {
-				attempt.Job.FirstStartAt = l.node.now
-				l.node.traceStep(attempt.Job.Spec.ID, stepFirstRunning, attempt.Key()+" on "+m.Name+" after "+l.jobAge(attempt.Job))
-				l.node.log.Debug("first task of job running", "job", attempt.Job.Spec.ID,
-					"class", attempt.Job.Spec.Class, "tasks", attempt.Job.Spec.TaskCount, "after", l.node.now-attempt.Job.EligibleAt)
-			}
-			m.TouchImage(attempt.Job.Spec.Image, attempt.Job.Spec.ImageGB)
+			r.beginRunning(attempt)
 		}
 	case protocol.TaskCheckpointing:
 		attempt.Phase = cluster.AttemptSaving
 	}
 }
 
+// beginRunning processes the first heartbeat that shows an attempt running.
+func (r *reconciler) beginRunning(attempt *cluster.TaskAttempt) {
+	job, now := attempt.Job, r.Clock.Now()
+	attempt.Phase, attempt.RunningSince = cluster.AttemptRunning, now
+	job.LastStartAt = now
+	if job.FirstStartAt == 0 {
+		job.FirstStartAt = now
+		r.host.TraceFirstRunning(attempt)
+		r.Log.Debug("first task of job running", "job", job.Spec.ID,
+			"class", job.Spec.Class, "tasks", job.Spec.TaskCount, "after", now-job.EligibleAt)
+	}
+	attempt.Machine.TouchImage(job.Spec.Image, job.Spec.ImageGB)
+}
+
+// forgetIfSettled processes a task that has exited. It returns the command to forget the task, or nil
+// while the worker must retain its result.
+func (r *reconciler) forgetIfSettled(task *reportedTask) *protocol.Command {
+	if !r.handleTaskExit(task) {
+		task.machine.RetainedResults++
+		return nil
+	}
+	return &protocol.Command{Kind: protocol.CommandForget, TaskID: task.TaskID, Attempt: task.Attempt}
+}
+
 // handleTaskExit processes a task that has ended, and reports whether the worker may forget it. A
 // result may be forgotten only once it is durable, as the worker has the only copy.
-func (l *leader) handleTaskExit(m *cluster.Machine, j *cluster.Job, taskIndex int, attempt *cluster.TaskAttempt, task protocol.TaskStatus) bool {
-	now := l.node.now
-	isTracked := attempt != nil && attempt.Number == task.Attempt
-	if j == nil {
-		if isTracked {
-			l.ReleaseAttempt(attempt)
-		}
-		return true // the job has ended, and its terminal record is durable
-	}
-	if task.ExitReason == protocol.ExitDone {
-		if isTracked {
-			if attempt.Phase == cluster.AttemptRunning && attempt.RunningSince > attempt.AssignedAt {
-				duration := now - attempt.RunningSince
-				l.RecordPace(m, j, duration)
-				l.RecordTaskDuration(j, duration)
-			}
-			m.ConsecutiveFailures = 0
-			clear(m.FailedJobs)
-			clear(j.FailedMachines)
-			m.TouchImage(j.Spec.Image, j.Spec.ImageGB)
-			l.ReleaseAttempt(attempt)
+func (r *reconciler) handleTaskExit(task *reportedTask) bool {
+	switch {
+	case task.job == nil:
+		// The job has ended, and its terminal record is durable.
+		if task.isTracked() {
+			r.ReleaseAttempt(task.attempt)
 		}
-		if otherAttempt := j.Attempts[taskIndex]; otherAttempt != nil && otherAttempt != attempt {
-			l.RequestStop(otherAttempt, 0)
+		return true
+	case task.ExitReason == protocol.ExitDone:
+		r.handleCompletion(task)
+		return task.job.TaskDurable(task.index)
+	default:
+		if task.isTracked() {
+			r.handleIncompleteExit(task)
 		}
-		l.markTaskDone(j, taskIndex)
-		return j.TaskDurable(taskIndex)
-	}
-	if !isTracked {
 		return true
 	}
+}
+
+// handleCompletion records that a task is completed, and stops another attempt at it.
+func (r *reconciler) handleCompletion(task *reportedTask) {
+	if task.isTracked() {
+		r.releaseCompletedAttempt(task)
+	}
+	if other := task.job.Attempts[task.index]; other != nil && other != task.attempt {
+		r.RequestStop(other, 0)
+	}
+	r.host.MarkTaskDone(task.job, task.index)
+}
+
+// releaseCompletedAttempt releases an attempt that has completed its task. Its success clears its
+// machine and its job of the suspicion of being faulty.
+func (r *reconciler) releaseCompletedAttempt(task *reportedTask) {
+	job, machine, attempt := task.job, task.machine, task.attempt
+	if attempt.Phase == cluster.AttemptRunning && attempt.RunningSince > attempt.AssignedAt {
+		duration := r.Clock.Now() - attempt.RunningSince
+		r.RecordPace(machine, job, duration)
+		r.RecordTaskDuration(job, duration)
+	}
+	machine.ConsecutiveFailures = 0
+	clear(machine.FailedJobs)
+	clear(job.FailedMachines)
+	machine.TouchImage(job.Spec.Image, job.Spec.ImageGB)
+	r.ReleaseAttempt(attempt)
+}
+
+// handleIncompleteExit releases an attempt that has ended without completing its task: it failed, was
+// stopped or was refused.
+func (r *reconciler) handleIncompleteExit(task *reportedTask) {
 	runDuration := time.Duration(0)
-	if attempt.Phase == cluster.AttemptRunning {
-		runDuration = now - attempt.RunningSince
+	if task.attempt.Phase == cluster.AttemptRunning {
+		runDuration = r.Clock.Now() - task.attempt.RunningSince
 	}
-	l.ReleaseAttempt(attempt)
-	if j.Terminal {
-		return true
+	r.ReleaseAttempt(task.attempt)
+	if task.job.Terminal {
+		return
 	}
 	switch task.ExitReason {
 	case protocol.ExitFailed:
-		l.RecordTaskFailure(m, j, taskIndex, runDuration)
+		r.RecordTaskFailure(task.machine, task.job, task.index, runDuration)
 	case protocol.ExitStopped:
 	default: // refused: the recorded state of the machine was outdated
-		l.DelayTask(j, taskIndex, m, l.node.heartbeatInterval())
-	}
-	return true
-}
-
-// noteOvercommitted counts a machine whose tasks use more cores than it has.
-func (l *leader) noteOvercommitted(machine *cluster.Machine) {
-	if machine.MachineType != nil && machine.UsedCores > machine.MachineType.Cores+cluster.ResourceTolerance {
-		l.recovery.NoteMismatch(recovery.MachineOvercommitted, machine.Name, "")
+		r.DelayTask(task.job, task.index, task.machine, r.HeartbeatInterval())
 	}
 }
--- a/internal/controller/worker_commands.go
+++ b/internal/controller/worker_commands.go
@@ -10,34 +10,37 @@
 
 // appendAttemptCommands adds the commands to stop and start task attempts to those of the
 // reconciliation.
-func (l *leader) appendAttemptCommands(m *cluster.Machine, commands []protocol.Command) []protocol.Command {
+func (r *reconciler) appendAttemptCommands(machine *cluster.Machine, commands []protocol.Command) []protocol.Command {
 	if commands == nil {
-		commands = []protocol.Command{}
+		commands = []protocol.Command{} // encoded as an empty list, not as null
 	}
-	startCount := 0
-	for _, attempt := range m.AttemptsInOrder {
+	startedCount := 0
+	for _, attempt := range machine.AttemptsInOrder {
 		if len(commands) >= maxCommandsPerResponse {
 			break
 		}
 		switch {
 		case attempt.StopGrace != nil && attempt.Phase != cluster.AttemptAssigned:
-			if !l.recovery.MayStopTask(attempt.Job) {
-				continue
+			if r.recovery.MayStopTask(attempt.Job) {
+				commands = append(commands, protocol.Command{
+					Kind: protocol.CommandStop, TaskID: attempt.Key(), Attempt: attempt.Number, GraceSeconds: attempt.StopGrace})
 			}
-			commands = append(commands, protocol.Command{
-				Kind: protocol.CommandStop, TaskID: attempt.Key(), Attempt: attempt.Number, GraceSeconds: attempt.StopGrace})
-		case attempt.Phase == cluster.AttemptAssigned && m.TokenAcknowledged && m.UseDurable:
-			if !l.recovery.MayStartTask(attempt, startCount) {
-				continue
+		case attempt.Phase == cluster.AttemptAssigned && machine.TokenAcknowledged && machine.UseDurable:
+			if r.recovery.MayStartTask(attempt, startedCount) {
+				startedCount++
+				commands = append(commands, r.startCommand(attempt))
 			}
-			startCount++
-			attempt.Phase = cluster.AttemptSent
-			if !attempt.Job.StartCommandSent {
-				attempt.Job.StartCommandSent = true
-				l.node.traceStep(attempt.Job.Spec.ID, stepFirstStart, attempt.Key()+" on "+m.Name)
-			}
-			commands = append(commands, protocol.Command{Kind: protocol.CommandStart, TaskID: attempt.Key(), Attempt: attempt.Number})
 		}
 	}
 	return commands
 }
+
+// startCommand returns the command to start an attempt, which counts as sent from now on.
+func (r *reconciler) startCommand(attempt *cluster.TaskAttempt) protocol.Command {
+	attempt.Phase = cluster.AttemptSent
+	if !attempt.Job.StartCommandSent {
+		attempt.Job.StartCommandSent = true
+		r.host.TraceFirstStart(attempt)
+	}
+	return protocol.Command{Kind: protocol.CommandStart, TaskID: attempt.Key(), Attempt: attempt.Number}
+}
