--- /dev/null
+++ b/internal/controller/reconciler_test.go
@@ -0,0 +1,373 @@
+package controller
+
+import (
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/config"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/recovery"
+)
+
+// reconcilerFixture is a reconciler with one machine and one job, in place of a leader and its
+// recovery.
+type reconcilerFixture struct {
+	*reconciler
+	now     clock.Instant
+	machine *cluster.Machine
+	job     *cluster.Job
+
+	mismatches     []recovery.Mismatch
+	stopsRefused   bool
+	recorded       []string // machines made durable
+	done           []int    // tasks marked as done
+	closedJobs     map[string]recovery.JobState
+	firstStarts    int
+	firstRunning   int
+	terminalLoaded bool
+	routeConfirms  bool // each heartbeat's route confirms the last response
+}
+
+const (
+	fixtureTerm    = 7
+	fixtureMachine = "m-1"
+	fixtureJob     = "j-1"
+)
+
+func (f *reconcilerFixture) Now() clock.Instant { return f.now }
+
+func (f *reconcilerFixture) NoteMismatch(kind recovery.Mismatch, _, _ string) {
+	f.mismatches = append(f.mismatches, kind)
+}
+func (f *reconcilerFixture) MayStartTask(*cluster.TaskAttempt, int) bool { return true }
+func (f *reconcilerFixture) MayStopTask(*cluster.Job) bool               { return !f.stopsRefused }
+
+func (f *reconcilerFixture) RecordMachine(machine *cluster.Machine) {
+	f.recorded = append(f.recorded, machine.Name)
+}
+func (f *reconcilerFixture) MarkTaskDone(job *cluster.Job, taskIndex int) {
+	f.done = append(f.done, taskIndex)
+	job.SetTaskBit(taskIndex)
+}
+func (f *reconcilerFixture) ClosedJobState(jobID string) recovery.JobState {
+	return f.closedJobs[jobID]
+}
+func (f *reconcilerFixture) TerminalJobsLoaded() bool { return f.terminalLoaded }
+func (f *reconcilerFixture) ConfirmDelivery(*cluster.Machine, *protocol.WorkerHeartbeat, string) bool {
+	return f.routeConfirms
+}
+func (f *reconcilerFixture) TraceFirstStart(*cluster.TaskAttempt)   { f.firstStarts++ }
+func (f *reconcilerFixture) TraceFirstRunning(*cluster.TaskAttempt) { f.firstRunning++ }
+
+// newReconcilerFixture returns a fixture whose machine has sent its first heartbeat with the token.
+func newReconcilerFixture() *reconcilerFixture {
+	f := &reconcilerFixture{now: time.Minute, closedJobs: map[string]recovery.JobState{}, terminalLoaded: true, routeConfirms: true}
+	settings := &config.Cluster{}
+	settings.Workers.HeartbeatIntervalS, settings.Workers.LeaseS = 4, 22
+	state := cluster.New(cluster.Options{Clock: f, Config: settings, Settings: &config.Settings{}, Log: slog.New(slog.DiscardHandler),
+		Catalog: map[string]*protocol.MachineType{"small": {Name: "small", Cores: 8, MemoryGB: 32, ImageCacheGB: 10}}})
+	f.reconciler = newReconciler(state, fixtureTerm, f, f)
+	f.machine = state.NewMachine(fixtureMachine, "small", "a", false)
+	f.machine.Reconciled, f.machine.UseDurable = true, true
+	f.job = f.addJob(fixtureJob, 4)
+	if _, ok := f.Reconcile(f.heartbeat(), ""); !ok {
+		panic("first heartbeat refused")
+	}
+	return f
+}
+
+// addJob adds an open job with a number of tasks.
+func (f *reconcilerFixture) addJob(id string, tasks int) *cluster.Job {
+	job := &cluster.Job{Spec: protocol.Job{ID: id, Cores: 1, MemoryGB: 1, TaskCount: tasks, Priority: "standard"}, PendingTasks: tasks,
+		Dependencies: cluster.NewDependencies(), Attempts: map[int]*cluster.TaskAttempt{}, TasksPerPart: tasks,
+		BitmapParts:      []*cluster.BitmapPart{{SizeBytes: (tasks + 7) / 8}},
+		FailureHistories: map[int]*cluster.FailureHistory{}, FailedMachines: map[string]bool{}}
+	f.Jobs[id], f.RunnableJobs[id] = job, job
+	return job
+}
+
+// place assigns an attempt of the job's task to the machine and brings it to a phase.
+func (f *reconcilerFixture) place(taskIndex int, phase cluster.AttemptPhase) *cluster.TaskAttempt {
+	attempt := &cluster.TaskAttempt{Job: f.job, TaskIndex: taskIndex, Number: uint64(taskIndex + 1), Machine: f.machine, Phase: phase,
+		AssignedAt: f.now, RunningSince: f.now}
+	f.PlaceAttempt(attempt)
+	return attempt
+}
+
+// heartbeat returns the machine's next heartbeat.
+func (f *reconcilerFixture) heartbeat(tasks ...protocol.TaskStatus) *protocol.WorkerHeartbeat {
+	return &protocol.WorkerHeartbeat{Machine: fixtureMachine, Address: "10.0.0.1", Type: "small", Zone: "a", Epoch: 1,
+		Sequence: f.machine.HeartbeatSeq + 1, FencingToken: fixtureTerm, Tasks: tasks}
+}
+
+// report applies the machine's next heartbeat and returns the commands of the response.
+func (f *reconcilerFixture) report(t *testing.T, tasks ...protocol.TaskStatus) []protocol.Command {
+	t.Helper()
+	result, ok := f.Reconcile(f.heartbeat(tasks...), "")
+	if !ok {
+		t.Fatal("heartbeat refused")
+	}
+	return f.Respond(result).Commands
+}
+
+// status returns the status of the attempt that place assigns to a task.
+func (f *reconcilerFixture) status(taskIndex int, state, exitReason string) protocol.TaskStatus {
+	return protocol.TaskStatus{TaskID: cluster.TaskKey(f.job.Spec.ID, taskIndex), Attempt: uint64(taskIndex + 1), State: state, ExitReason: exitReason}
+}
+
+// kinds returns the kinds of commands.
+func kinds(commands []protocol.Command) []string {
+	names := []string{}
+	for _, command := range commands {
+		names = append(names, command.Kind)
+	}
+	return names
+}
+
+// A task that has exited is settled by its exit reason. The worker keeps a result until it is durable.
+func TestTaskExitByReason(t *testing.T) {
+	forget := []string{protocol.CommandForget}
+	for name, c := range map[string]struct {
+		reason   string
+		change   func(f *reconcilerFixture)
+		commands []string
+		done     bool
+		released bool
+		failures int           // of the machine
+		retryIn  time.Duration // until the task is tried again; never: its history is not touched
+	}{
+		"done, not durable": {reason: protocol.ExitDone, commands: []string{}, done: true, released: true, retryIn: clock.Never},
+		"done, durable": {reason: protocol.ExitDone, change: func(f *reconcilerFixture) { f.job.BitmapParts[0].StoredBits = []byte{1} },
+			commands: forget, done: true, released: true, retryIn: clock.Never},
+		"done, not tracked": {reason: protocol.ExitDone, change: func(f *reconcilerFixture) { f.ReleaseAttempt(f.job.Attempts[0]) },
+			commands: []string{}, done: true, released: true, retryIn: clock.Never},
+		"stopped":                 {reason: protocol.ExitStopped, commands: forget, released: true, retryIn: clock.Never},
+		"failed":                  {reason: protocol.ExitFailed, commands: forget, released: true, failures: 1},
+		"refused":                 {reason: protocol.ExitInsufficientResources, commands: forget, released: true, retryIn: 4 * time.Second},
+		"failed, job is terminal": {reason: protocol.ExitFailed, change: func(f *reconcilerFixture) { f.job.Terminal = true }, commands: forget, released: true, retryIn: clock.Never},
+		"failed, job is closed": {reason: protocol.ExitFailed, change: func(f *reconcilerFixture) { delete(f.Jobs, fixtureJob) },
+			commands: forget, released: true, retryIn: clock.Never},
+		"failed, another attempt is tracked": {reason: protocol.ExitFailed, change: func(f *reconcilerFixture) { f.job.Attempts[0].Number = 99 },
+			commands: forget, released: true, retryIn: clock.Never},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newReconcilerFixture()
+			f.place(0, cluster.AttemptRunning)
+			if c.change != nil {
+				c.change(f)
+			}
+			if got := kinds(f.report(t, f.status(0, protocol.TaskExited, c.reason))); !slices.Equal(got, c.commands) {
+				t.Errorf("commands %v, not %v", got, c.commands)
+			}
+			if done := slices.Equal(f.done, []int{0}); done != c.done {
+				t.Errorf("tasks marked as done: %v", f.done)
+			}
+			if released := len(f.job.Attempts) == 0; released != c.released {
+				t.Errorf("attempts left: %d", len(f.job.Attempts))
+			}
+			if f.machine.ConsecutiveFailures != c.failures {
+				t.Errorf("failures of the machine: %d, not %d", f.machine.ConsecutiveFailures, c.failures)
+			}
+			retryIn := clock.Never
+			if history := f.job.FailureHistories[0]; history != nil {
+				retryIn = history.RetryAfter - f.now
+			}
+			if retryIn != c.retryIn {
+				t.Errorf("retry in %v, not %v", retryIn, c.retryIn)
+			}
+			if retained := len(c.commands) == 0; retained != (f.machine.RetainedResults == 1) {
+				t.Errorf("retained results: %d", f.machine.RetainedResults)
+			}
+		})
+	}
+}
+
+// A completion stops another attempt at the task, and clears machine and job of earlier failures.
+func TestCompletionStopsOtherAttempt(t *testing.T) {
+	f := newReconcilerFixture()
+	other := f.NewMachine("m-2", "small", "a", false)
+	attempt := &cluster.TaskAttempt{Job: f.job, TaskIndex: 0, Number: 50, Machine: other, Phase: cluster.AttemptRunning}
+	f.PlaceAttempt(attempt)
+	f.report(t, f.status(0, protocol.TaskExited, protocol.ExitDone))
+	if attempt.StopGrace == nil || *attempt.StopGrace != 0 {
+		t.Error("the other attempt goes on")
+	}
+	f.place(1, cluster.AttemptRunning)
+	f.machine.ConsecutiveFailures, f.machine.FailedJobs["j-9"], f.job.FailedMachines["m-9"] = 1, true, true
+	f.report(t, f.status(1, protocol.TaskExited, protocol.ExitDone))
+	if f.machine.ConsecutiveFailures+len(f.machine.FailedJobs)+len(f.job.FailedMachines) != 0 {
+		t.Error("failures are remembered after a success")
+	}
+}
+
+// Heartbeats that are late, are copies, or come from another worker change nothing.
+func TestStaleHeartbeatsAreRefused(t *testing.T) {
+	for name, change := range map[string]func(f *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat){
+		"copy": func(f *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Sequence = f.machine.HeartbeatSeq
+		},
+		"earlier epoch":   func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) { heartbeat.Epoch = 0 },
+		"fenced epoch":    func(f *reconcilerFixture, _ *protocol.WorkerHeartbeat) { f.machine.FencedEpoch = 1 },
+		"another address": func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) { heartbeat.Address = "10.0.0.2" },
+		"earlier term":    func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) { heartbeat.FencingToken-- },
+		"removed machine": func(f *reconcilerFixture, _ *protocol.WorkerHeartbeat) { f.DeleteMachine(f.machine) },
+		"late copy of an unrecorded machine": func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Machine = "m-unknown"
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newReconcilerFixture()
+			heartbeat := f.heartbeat(f.status(0, protocol.TaskRunning, ""))
+			change(f, heartbeat)
+			sequence := f.machine.HeartbeatSeq
+			if _, ok := f.Reconcile(heartbeat, ""); ok {
+				t.Error("heartbeat accepted")
+			}
+			if f.machine.HeartbeatSeq != sequence || len(f.job.Attempts) != 0 || f.Machines["m-unknown"] != nil {
+				t.Error("the heartbeat changed the state")
+			}
+		})
+	}
+}
+
+// An unknown machine without tasks is added, and made durable before it may have any.
+func TestUnknownMachineIsAdded(t *testing.T) {
+	f := newReconcilerFixture()
+	heartbeat := f.heartbeat()
+	heartbeat.Machine = "m-unknown"
+	result, ok := f.Reconcile(heartbeat, "")
+	if !ok || result.Machine != f.Machines["m-unknown"] || !result.Machine.Reconciled {
+		t.Errorf("accepted: %v", ok)
+	}
+	if !slices.Equal(f.recorded, []string{"m-unknown"}) || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MachineNotRecorded}) {
+		t.Errorf("recorded %v, mismatches %v", f.recorded, f.mismatches)
+	}
+}
+
+// Attempts that the machine does not report have ended, unless their start was not delivered.
+func TestUnreportedAttempts(t *testing.T) {
+	f := newReconcilerFixture()
+	running := f.place(0, cluster.AttemptRunning)
+	sent := f.place(1, cluster.AttemptSent)
+	stopped := f.place(2, cluster.AttemptSent)
+	f.RequestStop(stopped, 0)
+	assigned := f.place(3, cluster.AttemptAssigned)
+	commands := f.report(t)
+	if f.job.Attempts[0] == running || f.job.Attempts[2] == stopped {
+		t.Error("an attempt that has ended is still tracked")
+	}
+	if f.job.Attempts[1] != sent || f.job.Attempts[3] != assigned {
+		t.Error("an attempt whose start was not delivered is not tracked")
+	}
+	if !slices.Equal(kinds(commands), []string{protocol.CommandStart, protocol.CommandStart}) || f.firstStarts != 1 {
+		t.Errorf("commands %v, first starts %d", kinds(commands), f.firstStarts)
+	}
+}
+
+// A task of an earlier leader is adopted only when a heartbeat carries this leader's token.
+func TestAdoptionWaitsForToken(t *testing.T) {
+	f := newReconcilerFixture()
+	f.machine.Reconciled = false
+	heartbeat := f.heartbeat(f.status(0, protocol.TaskRunning, ""))
+	heartbeat.FencingToken--
+	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 0 || f.machine.UnknownTasks != 1 || f.machine.Reconciled {
+		t.Fatalf("attempts %d, unknown tasks %d", len(f.job.Attempts), f.machine.UnknownTasks)
+	}
+	f.report(t, f.status(0, protocol.TaskRunning, ""))
+	attempt := f.job.Attempts[0]
+	if attempt == nil || attempt.Phase != cluster.AttemptRunning || f.machine.UnknownTasks != 0 || !f.machine.Reconciled {
+		t.Fatalf("attempt %+v, unknown tasks %d", attempt, f.machine.UnknownTasks)
+	}
+	if f.firstRunning != 1 || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MatchesRecord}) {
+		t.Errorf("first running %d, mismatches %v", f.firstRunning, f.mismatches)
+	}
+}
+
+// A task that should not be running is stopped when its budget allows it. It is a mismatch only once
+// all terminal records are known.
+func TestUnexpectedTaskIsStopped(t *testing.T) {
+	f := newReconcilerFixture()
+	unknown := protocol.TaskStatus{TaskID: cluster.TaskKey("j-unknown", 0), Attempt: 1, State: protocol.TaskRunning}
+	f.stopsRefused, f.terminalLoaded = true, false
+	if commands := f.report(t, unknown); len(commands) != 0 || f.machine.UnknownTasks != 1 || len(f.mismatches) != 0 {
+		t.Errorf("commands %v, unknown tasks %d, mismatches %v", kinds(commands), f.machine.UnknownTasks, f.mismatches)
+	}
+	f.stopsRefused, f.terminalLoaded = false, true
+	commands := f.report(t, unknown)
+	if !slices.Equal(kinds(commands), []string{protocol.CommandStop}) || *commands[0].GraceSeconds != 0 ||
+		!slices.Equal(f.mismatches, []recovery.Mismatch{recovery.JobNeverStored}) {
+		t.Errorf("commands %v, mismatches %v", kinds(commands), f.mismatches)
+	}
+	f.closedJobs["j-unknown"] = recovery.JobStateQuarantined
+	if commands := f.report(t, unknown); len(commands) != 0 {
+		t.Errorf("a task of a quarantined job is stopped: %v", kinds(commands))
+	}
+}
+
+// One response has a limited number of commands.
+func TestCommandsPerResponseAreLimited(t *testing.T) {
+	f := newReconcilerFixture()
+	f.job = f.addJob("j-large", 2*maxCommandsPerResponse)
+	for i := range 2 * maxCommandsPerResponse {
+		f.place(i, cluster.AttemptAssigned)
+	}
+	if commands := f.report(t); len(commands) != maxCommandsPerResponse {
+		t.Errorf("%d commands", len(commands))
+	}
+}
+
+// A machine that shows no effect of its commands is drained and gets no more responses, unless most
+// machines show none: then the fault is not the machine's.
+func TestMachineThatExecutesNoCommandsIsDrained(t *testing.T) {
+	for others, drained := range map[int]bool{0: true, 1: false, 3: true} {
+		f := newReconcilerFixture()
+		for i := range others {
+			other := f.NewMachine("other-"+string(rune('a'+i)), "small", "a", false)
+			other.Up = true
+			if others == 1 {
+				other.MissedResponses = 1
+			}
+		}
+		accepted := 0
+		for range maxMissedResponses + 2 {
+			if len(f.job.Attempts) == 0 {
+				f.place(0, cluster.AttemptAssigned)
+			}
+			if result, ok := f.Reconcile(f.heartbeat(), ""); ok {
+				accepted++
+				f.Respond(result)
+			}
+		}
+		if (f.machine.DrainReason == cluster.CommandsUndelivered) != drained {
+			t.Errorf("%d others: drain reason %q", others, f.machine.DrainReason)
+		}
+		if allAccepted := accepted == maxMissedResponses+2; allAccepted == drained {
+			t.Errorf("%d others: %d heartbeats accepted", others, accepted)
+		}
+	}
+}
+
+// A new epoch ends all attempts that were sent. A second one without a sign of a delivered response
+// shows that responses do not reach the worker.
+func TestNewEpochEndsAttempts(t *testing.T) {
+	f := newReconcilerFixture()
+	f.place(0, cluster.AttemptRunning)
+	assigned := f.place(1, cluster.AttemptAssigned)
+	heartbeat := f.heartbeat()
+	heartbeat.Epoch, heartbeat.Sequence = 2, 1
+	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 1 || f.job.Attempts[1] != assigned {
+		t.Errorf("accepted: %v, attempts %d", ok, len(f.job.Attempts))
+	}
+	if !f.machine.UnexpectedRestart || f.machine.MissedResponses != 1 || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.NewerEpoch}) {
+		t.Errorf("missed responses %d, mismatches %v", f.machine.MissedResponses, f.mismatches)
+	}
+	heartbeat = f.heartbeat()
+	heartbeat.Epoch = 3
+	if _, ok := f.Reconcile(heartbeat, ""); ok || f.machine.DrainReason != cluster.CommandsUndelivered {
+		t.Errorf("accepted: %v, drain reason %q", ok, f.machine.DrainReason)
+	}
+}
