--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -44,8 +44,8 @@
 	l.earlyHeartbeats = append(l.earlyHeartbeats, request)
 }
 
-// reconcilerAdapter gives the reconciler what it needs from the leader. It implements
-// reconcilerHost.
+// reconcilerAdapter gives the reconciler what it needs from the leader. It implements its host
+// interface.
 type reconcilerAdapter struct{ leader *leader }
 
 // RecordMachine makes a machine durable as one that may have tasks.
