--- /dev/null
+++ b/internal/controller/arrival_forecast.go
@@ -0,0 +1,105 @@
+package controller
+
+import (
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/fleet"
+	"hitchdoor/internal/storage"
+)
+
+// arrivalForecast keeps the forecast of arriving work up to date, and stores it for the next
+// leader.
+type arrivalForecast struct {
+	*fleet.Forecast
+	state     *cluster.State
+	records   recordWriter
+	wallClock wallClock
+	store     storeHealth
+
+	savedAt    clock.Instant // when the forecast was last stored
+	restoredAt clock.Instant // time of the stored forecast that was restored; never: there was none
+}
+
+const (
+	// forecastSaveIntervalLeases is the interval at which the forecast is stored, in worker leases.
+	forecastSaveIntervalLeases = 2
+	// forecastValueDivisor limits the stored forecast to this fraction, one in so many, of the
+	// largest value.
+	forecastValueDivisor = 2
+)
+
+// newArrivalForecast returns an empty forecast.
+func newArrivalForecast(options autoscalerOptions) *arrivalForecast {
+	state := options.State
+	return &arrivalForecast{
+		Forecast: fleet.NewForecast(workerLeaseOf(state)), state: state, records: options.Records,
+		wallClock: options.WallClock, store: options.Store, savedAt: state.Clock.Now(), restoredAt: clock.Never,
+	}
+}
+
+// recordArrival adds the work of a new job.
+func (f *arrivalForecast) recordArrival(j *cluster.Job) {
+	f.decay()
+	work := float64(j.Spec.TaskCount) * j.Spec.Cores * f.state.ExpectedTaskDuration(j).Seconds()
+	f.RecordArrival(j.Spec.Class, work, f.state.Due(j)-j.EligibleAt)
+}
+
+// decay decays the forecast up to the present.
+func (f *arrivalForecast) decay() { f.DecayTo(f.state.Clock.Now(), !f.store.StoreFailing()) }
+
+// save stores the forecast for the next leader at regular intervals.
+func (f *arrivalForecast) save() {
+	now := f.state.Clock.Now()
+	if now < f.savedAt+forecastSaveIntervalLeases*workerLeaseOf(f.state) || f.Empty() {
+		return
+	}
+	f.savedAt = now
+	f.records.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: func() []storage.Write {
+		f.decay()
+		record := f.Snapshot(f.wallClock.NowUnixMilli(), f.state.Config.Store.MaxValueBytes()/forecastValueDivisor)
+		return []storage.Write{storage.Put(storage.ArrivalForecastKey, record)}
+	}})
+}
+
+// load restores the forecast that an earlier leader stored.
+func (f *arrivalForecast) load(items []storage.Item) {
+	for _, item := range items {
+		if item.Key != storage.ArrivalForecastKey {
+			continue
+		}
+		// The version is needed in any case, as a record that can't be read is overwritten.
+		f.records.SetModRevision(item.Key, item.ModRevision)
+		var record storage.ArrivalForecastRecord
+		if err := json.Unmarshal(item.Value, &record); err != nil {
+			f.state.Log.Warn("stored forecast unreadable", "error", err)
+			continue
+		}
+		f.restoredAt = min(f.wallClock.InstantFromUnixMilli(record.RecordedAtMillis), f.state.Clock.Now())
+		f.Restore(record, f.restoredAt)
+		f.decay()
+	}
+}
+
+// inheritUsualLoad takes the cores held at a takeover as the usual load, unless the restored
+// forecast and the arrivals since then amount to more.
+func (f *arrivalForecast) inheritUsualLoad() {
+	heldCores := 0.0
+	for _, m := range f.state.Machines {
+		if m.MachineType != nil {
+			heldCores += m.MachineType.Cores
+		}
+	}
+	if f.Empty() {
+		f.StartCounting(f.state.Clock.Now())
+	}
+	// Jobs accepted after the forecast was stored count as arrivals too, as do those submitted
+	// before there was a first leader.
+	for _, j := range f.state.JobsByAge() {
+		if j.EligibleAt > f.restoredAt {
+			f.recordArrival(j)
+		}
+	}
+	f.InheritLoad(heldCores / (1 + f.state.Settings.Headroom))
+}
--- /dev/null
+++ b/internal/controller/autoscaler_host.go
@@ -0,0 +1,110 @@
+package controller
+
+import (
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/recovery"
+)
+
+// autoscalerHost gives the autoscaler what it needs from its leader and node.
+type autoscalerHost struct{ leader *leader }
+
+// newLeaderAutoscaler returns the autoscaler of a leader.
+func newLeaderAutoscaler(l *leader) *autoscaler {
+	host := autoscalerHost{leader: l}
+	return newAutoscaler(autoscalerOptions{State: l.State, Term: l.term, Cloud: host, Records: l.writer, Recovery: host,
+		Machines: host, Jobs: host, WallClock: host, Store: host})
+}
+
+// TakeRequest reports whether the cloud budget allows a request now, and takes it from the budget.
+func (h autoscalerHost) TakeRequest() bool {
+	return h.leader.node.cloudBudget.Take(h.leader.node.now, 1)
+}
+
+// ReturnRequest gives a request that was not sent back to the cloud budget.
+func (h autoscalerHost) ReturnRequest() { h.leader.node.cloudBudget.Tokens++ }
+
+// Send sends a request to the cloud, and passes on the response unless the node has stepped down
+// by then.
+func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration, onResponse func(cloudResponse)) {
+	h.leader.node.callService(TargetCloud, method, path, body, timeout, func(result CallResult) {
+		if h.leader.node.leader == h.leader {
+			onResponse(cloudResponse{Status: result.Status, Body: result.Body})
+		}
+	})
+}
+
+// Limited reports whether the recovery limits operations at present.
+func (h autoscalerHost) Limited() bool { return h.leader.limitedByRecovery() }
+
+// MayScaleOut reports whether machines may be rented.
+func (h autoscalerHost) MayScaleOut() bool { return h.leader.mayScaleOut() }
+
+// MayScaleIn reports whether machines may be returned because there are too many.
+func (h autoscalerHost) MayScaleIn() bool { return h.leader.mayScaleIn() }
+
+// MayReturnUnresponsive reports whether a machine may be returned that has been silent for a time.
+func (h autoscalerHost) MayReturnUnresponsive(m *cluster.Machine, silence time.Duration) bool {
+	return h.leader.mayReturnUnresponsive(m, silence)
+}
+
+// AllowedOperations returns how many of count operations the recovery allows now.
+func (h autoscalerHost) AllowedOperations(operation recovery.Operation, count int) int {
+	return h.leader.allowedOperations(operation, count)
+}
+
+// RefundOperations gives operations without effect back to the budget of the recovery.
+func (h autoscalerHost) RefundOperations(operation recovery.Operation, count int) {
+	h.leader.recovery.RefundOperations(h.leader.node.now, operation, count)
+}
+
+// AddRentedMachine adds a machine that this leader has just rented.
+func (h autoscalerHost) AddRentedMachine(name string, request *protocol.RentalRequest) {
+	h.leader.addRentedMachine(name, request.Type, request.Zone, request.Spot, h.leader.node.now)
+}
+
+// AddListedMachine adds a machine that the cloud lists and no record names.
+func (h autoscalerHost) AddListedMachine(host protocol.Host) *cluster.Machine {
+	return h.leader.addListedMachine(host)
+}
+
+// RemoveMachine removes a machine that is certain to be gone, with all its attempts.
+func (h autoscalerHost) RemoveMachine(m *cluster.Machine) { h.leader.removeMachine(m) }
+
+// PendingJobs returns the pending jobs in the order of the last scheduling pass.
+func (h autoscalerHost) PendingJobs() []*cluster.Job {
+	jobs := make([]*cluster.Job, 0, len(h.leader.PendingOrder))
+	for _, queued := range h.leader.PendingOrder {
+		jobs = append(jobs, queued.Job)
+	}
+	return jobs
+}
+
+// MayRunUnreported reports whether tasks of a job may be running on machines that are not
+// reconciled yet.
+func (h autoscalerHost) MayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool {
+	return h.leader.MayRunUnreported(j, totals)
+}
+
+// SoonReleasedDependents returns the jobs that wait only for this one, if it should end within the
+// horizon.
+func (h autoscalerHost) SoonReleasedDependents(j *cluster.Job, horizon time.Duration) []*cluster.Job {
+	return h.leader.soonReleasedDependents(j, horizon)
+}
+
+// ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
+func (h autoscalerHost) ReleaseUndelivered() { h.leader.ReleaseUndelivered() }
+
+// NowUnixMilli returns the current wall clock in Unix milliseconds.
+func (h autoscalerHost) NowUnixMilli() int64 { return h.leader.node.nowUnixMilli() }
+
+// InstantFromUnixMilli converts a stored wall clock time to an instant.
+func (h autoscalerHost) InstantFromUnixMilli(milliseconds int64) clock.Instant {
+	return h.leader.node.instantFromUnixMilli(milliseconds)
+}
+
+// StoreFailing reports whether the last call to the key-value store failed.
+func (h autoscalerHost) StoreFailing() bool { return h.leader.node.election.storeFailing() }
--- /dev/null
+++ b/internal/controller/consolidation.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"math"
+
+	"hitchdoor/internal/cluster"
+)
+
+// minIdleToMoveRatio is how many times as long as its move a task, and the idle cores of its
+// machine, would have to go on for the move to be worth it.
+const minIdleToMoveRatio = 2
+
+// consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
+// if all of them write checkpoints, other machines have room for them, and both the tasks and the
+// idle cores of the machine would go on for at least twice as long as the move takes. kept are the
+// machines that the plan keeps.
+func (a *autoscaler) consolidate(kept []*cluster.Machine) {
+	freeCores := a.freeCores(kept)
+	for _, m := range a.state.MachinesByName() {
+		withinBilledTime := a.state.Clock.Now()-m.RentedAt < minBilledTime
+		if m.DrainReason != cluster.SurplusCapacity || !m.Draining || len(m.AttemptsInOrder) == 0 || m.UsedCores > freeCores || withinBilledTime {
+			continue
+		}
+		if !a.worthMovingTasks(m) {
+			continue
+		}
+		freeCores -= m.UsedCores
+		for _, attempt := range m.AttemptsInOrder {
+			a.state.RequestStop(attempt, a.state.CheckpointGraceS(attempt))
+		}
+	}
+}
+
+// freeCores returns the cores of the kept machines that neither tasks use nor pending tasks need.
+func (a *autoscaler) freeCores(kept []*cluster.Machine) float64 {
+	freeCores := 0.0
+	for _, m := range kept {
+		if m.Schedulable() && !m.Draining {
+			freeCores += m.MachineType.Cores - m.UsedCores
+		}
+	}
+	for _, j := range a.state.RunnableJobs {
+		if !j.Terminal {
+			freeCores -= float64(j.PendingTasks) * j.Spec.Cores
+		}
+	}
+	return freeCores
+}
+
+// worthMovingTasks reports whether the tasks of a machine can be moved, and would use it for long
+// enough for that to pay.
+func (a *autoscaler) worthMovingTasks(m *cluster.Machine) bool {
+	moveCost, longestRemaining, longestMove := 0.0, 0.0, 0.0
+	for _, attempt := range m.AttemptsInOrder {
+		if !a.isMovable(attempt) {
+			moveCost = math.Inf(1)
+			break
+		}
+		moveSeconds := a.moveSeconds(attempt)
+		moveCost += moveSeconds * attempt.Job.Spec.Cores
+		longestRemaining = max(longestRemaining, a.state.RemainingDuration(attempt).Seconds())
+		longestMove = max(longestMove, moveSeconds)
+	}
+	idleCoreSeconds := a.state.IdleUntilEmpty(m) * m.MachineType.Cores
+	return longestRemaining >= minIdleToMoveRatio*longestMove && idleCoreSeconds >= minIdleToMoveRatio*moveCost
+}
+
+// isMovable reports whether an attempt writes checkpoints, and has run for long enough that its
+// start counts.
+func (a *autoscaler) isMovable(attempt *cluster.TaskAttempt) bool {
+	return attempt.Job.Spec.CheckpointIntervalSeconds > 0 && attempt.Phase == cluster.AttemptRunning && attempt.StopGrace == nil &&
+		a.state.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun
+}
+
+// moveSeconds returns how long the move of an attempt to another machine takes.
+func (a *autoscaler) moveSeconds(attempt *cluster.TaskAttempt) float64 {
+	spec := &attempt.Job.Spec
+	return spec.CheckpointSaveSeconds + spec.ImageGB/attempt.Machine.MachineType.PullGBPerSecond + 2*a.state.HeartbeatInterval().Seconds()
+}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -388,10 +388,10 @@
 	s.EstimatedSeconds = 50
 	j := x.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
 	j.EligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
-	unbegun := x.autoscaler.requiredCores(1000)
+	unbegun := requiredCores(x, 1000)
 	j.FirstStartAt = x.node.now
 	left := 100.0 // seconds until its last task should have ended
-	if got := x.autoscaler.requiredCores(1000); got < 100*50/left || got > unbegun {
+	if got := requiredCores(x, 1000); got < 100*50/left || got > unbegun {
 		t.Errorf("%v cores are planned, and %v before it began", got, unbegun)
 	}
 }
@@ -408,25 +408,24 @@
 		w.submit(l.name, spec(fmt.Sprintf("j-%d", i), 1))
 		w.run(time.Second - 2*step)
 	}
-	fleet := &l.leader.autoscaler
-	f := fleet.forecast
-	fleet.decayForecast()
+	f := l.leader.autoscaler.forecast
+	f.decay()
 	steady, coming := f.UsualLoad(), f.ExpectedWork(100)
 	if f.Confidence() != 1 || steady == 0 || coming == 0 {
 		t.Fatalf("jobs arrive: believed %v, usual %v, coming %v", f.Confidence(), steady, coming)
 	}
 	w.state.setDown(true)
 	w.run(2 * lease)
-	if fleet.decayForecast(); f.Confidence() != 1 {
+	if f.decay(); f.Confidence() != 1 {
 		t.Error("silence in an outage counts")
 	}
 	w.state.setDown(false)
 	w.run(lease)
-	if fleet.decayForecast(); f.Confidence() != 1 {
+	if f.decay(); f.Confidence() != 1 {
 		t.Error("users have had no time to come back")
 	}
 	w.run(lease)
-	if fleet.decayForecast(); f.Confidence() > 0.4 || f.ExpectedWork(100) > coming/3 {
+	if f.decay(); f.Confidence() > 0.4 || f.ExpectedWork(100) > coming/3 {
 		t.Errorf("two leases without a job: believed %v, coming %v of %v", f.Confidence(), f.ExpectedWork(100), coming)
 	}
 	w.submit(l.name, spec("j-999", 1))
@@ -445,7 +444,7 @@
 		s := spec("j-1", 200)
 		s.EstimatedSeconds = 20
 		x.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
-		return x.autoscaler.requiredCores(1000)
+		return requiredCores(x, 1000)
 	}
 	loose, usual, strict := demand(0.8), demand(0.9), demand(0.99)
 	if loose != usual || strict < usual*1.2 || strict > usual*1.4 {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -27,7 +27,7 @@
 	resolvingTransaction bool // a read of an unclear transaction's outcome is in flight
 	delayedCalls         []delayedCall
 	recovery             *recovery.Recovery
-	autoscaler           autoscaler
+	autoscaler           *autoscaler
 	admission            admissionControl
 }
 
@@ -42,7 +42,7 @@
 		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: node.newRecovery(),
 	}
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
-	l.autoscaler.init(l)
+	l.autoscaler = newLeaderAutoscaler(l)
 	l.admission.start(l)
 	return l
 }
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -341,6 +341,6 @@
 			continue
 		}
 		l.writer.SetModRevision(item.Key, item.ModRevision)
-		l.autoscaler.pendingRentals = append(l.autoscaler.pendingRentals, &pendingRental{RentalRequest: rental, finishDurable: true})
+		l.autoscaler.addStoredRental(rental)
 	}
 }
--- /dev/null
+++ b/internal/controller/machine_listing.go
@@ -0,0 +1,102 @@
+package controller
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/config"
+	"hitchdoor/internal/protocol"
+)
+
+// machineListing reads the machine list of the cloud, page by page, and compares it with the
+// machines of the cluster state.
+type machineListing struct {
+	state    *cluster.State
+	cloud    *cloudCalls
+	machines machineRegistry
+
+	startedAt   clock.Instant // when the first page of the last list was requested
+	inProgress  bool
+	listedNames map[string]bool // machines in the pages read so far
+}
+
+// machinesPerPage is the number of machines that a page of the list may have.
+const machinesPerPage = 500
+
+// startIfDue requests the first page of the list if the last one is old enough.
+func (l *machineListing) startIfDue() {
+	now := l.state.Clock.Now()
+	if l.inProgress || now < l.startedAt+l.listLag() || !l.cloud.takeRequest() {
+		return
+	}
+	l.inProgress, l.startedAt, l.listedNames = true, now, map[string]bool{}
+	l.requestPage("")
+}
+
+// requestPage requests the page that follows the machine named, or the first page.
+func (l *machineListing) requestPage(afterName string) {
+	path := fmt.Sprintf("/hosts?limit=%d&since=%s", machinesPerPage, afterName)
+	l.cloud.send("GET", path, nil, l.onPage)
+}
+
+// onPage processes a page of the list and requests the next one. After the last page, it drains
+// the machines that the list lacks.
+func (l *machineListing) onPage(response cloudResponse) {
+	var page protocol.HostPage
+	if response.Status != 200 || json.Unmarshal(response.Body, &page) != nil {
+		l.inProgress = false
+		l.cloud.recordFailure(response.Status)
+		return
+	}
+	l.cloud.recordSuccess()
+	for _, host := range page.Machines {
+		l.recordHost(host)
+	}
+	if page.Truncated {
+		l.requestPage(page.Machines[len(page.Machines)-1].Name)
+		return
+	}
+	l.inProgress = false
+	l.drainUnlisted()
+}
+
+// recordHost adds a listed machine that is unknown, and drains one that is listed as failed.
+func (l *machineListing) recordHost(host protocol.Host) {
+	l.listedNames[host.Name] = true
+	if _, removed := l.state.RemovedMachines[host.Name]; removed {
+		return
+	}
+	m := l.state.Machines[host.Name]
+	if m == nil {
+		m = l.machines.AddListedMachine(host)
+		l.state.Log.Info("cloud lists unknown machine", "machine", m.Name, "state", host.State)
+	}
+	silence := l.state.Clock.Now() - m.LastHeartbeat
+	if host.State == protocol.HostFailed && !m.ListedAsFailed && silence > 2*l.state.HeartbeatInterval() {
+		// A machine that sends heartbeats has not failed, whatever the list says. Its return
+		// would kill all tasks on it.
+		m.ListedAsFailed = true
+		l.state.BeginDrain(m, cluster.InstanceFailed)
+	}
+}
+
+// drainUnlisted drains the machines that are missing from the complete list. Lists lag, so only
+// machines that are old enough and silent count, and the call that returns them settles it.
+func (l *machineListing) drainUnlisted() {
+	for _, m := range l.state.MachinesByName() {
+		oldEnough := l.startedAt-m.RentedAt > 4*l.listLag()
+		silent := l.startedAt-l.state.SilentSince(m) > workerLeaseOf(l.state)/2
+		if !l.listedNames[m.Name] && oldEnough && silent {
+			l.state.BeginDrain(m, cluster.NotListed)
+		}
+	}
+}
+
+// listLag returns the time by which the machine list of the cloud may be outdated.
+func (l *machineListing) listLag() time.Duration {
+	return config.Seconds(l.state.Config.Cloud.ListLagS)
+}
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -405,16 +405,15 @@
 	w.accept(n.name, a)
 	w.until(20*time.Second, func() bool { return w.onMachines("j-a") == 1 })
 	w.run(time.Second)
-	f := &n.leader.autoscaler
-	alone := f.requiredCores(1000)
+	alone := requiredCores(n.leader, 1000)
 	w.accept(n.name, after("j-b", 200, "j-a"))
 	w.accept(n.name, after("j-c", 200, "j-a", "j-b")) // must wait for j-b as well
-	if got := f.requiredCores(1000); got > alone {
+	if got := requiredCores(n.leader, 1000); got > alone {
 		t.Errorf("%v cores are planned for work that waits, %v without it", got, alone)
 	}
 	w.run(56 * time.Second) // a machine boots in 5 s
 	due := n.leader.DueFrom(n.leader.Jobs["j-b"], n.now) - n.now
-	if got, want := f.requiredCores(1000), 200*5/due.Seconds(); got < want || got > 2*want {
+	if got, want := requiredCores(n.leader, 1000), 200*5/due.Seconds(); got < want || got > 2*want {
 		t.Errorf("%v cores are planned for the next stage, not %v", got, want)
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -146,7 +146,7 @@
 	page.gauge("machines", "Machines held.", float64(len(l.Machines)))
 	page.gauge("machines_up", "Machines that report.", float64(machinesUp))
 	page.gauge("cores_held", "Cores of the machines held.", coresHeld)
-	page.gauge("cores_target", "Cores that the fleet aims at.", l.autoscaler.targetCores)
+	page.gauge("cores_target", "Cores that the fleet aims at.", l.autoscaler.targetCores())
 	page.gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.PendingChanges()))
 }
 
@@ -189,7 +189,7 @@
 func (l *leader) status() *leaderStatus {
 	status := &leaderStatus{RecordsLoaded: l.recordsLoaded, AllReconciled: l.AllReconciled(),
 		RecoveryPhase: l.recovery.Phase().String(),
-		PendingWrites: l.writer.PendingChanges(), TargetCores: l.autoscaler.targetCores}
+		PendingWrites: l.writer.PendingChanges(), TargetCores: l.autoscaler.targetCores()}
 	for _, j := range l.Jobs {
 		blockedBy := j.BlockedBy
 		if j.PendingDependencies > 0 {
