--- /dev/null
+++ b/internal/controller/catalog_host.go
@@ -0,0 +1,41 @@
+package controller
+
+import (
+	"time"
+
+	"hitchdoor/internal/clock"
+)
+
+// nodeCatalogHost gives the machine catalog what it needs from its node.
+type nodeCatalogHost struct{ node *Node }
+
+// Now returns the time of the current step.
+func (a nodeCatalogHost) Now() clock.Instant { return a.node.now }
+
+// Leading reports whether the node is the leader.
+func (a nodeCatalogHost) Leading() bool { return a.node.leader != nil }
+
+// TakeCloudRequest reports whether the cloud budget allows a request now, and takes it from the
+// budget.
+func (a nodeCatalogHost) TakeCloudRequest() bool { return a.node.cloudBudget.Take(a.node.now, 1) }
+
+// ReadFromCloud reads a resource of the cloud.
+func (a nodeCatalogHost) ReadFromCloud(path string, timeout time.Duration, onResponse func(catalogResponse)) {
+	a.node.callService(TargetCloud, "GET", path, nil, timeout, func(result CallResult) {
+		onResponse(catalogResponse{Status: result.Status, Body: result.Body})
+	})
+}
+
+// ReadFromStore reads a record of the key-value store.
+func (a nodeCatalogHost) ReadFromStore(key string, onResponse func(catalogResponse)) {
+	a.node.storeCall("GET", "/store/"+key, nil, func(result CallResult) {
+		onResponse(catalogResponse{Status: result.Status, Body: result.Body})
+	})
+}
+
+// MachineTypesChanged updates the leader's machines.
+func (a nodeCatalogHost) MachineTypesChanged() {
+	if a.node.leader != nil {
+		a.node.leader.applyMachineTypes()
+	}
+}
--- /dev/null
+++ b/internal/controller/catalog_test.go
@@ -0,0 +1,48 @@
+package controller
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/protocol"
+)
+
+// offlineCatalogHost is the host of a catalog whose reads are never answered.
+type offlineCatalogHost struct{}
+
+func (offlineCatalogHost) Now() clock.Instant                                               { return 0 }
+func (offlineCatalogHost) Leading() bool                                                    { return false }
+func (offlineCatalogHost) TakeCloudRequest() bool                                           { return true }
+func (offlineCatalogHost) ReadFromCloud(_ string, _ time.Duration, _ func(catalogResponse)) {}
+func (offlineCatalogHost) ReadFromStore(_ string, _ func(catalogResponse))                  {}
+func (offlineCatalogHost) MachineTypesChanged()                                             {}
+
+// A type that one catalogue lacks is believed to be there until the next one lacks it too.
+func TestTypeMissingOnce(t *testing.T) {
+	known := newMachineCatalog(offlineCatalogHost{}, slog.New(slog.DiscardHandler), time.Minute)
+	catalog := func(names ...string) protocol.Catalog {
+		var c protocol.Catalog
+		for _, name := range names {
+			c.Types = append(c.Types, protocol.MachineType{Name: name, Cores: 4, MemoryGB: 16})
+		}
+		return c
+	}
+	known.merge(catalog("c4", "g8"))
+	for i, step := range []struct {
+		names  []string
+		known  bool
+		secure bool
+	}{
+		{[]string{"c4"}, true, false},
+		{[]string{"c4", "g8"}, true, true},
+		{[]string{"c4"}, true, false},
+		{[]string{"c4"}, false, true},
+	} {
+		known.merge(catalog(step.names...))
+		if (known.types["g8"] != nil) != step.known || known.confirmed != step.secure {
+			t.Errorf("step %d: known %v, sure %v", i, known.types["g8"] != nil, known.confirmed)
+		}
+	}
+}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -141,7 +141,7 @@
 	if m.TypeName != "" || heartbeat.Type == "" {
 		return
 	}
-	m.TypeName, m.Zone, m.Spot, m.MachineType = heartbeat.Type, heartbeat.Zone, heartbeat.Spot, l.node.catalog[heartbeat.Type]
+	m.TypeName, m.Zone, m.Spot, m.MachineType = heartbeat.Type, heartbeat.Zone, heartbeat.Spot, l.Catalog[heartbeat.Type]
 	l.InvalidateMachineIndex()
 	l.recordMachine(m, true)
 }
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -46,9 +46,9 @@
 
 // applyMachineTypes updates the machines after a change of the machine type catalog.
 func (l *leader) applyMachineTypes() {
-	l.Catalog = l.node.catalog
+	l.Catalog = l.node.catalog.types
 	for _, m := range l.Machines {
-		if machineType := l.node.catalog[m.TypeName]; machineType != nil {
+		if machineType := l.Catalog[m.TypeName]; machineType != nil {
 			m.MachineType = machineType
 		}
 	}
@@ -60,12 +60,12 @@
 // storeCatalog stores the machine types for the next start if they have changed. Price changes
 // are frequent and do not cause a write.
 func (l *leader) storeCatalog() {
-	if !l.recordsLoaded || !l.node.catalogConfirmed {
+	if !l.recordsLoaded || !l.node.catalog.confirmed {
 		return
 	}
 	catalog, typesWithoutPrices := protocol.Catalog{}, []protocol.MachineType{}
-	for _, name := range slices.Sorted(maps.Keys(l.node.catalog)) {
-		machineType := *l.node.catalog[name]
+	for _, name := range slices.Sorted(maps.Keys(l.Catalog)) {
+		machineType := *l.Catalog[name]
 		catalog.Types = append(catalog.Types, machineType)
 		machineType.OnDemandPrice, machineType.SpotPrice = 0, 0
 		typesWithoutPrices = append(typesWithoutPrices, machineType)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -60,13 +60,7 @@
 	rejectedJobs      map[string]bool                         // jobs rejected in this epoch
 	rejectedJobsSince clock.Instant                           // start of that epoch
 
-	catalog                map[string]*protocol.MachineType
-	catalogConfirmed       bool // read from the cloud, with no type missing; not an earlier leader's record
-	catalogRequestedAt     clock.Instant
-	catalogRequestInFlight bool
-	// missingTypes are the known types that the last catalog lacked. A type is removed only
-	// when two catalogs in a row lack it.
-	missingTypes map[string]bool
+	catalog *machineCatalog
 
 	terminalJobs *terminalJobCache
 	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job id.
@@ -116,19 +110,20 @@
 		cfg: options.Platform, settings: options.Settings, log: options.Log, rng: options.Rand,
 		startTime: options.StartTime, build: options.Build,
 		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
-		missingTypes: map[string]bool{}, peers: map[string]*peer{},
+		peers:           map[string]*peer{},
 		pendingForwards: map[uint64]*pendingForward{}, workerRoutes: map[string]*workerRoute{},
 		unreportedLoads: map[admission.Group]*protocol.GroupLoad{}, rejectedJobs: map[string]bool{},
 		acceptedJobs: newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
 		terminalJobs:              &terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
 		unreadableTerminalRecords: map[string]*quarantinedRecord{},
-		catalogRequestedAt:        clock.Never, contendedUntil: clock.Never,
-		protocolLevels: protocolLevels{lastRead: clock.Never},
-		userReadBudget: ratelimit.NewTokenBucket(cluster.Store.RequestsPerS*followerReadShare, cluster.Store.RequestsPerS*followerReadShare),
+		contendedUntil:            clock.Never,
+		protocolLevels:            protocolLevels{lastRead: clock.Never},
+		userReadBudget:            ratelimit.NewTokenBucket(cluster.Store.RequestsPerS*followerReadShare, cluster.Store.RequestsPerS*followerReadShare),
 		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
 	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
+	node.catalog = newMachineCatalog(nodeCatalogHost{node}, node.log, node.workerLease())
 	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
 	node.startElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
@@ -181,7 +176,7 @@
 // tick runs the periodic work of every node, and of the leader if this node leads.
 func (n *Node) tick() {
 	n.election.tick()
-	n.tickCatalog()
+	n.catalog.tick()
 	n.expireForwards()
 	n.expireRoutes()
 	n.writeQueuedSubmissions()
--- a/internal/controller/outside_faults_test.go
+++ b/internal/controller/outside_faults_test.go
@@ -191,7 +191,7 @@
 			c.run(5 * time.Second)
 			c.cloud.types = types
 			for _, node := range c.names { // all read the catalogue anew
-				c.nodes[node].catalogRequestedAt = clock.Never
+				c.nodes[node].catalog.requestedAt = clock.Never
 			}
 			c.more(4, 5*time.Second, nil)
 			c.run(20 * time.Second)
@@ -200,42 +200,13 @@
 			}
 			c.cloud.types = nil
 			for _, node := range c.names {
-				c.nodes[node].catalogRequestedAt = clock.Never
+				c.nodes[node].catalog.requestedAt = clock.Never
 			}
 			c.settle(5 * time.Minute)
 		})
 	}
 }
 
-// A type that one catalogue lacks is believed to be there until the next one lacks it too.
-func TestTypeMissingOnce(t *testing.T) {
-	w := newSimulation(t, 1)
-	n := w.waitLeader()
-	catalog := func(names ...string) protocol.Catalog {
-		var c protocol.Catalog
-		for _, name := range names {
-			c.Types = append(c.Types, protocol.MachineType{Name: name, Cores: 4, MemoryGB: 16})
-		}
-		return c
-	}
-	n.mergeCatalog(catalog("c4", "g8"))
-	for i, step := range []struct {
-		names  []string
-		known  bool
-		secure bool
-	}{
-		{[]string{"c4"}, true, false},
-		{[]string{"c4", "g8"}, true, true},
-		{[]string{"c4"}, true, false},
-		{[]string{"c4"}, false, true},
-	} {
-		n.mergeCatalog(catalog(step.names...))
-		if (n.catalog["g8"] != nil) != step.known || n.catalogConfirmed != step.secure {
-			t.Errorf("step %d: known %v, sure %v", i, n.catalog["g8"] != nil, n.catalogConfirmed)
-		}
-	}
-}
-
 // Machine lists that are empty, that repeat or contradict themselves return no machine that
 // reports, and are not read without end.
 func TestOddMachineLists(t *testing.T) {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -44,7 +44,7 @@
 	if (team.MaxCPUs > 0 && spec.Cores > team.MaxCPUs) || (team.MaxGPUs > 0 && spec.Accelerators > team.MaxGPUs) {
 		return false
 	}
-	for _, machineType := range n.catalog {
+	for _, machineType := range n.catalog.types {
 		if fleet.FitsType(spec, machineType) {
 			return true
 		}
@@ -68,7 +68,7 @@
 // unknown. The user is answered after the write. Any node may do so, because the leader watches
 // the open jobs.
 func (n *Node) submitToStore(request Request, asLeader *leader) {
-	if n.catalog == nil || n.election.storeUnavailable() {
+	if !n.catalog.known() || n.election.storeUnavailable() {
 		n.replyUnavailable(request.Origin)
 		return
 	}
@@ -83,7 +83,7 @@
 	case !storage.FitsTxn(writes, limits.MaxValueBytes(), limits.MaxTxnOps()):
 		n.answerFromStore(request, asLeader, jobTooLarge) // no record can hold it, so a retry can't succeed
 		return
-	case !schedulable && !n.catalogConfirmed:
+	case !schedulable && !n.catalog.confirmed:
 		n.answerFromStore(request, asLeader, retryLater) // the stored catalogue may be outdated
 		return
 	case !schedulable:
