--- /dev/null
+++ b/internal/fleet/demand_test.go
@@ -0,0 +1,120 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+)
+
+// heldInTests is a number of cores that suffices for all demands of the tests.
+const heldInTests = 1000
+
+// demandFor returns the demand of jobs at the instant now.
+func demandFor(now time.Duration, jobs ...Job) Demand {
+	return Demand{Now: now, BootTime: 5 * time.Second, StartWithin: 144 * time.Second, Jobs: jobs}
+}
+
+// requiredFor returns the cores that jobs require at the instant now.
+func requiredFor(now time.Duration, jobs ...Job) float64 {
+	demand := demandFor(now, jobs...)
+	return demand.RequiredCores(heldInTests)
+}
+
+func TestNoCoresRequiredWithoutJobs(t *testing.T) {
+	if got := requiredFor(0); got != 0 {
+		t.Errorf("%v cores for no job", got)
+	}
+}
+
+// All work due by some moment has to fit into the time until then, not only that of one job.
+func TestWorkDueEarlierCountsTowardsLaterJobs(t *testing.T) {
+	first := Job{CoresPerTask: 1, TaskDuration: 10 * time.Second, RemainingWork: 1000, Due: 100 * time.Second, Started: true}
+	second := Job{CoresPerTask: 1, TaskDuration: 10 * time.Second, RemainingWork: 3000, Due: 110 * time.Second, Started: true}
+	if got := requiredFor(0, first); got != 10 {
+		t.Errorf("%v cores for the first job", got)
+	}
+	if got, want := requiredFor(0, second, first), 4000.0/110; got != want {
+		t.Errorf("%v cores for both jobs, not %v", got, want)
+	}
+}
+
+// What exceeds the held cores is divided by the time that remains after a boot, and no machines are
+// rented for work that is due before they would be up.
+func TestRentedMachinesLoseTheirBootTime(t *testing.T) {
+	job := Job{CoresPerTask: 1, TaskDuration: 5 * time.Second, RemainingWork: 1000, Due: 25 * time.Second, Started: true}
+	demand := demandFor(0, job)
+	if got, want := demand.RequiredCores(20), 20+(1000-20*25)/20.0; got != want {
+		t.Errorf("%v cores, not %v", got, want)
+	}
+	job.Due = 6 * time.Second
+	demand = demandFor(0, job)
+	if got := demand.RequiredCores(20); got != 20 {
+		t.Errorf("%v cores for work due before a machine boots", got)
+	}
+}
+
+// A job that was started only because it had been pending for long, and can still meet its SLO on
+// starting, is planned for that SLO and not as a late job.
+func TestStartedJobIsPlannedForItsSLO(t *testing.T) {
+	const now = 150 * time.Second
+	job := Job{CoresPerTask: 1, TaskDuration: 50 * time.Second, RemainingWork: 100 * 50, Due: 250 * time.Second,
+		SLOReserve: 80 * time.Second, MinShare: 0.9}
+	notStarted := requiredFor(now, job)
+	job.Started = true
+	untilDue := 100.0
+	if got := requiredFor(now, job); got < 100*50/untilDue || got > notStarted {
+		t.Errorf("%v cores once started, and %v before", got, notStarted)
+	}
+}
+
+// A late job adds little: more cores do not help it.
+func TestLateJobIsSpreadOverSeveralRunTimes(t *testing.T) {
+	job := Job{CoresPerTask: 1, TaskDuration: 50 * time.Second, RemainingWork: 1000, Due: 10 * time.Second, Started: true}
+	if got := requiredFor(0, job); got != 1000/(4*50.0) {
+		t.Errorf("%v cores for a late job", got)
+	}
+}
+
+// Of a job that fails everywhere, only one task at a time is tried.
+func TestJobThatFailsEverywhereRequiresOneTask(t *testing.T) {
+	job := Job{CoresPerTask: 2, TaskDuration: 50 * time.Second, RemainingWork: 10_000, Due: 100 * time.Second, Started: true, FailsEverywhere: true}
+	if got := requiredFor(0, job); got != 1 {
+		t.Errorf("%v cores", got)
+	}
+}
+
+// Where the SLOs allow next to no late jobs, the plan counts on less of the machines' time.
+func TestMarginWhereSLOsAreStrict(t *testing.T) {
+	required := func(minShare float64) float64 {
+		return requiredFor(0, Job{CoresPerTask: 1, TaskDuration: 20 * time.Second, RemainingWork: 200 * 20, Due: 100 * time.Second, MinShare: minShare})
+	}
+	loose, usual, strict := required(0.8), required(0.9), required(0.99)
+	if loose != usual || strict < usual*1.2 || strict > usual*1.4 {
+		t.Errorf("required cores: %v, %v and %v", loose, usual, strict)
+	}
+}
+
+// The next stage of a pipeline is planned once the end of the stage before it is near.
+func TestUpcomingDependentsRequireCores(t *testing.T) {
+	job := Job{CoresPerTask: 1, TaskDuration: 60 * time.Second, RemainingWork: 4, Due: 100 * time.Second, Started: true}
+	alone := requiredFor(0, job)
+	job.UpcomingDependents = []UpcomingJob{{TaskDuration: 5 * time.Second, DueIn: 50 * time.Second, Work: 1000}}
+	if got := requiredFor(0, job); got < 1000/50 || got > 2*1000/50 || got <= alone {
+		t.Errorf("%v cores with the next stage, and %v without", got, alone)
+	}
+}
+
+// Work that should still arrive and is due earlier leaves less room for the present work.
+func TestForecastAddsToTheDemand(t *testing.T) {
+	forecast := NewForecast(testLease)
+	for second := range 120 {
+		forecast.DecayTo(time.Duration(second)*time.Second, true)
+		forecast.RecordArrival("c", 10, 10*time.Second)
+	}
+	now := 119 * time.Second
+	demand := demandFor(now, Job{CoresPerTask: 1, TaskDuration: 10 * time.Second, RemainingWork: 1000, EligibleAt: now, Due: now + 100*time.Second, Started: true})
+	without := demand.RequiredCores(heldInTests)
+	demand.Forecast = forecast
+	if got, want := demand.RequiredCores(heldInTests), without+forecast.ExpectedWork(100)/100; got != want || got <= without {
+		t.Errorf("%v cores with the forecast, not %v", got, want)
+	}
+}
