--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -28,14 +28,14 @@
 	recovery             *recoveryGate
 	reconciler           *reconciler
 	dependencies         *dependencyGraph
-	autoscaler           autoscaler
+	autoscaler           *autoscaler
 	admission            admissionControl
 }
 
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
 // key, on which every write of the term is conditioned.
 func newLeader(node *Node, term, leaderKeyVersion uint64) *leader {
-	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog})
+	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog.types})
 	l := &leader{
 		node: node, term: term, State: state,
 		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), machineRecords: newMachineRecords(&node.cfg.Cluster), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
@@ -45,7 +45,7 @@
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.dependencies = newDependencyGraph(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
 	l.reconciler = newReconciler(state, term, l.recovery, reconcilerAdapter{leader: l})
-	l.autoscaler.init(l)
+	l.autoscaler = newLeaderAutoscaler(l)
 	l.admission.start(l)
 	return l
 }
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/recovery"
@@ -23,26 +22,6 @@
 	return l.recovery.MayRunUnreported(job, totals)
 }
 
-// limitedByRecovery reports whether the recovery limits what this leader does.
-func (l *leader) limitedByRecovery() bool { return l.recovery.Limited() }
-
-// mayScaleOut reports whether machines may be rented.
-func (l *leader) mayScaleOut() bool { return l.recovery.MayScaleOut() }
-
-// mayScaleIn reports whether machines may be returned because there are too many.
-func (l *leader) mayScaleIn() bool { return l.recovery.MayScaleIn() }
-
-// mayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
-func (l *leader) mayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
-	return l.recovery.MayReturnUnresponsive(machine, silence)
-}
-
-// allowedOperations is how many of count operations on machines are within the budget now. It takes
-// them from the budget.
-func (l *leader) allowedOperations(operation recovery.Operation, count int) int {
-	return l.recovery.AllowedOperations(operation, count)
-}
-
 // recoveryStatus is the state of recovery on this node, as operators see it.
 func (n *Node) recoveryStatus() recovery.NodeStatus {
 	status := recovery.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease()}
