--- /dev/null
+++ b/internal/layering/layering_test.go
@@ -0,0 +1,289 @@
+// Package layering checks the directions of imports between the packages of the module.
+package layering
+
+import (
+	"fmt"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"os"
+	"path"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// layers lists every package of the module, the lowest layer first. A package may import
+// packages of lower layers only, so two packages of one layer never import each other. The
+// imports of tests are exempt.
+//
+// To add a package, put it into the lowest layer that lies above everything that it imports.
+// If there is none, add a layer: nothing refers to a layer by its number.
+var layers = []layer{
+	{"leaves, which import nothing of the module", []string{
+		"internal/admission",
+		"internal/clock",
+		"internal/config",
+		"internal/reachability",
+		"internal/recovery",
+		"internal/tracing",
+	}},
+	{"wire messages and rates", []string{
+		"internal/protocol",
+		"internal/ratelimit",
+	}},
+	{"stored records", []string{
+		"internal/storage",
+	}},
+	{"capacity planning", []string{
+		"internal/fleet",
+	}},
+	{"cluster state", []string{
+		"internal/cluster",
+	}},
+	{"decisions on the cluster state", []string{
+		"internal/scheduler",
+	}},
+	{"controller", []string{
+		"internal/controller",
+	}},
+	{"connections", []string{
+		"internal/transport",
+	}},
+	{"processes and their clients", []string{
+		"internal/adminclient",
+		"internal/daemon",
+		"internal/fakes",
+	}},
+	{"emulator", []string{
+		"internal/emulator",
+	}},
+	{"commands", []string{
+		"cmd/hitchdoor",
+	}},
+	{"packages of tests alone", []string{
+		"internal/compatibility",
+		"internal/layering",
+	}},
+}
+
+// restrictedImporters names the only packages that may import a package, for those that are
+// not for everyone above them.
+var restrictedImporters = map[string][]string{
+	"internal/fakes": {"internal/emulator"},
+}
+
+// modulePath is the path of the module, which begins the import paths of its packages.
+const modulePath = "hitchdoor"
+
+// moduleRoot is the module's directory, as seen from this package.
+const moduleRoot = "../.."
+
+// layer is a set of packages that don't import each other.
+type layer struct {
+	name     string
+	packages []string
+}
+
+// importGraph holds for each package of the module, by its directory, the packages of the
+// module that it imports outside its tests.
+type importGraph map[string][]string
+
+func TestImportsPointDownwards(t *testing.T) {
+	graph, err := readImports(moduleRoot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, violation := range findViolations(layers, restrictedImporters, graph) {
+		t.Error(violation)
+	}
+}
+
+func TestViolationsAreFound(t *testing.T) {
+	layers := []layer{
+		{"low", []string{"low", "beside"}},
+		{"middle", []string{"middle", "fakes"}},
+		{"high", []string{"high", "emulator"}},
+	}
+	restricted := map[string][]string{"fakes": {"emulator"}}
+	tests := []struct {
+		name   string
+		change importGraph
+		want   string
+	}{
+		{"downward imports", nil, ""},
+		{"upward import", importGraph{"low": {"high"}}, `low (layer "low") imports high (layer "high")`},
+		{"import within a layer", importGraph{"low": {"beside"}}, `low (layer "low") imports beside (layer "low")`},
+		{"unlisted package", importGraph{"new": nil}, "new is in no layer: add it"},
+		{"import of an unlisted package", importGraph{"middle": {"gone"}}, "middle imports gone, which is in no layer"},
+		{"restricted package", importGraph{"high": {"fakes"}}, "high imports fakes, which only emulator may import"},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			graph := importGraph{
+				"low": nil, "beside": nil, "middle": {"low"}, "fakes": {"low"},
+				"high": {"low", "middle"}, "emulator": {"fakes"},
+			}
+			maps.Copy(graph, test.change)
+			got := strings.Join(findViolations(layers, restricted, graph), "\n")
+			if (test.want == "") != (got == "") || !strings.Contains(got, test.want) {
+				t.Errorf("got %q, want %q", got, test.want)
+			}
+		})
+	}
+}
+
+func TestTableIsChecked(t *testing.T) {
+	graph := importGraph{"low": nil}
+	tests := []struct {
+		name   string
+		layers []layer
+		want   string
+	}{
+		{"listed twice", []layer{{"a", []string{"low"}}, {"b", []string{"low"}}}, "low is listed twice"},
+		{"removed package", []layer{{"a", []string{"low", "gone"}}}, "gone is listed, but there is no such package"},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			got := strings.Join(findViolations(test.layers, nil, graph), "\n")
+			if !strings.Contains(got, test.want) {
+				t.Errorf("got %q, want %q", got, test.want)
+			}
+		})
+	}
+}
+
+func TestImportsOfTestsAreExempt(t *testing.T) {
+	root := t.TempDir()
+	files := map[string]string{
+		"internal/low/low.go":           "package low\n",
+		"internal/low/low_test.go":      "package low\n\nimport _ \"hitchdoor/internal/high\"\n",
+		"internal/high/high.go":         "package high\n\nimport (\n\t_ \"fmt\"\n\t_ \"hitchdoor/internal/low\"\n)\n",
+		"internal/high/testdata/bad.go": "not Go\n",
+		"internal/checks/a_test.go":     "package checks\n",
+	}
+	for name, text := range files {
+		file := filepath.Join(root, filepath.FromSlash(name))
+		if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	graph, err := readImports(root)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := "map[internal/checks:[] internal/high:[internal/low] internal/low:[]]"
+	if got := fmt.Sprint(graph); got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+}
+
+// findViolations returns a sentence for each import that the layers don't allow, and for each
+// package that is not listed exactly once.
+func findViolations(layers []layer, restricted map[string][]string, graph importGraph) []string {
+	ranks, violations := rankPackages(layers, graph)
+	for _, importer := range slices.Sorted(maps.Keys(graph)) {
+		importerRank, listed := ranks[importer]
+		if !listed {
+			violations = append(violations, importer+" is in no layer: add it to the table of layering_test.go")
+			continue
+		}
+		for _, imported := range graph[importer] {
+			importedRank, listed := ranks[imported]
+			switch only := restricted[imported]; {
+			case !listed:
+				violations = append(violations, fmt.Sprintf("%s imports %s, which is in no layer", importer, imported))
+			case importedRank >= importerRank:
+				violations = append(violations, fmt.Sprintf("%s (layer %q) imports %s (layer %q), which is no lower layer",
+					importer, layers[importerRank].name, imported, layers[importedRank].name))
+			case only != nil && !slices.Contains(only, importer):
+				violations = append(violations, fmt.Sprintf("%s imports %s, which only %s may import",
+					importer, imported, strings.Join(only, ", ")))
+			}
+		}
+	}
+	return violations
+}
+
+// rankPackages returns the number of each listed package's layer, and a sentence for each
+// package that is listed twice or does not exist.
+func rankPackages(layers []layer, graph importGraph) (ranks map[string]int, violations []string) {
+	ranks = map[string]int{}
+	for rank, layer := range layers {
+		for _, name := range layer.packages {
+			if _, known := ranks[name]; known {
+				violations = append(violations, name+" is listed twice")
+			}
+			if _, exists := graph[name]; !exists {
+				violations = append(violations, name+" is listed, but there is no such package: remove it from the table")
+			}
+			ranks[name] = rank
+		}
+	}
+	return ranks, violations
+}
+
+// readImports reads the imports of all packages below root. It reads the files itself: go test
+// reruns a test whose result is cached when a file that the test has read changes, but not
+// when a program that the test started would read it differently.
+func readImports(root string) (importGraph, error) {
+	graph := importGraph{}
+	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() {
+			if file != root && isIgnoredDirectory(entry.Name()) {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if filepath.Ext(file) != ".go" {
+			return nil
+		}
+		return graph.addFile(root, file)
+	})
+	return graph, err
+}
+
+// isIgnoredDirectory says whether the go command ignores directories of this name.
+func isIgnoredDirectory(name string) bool {
+	return name == "testdata" || strings.HasPrefix(name, ".") || strings.HasPrefix(name, "_")
+}
+
+// addFile adds the file's package to the graph and, unless the file is one of its tests, what
+// the file imports of the module.
+func (graph importGraph) addFile(root, file string) error {
+	directory, err := filepath.Rel(root, filepath.Dir(file))
+	if err != nil {
+		return err
+	}
+	importer := filepath.ToSlash(directory)
+	if _, known := graph[importer]; !known {
+		graph[importer] = nil
+	}
+	if strings.HasSuffix(file, "_test.go") {
+		return nil
+	}
+	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
+	if err != nil {
+		return err
+	}
+	for _, spec := range parsed.Imports {
+		imported, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			return err
+		}
+		name, ok := strings.CutPrefix(path.Clean(imported), modulePath+"/")
+		if ok && !slices.Contains(graph[importer], name) {
+			graph[importer] = append(graph[importer], name)
+		}
+	}
+	return nil
+}
