--- /dev/null
+++ b/internal/controller/candidacy.go
@@ -0,0 +1,186 @@
+package controller
+
+import (
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+// candidacy is one attempt of this node to become the leader in a new term.
+type candidacy struct {
+	term             uint64
+	termVersion      uint64 // version of the term key that this candidate wrote
+	votes            map[string]bool
+	requestingVotes  bool // the term is raised and votes are being collected
+	startedAt        clock.Instant
+	votesRequestedAt clock.Instant // last vote requests sent
+	votesReadAt      clock.Instant // last read of votes from the key-value store
+}
+
+// startCandidacyInTurn starts a candidacy once it is this node's turn.
+func (e *election) startCandidacyInTurn() {
+	if e.candidacyPaused() {
+		return
+	}
+	if e.isolated {
+		if e.recentPeerCount(e.leaderLease()) == 0 {
+			return
+		}
+		e.isolated = false
+	}
+	now := e.host.Now()
+	if e.candidacyAt == clock.Never {
+		e.candidacyAt = now + e.candidacyDelay()
+		return
+	}
+	if now >= e.candidacyAt {
+		e.candidacyAt = clock.Never
+		e.startCandidacy()
+	}
+}
+
+// candidacyDelay returns the delay of this node's next candidacy. A random part separates the
+// candidates. Nodes that restarted recently go first: in a rolling restart they will not be
+// restarted again.
+func (e *election) candidacyDelay() time.Duration {
+	turn := e.rng.Float64()
+	for _, peer := range e.peers {
+		if e.recentlyHeard(peer) && peer.uptime < e.host.Now() && peer.uptime > clock.WithDrift(e.leaderLease()) {
+			turn++
+		}
+	}
+	return time.Duration(turn * float64(e.workerLease()) / leaderKeyReadsPerWorkerLease)
+}
+
+// startCandidacy raises the term by compare-and-set and then collects votes for it.
+func (e *election) startCandidacy() {
+	now := e.host.Now()
+	current := &candidacy{startedAt: now, votes: map[string]bool{}, votesRequestedAt: clock.Never, votesReadAt: now}
+	e.candidacy = current
+	e.readTerm(func(lastTerm storage.Term, version uint64, ok bool) {
+		if e.candidacy != current {
+			return
+		}
+		if !ok {
+			e.candidacy = nil
+			return
+		}
+		current.term = lastTerm.Term + 1
+		e.raiseTerm(current, version)
+	})
+}
+
+// readTerm reads the last term and its version, both zero if there is none.
+func (e *election) readTerm(onTerm func(term storage.Term, version uint64, ok bool)) {
+	e.host.CallStore("GET", "/store/"+storage.TermKey, nil, func(response storeResponse) {
+		var item storage.Item
+		var term storage.Term
+		ok := response.Status == 404 || response.decode(&item) && json.Unmarshal(item.Value, &term) == nil
+		onTerm(term, item.ModRevision, ok)
+	})
+}
+
+// raiseTerm writes the candidate's term over the last one, of the given version. The transaction
+// also requires that there is no leader key.
+func (e *election) raiseTerm(current *candidacy, lastVersion uint64) {
+	txn := storage.Txn{
+		Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: lastVersion}, {Key: storage.LeaderKey}},
+		Writes:     []storage.Write{storage.Put(storage.TermKey, storage.Term{Term: current.term, Node: e.node})},
+	}
+	e.host.CallStore("POST", "/multi", txn, func(response storeResponse) {
+		var result storage.TxnResponse
+		if e.candidacy != current {
+			return
+		}
+		if !response.decode(&result) {
+			// Lost, or the outcome is unclear. A term is never used unless it is known to
+			// be this node's; a later candidacy raises it again.
+			e.candidacy = nil
+			return
+		}
+		current.termVersion, current.requestingVotes = result.Revision, true
+		e.tickCandidate()
+	})
+}
+
+// tickCandidate sends vote requests and takes the leader key once a quorum has voted. The
+// candidacy ends after the span of one leader lease.
+func (e *election) tickCandidate() {
+	current, now := e.candidacy, e.host.Now()
+	if now > current.startedAt+e.leaderLease() {
+		e.candidacy = nil
+		return
+	}
+	if !current.requestingVotes {
+		return
+	}
+	// This node's own vote counts as well, so a lease grant binds it like any voter.
+	if e.freeToVote() && len(current.votes) >= e.peersInQuorum() {
+		current.requestingVotes = false
+		e.votedTerm = max(e.votedTerm, current.term)
+		e.requestLeaderLease(current)
+		return
+	}
+	if now > current.votesReadAt+e.leaderKeyReadInterval() {
+		e.readStoredVotes(current)
+	}
+	if current.votesRequestedAt == clock.Never || now > current.votesRequestedAt+e.peerHeartbeatInterval() {
+		e.requestVotes(current)
+	}
+}
+
+// requestVotes sends a vote request to every peer.
+func (e *election) requestVotes(current *candidacy) {
+	current.votesRequestedAt = e.host.Now()
+	for _, name := range e.peerNames {
+		e.host.SendMessage(name, protocol.VoteRequest{Term: current.term})
+	}
+}
+
+// requestLeaderLease creates the lease of the leader key and then takes the key.
+func (e *election) requestLeaderLease(current *candidacy) {
+	requestedAt := e.host.Now()
+	request := storage.Lease{TTLMillis: e.leaderLease().Milliseconds()}
+	e.host.CallStore("POST", "/holds", request, func(response storeResponse) {
+		var lease storage.Lease
+		if e.candidacy != current {
+			return
+		}
+		if !response.decode(&lease) {
+			e.candidacy = nil
+			return
+		}
+		e.takeLeaderKey(current, lease.ID, requestedAt)
+	})
+}
+
+// takeLeaderKey sets the leader key on a lease, provided that there is no leader and the term is
+// still this candidate's. On success this node leads.
+func (e *election) takeLeaderKey(current *candidacy, leaseID uint64, leaseRequestedAt clock.Instant) {
+	leaderWrite := storage.Put(storage.LeaderKey, storage.Leader{Node: e.node, Term: current.term})
+	leaderWrite.LeaseID = leaseID
+	txn := storage.Txn{
+		Conditions: []storage.Condition{{Key: storage.LeaderKey}, {Key: storage.TermKey, ModRevision: current.termVersion}},
+		Writes:     []storage.Write{leaderWrite},
+	}
+	e.host.CallStore("POST", "/multi", txn, func(response storeResponse) {
+		var result storage.TxnResponse
+		if e.candidacy != current {
+			return
+		}
+		e.candidacy = nil
+		if !response.decode(&result) {
+			// If it was executed nevertheless, the key names this node, and
+			// revokeEarlierLease revokes its lease.
+			return
+		}
+		if e.host.Now() >= leaseRequestedAt+safeLeaseSpan(e.leaderLease()) {
+			return
+		}
+		e.becomeLeader(current.term, result.Revision, leaseID, leaseRequestedAt)
+	})
+}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -47,7 +47,7 @@
 	pendingCalls      map[uint64]func(CallResult)
 	invalidResponseAt map[Target]clock.Instant // last response that failed validation
 
-	election        election
+	election        *election
 	peers           map[string]*peer
 	pendingForwards map[uint64]*pendingForward
 	nextForwardID   uint64
@@ -90,21 +90,6 @@
 	contendedUntil    clock.Instant         // until then the submission rate is shared with other nodes
 }
 
-// peer is what this node knows of another controller.
-type peer struct {
-	name            string
-	lastContact     clock.Instant // last message of any kind
-	processID       uint64        // processID in its last heartbeat
-	knownNotLeading bool          // it has heard from this process and reported that it does not lead
-	uptime          time.Duration // its uptime in its last heartbeat
-	term            uint64
-	leading         bool
-	grantedUntil    clock.Instant // end of its lease grant to this node
-	protocolLevel   int           // protocol level of its version; 0: not announced
-	workerCapacity  peerCapacity
-	policyRevision  uint64 // latest revision of the admission policy that it has read
-}
-
 // Options are the dependencies and settings of a new Node.
 type Options struct {
 	Platform  *config.Platform
@@ -120,14 +105,12 @@
 // their own share so that they never queue behind the leader's records. The shares leave a
 // margin for requests of a previous leader that are still in flight.
 const (
-	leaderWriteShare           = 0.6
-	submissionWriteShare       = 0.3 // total of all nodes, see updateSubmissionRate
-	followerReadShare          = 0.1
-	dependencyLookupShare      = 0.2 // reads of dependencies' outcomes and of quarantined records
-	cloudRequestShare          = 0.75
-	pollsPerLease              = 28
-	peerHeartbeatsPerLease     = 32
-	leaderLeasesPerWorkerLease = 6 // a leader lease, or a lease grant, lasts 1/6 of a worker lease
+	leaderWriteShare      = 0.6
+	submissionWriteShare  = 0.3 // total of all nodes, see updateSubmissionRate
+	followerReadShare     = 0.1
+	dependencyLookupShare = 0.2 // reads of dependencies' outcomes and of quarantined records
+	cloudRequestShare     = 0.75
+	pollsPerLease         = 28
 )
 
 // New returns a node in follower state.
@@ -150,12 +133,9 @@
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
 	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
-	for _, known := range options.Platform.Peers {
-		node.peers[known.Node] = &peer{name: known.Node, lastContact: clock.Never, grantedUntil: clock.Never}
-	}
-	node.election = newElection()
-	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
 	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
+	node.startElection()
+	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
 	// A response to a request that an earlier process of this node forwarded may still
 	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
 	// therefore start at a random number per process; if every process counted from one, a
@@ -204,7 +184,7 @@
 
 // tick runs the periodic work of every node, and of the leader if this node leads.
 func (n *Node) tick() {
-	n.tickElection()
+	n.election.tick()
 	n.tickCatalog()
 	n.expireForwards()
 	n.expireRoutes()
@@ -303,13 +283,6 @@
 	n.effects = append(n.effects, OutboundMessage{To: to, Message: message})
 }
 
-// broadcast emits a message to every peer.
-func (n *Node) broadcast(message protocol.PeerMessage) {
-	for _, k := range n.cfg.Peers {
-		n.send(k.Node, message)
-	}
-}
-
 // reply answers a request, through the peer that forwarded it if there is one.
 func (n *Node) reply(origin Origin, status, retryAfter int, body any) {
 	encodedBody := encodeBody(body)
