--- /dev/null
+++ b/internal/controller/autoscaler_host.go
@@ -0,0 +1,85 @@
+package controller
+
+import (
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/protocol"
+)
+
+// autoscalerHost gives the autoscaler what it needs from its leader and node.
+type autoscalerHost struct{ leader *leader }
+
+// newLeaderAutoscaler returns the autoscaler of a leader.
+func newLeaderAutoscaler(l *leader) *autoscaler {
+	host := autoscalerHost{leader: l}
+	return newAutoscaler(autoscalerOptions{State: l.State, Term: l.term, Cloud: host, Records: l.writer, Recovery: l.recovery,
+		Machines: host, Jobs: host, WallClock: host, Store: host})
+}
+
+// TakeRequest reports whether the cloud budget allows a request now, and takes it from the budget.
+func (h autoscalerHost) TakeRequest() bool {
+	return h.leader.node.cloudBudget.Take(h.leader.node.now, 1)
+}
+
+// ReturnRequest gives a request that was not sent back to the cloud budget.
+func (h autoscalerHost) ReturnRequest() { h.leader.node.cloudBudget.Tokens++ }
+
+// Send sends a request to the cloud, and passes on the response unless the node has stepped down
+// by then.
+func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration, onResponse func(cloudResponse)) {
+	h.leader.node.callService(TargetCloud, method, path, body, timeout, func(result CallResult) {
+		if h.leader.node.leader == h.leader {
+			onResponse(cloudResponse{Status: result.Status, Body: result.Body})
+		}
+	})
+}
+
+// AddRentedMachine adds a machine that this leader has just rented.
+func (h autoscalerHost) AddRentedMachine(name string, request *protocol.RentalRequest) {
+	h.leader.machineRecords.addRentedMachine(name, request.Type, request.Zone, request.Spot, h.leader.node.now)
+}
+
+// AddListedMachine adds a machine that the cloud lists and no record names.
+func (h autoscalerHost) AddListedMachine(host protocol.Host) *cluster.Machine {
+	return h.leader.machineRecords.addListedMachine(host)
+}
+
+// RemoveMachine removes a machine that is certain to be gone, with all its attempts.
+func (h autoscalerHost) RemoveMachine(m *cluster.Machine) { h.leader.machineRecords.removeMachine(m) }
+
+// PendingJobs returns the pending jobs in the order of the last scheduling pass.
+func (h autoscalerHost) PendingJobs() []*cluster.Job {
+	jobs := make([]*cluster.Job, 0, len(h.leader.PendingOrder))
+	for _, queued := range h.leader.PendingOrder {
+		jobs = append(jobs, queued.Job)
+	}
+	return jobs
+}
+
+// MayRunUnreported reports whether tasks of a job may be running on machines that are not
+// reconciled yet.
+func (h autoscalerHost) MayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool {
+	return h.leader.MayRunUnreported(j, totals)
+}
+
+// SoonReleasedDependents returns the jobs that wait only for this one, if it should end within the
+// horizon.
+func (h autoscalerHost) SoonReleasedDependents(j *cluster.Job, horizon time.Duration) []*cluster.Job {
+	return h.leader.dependencies.soonReleasedDependents(j, horizon)
+}
+
+// ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
+func (h autoscalerHost) ReleaseUndelivered() { h.leader.ReleaseUndelivered() }
+
+// NowUnixMilli returns the current wall clock in Unix milliseconds.
+func (h autoscalerHost) NowUnixMilli() int64 { return h.leader.node.nowUnixMilli() }
+
+// InstantFromUnixMilli converts a stored wall clock time to an instant.
+func (h autoscalerHost) InstantFromUnixMilli(milliseconds int64) clock.Instant {
+	return h.leader.node.instantFromUnixMilli(milliseconds)
+}
+
+// StoreFailing reports whether the last call to the key-value store failed.
+func (h autoscalerHost) StoreFailing() bool { return h.leader.node.election.storeFailing() }
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/dependencies_test.go
@@ -52,7 +52,7 @@
 		t.Error("a job that waits for another takes part in the passes")
 	}
 	w.waitState("j-c", protocol.JobDone, time.Minute)
-	if n := len(l.leader.Dependents) + len(l.leader.dependencyLookups) + len(l.leader.RunnableJobs); n != 0 {
+	if n := len(l.leader.dependencies.dependents) + len(l.leader.dependencies.lookups) + len(l.leader.RunnableJobs); n != 0 {
 		t.Errorf("%d entries are left of jobs that are over", n)
 	}
 	// One that is submitted when all is over begins at once, and one that repeats a
@@ -354,10 +354,10 @@
 	w.accept(n.name, last)
 	a, b, s, z := l.Jobs["j-a"], l.Jobs["j-b"], l.Jobs["j-s"], l.Jobs["j-z"]
 	end := z.AcceptedAt + 120*time.Second
-	if want := end - l.expectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want || l.Due(s) != want {
+	if want := end - l.dependencies.expectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want || l.Due(s) != want {
 		t.Errorf("b is due at %v, s at %v, not %v", l.Due(b), l.Due(s), want)
 	}
-	if want := end - l.expectedJobDuration(z, l.ImagePullRate()) - l.expectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
+	if want := end - l.dependencies.expectedJobDuration(z, l.ImagePullRate()) - l.dependencies.expectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
 		t.Errorf("a is due at %v, not %v: the longest way counts", l.Due(a), want)
 	}
 	if a.EffectiveRank() != 1 || b.EffectiveRank() != 1 || a.Spec.PriorityRank() != 2 {
@@ -405,16 +405,15 @@
 	w.accept(n.name, a)
 	w.until(20*time.Second, func() bool { return w.onMachines("j-a") == 1 })
 	w.run(time.Second)
-	f := &n.leader.autoscaler
-	alone := f.requiredCores(1000)
+	alone := requiredCores(n.leader, 1000)
 	w.accept(n.name, after("j-b", 200, "j-a"))
 	w.accept(n.name, after("j-c", 200, "j-a", "j-b")) // must wait for j-b as well
-	if got := f.requiredCores(1000); got > alone {
+	if got := requiredCores(n.leader, 1000); got > alone {
 		t.Errorf("%v cores are planned for work that waits, %v without it", got, alone)
 	}
 	w.run(56 * time.Second) // a machine boots in 5 s
 	due := n.leader.DueFrom(n.leader.Jobs["j-b"], n.now) - n.now
-	if got, want := f.requiredCores(1000), 200*5/due.Seconds(); got < want || got > 2*want {
+	if got, want := requiredCores(n.leader, 1000), 200*5/due.Seconds(); got < want || got > 2*want {
 		t.Errorf("%v cores are planned for the next stage, not %v", got, want)
 	}
 }
--- /dev/null
+++ b/internal/controller/job_reader.go
@@ -0,0 +1,117 @@
+package controller
+
+import (
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/ratelimit"
+	"hitchdoor/internal/storage"
+)
+
+// jobReader reads what the key-value store holds of jobs, on behalf of users and of the leader. It
+// caches what never changes: the records of terminal jobs, and which jobs were accepted.
+type jobReader struct {
+	host         jobReaderHost
+	readBudget   ratelimit.TokenBucket // reads on behalf of users
+	pollInterval time.Duration         // pause between two pages of the initial load
+	terminalJobs terminalJobCache
+	acceptedJobs recentJobs[bool] // ids of jobs known to have been accepted
+}
+
+// jobReaderHost is what the reader needs from the node.
+type jobReaderHost interface {
+	// Now returns the time of the current step.
+	Now() clock.Instant
+	// Get sends a GET request to the key-value store. A response with status 0 means that no usable
+	// one arrived.
+	Get(path string, onResponse func(status int, body []byte))
+	// StoreUnavailable reports whether the key-value store is considered down, so that requests
+	// which need it are rejected at once.
+	StoreUnavailable() bool
+	// StoreResponding reports whether the last call to the key-value store succeeded.
+	StoreResponding() bool
+	// HasOpenJob reports whether this node leads and has the job among its open jobs.
+	HasOpenJob(jobID string) bool
+	// TerminalRecordRead handles a job's terminal record that was read from the key-value store.
+	TerminalRecordRead(jobID string, record storage.TerminalRecord)
+	// TerminalRecordUnreadable handles a terminal record that can't be decoded.
+	TerminalRecordUnreadable(jobID string, item storage.Item, err error)
+}
+
+// jobCallback receives what the key-value store holds of a job: its open record or its terminal
+// record, or neither if the job is unknown. ok is false if the key-value store did not answer.
+type jobCallback func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord)
+
+// newJobReader returns a reader with empty caches. It makes at most readsPerSecond reads on behalf
+// of users.
+func newJobReader(host jobReaderHost, readsPerSecond float64, pollInterval time.Duration) *jobReader {
+	return &jobReader{
+		host:         host,
+		readBudget:   ratelimit.NewTokenBucket(readsPerSecond, readsPerSecond),
+		pollInterval: pollInterval,
+		terminalJobs: terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
+		acceptedJobs: newRecentJobs[bool](recentJobsLimit),
+	}
+}
+
+// hasSpareReads reports whether at least half of the read budget is left.
+func (r *jobReader) hasSpareReads() bool {
+	r.readBudget.Refill(r.host.Now())
+	return r.readBudget.Tokens >= r.readBudget.Burst/2
+}
+
+// readItem reads one record. The callback gets nil unless the response has a record.
+func (r *jobReader) readItem(key string, onRead func(status int, item *storage.Item)) {
+	r.host.Get("/store/"+key, func(status int, body []byte) {
+		var item storage.Item
+		if status != 200 || json.Unmarshal(body, &item) != nil {
+			onRead(status, nil)
+			return
+		}
+		onRead(status, &item)
+	})
+}
+
+// readJob reads a job's record, open or terminal. The open record is read first, because a job
+// moves from open to terminal and never back.
+func (r *jobReader) readJob(jobID string, onRead jobCallback) {
+	if record, ok := r.terminalRecord(jobID); ok {
+		onRead(true, nil, &record)
+		return
+	}
+	if r.host.StoreUnavailable() || !r.readBudget.Take(r.host.Now(), 2) {
+		onRead(false, nil, nil)
+		return
+	}
+	r.readItem(storage.JobKey(jobID), func(status int, item *storage.Item) {
+		switch {
+		case item != nil:
+			r.recordAccepted(jobID)
+			onRead(true, item, nil)
+		case status == 404:
+			r.readTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) { onRead(ok, nil, terminal) })
+		default:
+			onRead(false, nil, nil)
+		}
+	})
+}
+
+// readTerminalRecord reads a job's terminal record. The callback gets nil if there is none.
+func (r *jobReader) readTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
+	r.readItem(storage.TerminalKey(jobID), func(status int, item *storage.Item) {
+		if item != nil {
+			r.cacheTerminalItem(*item)
+		}
+		terminal, known := r.terminalRecord(jobID)
+		switch {
+		case known:
+			onRead(true, &terminal)
+		case status == 404:
+			onRead(true, nil)
+		default:
+			onRead(false, nil)
+		}
+	})
+}
--- /dev/null
+++ b/internal/controller/job_reader_host.go
@@ -0,0 +1,46 @@
+package controller
+
+import (
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/storage"
+)
+
+// nodeJobReaderHost connects the job reader to its node.
+type nodeJobReaderHost struct{ node *Node }
+
+// Now implements jobReaderHost.
+func (h nodeJobReaderHost) Now() clock.Instant { return h.node.now }
+
+// Get implements jobReaderHost.
+func (h nodeJobReaderHost) Get(path string, onResponse func(status int, body []byte)) {
+	h.node.storeCall("GET", path, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
+}
+
+// StoreUnavailable implements jobReaderHost.
+func (h nodeJobReaderHost) StoreUnavailable() bool { return h.node.election.storeUnavailable() }
+
+// StoreResponding implements jobReaderHost.
+func (h nodeJobReaderHost) StoreResponding() bool {
+	return h.node.election.storeReachable()
+}
+
+// HasOpenJob implements jobReaderHost.
+func (h nodeJobReaderHost) HasOpenJob(jobID string) bool {
+	return h.node.leader != nil && h.node.leader.Jobs[jobID] != nil
+}
+
+// TerminalRecordRead implements jobReaderHost.
+func (h nodeJobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
+	delete(h.node.unreadableTerminalRecords, jobID)
+	if h.node.holdsLeaderLease() {
+		h.node.leader.jobRecords.quarantineOpenRecord(jobID, record)
+	}
+}
+
+// TerminalRecordUnreadable implements jobReaderHost.
+func (h nodeJobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
+	node := h.node
+	if node.unreadableTerminalRecords[jobID] == nil {
+		node.unreadableTerminalRecords[jobID] = newQuarantinedRecord(node.log, item, err, node.newerVersionSeen())
+	}
+}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -45,7 +45,7 @@
 // The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
 // leader may have reported that.
 func (l *leader) answerJobState(r Request, j *cluster.Job) {
-	if !j.DependencyCancelled && (j.CompletionUncertain || (j.PendingDependencies > 0 && len(l.dependencyLookups) > 0)) {
+	if !j.DependencyCancelled && (j.CompletionUncertain || l.dependencies.mayBeCancelled(j)) {
 		l.node.answerFromStore(r, l, retryLater)
 		return
 	}
@@ -63,7 +63,7 @@
 		n.reply(r.Origin, 404, 0, nil)
 		return
 	}
-	n.readJobRecord(r.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
+	n.jobReader.readJob(r.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
 		switch {
 		case !ok || n.leader != l || !n.holdsLeaderLease():
 			n.replyUnavailable(r.Origin)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -3,7 +3,6 @@
 import (
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
-	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/scheduler"
 )
 
@@ -27,24 +26,28 @@
 	loader         *loader
 	jobWatch       *jobWatch
 	delayedCalls   []delayedCall
-	recovery       *recovery.Recovery
-	autoscaler     autoscaler
+	recovery       *recoveryGate
+	reconciler     *reconciler
+	dependencies   *dependencyGraph
+	autoscaler     *autoscaler
 	admission      admissionControl
 }
 
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
 // key, on which every write of the term is conditioned.
 func newLeader(node *Node, term, leaderKeyVersion uint64) *leader {
-	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog})
+	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog.types})
 	l := &leader{
 		node: node, term: term, State: state,
 		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now),
 		cancelWaiters: map[string][]Origin{},
-		recovery:      node.newRecovery(),
+		recovery:      newRecoveryGate(state, leaderKeyVersion, &node.mismatches),
 	}
 	l.initRecords(leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
-	l.autoscaler.init(l)
+	l.dependencies = newDependencyGraph(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
+	l.reconciler = newReconciler(state, term, l.recovery, reconcilerAdapter{leader: l})
+	l.autoscaler = newLeaderAutoscaler(l)
 	l.admission.start(l)
 	return l
 }
@@ -127,7 +130,7 @@
 		return
 	}
 	l.jobWatch.tick()
-	l.tickDependencyLookups()
+	l.dependencies.tickLookups()
 	l.quarantine.tick()
 	if node.leader != l {
 		return
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/storage"
@@ -9,18 +8,15 @@
 
 // loadState is the progress of a leader that loads the stored records, and what depends on it.
 type loadState struct {
-	recordsLoaded     bool                     // all records have been loaded
-	dependencyLookups map[string]clock.Instant // dependencies that are not open here: when to read their outcome
-	lookupBudget      ratelimit.TokenBucket    // limits reads of dependencies and of quarantined records
-	earlyHeartbeats   []Request                // workers' heartbeats received while loading
+	recordsLoaded   bool                  // all records have been loaded
+	lookupBudget    ratelimit.TokenBucket // limits reads of dependencies and of quarantined records
+	earlyHeartbeats []Request             // workers' heartbeats received while loading
 }
 
 // newLoadState returns the state at the start of a term, with nothing loaded.
 func newLoadState(node *Node) loadState {
 	readRate := node.cfg.Cluster.Store.RequestsPerS * dependencyLookupShare
-	return loadState{
-		dependencyLookups: map[string]clock.Instant{}, lookupBudget: ratelimit.NewTokenBucket(readRate, readRate),
-	}
+	return loadState{lookupBudget: ratelimit.NewTokenBucket(readRate, readRate)}
 }
 
 // initRecords creates the parts that store the leader's records. leaderKeyVersion is the version of
@@ -62,13 +58,13 @@
 			continue
 		}
 		l.writer.SetModRevision(item.Key, item.ModRevision)
-		l.autoscaler.pendingRentals = append(l.autoscaler.pendingRentals, &pendingRental{RentalRequest: rental, finishDurable: true})
+		l.autoscaler.addStoredRental(rental)
 	}
 }
 
 // applyMachineTypes updates the machines after a change of the machine type catalog.
 func (l *leader) applyMachineTypes() {
-	l.Catalog = l.node.catalog
+	l.Catalog = l.node.catalog.types
 	for _, m := range l.Machines {
 		if machineType := l.Catalog[m.TypeName]; machineType != nil {
 			m.MachineType = machineType
@@ -81,7 +77,7 @@
 
 // storeCatalog stores a confirmed catalog of machine types for the next start.
 func (l *leader) storeCatalog() {
-	if l.recordsLoaded && l.node.catalogConfirmed {
+	if l.recordsLoaded && l.node.catalog.confirmed {
 		l.machineRecords.storeCatalog()
 	}
 }
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -70,16 +70,16 @@
 func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.newerVersionSeen() }
 
 // MarkJobAccepted records that a job is known to have been accepted.
-func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.acceptedJobs.put(jobID, true) }
+func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.jobReader.recordAccepted(jobID) }
 
 // ReadTerminalRecord reads a job's terminal record, if there is one, and applies it.
 func (h recordsHost) ReadTerminalRecord(jobID string) {
-	h.leader.node.readTerminalRecord(jobID, func(bool, *storage.TerminalRecord) {})
+	h.leader.node.jobReader.readTerminalRecord(jobID, func(bool, *storage.TerminalRecord) {})
 }
 
 // IsTerminal reports whether a job's terminal record is known.
 func (h recordsHost) IsTerminal(jobID string) bool {
-	_, ended := h.leader.node.terminalJobs.byID[jobID]
+	_, ended := h.leader.node.jobReader.terminalRecord(jobID)
 	return ended
 }
 
@@ -91,7 +91,7 @@
 // JobAdded handles a job that was added to the job table.
 func (h recordsHost) JobAdded(j *cluster.Job) {
 	l := h.leader
-	l.addDependencies(j)
+	l.dependencies.addJob(j)
 	if l.recordsLoaded {
 		l.admission.countAccepted(&j.Spec)
 		l.node.traceStep(j.Spec.ID, stepLoaded, "")
@@ -100,29 +100,31 @@
 
 // CompletionPriority returns the write priority of a job's terminal record.
 func (h recordsHost) CompletionPriority(j *cluster.Job) storage.Priority {
-	return h.leader.completionPriority(j)
+	return h.leader.dependencies.completionPriority(j)
 }
 
 // RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
-func (h recordsHost) RelaxDeadlines(cancelled *cluster.Job) { h.leader.relaxDeadlines(cancelled) }
+func (h recordsHost) RelaxDeadlines(cancelled *cluster.Job) {
+	h.leader.dependencies.relaxDeadlines(cancelled)
+}
 
 // ForEachDependent visits all direct and indirect dependents of a job once.
 func (h recordsHost) ForEachDependent(j *cluster.Job, visit func(dependent *cluster.Job)) {
-	h.leader.forEachDependent(j, visit)
+	h.leader.dependencies.forEachDependent(j, visit)
 }
 
 // JobFinished traces the end of a job and remembers its terminal record.
 func (h recordsHost) JobFinished(j *cluster.Job, terminal storage.TerminalRecord) {
 	l := h.leader
 	l.node.traceStep(j.Spec.ID, stepTerminal, terminal.State+" after "+l.jobAge(j))
-	l.node.terminalJobs.put(j.Spec.ID, terminal)
+	l.node.jobReader.cacheTerminalRecord(j.Spec.ID, terminal)
 }
 
 // JobEnded releases or cancels the dependents of an ended job and answers the users that wait for
 // its cancellation.
 func (h recordsHost) JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
 	l := h.leader
-	l.releaseDependents(jobID, terminal, writtenHere)
+	l.dependencies.releaseDependents(jobID, terminal, writtenHere)
 	status := protocol.JobStatus{ID: jobID, State: terminal.State}
 	if !writtenHere {
 		status = terminalJobState(jobID, terminal)
--- a/internal/controller/terminal_jobs.go
+++ b/internal/controller/terminal_jobs.go
@@ -6,39 +6,10 @@
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
 
-// recentJobsLimit bounds the jobs in each cache of immutable facts. Older ones are read from the
-// key-value store again.
-const recentJobsLimit = 20_000
-
-// recentJobs caches a value per job id and evicts the oldest entries beyond its limit.
-type recentJobs[T any] struct {
-	limit          int
-	byID           map[string]T
-	insertionOrder []string
-}
-
-// newRecentJobs returns an empty cache.
-func newRecentJobs[T any](limit int) recentJobs[T] {
-	return recentJobs[T]{limit: limit, byID: map[string]T{}}
-}
-
-// put stores the value of a job and evicts the oldest entry if the cache is full.
-func (c *recentJobs[T]) put(jobID string, value T) {
-	if _, ok := c.byID[jobID]; !ok {
-		c.insertionOrder = append(c.insertionOrder, jobID)
-		if len(c.insertionOrder) > c.limit {
-			delete(c.byID, c.insertionOrder[0])
-			c.insertionOrder = c.insertionOrder[1:]
-		}
-	}
-	c.byID[jobID] = value
-}
-
 // terminalJobCache caches the records of terminal jobs, which never change.
 type terminalJobCache struct {
 	recentJobs[storage.TerminalRecord]
@@ -50,51 +21,58 @@
 	nextReadAt      clock.Instant
 }
 
+// terminalRecord returns the terminal record of a job, if it is cached.
+func (r *jobReader) terminalRecord(jobID string) (storage.TerminalRecord, bool) {
+	return r.terminalJobs.get(jobID)
+}
+
+// cacheTerminalRecord caches the terminal record of a job, which this node has read or written.
+func (r *jobReader) cacheTerminalRecord(jobID string, record storage.TerminalRecord) {
+	r.terminalJobs.put(jobID, record)
+}
+
+// cacheTerminalItem decodes and caches a terminal record that was read from the key-value store.
+func (r *jobReader) cacheTerminalItem(item storage.Item) {
+	jobID := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
+	record, err := storage.ReadTerminal(item)
+	if err != nil {
+		r.host.TerminalRecordUnreadable(jobID, item, err)
+		return
+	}
+	r.cacheTerminalRecord(jobID, record)
+	r.host.TerminalRecordRead(jobID, record)
+}
+
+// terminalJobsLoaded reports whether the initial load of the terminal records is complete.
+func (r *jobReader) terminalJobsLoaded() bool { return r.terminalJobs.loaded }
+
 // loadTerminalJobs loads the terminal records page by page after a start. If they were read one by
 // one as users poll, thousands of reads would take longer than users may be left without an answer.
-func (n *Node) loadTerminalJobs() {
-	cache := n.terminalJobs
-	if cache.loaded || cache.loading || n.now < cache.nextReadAt ||
-		!n.election.storeReachable() {
+func (r *jobReader) loadTerminalJobs() {
+	cache := &r.terminalJobs
+	if cache.loaded || cache.loading || r.host.Now() < cache.nextReadAt || !r.host.StoreResponding() {
 		return
 	}
 	cache.loading = true
-	n.storeCall("GET", storage.ListPath(storage.TerminalPrefix, cache.lastKey, terminalPageSize), nil,
-		func(result CallResult) {
-			cache.loading, cache.nextReadAt = false, n.now+n.workerLease()/pollsPerLease
-			var page storage.ListResponse
-			if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
-				return
-			}
-			for _, item := range page.Items {
-				n.onTerminalRecord(item)
-				cache.lastKey = item.Key
-			}
-			cache.loaded = !page.Truncated || len(cache.byID) >= cache.limit
-		})
+	path := storage.ListPath(storage.TerminalPrefix, cache.lastKey, terminalPageSize)
+	r.host.Get(path, func(status int, body []byte) {
+		cache.loading, cache.nextReadAt = false, r.host.Now()+r.pollInterval
+		var page storage.ListResponse
+		if status != 200 || json.Unmarshal(body, &page) != nil {
+			return
+		}
+		for _, item := range page.Items {
+			r.cacheTerminalItem(item)
+			cache.lastKey = item.Key
+		}
+		cache.loaded = !page.Truncated || cache.full()
+	})
 }
 
 // terminalPageSize is the number of records in one page of the initial load. It bounds the memory
 // and processor time of a step.
 const terminalPageSize = 500
 
-// onTerminalRecord handles a job's terminal record that was read from the key-value store.
-func (n *Node) onTerminalRecord(item storage.Item) {
-	id := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
-	final, err := storage.ReadTerminal(item)
-	if err != nil {
-		if n.unreadableTerminalRecords[id] == nil {
-			n.unreadableTerminalRecords[id] = newQuarantinedRecord(n.log, item, err, n.newerVersionSeen())
-		}
-		return
-	}
-	delete(n.unreadableTerminalRecords, id)
-	n.terminalJobs.put(id, final)
-	if n.holdsLeaderLease() {
-		n.leader.jobRecords.quarantineOpenRecord(id, final)
-	}
-}
-
 // terminalJobState is the state of a terminal job as users see it.
 func terminalJobState(jobID string, record storage.TerminalRecord) protocol.JobStatus {
 	noneRunning := 0
