--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -68,14 +68,7 @@
 			report.IncomingLinks = append(report.IncomingLinks, reachability.IncomingLink{Node: k.Node, AgeMS: age.Milliseconds()})
 		}
 	}
-	for _, route := range n.workerRoutes {
-		if n.now-route.lastArrival < n.nodeSearchDuration() {
-			report.RecentWorkers++
-		}
-		if n.now-route.strandedAt < n.nodeSearchDuration() {
-			report.StrandedWorkers++
-		}
-	}
+	report.RecentWorkers, report.StrandedWorkers = n.workerRouter.countWorkers()
 	if worst := n.connectivity.matrix.MostStrandedElsewhere(n.cfg.Node, n.now, n.leaderLease()); worst.Workers > 0 {
 		report.MostStranded = &worst
 	}
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -140,7 +140,7 @@
 	if n.now >= election.heartbeatSentAt+n.workerLease()/peerHeartbeatsPerLease || election.heartbeatSentAt == clock.Never {
 		election.heartbeatSentAt = n.now
 		heartbeat := protocol.PeerHeartbeat{SentAt: n.now, Uptime: n.now, ProcessID: n.processID, VersionLevel: protocolLevel,
-			WritesThrottled: n.writesThrottled, ConnectionsFull: n.connections.full, SpareConnections: n.connections.spareConnections(),
+			WritesThrottled: n.writesThrottled, ConnectionsFull: n.workerRouter.connections.full, SpareConnections: n.workerRouter.connections.spare(),
 			Links: n.connectivityReport(), PolicyRevision: n.admissionPolicy.revision}
 		if n.leader != nil {
 			heartbeat.Term, heartbeat.IsLeader, heartbeat.WantsLeaseGrant =
@@ -544,7 +544,7 @@
 		heartbeat.IsLeader, heartbeat.Term, heartbeat.Uptime, heartbeat.ProcessID, heartbeat.VersionLevel
 	sender.policyRevision = max(sender.policyRevision, heartbeat.PolicyRevision)
 	n.onConnectivityReport(sender, heartbeat.Links)
-	sender.workerCapacity.recordHeartbeat(heartbeat, n.capacitySharers(heartbeat))
+	n.workerRouter.recordPeerHeartbeat(sender.name, heartbeat)
 	if heartbeat.WritesThrottled {
 		n.throttleWrites()
 	}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -149,11 +149,8 @@
 	peers           map[string]*peer
 	pendingForwards map[uint64]*pendingForward
 	nextForwardID   uint64
-	workerRoutes    map[string]*workerRoute // by worker name
-	routesPrunedAt  clock.Instant           // when expired routes were last removed
-
-	connections  serverConnections
-	connectivity connectivity
+	workerRouter    *workerRouter
+	connectivity    connectivity
 
 	admissionPolicy   admissionPolicyState
 	policyRejections  recentJobs[admission.Group]             // jobs rejected here by an admission policy, by id
@@ -199,8 +196,7 @@
 	leading         bool
 	grantedUntil    clock.Instant // end of its lease grant to this node
 	protocolLevel   int           // protocol level of its version; 0: not announced
-	workerCapacity  peerCapacity
-	policyRevision  uint64 // latest revision of the admission policy that it has read
+	policyRevision  uint64        // latest revision of the admission policy that it has read
 }
 
 // Options are the dependencies and settings of a new Node.
@@ -236,7 +232,7 @@
 		startTime: options.StartTime, build: options.Build,
 		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
 		missingTypes: map[string]bool{}, peers: map[string]*peer{},
-		pendingForwards: map[uint64]*pendingForward{}, workerRoutes: map[string]*workerRoute{},
+		pendingForwards: map[uint64]*pendingForward{},
 		unreportedLoads: map[admission.Group]*protocol.GroupLoad{}, rejectedJobs: map[string]bool{},
 		acceptedJobs: newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
 		terminalJobs:              &terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
@@ -248,9 +244,12 @@
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
 	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
+	peerNames := make([]string, 0, len(options.Platform.Peers))
 	for _, known := range options.Platform.Peers {
+		peerNames = append(peerNames, known.Node)
 		node.peers[known.Node] = &peer{name: known.Node, lastContact: clock.Never, grantedUntil: clock.Never}
 	}
+	node.workerRouter = newWorkerRouter(node, cluster, peerNames)
 	node.election = newElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
 	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
@@ -307,7 +306,7 @@
 			n.election.candidacy = nil
 			n.stepDown("shutting down")
 		case ServerLoad:
-			n.connections.update(command)
+			n.workerRouter.connections.update(command.Open, command.Limit)
 		case nil: // tick only
 		default:
 			panic(fmt.Sprintf("controller: unknown command type %T", command))
@@ -324,7 +323,7 @@
 	n.tickElection()
 	n.tickCatalog()
 	n.expireForwards()
-	n.expireRoutes()
+	n.workerRouter.expireRoutes()
 	n.writeQueuedSubmissions()
 	n.loadTerminalJobs()
 	n.tickProtocolLevels()
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -148,7 +148,7 @@
 	}
 	delete(n.pendingForwards, answer.ID)
 	if pending.request.Kind == protocol.RequestHeartbeat && answer.Status == 200 {
-		n.routeOf(pending.request.Heartbeat.Machine).strandedAt = clock.Never
+		n.workerRouter.recordServed(pending.request.Heartbeat.Machine)
 	}
 	if pending.request.Kind == protocol.RequestHeartbeat && n.now >= pending.deadline {
 		// This process was paused, or the response was delayed on its way. The worker discards
@@ -176,7 +176,7 @@
 	case protocol.RequestQuery:
 		n.answerQueryFromStore(request, nil)
 	case protocol.RequestHeartbeat:
-		n.routeOf(request.Heartbeat.Machine).strandedAt = n.now
+		n.workerRouter.recordStranded(request.Heartbeat.Machine)
 		n.replyUnavailable(request.Origin)
 	default:
 		n.replyUnavailable(request.Origin)
--- /dev/null
+++ b/internal/controller/worker_requests.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"net/http"
+
+	"hitchdoor/internal/protocol"
+)
+
+// This file answers the heartbeats of workers. Where a worker is served is decided by the router.
+
+// ServerLoad is a command that reports how many connections of users and workers are open, and
+// how many the server accepts at most.
+type ServerLoad struct{ Open, Limit int }
+
+// onWorkerHeartbeat answers a worker's heartbeat if this node leads, and otherwise relays it or
+// redirects the worker to the leader.
+func (n *Node) onWorkerHeartbeat(request Request) {
+	if n.holdsLeaderLease() {
+		if request.Origin.Peer == "" && n.redirectNewWorker(request) {
+			return
+		}
+		n.leader.onWorkerHeartbeat(request)
+		return
+	}
+	if request.Origin.Peer != "" {
+		n.reply(request.Origin, http.StatusServiceUnavailable, 0, nil)
+		return
+	}
+	n.routeHeartbeatToLeader(request)
+}
+
+// routeHeartbeatToLeader handles a worker's heartbeat on a follower.
+func (n *Node) routeHeartbeatToLeader(request Request) {
+	leaderPeer := n.leaderPeer()
+	leaderName := ""
+	if leaderPeer != nil {
+		leaderName = leaderPeer.name
+	}
+	switch n.workerRouter.decideOnFollower(request.Heartbeat.Machine, leaderName) {
+	case redirectToLeader:
+		n.redirectWorker(request, leaderName)
+	case relayToLeader:
+		n.forwardToPeer(leaderPeer, request, n.workerRouter.relayTimeout())
+	case rejectHeartbeat:
+		n.replyUnavailable(request.Origin)
+	}
+}
+
+// redirectNewWorker redirects a worker that this leader doesn't serve yet to another controller, if
+// this one is full, and reports whether it did.
+func (n *Node) redirectNewWorker(request Request) bool {
+	worker := request.Heartbeat.Machine
+	if !n.workerRouter.connections.full || n.leader.servesDirectly(worker) {
+		return false
+	}
+	target, redirect := n.workerRouter.redirectFromLeader(worker)
+	if redirect {
+		n.redirectWorker(request, target)
+	}
+	return redirect
+}
+
+// redirectWorker tells a worker to send its heartbeats to another node.
+func (n *Node) redirectWorker(request Request, node string) {
+	n.reply(request.Origin, http.StatusMisdirectedRequest, 0, protocol.HeartbeatRedirect{Node: node})
+}
+
+// servesDirectly reports whether the worker's last heartbeat arrived within the last lease on a
+// connection of this node's own.
+func (l *leader) servesDirectly(worker string) bool {
+	machine := l.Machines[worker]
+	return machine != nil && machine.RelayPeer == "" && l.node.now-machine.LastHeartbeat < l.node.workerLease()
+}
+
+// PeerReachable reports whether a message of the peer arrived within the last leader lease.
+func (n *Node) PeerReachable(name string) bool {
+	return n.now-n.peers[name].lastContact < n.leaderLease()
+}
+
+// maxEarlyHeartbeats bounds the worker heartbeats that wait while a leader reads the stored
+// records. Each holds a connection, here or at a peer.
+func (n *Node) maxEarlyHeartbeats() int {
+	return n.maxPendingRequests() * n.cfg.Cluster.ControllerCount
+}
--- a/internal/controller/worker_routes.go
+++ b/internal/controller/worker_routes.go
@@ -4,81 +4,51 @@
 	"time"
 
 	"hitchdoor/internal/clock"
-
+	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 )
 
-// This file routes workers to controllers. Workers send their heartbeats directly to the leader
-// while it has spare connections. Beyond that the leader redirects new workers to the controller
-// with the most spare connections, and the followers relay heartbeats and responses over their
-// link to the leader.
-
-// ServerLoad is a command that reports how many connections of users and workers are open, and
-// how many the server accepts at most.
-type ServerLoad struct{ Open, Limit int }
-
-// Thresholds as shares of a server's connections. A node becomes full at fullThreshold and stays
-// so until it is below spareThreshold. The hysteresis keeps workers from being redirected back
-// and forth.
-const (
-	fullThreshold  = 13.0 / 16
-	spareThreshold = 11.0 / 16
-)
-
-// serverConnections is the load of this node's own server.
-type serverConnections struct {
-	open, limit int // limit is 0 while it is unknown
-	full        bool
-}
-
-// update records the present load and applies the thresholds.
-func (c *serverConnections) update(load ServerLoad) {
-	c.open, c.limit = load.Open, load.Limit
-	switch open := float64(c.open); {
-	case c.limit == 0:
-		c.full = false
-	case open >= fullThreshold*float64(c.limit):
-		c.full = true
-	case open < spareThreshold*float64(c.limit):
-		c.full = false
-	}
+// workerRouter decides which controller serves a worker. Workers send their heartbeats directly to
+// the leader while it has spare connections. Beyond that the leader redirects new workers to the
+// controller with the most spare connections, and the followers relay heartbeats and responses over
+// their link to the leader. The router sends nothing: its owner carries out what it decides.
+type workerRouter struct {
+	host           routingHost
+	cluster        *config.Cluster
+	peerNames      []string // in the order in which they are preferred
+	connections    serverConnections
+	peerCapacities map[string]*peerCapacity // by peer name
+	routes         map[string]*workerRoute  // by worker name
+	prunedAt       clock.Instant            // when expired routes were last removed
 }
 
-// spareConnections is how many more workers the node accepts before it is full.
-func (c *serverConnections) spareConnections() int {
-	if c.full {
-		return 0
-	}
-	return max(0, int(fullThreshold*float64(c.limit))-c.open)
+// routingHost is what the router needs to know of the controller that owns it.
+type routingHost interface {
+	// Now returns the time of the current step.
+	Now() clock.Instant
+	// PeerReachable reports whether a message of the peer arrived within the last leader lease.
+	PeerReachable(name string) bool
 }
 
-// peerCapacity is the number of spare connections in a peer's last heartbeat. A peer of an earlier
-// version doesn't report it and is assumed to have enough.
-type peerCapacity struct {
-	known     bool
-	full      bool
-	remaining int // workers that this node may still redirect to it
+// newWorkerRouter returns a router that knows of no worker yet.
+func newWorkerRouter(host routingHost, cluster *config.Cluster, peerNames []string) *workerRouter {
+	router := &workerRouter{host: host, cluster: cluster, peerNames: peerNames,
+		peerCapacities: map[string]*peerCapacity{}, routes: map[string]*workerRoute{}}
+	for _, name := range peerNames {
+		router.peerCapacities[name] = &peerCapacity{}
+	}
+	return router
 }
 
-// recordHeartbeat records the capacity in a peer's heartbeat. It is divided evenly by sharers, the
-// number of nodes that may redirect workers to the peer.
-func (r *peerCapacity) recordHeartbeat(heartbeat protocol.PeerHeartbeat, sharers int) {
-	r.known = heartbeat.ConnectionsFull || heartbeat.SpareConnections > 0
-	r.full = heartbeat.ConnectionsFull
-	r.remaining = heartbeat.SpareConnections / max(1, sharers)
-}
+// routingDecision is what a follower does with a worker's heartbeat.
+type routingDecision int
 
-// reserveConnection reserves one of the remaining connections and reports whether there was one.
-func (r *peerCapacity) reserveConnection() bool {
-	if !r.known {
-		return true
-	}
-	if r.full || r.remaining <= 0 {
-		return false
-	}
-	r.remaining--
-	return true
-}
+// The decisions of a follower.
+const (
+	rejectHeartbeat  routingDecision = iota // no leader is known; the worker is answered that it may retry
+	redirectToLeader                        // the worker is told to connect to the leader
+	relayToLeader                           // the heartbeat is forwarded to the leader
+)
 
 // workerRoute is the routing state of a worker that this node doesn't serve as the leader.
 type workerRoute struct {
@@ -90,143 +60,137 @@
 }
 
 // routeOf returns the routing state of a worker and creates it if there is none.
-func (n *Node) routeOf(worker string) *workerRoute {
-	route := n.workerRoutes[worker]
+func (r *workerRouter) routeOf(worker string) *workerRoute {
+	route := r.routes[worker]
 	if route == nil {
 		route = &workerRoute{redirectedAt: clock.Never, relayUntil: clock.Never, lastArrival: clock.Never, strandedAt: clock.Never}
-		n.workerRoutes[worker] = route
+		r.routes[worker] = route
 	}
 	return route
 }
 
+// workerLease returns the duration of the workers' lease.
+func (r *workerRouter) workerLease() time.Duration { return config.Seconds(r.cluster.Workers.LeaseS) }
+
 // nodeSearchDuration is the longest time that a worker needs to try all nodes until one answers.
-func (n *Node) nodeSearchDuration() time.Duration {
-	return time.Duration(n.cfg.Cluster.ControllerCount) * (protocol.HeartbeatTimeout + protocol.NextNodeDelay)
+func (r *workerRouter) nodeSearchDuration() time.Duration {
+	return time.Duration(r.cluster.ControllerCount) * (protocol.HeartbeatTimeout + protocol.NextNodeDelay)
+}
+
+// relayTimeout is how long this node waits for the leader's response to a relayed heartbeat. It is
+// well within the time after which the worker discards the response.
+func (r *workerRouter) relayTimeout() time.Duration {
+	return min(r.workerLease()/6, protocol.HeartbeatTimeout*7/8)
 }
 
 // recentlyRedirectedTo reports whether the worker was redirected to a node so lately that its
 // return shows that it can't reach that node. It may have tried all other nodes before it returned.
-func (n *Node) recentlyRedirectedTo(route *workerRoute, node string) bool {
-	return route.redirectedTo == node && n.now-route.redirectedAt < n.nodeSearchDuration()
+func (r *workerRouter) recentlyRedirectedTo(route *workerRoute, node string) bool {
+	return route.redirectedTo == node && r.host.Now()-route.redirectedAt < r.nodeSearchDuration()
 }
 
-// redirectWorker redirects a worker to another node.
-func (n *Node) redirectWorker(request Request, route *workerRoute, node string) {
-	route.redirectedAt, route.redirectedTo = n.now, node
-	n.reply(request.Origin, 421, 0, protocol.HeartbeatRedirect{Node: node})
+// recordRedirect records that a worker is redirected to a node.
+func (r *workerRouter) recordRedirect(route *workerRoute, node string) {
+	route.redirectedAt = r.host.Now()
+	route.redirectedTo = node
 }
 
-// onWorkerHeartbeat answers a worker's heartbeat if this node leads, and otherwise relays it or
-// redirects the worker to the leader.
-func (n *Node) onWorkerHeartbeat(request Request) {
-	if n.holdsLeaderLease() {
-		if request.Origin.Peer == "" && n.redirectNewWorker(request) {
-			return
+// recordPeerHeartbeat records the spare connections in a peer's heartbeat. All other nodes redirect
+// workers to a leader, and the leader alone to a follower.
+func (r *workerRouter) recordPeerHeartbeat(peerName string, heartbeat protocol.PeerHeartbeat) {
+	sharers := 1
+	if heartbeat.IsLeader {
+		sharers = len(r.peerNames)
+	}
+	r.peerCapacities[peerName].recordHeartbeat(heartbeat, sharers)
+}
+
+// decideOnFollower decides what a follower does with the heartbeat of a worker. leaderName is empty
+// if no leader is known. A follower relays for a worker that can't reach the leader, or if the
+// leader has no spare connection, and redirects all others.
+func (r *workerRouter) decideOnFollower(worker, leaderName string) routingDecision {
+	now := r.host.Now()
+	route := r.routeOf(worker)
+	route.lastArrival = now
+	if leaderName == "" {
+		route.strandedAt = now
+		return rejectHeartbeat
+	}
+	if now >= route.relayUntil && r.recentlyRedirectedTo(route, leaderName) {
+		route.relayUntil = now + 2*r.workerLease()
+	}
+	if now >= route.relayUntil && r.peerCapacities[leaderName].reserveConnection() {
+		r.recordRedirect(route, leaderName)
+		return redirectToLeader
+	}
+	return relayToLeader
+}
+
+// redirectFromLeader picks the controller that a worker which this full leader doesn't serve yet is
+// redirected to. A worker that returns is served here, because it can't reach the other node. If
+// no controller has a spare connection, the worker is served here and the server serves its workers
+// in turns.
+func (r *workerRouter) redirectFromLeader(worker string) (node string, redirect bool) {
+	route := r.routeOf(worker)
+	target := r.leastLoadedPeer()
+	if target == "" || r.recentlyRedirectedTo(route, route.redirectedTo) {
+		return "", false
+	}
+	r.peerCapacities[target].reserveConnection()
+	r.connections.open-- // the worker closes its connection, but the next count may be late
+	r.recordRedirect(route, target)
+	return target, true
+}
+
+// leastLoadedPeer is the reachable peer with the most spare connections, or empty if none reports
+// any.
+func (r *workerRouter) leastLoadedPeer() string {
+	best, bestRemaining := "", 0
+	for _, name := range r.peerNames {
+		capacity := r.peerCapacities[name]
+		if r.host.PeerReachable(name) && capacity.hasSpare() && capacity.remaining > bestRemaining {
+			best, bestRemaining = name, capacity.remaining
 		}
-		n.leader.onWorkerHeartbeat(request)
-		return
 	}
-	if request.Origin.Peer != "" {
-		n.reply(request.Origin, 503, 0, nil)
-		return
-	}
-	route := n.routeOf(request.Heartbeat.Machine)
-	route.lastArrival = n.now
-	leaderPeer := n.leaderPeer()
-	if leaderPeer == nil {
-		route.strandedAt = n.now
-		n.replyUnavailable(request.Origin)
-		return
-	}
-	n.relayOrRedirectWorker(request, route, leaderPeer)
+	return best
 }
 
-// relayOrRedirectWorker handles a worker's heartbeat on a follower. It relays for a worker that
-// can't reach the leader, or if the leader has no spare connection, and redirects all others.
-func (n *Node) relayOrRedirectWorker(request Request, route *workerRoute, leaderPeer *peer) {
-	if n.now >= route.relayUntil && n.recentlyRedirectedTo(route, leaderPeer.name) {
-		route.relayUntil = n.now + 2*n.workerLease()
-	}
-	if n.now >= route.relayUntil && leaderPeer.workerCapacity.reserveConnection() {
-		n.redirectWorker(request, route, leaderPeer.name)
-		return
-	}
-	n.forwardToPeer(leaderPeer, request, n.relayTimeout())
-}
+// recordServed records that the leader answered a relayed heartbeat of a worker.
+func (r *workerRouter) recordServed(worker string) { r.routeOf(worker).strandedAt = clock.Never }
 
-// relayTimeout is how long this node waits for the leader's response to a relayed heartbeat. It is
-// well within the time after which the worker discards the response.
-func (n *Node) relayTimeout() time.Duration {
-	return min(n.workerLease()/6, protocol.HeartbeatTimeout*7/8)
+// recordStranded records that a worker's heartbeat could neither be served nor relayed.
+func (r *workerRouter) recordStranded(worker string) {
+	r.routeOf(worker).strandedAt = r.host.Now()
 }
 
-// redirectNewWorker redirects a worker that this full leader doesn't serve yet to a controller
-// with spare connections. Workers that are served already stay, and so does one that returns,
-// because it can't reach the other node. If no controller has a spare connection, the worker is
-// served here and the server serves its workers in turns.
-func (n *Node) redirectNewWorker(request Request) bool {
-	if !n.connections.full || n.leader.servesDirectly(request.Heartbeat.Machine) {
-		return false
-	}
-	route := n.routeOf(request.Heartbeat.Machine)
-	target := n.leastLoadedPeer()
-	if target == nil || n.recentlyRedirectedTo(route, route.redirectedTo) {
-		return false
-	}
-	target.workerCapacity.reserveConnection()
-	n.connections.open-- // the worker closes its connection, but the next count may be late
-	n.redirectWorker(request, route, target.name)
-	return true
-}
-
-// leastLoadedPeer is the peer with the most spare connections, or nil if none reports any.
-func (n *Node) leastLoadedPeer() *peer {
-	var best *peer
-	for _, known := range n.cfg.Peers {
-		candidate := n.peers[known.Node]
-		if n.now-candidate.lastContact < n.leaderLease() &&
-			candidate.workerCapacity.known && !candidate.workerCapacity.full && candidate.workerCapacity.remaining > 0 &&
-			(best == nil || candidate.workerCapacity.remaining > best.workerCapacity.remaining) {
-			best = candidate
+// countWorkers counts the workers that came to this node within the time that a worker needs to try
+// all nodes, and those among the known ones that could neither be served nor relayed within it.
+func (r *workerRouter) countWorkers() (recent, stranded int) {
+	now, span := r.host.Now(), r.nodeSearchDuration()
+	for _, route := range r.routes {
+		if now-route.lastArrival < span {
+			recent++
+		}
+		if now-route.strandedAt < span {
+			stranded++
 		}
 	}
-	return best
-}
-
-// servesDirectly reports whether the worker's last heartbeat arrived within the last lease on a
-// connection of this node's own.
-func (l *leader) servesDirectly(worker string) bool {
-	machine := l.Machines[worker]
-	return machine != nil && machine.RelayPeer == "" && l.node.now-machine.LastHeartbeat < l.node.workerLease()
+	return recent, stranded
 }
 
 // expireRoutes removes the workers that have not returned. The table is bounded by age and not by
 // size: with a bound below the number of machines it would be cleared again and again, no worker
 // would ever be relayed for, and a leader that workers can't reach would lose them all.
-func (n *Node) expireRoutes() {
-	if n.now < n.routesPrunedAt+n.workerLease() {
+func (r *workerRouter) expireRoutes() {
+	now := r.host.Now()
+	if now < r.prunedAt+r.workerLease() {
 		return
 	}
-	n.routesPrunedAt = n.now
-	for name, route := range n.workerRoutes {
-		if n.now >= route.relayUntil && !n.recentlyRedirectedTo(route, route.redirectedTo) &&
-			n.now-route.lastArrival >= n.nodeSearchDuration() {
-			delete(n.workerRoutes, name)
+	r.prunedAt = now
+	for name, route := range r.routes {
+		if now >= route.relayUntil && !r.recentlyRedirectedTo(route, route.redirectedTo) &&
+			now-route.lastArrival >= r.nodeSearchDuration() {
+			delete(r.routes, name)
 		}
 	}
 }
-
-// capacitySharers is how many nodes may redirect workers to the sender of a heartbeat: all others
-// to a leader, and the leader alone to a follower.
-func (n *Node) capacitySharers(heartbeat protocol.PeerHeartbeat) int {
-	if heartbeat.IsLeader {
-		return len(n.peers)
-	}
-	return 1
-}
-
-// maxEarlyHeartbeats bounds the worker heartbeats that wait while a leader reads the stored
-// records. Each holds a connection, here or at a peer.
-func (n *Node) maxEarlyHeartbeats() int {
-	return n.maxPendingRequests() * n.cfg.Cluster.ControllerCount
-}
