--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -1,59 +1,73 @@
 package controller
 
 import (
-	"cmp"
-	"maps"
-	"slices"
+	"net/http"
 	"time"
 
-	"hitchdoor/internal/clock"
-
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/admission"
-	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/clock"
 	"hitchdoor/internal/storage"
 )
 
-// This file is the part of admission that every node has: it follows the policy's record and
-// evaluates submissions by it. The leader's part, which publishes policies, is in
-// admission_control.go.
+// This file connects a node and a leader with admission: submissions are evaluated by the policy,
+// and the rejected ones are reported to the leader.
 
-// admissionPolicyState is the admission policy's record as this node knows it.
-type admissionPolicyState struct {
-	current              *admission.Policy // nil: there is no record, or it is invalid
-	version              uint64            // of the record; 0: there is none
-	revision             uint64            // of the last known change of the record, its removal included
-	knownSince           clock.Instant     // when this node learnt of it; the epoch began no later
-	invalid              bool              // the record can't be decoded, so no submission is admitted
-	reading              bool
-	readCallbacks        []func() // called once the record is read
-	loggedInvalidVersion uint64   // the invalid version that was logged last
+// admissionHost is what admission needs from this node. It implements policyHost and
+// publisherHost.
+type admissionHost struct{ node *Node }
+
+// Now returns the time of the current step.
+func (h admissionHost) Now() clock.Instant { return h.node.now }
+
+// ReadRecord reads a record of the key-value store.
+func (h admissionHost) ReadRecord(key string, onResponse func(status int, body []byte)) {
+	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
 }
 
-// admissionGroup is the admission group that a job belongs to.
-func admissionGroup(spec *protocol.Job) admission.Group {
-	return admission.Group{Team: spec.Team, Class: spec.Class, PriorityRank: spec.PriorityRank()}
+// SubmissionsPerSecond returns the rate at which the cluster may write submissions.
+func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionBudget.Burst }
+
+// PoliciesAllowed reports whether the operators enable policies and every node understands them.
+// The heartbeats show a node that was downgraded since it wrote its version.
+func (h admissionHost) PoliciesAllowed() bool {
+	node := h.node
+	if !node.settings.FairAdmission || !node.clusterSupports(protocolLevelAdmission) {
+		return false
+	}
+	for _, peer := range node.peers {
+		if node.PeerReachable(peer.name) && peer.protocolLevel < protocolLevelAdmission {
+			return false
+		}
+	}
+	return true
+}
+
+// loadAdmissionPolicy applies the record that an earlier leader left, or its absence.
+func (l *leader) loadAdmissionPolicy(items []storage.Item) {
+	l.noteVersions(items)
+	l.admission.loadStoredPolicy(items, l.watchRevision)
 }
 
 // evaluateSubmission queues a submission to be written if the policy admits it, and otherwise
 // answers when the policy will.
 func (n *Node) evaluateSubmission(submission pendingSubmission) {
-	if n.admissionPolicy.invalid {
+	policy := n.admissionPolicy
+	if policy.invalid {
 		n.answerFromStore(submission.request, submission.leader, retryLater)
 		return
 	}
-	group := admissionGroup(submission.request.Job)
-	verdict := n.admissionPolicy.current.Evaluate(group, submission.request.Job.ID)
-	n.traceStep(submission.request.Job.ID, stepAdmissionVerdict, verdictNote(verdict))
+	job := submission.request.Job
+	group := admissionGroup(job)
+	verdict := policy.current.Evaluate(group, job.ID)
+	n.traceStep(job.ID, stepAdmissionVerdict, verdictNote(verdict))
 	if verdict.Admit {
-		submission.policyVersion = n.admissionPolicy.version
+		submission.policyVersion = policy.version
 		n.queueSubmission(submission)
 		return
 	}
-	n.countGroupLoad(group, func(load *protocol.GroupLoad) { load.RejectedByPolicy++ })
-	n.policyRejections.put(submission.request.Job.ID, group)
-	n.rejectByPolicy(submission, admissionDeferred(n.retryAfterSeconds(verdict)))
+	policy.rejections.countByPolicy(group)
+	n.policyRejections.put(job.ID, group)
+	n.rejectByPolicy(submission, admissionDeferred(policy.retryAfterSeconds(verdict)))
 }
 
 // rejectByPolicy rejects a submission that the policy does not admit yet, unless the job is known
@@ -68,196 +82,52 @@
 	n.answerFromStore(submission.request, submission.leader, response)
 }
 
-// Bounds of the waiting time that follows from a policy, so that no record overflows a duration.
-const (
-	maxEpochsAhead = 1 << 16
-	maxEpochMS     = 3_600_000
-)
-
-// retryAfterSeconds is the number of seconds until the policy admits a job.
-func (n *Node) retryAfterSeconds(verdict admission.Verdict) int {
-	state := &n.admissionPolicy
-	epochs := time.Duration(min(verdict.EpochsToTurn, maxEpochsAhead))
-	turn := state.knownSince + epochs*time.Duration(min(state.current.EpochLengthMS, maxEpochMS))*time.Millisecond
-	return max(1, int((turn-n.now+time.Second-1)/time.Second))
-}
-
 // rejectForCapacity rejects an admitted submission that can't be written in time; the user retries.
-// A job counts once per epoch, however often its user retries.
 func (n *Node) rejectForCapacity(submission pendingSubmission) {
-	jobID := submission.request.Job.ID
-	if !n.election.storeUnavailable() && submission.policyVersion == n.admissionPolicy.version && !n.rejectedJobs[jobID] {
-		if len(n.rejectedJobs) < recentJobsLimit {
-			n.rejectedJobs[jobID] = true
-		}
-		n.countGroupLoad(admissionGroup(submission.request.Job), func(load *protocol.GroupLoad) { load.RejectedForCapacity++ })
+	job := submission.request.Job
+	if !n.election.storeUnavailable() {
+		n.admissionPolicy.countForCapacity(job, submission.policyVersion)
 	}
-	n.traceStep(jobID, stepRejected, "")
+	n.traceStep(job.ID, stepRejected, "")
 	n.replyUnavailable(submission.request.Origin)
 }
 
-// resetEpochCounts resets the counts of the last epoch.
-func (n *Node) resetEpochCounts() {
-	clear(n.unreportedLoads)
-	clear(n.rejectedJobs)
-	n.rejectedJobsSince = n.now
-}
-
-// countGroupLoad updates the counts of a group's submissions that this node reports to the leader.
-func (n *Node) countGroupLoad(group admission.Group, increment func(*protocol.GroupLoad)) {
-	load := n.unreportedLoads[group]
-	if load == nil {
-		if len(n.unreportedLoads) >= protocol.MaxGroupLoads {
-			return // submissions under very many names; the groups counted so far show the overload
-		}
-		load = &protocol.GroupLoad{Team: group.Team, Class: group.Class, PriorityRank: group.PriorityRank}
-		n.unreportedLoads[group] = load
-	}
-	increment(load)
-}
-
 // tickAdmission reports the submissions that this node did not accept to the leader, at most once
 // per heartbeat, and reads the policy if a peer knows a newer one.
 func (n *Node) tickAdmission() {
-	if n.admissionPolicy.isOutdated(n.peers) && !n.admissionPolicy.reading && !n.election.storeFailing() {
-		n.readPolicy(nil)
+	if n.admissionPolicy.needsRead() && !n.election.storeFailing() {
+		n.admissionPolicy.read(nil)
 	}
-	if n.admissionPolicy.version == 0 && n.now >= n.rejectedJobsSince+n.epochLength() {
-		clear(n.rejectedJobs)
-		n.rejectedJobsSince = n.now
-	}
-	if len(n.unreportedLoads) == 0 || n.now < n.loadsReportedAt+n.workerLease()/peerHeartbeatsPerLease {
+	n.admissionPolicy.startEpochWithoutPolicy()
+	report, due := n.admissionPolicy.takeLoadReport(n.workerLease() / peerHeartbeatsPerLease)
+	if !due {
 		return
 	}
-	n.loadsReportedAt = n.now
-	message := protocol.AdmissionLoad{PolicyRevision: n.admissionPolicy.version, Groups: sortedLoads(n.unreportedLoads)}
-	clear(n.unreportedLoads)
 	switch leaderPeer := n.leaderPeer(); {
 	case n.holdsLeaderLease():
-		n.leader.admission.addNodeLoad(message)
+		n.leader.admission.addNodeLoad(report)
 	case leaderPeer != nil:
-		n.send(leaderPeer.name, message)
-	}
-}
-
-// sortedLoads lists the loads by team, class and rank.
-func sortedLoads(loads map[admission.Group]*protocol.GroupLoad) []protocol.GroupLoad {
-	sorted := make([]protocol.GroupLoad, 0, len(loads))
-	for _, load := range loads {
-		sorted = append(sorted, *load)
-	}
-	slices.SortFunc(sorted, func(a, b protocol.GroupLoad) int {
-		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class), a.PriorityRank-b.PriorityRank)
-	})
-	return sorted
-}
-
-// isOutdated reports whether some peer knows a newer change of the record.
-func (p *admissionPolicyState) isOutdated(peers map[string]*peer) bool {
-	for _, other := range peers {
-		if other.policyRevision > p.revision {
-			return true
-		}
-	}
-	return false
-}
-
-// readPolicy reads the record and then calls onRead, which may be nil, and all other callbacks
-// that wait for it.
-func (n *Node) readPolicy(onRead func()) {
-	state := &n.admissionPolicy
-	if onRead != nil {
-		state.readCallbacks = append(state.readCallbacks, onRead)
-	}
-	if state.reading {
-		return
-	}
-	state.reading = true
-	n.storeCall("GET", "/store/"+storage.AdmissionPolicyKey, nil, func(result CallResult) {
-		state.reading = false
-		var item storage.Item
-		var notFound storage.TxnResponse
-		switch {
-		case result.Status == 200 && json.Unmarshal(result.Body, &item) == nil:
-			n.applyPolicyRecord(item)
-		case result.Status == 404 && json.Unmarshal(result.Body, &notFound) == nil:
-			n.notePolicyRemoved(notFound.Revision)
-		}
-		callbacks := state.readCallbacks
-		state.readCallbacks = nil
-		for _, callback := range callbacks {
-			callback()
-		}
-	})
-}
-
-// applyPolicyRecord applies the record as it was read or written, unless it is older than the one
-// known.
-func (n *Node) applyPolicyRecord(item storage.Item) {
-	state := &n.admissionPolicy
-	if item.ModRevision < state.revision {
-		return // a delayed response with an older version
-	}
-	if item.ModRevision == state.version {
-		return
-	}
-	state.version, state.revision, state.knownSince = item.ModRevision, item.ModRevision, n.now
-	n.resetEpochCounts()
-	policy := &admission.Policy{}
-	err := json.Unmarshal(item.Value, policy)
-	if err == nil {
-		err = policy.Validate()
-	}
-	if state.invalid = err != nil; state.invalid {
-		state.current = nil
-		if state.loggedInvalidVersion != item.ModRevision {
-			state.loggedInvalidVersion = item.ModRevision
-			n.log.Error("admission policy invalid, rejecting submissions", "version", item.ModRevision, "error", err)
-		}
-		return
-	}
-	state.current = policy
-}
-
-// notePolicyRemoved records that there was no policy at a revision of the key-value store.
-func (n *Node) notePolicyRemoved(revision uint64) {
-	state := &n.admissionPolicy
-	if revision < state.revision {
-		return
-	}
-	if state.current != nil || state.invalid {
-		n.log.Info("admission policy removed")
-	}
-	if state.version != 0 {
-		n.resetEpochCounts()
+		n.send(leaderPeer.name, report)
 	}
-	*state = admissionPolicyState{revision: revision, reading: state.reading,
-		readCallbacks: state.readCallbacks, loggedInvalidVersion: state.loggedInvalidVersion}
-}
-
-// onlyPolicyChanged reports whether a transaction failed only because the policy has changed. Then
-// the job is still unknown and its submission is evaluated again.
-func onlyPolicyChanged(failedKeys []string, jobID string) bool {
-	return slices.Contains(failedKeys, storage.AdmissionPolicyKey) &&
-		!slices.Contains(failedKeys, storage.JobKey(jobID)) && !slices.Contains(failedKeys, storage.TerminalKey(jobID))
 }
 
 // onAdmissionStatus answers an operator's request for this node's admission policy and, if it
 // names a job, for the job's admission.
 func (n *Node) onAdmissionStatus(request Request) {
+	policy := n.admissionPolicy
 	status := admission.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), Enabled: n.settings.FairAdmission,
-		Version: n.admissionPolicy.version, Invalid: n.admissionPolicy.invalid, Policy: n.admissionPolicy.current}
-	if n.admissionPolicy.version != 0 {
-		status.PolicyAgeSeconds = (n.now - n.admissionPolicy.knownSince).Round(time.Millisecond).Seconds()
+		Version: policy.version, Invalid: policy.invalid, Policy: policy.current}
+	if policy.version != 0 {
+		status.PolicyAgeSeconds = (n.now - policy.knownSince).Round(time.Millisecond).Seconds()
 	}
 	if status.IsLeader {
 		status.EpochCapacity = n.leader.admission.epochCapacity().Jobs
-		status.WaitingGroups = n.leader.waitingGroups()
+		status.WaitingGroups = waitingGroups(n.leader.State)
 	}
 	if request.JobID != "" {
 		status.Job = n.jobAdmissionStatus(request.JobID)
 	}
-	n.reply(request.Origin, 200, 0, status)
+	n.reply(request.Origin, http.StatusOK, 0, status)
 }
 
 // jobAdmissionStatus is what this node knows of a job's admission.
@@ -272,26 +142,9 @@
 	}
 	status.RejectedGroup = &group
 	verdict := n.admissionPolicy.current.Evaluate(group, jobID)
-	if status.AdmittedNow = verdict.Admit && !n.admissionPolicy.invalid; !status.AdmittedNow {
-		status.TurnInSeconds = n.retryAfterSeconds(verdict)
+	status.AdmittedNow = verdict.Admit && !n.admissionPolicy.invalid
+	if !status.AdmittedNow {
+		status.TurnInSeconds = n.admissionPolicy.retryAfterSeconds(verdict)
 	}
 	return status
 }
-
-// waitingGroups counts, by group, the accepted jobs of which no task has started.
-func (l *leader) waitingGroups() []admission.WaitingGroup {
-	counts := map[admission.Group]int{}
-	for _, job := range l.RunnableJobs {
-		if job.FirstStartAt == 0 && job.DoneTasks == 0 && len(job.Attempts) == 0 {
-			counts[admissionGroup(&job.Spec)]++
-		}
-	}
-	groups := slices.SortedFunc(maps.Keys(counts), func(a, b admission.Group) int {
-		return cmp.Or(a.PriorityRank-b.PriorityRank, cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
-	})
-	waiting := make([]admission.WaitingGroup, len(groups))
-	for i, group := range groups {
-		waiting[i] = admission.WaitingGroup{Group: group, Jobs: counts[group]}
-	}
-	return waiting
-}
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -324,7 +324,7 @@
 	}
 	c.old[follower] = true
 	c.back(follower, step)
-	c.run(2 * c.nodes[c.names[0]].epochLength())
+	c.run(2 * c.nodes[c.names[0]].admissionPolicy.epochLength())
 	if _, left := c.state.keys[storage.AdmissionPolicyKey]; left {
 		t.Error("the policy stands beside a node that does not know it")
 	}
@@ -368,7 +368,7 @@
 	for i := range 600 {
 		c.after(time.Duration(i)*20*time.Millisecond, func() { a.submit(a.job("flood", "standard", i), impatient) })
 	}
-	if !c.until(4*c.nodes["n0"].epochLength(), func() bool { return len(c.judged) > 0 }) {
+	if !c.until(4*c.nodes["n0"].admissionPolicy.epochLength(), func() bool { return len(c.judged) > 0 }) {
 		t.Error("no policy in four epochs")
 	}
 }
@@ -380,17 +380,17 @@
 	f := c.nodes[c.followers()[0]]
 	all := &admission.Policy{Epoch: 5, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
 	raw := storage.Encode(all)
-	f.applyPolicyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: c.state.rev})
+	f.admissionPolicy.applyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: c.state.rev})
 	if r := c.submit(f.name, spec("j-1", 1)); r.Status != 201 || f.admissionPolicy.current != nil {
 		t.Errorf("answered %d, judges by %+v", r.Status, f.admissionPolicy.current)
 	}
-	f.notePolicyRemoved(9_001)
-	f.applyPolicyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: 9_000})
+	f.admissionPolicy.noteRemoved(9_001)
+	f.admissionPolicy.applyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: 9_000})
 	if f.admissionPolicy.current != nil {
 		t.Error("an older answer is taken")
 	}
 	for _, n := range c.nodes {
-		n.admissionPolicy = admissionPolicyState{current: all, version: 8, revision: 8}
+		n.admissionPolicy.policyRecord = policyRecord{current: all, version: 8, revision: 8}
 	}
 	c.crash(c.leader())
 	if l := c.waitLeader(); l.admissionPolicy.current != nil {
@@ -409,7 +409,7 @@
 	version := c.state.keys[storage.AdmissionPolicyKey].ModRevision
 	for _, name := range c.names {
 		n := c.nodes[name]
-		n.applyPolicyRecord(c.state.keys[storage.AdmissionPolicyKey])
+		n.admissionPolicy.applyRecord(c.state.keys[storage.AdmissionPolicyKey])
 		if n.leader != nil {
 			n.leader.admission.epochStartedAt = n.now + time.Hour // it leaves the policy alone
 			clear(n.leader.admission.epochLoads)
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -542,7 +542,7 @@
 func (n *Node) onPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
 	sender.leading, sender.term, sender.uptime, sender.processID, sender.protocolLevel =
 		heartbeat.IsLeader, heartbeat.Term, heartbeat.Uptime, heartbeat.ProcessID, heartbeat.VersionLevel
-	sender.policyRevision = max(sender.policyRevision, heartbeat.PolicyRevision)
+	n.admissionPolicy.recordPeerRevision(heartbeat.PolicyRevision)
 	n.onConnectivityReport(sender, heartbeat.Links)
 	n.workerRouter.recordPeerHeartbeat(sender.name, heartbeat)
 	if heartbeat.WritesThrottled {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -28,7 +28,7 @@
 	delayedCalls         []delayedCall
 	recovery             *recovery.Recovery
 	autoscaler           autoscaler
-	admission            admissionControl
+	admission            *policyPublisher
 }
 
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
@@ -43,7 +43,8 @@
 	}
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.autoscaler.init(l)
-	l.admission.start(l)
+	l.admission = newPolicyPublisher(publisherOptions{host: admissionHost{node}, follower: node.admissionPolicy,
+		state: state, writer: l.writer, log: node.log})
 	return l
 }
 
@@ -140,7 +141,7 @@
 	}
 	l.ExpireMachineLeases()
 	l.autoscaler.tick()
-	l.admission.tick()
+	l.admission.tick(l.watchRevision)
 	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
 		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
 		// Also without a change: pending jobs may have become due.
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -63,7 +63,7 @@
 		{storage.RentalPrefix, l.loadRentals},
 		{storage.ArrivalForecastKey, l.autoscaler.loadForecast},
 		{storage.CatalogKey, l.noteVersions},
-		{storage.AdmissionPolicyKey, l.admission.loadStoredPolicy},
+		{storage.AdmissionPolicyKey, l.loadAdmissionPolicy},
 	}
 	var next func(int)
 	next = func(i int) {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -152,12 +152,8 @@
 	workerRouter    *workerRouter
 	connectivity    connectivity
 
-	admissionPolicy   admissionPolicyState
-	policyRejections  recentJobs[admission.Group]             // jobs rejected here by an admission policy, by id
-	unreportedLoads   map[admission.Group]*protocol.GroupLoad // rejected submissions not yet reported to the leader
-	loadsReportedAt   clock.Instant                           // last report of them
-	rejectedJobs      map[string]bool                         // jobs rejected in this epoch
-	rejectedJobsSince clock.Instant                           // start of that epoch
+	admissionPolicy  *policyFollower
+	policyRejections recentJobs[admission.Group] // jobs rejected here by an admission policy, by id
 
 	catalog                map[string]*protocol.MachineType
 	catalogConfirmed       bool // read from the cloud, with no type missing; not an earlier leader's record
@@ -196,7 +192,6 @@
 	leading         bool
 	grantedUntil    clock.Instant // end of its lease grant to this node
 	protocolLevel   int           // protocol level of its version; 0: not announced
-	policyRevision  uint64        // latest revision of the admission policy that it has read
 }
 
 // Options are the dependencies and settings of a new Node.
@@ -233,8 +228,7 @@
 		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
 		missingTypes: map[string]bool{}, peers: map[string]*peer{},
 		pendingForwards: map[uint64]*pendingForward{},
-		unreportedLoads: map[admission.Group]*protocol.GroupLoad{}, rejectedJobs: map[string]bool{},
-		acceptedJobs: newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
+		acceptedJobs:    newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
 		terminalJobs:              &terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
 		unreadableTerminalRecords: map[string]*quarantinedRecord{},
 		catalogRequestedAt:        clock.Never, contendedUntil: clock.Never,
@@ -249,6 +243,7 @@
 		peerNames = append(peerNames, known.Node)
 		node.peers[known.Node] = &peer{name: known.Node, lastContact: clock.Never, grantedUntil: clock.Never}
 	}
+	node.admissionPolicy = newPolicyFollower(admissionHost{node}, cluster, node.log)
 	node.workerRouter = newWorkerRouter(node, cluster, peerNames)
 	node.election = newElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -192,7 +192,7 @@
 			json.Unmarshal(response.Body, &txnResult) == nil && onlyPolicyChanged(txnResult.FailedKeys, jobID):
 			// The submission was admitted by the policy of another epoch.
 			submission.retries++
-			n.readPolicy(func() { n.evaluateSubmission(submission) })
+			n.admissionPolicy.read(func() { n.evaluateSubmission(submission) })
 		case response.Status == 409:
 			n.answerFromStore(submission.request, submission.leader, retryLater)
 		case response.Status == 400:
@@ -216,5 +216,12 @@
 	})
 }
 
+// onlyPolicyChanged reports whether a transaction failed only because the policy has changed. Then
+// the job is still unknown and its submission is evaluated again.
+func onlyPolicyChanged(failedKeys []string, jobID string) bool {
+	return slices.Contains(failedKeys, storage.AdmissionPolicyKey) &&
+		!slices.Contains(failedKeys, storage.JobKey(jobID)) && !slices.Contains(failedKeys, storage.TerminalKey(jobID))
+}
+
 // maxSubmissionRetries is how often the write of a submission is retried.
 const maxSubmissionRetries = 3
