--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -25,7 +25,7 @@
 }
 
 // SubmissionsPerSecond returns the rate at which the cluster may write submissions.
-func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionBudget.Burst }
+func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionQueue.clusterRate() }
 
 // PoliciesAllowed reports whether the operators enable policies and every node understands them.
 // The heartbeats show a node that was downgraded since it wrote its version.
@@ -50,7 +50,7 @@
 
 // evaluateSubmission queues a submission to be written if the policy admits it, and otherwise
 // answers when the policy will.
-func (n *Node) evaluateSubmission(submission pendingSubmission) {
+func (n *Node) evaluateSubmission(submission *userSubmission) {
 	policy := n.admissionPolicy
 	if policy.invalid {
 		n.answerFromStore(submission.request, submission.leader, retryLater)
@@ -61,8 +61,8 @@
 	verdict := policy.current.Evaluate(group, job.ID)
 	n.traceStep(job.ID, stepAdmissionVerdict, verdictNote(verdict))
 	if verdict.Admit {
-		submission.policyVersion = policy.version
-		n.queueSubmission(submission)
+		submission.write.policyVersion = policy.version
+		n.submissionQueue.add(submission.write)
 		return
 	}
 	policy.rejections.countByPolicy(group)
@@ -73,7 +73,7 @@
 // rejectByPolicy rejects a submission that the policy does not admit yet, unless the job is known
 // already. If too little of the read budget is left to find that out, it is rejected in either
 // case; the user retries.
-func (n *Node) rejectByPolicy(submission pendingSubmission, response errorResponse) {
+func (n *Node) rejectByPolicy(submission *userSubmission, response errorResponse) {
 	n.userReadBudget.Refill(n.now)
 	if n.userReadBudget.Tokens < n.userReadBudget.Burst/2 {
 		n.reply(submission.request.Origin, response.status, response.retryAfterSeconds, response)
@@ -83,10 +83,10 @@
 }
 
 // rejectForCapacity rejects an admitted submission that can't be written in time; the user retries.
-func (n *Node) rejectForCapacity(submission pendingSubmission) {
+func (n *Node) rejectForCapacity(submission *userSubmission) {
 	job := submission.request.Job
 	if !n.election.storeUnavailable() {
-		n.admissionPolicy.countForCapacity(job, submission.policyVersion)
+		n.admissionPolicy.countForCapacity(job, submission.write.policyVersion)
 	}
 	n.traceStep(job.ID, stepRejected, "")
 	n.replyUnavailable(submission.request.Origin)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -171,14 +171,12 @@
 	leader                    *leader
 	protocolLevels            protocolLevels
 
-	pendingSubmissions []pendingSubmission // queued for writing
+	submissionQueue *submissionQueue
 
 	userReadBudget    ratelimit.TokenBucket // reads on behalf of users
 	cloudBudget       ratelimit.TokenBucket
 	leaderWriteBudget ratelimit.TokenBucket // writes of the leader's records
-	submissionBudget  ratelimit.TokenBucket // writes of submissions
 	writesThrottled   bool                  // writes are limited to the store's lower rate
-	contendedUntil    clock.Instant         // until then the submission rate is shared with other nodes
 }
 
 // peer is what this node knows of another controller.
@@ -210,7 +208,7 @@
 // margin for requests of a previous leader that are still in flight.
 const (
 	leaderWriteShare           = 0.6
-	submissionWriteShare       = 0.3 // total of all nodes, see updateSubmissionRate
+	submissionWriteShare       = 0.3 // total of all nodes, see submissionQueue.updateRate
 	followerReadShare          = 0.1
 	dependencyLookupShare      = 0.2 // reads of dependencies' outcomes and of quarantined records
 	cloudRequestShare          = 0.75
@@ -231,13 +229,15 @@
 		acceptedJobs:    newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
 		terminalJobs:              &terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
 		unreadableTerminalRecords: map[string]*quarantinedRecord{},
-		catalogRequestedAt:        clock.Never, contendedUntil: clock.Never,
-		protocolLevels: protocolLevels{lastRead: clock.Never},
-		userReadBudget: ratelimit.NewTokenBucket(cluster.Store.RequestsPerS*followerReadShare, cluster.Store.RequestsPerS*followerReadShare),
+		catalogRequestedAt:        clock.Never,
+		protocolLevels:            protocolLevels{lastRead: clock.Never},
+		userReadBudget:            ratelimit.NewTokenBucket(cluster.Store.RequestsPerS*followerReadShare, cluster.Store.RequestsPerS*followerReadShare),
 		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
-	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
+	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.WritesPerS)
+	node.leaderWriteBudget = leaderBudget
+	node.submissionQueue = newSubmissionQueue(submissionWriter{node}, cluster, submissionBudget)
 	peerNames := make([]string, 0, len(options.Platform.Peers))
 	for _, known := range options.Platform.Peers {
 		peerNames = append(peerNames, known.Node)
@@ -273,9 +273,11 @@
 	}
 	n.writesThrottled = true
 	n.log.Info("writes throttled to the lower rate", "rps", cluster.Store.LowerWritesPerS())
-	n.leaderWriteBudget, n.submissionBudget = newWriteBudgets(cluster, cluster.Store.LowerWritesPerS())
-	n.leaderWriteBudget.Tokens, n.leaderWriteBudget.RefilledAt = 0, n.now
-	n.submissionBudget.Tokens, n.submissionBudget.RefilledAt = 0, n.now
+	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.LowerWritesPerS())
+	leaderBudget.Tokens, leaderBudget.RefilledAt = 0, n.now
+	submissionBudget.Tokens, submissionBudget.RefilledAt = 0, n.now
+	n.leaderWriteBudget = leaderBudget
+	n.submissionQueue.setBudget(submissionBudget)
 }
 
 // Step processes a batch of commands at the instant now and returns the resulting effects.
@@ -319,7 +321,7 @@
 	n.tickCatalog()
 	n.expireForwards()
 	n.workerRouter.expireRoutes()
-	n.writeQueuedSubmissions()
+	n.submissionQueue.writePending()
 	n.loadTerminalJobs()
 	n.tickProtocolLevels()
 	n.tickAdmission()
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -1,12 +1,10 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 
 	"hitchdoor/internal/clock"
-
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/fleet"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -21,17 +19,17 @@
 
 // The responses to users about unknown jobs. Their texts are part of the HTTP interface.
 var (
-	jobNotFound       = errorResponse{404, 0, "no such job"}
-	jobTooLarge       = errorResponse{400, 0, "the job is too large to be stored"}
-	jobUnschedulable  = errorResponse{422, 0, "unknown team, or a task that fits no machine type or the team's limit"}
-	unknownDependency = errorResponse{422, 0, "aguarda: names a job that was never accepted"}
-	retryLater        = errorResponse{503, 1, "can't be taken now"}
+	jobNotFound       = errorResponse{http.StatusNotFound, 0, "no such job"}
+	jobTooLarge       = errorResponse{http.StatusBadRequest, 0, "the job is too large to be stored"}
+	jobUnschedulable  = errorResponse{http.StatusUnprocessableEntity, 0, "unknown team, or a task that fits no machine type or the team's limit"}
+	unknownDependency = errorResponse{http.StatusUnprocessableEntity, 0, "aguarda: names a job that was never accepted"}
+	retryLater        = errorResponse{http.StatusServiceUnavailable, 1, "can't be taken now"}
 )
 
 // admissionDeferred is the response to a submission that the admission policy admits only after
 // some seconds.
 func admissionDeferred(retryAfterSeconds int) errorResponse {
-	return errorResponse{503, retryAfterSeconds, "more is submitted than can be taken"}
+	return errorResponse{http.StatusServiceUnavailable, retryAfterSeconds, "more is submitted than can be taken"}
 }
 
 // isSchedulable reports whether the job's team exists and may use enough resources for one task,
@@ -52,16 +50,25 @@
 	return false
 }
 
-// pendingSubmission is a submission that waits to be written to the key-value store.
-type pendingSubmission struct {
-	request  Request
-	record   storage.JobRecord
-	writes   []storage.Write // of the record; encoded once, because they may be sent again
-	leader   *leader         // the leader that received it; nil on a follower
-	deadline clock.Instant   // when it is rejected if it has not been written
-	retries  int
-	// policyVersion is the version of the admission policy record that admitted it.
-	policyVersion uint64
+// userSubmission is a user's submission that this node handles.
+type userSubmission struct {
+	request Request
+	leader  *leader // the leader that received it; nil on a follower
+	write   *submissionWrite
+}
+
+// submissionWriter is what the submission queue needs from this node. It implements submissionHost.
+type submissionWriter struct{ node *Node }
+
+// Now returns the time of the current step.
+func (w submissionWriter) Now() clock.Instant { return w.node.now }
+
+// StoreUnavailable reports whether the key-value store can't be reached.
+func (w submissionWriter) StoreUnavailable() bool { return w.node.election.storeUnavailable() }
+
+// ExecuteTxn sends a transaction to the key-value store.
+func (w submissionWriter) ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte)) {
+	w.node.storeCall(http.MethodPost, "/multi", txn, func(result CallResult) { onResponse(result.Status, result.Body) })
 }
 
 // submitToStore validates a submission and queues it to be written on condition that the job is
@@ -72,38 +79,15 @@
 		n.replyUnavailable(request.Origin)
 		return
 	}
-	record := storage.JobRecord{Spec: *request.Job, AcceptedAtMillis: n.nowUnixMilli()}
-	limits := &n.cfg.Cluster.Store
-	writes := storage.JobWrites(record, limits.MaxValueBytes())
-	// A job that was accepted once stays accepted, even if the catalogue or the limits have
-	// shrunk since, or if this node knows less than the one that accepted it. Therefore each
-	// error below is returned only for a job that has no record.
-	schedulable := n.isSchedulable(request.Job)
-	switch {
-	case !storage.FitsTxn(writes, limits.MaxValueBytes(), limits.MaxTxnOps()):
-		n.answerFromStore(request, asLeader, jobTooLarge) // no record can hold it, so a retry can't succeed
-		return
-	case !schedulable && !n.catalogConfirmed:
-		n.answerFromStore(request, asLeader, retryLater) // the stored catalogue may be outdated
-		return
-	case !schedulable:
-		n.answerFromStore(request, asLeader, jobUnschedulable)
-		return
-	case slices.Contains(request.Job.Dependencies, request.Job.ID):
-		n.answerFromStore(request, asLeader, unknownDependency)
-		return
-	case len(request.Job.Dependencies) > 0 && !n.clusterSupports(protocolLevelDependencies):
-		// A node of an earlier version would ignore the dependencies and start the job at once.
-		// Wait until the version record of each node says that it understands them.
-		n.answerFromStore(request, asLeader, retryLater)
+	candidate := n.newSubmission(request, asLeader)
+	if rejection := n.validateSubmission(request.Job, candidate.write.writes); rejection != nil {
+		n.answerFromStore(request, asLeader, *rejection)
 		return
 	}
 	unconfirmed := n.withoutKnownAcceptance(request.Job.Dependencies)
 	if len(unconfirmed) > maxDirectJobReads && asLeader == nil && n.forwardSubmissionOnce(request) {
 		return // the leader has most of them in memory
 	}
-	submission := pendingSubmission{request: request, record: record, writes: writes, leader: asLeader,
-		deadline: n.now + n.workerLease()/10}
 	n.readAcceptance(unconfirmed, func(ok, allAccepted bool) {
 		switch {
 		case !ok:
@@ -111,117 +95,81 @@
 		case !allAccepted:
 			n.answerFromStore(request, asLeader, unknownDependency)
 		default:
-			n.evaluateSubmission(submission)
+			n.evaluateSubmission(candidate)
 		}
 	})
 }
 
-// queueSubmission queues an admitted submission for writing, because users submit in bursts and
-// the key-value store limits the rate of writes.
-func (n *Node) queueSubmission(submission pendingSubmission) {
-	if len(n.pendingSubmissions) >= n.maxPendingRequests() {
-		n.rejectForCapacity(submission)
-		return
+// newSubmission returns a submission with the record that is to be written for it.
+func (n *Node) newSubmission(request Request, asLeader *leader) *userSubmission {
+	record := storage.JobRecord{Spec: *request.Job, AcceptedAtMillis: n.nowUnixMilli()}
+	created := &userSubmission{request: request, leader: asLeader}
+	created.write = &submissionWrite{
+		record:   record,
+		writes:   storage.JobWrites(record, n.cfg.Cluster.Store.MaxValueBytes()),
+		deadline: n.now + n.workerLease()/10,
+		onResult: func(result writeResult) { n.onSubmissionResult(created, result) },
 	}
-	n.pendingSubmissions = append(n.pendingSubmissions, submission)
-	n.writeQueuedSubmissions()
-}
-
-// noteContention records that the key-value store refused a submission because of its rate limit.
-func (n *Node) noteContention() {
-	n.contendedUntil = n.now + n.workerLease()
-	n.submissionBudget.Tokens = 0
+	return created
 }
 
-// updateSubmissionRate sets the rate at which this node writes submissions. It is the rate of the
-// whole cluster, because a burst mostly reaches one node. For one lease after a refusal by the
-// rate limit, which shows that other nodes are writing too, it is an equal part of it.
-func (n *Node) updateSubmissionRate() {
-	cluster := &n.cfg.Cluster
-	n.submissionBudget.Refill(n.now)
-	n.submissionBudget.Rate = n.submissionBudget.Burst
-	if n.now < n.contendedUntil {
-		n.submissionBudget.Rate /= float64(cluster.ControllerCount)
+// validateSubmission returns why a job can't be accepted, or nil if it can. A job that was accepted
+// once stays accepted, even if the catalog or the limits have shrunk since, or if this node knows
+// less than the one that accepted it. Therefore each error is returned to the user only if the job
+// has no record.
+func (n *Node) validateSubmission(job *protocol.Job, writes []storage.Write) *errorResponse {
+	limits := &n.cfg.Cluster.Store
+	schedulable := n.isSchedulable(job)
+	switch {
+	case !storage.FitsTxn(writes, limits.MaxValueBytes(), limits.MaxTxnOps()):
+		return &jobTooLarge // no record can hold it, so a retry can't succeed
+	case !schedulable && !n.catalogConfirmed:
+		return &retryLater // the stored catalog may be outdated
+	case !schedulable:
+		return &jobUnschedulable
+	case slices.Contains(job.Dependencies, job.ID):
+		return &unknownDependency
+	case len(job.Dependencies) > 0 && !n.clusterSupports(protocolLevelDependencies):
+		// A node of an earlier version would ignore the dependencies and start the job at once.
+		// Wait until the version record of each node says that it understands them.
+		return &retryLater
 	}
+	return nil
 }
 
-// writeQueuedSubmissions writes as many queued submissions as the budget allows, and rejects those
-// whose deadline has passed.
-func (n *Node) writeQueuedSubmissions() {
-	if len(n.pendingSubmissions) == 0 {
-		return
-	}
-	n.updateSubmissionRate()
-	queue := n.pendingSubmissions
-	n.pendingSubmissions = nil
-	for _, submission := range queue {
-		switch {
-		case n.now >= submission.deadline || n.election.storeUnavailable():
-			n.rejectForCapacity(submission)
-		case n.submissionBudget.Take(n.now, min(n.submissionBudget.Burst, float64(len(submission.writes)))):
-			n.writeSubmission(submission)
-		default:
-			n.pendingSubmissions = append(n.pendingSubmissions, submission)
+// onSubmissionResult answers the user once the write of a submission has ended.
+func (n *Node) onSubmissionResult(submission *userSubmission, result writeResult) {
+	switch result.outcome {
+	case writeAccepted:
+		n.onSubmissionAccepted(submission, result.revision)
+	case writePolicyChanged:
+		n.admissionPolicy.read(func() { n.evaluateSubmission(submission) })
+	case writeJobKnown:
+		n.answerFromStore(submission.request, submission.leader, retryLater)
+	case writeTooLarge:
+		n.answerFromStore(submission.request, submission.leader, jobTooLarge)
+	case writeOverCapacity:
+		n.rejectForCapacity(submission)
+	case writeStoreRefused:
+		if submission.leader != nil || !n.forwardSubmissionOnce(submission.request) {
+			n.replyUnavailable(submission.request.Origin)
 		}
+	case writeFailed:
+		n.replyUnavailable(submission.request.Origin)
 	}
 }
 
-// writeSubmission writes a submission in one transaction, on condition that the job is unknown and
-// the admission policy is the one that admitted it, and answers the user.
-func (n *Node) writeSubmission(submission pendingSubmission) {
-	jobID := submission.record.Spec.ID
-	txn := storage.Txn{
-		Conditions: []storage.Condition{{Key: storage.JobKey(jobID)}, {Key: storage.TerminalKey(jobID)},
-			{Key: storage.AdmissionPolicyKey, ModRevision: submission.policyVersion}},
-		Writes: submission.writes,
-	}
-	n.storeCall("POST", "/multi", txn, func(response CallResult) {
-		var txnResult storage.TxnResponse
-		switch {
-		case response.Status == 200 && json.Unmarshal(response.Body, &txnResult) == nil:
-			n.acceptedJobs.put(jobID, true)
-			n.traceStep(jobID, stepStored, "")
-			if submission.leader != nil && n.leader == submission.leader {
-				for _, write := range submission.writes {
-					submission.leader.writer.SetModRevision(write.Key(), txnResult.Revision)
-				}
-				submission.leader.addJob(submission.record, txnResult.Revision)
-			}
-			n.reply(submission.request.Origin, 201, 0, protocol.JobStatus{ID: jobID, State: protocol.JobQueued})
-		case response.Status == 409 && submission.retries < maxSubmissionRetries &&
-			json.Unmarshal(response.Body, &txnResult) == nil && onlyPolicyChanged(txnResult.FailedKeys, jobID):
-			// The submission was admitted by the policy of another epoch.
-			submission.retries++
-			n.admissionPolicy.read(func() { n.evaluateSubmission(submission) })
-		case response.Status == 409:
-			n.answerFromStore(submission.request, submission.leader, retryLater)
-		case response.Status == 400:
-			// The limits have become smaller than the record. An earlier copy of the submission
-			// may have been accepted all the same.
-			n.answerFromStore(submission.request, submission.leader, jobTooLarge)
-		case (response.Status == 0 || response.Status == 429) && submission.retries < maxSubmissionRetries:
-			// The rate limit was reached, or the response was lost. The transaction's conditions
-			// let only one copy succeed, so a retry is safe.
-			submission.retries++
-			if response.Status == 429 {
-				n.noteContention()
-			}
-			n.queueSubmission(submission)
-		case response.Status == 503 && submission.leader == nil && n.forwardSubmissionOnce(submission.request):
-		case response.Status == 429:
-			n.rejectForCapacity(submission)
-		default:
-			n.replyUnavailable(submission.request.Origin)
+// onSubmissionAccepted adds a job whose record is durable to the state of the leader that received
+// it, if that still leads, and answers the user.
+func (n *Node) onSubmissionAccepted(submission *userSubmission, revision uint64) {
+	jobID := submission.request.Job.ID
+	n.acceptedJobs.put(jobID, true)
+	n.traceStep(jobID, stepStored, "")
+	if submission.leader != nil && n.leader == submission.leader {
+		for _, write := range submission.write.writes {
+			submission.leader.writer.SetModRevision(write.Key(), revision)
 		}
-	})
-}
-
-// onlyPolicyChanged reports whether a transaction failed only because the policy has changed. Then
-// the job is still unknown and its submission is evaluated again.
-func onlyPolicyChanged(failedKeys []string, jobID string) bool {
-	return slices.Contains(failedKeys, storage.AdmissionPolicyKey) &&
-		!slices.Contains(failedKeys, storage.JobKey(jobID)) && !slices.Contains(failedKeys, storage.TerminalKey(jobID))
+		submission.leader.addJob(submission.write.record, revision)
+	}
+	n.reply(submission.request.Origin, http.StatusCreated, 0, protocol.JobStatus{ID: jobID, State: protocol.JobQueued})
 }
-
-// maxSubmissionRetries is how often the write of a submission is retried.
-const maxSubmissionRetries = 3
