--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -222,7 +222,7 @@
 	forwarded := func(r Request, f func(Reply)) uint64 {
 		w.ask(name, r, f)
 		w.run(2 * step)
-		for id := range w.nodes[name].pendingForwards {
+		for id := range w.nodes[name].forwards.pending {
 			return id
 		}
 		t.Fatal("not passed on")
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -145,12 +145,11 @@
 	pendingCalls      map[uint64]func(CallResult)
 	invalidResponseAt map[Target]clock.Instant // last response that failed validation
 
-	election        election
-	peers           map[string]*peer
-	pendingForwards map[uint64]*pendingForward
-	nextForwardID   uint64
-	workerRouter    *workerRouter
-	connectivity    connectivity
+	election     election
+	peers        map[string]*peer
+	forwards     *forwardTable[Request] // requests forwarded to the leader
+	workerRouter *workerRouter
+	connectivity connectivity
 
 	admissionPolicy  *policyFollower
 	policyRejections recentJobs[admission.Group] // jobs rejected here by an admission policy, by id
@@ -225,8 +224,7 @@
 		startTime: options.StartTime, build: options.Build,
 		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
 		missingTypes: map[string]bool{}, peers: map[string]*peer{},
-		pendingForwards: map[uint64]*pendingForward{},
-		acceptedJobs:    newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
+		acceptedJobs: newRecentJobs[bool](recentJobsLimit), policyRejections: newRecentJobs[admission.Group](recentJobsLimit),
 		terminalJobs:              &terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
 		unreadableTerminalRecords: map[string]*quarantinedRecord{},
 		catalogRequestedAt:        clock.Never,
@@ -252,7 +250,7 @@
 	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
 	// therefore start at a random number per process; if every process counted from one, a
 	// late response would be delivered to an unrelated request.
-	node.nextForwardID = node.processID
+	node.forwards = newForwardTable[Request](node.processID)
 	return node
 }
 
@@ -319,7 +317,7 @@
 func (n *Node) tick() {
 	n.tickElection()
 	n.tickCatalog()
-	n.expireForwards()
+	n.forwards.expire(n.now, n.serveWithoutLeader)
 	n.workerRouter.expireRoutes()
 	n.submissionQueue.writePending()
 	n.loadTerminalJobs()
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -1,11 +1,10 @@
 package controller
 
 import (
+	"net/http"
 	"strconv"
 	"time"
 
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/protocol"
@@ -21,12 +20,6 @@
 	return protocol.JobStatus{ID: jobID, State: protocol.JobQueued, DoneTasks: &done, RunningTasks: &running}
 }
 
-// pendingForward is a request that was forwarded to the leader and has no response yet.
-type pendingForward struct {
-	request  Request
-	deadline clock.Instant
-}
-
 // nodeRequestHandlers maps the kinds of requests that have a handler of their own. All other
 // kinds are user requests about a job.
 var nodeRequestHandlers = map[protocol.RequestKind]func(*Node, Request){
@@ -48,7 +41,7 @@
 	}
 	if record, ok := n.terminalJobs.byID[request.JobID]; ok {
 		// Terminal states never change, so any node may answer.
-		n.reply(request.Origin, 200, 0, terminalJobState(request.JobID, record))
+		n.reply(request.Origin, http.StatusOK, 0, terminalJobState(request.JobID, record))
 		return
 	}
 	if n.holdsLeaderLease() {
@@ -78,11 +71,10 @@
 
 // forwardToPeer forwards a request to a peer and waits at most for the timeout.
 func (n *Node) forwardToPeer(target *peer, request Request, timeout time.Duration) {
-	n.nextForwardID++
-	n.pendingForwards[n.nextForwardID] = &pendingForward{request: request, deadline: n.now + timeout}
+	id := n.forwards.add(request, n.now+timeout)
 	// The body is encoded anew from the parsed value, because the original may contain line
 	// breaks, which would break the framing of messages between peers.
-	message := protocol.ForwardedRequest{ID: n.nextForwardID, Kind: request.Kind, JobID: request.JobID}
+	message := protocol.ForwardedRequest{ID: id, Kind: request.Kind, JobID: request.JobID}
 	switch request.Kind {
 	case protocol.RequestSubmit:
 		message.Body = storage.Encode(request.Job)
@@ -106,23 +98,13 @@
 // it did.
 func (n *Node) forwardToLeader(request Request) bool {
 	leaderPeer := n.leaderPeer()
-	if leaderPeer == nil || len(n.pendingForwards) >= n.maxPendingRequests() {
+	if leaderPeer == nil || n.forwards.count() >= n.maxPendingRequests() {
 		return false
 	}
 	n.forwardToPeer(leaderPeer, request, n.workerLease()/30)
 	return true
 }
 
-// expireForwards handles forwarded requests whose response did not arrive in time.
-func (n *Node) expireForwards() {
-	for id, pending := range n.pendingForwards {
-		if n.now >= pending.deadline {
-			delete(n.pendingForwards, id)
-			n.serveWithoutLeader(pending.request)
-		}
-	}
-}
-
 // onForwardedRequest handles a request that a peer forwarded.
 func (n *Node) onForwardedRequest(sender *peer, message protocol.ForwardedRequest) {
 	request := Request{Origin: Origin{RequestID: message.ID, Peer: sender.name}, Kind: message.Kind, JobID: message.JobID}
@@ -142,30 +124,48 @@
 
 // onForwardedAnswer handles the leader's response to a forwarded request.
 func (n *Node) onForwardedAnswer(answer protocol.ForwardedResponse) {
-	pending := n.pendingForwards[answer.ID]
-	if pending == nil {
+	forward, found := n.forwards.take(answer.ID)
+	if !found {
 		return
 	}
-	delete(n.pendingForwards, answer.ID)
-	if pending.request.Kind == protocol.RequestHeartbeat && answer.Status == 200 {
-		n.workerRouter.recordServed(pending.request.Heartbeat.Machine)
+	if forward.request.Kind == protocol.RequestHeartbeat {
+		n.onRelayedHeartbeatAnswer(forward, answer)
+		return
 	}
-	if pending.request.Kind == protocol.RequestHeartbeat && n.now >= pending.deadline {
+	n.onForwardedUserAnswer(forward.request, answer)
+}
+
+// onRelayedHeartbeatAnswer passes the leader's response to a worker's heartbeat on to the worker.
+func (n *Node) onRelayedHeartbeatAnswer(forward pendingForward[Request], answer protocol.ForwardedResponse) {
+	request := forward.request
+	if answer.Status == http.StatusOK {
+		n.workerRouter.recordServed(request.Heartbeat.Machine)
+	}
+	if n.now >= forward.deadline {
 		// This process was paused, or the response was delayed on its way. The worker discards
 		// it by now.
-		n.serveWithoutLeader(pending.request)
+		n.serveWithoutLeader(request)
 		return
 	}
-	if pending.request.Kind != protocol.RequestHeartbeat && (answer.Status == 200 || answer.Status == 201) {
-		n.acceptedJobs.put(pending.request.JobID, true)
+	n.replyWithAnswer(request.Origin, answer)
+}
+
+// onForwardedUserAnswer passes the leader's response to a user's request on to the user.
+func (n *Node) onForwardedUserAnswer(request Request, answer protocol.ForwardedResponse) {
+	if answer.Status == http.StatusOK || answer.Status == http.StatusCreated {
+		n.acceptedJobs.put(request.JobID, true)
 	}
-	if answer.Status == 503 && pending.request.Kind != protocol.RequestHeartbeat &&
-		pending.request.Kind != protocol.RequestCancel {
+	if answer.Status == http.StatusServiceUnavailable && request.Kind != protocol.RequestCancel {
 		// The leader can't answer, but the key-value store may.
-		n.serveWithoutLeader(pending.request)
+		n.serveWithoutLeader(request)
 		return
 	}
-	n.reply(pending.request.Origin, answer.Status, answer.RetryAfter, []byte(answer.Body))
+	n.replyWithAnswer(request.Origin, answer)
+}
+
+// replyWithAnswer answers a request with the leader's response to it.
+func (n *Node) replyWithAnswer(origin Origin, answer protocol.ForwardedResponse) {
+	n.reply(origin, answer.Status, answer.RetryAfter, []byte(answer.Body))
 }
 
 // serveWithoutLeader answers what can be answered from the key-value store alone.
@@ -234,7 +234,7 @@
 // behalf it is answered, or nil.
 func (n *Node) answerQueryFromStore(request Request, asLeader *leader) {
 	if !protocol.ValidJobID(request.JobID) {
-		n.reply(request.Origin, 404, 0, nil)
+		n.reply(request.Origin, http.StatusNotFound, 0, nil)
 		return
 	}
 	n.answerFromStore(request, asLeader, jobNotFound)
@@ -249,22 +249,22 @@
 		case !ok && ifUnknown.retryAfterSeconds == 0:
 			n.replyUnavailable(request.Origin)
 		case !ok || (openItem == nil && terminal == nil && ifUnknown.retryAfterSeconds > 0):
-			n.reply(request.Origin, 503, ifUnknown.retryAfterSeconds, ifUnknown)
+			n.reply(request.Origin, http.StatusServiceUnavailable, ifUnknown.retryAfterSeconds, ifUnknown)
 		case terminal != nil:
-			n.reply(request.Origin, 200, 0, terminalJobState(request.JobID, *terminal))
+			n.reply(request.Origin, http.StatusOK, 0, terminalJobState(request.JobID, *terminal))
 		case openItem != nil:
 			if asLeader != nil && n.leader == asLeader && n.holdsLeaderLease() {
 				if j := asLeader.adoptStoredJob(request.JobID, *openItem); j != nil {
-					n.reply(request.Origin, 200, 0, j.State())
+					n.reply(request.Origin, http.StatusOK, 0, j.State())
 					return
 				}
 			}
 			// The job may have ended after its record was read. Then its terminal record is cached.
 			if record, isTerminal := n.terminalJobs.byID[request.JobID]; isTerminal {
-				n.reply(request.Origin, 200, 0, terminalJobState(request.JobID, record))
+				n.reply(request.Origin, http.StatusOK, 0, terminalJobState(request.JobID, record))
 				return
 			}
-			n.reply(request.Origin, 200, 0, queuedJobState(request.JobID))
+			n.reply(request.Origin, http.StatusOK, 0, queuedJobState(request.JobID))
 		default:
 			n.reply(request.Origin, ifUnknown.status, 0, ifUnknown)
 		}
