--- /dev/null
+++ b/internal/controller/status_types.go
@@ -0,0 +1,101 @@
+package controller
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"hitchdoor/internal/cluster"
+)
+
+// healthResponse is the response body of a healthy node.
+type healthResponse struct {
+	OK            bool   `json:"ok"`
+	Build         string `json:"version"`
+	ProtocolLevel int    `json:"level"`
+}
+
+// nodeStatus is the status of this node for operators.
+type nodeStatus struct {
+	Node                 string        `json:"node"`
+	IsLeader             bool          `json:"leads"`
+	Leader               string        `json:"leader,omitempty"`
+	Term                 uint64        `json:"term,omitempty"`
+	StoreFailing         bool          `json:"stateDown"`
+	UptimeS              float64       `json:"uptimeS"`
+	Build                string        `json:"version"`
+	ProtocolLevel        int           `json:"level"`
+	ClusterSupportsLevel bool          `json:"levelOfAll"`
+	Peers                []peerStatus  `json:"peers"`
+	LeaderStatus         *leaderStatus `json:"leading,omitempty"`
+}
+
+// peerStatus is what this node knows of another controller. ProtocolLevel is 0 if the peer has
+// not announced one.
+type peerStatus struct {
+	Node          string `json:"node"`
+	Reachable     bool   `json:"heard"`
+	ProtocolLevel int    `json:"level"`
+}
+
+// leaderStatus is the part of a node's status that only a leader has.
+type leaderStatus struct {
+	RecordsLoaded bool            `json:"loaded"`
+	AllReconciled bool            `json:"accounted"`
+	RecoveryPhase string          `json:"recovery"`
+	PendingWrites int             `json:"writesWaiting"`
+	Jobs          []jobStatus     `json:"jobs"`
+	Machines      []machineStatus `json:"machines"`
+	TargetCores   float64         `json:"targetCores"`
+}
+
+// jobStatus is the status of one open job.
+type jobStatus struct {
+	ID        string             `json:"id"`
+	Class     string             `json:"class"`
+	Team      string             `json:"team"`
+	Done      int                `json:"done"`
+	Active    int                `json:"active"`
+	Pending   int                `json:"pending"`
+	BlockedBy cluster.WaitReason `json:"waitsFor,omitempty"`
+	AgeS      float64            `json:"ageS"`
+}
+
+// machineStatus is the status of one machine.
+type machineStatus struct {
+	Name        string              `json:"name"`
+	Type        string              `json:"type"`
+	Zone        string              `json:"zone"`
+	Spot        bool                `json:"spot"`
+	Up          bool                `json:"up"`
+	Tasks       int                 `json:"tasks"`
+	UsedCores   float64             `json:"coresUsed"`
+	DrainReason cluster.DrainReason `json:"leaving,omitempty"`
+}
+
+// jobStatuses returns the status of the open jobs, sorted by ID.
+func jobStatuses(state *cluster.State) []jobStatus {
+	var statuses []jobStatus
+	for _, job := range state.Jobs {
+		blockedBy := job.BlockedBy
+		if job.PendingDependencies > 0 {
+			blockedBy = cluster.WaitDependencies
+		}
+		statuses = append(statuses, jobStatus{ID: job.Spec.ID, Class: job.Spec.Class, Team: job.Spec.Team,
+			Done: job.DoneTasks, Active: len(job.Attempts), Pending: job.PendingTasks, BlockedBy: blockedBy,
+			AgeS: (state.Clock.Now() - job.AcceptedAt).Round(time.Millisecond).Seconds()})
+	}
+	slices.SortFunc(statuses, func(a, b jobStatus) int { return cmp.Compare(a.ID, b.ID) })
+	return statuses
+}
+
+// machineStatuses returns the status of the machines, sorted by name.
+func machineStatuses(state *cluster.State) []machineStatus {
+	var statuses []machineStatus
+	for _, machine := range state.MachinesByName() {
+		statuses = append(statuses, machineStatus{Name: machine.Name, Type: machine.TypeName, Zone: machine.Zone,
+			Spot: machine.Spot, Up: machine.Up, Tasks: len(machine.Attempts), UsedCores: machine.UsedCores,
+			DrainReason: machine.DrainReason})
+	}
+	return statuses
+}
