--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -65,7 +65,7 @@
 		n.submissionQueue.add(submission.write)
 		return
 	}
-	policy.rejections.countByPolicy(group)
+	policy.countByPolicy(group)
 	n.policyRejections.put(job.ID, group)
 	n.rejectByPolicy(submission, admissionDeferred(policy.retryAfterSeconds(verdict)))
 }
--- a/internal/controller/admission_control.go
+++ b/internal/controller/admission_control.go
@@ -19,7 +19,7 @@
 	host           publisherHost
 	follower       *policyFollower // of the node that leads
 	state          *cluster.State
-	writer         *storage.Writer
+	writer         policyWriter
 	log            *slog.Logger
 	planner        *admission.Planner
 	epochLoads     map[admission.Group]*admission.Load // of the current epoch
@@ -38,12 +38,22 @@
 	SubmissionsPerSecond() float64
 }
 
+// policyWriter writes the leader's records. It is implemented by storage.Writer.
+type policyWriter interface {
+	// Enqueue queues a change to be written.
+	Enqueue(priority storage.Priority, change storage.Change)
+	// ModRevision returns the known revision of a record, or 0 if there is none.
+	ModRevision(key string) uint64
+	// LastRevision returns the revision of the last transaction that was applied.
+	LastRevision() uint64
+}
+
 // publisherOptions are the dependencies of a policyPublisher.
 type publisherOptions struct {
 	host     publisherHost
 	follower *policyFollower
 	state    *cluster.State
-	writer   *storage.Writer
+	writer   policyWriter
 	log      *slog.Logger
 }
 
--- a/internal/controller/admission_policy.go
+++ b/internal/controller/admission_policy.go
@@ -79,6 +79,9 @@
 	return max(1, int((turn-f.host.Now()+time.Second-1)/time.Second))
 }
 
+// countByPolicy counts a submission that the policy does not admit yet.
+func (f *policyFollower) countByPolicy(group admission.Group) { f.rejections.countByPolicy(group) }
+
 // countForCapacity counts an admitted job that this node can't write in time. Jobs that another
 // policy admitted say nothing about this epoch.
 func (f *policyFollower) countForCapacity(spec *protocol.Job, admittedByVersion uint64) {
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -222,8 +222,8 @@
 	forwarded := func(r Request, f func(Reply)) uint64 {
 		w.ask(name, r, f)
 		w.run(2 * step)
-		for id := range w.nodes[name].forwards.pending {
-			return id
+		if forwards := w.nodes[name].forwards; forwards.count() > 0 {
+			return forwards.lastID
 		}
 		t.Fatal("not passed on")
 		return 0
--- /dev/null
+++ b/internal/controller/rejection_counts_test.go
@@ -0,0 +1,53 @@
+package controller
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"hitchdoor/internal/admission"
+	"hitchdoor/internal/protocol"
+)
+
+// A job that is rejected for capacity counts once per epoch, and an attempt that the policy
+// rejects counts each time.
+func TestRejectionsAreCounted(t *testing.T) {
+	counts := newRejectionCounts()
+	urgent := admission.Group{Team: "b", Class: "c", PriorityRank: 1}
+	low := admission.Group{Team: "a", Class: "c", PriorityRank: 3}
+	for range 3 {
+		counts.countForCapacity(urgent, "j-1")
+		counts.countByPolicy(low)
+	}
+	counts.countForCapacity(urgent, "j-2")
+	want := []protocol.GroupLoad{
+		{Team: "a", Class: "c", PriorityRank: 3, RejectedByPolicy: 3},
+		{Team: "b", Class: "c", PriorityRank: 1, RejectedForCapacity: 2},
+	}
+	if got := counts.takeReport(time.Minute, time.Second); !slices.Equal(got, want) {
+		t.Errorf("reported %+v, not %+v", got, want)
+	}
+	if counts.countForCapacity(urgent, "j-1"); counts.takeReport(2*time.Minute, time.Second) != nil {
+		t.Error("a job counts twice in an epoch")
+	}
+	counts.reset(2 * time.Minute)
+	counts.countForCapacity(urgent, "j-1")
+	if counts.takeReport(time.Minute+time.Second-1, time.Second) != nil {
+		t.Error("reported before the interval was over")
+	}
+	if got := counts.takeReport(time.Minute+time.Second, time.Second); len(got) != 1 || got[0].RejectedForCapacity != 1 {
+		t.Errorf("in the next epoch: %+v", got)
+	}
+}
+
+// Submissions under very many names don't grow a report without bound.
+func TestReportedGroupsAreBounded(t *testing.T) {
+	counts := newRejectionCounts()
+	for i := range protocol.MaxGroupLoads + 10 {
+		counts.countByPolicy(admission.Group{Team: fmt.Sprint("t", i)})
+	}
+	if got := len(counts.takeReport(time.Minute, time.Second)); got != protocol.MaxGroupLoads {
+		t.Errorf("%d groups are reported", got)
+	}
+}
--- a/internal/controller/submission_queue.go
+++ b/internal/controller/submission_queue.go
@@ -35,12 +35,11 @@
 
 // submissionWrite is the write of a submission, in one transaction.
 type submissionWrite struct {
-	record   storage.JobRecord
-	writes   []storage.Write // of the record; encoded once, because they may be sent again
-	deadline clock.Instant   // when it is rejected if it has not been written
-	// policyVersion is the version of the admission policy record that admitted it.
-	policyVersion uint64
-	onResult      func(writeResult)
+	record        storage.JobRecord
+	writes        []storage.Write   // of the record; encoded once, because they may be sent again
+	deadline      clock.Instant     // when it is rejected if it has not been written
+	policyVersion uint64            // of the admission policy record that admitted it
+	onResult      func(writeResult) // called when the write has ended
 	retries       int
 }
 
--- /dev/null
+++ b/internal/controller/worker_routes_test.go
@@ -0,0 +1,98 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/config"
+	"hitchdoor/internal/protocol"
+)
+
+// routingTestHost tells a router the time and which peers are unreachable.
+type routingTestHost struct {
+	now         clock.Instant
+	unreachable map[string]bool
+}
+
+func (h *routingTestHost) Now() clock.Instant { return h.now }
+
+func (h *routingTestHost) PeerReachable(name string) bool { return !h.unreachable[name] }
+
+// newTestRouter returns a router of a cluster of three.
+func newTestRouter() (*workerRouter, *routingTestHost) {
+	host := &routingTestHost{now: time.Hour, unreachable: map[string]bool{}}
+	cluster := &config.Cluster{ControllerCount: 3}
+	cluster.Workers.LeaseS = 14
+	return newWorkerRouter(host, cluster, []string{"n1", "n2"}), host
+}
+
+// A follower redirects a worker once. One that comes back at once can't reach the leader, and is
+// relayed for during two leases; then the direct route is tried again.
+func TestReturningWorkerIsRelayedFor(t *testing.T) {
+	router, host := newTestRouter()
+	for _, x := range []struct {
+		after time.Duration
+		want  routingDecision
+	}{
+		{0, redirectToLeader},
+		{time.Second, relayToLeader},
+		{2*14*time.Second - 1, relayToLeader},
+		{1, redirectToLeader},
+		{router.nodeSearchDuration(), redirectToLeader},
+	} {
+		host.now += x.after
+		if got := router.decideOnFollower("m-1", "n1"); got != x.want {
+			t.Errorf("at %v: decision %d, not %d", host.now, got, x.want)
+		}
+	}
+}
+
+// Without a leader a worker is stranded until a relayed heartbeat is answered, and its route is
+// forgotten once it does not come back.
+func TestStrandedWorkersAreCounted(t *testing.T) {
+	router, host := newTestRouter()
+	if got := router.decideOnFollower("m-1", ""); got != rejectHeartbeat {
+		t.Errorf("without a leader: decision %d", got)
+	}
+	if recent, stranded := router.countWorkers(); recent != 1 || stranded != 1 {
+		t.Errorf("%d came, %d are stranded", recent, stranded)
+	}
+	router.recordServed("m-1")
+	if recent, stranded := router.countWorkers(); recent != 1 || stranded != 0 {
+		t.Errorf("once served, %d came, %d are stranded", recent, stranded)
+	}
+	host.now += router.nodeSearchDuration()
+	if recent, _ := router.countWorkers(); recent != 0 {
+		t.Errorf("%d still count as recent", recent)
+	}
+	if router.expireRoutes(); len(router.routes) > 0 {
+		t.Errorf("%d routes are kept", len(router.routes))
+	}
+}
+
+// A full leader redirects to the reachable peer with the most spare connections, and uses up what
+// that peer has reported.
+func TestLeaderRedirectsToSpareConnections(t *testing.T) {
+	router, host := newTestRouter()
+	router.connections.update(90, 100)
+	router.recordPeerHeartbeat("n1", protocol.PeerHeartbeat{SpareConnections: 1})
+	router.recordPeerHeartbeat("n2", protocol.PeerHeartbeat{SpareConnections: 2})
+	host.unreachable["n2"] = true
+	if target, _ := router.redirectFromLeader("m-1"); target != "n1" {
+		t.Errorf("redirected to %q", target)
+	}
+	if target, redirect := router.redirectFromLeader("m-2"); redirect {
+		t.Errorf("redirected to %q, which is full or unreachable", target)
+	}
+	host.unreachable["n2"] = false
+	if target, redirect := router.redirectFromLeader("m-1"); redirect {
+		t.Errorf("one that came back is redirected to %q", target)
+	}
+	if target, _ := router.redirectFromLeader("m-3"); target != "n2" {
+		t.Errorf("redirected to %q", target)
+	}
+	if router.connections.open != 88 {
+		t.Errorf("%d connections count as open after two redirects", router.connections.open)
+	}
+}
