--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -54,8 +54,8 @@
 	node := a.node
 	heartbeat.VersionLevel = protocolLevel
 	heartbeat.WritesThrottled = node.writesThrottled
-	heartbeat.ConnectionsFull = node.connections.full
-	heartbeat.SpareConnections = node.connections.spareConnections()
+	heartbeat.ConnectionsFull = node.workerRouter.connections.full
+	heartbeat.SpareConnections = node.workerRouter.connections.spare()
 	heartbeat.Links = node.connectivityReport()
 	heartbeat.PolicyRevision = node.admissionPolicy.revision
 	if node.leader == nil || !node.leader.needsRelays() {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -71,7 +71,9 @@
 }
 
 // TerminalJobsLoaded reports whether the records of all terminal jobs have been read.
-func (a reconcilerAdapter) TerminalJobsLoaded() bool { return a.leader.node.jobReader.terminalJobsLoaded() }
+func (a reconcilerAdapter) TerminalJobsLoaded() bool {
+	return a.leader.node.jobReader.terminalJobsLoaded()
+}
 
 // ConfirmDelivery reports whether the route of a heartbeat shows that the last response has reached
 // the worker, and records that.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -29,7 +29,7 @@
 	reconciler           *reconciler
 	dependencies         *dependencyGraph
 	autoscaler           *autoscaler
-	admission            admissionControl
+	admission            *policyPublisher
 }
 
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
@@ -46,7 +46,8 @@
 	l.dependencies = newDependencyGraph(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
 	l.reconciler = newReconciler(state, term, l.recovery, reconcilerAdapter{leader: l})
 	l.autoscaler = newLeaderAutoscaler(l)
-	l.admission.start(l)
+	l.admission = newPolicyPublisher(publisherOptions{host: admissionHost{node}, follower: node.admissionPolicy,
+		state: state, writer: l.writer, log: node.log})
 	return l
 }
 
@@ -143,7 +144,7 @@
 	}
 	l.ExpireMachineLeases()
 	l.autoscaler.tick()
-	l.admission.tick()
+	l.admission.tick(l.watchRevision)
 	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
 		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
 		// Also without a change: pending jobs may have become due.
