--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -89,4 +89,4 @@
 	n.election.drain()
 }
 
-func (l ServerLoad) apply(n *Node) { n.connections.update(l) }
+func (l ServerLoad) apply(n *Node) { n.workerRouter.connections.update(l.Open, l.Limit) }
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -222,8 +222,8 @@
 	forwarded := func(r Request, f func(Reply)) uint64 {
 		w.ask(name, r, f)
 		w.run(2 * step)
-		for id := range w.nodes[name].pendingForwards {
-			return id
+		if forwards := w.nodes[name].forwards; forwards.count() > 0 {
+			return forwards.lastID
 		}
 		t.Fatal("not passed on")
 		return 0
@@ -281,7 +281,7 @@
 		t.Errorf("back again, %d are sent to the leader, %d of %d relayed", sent, relayed, workers)
 	}
 	w.run(4 * f.workerLease())
-	if len(f.workerRoutes) > 0 {
-		t.Errorf("%d are remembered for good", len(f.workerRoutes))
+	if len(f.workerRouter.routes) > 0 {
+		t.Errorf("%d are remembered for good", len(f.workerRouter.routes))
 	}
 }
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -45,7 +45,7 @@
 		{Prefix: storage.RentalPrefix, Apply: l.loadRentals},
 		{Prefix: storage.ArrivalForecastKey, Apply: l.autoscaler.loadForecast},
 		{Prefix: storage.CatalogKey, Apply: l.writer.noteRevisions},
-		{Prefix: storage.AdmissionPolicyKey, Apply: l.admission.loadStoredPolicy},
+		{Prefix: storage.AdmissionPolicyKey, Apply: l.loadAdmissionPolicy},
 	}, l.finishLoading)
 }
 
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -43,22 +43,14 @@
 	pendingCalls      map[uint64]func(CallResult)
 	invalidResponseAt map[Target]clock.Instant // last response that failed validation
 
-	election        *election
-	peers           map[string]*peer
-	pendingForwards map[uint64]*pendingForward
-	nextForwardID   uint64
-	workerRoutes    map[string]*workerRoute // by worker name
-	routesPrunedAt  clock.Instant           // when expired routes were last removed
-
-	connections  serverConnections
+	election     *election
+	peers        map[string]*peer
+	forwards     *forwardTable[Request] // requests forwarded to the leader
+	workerRouter *workerRouter
 	connectivity connectivity
 
-	admissionPolicy   admissionPolicyState
-	policyRejections  recentJobs[admission.Group]             // jobs rejected here by an admission policy, by id
-	unreportedLoads   map[admission.Group]*protocol.GroupLoad // rejected submissions not yet reported to the leader
-	loadsReportedAt   clock.Instant                           // last report of them
-	rejectedJobs      map[string]bool                         // jobs rejected in this epoch
-	rejectedJobsSince clock.Instant                           // start of that epoch
+	admissionPolicy  *policyFollower
+	policyRejections recentJobs[admission.Group] // jobs rejected here by an admission policy, by id
 
 	catalog *machineCatalog
 
@@ -69,13 +61,11 @@
 	leader                    *leader
 	protocolLevels            protocolLevels
 
-	pendingSubmissions []pendingSubmission // queued for writing
+	submissionQueue *submissionQueue
 
 	cloudBudget       ratelimit.TokenBucket
 	leaderWriteBudget ratelimit.TokenBucket // writes of the leader's records
-	submissionBudget  ratelimit.TokenBucket // writes of submissions
 	writesThrottled   bool                  // writes are limited to the store's lower rate
-	contendedUntil    clock.Instant         // until then the submission rate is shared with other nodes
 }
 
 // Options are the dependencies and settings of a new Node.
@@ -94,7 +84,7 @@
 // margin for requests of a previous leader that are still in flight.
 const (
 	leaderWriteShare      = 0.6
-	submissionWriteShare  = 0.3 // total of all nodes, see updateSubmissionRate
+	submissionWriteShare  = 0.3 // total of all nodes, see submissionQueue.updateRate
 	followerReadShare     = 0.1
 	dependencyLookupShare = 0.2 // reads of dependencies' outcomes and of quarantined records
 	cloudRequestShare     = 0.75
@@ -108,19 +98,24 @@
 		cfg: options.Platform, settings: options.Settings, log: options.Log, rng: options.Rand,
 		startTime: options.StartTime, build: options.Build,
 		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
-		peers:           map[string]*peer{},
-		pendingForwards: map[uint64]*pendingForward{}, workerRoutes: map[string]*workerRoute{},
-		unreportedLoads: map[admission.Group]*protocol.GroupLoad{}, rejectedJobs: map[string]bool{},
+		peers:                     map[string]*peer{},
 		policyRejections:          newRecentJobs[admission.Group](recentJobsLimit),
 		unreadableTerminalRecords: map[string]*quarantinedRecord{},
-		contendedUntil:            clock.Never,
 		protocolLevels:            protocolLevels{lastRead: clock.Never},
 		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
 	node.jobReader = newJobReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare, node.workerLease()/pollsPerLease)
-	node.leaderWriteBudget, node.submissionBudget = newWriteBudgets(cluster, cluster.Store.WritesPerS)
+	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.WritesPerS)
+	node.leaderWriteBudget = leaderBudget
+	node.submissionQueue = newSubmissionQueue(submissionWriter{node}, cluster, submissionBudget)
 	node.catalog = newMachineCatalog(nodeCatalogHost{node}, node.log, node.workerLease())
+	peerNames := make([]string, 0, len(options.Platform.Peers))
+	for _, known := range options.Platform.Peers {
+		peerNames = append(peerNames, known.Node)
+	}
+	node.admissionPolicy = newPolicyFollower(admissionHost{node}, cluster, node.log)
+	node.workerRouter = newWorkerRouter(node, cluster, peerNames)
 	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
 	node.startElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
@@ -128,7 +123,7 @@
 	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
 	// therefore start at a random number per process; if every process counted from one, a
 	// late response would be delivered to an unrelated request.
-	node.nextForwardID = node.processID
+	node.forwards = newForwardTable[Request](node.processID)
 	return node
 }
 
@@ -149,9 +144,11 @@
 	}
 	n.writesThrottled = true
 	n.log.Info("writes throttled to the lower rate", "rps", cluster.Store.LowerWritesPerS())
-	n.leaderWriteBudget, n.submissionBudget = newWriteBudgets(cluster, cluster.Store.LowerWritesPerS())
-	n.leaderWriteBudget.Tokens, n.leaderWriteBudget.RefilledAt = 0, n.now
-	n.submissionBudget.Tokens, n.submissionBudget.RefilledAt = 0, n.now
+	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.LowerWritesPerS())
+	leaderBudget.Tokens, leaderBudget.RefilledAt = 0, n.now
+	submissionBudget.Tokens, submissionBudget.RefilledAt = 0, n.now
+	n.leaderWriteBudget = leaderBudget
+	n.submissionQueue.setBudget(submissionBudget)
 }
 
 // Step processes a batch of commands at the instant now and returns the resulting effects. An empty
@@ -174,9 +171,9 @@
 func (n *Node) tick() {
 	n.election.tick()
 	n.catalog.tick()
-	n.expireForwards()
-	n.expireRoutes()
-	n.writeQueuedSubmissions()
+	n.forwards.expire(n.now, n.serveWithoutLeader)
+	n.workerRouter.expireRoutes()
+	n.submissionQueue.writePending()
 	n.jobReader.loadTerminalJobs()
 	n.tickProtocolLevels()
 	n.tickAdmission()
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -5,9 +5,7 @@
 // peer is what this node knows of another controller.
 type peer struct {
 	*electionPeer
-	protocolLevel  int // protocol level of its version; 0: not announced
-	workerCapacity peerCapacity
-	policyRevision uint64 // latest revision of the admission policy that it has read
+	protocolLevel int // protocol level of its version; 0: not announced
 }
 
 // onPeerMessage handles a message of another controller. Unknown senders are ignored.
@@ -35,9 +33,9 @@
 // recordPeerHeartbeat records what a peer reports of itself, apart from the election.
 func (n *Node) recordPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
 	sender.protocolLevel = heartbeat.VersionLevel
-	sender.policyRevision = max(sender.policyRevision, heartbeat.PolicyRevision)
+	n.admissionPolicy.recordPeerRevision(heartbeat.PolicyRevision)
 	n.onConnectivityReport(sender, heartbeat.Links)
-	sender.workerCapacity.recordHeartbeat(heartbeat, n.capacitySharers(heartbeat))
+	n.workerRouter.recordPeerHeartbeat(sender.name, heartbeat)
 	if heartbeat.WritesThrottled {
 		n.throttleWrites()
 	}
