--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -44,8 +44,8 @@
 
 // loadAdmissionPolicy applies the record that an earlier leader left, or its absence.
 func (l *leader) loadAdmissionPolicy(items []storage.Item) {
-	l.noteVersions(items)
-	l.admission.loadStoredPolicy(items, l.watchRevision)
+	l.writer.noteRevisions(items)
+	l.admission.loadStoredPolicy(items, l.loader.jobsRevision())
 }
 
 // evaluateSubmission queues a submission to be written if the policy admits it, and otherwise
--- a/internal/controller/job_reader_host.go
+++ b/internal/controller/job_reader_host.go
@@ -31,10 +31,16 @@
 
 // TerminalRecordRead implements jobReaderHost.
 func (h nodeJobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
-	h.node.onTerminalRecord(jobID, record)
+	delete(h.node.unreadableTerminalRecords, jobID)
+	if h.node.holdsLeaderLease() {
+		h.node.leader.jobRecords.quarantineOpenRecord(jobID, record)
+	}
 }
 
 // TerminalRecordUnreadable implements jobReaderHost.
 func (h nodeJobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
-	h.node.onUnreadableTerminalRecord(jobID, item, err)
+	node := h.node
+	if node.unreadableTerminalRecords[jobID] == nil {
+		node.unreadableTerminalRecords[jobID] = newQuarantinedRecord(node.log, item, err, node.newerVersionSeen())
+	}
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,7 +4,6 @@
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/scheduler"
-	"hitchdoor/internal/storage"
 )
 
 // leader is the state of a node while it leads. It is created for one term and discarded when
@@ -17,19 +16,21 @@
 	*scheduler.Scheduler
 	loadState
 	workerServiceState
-	machineRecords
-	bitmapLayout
 	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job
 
-	attemptCounter       uint64
-	writer               *storage.Writer
-	resolvingTransaction bool // a read of an unclear transaction's outcome is in flight
-	delayedCalls         []delayedCall
-	recovery             *recoveryGate
-	reconciler           *reconciler
-	dependencies         *dependencyGraph
-	autoscaler           *autoscaler
-	admission            *policyPublisher
+	attemptCounter uint64
+	writer         *transactionWriter
+	machineRecords *machineRecords
+	jobRecords     *jobRecords
+	quarantine     *quarantine
+	loader         *loader
+	jobWatch       *jobWatch
+	delayedCalls   []delayedCall
+	recovery       *recoveryGate
+	reconciler     *reconciler
+	dependencies   *dependencyGraph
+	autoscaler     *autoscaler
+	admission      *policyPublisher
 }
 
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
@@ -38,10 +39,11 @@
 	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog.types})
 	l := &leader{
 		node: node, term: term, State: state,
-		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now), machineRecords: newMachineRecords(&node.cfg.Cluster), bitmapLayout: newBitmapLayout(&node.cfg.Cluster),
+		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now),
 		cancelWaiters: map[string][]Origin{},
-		writer:        storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion), recovery: newRecoveryGate(state, leaderKeyVersion, &node.mismatches),
+		recovery:      newRecoveryGate(state, leaderKeyVersion, &node.mismatches),
 	}
+	l.initRecords(leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.dependencies = newDependencyGraph(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
 	l.reconciler = newReconciler(state, term, l.recovery, reconcilerAdapter{leader: l})
@@ -86,12 +88,6 @@
 	l.earlyHeartbeats = nil
 }
 
-// scheduleRetry calls retry after a short delay.
-func (l *leader) scheduleRetry(retry func()) {
-	at := l.node.now + l.node.workerLease()/50
-	l.delayedCalls = append(l.delayedCalls, delayedCall{at, retry})
-}
-
 // delayedCall is a function to run at an instant.
 type delayedCall struct {
 	dueAt clock.Instant
@@ -101,8 +97,8 @@
 // finishLoading starts scheduling once all records are loaded.
 func (l *leader) finishLoading() {
 	l.recordsLoaded, l.SchedulingNeeded = true, true
-	l.dropStaleDependencies()
-	l.splitOversizedGroups()
+	l.loader.dropStaleDependencies()
+	l.machineRecords.splitOversizedGroups()
 	l.autoscaler.inheritUsualLoad()
 	l.storeCatalog()
 	l.tickRecovery()
@@ -134,21 +130,19 @@
 	if !l.recordsLoaded || node.leader != l {
 		return
 	}
-	if !l.watchActive {
-		l.watchJobs()
-	}
+	l.jobWatch.tick()
 	l.dependencies.tickLookups()
-	l.tickQuarantine()
+	l.quarantine.tick()
 	if node.leader != l {
 		return
 	}
 	l.ExpireMachineLeases()
 	l.autoscaler.tick()
-	l.admission.tick(l.watchRevision)
+	l.admission.tick(l.loader.jobsRevision())
 	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
 		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
 		// Also without a change: pending jobs may have become due.
 		l.Schedule()
 	}
-	l.sendNextTransaction()
+	l.writer.sendNextTransaction()
 }
--- /dev/null
+++ b/internal/controller/leader_records.go
@@ -0,0 +1,95 @@
+package controller
+
+import (
+	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/ratelimit"
+	"hitchdoor/internal/storage"
+)
+
+// loadState is the progress of a leader that loads the stored records, and what depends on it.
+type loadState struct {
+	recordsLoaded   bool                  // all records have been loaded
+	lookupBudget    ratelimit.TokenBucket // limits reads of dependencies and of quarantined records
+	earlyHeartbeats []Request             // workers' heartbeats received while loading
+}
+
+// newLoadState returns the state at the start of a term, with nothing loaded.
+func newLoadState(node *Node) loadState {
+	readRate := node.cfg.Cluster.Store.RequestsPerS * dependencyLookupShare
+	return loadState{lookupBudget: ratelimit.NewTokenBucket(readRate, readRate)}
+}
+
+// initRecords creates the parts that store the leader's records. leaderKeyVersion is the version of
+// the leader key.
+func (l *leader) initRecords(leaderKeyVersion uint64) {
+	node, host := l.node, recordsHost{l}
+	queue := storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion)
+	l.quarantine = newQuarantine(l.State, host, host, &l.lookupBudget)
+	l.writer = newTransactionWriter(queue, host, host, node.log, &node.leaderWriteBudget)
+	access := newRecordAccess(l.State, l.writer, l.quarantine, host)
+	l.machineRecords = newMachineRecords(access)
+	l.jobRecords = newJobRecords(access, host)
+	l.loader = newLoader(host, l.machineRecords, l.jobRecords)
+	l.jobWatch = newJobWatch(l.loader, host, host)
+}
+
+// loadRecords reads all records. Scheduling starts only after all of them are loaded.
+func (l *leader) loadRecords() {
+	l.loader.readListings([]recordListing{
+		{Prefix: storage.VersionPrefix, Apply: l.node.applyProtocolLevels},
+		{Prefix: storage.DependenciesPrefix, Apply: l.loader.loadDependencies}, // before the jobs: later ones are read with their job
+		{Prefix: storage.JobPrefix, Apply: l.loader.loadJobs},
+		{Prefix: storage.BitmapPrefix, Apply: l.loader.loadBitmaps},
+		{Prefix: storage.MachineGroupPrefix, Apply: l.loader.loadMachineGroups},
+		{Prefix: storage.SingleMachinePrefix, Apply: l.loader.loadSingleMachines},
+		{Prefix: storage.RentalPrefix, Apply: l.loadRentals},
+		{Prefix: storage.ArrivalForecastKey, Apply: l.autoscaler.loadForecast},
+		{Prefix: storage.CatalogKey, Apply: l.writer.noteRevisions},
+		{Prefix: storage.AdmissionPolicyKey, Apply: l.loadAdmissionPolicy},
+	}, l.finishLoading)
+}
+
+// loadRentals adds the rentals that an earlier leader had stored but not completed.
+func (l *leader) loadRentals(items []storage.Item) {
+	for _, item := range items {
+		rental, err := storage.ReadRental(item)
+		if err != nil {
+			l.quarantine.addRecord(item, err)
+			continue
+		}
+		l.writer.SetModRevision(item.Key, item.ModRevision)
+		l.autoscaler.addStoredRental(rental)
+	}
+}
+
+// applyMachineTypes updates the machines after a change of the machine type catalog.
+func (l *leader) applyMachineTypes() {
+	l.Catalog = l.node.catalog.types
+	for _, m := range l.Machines {
+		if machineType := l.Catalog[m.TypeName]; machineType != nil {
+			m.MachineType = machineType
+		}
+	}
+	l.InvalidateMachineIndex()
+	l.SchedulingNeeded = true
+	l.storeCatalog()
+}
+
+// storeCatalog stores a confirmed catalog of machine types for the next start.
+func (l *leader) storeCatalog() {
+	if l.recordsLoaded && l.node.catalog.confirmed {
+		l.machineRecords.storeCatalog()
+	}
+}
+
+// adoptStoredJob adds a job that was read from the key-value store to the job table.
+func (l *leader) adoptStoredJob(id string, item storage.Item) *cluster.Job {
+	if !l.recordsLoaded {
+		return nil
+	}
+	if j := l.Jobs[id]; j != nil {
+		return j
+	}
+	l.loader.loadJob(item)
+	return l.Jobs[id]
+}
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -42,11 +42,6 @@
 	return status
 }
 
-// status describes a quarantined record to operators.
-func (r *quarantinedRecord) status() recovery.QuarantinedRecord {
-	return recovery.QuarantinedRecord{Key: r.key, Reason: r.reason, MaybeNewerVersion: r.fromNewerVersion}
-}
-
 // onRecoveryStatus answers an operator's request for the state of recovery.
 func (n *Node) onRecoveryStatus(request Request) { n.reply(request.Origin, 200, 0, n.recoveryStatus()) }
 
@@ -59,7 +54,7 @@
 	quarantined := len(n.unreadableTerminalRecords)
 	if n.holdsLeaderLease() {
 		current := n.leader
-		quarantined += len(current.quarantine.records)
+		quarantined += current.quarantine.recordCount()
 		page.gauge("recovery_phase",
 			"The leader's phase of recovery: 0 reading, 1 collecting, 2 reconciling, 3 pacing, 4 normal.",
 			float64(current.recovery.Phase()))
