--- a/cmd/hitchdoor/main.go
+++ b/cmd/hitchdoor/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -28,12 +29,15 @@
 	}
 }
 
+// errConfigMissing is returned by commands that need the settings file of the platform.
+var errConfigMissing = errors.New("--config: missing: name the platform's settings file")
+
 // newRootCommand returns the command that runs a controller, with all subcommands.
 func newRootCommand() *cobra.Command {
 	var platformPath, settingsPath string
 	loadSettings := func() (*config.Platform, config.Settings, error) {
 		if platformPath == "" {
-			return nil, config.Settings{}, fmt.Errorf("--config: missing: name the platform's settings file")
+			return nil, config.Settings{}, errConfigMissing
 		}
 		platform, err := config.LoadPlatform(platformPath)
 		if err != nil {
--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -5,7 +5,6 @@
 import (
 	"fmt"
 	"net"
-	"strings"
 	"sync"
 	"time"
 
@@ -24,18 +23,18 @@
 	Timeout   time.Duration // of each query
 }
 
-// Validate returns an error for invalid options.
+// Validate returns an *InvalidOptionError for invalid options.
 func (o *Options) Validate() error {
 	if len(o.Addresses) == 0 {
-		return fmt.Errorf("--nodes: missing: name the client addresses of all controllers")
+		return &InvalidOptionError{Flag: "--nodes", Reason: "missing: name the client addresses of all controllers"}
 	}
 	for _, address := range o.Addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return fmt.Errorf("--nodes: %q is not host:port", address)
+			return &InvalidOptionError{Flag: "--nodes", Reason: fmt.Sprintf("%q is not host:port", address)}
 		}
 	}
 	if o.Timeout <= 0 {
-		return fmt.Errorf("--timeout: must be above 0, is %v", o.Timeout)
+		return &InvalidOptionError{Flag: "--timeout", Reason: fmt.Sprintf("must be above 0, is %v", o.Timeout)}
 	}
 	return nil
 }
@@ -66,9 +65,9 @@
 	result := client.Do(controller.ServiceCall{Method: "GET", Path: path, Timeout: timeout})
 	switch {
 	case result.Status == 0:
-		response.err = fmt.Errorf("no answer within %v", timeout)
+		response.err = &NoResponseError{Timeout: timeout}
 	case result.Status != 200:
-		response.err = fmt.Errorf("answers %d", result.Status)
+		response.err = &StatusError{Status: result.Status}
 	default:
 		if err := json.Unmarshal(result.Body, &response.value); err != nil {
 			response.err = fmt.Errorf("answer can't be read: %w", err)
@@ -76,24 +75,3 @@
 	}
 	return response
 }
-
-// IncompleteError lists the reasons why a printed result is incomplete or inconsistent.
-type IncompleteError struct{ Reasons []string }
-
-// Error returns the reasons in one line.
-func (e *IncompleteError) Error() string {
-	return "could not find out all: " + strings.Join(e.Reasons, "; ")
-}
-
-// addReason adds a reason.
-func (e *IncompleteError) addReason(format string, args ...any) {
-	e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...))
-}
-
-// errorOrNil returns the error if it has any reasons, nil otherwise.
-func (e *IncompleteError) errorOrNil() error {
-	if len(e.Reasons) == 0 {
-		return nil
-	}
-	return e
-}
--- a/internal/adminclient/adminclient_test.go
+++ b/internal/adminclient/adminclient_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -72,6 +73,9 @@
 			Invalid: true}), "can't be read", "n0: the stored policy can't be read"},
 		"admission two lead": {admissionOf(admission.NodeStatus{Node: "n0", IsLeader: true},
 			admission.NodeStatus{Node: "n1", IsLeader: true}), "", "2 nodes say that they lead"},
+		"admission no step": {admissionOf(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
+			Policy: &admission.Policy{Epoch: 7, EpochLengthMS: 3500}}), "epoch 7",
+			"n0: admission policy: invalid share"},
 		"links fine": {linksOf(link("n0", true, "", "n1"), link("n1", false, "n0", "n0")), "follows n0", ""},
 		"links half-open": {linksOf(link("n0", true, "", "n1"), link("n1", false, "n0")), "cut",
 			"half-open: n0 and n1"},
@@ -110,13 +114,35 @@
 	}
 }
 
+// A node that does not respond, responds with an error or not with JSON is told apart.
+func TestResponseErrors(t *testing.T) {
+	options := startFakeNodes(t, "no object")
+	failing := httptest.NewServer(http.NotFoundHandler())
+	t.Cleanup(failing.Close)
+	options.Addresses = append(options.Addresses, strings.TrimPrefix(failing.URL, "http://"), "127.0.0.1:1")
+	responses := queryAll[admission.NodeStatus](options, "/admission")
+	var typeError *json.UnmarshalTypeError
+	if err := responses[0].err; !errors.As(err, &typeError) {
+		t.Errorf("not an object: %v", err)
+	}
+	var statusError *StatusError
+	if err := responses[1].err; !errors.As(err, &statusError) || statusError.Status != http.StatusNotFound {
+		t.Errorf("not found: %v", err)
+	}
+	var noResponse *NoResponseError
+	if err := responses[2].err; !errors.As(err, &noResponse) || noResponse.Timeout != options.Timeout {
+		t.Errorf("no response: %v", err)
+	}
+}
+
 // Invalid options are rejected with an error that names the flag.
 func TestOptions(t *testing.T) {
 	for want, options := range map[string]Options{
 		"--nodes: missing": {Timeout: 1}, `--nodes: "x" is not`: {Addresses: []string{"x"}, Timeout: 1},
 		"--timeout:": {Addresses: []string{"x:1"}},
 	} {
-		if err := options.Validate(); err == nil || !strings.Contains(err.Error(), want) {
+		var invalid *InvalidOptionError
+		if err := options.Validate(); !errors.As(err, &invalid) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
--- a/internal/adminclient/admission.go
+++ b/internal/adminclient/admission.go
@@ -35,7 +35,7 @@
 	incomplete := &IncompleteError{}
 	printAdmissionNodes(out, responses, incomplete)
 	if newest := newestStatus(responses); newest != nil {
-		printPolicy(out, newest)
+		printPolicy(out, newest, incomplete)
 	} else {
 		incomplete.addReason("no node answers")
 	}
@@ -111,11 +111,16 @@
 	}
 }
 
-// printPolicy prints the share of submissions that each group is admitted.
-func printPolicy(out io.Writer, status *admission.NodeStatus) {
+// printPolicy prints the share of submissions that each group is admitted. A policy that no node
+// would apply, from a response that is not a node's, is only reported.
+func printPolicy(out io.Writer, status *admission.NodeStatus, incomplete *IncompleteError) {
 	if status.Policy == nil {
 		return
 	}
+	if err := status.Policy.Validate(); err != nil {
+		incomplete.addReason("%s: %v", status.Node, err)
+		return
+	}
 	epochLength := time.Duration(status.Policy.EpochLengthMS) * time.Millisecond
 	fmt.Fprintf(out, "\nEpoch %d of %v. What each group is admitted of:\n", status.Policy.Epoch, epochLength)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- /dev/null
+++ b/internal/adminclient/errors.go
@@ -0,0 +1,49 @@
+package adminclient
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// InvalidOptionError reports a flag with a value that is missing or not allowed.
+type InvalidOptionError struct {
+	Flag   string
+	Reason string
+}
+
+// Error implements error.
+func (e *InvalidOptionError) Error() string { return e.Flag + ": " + e.Reason }
+
+// NoResponseError reports that a node has not responded in time.
+type NoResponseError struct{ Timeout time.Duration }
+
+// Error implements error.
+func (e *NoResponseError) Error() string { return fmt.Sprintf("no answer within %v", e.Timeout) }
+
+// StatusError reports that a node has responded with a status other than 200.
+type StatusError struct{ Status int }
+
+// Error implements error.
+func (e *StatusError) Error() string { return fmt.Sprintf("answers %d", e.Status) }
+
+// IncompleteError lists the reasons why a printed result is incomplete or inconsistent.
+type IncompleteError struct{ Reasons []string }
+
+// Error returns the reasons in one line.
+func (e *IncompleteError) Error() string {
+	return "could not find out all: " + strings.Join(e.Reasons, "; ")
+}
+
+// addReason adds a reason.
+func (e *IncompleteError) addReason(format string, args ...any) {
+	e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...))
+}
+
+// errorOrNil returns the error if it has any reasons, nil otherwise.
+func (e *IncompleteError) errorOrNil() error {
+	if len(e.Reasons) == 0 {
+		return nil
+	}
+	return e
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"net"
 	"os"
-	"strings"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
@@ -136,9 +135,7 @@
 	if err := toml.Unmarshal(raw, &platform); err != nil {
 		var decodeError *toml.DecodeError
 		if errors.As(err, &decodeError) {
-			row, column := decodeError.Position()
-			return nil, fmt.Errorf("config: %s: line %d, column %d: %s: %s",
-				path, row, column, strings.Join(decodeError.Key(), "."), decodeError.Error())
+			return nil, fmt.Errorf("config: %s: %w", path, newTOMLSyntaxError(decodeError))
 		}
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
@@ -148,7 +145,7 @@
 	return &platform, nil
 }
 
-// validate returns an error that names the first invalid setting.
+// validate returns an *InvalidSettingError that names the first invalid setting.
 func (p *Platform) validate() error {
 	requiredTexts := []struct{ name, value string }{
 		{"node", p.Node}, {"client_listen", p.ClientListen}, {"peer_bind", p.PeerBind},
@@ -156,24 +153,24 @@
 	}
 	for _, field := range requiredTexts {
 		if field.value == "" {
-			return fmt.Errorf("%s: missing", field.name)
+			return invalidSetting(field.name, "missing")
 		}
 	}
 	addresses := requiredTexts[1:]
 	for i, peer := range p.Peers {
 		if peer.Node == "" || peer.Node == p.Node {
-			return fmt.Errorf("known[%d].node: missing, or this node's own", i)
+			return invalidSetting(fmt.Sprintf("known[%d].node", i), "missing, or this node's own")
 		}
 		addresses = append(addresses, struct{ name, value string }{fmt.Sprintf("known[%d].peer_addr", i), peer.Address})
 	}
 	for _, field := range addresses {
 		if _, _, err := net.SplitHostPort(field.value); err != nil {
-			return fmt.Errorf("%s: %q is not host:port", field.name, field.value)
+			return invalidSetting(field.name, "%q is not host:port", field.value)
 		}
 	}
 	cluster := &p.Cluster
 	if cluster.ControllerCount != len(p.Peers)+1 {
-		return fmt.Errorf("cluster.count: %d, but known names %d other nodes", cluster.ControllerCount, len(p.Peers))
+		return invalidSetting("cluster.count", "%d, but known names %d other nodes", cluster.ControllerCount, len(p.Peers))
 	}
 	positive := []struct {
 		name  string
@@ -194,36 +191,38 @@
 	}
 	for _, field := range positive {
 		if !(field.value > 0) {
-			return fmt.Errorf("%s: must be above 0, is %v", field.name, field.value)
+			return invalidSetting(field.name, "must be above 0, is %v", field.value)
 		}
 	}
 	if cluster.Store.TxnOps < minTxnOps {
-		return fmt.Errorf("cluster.state.txn_ops: must be at least %d, is %d", minTxnOps, cluster.Store.TxnOps)
+		return invalidSetting("cluster.state.txn_ops", "must be at least %d, is %d", minTxnOps, cluster.Store.TxnOps)
 	}
 	if next := cluster.Store.Upcoming.ValueKB; next != nil && !(*next >= minUpcomingValueKB) {
-		return fmt.Errorf("cluster.state.next.value_kb: must be at least %v, is %v", minUpcomingValueKB, *next)
+		return invalidSetting("cluster.state.next.value_kb", "must be at least %v, is %v", minUpcomingValueKB, *next)
 	}
 	if ops := cluster.Store.MaxTxnOps(); ops < minTxnOps {
-		return fmt.Errorf("cluster.state.next.txn_ops: must be at least %d, is %d", minTxnOps, ops)
+		return invalidSetting("cluster.state.next.txn_ops", "must be at least %d, is %d", minTxnOps, ops)
 	}
 	if cluster.Workers.LeaseS <= cluster.Workers.HeartbeatIntervalS {
-		return fmt.Errorf("cluster.workers.lease_s: must be above report_s (%v), is %v", cluster.Workers.HeartbeatIntervalS, cluster.Workers.LeaseS)
+		return invalidSetting("cluster.workers.lease_s", "must be above report_s (%v), is %v",
+			cluster.Workers.HeartbeatIntervalS, cluster.Workers.LeaseS)
 	}
 	seen := map[string]bool{}
 	for i, team := range cluster.Teams {
 		if team.Name == "" || seen[team.Name] {
-			return fmt.Errorf("cluster.teams[%d].name: missing or given twice", i)
+			return invalidSetting(fmt.Sprintf("cluster.teams[%d].name", i), "missing or given twice")
 		}
 		seen[team.Name] = true
 		for _, field := range []float64{team.GuaranteedCPUs, team.MaxCPUs, team.GuaranteedGPUs, team.MaxGPUs} {
 			if field < 0 {
-				return fmt.Errorf("cluster.teams[%d]: %s: amounts can't be negative", i, team.Name)
+				return invalidSetting(fmt.Sprintf("cluster.teams[%d]", i), "%s: amounts can't be negative", team.Name)
 			}
 		}
 	}
 	for i, objective := range cluster.Objectives {
 		if objective.MinShare < 0 || objective.MinShare > 1 || objective.WithinS < 0 {
-			return fmt.Errorf("cluster.objectives[%d]: share must be within 0..1 and within_s not negative", i)
+			return invalidSetting(fmt.Sprintf("cluster.objectives[%d]", i),
+				"share must be within 0..1 and within_s not negative")
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -82,6 +84,11 @@
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q: %v", c.new, c.old, err)
 		}
+		var invalid *InvalidSettingError
+		var syntax *SyntaxError
+		if errors.As(err, &invalid) == errors.As(err, &syntax) {
+			t.Errorf("%q for %q: %T is neither an invalid setting nor a syntax error, or both", c.new, c.old, err)
+		}
 	}
 	if s := p.Cluster.Store; s.MaxValueBytes() != 8<<10 || s.MaxTxnOps() != 20 || s.LowerWritesPerS() != 25 {
 		t.Errorf("without lower limits: %d bytes, %d changes, %v a second", s.MaxValueBytes(), s.MaxTxnOps(), s.LowerWritesPerS())
@@ -93,8 +100,8 @@
 	if s := p.Cluster.Store; s.MaxValueBytes() != 2<<10 || s.MaxTxnOps() != 20 || s.LowerWritesPerS() != 25 {
 		t.Errorf("with lower limits: %d bytes, %d changes, %v a second", s.MaxValueBytes(), s.MaxTxnOps(), s.LowerWritesPerS())
 	}
-	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a missing file was read")
+	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("a missing file: %v", err)
 	}
 }
 
@@ -116,9 +123,15 @@
 		"link_decisions: no3": "link_decisions",
 		"trace_steps: -3":     "trace_steps",
 	} {
-		if _, err := LoadSettings(write(t, text)); err == nil || !strings.Contains(err.Error(), want) {
+		_, err := LoadSettings(write(t, text))
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
+		var invalid *InvalidSettingError
+		var syntax *SyntaxError
+		if errors.As(err, &invalid) == errors.As(err, &syntax) {
+			t.Errorf("%q: %T is neither an invalid setting nor a syntax error, or both", text, err)
+		}
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -75,11 +75,11 @@
 	// The decoder would clear the defaults for a file without any key.
 	var keys map[string]any
 	if err := yaml.Unmarshal(raw, &keys); err != nil {
-		return settings, fmt.Errorf("settings: %s: %s", path, singleLineError(err))
+		return settings, fmt.Errorf("settings: %s: %w", path, newYAMLSyntaxError(err))
 	}
 	if len(keys) > 0 {
 		if err := yaml.UnmarshalWithOptions(raw, &settings, yaml.Strict()); err != nil {
-			return settings, fmt.Errorf("settings: %s: %s", path, singleLineError(err))
+			return settings, fmt.Errorf("settings: %s: %w", path, newYAMLSyntaxError(err))
 		}
 	}
 	if err := settings.validate(); err != nil {
@@ -100,10 +100,10 @@
 	return message
 }
 
-// validate returns an error that names the first setting outside its range.
+// validate returns an *InvalidSettingError that names the first setting outside its range.
 func (s *Settings) validate() error {
 	if s.CostSensitivity != nil && !(*s.CostSensitivity >= 0 && *s.CostSensitivity <= 10) {
-		return fmt.Errorf("thrift: must be within 0..10, is %v", *s.CostSensitivity)
+		return invalidSetting("thrift", "must be within 0..10, is %v", *s.CostSensitivity)
 	}
 	for _, setting := range []struct {
 		name           string
@@ -123,7 +123,7 @@
 		{"trace_steps", float64(s.MaxTraceSteps), 0, 100_000},
 	} {
 		if !(setting.value >= setting.lo && setting.value <= setting.top) {
-			return fmt.Errorf("%s: must be within %v..%v, is %v", setting.name, setting.lo, setting.top, setting.value)
+			return invalidSetting(setting.name, "must be within %v..%v, is %v", setting.lo, setting.top, setting.value)
 		}
 	}
 	return nil
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -40,7 +40,11 @@
 // newTestCluster starts a cluster that is stopped at the end of the test.
 func newTestCluster(t *testing.T, nodeCount int, writeRPS float64, settings config.Settings) *testCluster {
 	t.Helper()
-	l := &testCluster{t: t, settings: settings, store: fakes.NewStore(writeRPS),
+	store, err := fakes.NewStore(writeRPS)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := &testCluster{t: t, settings: settings, store: store,
 		clientAddresses: map[string]string{}, peerAddresses: map[string]string{},
 		relays: map[[2]string]*fakes.Relay{}, stopNode: map[string]context.CancelFunc{}}
 	shared := &l.shared
@@ -66,9 +70,12 @@
 	for _, name := range l.nodes {
 		heartbeatAddresses[name] = l.relayAddress(workersEndpoint, name, l.clientAddresses[name])
 	}
-	l.fleet = fakes.NewFleet(fakes.FleetSettings{Nodes: heartbeatAddresses,
+	l.fleet, err = fakes.NewFleet(fakes.FleetSettings{Nodes: heartbeatAddresses,
 		HeartbeatInterval: 500 * time.Millisecond, LeaseDuration: 6 * time.Second,
 		BootTime: 200 * time.Millisecond, TaskRunTime: 300 * time.Millisecond, MaxMachines: 12})
+	if err != nil {
+		t.Fatal(err)
+	}
 	for _, name := range l.nodes {
 		l.startNode(name)
 	}
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -140,11 +140,11 @@
 	os.RemoveAll(c.directory)
 }
 
-// unexpectedExit returns an error if a controller has exited without being killed.
+// unexpectedExit returns a *ControllerExitedError if a controller has exited without being killed.
 func (c *controllerSet) unexpectedExit() error {
 	for _, member := range c.members {
 		if reason, failed := member.unexpectedExit(); failed {
-			return fmt.Errorf("controller %s has ended: %s", member.name, reason)
+			return &ControllerExitedError{Controller: member.name, Reason: reason}
 		}
 	}
 	return nil
@@ -228,7 +228,8 @@
 	}
 }
 
-// waitForLeader waits until all controllers name the same leader.
+// waitForLeader waits until all controllers name the same leader. It returns a *NoLeaderError if they
+// don't in time.
 func (c *controllerSet) waitForLeader(ctx context.Context, timeout time.Duration) error {
 	client := &http.Client{Timeout: time.Second}
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
@@ -244,7 +245,7 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("no controller leads within %v", timeout)
+	return &NoLeaderError{Timeout: timeout}
 }
 
 // commonLeader returns the leader that all controllers name; empty if they don't agree on one.
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -23,9 +22,6 @@
 	progressInterval = 500 * time.Millisecond
 )
 
-// ErrInterrupted is returned by Run if its context is cancelled.
-var ErrInterrupted = errors.New("interrupted")
-
 // emulation is the state of one call of Run.
 type emulation struct {
 	options     *Options
@@ -47,14 +43,19 @@
 		return nil, err
 	}
 	run := &emulation{options: &options}
-	run.store = fakes.NewStore(storeWriteRPS)
+	var err error
+	if run.store, err = fakes.NewStore(storeWriteRPS); err != nil {
+		return nil, err
+	}
 	defer run.store.Server.Close()
-	run.fleet = fakes.NewFleet(fakes.FleetSettings{HeartbeatInterval: options.HeartbeatInterval,
+	run.fleet, err = fakes.NewFleet(fakes.FleetSettings{HeartbeatInterval: options.HeartbeatInterval,
 		LeaseDuration: options.LeaseDuration, BootTime: options.HeartbeatInterval,
 		MaxMachines: options.Machines + options.Machines/4, InitialMachines: options.Machines,
 		CoresPerMachine: coresPerMachine, Seed: options.Seed})
+	if err != nil {
+		return nil, err
+	}
 	defer run.fleet.Close()
-	var err error
 	if run.controllers, err = newControllerSet(&options, run.store.Server.Address(),
 		run.fleet.Server.Address()); err != nil {
 		return nil, err
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -93,22 +93,24 @@
 // an interrupted one.
 func TestRunsThatFail(t *testing.T) {
 	for name, failure := range map[string]struct {
-		change func(options *Options)
-		want   string
+		change        func(options *Options)
+		want          string
+		invalidOption bool
 	}{
-		"no machines":          {func(options *Options) { options.Machines = 0 }, "--machines:"},
-		"too many controllers": {func(options *Options) { options.Controllers = 99 }, "--controllers:"},
-		"not back in time":     {func(options *Options) { options.ControllersAway = time.Minute }, "--for: ends after"},
+		"no machines":          {func(options *Options) { options.Machines = 0 }, "--machines:", true},
+		"too many controllers": {func(options *Options) { options.Controllers = 99 }, "--controllers:", true},
+		"not back in time": {func(options *Options) { options.ControllersAway = time.Minute },
+			"--for: ends after", true},
 		"lost again, never lost": {func(options *Options) {
 			options.LoseControllersAt, options.LoseAgainAfter = 0, []time.Duration{time.Second}
-		}, "--lose-again-after:"},
-		"no such program":     {func(options *Options) { options.Program = "/nowhere" }, "--program:"},
-		"a program that ends": {func(options *Options) { options.Program = "/bin/false" }, "has ended: exit status 1"},
-		"no such settings":    {func(options *Options) { options.Settings = "/nowhere" }, "settings:"},
+		}, "--lose-again-after:", true},
+		"no such program":     {func(options *Options) { options.Program = "/nowhere" }, "--program:", false},
+		"a program that ends": {func(options *Options) { options.Program = "/bin/false" }, "has ended: exit status 1", false},
+		"no such settings":    {func(options *Options) { options.Settings = "/nowhere" }, "settings:", false},
 		"a report in no directory": {func(options *Options) {
 			options.ReportFile, options.LoadDuration, options.LoseControllersAt = "/nowhere/r", 2*time.Second, 0
-		}, "--report:"},
-		"interrupted": {func(*Options) {}, ErrInterrupted.Error()},
+		}, "--report:", false},
+		"interrupted": {func(*Options) {}, ErrInterrupted.Error(), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Setenv("TMPDIR", t.TempDir())
@@ -123,6 +125,17 @@
 			if err == nil || !strings.Contains(err.Error(), failure.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("error %v", err)
 			}
+			if errors.Is(err, ErrInterrupted) != (name == "interrupted") {
+				t.Errorf("error %v", err)
+			}
+			var exited *ControllerExitedError
+			if errors.As(err, &exited) != (name == "a program that ends") {
+				t.Errorf("error %v", err)
+			}
+			var invalid *InvalidOptionError
+			if errors.As(err, &invalid) != failure.invalidOption {
+				t.Errorf("error %v", err)
+			}
 			if remaining, _ := os.ReadDir(os.Getenv("TMPDIR")); len(remaining) > 0 {
 				t.Errorf("left behind: %v", remaining)
 			}
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -5,7 +5,6 @@
 package emulator
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -71,27 +70,26 @@
 	backAt := o.LoseControllersAt + o.ControllersAway
 	for _, after := range o.LoseAgainAfter {
 		if after <= 0 || o.LoseControllersAt == 0 {
-			return fmt.Errorf("--lose-again-after: must be above 0, and controllers lost before, is %v", after)
+			return invalidOption("--lose-again-after", "must be above 0, and controllers lost before, is %v", after)
 		}
 		backAt += after
 	}
 	switch {
 	case o.Machines < 1 || o.Machines > maxMachines:
-		return fmt.Errorf("--machines: must be 1 to %d, is %d", maxMachines, o.Machines)
+		return invalidOption("--machines", "must be 1 to %d, is %d", maxMachines, o.Machines)
 	case o.Controllers < 1 || o.Controllers > maxControllers:
-		return fmt.Errorf("--controllers: must be 1 to %d, is %d", maxControllers, o.Controllers)
+		return invalidOption("--controllers", "must be 1 to %d, is %d", maxControllers, o.Controllers)
 	case o.LoadDuration <= 0:
-		return fmt.Errorf("--for: must be above 0, is %v", o.LoadDuration)
+		return invalidOption("--for", "must be above 0, is %v", o.LoadDuration)
 	case o.LoseControllersAt < 0 || o.ControllersAway < 0:
-		return errors.New("--lose-controllers-at, --away: can't be negative")
+		return invalidOption("--lose-controllers-at, --away", "can't be negative")
 	case o.LoseControllersAt > 0 && backAt >= o.LoadDuration:
-		return fmt.Errorf("--for: ends after %v, before the controllers are back at %v", o.LoadDuration, backAt)
+		return invalidOption("--for", "ends after %v, before the controllers are back at %v", o.LoadDuration, backAt)
 	case o.HeartbeatInterval < 100*time.Millisecond || o.LeaseDuration <= o.HeartbeatInterval:
-		return fmt.Errorf(
-			"--report-every, --lease: must be 100ms or more, and the lease longer than that, are %v and %v",
+		return invalidOption("--report-every, --lease", "must be 100ms or more, and the lease longer than that, are %v and %v",
 			o.HeartbeatInterval, o.LeaseDuration)
 	case !(o.Load > 0 && o.Load <= 2):
-		return fmt.Errorf("--load: must be above 0 and at most 2, is %v", o.Load)
+		return invalidOption("--load", "must be above 0 and at most 2, is %v", o.Load)
 	}
 	if _, err := os.Stat(o.Program); err != nil {
 		return fmt.Errorf("--program: %w", err)
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -6,7 +6,6 @@
 	"maps"
 	"os"
 	"slices"
-	"strings"
 	"text/tabwriter"
 
 	"github.com/segmentio/encoding/json"
@@ -52,12 +51,6 @@
 	BackToNormal   *float64 `json:"normal"`
 }
 
-// FailureError lists the guarantees that the controllers broke during a run.
-type FailureError struct{ Reasons []string }
-
-// Error returns the reasons in one line.
-func (e *FailureError) Error() string { return strings.Join(e.Reasons, "; ") }
-
 // Failure returns a *FailureError if the report shows a broken guarantee, nil otherwise.
 func (r *Report) Failure() error {
 	var reasons []string
--- a/internal/fakes/fleet.go
+++ b/internal/fakes/fleet.go
@@ -66,7 +66,7 @@
 const defaultCores = 4
 
 // NewFleet starts a fake cloud. The workers of its machines send heartbeats until it is closed.
-func NewFleet(settings FleetSettings) *Fleet {
+func NewFleet(settings FleetSettings) (*Fleet, error) {
 	if settings.CoresPerMachine == 0 {
 		settings.CoresPerMachine = defaultCores
 	}
@@ -74,8 +74,11 @@
 		startCounts: map[string]int{}, runningCopies: map[string]int{}, completedTasks: map[string]bool{},
 		uploadedJobs: map[string]protocol.Job{}, cancelRequested: map[string]bool{},
 		cancelConfirmedAt: map[string]time.Time{}, closed: make(chan struct{})}
-	f.Server = newServer(f)
-	return f
+	var err error
+	if f.Server, err = newServer(f); err != nil {
+		return nil, err
+	}
+	return f, nil
 }
 
 // SetNodes sets the controllers' client addresses, by name, and starts the initial machines. It is
--- a/internal/fakes/reservation.go
+++ b/internal/fakes/reservation.go
@@ -17,6 +17,12 @@
 	addresses []string
 }
 
+// addressFamilyError reports a socket that is bound to an address of another family than IPv4.
+type addressFamilyError struct{ bound syscall.Sockaddr }
+
+// Error implements error.
+func (e *addressFamilyError) Error() string { return fmt.Sprintf("bound to a %T", e.bound) }
+
 // ReserveAddresses reserves count different addresses on loopback.
 func ReserveAddresses(count int) (*AddressReservation, error) {
 	r := &AddressReservation{}
@@ -60,7 +66,11 @@
 	if err != nil {
 		return err
 	}
-	port := bound.(*syscall.SockaddrInet4).Port
-	r.addresses = append(r.addresses, netip.AddrPortFrom(netip.AddrFrom4(loopback), uint16(port)).String())
+	address, ok := bound.(*syscall.SockaddrInet4)
+	if !ok {
+		return &addressFamilyError{bound}
+	}
+	addressPort := netip.AddrPortFrom(netip.AddrFrom4(loopback), uint16(address.Port))
+	r.addresses = append(r.addresses, addressPort.String())
 	return nil
 }
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -1,6 +1,7 @@
 package fakes
 
 import (
+	"fmt"
 	"net"
 	"net/http"
 )
@@ -12,15 +13,15 @@
 	server *http.Server
 }
 
-// newServer starts a server. It panics if no port is free on loopback, as no test can run then.
-func newServer(handler http.Handler) *Server {
+// newServer starts a server.
+func newServer(handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		panic("fakes: " + err.Error())
+		return nil, fmt.Errorf("fakes: %w", err)
 	}
 	s := &Server{URL: "http://" + listener.Addr().String(), server: &http.Server{Handler: handler}}
 	go s.server.Serve(listener)
-	return s
+	return s, nil
 }
 
 // Address returns the server's host:port.
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -44,11 +44,14 @@
 }
 
 // NewStore starts a store that accepts writeRPS writes per second; 0 means no limit.
-func NewStore(writeRPS float64) *Store {
+func NewStore(writeRPS float64) (*Store, error) {
 	s := &Store{items: map[string]storage.Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}),
 		writeRPS: writeRPS, writeTokens: writeRPS, refilledAt: time.Now()}
-	s.Server = newServer(s)
-	return s
+	var err error
+	if s.Server, err = newServer(s); err != nil {
+		return nil, err
+	}
+	return s, nil
 }
 
 // OnCommit sets a callback that gets each committed transaction, in the order of the commits.
--- a/internal/protocol/cloud_responses.go
+++ b/internal/protocol/cloud_responses.go
@@ -3,88 +3,79 @@
 import (
 	"fmt"
 	"net/url"
+	"slices"
 	"strings"
 
 	"github.com/segmentio/encoding/json"
 )
 
-// CloudResponseError reports why a response can't come from the cloud.
-type CloudResponseError struct {
-	Call   string // method and path
-	Reason string
-}
-
-// Error implements error.
-func (e *CloudResponseError) Error() string { return e.Call + ": " + e.Reason }
-
 // CheckCloudResponse validates a response of the cloud with status 200. A truncated or
 // inconsistent body returns a *CloudResponseError; the caller must treat the call as unanswered.
 func CheckCloudResponse(method, path string, status int, body []byte) error {
 	if status != 200 {
 		return nil
 	}
-	reason := ""
+	var problem *CloudResponseError
 	switch {
 	case path == "/catalog":
-		reason = checkCatalog(body)
+		problem = checkCatalog(body)
 	case path == "/hosts" && method == "POST":
-		reason = checkMachineNames(body)
+		problem = checkMachineNames(body)
 	case strings.HasPrefix(path, "/hosts?"):
-		reason = checkHostPage(path, body)
+		problem = checkHostPage(path, body)
 	}
-	if reason == "" {
+	if problem == nil {
 		return nil
 	}
-	return &CloudResponseError{Call: method + " " + path, Reason: reason}
+	problem.Call = method + " " + path
+	return problem
 }
 
-// checkCatalog returns what is wrong with a catalogue, or "".
-func checkCatalog(body []byte) string {
+// checkCatalog returns what is wrong with a catalogue; nil: nothing.
+func checkCatalog(body []byte) *CloudResponseError {
 	var catalog Catalog
-	if json.Unmarshal(body, &catalog) != nil || len(catalog.UsableTypes()) == 0 {
-		return "no machine type that can be used"
+	if err := json.Unmarshal(body, &catalog); err != nil || len(catalog.UsableTypes()) == 0 {
+		return &CloudResponseError{Reason: "no machine type that can be used", Err: err}
 	}
-	return ""
+	return nil
 }
 
-// checkMachineNames returns what is wrong with the response to a rental, or "".
-func checkMachineNames(body []byte) string {
+// checkMachineNames returns what is wrong with the response to a rental; nil: nothing.
+func checkMachineNames(body []byte) *CloudResponseError {
 	var names MachineNames
-	if json.Unmarshal(body, &names) != nil {
-		return "not a list of machines"
+	if err := json.Unmarshal(body, &names); err != nil {
+		return &CloudResponseError{Reason: "not a list of machines", Err: err}
 	}
-	for _, name := range names.Machines {
-		if name == "" {
-			return "a machine without a name"
-		}
+	if slices.Contains(names.Machines, "") {
+		return &CloudResponseError{Reason: "a machine without a name"}
 	}
-	return ""
+	return nil
 }
 
-// checkHostPage returns what is wrong with a page of the machine list, or "". Machines must be
+// checkHostPage returns what is wrong with a page of the machine list; nil: nothing. Machines must be
 // in strictly increasing order after the page's start: a page that does not advance would make
 // the caller request it forever.
-func checkHostPage(path string, body []byte) string {
+func checkHostPage(path string, body []byte) *CloudResponseError {
 	var page HostPage
-	if json.Unmarshal(body, &page) != nil {
-		return "not a list of machines"
+	if err := json.Unmarshal(body, &page); err != nil {
+		return &CloudResponseError{Reason: "not a list of machines", Err: err}
 	}
 	_, query, _ := strings.Cut(path, "?")
 	values, err := url.ParseQuery(query)
 	if err != nil {
-		return err.Error()
+		return &CloudResponseError{Reason: err.Error(), Err: err}
 	}
 	previous := values.Get("since")
 	for _, host := range page.Machines {
 		if host.Name <= previous {
-			return fmt.Sprintf("machine %q after %q", host.Name, previous)
+			return &CloudResponseError{Reason: fmt.Sprintf("machine %q after %q", host.Name, previous)}
 		}
 		previous = host.Name
 	}
 	if page.Truncated && len(page.Machines) == 0 {
-		return "cut off before the first machine"
+		return &CloudResponseError{Reason: "cut off before the first machine"}
 	}
-	return ""
+	return nil
 }
 
 // Lower bounds of what a catalogue states. Prices and fetch rates are used as divisors, so a
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -1,7 +1,6 @@
 package protocol
 
 import (
-	"fmt"
 	"time"
 
 	"github.com/segmentio/encoding/json"
@@ -206,21 +205,6 @@
 	return wirePeerMessage{Type: typeAdmissionLoad, PolicyRevision: m.PolicyRevision, GroupLoads: m.Groups}
 }
 
-// PeerMessageError reports why a message of another controller is malformed.
-type PeerMessageError struct{ Reason string }
-
-// Error implements error.
-func (e *PeerMessageError) Error() string { return "line between controllers: " + e.Reason }
-
-// UnknownPeerMessageError reports a message type, or a kind of request, that this version does
-// not know. A later version may send it, so receivers ignore the message.
-type UnknownPeerMessageError struct{ Type, RequestKind string }
-
-// Error implements error.
-func (e *UnknownPeerMessageError) Error() string {
-	return fmt.Sprintf("line between controllers: unknown type %q, kind %q", e.Type, e.RequestKind)
-}
-
 // EncodePeerMessage encodes a message as JSON, without a line break.
 func EncodePeerMessage(message PeerMessage) ([]byte, error) { return json.Marshal(message.toWire()) }
 
@@ -229,12 +213,12 @@
 func DecodePeerMessage(raw []byte) (PeerMessage, error) {
 	var wire wirePeerMessage
 	if err := json.Unmarshal(raw, &wire); err != nil {
-		return nil, &PeerMessageError{err.Error()}
+		return nil, &PeerMessageError{Reason: err.Error(), Err: err}
 	}
 	message, reason := wire.decode()
 	switch {
 	case reason != "":
-		return nil, &PeerMessageError{fmt.Sprintf("%s: %s", wire.Type, reason)}
+		return nil, &PeerMessageError{Type: string(wire.Type), Reason: reason}
 	case message == nil:
 		return nil, &UnknownPeerMessageError{Type: string(wire.Type), RequestKind: string(wire.RequestKind)}
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -6,7 +6,6 @@
 package protocol
 
 import (
-	"errors"
 	"regexp"
 	"slices"
 	"strconv"
@@ -117,59 +116,84 @@
 	"pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
 
 // ParseJob decodes a submission and validates all that does not depend on the settings. Any error
-// means status 400.
+// means status 400; it is an *InvalidBodyError, an *InvalidFieldError or a *NegativeAmountError.
 func ParseJob(body []byte) (*Job, error) {
 	if len(body) > MaxBodyBytes {
-		return nil, errors.New("body over 64 KiB")
+		return nil, &InvalidBodyError{Reason: "body over 64 KiB"}
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
-		return nil, errors.New("not a JSON object")
+		return nil, &InvalidBodyError{Reason: "not a JSON object", Err: err}
 	}
 	for _, name := range requiredFields {
 		if raw, ok := fields[name]; !ok || string(raw) == "null" {
-			return nil, errors.New(name + ": missing")
+			return nil, &InvalidFieldError{Field: name, Reason: "missing"}
 		}
 	}
 	var job Job
 	if err := json.Unmarshal(body, &job); err != nil {
-		return nil, errors.New("a field has the wrong type")
+		return nil, &InvalidBodyError{Reason: "a field has the wrong type", Err: err}
 	}
 	if err := job.Validate(); err != nil {
 		return nil, err
 	}
-	seen := make(map[string]bool, len(job.Dependencies))
-	job.Dependencies = slices.DeleteFunc(job.Dependencies, func(id string) bool {
+	job.Dependencies = withoutDuplicates(job.Dependencies)
+	return &job, nil
+}
+
+// withoutDuplicates removes repeated ids and keeps the order of the first ones.
+func withoutDuplicates(ids []string) []string {
+	seen := make(map[string]bool, len(ids))
+	return slices.DeleteFunc(ids, func(id string) bool {
 		duplicate := seen[id]
 		seen[id] = true
 		return duplicate
 	})
-	return &job, nil
 }
 
-// Validate returns an error if no settings would allow the job.
+// Validate returns an error if no settings would allow the job: an *InvalidFieldError or a
+// *NegativeAmountError.
 func (j *Job) Validate() error {
-	_, knownRank := priorityRanks[j.Priority]
+	_, knownPriority := priorityRanks[j.Priority]
 	switch {
 	case !ValidJobID(j.ID):
-		return errors.New("uid: not a job id")
+		return &InvalidFieldError{Field: "uid", Reason: "not a job id"}
 	case j.Class == "":
-		return errors.New("lote: empty")
+		return &InvalidFieldError{Field: "lote", Reason: "empty"}
 	case j.Team == "":
-		return errors.New("dono: empty")
+		return &InvalidFieldError{Field: "dono", Reason: "empty"}
 	case j.Kind != "batch":
-		return errors.New("feitio: unknown")
-	case !knownRank:
-		return errors.New("vez: unknown")
+		return &InvalidFieldError{Field: "feitio", Reason: "unknown"}
+	case !knownPriority:
+		return &InvalidFieldError{Field: "vez", Reason: "unknown"}
 	case j.TaskCount < 1 || j.TaskCount > MaxTasksPerJob:
-		return errors.New("pecas: must be 1 to 100,000")
-	case !(j.Cores >= 0) || !(j.Accelerators >= 0) || !(j.MemoryGB >= 0) || !(j.ImageGB >= 0) ||
-		!(j.EstimatedSeconds >= 0) || !(j.CheckpointIntervalSeconds >= 0) || !(j.CheckpointSaveSeconds >= 0):
-		return errors.New("an amount is negative")
-	case j.DeadlineSeconds != nil && !(*j.DeadlineSeconds >= 0):
-		return errors.New("prazoS: negative")
-	case slices.ContainsFunc(j.Dependencies, func(id string) bool { return !ValidJobID(id) }):
-		return errors.New("aguarda: not a list of job ids")
+		return &InvalidFieldError{Field: "pecas", Reason: "must be 1 to 100,000"}
+	}
+	if err := j.validateAmounts(); err != nil {
+		return err
+	}
+	if slices.ContainsFunc(j.Dependencies, func(id string) bool { return !ValidJobID(id) }) {
+		return &InvalidFieldError{Field: "aguarda", Reason: "not a list of job ids"}
+	}
+	return nil
+}
+
+// validateAmounts returns an error if an amount is negative or not a number.
+func (j *Job) validateAmounts() error {
+	for _, amount := range []struct {
+		field string
+		value float64
+	}{
+		{"cores", j.Cores}, {"accelerators", j.Accelerators}, {"ramGb", j.MemoryGB}, {"pullGb", j.ImageGB},
+		{"previstoS", j.EstimatedSeconds}, {"marcoS", j.CheckpointIntervalSeconds},
+		{"guardaS", j.CheckpointSaveSeconds},
+	} {
+		if !(amount.value >= 0) {
+			return &NegativeAmountError{Field: amount.field}
+		}
+	}
+	if j.DeadlineSeconds != nil && !(*j.DeadlineSeconds >= 0) {
+		return &InvalidFieldError{Field: "prazoS", Reason: "negative"}
 	}
 	return nil
 }
@@ -209,14 +233,14 @@
 }
 
 // ParseWorkerHeartbeat decodes a worker's heartbeat. Machine and epoch are required: without them
-// heartbeats can't be ordered.
+// heartbeats can't be ordered. The error is an *InvalidBodyError.
 func ParseWorkerHeartbeat(body []byte) (*WorkerHeartbeat, error) {
 	var heartbeat WorkerHeartbeat
 	if err := json.Unmarshal(body, &heartbeat); err != nil {
-		return nil, err
+		return nil, &InvalidBodyError{Reason: err.Error(), Err: err}
 	}
 	if heartbeat.Machine == "" || heartbeat.Epoch == 0 {
-		return nil, errors.New("report without machine or session")
+		return nil, &InvalidBodyError{Reason: "report without machine or session"}
 	}
 	return &heartbeat, nil
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -1,6 +1,7 @@
 package protocol
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -62,3 +63,38 @@
 		t.Errorf("a field that may be null is omitted: %v", err)
 	}
 }
+
+// An error names the field that it is about, also where the text for the user does not.
+func TestParseJobErrors(t *testing.T) {
+	for _, c := range []struct{ old, new, field, text string }{
+		{`"pecas":16,`, ``, "pecas", "pecas: missing"},
+		{`"lote":"train"`, `"lote":""`, "lote", "lote: empty"},
+		{`"urgent"`, `"high"`, "vez", "vez: unknown"},
+		{`"prazoS":900.0`, `"prazoS":-1`, "prazoS", "prazoS: negative"},
+		{`"cores":8.0`, `"cores":-1`, "cores", "an amount is negative"},
+		{`"guardaS":4.0`, `"guardaS":-1`, "guardaS", "an amount is negative"},
+		{`"pecas":16`, `"pecas":"16"`, "", "a field has the wrong type"},
+	} {
+		t.Run(c.new, func(t *testing.T) {
+			_, err := ParseJob([]byte(strings.Replace(good, c.old, c.new, 1)))
+			if err == nil || err.Error() != c.text {
+				t.Fatalf("error %v, not %s", err, c.text)
+			}
+			field := ""
+			var invalid *InvalidFieldError
+			var negative *NegativeAmountError
+			var body *InvalidBodyError
+			switch {
+			case errors.As(err, &invalid):
+				field = invalid.Field
+			case errors.As(err, &negative):
+				field = negative.Field
+			case !errors.As(err, &body) || body.Err == nil:
+				t.Errorf("%T without its cause", err)
+			}
+			if field != c.field {
+				t.Errorf("field %q, not %q", field, c.field)
+			}
+		})
+	}
+}
--- a/internal/storage/responses.go
+++ b/internal/storage/responses.go
@@ -14,6 +14,7 @@
 	Call   string // method and path
 	Status int
 	Reason string
+	Err    error // of the decoder; nil: none
 }
 
 // Error implements error.
@@ -21,34 +22,35 @@
 	return fmt.Sprintf("%s: response %d: %s", e.Call, e.Status, e.Reason)
 }
 
+// Unwrap returns the error of the decoder.
+func (e *ResponseError) Unwrap() error { return e.Err }
+
 // CheckResponse validates a response of the key-value store. After an error, a *ResponseError, the
 // caller must treat the call as unanswered: if it trusted the response, a page without items would
 // hide all machines from a new leader, a result without a revision would invalidate the conditions
 // of later transactions, and a proxy's 404 would deny the existence of a job.
 func CheckResponse(method, path string, status int, body []byte) error {
-	reason := ""
+	var problem *ResponseError
 	switch status {
 	case 0, 400, 410, 429: // no response, or a status without a body to validate
 	case 200:
-		reason = checkResponseBody(method, path, body)
+		problem = checkResponseBody(method, path, body)
 	case 404:
 		if strings.HasPrefix(path, keyPath) {
-			reason = checkNotFound(body)
+			problem = checkNotFound(body)
 		}
 	case 409:
-		var result TxnResponse
-		if json.Unmarshal(body, &result) != nil || len(result.FailedKeys) == 0 {
-			reason = "no failed condition is named"
-		}
+		problem = checkConflict(body)
 	default:
 		if status < 500 {
-			reason = "status is not part of the protocol"
+			problem = &ResponseError{Reason: "status is not part of the protocol"}
 		}
 	}
-	if reason == "" {
+	if problem == nil {
 		return nil
 	}
-	return &ResponseError{Call: method + " " + path, Status: status, Reason: reason}
+	problem.Call, problem.Status = method+" "+path, status
+	return problem
 }
 
 // Paths of the key-value store's API.
@@ -60,8 +62,8 @@
 	leasePath = "/holds"
 )
 
-// checkResponseBody returns what is wrong with the body of a response with status 200, or "".
-func checkResponseBody(method, path string, body []byte) string {
+// checkResponseBody returns what is wrong with the body of a response with status 200; nil: nothing.
+func checkResponseBody(method, path string, body []byte) *ResponseError {
 	switch {
 	case strings.HasPrefix(path, keyPath):
 		return checkItem(strings.TrimPrefix(path, keyPath), body)
@@ -70,38 +72,60 @@
 	case strings.HasPrefix(path, watchPath):
 		return checkWatchResponse(path, body)
 	case path == txnPath:
-		var result TxnResponse
-		if json.Unmarshal(body, &result) != nil || result.Revision == 0 {
-			return "no revision"
-		}
+		return checkTxnResponse(body)
 	case path == leasePath && method == "POST":
-		var lease Lease
-		if json.Unmarshal(body, &lease) != nil || lease.ID == 0 {
-			return "no lease"
-		}
+		return checkLease(body)
 	}
-	return ""
+	return nil
 }
 
-// checkItem returns what is wrong with the response to a read of one key, or "".
-func checkItem(key string, body []byte) string {
+// checkTxnResponse returns what is wrong with the response to an applied transaction; nil: nothing.
+func checkTxnResponse(body []byte) *ResponseError {
+	var result TxnResponse
+	if err := json.Unmarshal(body, &result); err != nil || result.Revision == 0 {
+		return &ResponseError{Reason: "no revision", Err: err}
+	}
+	return nil
+}
+
+// checkConflict returns what is wrong with the body of a 409, which names the failed conditions;
+// nil: nothing.
+func checkConflict(body []byte) *ResponseError {
+	var result TxnResponse
+	if err := json.Unmarshal(body, &result); err != nil || len(result.FailedKeys) == 0 {
+		return &ResponseError{Reason: "no failed condition is named", Err: err}
+	}
+	return nil
+}
+
+// checkLease returns what is wrong with the response to a request of a lease; nil: nothing.
+func checkLease(body []byte) *ResponseError {
+	var lease Lease
+	if err := json.Unmarshal(body, &lease); err != nil || lease.ID == 0 {
+		return &ResponseError{Reason: "no lease", Err: err}
+	}
+	return nil
+}
+
+// checkItem returns what is wrong with the response to a read of one key; nil: nothing.
+func checkItem(key string, body []byte) *ResponseError {
 	var item Item
-	switch {
-	case json.Unmarshal(body, &item) != nil:
-		return "not an item"
-	case item.Key != key || item.ModRevision == 0 || len(item.Value) == 0:
-		return "not the item that was asked for"
+	if err := json.Unmarshal(body, &item); err != nil {
+		return &ResponseError{Reason: "not an item", Err: err}
+	}
+	if item.Key != key || item.ModRevision == 0 || len(item.Value) == 0 {
+		return &ResponseError{Reason: "not the item that was asked for"}
 	}
-	return ""
+	return nil
 }
 
-// checkNotFound returns what is wrong with the body of a 404, or "". The key-value store names its
-// revision in every 404; a proxy does not.
-func checkNotFound(body []byte) string {
+// checkNotFound returns what is wrong with the body of a 404; nil: nothing. The key-value store
+// names its revision in every 404; a proxy does not.
+func checkNotFound(body []byte) *ResponseError {
 	if !hasRevision(body) {
-		return "not found, without a revision"
+		return &ResponseError{Reason: "not found, without a revision"}
 	}
-	return ""
+	return nil
 }
 
 // hasRevision reports whether a response states the store's revision. An empty store is at
@@ -113,41 +137,41 @@
 	return json.Unmarshal(body, &response) == nil && response.Revision != nil
 }
 
-// checkPage returns what is wrong with a page of a listing, or "". Items must have the prefix and be
-// in strictly increasing order after the page's start: a page that does not advance would make the
-// caller request it forever.
-func checkPage(path string, body []byte) string {
+// checkPage returns what is wrong with a page of a listing; nil: nothing. Items must have the prefix
+// and be in strictly increasing order after the page's start: a page that does not advance would make
+// the caller request it forever.
+func checkPage(path string, body []byte) *ResponseError {
 	var page ListResponse
-	if json.Unmarshal(body, &page) != nil || !hasRevision(body) {
-		return "not a page"
+	if err := json.Unmarshal(body, &page); err != nil || !hasRevision(body) {
+		return &ResponseError{Reason: "not a page", Err: err}
 	}
 	query := parseQuery(path)
 	previous := query.Get("since")
 	for _, item := range page.Items {
 		if !strings.HasPrefix(item.Key, query.Get("under")) || item.Key <= previous || item.ModRevision == 0 {
-			return "items out of order or range"
+			return &ResponseError{Reason: "items out of order or range"}
 		}
 		previous = item.Key
 	}
 	if page.Truncated && len(page.Items) == 0 {
-		return "cut off before the first item"
+		return &ResponseError{Reason: "cut off before the first item"}
 	}
-	return ""
+	return nil
 }
 
-// checkWatchResponse returns what is wrong with the response of a watch, or "".
-func checkWatchResponse(path string, body []byte) string {
+// checkWatchResponse returns what is wrong with the response of a watch; nil: nothing.
+func checkWatchResponse(path string, body []byte) *ResponseError {
 	var response WatchResponse
-	if json.Unmarshal(body, &response) != nil || !hasRevision(body) {
-		return "not a list of changes"
+	if err := json.Unmarshal(body, &response); err != nil || !hasRevision(body) {
+		return &ResponseError{Reason: "not a list of changes", Err: err}
 	}
 	prefix := parseQuery(path).Get("under")
 	for _, event := range response.Events {
 		if !strings.HasPrefix(event.PutKey+event.DeletedKey, prefix) || event.ModRevision == 0 {
-			return "changes outside the watched prefix"
+			return &ResponseError{Reason: "changes outside the watched prefix"}
 		}
 	}
-	return ""
+	return nil
 }
 
 // parseQuery returns the query of a path; nil if it is malformed.
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -1,6 +1,7 @@
 package storage
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 
@@ -14,14 +15,19 @@
 type RecordError struct {
 	Key    string
 	Reason string
+	Err    error // the cause; nil: none
 }
 
 // Error implements error.
 func (e *RecordError) Error() string { return e.Key + ": " + e.Reason }
 
-// newRecordError returns a RecordError for an item.
+// Unwrap returns the cause.
+func (e *RecordError) Unwrap() error { return e.Err }
+
+// newRecordError returns a RecordError for an item. The format may wrap the cause with %w.
 func newRecordError(item Item, format string, args ...any) error {
-	return &RecordError{Key: item.Key, Reason: fmt.Sprintf(format, args...)}
+	reason := fmt.Errorf(format, args...)
+	return &RecordError{Key: item.Key, Reason: reason.Error(), Err: errors.Unwrap(reason)}
 }
 
 // decodeObject decodes an item's value, which must be a JSON object.
@@ -30,7 +36,7 @@
 		return newRecordError(item, "is no JSON object")
 	}
 	if err := json.Unmarshal(item.Value, value); err != nil {
-		return newRecordError(item, "can't be decoded: %v", err)
+		return newRecordError(item, "can't be decoded: %w", err)
 	}
 	return nil
 }
@@ -45,7 +51,7 @@
 		return record, newRecordError(item, "holds the job %q", record.Spec.ID)
 	}
 	if err := record.Spec.Validate(); err != nil {
-		return record, newRecordError(item, "holds no possible job: %v", err)
+		return record, newRecordError(item, "holds no possible job: %w", err)
 	}
 	if record.DependencyRecords < 0 {
 		return record, newRecordError(item, "names %d records of the jobs that it needs", record.DependencyRecords)
@@ -96,7 +102,7 @@
 	}
 	bits, err := DecodeBitmap(record)
 	if err != nil {
-		return nil, newRecordError(item, "holds no bitmap: %v", err)
+		return nil, newRecordError(item, "holds no bitmap: %w", err)
 	}
 	if len(bits) == 0 {
 		return nil, newRecordError(item, "holds an empty bitmap")
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -4,6 +4,7 @@
 package transport
 
 import (
+	"errors"
 	"net"
 	"strconv"
 	"time"
@@ -54,7 +55,8 @@
 		DisableDefaultDate: true,
 		ErrorHandler: func(c *fiber.Ctx, err error) error {
 			code := fiber.StatusInternalServerError
-			if fiberError, ok := err.(*fiber.Error); ok {
+			var fiberError *fiber.Error
+			if errors.As(err, &fiberError) {
 				code = fiberError.Code
 			}
 			if code == fiber.StatusRequestEntityTooLarge {
