--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -120,10 +120,10 @@
 		FencingToken: 1<<64 - 1, PreemptionNoticeSeconds: of(4.5), Tasks: []protocol.TaskStatus{
 			{TaskID: protocol.TaskID("j-77", 12), Attempt: 5, State: protocol.TaskExited, ExitReason: protocol.ExitStopped, CheckpointSaved: true}}}
 	tasks := protocol.WorkerHeartbeat{Machine: "m-000008", Epoch: 1, Tasks: []protocol.TaskStatus{}}
-	for i, state := range []string{protocol.TaskFetching, protocol.TaskRunning, protocol.TaskCheckpointing} {
+	for i, state := range []protocol.TaskState{protocol.TaskFetching, protocol.TaskRunning, protocol.TaskCheckpointing} {
 		tasks.Tasks = append(tasks.Tasks, protocol.TaskStatus{TaskID: protocol.TaskID("j-1", i), Attempt: 1, State: state})
 	}
-	for i, why := range []string{protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitInsufficientResources, protocol.ExitDuplicateTask, protocol.ExitUnknownTask} {
+	for i, why := range []protocol.ExitReason{protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitInsufficientResources, protocol.ExitDuplicateTask, protocol.ExitUnknownTask} {
 		tasks.Tasks = append(tasks.Tasks, protocol.TaskStatus{TaskID: protocol.TaskID("j-2", i), Attempt: 1, State: protocol.TaskExited, ExitReason: why})
 	}
 	checkMessages(t, "wire_workers.txt", []message{
@@ -412,7 +412,7 @@
 		names = append(names, line{"order", order.String()})
 	}
 	for rank := range 5 {
-		names = append(names, line{"rank " + strconv.Itoa(rank), protocol.PriorityName(rank)})
+		names = append(names, line{"rank " + strconv.Itoa(rank), string(protocol.PriorityName(rank))})
 	}
 	checkGolden(t, "words.txt", names)
 }
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -81,7 +81,7 @@
 // job is a job of a class, as urgent as it says.
 func (a *applicants) job(class, priority string, i int) protocol.Job {
 	j := spec(fmt.Sprintf("j-%s-%d", class, i), 1)
-	j.Class, j.Priority = class, priority
+	j.Class, j.Priority = class, protocol.Priority(priority)
 	return j
 }
 
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -432,7 +432,7 @@
 			w.machines(6)
 			for i := range 6 {
 				j := spec(fmt.Sprintf("j-%d", i), 3+4*i)
-				j.Priority = []string{"prod", "urgent", "standard", "low"}[i%4]
+				j.Priority = []protocol.Priority{"prod", "urgent", "standard", "low"}[i%4]
 				j.Cores = 1 + float64(i%3)*0.3
 				j.Class = []string{"c", "d"}[i%2]
 				if i == 5 {
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -214,7 +214,7 @@
 	begun := clock.Instant(0)
 	for i := 0; w.now < 12*time.Minute; i++ {
 		// Small and urgent work of 10 cores, while there are 8.
-		for k, priority := range []string{"standard", "urgent"} {
+		for k, priority := range []protocol.Priority{"standard", "urgent"} {
 			j := spec(fmt.Sprintf("j-%d-%d", i, k), 5)
 			j.Priority, j.EstimatedSeconds, j.DeadlineSeconds = priority, 10, &due
 			w.submit(l.name, j)
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -118,7 +118,7 @@
 	for i := range jobs {
 		j := spec(fmt.Sprintf("j-%d", first+i), 1+c.rng.IntN(5))
 		j.Team = []string{"team", "free"}[c.rng.IntN(2)]
-		j.Priority = []string{"urgent", "standard", "low"}[c.rng.IntN(3)]
+		j.Priority = []protocol.Priority{"urgent", "standard", "low"}[c.rng.IntN(3)]
 		if change != nil {
 			change(i, &j)
 		}
@@ -177,7 +177,7 @@
 	},
 	"cancelled as soon as accepted, under close looks": func(c *userSimulation) time.Duration {
 		look := c.told
-		c.told = func(id, state string) {
+		c.told = func(id string, state protocol.JobState) {
 			look(id, state)
 			if state == "accepted" && c.rng.IntN(2) == 0 {
 				c.after(c.within(200*time.Millisecond), func() { c.cancelUntil(id) })
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -26,22 +26,22 @@
 // nothing older, milliseconds later at another node included.
 type invariantChecker struct {
 	submitted map[string]bool
-	accepted  map[string]clock.Instant // when a user was first told so
-	over      map[string]string        // final states that users were told
-	overAt    map[string]clock.Instant // when the first of them was
-	asked     map[string]bool          // jobs that a user has begun to cancel
-	answered  map[string]clock.Instant // when a question about a job was last answered
-	finished  map[string]bool          // tasks that have completed
-	begun     map[string]clock.Instant // when a job's first task started
-	calm      clock.Instant            // since when there are no troubles; never: there are
-	waits     map[string]clock.Instant // since when a job waits though there is room for it
+	accepted  map[string]clock.Instant     // when a user was first told so
+	over      map[string]protocol.JobState // final states that users were told
+	overAt    map[string]clock.Instant     // when the first of them was
+	asked     map[string]bool              // jobs that a user has begun to cancel
+	answered  map[string]clock.Instant     // when a question about a job was last answered
+	finished  map[string]bool              // tasks that have completed
+	begun     map[string]clock.Instant     // when a job's first task started
+	calm      clock.Instant                // since when there are no troubles; never: there are
+	waits     map[string]clock.Instant     // since when a job waits though there is room for it
 	lookedAt  clock.Instant
-	told      func(id, state string) // is told what users are told for the first time
-	judged    map[uint64]int         // jobs accepted under a policy, by epoch
-	what      string                 // what is tested, for the messages
-	caught    map[string]int         // by rule, instead of failing the test: to test the checker itself
-	load      machineLoad            // what runs, as of the last check
-	marked    bool                   // the check is marked as a helper of the test
+	told      func(id string, state protocol.JobState) // is told what users are told for the first time
+	judged    map[uint64]int                           // jobs accepted under a policy, by epoch
+	what      string                                   // what is tested, for the messages
+	caught    map[string]int                           // by rule, instead of failing the test: to test the checker itself
+	load      machineLoad                              // what runs, as of the last check
+	marked    bool                                     // the check is marked as a helper of the test
 }
 
 // machineLoad is what runs on the machines. It is made anew when a task begins or ends, and not
@@ -70,7 +70,7 @@
 }
 
 func newInvariantChecker() invariantChecker {
-	return invariantChecker{submitted: map[string]bool{}, accepted: map[string]clock.Instant{}, over: map[string]string{},
+	return invariantChecker{submitted: map[string]bool{}, accepted: map[string]clock.Instant{}, over: map[string]protocol.JobState{},
 		overAt: map[string]clock.Instant{}, asked: map[string]bool{}, answered: map[string]clock.Instant{},
 		finished: map[string]bool{}, begun: map[string]clock.Instant{}, load: newMachineLoad(), judged: map[uint64]int{}, calm: clock.Never, waits: map[string]clock.Instant{}}
 }
@@ -140,7 +140,7 @@
 	}
 }
 
-func (w *simulation) tells(id, state string) {
+func (w *simulation) tells(id string, state protocol.JobState) {
 	if w.told != nil {
 		w.told(id, state)
 	}
@@ -418,7 +418,7 @@
 // The invariant checker must be able to fail: each rule is broken here on purpose, by an answer that
 // no node gives, or by a machine that no leader has told what it does.
 func TestInvariantCheckerFindsEachViolation(t *testing.T) {
-	state := func(s string) Reply {
+	state := func(s protocol.JobState) Reply {
 		return Reply{Status: 200, Body: []byte(`{"uid":"j-1","situacao":"` + s + `"}`)}
 	}
 	query, submit := Request{Kind: protocol.RequestQuery, JobID: "j-1"}, Request{Kind: protocol.RequestSubmit, JobID: "j-1"}
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -175,7 +175,7 @@
 }
 
 // finishJob makes a job terminal. Users are notified only after the terminal record is durable.
-func (l *leader) finishJob(j *cluster.Job, state string) {
+func (l *leader) finishJob(j *cluster.Job, state protocol.JobState) {
 	j.Terminal, j.Cancelled = true, state == protocol.JobCancelled
 	id := j.Spec.ID
 	final := storage.TerminalRecord{State: state, TaskCount: j.Spec.TaskCount, DoneTasks: j.DoneTasks}
@@ -200,7 +200,7 @@
 			l.node.log.Debug("job finished", "job", id, "state", state, "class", j.Spec.Class, "tasks", j.Spec.TaskCount,
 				"after", l.node.now-j.AcceptedAt, "waited", j.EligibleAt-j.AcceptedAt,
 				"firstStart", j.FirstStartAt-j.AcceptedAt, "lastStart", j.LastStartAt-j.AcceptedAt, "expected", l.ExpectedTaskDuration(j))
-			l.node.traceStep(id, stepTerminal, state+" after "+l.jobAge(j))
+			l.node.traceStep(id, stepTerminal, string(state)+" after "+l.jobAge(j))
 			l.node.terminalJobs.put(id, final)
 			l.EndedJobs[id] = true
 			delete(l.Jobs, id)
--- a/internal/controller/outside_faults_test.go
+++ b/internal/controller/outside_faults_test.go
@@ -239,7 +239,7 @@
 // Machine lists that are empty, that repeat or contradict themselves return no machine that
 // reports, and are not read without end.
 func TestOddMachineLists(t *testing.T) {
-	host := func(name, state string) protocol.Host {
+	host := func(name string, state protocol.HostState) protocol.Host {
 		return protocol.Host{Name: name, Type: "c4", Zone: "a", Spot: true, State: state, RentedSeconds: 500}
 	}
 	for name, list := range map[string]protocol.HostPage{
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -132,7 +132,7 @@
 	w.accept(other, after("j-b", 1, "j-a"))
 	w.cancel(l.name, "j-a")
 	for _, node := range w.names {
-		if r := w.submit(node, after("j-b", 1, "j-a")); r.Status != 200 || !strings.Contains(string(r.Body), protocol.JobCancelled) {
+		if r := w.submit(node, after("j-b", 1, "j-a")); r.Status != 200 || !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
 			t.Errorf("%s: a repeat is answered %d %s", node, r.Status, r.Body)
 		}
 	}
@@ -228,7 +228,7 @@
 	w.accept(other, after("j-b", 1, "j-a"))
 	w.accept(other, after("j-c", 1, "j-k", "j-b"))
 	w.accept(other, after("j-d", 1, "j-k"))
-	if r := w.cancel(other, "j-b"); !strings.Contains(string(r.Body), protocol.JobCancelled) {
+	if r := w.cancel(other, "j-b"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	w.accept(other, after("j-e", 1, "j-c"))
@@ -254,7 +254,7 @@
 				w.accept(l.name, after(fmt.Sprintf("j-%d", i), 1, fmt.Sprintf("j-%d", i-1)))
 			}
 			last := fmt.Sprintf("j-%d", length-1)
-			if r := w.cancel(l.name, "j-0"); !strings.Contains(string(r.Body), protocol.JobCancelled) {
+			if r := w.cancel(l.name, "j-0"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
 				t.Fatalf("%d %s", r.Status, r.Body)
 			}
 			if _, s := w.query(l.name, last); s.State != protocol.JobCancelled {
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -140,7 +140,7 @@
 // A job that is open by one record, be that readable or not, and over by another is over, on every
 // node, and its tasks are stopped.
 func TestOpenAndOverIsOver(t *testing.T) {
-	for i, state := range []string{protocol.JobDone, protocol.JobCancelled, protocol.JobDone, protocol.JobCancelled} {
+	for i, state := range []protocol.JobState{protocol.JobDone, protocol.JobCancelled, protocol.JobDone, protocol.JobCancelled} {
 		w, _ := running(t, 3, time.Hour, 1, 2)
 		for i := range 2 {
 			w.finished[cluster.TaskKey("j-1", i)] = state == protocol.JobDone
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -61,7 +61,7 @@
 		w.restart(n)
 	}
 	for _, n := range w.names {
-		for id, want := range map[string]string{"j-1": protocol.JobDone, "j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
+		for id, want := range map[string]protocol.JobState{"j-1": protocol.JobDone, "j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
 			if code, s := w.query(n, id); code != 200 || s.State != want {
 				t.Fatalf("%s on %s: %d %v", id, n, code, s.State)
 			}
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -148,8 +148,8 @@
 type simTask struct {
 	key     string
 	attempt uint64
-	state   string
-	why     string
+	state   protocol.TaskState
+	why     protocol.ExitReason
 	saved   bool
 	end     clock.Instant
 }
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -89,7 +89,7 @@
 // lookClosely lets users ask at all nodes, again and again within milliseconds, and repeat
 // the submission, as soon as anybody was told that a job is accepted, done or cancelled.
 func (c *userSimulation) lookClosely() {
-	c.told = func(id, _ string) {
+	c.told = func(id string, _ protocol.JobState) {
 		j := c.specs[id]
 		for i := range 6 {
 			c.after(time.Duration(i*i)*step, func() {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -440,7 +440,7 @@
 }
 
 // final is what the state service knows of a job that is over.
-func (w *simulation) final(id string) string {
+func (w *simulation) final(id string) protocol.JobState {
 	var f storage.TerminalRecord
 	if it, ok := w.state.keys[storage.TerminalKey(id)]; ok {
 		json.Unmarshal(it.Value, &f)
@@ -610,7 +610,7 @@
 }
 
 // waitState waits until a job has a state.
-func (w *simulation) waitState(id, state string, d time.Duration) {
+func (w *simulation) waitState(id string, state protocol.JobState, d time.Duration) {
 	w.t.Helper()
 	end := w.now + d
 	var last protocol.JobStatus
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -207,7 +207,7 @@
 }
 
 // singleTaskJob returns a job with one task.
-func singleTaskJob(id, team, class, priority string) protocol.Job {
-	return protocol.Job{ID: id, Class: class, Team: team, Kind: "batch", Priority: priority,
+func singleTaskJob(id, team, class string, priority protocol.Priority) protocol.Job {
+	return protocol.Job{ID: id, Class: class, Team: team, Kind: protocol.JobKindBatch, Priority: priority,
 		TaskCount: 1, Cores: 1, MemoryGB: 1, Image: "i", SpotAllowed: true, EstimatedSeconds: 1}
 }
--- a/internal/daemon/halfopen_test.go
+++ b/internal/daemon/halfopen_test.go
@@ -9,6 +9,7 @@
 
 	"hitchdoor/internal/adminclient"
 	"hitchdoor/internal/config"
+	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
 
@@ -29,7 +30,7 @@
 	submitFor := func(d time.Duration) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			cluster.submitJob(cluster.nodes[jobs%len(cluster.nodes)],
-				singleTaskJob(fmt.Sprintf("j-%d", jobs), "a", "c", "standard"))
+				singleTaskJob(fmt.Sprintf("j-%d", jobs), "a", "c", protocol.PriorityStandard))
 			jobs++
 		}
 	}
--- a/internal/daemon/overload_bench_test.go
+++ b/internal/daemon/overload_bench_test.go
@@ -42,7 +42,7 @@
 	// About 7 jobs a second are accepted, or 22 if no controller knows of the others' submissions.
 	for i := range 1500 {
 		class := []string{"urgent", "standard", "low", "low", "low"}[i%5]
-		job := singleTaskJob(fmt.Sprintf("j-%s-%d", class, i), "a", class, class)
+		job := singleTaskJob(fmt.Sprintf("j-%s-%d", class, i), "a", class, protocol.Priority(class))
 		after := time.Duration(i) * 20 * time.Millisecond
 		users.submissions.Go(func() {
 			time.Sleep(after)
--- a/internal/daemon/overload_test.go
+++ b/internal/daemon/overload_test.go
@@ -31,8 +31,11 @@
 	cluster := newTestCluster(t, 3, 50, settings)
 	cluster.waitForLeader()
 	const perClass = 30
-	classes := []struct{ team, class, priority string }{{"a", "urgent", "urgent"}, {"a", "low", "low"},
-		{"b", "standard", "standard"}}
+	classes := []struct {
+		team, class string
+		priority    protocol.Priority
+	}{{"a", "urgent", protocol.PriorityUrgent}, {"a", "low", protocol.PriorityLow},
+		{"b", "standard", protocol.PriorityStandard}}
 	var users sync.WaitGroup
 	var jobs []string
 	for _, class := range classes {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -173,7 +173,7 @@
 
 // Mismatches of the workers' inventories are classified as the leader's reconciliation does.
 func TestMismatches(t *testing.T) {
-	task := func(key, state, reason string) protocol.TaskStatus {
+	task := func(key string, state protocol.TaskState, reason protocol.ExitReason) protocol.TaskStatus {
 		return protocol.TaskStatus{TaskID: key, Attempt: 1, State: state, ExitReason: reason}
 	}
 	inventories := []fakes.MachineInventory{
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -42,8 +42,8 @@
 
 	mu          sync.Mutex
 	accepted    map[string]bool
-	finalStates map[string]string // terminal states that controllers have answered, by job
-	forgotten   map[string]bool   // accepted jobs that a controller has denied, or none answered for
+	finalStates map[string]protocol.JobState // terminal states that controllers have answered, by job
+	forgotten   map[string]bool              // accepted jobs that a controller has denied, or none answered for
 }
 
 // newLoadGenerator returns a load generator that sends its requests to random controllers.
@@ -51,7 +51,7 @@
 	return &loadGenerator{options: options, fleet: fleet, addresses: addresses,
 		rng:      rand.New(rand.NewPCG(options.Seed, 1)),
 		client:   &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
-		accepted: map[string]bool{}, finalStates: map[string]string{}, forgotten: map[string]bool{}}
+		accepted: map[string]bool{}, finalStates: map[string]protocol.JobState{}, forgotten: map[string]bool{}}
 }
 
 // submitJobs submits jobs until the deadline. It is an open-loop load: the times between jobs are
@@ -76,9 +76,11 @@
 
 // newJob returns a random job.
 func (u *loadGenerator) newJob(number int, meanTasks float64, runTime time.Duration) protocol.Job {
-	priority := []string{"urgent", "standard", "standard", "low"}[u.rng.IntN(4)]
-	return protocol.Job{ID: fmt.Sprintf("j-%d-%d", u.options.Seed, number), Class: priority,
-		Team: teamName(u.rng.IntN(teamCount)), Kind: "batch", Priority: priority,
+	priorities := []protocol.Priority{protocol.PriorityUrgent, protocol.PriorityStandard, protocol.PriorityStandard,
+		protocol.PriorityLow}
+	priority := priorities[u.rng.IntN(len(priorities))]
+	return protocol.Job{ID: fmt.Sprintf("j-%d-%d", u.options.Seed, number), Class: string(priority),
+		Team: teamName(u.rng.IntN(teamCount)), Kind: protocol.JobKindBatch, Priority: priority,
 		TaskCount: max(1, int(meanTasks*(0.5+u.rng.Float64()))), Cores: 1, MemoryGB: 1, Image: "i", SpotAllowed: true,
 		EstimatedSeconds: runTime.Seconds() * (0.5 + u.rng.Float64())}
 }
@@ -152,7 +154,7 @@
 	if state.State == protocol.JobCancelled {
 		u.fleet.RecordCancelConfirmation(id)
 	}
-	if state.State == protocol.JobDone || state.State == protocol.JobCancelled {
+	if state.State.IsTerminal() {
 		u.finalStates[id] = state.State
 		return true
 	}
--- a/internal/fakes/fleet.go
+++ b/internal/fakes/fleet.go
@@ -272,7 +272,7 @@
 	for _, machine := range f.workers {
 		if machine.name > r.URL.Query().Get("since") {
 			list.Machines = append(list.Machines, protocol.Host{Name: machine.name, Type: machineType,
-				Zone: machineZone, Spot: true, State: "running", RentedSeconds: time.Since(machine.rentedAt).Seconds()})
+				Zone: machineZone, Spot: true, State: protocol.HostRunning, RentedSeconds: time.Since(machine.rentedAt).Seconds()})
 		}
 	}
 	slices.SortFunc(list.Machines, func(a, b protocol.Host) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -51,7 +51,7 @@
 }
 
 // exitTask marks a task as exited and updates the fleet's totals.
-func (m *worker) exitTask(exiting *task, reason string) {
+func (m *worker) exitTask(exiting *task, reason protocol.ExitReason) {
 	if exiting.State == protocol.TaskExited {
 		return
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -29,46 +29,13 @@
 	SubmissionRetryWindow = 60 * time.Second
 )
 
-// States of a job.
-const (
-	JobQueued    = "queued"
-	JobRunning   = "running"
-	JobDone      = "done"
-	JobCancelled = "withdrawn"
-)
-
-// States of a task on a machine.
-const (
-	TaskFetching      = "fetching"
-	TaskRunning       = "running"
-	TaskCheckpointing = "saving"
-	TaskExited        = "exited"
-)
-
-// Exit reasons of a task. The last three mean that the worker refused to start it.
-const (
-	ExitDone                  = "done"
-	ExitStopped               = "halted" // stopped by command
-	ExitFailed                = "error"
-	ExitInsufficientResources = "full"    // not enough free resources on the machine
-	ExitDuplicateTask         = "in_use"  // the machine has another attempt of the task
-	ExitUnknownTask           = "unknown" // no such job or task, or the job was not submitted
-)
-
-// Kinds of commands to a worker.
-const (
-	CommandStart  = "start"
-	CommandStop   = "stop"
-	CommandForget = "forget"
-)
-
 // Job is the specification of a job as its user submits it.
 type Job struct {
 	ID                        string   `json:"uid"`
 	Class                     string   `json:"lote"`
 	Team                      string   `json:"dono"`
 	Kind                      string   `json:"feitio"`
-	Priority                  string   `json:"vez"`
+	Priority                  Priority `json:"vez"`
 	TaskCount                 int      `json:"pecas"`
 	Cores                     float64  `json:"cores"`
 	Accelerators              float64  `json:"accelerators"`
@@ -95,22 +62,6 @@
 // ValidJobID reports whether an id has the form of a job id.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// priorityRanks orders the priorities; the smallest rank is the most urgent.
-var priorityRanks = map[string]int{"prod": 0, "urgent": 1, "standard": 2, "low": 3}
-
-// PriorityName returns the priority with the given rank, or "unknown".
-func PriorityName(rank int) string {
-	for priority, priorityRank := range priorityRanks {
-		if priorityRank == rank {
-			return priority
-		}
-	}
-	return "unknown"
-}
-
-// PriorityRank returns the rank of the job's priority; smaller ranks are scheduled first.
-func (j *Job) PriorityRank() int { return priorityRanks[j.Priority] }
-
 // requiredFields are the fields of a submission that must be present and not null.
 var requiredFields = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb", "molde",
 	"pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
@@ -162,7 +113,7 @@
 		return &InvalidFieldError{Field: "lote", Reason: "empty"}
 	case j.Team == "":
 		return &InvalidFieldError{Field: "dono", Reason: "empty"}
-	case j.Kind != "batch":
+	case j.Kind != JobKindBatch:
 		return &InvalidFieldError{Field: "feitio", Reason: "unknown"}
 	case !knownPriority:
 		return &InvalidFieldError{Field: "vez", Reason: "unknown"}
@@ -200,10 +151,10 @@
 
 // JobStatus is the response to a submission, a query and a cancellation.
 type JobStatus struct {
-	ID           string `json:"uid"`
-	State        string `json:"situacao"`
-	DoneTasks    *int   `json:"done,omitempty"`
-	RunningTasks *int   `json:"running,omitempty"`
+	ID           string   `json:"uid"`
+	State        JobState `json:"situacao"`
+	DoneTasks    *int     `json:"done,omitempty"`
+	RunningTasks *int     `json:"running,omitempty"`
 }
 
 // WorkerHeartbeat is the periodic message of a worker: its machine, the newest fencing token it
@@ -225,11 +176,11 @@
 
 // TaskStatus is the status of one task attempt in a worker's heartbeat.
 type TaskStatus struct {
-	TaskID          string `json:"peca"`
-	Attempt         uint64 `json:"tentativa"`
-	State           string `json:"situacao"`
-	ExitReason      string `json:"motivo,omitempty"`
-	CheckpointSaved bool   `json:"saved,omitempty"`
+	TaskID          string     `json:"peca"`
+	Attempt         uint64     `json:"tentativa"`
+	State           TaskState  `json:"situacao"`
+	ExitReason      ExitReason `json:"motivo,omitempty"`
+	CheckpointSaved bool       `json:"saved,omitempty"`
 }
 
 // ParseWorkerHeartbeat decodes a worker's heartbeat. Machine and epoch are required: without them
@@ -250,10 +201,10 @@
 
 // Command instructs a worker to start, stop or forget a task attempt.
 type Command struct {
-	Kind         string   `json:"ordem"`
-	TaskID       string   `json:"peca"`
-	Attempt      uint64   `json:"tentativa"`
-	GraceSeconds *float64 `json:"folgaS,omitempty"`
+	Kind         CommandKind `json:"ordem"`
+	TaskID       string      `json:"peca"`
+	Attempt      uint64      `json:"tentativa"`
+	GraceSeconds *float64    `json:"folgaS,omitempty"`
 }
 
 // HeartbeatResponse is the body of status 200 to a worker's heartbeat. A worker drops it if the
@@ -319,16 +270,13 @@
 	Truncated bool   `json:"truncated"`
 }
 
-// HostFailed is the state of a machine that has stopped by itself.
-const HostFailed = "failed"
-
 // Host is one machine in the cloud's list.
 type Host struct {
-	Name          string  `json:"uid"`
-	Address       string  `json:"address"`
-	Type          string  `json:"porte"`
-	Zone          string  `json:"praca"`
-	Spot          bool    `json:"avulsas"`
-	State         string  `json:"situacao"`
-	RentedSeconds float64 `json:"heldS"`
+	Name          string    `json:"uid"`
+	Address       string    `json:"address"`
+	Type          string    `json:"porte"`
+	Zone          string    `json:"praca"`
+	Spot          bool      `json:"avulsas"`
+	State         HostState `json:"situacao"`
+	RentedSeconds float64   `json:"heldS"`
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -181,10 +181,10 @@
 // TerminalRecord is the record of a terminal job. EndedAtMillis is the time of day of its end, from
 // which the deadlines of its dependents count; version level 0 does not write it.
 type TerminalRecord struct {
-	State         string `json:"state"`
-	TaskCount     int    `json:"tasks"`
-	DoneTasks     int    `json:"done"`
-	EndedAtMillis int64  `json:"at,omitempty"`
+	State         protocol.JobState `json:"state"`
+	TaskCount     int               `json:"tasks"`
+	DoneTasks     int               `json:"done"`
+	EndedAtMillis int64             `json:"at,omitempty"`
 }
 
 // VersionRecord is a node's version: the level of records and messages that it understands.
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -72,7 +72,7 @@
 	if err := decodeObject(item, &record); err != nil {
 		return record, err
 	}
-	if record.State != protocol.JobDone && record.State != protocol.JobCancelled {
+	if !record.State.IsTerminal() {
 		return record, newRecordError(item, "holds the state %q", record.State)
 	}
 	return record, nil
