--- a/cmd/hitchdoor/main.go
+++ b/cmd/hitchdoor/main.go
@@ -23,7 +23,7 @@
 var version = ""
 
 func main() {
-	if err := newRootCommand().Execute(); err != nil {
+	if err := newRootCommand().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "hitchdoor:", err)
 		os.Exit(1)
 	}
@@ -32,60 +32,82 @@
 // errConfigMissing is returned by commands that need the settings file of the platform.
 var errConfigMissing = errors.New("--config: missing: name the platform's settings file")
 
+// settingsFiles are the paths of the settings files.
+type settingsFiles struct{ platform, operators string }
+
+// load reads and validates both settings files.
+func (f *settingsFiles) load() (*config.Platform, config.Settings, error) {
+	if f.platform == "" {
+		return nil, config.Settings{}, errConfigMissing
+	}
+	platform, err := config.LoadPlatform(f.platform)
+	if err != nil {
+		return nil, config.Settings{}, err
+	}
+	settings, err := config.LoadSettings(f.operators)
+	return platform, settings, err
+}
+
 // newRootCommand returns the command that runs a controller, with all subcommands.
 func newRootCommand() *cobra.Command {
-	var platformPath, settingsPath string
-	loadSettings := func() (*config.Platform, config.Settings, error) {
-		if platformPath == "" {
-			return nil, config.Settings{}, errConfigMissing
-		}
-		platform, err := config.LoadPlatform(platformPath)
-		if err != nil {
-			return nil, config.Settings{}, err
-		}
-		settings, err := config.LoadSettings(settingsPath)
-		return platform, settings, err
-	}
+	var files settingsFiles
 	rootCommand := &cobra.Command{
 		Use:           "hitchdoor --config FILE [--settings FILE]",
 		Short:         "A cluster scheduler that survives the loss of its own controllers",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		RunE: func(*cobra.Command, []string) error {
-			platform, settings, err := loadSettings()
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-			defer stop()
-			return daemon.Run(ctx, platform, settings, buildVersion(), newLogger())
+		RunE: func(command *cobra.Command, _ []string) error {
+			return runController(command.Context(), files)
 		},
 	}
-	rootCommand.PersistentFlags().StringVar(&platformPath, "config", "", "the platform's settings file (TOML)")
-	rootCommand.PersistentFlags().StringVar(&settingsPath, "settings", "", "the operators' own settings (YAML)")
-	rootCommand.AddCommand(&cobra.Command{
+	flags := rootCommand.PersistentFlags()
+	flags.StringVar(&files.platform, "config", "", "the platform's settings file (TOML)")
+	flags.StringVar(&files.operators, "settings", "", "the operators' own settings (YAML)")
+	rootCommand.AddCommand(newCheckCommand(&files), newVersionCommand())
+	rootCommand.AddCommand(newOperatorCommands()...)
+	rootCommand.AddCommand(newEmulateCommand())
+	return rootCommand
+}
+
+// runController runs a controller until it is told to end by a signal.
+func runController(ctx context.Context, files settingsFiles) error {
+	platform, settings, err := files.load()
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	return daemon.Run(ctx, platform, settings, buildVersion(), newLogger())
+}
+
+// newCheckCommand returns the subcommand that checks the settings files.
+func newCheckCommand(files *settingsFiles) *cobra.Command {
+	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings files and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			platform, _, err := loadSettings()
-			if err == nil {
-				fmt.Fprintf(command.OutOrStdout(), "ok: node %s of %d\n", platform.Node, platform.Cluster.ControllerCount)
+			platform, _, err := files.load()
+			if err != nil {
+				return err
 			}
-			return err
+			fmt.Fprintf(command.OutOrStdout(), "ok: node %s of %d\n", platform.Node, platform.Cluster.ControllerCount)
+			return nil
 		},
-	}, &cobra.Command{
+	}
+}
+
+// newVersionCommand returns the subcommand that prints the version.
+func newVersionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version and exit",
 		Args:  cobra.NoArgs,
 		Run: func(command *cobra.Command, _ []string) {
 			fmt.Fprintln(command.OutOrStdout(), "hitchdoor", buildVersion())
 		},
-	})
-	rootCommand.AddCommand(newOperatorCommands()...)
-	rootCommand.AddCommand(newEmulateCommand())
-	return rootCommand
+	}
 }
 
 // buildVersion returns the version of a release build, or else that of the module.
--- a/internal/adminclient/admission.go
+++ b/internal/adminclient/admission.go
@@ -184,7 +184,8 @@
 			known = true
 		case verdict.RejectedGroup != nil:
 			fmt.Fprintf(out,
-				"%s: refused by %s, as more of team %q, class %q, priority %s is submitted than can be taken; its turn comes in %d s\n",
+				"%s: refused by %s, as more of team %q, class %q, priority %s is submitted than can be taken; "+
+					"its turn comes in %d s\n",
 				job, response.value.Node, verdict.RejectedGroup.Team, verdict.RejectedGroup.Class,
 				protocol.PriorityName(verdict.RejectedGroup.PriorityRank), verdict.TurnInSeconds)
 			known = true
--- a/internal/adminclient/recovery.go
+++ b/internal/adminclient/recovery.go
@@ -48,20 +48,11 @@
 			incomplete.addReason("%s: a second node that calls itself %s", response.address, status.Node)
 		}
 		names[status.Node] = true
-		switch {
-		case status.IsLeader && status.Recovery != nil:
-			leaders[status.Node] = true
-			fmt.Fprintf(table, "%s\t%s\tleads\t%d\t%s\t%.1f s\n",
-				status.Node, response.address, status.Term, status.Recovery.Phase, status.Recovery.PhaseSeconds)
-			if leader == nil || status.Term > leader.Term {
-				leader = status
-			}
-		case status.LeaderName != "":
-			leaders[status.LeaderName] = true
-			fmt.Fprintf(table, "%s\t%s\tfollows %s\t%d\t\t\n",
-				status.Node, response.address, status.LeaderName, status.Term)
-		default:
-			fmt.Fprintf(table, "%s\t%s\tfollows nobody\t\t\t\n", status.Node, response.address)
+		if name := printRecoveryNode(table, response.address, status); name != "" {
+			leaders[name] = true
+		}
+		if isRecoveringLeader(status) && (leader == nil || status.Term > leader.Term) {
+			leader = status
 		}
 	}
 	table.Flush()
@@ -71,6 +62,27 @@
 	return leader
 }
 
+// isRecoveringLeader reports whether a node leads and tells how its recovery goes.
+func isRecoveringLeader(status *recovery.NodeStatus) bool {
+	return status.IsLeader && status.Recovery != nil
+}
+
+// printRecoveryNode prints the row of a node and returns the leader that it names; empty: none.
+func printRecoveryNode(table io.Writer, address string, status *recovery.NodeStatus) (leader string) {
+	switch {
+	case isRecoveringLeader(status):
+		fmt.Fprintf(table, "%s\t%s\tleads\t%d\t%s\t%.1f s\n",
+			status.Node, address, status.Term, status.Recovery.Phase, status.Recovery.PhaseSeconds)
+		return status.Node
+	case status.LeaderName != "":
+		fmt.Fprintf(table, "%s\t%s\tfollows %s\t%d\t\t\n", status.Node, address, status.LeaderName, status.Term)
+		return status.LeaderName
+	default:
+		fmt.Fprintf(table, "%s\t%s\tfollows nobody\t\t\t\n", status.Node, address)
+		return ""
+	}
+}
+
 // printRecovery prints the recovery status of the leader.
 func printRecovery(out io.Writer, leader *recovery.NodeStatus) {
 	status := leader.Recovery
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -5,7 +5,6 @@
 import (
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"time"
 
@@ -145,98 +144,6 @@
 	return &platform, nil
 }
 
-// validate returns an *InvalidSettingError that names the first invalid setting.
-func (p *Platform) validate() error {
-	requiredTexts := []struct{ name, value string }{
-		{"node", p.Node}, {"client_listen", p.ClientListen}, {"peer_bind", p.PeerBind},
-		{"outside.cloud", p.Services.Cloud}, {"outside.state", p.Services.Store},
-	}
-	for _, field := range requiredTexts {
-		if field.value == "" {
-			return invalidSetting(field.name, "missing")
-		}
-	}
-	addresses := requiredTexts[1:]
-	for i, peer := range p.Peers {
-		if peer.Node == "" || peer.Node == p.Node {
-			return invalidSetting(fmt.Sprintf("known[%d].node", i), "missing, or this node's own")
-		}
-		addresses = append(addresses, struct{ name, value string }{fmt.Sprintf("known[%d].peer_addr", i), peer.Address})
-	}
-	for _, field := range addresses {
-		if _, _, err := net.SplitHostPort(field.value); err != nil {
-			return invalidSetting(field.name, "%q is not host:port", field.value)
-		}
-	}
-	cluster := &p.Cluster
-	if cluster.ControllerCount != len(p.Peers)+1 {
-		return invalidSetting("cluster.count", "%d, but known names %d other nodes", cluster.ControllerCount, len(p.Peers))
-	}
-	positive := []struct {
-		name  string
-		value float64
-	}{
-		{"cluster.workers.report_s", cluster.Workers.HeartbeatIntervalS},
-		{"cluster.workers.lease_s", cluster.Workers.LeaseS},
-		{"cluster.workers.cancel_s", cluster.Workers.CancelS},
-		{"cluster.state.rps", cluster.Store.RequestsPerS},
-		{"cluster.state.write_rps", cluster.Store.WritesPerS},
-		{"cluster.state.value_kb", cluster.Store.ValueKB},
-		{"cluster.state.next.write_rps", cluster.Store.LowerWritesPerS()},
-		{"cluster.cloud.rps", cluster.Cloud.RequestsPerS},
-		{"cluster.cloud.list_lag_s", cluster.Cloud.ListLagS},
-		{"cluster.resources.core_share", cluster.Resources.CoreShare},
-		{"cluster.resources.mem_mb", cluster.Resources.MemoryMB},
-		{"cluster.resources.max_connections", float64(cluster.Resources.MaxConnections)},
-	}
-	for _, field := range positive {
-		if !(field.value > 0) {
-			return invalidSetting(field.name, "must be above 0, is %v", field.value)
-		}
-	}
-	if cluster.Store.TxnOps < minTxnOps {
-		return invalidSetting("cluster.state.txn_ops", "must be at least %d, is %d", minTxnOps, cluster.Store.TxnOps)
-	}
-	if next := cluster.Store.Upcoming.ValueKB; next != nil && !(*next >= minUpcomingValueKB) {
-		return invalidSetting("cluster.state.next.value_kb", "must be at least %v, is %v", minUpcomingValueKB, *next)
-	}
-	if ops := cluster.Store.MaxTxnOps(); ops < minTxnOps {
-		return invalidSetting("cluster.state.next.txn_ops", "must be at least %d, is %d", minTxnOps, ops)
-	}
-	if cluster.Workers.LeaseS <= cluster.Workers.HeartbeatIntervalS {
-		return invalidSetting("cluster.workers.lease_s", "must be above report_s (%v), is %v",
-			cluster.Workers.HeartbeatIntervalS, cluster.Workers.LeaseS)
-	}
-	seen := map[string]bool{}
-	for i, team := range cluster.Teams {
-		if team.Name == "" || seen[team.Name] {
-			return invalidSetting(fmt.Sprintf("cluster.teams[%d].name", i), "missing or given twice")
-		}
-		seen[team.Name] = true
-		for _, field := range []float64{team.GuaranteedCPUs, team.MaxCPUs, team.GuaranteedGPUs, team.MaxGPUs} {
-			if field < 0 {
-				return invalidSetting(fmt.Sprintf("cluster.teams[%d]", i), "%s: amounts can't be negative", team.Name)
-			}
-		}
-	}
-	for i, objective := range cluster.Objectives {
-		if objective.MinShare < 0 || objective.MinShare > 1 || objective.WithinS < 0 {
-			return invalidSetting(fmt.Sprintf("cluster.objectives[%d]", i),
-				"share must be within 0..1 and within_s not negative")
-		}
-	}
-	return nil
-}
-
-// Lower bounds of the limits of the key-value store.
-const (
-	// minTxnOps is the least number of operations for which transactions are formed.
-	minTxnOps = 4
-	// minUpcomingValueKB is the lowest upcoming limit of the size of a value, and so of a job
-	// record.
-	minUpcomingValueKB = 1.0
-)
-
 // maxDuration bounds the durations that Seconds returns, so that sums of several do not overflow
 // whatever a user or another service sends.
 const maxDuration = 10 * 365 * 24 * time.Hour
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -51,8 +51,24 @@
 	heartbeatsPerLease = 6
 )
 
-// Validate fills in defaults that depend on other options and returns an error for invalid options.
+// Validate fills in defaults that depend on other options and returns an error for invalid options: an
+// *InvalidOptionError, or the error of a file that can't be used.
 func (o *Options) Validate() error {
+	if err := o.setDefaults(); err != nil {
+		return err
+	}
+	if err := o.validateSizes(); err != nil {
+		return err
+	}
+	if _, err := os.Stat(o.Program); err != nil {
+		return fmt.Errorf("--program: %w", err)
+	}
+	_, err := config.LoadSettings(o.Settings)
+	return err
+}
+
+// setDefaults fills in the defaults that depend on other options.
+func (o *Options) setDefaults() error {
 	if o.HeartbeatInterval == 0 {
 		o.HeartbeatInterval = max(minHeartbeatInterval,
 			time.Duration(o.Machines)*time.Second/machinesPerHeartbeatSecond)
@@ -67,12 +83,14 @@
 		}
 		o.Program, o.usesOwnProgram = program, true
 	}
-	backAt := o.LoseControllersAt + o.ControllersAway
-	for _, after := range o.LoseAgainAfter {
-		if after <= 0 || o.LoseControllersAt == 0 {
-			return invalidOption("--lose-again-after", "must be above 0, and controllers lost before, is %v", after)
-		}
-		backAt += after
+	return nil
+}
+
+// validateSizes checks the numbers and durations.
+func (o *Options) validateSizes() error {
+	backAt, err := o.controllersBackAt()
+	if err != nil {
+		return err
 	}
 	switch {
 	case o.Machines < 1 || o.Machines > maxMachines:
@@ -86,16 +104,26 @@
 	case o.LoseControllersAt > 0 && backAt >= o.LoadDuration:
 		return invalidOption("--for", "ends after %v, before the controllers are back at %v", o.LoadDuration, backAt)
 	case o.HeartbeatInterval < 100*time.Millisecond || o.LeaseDuration <= o.HeartbeatInterval:
-		return invalidOption("--report-every, --lease", "must be 100ms or more, and the lease longer than that, are %v and %v",
+		return invalidOption("--report-every, --lease",
+			"must be 100ms or more, and the lease longer than that, are %v and %v",
 			o.HeartbeatInterval, o.LeaseDuration)
 	case !(o.Load > 0 && o.Load <= 2):
 		return invalidOption("--load", "must be above 0 and at most 2, is %v", o.Load)
 	}
-	if _, err := os.Stat(o.Program); err != nil {
-		return fmt.Errorf("--program: %w", err)
+	return nil
+}
+
+// controllersBackAt returns when the controllers are started for the last time.
+func (o *Options) controllersBackAt() (time.Duration, error) {
+	backAt := o.LoseControllersAt + o.ControllersAway
+	for _, after := range o.LoseAgainAfter {
+		if after <= 0 || o.LoseControllersAt == 0 {
+			return 0, invalidOption("--lose-again-after",
+				"must be above 0, and controllers lost before, is %v", after)
+		}
+		backAt += after
 	}
-	_, err := config.LoadSettings(o.Settings)
-	return err
+	return backAt, nil
 }
 
 // Parameters of the emulated deployment.
--- a/internal/protocol/cloud_responses.go
+++ b/internal/protocol/cloud_responses.go
@@ -85,17 +85,24 @@
 	minPullGBPerSecond = 1e-3
 )
 
+// canHoldTasks reports whether a machine of the type can be rented and holds a task.
+func (t *MachineType) canHoldTasks() bool {
+	return t.Name != "" && t.Cores > 0 && t.MemoryGB > 0 && !(t.Accelerators < 0)
+}
+
 // UsableTypes returns the machine types that can hold a task, with prices, rates and sizes
 // raised to their lower bounds.
 func (c *Catalog) UsableTypes() []MachineType {
 	var usable []MachineType
 	for _, machineType := range c.Types {
-		if machineType.Name == "" || !(machineType.Cores > 0) || !(machineType.MemoryGB > 0) || machineType.Accelerators < 0 {
+		if !machineType.canHoldTasks() {
 			continue
 		}
-		machineType.OnDemandPrice, machineType.SpotPrice = max(machineType.OnDemandPrice, minPrice), max(machineType.SpotPrice, minPrice)
+		machineType.OnDemandPrice = max(machineType.OnDemandPrice, minPrice)
+		machineType.SpotPrice = max(machineType.SpotPrice, minPrice)
 		machineType.PullGBPerSecond = max(machineType.PullGBPerSecond, minPullGBPerSecond)
-		machineType.ImageCacheGB, machineType.BootSeconds = max(machineType.ImageCacheGB, 0), max(machineType.BootSeconds, 0)
+		machineType.ImageCacheGB = max(machineType.ImageCacheGB, 0)
+		machineType.BootSeconds = max(machineType.BootSeconds, 0)
 		usable = append(usable, machineType)
 	}
 	return usable
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -109,7 +109,7 @@
 // LinkReport is a node's view of the links between controllers and to workers.
 type LinkReport struct {
 	IncomingLinks   []reachability.IncomingLink `json:"hears"`
-	StoreReachable  bool                        `json:"state"`              // the key-value store responds to the sender
+	StoreReachable  bool                        `json:"state"`              // the store responds to the sender
 	RecentWorkers   int                         `json:"workers,omitempty"`  // sent heartbeats to the sender lately
 	StrandedWorkers int                         `json:"stranded,omitempty"` // of these, workers that it could not serve
 	// MostStranded is the node with the most stranded workers that the sender knows of.
@@ -118,7 +118,8 @@
 
 // ReachabilityReport converts the report for a reachability.Matrix.
 func (r *LinkReport) ReachabilityReport() reachability.NodeReport {
-	report := reachability.NodeReport{IncomingLinks: r.IncomingLinks, StoreReachable: r.StoreReachable, RecentWorkers: r.RecentWorkers, StrandedWorkers: r.StrandedWorkers}
+	report := reachability.NodeReport{IncomingLinks: r.IncomingLinks, StoreReachable: r.StoreReachable,
+		RecentWorkers: r.RecentWorkers, StrandedWorkers: r.StrandedWorkers}
 	if r.MostStranded != nil {
 		report.MostStranded = *r.MostStranded
 	}
@@ -144,12 +145,17 @@
 	Links             *LinkReport     `json:"links,omitempty"`
 	PolicyRevision    uint64          `json:"policy,omitempty"`
 	GroupLoads        []GroupLoad     `json:"loads,omitempty"`
-	ID                uint64          `json:"id,omitempty"`
-	RequestKind       RequestKind     `json:"kind,omitempty"`
-	JobID             string          `json:"job,omitempty"`
-	Status            int             `json:"code,omitempty"`
-	RetryAfter        int             `json:"retry,omitempty"`
-	Body              json.RawMessage `json:"body,omitempty"`
+	wireForwarding
+}
+
+// wireForwarding are the fields of forwarded requests and their responses.
+type wireForwarding struct {
+	ID          uint64          `json:"id,omitempty"`
+	RequestKind RequestKind     `json:"kind,omitempty"`
+	JobID       string          `json:"job,omitempty"`
+	Status      int             `json:"code,omitempty"`
+	RetryAfter  int             `json:"retry,omitempty"`
+	Body        json.RawMessage `json:"body,omitempty"`
 }
 
 // peerMessageType identifies the message in its wire form.
@@ -168,7 +174,8 @@
 
 // toWire implements PeerMessage.
 func (m PeerHeartbeat) toWire() wirePeerMessage {
-	return wirePeerMessage{Type: typePeerHeartbeat, Term: m.Term, IsLeader: m.IsLeader, WantsLeaseGrant: m.WantsLeaseGrant,
+	return wirePeerMessage{Type: typePeerHeartbeat,
+		Term: m.Term, IsLeader: m.IsLeader, WantsLeaseGrant: m.WantsLeaseGrant,
 		SentAt: int64(m.SentAt), Uptime: int64(m.Uptime),
 		ProcessID: m.ProcessID, ReceiverProcessID: m.ReceiverProcessID, VersionLevel: m.VersionLevel,
 		WritesThrottled: m.WritesThrottled, ConnectionsFull: m.ConnectionsFull, SpareConnections: m.SpareConnections,
@@ -192,12 +199,14 @@
 
 // toWire implements PeerMessage.
 func (m ForwardedRequest) toWire() wirePeerMessage {
-	return wirePeerMessage{Type: typeForwardedRequest, ID: m.ID, RequestKind: m.Kind, JobID: m.JobID, Body: m.Body}
+	return wirePeerMessage{Type: typeForwardedRequest,
+		wireForwarding: wireForwarding{ID: m.ID, RequestKind: m.Kind, JobID: m.JobID, Body: m.Body}}
 }
 
 // toWire implements PeerMessage.
 func (m ForwardedResponse) toWire() wirePeerMessage {
-	return wirePeerMessage{Type: typeForwardedResponse, ID: m.ID, Status: m.Status, RetryAfter: m.RetryAfter, Body: m.Body}
+	return wirePeerMessage{Type: typeForwardedResponse,
+		wireForwarding: wireForwarding{ID: m.ID, Status: m.Status, RetryAfter: m.RetryAfter, Body: m.Body}}
 }
 
 // toWire implements PeerMessage.
@@ -231,34 +240,34 @@
 	switch l.Type {
 	case typePeerHeartbeat:
 		return l.decodePeerHeartbeat()
-	case typeLeaseGrant:
-		if l.Term == 0 || l.SentAt < 0 {
-			return nil, "without a term or a time"
-		}
-		return LeaseGrant{Term: l.Term, HeartbeatSentAt: time.Duration(l.SentAt)}, ""
-	case typeVoteRequest:
-		if l.Term == 0 {
-			return nil, "without a term"
-		}
-		return VoteRequest{Term: l.Term}, ""
-	case typeVote:
-		if l.Term == 0 {
-			return nil, "without a term"
-		}
-		return Vote{Term: l.Term, Granted: l.Granted}, ""
+	case typeLeaseGrant, typeVoteRequest, typeVote:
+		return l.decodeElection()
 	case typeForwardedRequest:
 		return l.decodeForwardedRequest()
+	case typeForwardedResponse:
+		return l.decodeForwardedResponse()
 	case typeAdmissionLoad:
 		return l.decodeAdmissionLoad()
-	case typeForwardedResponse:
-		if l.ID == 0 || l.Status < 100 || l.Status > 599 || l.RetryAfter < 0 {
-			return nil, "without a number or a status"
-		}
-		return ForwardedResponse{ID: l.ID, Status: l.Status, RetryAfter: l.RetryAfter, Body: l.Body}, ""
 	}
 	return nil, ""
 }
 
+// decodeElection is decode for a LeaseGrant, a VoteRequest and a Vote.
+func (l *wirePeerMessage) decodeElection() (message PeerMessage, reason string) {
+	switch {
+	case l.Type == typeLeaseGrant && (l.Term == 0 || l.SentAt < 0):
+		return nil, "without a term or a time"
+	case l.Term == 0:
+		return nil, "without a term"
+	case l.Type == typeLeaseGrant:
+		return LeaseGrant{Term: l.Term, HeartbeatSentAt: time.Duration(l.SentAt)}, ""
+	case l.Type == typeVoteRequest:
+		return VoteRequest{Term: l.Term}, ""
+	default:
+		return Vote{Term: l.Term, Granted: l.Granted}, ""
+	}
+}
+
 // decodePeerHeartbeat is decode for a PeerHeartbeat.
 func (l *wirePeerMessage) decodePeerHeartbeat() (message PeerMessage, reason string) {
 	if l.SentAt < 0 || l.Uptime < 0 || l.VersionLevel < 0 || l.SpareConnections < 0 || (l.IsLeader && l.Term == 0) {
@@ -291,6 +300,14 @@
 	return ForwardedRequest{ID: l.ID, Kind: l.RequestKind, JobID: l.JobID, Body: l.Body}, ""
 }
 
+// decodeForwardedResponse is decode for a ForwardedResponse.
+func (l *wirePeerMessage) decodeForwardedResponse() (message PeerMessage, reason string) {
+	if l.ID == 0 || l.Status < 100 || l.Status > 599 || l.RetryAfter < 0 {
+		return nil, "without a number or a status"
+	}
+	return ForwardedResponse{ID: l.ID, Status: l.Status, RetryAfter: l.RetryAfter, Body: l.Body}, ""
+}
+
 // decodeAdmissionLoad is decode for an AdmissionLoad.
 func (l *wirePeerMessage) decodeAdmissionLoad() (message PeerMessage, reason string) {
 	if len(l.GroupLoads) == 0 || len(l.GroupLoads) > MaxGroupLoads {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -63,8 +63,8 @@
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // requiredFields are the fields of a submission that must be present and not null.
-var requiredFields = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb", "molde",
-	"pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
+var requiredFields = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb",
+	"molde", "pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
 
 // ParseJob decodes a submission and validates all that does not depend on the settings. Any error
 // means status 400; it is an *InvalidBodyError, an *InvalidFieldError or a *NegativeAmountError.
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -7,6 +7,7 @@
 	"encoding/base64"
 	"fmt"
 	"net/url"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -132,32 +133,40 @@
 	if len(single.Value) <= maxValueBytes || len(record.Spec.Dependencies) == 0 {
 		return []Write{single}
 	}
-	dependencies := record.Spec.Dependencies
+	dependencyWrites := dependencyWrites(record.Spec.ID, record.Spec.Dependencies, maxValueBytes)
 	record.Spec.Dependencies = nil
-	var dependencyWrites []Write
+	record.DependencyRecords = len(dependencyWrites)
+	return append([]Write{Put(JobKey(record.Spec.ID), record)}, dependencyWrites...)
+}
+
+// dependencyWrites returns the writes that store a job's dependencies in records of their own.
+func dependencyWrites(jobID string, dependencies []string, maxValueBytes int) []Write {
+	var writes []Write
 	for len(dependencies) > 0 {
-		count, size := 0, 2
-		for count < len(dependencies) && (count == 0 || size+len(dependencies[count])+3 <= maxValueBytes) {
-			size += len(dependencies[count]) + 3
-			count++
-		}
-		dependencyWrites = append(dependencyWrites, Put(DependenciesKey(record.Spec.ID, len(dependencyWrites)), dependencies[:count]))
+		count := countThatFit(dependencies, maxValueBytes)
+		writes = append(writes, Put(DependenciesKey(jobID, len(writes)), dependencies[:count]))
 		dependencies = dependencies[count:]
 	}
-	record.DependencyRecords = len(dependencyWrites)
-	return append([]Write{Put(JobKey(record.Spec.ID), record)}, dependencyWrites...)
+	return writes
 }
 
-// FitsTxn reports whether a transaction of the writes is within the store's limits.
-func FitsTxn(writes []Write, maxValueBytes, maxWrites int) bool {
-	size := 0
-	for _, write := range writes {
-		if len(write.Value) > maxValueBytes {
-			return false
+// countThatFit returns how many of the ids fit into a value as a JSON list; at least one.
+func countThatFit(ids []string, maxValueBytes int) int {
+	const brackets, quotesAndComma = 2, 3
+	size := brackets
+	for i, id := range ids {
+		size += len(id) + quotesAndComma
+		if i > 0 && size > maxValueBytes {
+			return i
 		}
-		size += write.estimatedBytes()
 	}
-	return len(writes) <= maxWrites && size <= maxTxnBytes
+	return len(ids)
+}
+
+// FitsTxn reports whether a transaction of the writes is within the store's limits.
+func FitsTxn(writes []Write, maxValueBytes, maxWrites int) bool {
+	tooLarge := func(write Write) bool { return len(write.Value) > maxValueBytes }
+	return !slices.ContainsFunc(writes, tooLarge) && len(writes) <= maxWrites && estimatedBytes(writes) <= maxTxnBytes
 }
 
 // RestoreDependencies moves the dependencies from their separate records, given in order, back into
@@ -301,6 +310,15 @@
 // estimatedBytes returns the approximate size of the write and its condition in a transaction.
 func (w Write) estimatedBytes() int { return len(w.Value) + 2*len(w.Key()) + 64 }
 
+// estimatedBytes returns the approximate size of several writes and their conditions.
+func estimatedBytes(writes []Write) int {
+	size := 0
+	for _, write := range writes {
+		size += write.estimatedBytes()
+	}
+	return size
+}
+
 // Key returns the key that is put or deleted.
 func (w Write) Key() string { return w.PutKey + w.DeleteKey }
 
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -97,48 +97,12 @@
 	if w.inFlight != nil {
 		return nil
 	}
-	if budget > w.MaxWrites {
-		budget = w.MaxWrites
-	}
-	touched := map[string]bool{}
-	size := 0
-	takeChanges := func(queue []Change) []Change {
-		for len(queue) > 0 {
-			writes := queue[0].BuildWrites()
-			if len(writes) == 0 {
-				if queue[0].OnApplied != nil {
-					defer queue[0].OnApplied()
-				}
-				queue = queue[1:]
-				continue
-			}
-			if len(w.inFlightWrites)+len(writes) > budget {
-				break
-			}
-			fits := true
-			grownSize := size
-			for _, write := range writes {
-				fits = fits && !touched[write.Key()]
-				grownSize += write.estimatedBytes()
-			}
-			if !fits || (grownSize > w.maxBytes && len(w.inFlightWrites) > 0) {
-				break
-			}
-			size = grownSize
-			for _, write := range writes {
-				touched[write.Key()] = true
-			}
-			w.inFlightWrites = append(w.inFlightWrites, writes...)
-			w.inFlight = append(w.inFlight, queue[0])
-			if queue[0].OnSent != nil {
-				queue[0].OnSent()
-			}
-			queue = queue[1:]
-		}
-		return queue
-	}
+	batch := txnBatch{writer: w, maxWrites: min(budget, w.MaxWrites), keys: map[string]bool{}}
 	for priority := range w.queues {
-		if w.queues[priority] = takeChanges(w.queues[priority]); len(w.queues[priority]) > 0 {
+		remaining := batch.takeChanges(w.queues[priority])
+		batch.completeEmpty()
+		w.queues[priority] = remaining
+		if len(remaining) > 0 {
 			break
 		}
 	}
@@ -148,6 +112,69 @@
 	return w.buildTxn()
 }
 
+// txnBatch fills the next transaction of a writer.
+type txnBatch struct {
+	writer    *Writer
+	maxWrites int
+	keys      map[string]bool // written by the transaction
+	bytes     int             // estimated size of the transaction
+	empty     []Change        // changes of the current queue that have nothing left to write
+}
+
+// takeChanges takes changes from the head of a queue while they fit, and returns the others.
+func (b *txnBatch) takeChanges(queue []Change) []Change {
+	for len(queue) > 0 {
+		writes := queue[0].BuildWrites()
+		switch {
+		case len(writes) == 0:
+			b.empty = append(b.empty, queue[0])
+		case b.fits(writes):
+			b.take(queue[0], writes)
+		default:
+			return queue
+		}
+		queue = queue[1:]
+	}
+	return queue
+}
+
+// completeEmpty completes the changes that have nothing left to write, the last one first.
+func (b *txnBatch) completeEmpty() {
+	for _, change := range slices.Backward(b.empty) {
+		if change.OnApplied != nil {
+			change.OnApplied()
+		}
+	}
+	b.empty = nil
+}
+
+// fits reports whether the transaction can take the writes of one more change.
+func (b *txnBatch) fits(writes []Write) bool {
+	taken := len(b.writer.inFlightWrites)
+	if taken+len(writes) > b.maxWrites {
+		return false
+	}
+	for _, write := range writes {
+		if b.keys[write.Key()] {
+			return false
+		}
+	}
+	return taken == 0 || b.bytes+estimatedBytes(writes) <= b.writer.maxBytes
+}
+
+// take takes a change in flight.
+func (b *txnBatch) take(change Change, writes []Write) {
+	for _, write := range writes {
+		b.keys[write.Key()] = true
+	}
+	b.bytes += estimatedBytes(writes)
+	b.writer.inFlightWrites = append(b.writer.inFlightWrites, writes...)
+	b.writer.inFlight = append(b.writer.inFlight, change)
+	if change.OnSent != nil {
+		change.OnSent()
+	}
+}
+
 // RetryTxn returns the transaction in flight again, unchanged.
 func (w *Writer) RetryTxn() *Txn { return w.buildTxn() }
 
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -1,6 +1,9 @@
 package storage
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
 func unit(done *int, writes ...Write) Change {
 	return Change{BuildWrites: func() []Write { return writes }, OnApplied: func() { *done++ }}
@@ -108,3 +111,34 @@
 		}
 	}
 }
+
+// Changes that have nothing left to write are completed once their queue has been gone through, the
+// last one first; a change that does not fit stays queued with all behind it.
+func TestWriterCompletesEmptyChanges(t *testing.T) {
+	w := NewWriter(2, 1)
+	var events []string
+	change := func(name string, writes ...Write) Change {
+		return Change{
+			BuildWrites: func() []Write { events = append(events, "build "+name); return writes },
+			OnSent:      func() { events = append(events, "sent "+name) },
+			OnApplied:   func() { events = append(events, "applied "+name) },
+		}
+	}
+	w.Enqueue(PriorityDependency, change("empty 1"))
+	w.Enqueue(PriorityDependency, change("full 1", Put("a", 1)))
+	w.Enqueue(PriorityDependency, change("empty 2"))
+	w.Enqueue(PriorityNormal, change("empty 3"))
+	w.Enqueue(PriorityNormal, change("too large", Put("b", 1), Put("c", 1)))
+	w.Enqueue(PriorityLow, change("behind", Put("d", 1)))
+	if txn := w.NextTxn(100); len(txn.Writes) != 1 {
+		t.Fatalf("%d writes", len(txn.Writes))
+	}
+	want := []string{"build empty 1", "build full 1", "sent full 1", "build empty 2", "applied empty 2", "applied empty 1",
+		"build empty 3", "build too large", "applied empty 3"}
+	if !slices.Equal(events, want) {
+		t.Errorf("events %q, not %q", events, want)
+	}
+	if pending := w.PendingChanges(); pending != 3 {
+		t.Errorf("%d changes are pending, not 3", pending)
+	}
+}
