--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"io"
 	"log/slog"
@@ -120,10 +121,10 @@
 		FencingToken: 1<<64 - 1, PreemptionNoticeSeconds: of(4.5), Tasks: []protocol.TaskStatus{
 			{TaskID: protocol.TaskID("j-77", 12), Attempt: 5, State: protocol.TaskExited, ExitReason: protocol.ExitStopped, CheckpointSaved: true}}}
 	tasks := protocol.WorkerHeartbeat{Machine: "m-000008", Epoch: 1, Tasks: []protocol.TaskStatus{}}
-	for i, state := range []string{protocol.TaskFetching, protocol.TaskRunning, protocol.TaskCheckpointing} {
+	for i, state := range []protocol.TaskState{protocol.TaskFetching, protocol.TaskRunning, protocol.TaskCheckpointing} {
 		tasks.Tasks = append(tasks.Tasks, protocol.TaskStatus{TaskID: protocol.TaskID("j-1", i), Attempt: 1, State: state})
 	}
-	for i, why := range []string{protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitInsufficientResources, protocol.ExitDuplicateTask, protocol.ExitUnknownTask} {
+	for i, why := range []protocol.ExitReason{protocol.ExitDone, protocol.ExitStopped, protocol.ExitFailed, protocol.ExitInsufficientResources, protocol.ExitDuplicateTask, protocol.ExitUnknownTask} {
 		tasks.Tasks = append(tasks.Tasks, protocol.TaskStatus{TaskID: protocol.TaskID("j-2", i), Attempt: 1, State: protocol.TaskExited, ExitReason: why})
 	}
 	checkMessages(t, "wire_workers.txt", []message{
@@ -273,7 +274,8 @@
 	}
 	defer ln.Close()
 	opt := transport.PeerLinkOptions{IdleTimeout: 5 * time.Second, QueueLength: 4, Log: slog.New(slog.DiscardHandler)}
-	sender := transport.NewPeerLinks("n0", []config.Peer{{Node: "n1", Address: ln.Addr().String()}}, opt, func(controller.InboundMessage) {})
+	sender := transport.NewPeerLinks("n0", []config.Peer{{Node: "n1", Address: ln.Addr().String()}}, opt, func(context.Context, controller.InboundMessage) {})
+	go sender.Maintain(t.Context())
 	sender.Send("n1", protocol.VoteRequest{Term: 5})
 	conn, err := ln.Accept()
 	if err != nil {
@@ -298,8 +300,8 @@
 	}
 	defer in.Close()
 	took := make(chan controller.InboundMessage, 1)
-	receiver := transport.NewPeerLinks("n1", []config.Peer{{Node: "n0", Address: ln.Addr().String()}}, opt, func(m controller.InboundMessage) { took <- m })
-	go receiver.Serve(in)
+	receiver := transport.NewPeerLinks("n1", []config.Peer{{Node: "n0", Address: ln.Addr().String()}}, opt, func(_ context.Context, m controller.InboundMessage) { took <- m })
+	go receiver.Serve(t.Context(), in)
 	out, err := net.Dial("tcp4", in.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -328,7 +330,7 @@
 // owner answers each request with what reached it.
 type owner struct{}
 
-func (owner) Handle(r controller.Request, _ time.Duration) controller.Reply {
+func (owner) Handle(_ context.Context, r controller.Request, _ time.Duration) controller.Reply {
 	switch r.JobID {
 	case "j-empty":
 		return controller.Reply{Status: 404}
@@ -356,7 +358,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	go transport.NewServer(owner{}, transport.ServerOptions{MaxConnections: 64, IdleTimeout: 5 * time.Second, RequestTimeout: time.Second}).Serve(ln)
+	go transport.NewServer(owner{}, transport.ServerOptions{MaxConnections: 64, IdleTimeout: 5 * time.Second, RequestTimeout: time.Second}).Serve(t.Context(), ln)
 	job := string(storage.Encode(leastJob()))
 	var got []line
 	for _, c := range []struct{ method, path, body string }{
@@ -412,7 +414,7 @@
 		names = append(names, line{"order", order.String()})
 	}
 	for rank := range 5 {
-		names = append(names, line{"rank " + strconv.Itoa(rank), protocol.PriorityName(rank)})
+		names = append(names, line{"rank " + strconv.Itoa(rank), string(protocol.PriorityName(rank))})
 	}
 	checkGolden(t, "words.txt", names)
 }
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -14,7 +14,7 @@
 }
 
 // finishJob makes a job terminal. Users are notified only after the terminal record is durable.
-func (r *jobRecords) finishJob(j *cluster.Job, state string) {
+func (r *jobRecords) finishJob(j *cluster.Job, state protocol.JobState) {
 	j.Terminal, j.Cancelled = true, state == protocol.JobCancelled
 	terminal := storage.TerminalRecord{State: state, TaskCount: j.Spec.TaskCount, DoneTasks: j.DoneTasks}
 	r.stopAttempts(j)
--- a/internal/controller/reconciler_test.go
+++ b/internal/controller/reconciler_test.go
@@ -115,13 +115,13 @@
 }
 
 // status returns the status of the attempt that place assigns to a task.
-func (f *reconcilerFixture) status(taskIndex int, state, exitReason string) protocol.TaskStatus {
+func (f *reconcilerFixture) status(taskIndex int, state protocol.TaskState, exitReason protocol.ExitReason) protocol.TaskStatus {
 	return protocol.TaskStatus{TaskID: cluster.TaskKey(f.job.Spec.ID, taskIndex), Attempt: uint64(taskIndex + 1), State: state, ExitReason: exitReason}
 }
 
 // kinds returns the kinds of commands.
-func kinds(commands []protocol.Command) []string {
-	names := []string{}
+func kinds(commands []protocol.Command) []protocol.CommandKind {
+	names := []protocol.CommandKind{}
 	for _, command := range commands {
 		names = append(names, command.Kind)
 	}
@@ -130,21 +130,21 @@
 
 // A task that has exited is settled by its exit reason. The worker keeps a result until it is durable.
 func TestTaskExitByReason(t *testing.T) {
-	forget := []string{protocol.CommandForget}
+	forget := []protocol.CommandKind{protocol.CommandForget}
 	for name, c := range map[string]struct {
-		reason   string
+		reason   protocol.ExitReason
 		change   func(f *reconcilerFixture)
-		commands []string
+		commands []protocol.CommandKind
 		done     bool
 		released bool
 		failures int           // of the machine
 		retryIn  time.Duration // until the task is tried again; never: its history is not touched
 	}{
-		"done, not durable": {reason: protocol.ExitDone, commands: []string{}, done: true, released: true, retryIn: clock.Never},
+		"done, not durable": {reason: protocol.ExitDone, commands: []protocol.CommandKind{}, done: true, released: true, retryIn: clock.Never},
 		"done, durable": {reason: protocol.ExitDone, change: func(f *reconcilerFixture) { f.job.BitmapParts[0].StoredBits = []byte{1} },
 			commands: forget, done: true, released: true, retryIn: clock.Never},
 		"done, not tracked": {reason: protocol.ExitDone, change: func(f *reconcilerFixture) { f.ReleaseAttempt(f.job.Attempts[0]) },
-			commands: []string{}, done: true, released: true, retryIn: clock.Never},
+			commands: []protocol.CommandKind{}, done: true, released: true, retryIn: clock.Never},
 		"stopped":                 {reason: protocol.ExitStopped, commands: forget, released: true, retryIn: clock.Never},
 		"failed":                  {reason: protocol.ExitFailed, commands: forget, released: true, failures: 1},
 		"refused":                 {reason: protocol.ExitInsufficientResources, commands: forget, released: true, retryIn: 4 * time.Second},
@@ -263,7 +263,7 @@
 	if f.job.Attempts[1] != sent || f.job.Attempts[3] != assigned {
 		t.Error("an attempt whose start was not delivered is not tracked")
 	}
-	if !slices.Equal(kinds(commands), []string{protocol.CommandStart, protocol.CommandStart}) || f.firstStarts != 1 {
+	if !slices.Equal(kinds(commands), []protocol.CommandKind{protocol.CommandStart, protocol.CommandStart}) || f.firstStarts != 1 {
 		t.Errorf("commands %v, first starts %d", kinds(commands), f.firstStarts)
 	}
 }
@@ -298,7 +298,7 @@
 	}
 	f.stopsRefused, f.terminalLoaded = false, true
 	commands := f.report(t, unknown)
-	if !slices.Equal(kinds(commands), []string{protocol.CommandStop}) || *commands[0].GraceSeconds != 0 ||
+	if !slices.Equal(kinds(commands), []protocol.CommandKind{protocol.CommandStop}) || *commands[0].GraceSeconds != 0 ||
 		!slices.Equal(f.mismatches, []recovery.Mismatch{recovery.JobNeverStored}) {
 		t.Errorf("commands %v, mismatches %v", kinds(commands), f.mismatches)
 	}
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -116,7 +116,7 @@
 // JobFinished traces the end of a job and remembers its terminal record.
 func (h recordsHost) JobFinished(j *cluster.Job, terminal storage.TerminalRecord) {
 	l := h.leader
-	l.node.traceStep(j.Spec.ID, stepTerminal, terminal.State+" after "+l.jobAge(j))
+	l.node.traceStep(j.Spec.ID, stepTerminal, string(terminal.State)+" after "+l.jobAge(j))
 	l.node.jobReader.cacheTerminalRecord(j.Spec.ID, terminal)
 }
 
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"strings"
+	"sync"
 	"time"
 
 	"hitchdoor/internal/config"
@@ -23,9 +23,6 @@
 	progressInterval = 500 * time.Millisecond
 )
 
-// ErrInterrupted is returned by Run if its context is cancelled.
-var ErrInterrupted = errors.New("interrupted")
-
 // emulation is the state of one call of Run.
 type emulation struct {
 	options     *Options
@@ -34,6 +31,7 @@
 	controllers *controllerSet
 	load        *loadGenerator
 	sampler     sampler
+	background  sync.WaitGroup // counts the goroutines of runLoad
 
 	loadStartedAt, controllersLostAt, controllersRestartedAt time.Time
 	mismatches                                               recovery.MismatchCounts
@@ -47,14 +45,19 @@
 		return nil, err
 	}
 	run := &emulation{options: &options}
-	run.store = fakes.NewStore(storeWriteRPS)
+	var err error
+	if run.store, err = fakes.NewStore(storeWriteRPS); err != nil {
+		return nil, err
+	}
 	defer run.store.Server.Close()
-	run.fleet = fakes.NewFleet(fakes.FleetSettings{HeartbeatInterval: options.HeartbeatInterval,
+	run.fleet, err = fakes.NewFleet(fakes.FleetSettings{HeartbeatInterval: options.HeartbeatInterval,
 		LeaseDuration: options.LeaseDuration, BootTime: options.HeartbeatInterval,
 		MaxMachines: options.Machines + options.Machines/4, InitialMachines: options.Machines,
 		CoresPerMachine: coresPerMachine, Seed: options.Seed})
+	if err != nil {
+		return nil, err
+	}
 	defer run.fleet.Close()
-	var err error
 	if run.controllers, err = newControllerSet(&options, run.store.Server.Address(),
 		run.fleet.Server.Address()); err != nil {
 		return nil, err
@@ -111,14 +114,14 @@
 // runLoad generates load for the duration of the run; meanwhile the controllers are killed and
 // started again, if the options say so.
 func (e *emulation) runLoad(ctx context.Context) error {
-	done := make(chan struct{})
-	defer close(done)
-	go e.sampler.run(e.fleet, done)
 	ctx, cancel := context.WithCancel(ctx)
+	defer e.load.client.CloseIdleConnections()
+	defer e.background.Wait()
 	defer cancel()
+	e.background.Go(func() { e.sampler.run(ctx, e.fleet) })
 	e.loadStartedAt = time.Now()
 	deadline := e.loadStartedAt.Add(e.options.LoadDuration)
-	go e.load.submitJobs(ctx, deadline)
+	e.background.Go(func() { e.load.submitJobs(ctx, deadline) })
 	if e.options.LoseControllersAt > 0 {
 		if err := e.loseControllers(ctx); err != nil {
 			return err
@@ -153,16 +156,20 @@
 	if err := e.controllers.startAll(); err != nil {
 		return err
 	}
-	go func() {
-		if sleep(ctx, e.options.LeaseDuration*3/2) {
-			for _, name := range partitioned {
-				e.fleet.SetPartitioned(name, false)
-			}
-		}
-	}()
+	e.background.Go(func() { e.reconnect(ctx, partitioned) })
 	return e.loseControllersAgain(ctx)
 }
 
+// reconnect ends the partition of machines once their leases have expired.
+func (e *emulation) reconnect(ctx context.Context, partitioned []string) {
+	if !sleep(ctx, e.options.LeaseDuration*3/2) {
+		return
+	}
+	for _, name := range partitioned {
+		e.fleet.SetPartitioned(name, false)
+	}
+}
+
 // loseControllersAgain kills all controllers during their recovery, as often as the options say, and
 // starts them again at once.
 func (e *emulation) loseControllersAgain(ctx context.Context) error {
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -1,30 +1,36 @@
 package fakes
 
 import (
+	"fmt"
 	"net"
 	"net/http"
+	"sync"
 )
 
 // Server serves the HTTP interface of a fake on a port of its own on loopback.
 type Server struct {
 	URL string
 
-	server *http.Server
+	server  *http.Server
+	serving sync.WaitGroup // counts the goroutine that accepts connections
 }
 
-// newServer starts a server. It panics if no port is free on loopback, as no test can run then.
-func newServer(handler http.Handler) *Server {
+// newServer starts a server.
+func newServer(handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		panic("fakes: " + err.Error())
+		return nil, fmt.Errorf("fakes: %w", err)
 	}
 	s := &Server{URL: "http://" + listener.Addr().String(), server: &http.Server{Handler: handler}}
-	go s.server.Serve(listener)
-	return s
+	s.serving.Go(func() { s.server.Serve(listener) })
+	return s, nil
 }
 
 // Address returns the server's host:port.
 func (s *Server) Address() string { return s.URL[len("http://"):] }
 
-// Close closes the server and all its connections.
-func (s *Server) Close() { s.server.Close() }
+// Close closes the server and all its connections. Requests in progress end by themselves.
+func (s *Server) Close() {
+	s.server.Close()
+	s.serving.Wait()
+}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -6,7 +6,6 @@
 package protocol
 
 import (
-	"errors"
 	"regexp"
 	"slices"
 	"strconv"
@@ -30,46 +29,13 @@
 	SubmissionRetryWindow = 60 * time.Second
 )
 
-// States of a job.
-const (
-	JobQueued    = "queued"
-	JobRunning   = "running"
-	JobDone      = "done"
-	JobCancelled = "withdrawn"
-)
-
-// States of a task on a machine.
-const (
-	TaskFetching      = "fetching"
-	TaskRunning       = "running"
-	TaskCheckpointing = "saving"
-	TaskExited        = "exited"
-)
-
-// Exit reasons of a task. The last three mean that the worker refused to start it.
-const (
-	ExitDone                  = "done"
-	ExitStopped               = "halted" // stopped by command
-	ExitFailed                = "error"
-	ExitInsufficientResources = "full"    // not enough free resources on the machine
-	ExitDuplicateTask         = "in_use"  // the machine has another attempt of the task
-	ExitUnknownTask           = "unknown" // no such job or task, or the job was not submitted
-)
-
-// Kinds of commands to a worker.
-const (
-	CommandStart  = "start"
-	CommandStop   = "stop"
-	CommandForget = "forget"
-)
-
 // Job is the specification of a job as its user submits it.
 type Job struct {
 	ID                        string   `json:"uid"`
 	Class                     string   `json:"lote"`
 	Team                      string   `json:"dono"`
 	Kind                      string   `json:"feitio"`
-	Priority                  string   `json:"vez"`
+	Priority                  Priority `json:"vez"`
 	TaskCount                 int      `json:"pecas"`
 	Cores                     float64  `json:"cores"`
 	Accelerators              float64  `json:"accelerators"`
@@ -96,90 +62,99 @@
 // ValidJobID reports whether an id has the form of a job id.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// priorityRanks orders the priorities; the smallest rank is the most urgent.
-var priorityRanks = map[string]int{"prod": 0, "urgent": 1, "standard": 2, "low": 3}
-
-// PriorityName returns the priority with the given rank, or "unknown".
-func PriorityName(rank int) string {
-	for priority, priorityRank := range priorityRanks {
-		if priorityRank == rank {
-			return priority
-		}
-	}
-	return "unknown"
-}
-
-// PriorityRank returns the rank of the job's priority; smaller ranks are scheduled first.
-func (j *Job) PriorityRank() int { return priorityRanks[j.Priority] }
-
 // requiredFields are the fields of a submission that must be present and not null.
-var requiredFields = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb", "molde",
-	"pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
+var requiredFields = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb",
+	"molde", "pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
 
 // ParseJob decodes a submission and validates all that does not depend on the settings. Any error
-// means status 400.
+// means status 400; it is an *InvalidBodyError, an *InvalidFieldError or a *NegativeAmountError.
 func ParseJob(body []byte) (*Job, error) {
 	if len(body) > MaxBodyBytes {
-		return nil, errors.New("body over 64 KiB")
+		return nil, &InvalidBodyError{Reason: "body over 64 KiB"}
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
-		return nil, errors.New("not a JSON object")
+		return nil, &InvalidBodyError{Reason: "not a JSON object", Err: err}
 	}
 	for _, name := range requiredFields {
 		if raw, ok := fields[name]; !ok || string(raw) == "null" {
-			return nil, errors.New(name + ": missing")
+			return nil, &InvalidFieldError{Field: name, Reason: "missing"}
 		}
 	}
 	var job Job
 	if err := json.Unmarshal(body, &job); err != nil {
-		return nil, errors.New("a field has the wrong type")
+		return nil, &InvalidBodyError{Reason: "a field has the wrong type", Err: err}
 	}
 	if err := job.Validate(); err != nil {
 		return nil, err
 	}
-	seen := make(map[string]bool, len(job.Dependencies))
-	job.Dependencies = slices.DeleteFunc(job.Dependencies, func(id string) bool {
+	job.Dependencies = withoutDuplicates(job.Dependencies)
+	return &job, nil
+}
+
+// withoutDuplicates removes repeated ids and keeps the order of the first ones.
+func withoutDuplicates(ids []string) []string {
+	seen := make(map[string]bool, len(ids))
+	return slices.DeleteFunc(ids, func(id string) bool {
 		duplicate := seen[id]
 		seen[id] = true
 		return duplicate
 	})
-	return &job, nil
 }
 
-// Validate returns an error if no settings would allow the job.
+// Validate returns an error if no settings would allow the job: an *InvalidFieldError or a
+// *NegativeAmountError.
 func (j *Job) Validate() error {
-	_, knownRank := priorityRanks[j.Priority]
+	_, knownPriority := priorityRanks[j.Priority]
 	switch {
 	case !ValidJobID(j.ID):
-		return errors.New("uid: not a job id")
+		return &InvalidFieldError{Field: "uid", Reason: "not a job id"}
 	case j.Class == "":
-		return errors.New("lote: empty")
+		return &InvalidFieldError{Field: "lote", Reason: "empty"}
 	case j.Team == "":
-		return errors.New("dono: empty")
-	case j.Kind != "batch":
-		return errors.New("feitio: unknown")
-	case !knownRank:
-		return errors.New("vez: unknown")
+		return &InvalidFieldError{Field: "dono", Reason: "empty"}
+	case j.Kind != JobKindBatch:
+		return &InvalidFieldError{Field: "feitio", Reason: "unknown"}
+	case !knownPriority:
+		return &InvalidFieldError{Field: "vez", Reason: "unknown"}
 	case j.TaskCount < 1 || j.TaskCount > MaxTasksPerJob:
-		return errors.New("pecas: must be 1 to 100,000")
-	case !(j.Cores >= 0) || !(j.Accelerators >= 0) || !(j.MemoryGB >= 0) || !(j.ImageGB >= 0) ||
-		!(j.EstimatedSeconds >= 0) || !(j.CheckpointIntervalSeconds >= 0) || !(j.CheckpointSaveSeconds >= 0):
-		return errors.New("an amount is negative")
-	case j.DeadlineSeconds != nil && !(*j.DeadlineSeconds >= 0):
-		return errors.New("prazoS: negative")
-	case slices.ContainsFunc(j.Dependencies, func(id string) bool { return !ValidJobID(id) }):
-		return errors.New("aguarda: not a list of job ids")
+		return &InvalidFieldError{Field: "pecas", Reason: "must be 1 to 100,000"}
+	}
+	if err := j.validateAmounts(); err != nil {
+		return err
+	}
+	if slices.ContainsFunc(j.Dependencies, func(id string) bool { return !ValidJobID(id) }) {
+		return &InvalidFieldError{Field: "aguarda", Reason: "not a list of job ids"}
+	}
+	return nil
+}
+
+// validateAmounts returns an error if an amount is negative or not a number.
+func (j *Job) validateAmounts() error {
+	for _, amount := range []struct {
+		field string
+		value float64
+	}{
+		{"cores", j.Cores}, {"accelerators", j.Accelerators}, {"ramGb", j.MemoryGB}, {"pullGb", j.ImageGB},
+		{"previstoS", j.EstimatedSeconds}, {"marcoS", j.CheckpointIntervalSeconds},
+		{"guardaS", j.CheckpointSaveSeconds},
+	} {
+		if !(amount.value >= 0) {
+			return &NegativeAmountError{Field: amount.field}
+		}
+	}
+	if j.DeadlineSeconds != nil && !(*j.DeadlineSeconds >= 0) {
+		return &InvalidFieldError{Field: "prazoS", Reason: "negative"}
 	}
 	return nil
 }
 
 // JobStatus is the response to a submission, a query and a cancellation.
 type JobStatus struct {
-	ID           string `json:"uid"`
-	State        string `json:"situacao"`
-	DoneTasks    *int   `json:"done,omitempty"`
-	RunningTasks *int   `json:"running,omitempty"`
+	ID           string   `json:"uid"`
+	State        JobState `json:"situacao"`
+	DoneTasks    *int     `json:"done,omitempty"`
+	RunningTasks *int     `json:"running,omitempty"`
 }
 
 // WorkerHeartbeat is the periodic message of a worker: its machine, the newest fencing token it
@@ -201,22 +176,22 @@
 
 // TaskStatus is the status of one task attempt in a worker's heartbeat.
 type TaskStatus struct {
-	TaskID          string `json:"peca"`
-	Attempt         uint64 `json:"tentativa"`
-	State           string `json:"situacao"`
-	ExitReason      string `json:"motivo,omitempty"`
-	CheckpointSaved bool   `json:"saved,omitempty"`
+	TaskID          string     `json:"peca"`
+	Attempt         uint64     `json:"tentativa"`
+	State           TaskState  `json:"situacao"`
+	ExitReason      ExitReason `json:"motivo,omitempty"`
+	CheckpointSaved bool       `json:"saved,omitempty"`
 }
 
 // ParseWorkerHeartbeat decodes a worker's heartbeat. Machine and epoch are required: without them
-// heartbeats can't be ordered.
+// heartbeats can't be ordered. The error is an *InvalidBodyError.
 func ParseWorkerHeartbeat(body []byte) (*WorkerHeartbeat, error) {
 	var heartbeat WorkerHeartbeat
 	if err := json.Unmarshal(body, &heartbeat); err != nil {
-		return nil, err
+		return nil, &InvalidBodyError{Reason: err.Error(), Err: err}
 	}
 	if heartbeat.Machine == "" || heartbeat.Epoch == 0 {
-		return nil, errors.New("report without machine or session")
+		return nil, &InvalidBodyError{Reason: "report without machine or session"}
 	}
 	return &heartbeat, nil
 }
@@ -226,10 +201,10 @@
 
 // Command instructs a worker to start, stop or forget a task attempt.
 type Command struct {
-	Kind         string   `json:"ordem"`
-	TaskID       string   `json:"peca"`
-	Attempt      uint64   `json:"tentativa"`
-	GraceSeconds *float64 `json:"folgaS,omitempty"`
+	Kind         CommandKind `json:"ordem"`
+	TaskID       string      `json:"peca"`
+	Attempt      uint64      `json:"tentativa"`
+	GraceSeconds *float64    `json:"folgaS,omitempty"`
 }
 
 // HeartbeatResponse is the body of status 200 to a worker's heartbeat. A worker drops it if the
@@ -295,16 +270,13 @@
 	Truncated bool   `json:"truncated"`
 }
 
-// HostFailed is the state of a machine that has stopped by itself.
-const HostFailed = "failed"
-
 // Host is one machine in the cloud's list.
 type Host struct {
-	Name          string  `json:"uid"`
-	Address       string  `json:"address"`
-	Type          string  `json:"porte"`
-	Zone          string  `json:"praca"`
-	Spot          bool    `json:"avulsas"`
-	State         string  `json:"situacao"`
-	RentedSeconds float64 `json:"heldS"`
+	Name          string    `json:"uid"`
+	Address       string    `json:"address"`
+	Type          string    `json:"porte"`
+	Zone          string    `json:"praca"`
+	Spot          bool      `json:"avulsas"`
+	State         HostState `json:"situacao"`
+	RentedSeconds float64   `json:"heldS"`
 }
