--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -4,6 +4,8 @@
 	"net/http"
 	"time"
 
+	"hitchdoor/internal/election"
+
 	"hitchdoor/internal/admission"
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/storage"
@@ -35,7 +37,7 @@
 		return false
 	}
 	for _, peer := range node.peers {
-		if node.PeerReachable(peer.name) && peer.protocolLevel < protocolLevelAdmission {
+		if node.PeerReachable(peer.Name) && peer.protocolLevel < protocolLevelAdmission {
 			return false
 		}
 	}
@@ -84,7 +86,7 @@
 // rejectForCapacity rejects an admitted submission that can't be written in time; the user retries.
 func (n *Node) rejectForCapacity(submission *userSubmission) {
 	job := submission.request.Job
-	if !n.election.storeUnavailable() {
+	if !n.election.StoreUnavailable() {
 		n.admissionPolicy.countForCapacity(job, submission.write.policyVersion)
 	}
 	n.traceStep(job.ID, stepRejected, "")
@@ -94,11 +96,11 @@
 // tickAdmission reports the submissions that this node did not accept to the leader, at most once
 // per heartbeat, and reads the policy if a peer knows a newer one.
 func (n *Node) tickAdmission() {
-	if n.admissionPolicy.needsRead() && !n.election.storeFailing() {
+	if n.admissionPolicy.needsRead() && !n.election.StoreFailing() {
 		n.admissionPolicy.read(nil)
 	}
 	n.admissionPolicy.startEpochWithoutPolicy()
-	report, due := n.admissionPolicy.takeLoadReport(n.workerLease() / peerHeartbeatsPerLease)
+	report, due := n.admissionPolicy.takeLoadReport(n.workerLease() / election.HeartbeatsPerWorkerLease)
 	if !due {
 		return
 	}
@@ -106,7 +108,7 @@
 	case n.holdsLeaderLease():
 		n.leader.admission.addNodeLoad(report)
 	case leaderPeer != nil:
-		n.send(leaderPeer.name, report)
+		n.send(leaderPeer.Name, report)
 	}
 }
 
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -82,4 +82,4 @@
 }
 
 // StoreFailing reports whether the last call to the key-value store failed.
-func (h autoscalerHost) StoreFailing() bool { return h.leader.node.election.storeFailing() }
+func (h autoscalerHost) StoreFailing() bool { return h.leader.node.election.StoreFailing() }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -86,7 +86,7 @@
 
 func (Drain) apply(n *Node) {
 	n.draining = true
-	n.election.drain()
+	n.election.Drain()
 }
 
 func (l ServerLoad) apply(n *Node) { n.workerRouter.connections.update(l.Open, l.Limit) }
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -49,9 +49,9 @@
 
 // connectivityReport returns what this node tells its peers about its links and workers.
 func (n *Node) connectivityReport() *protocol.LinkReport {
-	report := &protocol.LinkReport{StoreReachable: !n.election.storeFailing()}
+	report := &protocol.LinkReport{StoreReachable: !n.election.StoreFailing()}
 	for _, k := range n.cfg.Peers {
-		if age := n.now - n.peers[k.Node].lastContact; age < n.workerLease() {
+		if age := n.now - n.peers[k.Node].LastContact; age < n.workerLease() {
 			report.IncomingLinks = append(report.IncomingLinks, reachability.IncomingLink{Node: k.Node, AgeMS: age.Milliseconds()})
 		}
 	}
@@ -68,10 +68,10 @@
 	if report == nil {
 		return // an earlier version, which sends no report
 	}
-	err := n.connectivity.matrix.RecordReport(sender.name, n.now, report.ReachabilityReport())
-	if err != nil && !n.connectivity.invalidReportLogged[sender.name] {
-		n.connectivity.invalidReportLogged[sender.name] = true
-		n.log.Warn("invalid connectivity report from peer", "peer", sender.name, "error", err)
+	err := n.connectivity.matrix.RecordReport(sender.Name, n.now, report.ReachabilityReport())
+	if err != nil && !n.connectivity.invalidReportLogged[sender.Name] {
+		n.connectivity.invalidReportLogged[sender.Name] = true
+		n.log.Warn("invalid connectivity report from peer", "peer", sender.Name, "error", err)
 	}
 }
 
@@ -79,7 +79,7 @@
 func (n *Node) twoWayPeerCount() int {
 	return n.connectivity.matrix.CountBidirectional(n.cfg.Node, n.now, n.leaderLease(), func(node string) bool {
 		p := n.peers[node]
-		return p != nil && n.now-p.lastContact < n.leaderLease()
+		return p != nil && n.now-p.LastContact < n.leaderLease()
 	})
 }
 
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -43,7 +43,7 @@
 // MayLookUp implements dependencyHost.
 func (h leaderDependencyHost) MayLookUp() bool {
 	node := h.leader.node
-	return !node.election.storeUnavailable() && h.leader.lookupBudget.Take(node.now, 1)
+	return !node.election.StoreUnavailable() && h.leader.lookupBudget.Take(node.now, 1)
 }
 
 // ReadTerminalRecord implements dependencyHost.
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/election"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
 )
@@ -13,21 +15,21 @@
 	for _, known := range n.cfg.Peers {
 		names = append(names, known.Node)
 	}
-	n.election = newElection(electionOptions{Node: n.cfg.Node, ProcessID: n.processID, Peers: names,
+	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Peers: names,
 		Cluster: &n.cfg.Cluster, Rand: n.rng, Host: electionAdapter{n}})
 	for _, name := range names {
-		n.peers[name] = &peer{electionPeer: n.election.peer(name)}
+		n.peers[name] = &peer{Peer: n.election.Peer(name)}
 	}
 }
 
 // holdsLeaderLease reports whether this node may act as the leader.
-func (n *Node) holdsLeaderLease() bool { return n.election.holdsLeaderLease() }
+func (n *Node) holdsLeaderLease() bool { return n.election.HoldsLeaderLease() }
 
 // leaderLease returns the duration of the leader lease.
-func (n *Node) leaderLease() time.Duration { return n.election.leaderLease() }
+func (n *Node) leaderLease() time.Duration { return n.election.LeaderLease() }
 
 // stepDown ends this node's term as the leader.
-func (n *Node) stepDown(reason string) { n.election.stepDown(reason) }
+func (n *Node) stepDown(reason string) { n.election.StepDown(reason) }
 
 // electionAdapter gives the election access to its node.
 type electionAdapter struct{ node *Node }
@@ -36,9 +38,9 @@
 func (a electionAdapter) Now() clock.Instant { return a.node.now }
 
 // CallStore sends a request to the key-value store.
-func (a electionAdapter) CallStore(method, path string, body any, onResponse func(storeResponse)) {
+func (a electionAdapter) CallStore(method, path string, body any, onResponse func(election.StoreResponse)) {
 	a.node.storeCall(method, path, body, func(result CallResult) {
-		onResponse(storeResponse{Status: result.Status, Body: result.Body})
+		onResponse(election.StoreResponse{Status: result.Status, Body: result.Body})
 	})
 }
 
@@ -79,9 +81,9 @@
 }
 
 // LeaderCondition returns whether this leader should go on to lead.
-func (a electionAdapter) LeaderCondition() leaderCondition {
+func (a electionAdapter) LeaderCondition() election.LeaderCondition {
 	current := a.node.leader
-	condition := leaderCondition{LastWorkerHeartbeat: current.lastWorkerHeartbeat, ResignReason: a.node.resignReason()}
+	condition := election.LeaderCondition{LastWorkerHeartbeat: current.lastWorkerHeartbeat, ResignReason: a.node.resignReason()}
 	if current.attemptCounter >= maxAttemptCounter {
 		condition.StepDownReason = "attempt numbers exhausted"
 	}
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/election"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -104,7 +106,7 @@
 			t.Fatal("voted right after a restart")
 		}
 	}
-	n.election.recordStoreResponse(step, 503)
+	n.election.RecordStoreResponse(step, 503)
 	out = n.Step(2*step, []Command{InboundMessage{From: first.name, Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
 	for _, e := range out {
 		if says[protocol.LeaseGrant](e) {
@@ -282,7 +284,7 @@
 func TestAuthorityIsExclusive(t *testing.T) {
 	eachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
 		c := newUserSimulation(newSimulationOf(t, []int{3, 5, 7}[seed%3], deployments[seed/3%uint64(len(deployments))]), seed)
-		span := c.lease() / leaderLeasesPerWorkerLease
+		span := c.lease() / election.LeaderLeasesPerWorkerLease
 		soon := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(span) * 0.7) }
 		c.driftClocks()
 		c.holds = seed%2 == 0
@@ -373,7 +375,7 @@
 		w.run(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
 		delete(w.state.refuse, voter) // its grant is the last one
 		asks := func() bool {
-			return slices.Contains(w.nodes[candidate].election.status().Votes, returning)
+			return slices.Contains(w.nodes[candidate].election.Status().Votes, returning)
 		}
 		if w.until(old.leaderLease(), asks) {
 			w.back(returning, 20*time.Millisecond)
@@ -409,7 +411,7 @@
 	}
 	sent := now
 	l.Step(sent+l.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
-	if until := l.election.status().LeaseValidUntil; until != sent+safeLeaseSpan(l.leaderLease()) {
+	if until := l.election.Status().LeaseValidUntil; until != sent+election.SafeLeaseSpan(l.leaderLease()) {
 		t.Errorf("authority until %v after a renewal sent at %v", until, sent)
 	}
 }
@@ -443,17 +445,17 @@
 
 func (h *agreeingStore) Now() clock.Instant { return h.now }
 
-func (h *agreeingStore) CallStore(_, path string, _ any, onResponse func(storeResponse)) {
+func (h *agreeingStore) CallStore(_, path string, _ any, onResponse func(election.StoreResponse)) {
 	switch path {
 	case "/store/" + storage.TermKey:
 		term := storage.Encode(storage.Term{Term: h.lastTerm})
-		onResponse(storeResponse{Status: 200, Body: storage.Encode(storage.Item{Value: term})})
+		onResponse(election.StoreResponse{Status: 200, Body: storage.Encode(storage.Item{Value: term})})
 	case "/holds":
-		onResponse(storeResponse{Status: 200, Body: storage.Encode(storage.Lease{ID: 1})})
+		onResponse(election.StoreResponse{Status: 200, Body: storage.Encode(storage.Lease{ID: 1})})
 	case "/multi":
-		onResponse(storeResponse{Status: 200, Body: storage.Encode(storage.TxnResponse{})})
+		onResponse(election.StoreResponse{Status: 200, Body: storage.Encode(storage.TxnResponse{})})
 	default:
-		onResponse(storeResponse{Status: 404})
+		onResponse(election.StoreResponse{Status: 404})
 	}
 }
 
@@ -463,9 +465,9 @@
 	host := &agreeingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
 	alone := n.cfg.Cluster
 	alone.ControllerCount = 1
-	n.election = newElection(electionOptions{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone, Rand: n.rng, Host: host})
+	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone, Rand: n.rng, Host: host})
 	for !n.holdsLeaderLease() {
 		host.now += step
-		n.election.tick()
+		n.election.Tick()
 	}
 }
--- a/internal/controller/halfopen_test.go
+++ b/internal/controller/halfopen_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/election"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/reachability"
 )
@@ -131,7 +133,7 @@
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for _, period := range []float64{1.0 / peerHeartbeatsPerLease, 0.2, 0.5, 1.1} {
+			for _, period := range []float64{1.0 / election.HeartbeatsPerWorkerLease, 0.2, 0.5, 1.1} {
 				w, l := running(t, 3, 3*time.Second, 4, 4)
 				c := newUserSimulation(w, 3)
 				leader, lease := l.name, l.workerLease()
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -37,7 +37,7 @@
 
 // queueEarlyHeartbeat holds a heartbeat until all records have been read.
 func (l *leader) queueEarlyHeartbeat(request Request) {
-	if len(l.earlyHeartbeats) >= l.node.maxEarlyHeartbeats() || l.node.election.storeUnavailable() {
+	if len(l.earlyHeartbeats) >= l.node.maxEarlyHeartbeats() || l.node.election.StoreUnavailable() {
 		l.node.replyUnavailable(request.Origin)
 		return
 	}
--- a/internal/controller/job_reader_host.go
+++ b/internal/controller/job_reader_host.go
@@ -17,11 +17,11 @@
 }
 
 // StoreUnavailable implements jobReaderHost.
-func (h nodeJobReaderHost) StoreUnavailable() bool { return h.node.election.storeUnavailable() }
+func (h nodeJobReaderHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
 // StoreResponding implements jobReaderHost.
 func (h nodeJobReaderHost) StoreResponding() bool {
-	return h.node.election.storeReachable()
+	return h.node.election.StoreReachable()
 }
 
 // HasOpenJob implements jobReaderHost.
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -91,7 +91,7 @@
 	if !j.Terminal {
 		l.jobRecords.finishJob(j, protocol.JobCancelled)
 	}
-	if l.node.election.storeUnavailable() {
+	if l.node.election.StoreUnavailable() {
 		l.node.replyUnavailable(origin)
 		return
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -123,7 +123,7 @@
 			l.delayedCalls = append(l.delayedCalls, call)
 		}
 	}
-	if !l.recordsLoaded && node.election.storeUnavailable() {
+	if !l.recordsLoaded && node.election.StoreUnavailable() {
 		l.rejectEarlyHeartbeats()
 	}
 	l.tickRecovery()
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -26,7 +26,7 @@
 func (n *Node) recoveryStatus() recovery.NodeStatus {
 	status := recovery.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease()}
 	if leaderPeer := n.leaderPeer(); leaderPeer != nil {
-		status.LeaderName, status.Term = leaderPeer.name, leaderPeer.term
+		status.LeaderName, status.Term = leaderPeer.Name, leaderPeer.Term
 	}
 	if status.IsLeader {
 		current := n.leader
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"time"
 
+	"hitchdoor/internal/election"
+
 	"hitchdoor/internal/ratelimit"
 
 	"hitchdoor/internal/clock"
@@ -43,7 +45,7 @@
 	pendingCalls      map[uint64]func(CallResult)
 	invalidResponseAt map[Target]clock.Instant // last response that failed validation
 
-	election     *election
+	election     *election.Election
 	peers        map[string]*peer
 	forwards     *forwardTable[Request] // requests forwarded to the leader
 	workerRouter *workerRouter
@@ -169,7 +171,7 @@
 
 // tick runs the periodic work of every node, and of the leader if this node leads.
 func (n *Node) tick() {
-	n.election.tick()
+	n.election.Tick()
 	n.catalog.tick()
 	n.forwards.expire(n.now, n.serveWithoutLeader)
 	n.workerRouter.expireRoutes()
@@ -255,7 +257,7 @@
 // storeCall emits a request to the key-value store and records whether the store answered it.
 func (n *Node) storeCall(method, path string, body any, onResult func(CallResult)) {
 	n.callService(TargetStore, method, path, body, n.storeTimeout(), func(result CallResult) {
-		n.election.recordStoreResponse(n.now, result.Status)
+		n.election.RecordStoreResponse(n.now, result.Status)
 		if result.Status == 429 && path == "/multi" {
 			n.throttleWrites()
 		}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -1,10 +1,13 @@
 package controller
 
-import "hitchdoor/internal/protocol"
+import (
+	"hitchdoor/internal/election"
+	"hitchdoor/internal/protocol"
+)
 
 // peer is what this node knows of another controller.
 type peer struct {
-	*electionPeer
+	*election.Peer
 	protocolLevel int // protocol level of its version; 0: not announced
 }
 
@@ -17,7 +20,7 @@
 	if heartbeat, ok := inbound.Message.(protocol.PeerHeartbeat); ok {
 		n.recordPeerHeartbeat(sender, heartbeat)
 	}
-	n.election.handleMessage(sender.name, inbound.Message)
+	n.election.HandleMessage(sender.Name, inbound.Message)
 	switch message := inbound.Message.(type) {
 	case protocol.AdmissionLoad:
 		if n.holdsLeaderLease() {
@@ -35,7 +38,7 @@
 	sender.protocolLevel = heartbeat.VersionLevel
 	n.admissionPolicy.recordPeerRevision(heartbeat.PolicyRevision)
 	n.onConnectivityReport(sender, heartbeat.Links)
-	n.workerRouter.recordPeerHeartbeat(sender.name, heartbeat)
+	n.workerRouter.recordPeerHeartbeat(sender.Name, heartbeat)
 	if heartbeat.WritesThrottled {
 		n.throttleWrites()
 	}
@@ -43,9 +46,9 @@
 
 // leaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
 func (n *Node) leaderPeer() *peer {
-	leading := n.election.leaderPeer()
+	leading := n.election.LeaderPeer()
 	if leading == nil {
 		return nil
 	}
-	return n.peers[leading.name]
+	return n.peers[leading.Name]
 }
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -42,7 +42,7 @@
 	levels := &n.protocolLevels
 	if levels.clusterLevel >= protocolLevel || levels.requestInFlight ||
 		n.now < levels.lastRead+n.workerLease()/pollsPerLease ||
-		!n.election.storeReachable() {
+		!n.election.StoreReachable() {
 		return
 	}
 	n.readProtocolLevels()
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -63,7 +63,7 @@
 func (h recordsHost) StepDown(reason string) { h.leader.node.stepDown(reason) }
 
 // StoreUnavailable reports whether the key-value store is considered down.
-func (h recordsHost) StoreUnavailable() bool { return h.leader.node.election.storeUnavailable() }
+func (h recordsHost) StoreUnavailable() bool { return h.leader.node.election.StoreUnavailable() }
 
 // NewerVersionSeen reports whether a controller has written a higher protocol level than this
 // version's.
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/election"
+
 	"hitchdoor/internal/protocol"
 )
 
@@ -91,7 +93,7 @@
 						}
 						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, p.lease, i), func(t *testing.T) {
 							t.Parallel()
-							gap(t, nodes, p, uint64(i), time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/leaderLeasesPerWorkerLease*p.lease*1e9), prepare)
+							gap(t, nodes, p, uint64(i), time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/election.LeaderLeasesPerWorkerLease*p.lease*1e9), prepare)
 						})
 					}
 				}
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -190,9 +190,9 @@
 	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", w.state.down, w.state.refuse, w.state.lost, w.state.keys[storage.LeaderKey].Value)
 	for _, name := range w.names {
 		n := w.nodes[name]
-		status := n.election.status()
+		status := n.election.Status()
 		out += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.frozen, n.draining,
-			n.leader != nil, status.IsCandidate, n.election.storeFailing(), status.Isolated, n.election.recentPeerCount(n.leaderLease()))
+			n.leader != nil, status.IsCandidate, n.election.StoreFailing(), status.Isolated, n.election.RecentPeerCount(n.leaderLease()))
 	}
 	return out
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -11,8 +11,8 @@
 // draining, or while it reaches neither the key-value store nor another controller and does not
 // lead.
 func (n *Node) onHealth(request Request) {
-	isolated := len(n.peers) > 0 && n.election.recentPeerCount(n.workerLease()/4) == 0
-	if n.draining || isolated && n.election.storeFailing() && !n.holdsLeaderLease() {
+	isolated := len(n.peers) > 0 && n.election.RecentPeerCount(n.workerLease()/4) == 0
+	if n.draining || isolated && n.election.StoreFailing() && !n.holdsLeaderLease() {
 		n.reply(request.Origin, http.StatusServiceUnavailable, 0, nil)
 		return
 	}
@@ -21,16 +21,16 @@
 
 // onStatus answers with the node's status, and the leader's if this node leads.
 func (n *Node) onStatus(request Request) {
-	status := nodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreFailing: n.election.storeFailing(),
+	status := nodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreFailing: n.election.StoreFailing(),
 		UptimeS: n.now.Round(time.Millisecond).Seconds(), Build: n.build, ProtocolLevel: protocolLevel,
 		ClusterSupportsLevel: n.clusterSupports(protocolLevel)}
 	for _, known := range n.cfg.Peers {
 		p := n.peers[known.Node]
-		status.Peers = append(status.Peers, peerStatus{Node: p.name,
-			Reachable: n.PeerReachable(p.name), ProtocolLevel: p.protocolLevel})
+		status.Peers = append(status.Peers, peerStatus{Node: p.Name,
+			Reachable: n.PeerReachable(p.Name), ProtocolLevel: p.protocolLevel})
 	}
 	if p := n.leaderPeer(); p != nil {
-		status.Leader, status.Term = p.name, p.term
+		status.Leader, status.Term = p.Name, p.Term
 	}
 	if status.IsLeader {
 		status.Leader, status.Term = n.cfg.Node, n.leader.term
@@ -47,7 +47,7 @@
 	page.boolGauge("level_all", "1 once every node is known to have this level.", n.clusterSupports(protocolLevel))
 	page.boolGauge("state_slowed", "1 while changes are paced by the lower rate that the settings announce.",
 		n.writesThrottled)
-	page.boolGauge("state_down", "1 while the state service can't be reached.", n.election.storeFailing())
+	page.boolGauge("state_down", "1 while the state service can't be reached.", n.election.StoreFailing())
 	page.gauge("connections_open", "Connections of users and workers.", float64(n.workerRouter.connections.open))
 	page.boolGauge("connections_full", "1 while no more workers are taken in.", n.workerRouter.connections.full)
 	page.gauge("workers_stranded", "Workers that came here lately and could not be served.",
@@ -86,12 +86,12 @@
 	report := n.connectivityReport()
 	status := reachability.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreReachable: report.StoreReachable,
 		IncomingLinks: report.IncomingLinks, RecentWorkers: report.RecentWorkers, StrandedWorkers: report.StrandedWorkers,
-		LinkTimeoutMS: n.leaderLease().Milliseconds(), CandidacyPaused: n.election.candidacyPaused()}
+		LinkTimeoutMS: n.leaderLease().Milliseconds(), CandidacyPaused: n.election.CandidacyPaused()}
 	for _, known := range n.cfg.Peers {
 		status.Peers = append(status.Peers, known.Node)
 	}
 	if followed := n.leaderPeer(); followed != nil {
-		status.LeaderName, status.Term = followed.name, followed.term
+		status.LeaderName, status.Term = followed.Name, followed.Term
 	}
 	if n.leader != nil {
 		status.Term, status.RecentWorkers = n.leader.term, len(n.leader.Machines)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -64,7 +64,7 @@
 func (w submissionWriter) Now() clock.Instant { return w.node.now }
 
 // StoreUnavailable reports whether the key-value store can't be reached.
-func (w submissionWriter) StoreUnavailable() bool { return w.node.election.storeUnavailable() }
+func (w submissionWriter) StoreUnavailable() bool { return w.node.election.StoreUnavailable() }
 
 // ExecuteTxn sends a transaction to the key-value store.
 func (w submissionWriter) ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte)) {
@@ -79,7 +79,7 @@
 // unknown. The user is answered after the write. Any node may do so, because the leader watches
 // the open jobs.
 func (n *Node) submitToStore(request Request, asLeader *leader) {
-	if !n.catalog.known() || n.election.storeUnavailable() {
+	if !n.catalog.known() || n.election.StoreUnavailable() {
 		n.replyUnavailable(request.Origin)
 		return
 	}
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -53,7 +53,7 @@
 	}
 	if request.Kind == protocol.RequestSubmit {
 		// The leader need not receive it first, because it watches the open jobs.
-		if !n.election.storeFailing() || !n.forwardSubmissionOnce(request) {
+		if !n.election.StoreFailing() || !n.forwardSubmissionOnce(request) {
 			n.serveWithoutLeader(request)
 		}
 		return
@@ -79,7 +79,7 @@
 	case protocol.RequestHeartbeat:
 		message.Body = storage.Encode(request.Heartbeat)
 	}
-	n.send(target.name, message)
+	n.send(target.Name, message)
 }
 
 // forwardSubmissionOnce forwards a submission to the leader, at most once, if this node can't
@@ -105,7 +105,7 @@
 
 // onForwardedRequest handles a request that a peer forwarded.
 func (n *Node) onForwardedRequest(sender *peer, message protocol.ForwardedRequest) {
-	request := Request{Origin: Origin{RequestID: message.ID, Peer: sender.name}, Kind: message.Kind, JobID: message.JobID}
+	request := Request{Origin: Origin{RequestID: message.ID, Peer: sender.Name}, Kind: message.Kind, JobID: message.JobID}
 	var err error
 	switch message.Kind {
 	case protocol.RequestSubmit:
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -78,7 +78,7 @@
 	}
 	n := w.nodes["n0"]
 	n.Step(time.Second, []Command{InboundMessage{From: "n1", Message: m}})
-	if p := n.leaderPeer(); p == nil || p.name != "n1" || p.protocolLevel != 0 {
+	if p := n.leaderPeer(); p == nil || p.Name != "n1" || p.protocolLevel != 0 {
 		t.Errorf("taken as %+v", p)
 	}
 	// And what this version adds, production ignores: it is added, nothing is changed.
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -30,7 +30,7 @@
 	leaderPeer := n.leaderPeer()
 	leaderName := ""
 	if leaderPeer != nil {
-		leaderName = leaderPeer.name
+		leaderName = leaderPeer.Name
 	}
 	switch n.workerRouter.decideOnFollower(request.Heartbeat.Machine, leaderName) {
 	case redirectToLeader:
@@ -70,7 +70,7 @@
 
 // PeerReachable reports whether a message of the peer arrived within the last leader lease.
 func (n *Node) PeerReachable(name string) bool {
-	return n.now-n.peers[name].lastContact < n.leaderLease()
+	return n.now-n.peers[name].LastContact < n.leaderLease()
 }
 
 // maxEarlyHeartbeats bounds the worker heartbeats that wait while a leader reads the stored
--- a/internal/controller/candidacy.go
+++ b/internal/election/candidacy.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"time"
@@ -22,12 +22,12 @@
 }
 
 // startCandidacyInTurn starts a candidacy once it is this node's turn.
-func (e *election) startCandidacyInTurn() {
-	if e.candidacyPaused() {
+func (e *Election) startCandidacyInTurn() {
+	if e.CandidacyPaused() {
 		return
 	}
 	if e.isolated {
-		if e.recentPeerCount(e.leaderLease()) == 0 {
+		if e.RecentPeerCount(e.LeaderLease()) == 0 {
 			return
 		}
 		e.isolated = false
@@ -46,10 +46,10 @@
 // candidacyDelay returns the delay of this node's next candidacy. A random part separates the
 // candidates. Nodes that restarted recently go first: in a rolling restart they will not be
 // restarted again.
-func (e *election) candidacyDelay() time.Duration {
+func (e *Election) candidacyDelay() time.Duration {
 	turn := e.rng.Float64()
 	for _, peer := range e.peers {
-		if e.recentlyHeard(peer) && peer.uptime < e.host.Now() && peer.uptime > clock.WithDrift(e.leaderLease()) {
+		if e.recentlyHeard(peer) && peer.uptime < e.host.Now() && peer.uptime > clock.WithDrift(e.LeaderLease()) {
 			turn++
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 // startCandidacy raises the term by compare-and-set and then collects votes for it.
-func (e *election) startCandidacy() {
+func (e *Election) startCandidacy() {
 	now := e.host.Now()
 	current := &candidacy{startedAt: now, votes: map[string]bool{}, votesRequestedAt: clock.Never, votesReadAt: now}
 	e.candidacy = current
@@ -75,8 +75,8 @@
 }
 
 // readTerm reads the last term and its version, both zero if there is none.
-func (e *election) readTerm(onTerm func(term storage.Term, version uint64, ok bool)) {
-	e.host.CallStore("GET", "/store/"+storage.TermKey, nil, func(response storeResponse) {
+func (e *Election) readTerm(onTerm func(term storage.Term, version uint64, ok bool)) {
+	e.host.CallStore("GET", "/store/"+storage.TermKey, nil, func(response StoreResponse) {
 		var item storage.Item
 		var term storage.Term
 		ok := response.Status == 404 || response.decode(&item) && json.Unmarshal(item.Value, &term) == nil
@@ -86,12 +86,12 @@
 
 // raiseTerm writes the candidate's term over the last one, of the given version. The transaction
 // also requires that there is no leader key.
-func (e *election) raiseTerm(current *candidacy, lastVersion uint64) {
+func (e *Election) raiseTerm(current *candidacy, lastVersion uint64) {
 	txn := storage.Txn{
 		Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: lastVersion}, {Key: storage.LeaderKey}},
 		Writes:     []storage.Write{storage.Put(storage.TermKey, storage.Term{Term: current.term, Node: e.node})},
 	}
-	e.host.CallStore("POST", "/multi", txn, func(response storeResponse) {
+	e.host.CallStore("POST", "/multi", txn, func(response StoreResponse) {
 		var result storage.TxnResponse
 		if e.candidacy != current {
 			return
@@ -109,9 +109,9 @@
 
 // tickCandidate sends vote requests and takes the leader key once a quorum has voted. The
 // candidacy ends after the span of one leader lease.
-func (e *election) tickCandidate() {
+func (e *Election) tickCandidate() {
 	current, now := e.candidacy, e.host.Now()
-	if now > current.startedAt+e.leaderLease() {
+	if now > current.startedAt+e.LeaderLease() {
 		e.candidacy = nil
 		return
 	}
@@ -134,7 +134,7 @@
 }
 
 // requestVotes sends a vote request to every peer.
-func (e *election) requestVotes(current *candidacy) {
+func (e *Election) requestVotes(current *candidacy) {
 	current.votesRequestedAt = e.host.Now()
 	for _, name := range e.peerNames {
 		e.host.SendMessage(name, protocol.VoteRequest{Term: current.term})
@@ -142,10 +142,10 @@
 }
 
 // requestLeaderLease creates the lease of the leader key and then takes the key.
-func (e *election) requestLeaderLease(current *candidacy) {
+func (e *Election) requestLeaderLease(current *candidacy) {
 	requestedAt := e.host.Now()
-	request := storage.Lease{TTLMillis: e.leaderLease().Milliseconds()}
-	e.host.CallStore("POST", "/holds", request, func(response storeResponse) {
+	request := storage.Lease{TTLMillis: e.LeaderLease().Milliseconds()}
+	e.host.CallStore("POST", "/holds", request, func(response StoreResponse) {
 		var lease storage.Lease
 		if e.candidacy != current {
 			return
@@ -160,14 +160,14 @@
 
 // takeLeaderKey sets the leader key on a lease, provided that there is no leader and the term is
 // still this candidate's. On success this node leads.
-func (e *election) takeLeaderKey(current *candidacy, leaseID uint64, leaseRequestedAt clock.Instant) {
+func (e *Election) takeLeaderKey(current *candidacy, leaseID uint64, leaseRequestedAt clock.Instant) {
 	leaderWrite := storage.Put(storage.LeaderKey, storage.Leader{Node: e.node, Term: current.term})
 	leaderWrite.LeaseID = leaseID
 	txn := storage.Txn{
 		Conditions: []storage.Condition{{Key: storage.LeaderKey}, {Key: storage.TermKey, ModRevision: current.termVersion}},
 		Writes:     []storage.Write{leaderWrite},
 	}
-	e.host.CallStore("POST", "/multi", txn, func(response storeResponse) {
+	e.host.CallStore("POST", "/multi", txn, func(response StoreResponse) {
 		var result storage.TxnResponse
 		if e.candidacy != current {
 			return
@@ -178,7 +178,7 @@
 			// revokeEarlierLease revokes its lease.
 			return
 		}
-		if e.host.Now() >= leaseRequestedAt+safeLeaseSpan(e.leaderLease()) {
+		if e.host.Now() >= leaseRequestedAt+SafeLeaseSpan(e.LeaderLease()) {
 			return
 		}
 		e.becomeLeader(current.term, result.Revision, leaseID, leaseRequestedAt)
--- a/internal/controller/election.go
+++ b/internal/election/election.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// election is the state of leader election on one node. It is a pure step on the time, on the
+// Election is the state of leader election on one node. It is a pure step on the time, on the
 // messages of peers and on the responses of the key-value store: its owner drives it with them, and
 // it acts through its host.
 //
@@ -23,12 +23,12 @@
 // A controller may be stopped between any two steps, and between a decision and its effect, while
 // its clocks run on. Therefore each step takes the time anew and checks the leader lease before it
 // answers or commands, and a renewal, a grant or a vote counts from when it was requested.
-type election struct {
+type Election struct {
 	node      string // name of this node
 	processID uint64 // distinguishes this process from earlier ones of the same node
 	timing
 	rng  *rand.Rand
-	host electionHost
+	host Host
 
 	storeAvailability
 	peerTable
@@ -50,20 +50,20 @@
 	leadership *leadership // nil: this node does not lead
 }
 
-// electionOptions are the settings and dependencies of an election.
-type electionOptions struct {
+// Options are the settings and dependencies of an election.
+type Options struct {
 	Node      string
 	ProcessID uint64   // not 0, which means unknown
 	Peers     []string // names of the other controllers
 	Cluster   *config.Cluster
 	Rand      *rand.Rand
-	Host      electionHost
+	Host      Host
 }
 
-// newElection returns the state of a node that has just started.
-func newElection(options electionOptions) *election {
+// New returns the state of a node that has just started.
+func New(options Options) *Election {
 	spans := timing{options.Cluster}
-	return &election{
+	return &Election{
 		node: options.Node, processID: options.ProcessID,
 		timing: spans, rng: options.Rand, host: options.Host,
 		storeAvailability: newStoreAvailability(),
@@ -76,9 +76,9 @@
 	}
 }
 
-// tick sends the periodic heartbeat to the peers and advances the role of this node: leader,
+// Tick sends the periodic heartbeat to the peers and advances the role of this node: leader,
 // candidate or follower.
-func (e *election) tick() {
+func (e *Election) Tick() {
 	now := e.host.Now()
 	if e.heartbeatSentAt == clock.Never || now >= e.heartbeatSentAt+e.peerHeartbeatInterval() {
 		e.sendHeartbeats()
@@ -93,11 +93,11 @@
 	}
 }
 
-// handleMessage records that a peer was heard, and handles the message if it belongs to the
+// HandleMessage records that a peer was heard, and handles the message if it belongs to the
 // election. The peer must be one of the configured ones.
-func (e *election) handleMessage(from string, message protocol.PeerMessage) {
+func (e *Election) HandleMessage(from string, message protocol.PeerMessage) {
 	sender := e.peers[from]
-	sender.lastContact = e.host.Now()
+	sender.LastContact = e.host.Now()
 	switch message := message.(type) {
 	case protocol.PeerHeartbeat:
 		e.onPeerHeartbeat(sender, message)
@@ -110,24 +110,24 @@
 	}
 }
 
-// drain ends this node's candidacy and its term as the leader. It starts no more candidacies.
-func (e *election) drain() {
+// Drain ends this node's candidacy and its term as the leader. It starts no more candidacies.
+func (e *Election) Drain() {
 	e.draining = true
 	e.candidacy = nil
-	e.stepDown("shutting down")
+	e.StepDown("shutting down")
 }
 
-// electionStatus is the state of an election for diagnostics.
-type electionStatus struct {
+// Status is the state of an election for diagnostics.
+type Status struct {
 	IsCandidate     bool
 	Votes           []string // peers that voted for this candidate, in no order
 	Isolated        bool     // no candidacy until a peer is heard
 	LeaseValidUntil clock.Instant
 }
 
-// status returns the state of the election for diagnostics.
-func (e *election) status() electionStatus {
-	status := electionStatus{Isolated: e.isolated, LeaseValidUntil: clock.Never}
+// Status returns the state of the election for diagnostics.
+func (e *Election) Status() Status {
+	status := Status{Isolated: e.isolated, LeaseValidUntil: clock.Never}
 	if e.candidacy != nil {
 		status.IsCandidate = true
 		for name := range e.candidacy.votes {
--- a/internal/controller/host.go
+++ b/internal/election/host.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"hitchdoor/internal/clock"
@@ -13,14 +13,14 @@
 	Now() clock.Instant
 }
 
-// electionHost is what an election needs from the controller that owns it.
-type electionHost interface {
+// Host is what an election needs from the controller that owns it.
+type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// CallStore sends a request to the key-value store and passes the response to onResponse in a
 	// later step. Before that, the host records the response as it does with all others of the
 	// store, so that the election knows whether the store answers this node.
-	CallStore(method, path string, body any, onResponse func(storeResponse))
+	CallStore(method, path string, body any, onResponse func(StoreResponse))
 	// SendMessage sends a message to a peer.
 	SendMessage(to string, message protocol.PeerMessage)
 	// DescribeController sets the fields of a heartbeat that are not the election's.
@@ -32,28 +32,28 @@
 	BecameLeader(term, leaderKeyVersion uint64)
 	// LeaderCondition returns the state of the controller as the leader. It is called while this
 	// node leads.
-	LeaderCondition() leaderCondition
+	LeaderCondition() LeaderCondition
 	// SteppedDown tells that this node does not lead any longer, and why.
 	SteppedDown(reason string)
 }
 
-// storeResponse is the response of the key-value store to a request. Status 0 means that no usable
+// StoreResponse is the response of the key-value store to a request. Status 0 means that no usable
 // response arrived; the request may have been executed, or may be later.
-type storeResponse struct {
+type StoreResponse struct {
 	Status int
 	Body   []byte
 }
 
 // decode decodes the body of a successful response. It reports whether there is one.
-func (r storeResponse) decode(value any) bool {
+func (r StoreResponse) decode(value any) bool {
 	return r.Status == 200 && json.Unmarshal(r.Body, value) == nil
 }
 
 // ignoreResponse handles the response to a request on whose outcome nothing depends.
-func ignoreResponse(storeResponse) {}
+func ignoreResponse(StoreResponse) {}
 
-// leaderCondition is the state of a leader that decides whether it should go on to lead.
-type leaderCondition struct {
+// LeaderCondition is the state of a leader that decides whether it should go on to lead.
+type LeaderCondition struct {
 	StepDownReason      string        // why the term can't go on; empty: it can
 	LastWorkerHeartbeat clock.Instant // last heartbeat of any worker
 	ResignReason        string        // why another node should lead for some time; empty: none should
--- a/internal/controller/leader_key.go
+++ b/internal/election/leader_key.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"time"
@@ -31,9 +31,9 @@
 
 // readLeaderKey reads the leader key, and starts a candidacy when it is absent. The read also
 // checks that the key-value store answers this node.
-func (e *election) readLeaderKey() {
+func (e *Election) readLeaderKey() {
 	e.leaderKey.readInFlight, e.leaderKey.readAt = true, e.host.Now()
-	e.host.CallStore("GET", "/store/"+storage.LeaderKey, nil, func(response storeResponse) {
+	e.host.CallStore("GET", "/store/"+storage.LeaderKey, nil, func(response StoreResponse) {
 		e.leaderKey.readInFlight = false
 		if e.leadership != nil || e.candidacy != nil || e.draining {
 			return
@@ -48,7 +48,7 @@
 }
 
 // onLeaderKeyPresent gives up the next candidacy, as some node leads.
-func (e *election) onLeaderKeyPresent(response storeResponse) {
+func (e *Election) onLeaderKeyPresent(response StoreResponse) {
 	var item storage.Item
 	var record storage.Leader
 	if !response.decode(&item) || json.Unmarshal(item.Value, &record) != nil {
@@ -63,13 +63,13 @@
 // revokeEarlierLease revokes the lease of a leader key that names this node, although this process
 // does not lead. The key belongs to an earlier process of this node, which has ended, as a node
 // runs one process at a time: there is no need to wait until its lease expires.
-func (e *election) revokeEarlierLease(leaseID uint64) {
-	e.host.CallStore("DELETE", leasePath(leaseID), nil, func(storeResponse) { e.leaderKey.readAt = clock.Never })
+func (e *Election) revokeEarlierLease(leaseID uint64) {
+	e.host.CallStore("DELETE", leasePath(leaseID), nil, func(StoreResponse) { e.leaderKey.readAt = clock.Never })
 }
 
 // onLeaderKeyAbsent starts a candidacy in turn. A node that has no quorum within reach rather votes
 // through the key-value store for a candidate of others.
-func (e *election) onLeaderKeyAbsent() {
+func (e *Election) onLeaderKeyAbsent() {
 	if e.leaderKey.absentSince == clock.Never {
 		e.leaderKey.absentSince = e.host.Now()
 	}
--- a/internal/controller/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"strconv"
@@ -21,10 +21,10 @@
 
 // newLeadership returns the state of a term that begins now, with a lease that was requested at an
 // earlier instant.
-func (e *election) newLeadership(term, leaseID uint64, requestedAt clock.Instant) *leadership {
+func (e *Election) newLeadership(term, leaseID uint64, requestedAt clock.Instant) *leadership {
 	started := &leadership{
 		term: term, startedAt: e.host.Now(), leaseID: leaseID,
-		leaseValidUntil: requestedAt + safeLeaseSpan(e.leaderLease()),
+		leaseValidUntil: requestedAt + SafeLeaseSpan(e.LeaderLease()),
 		grantedUntil:    make(map[string]clock.Instant, len(e.peers)),
 		renewalSentAt:   requestedAt,
 	}
@@ -47,9 +47,9 @@
 	isolationPerWorkerLease = 4
 )
 
-// holdsLeaderLease reports whether this node may act as the leader: by its own lease in the
+// HoldsLeaderLease reports whether this node may act as the leader: by its own lease in the
 // store, or by the lease grants of a quorum.
-func (e *election) holdsLeaderLease() bool {
+func (e *Election) HoldsLeaderLease() bool {
 	if e.leadership == nil {
 		return false
 	}
@@ -62,15 +62,15 @@
 
 // becomeLeader starts a term as the leader. The leader lease counts from when it was requested:
 // counted from the response, a delayed response would extend it beyond its end in the store.
-func (e *election) becomeLeader(term, leaderKeyVersion, leaseID uint64, requestedAt clock.Instant) {
+func (e *Election) becomeLeader(term, leaderKeyVersion, leaseID uint64, requestedAt clock.Instant) {
 	e.leadership = e.newLeadership(term, leaseID, requestedAt)
 	e.leaderKey.absentSince = clock.Never
 	e.host.BecameLeader(term, leaderKeyVersion)
 	e.heartbeatSentAt = clock.Never
 }
 
-// stepDown ends this node's term as the leader and revokes its lease.
-func (e *election) stepDown(reason string) {
+// StepDown ends this node's term as the leader and revokes its lease.
+func (e *Election) StepDown(reason string) {
 	ended := e.leadership
 	if ended == nil {
 		return
@@ -85,21 +85,21 @@
 }
 
 // tickLeader steps down if this node should not lead any longer, and renews its lease.
-func (e *election) tickLeader() {
-	if !e.holdsLeaderLease() {
-		e.stepDown("leader lease expired")
+func (e *Election) tickLeader() {
+	if !e.HoldsLeaderLease() {
+		e.StepDown("leader lease expired")
 		return
 	}
 	condition := e.host.LeaderCondition()
 	switch {
 	case condition.StepDownReason != "":
-		e.stepDown(condition.StepDownReason)
+		e.StepDown(condition.StepDownReason)
 	case e.leaderIsolated(condition.LastWorkerHeartbeat):
 		e.isolated = true
-		e.stepDown("isolated from peers and workers")
+		e.StepDown("isolated from peers and workers")
 	case condition.ResignReason != "":
 		e.resign(condition.ResignReason)
-	case e.leadership.renewalDue(e.host.Now(), e.leaderLease()):
+	case e.leadership.renewalDue(e.host.Now(), e.LeaderLease()):
 		e.renewLease()
 	}
 }
@@ -107,28 +107,28 @@
 // leaderIsolated reports whether this leader hears neither peers nor workers: it is isolated from
 // everything but the key-value store. As long as it renewed its lease, no other node could take
 // over.
-func (e *election) leaderIsolated(lastWorkerHeartbeat clock.Instant) bool {
+func (e *Election) leaderIsolated(lastWorkerHeartbeat clock.Instant) bool {
 	now, span := e.host.Now(), e.workerLease()/isolationPerWorkerLease
 	return len(e.peers) > 0 && now-e.leadership.startedAt > span &&
-		e.recentPeerCount(span) == 0 && now-lastWorkerHeartbeat > span
+		e.RecentPeerCount(span) == 0 && now-lastWorkerHeartbeat > span
 }
 
 // renewLease renews the lease of the leader key. The leader lease counts from when the renewal is
 // sent, see becomeLeader.
-func (e *election) renewLease() {
+func (e *Election) renewLease() {
 	current, sentAt := e.leadership, e.host.Now()
 	current.renewalInFlight, current.renewalSentAt = true, sentAt
-	e.host.CallStore("POST", leasePath(current.leaseID)+"/touch", nil, func(response storeResponse) {
+	e.host.CallStore("POST", leasePath(current.leaseID)+"/touch", nil, func(response StoreResponse) {
 		if e.leadership != current {
 			return
 		}
 		current.renewalInFlight = false
 		switch response.Status {
 		case 200:
-			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+safeLeaseSpan(e.leaderLease()))
+			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+SafeLeaseSpan(e.LeaderLease()))
 			current.renewalFailed = false
 		case 404:
-			e.stepDown("leader lease lost")
+			e.StepDown("leader lease lost")
 		default:
 			current.renewalFailed = true
 			e.heartbeatSentAt = clock.Never // ask for lease grants at once
--- a/internal/controller/lease_grants.go
+++ b/internal/election/lease_grants.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"maps"
@@ -19,26 +19,26 @@
 }
 
 // onLeaseGrant records a lease grant for the current term.
-func (e *election) onLeaseGrant(sender *electionPeer, grant protocol.LeaseGrant) {
+func (e *Election) onLeaseGrant(sender *Peer, grant protocol.LeaseGrant) {
 	current := e.leadership
-	if current == nil || grant.Term != current.term || !e.holdsLeaderLease() {
+	if current == nil || grant.Term != current.term || !e.HoldsLeaderLease() {
 		return
 	}
 	// A grant counts from when it was requested, which can't be later than now: a wrong
 	// timestamp from the peer must not extend it.
 	requestedAt := min(grant.HeartbeatSentAt, e.host.Now())
-	current.grantedUntil[sender.name] = max(current.grantedUntil[sender.name], requestedAt+safeLeaseSpan(e.leaderLease()))
+	current.grantedUntil[sender.Name] = max(current.grantedUntil[sender.Name], requestedAt+SafeLeaseSpan(e.LeaderLease()))
 }
 
 // grantLease binds this node, for the span of a leader lease, neither to become a candidate nor
 // to vote for one.
-func (e *election) grantLease(sender *electionPeer, heartbeat protocol.PeerHeartbeat) {
+func (e *Election) grantLease(sender *Peer, heartbeat protocol.PeerHeartbeat) {
 	if !e.mayGrantLease(heartbeat.Term) {
 		return
 	}
 	e.grantedTerm = heartbeat.Term
-	e.grantedUntil = max(e.grantedUntil, e.host.Now()+clock.WithDrift(e.leaderLease()))
-	e.host.SendMessage(sender.name, protocol.LeaseGrant{Term: heartbeat.Term, HeartbeatSentAt: heartbeat.SentAt})
+	e.grantedUntil = max(e.grantedUntil, e.host.Now()+clock.WithDrift(e.LeaderLease()))
+	e.host.SendMessage(sender.Name, protocol.LeaseGrant{Term: heartbeat.Term, HeartbeatSentAt: heartbeat.SentAt})
 }
 
 // mayGrantLease reports whether this node may grant a lease to the leader of a term.
@@ -57,9 +57,9 @@
 // (freeToVote). When it takes the key, it has recorded its own term as voted for, so a leader of a
 // lower term gets no grant; and a leader of a higher term has changed the term key, on which the
 // candidate's transaction is conditioned.
-func (e *election) mayGrantLease(term uint64) bool {
+func (e *Election) mayGrantLease(term uint64) bool {
 	return e.leadership == nil &&
-		e.storeFailing() &&
+		e.StoreFailing() &&
 		term >= e.votedTerm &&
 		term >= e.grantedTerm &&
 		e.upForGrantSpan()
@@ -67,6 +67,6 @@
 
 // upForGrantSpan reports whether this process has been up for so long that every grant, and every
 // candidacy, that relies on an earlier process of this node is over.
-func (e *election) upForGrantSpan() bool {
-	return e.host.Now() >= clock.WithDrift(e.leaderLease())
+func (e *Election) upForGrantSpan() bool {
+	return e.host.Now() >= clock.WithDrift(e.LeaderLease())
 }
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/election/peer_heartbeats.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"hitchdoor/internal/protocol"
@@ -6,13 +6,13 @@
 
 // sendHeartbeats sends a heartbeat to every peer. A leader whose renewal failed asks for lease
 // grants in it.
-func (e *election) sendHeartbeats() {
+func (e *Election) sendHeartbeats() {
 	now := e.host.Now()
 	e.heartbeatSentAt = now
 	heartbeat := protocol.PeerHeartbeat{SentAt: now, Uptime: now, ProcessID: e.processID}
 	if current := e.leadership; current != nil {
 		heartbeat.Term = current.term
-		heartbeat.IsLeader = e.holdsLeaderLease()
+		heartbeat.IsLeader = e.HoldsLeaderLease()
 		heartbeat.WantsLeaseGrant = current.renewalFailed
 	}
 	e.host.DescribeController(&heartbeat)
@@ -24,12 +24,12 @@
 
 // onPeerHeartbeat records what a peer reports of itself, and grants it a lease if it asks for
 // one. A leader steps down if a peer leads in a higher term.
-func (e *election) onPeerHeartbeat(sender *electionPeer, heartbeat protocol.PeerHeartbeat) {
+func (e *Election) onPeerHeartbeat(sender *Peer, heartbeat protocol.PeerHeartbeat) {
 	sender.recordHeartbeat(heartbeat, e.processID)
 	if heartbeat.IsLeader && heartbeat.WantsLeaseGrant {
 		e.grantLease(sender, heartbeat)
 	}
 	if heartbeat.IsLeader && e.leadership != nil && heartbeat.Term > e.leadership.term {
-		e.stepDown("peer leads in a higher term")
+		e.StepDown("peer leads in a higher term")
 	}
 }
--- a/internal/controller/peer_table.go
+++ b/internal/election/peer_table.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"time"
@@ -7,21 +7,21 @@
 	"hitchdoor/internal/protocol"
 )
 
-// electionPeer is what the election knows of another controller.
-type electionPeer struct {
-	name            string
-	lastContact     clock.Instant // last message of any kind
+// Peer is what the election knows of another controller.
+type Peer struct {
+	Name            string
+	LastContact     clock.Instant // last message of any kind
 	processID       uint64        // processID in its last heartbeat
 	knownNotLeading bool          // it has heard from this process and reported that it does not lead
 	uptime          time.Duration // its uptime in its last heartbeat
-	term            uint64
+	Term            uint64
 	leading         bool
 }
 
 // recordHeartbeat records what the peer reports of itself to the process of the receiver.
-func (p *electionPeer) recordHeartbeat(heartbeat protocol.PeerHeartbeat, receiverProcessID uint64) {
+func (p *Peer) recordHeartbeat(heartbeat protocol.PeerHeartbeat, receiverProcessID uint64) {
 	p.leading = heartbeat.IsLeader
-	p.term = heartbeat.Term
+	p.Term = heartbeat.Term
 	p.uptime = heartbeat.Uptime
 	p.processID = heartbeat.ProcessID
 	// A heartbeat that names an earlier process of this node as its receiver may have been sent
@@ -33,7 +33,7 @@
 
 // peerTable holds the other controllers of the cluster.
 type peerTable struct {
-	peers     map[string]*electionPeer
+	peers     map[string]*Peer
 	peerNames []string // in the order of the configuration
 	timing    timing
 	clock     timeSource
@@ -41,21 +41,21 @@
 
 // newPeerTable returns a table of peers of which none has been heard.
 func newPeerTable(names []string, spans timing, source timeSource) peerTable {
-	table := peerTable{peers: make(map[string]*electionPeer, len(names)), peerNames: names, timing: spans, clock: source}
+	table := peerTable{peers: make(map[string]*Peer, len(names)), peerNames: names, timing: spans, clock: source}
 	for _, name := range names {
-		table.peers[name] = &electionPeer{name: name, lastContact: clock.Never}
+		table.peers[name] = &Peer{Name: name, LastContact: clock.Never}
 	}
 	return table
 }
 
-// peer returns what the election knows of a peer, or nil if it is not configured.
-func (t *peerTable) peer(name string) *electionPeer { return t.peers[name] }
+// Peer returns what the election knows of a peer, or nil if it is not configured.
+func (t *peerTable) Peer(name string) *Peer { return t.peers[name] }
 
-// leaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
-func (t *peerTable) leaderPeer() *electionPeer {
-	var leading *electionPeer
+// LeaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
+func (t *peerTable) LeaderPeer() *Peer {
+	var leading *Peer
 	for _, peer := range t.peers {
-		if peer.leading && t.recentlyHeard(peer) && (leading == nil || peer.term > leading.term) {
+		if peer.leading && t.recentlyHeard(peer) && (leading == nil || peer.Term > leading.Term) {
 			leading = peer
 		}
 	}
@@ -63,15 +63,15 @@
 }
 
 // recentlyHeard reports whether a peer was heard within the span of a leader lease.
-func (t *peerTable) recentlyHeard(peer *electionPeer) bool {
-	return t.clock.Now()-peer.lastContact < t.timing.leaderLease()
+func (t *peerTable) recentlyHeard(peer *Peer) bool {
+	return t.clock.Now()-peer.LastContact < t.timing.LeaderLease()
 }
 
-// recentPeerCount returns the number of peers heard within a span.
-func (t *peerTable) recentPeerCount(within time.Duration) int {
+// RecentPeerCount returns the number of peers heard within a span.
+func (t *peerTable) RecentPeerCount(within time.Duration) int {
 	count := 0
 	for _, peer := range t.peers {
-		if t.clock.Now()-peer.lastContact < within {
+		if t.clock.Now()-peer.LastContact < within {
 			count++
 		}
 	}
@@ -100,7 +100,7 @@
 // isTermTaken reports whether some peer is known to have led in a term or in a later one.
 func (t *peerTable) isTermTaken(term uint64) bool {
 	for _, peer := range t.peers {
-		if term <= peer.term {
+		if term <= peer.Term {
 			return true
 		}
 	}
--- a/internal/controller/resignation.go
+++ b/internal/election/resignation.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"time"
@@ -37,15 +37,15 @@
 }
 
 // resign steps down and pauses this node's candidacies, longer with each resignation.
-func (e *election) resign(reason string) {
+func (e *Election) resign(reason string) {
 	e.pause.extend(e.host.Now(), e.workerLease())
 	e.leaderKey.absentSince = clock.Never
-	e.stepDown(reason)
+	e.StepDown(reason)
 }
 
-// candidacyPaused reports whether this node must not become a candidate after a resignation. The
+// CandidacyPaused reports whether this node must not become a candidate after a resignation. The
 // pause ends early if there has been no leader for one worker lease.
-func (e *election) candidacyPaused() bool {
+func (e *Election) CandidacyPaused() bool {
 	now := e.host.Now()
 	return now < e.pause.until && e.leaderKey.absentFor(now) < e.workerLease()
 }
--- a/internal/controller/store_availability.go
+++ b/internal/election/store_availability.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import "hitchdoor/internal/clock"
 
@@ -14,8 +14,8 @@
 	return storeAvailability{lastSuccess: clock.Never, lastFailure: clock.Never}
 }
 
-// recordStoreResponse records whether the key-value store answered a call with the status.
-func (a *storeAvailability) recordStoreResponse(now clock.Instant, status int) {
+// RecordStoreResponse records whether the key-value store answered a call with the status.
+func (a *storeAvailability) RecordStoreResponse(now clock.Instant, status int) {
 	if status == 0 || status == 429 || status >= 500 {
 		a.lastFailure = now
 		a.consecutiveFailures++
@@ -25,20 +25,20 @@
 	a.consecutiveFailures = 0
 }
 
-// storeFailing reports whether the last call to the store failed.
-func (a *storeAvailability) storeFailing() bool { return a.lastFailure > a.lastSuccess }
+// StoreFailing reports whether the last call to the store failed.
+func (a *storeAvailability) StoreFailing() bool { return a.lastFailure > a.lastSuccess }
 
-// storeReachable reports whether the store has answered at all, and its last response was no error.
-func (a *storeAvailability) storeReachable() bool {
-	return a.lastSuccess != clock.Never && !a.storeFailing()
+// StoreReachable reports whether the store has answered at all, and its last response was no error.
+func (a *storeAvailability) StoreReachable() bool {
+	return a.lastSuccess != clock.Never && !a.StoreFailing()
 }
 
 // maxToleratedStoreFailures is how many failed calls in a row, as caused by a lost packet, do not
 // yet count as an outage of the store.
 const maxToleratedStoreFailures = 1
 
-// storeUnavailable reports whether the store is considered down, so that requests which need it
+// StoreUnavailable reports whether the store is considered down, so that requests which need it
 // are rejected at once.
-func (a *storeAvailability) storeUnavailable() bool {
+func (a *storeAvailability) StoreUnavailable() bool {
 	return a.consecutiveFailures > maxToleratedStoreFailures
 }
--- a/internal/controller/timing.go
+++ b/internal/election/timing.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"time"
@@ -11,16 +11,16 @@
 
 // Time spans as fractions of a worker lease.
 const (
-	leaderLeasesPerWorkerLease   = 6 // a leader lease, or a lease grant, lasts 1/6 of a worker lease
+	LeaderLeasesPerWorkerLease   = 6 // a leader lease, or a lease grant, lasts 1/6 of a worker lease
 	leaderKeyReadsPerWorkerLease = 28
-	peerHeartbeatsPerLease       = 32
+	HeartbeatsPerWorkerLease     = 32
 )
 
 // workerLease returns the duration of the workers' lease.
 func (t timing) workerLease() time.Duration { return config.Seconds(t.cluster.Workers.LeaseS) }
 
-// leaderLease returns the duration of the leader lease and of a peer's lease grant.
-func (t timing) leaderLease() time.Duration { return t.workerLease() / leaderLeasesPerWorkerLease }
+// LeaderLease returns the duration of the leader lease and of a peer's lease grant.
+func (t timing) LeaderLease() time.Duration { return t.workerLease() / LeaderLeasesPerWorkerLease }
 
 // leaderKeyReadInterval returns the interval at which a follower reads the leader key, and a
 // candidate the stored votes.
@@ -30,12 +30,12 @@
 
 // peerHeartbeatInterval returns the interval of the heartbeats between controllers.
 func (t timing) peerHeartbeatInterval() time.Duration {
-	return t.workerLease() / peerHeartbeatsPerLease
+	return t.workerLease() / HeartbeatsPerWorkerLease
 }
 
 // peersInQuorum returns how many peers make up a quorum together with this node.
 func (t timing) peersInQuorum() int { return t.cluster.ControllerCount / 2 }
 
-// safeLeaseSpan returns how long a lease of the key-value store, or a lease grant of a peer, is
+// SafeLeaseSpan returns how long a lease of the key-value store, or a lease grant of a peer, is
 // guaranteed to hold by this node's clock.
-func safeLeaseSpan(span time.Duration) time.Duration { return span - span/500 - time.Millisecond }
+func SafeLeaseSpan(span time.Duration) time.Duration { return span - span/500 - time.Millisecond }
--- a/internal/controller/votes.go
+++ b/internal/election/votes.go
@@ -1,4 +1,4 @@
-package controller
+package election
 
 import (
 	"strings"
@@ -12,32 +12,32 @@
 // freeToVote reports whether no lease grant binds this node, so that it may vote. A restarted
 // node does not remember its grants, so it waits for the span of one. The wait is skipped if
 // no leader can depend on such a grant, see noPeerLeads.
-func (e *election) freeToVote() bool {
+func (e *Election) freeToVote() bool {
 	return (e.upForGrantSpan() || e.noPeerLeads()) && e.host.Now() >= e.grantedUntil
 }
 
 // mayVoteInTerm reports whether this node may vote for a candidate of a term.
-func (e *election) mayVoteInTerm(term uint64) bool {
+func (e *Election) mayVoteInTerm(term uint64) bool {
 	return e.freeToVote() && term > e.votedTerm &&
-		(e.leadership == nil || e.leadership.term < term && !e.holdsLeaderLease())
+		(e.leadership == nil || e.leadership.term < term && !e.HoldsLeaderLease())
 }
 
 // onVoteRequest votes for a candidate if this node is free to, or has voted in its term before.
-func (e *election) onVoteRequest(sender *electionPeer, request protocol.VoteRequest) {
+func (e *Election) onVoteRequest(sender *Peer, request protocol.VoteRequest) {
 	if !e.mayVoteInTerm(request.Term) && request.Term != e.votedTerm {
 		return
 	}
 	e.votedTerm = request.Term
-	e.host.SendMessage(sender.name, protocol.Vote{Term: request.Term, Granted: true})
+	e.host.SendMessage(sender.Name, protocol.Vote{Term: request.Term, Granted: true})
 }
 
 // onVote counts a vote for this node's candidacy.
-func (e *election) onVote(sender *electionPeer, vote protocol.Vote) {
+func (e *Election) onVote(sender *Peer, vote protocol.Vote) {
 	current := e.candidacy
 	if current == nil || current.term != vote.Term || !vote.Granted {
 		return
 	}
-	current.votes[sender.name] = true
+	current.votes[sender.Name] = true
 	e.tickCandidate()
 }
 
@@ -47,7 +47,7 @@
 // message does. This node becomes a candidate only if there is none to vote for: otherwise
 // each node would raise the term over the one that others vote for, and a cluster of
 // disconnected controllers would stay without a leader.
-func (e *election) voteThroughStore() {
+func (e *Election) voteThroughStore() {
 	e.readTerm(func(lastTerm storage.Term, _ uint64, ok bool) {
 		if e.leadership != nil || e.candidacy != nil || !ok || !e.freeToVote() {
 			return
@@ -57,7 +57,7 @@
 			return
 		}
 		e.votedTerm = lastTerm.Term
-		e.candidacyAt = e.host.Now() + e.leaderLease() // leave the time to that candidate
+		e.candidacyAt = e.host.Now() + e.LeaderLease() // leave the time to that candidate
 		vote := storage.Put(storage.VotePrefix+e.node, storage.VoteRecord{Term: lastTerm.Term})
 		e.host.CallStore("POST", "/multi", storage.Txn{Writes: []storage.Write{vote}}, ignoreResponse)
 	})
@@ -65,15 +65,15 @@
 
 // isOpenCandidacy reports whether a term belongs to another node's candidacy that has not ended by
 // the election of a leader, in this term or in a later one.
-func (e *election) isOpenCandidacy(term storage.Term) bool {
+func (e *Election) isOpenCandidacy(term storage.Term) bool {
 	return !e.isTermTaken(term.Term) && term.Node != "" && term.Node != e.node
 }
 
 // readStoredVotes counts the votes that other nodes wrote to the key-value store.
-func (e *election) readStoredVotes(current *candidacy) {
+func (e *Election) readStoredVotes(current *candidacy) {
 	current.votesReadAt = e.host.Now()
 	path := storage.ListPath(storage.VotePrefix, "", e.cluster.ControllerCount)
-	e.host.CallStore("GET", path, nil, func(response storeResponse) {
+	e.host.CallStore("GET", path, nil, func(response StoreResponse) {
 		var page storage.ListResponse
 		if e.candidacy != current || !response.decode(&page) {
 			return
