--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -68,7 +68,7 @@
 		return
 	}
 	policy.countByPolicy(group)
-	n.policyRejections.put(job.ID, group)
+	n.policyRejections.Put(job.ID, group)
 	n.rejectByPolicy(submission, admissionDeferred(policy.retryAfterSeconds(verdict)))
 }
 
@@ -76,7 +76,7 @@
 // already. If too little of the read budget is left to find that out, it is rejected in either
 // case; the user retries.
 func (n *Node) rejectByPolicy(submission *userSubmission, response errorResponse) {
-	if !n.jobReader.hasSpareReads() {
+	if !n.jobReader.HasSpareReads() {
 		n.reply(submission.request.Origin, response.status, response.retryAfterSeconds, response)
 		return
 	}
@@ -133,8 +133,8 @@
 
 // jobAdmissionStatus is what this node knows of a job's admission.
 func (n *Node) jobAdmissionStatus(jobID string) *admission.JobStatus {
-	status := &admission.JobStatus{ID: jobID, Accepted: n.jobReader.knownAccepted(jobID)}
-	group, rejected := n.policyRejections.get(jobID)
+	status := &admission.JobStatus{ID: jobID, Accepted: n.jobReader.KnownAccepted(jobID)}
+	group, rejected := n.policyRejections.Get(jobID)
 	if status.Accepted || !rejected {
 		return status
 	}
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -12,7 +12,7 @@
 
 // TerminalRecord implements dependencyHost.
 func (h leaderDependencyHost) TerminalRecord(jobID string) (storage.TerminalRecord, bool) {
-	return h.leader.node.jobReader.terminalRecord(jobID)
+	return h.leader.node.jobReader.TerminalRecord(jobID)
 }
 
 // InstantFromUnixMilli implements dependencyHost.
@@ -49,7 +49,7 @@
 // ReadTerminalRecord implements dependencyHost.
 func (h leaderDependencyHost) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
 	node := h.leader.node
-	node.jobReader.readTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) {
+	node.jobReader.ReadTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) {
 		if node.leader == h.leader {
 			onRead(ok, terminal)
 		}
@@ -59,7 +59,7 @@
 // LoadOpenJob implements dependencyHost.
 func (h leaderDependencyHost) LoadOpenJob(jobID string) {
 	node := h.leader.node
-	node.jobReader.readItem(storage.JobKey(jobID), func(_ int, item *storage.Item) {
+	node.jobReader.ReadItem(storage.JobKey(jobID), func(_ int, item *storage.Item) {
 		if item != nil && node.leader == h.leader {
 			h.leader.adoptStoredJob(jobID, *item)
 		}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -61,7 +61,7 @@
 // ClosedJobState returns the state of a job according to its terminal record, or to one that can't be
 // read.
 func (a reconcilerAdapter) ClosedJobState(jobID string) recovery.JobState {
-	if _, isTerminal := a.leader.node.jobReader.terminalRecord(jobID); isTerminal {
+	if _, isTerminal := a.leader.node.jobReader.TerminalRecord(jobID); isTerminal {
 		return recovery.JobStateTerminal
 	}
 	if a.leader.quarantine.isUnreadableJob(jobID) {
@@ -72,7 +72,7 @@
 
 // TerminalJobsLoaded reports whether the records of all terminal jobs have been read.
 func (a reconcilerAdapter) TerminalJobsLoaded() bool {
-	return a.leader.node.jobReader.terminalJobsLoaded()
+	return a.leader.node.jobReader.TerminalJobsLoaded()
 }
 
 // ConfirmDelivery reports whether the route of a heartbeat shows that the last response has reached
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -63,7 +63,7 @@
 		n.reply(r.Origin, 404, 0, nil)
 		return
 	}
-	n.jobReader.readJob(r.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
+	n.jobReader.ReadJob(r.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
 		switch {
 		case !ok || n.leader != l || !n.holdsLeaderLease():
 			n.replyUnavailable(r.Origin)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"time"
 
+	"hitchdoor/internal/jobstore"
+
 	"hitchdoor/internal/election"
 
 	"hitchdoor/internal/ratelimit"
@@ -52,11 +54,11 @@
 	connectivity connectivity
 
 	admissionPolicy  *policyFollower
-	policyRejections recentJobs[admission.Group] // jobs rejected here by an admission policy, by id
+	policyRejections jobstore.RecentJobs[admission.Group] // jobs rejected here by an admission policy, by id
 
 	catalog *machineCatalog
 
-	jobReader *jobReader
+	jobReader *jobstore.Reader
 	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job id.
 	unreadableTerminalRecords map[string]*quarantinedRecord
 	mismatches                recovery.MismatchCounts // of all recoveries in this process
@@ -101,13 +103,13 @@
 		startTime: options.StartTime, build: options.Build,
 		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
 		peers:                     map[string]*peer{},
-		policyRejections:          newRecentJobs[admission.Group](recentJobsLimit),
+		policyRejections:          jobstore.NewRecentJobs[admission.Group](jobstore.RecentJobsLimit),
 		unreadableTerminalRecords: map[string]*quarantinedRecord{},
 		protocolLevels:            protocolLevels{lastRead: clock.Never},
 		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
-	node.jobReader = newJobReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare, node.workerLease()/pollsPerLease)
+	node.jobReader = jobstore.NewReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare, node.workerLease()/pollsPerLease)
 	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.WritesPerS)
 	node.leaderWriteBudget = leaderBudget
 	node.submissionQueue = newSubmissionQueue(submissionWriter{node}, cluster, submissionBudget)
@@ -176,7 +178,7 @@
 	n.forwards.expire(n.now, n.serveWithoutLeader)
 	n.workerRouter.expireRoutes()
 	n.submissionQueue.writePending()
-	n.jobReader.loadTerminalJobs()
+	n.jobReader.LoadTerminalJobs()
 	n.tickProtocolLevels()
 	n.tickAdmission()
 	if n.leader != nil && n.holdsLeaderLease() {
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/jobstore"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
@@ -70,16 +72,16 @@
 func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.newerVersionSeen() }
 
 // MarkJobAccepted records that a job is known to have been accepted.
-func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.jobReader.recordAccepted(jobID) }
+func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.jobReader.RecordAccepted(jobID) }
 
 // ReadTerminalRecord reads a job's terminal record, if there is one, and applies it.
 func (h recordsHost) ReadTerminalRecord(jobID string) {
-	h.leader.node.jobReader.readTerminalRecord(jobID, func(bool, *storage.TerminalRecord) {})
+	h.leader.node.jobReader.ReadTerminalRecord(jobID, func(bool, *storage.TerminalRecord) {})
 }
 
 // IsTerminal reports whether a job's terminal record is known.
 func (h recordsHost) IsTerminal(jobID string) bool {
-	_, ended := h.leader.node.jobReader.terminalRecord(jobID)
+	_, ended := h.leader.node.jobReader.TerminalRecord(jobID)
 	return ended
 }
 
@@ -117,7 +119,7 @@
 func (h recordsHost) JobFinished(j *cluster.Job, terminal storage.TerminalRecord) {
 	l := h.leader
 	l.node.traceStep(j.Spec.ID, stepTerminal, string(terminal.State)+" after "+l.jobAge(j))
-	l.node.jobReader.cacheTerminalRecord(j.Spec.ID, terminal)
+	l.node.jobReader.CacheTerminalRecord(j.Spec.ID, terminal)
 }
 
 // JobEnded releases or cancels the dependents of an ended job and answers the users that wait for
@@ -127,7 +129,7 @@
 	l.dependencies.releaseDependents(jobID, terminal, writtenHere)
 	status := protocol.JobStatus{ID: jobID, State: terminal.State}
 	if !writtenHere {
-		status = terminalJobState(jobID, terminal)
+		status = jobstore.TerminalState(jobID, terminal)
 	}
 	for _, origin := range l.cancelWaiters[jobID] {
 		l.node.reply(origin, 200, 0, status)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -88,11 +88,11 @@
 		n.answerFromStore(request, asLeader, *rejection)
 		return
 	}
-	unconfirmed := n.jobReader.withoutKnownAccepted(request.Job.Dependencies)
+	unconfirmed := n.jobReader.WithoutKnownAccepted(request.Job.Dependencies)
 	if len(unconfirmed) > maxDirectJobReads && asLeader == nil && n.forwardSubmissionOnce(request) {
 		return // the leader has most of them in memory
 	}
-	n.jobReader.readAcceptance(unconfirmed, func(ok, allAccepted bool) {
+	n.jobReader.ReadAcceptance(unconfirmed, func(ok, allAccepted bool) {
 		switch {
 		case !ok:
 			n.answerFromStore(request, asLeader, retryLater)
@@ -167,7 +167,7 @@
 // it, if that still leads, and answers the user.
 func (n *Node) onSubmissionAccepted(submission *userSubmission, revision uint64) {
 	jobID := submission.request.Job.ID
-	n.jobReader.recordAccepted(jobID)
+	n.jobReader.RecordAccepted(jobID)
 	n.traceStep(jobID, stepStored, "")
 	if submission.leader != nil && n.leader == submission.leader {
 		for _, write := range submission.write.writes {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -5,6 +5,8 @@
 	"strconv"
 	"time"
 
+	"hitchdoor/internal/jobstore"
+
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -37,9 +39,9 @@
 		handler(n, request)
 		return
 	}
-	if record, ok := n.jobReader.terminalRecord(request.JobID); ok {
+	if record, ok := n.jobReader.TerminalRecord(request.JobID); ok {
 		// Terminal states never change, so any node may answer.
-		n.reply(request.Origin, http.StatusOK, 0, terminalJobState(request.JobID, record))
+		n.reply(request.Origin, http.StatusOK, 0, jobstore.TerminalState(request.JobID, record))
 		return
 	}
 	if n.holdsLeaderLease() {
@@ -151,7 +153,7 @@
 // onForwardedUserAnswer passes the leader's response to a user's request on to the user.
 func (n *Node) onForwardedUserAnswer(request Request, answer protocol.ForwardedResponse) {
 	if answer.Status == http.StatusOK || answer.Status == http.StatusCreated {
-		n.jobReader.recordAccepted(request.JobID)
+		n.jobReader.RecordAccepted(request.JobID)
 	}
 	if answer.Status == http.StatusServiceUnavailable && request.Kind != protocol.RequestCancel {
 		// The leader can't answer, but the key-value store may.
@@ -195,14 +197,14 @@
 // store has no record of it. An open job is added to the state of asLeader, if that still leads
 // and holds its leader lease when the record arrives.
 func (n *Node) answerFromStore(request Request, asLeader *leader, ifUnknown errorResponse) {
-	n.jobReader.readEffectiveState(request.JobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
+	n.jobReader.ReadEffectiveState(request.JobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
 		case !ok && ifUnknown.retryAfterSeconds == 0:
 			n.replyUnavailable(request.Origin)
 		case !ok || (openItem == nil && terminal == nil && ifUnknown.retryAfterSeconds > 0):
 			n.reply(request.Origin, http.StatusServiceUnavailable, ifUnknown.retryAfterSeconds, ifUnknown)
 		case terminal != nil:
-			n.reply(request.Origin, http.StatusOK, 0, terminalJobState(request.JobID, *terminal))
+			n.reply(request.Origin, http.StatusOK, 0, jobstore.TerminalState(request.JobID, *terminal))
 		case openItem != nil:
 			if asLeader != nil && n.leader == asLeader && n.holdsLeaderLease() {
 				if j := asLeader.adoptStoredJob(request.JobID, *openItem); j != nil {
@@ -211,8 +213,8 @@
 				}
 			}
 			// The job may have ended after its record was read. Then its terminal record is cached.
-			if record, isTerminal := n.jobReader.terminalRecord(request.JobID); isTerminal {
-				n.reply(request.Origin, http.StatusOK, 0, terminalJobState(request.JobID, record))
+			if record, isTerminal := n.jobReader.TerminalRecord(request.JobID); isTerminal {
+				n.reply(request.Origin, http.StatusOK, 0, jobstore.TerminalState(request.JobID, record))
 				return
 			}
 			n.reply(request.Origin, http.StatusOK, 0, queuedJobState(request.JobID))
--- a/internal/controller/effective_state.go
+++ b/internal/jobstore/effective_state.go
@@ -1,4 +1,4 @@
-package controller
+package jobstore
 
 import (
 	"slices"
@@ -9,11 +9,11 @@
 	"hitchdoor/internal/storage"
 )
 
-// readEffectiveState reads a job's state from the records: an open job is cancelled if any of its
+// ReadEffectiveState reads a job's state from the records: an open job is cancelled if any of its
 // direct or indirect dependencies is. All controllers answer by this rule, so none contradicts
 // what another has told a user.
-func (r *jobReader) readEffectiveState(jobID string, onRead jobCallback) {
-	r.readJob(jobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
+func (r *Reader) ReadEffectiveState(jobID string, onRead Callback) {
+	r.ReadJob(jobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		if openItem == nil {
 			onRead(ok, nil, terminal)
 			return
@@ -36,7 +36,7 @@
 // cancellationSearch reads whether any of some jobs, or of their direct and indirect dependencies,
 // is cancelled. It reads each job once, one after the other.
 type cancellationSearch struct {
-	reader   *jobReader
+	reader   *Reader
 	visited  map[string]bool // ids of jobs that were read
 	onResult func(ok, cancelled bool)
 }
@@ -62,7 +62,7 @@
 	}
 	id, remaining := ids[next], ids[next+1:]
 	s.visited[id] = true
-	s.reader.readJob(id, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
+	s.reader.ReadJob(id, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
 		case !ok:
 			s.onResult(false, false)
@@ -77,7 +77,7 @@
 }
 
 // readDependencies reads the IDs of the jobs on which an open job depends.
-func (r *jobReader) readDependencies(openItem *storage.Item, onRead func(ok bool, ids []string)) {
+func (r *Reader) readDependencies(openItem *storage.Item, onRead func(ok bool, ids []string)) {
 	record, err := storage.ReadJob(*openItem)
 	if err != nil {
 		// If the job may have dependencies, one may be cancelled, which cancels this job too.
--- a/internal/controller/job_reader.go
+++ b/internal/jobstore/job_reader.go
@@ -1,4 +1,4 @@
-package controller
+package jobstore
 
 import (
 	"time"
@@ -10,18 +10,18 @@
 	"hitchdoor/internal/storage"
 )
 
-// jobReader reads what the key-value store holds of jobs, on behalf of users and of the leader. It
+// Reader reads what the key-value store holds of jobs, on behalf of users and of the leader. It
 // caches what never changes: the records of terminal jobs, and which jobs were accepted.
-type jobReader struct {
-	host         jobReaderHost
+type Reader struct {
+	host         Host
 	readBudget   ratelimit.TokenBucket // reads on behalf of users
 	pollInterval time.Duration         // pause between two pages of the initial load
 	terminalJobs terminalJobCache
-	acceptedJobs recentJobs[bool] // ids of jobs known to have been accepted
+	acceptedJobs RecentJobs[bool] // ids of jobs known to have been accepted
 }
 
-// jobReaderHost is what the reader needs from the node.
-type jobReaderHost interface {
+// Host is what the reader needs from the node.
+type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// Get sends a GET request to the key-value store. A response with status 0 means that no usable
@@ -40,30 +40,30 @@
 	TerminalRecordUnreadable(jobID string, item storage.Item, err error)
 }
 
-// jobCallback receives what the key-value store holds of a job: its open record or its terminal
+// Callback receives what the key-value store holds of a job: its open record or its terminal
 // record, or neither if the job is unknown. ok is false if the key-value store did not answer.
-type jobCallback func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord)
+type Callback func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord)
 
-// newJobReader returns a reader with empty caches. It makes at most readsPerSecond reads on behalf
+// NewReader returns a reader with empty caches. It makes at most readsPerSecond reads on behalf
 // of users.
-func newJobReader(host jobReaderHost, readsPerSecond float64, pollInterval time.Duration) *jobReader {
-	return &jobReader{
+func NewReader(host Host, readsPerSecond float64, pollInterval time.Duration) *Reader {
+	return &Reader{
 		host:         host,
 		readBudget:   ratelimit.NewTokenBucket(readsPerSecond, readsPerSecond),
 		pollInterval: pollInterval,
-		terminalJobs: terminalJobCache{recentJobs: newRecentJobs[storage.TerminalRecord](recentJobsLimit)},
-		acceptedJobs: newRecentJobs[bool](recentJobsLimit),
+		terminalJobs: terminalJobCache{RecentJobs: NewRecentJobs[storage.TerminalRecord](RecentJobsLimit)},
+		acceptedJobs: NewRecentJobs[bool](RecentJobsLimit),
 	}
 }
 
-// hasSpareReads reports whether at least half of the read budget is left.
-func (r *jobReader) hasSpareReads() bool {
+// HasSpareReads reports whether at least half of the read budget is left.
+func (r *Reader) HasSpareReads() bool {
 	r.readBudget.Refill(r.host.Now())
 	return r.readBudget.Tokens >= r.readBudget.Burst/2
 }
 
-// readItem reads one record. The callback gets nil unless the response has a record.
-func (r *jobReader) readItem(key string, onRead func(status int, item *storage.Item)) {
+// ReadItem reads one record. The callback gets nil unless the response has a record.
+func (r *Reader) ReadItem(key string, onRead func(status int, item *storage.Item)) {
 	r.host.Get("/store/"+key, func(status int, body []byte) {
 		var item storage.Item
 		if status != 200 || json.Unmarshal(body, &item) != nil {
@@ -74,10 +74,10 @@
 	})
 }
 
-// readJob reads a job's record, open or terminal. The open record is read first, because a job
+// ReadJob reads a job's record, open or terminal. The open record is read first, because a job
 // moves from open to terminal and never back.
-func (r *jobReader) readJob(jobID string, onRead jobCallback) {
-	if record, ok := r.terminalRecord(jobID); ok {
+func (r *Reader) ReadJob(jobID string, onRead Callback) {
+	if record, ok := r.TerminalRecord(jobID); ok {
 		onRead(true, nil, &record)
 		return
 	}
@@ -85,26 +85,26 @@
 		onRead(false, nil, nil)
 		return
 	}
-	r.readItem(storage.JobKey(jobID), func(status int, item *storage.Item) {
+	r.ReadItem(storage.JobKey(jobID), func(status int, item *storage.Item) {
 		switch {
 		case item != nil:
-			r.recordAccepted(jobID)
+			r.RecordAccepted(jobID)
 			onRead(true, item, nil)
 		case status == 404:
-			r.readTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) { onRead(ok, nil, terminal) })
+			r.ReadTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) { onRead(ok, nil, terminal) })
 		default:
 			onRead(false, nil, nil)
 		}
 	})
 }
 
-// readTerminalRecord reads a job's terminal record. The callback gets nil if there is none.
-func (r *jobReader) readTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
-	r.readItem(storage.TerminalKey(jobID), func(status int, item *storage.Item) {
+// ReadTerminalRecord reads a job's terminal record. The callback gets nil if there is none.
+func (r *Reader) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
+	r.ReadItem(storage.TerminalKey(jobID), func(status int, item *storage.Item) {
 		if item != nil {
 			r.cacheTerminalItem(*item)
 		}
-		terminal, known := r.terminalRecord(jobID)
+		terminal, known := r.TerminalRecord(jobID)
 		switch {
 		case known:
 			onRead(true, &terminal)
--- a/internal/controller/terminal_jobs.go
+++ b/internal/jobstore/terminal_jobs.go
@@ -1,4 +1,4 @@
-package controller
+package jobstore
 
 import (
 	"strings"
@@ -12,7 +12,7 @@
 
 // terminalJobCache caches the records of terminal jobs, which never change.
 type terminalJobCache struct {
-	recentJobs[storage.TerminalRecord]
+	RecentJobs[storage.TerminalRecord]
 
 	// State of the initial load: whether it is complete, whether a request is under way, the last
 	// key that was read, and when the next request is due.
@@ -21,34 +21,34 @@
 	nextReadAt      clock.Instant
 }
 
-// terminalRecord returns the terminal record of a job, if it is cached.
-func (r *jobReader) terminalRecord(jobID string) (storage.TerminalRecord, bool) {
-	return r.terminalJobs.get(jobID)
+// TerminalRecord returns the terminal record of a job, if it is cached.
+func (r *Reader) TerminalRecord(jobID string) (storage.TerminalRecord, bool) {
+	return r.terminalJobs.Get(jobID)
 }
 
-// cacheTerminalRecord caches the terminal record of a job, which this node has read or written.
-func (r *jobReader) cacheTerminalRecord(jobID string, record storage.TerminalRecord) {
-	r.terminalJobs.put(jobID, record)
+// CacheTerminalRecord caches the terminal record of a job, which this node has read or written.
+func (r *Reader) CacheTerminalRecord(jobID string, record storage.TerminalRecord) {
+	r.terminalJobs.Put(jobID, record)
 }
 
 // cacheTerminalItem decodes and caches a terminal record that was read from the key-value store.
-func (r *jobReader) cacheTerminalItem(item storage.Item) {
+func (r *Reader) cacheTerminalItem(item storage.Item) {
 	jobID := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
 	record, err := storage.ReadTerminal(item)
 	if err != nil {
 		r.host.TerminalRecordUnreadable(jobID, item, err)
 		return
 	}
-	r.cacheTerminalRecord(jobID, record)
+	r.CacheTerminalRecord(jobID, record)
 	r.host.TerminalRecordRead(jobID, record)
 }
 
-// terminalJobsLoaded reports whether the initial load of the terminal records is complete.
-func (r *jobReader) terminalJobsLoaded() bool { return r.terminalJobs.loaded }
+// TerminalJobsLoaded reports whether the initial load of the terminal records is complete.
+func (r *Reader) TerminalJobsLoaded() bool { return r.terminalJobs.loaded }
 
-// loadTerminalJobs loads the terminal records page by page after a start. If they were read one by
+// LoadTerminalJobs loads the terminal records page by page after a start. If they were read one by
 // one as users poll, thousands of reads would take longer than users may be left without an answer.
-func (r *jobReader) loadTerminalJobs() {
+func (r *Reader) LoadTerminalJobs() {
 	cache := &r.terminalJobs
 	if cache.loaded || cache.loading || r.host.Now() < cache.nextReadAt || !r.host.StoreResponding() {
 		return
@@ -73,8 +73,8 @@
 // and processor time of a step.
 const terminalPageSize = 500
 
-// terminalJobState is the state of a terminal job as users see it.
-func terminalJobState(jobID string, record storage.TerminalRecord) protocol.JobStatus {
+// TerminalState is the state of a terminal job as users see it.
+func TerminalState(jobID string, record storage.TerminalRecord) protocol.JobStatus {
 	noneRunning := 0
 	return protocol.JobStatus{ID: jobID, State: record.State, DoneTasks: &record.DoneTasks, RunningTasks: &noneRunning}
 }
