--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -67,7 +67,7 @@
 // SoonReleasedDependents returns the jobs that wait only for this one, if it should end within the
 // horizon.
 func (h autoscalerHost) SoonReleasedDependents(j *cluster.Job, horizon time.Duration) []*cluster.Job {
-	return h.leader.dependencies.soonReleasedDependents(j, horizon)
+	return h.leader.dependencies.SoonReleasedDependents(j, horizon)
 }
 
 // ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -52,7 +52,7 @@
 		t.Error("a job that waits for another takes part in the passes")
 	}
 	w.waitState("j-c", protocol.JobDone, time.Minute)
-	if n := len(l.leader.dependencies.dependents) + len(l.leader.dependencies.lookups) + len(l.leader.RunnableJobs); n != 0 {
+	if n := len(l.leader.dependencies.Dependents) + len(l.leader.dependencies.Lookups) + len(l.leader.RunnableJobs); n != 0 {
 		t.Errorf("%d entries are left of jobs that are over", n)
 	}
 	// One that is submitted when all is over begins at once, and one that repeats a
@@ -354,10 +354,10 @@
 	w.accept(n.name, last)
 	a, b, s, z := l.Jobs["j-a"], l.Jobs["j-b"], l.Jobs["j-s"], l.Jobs["j-z"]
 	end := z.AcceptedAt + 120*time.Second
-	if want := end - l.dependencies.expectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want || l.Due(s) != want {
+	if want := end - l.dependencies.ExpectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want || l.Due(s) != want {
 		t.Errorf("b is due at %v, s at %v, not %v", l.Due(b), l.Due(s), want)
 	}
-	if want := end - l.dependencies.expectedJobDuration(z, l.ImagePullRate()) - l.dependencies.expectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
+	if want := end - l.dependencies.ExpectedJobDuration(z, l.ImagePullRate()) - l.dependencies.ExpectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
 		t.Errorf("a is due at %v, not %v: the longest way counts", l.Due(a), want)
 	}
 	if a.EffectiveRank() != 1 || b.EffectiveRank() != 1 || a.Spec.PriorityRank() != 2 {
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -45,7 +45,7 @@
 // The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
 // leader may have reported that.
 func (l *leader) answerJobState(r Request, j *cluster.Job) {
-	if !j.DependencyCancelled && (j.CompletionUncertain || l.dependencies.mayBeCancelled(j)) {
+	if !j.DependencyCancelled && (j.CompletionUncertain || l.dependencies.MayBeCancelled(j)) {
 		l.node.answerFromStore(r, l, retryLater)
 		return
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -3,6 +3,7 @@
 import (
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/dependency"
 	"hitchdoor/internal/scheduler"
 )
 
@@ -28,7 +29,7 @@
 	delayedCalls   []delayedCall
 	recovery       *recoveryGate
 	reconciler     *reconciler
-	dependencies   *dependencyGraph
+	dependencies   *dependency.Graph
 	autoscaler     *autoscaler
 	admission      *policyPublisher
 }
@@ -45,7 +46,7 @@
 	}
 	l.initRecords(leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
-	l.dependencies = newDependencyGraph(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
+	l.dependencies = dependency.New(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
 	l.reconciler = newReconciler(state, term, l.recovery, reconcilerAdapter{leader: l})
 	l.autoscaler = newLeaderAutoscaler(l)
 	l.admission = newPolicyPublisher(publisherOptions{host: admissionHost{node}, follower: node.admissionPolicy,
@@ -131,7 +132,7 @@
 		return
 	}
 	l.jobWatch.tick()
-	l.dependencies.tickLookups()
+	l.dependencies.TickLookups()
 	l.quarantine.tick()
 	if node.leader != l {
 		return
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -93,7 +93,7 @@
 // JobAdded handles a job that was added to the job table.
 func (h recordsHost) JobAdded(j *cluster.Job) {
 	l := h.leader
-	l.dependencies.addJob(j)
+	l.dependencies.AddJob(j)
 	if l.recordsLoaded {
 		l.admission.countAccepted(&j.Spec)
 		l.node.traceStep(j.Spec.ID, stepLoaded, "")
@@ -102,17 +102,17 @@
 
 // CompletionPriority returns the write priority of a job's terminal record.
 func (h recordsHost) CompletionPriority(j *cluster.Job) storage.Priority {
-	return h.leader.dependencies.completionPriority(j)
+	return h.leader.dependencies.CompletionPriority(j)
 }
 
 // RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
 func (h recordsHost) RelaxDeadlines(cancelled *cluster.Job) {
-	h.leader.dependencies.relaxDeadlines(cancelled)
+	h.leader.dependencies.RelaxDeadlines(cancelled)
 }
 
 // ForEachDependent visits all direct and indirect dependents of a job once.
 func (h recordsHost) ForEachDependent(j *cluster.Job, visit func(dependent *cluster.Job)) {
-	h.leader.dependencies.forEachDependent(j, visit)
+	h.leader.dependencies.ForEachDependent(j, visit)
 }
 
 // JobFinished traces the end of a job and remembers its terminal record.
@@ -126,7 +126,7 @@
 // its cancellation.
 func (h recordsHost) JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
 	l := h.leader
-	l.dependencies.releaseDependents(jobID, terminal, writtenHere)
+	l.dependencies.ReleaseDependents(jobID, terminal, writtenHere)
 	status := protocol.JobStatus{ID: jobID, State: terminal.State}
 	if !writtenHere {
 		status = jobstore.TerminalState(jobID, terminal)
--- a/internal/controller/dependencies.go
+++ b/internal/dependency/dependencies.go
@@ -1,4 +1,4 @@
-package controller
+package dependency
 
 import (
 	"slices"
@@ -10,23 +10,23 @@
 	"hitchdoor/internal/storage"
 )
 
-// dependencyGraph is the DAG of the open jobs and the jobs on which they depend.
+// Graph is the DAG of the open jobs and the jobs on which they depend.
 //
 // A job with dependencies takes no part in scheduling until the completion of each is durable,
 // because the next leader may not know what only this leader has observed. The stored records
 // alone decide: a job is cancelled once the terminal record of any job that it depends on says
 // so. Nothing more has to be written, and a new leader continues from the same records.
-type dependencyGraph struct {
+type Graph struct {
 	state      *cluster.State
-	host       dependencyHost
-	dependents map[string][]*cluster.Job // jobs with a pending dependency, by the dependency's id
+	host       Host
+	Dependents map[string][]*cluster.Job // jobs with a pending dependency, by the dependency's id
 
-	lookups        map[string]clock.Instant // dependencies that are not open here: when to read their outcome
+	Lookups        map[string]clock.Instant // dependencies that are not open here: when to read their outcome
 	lookupInterval time.Duration            // pause between two lookups of one dependency
 }
 
-// dependencyHost is what the dependency graph needs from the leader.
-type dependencyHost interface {
+// Host is what the dependency graph needs from the leader.
+type Host interface {
 	// TerminalRecord returns the terminal record of a job, if it is known.
 	TerminalRecord(jobID string) (storage.TerminalRecord, bool)
 	// InstantFromUnixMilli converts a stored wall clock time to an instant.
@@ -46,16 +46,16 @@
 	LoadOpenJob(jobID string)
 }
 
-// newDependencyGraph returns an empty graph of a cluster state.
-func newDependencyGraph(state *cluster.State, host dependencyHost, lookupInterval time.Duration) *dependencyGraph {
-	return &dependencyGraph{
-		state: state, host: host, dependents: map[string][]*cluster.Job{},
-		lookups: map[string]clock.Instant{}, lookupInterval: lookupInterval,
+// New returns an empty graph of a cluster state.
+func New(state *cluster.State, host Host, lookupInterval time.Duration) *Graph {
+	return &Graph{
+		state: state, host: host, Dependents: map[string][]*cluster.Job{},
+		Lookups: map[string]clock.Instant{}, lookupInterval: lookupInterval,
 	}
 }
 
-// addJob registers a new job with its dependencies and updates their deadlines and ranks.
-func (g *dependencyGraph) addJob(j *cluster.Job) {
+// AddJob registers a new job with its dependencies and updates their deadlines and ranks.
+func (g *Graph) AddJob(j *cluster.Job) {
 	id, cancelled := j.Spec.ID, false
 	for _, dependencyID := range j.Spec.Dependencies {
 		if terminal, ended := g.host.TerminalRecord(dependencyID); ended {
@@ -65,8 +65,8 @@
 		}
 		cancelled = g.addPendingDependency(j, dependencyID) || cancelled
 	}
-	delete(g.lookups, id)
-	g.tightenDeadlines(g.dependents[id]...)
+	delete(g.Lookups, id)
+	g.tightenDeadlines(g.Dependents[id]...)
 	switch {
 	case cancelled:
 		g.cancelWithDependents(j)
@@ -79,13 +79,13 @@
 
 // addPendingDependency registers a job with a dependency whose terminal record is not known. It
 // reports whether the dependency is known to be cancelled all the same.
-func (g *dependencyGraph) addPendingDependency(j *cluster.Job, dependencyID string) (cancelled bool) {
+func (g *Graph) addPendingDependency(j *cluster.Job, dependencyID string) (cancelled bool) {
 	j.PendingDependencies++
-	g.dependents[dependencyID] = append(g.dependents[dependencyID], j)
+	g.Dependents[dependencyID] = append(g.Dependents[dependencyID], j)
 	dependency := g.state.Jobs[dependencyID]
 	if dependency == nil {
 		// The record may follow with the next page or the watch, or the job may be terminal.
-		g.lookups[dependencyID] = g.state.Clock.Now()
+		g.Lookups[dependencyID] = g.state.Clock.Now()
 		return false
 	}
 	// The cancellation of the dependency, or of one before it, may have been read by another
@@ -96,24 +96,24 @@
 }
 
 // endedAt returns when a job with this terminal record ended, but no later than now.
-func (g *dependencyGraph) endedAt(terminal storage.TerminalRecord) clock.Instant {
+func (g *Graph) endedAt(terminal storage.TerminalRecord) clock.Instant {
 	return min(g.host.InstantFromUnixMilli(terminal.EndedAtMillis), g.state.Clock.Now())
 }
 
 // releaseJob makes a job without pending dependencies available to scheduling.
-func (g *dependencyGraph) releaseJob(j *cluster.Job) {
+func (g *Graph) releaseJob(j *cluster.Job) {
 	g.state.RunnableJobs[j.Spec.ID] = j
 	j.PendingSince = g.state.Clock.Now()
 	g.state.SchedulingNeeded = true
 	g.host.JobReleased(j)
 }
 
-// releaseDependents processes the durable terminal record of a job: its dependents are cancelled
+// ReleaseDependents processes the durable terminal record of a job: its dependents are cancelled
 // or released. writtenHere reports whether this leader has written the record.
-func (g *dependencyGraph) releaseDependents(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
-	dependents := g.dependents[jobID]
-	delete(g.dependents, jobID)
-	delete(g.lookups, jobID)
+func (g *Graph) ReleaseDependents(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
+	dependents := g.Dependents[jobID]
+	delete(g.Dependents, jobID)
+	delete(g.Lookups, jobID)
 	for _, dependent := range dependents {
 		switch {
 		case dependent.Terminal:
@@ -127,7 +127,7 @@
 
 // completeDependency processes the completion of one dependency of a job, which is released if it
 // was the last.
-func (g *dependencyGraph) completeDependency(j *cluster.Job, terminal storage.TerminalRecord, writtenHere bool) {
+func (g *Graph) completeDependency(j *cluster.Job, terminal storage.TerminalRecord, writtenHere bool) {
 	j.EligibleAt = max(j.EligibleAt, g.endedAt(terminal))
 	j.ReleasedThisTerm = j.ReleasedThisTerm || writtenHere
 	j.PendingDependencies--
@@ -139,7 +139,7 @@
 // cancelWithDependents cancels a job and all its dependents because a dependency is cancelled.
 // That cancellation is already durable, so users are notified at once; the terminal records of
 // the jobs are written with low priority.
-func (g *dependencyGraph) cancelWithDependents(j *cluster.Job) {
+func (g *Graph) cancelWithDependents(j *cluster.Job) {
 	var cancelled []*cluster.Job
 	for queue := []*cluster.Job{j}; len(queue) > 0; queue = queue[1:] {
 		next := queue[0]
@@ -149,30 +149,30 @@
 		next.DependencyCancelled = true
 		cancelled = append(cancelled, next)
 		g.host.CancelJob(next)
-		queue = append(queue, g.dependents[next.Spec.ID]...)
+		queue = append(queue, g.Dependents[next.Spec.ID]...)
 	}
-	g.relaxDeadlines(cancelled...)
+	g.RelaxDeadlines(cancelled...)
 }
 
-// forEachDependent visits all direct and indirect dependents of a job once.
-func (g *dependencyGraph) forEachDependent(j *cluster.Job, visit func(*cluster.Job)) {
+// ForEachDependent visits all direct and indirect dependents of a job once.
+func (g *Graph) ForEachDependent(j *cluster.Job, visit func(*cluster.Job)) {
 	seen := map[*cluster.Job]bool{}
-	for queue := slices.Clone(g.dependents[j.Spec.ID]); len(queue) > 0; queue = queue[1:] {
+	for queue := slices.Clone(g.Dependents[j.Spec.ID]); len(queue) > 0; queue = queue[1:] {
 		dependent := queue[0]
 		if seen[dependent] {
 			continue
 		}
 		seen[dependent] = true
 		visit(dependent)
-		queue = append(queue, g.dependents[dependent.Spec.ID]...)
+		queue = append(queue, g.Dependents[dependent.Spec.ID]...)
 	}
 }
 
-// soonReleasedDependents returns the jobs for which this is the last pending dependency, if it
+// SoonReleasedDependents returns the jobs for which this is the last pending dependency, if it
 // should end within the horizon (the boot time of a machine), so that capacity and images can be
 // prepared.
-func (g *dependencyGraph) soonReleasedDependents(j *cluster.Job, horizon time.Duration) []*cluster.Job {
-	dependents := g.dependents[j.Spec.ID]
+func (g *Graph) SoonReleasedDependents(j *cluster.Job, horizon time.Duration) []*cluster.Job {
+	dependents := g.Dependents[j.Spec.ID]
 	if len(dependents) == 0 || j.PendingTasks > 0 {
 		return nil
 	}
@@ -188,15 +188,15 @@
 	})
 }
 
-// completionPriority returns the write priority of a job's terminal record, which matters when
+// CompletionPriority returns the write priority of a job's terminal record, which matters when
 // writes are throttled.
-func (g *dependencyGraph) completionPriority(j *cluster.Job) storage.Priority {
+func (g *Graph) CompletionPriority(j *cluster.Job) storage.Priority {
 	switch {
 	case j.DependencyCancelled:
 		return storage.PriorityLow // it follows from records already stored
 	case j.Cancelled:
 		return storage.PriorityCancellation
-	case len(g.dependents[j.Spec.ID]) > 0:
+	case len(g.Dependents[j.Spec.ID]) > 0:
 		return storage.PriorityDependency
 	}
 	return storage.PriorityNormal
--- a/internal/controller/dependency_deadlines.go
+++ b/internal/dependency/dependency_deadlines.go
@@ -1,4 +1,4 @@
-package controller
+package dependency
 
 import (
 	"math"
@@ -12,7 +12,7 @@
 // tightenDeadlines propagates deadlines and ranks from the given jobs to their direct and
 // indirect dependencies. A job is due when the longest path from it to a deadline (the critical
 // path) leaves no more time, so the slack of a pipeline is counted only once.
-func (g *dependencyGraph) tightenDeadlines(jobs ...*cluster.Job) {
+func (g *Graph) tightenDeadlines(jobs ...*cluster.Job) {
 	if len(jobs) == 0 {
 		return
 	}
@@ -39,7 +39,7 @@
 
 // latestStart returns the time by which the dependencies of a job must be complete, so that the job
 // meets its own deadline and those of its dependents.
-func (g *dependencyGraph) latestStart(j *cluster.Job, pullRate cluster.ImagePullRate) clock.Instant {
+func (g *Graph) latestStart(j *cluster.Job, pullRate cluster.ImagePullRate) clock.Instant {
 	latestEnd := j.LatestEnd
 	if j.Spec.DeadlineSeconds != nil {
 		latestEnd = min(latestEnd, g.state.OwnDue(j, j.EligibleAt))
@@ -47,12 +47,12 @@
 	if latestEnd == clock.Forever {
 		return clock.Forever
 	}
-	return latestEnd - g.expectedJobDuration(j, pullRate)
+	return latestEnd - g.ExpectedJobDuration(j, pullRate)
 }
 
-// relaxDeadlines recomputes LatestEnd and InheritedRank of the jobs on which cancelled jobs
+// RelaxDeadlines recomputes LatestEnd and InheritedRank of the jobs on which cancelled jobs
 // depended.
-func (g *dependencyGraph) relaxDeadlines(cancelledJobs ...*cluster.Job) {
+func (g *Graph) RelaxDeadlines(cancelledJobs ...*cluster.Job) {
 	var relaxed []*cluster.Job
 	for queue := slices.Clone(cancelledJobs); len(queue) > 0; queue = queue[1:] {
 		for _, id := range queue[0].Spec.Dependencies {
@@ -68,15 +68,15 @@
 	}
 	var dependents []*cluster.Job
 	for _, dependency := range relaxed {
-		dependents = append(dependents, g.dependents[dependency.Spec.ID]...)
+		dependents = append(dependents, g.Dependents[dependency.Spec.ID]...)
 	}
 	g.tightenDeadlines(dependents...)
 }
 
-// expectedJobDuration returns the expected time from the completion of a job's last dependency to
+// ExpectedJobDuration returns the expected time from the completion of a job's last dependency to
 // its own: its longest task, the image fetch, and the two heartbeats that carry the start and the
 // end.
-func (g *dependencyGraph) expectedJobDuration(j *cluster.Job, pullRate cluster.ImagePullRate) time.Duration {
+func (g *Graph) ExpectedJobDuration(j *cluster.Job, pullRate cluster.ImagePullRate) time.Duration {
 	longestTaskFactor := math.Exp(taskDurationLogDeviation * math.Sqrt(2*math.Log(float64(j.Spec.TaskCount))))
 	longestTask := time.Duration(longestTaskFactor * float64(g.state.ExpectedTaskDuration(j)))
 	return longestTask + pullRate.PullDuration(j.Spec.ImageGB) + 2*g.state.HeartbeatInterval()
