--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/recoverygate"
+
 	"hitchdoor/internal/clock"
 
 	"hitchdoor/internal/protocol"
@@ -32,7 +34,7 @@
 		c.back(name, c.away+c.within(spread+step))
 	}
 	c.began = c.now + c.away
-	c.rates = recoverySettings(&c.nodes[c.names[0]].cfg.Cluster, &c.nodes[c.names[0]].settings).Rates(len(c.cloud.hosts), 4*float64(len(c.cloud.hosts)), 4)
+	c.rates = recoverygate.RecoverySettings(&c.nodes[c.names[0]].cfg.Cluster, &c.nodes[c.names[0]].settings).Rates(len(c.cloud.hosts), 4*float64(len(c.cloud.hosts)), 4)
 	c.watchRentals()
 	c.watchStarts()
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,6 +4,7 @@
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/dependency"
+	"hitchdoor/internal/recoverygate"
 	"hitchdoor/internal/scheduler"
 )
 
@@ -27,7 +28,7 @@
 	loader         *loader
 	jobWatch       *jobWatch
 	delayedCalls   []delayedCall
-	recovery       *recoveryGate
+	recovery       *recoverygate.Gate
 	reconciler     *reconciler
 	dependencies   *dependency.Graph
 	autoscaler     *autoscaler
@@ -42,7 +43,7 @@
 		node: node, term: term, State: state,
 		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now),
 		cancelWaiters: map[string][]Origin{},
-		recovery:      newRecoveryGate(state, leaderKeyVersion, &node.mismatches),
+		recovery:      recoverygate.New(state, leaderKeyVersion, &node.mismatches),
 	}
 	l.initRecords(leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
--- a/internal/controller/recovery_gate.go
+++ b/internal/recoverygate/recovery_gate.go
@@ -1,4 +1,4 @@
-package controller
+package recoverygate
 
 import (
 	"time"
@@ -10,11 +10,11 @@
 	"hitchdoor/internal/scheduler"
 )
 
-// recoveryGate applies the limits of a new leader's recovery to its decisions: whether machines may
+// Gate applies the limits of a new leader's recovery to its decisions: whether machines may
 // be rented or returned, how many commands may be sent now, and which jobs may be running on machines
 // that are not reconciled. It owns the leader's recovery.Recovery and feeds it with views of the
 // cluster state.
-type recoveryGate struct {
+type Gate struct {
 	state    *cluster.State
 	recovery *recovery.Recovery
 	// leaderRevision is the revision of the key-value store at which this leader wrote the leader
@@ -24,17 +24,17 @@
 	processMismatches *recovery.MismatchCounts
 }
 
-// newRecoveryGate starts the recovery of a new leader, whose leader key was written at
+// New starts the recovery of a new leader, whose leader key was written at
 // leaderRevision.
-func newRecoveryGate(state *cluster.State, leaderRevision uint64, processMismatches *recovery.MismatchCounts) *recoveryGate {
-	return &recoveryGate{
-		state: state, recovery: recovery.New(recoverySettings(state.Config, state.Settings), state.Clock.Now()),
+func New(state *cluster.State, leaderRevision uint64, processMismatches *recovery.MismatchCounts) *Gate {
+	return &Gate{
+		state: state, recovery: recovery.New(RecoverySettings(state.Config, state.Settings), state.Clock.Now()),
 		leaderRevision: leaderRevision, processMismatches: processMismatches,
 	}
 }
 
-// recoverySettings are the intervals and limits of a recovery, from a controller's settings.
-func recoverySettings(platform *config.Cluster, settings *config.Settings) recovery.Settings {
+// RecoverySettings are the intervals and limits of a recovery, from a controller's settings.
+func RecoverySettings(platform *config.Cluster, settings *config.Settings) recovery.Settings {
 	return recovery.Settings{
 		HeartbeatInterval: config.Seconds(platform.Workers.HeartbeatIntervalS),
 		WorkerLease:       clock.WorkerLeaseTimeout(config.Seconds(platform.Workers.LeaseS)),
@@ -43,22 +43,22 @@
 }
 
 // ReadingTimedOut reports whether reading the records takes so long that another leader should try.
-func (g *recoveryGate) ReadingTimedOut() bool { return g.recovery.ReadingTimedOut(g.state.Clock.Now()) }
+func (g *Gate) ReadingTimedOut() bool { return g.recovery.ReadingTimedOut(g.state.Clock.Now()) }
 
 // Phase returns the present phase of the recovery.
-func (g *recoveryGate) Phase() recovery.Phase { return g.recovery.Phase() }
+func (g *Gate) Phase() recovery.Phase { return g.recovery.Phase() }
 
 // Completed reports whether the recovery is completed.
-func (g *recoveryGate) Completed() bool { return g.recovery.Completed() }
+func (g *Gate) Completed() bool { return g.recovery.Completed() }
 
 // Counts returns the number of mismatches of each kind.
-func (g *recoveryGate) Counts() recovery.MismatchCounts { return g.recovery.Counts() }
+func (g *Gate) Counts() recovery.MismatchCounts { return g.recovery.Counts() }
 
 // Budgets lists the present budgets. There are none once the recovery is completed.
-func (g *recoveryGate) Budgets() []recovery.Budget { return g.recovery.Budgets(g.state.Clock.Now()) }
+func (g *Gate) Budgets() []recovery.Budget { return g.recovery.Budgets(g.state.Clock.Now()) }
 
 // Status returns the state of the recovery in a term, as operators see it.
-func (g *recoveryGate) Status(term uint64) *recovery.Status {
+func (g *Gate) Status(term uint64) *recovery.Status {
 	status := g.recovery.Status(g.state.Clock.Now())
 	status.Term, status.Paced = term, g.appliesToFleet()
 	return status
@@ -66,7 +66,7 @@
 
 // Advance moves the recovery on to the phase that follows from the cluster state. recordsRead tells
 // whether all stored records have been read.
-func (g *recoveryGate) Advance(recordsRead bool) {
+func (g *Gate) Advance(recordsRead bool) {
 	if g.recovery.Completed() {
 		return
 	}
@@ -76,7 +76,7 @@
 }
 
 // onTransition logs a change of phase and counts the mismatches that show at that moment.
-func (g *recoveryGate) onTransition(transition recovery.Transition) {
+func (g *Gate) onTransition(transition recovery.Transition) {
 	g.state.Log.Info("recovery phase changed",
 		"phase", transition.To, "after", transition.Duration, "timeout", transition.TimedOut,
 		"machines", len(g.state.Machines), "mismatches", mismatchTotal(g.recovery.Counts()))
@@ -90,7 +90,7 @@
 }
 
 // view is the state of the cluster that the recovery depends on.
-func (g *recoveryGate) view(recordsRead bool) recovery.View {
+func (g *Gate) view(recordsRead bool) recovery.View {
 	totals := g.state.CurrentMachineTotals()
 	return recovery.View{RecordsRead: recordsRead, InventoryIncomplete: g.state.InventoryIncomplete(),
 		Machines: len(g.state.Machines), Unreconciled: totals.UnreconciledMachines,
@@ -110,7 +110,7 @@
 
 // NoteMismatch counts a mismatch, for this leader and for this process. The subject is a task or a
 // job.
-func (g *recoveryGate) NoteMismatch(kind recovery.Mismatch, machine, subject string) {
+func (g *Gate) NoteMismatch(kind recovery.Mismatch, machine, subject string) {
 	if g.recovery.NoteMismatch(g.state.Clock.Now(), kind, machine, subject) {
 		g.processMismatches[kind]++
 	}
@@ -118,7 +118,7 @@
 
 // noteUnresponsiveMachines counts, at the end of the collecting phase, the machines that have not
 // sent a heartbeat.
-func (g *recoveryGate) noteUnresponsiveMachines() {
+func (g *Gate) noteUnresponsiveMachines() {
 	for _, m := range g.state.MachinesByName() {
 		if !m.Reconciled && m.LastHeartbeat == clock.Never {
 			g.NoteMismatch(recovery.MachineUnresponsive, m.Name, "")
@@ -128,7 +128,7 @@
 
 // noteJobsNotRunning counts, once all machines are reconciled, the jobs of earlier leaders that no
 // worker reports a task of.
-func (g *recoveryGate) noteJobsNotRunning() {
+func (g *Gate) noteJobsNotRunning() {
 	for _, job := range g.state.JobsByAge() {
 		if job.RecordVersion <= g.leaderRevision && len(job.Attempts) == 0 && job.PendingTasks > 0 {
 			g.NoteMismatch(recovery.JobNotRunning, "", job.Spec.ID)
@@ -138,23 +138,23 @@
 
 // Limited reports whether the recovery limits what this leader does: it applies to this fleet and is
 // not completed.
-func (g *recoveryGate) Limited() bool { return !g.recovery.Completed() && g.appliesToFleet() }
+func (g *Gate) Limited() bool { return !g.recovery.Completed() && g.appliesToFleet() }
 
 // appliesToFleet reports whether a recovery limits the leader of a fleet of this size. Small fleets
 // are exempt: in a simulated day of 40 machines, on which all controllers ended six times while their
 // workers were cut off, delaying rentals reduced the jobs completed in time by a third.
-func (g *recoveryGate) appliesToFleet() bool {
+func (g *Gate) appliesToFleet() bool {
 	return g.state.Settings.PacedRecovery && len(g.state.Machines) >= g.state.Settings.RecoveryMinMachines
 }
 
 // MayScaleOut reports whether machines may be rented.
-func (g *recoveryGate) MayScaleOut() bool { return !g.Limited() || g.recovery.MayScaleOut() }
+func (g *Gate) MayScaleOut() bool { return !g.Limited() || g.recovery.MayScaleOut() }
 
 // MayScaleIn reports whether machines may be returned because there are too many.
-func (g *recoveryGate) MayScaleIn() bool { return !g.Limited() || g.recovery.MayScaleIn() }
+func (g *Gate) MayScaleIn() bool { return !g.Limited() || g.recovery.MayScaleIn() }
 
 // MayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
-func (g *recoveryGate) MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
+func (g *Gate) MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
 	if machine.Reconciled {
 		workerLease := config.Seconds(g.state.Config.Workers.LeaseS)
 		return silence > workerLease*6/10
@@ -164,13 +164,13 @@
 
 // allowOperation reports whether an operation is within the recovery's budgets now, and takes it
 // from its budget.
-func (g *recoveryGate) allowOperation(operation recovery.Operation, urgency recovery.Urgency, team string) bool {
+func (g *Gate) allowOperation(operation recovery.Operation, urgency recovery.Urgency, team string) bool {
 	return !g.Limited() || g.recovery.Allow(g.state.Clock.Now(), operation, urgency, team)
 }
 
 // AllowedOperations is how many of count operations on machines are within the budget now. It takes
 // them from the budget.
-func (g *recoveryGate) AllowedOperations(operation recovery.Operation, count int) int {
+func (g *Gate) AllowedOperations(operation recovery.Operation, count int) int {
 	for i := range count {
 		if !g.allowOperation(operation, recovery.LatencySensitive, "") {
 			return i
@@ -180,7 +180,7 @@
 }
 
 // RefundOperations returns to the budget what was taken for operations that were not carried out.
-func (g *recoveryGate) RefundOperations(operation recovery.Operation, count int) {
+func (g *Gate) RefundOperations(operation recovery.Operation, count int) {
 	g.recovery.RefundOperations(g.state.Clock.Now(), operation, count)
 }
 
@@ -190,7 +190,7 @@
 const startsPerResponseDivisor = 4
 
 // MayStartTask reports whether a response that starts some tasks already may start one more.
-func (g *recoveryGate) MayStartTask(attempt *cluster.TaskAttempt, startedCount int) bool {
+func (g *Gate) MayStartTask(attempt *cluster.TaskAttempt, startedCount int) bool {
 	if !g.Limited() {
 		return true
 	}
@@ -202,7 +202,7 @@
 
 // MayStopTask reports whether a task may be stopped now. The job is nil if it is not open: its task
 // should not be running, and stopping it has the highest urgency.
-func (g *recoveryGate) MayStopTask(job *cluster.Job) bool {
+func (g *Gate) MayStopTask(job *cluster.Job) bool {
 	if job == nil {
 		return g.allowOperation(recovery.StopTask, recovery.CancelledWork, "")
 	}
@@ -225,7 +225,7 @@
 // An earlier leader can't have started a job that was accepted after the leader key was written,
 // nor one that depends on a job whose end this leader has written. Nor can a job be running there
 // that may use none of those machines.
-func (g *recoveryGate) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
+func (g *Gate) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
 	if totals.AllReconciled || job.RecordVersion > g.leaderRevision || job.ReleasedThisTerm {
 		return false
 	}
--- a/internal/controller/recovery_gate_test.go
+++ b/internal/recoverygate/recovery_gate_test.go
@@ -1,4 +1,4 @@
-package controller
+package recoverygate
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 )
 
 // newTestGate returns the gate of a new leader with a number of machines that are not reconciled.
-func newTestGate(machines int) (*recoveryGate, *gateClock, *recovery.MismatchCounts) {
+func newTestGate(machines int) (*Gate, *gateClock, *recovery.MismatchCounts) {
 	now := &gateClock{now: time.Minute}
 	platform := &config.Cluster{}
 	platform.Workers.HeartbeatIntervalS, platform.Workers.LeaseS = 4, 20
@@ -35,11 +35,11 @@
 		state.NewMachine(fmt.Sprintf("m-%d", i), "small", "a", false)
 	}
 	counts := &recovery.MismatchCounts{}
-	return newRecoveryGate(state, gateLeaderRevision, counts), now, counts
+	return New(state, gateLeaderRevision, counts), now, counts
 }
 
 // reconcileMachines makes machines of the gate's cluster reconciled.
-func reconcileMachines(gate *recoveryGate, count int) {
+func reconcileMachines(gate *Gate, count int) {
 	for _, m := range gate.state.MachinesByName()[:count] {
 		m.Reconciled = true
 	}
@@ -79,17 +79,17 @@
 // is not reconciled.
 func TestJobsThatMayRunUnreported(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(gate *recoveryGate, job *cluster.Job)
+		change func(gate *Gate, job *cluster.Job)
 		may    bool
 	}{
-		"job of an earlier leader":  {func(*recoveryGate, *cluster.Job) {}, true},
-		"accepted in this term":     {func(_ *recoveryGate, job *cluster.Job) { job.RecordVersion = gateLeaderRevision + 1 }, false},
-		"released in this term":     {func(_ *recoveryGate, job *cluster.Job) { job.ReleasedThisTerm = true }, false},
-		"all machines reconciled":   {func(gate *recoveryGate, _ *cluster.Job) { reconcileMachines(gate, gateMinMachines) }, false},
-		"in another zone":           {func(_ *recoveryGate, job *cluster.Job) { job.Spec.Zone = "b" }, false},
-		"of another type":           {func(_ *recoveryGate, job *cluster.Job) { job.Spec.MachineTypes = []string{"large"} }, false},
-		"too large, by the catalog": {func(_ *recoveryGate, job *cluster.Job) { job.Spec.Cores = 999 }, true},
-		"elsewhere, but types unknown": {func(gate *recoveryGate, job *cluster.Job) {
+		"job of an earlier leader":  {func(*Gate, *cluster.Job) {}, true},
+		"accepted in this term":     {func(_ *Gate, job *cluster.Job) { job.RecordVersion = gateLeaderRevision + 1 }, false},
+		"released in this term":     {func(_ *Gate, job *cluster.Job) { job.ReleasedThisTerm = true }, false},
+		"all machines reconciled":   {func(gate *Gate, _ *cluster.Job) { reconcileMachines(gate, gateMinMachines) }, false},
+		"in another zone":           {func(_ *Gate, job *cluster.Job) { job.Spec.Zone = "b" }, false},
+		"of another type":           {func(_ *Gate, job *cluster.Job) { job.Spec.MachineTypes = []string{"large"} }, false},
+		"too large, by the catalog": {func(_ *Gate, job *cluster.Job) { job.Spec.Cores = 999 }, true},
+		"elsewhere, but types unknown": {func(gate *Gate, job *cluster.Job) {
 			job.Spec.Zone = "b"
 			gate.state.MachinesByName()[0].TypeName = ""
 		}, true},
