--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,6 +4,7 @@
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/dependency"
+	"hitchdoor/internal/reconcile"
 	"hitchdoor/internal/recoverygate"
 	"hitchdoor/internal/scheduler"
 )
@@ -29,7 +30,7 @@
 	jobWatch       *jobWatch
 	delayedCalls   []delayedCall
 	recovery       *recoverygate.Gate
-	reconciler     *reconciler
+	reconciler     *reconcile.Reconciler
 	dependencies   *dependency.Graph
 	autoscaler     *autoscaler
 	admission      *policyPublisher
@@ -48,7 +49,7 @@
 	l.initRecords(leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
 	l.dependencies = dependency.New(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
-	l.reconciler = newReconciler(state, term, l.recovery, reconcilerAdapter{leader: l})
+	l.reconciler = reconcile.New(state, term, l.recovery, reconcilerAdapter{leader: l})
 	l.autoscaler = newLeaderAutoscaler(l)
 	l.admission = newPolicyPublisher(publisherOptions{host: admissionHost{node}, follower: node.admissionPolicy,
 		state: state, writer: l.writer, log: node.log})
--- a/internal/controller/command_delivery.go
+++ b/internal/reconcile/command_delivery.go
@@ -1,4 +1,4 @@
-package controller
+package reconcile
 
 import (
 	"slices"
@@ -59,7 +59,7 @@
 // assigned tasks, count as capacity, and block older jobs after a takeover. It gets no more tasks
 // and responses and is returned. Its tasks end by a heartbeat, with the lease, or with the
 // machine.
-func (r *reconciler) drainIfCommandsUndelivered(machine *cluster.Machine) bool {
+func (r *Reconciler) drainIfCommandsUndelivered(machine *cluster.Machine) bool {
 	if machine.MissedResponses < maxMissedResponses {
 		return false
 	}
@@ -76,7 +76,7 @@
 
 // mostMachinesMissResponses reports whether responses of this node do not get through at all, so that
 // the fault is not that of a single machine.
-func (r *reconciler) mostMachinesMissResponses() bool {
+func (r *Reconciler) mostMachinesMissResponses() bool {
 	undeliveredCount, upCount := 0, 0
 	for _, machine := range r.MachinesByName() {
 		if !machine.Up {
--- a/internal/controller/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,4 +1,4 @@
-package controller
+package reconcile
 
 import (
 	"time"
@@ -9,22 +9,22 @@
 	"hitchdoor/internal/recovery"
 )
 
-// reconciler compares the heartbeats of workers with the cluster state of one term: it brings the
+// Reconciler compares the heartbeats of workers with the cluster state of one term: it brings the
 // state up to date and determines the commands of each response. It changes the state through the
 // transitions of package cluster, and sends and stores nothing itself.
 //
 // A heartbeat is processed in two steps. Reconcile applies it to the state. The leader may then
 // schedule tasks on the machine, and Respond builds the response with all commands.
-type reconciler struct {
+type Reconciler struct {
 	*cluster.State
 	fencingToken uint64 // the term, which responses and heartbeats carry
-	recovery     reconcilerRecovery
-	host         reconcilerHost
+	recovery     RecoveryGate
+	host         Host
 }
 
-// reconcilerRecovery is the recovery of the leader, which limits the commands of a new leader and
+// RecoveryGate is the recovery of the leader, which limits the commands of a new leader and
 // counts how heartbeats differ from the stored state.
-type reconcilerRecovery interface {
+type RecoveryGate interface {
 	// NoteMismatch counts a mismatch of a machine. The subject is a task, or empty.
 	NoteMismatch(kind recovery.Mismatch, machine, subject string)
 	// MayStartTask reports whether a response that starts some tasks already may start one more.
@@ -33,8 +33,8 @@
 	MayStopTask(job *cluster.Job) bool
 }
 
-// reconcilerHost is what the reconciler needs from the leader.
-type reconcilerHost interface {
+// Host is what the reconciler needs from the leader.
+type Host interface {
 	// RecordMachine makes a machine durable as one that may have tasks.
 	RecordMachine(machine *cluster.Machine)
 	// MarkTaskDone records that a task is completed and makes that durable.
@@ -54,41 +54,41 @@
 	TraceFirstRunning(attempt *cluster.TaskAttempt)
 }
 
-// newReconciler returns the reconciler of a term.
-func newReconciler(state *cluster.State, term uint64, gate reconcilerRecovery, host reconcilerHost) *reconciler {
-	return &reconciler{State: state, fencingToken: term, recovery: gate, host: host}
+// New returns the reconciler of a term.
+func New(state *cluster.State, term uint64, gate RecoveryGate, host Host) *Reconciler {
+	return &Reconciler{State: state, fencingToken: term, recovery: gate, host: host}
 }
 
-// reconciliation is the result of a heartbeat that was applied to the state of its machine.
-type reconciliation struct {
+// Result is the result of a heartbeat that was applied to the state of its machine.
+type Result struct {
 	Machine  *cluster.Machine
 	commands []protocol.Command // stop or forget tasks that should not be on the machine
 }
 
 // Reconcile applies a heartbeat to the cluster state. relayPeer is the peer that relayed it, or empty.
 // ok is false if the worker must get no commands and no renewal of its lease.
-func (r *reconciler) Reconcile(heartbeat *protocol.WorkerHeartbeat, relayPeer string) (result reconciliation, ok bool) {
+func (r *Reconciler) Reconcile(heartbeat *protocol.WorkerHeartbeat, relayPeer string) (result Result, ok bool) {
 	machine := r.reportingMachine(heartbeat)
 	if machine == nil || r.isStaleHeartbeat(machine, heartbeat) {
-		return reconciliation{}, false
+		return Result{}, false
 	}
 	commands := r.applyHeartbeat(machine, heartbeat, relayPeer)
 	if r.drainIfCommandsUndelivered(machine) {
 		// The response would be lost, and a 200 would only postpone the time from which the
 		// worker's lease has certainly expired.
-		return reconciliation{}, false
+		return Result{}, false
 	}
 	r.cancelMissedHeartbeatDrain(machine)
 	r.ApplyPreemptionNotice(machine, heartbeat.PreemptionNoticeSeconds)
 	if !machine.UseDurable {
 		r.host.RecordMachine(machine)
 	}
-	return reconciliation{Machine: machine, commands: commands}, true
+	return Result{Machine: machine, commands: commands}, true
 }
 
 // Respond returns the response to the heartbeat of a reconciliation, with the commands that the state
 // requires by now. The response may renew the worker's lease.
-func (r *reconciler) Respond(result reconciliation) *protocol.HeartbeatResponse {
+func (r *Reconciler) Respond(result Result) *protocol.HeartbeatResponse {
 	machine := result.Machine
 	response := &protocol.HeartbeatResponse{FencingToken: r.fencingToken, Commands: r.appendAttemptCommands(machine, result.commands)}
 	machine.LastResponse = r.Clock.Now()
@@ -98,7 +98,7 @@
 
 // applyHeartbeat updates the state of a machine from its heartbeat. It returns the commands that
 // stop or forget tasks that should not be on the machine.
-func (r *reconciler) applyHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) []protocol.Command {
+func (r *Reconciler) applyHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) []protocol.Command {
 	tokenAcknowledged := r.carriesToken(heartbeat)
 	if heartbeat.Epoch > machine.Epoch && machine.Epoch != 0 {
 		r.beginEpoch(machine)
@@ -125,13 +125,13 @@
 }
 
 // capacityChanged has the totals of the machines recomputed and a scheduling pass made.
-func (r *reconciler) capacityChanged() {
+func (r *Reconciler) capacityChanged() {
 	r.SchedulingNeeded = true
 	r.TotalsValid = false
 }
 
 // carriesToken reports whether a heartbeat carries the fencing token of the current term.
-func (r *reconciler) carriesToken(heartbeat *protocol.WorkerHeartbeat) bool {
+func (r *Reconciler) carriesToken(heartbeat *protocol.WorkerHeartbeat) bool {
 	return heartbeat.FencingToken == r.fencingToken
 }
 
@@ -139,7 +139,7 @@
 // again, unless its termination has been requested already. The worker or this leader may only
 // have been partitioned. Without this, a thousand machines were returned after an outage of the
 // cloud API although they had been running tasks again for half a minute.
-func (r *reconciler) cancelMissedHeartbeatDrain(machine *cluster.Machine) {
+func (r *Reconciler) cancelMissedHeartbeatDrain(machine *cluster.Machine) {
 	if machine.DrainReason != cluster.HeartbeatMissed || machine.TerminationRequested {
 		return
 	}
@@ -151,7 +151,7 @@
 
 // reportingMachine returns the machine that sent a heartbeat and adds it if it is unknown. It
 // returns nil for a machine that has been removed, or whose heartbeat is a late copy.
-func (r *reconciler) reportingMachine(heartbeat *protocol.WorkerHeartbeat) *cluster.Machine {
+func (r *Reconciler) reportingMachine(heartbeat *protocol.WorkerHeartbeat) *cluster.Machine {
 	if machine := r.Machines[heartbeat.Machine]; machine != nil {
 		r.adoptReportedType(machine, heartbeat)
 		return machine
@@ -178,7 +178,7 @@
 
 // adoptReportedType sets the type of a machine from its heartbeat where its record could not be
 // read.
-func (r *reconciler) adoptReportedType(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
+func (r *Reconciler) adoptReportedType(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
 	if machine.TypeName != "" || heartbeat.Type == "" {
 		return
 	}
@@ -190,7 +190,7 @@
 
 // isStaleHeartbeat reports whether a heartbeat must be ignored because it comes from another
 // worker, arrives late, or is a copy.
-func (r *reconciler) isStaleHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) bool {
+func (r *Reconciler) isStaleHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) bool {
 	switch {
 	case machine.Address != "" && heartbeat.Address != "" && heartbeat.Address != machine.Address:
 		r.noteDuplicateName(machine, heartbeat)
@@ -212,7 +212,7 @@
 // noteDuplicateName logs once that two workers use the name of a machine, or that a copy of a
 // heartbeat was altered on the way. The first worker stays accepted until its lease has certainly
 // expired: a new epoch of the other would be mistaken for the end of all tasks of the first.
-func (r *reconciler) noteDuplicateName(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
+func (r *Reconciler) noteDuplicateName(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
 	if machine.DuplicateName {
 		return
 	}
@@ -223,7 +223,7 @@
 
 // beginEpoch handles the first heartbeat of a new worker epoch. The worker has killed all earlier
 // tasks.
-func (r *reconciler) beginEpoch(machine *cluster.Machine) {
+func (r *Reconciler) beginEpoch(machine *cluster.Machine) {
 	r.recovery.NoteMismatch(recovery.NewerEpoch, machine.Name, "")
 	machine.UnknownTasks = 0
 	r.TotalsValid = false
@@ -246,4 +246,4 @@
 }
 
 // workerLease returns the duration of the workers' lease.
-func (r *reconciler) workerLease() time.Duration { return config.Seconds(r.Config.Workers.LeaseS) }
+func (r *Reconciler) workerLease() time.Duration { return config.Seconds(r.Config.Workers.LeaseS) }
--- a/internal/controller/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -1,4 +1,4 @@
-package controller
+package reconcile
 
 import (
 	"log/slog"
@@ -16,7 +16,7 @@
 // reconcilerFixture is a reconciler with one machine and one job, in place of a leader and its
 // recovery.
 type reconcilerFixture struct {
-	*reconciler
+	*Reconciler
 	now     clock.Instant
 	machine *cluster.Machine
 	job     *cluster.Job
@@ -70,7 +70,7 @@
 	settings.Workers.HeartbeatIntervalS, settings.Workers.LeaseS = 4, 22
 	state := cluster.New(cluster.Options{Clock: f, Config: settings, Settings: &config.Settings{}, Log: slog.New(slog.DiscardHandler),
 		Catalog: map[string]*protocol.MachineType{"small": {Name: "small", Cores: 8, MemoryGB: 32, ImageCacheGB: 10}}})
-	f.reconciler = newReconciler(state, fixtureTerm, f, f)
+	f.Reconciler = New(state, fixtureTerm, f, f)
 	f.machine = state.NewMachine(fixtureMachine, "small", "a", false)
 	f.machine.Reconciled, f.machine.UseDurable = true, true
 	f.job = f.addJob(fixtureJob, 4)
--- a/internal/controller/reported_tasks.go
+++ b/internal/reconcile/reported_tasks.go
@@ -1,4 +1,4 @@
-package controller
+package reconcile
 
 import (
 	"time"
@@ -22,7 +22,7 @@
 func (t *reportedTask) isTracked() bool { return t.attempt != nil && t.attempt.Number == t.Attempt }
 
 // lookUpReportedTask looks up the state of a task that a machine reports.
-func (r *reconciler) lookUpReportedTask(machine *cluster.Machine, report protocol.TaskStatus) *reportedTask {
+func (r *Reconciler) lookUpReportedTask(machine *cluster.Machine, report protocol.TaskStatus) *reportedTask {
 	task := &reportedTask{TaskStatus: report, machine: machine, attempt: machine.Attempts[report.TaskID]}
 	var ok bool
 	task.jobID, task.index, ok = cluster.ParseTaskKey(report.TaskID)
@@ -34,7 +34,7 @@
 
 // reconcileTasks compares the tasks in a heartbeat with the recorded state of its machine, and returns
 // the commands that stop or forget tasks that should not be there.
-func (r *reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) []protocol.Command {
+func (r *Reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) []protocol.Command {
 	var commands []protocol.Command
 	for _, attempt := range machine.AttemptsInOrder {
 		attempt.Reported = false
@@ -58,7 +58,7 @@
 
 // reconcileUnreported processes an attempt that its machine does not report. It has ended, unless its
 // start command was not executed.
-func (r *reconciler) reconcileUnreported(attempt *cluster.TaskAttempt) {
+func (r *Reconciler) reconcileUnreported(attempt *cluster.TaskAttempt) {
 	switch attempt.Phase {
 	case cluster.AttemptAssigned: // its start command has not been sent
 	case cluster.AttemptSent:
@@ -76,7 +76,7 @@
 }
 
 // noteOvercommitted counts a machine whose tasks use more cores than it has.
-func (r *reconciler) noteOvercommitted(machine *cluster.Machine) {
+func (r *Reconciler) noteOvercommitted(machine *cluster.Machine) {
 	if machine.MachineType != nil && machine.UsedCores > machine.MachineType.Cores+cluster.ResourceTolerance {
 		r.recovery.NoteMismatch(recovery.MachineOvercommitted, machine.Name, "")
 	}
@@ -84,7 +84,7 @@
 
 // reconcileTask compares one reported task with the recorded state of its machine. It returns the
 // command that stops or forgets the task if it should not be there, and nil otherwise.
-func (r *reconciler) reconcileTask(task *reportedTask, tokenAcknowledged bool) *protocol.Command {
+func (r *Reconciler) reconcileTask(task *reportedTask, tokenAcknowledged bool) *protocol.Command {
 	if task.isTracked() {
 		task.attempt.Reported = true
 	}
@@ -110,7 +110,7 @@
 }
 
 // reportedTaskAction decides what to do with a reported task, and counts a mismatch if there is one.
-func (r *reconciler) reportedTaskAction(task *reportedTask, tokenAcknowledged bool) recovery.Action {
+func (r *Reconciler) reportedTaskAction(task *reportedTask, tokenAcknowledged bool) recovery.Action {
 	facts := recovery.ReportedTask{
 		JobState:          r.jobState(task.jobID, task.job),
 		Exited:            task.State == protocol.TaskExited,
@@ -133,7 +133,7 @@
 
 // jobState is the state of a reported task's job, as the reconciliation needs it. The job is nil if it
 // is not open.
-func (r *reconciler) jobState(jobID string, job *cluster.Job) recovery.JobState {
+func (r *Reconciler) jobState(jobID string, job *cluster.Job) recovery.JobState {
 	if job != nil && job.Terminal || r.EndedJobs[jobID] {
 		return recovery.JobStateTerminal
 	}
@@ -145,7 +145,7 @@
 }
 
 // adoptAttempt starts to track an attempt that an earlier leader started.
-func (r *reconciler) adoptAttempt(task *reportedTask) {
+func (r *Reconciler) adoptAttempt(task *reportedTask) {
 	attempt := &cluster.TaskAttempt{Job: task.job, TaskIndex: task.index, Number: task.Attempt, Machine: task.machine,
 		Phase: cluster.AttemptSent, AssignedAt: r.Clock.Now()}
 	r.PlaceAttempt(attempt)
@@ -155,7 +155,7 @@
 
 // stopUnexpectedTask returns the command to stop a task that should not be on the machine, or nil
 // while it has to wait for its budget.
-func (r *reconciler) stopUnexpectedTask(task *reportedTask) *protocol.Command {
+func (r *Reconciler) stopUnexpectedTask(task *reportedTask) *protocol.Command {
 	task.machine.UnknownTasks++
 	if !r.recovery.MayStopTask(task.job) {
 		return nil
@@ -165,7 +165,7 @@
 }
 
 // updateAttempt updates a task attempt from the state that its machine reports.
-func (r *reconciler) updateAttempt(attempt *cluster.TaskAttempt, report protocol.TaskStatus) {
+func (r *Reconciler) updateAttempt(attempt *cluster.TaskAttempt, report protocol.TaskStatus) {
 	switch report.State {
 	case protocol.TaskFetching:
 		attempt.Phase = cluster.AttemptFetching
@@ -179,7 +179,7 @@
 }
 
 // beginRunning processes the first heartbeat that shows an attempt running.
-func (r *reconciler) beginRunning(attempt *cluster.TaskAttempt) {
+func (r *Reconciler) beginRunning(attempt *cluster.TaskAttempt) {
 	job, now := attempt.Job, r.Clock.Now()
 	attempt.Phase, attempt.RunningSince = cluster.AttemptRunning, now
 	job.LastStartAt = now
@@ -194,7 +194,7 @@
 
 // forgetIfSettled processes a task that has exited. It returns the command to forget the task, or nil
 // while the worker must retain its result.
-func (r *reconciler) forgetIfSettled(task *reportedTask) *protocol.Command {
+func (r *Reconciler) forgetIfSettled(task *reportedTask) *protocol.Command {
 	if !r.handleTaskExit(task) {
 		task.machine.RetainedResults++
 		return nil
@@ -204,7 +204,7 @@
 
 // handleTaskExit processes a task that has ended, and reports whether the worker may forget it. A
 // result may be forgotten only once it is durable, as the worker has the only copy.
-func (r *reconciler) handleTaskExit(task *reportedTask) bool {
+func (r *Reconciler) handleTaskExit(task *reportedTask) bool {
 	switch {
 	case task.job == nil:
 		// The job has ended, and its terminal record is durable.
@@ -224,7 +224,7 @@
 }
 
 // handleCompletion records that a task is completed, and stops another attempt at it.
-func (r *reconciler) handleCompletion(task *reportedTask) {
+func (r *Reconciler) handleCompletion(task *reportedTask) {
 	if task.isTracked() {
 		r.releaseCompletedAttempt(task)
 	}
@@ -236,7 +236,7 @@
 
 // releaseCompletedAttempt releases an attempt that has completed its task. Its success clears its
 // machine and its job of the suspicion of being faulty.
-func (r *reconciler) releaseCompletedAttempt(task *reportedTask) {
+func (r *Reconciler) releaseCompletedAttempt(task *reportedTask) {
 	job, machine, attempt := task.job, task.machine, task.attempt
 	if attempt.Phase == cluster.AttemptRunning && attempt.RunningSince > attempt.AssignedAt {
 		duration := r.Clock.Now() - attempt.RunningSince
@@ -252,7 +252,7 @@
 
 // handleIncompleteExit releases an attempt that has ended without completing its task: it failed, was
 // stopped or was refused.
-func (r *reconciler) handleIncompleteExit(task *reportedTask) {
+func (r *Reconciler) handleIncompleteExit(task *reportedTask) {
 	runDuration := time.Duration(0)
 	if task.attempt.Phase == cluster.AttemptRunning {
 		runDuration = r.Clock.Now() - task.attempt.RunningSince
--- a/internal/controller/worker_commands.go
+++ b/internal/reconcile/worker_commands.go
@@ -1,4 +1,4 @@
-package controller
+package reconcile
 
 import (
 	"hitchdoor/internal/cluster"
@@ -10,7 +10,7 @@
 
 // appendAttemptCommands adds the commands to stop and start task attempts to those of the
 // reconciliation.
-func (r *reconciler) appendAttemptCommands(machine *cluster.Machine, commands []protocol.Command) []protocol.Command {
+func (r *Reconciler) appendAttemptCommands(machine *cluster.Machine, commands []protocol.Command) []protocol.Command {
 	if commands == nil {
 		commands = []protocol.Command{} // encoded as an empty list, not as null
 	}
@@ -36,7 +36,7 @@
 }
 
 // startCommand returns the command to start an attempt, which counts as sent from now on.
-func (r *reconciler) startCommand(attempt *cluster.TaskAttempt) protocol.Command {
+func (r *Reconciler) startCommand(attempt *cluster.TaskAttempt) protocol.Command {
 	attempt.Phase = cluster.AttemptSent
 	if !attempt.Job.StartCommandSent {
 		attempt.Job.StartCommandSent = true
