--- a/internal/controller/arrival_forecast.go
+++ b/internal/autoscaler/arrival_forecast.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"github.com/segmentio/encoding/json"
@@ -9,14 +9,14 @@
 	"hitchdoor/internal/storage"
 )
 
-// arrivalForecast keeps the forecast of arriving work up to date, and stores it for the next
+// ArrivalForecast keeps the forecast of arriving work up to date, and stores it for the next
 // leader.
-type arrivalForecast struct {
+type ArrivalForecast struct {
 	*fleet.Forecast
 	state     *cluster.State
-	records   recordWriter
-	wallClock wallClock
-	store     storeHealth
+	records   RecordWriter
+	wallClock WallClock
+	store     StoreHealth
 
 	savedAt    clock.Instant // when the forecast was last stored
 	restoredAt clock.Instant // time of the stored forecast that was restored; never: there was none
@@ -31,40 +31,40 @@
 )
 
 // newArrivalForecast returns an empty forecast.
-func newArrivalForecast(options autoscalerOptions) *arrivalForecast {
+func newArrivalForecast(options Options) *ArrivalForecast {
 	state := options.State
-	return &arrivalForecast{
+	return &ArrivalForecast{
 		Forecast: fleet.NewForecast(workerLeaseOf(state)), state: state, records: options.Records,
 		wallClock: options.WallClock, store: options.Store, savedAt: state.Clock.Now(), restoredAt: clock.Never,
 	}
 }
 
 // recordArrival adds the work of a new job.
-func (f *arrivalForecast) recordArrival(j *cluster.Job) {
-	f.decay()
+func (f *ArrivalForecast) recordArrival(j *cluster.Job) {
+	f.Decay()
 	work := float64(j.Spec.TaskCount) * j.Spec.Cores * f.state.ExpectedTaskDuration(j).Seconds()
 	f.RecordArrival(j.Spec.Class, work, f.state.Due(j)-j.EligibleAt)
 }
 
-// decay decays the forecast up to the present.
-func (f *arrivalForecast) decay() { f.DecayTo(f.state.Clock.Now(), !f.store.StoreFailing()) }
+// Decay decays the forecast up to the present.
+func (f *ArrivalForecast) Decay() { f.DecayTo(f.state.Clock.Now(), !f.store.StoreFailing()) }
 
 // save stores the forecast for the next leader at regular intervals.
-func (f *arrivalForecast) save() {
+func (f *ArrivalForecast) save() {
 	now := f.state.Clock.Now()
 	if now < f.savedAt+forecastSaveIntervalLeases*workerLeaseOf(f.state) || f.Empty() {
 		return
 	}
 	f.savedAt = now
 	f.records.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: func() []storage.Write {
-		f.decay()
+		f.Decay()
 		record := f.Snapshot(f.wallClock.NowUnixMilli(), f.state.Config.Store.MaxValueBytes()/forecastValueDivisor)
 		return []storage.Write{storage.Put(storage.ArrivalForecastKey, record)}
 	}})
 }
 
 // load restores the forecast that an earlier leader stored.
-func (f *arrivalForecast) load(items []storage.Item) {
+func (f *ArrivalForecast) load(items []storage.Item) {
 	for _, item := range items {
 		if item.Key != storage.ArrivalForecastKey {
 			continue
@@ -78,13 +78,13 @@
 		}
 		f.restoredAt = min(f.wallClock.InstantFromUnixMilli(record.RecordedAtMillis), f.state.Clock.Now())
 		f.Restore(record, f.restoredAt)
-		f.decay()
+		f.Decay()
 	}
 }
 
 // inheritUsualLoad takes the cores held at a takeover as the usual load, unless the restored
 // forecast and the arrivals since then amount to more.
-func (f *arrivalForecast) inheritUsualLoad() {
+func (f *ArrivalForecast) inheritUsualLoad() {
 	heldCores := 0.0
 	for _, m := range f.state.Machines {
 		if m.MachineType != nil {
--- a/internal/controller/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"time"
@@ -11,13 +11,13 @@
 	"hitchdoor/internal/storage"
 )
 
-// autoscaler rents machines from the cloud and returns them: it has a capacity plan made at
+// Autoscaler rents machines from the cloud and returns them: it has a capacity plan made at
 // regular intervals and carries it out. It belongs to one term of one leader.
-type autoscaler struct {
+type Autoscaler struct {
 	state    *cluster.State
-	records  recordWriter
-	recovery recoveryLimits
-	jobs     jobQueue
+	records  RecordWriter
+	recovery RecoveryLimits
+	jobs     JobQueue
 
 	cloud        *cloudCalls
 	planning     *capacityPlanning
@@ -25,22 +25,22 @@
 	rentals      *machineRentals
 	returns      *machineReturns
 	listing      *machineListing
-	forecast     *arrivalForecast
+	Forecast     *ArrivalForecast
 	costs        costAccount
 	planLoggedAt clock.Instant
 }
 
-// autoscalerOptions are the dependencies of an autoscaler.
-type autoscalerOptions struct {
+// Options are the dependencies of an autoscaler.
+type Options struct {
 	State     *cluster.State
 	Term      uint64 // of the leader
-	Cloud     cloudClient
-	Records   recordWriter
-	Recovery  recoveryLimits
-	Machines  machineRegistry
-	Jobs      jobQueue
-	WallClock wallClock
-	Store     storeHealth
+	Cloud     CloudClient
+	Records   RecordWriter
+	Recovery  RecoveryLimits
+	Machines  MachineRegistry
+	Jobs      JobQueue
+	WallClock WallClock
+	Store     StoreHealth
 }
 
 // capacityPlanning holds the planner, and what is kept of the last plan.
@@ -66,8 +66,8 @@
 	planLogsPerLease = 4
 )
 
-// newAutoscaler returns the autoscaler of a new leader.
-func newAutoscaler(options autoscalerOptions) *autoscaler {
+// New returns the autoscaler of a new leader.
+func New(options Options) *Autoscaler {
 	state := options.State
 	slosAllowQueueing := startSLOsAllowQueueing(state)
 	cloud := newCloudCalls(state, options.Cloud)
@@ -75,9 +75,9 @@
 	forecast := newArrivalForecast(options)
 	rentals := &machineRentals{state: state, cloud: cloud, records: options.Records, recovery: options.Recovery,
 		machines: options.Machines, planning: planning, term: options.Term}
-	return &autoscaler{
+	return &Autoscaler{
 		state: state, records: options.Records, recovery: options.Recovery, jobs: options.Jobs,
-		cloud: cloud, planning: planning, forecast: forecast, rentals: rentals,
+		cloud: cloud, planning: planning, Forecast: forecast, rentals: rentals,
 		input: &planInput{state: state, jobs: options.Jobs, recovery: options.Recovery, rentals: rentals,
 			forecast: forecast, slosAllowQueueing: slosAllowQueueing},
 		returns: &machineReturns{state: state, cloud: cloud, recovery: options.Recovery, machines: options.Machines,
@@ -118,17 +118,17 @@
 	return config.Seconds(state.Config.Workers.LeaseS)
 }
 
-// tick makes a new plan if one is due and sends the requests to the cloud that may be sent now.
-func (a *autoscaler) tick() {
+// Tick makes a new plan if one is due and sends the requests to the cloud that may be sent now.
+func (a *Autoscaler) Tick() {
 	now := a.state.Clock.Now()
 	if now >= a.planning.plannedAt+a.state.HeartbeatInterval()/plansPerHeartbeat {
 		a.planning.plannedAt = now
 		a.jobs.ReleaseUndelivered()
 		a.returns.drainUnresponsive()
 		if a.state.Catalog != nil {
-			a.applyPlan()
+			a.ApplyPlan()
 		}
-		a.forecast.save()
+		a.Forecast.save()
 	}
 	if a.cloud.backingOff() {
 		return
@@ -144,10 +144,10 @@
 	a.listing.startIfDue()
 }
 
-// applyPlan has a capacity plan made and carries it out.
-func (a *autoscaler) applyPlan() {
+// ApplyPlan has a capacity plan made and carries it out.
+func (a *Autoscaler) ApplyPlan() {
 	a.costs.update()
-	a.forecast.decay()
+	a.Forecast.Decay()
 	view := a.input.view()
 	plan := a.planning.planner.Plan(view.View)
 	a.planning.targetCores = plan.TargetCores
@@ -163,12 +163,12 @@
 		a.state.BeginDrain(m, cluster.SurplusCapacity)
 	}
 	if view.ScaleInAllowed {
-		a.consolidate(view.machinesOf(append(view.Kept, plan.CancelDrain...)))
+		a.Consolidate(view.machinesOf(append(view.Kept, plan.CancelDrain...)))
 	}
 }
 
 // logPlan logs the figures of a plan, at most planLogsPerLease times per worker lease.
-func (a *autoscaler) logPlan(plan *fleet.Plan, usualLoad float64) {
+func (a *Autoscaler) logPlan(plan *fleet.Plan, usualLoad float64) {
 	now := a.state.Clock.Now()
 	if now <= a.planLoggedAt+workerLeaseOf(a.state)/planLogsPerLease {
 		return
@@ -189,24 +189,24 @@
 		"costs", a.costs.costBreakdown, "pendingWrites", a.records.PendingChanges())
 }
 
-// targetCores returns the number of cores that the last plan aims to hold.
-func (a *autoscaler) targetCores() float64 { return a.planning.targetCores }
+// TargetCores returns the number of cores that the last plan aims to hold.
+func (a *Autoscaler) TargetCores() float64 { return a.planning.targetCores }
 
-// demand returns the input from which the planner derives the demand for cores.
-func (a *autoscaler) demand() fleet.Demand { return a.input.demand() }
+// Demand returns the input from which the planner derives the demand for cores.
+func (a *Autoscaler) Demand() fleet.Demand { return a.input.demand() }
 
-// recordArrival adds the work of a new job to the forecast.
-func (a *autoscaler) recordArrival(j *cluster.Job) { a.forecast.recordArrival(j) }
+// RecordArrival adds the work of a new job to the forecast.
+func (a *Autoscaler) RecordArrival(j *cluster.Job) { a.Forecast.recordArrival(j) }
 
-// loadForecast restores the forecast that an earlier leader stored.
-func (a *autoscaler) loadForecast(items []storage.Item) { a.forecast.load(items) }
+// LoadForecast restores the forecast that an earlier leader stored.
+func (a *Autoscaler) LoadForecast(items []storage.Item) { a.Forecast.load(items) }
 
-// addStoredRental adds a rental that an earlier leader stored and did not complete.
-func (a *autoscaler) addStoredRental(request protocol.RentalRequest) { a.rentals.addStored(request) }
+// AddStoredRental adds a rental that an earlier leader stored and did not complete.
+func (a *Autoscaler) AddStoredRental(request protocol.RentalRequest) { a.rentals.addStored(request) }
 
-// inheritUsualLoad completes the takeover once all records are loaded: it starts the account of
+// InheritUsualLoad completes the takeover once all records are loaded: it starts the account of
 // costs, and takes the cores held as the usual load.
-func (a *autoscaler) inheritUsualLoad() {
+func (a *Autoscaler) InheritUsualLoad() {
 	a.costs.updatedAt = a.state.Clock.Now()
-	a.forecast.inheritUsualLoad()
+	a.Forecast.inheritUsualLoad()
 }
--- a/internal/controller/autoscaler_fakes_test.go
+++ b/internal/autoscaler/autoscaler_fakes_test.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"log/slog"
@@ -20,7 +20,7 @@
 type fakeCloudRequest struct {
 	method, path string
 	body         any
-	onResponse   func(cloudResponse)
+	onResponse   func(CloudResponse)
 }
 
 // fakeAutoscalerHost stands for the leader of an autoscaler. It records what the autoscaler asks
@@ -37,7 +37,7 @@
 }
 
 // newFakeAutoscaler returns an autoscaler with a fake host that allows everything.
-func newFakeAutoscaler(t *testing.T) (*autoscaler, *fakeAutoscalerHost) {
+func newFakeAutoscaler(t *testing.T) (*Autoscaler, *fakeAutoscalerHost) {
 	t.Helper()
 	host := &fakeAutoscalerHost{requestBudget: 100, allowed: 100}
 	settings := config.Defaults()
@@ -48,7 +48,7 @@
 		BootSeconds: 5, Zones: []string{"a"}}
 	host.state = cluster.New(cluster.Options{Clock: host, Config: platform, Settings: &settings, Log: slog.New(slog.DiscardHandler),
 		Catalog: map[string]*protocol.MachineType{"c4": c4}})
-	return newAutoscaler(autoscalerOptions{State: host.state, Term: 7, Cloud: host, Records: host, Recovery: host,
+	return New(Options{State: host.state, Term: 7, Cloud: host, Records: host, Recovery: host,
 		Machines: host, Jobs: host, WallClock: host, Store: host}), host
 }
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	request.onResponse(cloudResponse{Status: status, Body: encoded})
+	request.onResponse(CloudResponse{Status: status, Body: encoded})
 	return request
 }
 
@@ -94,7 +94,7 @@
 
 func (h *fakeAutoscalerHost) ReturnRequest() { h.requestBudget++ }
 
-func (h *fakeAutoscalerHost) Send(method, path string, body any, _ time.Duration, onResponse func(cloudResponse)) {
+func (h *fakeAutoscalerHost) Send(method, path string, body any, _ time.Duration, onResponse func(CloudResponse)) {
 	h.requests = append(h.requests, fakeCloudRequest{method, path, body, onResponse})
 }
 
--- a/internal/controller/autoscaler_interfaces.go
+++ b/internal/autoscaler/autoscaler_interfaces.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"time"
@@ -10,25 +10,25 @@
 	"hitchdoor/internal/storage"
 )
 
-// cloudResponse is the response of the cloud to a request. Status 0 means that no usable response
+// CloudResponse is the response of the cloud to a request. Status 0 means that no usable response
 // arrived, and that the request may have been executed or may be later.
-type cloudResponse struct {
+type CloudResponse struct {
 	Status int
 	Body   []byte
 }
 
-// cloudClient sends requests to the cloud within a budget.
-type cloudClient interface {
+// CloudClient sends requests to the cloud within a budget.
+type CloudClient interface {
 	// TakeRequest reports whether the budget allows a request now, and takes it from the budget.
 	TakeRequest() bool
 	// ReturnRequest gives a taken request back to the budget, if it was not sent after all.
 	ReturnRequest()
 	// Send sends a request. onResponse is called unless the leader has stepped down by then.
-	Send(method, path string, body any, timeout time.Duration, onResponse func(cloudResponse))
+	Send(method, path string, body any, timeout time.Duration, onResponse func(CloudResponse))
 }
 
-// recordWriter writes records to the key-value store in transactions.
-type recordWriter interface {
+// RecordWriter writes records to the key-value store in transactions.
+type RecordWriter interface {
 	// Enqueue adds a change to those that wait to be written.
 	Enqueue(priority storage.Priority, change storage.Change)
 	// SetModRevision records the revision of a key that was read.
@@ -37,8 +37,8 @@
 	PendingChanges() int
 }
 
-// recoveryLimits are the limits on a leader's operations until its recovery is complete.
-type recoveryLimits interface {
+// RecoveryLimits are the limits on a leader's operations until its recovery is complete.
+type RecoveryLimits interface {
 	// Limited reports whether the recovery limits operations at present.
 	Limited() bool
 	// MayScaleOut reports whether machines may be rented.
@@ -55,8 +55,8 @@
 	RefundOperations(operation recovery.Operation, count int)
 }
 
-// machineRegistry adds machines to the cluster state and removes them, along with their records.
-type machineRegistry interface {
+// MachineRegistry adds machines to the cluster state and removes them, along with their records.
+type MachineRegistry interface {
 	// AddRentedMachine adds a machine that this leader has just rented.
 	AddRentedMachine(name string, request *protocol.RentalRequest)
 	// AddListedMachine adds a machine that the cloud lists and no record names.
@@ -65,8 +65,8 @@
 	RemoveMachine(m *cluster.Machine)
 }
 
-// jobQueue is what the autoscaler needs to know of the jobs, besides the cluster state.
-type jobQueue interface {
+// JobQueue is what the autoscaler needs to know of the jobs, besides the cluster state.
+type JobQueue interface {
 	// PendingJobs returns the pending jobs in the order of the last scheduling pass.
 	PendingJobs() []*cluster.Job
 	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
@@ -79,16 +79,16 @@
 	ReleaseUndelivered()
 }
 
-// wallClock converts between instants and the wall clock, which stored records use.
-type wallClock interface {
+// WallClock converts between instants and the wall clock, which stored records use.
+type WallClock interface {
 	// NowUnixMilli returns the current wall clock in Unix milliseconds.
 	NowUnixMilli() int64
 	// InstantFromUnixMilli converts a stored wall clock time to an instant.
 	InstantFromUnixMilli(milliseconds int64) clock.Instant
 }
 
-// storeHealth tells whether the key-value store works, without which no job can arrive.
-type storeHealth interface {
+// StoreHealth tells whether the key-value store works, without which no job can arrive.
+type StoreHealth interface {
 	// StoreFailing reports whether the last call to the key-value store failed.
 	StoreFailing() bool
 }
--- a/internal/controller/cloud_calls.go
+++ b/internal/autoscaler/cloud_calls.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"hitchdoor/internal/clock"
@@ -8,7 +8,7 @@
 // cloudCalls sends the autoscaler's requests to the cloud, and backs off after failed ones.
 type cloudCalls struct {
 	state               *cluster.State
-	client              cloudClient
+	client              CloudClient
 	retryAt             clock.Instant // end of the backoff after a failed call
 	consecutiveFailures int
 }
@@ -23,7 +23,7 @@
 )
 
 // newCloudCalls returns a cloudCalls that is not backing off.
-func newCloudCalls(state *cluster.State, client cloudClient) *cloudCalls {
+func newCloudCalls(state *cluster.State, client CloudClient) *cloudCalls {
 	return &cloudCalls{state: state, client: client, retryAt: clock.Never}
 }
 
@@ -38,7 +38,7 @@
 
 // send sends a request, for which the caller has taken a request from the budget. Only the
 // following pages of a list go without.
-func (c *cloudCalls) send(method, path string, body any, onResponse func(cloudResponse)) {
+func (c *cloudCalls) send(method, path string, body any, onResponse func(CloudResponse)) {
 	c.client.Send(method, path, body, workerLeaseOf(c.state)/cloudTimeoutsPerLease, onResponse)
 }
 
--- a/internal/controller/consolidation.go
+++ b/internal/autoscaler/consolidation.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"math"
@@ -10,11 +10,11 @@
 // machine, would have to go on for the move to be worth it.
 const minIdleToMoveRatio = 2
 
-// consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
+// Consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
 // if all of them write checkpoints, other machines have room for them, and both the tasks and the
 // idle cores of the machine would go on for at least twice as long as the move takes. kept are the
 // machines that the plan keeps.
-func (a *autoscaler) consolidate(kept []*cluster.Machine) {
+func (a *Autoscaler) Consolidate(kept []*cluster.Machine) {
 	freeCores := a.freeCores(kept)
 	for _, m := range a.state.MachinesByName() {
 		withinBilledTime := a.state.Clock.Now()-m.RentedAt < minBilledTime
@@ -32,7 +32,7 @@
 }
 
 // freeCores returns the cores of the kept machines that neither tasks use nor pending tasks need.
-func (a *autoscaler) freeCores(kept []*cluster.Machine) float64 {
+func (a *Autoscaler) freeCores(kept []*cluster.Machine) float64 {
 	freeCores := 0.0
 	for _, m := range kept {
 		if m.Schedulable() && !m.Draining {
@@ -49,7 +49,7 @@
 
 // worthMovingTasks reports whether the tasks of a machine can be moved, and would use it for long
 // enough for that to pay.
-func (a *autoscaler) worthMovingTasks(m *cluster.Machine) bool {
+func (a *Autoscaler) worthMovingTasks(m *cluster.Machine) bool {
 	moveCost, longestRemaining, longestMove := 0.0, 0.0, 0.0
 	for _, attempt := range m.AttemptsInOrder {
 		if !a.isMovable(attempt) {
@@ -67,13 +67,13 @@
 
 // isMovable reports whether an attempt writes checkpoints, and has run for long enough that its
 // start counts.
-func (a *autoscaler) isMovable(attempt *cluster.TaskAttempt) bool {
+func (a *Autoscaler) isMovable(attempt *cluster.TaskAttempt) bool {
 	return attempt.Job.Spec.CheckpointIntervalSeconds > 0 && attempt.Phase == cluster.AttemptRunning && attempt.StopGrace == nil &&
 		a.state.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun
 }
 
 // moveSeconds returns how long the move of an attempt to another machine takes.
-func (a *autoscaler) moveSeconds(attempt *cluster.TaskAttempt) float64 {
+func (a *Autoscaler) moveSeconds(attempt *cluster.TaskAttempt) float64 {
 	spec := &attempt.Job.Spec
 	return spec.CheckpointSaveSeconds + spec.ImageGB/attempt.Machine.MachineType.PullGBPerSecond + 2*a.state.HeartbeatInterval().Seconds()
 }
--- a/internal/controller/machine_listing.go
+++ b/internal/autoscaler/machine_listing.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 type machineListing struct {
 	state    *cluster.State
 	cloud    *cloudCalls
-	machines machineRegistry
+	machines MachineRegistry
 
 	startedAt   clock.Instant // when the first page of the last list was requested
 	inProgress  bool
@@ -45,7 +45,7 @@
 
 // onPage processes a page of the list and requests the next one. After the last page, it drains
 // the machines that the list lacks.
-func (l *machineListing) onPage(response cloudResponse) {
+func (l *machineListing) onPage(response CloudResponse) {
 	var page protocol.HostPage
 	if response.Status != 200 || json.Unmarshal(response.Body, &page) != nil {
 		l.inProgress = false
--- a/internal/controller/machine_listing_test.go
+++ b/internal/autoscaler/machine_listing_test.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"testing"
--- a/internal/controller/machine_rentals.go
+++ b/internal/autoscaler/machine_rentals.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"slices"
@@ -19,9 +19,9 @@
 type machineRentals struct {
 	state    *cluster.State
 	cloud    *cloudCalls
-	records  recordWriter
-	recovery recoveryLimits
-	machines machineRegistry
+	records  RecordWriter
+	recovery RecoveryLimits
+	machines MachineRegistry
 	planning *capacityPlanning
 
 	term           uint64
@@ -103,7 +103,7 @@
 			return
 		}
 		rental.inFlight = true
-		r.cloud.send("POST", "/hosts", rental.RentalRequest, func(response cloudResponse) {
+		r.cloud.send("POST", "/hosts", rental.RentalRequest, func(response CloudResponse) {
 			rental.inFlight = false
 			r.onResponse(rental, response)
 		})
@@ -112,7 +112,7 @@
 
 // onResponse processes the response to a rental. A rental whose outcome is unknown stays pending
 // and is sent again.
-func (r *machineRentals) onResponse(rental *pendingRental, response cloudResponse) {
+func (r *machineRentals) onResponse(rental *pendingRental, response CloudResponse) {
 	var rented protocol.MachineNames
 	switch {
 	case response.Status == 200 && json.Unmarshal(response.Body, &rented) == nil:
--- a/internal/controller/machine_rentals_test.go
+++ b/internal/autoscaler/machine_rentals_test.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 )
 
 // beginDurableRental begins a rental of three machines and makes its record durable.
-func beginDurableRental(t *testing.T, a *autoscaler, host *fakeAutoscalerHost) {
+func beginDurableRental(t *testing.T, a *Autoscaler, host *fakeAutoscalerHost) {
 	t.Helper()
 	a.rentals.begin([]fleet.Offering{spotC4, spotC4, spotC4})
 	a.rentals.sendPending()
--- a/internal/controller/machine_returns.go
+++ b/internal/autoscaler/machine_returns.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"time"
@@ -15,8 +15,8 @@
 type machineReturns struct {
 	state    *cluster.State
 	cloud    *cloudCalls
-	recovery recoveryLimits
-	machines machineRegistry
+	recovery RecoveryLimits
+	machines MachineRegistry
 
 	nextRequestAt clock.Instant
 }
@@ -162,13 +162,13 @@
 		m := r.state.Machines[name]
 		m.Terminating, m.TerminationRequested = true, true
 	}
-	r.cloud.send("POST", "/hosts/return", protocol.MachineNames{Machines: names}, func(response cloudResponse) {
+	r.cloud.send("POST", "/hosts/return", protocol.MachineNames{Machines: names}, func(response CloudResponse) {
 		r.onResponse(names, response)
 	})
 }
 
 // onResponse removes the machines that the cloud has taken back.
-func (r *machineReturns) onResponse(names []string, response cloudResponse) {
+func (r *machineReturns) onResponse(names []string, response CloudResponse) {
 	returned := response.Status == 200
 	for _, name := range names {
 		m := r.state.Machines[name]
--- a/internal/controller/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"time"
@@ -10,10 +10,10 @@
 // planInput derives the input of the planner from the cluster state.
 type planInput struct {
 	state    *cluster.State
-	jobs     jobQueue
-	recovery recoveryLimits
+	jobs     JobQueue
+	recovery RecoveryLimits
 	rentals  *machineRentals
-	forecast *arrivalForecast
+	forecast *ArrivalForecast
 
 	slosAllowQueueing bool // all SLOs on starting leave the time to boot a machine
 }
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/autoscaler"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
@@ -12,9 +14,9 @@
 type autoscalerHost struct{ leader *leader }
 
 // newLeaderAutoscaler returns the autoscaler of a leader.
-func newLeaderAutoscaler(l *leader) *autoscaler {
+func newLeaderAutoscaler(l *leader) *autoscaler.Autoscaler {
 	host := autoscalerHost{leader: l}
-	return newAutoscaler(autoscalerOptions{State: l.State, Term: l.term, Cloud: host, Records: l.writer, Recovery: l.recovery,
+	return autoscaler.New(autoscaler.Options{State: l.State, Term: l.term, Cloud: host, Records: l.writer, Recovery: l.recovery,
 		Machines: host, Jobs: host, WallClock: host, Store: host})
 }
 
@@ -28,10 +30,10 @@
 
 // Send sends a request to the cloud, and passes on the response unless the node has stepped down
 // by then.
-func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration, onResponse func(cloudResponse)) {
+func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration, onResponse func(autoscaler.CloudResponse)) {
 	h.leader.node.callService(TargetCloud, method, path, body, timeout, func(result CallResult) {
 		if h.leader.node.leader == h.leader {
-			onResponse(cloudResponse{Status: result.Status, Body: result.Body})
+			onResponse(autoscaler.CloudResponse{Status: result.Status, Body: result.Body})
 		}
 	})
 }
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -15,7 +15,7 @@
 // requiredCores returns the cores that the open jobs of a leader require, given that heldCores are
 // held.
 func requiredCores(l *leader, heldCores float64) float64 {
-	demand := l.autoscaler.demand()
+	demand := l.autoscaler.Demand()
 	return demand.RequiredCores(heldCores)
 }
 
@@ -64,14 +64,14 @@
 	if got, want := l.leader.Due(j)-j.EligibleAt, 200*time.Second+l.leader.ExpectedTaskDuration(j); got != want {
 		t.Errorf("due after %v, not %v", got, want)
 	}
-	before := l.leader.autoscaler.forecast.ExpectedWork(200)
-	if before <= 0 || l.leader.autoscaler.forecast.ExpectedWork(50) != 0 {
-		t.Fatalf("to come within 200 s: %v, within 50 s: %v", before, l.leader.autoscaler.forecast.ExpectedWork(50))
+	before := l.leader.autoscaler.Forecast.ExpectedWork(200)
+	if before <= 0 || l.leader.autoscaler.Forecast.ExpectedWork(50) != 0 {
+		t.Fatalf("to come within 200 s: %v, within 50 s: %v", before, l.leader.autoscaler.Forecast.ExpectedWork(50))
 	}
 	w.crash(l.name)
 	w.run(time.Second)
 	next := w.waitLeader()
-	if after := next.leader.autoscaler.forecast.ExpectedWork(200); after < before/2 || after > before*1.1 {
+	if after := next.leader.autoscaler.Forecast.ExpectedWork(200); after < before/2 || after > before*1.1 {
 		t.Fatalf("to come within 200 s: %v, after the takeover %v", before, after)
 	}
 }
@@ -109,24 +109,24 @@
 		w.submit(l.name, spec(fmt.Sprintf("j-%d", i), 1))
 		w.run(time.Second - 2*step)
 	}
-	f := l.leader.autoscaler.forecast
-	f.decay()
+	f := l.leader.autoscaler.Forecast
+	f.Decay()
 	steady, coming := f.UsualLoad(), f.ExpectedWork(100)
 	if f.Confidence() != 1 || steady == 0 || coming == 0 {
 		t.Fatalf("jobs arrive: believed %v, usual %v, coming %v", f.Confidence(), steady, coming)
 	}
 	w.state.setDown(true)
 	w.run(2 * lease)
-	if f.decay(); f.Confidence() != 1 {
+	if f.Decay(); f.Confidence() != 1 {
 		t.Error("silence in an outage counts")
 	}
 	w.state.setDown(false)
 	w.run(lease)
-	if f.decay(); f.Confidence() != 1 {
+	if f.Decay(); f.Confidence() != 1 {
 		t.Error("users have had no time to come back")
 	}
 	w.run(lease)
-	if f.decay(); f.Confidence() > 0.4 || f.ExpectedWork(100) > coming/3 {
+	if f.Decay(); f.Confidence() > 0.4 || f.ExpectedWork(100) > coming/3 {
 		t.Errorf("two leases without a job: believed %v, coming %v of %v", f.Confidence(), f.ExpectedWork(100), coming)
 	}
 	w.submit(l.name, spec("j-999", 1))
@@ -147,20 +147,20 @@
 		w.state.put(storage.JobKey(s.ID), storage.JobRecord{Spec: s, AcceptedAtMillis: at})
 	}
 	first := w.waitLeader()
-	if seen := first.leader.autoscaler.forecast.JobsSeen(); math.Abs(seen-30) > 1 {
+	if seen := first.leader.autoscaler.Forecast.JobsSeen(); math.Abs(seen-30) > 1 {
 		t.Fatalf("of 30 jobs found, %v have arrived", seen)
 	}
 	w.run(2*first.workerLease() + 2*time.Second) // until that is stored
 	if _, stored := w.state.keys[storage.ArrivalForecastKey]; !stored {
 		t.Fatal("nothing is stored")
 	}
-	seen := first.leader.autoscaler.forecast.JobsSeen()
+	seen := first.leader.autoscaler.Forecast.JobsSeen()
 	for i := range 5 {
 		w.submit(first.name, spec(fmt.Sprintf("j-late%d", i), 10))
 	}
 	w.crash(first.name)
 	second := w.waitLeader()
-	if got := second.leader.autoscaler.forecast.JobsSeen(); got < seen+3 || got > seen+5 {
+	if got := second.leader.autoscaler.Forecast.JobsSeen(); got < seen+3 || got > seen+5 {
 		t.Errorf("%v jobs seen by a leader, 5 since its record, %v by the next", seen, got)
 	}
 }
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -63,7 +63,7 @@
 					surely += j.PendingTasks
 				}
 			}
-			if usual := l.autoscaler.forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.TotalCores {
+			if usual := l.autoscaler.Forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.TotalCores {
 				c.broken("rented too early", "in phase %v, %v cores wait, %v are unknown", l.recovery.Phase(), waiting, unknown)
 			}
 		}
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -24,7 +24,7 @@
 // records are loading once all of them are loaded.
 func (h leaderDependencyHost) JobReleased(j *cluster.Job) {
 	if h.leader.recordsLoaded {
-		h.leader.autoscaler.recordArrival(j)
+		h.leader.autoscaler.RecordArrival(j)
 	}
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"hitchdoor/internal/autoscaler"
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/dependency"
@@ -32,7 +33,7 @@
 	recovery       *recoverygate.Gate
 	reconciler     *reconcile.Reconciler
 	dependencies   *dependency.Graph
-	autoscaler     *autoscaler
+	autoscaler     *autoscaler.Autoscaler
 	admission      *policyPublisher
 }
 
@@ -102,7 +103,7 @@
 	l.recordsLoaded, l.SchedulingNeeded = true, true
 	l.loader.dropStaleDependencies()
 	l.machineRecords.splitOversizedGroups()
-	l.autoscaler.inheritUsualLoad()
+	l.autoscaler.InheritUsualLoad()
 	l.storeCatalog()
 	l.tickRecovery()
 	l.node.log.Info("records loaded", "jobs", len(l.Jobs), "machines", len(l.Machines))
@@ -140,7 +141,7 @@
 		return
 	}
 	l.ExpireMachineLeases()
-	l.autoscaler.tick()
+	l.autoscaler.Tick()
 	l.admission.tick(l.loader.jobsRevision())
 	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
 		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -43,7 +43,7 @@
 		{Prefix: storage.MachineGroupPrefix, Apply: l.loader.loadMachineGroups},
 		{Prefix: storage.SingleMachinePrefix, Apply: l.loader.loadSingleMachines},
 		{Prefix: storage.RentalPrefix, Apply: l.loadRentals},
-		{Prefix: storage.ArrivalForecastKey, Apply: l.autoscaler.loadForecast},
+		{Prefix: storage.ArrivalForecastKey, Apply: l.autoscaler.LoadForecast},
 		{Prefix: storage.CatalogKey, Apply: l.writer.noteRevisions},
 		{Prefix: storage.AdmissionPolicyKey, Apply: l.loadAdmissionPolicy},
 	}, l.finishLoading)
@@ -58,7 +58,7 @@
 			continue
 		}
 		l.writer.SetModRevision(item.Key, item.ModRevision)
-		l.autoscaler.addStoredRental(rental)
+		l.autoscaler.AddStoredRental(rental)
 	}
 }
 
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -115,6 +115,6 @@
 func BenchmarkPlan(b *testing.B) {
 	_, l := busy(b)
 	for b.Loop() {
-		l.leader.autoscaler.applyPlan()
+		l.leader.autoscaler.ApplyPlan()
 	}
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -804,7 +804,7 @@
 			x.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: i, Number: x.NextAttemptNumber(), Machine: from, Phase: cluster.AttemptRunning, RunningSince: l.now - time.Minute})
 		}
 		c.change(from, to, j)
-		x.autoscaler.consolidate([]*cluster.Machine{to})
+		x.autoscaler.Consolidate([]*cluster.Machine{to})
 		for _, r := range from.AttemptsInOrder {
 			if (r.StopGrace != nil) != c.moves {
 				t.Errorf("%s: moved %v", c.name, r.StopGrace != nil)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -69,7 +69,7 @@
 		PendingWrites: l.writer.PendingChanges(),
 		Jobs:          jobStatuses(l.State),
 		Machines:      machineStatuses(l.State),
-		TargetCores:   l.autoscaler.targetCores(),
+		TargetCores:   l.autoscaler.TargetCores(),
 	}
 }
 
@@ -77,7 +77,7 @@
 func (l *leader) writeMetrics(page *metricsPage) {
 	page.gauge("term", "The leader's term.", float64(l.term))
 	page.clusterGauges(l.State)
-	page.gauge("cores_target", "Cores that the fleet aims at.", l.autoscaler.targetCores())
+	page.gauge("cores_target", "Cores that the fleet aims at.", l.autoscaler.TargetCores())
 	page.gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.PendingChanges()))
 }
 
