--- a/internal/controller/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,4 +1,4 @@
-package controller
+package catalog
 
 import (
 	"log/slog"
@@ -13,31 +13,31 @@
 	"hitchdoor/internal/storage"
 )
 
-// machineCatalog holds the machine types that the cloud offers, and reads them from the cloud at
+// Catalog holds the machine types that the cloud offers, and reads them from the cloud at
 // intervals. Every node has one, as every node decides whether a submitted job fits some type.
-type machineCatalog struct {
-	host        catalogHost
+type Catalog struct {
+	host        Host
 	log         *slog.Logger
 	workerLease time.Duration // the intervals are multiples of it
 
-	types     map[string]*protocol.MachineType // by name; nil: not known yet
-	confirmed bool                             // read from the cloud, with no type missing; not an earlier leader's record
+	Types     map[string]*protocol.MachineType // by name; nil: not known yet
+	Confirmed bool                             // read from the cloud, with no type missing; not an earlier leader's record
 	// missingTypes are the known types that the last catalog lacked. A type is removed only
 	// when two catalogs in a row lack it.
 	missingTypes map[string]bool
 
-	requestedAt     clock.Instant
+	RequestedAt     clock.Instant
 	requestInFlight bool
 }
 
-// catalogResponse is the response to a read. Status 0 means that no usable response arrived.
-type catalogResponse struct {
+// Response is the response to a read. Status 0 means that no usable response arrived.
+type Response struct {
 	Status int
 	Body   []byte
 }
 
-// catalogHost is what the catalog needs from its node.
-type catalogHost interface {
+// Host is what the catalog needs from its node.
+type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// Leading reports whether the node is the leader.
@@ -46,9 +46,9 @@
 	// from the budget.
 	TakeCloudRequest() bool
 	// ReadFromCloud reads a resource of the cloud.
-	ReadFromCloud(path string, timeout time.Duration, onResponse func(catalogResponse))
+	ReadFromCloud(path string, timeout time.Duration, onResponse func(Response))
 	// ReadFromStore reads a record of the key-value store.
-	ReadFromStore(key string, onResponse func(catalogResponse))
+	ReadFromStore(key string, onResponse func(Response))
 	// MachineTypesChanged is called after the machine types were replaced.
 	MachineTypesChanged()
 }
@@ -62,39 +62,39 @@
 	catalogTimeoutsPerLease   = 4
 )
 
-// newMachineCatalog returns a catalog of which nothing is known yet.
-func newMachineCatalog(host catalogHost, log *slog.Logger, workerLease time.Duration) *machineCatalog {
-	return &machineCatalog{host: host, log: log, workerLease: workerLease, missingTypes: map[string]bool{}, requestedAt: clock.Never}
+// New returns a catalog of which nothing is known yet.
+func New(host Host, log *slog.Logger, workerLease time.Duration) *Catalog {
+	return &Catalog{host: host, log: log, workerLease: workerLease, missingTypes: map[string]bool{}, RequestedAt: clock.Never}
 }
 
-// known reports whether any machine types are known.
-func (c *machineCatalog) known() bool { return c.types != nil }
+// Known reports whether any machine types are known.
+func (c *Catalog) Known() bool { return c.Types != nil }
 
-// tick reads the cloud's catalog when the last one is too old. Until a catalog is known, it also
+// Tick reads the cloud's catalog when the last one is too old. Until a catalog is known, it also
 // reads the one that an earlier leader stored.
-func (c *machineCatalog) tick() {
+func (c *Catalog) Tick() {
 	if c.requestInFlight {
 		return
 	}
-	if c.requestedAt != clock.Never && c.host.Now() < c.requestedAt+c.readInterval() {
+	if c.RequestedAt != clock.Never && c.host.Now() < c.RequestedAt+c.readInterval() {
 		return
 	}
 	if !c.host.TakeCloudRequest() {
 		return
 	}
-	c.requestInFlight, c.requestedAt = true, c.host.Now()
+	c.requestInFlight, c.RequestedAt = true, c.host.Now()
 	c.host.ReadFromCloud("/catalog", c.workerLease/catalogTimeoutsPerLease, c.onCloudResponse)
-	if !c.known() {
+	if !c.Known() {
 		c.readStored()
 	}
 }
 
 // readInterval returns how long after a read the next one follows.
-func (c *machineCatalog) readInterval() time.Duration {
+func (c *Catalog) readInterval() time.Duration {
 	switch {
 	case len(c.missingTypes) > 0:
 		return missingTypesReadLeases * c.workerLease
-	case !c.confirmed:
+	case !c.Confirmed:
 		return c.workerLease / unconfirmedReadsPerLease
 	case c.host.Leading():
 		return leaderCatalogReadLeases * c.workerLease
@@ -104,7 +104,7 @@
 }
 
 // onCloudResponse applies a catalog read from the cloud.
-func (c *machineCatalog) onCloudResponse(response catalogResponse) {
+func (c *Catalog) onCloudResponse(response Response) {
 	c.requestInFlight = false
 	var catalog protocol.Catalog
 	if response.Status != 200 || json.Unmarshal(response.Body, &catalog) != nil || len(catalog.Types) == 0 {
@@ -117,42 +117,42 @@
 // merge applies a catalog read from the cloud. A known type that is missing from one catalog is
 // kept until the next one lacks it too, because a job that fits only that type would be rejected
 // permanently.
-func (c *machineCatalog) merge(catalog protocol.Catalog) {
+func (c *Catalog) merge(catalog protocol.Catalog) {
 	missing := map[string]bool{}
-	if c.confirmed || len(c.missingTypes) > 0 {
+	if c.Confirmed || len(c.missingTypes) > 0 {
 		listed := map[string]bool{}
 		for _, machineType := range catalog.Types {
 			listed[machineType.Name] = true
 		}
-		for _, name := range slices.Sorted(maps.Keys(c.types)) {
+		for _, name := range slices.Sorted(maps.Keys(c.Types)) {
 			if !listed[name] && !c.missingTypes[name] {
 				missing[name] = true
-				catalog.Types = append(catalog.Types, *c.types[name])
+				catalog.Types = append(catalog.Types, *c.Types[name])
 			}
 		}
 	}
 	c.missingTypes = missing
-	c.confirmed = len(missing) == 0
+	c.Confirmed = len(missing) == 0
 	c.replaceTypes(catalog)
 }
 
 // replaceTypes replaces the known machine types.
-func (c *machineCatalog) replaceTypes(catalog protocol.Catalog) {
+func (c *Catalog) replaceTypes(catalog protocol.Catalog) {
 	usable := catalog.UsableTypes()
-	c.types = make(map[string]*protocol.MachineType, len(usable))
+	c.Types = make(map[string]*protocol.MachineType, len(usable))
 	for i := range usable {
-		c.types[usable[i].Name] = &usable[i]
+		c.Types[usable[i].Name] = &usable[i]
 	}
 	c.host.MachineTypesChanged()
 }
 
 // readStored loads the machine types that an earlier leader stored. Without them, a cluster that
 // restarts during an outage of the cloud could neither accept jobs nor use its machines.
-func (c *machineCatalog) readStored() {
-	c.host.ReadFromStore(storage.CatalogKey, func(response catalogResponse) {
+func (c *Catalog) readStored() {
+	c.host.ReadFromStore(storage.CatalogKey, func(response Response) {
 		var item storage.Item
 		var catalog protocol.Catalog
-		if !c.known() && response.Status == 200 && json.Unmarshal(response.Body, &item) == nil &&
+		if !c.Known() && response.Status == 200 && json.Unmarshal(response.Body, &item) == nil &&
 			json.Unmarshal(item.Value, &catalog) == nil && len(catalog.Types) > 0 {
 			c.log.Info("machine types loaded from the stored catalog")
 			c.replaceTypes(catalog)
--- a/internal/controller/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -1,4 +1,4 @@
-package controller
+package catalog
 
 import (
 	"log/slog"
@@ -12,16 +12,16 @@
 // offlineCatalogHost is the host of a catalog whose reads are never answered.
 type offlineCatalogHost struct{}
 
-func (offlineCatalogHost) Now() clock.Instant                                               { return 0 }
-func (offlineCatalogHost) Leading() bool                                                    { return false }
-func (offlineCatalogHost) TakeCloudRequest() bool                                           { return true }
-func (offlineCatalogHost) ReadFromCloud(_ string, _ time.Duration, _ func(catalogResponse)) {}
-func (offlineCatalogHost) ReadFromStore(_ string, _ func(catalogResponse))                  {}
-func (offlineCatalogHost) MachineTypesChanged()                                             {}
+func (offlineCatalogHost) Now() clock.Instant                                        { return 0 }
+func (offlineCatalogHost) Leading() bool                                             { return false }
+func (offlineCatalogHost) TakeCloudRequest() bool                                    { return true }
+func (offlineCatalogHost) ReadFromCloud(_ string, _ time.Duration, _ func(Response)) {}
+func (offlineCatalogHost) ReadFromStore(_ string, _ func(Response))                  {}
+func (offlineCatalogHost) MachineTypesChanged()                                      {}
 
 // A type that one catalogue lacks is believed to be there until the next one lacks it too.
 func TestTypeMissingOnce(t *testing.T) {
-	known := newMachineCatalog(offlineCatalogHost{}, slog.New(slog.DiscardHandler), time.Minute)
+	known := New(offlineCatalogHost{}, slog.New(slog.DiscardHandler), time.Minute)
 	catalog := func(names ...string) protocol.Catalog {
 		var c protocol.Catalog
 		for _, name := range names {
@@ -41,8 +41,8 @@
 		{[]string{"c4"}, false, true},
 	} {
 		known.merge(catalog(step.names...))
-		if (known.types["g8"] != nil) != step.known || known.confirmed != step.secure {
-			t.Errorf("step %d: known %v, sure %v", i, known.types["g8"] != nil, known.confirmed)
+		if (known.Types["g8"] != nil) != step.known || known.Confirmed != step.secure {
+			t.Errorf("step %d: known %v, sure %v", i, known.Types["g8"] != nil, known.Confirmed)
 		}
 	}
 }
--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"hitchdoor/internal/catalog"
+
 	"hitchdoor/internal/clock"
 )
 
@@ -20,16 +22,16 @@
 func (a nodeCatalogHost) TakeCloudRequest() bool { return a.node.cloudBudget.Take(a.node.now, 1) }
 
 // ReadFromCloud reads a resource of the cloud.
-func (a nodeCatalogHost) ReadFromCloud(path string, timeout time.Duration, onResponse func(catalogResponse)) {
+func (a nodeCatalogHost) ReadFromCloud(path string, timeout time.Duration, onResponse func(catalog.Response)) {
 	a.node.callService(TargetCloud, "GET", path, nil, timeout, func(result CallResult) {
-		onResponse(catalogResponse{Status: result.Status, Body: result.Body})
+		onResponse(catalog.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
 // ReadFromStore reads a record of the key-value store.
-func (a nodeCatalogHost) ReadFromStore(key string, onResponse func(catalogResponse)) {
+func (a nodeCatalogHost) ReadFromStore(key string, onResponse func(catalog.Response)) {
 	a.node.storeCall("GET", "/store/"+key, nil, func(result CallResult) {
-		onResponse(catalogResponse{Status: result.Status, Body: result.Body})
+		onResponse(catalog.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -40,7 +40,7 @@
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
 // key, on which every write of the term is conditioned.
 func newLeader(node *Node, term, leaderKeyVersion uint64) *leader {
-	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog.types})
+	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog.Types})
 	l := &leader{
 		node: node, term: term, State: state,
 		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now),
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -64,7 +64,7 @@
 
 // applyMachineTypes updates the machines after a change of the machine type catalog.
 func (l *leader) applyMachineTypes() {
-	l.Catalog = l.node.catalog.types
+	l.Catalog = l.node.catalog.Types
 	for _, m := range l.Machines {
 		if machineType := l.Catalog[m.TypeName]; machineType != nil {
 			m.MachineType = machineType
@@ -77,7 +77,7 @@
 
 // storeCatalog stores a confirmed catalog of machine types for the next start.
 func (l *leader) storeCatalog() {
-	if l.recordsLoaded && l.node.catalog.confirmed {
+	if l.recordsLoaded && l.node.catalog.Confirmed {
 		l.machineRecords.storeCatalog()
 	}
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"time"
 
+	"hitchdoor/internal/catalog"
+
 	"hitchdoor/internal/jobstore"
 
 	"hitchdoor/internal/election"
@@ -56,7 +58,7 @@
 	admissionPolicy  *policyFollower
 	policyRejections jobstore.RecentJobs[admission.Group] // jobs rejected here by an admission policy, by id
 
-	catalog *machineCatalog
+	catalog *catalog.Catalog
 
 	jobReader *jobstore.Reader
 	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job id.
@@ -113,7 +115,7 @@
 	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.WritesPerS)
 	node.leaderWriteBudget = leaderBudget
 	node.submissionQueue = newSubmissionQueue(submissionWriter{node}, cluster, submissionBudget)
-	node.catalog = newMachineCatalog(nodeCatalogHost{node}, node.log, node.workerLease())
+	node.catalog = catalog.New(nodeCatalogHost{node}, node.log, node.workerLease())
 	peerNames := make([]string, 0, len(options.Platform.Peers))
 	for _, known := range options.Platform.Peers {
 		peerNames = append(peerNames, known.Node)
@@ -174,7 +176,7 @@
 // tick runs the periodic work of every node, and of the leader if this node leads.
 func (n *Node) tick() {
 	n.election.Tick()
-	n.catalog.tick()
+	n.catalog.Tick()
 	n.forwards.expire(n.now, n.serveWithoutLeader)
 	n.workerRouter.expireRoutes()
 	n.submissionQueue.writePending()
--- a/internal/controller/outside_faults_test.go
+++ b/internal/controller/outside_faults_test.go
@@ -191,7 +191,7 @@
 			c.run(5 * time.Second)
 			c.cloud.types = types
 			for _, node := range c.names { // all read the catalogue anew
-				c.nodes[node].catalog.requestedAt = clock.Never
+				c.nodes[node].catalog.RequestedAt = clock.Never
 			}
 			c.more(4, 5*time.Second, nil)
 			c.run(20 * time.Second)
@@ -200,7 +200,7 @@
 			}
 			c.cloud.types = nil
 			for _, node := range c.names {
-				c.nodes[node].catalog.requestedAt = clock.Never
+				c.nodes[node].catalog.RequestedAt = clock.Never
 			}
 			c.settle(5 * time.Minute)
 		})
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -42,7 +42,7 @@
 	if (team.MaxCPUs > 0 && spec.Cores > team.MaxCPUs) || (team.MaxGPUs > 0 && spec.Accelerators > team.MaxGPUs) {
 		return false
 	}
-	for _, machineType := range n.catalog.types {
+	for _, machineType := range n.catalog.Types {
 		if fleet.FitsType(spec, machineType) {
 			return true
 		}
@@ -79,7 +79,7 @@
 // unknown. The user is answered after the write. Any node may do so, because the leader watches
 // the open jobs.
 func (n *Node) submitToStore(request Request, asLeader *leader) {
-	if !n.catalog.known() || n.election.StoreUnavailable() {
+	if !n.catalog.Known() || n.election.StoreUnavailable() {
 		n.replyUnavailable(request.Origin)
 		return
 	}
@@ -127,7 +127,7 @@
 	switch {
 	case !storage.FitsTxn(writes, limits.MaxValueBytes(), limits.MaxTxnOps()):
 		return &jobTooLarge // no record can hold it, so a retry can't succeed
-	case !schedulable && !n.catalog.confirmed:
+	case !schedulable && !n.catalog.Confirmed:
 		return &retryLater // the stored catalog may be outdated
 	case !schedulable:
 		return &jobUnschedulable
