--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -46,8 +46,8 @@
 
 // loadAdmissionPolicy applies the record that an earlier leader left, or its absence.
 func (l *leader) loadAdmissionPolicy(items []storage.Item) {
-	l.writer.noteRevisions(items)
-	l.admission.loadStoredPolicy(items, l.loader.jobsRevision())
+	l.writer.NoteRevisions(items)
+	l.admission.loadStoredPolicy(items, l.loader.JobsRevision())
 }
 
 // evaluateSubmission queues a submission to be written if the policy admits it, and otherwise
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -40,16 +40,16 @@
 
 // AddRentedMachine adds a machine that this leader has just rented.
 func (h autoscalerHost) AddRentedMachine(name string, request *protocol.RentalRequest) {
-	h.leader.machineRecords.addRentedMachine(name, request.Type, request.Zone, request.Spot, h.leader.node.now)
+	h.leader.machineRecords.AddRented(name, request.Type, request.Zone, request.Spot, h.leader.node.now)
 }
 
 // AddListedMachine adds a machine that the cloud lists and no record names.
 func (h autoscalerHost) AddListedMachine(host protocol.Host) *cluster.Machine {
-	return h.leader.machineRecords.addListedMachine(host)
+	return h.leader.machineRecords.AddListed(host)
 }
 
 // RemoveMachine removes a machine that is certain to be gone, with all its attempts.
-func (h autoscalerHost) RemoveMachine(m *cluster.Machine) { h.leader.machineRecords.removeMachine(m) }
+func (h autoscalerHost) RemoveMachine(m *cluster.Machine) { h.leader.machineRecords.Remove(m) }
 
 // PendingJobs returns the pending jobs in the order of the last scheduling pass.
 func (h autoscalerHost) PendingJobs() []*cluster.Job {
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -36,7 +36,7 @@
 	}
 	delete(waiters, j.Spec.ID)
 	if !j.Terminal {
-		h.leader.jobRecords.finishJob(j, protocol.JobCancelled)
+		h.leader.jobRecords.Finish(j, protocol.JobCancelled)
 	}
 }
 
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -250,7 +250,7 @@
 	x := l.leader
 	has, other := x.Machines["m-000001"], x.Machines["m-000002"]
 	has.TouchImage("i", 2)
-	j := x.jobRecords.addJob(storage.JobRecord{Spec: spec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
+	j := x.jobRecords.Add(storage.JobRecord{Spec: spec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
 	j.Spec.ImageGB = 2 // 10 s of fetching
 	fits := func(m *cluster.Machine) bool {
 		return x.FindCandidates(j, []*cluster.Machine{m}, true).BestMachine("") == m
@@ -307,7 +307,7 @@
 	w.machines(1)
 	s := spec("j-1", 100)
 	s.EstimatedSeconds = 50
-	j := x.jobRecords.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
+	j := x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
 	j.EligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
 	unbegun := requiredCores(x, 1000)
 	j.FirstStartAt = x.node.now
@@ -326,7 +326,7 @@
 		x := w.waitLeader().leader
 		s := spec("j-1", 200)
 		s.EstimatedSeconds = 20
-		x.jobRecords.addJob(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
+		x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
 		return requiredCores(x, 1000)
 	}
 	loose, usual, strict := demand(0.8), demand(0.9), demand(0.99)
--- a/internal/controller/flood_test.go
+++ b/internal/controller/flood_test.go
@@ -29,7 +29,7 @@
 	for i := range jobs {
 		rec := storage.JobRecord{Spec: spec(fmt.Sprintf("j-%d", i), protocol.MaxTasksPerJob), AcceptedAtMillis: l.nowUnixMilli()}
 		w.specs[rec.Spec.ID] = rec.Spec
-		l.leader.jobRecords.addJob(rec, uint64(i+1))
+		l.leader.jobRecords.Add(rec, uint64(i+1))
 	}
 	if grown := int64(heapInUse()) - int64(before); grown > jobs*perJob {
 		t.Errorf("%d jobs that wait take %d bytes each", jobs, grown/jobs)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -27,7 +27,7 @@
 		return
 	}
 	l.ScheduleOnMachine(result.Machine)
-	l.writer.sendNextTransaction()
+	l.writer.SendNext()
 	if node.leader != l || !node.holdsLeaderLease() {
 		node.replyUnavailable(request.Origin)
 		return
@@ -50,12 +50,12 @@
 
 // RecordMachine makes a machine durable as one that may have tasks.
 func (a reconcilerAdapter) RecordMachine(machine *cluster.Machine) {
-	a.leader.machineRecords.recordMachine(machine, true)
+	a.leader.machineRecords.Record(machine, true)
 }
 
 // MarkTaskDone records that a task is completed and makes that durable.
 func (a reconcilerAdapter) MarkTaskDone(job *cluster.Job, taskIndex int) {
-	a.leader.jobRecords.markTaskDone(job, taskIndex)
+	a.leader.jobRecords.MarkTaskDone(job, taskIndex)
 }
 
 // ClosedJobState returns the state of a job according to its terminal record, or to one that can't be
@@ -64,7 +64,7 @@
 	if _, isTerminal := a.leader.node.jobReader.TerminalRecord(jobID); isTerminal {
 		return recovery.JobStateTerminal
 	}
-	if a.leader.quarantine.isUnreadableJob(jobID) {
+	if a.leader.quarantine.IsUnreadableJob(jobID) {
 		return recovery.JobStateQuarantined
 	}
 	return recovery.JobStateUnknown
--- a/internal/controller/job_reader_host.go
+++ b/internal/controller/job_reader_host.go
@@ -2,6 +2,7 @@
 
 import (
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/records"
 	"hitchdoor/internal/storage"
 )
 
@@ -33,7 +34,7 @@
 func (h nodeJobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
 	delete(h.node.unreadableTerminalRecords, jobID)
 	if h.node.holdsLeaderLease() {
-		h.node.leader.jobRecords.quarantineOpenRecord(jobID, record)
+		h.node.leader.jobRecords.QuarantineOpenRecord(jobID, record)
 	}
 }
 
@@ -41,6 +42,6 @@
 func (h nodeJobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
 	node := h.node
 	if node.unreadableTerminalRecords[jobID] == nil {
-		node.unreadableTerminalRecords[jobID] = newQuarantinedRecord(node.log, item, err, node.newerVersionSeen())
+		node.unreadableTerminalRecords[jobID] = records.NewQuarantinedRecord(node.log, item, err, node.newerVersionSeen())
 	}
 }
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if !j.Terminal {
-		l.jobRecords.finishJob(j, protocol.JobCancelled)
+		l.jobRecords.Finish(j, protocol.JobCancelled)
 	}
 	if l.node.election.StoreUnavailable() {
 		l.node.replyUnavailable(origin)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -6,6 +6,7 @@
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/dependency"
 	"hitchdoor/internal/reconcile"
+	"hitchdoor/internal/records"
 	"hitchdoor/internal/recoverygate"
 	"hitchdoor/internal/scheduler"
 )
@@ -23,12 +24,12 @@
 	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job
 
 	attemptCounter uint64
-	writer         *transactionWriter
-	machineRecords *machineRecords
-	jobRecords     *jobRecords
-	quarantine     *quarantine
-	loader         *loader
-	jobWatch       *jobWatch
+	writer         *records.TransactionWriter
+	machineRecords *records.Machines
+	jobRecords     *records.Jobs
+	quarantine     *records.Quarantine
+	loader         *records.Loader
+	jobWatch       *records.JobWatch
 	delayedCalls   []delayedCall
 	recovery       *recoverygate.Gate
 	reconciler     *reconcile.Reconciler
@@ -101,8 +102,8 @@
 // finishLoading starts scheduling once all records are loaded.
 func (l *leader) finishLoading() {
 	l.recordsLoaded, l.SchedulingNeeded = true, true
-	l.loader.dropStaleDependencies()
-	l.machineRecords.splitOversizedGroups()
+	l.loader.DropStaleDependencies()
+	l.machineRecords.SplitOversizedGroups()
 	l.autoscaler.InheritUsualLoad()
 	l.storeCatalog()
 	l.tickRecovery()
@@ -134,19 +135,19 @@
 	if !l.recordsLoaded || node.leader != l {
 		return
 	}
-	l.jobWatch.tick()
+	l.jobWatch.Tick()
 	l.dependencies.TickLookups()
-	l.quarantine.tick()
+	l.quarantine.Tick()
 	if node.leader != l {
 		return
 	}
 	l.ExpireMachineLeases()
 	l.autoscaler.Tick()
-	l.admission.tick(l.loader.jobsRevision())
+	l.admission.tick(l.loader.JobsRevision())
 	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
 		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
 		// Also without a change: pending jobs may have become due.
 		l.Schedule()
 	}
-	l.writer.sendNextTransaction()
+	l.writer.SendNext()
 }
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -3,6 +3,7 @@
 import (
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/ratelimit"
+	"hitchdoor/internal/records"
 	"hitchdoor/internal/storage"
 )
 
@@ -24,27 +25,27 @@
 func (l *leader) initRecords(leaderKeyVersion uint64) {
 	node, host := l.node, recordsHost{l}
 	queue := storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion)
-	l.quarantine = newQuarantine(l.State, host, host, &l.lookupBudget)
-	l.writer = newTransactionWriter(queue, host, host, node.log, &node.leaderWriteBudget)
-	access := newRecordAccess(l.State, l.writer, l.quarantine, host)
-	l.machineRecords = newMachineRecords(access)
-	l.jobRecords = newJobRecords(access, host)
-	l.loader = newLoader(host, l.machineRecords, l.jobRecords)
-	l.jobWatch = newJobWatch(l.loader, host, host)
+	l.quarantine = records.NewQuarantine(l.State, host, host, &l.lookupBudget)
+	l.writer = records.NewTransactionWriter(queue, host, host, node.log, &node.leaderWriteBudget)
+	access := records.NewAccess(l.State, l.writer, l.quarantine, host)
+	l.machineRecords = records.NewMachines(access)
+	l.jobRecords = records.NewJobs(access, host)
+	l.loader = records.NewLoader(host, l.machineRecords, l.jobRecords)
+	l.jobWatch = records.NewJobWatch(l.loader, host, host)
 }
 
 // loadRecords reads all records. Scheduling starts only after all of them are loaded.
 func (l *leader) loadRecords() {
-	l.loader.readListings([]recordListing{
+	l.loader.ReadListings([]records.Listing{
 		{Prefix: storage.VersionPrefix, Apply: l.node.applyProtocolLevels},
-		{Prefix: storage.DependenciesPrefix, Apply: l.loader.loadDependencies}, // before the jobs: later ones are read with their job
-		{Prefix: storage.JobPrefix, Apply: l.loader.loadJobs},
-		{Prefix: storage.BitmapPrefix, Apply: l.loader.loadBitmaps},
-		{Prefix: storage.MachineGroupPrefix, Apply: l.loader.loadMachineGroups},
-		{Prefix: storage.SingleMachinePrefix, Apply: l.loader.loadSingleMachines},
+		{Prefix: storage.DependenciesPrefix, Apply: l.loader.LoadDependencies}, // before the jobs: later ones are read with their job
+		{Prefix: storage.JobPrefix, Apply: l.loader.LoadJobs},
+		{Prefix: storage.BitmapPrefix, Apply: l.loader.LoadBitmaps},
+		{Prefix: storage.MachineGroupPrefix, Apply: l.loader.LoadMachineGroups},
+		{Prefix: storage.SingleMachinePrefix, Apply: l.loader.LoadSingleMachines},
 		{Prefix: storage.RentalPrefix, Apply: l.loadRentals},
 		{Prefix: storage.ArrivalForecastKey, Apply: l.autoscaler.LoadForecast},
-		{Prefix: storage.CatalogKey, Apply: l.writer.noteRevisions},
+		{Prefix: storage.CatalogKey, Apply: l.writer.NoteRevisions},
 		{Prefix: storage.AdmissionPolicyKey, Apply: l.loadAdmissionPolicy},
 	}, l.finishLoading)
 }
@@ -54,7 +55,7 @@
 	for _, item := range items {
 		rental, err := storage.ReadRental(item)
 		if err != nil {
-			l.quarantine.addRecord(item, err)
+			l.quarantine.AddRecord(item, err)
 			continue
 		}
 		l.writer.SetModRevision(item.Key, item.ModRevision)
@@ -78,7 +79,7 @@
 // storeCatalog stores a confirmed catalog of machine types for the next start.
 func (l *leader) storeCatalog() {
 	if l.recordsLoaded && l.node.catalog.Confirmed {
-		l.machineRecords.storeCatalog()
+		l.machineRecords.StoreCatalog()
 	}
 }
 
@@ -90,6 +91,6 @@
 	if j := l.Jobs[id]; j != nil {
 		return j
 	}
-	l.loader.loadJob(item)
+	l.loader.LoadJob(item)
 	return l.Jobs[id]
 }
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -32,12 +32,12 @@
 		current := n.leader
 		status.LeaderName, status.Term = "", current.term
 		status.Recovery = current.recovery.Status(current.term)
-		for _, record := range current.quarantine.recordsByKey() {
-			status.Quarantined = append(status.Quarantined, record.status())
+		for _, record := range current.quarantine.RecordsByKey() {
+			status.Quarantined = append(status.Quarantined, record.Status())
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.unreadableTerminalRecords)) {
-		status.Quarantined = append(status.Quarantined, n.unreadableTerminalRecords[id].status())
+		status.Quarantined = append(status.Quarantined, n.unreadableTerminalRecords[id].Status())
 	}
 	return status
 }
@@ -54,7 +54,7 @@
 	quarantined := len(n.unreadableTerminalRecords)
 	if n.holdsLeaderLease() {
 		current := n.leader
-		quarantined += current.quarantine.recordCount()
+		quarantined += current.quarantine.RecordCount()
 		page.gauge("recovery_phase",
 			"The leader's phase of recovery: 0 reading, 1 collecting, 2 reconciling, 3 pacing, 4 normal.",
 			float64(current.recovery.Phase()))
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"time"
 
+	"hitchdoor/internal/records"
+
 	"hitchdoor/internal/catalog"
 
 	"hitchdoor/internal/jobstore"
@@ -62,7 +64,7 @@
 
 	jobReader *jobstore.Reader
 	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job id.
-	unreadableTerminalRecords map[string]*quarantinedRecord
+	unreadableTerminalRecords map[string]*records.QuarantinedRecord
 	mismatches                recovery.MismatchCounts // of all recoveries in this process
 	leader                    *leader
 	protocolLevels            protocolLevels
@@ -106,7 +108,7 @@
 		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
 		peers:                     map[string]*peer{},
 		policyRejections:          jobstore.NewRecentJobs[admission.Group](jobstore.RecentJobsLimit),
-		unreadableTerminalRecords: map[string]*quarantinedRecord{},
+		unreadableTerminalRecords: map[string]*records.QuarantinedRecord{},
 		protocolLevels:            protocolLevels{lastRead: clock.Never},
 		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 
+	"hitchdoor/internal/records"
+
 	"hitchdoor/internal/clock"
 
 	"github.com/segmentio/encoding/json"
@@ -52,7 +54,7 @@
 func (n *Node) readProtocolLevels() {
 	levels := &n.protocolLevels
 	levels.requestInFlight, levels.lastRead = true, n.now
-	n.storeCall("GET", storage.ListPath(storage.VersionPrefix, "", maxPageItems), nil, func(result CallResult) {
+	n.storeCall("GET", storage.ListPath(storage.VersionPrefix, "", records.MaxPageItems), nil, func(result CallResult) {
 		levels.requestInFlight = false
 		var page storage.ListResponse
 		if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
@@ -98,7 +100,7 @@
 	n.protocolLevels.clusterLevel = clusterLevel
 	n.log.Info("cluster protocol level raised", "level", clusterLevel)
 	if n.leader != nil && previousLevel < protocolLevelDependencies {
-		n.leader.jobRecords.upgradeBitmapLayouts()
+		n.leader.jobRecords.UpgradeBitmapLayouts()
 	}
 }
 
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -181,7 +181,7 @@
 	w.waitState("j-1", protocol.JobDone, time.Minute)
 	w.submit(l.name, spec("j-2", 8))
 	w.waitState("j-2", protocol.JobDone, time.Minute)
-	if got := l.leader.quarantine.recordCount(); got != 60 {
+	if got := l.leader.quarantine.RecordCount(); got != 60 {
 		t.Errorf("%d of 60 records are set aside", got)
 	}
 	for _, node := range w.names {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -799,7 +799,7 @@
 		from.RentedAt -= time.Hour
 		spec := spec("j-1", 2)
 		spec.EstimatedSeconds, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 300, 30, 4
-		j := x.jobRecords.addJob(storage.JobRecord{Spec: spec, AcceptedAtMillis: l.nowUnixMilli()}, 1)
+		j := x.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: l.nowUnixMilli()}, 1)
 		for i := range 2 {
 			x.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: i, Number: x.NextAttemptNumber(), Machine: from, Phase: cluster.AttemptRunning, RunningSince: l.now - time.Minute})
 		}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -173,7 +173,7 @@
 		for _, write := range submission.write.writes {
 			submission.leader.writer.SetModRevision(write.Key(), revision)
 		}
-		submission.leader.jobRecords.addJob(submission.write.record, revision)
+		submission.leader.jobRecords.Add(submission.write.record, revision)
 	}
 	n.reply(submission.request.Origin, http.StatusCreated, 0, protocol.JobStatus{ID: jobID, State: protocol.JobQueued})
 }
--- a/internal/controller/bitmap_layout.go
+++ b/internal/records/bitmap_layout.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"maps"
@@ -26,7 +26,7 @@
 // layOutBitmap divides the job's bitmap into parts that fit the value size limit. Controllers of
 // version level 0 use larger parts and identify them by number, so a job of several parts keeps
 // that layout as long as such a controller may become leader.
-func (r *jobRecords) layOutBitmap(j *cluster.Job) {
+func (r *Jobs) layOutBitmap(j *cluster.Job) {
 	id := j.Spec.ID
 	tasksPerPart := r.layout.tasksPerPart
 	partKey := func(part int) string { return storage.BitmapKeyFromTask(id, part*r.layout.tasksPerPart) }
@@ -45,8 +45,8 @@
 	}
 }
 
-// upgradeBitmapLayouts switches jobs to the layout that level 0 cannot read.
-func (r *jobRecords) upgradeBitmapLayouts() {
+// UpgradeBitmapLayouts switches jobs to the layout that level 0 cannot read.
+func (r *Jobs) UpgradeBitmapLayouts() {
 	for _, id := range slices.Sorted(maps.Keys(r.state.Jobs)) {
 		j := r.state.Jobs[id]
 		if j.Spec.TaskCount > r.layout.tasksPerPart && !j.Terminal {
@@ -57,7 +57,7 @@
 
 // upgradeBitmapLayout stores a job's bitmap in the current layout. Bits are only ever set, so a
 // reader that finds both layouts merges them; the old parts are deleted last.
-func (r *jobRecords) upgradeBitmapLayout(j *cluster.Job) {
+func (r *Jobs) upgradeBitmapLayout(j *cluster.Job) {
 	oldParts := j.BitmapParts
 	doneTasks := doneTasksOf(j)
 	r.layOutBitmap(j)
--- a/internal/controller/job_completion.go
+++ b/internal/records/job_completion.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"hitchdoor/internal/cluster"
@@ -8,13 +8,13 @@
 
 // jobCompletion is the queued transaction that replaces a job's open record by its terminal record.
 type jobCompletion struct {
-	records  *jobRecords
+	records  *Jobs
 	job      *cluster.Job
 	terminal storage.TerminalRecord
 }
 
-// finishJob makes a job terminal. Users are notified only after the terminal record is durable.
-func (r *jobRecords) finishJob(j *cluster.Job, state protocol.JobState) {
+// Finish makes a job terminal. Users are notified only after the terminal record is durable.
+func (r *Jobs) Finish(j *cluster.Job, state protocol.JobState) {
 	j.Terminal, j.Cancelled = true, state == protocol.JobCancelled
 	terminal := storage.TerminalRecord{State: state, TaskCount: j.Spec.TaskCount, DoneTasks: j.DoneTasks}
 	r.stopAttempts(j)
@@ -75,9 +75,9 @@
 	}
 }
 
-// quarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
+// QuarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
 // takes precedence, as a user may have been notified of it. The open record is quarantined.
-func (r *jobRecords) quarantineOpenRecord(id string, terminal storage.TerminalRecord) {
+func (r *Jobs) QuarantineOpenRecord(id string, terminal storage.TerminalRecord) {
 	j := r.state.Jobs[id]
 	if j == nil || j.Terminal || j.CompletionUncertain || r.state.EndedJobs[id] {
 		return
@@ -85,20 +85,20 @@
 	r.state.Log.Error("job has both an open and a terminal record", "job", id)
 	j.Terminal, r.state.SchedulingNeeded = true, true
 	r.stopAttempts(j)
-	r.quarantine.addRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
+	r.quarantine.AddRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
 	r.removeOpenJob(id)
 	r.host.JobEnded(id, terminal, false)
 }
 
 // stopAttempts requests the end of all attempts of a terminal job.
-func (r *jobRecords) stopAttempts(j *cluster.Job) {
+func (r *Jobs) stopAttempts(j *cluster.Job) {
 	for _, attempt := range j.Attempts {
 		r.state.RequestStop(attempt, 0)
 	}
 }
 
 // removeOpenJob removes a job from the open jobs.
-func (r *jobRecords) removeOpenJob(id string) {
+func (r *Jobs) removeOpenJob(id string) {
 	delete(r.state.Jobs, id)
 	delete(r.state.RunnableJobs, id)
 }
--- a/internal/controller/job_records.go
+++ b/internal/records/job_records.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"bytes"
@@ -8,17 +8,17 @@
 	"hitchdoor/internal/storage"
 )
 
-// jobRecords stores the progress of the open jobs, as bitmaps of their finished tasks, and their
+// Jobs stores the progress of the open jobs, as bitmaps of their finished tasks, and their
 // ends.
-type jobRecords struct {
-	*recordAccess
-	host   jobHost
+type Jobs struct {
+	*Access
+	host   JobHost
 	layout bitmapLayout
 }
 
-// jobHost is what the job records need from the leader.
-type jobHost interface {
-	jobDependencies
+// JobHost is what the job records need from the leader.
+type JobHost interface {
+	JobDependencies
 	// IsTerminal reports whether a job's terminal record is known.
 	IsTerminal(jobID string) bool
 	// LegacyLeaderPossible reports whether a controller of version level 0 may become leader.
@@ -34,8 +34,8 @@
 	JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool)
 }
 
-// jobDependencies is what the job records need to know of the DAG of jobs.
-type jobDependencies interface {
+// JobDependencies is what the job records need to know of the DAG of jobs.
+type JobDependencies interface {
 	// CompletionPriority returns the write priority of a job's terminal record.
 	CompletionPriority(j *cluster.Job) storage.Priority
 	// RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
@@ -44,14 +44,14 @@
 	ForEachDependent(j *cluster.Job, visit func(dependent *cluster.Job))
 }
 
-// newJobRecords returns the job records of a new leader.
-func newJobRecords(access *recordAccess, host jobHost) *jobRecords {
-	return &jobRecords{recordAccess: access, host: host, layout: newBitmapLayout(access.state.Config)}
+// NewJobs returns the job records of a new leader.
+func NewJobs(access *Access, host JobHost) *Jobs {
+	return &Jobs{Access: access, host: host, layout: newBitmapLayout(access.state.Config)}
 }
 
-// addJob adds an open job to the job table and returns it. It returns the known job if there is
+// Add adds an open job to the job table and returns it. It returns the known job if there is
 // one, and nil if the job is terminal.
-func (r *jobRecords) addJob(record storage.JobRecord, version uint64) *cluster.Job {
+func (r *Jobs) Add(record storage.JobRecord, version uint64) *cluster.Job {
 	id := record.Spec.ID
 	if j := r.state.Jobs[id]; j != nil {
 		return j
@@ -69,8 +69,8 @@
 	return j
 }
 
-// markTaskDone counts a task as finished and finishes the job after its last task.
-func (r *jobRecords) markTaskDone(j *cluster.Job, index int) {
+// MarkTaskDone counts a task as finished and finishes the job after its last task.
+func (r *Jobs) MarkTaskDone(j *cluster.Job, index int) {
 	switch j.TaskState(index) {
 	case cluster.TaskDone:
 		return
@@ -86,7 +86,7 @@
 		return
 	}
 	if j.DoneTasks == j.Spec.TaskCount {
-		r.finishJob(j, protocol.JobDone)
+		r.Finish(j, protocol.JobDone)
 		return
 	}
 	r.storeBitmapPart(j, part)
@@ -94,7 +94,7 @@
 
 // bitmapWrite is a queued write of one part of a job's bitmap.
 type bitmapWrite struct {
-	records *jobRecords
+	records *Jobs
 	job     *cluster.Job
 	part    *cluster.BitmapPart
 	written []byte // bits when the write was built
@@ -102,7 +102,7 @@
 
 // storeBitmapPart queues the write of one bitmap part. The value is taken when the write is
 // formed, so tasks that finish meanwhile share the write.
-func (r *jobRecords) storeBitmapPart(j *cluster.Job, part *cluster.BitmapPart) {
+func (r *Jobs) storeBitmapPart(j *cluster.Job, part *cluster.BitmapPart) {
 	if part.WriteQueued {
 		return
 	}
--- a/internal/controller/job_watch.go
+++ b/internal/records/job_watch.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"time"
@@ -6,34 +6,34 @@
 	"hitchdoor/internal/storage"
 )
 
-// jobWatch watches the open jobs in the key-value store with long polls, as any node may write a
+// JobWatch watches the open jobs in the key-value store with long polls, as any node may write a
 // submission.
-type jobWatch struct {
-	loader   *loader
-	host     jobWatchHost
-	clock    recordClock
+type JobWatch struct {
+	loader   *Loader
+	host     JobWatchHost
+	clock    Clock
 	active   bool // a watch is in flight or scheduled
 	failures int  // consecutive watches that failed or returned nothing new
 }
 
-// jobWatchHost is what the watch needs from the leader.
-type jobWatchHost interface {
-	delayer
+// JobWatchHost is what the watch needs from the leader.
+type JobWatchHost interface {
+	Delayer
 	// WatchStore sends a long poll to the key-value store and passes its response to onResponse,
 	// unless the term has ended by then.
 	WatchStore(path string, timeout time.Duration, onResponse func(storage.Response))
 }
 
-// newJobWatch returns the watch of a new leader, which continues where the loader ends.
-func newJobWatch(loader *loader, host jobWatchHost, clock recordClock) *jobWatch {
-	return &jobWatch{loader: loader, host: host, clock: clock}
+// NewJobWatch returns the watch of a new leader, which continues where the loader ends.
+func NewJobWatch(loader *Loader, host JobWatchHost, clock Clock) *JobWatch {
+	return &JobWatch{loader: loader, host: host, clock: clock}
 }
 
 // maxWatchFailures limits the pause between two watches, which doubles with each failure.
 const maxWatchFailures = 4
 
-// tick sends the next long poll unless one is in flight or scheduled.
-func (w *jobWatch) tick() {
+// Tick sends the next long poll unless one is in flight or scheduled.
+func (w *JobWatch) Tick() {
 	if w.active {
 		return
 	}
@@ -47,7 +47,7 @@
 }
 
 // onResponse handles the response to a long poll.
-func (w *jobWatch) onResponse(response storage.Response, early bool) {
+func (w *JobWatch) onResponse(response storage.Response, early bool) {
 	var events storage.WatchResponse
 	switch {
 	case response.Decode(&events):
@@ -70,10 +70,10 @@
 
 // applyEvents loads the jobs from the events of a watch. After a watch that returned early without
 // anything new, the next one is delayed: otherwise the watch would become a busy loop.
-func (w *jobWatch) applyEvents(events storage.WatchResponse, early bool) {
+func (w *JobWatch) applyEvents(events storage.WatchResponse, early bool) {
 	for _, event := range events.Events {
 		if event.PutKey != "" {
-			w.loader.loadJob(storage.Item{Key: event.PutKey, Value: event.Value, ModRevision: event.ModRevision})
+			w.loader.LoadJob(storage.Item{Key: event.PutKey, Value: event.Value, ModRevision: event.ModRevision})
 		}
 	}
 	if early && (len(events.Events) == 0 || events.Revision <= w.loader.revision) {
@@ -86,15 +86,15 @@
 }
 
 // rereadJobs lists the open jobs again and then resumes watching.
-func (w *jobWatch) rereadJobs() {
+func (w *JobWatch) rereadJobs() {
 	w.countFailure()
 	w.loader.rereadJobs(w.scheduleWatch)
 }
 
 // countFailure counts a watch that failed or returned nothing new.
-func (w *jobWatch) countFailure() { w.failures = min(w.failures+1, maxWatchFailures) }
+func (w *JobWatch) countFailure() { w.failures = min(w.failures+1, maxWatchFailures) }
 
 // scheduleWatch resumes watching after a pause that doubles with each consecutive failure.
-func (w *jobWatch) scheduleWatch() {
+func (w *JobWatch) scheduleWatch() {
 	w.host.CallAfter(w.clock.WorkerLease()/100<<w.failures, func() { w.active = false })
 }
--- a/internal/controller/job_watch_test.go
+++ b/internal/records/job_watch_test.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"strings"
@@ -9,29 +9,29 @@
 )
 
 // newTestWatch returns a watch that has sent its first long poll.
-func newTestWatch() (*jobWatch, *testHost) {
+func newTestWatch() (*JobWatch, *testHost) {
 	host := &testHost{}
-	jobs := &jobRecords{recordAccess: newRecordAccess(nil, nil, nil, host)}
-	watch := newJobWatch(newLoader(host, nil, jobs), host, host)
-	watch.tick()
+	jobs := &Jobs{Access: NewAccess(nil, nil, nil, host)}
+	watch := NewJobWatch(NewLoader(host, nil, jobs), host, host)
+	watch.Tick()
 	return watch, host
 }
 
 // isJobListing reports whether a request lists the open jobs from the first one.
 func isJobListing(request storeRequest) bool {
-	return request.method == "GET" && request.path == storage.ListPath(storage.JobPrefix, "", maxPageItems)
+	return request.method == "GET" && request.path == storage.ListPath(storage.JobPrefix, "", MaxPageItems)
 }
 
 // A watch continues at the revision of the last events, with one long poll at a time.
 func TestJobWatchContinuesAtRevision(t *testing.T) {
 	watch, host := newTestWatch()
-	watch.tick()
+	watch.Tick()
 	if len(host.requests) != 1 {
 		t.Fatalf("%d long polls at a time", len(host.requests))
 	}
 	removed := storage.WatchEvent{DeletedKey: storage.JobKey("j-1")}
 	host.respond(200, storage.WatchResponse{Revision: 12, Events: []storage.WatchEvent{removed}})
-	watch.tick()
+	watch.Tick()
 	if want := storage.WatchPath(storage.JobPrefix, 12, (host.WorkerLease() / 2).Milliseconds()); host.last().path != want {
 		t.Fatalf("watched %s, want %s", host.last().path, want)
 	}
@@ -43,12 +43,12 @@
 	base := host.WorkerLease() / 100
 	for i, want := range []time.Duration{2 * base, 4 * base, 8 * base, 16 * base, 16 * base} {
 		host.respond(200, storage.WatchResponse{})
-		watch.tick()
+		watch.Tick()
 		if len(host.requests) != i+1 || len(host.delayedCalls) != i+1 || host.delayedCalls[i].delay != want {
 			t.Fatalf("%d requests, delayed calls %v; want the pause %v", len(host.requests), host.delayedCalls, want)
 		}
 		host.delayedCalls[i].run()
-		watch.tick()
+		watch.Tick()
 	}
 }
 
@@ -71,7 +71,7 @@
 				host.respond(status, nil)
 				if i < len(c.statuses)-1 {
 					host.delayedCalls[i].run()
-					watch.tick()
+					watch.Tick()
 				}
 			}
 			if got := isJobListing(host.last()); got != c.wantListing {
@@ -80,8 +80,8 @@
 			if c.wantListing {
 				host.respond(200, storage.ListResponse{Revision: 40})
 				host.delayedCalls[len(host.delayedCalls)-1].run()
-				watch.tick()
-				if !strings.Contains(host.last().path, "40") || watch.loader.jobsRevision() != 40 {
+				watch.Tick()
+				if !strings.Contains(host.last().path, "40") || watch.loader.JobsRevision() != 40 {
 					t.Fatalf("watched %s after a listing at revision 40", host.last().path)
 				}
 			}
--- a/internal/controller/loading.go
+++ b/internal/records/loading.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"errors"
@@ -10,13 +10,13 @@
 	"hitchdoor/internal/storage"
 )
 
-// loader reads the stored records of earlier leaders into the cluster state, and those of jobs that
+// Loader reads the stored records of earlier leaders into the cluster state, and those of jobs that
 // are accepted later.
-type loader struct {
-	*recordAccess
-	host     loaderHost
-	machines *machineRecords
-	jobs     *jobRecords
+type Loader struct {
+	*Access
+	host     LoaderHost
+	machines *Machines
+	jobs     *Jobs
 
 	revision            uint64                    // revision up to which the open jobs were read
 	dependencyRecords   map[string][]storage.Item // dependency records read before their jobs, by job id
@@ -25,48 +25,48 @@
 	deferredBitmaps     map[string][]storage.Item // bitmap parts of jobs that are not loaded yet
 }
 
-// loaderHost is what the loader needs from the leader.
-type loaderHost interface {
-	recordStore
-	delayer
+// LoaderHost is what the loader needs from the leader.
+type LoaderHost interface {
+	Store
+	Delayer
 	// RecordsLoaded reports whether all records were read that were stored at the start of the term.
 	RecordsLoaded() bool
 }
 
-// newLoader returns the loader of a new leader, with nothing loaded.
-func newLoader(host loaderHost, machines *machineRecords, jobs *jobRecords) *loader {
-	return &loader{
-		recordAccess: jobs.recordAccess, host: host, machines: machines, jobs: jobs,
+// NewLoader returns the loader of a new leader, with nothing loaded.
+func NewLoader(host LoaderHost, machines *Machines, jobs *Jobs) *Loader {
+	return &Loader{
+		Access: jobs.Access, host: host, machines: machines, jobs: jobs,
 		dependencyRecords: map[string][]storage.Item{}, loadingDependencies: map[string]bool{},
 		dependencyReadCount: map[string]int{}, deferredBitmaps: map[string][]storage.Item{},
 	}
 }
 
-// jobsRevision returns the revision of the key-value store up to which the open jobs were read.
-func (l *loader) jobsRevision() uint64 { return l.revision }
+// JobsRevision returns the revision of the key-value store up to which the open jobs were read.
+func (l *Loader) JobsRevision() uint64 { return l.revision }
 
-// recordListing is a set of records to read: those whose keys have a prefix.
-type recordListing struct {
+// Listing is a set of records to read: those whose keys have a prefix.
+type Listing struct {
 	Prefix string
 	Apply  func([]storage.Item) // called with each page
 }
 
-// readListings reads listings one after the other and then calls onDone.
-func (l *loader) readListings(listings []recordListing, onDone func()) {
+// ReadListings reads listings one after the other and then calls onDone.
+func (l *Loader) ReadListings(listings []Listing, onDone func()) {
 	if len(listings) == 0 {
 		onDone()
 		return
 	}
-	l.readPages(listings[0], "", func() { l.readListings(listings[1:], onDone) })
+	l.readPages(listings[0], "", func() { l.ReadListings(listings[1:], onDone) })
 }
 
-// maxPageItems limits one page of a listing, to bound memory use.
-const maxPageItems = 200
+// MaxPageItems limits one page of a listing, to bound memory use.
+const MaxPageItems = 200
 
 // readPages reads the records of a listing whose keys are after a key, page by page, and then calls
 // onDone. A failed read is retried until this leader's term ends.
-func (l *loader) readPages(listing recordListing, afterKey string, onDone func()) {
-	path := storage.ListPath(listing.Prefix, afterKey, maxPageItems)
+func (l *Loader) readPages(listing Listing, afterKey string, onDone func()) {
+	path := storage.ListPath(listing.Prefix, afterKey, MaxPageItems)
 	l.host.CallStore("GET", path, nil, func(response storage.Response) {
 		var page storage.ListResponse
 		if !response.Decode(&page) {
@@ -86,24 +86,24 @@
 }
 
 // scheduleRetry calls retry after a short delay.
-func (l *loader) scheduleRetry(retry func()) { l.host.CallAfter(retryDelay(l.clock), retry) }
+func (l *Loader) scheduleRetry(retry func()) { l.host.CallAfter(retryDelay(l.clock), retry) }
 
 // rereadJobs lists the open jobs again, loads the new ones and then calls onDone.
-func (l *loader) rereadJobs(onDone func()) {
-	l.readPages(recordListing{Prefix: storage.JobPrefix, Apply: l.loadJobs}, "", onDone)
+func (l *Loader) rereadJobs(onDone func()) {
+	l.readPages(Listing{Prefix: storage.JobPrefix, Apply: l.LoadJobs}, "", onDone)
 }
 
-// loadJobs adds the jobs of a page of records to the open jobs.
-func (l *loader) loadJobs(items []storage.Item) {
+// LoadJobs adds the jobs of a page of records to the open jobs.
+func (l *Loader) LoadJobs(items []storage.Item) {
 	for _, item := range items {
-		l.loadJob(item)
+		l.LoadJob(item)
 	}
 }
 
-// loadJob adds a job to the open jobs, once all its dependency records are read.
-func (l *loader) loadJob(item storage.Item) {
+// LoadJob adds a job to the open jobs, once all its dependency records are read.
+func (l *Loader) LoadJob(item storage.Item) {
 	id := strings.TrimPrefix(item.Key, storage.JobPrefix)
-	if l.quarantine.isUnreadableJob(id) {
+	if l.quarantine.IsUnreadableJob(id) {
 		// The quarantined record was repaired, or is read again. The revision of a repaired
 		// one would imply that no earlier leader has started the job, so only the next leader
 		// loads it.
@@ -121,20 +121,20 @@
 	}
 	delete(l.dependencyRecords, id)
 	if l.jobs.host.IsTerminal(id) && !l.host.RecordsLoaded() {
-		l.quarantine.addRecord(item, errOpenAndTerminal)
+		l.quarantine.AddRecord(item, errOpenAndTerminal)
 		return
 	}
-	if l.jobs.addJob(record, item.ModRevision) != nil {
+	if l.jobs.Add(record, item.ModRevision) != nil {
 		bitmaps := l.deferredBitmaps[id]
 		delete(l.deferredBitmaps, id)
-		l.loadBitmaps(bitmaps)
+		l.LoadBitmaps(bitmaps)
 	}
 }
 
-// loadDependencies keeps the records of dependencies that do not fit into the records of their
+// LoadDependencies keeps the records of dependencies that do not fit into the records of their
 // jobs, until those jobs are loaded.
-func (l *loader) loadDependencies(items []storage.Item) {
-	l.writer.noteRevisions(items)
+func (l *Loader) LoadDependencies(items []storage.Item) {
+	l.writer.NoteRevisions(items)
 	for _, item := range items {
 		id := storage.JobIDOfDependenciesKey(item.Key)
 		if _, err := storage.ReadDependencies(item); err != nil {
@@ -146,7 +146,7 @@
 
 // readDependencies reads the dependency records of one job that was accepted since, and loads the
 // job after that. A job loaded without its dependencies would start at once.
-func (l *loader) readDependencies(job storage.Item, recordCount int) {
+func (l *Loader) readDependencies(job storage.Item, recordCount int) {
 	id := strings.TrimPrefix(job.Key, storage.JobPrefix)
 	if l.state.Jobs[id] != nil || l.isLoadDeferred(id) {
 		return
@@ -157,14 +157,14 @@
 	}
 	l.loadingDependencies[id] = true
 	delete(l.dependencyRecords, id)
-	listing := recordListing{Prefix: storage.DependenciesPrefix + id + "/", Apply: l.loadDependencies}
+	listing := Listing{Prefix: storage.DependenciesPrefix + id + "/", Apply: l.LoadDependencies}
 	l.readPages(listing, "", func() {
 		delete(l.loadingDependencies, id)
 		if len(l.dependencyRecords[id]) != recordCount {
 			l.scheduleRetry(func() { l.readDependencies(job, recordCount) })
 			return
 		}
-		l.loadJobs([]storage.Item{job})
+		l.LoadJobs([]storage.Item{job})
 	})
 }
 
@@ -177,12 +177,12 @@
 
 // isLoadDeferred reports whether an open job is not in the job table yet, because its dependency
 // records are being read or one of its records is unreadable.
-func (l *loader) isLoadDeferred(jobID string) bool {
-	return l.loadingDependencies[jobID] || l.quarantine.isUnreadableJob(jobID)
+func (l *Loader) isLoadDeferred(jobID string) bool {
+	return l.loadingDependencies[jobID] || l.quarantine.IsUnreadableJob(jobID)
 }
 
-// dropStaleDependencies deletes the dependency records of jobs that are no longer open.
-func (l *loader) dropStaleDependencies() {
+// DropStaleDependencies deletes the dependency records of jobs that are no longer open.
+func (l *Loader) DropStaleDependencies() {
 	for _, id := range slices.Sorted(maps.Keys(l.dependencyRecords)) {
 		for _, item := range l.dependencyRecords[id] {
 			if l.state.Jobs[id] == nil && !l.isLoadDeferred(id) {
@@ -193,8 +193,8 @@
 	}
 }
 
-// loadBitmaps marks the tasks done that the bitmap parts list.
-func (l *loader) loadBitmaps(items []storage.Item) {
+// LoadBitmaps marks the tasks done that the bitmap parts list.
+func (l *Loader) LoadBitmaps(items []storage.Item) {
 	for _, item := range items {
 		l.writer.SetModRevision(item.Key, item.ModRevision)
 		l.loadBitmap(item)
@@ -203,7 +203,7 @@
 
 // loadBitmap marks the tasks done that a bitmap part lists. The part of a job that is not loaded yet
 // is kept until it is; a part of an unknown job is deleted.
-func (l *loader) loadBitmap(item storage.Item) {
+func (l *Loader) loadBitmap(item storage.Item) {
 	id, firstTask, ok := storage.ParseBitmapKey(item.Key, l.jobs.layout.legacyTasksPerPart)
 	if !ok {
 		return // unknown key format, perhaps of a newer version
@@ -231,7 +231,7 @@
 
 // applyBitmap marks the tasks done that a readable bitmap part lists. A part of another layout is
 // deleted after that; its bits are written to the new parts first.
-func (l *loader) applyBitmap(j *cluster.Job, key string, firstTask int, bits []byte) {
+func (l *Loader) applyBitmap(j *cluster.Job, key string, firstTask int, bits []byte) {
 	partIndex := slices.IndexFunc(j.BitmapParts, func(part *cluster.BitmapPart) bool { return part.Key == key })
 	if partIndex >= 0 {
 		j.BitmapParts[partIndex].StoredBits = bits
@@ -243,12 +243,12 @@
 }
 
 // markTasksDone marks the tasks done whose bits are set. The first bit is the one of firstTask.
-func (l *loader) markTasksDone(j *cluster.Job, firstTask int, bits []byte) {
+func (l *Loader) markTasksDone(j *cluster.Job, firstTask int, bits []byte) {
 	for i := range bits {
 		for bit := range 8 {
 			index := firstTask + i*8 + bit
 			if bits[i]&(1<<bit) != 0 && index < j.Spec.TaskCount {
-				l.jobs.markTaskDone(j, index)
+				l.jobs.MarkTaskDone(j, index)
 			}
 		}
 	}
--- a/internal/controller/machine_group_write.go
+++ b/internal/records/machine_group_write.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"hitchdoor/internal/cluster"
@@ -17,7 +17,7 @@
 // groupWrite is a queued write of a machine group, with the contents that the group has when the
 // write is built.
 type groupWrite struct {
-	records      *machineRecords
+	records      *Machines
 	group        *cluster.MachineGroup
 	urgency      groupWriteUrgency
 	usedMachines []*cluster.Machine // machines that the built record marks as used
@@ -25,7 +25,7 @@
 
 // storeGroup queues the write of a changed group, unless a queued write will include the change in
 // time.
-func (r *machineRecords) storeGroup(group *cluster.MachineGroup, urgency groupWriteUrgency) {
+func (r *Machines) storeGroup(group *cluster.MachineGroup, urgency groupWriteUrgency) {
 	group.ChangedSinceWrite = true
 	if group.SoonWriteQueued || (group.LazyWriteQueued && urgency == groupWriteLazy) {
 		return
@@ -99,7 +99,7 @@
 		return
 	}
 	r.maxGroupBytes = max(1, min(r.maxGroupBytes, w.group.RecordBytes)/2)
-	r.splitOversizedGroups()
+	r.SplitOversizedGroups()
 	if len(w.group.Machines) > 0 {
 		r.state.Log.Error("machine record rejected by key-value store", "group", w.group.Key)
 	}
--- a/internal/controller/machine_loading.go
+++ b/internal/records/machine_loading.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// loadMachineGroups adds the machines of a page of group records.
-func (l *loader) loadMachineGroups(items []storage.Item) {
+// LoadMachineGroups adds the machines of a page of group records.
+func (l *Loader) LoadMachineGroups(items []storage.Item) {
 	for _, item := range items {
 		record, unreadable, err := storage.ReadMachineGroup(item)
 		if err != nil {
@@ -33,7 +33,7 @@
 }
 
 // loadGroupEntry adds a machine with the entry that the record of its group has of it.
-func (l *loader) loadGroupEntry(group *cluster.MachineGroup, name string, entry storage.MachineRecord) {
+func (l *Loader) loadGroupEntry(group *cluster.MachineGroup, name string, entry storage.MachineRecord) {
 	m := l.state.Machines[name]
 	if m == nil {
 		m = l.addStoredMachine(name, entry)
@@ -53,9 +53,9 @@
 // loadDamagedMachineGroup loads the machines of a group with unreadable entries. The group's
 // record is quarantined and its machines are stored in other groups. Of a machine with an
 // unreadable entry only the name is known, so it is treated as if it may be running any task.
-func (l *loader) loadDamagedMachineGroup(item storage.Item, record storage.MachineGroupRecord, unreadable []string) {
+func (l *Loader) loadDamagedMachineGroup(item storage.Item, record storage.MachineGroupRecord, unreadable []string) {
 	slices.Sort(unreadable)
-	l.quarantine.addRecord(item, fmt.Errorf("the entries of these machines can't be read: %s",
+	l.quarantine.AddRecord(item, fmt.Errorf("the entries of these machines can't be read: %s",
 		strings.Join(unreadable, ", ")))
 	for _, name := range unreadable {
 		record[name] = l.unreadableMachine()
@@ -68,19 +68,19 @@
 		m.UseDurable = m.UseDurable || record[name].Used
 		m.Reconciled = m.Reconciled && !record[name].Used
 		if m.TypeName != "" {
-			l.machines.recordMachine(m, m.UseDurable)
+			l.machines.Record(m, m.UseDurable)
 		}
 	}
 }
 
-// loadSingleMachines adds the machines of single-machine records, as written by earlier versions,
+// LoadSingleMachines adds the machines of single-machine records, as written by earlier versions,
 // and moves them into groups.
-func (l *loader) loadSingleMachines(items []storage.Item) {
+func (l *Loader) LoadSingleMachines(items []storage.Item) {
 	for _, item := range items {
 		var record storage.MachineRecord
 		name := strings.TrimPrefix(item.Key, storage.SingleMachinePrefix)
 		if err := json.Unmarshal(item.Value, &record); err != nil {
-			l.quarantine.addRecord(item, err)
+			l.quarantine.AddRecord(item, err)
 			if l.state.Machines[name] == nil {
 				l.addStoredMachine(name, l.unreadableMachine())
 			}
@@ -92,20 +92,20 @@
 			m = l.addStoredMachine(name, record)
 		}
 		m.Reconciled = m.Reconciled && !record.Used
-		l.machines.recordMachine(m, record.Used)
+		l.machines.Record(m, record.Used)
 		l.dropStoredKey(item.Key)
 	}
 }
 
 // unreadableMachine returns what is assumed of a machine whose entry can't be read: it may be
 // running any task.
-func (l *loader) unreadableMachine() storage.MachineRecord {
+func (l *Loader) unreadableMachine() storage.MachineRecord {
 	return storage.MachineRecord{Used: true, RentedAtMillis: l.clock.UnixMilli(l.clock.Now())}
 }
 
 // addStoredMachine adds a machine from its stored record. A machine that was used by an earlier
 // leader is not reconciled yet.
-func (l *loader) addStoredMachine(name string, record storage.MachineRecord) *cluster.Machine {
+func (l *Loader) addStoredMachine(name string, record storage.MachineRecord) *cluster.Machine {
 	m := l.state.NewMachine(name, record.Type, record.Zone, record.Spot)
 	m.Reconciled = !record.Used
 	m.RentedAt = min(l.clock.InstantFromUnixMilli(record.RentedAtMillis), l.clock.Now())
--- a/internal/controller/machine_records.go
+++ b/internal/records/machine_records.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"maps"
@@ -11,10 +11,10 @@
 	"hitchdoor/internal/storage"
 )
 
-// machineRecords stores the machines: in groups, with one record for each group. It also stores the
+// Machines stores the machines: in groups, with one record for each group. It also stores the
 // catalog of machine types.
-type machineRecords struct {
-	*recordAccess
+type Machines struct {
+	*Access
 	storedCatalogShape string // machine types last stored, without prices
 
 	groups         []*cluster.MachineGroup
@@ -22,33 +22,33 @@
 	minGroupNumber int // lowest number for a new group
 }
 
-// newMachineRecords returns the state before any machine is recorded.
-func newMachineRecords(access *recordAccess) *machineRecords {
+// NewMachines returns the state before any machine is recorded.
+func NewMachines(access *Access) *Machines {
 	maxValueBytes := access.state.Config.Store.MaxValueBytes()
-	return &machineRecords{recordAccess: access, maxGroupBytes: storage.MaxMachineGroupBytes(maxValueBytes)}
+	return &Machines{Access: access, maxGroupBytes: storage.MaxMachineGroupBytes(maxValueBytes)}
 }
 
-// addRentedMachine adds a machine that this leader rented. It needs no reconciliation, as no
+// AddRented adds a machine that this leader rented. It needs no reconciliation, as no
 // earlier leader placed tasks on it.
-func (r *machineRecords) addRentedMachine(name, typeName, zone string, spot bool, rentedAt clock.Instant) *cluster.Machine {
+func (r *Machines) AddRented(name, typeName, zone string, spot bool, rentedAt clock.Instant) *cluster.Machine {
 	m := r.state.NewMachine(name, typeName, zone, spot)
 	m.Reconciled, m.RentedAt = true, rentedAt
-	r.recordMachine(m, false)
+	r.Record(m, false)
 	return m
 }
 
-// addListedMachine adds a machine that the cloud lists and no record names. No leader placed
+// AddListed adds a machine that the cloud lists and no record names. No leader placed
 // tasks on it, unless machine records are unreadable and the inventory is therefore incomplete.
-func (r *machineRecords) addListedMachine(host protocol.Host) *cluster.Machine {
+func (r *Machines) AddListed(host protocol.Host) *cluster.Machine {
 	rentedAt := r.clock.Now() - config.Seconds(max(host.RentedSeconds, 0))
-	m := r.addRentedMachine(host.Name, host.Type, host.Zone, host.Spot, rentedAt)
+	m := r.AddRented(host.Name, host.Type, host.Zone, host.Spot, rentedAt)
 	m.Reconciled = !r.state.InventoryIncomplete()
 	return m
 }
 
-// storeCatalog stores the machine types for the next start if they have changed. Price changes
+// StoreCatalog stores the machine types for the next start if they have changed. Price changes
 // are frequent and do not cause a write.
-func (r *machineRecords) storeCatalog() {
+func (r *Machines) StoreCatalog() {
 	catalog, typesWithoutPrices := protocol.Catalog{}, []protocol.MachineType{}
 	for _, name := range slices.Sorted(maps.Keys(r.state.Catalog)) {
 		machineType := *r.state.Catalog[name]
@@ -66,8 +66,8 @@
 	}})
 }
 
-// recordMachine makes the machine durable by name, and as used before its first task.
-func (r *machineRecords) recordMachine(m *cluster.Machine, used bool) {
+// Record makes the machine durable by name, and as used before its first task.
+func (r *Machines) Record(m *cluster.Machine, used bool) {
 	if m.Group != nil && (m.MarkedUsed || !used) {
 		return
 	}
@@ -78,8 +78,8 @@
 	r.storeGroup(m.Group, groupWriteSoon)
 }
 
-// removeMachine removes a machine that is certain to be gone, with all its attempts.
-func (r *machineRecords) removeMachine(m *cluster.Machine) {
+// Remove removes a machine that is certain to be gone, with all its attempts.
+func (r *Machines) Remove(m *cluster.Machine) {
 	r.state.DeleteMachine(m)
 	if group := m.Group; group != nil {
 		r.removeFromGroup(group, m)
@@ -88,31 +88,31 @@
 }
 
 // entry returns the machine's entry in the record of its group.
-func (r *machineRecords) entry(m *cluster.Machine) storage.MachineRecord {
+func (r *Machines) entry(m *cluster.Machine) storage.MachineRecord {
 	return storage.MachineRecord{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot, Used: m.MarkedUsed,
 		RentedAtMillis: r.clock.UnixMilli(m.RentedAt)}
 }
 
 // entryBytes returns the encoded size of the machine's entry.
-func (r *machineRecords) entryBytes(m *cluster.Machine) int {
+func (r *Machines) entryBytes(m *cluster.Machine) int {
 	return storage.MachineEntryBytes(m.Name, r.entry(m))
 }
 
 // addToGroup adds a machine to a group.
-func (r *machineRecords) addToGroup(group *cluster.MachineGroup, m *cluster.Machine) {
+func (r *Machines) addToGroup(group *cluster.MachineGroup, m *cluster.Machine) {
 	m.Group = group
 	group.Machines[m.Name] = m
 	group.RecordBytes += r.entryBytes(m)
 }
 
 // removeFromGroup removes a machine from a group.
-func (r *machineRecords) removeFromGroup(group *cluster.MachineGroup, m *cluster.Machine) {
+func (r *Machines) removeFromGroup(group *cluster.MachineGroup, m *cluster.Machine) {
 	delete(group.Machines, m.Name)
 	group.RecordBytes -= r.entryBytes(m)
 }
 
 // groupWithRoom returns a group that has room for an entry of the given size, or a new group.
-func (r *machineRecords) groupWithRoom(entryBytes int) *cluster.MachineGroup {
+func (r *Machines) groupWithRoom(entryBytes int) *cluster.MachineGroup {
 	for _, group := range r.groups {
 		if group.RecordBytes+entryBytes <= r.maxGroupBytes {
 			return group
@@ -122,7 +122,7 @@
 }
 
 // unusedGroupKey returns the first key that neither a group nor a quarantined record has.
-func (r *machineRecords) unusedGroupKey() string {
+func (r *Machines) unusedGroupKey() string {
 	usedKeys := map[string]bool{}
 	for _, group := range r.groups {
 		usedKeys[group.Key] = true
@@ -135,18 +135,18 @@
 }
 
 // newGroup adds an empty group with the given key.
-func (r *machineRecords) newGroup(key string) *cluster.MachineGroup {
+func (r *Machines) newGroup(key string) *cluster.MachineGroup {
 	group := &cluster.MachineGroup{Key: key, Machines: map[string]*cluster.Machine{}}
 	r.groups = append(r.groups, group)
 	return group
 }
 
-// splitOversizedGroups divides groups whose record is too large to be written again: version
+// SplitOversizedGroups divides groups whose record is too large to be written again: version
 // level 0 wrote larger ones, and the value limit of the key-value store may have been lowered.
 // The machines are written into new groups before the old record is deleted. In between both
 // records hold a machine; level 0 uses the entry that it reads last, so the new groups get later
 // keys.
-func (r *machineRecords) splitOversizedGroups() {
+func (r *Machines) SplitOversizedGroups() {
 	oversized, kept := r.partitionGroups()
 	if len(oversized) == 0 {
 		return
@@ -169,7 +169,7 @@
 }
 
 // partitionGroups returns the groups of several machines whose record is too large, and the others.
-func (r *machineRecords) partitionGroups() (oversized, kept []*cluster.MachineGroup) {
+func (r *Machines) partitionGroups() (oversized, kept []*cluster.MachineGroup) {
 	for _, group := range r.groups {
 		if group.RecordBytes > r.maxGroupBytes && len(group.Machines) > 1 {
 			oversized = append(oversized, group)
@@ -181,7 +181,7 @@
 }
 
 // moveToOtherGroups assigns the machines of a group to other groups, in the order of their names.
-func (r *machineRecords) moveToOtherGroups(group *cluster.MachineGroup) {
+func (r *Machines) moveToOtherGroups(group *cluster.MachineGroup) {
 	for _, name := range slices.Sorted(maps.Keys(group.Machines)) {
 		m := group.Machines[name]
 		r.addToGroup(r.groupWithRoom(r.entryBytes(m)), m)
--- a/internal/controller/machine_records_test.go
+++ b/internal/records/machine_records_test.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"bytes"
@@ -14,14 +14,14 @@
 
 // newTestMachineRecords returns the records of an empty cluster whose groups have at most the given
 // size, and their host.
-func newTestMachineRecords(maxGroupBytes int) (*machineRecords, *testHost) {
+func newTestMachineRecords(maxGroupBytes int) (*Machines, *testHost) {
 	host := &testHost{}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	budget := ratelimit.NewTokenBucket(0, 100)
 	state := cluster.New(cluster.Options{Clock: host, Config: &config.Cluster{}, Settings: &config.Settings{}, Log: log})
-	writer := newTransactionWriter(storage.NewWriter(20, 1), host, host, log, &budget)
-	quarantine := newQuarantine(state, nil, host, &budget)
-	records := newMachineRecords(newRecordAccess(state, writer, quarantine, host))
+	writer := NewTransactionWriter(storage.NewWriter(20, 1), host, host, log, &budget)
+	quarantine := NewQuarantine(state, nil, host, &budget)
+	records := NewMachines(NewAccess(state, writer, quarantine, host))
 	records.maxGroupBytes = maxGroupBytes
 	return records, host
 }
@@ -29,9 +29,9 @@
 // A machine's use is durable only once the write that marks it is applied.
 func TestMachineRecordsMarkUseDurable(t *testing.T) {
 	records, host := newTestMachineRecords(1000)
-	machine := records.addRentedMachine("m-1", "small", "zone", false, 0)
-	records.recordMachine(machine, true)
-	records.writer.sendNextTransaction()
+	machine := records.AddRented("m-1", "small", "zone", false, 0)
+	records.Record(machine, true)
+	records.writer.SendNext()
 	host.expectRequests(t, 1, "POST", "/multi")
 	if machine.UseDurable {
 		t.Fatal("use durable before the write is applied")
@@ -46,17 +46,17 @@
 // write.
 func TestMachineRecordsDeleteEmptyGroup(t *testing.T) {
 	records, host := newTestMachineRecords(1000)
-	records.removeMachine(records.addRentedMachine("m-1", "small", "zone", false, 0))
-	records.writer.sendNextTransaction()
+	records.Remove(records.AddRented("m-1", "small", "zone", false, 0))
+	records.writer.SendNext()
 	if len(host.requests) != 0 {
 		t.Fatalf("wrote a group that was never stored: %s", host.last().body)
 	}
-	machine := records.addRentedMachine("m-2", "small", "zone", false, 0)
-	records.writer.sendNextTransaction()
+	machine := records.AddRented("m-2", "small", "zone", false, 0)
+	records.writer.SendNext()
 	host.respond(200, storage.TxnResponse{Revision: 5})
 	key := machine.Group.Key
-	records.removeMachine(machine)
-	records.writer.sendNextTransaction()
+	records.Remove(machine)
+	records.writer.SendNext()
 	if want := storage.Encode(storage.Delete(key)); !bytes.Contains(host.last().body, want) {
 		t.Fatalf("sent %s, want %s in it", host.last().body, want)
 	}
@@ -67,14 +67,14 @@
 func TestMachineRecordsSplitRejectedGroup(t *testing.T) {
 	records, host := newTestMachineRecords(1000)
 	for _, name := range []string{"m-1", "m-2", "m-3", "m-4"} {
-		records.addRentedMachine(name, "small", "zone", false, 0)
+		records.AddRented(name, "small", "zone", false, 0)
 	}
 	if len(records.groups) != 1 {
 		t.Fatalf("%d groups", len(records.groups))
 	}
 	stored := records.groups[0]
 	records.writer.SetModRevision(stored.Key, 3)
-	records.writer.sendNextTransaction()
+	records.writer.SendNext()
 	host.respond(400, nil)
 	if len(records.groups) != 2 || stored.Machines != nil {
 		t.Fatalf("%d groups, %d machines left in the rejected one", len(records.groups), len(stored.Machines))
@@ -84,7 +84,7 @@
 			t.Fatalf("group %s has %d bytes of at most %d", group.Key, group.RecordBytes, records.maxGroupBytes)
 		}
 	}
-	records.writer.sendNextTransaction()
+	records.writer.SendNext()
 	if body := host.last().body; bytes.Contains(body, storage.Encode(storage.Delete(stored.Key))) &&
 		!bytes.Contains(body, []byte(records.groups[1].Key)) {
 		t.Fatalf("deleted the old record before the new groups: %s", body)
--- a/internal/controller/quarantine.go
+++ b/internal/records/quarantine.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"cmp"
@@ -14,23 +14,23 @@
 	"hitchdoor/internal/storage"
 )
 
-// quarantine holds the records that a leader has quarantined because they can't be decoded or
+// Quarantine holds the records that a leader has quarantined because they can't be decoded or
 // contradict each other. Such a record is never written or deleted. What it describes is assumed
 // to exist: its job is accepted and none of its tasks is started, and its machines may be running
 // any task.
-type quarantine struct {
+type Quarantine struct {
 	state          *cluster.State
-	host           quarantineHost
-	clock          recordClock
+	host           QuarantineHost
+	clock          Clock
 	lookupBudget   *ratelimit.TokenBucket        // limits the reads of quarantined records
-	records        map[string]*quarantinedRecord // by key
+	records        map[string]*QuarantinedRecord // by key
 	unreadableJobs map[string]bool               // jobs with too little known to add them to the open jobs
 	nextCheck      clock.Instant                 // next check whether the records have changed
 }
 
-// quarantineHost is what the quarantine needs from the leader.
-type quarantineHost interface {
-	recordStore
+// QuarantineHost is what the quarantine needs from the leader.
+type QuarantineHost interface {
+	Store
 	// StoreUnavailable reports whether the key-value store is considered down.
 	StoreUnavailable() bool
 	// StepDown ends the leader's term.
@@ -44,20 +44,20 @@
 	ReadTerminalRecord(jobID string)
 }
 
-// quarantinedRecord is one quarantined record.
-type quarantinedRecord struct {
+// QuarantinedRecord is one quarantined record.
+type QuarantinedRecord struct {
 	key              string
 	revision         uint64 // revision at which it was read
 	reason           string
 	fromNewerVersion bool // some node has written a higher protocol level than this one's
 }
 
-// newQuarantine returns the empty quarantine of a new leader. lookupBudget limits its reads.
-func newQuarantine(state *cluster.State, host quarantineHost, clock recordClock,
-	lookupBudget *ratelimit.TokenBucket) *quarantine {
-	return &quarantine{
+// NewQuarantine returns the empty quarantine of a new leader. lookupBudget limits its reads.
+func NewQuarantine(state *cluster.State, host QuarantineHost, clock Clock,
+	lookupBudget *ratelimit.TokenBucket) *Quarantine {
+	return &Quarantine{
 		state: state, host: host, clock: clock, lookupBudget: lookupBudget,
-		records: map[string]*quarantinedRecord{}, unreadableJobs: map[string]bool{},
+		records: map[string]*QuarantinedRecord{}, unreadableJobs: map[string]bool{},
 	}
 }
 
@@ -65,9 +65,9 @@
 // too.
 var errOpenAndTerminal = errors.New("is of a job that is over")
 
-// newQuarantinedRecord logs a record that can't be used and returns its description.
-func newQuarantinedRecord(log *slog.Logger, item storage.Item, err error, newerVersionSeen bool) *quarantinedRecord {
-	record := &quarantinedRecord{key: item.Key, revision: item.ModRevision, reason: err.Error(),
+// NewQuarantinedRecord logs a record that can't be used and returns its description.
+func NewQuarantinedRecord(log *slog.Logger, item storage.Item, err error, newerVersionSeen bool) *QuarantinedRecord {
+	record := &QuarantinedRecord{key: item.Key, revision: item.ModRevision, reason: err.Error(),
 		fromNewerVersion: newerVersionSeen}
 	var recordError *storage.RecordError
 	if errors.As(err, &recordError) {
@@ -81,72 +81,72 @@
 	return record
 }
 
-// status describes a quarantined record to operators.
-func (r *quarantinedRecord) status() recovery.QuarantinedRecord {
+// Status describes a quarantined record to operators.
+func (r *QuarantinedRecord) Status() recovery.QuarantinedRecord {
 	return recovery.QuarantinedRecord{Key: r.key, Reason: r.reason, MaybeNewerVersion: r.fromNewerVersion}
 }
 
 // contains reports whether the record with a key is quarantined.
-func (q *quarantine) contains(key string) bool { return q.records[key] != nil }
+func (q *Quarantine) contains(key string) bool { return q.records[key] != nil }
 
-// isUnreadableJob reports whether too little of an open job can be read to add it to the open jobs.
-func (q *quarantine) isUnreadableJob(jobID string) bool { return q.unreadableJobs[jobID] }
+// IsUnreadableJob reports whether too little of an open job can be read to add it to the open jobs.
+func (q *Quarantine) IsUnreadableJob(jobID string) bool { return q.unreadableJobs[jobID] }
 
-// recordCount returns the number of quarantined records.
-func (q *quarantine) recordCount() int { return len(q.records) }
+// RecordCount returns the number of quarantined records.
+func (q *Quarantine) RecordCount() int { return len(q.records) }
 
-// recordsByKey returns the quarantined records, sorted by key.
-func (q *quarantine) recordsByKey() []*quarantinedRecord {
+// RecordsByKey returns the quarantined records, sorted by key.
+func (q *Quarantine) RecordsByKey() []*QuarantinedRecord {
 	return slices.SortedFunc(maps.Values(q.records),
-		func(a, b *quarantinedRecord) int { return cmp.Compare(a.key, b.key) })
+		func(a, b *QuarantinedRecord) int { return cmp.Compare(a.key, b.key) })
 }
 
-// addRecord quarantines a record and logs it once.
-func (q *quarantine) addRecord(item storage.Item, err error) {
+// AddRecord quarantines a record and logs it once.
+func (q *Quarantine) AddRecord(item storage.Item, err error) {
 	if q.contains(item.Key) {
 		return
 	}
-	q.records[item.Key] = newQuarantinedRecord(q.state.Log, item, err, q.host.NewerVersionSeen())
+	q.records[item.Key] = NewQuarantinedRecord(q.state.Log, item, err, q.host.NewerVersionSeen())
 	q.checkSoon() // its job may be terminal
 }
 
 // checkSoon makes the next tick check whether the quarantined records have changed.
-func (q *quarantine) checkSoon() { q.nextCheck = q.clock.Now() }
+func (q *Quarantine) checkSoon() { q.nextCheck = q.clock.Now() }
 
 // addUnreadableJob quarantines a record without which the specification of an open job is unknown.
 // The job counts as accepted.
-func (q *quarantine) addUnreadableJob(id string, item storage.Item, err error) {
-	q.addRecord(item, err)
+func (q *Quarantine) addUnreadableJob(id string, item storage.Item, err error) {
+	q.AddRecord(item, err)
 	q.unreadableJobs[id] = true
 	q.host.MarkJobAccepted(id)
 }
 
 // addJob quarantines a record that belongs to an open job. The job's running tasks continue, and no
 // others are started.
-func (q *quarantine) addJob(j *cluster.Job, item storage.Item, err error) {
-	q.addRecord(item, err)
+func (q *Quarantine) addJob(j *cluster.Job, item storage.Item, err error) {
+	q.AddRecord(item, err)
 	j.Quarantined = true
 }
 
 // addMachineGroup quarantines a machine group in which not even the names can be decoded. Until the
 // leases of its machines have expired, tasks of earlier leaders may run on machines that no readable
 // record names.
-func (q *quarantine) addMachineGroup(item storage.Item, err error) {
-	q.addRecord(item, err)
+func (q *Quarantine) addMachineGroup(item storage.Item, err error) {
+	q.AddRecord(item, err)
 	q.state.InventoryIncompleteUntil = q.state.StartedAt + q.state.WorkerLeaseTimeout()
 	q.state.TotalsValid = false
 }
 
-// tick ends the time in which the inventory is incomplete, and periodically checks the quarantined
+// Tick ends the time in which the inventory is incomplete, and periodically checks the quarantined
 // records. Once one has changed because an operator repaired or deleted it, the leader steps down
 // and the next one loads all records.
-func (q *quarantine) tick() {
+func (q *Quarantine) Tick() {
 	q.expireIncompleteInventory()
 	if len(q.records) == 0 || q.clock.Now() < q.nextCheck || q.host.StoreUnavailable() {
 		return
 	}
 	q.nextCheck = q.clock.Now() + q.clock.WorkerLease()
-	for _, record := range q.recordsByKey() {
+	for _, record := range q.RecordsByKey() {
 		if !q.lookupBudget.Take(q.clock.Now(), 1) {
 			return
 		}
@@ -155,7 +155,7 @@
 }
 
 // expireIncompleteInventory treats all machines as known once the leases of the others have expired.
-func (q *quarantine) expireIncompleteInventory() {
+func (q *Quarantine) expireIncompleteInventory() {
 	state := q.state
 	if state.InventoryIncompleteUntil == clock.Never || q.clock.Now() <= state.InventoryIncompleteUntil {
 		return
@@ -167,8 +167,8 @@
 
 // recheckRecord reads a quarantined record, and steps down if it has changed. It also reads whether
 // the record's job is terminal.
-func (q *quarantine) recheckRecord(record *quarantinedRecord) {
-	if id := storage.JobIDOfKey(record.key); q.isUnreadableJob(id) {
+func (q *Quarantine) recheckRecord(record *QuarantinedRecord) {
+	if id := storage.JobIDOfKey(record.key); q.IsUnreadableJob(id) {
 		q.host.ReadTerminalRecord(id)
 	}
 	q.host.CallStore("GET", "/store/"+record.key, nil, func(response storage.Response) {
@@ -180,7 +180,7 @@
 
 // hasChanged reports whether the response to a read of the record shows that it was written again or
 // deleted.
-func (r *quarantinedRecord) hasChanged(response storage.Response) bool {
+func (r *QuarantinedRecord) hasChanged(response storage.Response) bool {
 	if response.Status == 404 {
 		return true
 	}
--- a/internal/controller/record_store.go
+++ b/internal/records/record_store.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"time"
@@ -7,15 +7,15 @@
 	"hitchdoor/internal/storage"
 )
 
-// recordStore is the key-value store as the records of one term use it.
-type recordStore interface {
+// Store is the key-value store as the records of one term use it.
+type Store interface {
 	// CallStore sends a request. It passes the response to onResponse, unless the term has ended by
 	// then.
 	CallStore(method, path string, body any, onResponse func(storage.Response))
 }
 
-// recordClock tells the time, and converts it to the wall clock time of stored records.
-type recordClock interface {
+// Clock tells the time, and converts it to the wall clock time of stored records.
+type Clock interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// UnixMilli returns the wall clock time of an instant in Unix milliseconds.
@@ -27,11 +27,11 @@
 	WorkerLease() time.Duration
 }
 
-// delayer calls functions later, while the term lasts.
-type delayer interface {
+// Delayer calls functions later, while the term lasts.
+type Delayer interface {
 	// CallAfter calls a function after a delay, if the term lasts until then.
 	CallAfter(delay time.Duration, call func())
 }
 
 // retryDelay returns the pause before a failed request is sent again.
-func retryDelay(clock recordClock) time.Duration { return clock.WorkerLease() / 50 }
+func retryDelay(clock Clock) time.Duration { return clock.WorkerLease() / 50 }
--- a/internal/controller/transactions.go
+++ b/internal/records/transactions.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"log/slog"
@@ -7,34 +7,34 @@
 	"hitchdoor/internal/storage"
 )
 
-// transactionWriter writes the queued changes of a leader to the key-value store: within its write
+// TransactionWriter writes the queued changes of a leader to the key-value store: within its write
 // budget, one compare-and-swap transaction at a time. It retries a transaction without a usable
 // response, and reads whether a transaction with an unclear outcome was executed.
-type transactionWriter struct {
+type TransactionWriter struct {
 	*storage.Writer
-	host   transactionHost
-	clock  recordClock
+	host   TransactionHost
+	clock  Clock
 	log    *slog.Logger
 	budget *ratelimit.TokenBucket // limits the writes
 }
 
-// transactionHost is what the transaction writer needs from the leader.
-type transactionHost interface {
-	recordStore
-	delayer
+// TransactionHost is what the transaction writer needs from the leader.
+type TransactionHost interface {
+	Store
+	Delayer
 	// StepDown ends the leader's term.
 	StepDown(reason string)
 }
 
-// newTransactionWriter returns a writer that sends the changes of a queue.
-func newTransactionWriter(queue *storage.Writer, host transactionHost, clock recordClock, log *slog.Logger,
-	budget *ratelimit.TokenBucket) *transactionWriter {
-	return &transactionWriter{Writer: queue, host: host, clock: clock, log: log, budget: budget}
+// NewTransactionWriter returns a writer that sends the changes of a queue.
+func NewTransactionWriter(queue *storage.Writer, host TransactionHost, clock Clock, log *slog.Logger,
+	budget *ratelimit.TokenBucket) *TransactionWriter {
+	return &TransactionWriter{Writer: queue, host: host, clock: clock, log: log, budget: budget}
 }
 
-// sendNextTransaction sends the next transaction, unless one is in flight or the write budget is
+// SendNext sends the next transaction, unless one is in flight or the write budget is
 // exhausted.
-func (w *transactionWriter) sendNextTransaction() {
+func (w *TransactionWriter) SendNext() {
 	if w.InFlight() || w.PendingChanges() == 0 {
 		return
 	}
@@ -45,7 +45,7 @@
 }
 
 // send sends a transaction and handles its response.
-func (w *transactionWriter) send(transaction *storage.Txn) {
+func (w *TransactionWriter) send(transaction *storage.Txn) {
 	w.budget.Tokens -= float64(w.InFlightWrites())
 	w.host.CallStore("POST", "/multi", transaction, w.onResponse)
 }
@@ -53,12 +53,12 @@
 // onResponse handles the response to the transaction in flight. A refusal for a conflict, or as
 // invalid, may also mean that an earlier copy with an unclear outcome was executed; then the
 // outcome is read first.
-func (w *transactionWriter) onResponse(response storage.Response) {
+func (w *TransactionWriter) onResponse(response storage.Response) {
 	var result storage.TxnResponse
 	switch {
 	case response.Decode(&result):
 		w.CompleteInFlight(result.Revision)
-		w.sendNextTransaction()
+		w.SendNext()
 	case response.Status == 409 && w.OutcomeUnknown():
 		w.resolveOutcome(w.stepDownOnConflict)
 	case response.Status == 400 && w.OutcomeUnknown():
@@ -79,21 +79,21 @@
 
 // stepDownOnConflict ends the term: another writer changed a key that only the leader writes, so
 // this leader was replaced, or its state is stale. Either way the records must be loaded again.
-func (w *transactionWriter) stepDownOnConflict() { w.host.StepDown("transaction conflict") }
+func (w *TransactionWriter) stepDownOnConflict() { w.host.StepDown("transaction conflict") }
 
 // sendAgain sends the transaction in flight again, byte for byte the same. If an earlier copy was
 // executed, or is executed late, the conditions admit only one of them.
-func (w *transactionWriter) sendAgain() { w.send(w.RetryTxn()) }
+func (w *TransactionWriter) sendAgain() { w.send(w.RetryTxn()) }
 
 // scheduleRetry calls retry after a short delay.
-func (w *transactionWriter) scheduleRetry(retry func()) {
+func (w *TransactionWriter) scheduleRetry(retry func()) {
 	w.host.CallAfter(retryDelay(w.clock), retry)
 }
 
 // splitRefusedTransaction splits a transaction that the key-value store rejects as invalid into
 // smaller ones, as the store's limits may be lower than the settings say. The leader continues.
 // A unit of writes that is rejected on its own is dropped.
-func (w *transactionWriter) splitRefusedTransaction() {
+func (w *TransactionWriter) splitRefusedTransaction() {
 	for _, key := range w.RejectInFlight() {
 		w.log.Error("write rejected permanently", "key", key)
 	}
@@ -102,7 +102,7 @@
 // resolveOutcome determines whether a transaction with an unclear outcome was executed, by reading
 // one of its keys. It calls onNotApplied if the transaction was not executed. Meanwhile the
 // transaction stays in flight, so no other one is sent.
-func (w *transactionWriter) resolveOutcome(onNotApplied func()) {
+func (w *TransactionWriter) resolveOutcome(onNotApplied func()) {
 	w.host.CallStore("GET", "/store/"+w.ProbeKey(), nil, func(response storage.Response) {
 		var item storage.Item
 		switch {
@@ -118,8 +118,8 @@
 	})
 }
 
-// noteRevisions records the revisions of stored records that were read.
-func (w *transactionWriter) noteRevisions(items []storage.Item) {
+// NoteRevisions records the revisions of stored records that were read.
+func (w *TransactionWriter) NoteRevisions(items []storage.Item) {
 	for _, item := range items {
 		w.SetModRevision(item.Key, item.ModRevision)
 	}
--- a/internal/controller/transactions_test.go
+++ b/internal/records/transactions_test.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"io"
@@ -11,11 +11,11 @@
 )
 
 // newTestWriter returns a transaction writer with a budget of tokens and a queued write of each key.
-func newTestWriter(tokens float64, keys ...string) (*transactionWriter, *testHost, *[]string) {
+func newTestWriter(tokens float64, keys ...string) (*TransactionWriter, *testHost, *[]string) {
 	host, applied := &testHost{}, &[]string{}
 	budget := ratelimit.NewTokenBucket(0, tokens)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	writer := newTransactionWriter(storage.NewWriter(10, 1), host, host, log, &budget)
+	writer := NewTransactionWriter(storage.NewWriter(10, 1), host, host, log, &budget)
 	for _, key := range keys {
 		writer.Enqueue(storage.PriorityNormal, storage.Change{
 			BuildWrites: func() []storage.Write { return []storage.Write{storage.Put(key, 1)} },
@@ -28,8 +28,8 @@
 // Only one transaction is in flight, and none exceeds the write budget.
 func TestTransactionWriterOneInFlightWithinBudget(t *testing.T) {
 	writer, host, applied := newTestWriter(3, "a", "b", "c", "d")
-	writer.sendNextTransaction()
-	writer.sendNextTransaction()
+	writer.SendNext()
+	writer.SendNext()
 	host.expectRequests(t, 1, "POST", "/multi")
 	if writer.InFlightWrites() != 3 || writer.budget.Tokens != 0 {
 		t.Fatalf("%d writes in flight, %v tokens left", writer.InFlightWrites(), writer.budget.Tokens)
@@ -40,14 +40,14 @@
 		t.Fatalf("applied %v, revision %d", *applied, writer.ModRevision("a"))
 	}
 	writer.budget.Tokens = 1
-	writer.sendNextTransaction()
+	writer.SendNext()
 	host.expectRequests(t, 2, "POST", "/multi")
 }
 
 // A transaction without a usable response is sent again after a delay, byte for byte the same.
 func TestTransactionWriterRetriesUnchanged(t *testing.T) {
 	writer, host, applied := newTestWriter(5, "a")
-	writer.sendNextTransaction()
+	writer.SendNext()
 	first := host.last().body
 	host.respond(503, nil)
 	if len(host.delayedCalls) != 1 || host.delayedCalls[0].delay != retryDelay(host) || writer.OutcomeUnknown() {
@@ -80,13 +80,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			writer, host, applied := newTestWriter(5, "a")
-			writer.sendNextTransaction()
+			writer.SendNext()
 			host.respond(c.firstStatus, nil)
 			if c.firstStatus == 0 {
 				host.delayedCalls[0].run()
 				host.respond(409, nil)
 				host.expectRequests(t, 3, "GET", "/store/a")
-				writer.sendNextTransaction()
+				writer.SendNext()
 				host.expectRequests(t, 3, "GET", "/store/a")
 				respondWithStored(host, c.storedAt)
 			}
@@ -109,13 +109,13 @@
 // A read of the outcome that fails is repeated, and no other transaction is sent meanwhile.
 func TestTransactionWriterRepeatsFailedOutcomeRead(t *testing.T) {
 	writer, host, applied := newTestWriter(5, "a")
-	writer.sendNextTransaction()
+	writer.SendNext()
 	host.respond(504, nil)
 	host.delayedCalls[0].run()
 	host.respond(400, nil)
 	host.expectRequests(t, 3, "GET", "/store/a")
 	host.respond(503, nil)
-	writer.sendNextTransaction()
+	writer.SendNext()
 	host.expectRequests(t, 3, "GET", "/store/a")
 	host.delayedCalls[1].run()
 	host.expectRequests(t, 4, "GET", "/store/a")
@@ -128,15 +128,15 @@
 // A transaction that the key-value store rejects as invalid is split; a single write is abandoned.
 func TestTransactionWriterSplitsRejectedTransaction(t *testing.T) {
 	writer, host, applied := newTestWriter(20, "a", "b", "c", "d")
-	writer.sendNextTransaction()
+	writer.SendNext()
 	host.respond(400, nil)
-	writer.sendNextTransaction()
+	writer.SendNext()
 	if writer.InFlightWrites() >= 4 {
 		t.Fatalf("%d writes in flight after a rejection of 4", writer.InFlightWrites())
 	}
 	for writer.InFlight() {
 		host.respond(400, nil)
-		writer.sendNextTransaction()
+		writer.SendNext()
 	}
 	if writer.PendingChanges() != 0 || len(*applied) != 0 || len(host.stepDowns) != 0 {
 		t.Fatalf("%d changes pending, applied %v, step downs %v", writer.PendingChanges(), *applied, host.stepDowns)
