--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -89,4 +89,4 @@
 	n.election.Drain()
 }
 
-func (l ServerLoad) apply(n *Node) { n.workerRouter.connections.update(l.Open, l.Limit) }
+func (l ServerLoad) apply(n *Node) { n.workerRouter.Connections.Update(l.Open, l.Limit) }
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -55,7 +55,7 @@
 			report.IncomingLinks = append(report.IncomingLinks, reachability.IncomingLink{Node: k.Node, AgeMS: age.Milliseconds()})
 		}
 	}
-	report.RecentWorkers, report.StrandedWorkers = n.workerRouter.countWorkers()
+	report.RecentWorkers, report.StrandedWorkers = n.workerRouter.CountWorkers()
 	if worst := n.connectivity.matrix.MostStrandedElsewhere(n.cfg.Node, n.now, n.leaderLease()); worst.Workers > 0 {
 		report.MostStranded = &worst
 	}
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -281,7 +281,7 @@
 		t.Errorf("back again, %d are sent to the leader, %d of %d relayed", sent, relayed, workers)
 	}
 	w.run(4 * f.workerLease())
-	if len(f.workerRouter.routes) > 0 {
-		t.Errorf("%d are remembered for good", len(f.workerRouter.routes))
+	if len(f.workerRouter.Routes) > 0 {
+		t.Errorf("%d are remembered for good", len(f.workerRouter.Routes))
 	}
 }
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -56,8 +56,8 @@
 	node := a.node
 	heartbeat.VersionLevel = protocolLevel
 	heartbeat.WritesThrottled = node.writesThrottled
-	heartbeat.ConnectionsFull = node.workerRouter.connections.full
-	heartbeat.SpareConnections = node.workerRouter.connections.spare()
+	heartbeat.ConnectionsFull = node.workerRouter.Connections.Full
+	heartbeat.SpareConnections = node.workerRouter.Connections.Spare()
 	heartbeat.Links = node.connectivityReport()
 	heartbeat.PolicyRevision = node.admissionPolicy.revision
 	if node.leader == nil || !node.leader.needsRelays() {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"time"
 
+	"hitchdoor/internal/workerrouting"
+
 	"hitchdoor/internal/records"
 
 	"hitchdoor/internal/catalog"
@@ -54,7 +56,7 @@
 	election     *election.Election
 	peers        map[string]*peer
 	forwards     *forwardTable[Request] // requests forwarded to the leader
-	workerRouter *workerRouter
+	workerRouter *workerrouting.Router
 	connectivity connectivity
 
 	admissionPolicy  *policyFollower
@@ -123,7 +125,7 @@
 		peerNames = append(peerNames, known.Node)
 	}
 	node.admissionPolicy = newPolicyFollower(admissionHost{node}, cluster, node.log)
-	node.workerRouter = newWorkerRouter(node, cluster, peerNames)
+	node.workerRouter = workerrouting.NewRouter(node, cluster, peerNames)
 	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
 	node.startElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
@@ -180,7 +182,7 @@
 	n.election.Tick()
 	n.catalog.Tick()
 	n.forwards.expire(n.now, n.serveWithoutLeader)
-	n.workerRouter.expireRoutes()
+	n.workerRouter.ExpireRoutes()
 	n.submissionQueue.writePending()
 	n.jobReader.LoadTerminalJobs()
 	n.tickProtocolLevels()
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -38,7 +38,7 @@
 	sender.protocolLevel = heartbeat.VersionLevel
 	n.admissionPolicy.recordPeerRevision(heartbeat.PolicyRevision)
 	n.onConnectivityReport(sender, heartbeat.Links)
-	n.workerRouter.recordPeerHeartbeat(sender.Name, heartbeat)
+	n.workerRouter.RecordPeerHeartbeat(sender.Name, heartbeat)
 	if heartbeat.WritesThrottled {
 		n.throttleWrites()
 	}
--- a/internal/controller/routes_test.go
+++ b/internal/controller/routes_test.go
@@ -239,8 +239,8 @@
 	for _, x := range []struct {
 		after  time.Duration
 		status int
-	}{{f.workerRouter.relayTimeout() - step, 200}, {f.workerRouter.relayTimeout(), 503}} {
-		f.workerRouter.routeOf("m-1").relayUntil = f.now + time.Hour
+	}{{f.workerRouter.RelayTimeout() - step, 200}, {f.workerRouter.RelayTimeout(), 503}} {
+		f.workerRouter.RouteOf("m-1").RelayUntil = f.now + time.Hour
 		f.Step(f.clock(w.now), []Command{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
 			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.forwards.lastID, Status: 200, Body: []byte("{}")}}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -48,8 +48,8 @@
 	page.boolGauge("state_slowed", "1 while changes are paced by the lower rate that the settings announce.",
 		n.writesThrottled)
 	page.boolGauge("state_down", "1 while the state service can't be reached.", n.election.StoreFailing())
-	page.gauge("connections_open", "Connections of users and workers.", float64(n.workerRouter.connections.open))
-	page.boolGauge("connections_full", "1 while no more workers are taken in.", n.workerRouter.connections.full)
+	page.gauge("connections_open", "Connections of users and workers.", float64(n.workerRouter.Connections.Open))
+	page.boolGauge("connections_full", "1 while no more workers are taken in.", n.workerRouter.Connections.Full)
 	page.gauge("workers_stranded", "Workers that came here lately and could not be served.",
 		float64(n.connectivityReport().StrandedWorkers))
 	page.boolGauge("admission_policy", "1 while submissions are admitted by a policy.", n.admissionPolicy.current != nil)
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -139,7 +139,7 @@
 func (n *Node) onRelayedHeartbeatAnswer(forward pendingForward[Request], answer protocol.ForwardedResponse) {
 	request := forward.request
 	if answer.Status == http.StatusOK {
-		n.workerRouter.recordServed(request.Heartbeat.Machine)
+		n.workerRouter.RecordServed(request.Heartbeat.Machine)
 	}
 	if n.now >= forward.deadline {
 		// This process was paused, or the response was delayed on its way. The worker discards
@@ -176,7 +176,7 @@
 	case protocol.RequestQuery:
 		n.answerQueryFromStore(request, nil)
 	case protocol.RequestHeartbeat:
-		n.workerRouter.recordStranded(request.Heartbeat.Machine)
+		n.workerRouter.RecordStranded(request.Heartbeat.Machine)
 		n.replyUnavailable(request.Origin)
 	default:
 		n.replyUnavailable(request.Origin)
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -3,6 +3,8 @@
 import (
 	"net/http"
 
+	"hitchdoor/internal/workerrouting"
+
 	"hitchdoor/internal/protocol"
 )
 
@@ -32,12 +34,12 @@
 	if leaderPeer != nil {
 		leaderName = leaderPeer.Name
 	}
-	switch n.workerRouter.decideOnFollower(request.Heartbeat.Machine, leaderName) {
-	case redirectToLeader:
+	switch n.workerRouter.DecideOnFollower(request.Heartbeat.Machine, leaderName) {
+	case workerrouting.RedirectToLeader:
 		n.redirectWorker(request, leaderName)
-	case relayToLeader:
-		n.forwardToPeer(leaderPeer, request, n.workerRouter.relayTimeout())
-	case rejectHeartbeat:
+	case workerrouting.RelayToLeader:
+		n.forwardToPeer(leaderPeer, request, n.workerRouter.RelayTimeout())
+	case workerrouting.RejectHeartbeat:
 		n.replyUnavailable(request.Origin)
 	}
 }
@@ -46,10 +48,10 @@
 // this one is full, and reports whether it did.
 func (n *Node) redirectNewWorker(request Request) bool {
 	worker := request.Heartbeat.Machine
-	if !n.workerRouter.connections.full || n.leader.servesDirectly(worker) {
+	if !n.workerRouter.Connections.Full || n.leader.servesDirectly(worker) {
 		return false
 	}
-	target, redirect := n.workerRouter.redirectFromLeader(worker)
+	target, redirect := n.workerRouter.RedirectFromLeader(worker)
 	if redirect {
 		n.redirectWorker(request, target)
 	}
--- a/internal/controller/connection_capacity.go
+++ b/internal/workerrouting/connection_capacity.go
@@ -1,4 +1,4 @@
-package controller
+package workerrouting
 
 import "hitchdoor/internal/protocol"
 
@@ -10,31 +10,31 @@
 	spareThreshold = 11.0 / 16
 )
 
-// serverConnections is the load of this node's own server.
-type serverConnections struct {
-	open, limit int // limit is 0 while it is unknown
-	full        bool
+// ServerConnections is the load of this node's own server.
+type ServerConnections struct {
+	Open, limit int // limit is 0 while it is unknown
+	Full        bool
 }
 
-// update records the present load and applies the thresholds.
-func (c *serverConnections) update(open, limit int) {
-	c.open, c.limit = open, limit
+// Update records the present load and applies the thresholds.
+func (c *ServerConnections) Update(open, limit int) {
+	c.Open, c.limit = open, limit
 	switch count := float64(open); {
 	case c.limit == 0:
-		c.full = false
+		c.Full = false
 	case count >= fullThreshold*float64(c.limit):
-		c.full = true
+		c.Full = true
 	case count < spareThreshold*float64(c.limit):
-		c.full = false
+		c.Full = false
 	}
 }
 
-// spare is how many more workers the node accepts before it is full.
-func (c *serverConnections) spare() int {
-	if c.full {
+// Spare is how many more workers the node accepts before it is full.
+func (c *ServerConnections) Spare() int {
+	if c.Full {
 		return 0
 	}
-	return max(0, int(fullThreshold*float64(c.limit))-c.open)
+	return max(0, int(fullThreshold*float64(c.limit))-c.Open)
 }
 
 // peerCapacity is the number of spare connections in a peer's last heartbeat. A peer of an earlier
--- a/internal/controller/worker_routes_test.go
+++ b/internal/workerrouting/worker_routes_test.go
@@ -1,4 +1,4 @@
-package controller
+package workerrouting
 
 import (
 	"testing"
@@ -20,11 +20,11 @@
 func (h *routingTestHost) PeerReachable(name string) bool { return !h.unreachable[name] }
 
 // newTestRouter returns a router of a cluster of three.
-func newTestRouter() (*workerRouter, *routingTestHost) {
+func newTestRouter() (*Router, *routingTestHost) {
 	host := &routingTestHost{now: time.Hour, unreachable: map[string]bool{}}
 	cluster := &config.Cluster{ControllerCount: 3}
 	cluster.Workers.LeaseS = 14
-	return newWorkerRouter(host, cluster, []string{"n1", "n2"}), host
+	return NewRouter(host, cluster, []string{"n1", "n2"}), host
 }
 
 // A follower redirects a worker once. One that comes back at once can't reach the leader, and is
@@ -33,16 +33,16 @@
 	router, host := newTestRouter()
 	for _, x := range []struct {
 		after time.Duration
-		want  routingDecision
+		want  Decision
 	}{
-		{0, redirectToLeader},
-		{time.Second, relayToLeader},
-		{2*14*time.Second - 1, relayToLeader},
-		{1, redirectToLeader},
-		{router.nodeSearchDuration(), redirectToLeader},
+		{0, RedirectToLeader},
+		{time.Second, RelayToLeader},
+		{2*14*time.Second - 1, RelayToLeader},
+		{1, RedirectToLeader},
+		{router.nodeSearchDuration(), RedirectToLeader},
 	} {
 		host.now += x.after
-		if got := router.decideOnFollower("m-1", "n1"); got != x.want {
+		if got := router.DecideOnFollower("m-1", "n1"); got != x.want {
 			t.Errorf("at %v: decision %d, not %d", host.now, got, x.want)
 		}
 	}
@@ -52,22 +52,22 @@
 // forgotten once it does not come back.
 func TestStrandedWorkersAreCounted(t *testing.T) {
 	router, host := newTestRouter()
-	if got := router.decideOnFollower("m-1", ""); got != rejectHeartbeat {
+	if got := router.DecideOnFollower("m-1", ""); got != RejectHeartbeat {
 		t.Errorf("without a leader: decision %d", got)
 	}
-	if recent, stranded := router.countWorkers(); recent != 1 || stranded != 1 {
+	if recent, stranded := router.CountWorkers(); recent != 1 || stranded != 1 {
 		t.Errorf("%d came, %d are stranded", recent, stranded)
 	}
-	router.recordServed("m-1")
-	if recent, stranded := router.countWorkers(); recent != 1 || stranded != 0 {
+	router.RecordServed("m-1")
+	if recent, stranded := router.CountWorkers(); recent != 1 || stranded != 0 {
 		t.Errorf("once served, %d came, %d are stranded", recent, stranded)
 	}
 	host.now += router.nodeSearchDuration()
-	if recent, _ := router.countWorkers(); recent != 0 {
+	if recent, _ := router.CountWorkers(); recent != 0 {
 		t.Errorf("%d still count as recent", recent)
 	}
-	if router.expireRoutes(); len(router.routes) > 0 {
-		t.Errorf("%d routes are kept", len(router.routes))
+	if router.ExpireRoutes(); len(router.Routes) > 0 {
+		t.Errorf("%d routes are kept", len(router.Routes))
 	}
 }
 
@@ -75,24 +75,24 @@
 // that peer has reported.
 func TestLeaderRedirectsToSpareConnections(t *testing.T) {
 	router, host := newTestRouter()
-	router.connections.update(90, 100)
-	router.recordPeerHeartbeat("n1", protocol.PeerHeartbeat{SpareConnections: 1})
-	router.recordPeerHeartbeat("n2", protocol.PeerHeartbeat{SpareConnections: 2})
+	router.Connections.Update(90, 100)
+	router.RecordPeerHeartbeat("n1", protocol.PeerHeartbeat{SpareConnections: 1})
+	router.RecordPeerHeartbeat("n2", protocol.PeerHeartbeat{SpareConnections: 2})
 	host.unreachable["n2"] = true
-	if target, _ := router.redirectFromLeader("m-1"); target != "n1" {
+	if target, _ := router.RedirectFromLeader("m-1"); target != "n1" {
 		t.Errorf("redirected to %q", target)
 	}
-	if target, redirect := router.redirectFromLeader("m-2"); redirect {
+	if target, redirect := router.RedirectFromLeader("m-2"); redirect {
 		t.Errorf("redirected to %q, which is full or unreachable", target)
 	}
 	host.unreachable["n2"] = false
-	if target, redirect := router.redirectFromLeader("m-1"); redirect {
+	if target, redirect := router.RedirectFromLeader("m-1"); redirect {
 		t.Errorf("one that came back is redirected to %q", target)
 	}
-	if target, _ := router.redirectFromLeader("m-3"); target != "n2" {
+	if target, _ := router.RedirectFromLeader("m-3"); target != "n2" {
 		t.Errorf("redirected to %q", target)
 	}
-	if router.connections.open != 88 {
-		t.Errorf("%d connections count as open after two redirects", router.connections.open)
+	if router.Connections.Open != 88 {
+		t.Errorf("%d connections count as open after two redirects", router.Connections.Open)
 	}
 }
