--- a/internal/controller/admission_control.go
+++ b/internal/admissioncontrol/admission_control.go
@@ -1,4 +1,4 @@
-package controller
+package admissioncontrol
 
 import (
 	"cmp"
@@ -13,23 +13,23 @@
 	"hitchdoor/internal/storage"
 )
 
-// policyPublisher is the leader's part of admission: it adds up the submissions that all nodes
+// Publisher is the leader's part of admission: it adds up the submissions that all nodes
 // report and publishes the policy of each epoch.
-type policyPublisher struct {
-	host           publisherHost
-	follower       *policyFollower // of the node that leads
+type Publisher struct {
+	host           PublisherHost
+	follower       *PolicyFollower // of the node that leads
 	state          *cluster.State
-	writer         policyWriter
+	writer         PolicyWriter
 	log            *slog.Logger
 	planner        *admission.Planner
-	epochLoads     map[admission.Group]*admission.Load // of the current epoch
-	epochStartedAt clock.Instant                       // when the current epoch began
+	EpochLoads     map[admission.Group]*admission.Load // of the current epoch
+	EpochStartedAt clock.Instant                       // when the current epoch began
 	publishing     bool                                // the last policy is not durable yet
 	maxShares      int                                 // of a policy, so that its record can be stored
 }
 
-// publisherHost is what publishing policies needs from the controller that leads.
-type publisherHost interface {
+// PublisherHost is what publishing policies needs from the controller that leads.
+type PublisherHost interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// PoliciesAllowed reports whether the operators enable policies and every node understands them.
@@ -38,8 +38,8 @@
 	SubmissionsPerSecond() float64
 }
 
-// policyWriter writes the leader's records. It is implemented by storage.Writer.
-type policyWriter interface {
+// PolicyWriter writes the leader's records. It is implemented by storage.Writer.
+type PolicyWriter interface {
 	// Enqueue queues a change to be written.
 	Enqueue(priority storage.Priority, change storage.Change)
 	// ModRevision returns the known revision of a record, or 0 if there is none.
@@ -48,13 +48,13 @@
 	LastRevision() uint64
 }
 
-// publisherOptions are the dependencies of a policyPublisher.
-type publisherOptions struct {
-	host     publisherHost
-	follower *policyFollower
-	state    *cluster.State
-	writer   policyWriter
-	log      *slog.Logger
+// PublisherOptions are the dependencies of a policyPublisher.
+type PublisherOptions struct {
+	Host     PublisherHost
+	Follower *PolicyFollower
+	State    *cluster.State
+	Writer   PolicyWriter
+	Log      *slog.Logger
 }
 
 // Constants of the policies that a leader publishes.
@@ -64,46 +64,46 @@
 	turnDeadlineShare = 2.0 / 3
 	// maxShareBytes is an upper bound of the encoded size of a share in the policy's record.
 	maxShareBytes = 256
-	// openJobsMemoryShare is the part of the memory that open jobs may use.
-	openJobsMemoryShare = 0.25
-	// openJobBytes is the memory of an open job, as estimated.
-	openJobBytes = 8 << 10
+	// OpenJobsMemoryShare is the part of the memory that open jobs may use.
+	OpenJobsMemoryShare = 0.25
+	// OpenJobBytes is the memory of an open job, as estimated.
+	OpenJobBytes = 8 << 10
 )
 
-// newPolicyPublisher returns the publisher of a leader whose first epoch begins now.
-func newPolicyPublisher(options publisherOptions) *policyPublisher {
-	maxValueBytes := options.state.Config.Store.MaxValueBytes()
-	return &policyPublisher{
-		host: options.host, follower: options.follower, state: options.state, writer: options.writer, log: options.log,
-		epochLoads: map[admission.Group]*admission.Load{}, epochStartedAt: options.host.Now(),
+// NewPublisher returns the publisher of a leader whose first epoch begins now.
+func NewPublisher(options PublisherOptions) *Publisher {
+	maxValueBytes := options.State.Config.Store.MaxValueBytes()
+	return &Publisher{
+		host: options.Host, follower: options.Follower, state: options.State, writer: options.Writer, log: options.Log,
+		EpochLoads: map[admission.Group]*admission.Load{}, EpochStartedAt: options.Host.Now(),
 		maxShares: max(1, (maxValueBytes-maxShareBytes)/maxShareBytes),
 	}
 }
 
 // plannerSettings are the bounds of the policies.
-func (p *policyPublisher) plannerSettings() admission.Settings {
-	epochLength := p.follower.epochLength()
+func (p *Publisher) plannerSettings() admission.Settings {
+	epochLength := p.follower.EpochLength()
 	turnDeadline := turnDeadlineShare * float64(protocol.SubmissionRetryWindow)
 	return admission.Settings{EpochLengthMS: epochLength.Milliseconds(), MaxShares: p.maxShares,
 		MaxEpochsToTurn: max(1, int(turnDeadline/float64(epochLength)))}
 }
 
-// loadStoredPolicy applies the record that an earlier leader left, or its absence at a revision of
+// LoadStoredPolicy applies the record that an earlier leader left, or its absence at a revision of
 // the key-value store.
-func (p *policyPublisher) loadStoredPolicy(items []storage.Item, revision uint64) {
+func (p *Publisher) LoadStoredPolicy(items []storage.Item, revision uint64) {
 	if len(items) == 0 {
-		p.follower.noteRemoved(revision)
+		p.follower.NoteRemoved(revision)
 	}
 	for _, item := range items {
 		if item.Key == storage.AdmissionPolicyKey {
-			p.follower.applyRecord(item)
+			p.follower.ApplyRecord(item)
 		}
 	}
 }
 
-// addNodeLoad adds the rejected submissions that a node reports.
-func (p *policyPublisher) addNodeLoad(message protocol.AdmissionLoad) {
-	if p.publishing || message.PolicyRevision != p.follower.version {
+// AddNodeLoad adds the rejected submissions that a node reports.
+func (p *Publisher) AddNodeLoad(message protocol.AdmissionLoad) {
+	if p.publishing || message.PolicyRevision != p.follower.Version {
 		return // counted under another policy
 	}
 	for _, nodeLoad := range message.Groups {
@@ -115,25 +115,25 @@
 	}
 }
 
-// countAccepted counts a job that some node has accepted.
-func (p *policyPublisher) countAccepted(spec *protocol.Job) {
-	if load := p.groupLoad(admissionGroup(spec)); load != nil {
+// CountAccepted counts a job that some node has accepted.
+func (p *Publisher) CountAccepted(spec *protocol.Job) {
+	if load := p.groupLoad(GroupOf(spec)); load != nil {
 		load.Accepted++
 	}
 }
 
 // groupLoad is the load of a group in this epoch, or nil if there are too many groups.
-func (p *policyPublisher) groupLoad(group admission.Group) *admission.Load {
-	load := p.epochLoads[group]
-	if load == nil && len(p.epochLoads) < protocol.MaxGroupLoads {
+func (p *Publisher) groupLoad(group admission.Group) *admission.Load {
+	load := p.EpochLoads[group]
+	if load == nil && len(p.EpochLoads) < protocol.MaxGroupLoads {
 		load = &admission.Load{Group: group, Weight: p.teamWeight(group.Team)}
-		p.epochLoads[group] = load
+		p.EpochLoads[group] = load
 	}
 	return load
 }
 
 // teamWeight is a team's weight among all teams. It grows with the team's guarantee, from 1 to 2.
-func (p *policyPublisher) teamWeight(teamName string) float64 {
+func (p *Publisher) teamWeight(teamName string) float64 {
 	largest := 0.0
 	for _, t := range p.state.Config.Teams {
 		largest = max(largest, t.GuaranteedCPUs)
@@ -145,26 +145,26 @@
 	return 1 + team.GuaranteedCPUs/largest
 }
 
-// epochCapacity is the number of jobs that can be accepted in an epoch. It is limited by the rate
+// EpochCapacity is the number of jobs that can be accepted in an epoch. It is limited by the rate
 // of writes, and by the memory left for open jobs, spread over the epochs within which every
 // waiting job is to be admitted.
-func (p *policyPublisher) epochCapacity() admission.Capacity {
-	byRate := p.host.SubmissionsPerSecond() * p.follower.epochLength().Seconds()
-	maxOpenJobs := openJobsMemoryShare * p.state.Config.Resources.MemoryMB * (1 << 20) / openJobBytes
+func (p *Publisher) EpochCapacity() admission.Capacity {
+	byRate := p.host.SubmissionsPerSecond() * p.follower.EpochLength().Seconds()
+	maxOpenJobs := OpenJobsMemoryShare * p.state.Config.Resources.MemoryMB * (1 << 20) / OpenJobBytes
 	byMemory := max(1, (maxOpenJobs-float64(len(p.state.Jobs)))/float64(p.plannerSettings().MaxEpochsToTurn))
 	return admission.Capacity{Jobs: min(byRate, byMemory), MemoryLimited: byMemory < byRate}
 }
 
-// tick starts the next epoch once the current one is over. revision is the latest revision of the
+// Tick starts the next epoch once the current one is over. revision is the latest revision of the
 // key-value store that the leader knows.
-func (p *policyPublisher) tick(revision uint64) {
+func (p *Publisher) Tick(revision uint64) {
 	now := p.host.Now()
-	if now < p.epochStartedAt+p.follower.epochLength() || p.publishing {
+	if now < p.EpochStartedAt+p.follower.EpochLength() || p.publishing {
 		return
 	}
-	p.epochStartedAt = now
+	p.EpochStartedAt = now
 	loads := p.takeEpochLoads()
-	if !p.host.PoliciesAllowed() || p.follower.invalid {
+	if !p.host.PoliciesAllowed() || p.follower.Invalid {
 		p.planner = nil
 		if p.writer.ModRevision(storage.AdmissionPolicyKey) != 0 {
 			p.publishPolicy(nil) // remove the policy of an earlier leader, or an invalid one
@@ -176,36 +176,36 @@
 
 // publishNextPolicy publishes the policy that follows from the loads of the last epoch, or removes
 // the present one if none is needed.
-func (p *policyPublisher) publishNextPolicy(loads []admission.Load, revision uint64) {
+func (p *Publisher) publishNextPolicy(loads []admission.Load, revision uint64) {
 	if p.planner == nil {
-		p.planner = admission.NewPlanner(p.plannerSettings(), p.follower.current)
+		p.planner = admission.NewPlanner(p.plannerSettings(), p.follower.Current)
 	}
 	hadPolicy := p.planner.Policy() != nil
 	// Each policy that is written raises the revision, so a series of epochs that starts at the
 	// next revision is numbered above all earlier ones.
-	next := p.planner.NextPolicy(loads, p.epochCapacity(), max(revision, p.follower.revision)+1)
+	next := p.planner.NextPolicy(loads, p.EpochCapacity(), max(revision, p.follower.Revision)+1)
 	if next == nil && !hadPolicy {
 		return
 	}
 	if (next != nil) != hadPolicy {
-		p.log.Info("admission policy switched", "active", next != nil, "capacity", p.epochCapacity().Jobs)
+		p.log.Info("admission policy switched", "active", next != nil, "capacity", p.EpochCapacity().Jobs)
 	}
 	p.publishPolicy(next)
 }
 
 // takeEpochLoads returns the loads of the epoch that ends and resets them.
-func (p *policyPublisher) takeEpochLoads() []admission.Load {
-	loads := make([]admission.Load, 0, len(p.epochLoads))
-	for _, load := range p.epochLoads {
+func (p *Publisher) takeEpochLoads() []admission.Load {
+	loads := make([]admission.Load, 0, len(p.EpochLoads))
+	for _, load := range p.EpochLoads {
 		loads = append(loads, *load)
 	}
-	clear(p.epochLoads)
+	clear(p.EpochLoads)
 	return loads
 }
 
 // publishPolicy writes a policy, or removes the record if it is nil. Like all writes of a leader
 // it is conditioned on the leader key, so a leader that has been replaced publishes nothing.
-func (p *policyPublisher) publishPolicy(policy *admission.Policy) {
+func (p *Publisher) publishPolicy(policy *admission.Policy) {
 	p.publishing = true
 	write := storage.Delete(storage.AdmissionPolicyKey)
 	if policy != nil {
@@ -219,33 +219,33 @@
 }
 
 // onPublished applies a policy that has become durable, or its removal. The epoch begins now.
-func (p *policyPublisher) onPublished(hasPolicy bool, write storage.Write) {
+func (p *Publisher) onPublished(hasPolicy bool, write storage.Write) {
 	p.publishing = false
-	p.epochStartedAt = p.host.Now()
-	clear(p.epochLoads)
+	p.EpochStartedAt = p.host.Now()
+	clear(p.EpochLoads)
 	if !hasPolicy {
-		p.follower.noteRemoved(max(p.follower.revision, p.writer.LastRevision()))
-		p.follower.read(nil) // for the revision of the removal, which peers are told
+		p.follower.NoteRemoved(max(p.follower.Revision, p.writer.LastRevision()))
+		p.follower.Read(nil) // for the revision of the removal, which peers are told
 		return
 	}
-	p.follower.applyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: write.Value,
+	p.follower.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: write.Value,
 		ModRevision: p.writer.ModRevision(storage.AdmissionPolicyKey)})
 }
 
 // onRejected handles a policy that the key-value store refuses: its limit of a value's size has
 // shrunk, so the next policy names fewer groups.
-func (p *policyPublisher) onRejected() {
+func (p *Publisher) onRejected() {
 	p.publishing = false
 	p.maxShares = max(1, p.maxShares/2)
 	p.planner = nil
 }
 
-// waitingGroups counts, by group, the accepted jobs of which no task has started.
-func waitingGroups(state *cluster.State) []admission.WaitingGroup {
+// WaitingGroups counts, by group, the accepted jobs of which no task has started.
+func WaitingGroups(state *cluster.State) []admission.WaitingGroup {
 	counts := map[admission.Group]int{}
 	for _, job := range state.RunnableJobs {
 		if job.FirstStartAt == 0 && job.DoneTasks == 0 && len(job.Attempts) == 0 {
-			counts[admissionGroup(&job.Spec)]++
+			counts[GroupOf(&job.Spec)]++
 		}
 	}
 	groups := slices.SortedFunc(maps.Keys(counts), func(a, b admission.Group) int {
--- a/internal/controller/rejection_counts.go
+++ b/internal/admissioncontrol/rejection_counts.go
@@ -1,4 +1,4 @@
-package controller
+package admissioncontrol
 
 import (
 	"cmp"
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -4,6 +4,8 @@
 	"net/http"
 	"time"
 
+	"hitchdoor/internal/admissioncontrol"
+
 	"hitchdoor/internal/election"
 
 	"hitchdoor/internal/admission"
@@ -47,29 +49,29 @@
 // loadAdmissionPolicy applies the record that an earlier leader left, or its absence.
 func (l *leader) loadAdmissionPolicy(items []storage.Item) {
 	l.writer.NoteRevisions(items)
-	l.admission.loadStoredPolicy(items, l.loader.JobsRevision())
+	l.admission.LoadStoredPolicy(items, l.loader.JobsRevision())
 }
 
 // evaluateSubmission queues a submission to be written if the policy admits it, and otherwise
 // answers when the policy will.
 func (n *Node) evaluateSubmission(submission *userSubmission) {
 	policy := n.admissionPolicy
-	if policy.invalid {
+	if policy.Invalid {
 		n.answerFromStore(submission.request, submission.leader, retryLater)
 		return
 	}
 	job := submission.request.Job
-	group := admissionGroup(job)
-	verdict := policy.current.Evaluate(group, job.ID)
+	group := admissioncontrol.GroupOf(job)
+	verdict := policy.Current.Evaluate(group, job.ID)
 	n.traceStep(job.ID, stepAdmissionVerdict, verdictNote(verdict))
 	if verdict.Admit {
-		submission.write.policyVersion = policy.version
+		submission.write.policyVersion = policy.Version
 		n.submissionQueue.add(submission.write)
 		return
 	}
-	policy.countByPolicy(group)
+	policy.CountByPolicy(group)
 	n.policyRejections.Put(job.ID, group)
-	n.rejectByPolicy(submission, admissionDeferred(policy.retryAfterSeconds(verdict)))
+	n.rejectByPolicy(submission, admissionDeferred(policy.RetryAfterSeconds(verdict)))
 }
 
 // rejectByPolicy rejects a submission that the policy does not admit yet, unless the job is known
@@ -87,7 +89,7 @@
 func (n *Node) rejectForCapacity(submission *userSubmission) {
 	job := submission.request.Job
 	if !n.election.StoreUnavailable() {
-		n.admissionPolicy.countForCapacity(job, submission.write.policyVersion)
+		n.admissionPolicy.CountForCapacity(job, submission.write.policyVersion)
 	}
 	n.traceStep(job.ID, stepRejected, "")
 	n.replyUnavailable(submission.request.Origin)
@@ -96,17 +98,17 @@
 // tickAdmission reports the submissions that this node did not accept to the leader, at most once
 // per heartbeat, and reads the policy if a peer knows a newer one.
 func (n *Node) tickAdmission() {
-	if n.admissionPolicy.needsRead() && !n.election.StoreFailing() {
-		n.admissionPolicy.read(nil)
+	if n.admissionPolicy.NeedsRead() && !n.election.StoreFailing() {
+		n.admissionPolicy.Read(nil)
 	}
-	n.admissionPolicy.startEpochWithoutPolicy()
-	report, due := n.admissionPolicy.takeLoadReport(n.workerLease() / election.HeartbeatsPerWorkerLease)
+	n.admissionPolicy.StartEpochWithoutPolicy()
+	report, due := n.admissionPolicy.TakeLoadReport(n.workerLease() / election.HeartbeatsPerWorkerLease)
 	if !due {
 		return
 	}
 	switch leaderPeer := n.leaderPeer(); {
 	case n.holdsLeaderLease():
-		n.leader.admission.addNodeLoad(report)
+		n.leader.admission.AddNodeLoad(report)
 	case leaderPeer != nil:
 		n.send(leaderPeer.Name, report)
 	}
@@ -117,13 +119,13 @@
 func (n *Node) onAdmissionStatus(request Request) {
 	policy := n.admissionPolicy
 	status := admission.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), Enabled: n.settings.FairAdmission,
-		Version: policy.version, Invalid: policy.invalid, Policy: policy.current}
-	if policy.version != 0 {
-		status.PolicyAgeSeconds = (n.now - policy.knownSince).Round(time.Millisecond).Seconds()
+		Version: policy.Version, Invalid: policy.Invalid, Policy: policy.Current}
+	if policy.Version != 0 {
+		status.PolicyAgeSeconds = (n.now - policy.KnownSince).Round(time.Millisecond).Seconds()
 	}
 	if status.IsLeader {
-		status.EpochCapacity = n.leader.admission.epochCapacity().Jobs
-		status.WaitingGroups = waitingGroups(n.leader.State)
+		status.EpochCapacity = n.leader.admission.EpochCapacity().Jobs
+		status.WaitingGroups = admissioncontrol.WaitingGroups(n.leader.State)
 	}
 	if request.JobID != "" {
 		status.Job = n.jobAdmissionStatus(request.JobID)
@@ -139,10 +141,10 @@
 		return status
 	}
 	status.RejectedGroup = &group
-	verdict := n.admissionPolicy.current.Evaluate(group, jobID)
-	status.AdmittedNow = verdict.Admit && !n.admissionPolicy.invalid
+	verdict := n.admissionPolicy.Current.Evaluate(group, jobID)
+	status.AdmittedNow = verdict.Admit && !n.admissionPolicy.Invalid
 	if !status.AdmittedNow {
-		status.TurnInSeconds = n.admissionPolicy.retryAfterSeconds(verdict)
+		status.TurnInSeconds = n.admissionPolicy.RetryAfterSeconds(verdict)
 	}
 	return status
 }
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/admissioncontrol"
+
 	"hitchdoor/internal/admission"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -192,7 +194,7 @@
 		a.submit(a.job("flood", "standard", i), inTime)
 	}
 	c.run(10 * time.Second)
-	if c.nodes[c.leader()].admissionPolicy.current == nil {
+	if c.nodes[c.leader()].admissionPolicy.Current == nil {
 		t.Fatal("no policy holds")
 	}
 	for i := range 12 {
@@ -324,7 +326,7 @@
 	}
 	c.old[follower] = true
 	c.back(follower, step)
-	c.run(2 * c.nodes[c.names[0]].admissionPolicy.epochLength())
+	c.run(2 * c.nodes[c.names[0]].admissionPolicy.EpochLength())
 	if _, left := c.state.keys[storage.AdmissionPolicyKey]; left {
 		t.Error("the policy stands beside a node that does not know it")
 	}
@@ -368,7 +370,7 @@
 	for i := range 600 {
 		c.after(time.Duration(i)*20*time.Millisecond, func() { a.submit(a.job("flood", "standard", i), impatient) })
 	}
-	if !c.until(4*c.nodes["n0"].admissionPolicy.epochLength(), func() bool { return len(c.judged) > 0 }) {
+	if !c.until(4*c.nodes["n0"].admissionPolicy.EpochLength(), func() bool { return len(c.judged) > 0 }) {
 		t.Error("no policy in four epochs")
 	}
 }
@@ -380,20 +382,20 @@
 	f := c.nodes[c.followers()[0]]
 	all := &admission.Policy{Epoch: 5, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
 	raw := storage.Encode(all)
-	f.admissionPolicy.applyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: c.state.rev})
-	if r := c.submit(f.name, spec("j-1", 1)); r.Status != 201 || f.admissionPolicy.current != nil {
-		t.Errorf("answered %d, judges by %+v", r.Status, f.admissionPolicy.current)
+	f.admissionPolicy.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: c.state.rev})
+	if r := c.submit(f.name, spec("j-1", 1)); r.Status != 201 || f.admissionPolicy.Current != nil {
+		t.Errorf("answered %d, judges by %+v", r.Status, f.admissionPolicy.Current)
 	}
-	f.admissionPolicy.noteRemoved(9_001)
-	f.admissionPolicy.applyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: 9_000})
-	if f.admissionPolicy.current != nil {
+	f.admissionPolicy.NoteRemoved(9_001)
+	f.admissionPolicy.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: 9_000})
+	if f.admissionPolicy.Current != nil {
 		t.Error("an older answer is taken")
 	}
 	for _, n := range c.nodes {
-		n.admissionPolicy.policyRecord = policyRecord{current: all, version: 8, revision: 8}
+		n.admissionPolicy.PolicyRecord = admissioncontrol.PolicyRecord{Current: all, Version: 8, Revision: 8}
 	}
 	c.crash(c.leader())
-	if l := c.waitLeader(); l.admissionPolicy.current != nil {
+	if l := c.waitLeader(); l.admissionPolicy.Current != nil {
 		t.Error("a new leader goes on from a policy that has ended")
 	}
 }
@@ -409,12 +411,12 @@
 	version := c.state.keys[storage.AdmissionPolicyKey].ModRevision
 	for _, name := range c.names {
 		n := c.nodes[name]
-		n.admissionPolicy.applyRecord(c.state.keys[storage.AdmissionPolicyKey])
+		n.admissionPolicy.ApplyRecord(c.state.keys[storage.AdmissionPolicyKey])
 		if n.leader != nil {
-			n.leader.admission.epochStartedAt = n.now + time.Hour // it leaves the policy alone
-			clear(n.leader.admission.epochLoads)
-			n.leader.admission.addNodeLoad(protocol.AdmissionLoad{PolicyRevision: version - 1, Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9}}})
-			if len(n.leader.admission.epochLoads) > 0 {
+			n.leader.admission.EpochStartedAt = n.now + time.Hour // it leaves the policy alone
+			clear(n.leader.admission.EpochLoads)
+			n.leader.admission.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: version - 1, Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9}}})
+			if len(n.leader.admission.EpochLoads) > 0 {
 				t.Error("loads of another policy count")
 			}
 		}
@@ -431,15 +433,15 @@
 func TestCapacityFollowsMemory(t *testing.T) {
 	w := newSimulation(t, 1)
 	l := w.waitLeader().leader
-	free := l.admission.epochCapacity()
+	free := l.admission.EpochCapacity()
 	if free.MemoryLimited || free.Jobs <= 0 {
 		t.Errorf("without jobs: %+v", free)
 	}
-	most := int(openJobsMemoryShare * w.cfg.Resources.MemoryMB * (1 << 20) / openJobBytes)
+	most := int(admissioncontrol.OpenJobsMemoryShare * w.cfg.Resources.MemoryMB * (1 << 20) / admissioncontrol.OpenJobBytes)
 	for i := range most - 20 {
 		l.Jobs[fmt.Sprintf("j-%d", i)] = nil
 	}
-	if c := l.admission.epochCapacity(); !c.MemoryLimited || c.Jobs >= free.Jobs || c.Jobs < 1 {
+	if c := l.admission.EpochCapacity(); !c.MemoryLimited || c.Jobs >= free.Jobs || c.Jobs < 1 {
 		t.Errorf("with %d jobs: %+v", most-20, c)
 	}
 }
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -59,7 +59,7 @@
 	heartbeat.ConnectionsFull = node.workerRouter.Connections.Full
 	heartbeat.SpareConnections = node.workerRouter.Connections.Spare()
 	heartbeat.Links = node.connectivityReport()
-	heartbeat.PolicyRevision = node.admissionPolicy.revision
+	heartbeat.PolicyRevision = node.admissionPolicy.Revision
 	if node.leader == nil || !node.leader.needsRelays() {
 		return
 	}
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"hitchdoor/internal/admissioncontrol"
+
 	"hitchdoor/internal/cluster"
 
 	"hitchdoor/internal/clock"
@@ -556,7 +558,7 @@
 			continue
 		}
 		w.judged[policy.Epoch]++
-		if !policy.Evaluate(admissionGroup(&job.Spec), job.Spec.ID).Admit {
+		if !policy.Evaluate(admissioncontrol.GroupOf(&job.Spec), job.Spec.ID).Admit {
 			w.broken("policy", "%s is accepted in epoch %d", job.Spec.ID, policy.Epoch)
 		}
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"hitchdoor/internal/admissioncontrol"
 	"hitchdoor/internal/autoscaler"
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
@@ -35,7 +36,7 @@
 	reconciler     *reconcile.Reconciler
 	dependencies   *dependency.Graph
 	autoscaler     *autoscaler.Autoscaler
-	admission      *policyPublisher
+	admission      *admissioncontrol.Publisher
 }
 
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
@@ -53,8 +54,8 @@
 	l.dependencies = dependency.New(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
 	l.reconciler = reconcile.New(state, term, l.recovery, reconcilerAdapter{leader: l})
 	l.autoscaler = newLeaderAutoscaler(l)
-	l.admission = newPolicyPublisher(publisherOptions{host: admissionHost{node}, follower: node.admissionPolicy,
-		state: state, writer: l.writer, log: node.log})
+	l.admission = admissioncontrol.NewPublisher(admissioncontrol.PublisherOptions{Host: admissionHost{node}, Follower: node.admissionPolicy,
+		State: state, Writer: l.writer, Log: node.log})
 	return l
 }
 
@@ -143,7 +144,7 @@
 	}
 	l.ExpireMachineLeases()
 	l.autoscaler.Tick()
-	l.admission.tick(l.loader.JobsRevision())
+	l.admission.Tick(l.loader.JobsRevision())
 	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
 		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
 		// Also without a change: pending jobs may have become due.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"time"
 
+	"hitchdoor/internal/admissioncontrol"
+
 	"hitchdoor/internal/workerrouting"
 
 	"hitchdoor/internal/records"
@@ -59,7 +61,7 @@
 	workerRouter *workerrouting.Router
 	connectivity connectivity
 
-	admissionPolicy  *policyFollower
+	admissionPolicy  *admissioncontrol.PolicyFollower
 	policyRejections jobstore.RecentJobs[admission.Group] // jobs rejected here by an admission policy, by id
 
 	catalog *catalog.Catalog
@@ -124,7 +126,7 @@
 	for _, known := range options.Platform.Peers {
 		peerNames = append(peerNames, known.Node)
 	}
-	node.admissionPolicy = newPolicyFollower(admissionHost{node}, cluster, node.log)
+	node.admissionPolicy = admissioncontrol.NewPolicyFollower(admissionHost{node}, cluster, node.log)
 	node.workerRouter = workerrouting.NewRouter(node, cluster, peerNames)
 	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
 	node.startElection()
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -24,7 +24,7 @@
 	switch message := inbound.Message.(type) {
 	case protocol.AdmissionLoad:
 		if n.holdsLeaderLease() {
-			n.leader.admission.addNodeLoad(message)
+			n.leader.admission.AddNodeLoad(message)
 		}
 	case protocol.ForwardedRequest:
 		n.onForwardedRequest(sender, message)
@@ -36,7 +36,7 @@
 // recordPeerHeartbeat records what a peer reports of itself, apart from the election.
 func (n *Node) recordPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
 	sender.protocolLevel = heartbeat.VersionLevel
-	n.admissionPolicy.recordPeerRevision(heartbeat.PolicyRevision)
+	n.admissionPolicy.RecordPeerRevision(heartbeat.PolicyRevision)
 	n.onConnectivityReport(sender, heartbeat.Links)
 	n.workerRouter.RecordPeerHeartbeat(sender.Name, heartbeat)
 	if heartbeat.WritesThrottled {
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -95,7 +95,7 @@
 	l := h.leader
 	l.dependencies.AddJob(j)
 	if l.recordsLoaded {
-		l.admission.countAccepted(&j.Spec)
+		l.admission.CountAccepted(&j.Spec)
 		l.node.traceStep(j.Spec.ID, stepLoaded, "")
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -52,7 +52,7 @@
 	page.boolGauge("connections_full", "1 while no more workers are taken in.", n.workerRouter.Connections.Full)
 	page.gauge("workers_stranded", "Workers that came here lately and could not be served.",
 		float64(n.connectivityReport().StrandedWorkers))
-	page.boolGauge("admission_policy", "1 while submissions are admitted by a policy.", n.admissionPolicy.current != nil)
+	page.boolGauge("admission_policy", "1 while submissions are admitted by a policy.", n.admissionPolicy.Current != nil)
 	n.recoveryMetrics(page)
 	if n.holdsLeaderLease() {
 		n.leader.writeMetrics(page)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -147,7 +147,7 @@
 	case writeAccepted:
 		n.onSubmissionAccepted(submission, result.revision)
 	case writePolicyChanged:
-		n.admissionPolicy.read(func() { n.evaluateSubmission(submission) })
+		n.admissionPolicy.Read(func() { n.evaluateSubmission(submission) })
 	case writeJobKnown:
 		n.answerFromStore(submission.request, submission.leader, retryLater)
 	case writeTooLarge:
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -31,8 +31,8 @@
 	if n.leader != nil {
 		step.Term = n.leader.term
 	}
-	if n.admissionPolicy.current != nil {
-		step.Epoch = n.admissionPolicy.current.Epoch
+	if n.admissionPolicy.Current != nil {
+		step.Epoch = n.admissionPolicy.Current.Epoch
 	}
 	n.effects = append(n.effects, TraceStep{step})
 }
