--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -29,7 +29,7 @@
 }
 
 // SubmissionsPerSecond returns the rate at which the cluster may write submissions.
-func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionQueue.clusterRate() }
+func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionQueue.ClusterRate() }
 
 // PoliciesAllowed reports whether the operators enable policies and every node understands them.
 // The heartbeats show a node that was downgraded since it wrote its version.
@@ -65,8 +65,8 @@
 	verdict := policy.Current.Evaluate(group, job.ID)
 	n.traceStep(job.ID, stepAdmissionVerdict, verdictNote(verdict))
 	if verdict.Admit {
-		submission.write.policyVersion = policy.Version
-		n.submissionQueue.add(submission.write)
+		submission.write.PolicyVersion = policy.Version
+		n.submissionQueue.Add(submission.write)
 		return
 	}
 	policy.CountByPolicy(group)
@@ -89,7 +89,7 @@
 func (n *Node) rejectForCapacity(submission *userSubmission) {
 	job := submission.request.Job
 	if !n.election.StoreUnavailable() {
-		n.admissionPolicy.CountForCapacity(job, submission.write.policyVersion)
+		n.admissionPolicy.CountForCapacity(job, submission.write.PolicyVersion)
 	}
 	n.traceStep(job.ID, stepRejected, "")
 	n.replyUnavailable(submission.request.Origin)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"time"
 
+	"hitchdoor/internal/submissions"
+
 	"hitchdoor/internal/admissioncontrol"
 
 	"hitchdoor/internal/workerrouting"
@@ -73,7 +75,7 @@
 	leader                    *leader
 	protocolLevels            protocolLevels
 
-	submissionQueue *submissionQueue
+	submissionQueue *submissions.Queue
 
 	cloudBudget       ratelimit.TokenBucket
 	leaderWriteBudget ratelimit.TokenBucket // writes of the leader's records
@@ -120,7 +122,7 @@
 	node.jobReader = jobstore.NewReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare, node.workerLease()/pollsPerLease)
 	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.WritesPerS)
 	node.leaderWriteBudget = leaderBudget
-	node.submissionQueue = newSubmissionQueue(submissionWriter{node}, cluster, submissionBudget)
+	node.submissionQueue = submissions.NewQueue(submissionWriter{node}, cluster, submissionBudget)
 	node.catalog = catalog.New(nodeCatalogHost{node}, node.log, node.workerLease())
 	peerNames := make([]string, 0, len(options.Platform.Peers))
 	for _, known := range options.Platform.Peers {
@@ -160,7 +162,7 @@
 	leaderBudget.Tokens, leaderBudget.RefilledAt = 0, n.now
 	submissionBudget.Tokens, submissionBudget.RefilledAt = 0, n.now
 	n.leaderWriteBudget = leaderBudget
-	n.submissionQueue.setBudget(submissionBudget)
+	n.submissionQueue.SetBudget(submissionBudget)
 }
 
 // Step processes a batch of commands at the instant now and returns the resulting effects. An empty
@@ -185,7 +187,7 @@
 	n.catalog.Tick()
 	n.forwards.expire(n.now, n.serveWithoutLeader)
 	n.workerRouter.ExpireRoutes()
-	n.submissionQueue.writePending()
+	n.submissionQueue.WritePending()
 	n.jobReader.LoadTerminalJobs()
 	n.tickProtocolLevels()
 	n.tickAdmission()
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -4,6 +4,8 @@
 	"net/http"
 	"slices"
 
+	"hitchdoor/internal/submissions"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/fleet"
 	"hitchdoor/internal/protocol"
@@ -54,7 +56,7 @@
 type userSubmission struct {
 	request Request
 	leader  *leader // the leader that received it; nil on a follower
-	write   *submissionWrite
+	write   *submissions.Write
 }
 
 // submissionWriter is what the submission queue needs from this node. It implements submissionHost.
@@ -84,7 +86,7 @@
 		return
 	}
 	candidate := n.newSubmission(request, asLeader)
-	if rejection := n.validateSubmission(request.Job, candidate.write.writes); rejection != nil {
+	if rejection := n.validateSubmission(request.Job, candidate.write.Writes); rejection != nil {
 		n.answerFromStore(request, asLeader, *rejection)
 		return
 	}
@@ -108,11 +110,11 @@
 func (n *Node) newSubmission(request Request, asLeader *leader) *userSubmission {
 	record := storage.JobRecord{Spec: *request.Job, AcceptedAtMillis: n.nowUnixMilli()}
 	created := &userSubmission{request: request, leader: asLeader}
-	created.write = &submissionWrite{
-		record:   record,
-		writes:   storage.JobWrites(record, n.cfg.Cluster.Store.MaxValueBytes()),
-		deadline: n.now + n.workerLease()/10,
-		onResult: func(result writeResult) { n.onSubmissionResult(created, result) },
+	created.write = &submissions.Write{
+		Record:   record,
+		Writes:   storage.JobWrites(record, n.cfg.Cluster.Store.MaxValueBytes()),
+		Deadline: n.now + n.workerLease()/10,
+		OnResult: func(result submissions.Result) { n.onSubmissionResult(created, result) },
 	}
 	return created
 }
@@ -142,23 +144,23 @@
 }
 
 // onSubmissionResult answers the user once the write of a submission has ended.
-func (n *Node) onSubmissionResult(submission *userSubmission, result writeResult) {
-	switch result.outcome {
-	case writeAccepted:
-		n.onSubmissionAccepted(submission, result.revision)
-	case writePolicyChanged:
+func (n *Node) onSubmissionResult(submission *userSubmission, result submissions.Result) {
+	switch result.Outcome {
+	case submissions.Accepted:
+		n.onSubmissionAccepted(submission, result.Revision)
+	case submissions.PolicyChanged:
 		n.admissionPolicy.Read(func() { n.evaluateSubmission(submission) })
-	case writeJobKnown:
+	case submissions.JobKnown:
 		n.answerFromStore(submission.request, submission.leader, retryLater)
-	case writeTooLarge:
+	case submissions.TooLarge:
 		n.answerFromStore(submission.request, submission.leader, jobTooLarge)
-	case writeOverCapacity:
+	case submissions.OverCapacity:
 		n.rejectForCapacity(submission)
-	case writeStoreRefused:
+	case submissions.StoreRefused:
 		if submission.leader != nil || !n.forwardSubmissionOnce(submission.request) {
 			n.replyUnavailable(submission.request.Origin)
 		}
-	case writeFailed:
+	case submissions.Failed:
 		n.replyUnavailable(submission.request.Origin)
 	}
 }
@@ -170,10 +172,10 @@
 	n.jobReader.RecordAccepted(jobID)
 	n.traceStep(jobID, stepStored, "")
 	if submission.leader != nil && n.leader == submission.leader {
-		for _, write := range submission.write.writes {
+		for _, write := range submission.write.Writes {
 			submission.leader.writer.SetModRevision(write.Key(), revision)
 		}
-		submission.leader.jobRecords.Add(submission.write.record, revision)
+		submission.leader.jobRecords.Add(submission.write.Record, revision)
 	}
 	n.reply(submission.request.Origin, http.StatusCreated, 0, protocol.JobStatus{ID: jobID, State: protocol.JobQueued})
 }
--- a/internal/controller/submission_queue.go
+++ b/internal/submissions/submission_queue.go
@@ -1,4 +1,4 @@
-package controller
+package submissions
 
 import (
 	"net/http"
@@ -12,18 +12,18 @@
 	"hitchdoor/internal/storage"
 )
 
-// submissionQueue writes the submissions that a node has admitted to the key-value store. It keeps
+// Queue writes the submissions that a node has admitted to the key-value store. It keeps
 // them queued while the rate limit of writes is reached, because users submit in bursts.
-type submissionQueue struct {
-	host           submissionHost
+type Queue struct {
+	host           Host
 	cluster        *config.Cluster
 	budget         ratelimit.TokenBucket // writes; its burst is the rate of the whole cluster
 	contendedUntil clock.Instant         // until then the rate is shared with other nodes
-	pending        []*submissionWrite
+	pending        []*Write
 }
 
-// submissionHost is what the queue needs from the controller.
-type submissionHost interface {
+// Host is what the queue needs from the controller.
+type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// StoreUnavailable reports whether the key-value store can't be reached.
@@ -33,73 +33,73 @@
 	ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte))
 }
 
-// submissionWrite is the write of a submission, in one transaction.
-type submissionWrite struct {
-	record        storage.JobRecord
-	writes        []storage.Write   // of the record; encoded once, because they may be sent again
-	deadline      clock.Instant     // when it is rejected if it has not been written
-	policyVersion uint64            // of the admission policy record that admitted it
-	onResult      func(writeResult) // called when the write has ended
+// Write is the write of a submission, in one transaction.
+type Write struct {
+	Record        storage.JobRecord
+	Writes        []storage.Write // of the record; encoded once, because they may be sent again
+	Deadline      clock.Instant   // when it is rejected if it has not been written
+	PolicyVersion uint64          // of the admission policy record that admitted it
+	OnResult      func(Result)    // called when the write has ended
 	retries       int
 }
 
-// writeResult is the result of the write of a submission.
-type writeResult struct {
-	outcome  writeOutcome
-	revision uint64 // of the record, if it was accepted
+// Result is the result of the write of a submission.
+type Result struct {
+	Outcome  Outcome
+	Revision uint64 // of the record, if it was accepted
 }
 
-// writeOutcome says how the write of a submission ended.
-type writeOutcome int
+// Outcome says how the write of a submission ended.
+type Outcome int
 
 // The outcomes of a write.
 const (
-	// writeAccepted means that the record is durable.
-	writeAccepted writeOutcome = iota
-	// writePolicyChanged means that the policy of another epoch admitted the submission, and that the
+	// Accepted means that the record is durable.
+	Accepted Outcome = iota
+	// PolicyChanged means that the policy of another epoch admitted the submission, and that the
 	// job is unknown. The submission is to be evaluated again.
-	writePolicyChanged
-	// writeJobKnown means that the job may have a record already.
-	writeJobKnown
-	// writeTooLarge means that the limits have become smaller than the record. An earlier copy of the
+	PolicyChanged
+	// JobKnown means that the job may have a record already.
+	JobKnown
+	// TooLarge means that the limits have become smaller than the record. An earlier copy of the
 	// submission may have been accepted all the same.
-	writeTooLarge
-	// writeOverCapacity means that the submission could not be written in time.
-	writeOverCapacity
-	// writeStoreRefused means that the key-value store refuses to serve this node.
-	writeStoreRefused
-	// writeFailed means that it is unknown whether the record was written.
-	writeFailed
+	TooLarge
+	// OverCapacity means that the submission could not be written in time.
+	OverCapacity
+	// StoreRefused means that the key-value store refuses to serve this node.
+	StoreRefused
+	// Failed means that it is unknown whether the record was written.
+	Failed
 )
 
 // maxSubmissionRetries is how often the write of a submission is retried.
 const maxSubmissionRetries = 3
 
-// newSubmissionQueue returns an empty queue. The burst of the budget is the rate of the whole
+// NewQueue returns an empty queue. The burst of the budget is the rate of the whole
 // cluster.
-func newSubmissionQueue(host submissionHost, cluster *config.Cluster, budget ratelimit.TokenBucket) *submissionQueue {
-	return &submissionQueue{host: host, cluster: cluster, budget: budget, contendedUntil: clock.Never}
+func NewQueue(host Host, cluster *config.Cluster, budget ratelimit.TokenBucket) *Queue {
+	return &Queue{host: host, cluster: cluster, budget: budget, contendedUntil: clock.Never}
 }
 
-// setBudget replaces the budget of writes.
-func (q *submissionQueue) setBudget(budget ratelimit.TokenBucket) { q.budget = budget }
+// SetBudget replaces the budget of writes.
+func (q *Queue) SetBudget(budget ratelimit.TokenBucket) { q.budget = budget }
 
-// clusterRate returns the rate at which the whole cluster may write submissions, per second.
-func (q *submissionQueue) clusterRate() float64 { return q.budget.Burst }
+// ClusterRate returns the rate at which the whole cluster may write submissions, per second.
+func (q *Queue) ClusterRate() float64 { return q.budget.Burst }
 
-// add queues a write, unless too many are waiting.
-func (q *submissionQueue) add(write *submissionWrite) {
+// Add queues a write, unless too many are waiting.
+func (q *Queue) Add(write *Write) {
 	if len(q.pending) >= q.cluster.Resources.MaxConnections {
-		write.onResult(writeResult{outcome: writeOverCapacity})
+		write.OnResult(Result{Outcome: OverCapacity})
 		return
 	}
 	q.pending = append(q.pending, write)
-	q.writePending()
+	q.WritePending()
 }
 
-// writePending sends as many queued writes as the budget allows, and rejects those whose deadline
+// WritePending sends as many queued writes as the budget allows, and rejects those whose deadline
 // has passed.
-func (q *submissionQueue) writePending() {
+func (q *Queue) WritePending() {
 	if len(q.pending) == 0 {
 		return
 	}
@@ -109,9 +109,9 @@
 	q.pending = nil
 	for _, write := range pending {
 		switch {
-		case now >= write.deadline || q.host.StoreUnavailable():
-			write.onResult(writeResult{outcome: writeOverCapacity})
-		case q.budget.Take(now, min(q.budget.Burst, float64(len(write.writes)))):
+		case now >= write.Deadline || q.host.StoreUnavailable():
+			write.OnResult(Result{Outcome: OverCapacity})
+		case q.budget.Take(now, min(q.budget.Burst, float64(len(write.Writes)))):
 			q.send(write)
 		default:
 			q.pending = append(q.pending, write)
@@ -122,7 +122,7 @@
 // updateRate sets the rate at which this node writes submissions. It is the rate of the whole
 // cluster, because a burst mostly reaches one node. For one lease after a refusal by the rate
 // limit, which shows that other nodes are writing too, it is an equal part of it.
-func (q *submissionQueue) updateRate() {
+func (q *Queue) updateRate() {
 	now := q.host.Now()
 	q.budget.Refill(now)
 	q.budget.Rate = q.budget.Burst
@@ -132,28 +132,28 @@
 }
 
 // noteContention records that the key-value store refused a submission because of its rate limit.
-func (q *submissionQueue) noteContention() {
+func (q *Queue) noteContention() {
 	q.contendedUntil = q.host.Now() + config.Seconds(q.cluster.Workers.LeaseS)
 	q.budget.Tokens = 0
 }
 
 // send sends a write in one transaction, on condition that the job is unknown and the admission
 // policy is the one that admitted it.
-func (q *submissionQueue) send(write *submissionWrite) {
-	jobID := write.record.Spec.ID
+func (q *Queue) send(write *Write) {
+	jobID := write.Record.Spec.ID
 	txn := storage.Txn{
 		Conditions: []storage.Condition{
 			{Key: storage.JobKey(jobID)},
 			{Key: storage.TerminalKey(jobID)},
-			{Key: storage.AdmissionPolicyKey, ModRevision: write.policyVersion},
+			{Key: storage.AdmissionPolicyKey, ModRevision: write.PolicyVersion},
 		},
-		Writes: write.writes,
+		Writes: write.Writes,
 	}
 	q.host.ExecuteTxn(txn, func(status int, body []byte) { q.onResponse(write, status, body) })
 }
 
 // onResponse handles the response to a write: it is sent again, or its result is passed on.
-func (q *submissionQueue) onResponse(write *submissionWrite, status int, body []byte) {
+func (q *Queue) onResponse(write *Write, status int, body []byte) {
 	rateLimited := status == http.StatusTooManyRequests
 	if (status == 0 || rateLimited) && write.retries < maxSubmissionRetries {
 		// The rate limit was reached, or the response was lost. The transaction's conditions let only
@@ -162,38 +162,38 @@
 		if rateLimited {
 			q.noteContention()
 		}
-		q.add(write)
+		q.Add(write)
 		return
 	}
 	result := write.resultOf(status, body)
-	if result.outcome == writePolicyChanged {
+	if result.Outcome == PolicyChanged {
 		write.retries++
 	}
-	write.onResult(result)
+	write.OnResult(result)
 }
 
 // resultOf returns the result that a response to the write stands for.
-func (w *submissionWrite) resultOf(status int, body []byte) writeResult {
+func (w *Write) resultOf(status int, body []byte) Result {
 	var response storage.TxnResponse
 	switch status {
 	case http.StatusOK:
 		if json.Unmarshal(body, &response) == nil {
-			return writeResult{outcome: writeAccepted, revision: response.Revision}
+			return Result{Outcome: Accepted, Revision: response.Revision}
 		}
 	case http.StatusConflict:
 		if w.retries < maxSubmissionRetries && json.Unmarshal(body, &response) == nil &&
-			onlyPolicyChanged(response.FailedKeys, w.record.Spec.ID) {
-			return writeResult{outcome: writePolicyChanged}
+			onlyPolicyChanged(response.FailedKeys, w.Record.Spec.ID) {
+			return Result{Outcome: PolicyChanged}
 		}
-		return writeResult{outcome: writeJobKnown}
+		return Result{Outcome: JobKnown}
 	case http.StatusBadRequest:
-		return writeResult{outcome: writeTooLarge}
+		return Result{Outcome: TooLarge}
 	case http.StatusServiceUnavailable:
-		return writeResult{outcome: writeStoreRefused}
+		return Result{Outcome: StoreRefused}
 	case http.StatusTooManyRequests:
-		return writeResult{outcome: writeOverCapacity}
+		return Result{Outcome: OverCapacity}
 	}
-	return writeResult{outcome: writeFailed}
+	return Result{Outcome: Failed}
 }
 
 // onlyPolicyChanged reports whether a transaction failed only because the policy has changed. Then
--- a/internal/controller/submission_queue_test.go
+++ b/internal/submissions/submission_queue_test.go
@@ -1,4 +1,4 @@
-package controller
+package submissions
 
 import (
 	"net/http"
@@ -38,18 +38,18 @@
 }
 
 // newTestQueue returns a queue that writes 10 records per second, and up to 10 at once.
-func newTestQueue(host submissionHost) *submissionQueue {
+func newTestQueue(host Host) *Queue {
 	cluster := &config.Cluster{ControllerCount: 2}
 	cluster.Workers.LeaseS = 14
 	cluster.Resources.MaxConnections = 20
-	return newSubmissionQueue(host, cluster, ratelimit.NewTokenBucket(10, 10))
+	return NewQueue(host, cluster, ratelimit.NewTokenBucket(10, 10))
 }
 
 // newTestWrite returns the write of a job, whose results are appended to the list.
-func newTestWrite(jobID string, results *[]writeResult) *submissionWrite {
+func newTestWrite(jobID string, results *[]Result) *Write {
 	record := storage.JobRecord{Spec: protocol.Job{ID: jobID}}
-	return &submissionWrite{record: record, writes: []storage.Write{storage.Put(storage.JobKey(jobID), record)},
-		deadline: time.Minute, policyVersion: 7, onResult: func(result writeResult) { *results = append(*results, result) }}
+	return &Write{Record: record, Writes: []storage.Write{storage.Put(storage.JobKey(jobID), record)},
+		Deadline: time.Minute, PolicyVersion: 7, OnResult: func(result Result) { *results = append(*results, result) }}
 }
 
 // Each response that ends a write is passed on as its outcome.
@@ -58,18 +58,18 @@
 		name   string
 		status int
 		body   string
-		want   writeResult
+		want   Result
 	}{
-		{"written", http.StatusOK, `{"edicao":12}`, writeResult{writeAccepted, 12}},
-		{"not readable", http.StatusOK, `{`, writeResult{outcome: writeFailed}},
-		{"too large", http.StatusBadRequest, "", writeResult{outcome: writeTooLarge}},
-		{"refused", http.StatusServiceUnavailable, "", writeResult{outcome: writeStoreRefused}},
-		{"conflict of unknown cause", http.StatusConflict, `{}`, writeResult{outcome: writeJobKnown}},
-		{"unexpected", http.StatusTeapot, "", writeResult{outcome: writeFailed}},
+		{"written", http.StatusOK, `{"edicao":12}`, Result{Accepted, 12}},
+		{"not readable", http.StatusOK, `{`, Result{Outcome: Failed}},
+		{"too large", http.StatusBadRequest, "", Result{Outcome: TooLarge}},
+		{"refused", http.StatusServiceUnavailable, "", Result{Outcome: StoreRefused}},
+		{"conflict of unknown cause", http.StatusConflict, `{}`, Result{Outcome: JobKnown}},
+		{"unexpected", http.StatusTeapot, "", Result{Outcome: Failed}},
 	} {
 		host := &queueHost{}
-		var results []writeResult
-		newTestQueue(host).add(newTestWrite("j-1", &results))
+		var results []Result
+		newTestQueue(host).Add(newTestWrite("j-1", &results))
 		if len(host.sent) != 1 || len(host.sent[0].Conditions) != 3 || host.sent[0].Conditions[2].ModRevision != 7 {
 			t.Fatalf("%s: sent %+v", x.name, host.sent)
 		}
@@ -82,21 +82,21 @@
 
 // A write without a response, or over the rate limit, is sent again a few times.
 func TestSubmissionWritesAreRetried(t *testing.T) {
-	for status, want := range map[int]writeOutcome{0: writeFailed, http.StatusTooManyRequests: writeOverCapacity} {
+	for status, want := range map[int]Outcome{0: Failed, http.StatusTooManyRequests: OverCapacity} {
 		host := &queueHost{}
 		queue := newTestQueue(host)
-		var results []writeResult
-		queue.add(newTestWrite("j-1", &results))
+		var results []Result
+		queue.Add(newTestWrite("j-1", &results))
 		for range maxSubmissionRetries {
 			host.answerNext(status, "")
 			host.now += time.Second
-			queue.writePending()
+			queue.WritePending()
 		}
 		if len(results) > 0 || len(host.sent) != 1+maxSubmissionRetries {
 			t.Errorf("status %d: sent %d times, results %+v", status, len(host.sent), results)
 		}
 		host.answerNext(status, "")
-		if len(results) != 1 || results[0].outcome != want {
+		if len(results) != 1 || results[0].Outcome != want {
 			t.Errorf("status %d: %+v", status, results)
 		}
 	}
@@ -107,25 +107,25 @@
 func TestSubmissionQueueKeepsToItsBudget(t *testing.T) {
 	host := &queueHost{now: time.Second}
 	queue := newTestQueue(host)
-	var results []writeResult
+	var results []Result
 	for range 31 {
-		queue.add(newTestWrite("j-1", &results))
+		queue.Add(newTestWrite("j-1", &results))
 	}
-	if len(host.sent) != 10 || len(results) != 1 || results[0].outcome != writeOverCapacity {
+	if len(host.sent) != 10 || len(results) != 1 || results[0].Outcome != OverCapacity {
 		t.Fatalf("%d sent, results %+v", len(host.sent), results)
 	}
 	host.now += time.Second / 2
-	if queue.writePending(); len(host.sent) != 15 {
+	if queue.WritePending(); len(host.sent) != 15 {
 		t.Errorf("%d sent after half a second", len(host.sent))
 	}
 	queue.noteContention()
-	queue.writePending()
+	queue.WritePending()
 	host.now += time.Second
-	if queue.writePending(); len(host.sent) != 20 {
+	if queue.WritePending(); len(host.sent) != 20 {
 		t.Errorf("%d sent in the second after a refusal", len(host.sent))
 	}
 	host.now = time.Minute
-	if queue.writePending(); len(host.sent) != 20 || len(results) != 11 {
+	if queue.WritePending(); len(host.sent) != 20 || len(results) != 11 {
 		t.Errorf("%d sent and %d rejected at the deadline", len(host.sent), len(results))
 	}
 }
