--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -222,8 +222,8 @@
 	forwarded := func(r Request, f func(Reply)) uint64 {
 		w.ask(name, r, f)
 		w.run(2 * step)
-		if forwards := w.nodes[name].forwards; forwards.count() > 0 {
-			return forwards.lastID
+		if forwards := w.nodes[name].forwards; forwards.Count() > 0 {
+			return forwards.LastID
 		}
 		t.Fatal("not passed on")
 		return 0
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"time"
 
+	"hitchdoor/internal/forwarding"
+
 	"hitchdoor/internal/submissions"
 
 	"hitchdoor/internal/admissioncontrol"
@@ -59,7 +61,7 @@
 
 	election     *election.Election
 	peers        map[string]*peer
-	forwards     *forwardTable[Request] // requests forwarded to the leader
+	forwards     *forwarding.Table[Request] // requests forwarded to the leader
 	workerRouter *workerrouting.Router
 	connectivity connectivity
 
@@ -137,7 +139,7 @@
 	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
 	// therefore start at a random number per process; if every process counted from one, a
 	// late response would be delivered to an unrelated request.
-	node.forwards = newForwardTable[Request](node.processID)
+	node.forwards = forwarding.NewTable[Request](node.processID)
 	return node
 }
 
@@ -185,7 +187,7 @@
 func (n *Node) tick() {
 	n.election.Tick()
 	n.catalog.Tick()
-	n.forwards.expire(n.now, n.serveWithoutLeader)
+	n.forwards.Expire(n.now, n.serveWithoutLeader)
 	n.workerRouter.ExpireRoutes()
 	n.submissionQueue.WritePending()
 	n.jobReader.LoadTerminalJobs()
--- a/internal/controller/routes_test.go
+++ b/internal/controller/routes_test.go
@@ -243,7 +243,7 @@
 		f.workerRouter.RouteOf("m-1").RelayUntil = f.now + time.Hour
 		f.Step(f.clock(w.now), []Command{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
 			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
-		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.forwards.lastID, Status: 200, Body: []byte("{}")}}
+		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.forwards.LastID, Status: 200, Body: []byte("{}")}}
 		w.now += x.after
 		got := 0
 		for _, e := range f.Step(f.clock(w.now), []Command{answer}) {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -5,6 +5,8 @@
 	"strconv"
 	"time"
 
+	"hitchdoor/internal/forwarding"
+
 	"hitchdoor/internal/jobstore"
 
 	"hitchdoor/internal/protocol"
@@ -71,7 +73,7 @@
 
 // forwardToPeer forwards a request to a peer and waits at most for the timeout.
 func (n *Node) forwardToPeer(target *peer, request Request, timeout time.Duration) {
-	id := n.forwards.add(request, n.now+timeout)
+	id := n.forwards.Add(request, n.now+timeout)
 	// The body is encoded anew from the parsed value, because the original may contain line
 	// breaks, which would break the framing of messages between peers.
 	message := protocol.ForwardedRequest{ID: id, Kind: request.Kind, JobID: request.JobID}
@@ -98,7 +100,7 @@
 // it did.
 func (n *Node) forwardToLeader(request Request) bool {
 	leaderPeer := n.leaderPeer()
-	if leaderPeer == nil || n.forwards.count() >= n.maxPendingRequests() {
+	if leaderPeer == nil || n.forwards.Count() >= n.maxPendingRequests() {
 		return false
 	}
 	n.forwardToPeer(leaderPeer, request, n.workerLease()/30)
@@ -124,24 +126,24 @@
 
 // onForwardedAnswer handles the leader's response to a forwarded request.
 func (n *Node) onForwardedAnswer(answer protocol.ForwardedResponse) {
-	forward, found := n.forwards.take(answer.ID)
+	forward, found := n.forwards.Take(answer.ID)
 	if !found {
 		return
 	}
-	if forward.request.Kind == protocol.RequestHeartbeat {
+	if forward.Request.Kind == protocol.RequestHeartbeat {
 		n.onRelayedHeartbeatAnswer(forward, answer)
 		return
 	}
-	n.onForwardedUserAnswer(forward.request, answer)
+	n.onForwardedUserAnswer(forward.Request, answer)
 }
 
 // onRelayedHeartbeatAnswer passes the leader's response to a worker's heartbeat on to the worker.
-func (n *Node) onRelayedHeartbeatAnswer(forward pendingForward[Request], answer protocol.ForwardedResponse) {
-	request := forward.request
+func (n *Node) onRelayedHeartbeatAnswer(forward forwarding.Forward[Request], answer protocol.ForwardedResponse) {
+	request := forward.Request
 	if answer.Status == http.StatusOK {
 		n.workerRouter.RecordServed(request.Heartbeat.Machine)
 	}
-	if n.now >= forward.deadline {
+	if n.now >= forward.Deadline {
 		// This process was paused, or the response was delayed on its way. The worker discards
 		// it by now.
 		n.serveWithoutLeader(request)
