--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"hitchdoor/internal/statuspage"
+
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/recovery"
 )
@@ -46,8 +48,8 @@
 func (n *Node) onRecoveryStatus(request Request) { n.reply(request.Origin, 200, 0, n.recoveryStatus()) }
 
 // recoveryMetrics adds the metrics of recovery to a page.
-func (n *Node) recoveryMetrics(page *metricsPage) {
-	page.labelledGauge("recovery_mismatches", "Mismatches that this process has found in recoveries, by kind.", "kind",
+func (n *Node) recoveryMetrics(page *statuspage.MetricsPage) {
+	page.LabelledGauge("recovery_mismatches", "Mismatches that this process has found in recoveries, by kind.", "kind",
 		func(each func(label string, value float64)) {
 			n.mismatches.ForEach(func(kind recovery.Mismatch, count int) { each(kind.String(), float64(count)) })
 		})
@@ -55,12 +57,12 @@
 	if n.holdsLeaderLease() {
 		current := n.leader
 		quarantined += current.quarantine.RecordCount()
-		page.gauge("recovery_phase",
+		page.Gauge("recovery_phase",
 			"The leader's phase of recovery: 0 reading, 1 collecting, 2 reconciling, 3 pacing, 4 normal.",
 			float64(current.recovery.Phase()))
 		budgets := current.recovery.Budgets()
 		if len(budgets) > 0 {
-			page.labelledGauge("recovery_budget", "Orders that may be given at once, by kind.", "order",
+			page.LabelledGauge("recovery_budget", "Orders that may be given at once, by kind.", "order",
 				func(each func(label string, value float64)) {
 					for _, budget := range budgets {
 						each(budget.Operation, budget.Remaining)
@@ -68,5 +70,5 @@
 				})
 		}
 	}
-	page.gauge("records_set_aside", "Stored records that this node can't use.", float64(quarantined))
+	page.Gauge("records_set_aside", "Stored records that this node can't use.", float64(quarantined))
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -4,6 +4,8 @@
 	"net/http"
 	"time"
 
+	"hitchdoor/internal/statuspage"
+
 	"hitchdoor/internal/reachability"
 )
 
@@ -16,17 +18,17 @@
 		n.reply(request.Origin, http.StatusServiceUnavailable, 0, nil)
 		return
 	}
-	n.reply(request.Origin, http.StatusOK, 0, healthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel})
+	n.reply(request.Origin, http.StatusOK, 0, statuspage.HealthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel})
 }
 
 // onStatus answers with the node's status, and the leader's if this node leads.
 func (n *Node) onStatus(request Request) {
-	status := nodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreFailing: n.election.StoreFailing(),
+	status := statuspage.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreFailing: n.election.StoreFailing(),
 		UptimeS: n.now.Round(time.Millisecond).Seconds(), Build: n.build, ProtocolLevel: protocolLevel,
 		ClusterSupportsLevel: n.clusterSupports(protocolLevel)}
 	for _, known := range n.cfg.Peers {
 		p := n.peers[known.Node]
-		status.Peers = append(status.Peers, peerStatus{Node: p.Name,
+		status.Peers = append(status.Peers, statuspage.PeerStatus{Node: p.Name,
 			Reachable: n.PeerReachable(p.Name), ProtocolLevel: p.protocolLevel})
 	}
 	if p := n.leaderPeer(); p != nil {
@@ -41,18 +43,18 @@
 
 // onMetrics answers with the node's metrics, and the leader's if this node leads.
 func (n *Node) onMetrics(request Request) {
-	page := &metricsPage{}
-	page.boolGauge("leading", "1 on the node that leads.", n.holdsLeaderLease())
-	page.gauge("level", "The level of records and messages that this node's version understands.", protocolLevel)
-	page.boolGauge("level_all", "1 once every node is known to have this level.", n.clusterSupports(protocolLevel))
-	page.boolGauge("state_slowed", "1 while changes are paced by the lower rate that the settings announce.",
+	page := &statuspage.MetricsPage{}
+	page.BoolGauge("leading", "1 on the node that leads.", n.holdsLeaderLease())
+	page.Gauge("level", "The level of records and messages that this node's version understands.", protocolLevel)
+	page.BoolGauge("level_all", "1 once every node is known to have this level.", n.clusterSupports(protocolLevel))
+	page.BoolGauge("state_slowed", "1 while changes are paced by the lower rate that the settings announce.",
 		n.writesThrottled)
-	page.boolGauge("state_down", "1 while the state service can't be reached.", n.election.StoreFailing())
-	page.gauge("connections_open", "Connections of users and workers.", float64(n.workerRouter.Connections.Open))
-	page.boolGauge("connections_full", "1 while no more workers are taken in.", n.workerRouter.Connections.Full)
-	page.gauge("workers_stranded", "Workers that came here lately and could not be served.",
+	page.BoolGauge("state_down", "1 while the state service can't be reached.", n.election.StoreFailing())
+	page.Gauge("connections_open", "Connections of users and workers.", float64(n.workerRouter.Connections.Open))
+	page.BoolGauge("connections_full", "1 while no more workers are taken in.", n.workerRouter.Connections.Full)
+	page.Gauge("workers_stranded", "Workers that came here lately and could not be served.",
 		float64(n.connectivityReport().StrandedWorkers))
-	page.boolGauge("admission_policy", "1 while submissions are admitted by a policy.", n.admissionPolicy.Current != nil)
+	page.BoolGauge("admission_policy", "1 while submissions are admitted by a policy.", n.admissionPolicy.Current != nil)
 	n.recoveryMetrics(page)
 	if n.holdsLeaderLease() {
 		n.leader.writeMetrics(page)
@@ -61,24 +63,24 @@
 }
 
 // status returns the leader's status with its jobs and machines.
-func (l *leader) status() *leaderStatus {
-	return &leaderStatus{
+func (l *leader) status() *statuspage.LeaderStatus {
+	return &statuspage.LeaderStatus{
 		RecordsLoaded: l.recordsLoaded,
 		AllReconciled: l.AllReconciled(),
 		RecoveryPhase: l.recovery.Phase().String(),
 		PendingWrites: l.writer.PendingChanges(),
-		Jobs:          jobStatuses(l.State),
-		Machines:      machineStatuses(l.State),
+		Jobs:          statuspage.JobStatuses(l.State),
+		Machines:      statuspage.MachineStatuses(l.State),
 		TargetCores:   l.autoscaler.TargetCores(),
 	}
 }
 
 // writeMetrics adds the leader's metrics to a page.
-func (l *leader) writeMetrics(page *metricsPage) {
-	page.gauge("term", "The leader's term.", float64(l.term))
-	page.clusterGauges(l.State)
-	page.gauge("cores_target", "Cores that the fleet aims at.", l.autoscaler.TargetCores())
-	page.gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.PendingChanges()))
+func (l *leader) writeMetrics(page *statuspage.MetricsPage) {
+	page.Gauge("term", "The leader's term.", float64(l.term))
+	page.ClusterGauges(l.State)
+	page.Gauge("cores_target", "Cores that the fleet aims at.", l.autoscaler.TargetCores())
+	page.Gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.PendingChanges()))
 }
 
 // onConnectivity answers with the links that this node sees, for the operators' link overview.
--- a/internal/controller/status_types.go
+++ b/internal/statuspage/status_types.go
@@ -1,4 +1,4 @@
-package controller
+package statuspage
 
 import (
 	"cmp"
@@ -8,15 +8,15 @@
 	"hitchdoor/internal/cluster"
 )
 
-// healthResponse is the response body of a healthy node.
-type healthResponse struct {
+// HealthResponse is the response body of a healthy node.
+type HealthResponse struct {
 	OK            bool   `json:"ok"`
 	Build         string `json:"version"`
 	ProtocolLevel int    `json:"level"`
 }
 
-// nodeStatus is the status of this node for operators.
-type nodeStatus struct {
+// NodeStatus is the status of this node for operators.
+type NodeStatus struct {
 	Node                 string        `json:"node"`
 	IsLeader             bool          `json:"leads"`
 	Leader               string        `json:"leader,omitempty"`
@@ -26,31 +26,31 @@
 	Build                string        `json:"version"`
 	ProtocolLevel        int           `json:"level"`
 	ClusterSupportsLevel bool          `json:"levelOfAll"`
-	Peers                []peerStatus  `json:"peers"`
-	LeaderStatus         *leaderStatus `json:"leading,omitempty"`
+	Peers                []PeerStatus  `json:"peers"`
+	LeaderStatus         *LeaderStatus `json:"leading,omitempty"`
 }
 
-// peerStatus is what this node knows of another controller. ProtocolLevel is 0 if the peer has
+// PeerStatus is what this node knows of another controller. ProtocolLevel is 0 if the peer has
 // not announced one.
-type peerStatus struct {
+type PeerStatus struct {
 	Node          string `json:"node"`
 	Reachable     bool   `json:"heard"`
 	ProtocolLevel int    `json:"level"`
 }
 
-// leaderStatus is the part of a node's status that only a leader has.
-type leaderStatus struct {
+// LeaderStatus is the part of a node's status that only a leader has.
+type LeaderStatus struct {
 	RecordsLoaded bool            `json:"loaded"`
 	AllReconciled bool            `json:"accounted"`
 	RecoveryPhase string          `json:"recovery"`
 	PendingWrites int             `json:"writesWaiting"`
-	Jobs          []jobStatus     `json:"jobs"`
-	Machines      []machineStatus `json:"machines"`
+	Jobs          []JobStatus     `json:"jobs"`
+	Machines      []MachineStatus `json:"machines"`
 	TargetCores   float64         `json:"targetCores"`
 }
 
-// jobStatus is the status of one open job.
-type jobStatus struct {
+// JobStatus is the status of one open job.
+type JobStatus struct {
 	ID        string             `json:"id"`
 	Class     string             `json:"class"`
 	Team      string             `json:"team"`
@@ -61,8 +61,8 @@
 	AgeS      float64            `json:"ageS"`
 }
 
-// machineStatus is the status of one machine.
-type machineStatus struct {
+// MachineStatus is the status of one machine.
+type MachineStatus struct {
 	Name        string              `json:"name"`
 	Type        string              `json:"type"`
 	Zone        string              `json:"zone"`
@@ -73,27 +73,27 @@
 	DrainReason cluster.DrainReason `json:"leaving,omitempty"`
 }
 
-// jobStatuses returns the status of the open jobs, sorted by ID.
-func jobStatuses(state *cluster.State) []jobStatus {
-	var statuses []jobStatus
+// JobStatuses returns the status of the open jobs, sorted by ID.
+func JobStatuses(state *cluster.State) []JobStatus {
+	var statuses []JobStatus
 	for _, job := range state.Jobs {
 		blockedBy := job.BlockedBy
 		if job.PendingDependencies > 0 {
 			blockedBy = cluster.WaitDependencies
 		}
-		statuses = append(statuses, jobStatus{ID: job.Spec.ID, Class: job.Spec.Class, Team: job.Spec.Team,
+		statuses = append(statuses, JobStatus{ID: job.Spec.ID, Class: job.Spec.Class, Team: job.Spec.Team,
 			Done: job.DoneTasks, Active: len(job.Attempts), Pending: job.PendingTasks, BlockedBy: blockedBy,
 			AgeS: (state.Clock.Now() - job.AcceptedAt).Round(time.Millisecond).Seconds()})
 	}
-	slices.SortFunc(statuses, func(a, b jobStatus) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(statuses, func(a, b JobStatus) int { return cmp.Compare(a.ID, b.ID) })
 	return statuses
 }
 
-// machineStatuses returns the status of the machines, sorted by name.
-func machineStatuses(state *cluster.State) []machineStatus {
-	var statuses []machineStatus
+// MachineStatuses returns the status of the machines, sorted by name.
+func MachineStatuses(state *cluster.State) []MachineStatus {
+	var statuses []MachineStatus
 	for _, machine := range state.MachinesByName() {
-		statuses = append(statuses, machineStatus{Name: machine.Name, Type: machine.TypeName, Zone: machine.Zone,
+		statuses = append(statuses, MachineStatus{Name: machine.Name, Type: machine.TypeName, Zone: machine.Zone,
 			Spot: machine.Spot, Up: machine.Up, Tasks: len(machine.Attempts), UsedCores: machine.UsedCores,
 			DrainReason: machine.DrainReason})
 	}
