--- a/internal/admissioncontrol/admission_policy.go
+++ b/internal/admissioncontrol/follower.go
@@ -1,3 +1,6 @@
+// Package admissioncontrol holds a controller's view of the admission policy record and its counts of
+// rejected submissions, and publishes the policy of each epoch as the leader. The policies themselves
+// are made by package admission. It does no I/O.
 package admissioncontrol
 
 import (
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,3 +1,5 @@
+// Package autoscaler rents machines from the cloud and returns them: it has package fleet make a
+// capacity plan at regular intervals and carries it out. It does no I/O and has no clock.
 package autoscaler
 
 import (
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,3 +1,5 @@
+// Package catalog holds the machine types that the cloud offers, and decides when to read them again.
+// It does no I/O.
 package catalog
 
 import (
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -209,6 +209,9 @@
 	WaitNone       WaitReason = ""
 )
 
+// RankLatencySensitive is the lowest priority rank of latency-sensitive work: smaller ranks come first.
+const RankLatencySensitive = 1
+
 // IsLatencySensitive reports whether a job belongs to the latency-sensitive class (priorities
 // prod and urgent).
-func IsLatencySensitive(j *protocol.Job) bool { return j.PriorityRank() <= 1 }
+func IsLatencySensitive(j *protocol.Job) bool { return j.PriorityRank() <= RankLatencySensitive }
--- a/internal/controller/flood_test.go
+++ b/internal/controller/burst_test.go
@@ -83,7 +83,7 @@
 		var all, plain []*scheduler.QueuedJob
 		for i := range 1 + rng.IntN(30) {
 			j := &cluster.Job{Spec: spec(fmt.Sprintf("j-%d", i), 1), TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
-			r := scheduler.QueuedJob{Job: j, Rank: []int{scheduler.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
+			r := scheduler.QueuedJob{Job: j, Rank: []int{cluster.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
 				Due: l.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
 			again := r
 			all, plain = append(all, &r), append(plain, &again)
@@ -106,7 +106,7 @@
 	sum := 0.0
 	var kept []*scheduler.QueuedJob
 	for _, r := range all {
-		if r.Rank != scheduler.RankOnTime && r.Job.EffectiveRank() > scheduler.RankLatencySensitive {
+		if r.Rank != scheduler.RankOnTime && r.Job.EffectiveRank() > cluster.RankLatencySensitive {
 			continue
 		}
 		sum += r.RemainingCoreSeconds
--- a/internal/dependency/dependencies.go
+++ b/internal/dependency/graph.go
@@ -1,3 +1,5 @@
+// Package dependency owns the DAG of the open jobs and the jobs on which they depend: which jobs are
+// released or cancelled, and the deadlines and ranks along it. It does no I/O and stores nothing.
 package dependency
 
 import (
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,3 +1,6 @@
+// Package election decides which controller leads: candidacy, votes, the leader lease and the lease
+// grants of a quorum. It does no I/O and reads no clock: its owner drives it, and it acts through its
+// Host.
 package election
 
 import (
--- a/internal/forwarding/forward_table.go
+++ b/internal/forwarding/table.go
@@ -1,3 +1,4 @@
+// Package forwarding keeps the requests that were forwarded to the leader and have no response yet.
 package forwarding
 
 import "hitchdoor/internal/clock"
--- a/internal/jobstore/job_reader.go
+++ b/internal/jobstore/reader.go
@@ -1,3 +1,6 @@
+// Package jobstore reads what the key-value store holds of jobs, within a rate budget, and caches
+// what never changes: the records of terminal jobs and which jobs were accepted. It does no I/O of its
+// own.
 package jobstore
 
 import (
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -44,8 +44,21 @@
 	{"cluster state", []string{
 		"internal/cluster",
 	}},
-	{"decisions on the cluster state", []string{
+	{"parts of the control plane, which don't know each other", []string{
+		"internal/admissioncontrol",
+		"internal/autoscaler",
+		"internal/catalog",
+		"internal/dependency",
+		"internal/election",
+		"internal/forwarding",
+		"internal/jobstore",
+		"internal/reconcile",
+		"internal/records",
+		"internal/recoverygate",
 		"internal/scheduler",
+		"internal/statuspage",
+		"internal/submissions",
+		"internal/workerrouting",
 	}},
 	{"controller", []string{
 		"internal/controller",
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,3 +1,5 @@
+// Package reconcile compares workers' heartbeats with the cluster state: it brings the state up to
+// date and determines the commands of each response. It stores and sends nothing.
 package reconcile
 
 import (
--- a/internal/records/record_store.go
+++ b/internal/records/store.go
@@ -1,3 +1,7 @@
+// Package records stores what a leader knows: it loads the records of earlier leaders, watches for
+// jobs that other controllers accept, queues the changes of machines and jobs, and writes them in one
+// compare-and-swap transaction at a time. Records that can't be read are quarantined. It does no I/O:
+// requests go out through Store.
 package records
 
 import (
--- a/internal/recoverygate/recovery_gate.go
+++ b/internal/recoverygate/gate.go
@@ -1,3 +1,5 @@
+// Package recoverygate applies the limits of a new leader's recovery to its decisions: rentals,
+// returns, commands, and which jobs may be running unreported.
 package recoverygate
 
 import (
@@ -7,7 +9,6 @@
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/recovery"
-	"hitchdoor/internal/scheduler"
 )
 
 // Gate applies the limits of a new leader's recovery to its decisions: whether machines may
@@ -214,7 +215,7 @@
 	switch {
 	case job.Terminal:
 		return recovery.CancelledWork
-	case job.EffectiveRank() <= scheduler.RankLatencySensitive:
+	case job.EffectiveRank() <= cluster.RankLatencySensitive:
 		return recovery.LatencySensitive
 	default:
 		return recovery.OrdinaryWork
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -27,7 +27,7 @@
 // finish in time, and jobs that cannot.
 const (
 	rankOverdue          = -1
-	RankLatencySensitive = 1
+	rankLatencySensitive = cluster.RankLatencySensitive
 	RankOnTime           = 2
 	RankLate             = 3
 )
@@ -90,9 +90,9 @@
 	switch age := now - j.EligibleAt; {
 	case age > cluster.OverdueAfter && !j.HasStarted():
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, j.EligibleAt, true
-	case age > cluster.MaxStartDelay && queued.Rank > RankLatencySensitive && !(j.HasStarted() && s.exceedsGuarantee(j)):
+	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive && !(j.HasStarted() && s.exceedsGuarantee(j)):
 		// A started job that exceeds its team's guarantee is not moved ahead.
-		queued.Rank, queued.LatestStart, queued.mayReserve = RankLatencySensitive, j.EligibleAt, true
+		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, j.EligibleAt, true
 	}
 	guaranteedStart := j.EligibleAt + s.GuaranteedStartWithin
 	if s.GuaranteedStartWithin > 0 && guaranteedStart > now && s.guaranteedJobs[j] {
@@ -114,7 +114,7 @@
 	totalWork := 0.0
 	largest := &workHeap{}
 	for order, queued := range all {
-		if queued.Rank != RankOnTime && queued.Job.EffectiveRank() > RankLatencySensitive {
+		if queued.Rank != RankOnTime && queued.Job.EffectiveRank() > rankLatencySensitive {
 			continue
 		}
 		totalWork += queued.RemainingCoreSeconds
--- a/internal/statuspage/status_types.go
+++ b/internal/statuspage/status_types.go
@@ -1,3 +1,4 @@
+// Package statuspage has the JSON types of the operators' status page and the text of the metrics page.
 package statuspage
 
 import (
--- a/internal/submissions/submission_queue.go
+++ b/internal/submissions/queue.go
@@ -1,3 +1,5 @@
+// Package submissions queues the writes of accepted submissions, limits their rate and retries them.
+// It does no I/O: transactions go out through its Host.
 package submissions
 
 import (
--- a/internal/workerrouting/worker_routes.go
+++ b/internal/workerrouting/router.go
@@ -1,3 +1,5 @@
+// Package workerrouting decides which controller serves a worker: where a follower redirects or relays
+// a heartbeat to, and when a full leader hands workers to its peers. It sends nothing.
 package workerrouting
 
 import (
