--- a/internal/autoscaler/arrival_forecast.go
+++ b/internal/autoscaler/arrival_forecast.go
@@ -40,10 +40,10 @@
 }
 
 // recordArrival adds the work of a new job.
-func (f *ArrivalForecast) recordArrival(j *cluster.Job) {
+func (f *ArrivalForecast) recordArrival(job *cluster.Job) {
 	f.Decay()
-	work := float64(j.Spec.TaskCount) * j.Spec.Cores * f.state.ExpectedTaskDuration(j).Seconds()
-	f.RecordArrival(j.Spec.Class, work, f.state.Due(j)-j.EligibleAt)
+	work := float64(job.Spec.TaskCount) * job.Spec.Cores * f.state.ExpectedTaskDuration(job).Seconds()
+	f.RecordArrival(job.Spec.Class, work, f.state.Due(job)-job.EligibleAt)
 }
 
 // Decay decays the forecast up to the present.
@@ -86,9 +86,9 @@
 // forecast and the arrivals since then amount to more.
 func (f *ArrivalForecast) inheritUsualLoad() {
 	heldCores := 0.0
-	for _, m := range f.state.Machines {
-		if m.MachineType != nil {
-			heldCores += m.MachineType.Cores
+	for _, machine := range f.state.Machines {
+		if machine.MachineType != nil {
+			heldCores += machine.MachineType.Cores
 		}
 	}
 	if f.Empty() {
@@ -96,9 +96,9 @@
 	}
 	// Jobs accepted after the forecast was stored count as arrivals too, as do those submitted
 	// before there was a first leader.
-	for _, j := range f.state.JobsByAge() {
-		if j.EligibleAt > f.restoredAt {
-			f.recordArrival(j)
+	for _, job := range f.state.JobsByAge() {
+		if job.EligibleAt > f.restoredAt {
+			f.recordArrival(job)
 		}
 	}
 	f.InheritLoad(heldCores / (1 + f.state.Settings.Headroom))
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -153,16 +153,16 @@
 	view := a.input.view()
 	plan := a.planning.planner.Plan(view.View)
 	a.planning.targetCores = plan.TargetCores
-	for _, m := range view.machinesOf(plan.CancelDrain) {
-		a.state.CancelDrain(m)
+	for _, machine := range view.machinesOf(plan.CancelDrain) {
+		a.state.CancelDrain(machine)
 	}
 	a.rentals.begin(plan.ScaleOut)
 	a.logPlan(plan, view.UsualLoad)
-	for _, m := range view.machinesOf(plan.Needed) {
-		m.SurplusSince = a.state.Clock.Now()
+	for _, machine := range view.machinesOf(plan.Needed) {
+		machine.SurplusSince = a.state.Clock.Now()
 	}
-	for _, m := range view.machinesOf(plan.Surplus) {
-		a.state.BeginDrain(m, cluster.SurplusCapacity)
+	for _, machine := range view.machinesOf(plan.Surplus) {
+		a.state.BeginDrain(machine, cluster.SurplusCapacity)
 	}
 	if view.ScaleInAllowed {
 		a.Consolidate(view.machinesOf(append(view.Kept, plan.CancelDrain...)))
@@ -177,14 +177,14 @@
 	}
 	a.planLoggedAt = now
 	usedCores, upCores, pendingCores := 0.0, 0.0, 0.0
-	for _, m := range a.state.Machines {
-		usedCores += m.UsedCores
-		if m.Up && m.MachineType != nil {
-			upCores += m.MachineType.Cores
+	for _, machine := range a.state.Machines {
+		usedCores += machine.UsedCores
+		if machine.Up && machine.MachineType != nil {
+			upCores += machine.MachineType.Cores
 		}
 	}
-	for _, j := range a.state.RunnableJobs {
-		pendingCores += float64(j.PendingTasks) * j.Spec.Cores
+	for _, job := range a.state.RunnableJobs {
+		pendingCores += float64(job.PendingTasks) * job.Spec.Cores
 	}
 	a.state.Log.Debug("capacity plan", "held", plan.HeldCores, "up", upCores, "used", usedCores, "pending", pendingCores,
 		"demand", plan.DemandCores, "usual", usualLoad, "target", plan.TargetCores,
@@ -198,7 +198,7 @@
 func (a *Autoscaler) Demand() fleet.Demand { return a.input.demand() }
 
 // RecordArrival adds the work of a new job to the forecast.
-func (a *Autoscaler) RecordArrival(j *cluster.Job) { a.Forecast.recordArrival(j) }
+func (a *Autoscaler) RecordArrival(job *cluster.Job) { a.Forecast.recordArrival(job) }
 
 // LoadForecast restores the forecast that an earlier leader stored.
 func (a *Autoscaler) LoadForecast(items []storage.Item) { a.Forecast.load(items) }
--- a/internal/autoscaler/consolidation.go
+++ b/internal/autoscaler/consolidation.go
@@ -16,16 +16,16 @@
 // machines that the plan keeps.
 func (a *Autoscaler) Consolidate(kept []*cluster.Machine) {
 	freeCores := a.freeCores(kept)
-	for _, m := range a.state.MachinesByName() {
-		withinBilledTime := a.state.Clock.Now()-m.RentedAt < minBilledTime
-		if m.DrainReason != cluster.SurplusCapacity || !m.Draining || len(m.AttemptsInOrder) == 0 || m.UsedCores > freeCores || withinBilledTime {
+	for _, machine := range a.state.MachinesByName() {
+		withinBilledTime := a.state.Clock.Now()-machine.RentedAt < minBilledTime
+		if machine.DrainReason != cluster.SurplusCapacity || !machine.Draining || len(machine.AttemptsInOrder) == 0 || machine.UsedCores > freeCores || withinBilledTime {
 			continue
 		}
-		if !a.worthMovingTasks(m) {
+		if !a.worthMovingTasks(machine) {
 			continue
 		}
-		freeCores -= m.UsedCores
-		for _, attempt := range m.AttemptsInOrder {
+		freeCores -= machine.UsedCores
+		for _, attempt := range machine.AttemptsInOrder {
 			a.state.RequestStop(attempt, a.state.CheckpointGraceS(attempt))
 		}
 	}
@@ -34,14 +34,14 @@
 // freeCores returns the cores of the kept machines that neither tasks use nor pending tasks need.
 func (a *Autoscaler) freeCores(kept []*cluster.Machine) float64 {
 	freeCores := 0.0
-	for _, m := range kept {
-		if m.Schedulable() && !m.Draining {
-			freeCores += m.MachineType.Cores - m.UsedCores
+	for _, machine := range kept {
+		if machine.Schedulable() && !machine.Draining {
+			freeCores += machine.MachineType.Cores - machine.UsedCores
 		}
 	}
-	for _, j := range a.state.RunnableJobs {
-		if !j.Terminal {
-			freeCores -= float64(j.PendingTasks) * j.Spec.Cores
+	for _, job := range a.state.RunnableJobs {
+		if !job.Terminal {
+			freeCores -= float64(job.PendingTasks) * job.Spec.Cores
 		}
 	}
 	return freeCores
@@ -49,9 +49,9 @@
 
 // worthMovingTasks reports whether the tasks of a machine can be moved, and would use it for long
 // enough for that to pay.
-func (a *Autoscaler) worthMovingTasks(m *cluster.Machine) bool {
+func (a *Autoscaler) worthMovingTasks(machine *cluster.Machine) bool {
 	moveCost, longestRemaining, longestMove := 0.0, 0.0, 0.0
-	for _, attempt := range m.AttemptsInOrder {
+	for _, attempt := range machine.AttemptsInOrder {
 		if !a.isMovable(attempt) {
 			moveCost = math.Inf(1)
 			break
@@ -61,7 +61,7 @@
 		longestRemaining = max(longestRemaining, a.state.RemainingDuration(attempt).Seconds())
 		longestMove = max(longestMove, moveSeconds)
 	}
-	idleCoreSeconds := a.state.IdleUntilEmpty(m) * m.MachineType.Cores
+	idleCoreSeconds := a.state.IdleUntilEmpty(machine) * machine.MachineType.Cores
 	return longestRemaining >= minIdleToMoveRatio*longestMove && idleCoreSeconds >= minIdleToMoveRatio*moveCost
 }
 
--- a/internal/autoscaler/costs.go
+++ b/internal/autoscaler/costs.go
@@ -20,28 +20,28 @@
 	now := c.state.Clock.Now()
 	hours := (now - c.updatedAt).Hours()
 	c.updatedAt = now
-	for _, m := range c.state.Machines {
-		if m.MachineType != nil {
-			c.addMachine(m, m.MachineType.Price(m.Spot)*hours)
+	for _, machine := range c.state.Machines {
+		if machine.MachineType != nil {
+			c.addMachine(machine, machine.MachineType.Price(machine.Spot)*hours)
 		}
 	}
 }
 
 // addMachine adds the cost of one machine, divided by the use of its cores.
-func (c *costAccount) addMachine(m *cluster.Machine, cost float64) {
-	if !m.Up {
+func (c *costAccount) addMachine(machine *cluster.Machine, cost float64) {
+	if !machine.Up {
 		c.booting += cost
 		return
 	}
 	fetchingCores, runningCores := 0.0, 0.0
-	for _, attempt := range m.Attempts {
+	for _, attempt := range machine.Attempts {
 		if attempt.Phase == cluster.AttemptRunning || attempt.Phase == cluster.AttemptSaving {
 			runningCores += attempt.Job.Spec.Cores
 		} else {
 			fetchingCores += attempt.Job.Spec.Cores
 		}
 	}
-	c.fetching += cost * fetchingCores / m.MachineType.Cores
-	c.working += cost * runningCores / m.MachineType.Cores
-	c.idle += cost * max(0, 1-(fetchingCores+runningCores)/m.MachineType.Cores)
+	c.fetching += cost * fetchingCores / machine.MachineType.Cores
+	c.working += cost * runningCores / machine.MachineType.Cores
+	c.idle += cost * max(0, 1-(fetchingCores+runningCores)/machine.MachineType.Cores)
 }
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -70,28 +70,28 @@
 	if _, removed := l.state.RemovedMachines[host.Name]; removed {
 		return
 	}
-	m := l.state.Machines[host.Name]
-	if m == nil {
-		m = l.machines.AddListedMachine(host)
-		l.state.Log.Info("cloud lists unknown machine", "machine", m.Name, "state", host.State)
+	machine := l.state.Machines[host.Name]
+	if machine == nil {
+		machine = l.machines.AddListedMachine(host)
+		l.state.Log.Info("cloud lists unknown machine", "machine", machine.Name, "state", host.State)
 	}
-	silence := l.state.Clock.Now() - m.LastHeartbeat
-	if host.State == protocol.HostFailed && !m.ListedAsFailed && silence > 2*l.state.HeartbeatInterval() {
+	silence := l.state.Clock.Now() - machine.LastHeartbeat
+	if host.State == protocol.HostFailed && !machine.ListedAsFailed && silence > 2*l.state.HeartbeatInterval() {
 		// A machine that sends heartbeats has not failed, whatever the list says. Its return
 		// would kill all tasks on it.
-		m.ListedAsFailed = true
-		l.state.BeginDrain(m, cluster.InstanceFailed)
+		machine.ListedAsFailed = true
+		l.state.BeginDrain(machine, cluster.InstanceFailed)
 	}
 }
 
 // drainUnlisted drains the machines that are missing from the complete list. Lists lag, so only
 // machines that are old enough and silent count, and the call that returns them settles it.
 func (l *machineListing) drainUnlisted() {
-	for _, m := range l.state.MachinesByName() {
-		oldEnough := l.startedAt-m.RentedAt > 4*l.listLag()
-		silent := l.startedAt-l.state.SilentSince(m) > workerLeaseOf(l.state)/2
-		if !l.listedNames[m.Name] && oldEnough && silent {
-			l.state.BeginDrain(m, cluster.NotListed)
+	for _, machine := range l.state.MachinesByName() {
+		oldEnough := l.startedAt-machine.RentedAt > 4*l.listLag()
+		silent := l.startedAt-l.state.SilentSince(machine) > workerLeaseOf(l.state)/2
+		if !l.listedNames[machine.Name] && oldEnough && silent {
+			l.state.BeginDrain(machine, cluster.NotListed)
 		}
 	}
 }
--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -34,9 +34,9 @@
 }
 
 // addMachine adds a machine that is held.
-func (v *planView) addMachine(m *cluster.Machine, planned *fleet.Machine) {
-	v.machineOf[planned] = m
-	if m.Draining {
+func (v *planView) addMachine(machine *cluster.Machine, planned *fleet.Machine) {
+	v.machineOf[planned] = machine
+	if machine.Draining {
 		v.Draining = append(v.Draining, planned)
 	} else {
 		v.Kept = append(v.Kept, planned)
@@ -51,20 +51,20 @@
 		UsualLoad: i.forecast.UsualLoad(), MeanImageGB: i.meanImageGB(),
 		ScaleOutAllowed: i.recovery.MayScaleOut(), ScaleInAllowed: i.recovery.MayScaleIn(),
 	}}
-	for _, m := range i.state.MachinesByName() {
-		if m.MachineType == nil || m.Terminating || m.Draining && m.DrainReason != cluster.SurplusCapacity {
+	for _, machine := range i.state.MachinesByName() {
+		if machine.MachineType == nil || machine.Terminating || machine.Draining && machine.DrainReason != cluster.SurplusCapacity {
 			continue
 		}
-		view.addMachine(m, &fleet.Machine{Name: m.Name, Offering: m.Offering(), Type: m.MachineType, Up: m.Up,
-			Reserved: m.ReservedFor != nil, IdleUntilEmpty: i.state.IdleUntilEmpty(m)})
+		view.addMachine(machine, &fleet.Machine{Name: machine.Name, Offering: machine.Offering(), Type: machine.MachineType, Up: machine.Up,
+			Reserved: machine.ReservedFor != nil, IdleUntilEmpty: i.state.IdleUntilEmpty(machine)})
 	}
 	for _, rental := range i.rentals.pending {
 		view.PendingRentals = append(view.PendingRentals, rental.RentalRequest)
 	}
-	for _, j := range i.jobs.PendingJobs() {
-		waitsForProbe := j.FailsEverywhere && now < j.NextProbeAt
-		if !waitsForProbe && !j.Terminal && j.PendingTasks > 0 {
-			view.PendingJobs = append(view.PendingJobs, fleet.PendingJob{Spec: &j.Spec, PendingTasks: j.PendingTasks})
+	for _, job := range i.jobs.PendingJobs() {
+		waitsForProbe := job.FailsEverywhere && now < job.NextProbeAt
+		if !waitsForProbe && !job.Terminal && job.PendingTasks > 0 {
+			view.PendingJobs = append(view.PendingJobs, fleet.PendingJob{Spec: &job.Spec, PendingTasks: job.PendingTasks})
 		}
 	}
 	return view
@@ -80,12 +80,12 @@
 	pullRate := i.state.ImagePullRate()
 	totals := i.state.CurrentMachineTotals()
 	surelyPending := i.surelyPendingShare(&totals)
-	for _, j := range i.state.RunnableJobs {
-		if j.Terminal {
+	for _, job := range i.state.RunnableJobs {
+		if job.Terminal {
 			continue
 		}
-		planned := i.plannedJob(j, pullRate)
-		if i.jobs.MayRunUnreported(j, &totals) {
+		planned := i.plannedJob(job, pullRate)
+		if i.jobs.MayRunUnreported(job, &totals) {
 			planned.RemainingWork *= surelyPending
 		}
 		demand.Jobs = append(demand.Jobs, planned)
@@ -102,29 +102,29 @@
 		return 1
 	}
 	pendingCores := 0.0
-	for _, j := range i.state.RunnableJobs {
-		if !j.Terminal && i.jobs.MayRunUnreported(j, totals) {
-			pendingCores += float64(j.PendingTasks) * j.Spec.Cores
+	for _, job := range i.state.RunnableJobs {
+		if !job.Terminal && i.jobs.MayRunUnreported(job, totals) {
+			pendingCores += float64(job.PendingTasks) * job.Spec.Cores
 		}
 	}
 	return max(0, 1-totals.UnknownUsage.Cores/max(pendingCores, cluster.ResourceTolerance))
 }
 
 // plannedJob returns the planner's view of a job.
-func (i *planInput) plannedJob(j *cluster.Job, pullRate cluster.ImagePullRate) fleet.Job {
+func (i *planInput) plannedJob(job *cluster.Job, pullRate cluster.ImagePullRate) fleet.Job {
 	planned := fleet.Job{
-		CoresPerTask:    j.Spec.Cores,
-		TaskDuration:    i.taskDuration(j, pullRate),
-		RemainingWork:   i.state.RemainingCoreSeconds(j, pullRate),
-		FailsEverywhere: j.FailsEverywhere,
-		Due:             i.state.Due(j),
-		EligibleAt:      j.EligibleAt,
-		SLOReserve:      i.startSLOReserve(j),
-		Started:         j.HasStarted(),
-		MinShare:        i.state.MinShare[j.Spec.Class],
+		CoresPerTask:    job.Spec.Cores,
+		TaskDuration:    i.taskDuration(job, pullRate),
+		RemainingWork:   i.state.RemainingCoreSeconds(job, pullRate),
+		FailsEverywhere: job.FailsEverywhere,
+		Due:             i.state.Due(job),
+		EligibleAt:      job.EligibleAt,
+		SLOReserve:      i.startSLOReserve(job),
+		Started:         job.HasStarted(),
+		MinShare:        i.state.MinShare[job.Spec.Class],
 	}
 	now := i.state.Clock.Now()
-	for _, dependent := range i.jobs.SoonReleasedDependents(j, i.state.BootTime()) {
+	for _, dependent := range i.jobs.SoonReleasedDependents(job, i.state.BootTime()) {
 		planned.UpcomingDependents = append(planned.UpcomingDependents, fleet.UpcomingJob{
 			TaskDuration: i.taskDuration(dependent, pullRate),
 			DueIn:        i.state.DueFrom(dependent, now) - now,
@@ -136,15 +136,15 @@
 
 // taskDuration returns the expected duration of one task of a job, including the pull of its
 // image.
-func (i *planInput) taskDuration(j *cluster.Job, pullRate cluster.ImagePullRate) time.Duration {
-	return i.state.ExpectedTaskDuration(j) + pullRate.PullDuration(j.Spec.ImageGB)
+func (i *planInput) taskDuration(job *cluster.Job, pullRate cluster.ImagePullRate) time.Duration {
+	return i.state.ExpectedTaskDuration(job) + pullRate.PullDuration(job.Spec.ImageGB)
 }
 
 // meanImageGB returns the mean image size of the runnable jobs, in GB.
 func (i *planInput) meanImageGB() float64 {
 	sum := 0.0
-	for _, j := range i.state.RunnableJobs {
-		sum += j.Spec.ImageGB
+	for _, job := range i.state.RunnableJobs {
+		sum += job.Spec.ImageGB
 	}
 	return sum / max(1, float64(len(i.state.RunnableJobs)))
 }
@@ -155,9 +155,9 @@
 
 // startSLOReserve returns the part of a job's SLO on starting that the plan does not count on, as
 // slack for takeovers, outages and lost machines.
-func (i *planInput) startSLOReserve(j *cluster.Job) time.Duration {
-	if j.Spec.DeadlineSeconds != nil {
+func (i *planInput) startSLOReserve(job *cluster.Job) time.Duration {
+	if job.Spec.DeadlineSeconds != nil {
 		return 0
 	}
-	return i.state.StartSLO(j) * startSLOReservePercent / 100
+	return i.state.StartSLO(job) * startSLOReservePercent / 100
 }
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -39,14 +39,14 @@
 // drainUnresponsive drains machines that miss heartbeats, never reported, or run slowly.
 func (r *machineReturns) drainUnresponsive() {
 	mostRespond := r.mostRespond()
-	for _, m := range r.state.MachinesByName() {
-		r.state.DrainIfSlow(m)
+	for _, machine := range r.state.MachinesByName() {
+		r.state.DrainIfSlow(machine)
 		switch {
-		case r.expectedToReport(m) && r.heartbeatOverdue(m) && mostRespond:
+		case r.expectedToReport(machine) && r.heartbeatOverdue(machine) && mostRespond:
 			// Its return ends its tasks for certain, and sooner than its lease does.
-			r.state.BeginDrain(m, cluster.HeartbeatMissed)
-		case !m.Up && m.LastHeartbeat == clock.Never && r.bootOverdue(m):
-			r.state.BeginDrain(m, cluster.NeverReported)
+			r.state.BeginDrain(machine, cluster.HeartbeatMissed)
+		case !machine.Up && machine.LastHeartbeat == clock.Never && r.bootOverdue(machine):
+			r.state.BeginDrain(machine, cluster.NeverReported)
 		}
 	}
 }
@@ -55,15 +55,15 @@
 // not, the leader itself is probably partitioned from its workers.
 func (r *machineReturns) mostRespond() bool {
 	expectedCount, missedCount := 0, 0
-	for _, m := range r.state.Machines {
-		if !r.expectedToReport(m) {
+	for _, machine := range r.state.Machines {
+		if !r.expectedToReport(machine) {
 			continue
 		}
 		expectedCount++
 		// Two missed heartbeats count here although they do not cause a drain yet. When
 		// the leader itself is partitioned from its workers, the machines that reported
 		// first would otherwise be returned before it shows that most are missing.
-		if r.heartbeatOverdue(m) || r.silence(m) > missedHeartbeatsUntilCounted*r.state.HeartbeatInterval() {
+		if r.heartbeatOverdue(machine) || r.silence(machine) > missedHeartbeatsUntilCounted*r.state.HeartbeatInterval() {
 			missedCount++
 		}
 	}
@@ -72,28 +72,28 @@
 
 // expectedToReport reports whether a machine should send heartbeats. After a takeover, machines
 // that were used before are expected to report too.
-func (r *machineReturns) expectedToReport(m *cluster.Machine) bool {
-	return m.Up || (m.UseDurable && m.LastHeartbeat == clock.Never)
+func (r *machineReturns) expectedToReport(machine *cluster.Machine) bool {
+	return machine.Up || (machine.UseDurable && machine.LastHeartbeat == clock.Never)
 }
 
 // silence returns for how long a machine has been silent in this term.
-func (r *machineReturns) silence(m *cluster.Machine) time.Duration {
-	return r.state.Clock.Now() - r.state.SilentSince(m)
+func (r *machineReturns) silence(machine *cluster.Machine) time.Duration {
+	return r.state.Clock.Now() - r.state.SilentSince(machine)
 }
 
 // heartbeatOverdue reports whether a machine has been silent for so long that it may be returned.
-func (r *machineReturns) heartbeatOverdue(m *cluster.Machine) bool {
-	return r.recovery.MayReturnUnresponsive(m, r.silence(m))
+func (r *machineReturns) heartbeatOverdue(machine *cluster.Machine) bool {
+	return r.recovery.MayReturnUnresponsive(machine, r.silence(machine))
 }
 
 // bootOverdue reports whether a machine should have sent its first heartbeat long ago.
-func (r *machineReturns) bootOverdue(m *cluster.Machine) bool {
+func (r *machineReturns) bootOverdue(machine *cluster.Machine) bool {
 	now := r.state.Clock.Now()
 	bootLimit := workerLeaseOf(r.state)
-	if m.MachineType != nil {
-		bootLimit += config.Seconds(bootTimesUntilOverdue * m.MachineType.BootSeconds)
+	if machine.MachineType != nil {
+		bootLimit += config.Seconds(bootTimesUntilOverdue * machine.MachineType.BootSeconds)
 	}
-	return now-m.RentedAt > bootLimit && now-r.state.StartedAt > workerLeaseOf(r.state)
+	return now-machine.RentedAt > bootLimit && now-r.state.StartedAt > workerLeaseOf(r.state)
 }
 
 // requestReturns returns the machines whose drain is complete. It reports whether the request
@@ -126,12 +126,12 @@
 // one request.
 func (r *machineReturns) returnableMachines() []string {
 	var names []string
-	for _, m := range r.state.MachinesByName() {
+	for _, machine := range r.state.MachinesByName() {
 		if len(names) == maxMachinesPerReturn {
 			break
 		}
-		if m.Draining && !m.Terminating && !r.worthKeeping(m) && (m.MayForceReturn() || isEmpty(m)) {
-			names = append(names, m.Name)
+		if machine.Draining && !machine.Terminating && !r.worthKeeping(machine) && (machine.MayForceReturn() || isEmpty(machine)) {
+			names = append(names, machine.Name)
 		}
 	}
 	return names
@@ -139,28 +139,28 @@
 
 // worthKeeping reports whether a surplus machine is kept for now: it is already billed, or work
 // may return sooner than a new machine would boot.
-func (r *machineReturns) worthKeeping(m *cluster.Machine) bool {
-	if m.DrainReason != cluster.SurplusCapacity {
+func (r *machineReturns) worthKeeping(machine *cluster.Machine) bool {
+	if machine.DrainReason != cluster.SurplusCapacity {
 		return false
 	}
 	now := r.state.Clock.Now()
-	if now-m.RentedAt < minBilledTime {
+	if now-machine.RentedAt < minBilledTime {
 		return true
 	}
-	idleRetention := config.Seconds(r.state.Settings.IdleRetention * m.MachineType.BootSeconds)
-	return now-m.SurplusSince < idleRetention
+	idleRetention := config.Seconds(r.state.Settings.IdleRetention * machine.MachineType.BootSeconds)
+	return now-machine.SurplusSince < idleRetention
 }
 
 // isEmpty reports whether neither tasks nor results are on a machine.
-func isEmpty(m *cluster.Machine) bool {
-	return len(m.Attempts) == 0 && m.RetainedResults == 0 && m.UnknownTasks == 0
+func isEmpty(machine *cluster.Machine) bool {
+	return len(machine.Attempts) == 0 && machine.RetainedResults == 0 && machine.UnknownTasks == 0
 }
 
 // requestReturn requests the return of machines.
 func (r *machineReturns) requestReturn(names []string) {
 	for _, name := range names {
-		m := r.state.Machines[name]
-		m.Terminating, m.TerminationRequested = true, true
+		machine := r.state.Machines[name]
+		machine.Terminating, machine.TerminationRequested = true, true
 	}
 	r.cloud.send("POST", "/hosts/return", protocol.MachineNames{Machines: names}, func(response CloudResponse) {
 		r.onResponse(names, response)
@@ -171,16 +171,16 @@
 func (r *machineReturns) onResponse(names []string, response CloudResponse) {
 	returned := response.Status == 200
 	for _, name := range names {
-		m := r.state.Machines[name]
-		if m == nil {
+		machine := r.state.Machines[name]
+		if machine == nil {
 			continue
 		}
 		if !returned {
-			m.Terminating = false // it goes on draining, as a late copy of the request may return it
+			machine.Terminating = false // it goes on draining, as a late copy of the request may return it
 			continue
 		}
-		r.state.Log.Info("machine returned", "machine", name, "reason", m.DrainReason, "type", m.TypeName, "spot", m.Spot)
-		r.machines.RemoveMachine(m)
+		r.state.Log.Info("machine returned", "machine", name, "reason", machine.DrainReason, "type", machine.TypeName, "spot", machine.Spot)
+		r.machines.RemoveMachine(machine)
 	}
 	if returned {
 		r.cloud.recordSuccess()
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/protocol"
 )
 
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -5,19 +5,18 @@
 	"time"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/config"
 )
 
 // DelayTask delays the next attempt of a task, and lets it avoid a machine for one worker lease.
-func (s *State) DelayTask(j *Job, taskIndex int, m *Machine, delay time.Duration) {
-	history := j.FailureHistories[taskIndex]
+func (s *State) DelayTask(job *Job, taskIndex int, machine *Machine, delay time.Duration) {
+	history := job.FailureHistories[taskIndex]
 	if history == nil {
 		history = &FailureHistory{}
-		j.FailureHistories[taskIndex] = history
+		job.FailureHistories[taskIndex] = history
 	}
 	history.RetryAfter = s.Clock.Now() + delay
-	history.AvoidedMachine = m.Name
+	history.AvoidedMachine = machine.Name
 	history.AvoidUntil = history.RetryAfter + s.workerLease()
 }
 
@@ -37,43 +36,43 @@
 // RecordTaskFailure records the failure of a task that ran for runDuration. The task is retried at
 // once on another machine. After the second failure it backs off, as an accepted job has to run in
 // the end.
-func (s *State) RecordTaskFailure(m *Machine, j *Job, taskIndex int, runDuration time.Duration) {
-	j.FailedMachines[m.Name] = true
-	j.longestFailedRun = max(j.longestFailedRun, runDuration)
-	if len(j.FailedMachines) >= jobFaultMachines && j.DoneTasks == 0 {
+func (s *State) RecordTaskFailure(machine *Machine, job *Job, taskIndex int, runDuration time.Duration) {
+	job.FailedMachines[machine.Name] = true
+	job.longestFailedRun = max(job.longestFailedRun, runDuration)
+	if len(job.FailedMachines) >= jobFaultMachines && job.DoneTasks == 0 {
 		// The job fails everywhere, so the fault is its own and not the machines'.
-		if !j.FailsEverywhere {
-			s.Log.Info("job fails everywhere", "job", j.Spec.ID)
-			for _, attempt := range j.Attempts {
+		if !job.FailsEverywhere {
+			s.Log.Info("job fails everywhere", "job", job.Spec.ID)
+			for _, attempt := range job.Attempts {
 				if attempt.Phase == AttemptAssigned {
 					s.ReleaseAttempt(attempt)
 				}
 			}
 		}
-		j.FailsEverywhere = true
+		job.FailsEverywhere = true
 	}
-	s.DelayTask(j, taskIndex, m, 0)
-	history := j.FailureHistories[taskIndex]
+	s.DelayTask(job, taskIndex, machine, 0)
+	history := job.FailureHistories[taskIndex]
 	history.failures++
 	if history.failures > 1 {
 		history.RetryAfter = s.Clock.Now() + min(s.HeartbeatInterval()<<min(history.failures-1, 10), 4*s.workerLease())
 	}
-	if j.FailsEverywhere {
+	if job.FailsEverywhere {
 		// From now on one task at a time probes the job. Retrying each of hundreds of tasks
 		// takes capacity from work that succeeds.
-		if s.Clock.Now() >= j.NextProbeAt { // else the attempt started before the job was known to fail
-			j.FailedProbes++
-			j.NextProbeAt = s.Clock.Now() + min(s.workerLease()<<min(j.FailedProbes, 10)/2, maxProbeDelay)
+		if s.Clock.Now() >= job.NextProbeAt { // else the attempt started before the job was known to fail
+			job.FailedProbes++
+			job.NextProbeAt = s.Clock.Now() + min(s.workerLease()<<min(job.FailedProbes, 10)/2, maxProbeDelay)
 		}
 		history.RetryAfter = s.Clock.Now()
 		return
 	}
-	m.ConsecutiveFailures++
-	m.FailedJobs[j.Spec.ID] = true
-	if m.ConsecutiveFailures >= machineFaultTasks && !m.Unhealthy &&
-		(len(m.FailedJobs) > 1 || j.DoneTasks > 0 || m.ConsecutiveFailures >= 2*machineFaultTasks) {
-		m.Unhealthy = true
-		s.BeginDrain(m, Unhealthy)
+	machine.ConsecutiveFailures++
+	machine.FailedJobs[job.Spec.ID] = true
+	if machine.ConsecutiveFailures >= machineFaultTasks && !machine.Unhealthy &&
+		(len(machine.FailedJobs) > 1 || job.DoneTasks > 0 || machine.ConsecutiveFailures >= 2*machineFaultTasks) {
+		machine.Unhealthy = true
+		s.BeginDrain(machine, Unhealthy)
 	}
 }
 
@@ -81,9 +80,9 @@
 // longer than any failed attempt did that the machines were at fault. Waiting for the task to end
 // would cost a healthy job, whose first tasks all met faulty machines, the duration of a whole
 // task.
-func (s *State) OutlivesFailures(j *Job) bool {
-	faultless := 2 * (j.longestFailedRun + s.HeartbeatInterval())
-	for _, attempt := range j.Attempts {
+func (s *State) OutlivesFailures(job *Job) bool {
+	faultless := 2 * (job.longestFailedRun + s.HeartbeatInterval())
+	for _, attempt := range job.Attempts {
 		if attempt.Phase == AttemptRunning && s.Clock.Now()-attempt.RunningSince > faultless {
 			return true
 		}
@@ -106,16 +105,16 @@
 
 // RecordPace records how long a machine took for a task in comparison with the other tasks of the
 // job. The estimate can't serve for that: it is wrong for all tasks of a job alike.
-func (s *State) RecordPace(m *Machine, j *Job, duration time.Duration) {
-	if typical, ok := j.typicalTaskDuration(); ok {
-		if len(m.logDurationRatios) == maxPaceSamples {
-			m.logDurationRatios = m.logDurationRatios[1:]
+func (s *State) RecordPace(machine *Machine, job *Job, duration time.Duration) {
+	if typical, ok := job.typicalTaskDuration(); ok {
+		if len(machine.logDurationRatios) == maxPaceSamples {
+			machine.logDurationRatios = machine.logDurationRatios[1:]
 		}
-		m.logDurationRatios = append(m.logDurationRatios, math.Log(float64(duration)/float64(typical)))
+		machine.logDurationRatios = append(machine.logDurationRatios, math.Log(float64(duration)/float64(typical)))
 	}
-	j.logDurationSum += math.Log(float64(duration))
-	j.durationSamples++
-	j.typicalDuration = time.Duration(math.Exp(j.logDurationSum / j.durationSamples))
+	job.logDurationSum += math.Log(float64(duration))
+	job.durationSamples++
+	job.typicalDuration = time.Duration(math.Exp(job.logDurationSum / job.durationSamples))
 }
 
 // typicalTaskDuration returns the typical duration of the finished tasks of the job, if there are
@@ -129,18 +128,18 @@
 
 // DrainIfSlow drains a machine that runs its tasks far slower than other machines run their
 // siblings. An attempt on it is rescheduled if it would end sooner when started anew.
-func (s *State) DrainIfSlow(m *Machine) {
-	if !m.Up || m.DrainReason == SlowExecution {
+func (s *State) DrainIfSlow(machine *Machine) {
+	if !machine.Up || machine.DrainReason == SlowExecution {
 		return
 	}
-	logSlowdown, samples := s.logSlowdown(m)
+	logSlowdown, samples := s.logSlowdown(machine)
 	if samples < minPaceSamples || logSlowdown < math.Log(slowPaceFactor) {
 		return
 	}
 	slowdown := math.Exp(logSlowdown)
-	s.Log.Info("machine slow", "machine", m.Name, "slowdown", slowdown, "tasks", samples)
-	s.BeginDrain(m, SlowExecution)
-	for _, attempt := range m.AttemptsInOrder {
+	s.Log.Info("machine slow", "machine", machine.Name, "slowdown", slowdown, "tasks", samples)
+	s.BeginDrain(machine, SlowExecution)
+	for _, attempt := range machine.AttemptsInOrder {
 		s.leaveSlowMachine(attempt, slowdown)
 	}
 }
@@ -148,13 +147,13 @@
 // logSlowdown returns the mean logarithm of the ratio of actual to typical duration of the last
 // tasks of a machine, and the number of tasks. A running task past its typical duration counts
 // like a finished one.
-func (s *State) logSlowdown(m *Machine) (mean float64, samples int) {
+func (s *State) logSlowdown(machine *Machine) (mean float64, samples int) {
 	logRatioSum := 0.0
-	for _, logRatio := range m.logDurationRatios {
+	for _, logRatio := range machine.logDurationRatios {
 		logRatioSum += logRatio
 		samples++
 	}
-	for _, attempt := range m.AttemptsInOrder {
+	for _, attempt := range machine.AttemptsInOrder {
 		if attempt.Phase != AttemptRunning || attempt.Job.MovedTasks[attempt.TaskIndex] {
 			continue
 		}
@@ -203,18 +202,18 @@
 
 // ApplyPreemptionNotice drains a spot machine that the cloud is about to preempt, and stops the
 // attempts that would not end before that.
-func (s *State) ApplyPreemptionNotice(m *Machine, secondsLeft *float64) {
+func (s *State) ApplyPreemptionNotice(machine *Machine, secondsLeft *float64) {
 	if secondsLeft == nil {
 		return
 	}
 	timeLeft := config.Seconds(*secondsLeft)
-	if m.preemptionNotice == clock.Never {
-		s.Log.Info("preemption notice", "machine", m.Name, "left", timeLeft)
+	if machine.preemptionNotice == clock.Never {
+		s.Log.Info("preemption notice", "machine", machine.Name, "left", timeLeft)
 		s.SchedulingNeeded = true
 	}
-	m.preemptionNotice = s.Clock.Now() + timeLeft
-	s.BeginDrain(m, PreemptionNoticed)
-	for _, attempt := range m.AttemptsInOrder {
+	machine.preemptionNotice = s.Clock.Now() + timeLeft
+	s.BeginDrain(machine, PreemptionNoticed)
+	for _, attempt := range machine.AttemptsInOrder {
 		if attempt.StopGrace != nil {
 			continue
 		}
@@ -231,14 +230,14 @@
 
 // BeginDrain cordons a machine and has it returned once it is empty. A later reason replaces an
 // earlier one, but surplus capacity replaces none.
-func (s *State) BeginDrain(m *Machine, reason DrainReason) {
-	if m.DrainReason == "" || reason != SurplusCapacity {
-		m.DrainReason = reason
+func (s *State) BeginDrain(machine *Machine, reason DrainReason) {
+	if machine.DrainReason == "" || reason != SurplusCapacity {
+		machine.DrainReason = reason
 	}
-	if !m.Draining {
-		m.Draining = true
+	if !machine.Draining {
+		machine.Draining = true
 		s.SchedulingNeeded = true
-		for _, attempt := range m.AttemptsInOrder {
+		for _, attempt := range machine.AttemptsInOrder {
 			if attempt.Phase == AttemptAssigned {
 				s.ReleaseAttempt(attempt)
 			}
@@ -247,6 +246,6 @@
 }
 
 // CancelDrain uncordons a draining machine.
-func (s *State) CancelDrain(m *Machine) {
-	m.Draining, m.DrainReason, m.SurplusSince, s.SchedulingNeeded = false, "", s.Clock.Now(), true
+func (s *State) CancelDrain(machine *Machine) {
+	machine.Draining, machine.DrainReason, machine.SurplusSince, s.SchedulingNeeded = false, "", s.Clock.Now(), true
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/protocol"
 )
 
@@ -147,8 +146,8 @@
 // State returns the job's state as reported to users.
 func (j *Job) State() protocol.JobStatus {
 	done, running := j.DoneTasks, 0
-	for _, r := range j.Attempts {
-		if r.Phase == AttemptRunning || r.Phase == AttemptSaving {
+	for _, attempt := range j.Attempts {
+		if attempt.Phase == AttemptRunning || attempt.Phase == AttemptSaving {
 			running++
 		}
 	}
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/fleet"
 	"hitchdoor/internal/protocol"
 )
@@ -183,23 +182,23 @@
 // addAttempt adds an attempt to the machine. AttemptsInOrder is sorted by attempt number to keep
 // every step deterministic. Callers may release attempts while they iterate, so existing elements
 // are never changed in place.
-func (m *Machine) addAttempt(r *TaskAttempt) {
-	m.Attempts[r.Key()] = r
-	if n := len(m.AttemptsInOrder); n == 0 || m.AttemptsInOrder[n-1].Number < r.Number {
-		m.AttemptsInOrder = append(m.AttemptsInOrder, r)
+func (m *Machine) addAttempt(attempt *TaskAttempt) {
+	m.Attempts[attempt.Key()] = attempt
+	if n := len(m.AttemptsInOrder); n == 0 || m.AttemptsInOrder[n-1].Number < attempt.Number {
+		m.AttemptsInOrder = append(m.AttemptsInOrder, attempt)
 		return
 	}
-	position, _ := slices.BinarySearchFunc(m.AttemptsInOrder, r.Number, func(other *TaskAttempt, number uint64) int {
+	position, _ := slices.BinarySearchFunc(m.AttemptsInOrder, attempt.Number, func(other *TaskAttempt, number uint64) int {
 		return cmp.Compare(other.Number, number)
 	})
-	m.AttemptsInOrder = slices.Insert(slices.Clone(m.AttemptsInOrder), position, r)
+	m.AttemptsInOrder = slices.Insert(slices.Clone(m.AttemptsInOrder), position, attempt)
 }
 
 // dropAttempt removes an attempt from the machine.
-func (m *Machine) dropAttempt(r *TaskAttempt) {
-	delete(m.Attempts, r.Key())
+func (m *Machine) dropAttempt(attempt *TaskAttempt) {
+	delete(m.Attempts, attempt.Key())
 	m.AttemptsInOrder = slices.DeleteFunc(slices.Clone(m.AttemptsInOrder),
-		func(other *TaskAttempt) bool { return other == r })
+		func(other *TaskAttempt) bool { return other == attempt })
 }
 
 // Capacity is an amount of the resources of a machine.
@@ -233,4 +232,6 @@
 
 // Feasible is the feasibility filter: it reports whether a machine can run the job's tasks at
 // all.
-func Feasible(j *protocol.Job, m *Machine) bool { return m.Offering().Fits(j, m.MachineType) }
+func Feasible(j *protocol.Job, machine *Machine) bool {
+	return machine.Offering().Fits(j, machine.MachineType)
+}
--- a/internal/cluster/objectives.go
+++ b/internal/cluster/objectives.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/config"
 )
 
@@ -53,8 +52,8 @@
 
 // StartSLO returns the tightest start objective of the job's class, or 0 if the class is measured
 // by completion or has no objective.
-func (s *State) StartSLO(j *Job) time.Duration {
-	if slos := s.Slos[j.Spec.Class]; len(slos) > 0 && slos[0].OnStart {
+func (s *State) StartSLO(job *Job) time.Duration {
+	if slos := s.Slos[job.Spec.Class]; len(slos) > 0 && slos[0].OnStart {
 		return slos[0].Limit
 	}
 	return 0
@@ -65,44 +64,44 @@
 // objective; such jobs can wait for capacity on cheap machines.
 //
 // A job with dependents is due no later than their deadlines allow (LatestEnd).
-func (s *State) Due(j *Job) clock.Instant { return s.DueFrom(j, j.EligibleAt) }
+func (s *State) Due(job *Job) clock.Instant { return s.DueFrom(job, job.EligibleAt) }
 
 // DueFrom returns the due time of a job that becomes eligible at the given time.
-func (s *State) DueFrom(j *Job, from clock.Instant) clock.Instant {
-	return min(s.OwnDue(j, from), j.LatestEnd)
+func (s *State) DueFrom(job *Job, from clock.Instant) clock.Instant {
+	return min(s.OwnDue(job, from), job.LatestEnd)
 }
 
 // OwnDue returns the due time by the job's own deadline or objectives. Without either, LatestEnd
 // or a bound in proportion to the run time applies.
-func (s *State) OwnDue(j *Job, from clock.Instant) clock.Instant {
-	if j.Spec.DeadlineSeconds != nil {
-		return j.AcceptedAt + config.Seconds(*j.Spec.DeadlineSeconds)
+func (s *State) OwnDue(job *Job, from clock.Instant) clock.Instant {
+	if job.Spec.DeadlineSeconds != nil {
+		return job.AcceptedAt + config.Seconds(*job.Spec.DeadlineSeconds)
 	}
-	slos := s.Slos[j.Spec.Class]
+	slos := s.Slos[job.Spec.Class]
 	for i, objective := range slos {
 		end := from + objective.Limit
 		if objective.OnStart {
-			end += s.ExpectedTaskDuration(j)
+			end += s.ExpectedTaskDuration(job)
 		}
-		if i == len(slos)-1 || end-s.ExpectedTaskDuration(j) > s.Clock.Now() {
+		if i == len(slos)-1 || end-s.ExpectedTaskDuration(job) > s.Clock.Now() {
 			return end
 		}
 	}
-	if j.LatestEnd < clock.Forever {
-		return j.LatestEnd
+	if job.LatestEnd < clock.Forever {
+		return job.LatestEnd
 	}
 	// Without an objective the wait is still bounded, in proportion to the run time.
-	return from + min(4*s.ExpectedTaskDuration(j)+s.workerLease(), PlannedStartWithin+s.ExpectedTaskDuration(j))
+	return from + min(4*s.ExpectedTaskDuration(job)+s.workerLease(), PlannedStartWithin+s.ExpectedTaskDuration(job))
 }
 
 // ExpectedTaskDuration returns the expected run time of one task: the user's estimate, corrected
 // by the finished tasks of the job's class.
-func (s *State) ExpectedTaskDuration(j *Job) time.Duration {
+func (s *State) ExpectedTaskDuration(job *Job) time.Duration {
 	bias := 0.0
-	if durations := s.classes[j.Spec.Class]; durations != nil {
+	if durations := s.classes[job.Spec.Class]; durations != nil {
 		bias = durations.logBias
 	}
-	return config.Seconds(max(j.Spec.EstimatedSeconds*math.Exp(bias), 1))
+	return config.Seconds(max(job.Spec.EstimatedSeconds*math.Exp(bias), 1))
 }
 
 // classDurations holds the estimation error observed for a job class.
@@ -112,17 +111,17 @@
 }
 
 // RecordTaskDuration updates the correction of the job's class by a finished task.
-func (s *State) RecordTaskDuration(j *Job, took time.Duration) {
-	if took <= 0 || j.Spec.EstimatedSeconds <= 0 {
+func (s *State) RecordTaskDuration(job *Job, took time.Duration) {
+	if took <= 0 || job.Spec.EstimatedSeconds <= 0 {
 		return
 	}
-	durations := s.classes[j.Spec.Class]
+	durations := s.classes[job.Spec.Class]
 	if durations == nil {
 		durations = &classDurations{}
-		s.classes[j.Spec.Class] = durations
+		s.classes[job.Spec.Class] = durations
 	}
 	durations.samples = min(durations.samples+1, maxClassSamples)
-	durations.logBias += (math.Log(took.Seconds()/j.Spec.EstimatedSeconds) - durations.logBias) / durations.samples
+	durations.logBias += (math.Log(took.Seconds()/job.Spec.EstimatedSeconds) - durations.logBias) / durations.samples
 }
 
 // maxClassSamples is the number of finished tasks over which the correction averages.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 )
@@ -116,29 +115,29 @@
 // NewMachine adds a machine to the machine table.
 func (s *State) NewMachine(name, typeName, zone string, spot bool) *Machine {
 	now := s.Clock.Now()
-	m := &Machine{
+	machine := &Machine{
 		Name: name, TypeName: typeName, Zone: zone, Spot: spot, MachineType: s.Catalog[typeName], RentedAt: now,
 		WorkerLink:    WorkerLink{LastHeartbeat: clock.Never, LastResponse: clock.Never, LastDelivery: clock.Never},
 		Occupancy:     Occupancy{Attempts: map[string]*TaskAttempt{}},
 		MachineHealth: MachineHealth{FailedJobs: map[string]bool{}},
 		DrainState:    DrainState{SurplusSince: now, preemptionNotice: clock.Never},
 	}
-	s.Machines[name] = m
+	s.Machines[name] = machine
 	s.InvalidateMachineIndex()
-	return m
+	return machine
 }
 
 // DeleteMachine takes a machine out of the table, with everything on it.
-func (s *State) DeleteMachine(m *Machine) {
-	for _, r := range m.AttemptsInOrder {
-		s.ReleaseAttempt(r)
+func (s *State) DeleteMachine(machine *Machine) {
+	for _, attempt := range machine.AttemptsInOrder {
+		s.ReleaseAttempt(attempt)
 	}
-	if m.ReservedFor != nil {
-		s.ReleaseReservation(m.ReservedFor)
+	if machine.ReservedFor != nil {
+		s.ReleaseReservation(machine.ReservedFor)
 	}
-	delete(s.Machines, m.Name)
+	delete(s.Machines, machine.Name)
 	s.InvalidateMachineIndex()
-	s.RemovedMachines[m.Name] = s.Clock.Now()
+	s.RemovedMachines[machine.Name] = s.Clock.Now()
 	s.SchedulingNeeded = true
 }
 
@@ -147,8 +146,8 @@
 func (s *State) MachinesByName() []*Machine {
 	if s.sortedMachines == nil {
 		s.sortedMachines = make([]*Machine, 0, len(s.Machines))
-		for _, m := range s.Machines {
-			s.sortedMachines = append(s.sortedMachines, m)
+		for _, machine := range s.Machines {
+			s.sortedMachines = append(s.sortedMachines, machine)
 		}
 		slices.SortFunc(s.sortedMachines, func(a, b *Machine) int { return cmp.Compare(a.Name, b.Name) })
 	}
@@ -160,89 +159,89 @@
 
 // PlaceAttempt binds an attempt to its machine and counts its resources for the machine and the
 // team.
-func (s *State) PlaceAttempt(r *TaskAttempt) {
-	j, m := r.Job, r.Machine
-	if j.TaskState(r.TaskIndex) == TaskPending {
-		j.PendingTasks--
+func (s *State) PlaceAttempt(attempt *TaskAttempt) {
+	job, machine := attempt.Job, attempt.Machine
+	if job.TaskState(attempt.TaskIndex) == TaskPending {
+		job.PendingTasks--
 	}
-	j.Attempts[r.TaskIndex] = r
-	m.addAttempt(r)
-	s.countActiveTasks(j, 1)
-	m.TouchImage(j.Spec.Image, j.Spec.ImageGB) // present, or fetched once for all tasks
-	m.UsedCores += j.Spec.Cores
-	m.UsedRAM += j.Spec.MemoryGB
-	m.usedAccelerators += j.Spec.Accelerators
-	if teamUsage := s.TeamUsage[j.Spec.Team]; teamUsage != nil {
-		teamUsage.Cores += j.Spec.Cores
-		teamUsage.Accelerators += j.Spec.Accelerators
+	job.Attempts[attempt.TaskIndex] = attempt
+	machine.addAttempt(attempt)
+	s.countActiveTasks(job, 1)
+	machine.TouchImage(job.Spec.Image, job.Spec.ImageGB) // present, or fetched once for all tasks
+	machine.UsedCores += job.Spec.Cores
+	machine.UsedRAM += job.Spec.MemoryGB
+	machine.usedAccelerators += job.Spec.Accelerators
+	if teamUsage := s.TeamUsage[job.Spec.Team]; teamUsage != nil {
+		teamUsage.Cores += job.Spec.Cores
+		teamUsage.Accelerators += job.Spec.Accelerators
 	}
 }
 
 // ReleaseAttempt removes an attempt whose end is confirmed and releases its resources.
-func (s *State) ReleaseAttempt(r *TaskAttempt) {
-	j, m := r.Job, r.Machine
-	if m.Attempts[r.Key()] != r {
+func (s *State) ReleaseAttempt(attempt *TaskAttempt) {
+	job, machine := attempt.Job, attempt.Machine
+	if machine.Attempts[attempt.Key()] != attempt {
 		return
 	}
-	m.dropAttempt(r)
-	s.countActiveTasks(j, -1)
-	if j.Attempts[r.TaskIndex] == r {
-		delete(j.Attempts, r.TaskIndex)
+	machine.dropAttempt(attempt)
+	s.countActiveTasks(job, -1)
+	if job.Attempts[attempt.TaskIndex] == attempt {
+		delete(job.Attempts, attempt.TaskIndex)
 	}
-	m.UsedCores -= j.Spec.Cores
-	m.UsedRAM -= j.Spec.MemoryGB
-	m.usedAccelerators -= j.Spec.Accelerators
-	if teamUsage := s.TeamUsage[j.Spec.Team]; teamUsage != nil {
-		teamUsage.Cores -= j.Spec.Cores
-		teamUsage.Accelerators -= j.Spec.Accelerators
+	machine.UsedCores -= job.Spec.Cores
+	machine.UsedRAM -= job.Spec.MemoryGB
+	machine.usedAccelerators -= job.Spec.Accelerators
+	if teamUsage := s.TeamUsage[job.Spec.Team]; teamUsage != nil {
+		teamUsage.Cores -= job.Spec.Cores
+		teamUsage.Accelerators -= job.Spec.Accelerators
 	}
-	if len(m.Attempts) == 0 {
-		m.UsedCores, m.UsedRAM, m.usedAccelerators = 0, 0, 0
+	if len(machine.Attempts) == 0 {
+		machine.UsedCores, machine.UsedRAM, machine.usedAccelerators = 0, 0, 0
 	}
-	if j.TaskState(r.TaskIndex) == TaskPending {
-		j.PendingTasks++
-		j.FirstPendingTask = min(j.FirstPendingTask, r.TaskIndex)
-		if j.PendingTasks == 1 {
-			j.PendingSince = s.Clock.Now()
+	if job.TaskState(attempt.TaskIndex) == TaskPending {
+		job.PendingTasks++
+		job.FirstPendingTask = min(job.FirstPendingTask, attempt.TaskIndex)
+		if job.PendingTasks == 1 {
+			job.PendingSince = s.Clock.Now()
 		}
 	}
 	s.SchedulingNeeded = true
 }
 
 // RequestStop requests the end of an attempt. An attempt that was never sent ends at once.
-func (s *State) RequestStop(r *TaskAttempt, grace float64) {
-	if r.Phase == AttemptAssigned {
-		s.ReleaseAttempt(r)
+func (s *State) RequestStop(attempt *TaskAttempt, grace float64) {
+	if attempt.Phase == AttemptAssigned {
+		s.ReleaseAttempt(attempt)
 		return
 	}
-	if r.StopGrace != nil && *r.StopGrace <= grace {
+	if attempt.StopGrace != nil && *attempt.StopGrace <= grace {
 		return
 	}
-	r.StopGrace = &grace
+	attempt.StopGrace = &grace
 }
 
 // countActiveTasks adjusts the number of tasks on machines of the job's class.
-func (s *State) countActiveTasks(j *Job, delta int) {
+func (s *State) countActiveTasks(job *Job, delta int) {
 	class := 0
-	if IsLatencySensitive(&j.Spec) {
+	if IsLatencySensitive(&job.Spec) {
 		class = 1
 	}
 	s.ActiveTasks[class] += delta
 }
 
 // ReleaseReservation releases a job's reservation, if it has one.
-func (s *State) ReleaseReservation(j *Job) {
-	if m := j.Reservation.Machine; m != nil {
-		m.ReservedFor, j.Reservation.Machine = nil, nil
+func (s *State) ReleaseReservation(job *Job) {
+	if machine := job.Reservation.Machine; machine != nil {
+		machine.ReservedFor, job.Reservation.Machine = nil, nil
 	}
 }
 
 // JobsByAge returns the runnable jobs by the time at which they became eligible.
 func (s *State) JobsByAge() []*Job {
 	jobs := make([]*Job, 0, len(s.RunnableJobs))
-	for _, j := range s.RunnableJobs {
-		if !j.Terminal {
-			jobs = append(jobs, j)
+	for _, job := range s.RunnableJobs {
+		if !job.Terminal {
+			jobs = append(jobs, job)
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *Job) int {
@@ -258,8 +257,8 @@
 
 // SilentSince returns the time from which the silence of a machine counts: its last heartbeat, or
 // the start of the term if that is later.
-func (s *State) SilentSince(m *Machine) clock.Instant {
-	return max(m.LastHeartbeat, s.StartedAt)
+func (s *State) SilentSince(machine *Machine) clock.Instant {
+	return max(machine.LastHeartbeat, s.StartedAt)
 }
 
 // LeaseChecksPerHeartbeat is how often all worker leases are checked per heartbeat interval.
@@ -273,10 +272,10 @@
 		return // a scan of all machines is too expensive for every heartbeat
 	}
 	s.machinesCheckedAt = now
-	for _, m := range s.MachinesByName() {
-		lastRenewal := max(m.LastResponse, s.StartedAt)
+	for _, machine := range s.MachinesByName() {
+		lastRenewal := max(machine.LastResponse, s.StartedAt)
 		if now > lastRenewal+s.WorkerLeaseTimeout() {
-			s.expireWorkerLease(m)
+			s.expireWorkerLease(machine)
 		}
 	}
 	s.forgetRemovedMachines()
@@ -284,23 +283,23 @@
 
 // expireWorkerLease fences a machine. Nothing of an earlier leader can run there any more, nor
 // anything that this leader started.
-func (s *State) expireWorkerLease(m *Machine) {
-	if !m.Reconciled {
-		m.Reconciled, s.SchedulingNeeded, s.TotalsValid = true, true, false
+func (s *State) expireWorkerLease(machine *Machine) {
+	if !machine.Reconciled {
+		machine.Reconciled, s.SchedulingNeeded, s.TotalsValid = true, true, false
 	}
-	if !m.Up {
+	if !machine.Up {
 		return
 	}
 	// The worker's own clock has ended its epoch, so its tasks have stopped, and the epoch never
 	// gets another 200.
-	s.Log.Info("worker lease expired", "machine", m.Name, "tasks", len(m.Attempts))
-	m.Up, s.TotalsValid = false, false
-	m.FencedEpoch, m.Address = m.Epoch, ""
-	m.UnknownTasks = 0
-	for _, attempt := range m.AttemptsInOrder {
+	s.Log.Info("worker lease expired", "machine", machine.Name, "tasks", len(machine.Attempts))
+	machine.Up, s.TotalsValid = false, false
+	machine.FencedEpoch, machine.Address = machine.Epoch, ""
+	machine.UnknownTasks = 0
+	for _, attempt := range machine.AttemptsInOrder {
 		s.ReleaseAttempt(attempt)
 	}
-	s.BeginDrain(m, HeartbeatMissed)
+	s.BeginDrain(machine, HeartbeatMissed)
 }
 
 // forgetRemovedMachines discards names of removed machines that no delayed list can name any more,
--- a/internal/cluster/totals.go
+++ b/internal/cluster/totals.go
@@ -34,16 +34,16 @@
 		totals.UnknownUsage = unboundedUsage
 	}
 	settings := s.Settings
-	for _, m := range s.MachinesByName() {
+	for _, machine := range s.MachinesByName() {
 		s.CandidatesExamined++
-		if !m.Reconciled {
+		if !machine.Reconciled {
 			totals.AllReconciled = false
 			totals.UnreconciledMachines++
-			totals.UnreconciledTypeUnknown = totals.UnreconciledTypeUnknown || m.TypeName == ""
-			totals.UnreconciledOptions[m.Offering()] = true
+			totals.UnreconciledTypeUnknown = totals.UnreconciledTypeUnknown || machine.TypeName == ""
+			totals.UnreconciledOptions[machine.Offering()] = true
 		}
-		if m.MachineType == nil {
-			if !m.Reconciled || m.UnknownTasks > 0 {
+		if machine.MachineType == nil {
+			if !machine.Reconciled || machine.UnknownTasks > 0 {
 				// The resources in use on a machine of an unknown type have no upper bound, so no quota has
 				// room. Counting them as zero let teams exceed their quota through machines of types no
 				// longer sold.
@@ -51,14 +51,14 @@
 			}
 			continue
 		}
-		totals.TotalCores += m.MachineType.Cores
-		totals.LargestMachineCores = max(totals.LargestMachineCores, m.MachineType.Cores)
-		if m.Up && m.TokenAcknowledged {
-			totals.Slots += settings.SlotsPerCore*m.MachineType.Cores + settings.BaseSlots
+		totals.TotalCores += machine.MachineType.Cores
+		totals.LargestMachineCores = max(totals.LargestMachineCores, machine.MachineType.Cores)
+		if machine.Up && machine.TokenAcknowledged {
+			totals.Slots += settings.SlotsPerCore*machine.MachineType.Cores + settings.BaseSlots
 		}
-		if !m.Reconciled || m.UnknownTasks > 0 {
-			totals.UnknownUsage.Cores += m.MachineType.Cores
-			totals.UnknownUsage.Accelerators += m.MachineType.Accelerators
+		if !machine.Reconciled || machine.UnknownTasks > 0 {
+			totals.UnknownUsage.Cores += machine.MachineType.Cores
+			totals.UnknownUsage.Accelerators += machine.MachineType.Accelerators
 		}
 	}
 	s.totals, s.TotalsValid = totals, true
@@ -81,10 +81,10 @@
 // ImagePullRate returns the pull rate of the machines held.
 func (s *State) ImagePullRate() ImagePullRate {
 	var pullRate ImagePullRate
-	for _, m := range s.Machines {
-		if m.MachineType != nil {
-			pullRate.weightedGBPerS += m.MachineType.PullGBPerSecond * m.MachineType.Cores
-			pullRate.cores += m.MachineType.Cores
+	for _, machine := range s.Machines {
+		if machine.MachineType != nil {
+			pullRate.weightedGBPerS += machine.MachineType.PullGBPerSecond * machine.MachineType.Cores
+			pullRate.cores += machine.MachineType.Cores
 		}
 	}
 	return pullRate
@@ -99,21 +99,21 @@
 }
 
 // RemainingCoreSeconds returns the work that a job still needs, with image fetches.
-func (s *State) RemainingCoreSeconds(j *Job, pullRate ImagePullRate) float64 {
-	expected := s.ExpectedTaskDuration(j)
-	work := float64(j.PendingTasks) * (expected + pullRate.PullDuration(j.Spec.ImageGB)).Seconds()
-	for _, r := range j.Attempts {
-		work += s.RemainingOfExpected(r, expected).Seconds()
+func (s *State) RemainingCoreSeconds(job *Job, pullRate ImagePullRate) float64 {
+	expected := s.ExpectedTaskDuration(job)
+	work := float64(job.PendingTasks) * (expected + pullRate.PullDuration(job.Spec.ImageGB)).Seconds()
+	for _, attempt := range job.Attempts {
+		work += s.RemainingOfExpected(attempt, expected).Seconds()
 	}
-	return work * j.Spec.Cores
+	return work * job.Spec.Cores
 }
 
 // RetainedCores returns the cores of the machines that are up and not draining.
 func (s *State) RetainedCores() float64 {
 	cores := 0.0
-	for _, m := range s.Machines {
-		if m.MachineType != nil && m.Up && !m.Draining {
-			cores += m.MachineType.Cores
+	for _, machine := range s.Machines {
+		if machine.MachineType != nil && machine.Up && !machine.Draining {
+			cores += machine.MachineType.Cores
 		}
 	}
 	return cores
@@ -132,12 +132,12 @@
 
 // IdleUntilEmpty returns the mean time, in seconds, for which a core of the machine would be idle
 // until the last task on it ends.
-func (s *State) IdleUntilEmpty(m *Machine) float64 {
+func (s *State) IdleUntilEmpty(machine *Machine) float64 {
 	longestRemaining, work := 0.0, 0.0
-	for _, attempt := range m.AttemptsInOrder {
+	for _, attempt := range machine.AttemptsInOrder {
 		remaining := s.RemainingDuration(attempt).Seconds()
 		longestRemaining = max(longestRemaining, remaining)
 		work += remaining * attempt.Job.Spec.Cores
 	}
-	return longestRemaining - work/m.MachineType.Cores
+	return longestRemaining - work/machine.MachineType.Cores
 }
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -4,12 +4,10 @@
 	"net/http"
 	"time"
 
-	"hitchdoor/internal/admissioncontrol"
-
-	"hitchdoor/internal/election"
-
 	"hitchdoor/internal/admission"
+	"hitchdoor/internal/admissioncontrol"
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/election"
 	"hitchdoor/internal/storage"
 )
 
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -7,9 +7,8 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/admissioncontrol"
-
 	"hitchdoor/internal/admission"
+	"hitchdoor/internal/admissioncontrol"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"hitchdoor/internal/autoscaler"
-
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
@@ -49,7 +48,9 @@
 }
 
 // RemoveMachine removes a machine that is certain to be gone, with all its attempts.
-func (h autoscalerHost) RemoveMachine(m *cluster.Machine) { h.leader.machineRecords.Remove(m) }
+func (h autoscalerHost) RemoveMachine(machine *cluster.Machine) {
+	h.leader.machineRecords.Remove(machine)
+}
 
 // PendingJobs returns the pending jobs in the order of the last scheduling pass.
 func (h autoscalerHost) PendingJobs() []*cluster.Job {
@@ -62,14 +63,14 @@
 
 // MayRunUnreported reports whether tasks of a job may be running on machines that are not
 // reconciled yet.
-func (h autoscalerHost) MayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool {
-	return h.leader.MayRunUnreported(j, totals)
+func (h autoscalerHost) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
+	return h.leader.MayRunUnreported(job, totals)
 }
 
 // SoonReleasedDependents returns the jobs that wait only for this one, if it should end within the
 // horizon.
-func (h autoscalerHost) SoonReleasedDependents(j *cluster.Job, horizon time.Duration) []*cluster.Job {
-	return h.leader.dependencies.SoonReleasedDependents(j, horizon)
+func (h autoscalerHost) SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job {
+	return h.leader.dependencies.SoonReleasedDependents(job, horizon)
 }
 
 // ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
--- a/internal/controller/burst_test.go
+++ b/internal/controller/burst_test.go
@@ -8,13 +8,10 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/scheduler"
-
-	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/clock"
-
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/scheduler"
 	"hitchdoor/internal/storage"
 )
 
--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"hitchdoor/internal/catalog"
-
 	"hitchdoor/internal/clock"
 )
 
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -7,12 +7,10 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/recoverygate"
-
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
+	"hitchdoor/internal/recoverygate"
 	"hitchdoor/internal/storage"
 )
 
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -14,12 +14,10 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/cluster"
-
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -3,10 +3,8 @@
 import (
 	"time"
 
-	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/clock"
-
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/reachability"
 )
@@ -78,23 +76,23 @@
 // twoWayPeerCount returns the number of peers with which messages pass in both directions.
 func (n *Node) twoWayPeerCount() int {
 	return n.connectivity.matrix.CountBidirectional(n.cfg.Node, n.now, n.leaderLease(), func(node string) bool {
-		p := n.peers[node]
-		return p != nil && n.now-p.LastContact < n.leaderLease()
+		peer := n.peers[node]
+		return peer != nil && n.now-peer.LastContact < n.leaderLease()
 	})
 }
 
 // arrivedBySameRoute reports whether a worker's heartbeat arrived by the same route as the one
 // before it. If so, the response to the previous one has reached the worker: without a response
 // the worker would have turned to another node. With a single node nothing can be concluded.
-func (l *leader) arrivedBySameRoute(m *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, via string) bool {
-	return len(l.node.peers) > 0 && m.LastHeartbeat != clock.Never && m.RelayPeer == via &&
-		heartbeat.Epoch == m.Epoch && heartbeat.Sequence == m.HeartbeatSeq+1
+func (l *leader) arrivedBySameRoute(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, via string) bool {
+	return len(l.node.peers) > 0 && machine.LastHeartbeat != clock.Never && machine.RelayPeer == via &&
+		heartbeat.Epoch == machine.Epoch && heartbeat.Sequence == machine.HeartbeatSeq+1
 }
 
 // recordDelivery records that a response has reached a machine's worker, through the peer via if
 // that is set.
-func (l *leader) recordDelivery(m *cluster.Machine, via string) {
-	l.lastDelivery, m.LastDelivery = l.node.now, l.node.now
+func (l *leader) recordDelivery(machine *cluster.Machine, via string) {
+	l.lastDelivery, machine.LastDelivery = l.node.now, l.node.now
 	if via == "" {
 		l.lastDirectDelivery = l.node.now
 	}
@@ -168,8 +166,8 @@
 // the last worker lease.
 func (l *leader) recentlyServedWorkers() int {
 	count := 0
-	for _, m := range l.Machines {
-		if m.Up && l.node.now-m.LastDelivery < l.node.workerLease() {
+	for _, machine := range l.Machines {
+		if machine.Up && l.node.now-machine.LastDelivery < l.node.workerLease() {
 			count++
 		}
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"hitchdoor/internal/clock"
-
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -22,21 +22,21 @@
 
 // JobReleased implements dependencyHost. The forecast counts the jobs that are released while the
 // records are loading once all of them are loaded.
-func (h leaderDependencyHost) JobReleased(j *cluster.Job) {
+func (h leaderDependencyHost) JobReleased(job *cluster.Job) {
 	if h.leader.recordsLoaded {
-		h.leader.autoscaler.RecordArrival(j)
+		h.leader.autoscaler.RecordArrival(job)
 	}
 }
 
 // CancelJob implements dependencyHost.
-func (h leaderDependencyHost) CancelJob(j *cluster.Job) {
+func (h leaderDependencyHost) CancelJob(job *cluster.Job) {
 	waiters := h.leader.cancelWaiters
-	for _, origin := range waiters[j.Spec.ID] {
-		h.leader.node.reply(origin, 200, 0, j.State())
+	for _, origin := range waiters[job.Spec.ID] {
+		h.leader.node.reply(origin, 200, 0, job.State())
 	}
-	delete(waiters, j.Spec.ID)
-	if !j.Terminal {
-		h.leader.jobRecords.Finish(j, protocol.JobCancelled)
+	delete(waiters, job.Spec.ID)
+	if !job.Terminal {
+		h.leader.jobRecords.Finish(job, protocol.JobCancelled)
 	}
 }
 
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -3,9 +3,8 @@
 import (
 	"time"
 
-	"hitchdoor/internal/election"
-
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/election"
 	"hitchdoor/internal/protocol"
 )
 
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -8,9 +8,8 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/election"
-
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/election"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -8,14 +8,11 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/scheduler"
-
-	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/clock"
-
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/scheduler"
 	"hitchdoor/internal/storage"
 )
 
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -8,15 +8,12 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/admissioncontrol"
-
-	"hitchdoor/internal/cluster"
-
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/admission"
+	"hitchdoor/internal/admissioncontrol"
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -9,31 +9,31 @@
 // Handling of users' requests about jobs by the leader.
 
 // onUserRequest serves a user's request as the leader.
-func (l *leader) onUserRequest(r Request) {
+func (l *leader) onUserRequest(request Request) {
 	n := l.node
-	if !l.recordsLoaded && r.Kind != protocol.RequestSubmit {
-		if r.Kind == protocol.RequestQuery {
-			n.answerQueryFromStore(r, l)
+	if !l.recordsLoaded && request.Kind != protocol.RequestSubmit {
+		if request.Kind == protocol.RequestQuery {
+			n.answerQueryFromStore(request, l)
 			return
 		}
-		n.replyUnavailable(r.Origin)
+		n.replyUnavailable(request.Origin)
 		return
 	}
-	switch r.Kind {
+	switch request.Kind {
 	case protocol.RequestSubmit:
-		if j := l.Jobs[r.Job.ID]; j != nil {
-			l.answerJobState(r, j)
+		if job := l.Jobs[request.Job.ID]; job != nil {
+			l.answerJobState(request, job)
 			return
 		}
-		n.submitToStore(r, l)
+		n.submitToStore(request, l)
 	case protocol.RequestQuery:
-		if j := l.Jobs[r.JobID]; j != nil {
-			l.answerJobState(r, j)
+		if job := l.Jobs[request.JobID]; job != nil {
+			l.answerJobState(request, job)
 			return
 		}
-		n.answerQueryFromStore(r, l)
+		n.answerQueryFromStore(request, l)
 	case protocol.RequestCancel:
-		l.onCancel(r)
+		l.onCancel(request)
 	}
 }
 
@@ -44,61 +44,61 @@
 //
 // The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
 // leader may have reported that.
-func (l *leader) answerJobState(r Request, j *cluster.Job) {
-	if !j.DependencyCancelled && (j.CompletionUncertain || l.dependencies.MayBeCancelled(j)) {
-		l.node.answerFromStore(r, l, retryLater)
+func (l *leader) answerJobState(request Request, job *cluster.Job) {
+	if !job.DependencyCancelled && (job.CompletionUncertain || l.dependencies.MayBeCancelled(job)) {
+		l.node.answerFromStore(request, l, retryLater)
 		return
 	}
-	l.node.reply(r.Origin, 200, 0, j.State())
+	l.node.reply(request.Origin, 200, 0, job.State())
 }
 
 // onCancel serves a cancellation, also of a job that is not in the job table.
-func (l *leader) onCancel(r Request) {
+func (l *leader) onCancel(request Request) {
 	n := l.node
-	if j := l.Jobs[r.JobID]; j != nil {
-		l.cancelJob(j, r.Origin)
+	if job := l.Jobs[request.JobID]; job != nil {
+		l.cancelJob(job, request.Origin)
 		return
 	}
-	if !protocol.ValidJobID(r.JobID) {
-		n.reply(r.Origin, 404, 0, nil)
+	if !protocol.ValidJobID(request.JobID) {
+		n.reply(request.Origin, 404, 0, nil)
 		return
 	}
-	n.jobReader.ReadJob(r.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
+	n.jobReader.ReadJob(request.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
 		switch {
 		case !ok || n.leader != l || !n.holdsLeaderLease():
-			n.replyUnavailable(r.Origin)
+			n.replyUnavailable(request.Origin)
 		case final != nil:
-			n.reply(r.Origin, 200, 0, protocol.JobStatus{ID: r.JobID, State: final.State})
+			n.reply(request.Origin, 200, 0, protocol.JobStatus{ID: request.JobID, State: final.State})
 		case open != nil:
-			if j := l.adoptStoredJob(r.JobID, *open); j != nil {
-				l.cancelJob(j, r.Origin)
+			if job := l.adoptStoredJob(request.JobID, *open); job != nil {
+				l.cancelJob(job, request.Origin)
 				return
 			}
-			n.replyUnavailable(r.Origin)
+			n.replyUnavailable(request.Origin)
 		default:
-			n.reply(r.Origin, 404, 0, nil)
+			n.reply(request.Origin, 404, 0, nil)
 		}
 	})
 }
 
 // cancelJob stops a job at once and replies when the cancellation is durable. While the key-value
 // store is unavailable the user is told to retry; the cancellation remains in effect.
-func (l *leader) cancelJob(j *cluster.Job, origin Origin) {
-	if j.DependencyCancelled {
-		l.node.reply(origin, 200, 0, j.State())
+func (l *leader) cancelJob(job *cluster.Job, origin Origin) {
+	if job.DependencyCancelled {
+		l.node.reply(origin, 200, 0, job.State())
 		return
 	}
-	if !j.Terminal {
-		l.jobRecords.Finish(j, protocol.JobCancelled)
+	if !job.Terminal {
+		l.jobRecords.Finish(job, protocol.JobCancelled)
 	}
 	if l.node.election.StoreUnavailable() {
 		l.node.replyUnavailable(origin)
 		return
 	}
-	waiters := append(l.cancelWaiters[j.Spec.ID], origin)
+	waiters := append(l.cancelWaiters[job.Spec.ID], origin)
 	if len(waiters) > l.node.maxPendingRequests() {
 		l.node.replyUnavailable(waiters[0])
 		waiters = waiters[1:]
 	}
-	l.cancelWaiters[j.Spec.ID] = waiters
+	l.cancelWaiters[job.Spec.ID] = waiters
 }
--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/protocol"
 )
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -88,8 +88,8 @@
 // rejectEarlyHeartbeats rejects the heartbeats that are queued until the records are loaded.
 // Otherwise their workers would wait for a response until their timeout of four seconds.
 func (l *leader) rejectEarlyHeartbeats() {
-	for _, r := range l.earlyHeartbeats {
-		l.node.reply(r.Origin, 503, 1, nil)
+	for _, request := range l.earlyHeartbeats {
+		l.node.reply(request.Origin, 503, 1, nil)
 	}
 	l.earlyHeartbeats = nil
 }
@@ -111,8 +111,8 @@
 	l.node.log.Info("records loaded", "jobs", len(l.Jobs), "machines", len(l.Machines))
 	earlyHeartbeats := l.earlyHeartbeats
 	l.earlyHeartbeats = nil
-	for _, r := range earlyHeartbeats {
-		l.onWorkerHeartbeat(r)
+	for _, request := range earlyHeartbeats {
+		l.onWorkerHeartbeat(request)
 	}
 }
 
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -66,9 +66,9 @@
 // applyMachineTypes updates the machines after a change of the machine type catalog.
 func (l *leader) applyMachineTypes() {
 	l.Catalog = l.node.catalog.Types
-	for _, m := range l.Machines {
-		if machineType := l.Catalog[m.TypeName]; machineType != nil {
-			m.MachineType = machineType
+	for _, machine := range l.Machines {
+		if machineType := l.Catalog[machine.TypeName]; machineType != nil {
+			machine.MachineType = machineType
 		}
 	}
 	l.InvalidateMachineIndex()
@@ -88,8 +88,8 @@
 	if !l.recordsLoaded {
 		return nil
 	}
-	if j := l.Jobs[id]; j != nil {
-		return j
+	if job := l.Jobs[id]; job != nil {
+		return job
 	}
 	l.loader.LoadJob(item)
 	return l.Jobs[id]
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -4,10 +4,9 @@
 	"maps"
 	"slices"
 
-	"hitchdoor/internal/statuspage"
-
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/recovery"
+	"hitchdoor/internal/statuspage"
 )
 
 // tickRecovery advances the recovery, and steps down if the stored records can't be read in time.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,31 +11,21 @@
 	"math/rand/v2"
 	"time"
 
-	"hitchdoor/internal/forwarding"
-
-	"hitchdoor/internal/submissions"
-
+	"hitchdoor/internal/admission"
 	"hitchdoor/internal/admissioncontrol"
-
-	"hitchdoor/internal/workerrouting"
-
-	"hitchdoor/internal/records"
-
 	"hitchdoor/internal/catalog"
-
-	"hitchdoor/internal/jobstore"
-
-	"hitchdoor/internal/election"
-
-	"hitchdoor/internal/ratelimit"
-
 	"hitchdoor/internal/clock"
-
-	"hitchdoor/internal/admission"
 	"hitchdoor/internal/config"
+	"hitchdoor/internal/election"
+	"hitchdoor/internal/forwarding"
+	"hitchdoor/internal/jobstore"
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/ratelimit"
+	"hitchdoor/internal/records"
 	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/storage"
+	"hitchdoor/internal/submissions"
+	"hitchdoor/internal/workerrouting"
 )
 
 // Node holds all state of a controller. It is not safe for concurrent use: one goroutine
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"hitchdoor/internal/election"
-
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/reachability"
 )
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -3,12 +3,10 @@
 import (
 	"strings"
 
-	"hitchdoor/internal/records"
-
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/records"
 	"hitchdoor/internal/storage"
 )
 
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -7,10 +7,9 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/cluster"
-
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -3,10 +3,9 @@
 import (
 	"time"
 
-	"hitchdoor/internal/jobstore"
-
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/jobstore"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -91,18 +90,18 @@
 }
 
 // JobAdded handles a job that was added to the job table.
-func (h recordsHost) JobAdded(j *cluster.Job) {
+func (h recordsHost) JobAdded(job *cluster.Job) {
 	l := h.leader
-	l.dependencies.AddJob(j)
+	l.dependencies.AddJob(job)
 	if l.recordsLoaded {
-		l.admission.CountAccepted(&j.Spec)
-		l.node.traceStep(j.Spec.ID, stepLoaded, "")
+		l.admission.CountAccepted(&job.Spec)
+		l.node.traceStep(job.Spec.ID, stepLoaded, "")
 	}
 }
 
 // CompletionPriority returns the write priority of a job's terminal record.
-func (h recordsHost) CompletionPriority(j *cluster.Job) storage.Priority {
-	return h.leader.dependencies.CompletionPriority(j)
+func (h recordsHost) CompletionPriority(job *cluster.Job) storage.Priority {
+	return h.leader.dependencies.CompletionPriority(job)
 }
 
 // RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
@@ -111,15 +110,15 @@
 }
 
 // ForEachDependent visits all direct and indirect dependents of a job once.
-func (h recordsHost) ForEachDependent(j *cluster.Job, visit func(dependent *cluster.Job)) {
-	h.leader.dependencies.ForEachDependent(j, visit)
+func (h recordsHost) ForEachDependent(job *cluster.Job, visit func(dependent *cluster.Job)) {
+	h.leader.dependencies.ForEachDependent(job, visit)
 }
 
 // JobFinished traces the end of a job and remembers its terminal record.
-func (h recordsHost) JobFinished(j *cluster.Job, terminal storage.TerminalRecord) {
+func (h recordsHost) JobFinished(job *cluster.Job, terminal storage.TerminalRecord) {
 	l := h.leader
-	l.node.traceStep(j.Spec.ID, stepTerminal, string(terminal.State)+" after "+l.jobAge(j))
-	l.node.jobReader.CacheTerminalRecord(j.Spec.ID, terminal)
+	l.node.traceStep(job.Spec.ID, stepTerminal, string(terminal.State)+" after "+l.jobAge(job))
+	l.node.jobReader.CacheTerminalRecord(job.Spec.ID, terminal)
 }
 
 // JobEnded releases or cancels the dependents of an ended job and answers the users that wait for
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"hitchdoor/internal/election"
-
 	"hitchdoor/internal/protocol"
 )
 
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -6,12 +6,10 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/cluster"
-
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -8,10 +8,9 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -7,10 +7,9 @@
 	"strings"
 	"time"
 
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/clock"
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
--- a/internal/controller/simulated_state_test.go
+++ b/internal/controller/simulated_state_test.go
@@ -9,11 +9,10 @@
 	"strings"
 	"time"
 
-	"hitchdoor/internal/ratelimit"
-
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/storage"
 )
 
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -12,10 +12,9 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/clock"
-
 	"github.com/segmentio/encoding/json"
 
+	"hitchdoor/internal/clock"
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
--- a/internal/controller/start_limit_test.go
+++ b/internal/controller/start_limit_test.go
@@ -5,10 +5,8 @@
 	"testing"
 	"time"
 
-	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/clock"
-
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 )
 
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -4,9 +4,8 @@
 	"net/http"
 	"time"
 
-	"hitchdoor/internal/statuspage"
-
 	"hitchdoor/internal/reachability"
+	"hitchdoor/internal/statuspage"
 )
 
 // onHealth answers the health check of the load balancer. A node is unhealthy while it is
@@ -27,12 +26,12 @@
 		UptimeS: n.now.Round(time.Millisecond).Seconds(), Build: n.build, ProtocolLevel: protocolLevel,
 		ClusterSupportsLevel: n.clusterSupports(protocolLevel)}
 	for _, known := range n.cfg.Peers {
-		p := n.peers[known.Node]
-		status.Peers = append(status.Peers, statuspage.PeerStatus{Node: p.Name,
-			Reachable: n.PeerReachable(p.Name), ProtocolLevel: p.protocolLevel})
+		peer := n.peers[known.Node]
+		status.Peers = append(status.Peers, statuspage.PeerStatus{Node: peer.Name,
+			Reachable: n.PeerReachable(peer.Name), ProtocolLevel: peer.protocolLevel})
 	}
-	if p := n.leaderPeer(); p != nil {
-		status.Leader, status.Term = p.Name, p.Term
+	if peer := n.leaderPeer(); peer != nil {
+		status.Leader, status.Term = peer.Name, peer.Term
 	}
 	if status.IsLeader {
 		status.Leader, status.Term = n.cfg.Node, n.leader.term
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -4,12 +4,11 @@
 	"net/http"
 	"slices"
 
-	"hitchdoor/internal/submissions"
-
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/fleet"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
+	"hitchdoor/internal/submissions"
 )
 
 // errorResponse is the response to a user about a job that the key-value store has no record of.
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -4,9 +4,8 @@
 	"strconv"
 	"time"
 
-	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/admission"
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/tracing"
 )
 
@@ -46,13 +45,13 @@
 }
 
 // TraceBlocked traces which check blocks a job, when that has changed.
-func (l *leader) TraceBlocked(j *cluster.Job, previous cluster.WaitReason) {
-	if j.BlockedBy != previous && j.BlockedBy != "" {
-		l.node.traceStep(j.Spec.ID, stepBlocked, string(j.BlockedBy))
+func (l *leader) TraceBlocked(job *cluster.Job, previous cluster.WaitReason) {
+	if job.BlockedBy != previous && job.BlockedBy != "" {
+		l.node.traceStep(job.Spec.ID, stepBlocked, string(job.BlockedBy))
 	}
 }
 
 // jobAge formats the time since a job was accepted.
-func (l *leader) jobAge(j *cluster.Job) string {
-	return (l.node.now - j.AcceptedAt).Round(time.Millisecond).String()
+func (l *leader) jobAge(job *cluster.Job) string {
+	return (l.node.now - job.AcceptedAt).Round(time.Millisecond).String()
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -6,9 +6,7 @@
 	"time"
 
 	"hitchdoor/internal/forwarding"
-
 	"hitchdoor/internal/jobstore"
-
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
 )
@@ -209,8 +207,8 @@
 			n.reply(request.Origin, http.StatusOK, 0, jobstore.TerminalState(request.JobID, *terminal))
 		case openItem != nil:
 			if asLeader != nil && n.leader == asLeader && n.holdsLeaderLease() {
-				if j := asLeader.adoptStoredJob(request.JobID, *openItem); j != nil {
-					n.reply(request.Origin, http.StatusOK, 0, j.State())
+				if job := asLeader.adoptStoredJob(request.JobID, *openItem); job != nil {
+					n.reply(request.Origin, http.StatusOK, 0, job.State())
 					return
 				}
 			}
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -3,9 +3,8 @@
 import (
 	"net/http"
 
-	"hitchdoor/internal/workerrouting"
-
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/workerrouting"
 )
 
 // This file answers the heartbeats of workers. Where a worker is served is decided by the router.
--- a/internal/dependency/deadlines.go
+++ b/internal/dependency/deadlines.go
@@ -39,15 +39,15 @@
 
 // latestStart returns the time by which the dependencies of a job must be complete, so that the job
 // meets its own deadline and those of its dependents.
-func (g *Graph) latestStart(j *cluster.Job, pullRate cluster.ImagePullRate) clock.Instant {
-	latestEnd := j.LatestEnd
-	if j.Spec.DeadlineSeconds != nil {
-		latestEnd = min(latestEnd, g.state.OwnDue(j, j.EligibleAt))
+func (g *Graph) latestStart(job *cluster.Job, pullRate cluster.ImagePullRate) clock.Instant {
+	latestEnd := job.LatestEnd
+	if job.Spec.DeadlineSeconds != nil {
+		latestEnd = min(latestEnd, g.state.OwnDue(job, job.EligibleAt))
 	}
 	if latestEnd == clock.Forever {
 		return clock.Forever
 	}
-	return latestEnd - g.ExpectedJobDuration(j, pullRate)
+	return latestEnd - g.ExpectedJobDuration(job, pullRate)
 }
 
 // RelaxDeadlines recomputes LatestEnd and InheritedRank of the jobs on which cancelled jobs
@@ -76,10 +76,10 @@
 // ExpectedJobDuration returns the expected time from the completion of a job's last dependency to
 // its own: its longest task, the image fetch, and the two heartbeats that carry the start and the
 // end.
-func (g *Graph) ExpectedJobDuration(j *cluster.Job, pullRate cluster.ImagePullRate) time.Duration {
-	longestTaskFactor := math.Exp(taskDurationLogDeviation * math.Sqrt(2*math.Log(float64(j.Spec.TaskCount))))
-	longestTask := time.Duration(longestTaskFactor * float64(g.state.ExpectedTaskDuration(j)))
-	return longestTask + pullRate.PullDuration(j.Spec.ImageGB) + 2*g.state.HeartbeatInterval()
+func (g *Graph) ExpectedJobDuration(job *cluster.Job, pullRate cluster.ImagePullRate) time.Duration {
+	longestTaskFactor := math.Exp(taskDurationLogDeviation * math.Sqrt(2*math.Log(float64(job.Spec.TaskCount))))
+	longestTask := time.Duration(longestTaskFactor * float64(g.state.ExpectedTaskDuration(job)))
+	return longestTask + pullRate.PullDuration(job.Spec.ImageGB) + 2*g.state.HeartbeatInterval()
 }
 
 // taskDurationLogDeviation is the standard deviation of the logarithms of the run times of a
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -57,33 +57,33 @@
 }
 
 // AddJob registers a new job with its dependencies and updates their deadlines and ranks.
-func (g *Graph) AddJob(j *cluster.Job) {
-	id, cancelled := j.Spec.ID, false
-	for _, dependencyID := range j.Spec.Dependencies {
+func (g *Graph) AddJob(job *cluster.Job) {
+	id, cancelled := job.Spec.ID, false
+	for _, dependencyID := range job.Spec.Dependencies {
 		if terminal, ended := g.host.TerminalRecord(dependencyID); ended {
 			cancelled = cancelled || terminal.State == protocol.JobCancelled
-			j.EligibleAt = max(j.EligibleAt, g.endedAt(terminal))
+			job.EligibleAt = max(job.EligibleAt, g.endedAt(terminal))
 			continue
 		}
-		cancelled = g.addPendingDependency(j, dependencyID) || cancelled
+		cancelled = g.addPendingDependency(job, dependencyID) || cancelled
 	}
 	delete(g.Lookups, id)
 	g.tightenDeadlines(g.Dependents[id]...)
 	switch {
 	case cancelled:
-		g.cancelWithDependents(j)
-	case j.PendingDependencies == 0:
-		g.releaseJob(j)
+		g.cancelWithDependents(job)
+	case job.PendingDependencies == 0:
+		g.releaseJob(job)
 	default:
-		g.tightenDeadlines(j)
+		g.tightenDeadlines(job)
 	}
 }
 
 // addPendingDependency registers a job with a dependency whose terminal record is not known. It
 // reports whether the dependency is known to be cancelled all the same.
-func (g *Graph) addPendingDependency(j *cluster.Job, dependencyID string) (cancelled bool) {
-	j.PendingDependencies++
-	g.Dependents[dependencyID] = append(g.Dependents[dependencyID], j)
+func (g *Graph) addPendingDependency(job *cluster.Job, dependencyID string) (cancelled bool) {
+	job.PendingDependencies++
+	g.Dependents[dependencyID] = append(g.Dependents[dependencyID], job)
 	dependency := g.state.Jobs[dependencyID]
 	if dependency == nil {
 		// The record may follow with the next page or the watch, or the job may be terminal.
@@ -92,7 +92,7 @@
 	}
 	// The cancellation of the dependency, or of one before it, may have been read by another
 	// controller.
-	j.CompletionUncertain = j.CompletionUncertain ||
+	job.CompletionUncertain = job.CompletionUncertain ||
 		(dependency.CompletionUncertain && (dependency.Cancelled || !dependency.Terminal))
 	return dependency.DependencyCancelled
 }
@@ -103,11 +103,11 @@
 }
 
 // releaseJob makes a job without pending dependencies available to scheduling.
-func (g *Graph) releaseJob(j *cluster.Job) {
-	g.state.RunnableJobs[j.Spec.ID] = j
-	j.PendingSince = g.state.Clock.Now()
+func (g *Graph) releaseJob(job *cluster.Job) {
+	g.state.RunnableJobs[job.Spec.ID] = job
+	job.PendingSince = g.state.Clock.Now()
 	g.state.SchedulingNeeded = true
-	g.host.JobReleased(j)
+	g.host.JobReleased(job)
 }
 
 // ReleaseDependents processes the durable terminal record of a job: its dependents are cancelled
@@ -129,21 +129,21 @@
 
 // completeDependency processes the completion of one dependency of a job, which is released if it
 // was the last.
-func (g *Graph) completeDependency(j *cluster.Job, terminal storage.TerminalRecord, writtenHere bool) {
-	j.EligibleAt = max(j.EligibleAt, g.endedAt(terminal))
-	j.ReleasedThisTerm = j.ReleasedThisTerm || writtenHere
-	j.PendingDependencies--
-	if j.PendingDependencies == 0 {
-		g.releaseJob(j)
+func (g *Graph) completeDependency(job *cluster.Job, terminal storage.TerminalRecord, writtenHere bool) {
+	job.EligibleAt = max(job.EligibleAt, g.endedAt(terminal))
+	job.ReleasedThisTerm = job.ReleasedThisTerm || writtenHere
+	job.PendingDependencies--
+	if job.PendingDependencies == 0 {
+		g.releaseJob(job)
 	}
 }
 
 // cancelWithDependents cancels a job and all its dependents because a dependency is cancelled.
 // That cancellation is already durable, so users are notified at once; the terminal records of
 // the jobs are written with low priority.
-func (g *Graph) cancelWithDependents(j *cluster.Job) {
+func (g *Graph) cancelWithDependents(job *cluster.Job) {
 	var cancelled []*cluster.Job
-	for queue := []*cluster.Job{j}; len(queue) > 0; queue = queue[1:] {
+	for queue := []*cluster.Job{job}; len(queue) > 0; queue = queue[1:] {
 		next := queue[0]
 		if next.DependencyCancelled {
 			continue
@@ -157,9 +157,9 @@
 }
 
 // ForEachDependent visits all direct and indirect dependents of a job once.
-func (g *Graph) ForEachDependent(j *cluster.Job, visit func(*cluster.Job)) {
+func (g *Graph) ForEachDependent(job *cluster.Job, visit func(*cluster.Job)) {
 	seen := map[*cluster.Job]bool{}
-	for queue := slices.Clone(g.Dependents[j.Spec.ID]); len(queue) > 0; queue = queue[1:] {
+	for queue := slices.Clone(g.Dependents[job.Spec.ID]); len(queue) > 0; queue = queue[1:] {
 		dependent := queue[0]
 		if seen[dependent] {
 			continue
@@ -173,13 +173,13 @@
 // SoonReleasedDependents returns the jobs for which this is the last pending dependency, if it
 // should end within the horizon (the boot time of a machine), so that capacity and images can be
 // prepared.
-func (g *Graph) SoonReleasedDependents(j *cluster.Job, horizon time.Duration) []*cluster.Job {
-	dependents := g.Dependents[j.Spec.ID]
-	if len(dependents) == 0 || j.PendingTasks > 0 {
+func (g *Graph) SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job {
+	dependents := g.Dependents[job.Spec.ID]
+	if len(dependents) == 0 || job.PendingTasks > 0 {
 		return nil
 	}
-	expected := g.state.ExpectedTaskDuration(j)
-	for _, attempt := range j.Attempts {
+	expected := g.state.ExpectedTaskDuration(job)
+	for _, attempt := range job.Attempts {
 		// An overdue attempt may end at any time.
 		if g.state.RemainingOfExpected(attempt, expected) > max(horizon, expected/8) {
 			return nil
@@ -192,13 +192,13 @@
 
 // CompletionPriority returns the write priority of a job's terminal record, which matters when
 // writes are throttled.
-func (g *Graph) CompletionPriority(j *cluster.Job) storage.Priority {
+func (g *Graph) CompletionPriority(job *cluster.Job) storage.Priority {
 	switch {
-	case j.DependencyCancelled:
+	case job.DependencyCancelled:
 		return storage.PriorityLow // it follows from records already stored
-	case j.Cancelled:
+	case job.Cancelled:
 		return storage.PriorityCancellation
-	case len(g.Dependents[j.Spec.ID]) > 0:
+	case len(g.Dependents[job.Spec.ID]) > 0:
 		return storage.PriorityDependency
 	}
 	return storage.PriorityNormal
--- a/internal/dependency/lookups.go
+++ b/internal/dependency/lookups.go
@@ -37,6 +37,6 @@
 
 // MayBeCancelled reports whether a dependency of an open job may be cancelled, and an earlier leader
 // may have reported that, as long as the outcome of some dependency has not been read.
-func (g *Graph) MayBeCancelled(j *cluster.Job) bool {
-	return j.PendingDependencies > 0 && len(g.Lookups) > 0
+func (g *Graph) MayBeCancelled(job *cluster.Job) bool {
+	return job.PendingDependencies > 0 && len(g.Lookups) > 0
 }
--- a/internal/election/host.go
+++ b/internal/election/host.go
@@ -1,10 +1,10 @@
 package election
 
 import (
+	"github.com/segmentio/encoding/json"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
-
-	"github.com/segmentio/encoding/json"
 )
 
 // timeSource tells the time.
--- a/internal/records/bitmap_layout.go
+++ b/internal/records/bitmap_layout.go
@@ -26,46 +26,46 @@
 // layOutBitmap divides the job's bitmap into parts that fit the value size limit. Controllers of
 // version level 0 use larger parts and identify them by number, so a job of several parts keeps
 // that layout as long as such a controller may become leader.
-func (r *Jobs) layOutBitmap(j *cluster.Job) {
-	id := j.Spec.ID
+func (r *Jobs) layOutBitmap(job *cluster.Job) {
+	id := job.Spec.ID
 	tasksPerPart := r.layout.tasksPerPart
 	partKey := func(part int) string { return storage.BitmapKeyFromTask(id, part*r.layout.tasksPerPart) }
 	switch {
-	case j.Spec.TaskCount <= tasksPerPart:
+	case job.Spec.TaskCount <= tasksPerPart:
 		partKey = func(int) string { return storage.BitmapKey(id, 0) }
 	case r.host.LegacyLeaderPossible():
 		tasksPerPart = r.layout.legacyTasksPerPart
 		partKey = func(part int) string { return storage.BitmapKey(id, part) }
 	}
-	j.TasksPerPart, j.BitmapParts = tasksPerPart, nil
-	for firstTask := 0; firstTask < j.Spec.TaskCount; firstTask += tasksPerPart {
-		tasks := min(tasksPerPart, j.Spec.TaskCount-firstTask)
-		part := &cluster.BitmapPart{Key: partKey(len(j.BitmapParts)), SizeBytes: (tasks + 7) / 8}
-		j.BitmapParts = append(j.BitmapParts, part)
+	job.TasksPerPart, job.BitmapParts = tasksPerPart, nil
+	for firstTask := 0; firstTask < job.Spec.TaskCount; firstTask += tasksPerPart {
+		tasks := min(tasksPerPart, job.Spec.TaskCount-firstTask)
+		part := &cluster.BitmapPart{Key: partKey(len(job.BitmapParts)), SizeBytes: (tasks + 7) / 8}
+		job.BitmapParts = append(job.BitmapParts, part)
 	}
 }
 
 // UpgradeBitmapLayouts switches jobs to the layout that level 0 cannot read.
 func (r *Jobs) UpgradeBitmapLayouts() {
 	for _, id := range slices.Sorted(maps.Keys(r.state.Jobs)) {
-		j := r.state.Jobs[id]
-		if j.Spec.TaskCount > r.layout.tasksPerPart && !j.Terminal {
-			r.upgradeBitmapLayout(j)
+		job := r.state.Jobs[id]
+		if job.Spec.TaskCount > r.layout.tasksPerPart && !job.Terminal {
+			r.upgradeBitmapLayout(job)
 		}
 	}
 }
 
 // upgradeBitmapLayout stores a job's bitmap in the current layout. Bits are only ever set, so a
 // reader that finds both layouts merges them; the old parts are deleted last.
-func (r *Jobs) upgradeBitmapLayout(j *cluster.Job) {
-	oldParts := j.BitmapParts
-	doneTasks := doneTasksOf(j)
-	r.layOutBitmap(j)
+func (r *Jobs) upgradeBitmapLayout(job *cluster.Job) {
+	oldParts := job.BitmapParts
+	doneTasks := doneTasksOf(job)
+	r.layOutBitmap(job)
 	for _, index := range doneTasks {
-		j.SetTaskBit(index)
+		job.SetTaskBit(index)
 	}
-	for _, part := range j.BitmapParts {
-		r.storeBitmapPart(j, part)
+	for _, part := range job.BitmapParts {
+		r.storeBitmapPart(job, part)
 	}
 	for _, part := range oldParts {
 		part.Superseded = true
@@ -74,10 +74,10 @@
 }
 
 // doneTasksOf returns the indexes of the job's finished tasks.
-func doneTasksOf(j *cluster.Job) []int {
+func doneTasksOf(job *cluster.Job) []int {
 	var doneTasks []int
-	for index := range j.Spec.TaskCount {
-		if j.TaskState(index) == cluster.TaskDone {
+	for index := range job.Spec.TaskCount {
+		if job.TaskState(index) == cluster.TaskDone {
 			doneTasks = append(doneTasks, index)
 		}
 	}
--- a/internal/records/job_completion.go
+++ b/internal/records/job_completion.go
@@ -14,15 +14,15 @@
 }
 
 // Finish makes a job terminal. Users are notified only after the terminal record is durable.
-func (r *Jobs) Finish(j *cluster.Job, state protocol.JobState) {
-	j.Terminal, j.Cancelled = true, state == protocol.JobCancelled
-	terminal := storage.TerminalRecord{State: state, TaskCount: j.Spec.TaskCount, DoneTasks: j.DoneTasks}
-	r.stopAttempts(j)
-	if j.Cancelled && !j.DependencyCancelled {
-		r.host.RelaxDeadlines(j)
+func (r *Jobs) Finish(job *cluster.Job, state protocol.JobState) {
+	job.Terminal, job.Cancelled = true, state == protocol.JobCancelled
+	terminal := storage.TerminalRecord{State: state, TaskCount: job.Spec.TaskCount, DoneTasks: job.DoneTasks}
+	r.stopAttempts(job)
+	if job.Cancelled && !job.DependencyCancelled {
+		r.host.RelaxDeadlines(job)
 	}
-	completion := &jobCompletion{records: r, job: j, terminal: terminal}
-	r.writer.Enqueue(r.host.CompletionPriority(j), storage.Change{
+	completion := &jobCompletion{records: r, job: job, terminal: terminal}
+	r.writer.Enqueue(r.host.CompletionPriority(job), storage.Change{
 		BuildWrites: completion.buildWrites,
 		OnSent:      completion.onSent,
 		OnApplied:   completion.onApplied,
@@ -58,10 +58,10 @@
 
 // log writes the times of the finished job to the log.
 func (c *jobCompletion) log() {
-	j, state := c.job, c.records.state
-	state.Log.Debug("job finished", "job", j.Spec.ID, "state", c.terminal.State, "class", j.Spec.Class, "tasks", j.Spec.TaskCount,
-		"after", c.records.clock.Now()-j.AcceptedAt, "waited", j.EligibleAt-j.AcceptedAt,
-		"firstStart", j.FirstStartAt-j.AcceptedAt, "lastStart", j.LastStartAt-j.AcceptedAt, "expected", state.ExpectedTaskDuration(j))
+	job, state := c.job, c.records.state
+	state.Log.Debug("job finished", "job", job.Spec.ID, "state", c.terminal.State, "class", job.Spec.Class, "tasks", job.Spec.TaskCount,
+		"after", c.records.clock.Now()-job.AcceptedAt, "waited", job.EligibleAt-job.AcceptedAt,
+		"firstStart", job.FirstStartAt-job.AcceptedAt, "lastStart", job.LastStartAt-job.AcceptedAt, "expected", state.ExpectedTaskDuration(job))
 }
 
 // dropOtherRecords queues the deletion of the job's bitmap and of its dependency records.
@@ -78,21 +78,21 @@
 // QuarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
 // takes precedence, as a user may have been notified of it. The open record is quarantined.
 func (r *Jobs) QuarantineOpenRecord(id string, terminal storage.TerminalRecord) {
-	j := r.state.Jobs[id]
-	if j == nil || j.Terminal || j.CompletionUncertain || r.state.EndedJobs[id] {
+	job := r.state.Jobs[id]
+	if job == nil || job.Terminal || job.CompletionUncertain || r.state.EndedJobs[id] {
 		return
 	}
 	r.state.Log.Error("job has both an open and a terminal record", "job", id)
-	j.Terminal, r.state.SchedulingNeeded = true, true
-	r.stopAttempts(j)
-	r.quarantine.AddRecord(storage.Item{Key: storage.JobKey(id), ModRevision: j.RecordVersion}, errOpenAndTerminal)
+	job.Terminal, r.state.SchedulingNeeded = true, true
+	r.stopAttempts(job)
+	r.quarantine.AddRecord(storage.Item{Key: storage.JobKey(id), ModRevision: job.RecordVersion}, errOpenAndTerminal)
 	r.removeOpenJob(id)
 	r.host.JobEnded(id, terminal, false)
 }
 
 // stopAttempts requests the end of all attempts of a terminal job.
-func (r *Jobs) stopAttempts(j *cluster.Job) {
-	for _, attempt := range j.Attempts {
+func (r *Jobs) stopAttempts(job *cluster.Job) {
+	for _, attempt := range job.Attempts {
 		r.state.RequestStop(attempt, 0)
 	}
 }
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -53,43 +53,43 @@
 // one, and nil if the job is terminal.
 func (r *Jobs) Add(record storage.JobRecord, version uint64) *cluster.Job {
 	id := record.Spec.ID
-	if j := r.state.Jobs[id]; j != nil {
-		return j
+	if job := r.state.Jobs[id]; job != nil {
+		return job
 	}
 	if r.host.IsTerminal(id) || r.state.EndedJobs[id] {
 		return nil
 	}
 	now := r.clock.Now()
 	acceptedAt := min(r.clock.InstantFromUnixMilli(record.AcceptedAtMillis), now)
-	j := cluster.NewJob(record.Spec, acceptedAt, version, now)
-	r.layOutBitmap(j)
-	r.state.Jobs[id] = j
+	job := cluster.NewJob(record.Spec, acceptedAt, version, now)
+	r.layOutBitmap(job)
+	r.state.Jobs[id] = job
 	r.writer.SetModRevision(storage.JobKey(id), version)
-	r.host.JobAdded(j)
-	return j
+	r.host.JobAdded(job)
+	return job
 }
 
 // MarkTaskDone counts a task as finished and finishes the job after its last task.
-func (r *Jobs) MarkTaskDone(j *cluster.Job, index int) {
-	switch j.TaskState(index) {
+func (r *Jobs) MarkTaskDone(job *cluster.Job, index int) {
+	switch job.TaskState(index) {
 	case cluster.TaskDone:
 		return
 	case cluster.TaskPending:
-		j.PendingTasks--
+		job.PendingTasks--
 	}
-	part := j.SetTaskBit(index)
-	j.DoneTasks++
-	delete(j.FailureHistories, index)
-	j.FailsEverywhere, j.FailedProbes = false, 0
+	part := job.SetTaskBit(index)
+	job.DoneTasks++
+	delete(job.FailureHistories, index)
+	job.FailsEverywhere, job.FailedProbes = false, 0
 	r.state.SchedulingNeeded = true
-	if j.Terminal {
+	if job.Terminal {
 		return
 	}
-	if j.DoneTasks == j.Spec.TaskCount {
-		r.Finish(j, protocol.JobDone)
+	if job.DoneTasks == job.Spec.TaskCount {
+		r.Finish(job, protocol.JobDone)
 		return
 	}
-	r.storeBitmapPart(j, part)
+	r.storeBitmapPart(job, part)
 }
 
 // bitmapWrite is a queued write of one part of a job's bitmap.
@@ -102,12 +102,12 @@
 
 // storeBitmapPart queues the write of one bitmap part. The value is taken when the write is
 // formed, so tasks that finish meanwhile share the write.
-func (r *Jobs) storeBitmapPart(j *cluster.Job, part *cluster.BitmapPart) {
+func (r *Jobs) storeBitmapPart(job *cluster.Job, part *cluster.BitmapPart) {
 	if part.WriteQueued {
 		return
 	}
 	part.WriteQueued = true
-	write := &bitmapWrite{records: r, job: j, part: part}
+	write := &bitmapWrite{records: r, job: job, part: part}
 	r.writer.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: write.buildWrites, OnApplied: write.onApplied})
 }
 
--- a/internal/records/loading.go
+++ b/internal/records/loading.go
@@ -212,43 +212,43 @@
 		l.deferredBitmaps[id] = append(l.deferredBitmaps[id], item)
 		return
 	}
-	j := l.state.Jobs[id]
-	if j == nil {
+	job := l.state.Jobs[id]
+	if job == nil {
 		l.dropStoredKey(item.Key)
 		return
 	}
 	bits, err := storage.ReadBitmap(item)
 	if err != nil {
-		l.quarantine.addJob(j, item, err)
+		l.quarantine.addJob(job, item, err)
 		return
 	}
-	if firstTask >= j.Spec.TaskCount {
+	if firstTask >= job.Spec.TaskCount {
 		l.dropStoredKey(item.Key)
 		return
 	}
-	l.applyBitmap(j, item.Key, firstTask, bits)
+	l.applyBitmap(job, item.Key, firstTask, bits)
 }
 
 // applyBitmap marks the tasks done that a readable bitmap part lists. A part of another layout is
 // deleted after that; its bits are written to the new parts first.
-func (l *Loader) applyBitmap(j *cluster.Job, key string, firstTask int, bits []byte) {
-	partIndex := slices.IndexFunc(j.BitmapParts, func(part *cluster.BitmapPart) bool { return part.Key == key })
+func (l *Loader) applyBitmap(job *cluster.Job, key string, firstTask int, bits []byte) {
+	partIndex := slices.IndexFunc(job.BitmapParts, func(part *cluster.BitmapPart) bool { return part.Key == key })
 	if partIndex >= 0 {
-		j.BitmapParts[partIndex].StoredBits = bits
+		job.BitmapParts[partIndex].StoredBits = bits
 	}
-	l.markTasksDone(j, firstTask, bits)
+	l.markTasksDone(job, firstTask, bits)
 	if partIndex < 0 {
 		l.dropStoredKey(key)
 	}
 }
 
 // markTasksDone marks the tasks done whose bits are set. The first bit is the one of firstTask.
-func (l *Loader) markTasksDone(j *cluster.Job, firstTask int, bits []byte) {
+func (l *Loader) markTasksDone(job *cluster.Job, firstTask int, bits []byte) {
 	for i := range bits {
 		for bit := range 8 {
 			index := firstTask + i*8 + bit
-			if bits[i]&(1<<bit) != 0 && index < j.Spec.TaskCount {
-				l.jobs.MarkTaskDone(j, index)
+			if bits[i]&(1<<bit) != 0 && index < job.Spec.TaskCount {
+				l.jobs.MarkTaskDone(job, index)
 			}
 		}
 	}
--- a/internal/records/machine_group_write.go
+++ b/internal/records/machine_group_write.go
@@ -75,10 +75,10 @@
 // buildRecord returns the group's record and notes the machines that it marks as used.
 func (w *groupWrite) buildRecord() storage.MachineGroupRecord {
 	record := make(storage.MachineGroupRecord, len(w.group.Machines))
-	for name, m := range w.group.Machines {
-		record[name] = w.records.entry(m)
-		if m.MarkedUsed {
-			w.usedMachines = append(w.usedMachines, m)
+	for name, machine := range w.group.Machines {
+		record[name] = w.records.entry(machine)
+		if machine.MarkedUsed {
+			w.usedMachines = append(w.usedMachines, machine)
 		}
 	}
 	return record
@@ -107,9 +107,9 @@
 
 // onApplied marks the machines whose use has become durable, so that they may get tasks.
 func (w *groupWrite) onApplied() {
-	for _, m := range w.usedMachines {
-		if !m.UseDurable {
-			m.UseDurable, w.records.state.SchedulingNeeded = true, true
+	for _, machine := range w.usedMachines {
+		if !machine.UseDurable {
+			machine.UseDurable, w.records.state.SchedulingNeeded = true, true
 		}
 	}
 }
--- a/internal/records/machine_loading.go
+++ b/internal/records/machine_loading.go
@@ -34,18 +34,18 @@
 
 // loadGroupEntry adds a machine with the entry that the record of its group has of it.
 func (l *Loader) loadGroupEntry(group *cluster.MachineGroup, name string, entry storage.MachineRecord) {
-	m := l.state.Machines[name]
-	if m == nil {
-		m = l.addStoredMachine(name, entry)
-	} else if m.Group != nil {
+	machine := l.state.Machines[name]
+	if machine == nil {
+		machine = l.addStoredMachine(name, entry)
+	} else if machine.Group != nil {
 		// An earlier leader stopped while moving it between groups.
-		l.machines.removeFromGroup(m.Group, m)
-		l.machines.storeGroup(m.Group, groupWriteLazy)
+		l.machines.removeFromGroup(machine.Group, machine)
+		l.machines.storeGroup(machine.Group, groupWriteLazy)
 	}
-	m.UseDurable = m.UseDurable || entry.Used
-	m.MarkedUsed, m.Reconciled = m.UseDurable, !m.UseDurable
-	l.machines.addToGroup(group, m)
-	if !entry.Used && m.UseDurable {
+	machine.UseDurable = machine.UseDurable || entry.Used
+	machine.MarkedUsed, machine.Reconciled = machine.UseDurable, !machine.UseDurable
+	l.machines.addToGroup(group, machine)
+	if !entry.Used && machine.UseDurable {
 		l.machines.storeGroup(group, groupWriteSoon) // before the other group's record, which has the mark, is deleted
 	}
 }
@@ -61,14 +61,14 @@
 		record[name] = l.unreadableMachine()
 	}
 	for _, name := range slices.Sorted(maps.Keys(record)) {
-		m := l.state.Machines[name]
-		if m == nil {
-			m = l.addStoredMachine(name, record[name])
+		machine := l.state.Machines[name]
+		if machine == nil {
+			machine = l.addStoredMachine(name, record[name])
 		}
-		m.UseDurable = m.UseDurable || record[name].Used
-		m.Reconciled = m.Reconciled && !record[name].Used
-		if m.TypeName != "" {
-			l.machines.Record(m, m.UseDurable)
+		machine.UseDurable = machine.UseDurable || record[name].Used
+		machine.Reconciled = machine.Reconciled && !record[name].Used
+		if machine.TypeName != "" {
+			l.machines.Record(machine, machine.UseDurable)
 		}
 	}
 }
@@ -87,12 +87,12 @@
 			continue
 		}
 		l.writer.SetModRevision(item.Key, item.ModRevision)
-		m := l.state.Machines[name]
-		if m == nil {
-			m = l.addStoredMachine(name, record)
+		machine := l.state.Machines[name]
+		if machine == nil {
+			machine = l.addStoredMachine(name, record)
 		}
-		m.Reconciled = m.Reconciled && !record.Used
-		l.machines.Record(m, record.Used)
+		machine.Reconciled = machine.Reconciled && !record.Used
+		l.machines.Record(machine, record.Used)
 		l.dropStoredKey(item.Key)
 	}
 }
@@ -106,8 +106,8 @@
 // addStoredMachine adds a machine from its stored record. A machine that was used by an earlier
 // leader is not reconciled yet.
 func (l *Loader) addStoredMachine(name string, record storage.MachineRecord) *cluster.Machine {
-	m := l.state.NewMachine(name, record.Type, record.Zone, record.Spot)
-	m.Reconciled = !record.Used
-	m.RentedAt = min(l.clock.InstantFromUnixMilli(record.RentedAtMillis), l.clock.Now())
-	return m
+	machine := l.state.NewMachine(name, record.Type, record.Zone, record.Spot)
+	machine.Reconciled = !record.Used
+	machine.RentedAt = min(l.clock.InstantFromUnixMilli(record.RentedAtMillis), l.clock.Now())
+	return machine
 }
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -31,19 +31,19 @@
 // AddRented adds a machine that this leader rented. It needs no reconciliation, as no
 // earlier leader placed tasks on it.
 func (r *Machines) AddRented(name, typeName, zone string, spot bool, rentedAt clock.Instant) *cluster.Machine {
-	m := r.state.NewMachine(name, typeName, zone, spot)
-	m.Reconciled, m.RentedAt = true, rentedAt
-	r.Record(m, false)
-	return m
+	machine := r.state.NewMachine(name, typeName, zone, spot)
+	machine.Reconciled, machine.RentedAt = true, rentedAt
+	r.Record(machine, false)
+	return machine
 }
 
 // AddListed adds a machine that the cloud lists and no record names. No leader placed
 // tasks on it, unless machine records are unreadable and the inventory is therefore incomplete.
 func (r *Machines) AddListed(host protocol.Host) *cluster.Machine {
 	rentedAt := r.clock.Now() - config.Seconds(max(host.RentedSeconds, 0))
-	m := r.AddRented(host.Name, host.Type, host.Zone, host.Spot, rentedAt)
-	m.Reconciled = !r.state.InventoryIncomplete()
-	return m
+	machine := r.AddRented(host.Name, host.Type, host.Zone, host.Spot, rentedAt)
+	machine.Reconciled = !r.state.InventoryIncomplete()
+	return machine
 }
 
 // StoreCatalog stores the machine types for the next start if they have changed. Price changes
@@ -67,48 +67,48 @@
 }
 
 // Record makes the machine durable by name, and as used before its first task.
-func (r *Machines) Record(m *cluster.Machine, used bool) {
-	if m.Group != nil && (m.MarkedUsed || !used) {
+func (r *Machines) Record(machine *cluster.Machine, used bool) {
+	if machine.Group != nil && (machine.MarkedUsed || !used) {
 		return
 	}
-	m.MarkedUsed = used
-	if m.Group == nil {
-		r.addToGroup(r.groupWithRoom(r.entryBytes(m)), m)
+	machine.MarkedUsed = used
+	if machine.Group == nil {
+		r.addToGroup(r.groupWithRoom(r.entryBytes(machine)), machine)
 	}
-	r.storeGroup(m.Group, groupWriteSoon)
+	r.storeGroup(machine.Group, groupWriteSoon)
 }
 
 // Remove removes a machine that is certain to be gone, with all its attempts.
-func (r *Machines) Remove(m *cluster.Machine) {
-	r.state.DeleteMachine(m)
-	if group := m.Group; group != nil {
-		r.removeFromGroup(group, m)
+func (r *Machines) Remove(machine *cluster.Machine) {
+	r.state.DeleteMachine(machine)
+	if group := machine.Group; group != nil {
+		r.removeFromGroup(group, machine)
 		r.storeGroup(group, groupWriteLazy)
 	}
 }
 
 // entry returns the machine's entry in the record of its group.
-func (r *Machines) entry(m *cluster.Machine) storage.MachineRecord {
-	return storage.MachineRecord{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot, Used: m.MarkedUsed,
-		RentedAtMillis: r.clock.UnixMilli(m.RentedAt)}
+func (r *Machines) entry(machine *cluster.Machine) storage.MachineRecord {
+	return storage.MachineRecord{Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot, Used: machine.MarkedUsed,
+		RentedAtMillis: r.clock.UnixMilli(machine.RentedAt)}
 }
 
 // entryBytes returns the encoded size of the machine's entry.
-func (r *Machines) entryBytes(m *cluster.Machine) int {
-	return storage.MachineEntryBytes(m.Name, r.entry(m))
+func (r *Machines) entryBytes(machine *cluster.Machine) int {
+	return storage.MachineEntryBytes(machine.Name, r.entry(machine))
 }
 
 // addToGroup adds a machine to a group.
-func (r *Machines) addToGroup(group *cluster.MachineGroup, m *cluster.Machine) {
-	m.Group = group
-	group.Machines[m.Name] = m
-	group.RecordBytes += r.entryBytes(m)
+func (r *Machines) addToGroup(group *cluster.MachineGroup, machine *cluster.Machine) {
+	machine.Group = group
+	group.Machines[machine.Name] = machine
+	group.RecordBytes += r.entryBytes(machine)
 }
 
 // removeFromGroup removes a machine from a group.
-func (r *Machines) removeFromGroup(group *cluster.MachineGroup, m *cluster.Machine) {
-	delete(group.Machines, m.Name)
-	group.RecordBytes -= r.entryBytes(m)
+func (r *Machines) removeFromGroup(group *cluster.MachineGroup, machine *cluster.Machine) {
+	delete(group.Machines, machine.Name)
+	group.RecordBytes -= r.entryBytes(machine)
 }
 
 // groupWithRoom returns a group that has room for an entry of the given size, or a new group.
@@ -183,7 +183,7 @@
 // moveToOtherGroups assigns the machines of a group to other groups, in the order of their names.
 func (r *Machines) moveToOtherGroups(group *cluster.MachineGroup) {
 	for _, name := range slices.Sorted(maps.Keys(group.Machines)) {
-		m := group.Machines[name]
-		r.addToGroup(r.groupWithRoom(r.entryBytes(m)), m)
+		machine := group.Machines[name]
+		r.addToGroup(r.groupWithRoom(r.entryBytes(machine)), machine)
 	}
 }
--- a/internal/records/quarantine.go
+++ b/internal/records/quarantine.go
@@ -123,9 +123,9 @@
 
 // addJob quarantines a record that belongs to an open job. The job's running tasks continue, and no
 // others are started.
-func (q *Quarantine) addJob(j *cluster.Job, item storage.Item, err error) {
+func (q *Quarantine) addJob(job *cluster.Job, item storage.Item, err error) {
 	q.AddRecord(item, err)
-	j.Quarantined = true
+	job.Quarantined = true
 }
 
 // addMachineGroup quarantines a machine group in which not even the names can be decoded. Until the
--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -120,9 +120,9 @@
 // noteUnresponsiveMachines counts, at the end of the collecting phase, the machines that have not
 // sent a heartbeat.
 func (g *Gate) noteUnresponsiveMachines() {
-	for _, m := range g.state.MachinesByName() {
-		if !m.Reconciled && m.LastHeartbeat == clock.Never {
-			g.NoteMismatch(recovery.MachineUnresponsive, m.Name, "")
+	for _, machine := range g.state.MachinesByName() {
+		if !machine.Reconciled && machine.LastHeartbeat == clock.Never {
+			g.NoteMismatch(recovery.MachineUnresponsive, machine.Name, "")
 		}
 	}
 }
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -65,17 +65,17 @@
 		if len(pass.machines) == 1 && !pass.machines[0].HasSpareCapacity() {
 			return false
 		}
-		j := queued.Job
-		if j.PendingTasks == 0 || j.Terminal {
+		job := queued.Job
+		if job.PendingTasks == 0 || job.Terminal {
 			continue
 		}
-		maxTasks := j.PendingTasks
+		maxTasks := job.PendingTasks
 		if queued.Rank == rankOverdue {
-			maxTasks = j.Spec.TaskCount/cluster.OverdueTaskDivisor + 1 - len(j.Attempts)
+			maxTasks = job.Spec.TaskCount/cluster.OverdueTaskDivisor + 1 - len(job.Attempts)
 		}
-		previous := j.BlockedBy
-		j.BlockedBy = s.scheduleJob(j, pass, mayFetch, maxTasks)
-		s.Host.TraceBlocked(j, previous)
+		previous := job.BlockedBy
+		job.BlockedBy = s.scheduleJob(job, pass, mayFetch, maxTasks)
+		s.Host.TraceBlocked(job, previous)
 	}
 	return true
 }
@@ -93,25 +93,25 @@
 // scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
 // the check that stopped it.
 func (s *Scheduler) scheduleJob(
-	j *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int,
+	job *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int,
 ) cluster.WaitReason {
-	if reason := s.checkJob(j, pass); reason != cluster.WaitNone {
+	if reason := s.checkJob(job, pass); reason != cluster.WaitNone {
 		return reason
 	}
-	if j.FailsEverywhere {
+	if job.FailsEverywhere {
 		maxTasks = 1 // one task probes whether the job still fails
 	}
-	placement := jobPlacement{job: j, pass: pass, mayFetch: mayFetch,
-		team: s.Config.Team(j.Spec.Team), teamUsage: s.TeamUsage[j.Spec.Team]}
+	placement := jobPlacement{job: job, pass: pass, mayFetch: mayFetch,
+		team: s.Config.Team(job.Spec.Team), teamUsage: s.TeamUsage[job.Spec.Team]}
 	reason := cluster.WaitNone
 	noneSkipped := true // no pending task has been skipped yet
-	for index := j.FirstPendingTask; index < j.Spec.TaskCount; index++ {
-		if j.PendingTasks == 0 || maxTasks <= 0 {
+	for index := job.FirstPendingTask; index < job.Spec.TaskCount; index++ {
+		if job.PendingTasks == 0 || maxTasks <= 0 {
 			return reason
 		}
-		if j.TaskState(index) != cluster.TaskPending {
+		if job.TaskState(index) != cluster.TaskPending {
 			if noneSkipped {
-				j.FirstPendingTask = index + 1 // avoids scanning up to 100,000 tasks again
+				job.FirstPendingTask = index + 1 // avoids scanning up to 100,000 tasks again
 			}
 			continue
 		}
@@ -130,21 +130,21 @@
 }
 
 // checkJob makes the checks that hold for all tasks of a job alike, before those of each task.
-func (s *Scheduler) checkJob(j *cluster.Job, pass *schedulingPass) cluster.WaitReason {
-	if j.Quarantined {
+func (s *Scheduler) checkJob(job *cluster.Job, pass *schedulingPass) cluster.WaitReason {
+	if job.Quarantined {
 		return cluster.WaitQuarantine
 	}
-	if s.Host.MayRunUnreported(j, &pass.MachineTotals) {
+	if s.Host.MayRunUnreported(job, &pass.MachineTotals) {
 		return cluster.WaitReconciliation
 	}
-	if j.FailsEverywhere && s.OutlivesFailures(j) {
-		j.FailsEverywhere, j.FailedProbes = false, 0
-		s.Log.Info("job no longer fails everywhere", "job", j.Spec.ID)
+	if job.FailsEverywhere && s.OutlivesFailures(job) {
+		job.FailsEverywhere, job.FailedProbes = false, 0
+		s.Log.Info("job no longer fails everywhere", "job", job.Spec.ID)
 	}
-	if j.FailsEverywhere && (len(j.Attempts) > 0 || s.Clock.Now() < j.NextProbeAt) {
+	if job.FailsEverywhere && (len(job.Attempts) > 0 || s.Clock.Now() < job.NextProbeAt) {
 		return cluster.WaitBackoff
 	}
-	if s.Config.Team(j.Spec.Team) == nil || s.TeamUsage[j.Spec.Team] == nil {
+	if s.Config.Team(job.Spec.Team) == nil || s.TeamUsage[job.Spec.Team] == nil {
 		return cluster.WaitTeamQuota
 	}
 	return cluster.WaitNone
@@ -158,8 +158,8 @@
 
 // scheduleTask checks and places one pending task.
 func (s *Scheduler) scheduleTask(placement *jobPlacement, index int) taskOutcome {
-	j := placement.job
-	history := j.FailureHistories[index]
+	job := placement.job
+	history := job.FailureHistories[index]
 	if history != nil && s.Clock.Now() < history.RetryAfter {
 		return taskOutcome{reason: cluster.WaitBackoff}
 	}
@@ -171,12 +171,12 @@
 		avoidedMachine = history.AvoidedMachine
 	}
 	if placement.candidates == nil {
-		placement.candidates = s.FindCandidates(j, placement.pass.machines, placement.mayFetch)
+		placement.candidates = s.FindCandidates(job, placement.pass.machines, placement.mayFetch)
 	}
-	m := placement.candidates.BestMachine(avoidedMachine)
+	machine := placement.candidates.BestMachine(avoidedMachine)
 	switch {
-	case m != nil:
-		s.placeTask(placement, index, m)
+	case machine != nil:
+		s.placeTask(placement, index, machine)
 		return taskOutcome{}
 	case avoidedMachine != "":
 		return taskOutcome{reason: cluster.WaitCapacity}
@@ -188,15 +188,15 @@
 }
 
 // placeTask places a task on a machine and counts it in the pass.
-func (s *Scheduler) placeTask(placement *jobPlacement, index int, m *cluster.Machine) {
-	if m.Draining && m.DrainReason == cluster.SurplusCapacity {
-		s.CancelDrain(m)
+func (s *Scheduler) placeTask(placement *jobPlacement, index int, machine *cluster.Machine) {
+	if machine.Draining && machine.DrainReason == cluster.SurplusCapacity {
+		s.CancelDrain(machine)
 	}
 	s.PlaceAttempt(&cluster.TaskAttempt{
-		Job: placement.job, TaskIndex: index, Number: s.Host.NextAttemptNumber(), Machine: m,
+		Job: placement.job, TaskIndex: index, Number: s.Host.NextAttemptNumber(), Machine: machine,
 		Phase: cluster.AttemptAssigned, AssignedAt: s.Clock.Now(),
 	})
-	placement.candidates.rescore(m)
+	placement.candidates.rescore(machine)
 	if cluster.IsLatencySensitive(&placement.job.Spec) {
 		placement.pass.latencySensitiveTasks++
 	} else {
@@ -232,8 +232,8 @@
 
 // hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work borrows the
 // slots reserved for latency-sensitive work unless that is delayed.
-func (s *Scheduler) hasFreeSlot(j *cluster.Job, pass *schedulingPass) bool {
-	if cluster.IsLatencySensitive(&j.Spec) {
+func (s *Scheduler) hasFreeSlot(job *cluster.Job, pass *schedulingPass) bool {
+	if cluster.IsLatencySensitive(&job.Spec) {
 		return float64(pass.latencySensitiveTasks+1) <= pass.totalSlots
 	}
 	limit := pass.totalSlots
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -54,25 +54,25 @@
 
 // FindCandidates filters and scores the machines for a job. Unless mayFetch is set, only machines
 // that have the job's image qualify.
-func (s *Scheduler) FindCandidates(j *cluster.Job, machines []*cluster.Machine, mayFetch bool) *candidateHeap {
-	candidates := &candidateHeap{scheduler: s, job: j}
+func (s *Scheduler) FindCandidates(job *cluster.Job, machines []*cluster.Machine, mayFetch bool) *candidateHeap {
+	candidates := &candidateHeap{scheduler: s, job: job}
 	maxFetch := math.Inf(1)
 	if mayFetch {
-		maxFetch = s.maxFetchSeconds(j)
+		maxFetch = s.maxFetchSeconds(job)
 		candidates.slowFetchExcluded = !math.IsInf(maxFetch, 1)
 	}
 	// Faulty machines are idle, so the score alone would choose them again and again.
-	avoidFailedMachines := j.FailsEverywhere && s.Clock.Now() < j.NextProbeAt+3*s.HeartbeatInterval()
-	for _, m := range machines {
+	avoidFailedMachines := job.FailsEverywhere && s.Clock.Now() < job.NextProbeAt+3*s.HeartbeatInterval()
+	for _, machine := range machines {
 		s.CandidatesExamined++
-		if avoidFailedMachines && j.FailedMachines[m.Name] {
+		if avoidFailedMachines && job.FailedMachines[machine.Name] {
 			continue
 		}
-		if !s.acceptsTask(m, j) {
+		if !s.acceptsTask(machine, job) {
 			continue
 		}
-		if m.HasImage(j.Spec.Image) || mayFetch && j.Spec.ImageGB/m.MachineType.PullGBPerSecond <= maxFetch {
-			candidates.entries = append(candidates.entries, candidates.score(m))
+		if machine.HasImage(job.Spec.Image) || mayFetch && job.Spec.ImageGB/machine.MachineType.PullGBPerSecond <= maxFetch {
+			candidates.entries = append(candidates.entries, candidates.score(machine))
 		}
 	}
 	heap.Init(candidates)
@@ -80,33 +80,33 @@
 }
 
 // acceptsTask reports whether a machine may run a task of the job now, image aside.
-func (s *Scheduler) acceptsTask(m *cluster.Machine, j *cluster.Job) bool {
-	available := m.Schedulable() || m.IsLastResort() && s.mayUseLastResort(j)
-	return available && s.fitsBesideReservation(j, m) && cluster.Feasible(&j.Spec, m)
+func (s *Scheduler) acceptsTask(machine *cluster.Machine, job *cluster.Job) bool {
+	available := machine.Schedulable() || machine.IsLastResort() && s.mayUseLastResort(job)
+	return available && s.fitsBesideReservation(job, machine) && cluster.Feasible(&job.Spec, machine)
 }
 
 // maxFetchSeconds returns how long a task of the job may fetch its image. A job with a start
 // objective of seconds waits for a machine that has the image, if there is one, because a long
 // fetch elsewhere would miss the objective for certain; but it waits only for imageWaitPercent of
 // that objective.
-func (s *Scheduler) maxFetchSeconds(j *cluster.Job) float64 {
-	limit := s.StartSLO(j)
-	if limit == 0 || !s.TooSoonToScaleOut(limit) || s.Clock.Now() > j.EligibleAt+limit*imageWaitPercent/100 {
+func (s *Scheduler) maxFetchSeconds(job *cluster.Job) float64 {
+	limit := s.StartSLO(job)
+	if limit == 0 || !s.TooSoonToScaleOut(limit) || s.Clock.Now() > job.EligibleAt+limit*imageWaitPercent/100 {
 		return math.Inf(1)
 	}
-	if j.ImageCheckedAt != s.LastPass {
+	if job.ImageCheckedAt != s.LastPass {
 		// Once per full pass: scanning all machines on each heartbeat would cost machines x jobs.
-		j.ImageCheckedAt, j.ImageAvailable = s.LastPass, false
-		for _, m := range s.MachinesByName() {
+		job.ImageCheckedAt, job.ImageAvailable = s.LastPass, false
+		for _, machine := range s.MachinesByName() {
 			s.CandidatesExamined++
-			if m.Schedulable() && m.HasImage(j.Spec.Image) && cluster.Feasible(&j.Spec, m) {
-				j.ImageAvailable = true
+			if machine.Schedulable() && machine.HasImage(job.Spec.Image) && cluster.Feasible(&job.Spec, machine) {
+				job.ImageAvailable = true
 				break
 			}
 		}
 	}
-	if j.ImageAvailable {
-		return (j.EligibleAt + limit - s.Clock.Now()).Seconds()
+	if job.ImageAvailable {
+		return (job.EligibleAt + limit - s.Clock.Now()).Seconds()
 	}
 	return math.Inf(1)
 }
@@ -116,15 +116,15 @@
 const imageWaitPercent = 60
 
 // score returns a machine's score for the job.
-func (c *candidateHeap) score(m *cluster.Machine) candidate {
-	scored := candidate{machine: m, load: max(m.UsedCores/m.MachineType.Cores, m.UsedRAM/m.MachineType.MemoryGB)}
+func (c *candidateHeap) score(machine *cluster.Machine) candidate {
+	scored := candidate{machine: machine, load: max(machine.UsedCores/machine.MachineType.Cores, machine.UsedRAM/machine.MachineType.MemoryGB)}
 	scored.loadStep = int(scored.load * float64(c.scheduler.Settings.LoadSteps))
-	if image := c.job.Spec.Image; !m.HasImage(image) {
-		scored.fetchSeconds = c.job.Spec.ImageGB / m.MachineType.PullGBPerSecond
+	if image := c.job.Spec.Image; !machine.HasImage(image) {
+		scored.fetchSeconds = c.job.Spec.ImageGB / machine.MachineType.PullGBPerSecond
 	}
-	if m.Draining {
+	if machine.Draining {
 		scored.drainPenalty = 1 // keep surplus machines empty unless no other has room
-		if m.DrainReason == cluster.SlowExecution {
+		if machine.DrainReason == cluster.SlowExecution {
 			scored.drainPenalty = 2
 		}
 	}
@@ -141,15 +141,15 @@
 		}
 	}()
 	for len(c.entries) > 0 {
-		m := c.entries[0].machine
+		machine := c.entries[0].machine
 		switch {
-		case !c.satisfiesZoneConstraints(m):
+		case !c.satisfiesZoneConstraints(machine):
 			heap.Pop(c)
-		case m.Name == avoidedMachine:
+		case machine.Name == avoidedMachine:
 			skipped := heap.Pop(c).(candidate)
 			avoided = &skipped
 		default:
-			return m
+			return machine
 		}
 	}
 	return nil
@@ -157,14 +157,14 @@
 
 // satisfiesZoneConstraints reports whether the placement of the job's other tasks allows one in
 // the machine's zone.
-func (c *candidateHeap) satisfiesZoneConstraints(m *cluster.Machine) bool {
+func (c *candidateHeap) satisfiesZoneConstraints(machine *cluster.Machine) bool {
 	spec := &c.job.Spec
 	if !spec.SameZone && !spec.Spread {
 		return true
 	}
 	tasksInZone := 0
-	for _, r := range c.job.Attempts {
-		if r.Machine.Zone == m.Zone {
+	for _, attempt := range c.job.Attempts {
+		if attempt.Machine.Zone == machine.Zone {
 			tasksInZone++
 		} else if spec.SameZone {
 			return false
@@ -174,10 +174,10 @@
 }
 
 // rescore updates a machine's score after a task was placed on it.
-func (c *candidateHeap) rescore(m *cluster.Machine) {
-	position := slices.IndexFunc(c.entries, func(x candidate) bool { return x.machine == m })
-	if c.scheduler.fitsBesideReservation(c.job, m) {
-		c.entries[position] = c.score(m)
+func (c *candidateHeap) rescore(machine *cluster.Machine) {
+	position := slices.IndexFunc(c.entries, func(x candidate) bool { return x.machine == machine })
+	if c.scheduler.fitsBesideReservation(c.job, machine) {
+		c.entries[position] = c.score(machine)
 		heap.Fix(c, position)
 	} else {
 		heap.Remove(c, position)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -17,13 +17,13 @@
 	}
 	usageByTeam := map[string]cluster.ResourceUsage{}
 	withinGuarantee := map[*cluster.Job]bool{}
-	for _, j := range s.JobsByAge() {
-		teamUsage := usageByTeam[j.Spec.Team]
-		teamUsage.Cores += float64(j.Spec.TaskCount) * j.Spec.Cores
-		teamUsage.Accelerators += float64(j.Spec.TaskCount) * j.Spec.Accelerators
-		usageByTeam[j.Spec.Team] = teamUsage
-		if team := s.Config.Team(j.Spec.Team); team != nil && !exceeds(&teamUsage, team) {
-			withinGuarantee[j] = true
+	for _, job := range s.JobsByAge() {
+		teamUsage := usageByTeam[job.Spec.Team]
+		teamUsage.Cores += float64(job.Spec.TaskCount) * job.Spec.Cores
+		teamUsage.Accelerators += float64(job.Spec.TaskCount) * job.Spec.Accelerators
+		usageByTeam[job.Spec.Team] = teamUsage
+		if team := s.Config.Team(job.Spec.Team); team != nil && !exceeds(&teamUsage, team) {
+			withinGuarantee[job] = true
 		}
 	}
 	return withinGuarantee
@@ -31,8 +31,8 @@
 
 // exceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
 // have a start objective for guaranteed work.
-func (s *Scheduler) exceedsGuarantee(j *cluster.Job) bool {
-	team, teamUsage := s.Config.Team(j.Spec.Team), s.TeamUsage[j.Spec.Team]
+func (s *Scheduler) exceedsGuarantee(job *cluster.Job) bool {
+	team, teamUsage := s.Config.Team(job.Spec.Team), s.TeamUsage[job.Spec.Team]
 	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil && exceeds(teamUsage, team)
 }
 
@@ -79,13 +79,13 @@
 func (s *Scheduler) coresNeededWithinGuarantees() map[*cluster.Job]float64 {
 	needed := map[*cluster.Job]float64{}
 	for _, queued := range s.PendingOrder {
-		j := queued.Job
-		if !s.guaranteedJobs[j] || j.Terminal || j.FailsEverywhere || j.PendingTasks == 0 {
+		job := queued.Job
+		if !s.guaranteedJobs[job] || job.Terminal || job.FailsEverywhere || job.PendingTasks == 0 {
 			continue
 		}
-		lacksCapacity := j.BlockedBy == cluster.WaitCapacity || j.BlockedBy == cluster.WaitImage
-		if lacksCapacity && s.Clock.Now() > j.EligibleAt+s.GuaranteedStartWithin/preemptAfterDivisor {
-			needed[j] = float64(j.PendingTasks) * j.Spec.Cores
+		lacksCapacity := job.BlockedBy == cluster.WaitCapacity || job.BlockedBy == cluster.WaitImage
+		if lacksCapacity && s.Clock.Now() > job.EligibleAt+s.GuaranteedStartWithin/preemptAfterDivisor {
+			needed[job] = float64(job.PendingTasks) * job.Spec.Cores
 		}
 	}
 	return needed
@@ -94,11 +94,11 @@
 // preemptibleAttempts returns the attempts that may be preempted, lowest priority first and then by
 // longest remaining duration, and the cores that attempts already being stopped will free.
 func (s *Scheduler) preemptibleAttempts() (victims []*cluster.TaskAttempt, coresBeingFreed float64) {
-	for _, m := range s.MachinesByName() {
-		if !m.Schedulable() {
+	for _, machine := range s.MachinesByName() {
+		if !machine.Schedulable() {
 			continue
 		}
-		for _, attempt := range m.AttemptsInOrder {
+		for _, attempt := range machine.AttemptsInOrder {
 			switch {
 			case attempt.StopGrace != nil:
 				coresBeingFreed += attempt.Job.Spec.Cores
@@ -116,26 +116,26 @@
 
 // preemptible reports whether an attempt may be preempted for guaranteed work of another team.
 func (s *Scheduler) preemptible(attempt *cluster.TaskAttempt) bool {
-	j := attempt.Job
-	if attempt.Phase != cluster.AttemptRunning || j.Spec.CheckpointIntervalSeconds <= 0 {
+	job := attempt.Job
+	if attempt.Phase != cluster.AttemptRunning || job.Spec.CheckpointIntervalSeconds <= 0 {
 		return false
 	}
-	return s.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun && !j.MovedTasks[attempt.TaskIndex] &&
-		!s.guaranteedJobs[j] && s.exceedsGuarantee(j)
+	return s.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun && !job.MovedTasks[attempt.TaskIndex] &&
+		!s.guaranteedJobs[job] && s.exceedsGuarantee(job)
 }
 
 // preemptFor preempts victims until the missing cores of a job are covered, on machines with the
 // job's image first. It sets the victims that it preempts to nil and adds up the cores reclaimed
 // from each team.
 func (s *Scheduler) preemptFor(
-	j *cluster.Job, missingCores float64, victims []*cluster.TaskAttempt, reclaimedCores map[string]float64,
+	job *cluster.Job, missingCores float64, victims []*cluster.TaskAttempt, reclaimedCores map[string]float64,
 ) {
 	for _, withImage := range []bool{true, false} {
 		for i, victim := range victims {
 			if missingCores <= cluster.ResourceTolerance {
 				return
 			}
-			if victim == nil || victim.Machine.HasImage(j.Spec.Image) != withImage || !s.makesRoom(victim, j) {
+			if victim == nil || victim.Machine.HasImage(job.Spec.Image) != withImage || !s.makesRoom(victim, job) {
 				continue
 			}
 			team := victim.Job.Spec.Team
@@ -152,8 +152,8 @@
 
 // makesRoom reports whether preempting a victim makes room for a job of another team, and earlier
 // than its own end would.
-func (s *Scheduler) makesRoom(victim *cluster.TaskAttempt, j *cluster.Job) bool {
-	if victim.Job.Spec.Team == j.Spec.Team || !cluster.Feasible(&j.Spec, victim.Machine) {
+func (s *Scheduler) makesRoom(victim *cluster.TaskAttempt, job *cluster.Job) bool {
+	if victim.Job.Spec.Team == job.Spec.Team || !cluster.Feasible(&job.Spec, victim.Machine) {
 		return false
 	}
 	preemption := time.Duration(2*victim.Job.Spec.CheckpointSaveSeconds*float64(time.Second)) + s.HeartbeatInterval()
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -5,10 +5,8 @@
 	"container/heap"
 	"slices"
 
-	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/clock"
-
+	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/config"
 )
 
@@ -34,8 +32,8 @@
 
 // mayUseLastResort reports whether tasks of the job have waited so long that a slow machine is
 // better than none: no job may wait for 90 s while some machine has room.
-func (s *Scheduler) mayUseLastResort(j *cluster.Job) bool {
-	return s.Clock.Now()-j.PendingSince > lastResortAfter
+func (s *Scheduler) mayUseLastResort(job *cluster.Job) bool {
+	return s.Clock.Now()-job.PendingSince > lastResortAfter
 }
 
 // lastResortAfter is the waiting time after which slow machines are used too.
@@ -55,9 +53,9 @@
 	var all []*QueuedJob
 	s.guaranteedJobs = s.jobsWithinGuarantee()
 	pullRate := s.ImagePullRate()
-	for _, j := range s.RunnableJobs {
-		if !j.Terminal {
-			all = append(all, s.rankJob(j, pullRate))
+	for _, job := range s.RunnableJobs {
+		if !job.Terminal {
+			all = append(all, s.rankJob(job, pullRate))
 		}
 	}
 	slices.SortFunc(all, func(a, b *QueuedJob) int {
@@ -79,23 +77,23 @@
 
 // rankJob returns a job with its rank and its latest start. A job that has waited too long moves
 // ahead by its age.
-func (s *Scheduler) rankJob(j *cluster.Job, pullRate cluster.ImagePullRate) *QueuedJob {
+func (s *Scheduler) rankJob(job *cluster.Job, pullRate cluster.ImagePullRate) *QueuedJob {
 	now := s.Clock.Now()
-	queued := &QueuedJob{Job: j, Rank: min(j.EffectiveRank(), RankOnTime), Due: s.Due(j),
-		RemainingCoreSeconds: s.RemainingCoreSeconds(j, pullRate)}
-	queued.LatestStart = queued.Due - s.ExpectedTaskDuration(j)
-	if queued.Rank == RankOnTime && j.PendingTasks > 0 && queued.LatestStart < now {
+	queued := &QueuedJob{Job: job, Rank: min(job.EffectiveRank(), RankOnTime), Due: s.Due(job),
+		RemainingCoreSeconds: s.RemainingCoreSeconds(job, pullRate)}
+	queued.LatestStart = queued.Due - s.ExpectedTaskDuration(job)
+	if queued.Rank == RankOnTime && job.PendingTasks > 0 && queued.LatestStart < now {
 		queued.Rank = RankLate
 	}
-	switch age := now - j.EligibleAt; {
-	case age > cluster.OverdueAfter && !j.HasStarted():
-		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, j.EligibleAt, true
-	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive && !(j.HasStarted() && s.exceedsGuarantee(j)):
+	switch age := now - job.EligibleAt; {
+	case age > cluster.OverdueAfter && !job.HasStarted():
+		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, job.EligibleAt, true
+	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive && !(job.HasStarted() && s.exceedsGuarantee(job)):
 		// A started job that exceeds its team's guarantee is not moved ahead.
-		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, j.EligibleAt, true
+		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, job.EligibleAt, true
 	}
-	guaranteedStart := j.EligibleAt + s.GuaranteedStartWithin
-	if s.GuaranteedStartWithin > 0 && guaranteedStart > now && s.guaranteedJobs[j] {
+	guaranteedStart := job.EligibleAt + s.GuaranteedStartWithin
+	if s.GuaranteedStartWithin > 0 && guaranteedStart > now && s.guaranteedJobs[job] {
 		// Guaranteed work has a start objective of its own.
 		queued.LatestStart = min(queued.LatestStart, guaranteedStart)
 	}
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"hitchdoor/internal/cluster"
-
 	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 )
@@ -31,15 +30,15 @@
 func (s *Scheduler) renewReservations() {
 	eligibleJobs := s.jobsEligibleForReservation()
 	schedulableMachines, reserved := 0, 0
-	for _, m := range s.MachinesByName() {
-		if m.Schedulable() {
+	for _, machine := range s.MachinesByName() {
+		if machine.Schedulable() {
 			schedulableMachines++
 		}
-		if m.ReservedFor == nil {
+		if machine.ReservedFor == nil {
 			continue
 		}
-		if !eligibleJobs[m.ReservedFor] || !m.Schedulable() || m.Draining {
-			s.ReleaseReservation(m.ReservedFor)
+		if !eligibleJobs[machine.ReservedFor] || !machine.Schedulable() || machine.Draining {
+			s.ReleaseReservation(machine.ReservedFor)
 			continue
 		}
 		reserved++
@@ -53,9 +52,9 @@
 func (s *Scheduler) jobsEligibleForReservation() map[*cluster.Job]bool {
 	eligibleJobs := map[*cluster.Job]bool{}
 	for _, queued := range s.PendingOrder {
-		j := queued.Job
-		if queued.mayReserve && j.PendingTasks > 0 && j.BlockedBy == cluster.WaitCapacity && len(j.FailedMachines) == 0 {
-			eligibleJobs[j] = true
+		job := queued.Job
+		if queued.mayReserve && job.PendingTasks > 0 && job.BlockedBy == cluster.WaitCapacity && len(job.FailedMachines) == 0 {
+			eligibleJobs[job] = true
 		}
 	}
 	return eligibleJobs
@@ -66,15 +65,15 @@
 func (s *Scheduler) addReservation(eligibleJobs map[*cluster.Job]bool) {
 	now := s.Clock.Now()
 	for _, queued := range s.PendingOrder {
-		j := queued.Job
-		triedRecently := now < j.Reservation.SearchedAt+s.HeartbeatInterval()
-		if !eligibleJobs[j] || j.Reservation.Machine != nil || triedRecently {
+		job := queued.Job
+		triedRecently := now < job.Reservation.SearchedAt+s.HeartbeatInterval()
+		if !eligibleJobs[job] || job.Reservation.Machine != nil || triedRecently {
 			continue
 		}
-		j.Reservation.SearchedAt = now
-		if m := s.machineWithEarliestRoom(j); m != nil {
-			j.Reservation.Machine, m.ReservedFor = m, j
-			s.Log.Debug("resource reservation made", "machine", m.Name, "job", j.Spec.ID, "age", now-j.EligibleAt)
+		job.Reservation.SearchedAt = now
+		if machine := s.machineWithEarliestRoom(job); machine != nil {
+			job.Reservation.Machine, machine.ReservedFor = machine, job
+			s.Log.Debug("resource reservation made", "machine", machine.Name, "job", job.Spec.ID, "age", now-job.EligibleAt)
 		}
 		return
 	}
@@ -82,19 +81,19 @@
 
 // machineWithEarliestRoom returns the machine that should be the first to have room for a task of
 // the job and its image, or nil if none is feasible.
-func (s *Scheduler) machineWithEarliestRoom(j *cluster.Job) *cluster.Machine {
+func (s *Scheduler) machineWithEarliestRoom(job *cluster.Job) *cluster.Machine {
 	var best *cluster.Machine
 	var soonest time.Duration
-	for _, m := range s.MachinesByName() {
-		if !m.Schedulable() || m.Draining || m.ReservedFor != nil || !cluster.Feasible(&j.Spec, m) {
+	for _, machine := range s.MachinesByName() {
+		if !machine.Schedulable() || machine.Draining || machine.ReservedFor != nil || !cluster.Feasible(&job.Spec, machine) {
 			continue
 		}
-		wait := s.timeToFreeCapacity(m, &j.Spec)
-		if !m.HasImage(j.Spec.Image) {
-			wait += config.Seconds(j.Spec.ImageGB / m.MachineType.PullGBPerSecond)
+		wait := s.timeToFreeCapacity(machine, &job.Spec)
+		if !machine.HasImage(job.Spec.Image) {
+			wait += config.Seconds(job.Spec.ImageGB / machine.MachineType.PullGBPerSecond)
 		}
 		if best == nil || wait < soonest {
-			best, soonest = m, wait
+			best, soonest = machine, wait
 		}
 	}
 	return best
@@ -102,9 +101,9 @@
 
 // timeToFreeCapacity returns the expected time until enough attempts on a machine have ended for
 // a task of the job.
-func (s *Scheduler) timeToFreeCapacity(m *cluster.Machine, spec *protocol.Job) time.Duration {
-	free := m.FreeCapacity()
-	attempts := slices.Clone(m.AttemptsInOrder)
+func (s *Scheduler) timeToFreeCapacity(machine *cluster.Machine, spec *protocol.Job) time.Duration {
+	free := machine.FreeCapacity()
+	attempts := slices.Clone(machine.AttemptsInOrder)
 	slices.SortStableFunc(attempts, func(first, second *cluster.TaskAttempt) int {
 		return cmp.Compare(s.RemainingDuration(first), s.RemainingDuration(second))
 	})
@@ -123,20 +122,20 @@
 // the task for which the machine is reserved. Work within a guarantee does not wait for other
 // teams, so a reservation holds against it only if the reserved job would otherwise start too
 // late.
-func (s *Scheduler) fitsBesideReservation(j *cluster.Job, m *cluster.Machine) bool {
-	free := m.FreeCapacity()
-	if !free.Fits(&j.Spec) {
+func (s *Scheduler) fitsBesideReservation(job *cluster.Job, machine *cluster.Machine) bool {
+	free := machine.FreeCapacity()
+	if !free.Fits(&job.Spec) {
 		return false
 	}
-	reservedJob := m.ReservedFor
-	if reservedJob == nil || reservedJob == j {
+	reservedJob := machine.ReservedFor
+	if reservedJob == nil || reservedJob == job {
 		return true
 	}
-	if s.guaranteedJobs[j] && (reservedJob.HasStarted() || s.Clock.Now() < reservedJob.EligibleAt+firmReservationAfter) {
+	if s.guaranteedJobs[job] && (reservedJob.HasStarted() || s.Clock.Now() < reservedJob.EligibleAt+firmReservationAfter) {
 		return true
 	}
 	free.Cores -= reservedJob.Spec.Cores
 	free.RAM -= reservedJob.Spec.MemoryGB
 	free.Accelerators -= reservedJob.Spec.Accelerators
-	return free.Fits(&j.Spec)
+	return free.Fits(&job.Spec)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -57,9 +57,9 @@
 		s.ReconciledOnce = true
 		s.Log.Info("all machines reconciled", "after", s.Clock.Now()-s.StartedAt)
 	}
-	for _, m := range s.MachinesByName() {
-		if (m.Schedulable() || m.IsLastResort()) && m.HasSpareCapacity() {
-			pass.machines = append(pass.machines, m)
+	for _, machine := range s.MachinesByName() {
+		if (machine.Schedulable() || machine.IsLastResort()) && machine.HasSpareCapacity() {
+			pass.machines = append(pass.machines, machine)
 		}
 	}
 	s.scheduleQueue(pass)
@@ -70,12 +70,12 @@
 // ScheduleOnMachine places waiting tasks on a machine that sends a heartbeat, in the queue order
 // of the last full pass, so that the response carries new tasks in place of finished ones. A full
 // pass for each heartbeat would cost machines x tasks.
-func (s *Scheduler) ScheduleOnMachine(m *cluster.Machine) {
-	if len(s.PendingOrder) == 0 || !m.Schedulable() || m.Draining || !m.HasSpareCapacity() {
+func (s *Scheduler) ScheduleOnMachine(machine *cluster.Machine) {
+	if len(s.PendingOrder) == 0 || !machine.Schedulable() || machine.Draining || !machine.HasSpareCapacity() {
 		return
 	}
 	pass := s.newSchedulingPass(s.urgentWorkDelayed)
-	pass.machines = []*cluster.Machine{m}
+	pass.machines = []*cluster.Machine{machine}
 	s.scheduleQueue(pass)
 }
 
@@ -84,11 +84,11 @@
 // the machine will ever start them.
 func (s *Scheduler) ReleaseUndelivered() {
 	patience := 2*s.HeartbeatInterval() + s.HeartbeatInterval()/2
-	for _, m := range s.MachinesByName() {
-		for _, r := range m.AttemptsInOrder {
-			if r.Phase == cluster.AttemptAssigned && s.Clock.Now()-r.AssignedAt > patience {
-				s.ReleaseAttempt(r)
-				s.DelayTask(r.Job, r.TaskIndex, m, 0)
+	for _, machine := range s.MachinesByName() {
+		for _, attempt := range machine.AttemptsInOrder {
+			if attempt.Phase == cluster.AttemptAssigned && s.Clock.Now()-attempt.AssignedAt > patience {
+				s.ReleaseAttempt(attempt)
+				s.DelayTask(attempt.Job, attempt.TaskIndex, machine, 0)
 			}
 		}
 	}
