--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -190,10 +190,11 @@
 	SearchedAt clock.Instant // when a machine was last searched
 }
 
-// WaitReason is the check that keeps a job from starting a task, as shown by its status.
+// WaitReason is the check that stopped the last attempt to start a task of a job. Operators see it on
+// the status page as waitsFor; users don't.
 type WaitReason string
 
-// Values of WaitReason, in the order of the checks.
+// Values of WaitReason. The order of the checks is that of scheduler.Scheduler.
 const (
 	WaitDependencies   WaitReason = "jobs that it needs"
 	WaitBackoff        WaitReason = "backing off"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -107,7 +107,7 @@
 	MaxConnections int     `toml:"max_connections"`
 }
 
-// Team holds the guarantee and the quota of a team; a value of 0 means none.
+// Team holds the guarantee and the quota of a team. A guarantee of 0 is none, a quota of 0 is unlimited.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
--- a/internal/election/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -39,10 +39,10 @@
 	return !l.renewalInFlight && now >= l.renewalSentAt+leaderLease/renewalsPerLeaderLease
 }
 
-// Fractions of a lease by which a leader acts.
+// Divisors of a lease that give the spans by which a leader acts.
 const (
 	renewalsPerLeaderLease = 4
-	// isolationPerWorkerLease is the fraction of a worker lease after which a leader that hears
+	// isolationPerWorkerLease is the divisor of a worker lease that gives the span after which a leader that hears
 	// neither peers nor workers steps down.
 	isolationPerWorkerLease = 4
 )
