--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -134,7 +134,8 @@
 		if !seen[group] {
 			c.addSample(group, 0)
 		}
-		if estimate.demand() < negligibleDemand && (c.policy == nil || c.policy.shareOf(group) == &c.policy.DefaultShare) {
+		hasOwnShare := c.policy != nil && c.policy.shareOf(group) != &c.policy.DefaultShare
+		if estimate.demand() < negligibleDemand && !hasOwnShare {
 			delete(c.estimates, group)
 		}
 	}
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -107,7 +107,8 @@
 		return // counted under another policy
 	}
 	for _, nodeLoad := range message.Groups {
-		load := p.groupLoad(admission.Group{Team: nodeLoad.Team, Class: nodeLoad.Class, PriorityRank: nodeLoad.PriorityRank})
+		group := admission.Group{Team: nodeLoad.Team, Class: nodeLoad.Class, PriorityRank: nodeLoad.PriorityRank}
+		load := p.groupLoad(group)
 		if load != nil {
 			load.RejectedForCapacity += nodeLoad.RejectedForCapacity
 			load.RejectedByPolicy += nodeLoad.RejectedByPolicy
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -186,7 +186,8 @@
 	for _, job := range a.state.RunnableJobs {
 		pendingCores += float64(job.PendingTasks) * job.Spec.Cores
 	}
-	a.state.Log.Debug("capacity plan", "held", plan.HeldCores, "up", upCores, "used", usedCores, "pending", pendingCores,
+	a.state.Log.Debug("capacity plan",
+		"held", plan.HeldCores, "up", upCores, "used", usedCores, "pending", pendingCores,
 		"demand", plan.DemandCores, "usual", usualLoad, "target", plan.TargetCores,
 		"costs", a.costs.costBreakdown, "pendingWrites", a.records.PendingChanges())
 }
--- a/internal/autoscaler/consolidation.go
+++ b/internal/autoscaler/consolidation.go
@@ -18,10 +18,10 @@
 	freeCores := a.freeCores(kept)
 	for _, machine := range a.state.MachinesByName() {
 		withinBilledTime := a.state.Clock.Now()-machine.RentedAt < minBilledTime
-		if machine.DrainReason != cluster.SurplusCapacity || !machine.Draining || len(machine.AttemptsInOrder) == 0 || machine.UsedCores > freeCores || withinBilledTime {
+		if !isSurplus(machine) || withinBilledTime {
 			continue
 		}
-		if !a.worthMovingTasks(machine) {
+		if len(machine.AttemptsInOrder) == 0 || machine.UsedCores > freeCores || !a.worthMovingTasks(machine) {
 			continue
 		}
 		freeCores -= machine.UsedCores
@@ -31,6 +31,11 @@
 	}
 }
 
+// isSurplus reports whether a machine is drained because there are too many.
+func isSurplus(machine *cluster.Machine) bool {
+	return machine.Draining && machine.DrainReason == cluster.SurplusCapacity
+}
+
 // freeCores returns the cores of the kept machines that neither tasks use nor pending tasks need.
 func (a *Autoscaler) freeCores(kept []*cluster.Machine) float64 {
 	freeCores := 0.0
@@ -68,12 +73,14 @@
 // isMovable reports whether an attempt writes checkpoints, and has run for long enough that its
 // start counts.
 func (a *Autoscaler) isMovable(attempt *cluster.TaskAttempt) bool {
-	return attempt.Job.Spec.CheckpointIntervalSeconds > 0 && attempt.Phase == cluster.AttemptRunning && attempt.StopGrace == nil &&
+	return attempt.Job.Spec.CheckpointIntervalSeconds > 0 &&
+		attempt.Phase == cluster.AttemptRunning && attempt.StopGrace == nil &&
 		a.state.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun
 }
 
 // moveSeconds returns how long the move of an attempt to another machine takes.
 func (a *Autoscaler) moveSeconds(attempt *cluster.TaskAttempt) float64 {
 	spec := &attempt.Job.Spec
-	return spec.CheckpointSaveSeconds + spec.ImageGB/attempt.Machine.MachineType.PullGBPerSecond + 2*a.state.HeartbeatInterval().Seconds()
+	pullSeconds := spec.ImageGB / attempt.Machine.MachineType.PullGBPerSecond
+	return spec.CheckpointSaveSeconds + pullSeconds + 2*a.state.HeartbeatInterval().Seconds()
 }
--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -52,11 +52,13 @@
 		ScaleOutAllowed: i.recovery.MayScaleOut(), ScaleInAllowed: i.recovery.MayScaleIn(),
 	}}
 	for _, machine := range i.state.MachinesByName() {
-		if machine.MachineType == nil || machine.Terminating || machine.Draining && machine.DrainReason != cluster.SurplusCapacity {
+		if machine.MachineType == nil || machine.Terminating || machine.Draining && !isSurplus(machine) {
 			continue
 		}
-		view.addMachine(machine, &fleet.Machine{Name: machine.Name, Offering: machine.Offering(), Type: machine.MachineType, Up: machine.Up,
-			Reserved: machine.ReservedFor != nil, IdleUntilEmpty: i.state.IdleUntilEmpty(machine)})
+		view.addMachine(machine, &fleet.Machine{
+			Name: machine.Name, Offering: machine.Offering(), Type: machine.MachineType,
+			Up: machine.Up, Reserved: machine.ReservedFor != nil, IdleUntilEmpty: i.state.IdleUntilEmpty(machine),
+		})
 	}
 	for _, rental := range i.rentals.pending {
 		view.PendingRentals = append(view.PendingRentals, rental.RentalRequest)
@@ -64,7 +66,8 @@
 	for _, job := range i.jobs.PendingJobs() {
 		waitsForProbe := job.FailsEverywhere && now < job.NextProbeAt
 		if !waitsForProbe && !job.Terminal && job.PendingTasks > 0 {
-			view.PendingJobs = append(view.PendingJobs, fleet.PendingJob{Spec: &job.Spec, PendingTasks: job.PendingTasks})
+			pending := fleet.PendingJob{Spec: &job.Spec, PendingTasks: job.PendingTasks}
+			view.PendingJobs = append(view.PendingJobs, pending)
 		}
 	}
 	return view
@@ -72,7 +75,9 @@
 
 // demand returns the input from which the planner derives the demand for cores.
 func (i *planInput) demand() fleet.Demand {
-	demand := fleet.Demand{Now: i.state.Clock.Now(), BootTime: i.state.BootTime(), StartWithin: cluster.PlannedStartWithin}
+	demand := fleet.Demand{
+		Now: i.state.Clock.Now(), BootTime: i.state.BootTime(), StartWithin: cluster.PlannedStartWithin,
+	}
 	if i.slosAllowQueueing {
 		// Otherwise headroom is held for work that has to start soon anyway.
 		demand.Forecast = i.forecast.Forecast
--- a/internal/autoscaler/rentals.go
+++ b/internal/autoscaler/rentals.go
@@ -73,7 +73,9 @@
 			return
 		}
 		r.store(&pendingRental{chargedMachines: allowedCount, RentalRequest: protocol.RentalRequest{
-			RequestID: r.currentRequestID(), Type: offering.Type, Zone: offering.Zone, Spot: offering.Spot, Count: allowedCount}})
+			RequestID: r.currentRequestID(), Count: allowedCount,
+			Type: offering.Type, Zone: offering.Zone, Spot: offering.Spot,
+		}})
 	}
 }
 
@@ -132,7 +134,8 @@
 
 // addRented adds the machines that the cloud provided, and closes the rental.
 func (r *machineRentals) addRented(rental *pendingRental, names []string) {
-	r.state.Log.Info("machines rented", "request", rental.RequestID, "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
+	r.state.Log.Info("machines rented", "request", rental.RequestID,
+		"type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
 		"requested", rental.Count, "count", len(names), "target", r.planning.targetCores)
 	for _, name := range names {
 		if _, removed := r.state.RemovedMachines[name]; removed || r.state.Machines[name] != nil {
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -63,7 +63,8 @@
 		// Two missed heartbeats count here although they do not cause a drain yet. When
 		// the leader itself is partitioned from its workers, the machines that reported
 		// first would otherwise be returned before it shows that most are missing.
-		if r.heartbeatOverdue(machine) || r.silence(machine) > missedHeartbeatsUntilCounted*r.state.HeartbeatInterval() {
+		missed := r.silence(machine) > missedHeartbeatsUntilCounted*r.state.HeartbeatInterval()
+		if r.heartbeatOverdue(machine) || missed {
 			missedCount++
 		}
 	}
@@ -130,7 +131,8 @@
 		if len(names) == maxMachinesPerReturn {
 			break
 		}
-		if machine.Draining && !machine.Terminating && !r.worthKeeping(machine) && (machine.MayForceReturn() || isEmpty(machine)) {
+		if machine.Draining && !machine.Terminating && !r.worthKeeping(machine) &&
+			(machine.MayForceReturn() || isEmpty(machine)) {
 			names = append(names, machine.Name)
 		}
 	}
@@ -179,7 +181,8 @@
 			machine.Terminating = false // it goes on draining, as a late copy of the request may return it
 			continue
 		}
-		r.state.Log.Info("machine returned", "machine", name, "reason", machine.DrainReason, "type", machine.TypeName, "spot", machine.Spot)
+		r.state.Log.Info("machine returned", "machine", name, "reason", machine.DrainReason,
+			"type", machine.TypeName, "spot", machine.Spot)
 		r.machines.RemoveMachine(machine)
 	}
 	if returned {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -22,8 +22,10 @@
 	log         *slog.Logger
 	workerLease time.Duration // the intervals are multiples of it
 
-	Types     map[string]*protocol.MachineType // by name; nil: not known yet
-	Confirmed bool                             // read from the cloud, with no type missing; not an earlier leader's record
+	Types map[string]*protocol.MachineType // by name; nil: not known yet
+	// Confirmed tells that the types were read from the cloud with none missing, and are not those
+	// of an earlier leader's record.
+	Confirmed bool
 	// missingTypes are the known types that the last catalog lacked. A type is removed only
 	// when two catalogs in a row lack it.
 	missingTypes map[string]bool
@@ -66,7 +68,10 @@
 
 // New returns a catalog of which nothing is known yet.
 func New(host Host, log *slog.Logger, workerLease time.Duration) *Catalog {
-	return &Catalog{host: host, log: log, workerLease: workerLease, missingTypes: map[string]bool{}, RequestedAt: clock.Never}
+	return &Catalog{
+		host: host, log: log, workerLease: workerLease,
+		missingTypes: map[string]bool{}, RequestedAt: clock.Never,
+	}
 }
 
 // Known reports whether any machine types are known.
--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -164,8 +164,11 @@
 	leaderWrite := storage.Put(storage.LeaderKey, storage.Leader{Node: e.node, Term: current.term})
 	leaderWrite.LeaseID = leaseID
 	txn := storage.Txn{
-		Conditions: []storage.Condition{{Key: storage.LeaderKey}, {Key: storage.TermKey, ModRevision: current.termVersion}},
-		Writes:     []storage.Write{leaderWrite},
+		Conditions: []storage.Condition{
+			{Key: storage.LeaderKey},
+			{Key: storage.TermKey, ModRevision: current.termVersion},
+		},
+		Writes: []storage.Write{leaderWrite},
 	}
 	e.host.CallStore("POST", "/multi", txn, func(response StoreResponse) {
 		var result storage.TxnResponse
--- a/internal/election/lease_grants.go
+++ b/internal/election/lease_grants.go
@@ -27,7 +27,8 @@
 	// A grant counts from when it was requested, which can't be later than now: a wrong
 	// timestamp from the peer must not extend it.
 	requestedAt := min(grant.HeartbeatSentAt, e.host.Now())
-	current.grantedUntil[sender.Name] = max(current.grantedUntil[sender.Name], requestedAt+SafeLeaseSpan(e.LeaderLease()))
+	until := requestedAt + SafeLeaseSpan(e.LeaderLease())
+	current.grantedUntil[sender.Name] = max(current.grantedUntil[sender.Name], until)
 }
 
 // grantLease binds this node, for the span of a leader lease, neither to become a candidate nor
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -71,7 +71,8 @@
 			totalWork += d.Forecast.ExpectedWork(spanSeconds)
 		}
 		required = max(required, min(heldCores, totalWork/(spanSeconds*usableFraction)))
-		if shortfall := totalWork - heldCores*spanSeconds*usableFraction; shortfall > 0 && spanSeconds > bootTimeMargin*bootSeconds {
+		shortfall := totalWork - heldCores*spanSeconds*usableFraction
+		if shortfall > 0 && spanSeconds > bootTimeMargin*bootSeconds {
 			required = max(required, heldCores+shortfall/((spanSeconds-bootSeconds)*usableFraction))
 		}
 	}
@@ -92,7 +93,8 @@
 		onTimeWork += work * job.MinShare
 		totalWork += work
 		for _, upcoming := range job.UpcomingDependents {
-			loads = append(loads, dueWork{dueIn: max(upcoming.DueIn, upcoming.TaskDuration), coreSeconds: upcoming.Work})
+			dueIn := max(upcoming.DueIn, upcoming.TaskDuration)
+			loads = append(loads, dueWork{dueIn: dueIn, coreSeconds: upcoming.Work})
 		}
 	}
 	return loads, onTimeWork / max(totalWork, 1)
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -148,19 +148,25 @@
 // left out. A value over the limit would be refused, and the leader would step down.
 func (f *Forecast) Snapshot(wallClockMS int64, maxBytes int) storage.ArrivalForecastRecord {
 	record := storage.ArrivalForecastRecord{
-		RecordedAtMillis: wallClockMS, WindowSeconds: (f.decayedAt - f.countingSince).Seconds(), Classes: map[string]storage.ClassArrivals{}}
+		RecordedAtMillis: wallClockMS,
+		WindowSeconds:    (f.decayedAt - f.countingSince).Seconds(),
+		Classes:          map[string]storage.ClassArrivals{},
+	}
 	classes := slices.SortedFunc(maps.Keys(f.classes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(f.classes[b].longTermWork, f.classes[a].longTermWork), cmp.Compare(a, b))
 	})
 	size := len(storage.Encode(record))
 	for _, class := range classes {
 		arrivals := f.classes[class]
-		flow := storage.ClassArrivals{RecentWork: arrivals.recentWork, LongTermWork: arrivals.longTermWork, JobCount: arrivals.jobCount, DueSeconds: arrivals.dueAfter.Seconds()}
-		size += len(storage.Encode(map[string]storage.ClassArrivals{class: flow}))
+		stored := storage.ClassArrivals{
+			RecentWork: arrivals.recentWork, LongTermWork: arrivals.longTermWork,
+			JobCount: arrivals.jobCount, DueSeconds: arrivals.dueAfter.Seconds(),
+		}
+		size += len(storage.Encode(map[string]storage.ClassArrivals{class: stored}))
 		if size > maxBytes {
 			break
 		}
-		record.Classes[class] = flow
+		record.Classes[class] = stored
 	}
 	return record
 }
@@ -170,7 +176,10 @@
 	f.decayedAt = storedAt
 	f.countingSince = storedAt - config.Seconds(record.WindowSeconds)
 	for class, stored := range record.Classes {
-		f.classes[class] = &classArrivals{recentWork: stored.RecentWork, longTermWork: stored.LongTermWork, jobCount: stored.JobCount, dueAfter: config.Seconds(stored.DueSeconds)}
+		f.classes[class] = &classArrivals{
+			recentWork: stored.RecentWork, longTermWork: stored.LongTermWork,
+			jobCount: stored.JobCount, dueAfter: config.Seconds(stored.DueSeconds),
+		}
 	}
 }
 
--- a/internal/fleet/offering.go
+++ b/internal/fleet/offering.go
@@ -24,13 +24,15 @@
 	if job.Zone != "" && len(machineType.Zones) > 0 && !slices.Contains(machineType.Zones, job.Zone) {
 		return false
 	}
-	return job.Cores <= machineType.Cores && job.MemoryGB <= machineType.MemoryGB && job.Accelerators <= machineType.Accelerators
+	return job.Cores <= machineType.Cores && job.MemoryGB <= machineType.MemoryGB &&
+		job.Accelerators <= machineType.Accelerators
 }
 
 // Fits reports whether tasks of a job may run on a machine of the offering. machineType is its type,
 // or nil if that is not known.
 func (o Offering) Fits(job *protocol.Job, machineType *protocol.MachineType) bool {
-	return machineType != nil && FitsType(job, machineType) && (job.Zone == "" || job.Zone == o.Zone) && (job.SpotAllowed || !o.Spot)
+	return machineType != nil && FitsType(job, machineType) &&
+		(job.Zone == "" || job.Zone == o.Zone) && (job.SpotAllowed || !o.Spot)
 }
 
 // MatchesConstraints reports whether the type, zone and spot constraints of a job allow the
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -105,7 +105,10 @@
 // Plan compares the cores held with those needed and returns what to rent, what to keep and what
 // is surplus.
 func (p *Planner) Plan(view *View) *Plan {
-	builder := &planBuilder{planner: p, view: view, plan: &Plan{}, kept: slices.Clone(view.Kept), lowestPricePerCore: math.Inf(1)}
+	builder := &planBuilder{
+		planner: p, view: view, plan: &Plan{},
+		kept: slices.Clone(view.Kept), lowestPricePerCore: math.Inf(1),
+	}
 	for _, t := range view.Catalog {
 		builder.lowestPricePerCore = min(builder.lowestPricePerCore, t.PricePerCore(true), t.PricePerCore(false))
 	}
@@ -148,7 +151,8 @@
 // the dearer they are, the less headroom is held on them.
 func (b *planBuilder) coresWorthHolding(pricePerCore float64) float64 {
 	settings := &b.planner.settings
-	return max(b.plan.DemandCores, b.view.UsualLoad*(1+settings.Headroom)*math.Pow(b.lowestPricePerCore/pricePerCore, settings.CostSensitivity))
+	headroomShare := math.Pow(b.lowestPricePerCore/pricePerCore, settings.CostSensitivity)
+	return max(b.plan.DemandCores, b.view.UsualLoad*(1+settings.Headroom)*headroomShare)
 }
 
 // cancelDrains keeps draining machines that are needed, before anything is rented, the cheapest
@@ -170,7 +174,11 @@
 func (b *planBuilder) scaleOutToTarget() {
 	for len(b.plan.ScaleOut) < maxMachinesPerPlan && b.plan.HeldCores < b.plan.TargetCores {
 		offering, machineType := b.chooseOffering(nil, b.plan.TargetCores-b.plan.HeldCores)
-		if machineType == nil || b.coresWorthHolding(machineType.PricePerCore(offering.Spot))-b.plan.HeldCores <= machineType.Cores*minMachineFraction { // as in scaleIn
+		if machineType == nil {
+			return
+		}
+		missingCores := b.coresWorthHolding(machineType.PricePerCore(offering.Spot)) - b.plan.HeldCores
+		if missingCores <= machineType.Cores*minMachineFraction { // as in scaleIn
 			return
 		}
 		b.plan.ScaleOut = append(b.plan.ScaleOut, offering)
@@ -188,7 +196,8 @@
 		if b.placeable(pending.Spec) {
 			continue
 		}
-		if offering, machineType := b.chooseOffering(pending.Spec, pending.Spec.Cores*float64(pending.PendingTasks)); machineType != nil {
+		pendingCores := pending.Spec.Cores * float64(pending.PendingTasks)
+		if offering, machineType := b.chooseOffering(pending.Spec, pendingCores); machineType != nil {
 			b.plan.ScaleOut = append(b.plan.ScaleOut, offering)
 			b.plan.HeldCores += machineType.Cores
 		}
@@ -253,7 +262,8 @@
 	})
 	heldCores := b.plan.HeldCores
 	for _, m := range b.kept {
-		if heldCores-m.Type.Cores < b.coresWorthHolding(m.pricePerCore())-m.Type.Cores*minMachineFraction || !m.Up || m.Reserved {
+		minCores := b.coresWorthHolding(m.pricePerCore()) - m.Type.Cores*minMachineFraction
+		if heldCores-m.Type.Cores < minCores || !m.Up || m.Reserved {
 			b.plan.Needed = append(b.plan.Needed, m)
 			continue
 		}
--- a/internal/reconcile/command_delivery.go
+++ b/internal/reconcile/command_delivery.go
@@ -17,7 +17,8 @@
 // of a response without commands shows by the worker using the same route again. Without that rule
 // a machine that had missed a response while idle got no more commands, and so could never show a
 // sign of delivery.
-func trackCommandDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, tokenAcknowledged, sameRoute bool) {
+func trackCommandDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
+	tokenAcknowledged, sameRoute bool) {
 	lastResponse := machine.UnconfirmedResponse
 	machine.UnconfirmedResponse = nil
 	switch {
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -92,7 +92,8 @@
 // requires by now. The response may renew the worker's lease.
 func (r *Reconciler) Respond(result Result) *protocol.HeartbeatResponse {
 	machine := result.Machine
-	response := &protocol.HeartbeatResponse{FencingToken: r.fencingToken, Commands: r.appendAttemptCommands(machine, result.commands)}
+	commands := r.appendAttemptCommands(machine, result.commands)
+	response := &protocol.HeartbeatResponse{FencingToken: r.fencingToken, Commands: commands}
 	machine.LastResponse = r.Clock.Now()
 	machine.UnconfirmedResponse = response
 	return response
@@ -100,7 +101,8 @@
 
 // applyHeartbeat updates the state of a machine from its heartbeat. It returns the commands that
 // stop or forget tasks that should not be on the machine.
-func (r *Reconciler) applyHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) []protocol.Command {
+func (r *Reconciler) applyHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
+	relayPeer string) []protocol.Command {
 	tokenAcknowledged := r.carriesToken(heartbeat)
 	if heartbeat.Epoch > machine.Epoch && machine.Epoch != 0 {
 		r.beginEpoch(machine)
--- a/internal/reconcile/reported_tasks.go
+++ b/internal/reconcile/reported_tasks.go
@@ -161,7 +161,9 @@
 		return nil
 	}
 	noGrace := 0.0
-	return &protocol.Command{Kind: protocol.CommandStop, TaskID: task.TaskID, Attempt: task.Attempt, GraceSeconds: &noGrace}
+	return &protocol.Command{
+		Kind: protocol.CommandStop, TaskID: task.TaskID, Attempt: task.Attempt, GraceSeconds: &noGrace,
+	}
 }
 
 // updateAttempt updates a task attempt from the state that its machine reports.
--- a/internal/reconcile/worker_commands.go
+++ b/internal/reconcile/worker_commands.go
@@ -23,7 +23,9 @@
 		case attempt.StopGrace != nil && attempt.Phase != cluster.AttemptAssigned:
 			if r.recovery.MayStopTask(attempt.Job) {
 				commands = append(commands, protocol.Command{
-					Kind: protocol.CommandStop, TaskID: attempt.Key(), Attempt: attempt.Number, GraceSeconds: attempt.StopGrace})
+					Kind: protocol.CommandStop, TaskID: attempt.Key(),
+					Attempt: attempt.Number, GraceSeconds: attempt.StopGrace,
+				})
 			}
 		case attempt.Phase == cluster.AttemptAssigned && machine.TokenAcknowledged && machine.UseDurable:
 			if r.recovery.MayStartTask(attempt, startedCount) {
--- a/internal/records/job_completion.go
+++ b/internal/records/job_completion.go
@@ -59,9 +59,11 @@
 // log writes the times of the finished job to the log.
 func (c *jobCompletion) log() {
 	job, state := c.job, c.records.state
-	state.Log.Debug("job finished", "job", job.Spec.ID, "state", c.terminal.State, "class", job.Spec.Class, "tasks", job.Spec.TaskCount,
+	state.Log.Debug("job finished", "job", job.Spec.ID, "state", c.terminal.State,
+		"class", job.Spec.Class, "tasks", job.Spec.TaskCount,
 		"after", c.records.clock.Now()-job.AcceptedAt, "waited", job.EligibleAt-job.AcceptedAt,
-		"firstStart", job.FirstStartAt-job.AcceptedAt, "lastStart", job.LastStartAt-job.AcceptedAt, "expected", state.ExpectedTaskDuration(job))
+		"firstStart", job.FirstStartAt-job.AcceptedAt, "lastStart", job.LastStartAt-job.AcceptedAt,
+		"expected", state.ExpectedTaskDuration(job))
 }
 
 // dropOtherRecords queues the deletion of the job's bitmap and of its dependency records.
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -89,8 +89,10 @@
 
 // entry returns the machine's entry in the record of its group.
 func (r *Machines) entry(machine *cluster.Machine) storage.MachineRecord {
-	return storage.MachineRecord{Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot, Used: machine.MarkedUsed,
-		RentedAtMillis: r.clock.UnixMilli(machine.RentedAt)}
+	return storage.MachineRecord{
+		Type: machine.TypeName, Zone: machine.Zone, Spot: machine.Spot,
+		Used: machine.MarkedUsed, RentedAtMillis: r.clock.UnixMilli(machine.RentedAt),
+	}
 }
 
 // entryBytes returns the encoded size of the machine's entry.
--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -39,7 +39,9 @@
 	return recovery.Settings{
 		HeartbeatInterval: config.Seconds(platform.Workers.HeartbeatIntervalS),
 		WorkerLease:       clock.WorkerLeaseTimeout(config.Seconds(platform.Workers.LeaseS)),
-		Limits:            recovery.Limits{RefillLeases: settings.RecoveryRefillLeases, ReplaceLeases: settings.RecoveryReplaceLeases},
+		Limits: recovery.Limits{
+			RefillLeases: settings.RecoveryRefillLeases, ReplaceLeases: settings.RecoveryReplaceLeases,
+		},
 	}
 }
 
--- a/internal/workerrouting/router.go
+++ b/internal/workerrouting/router.go
@@ -65,7 +65,10 @@
 func (r *Router) RouteOf(worker string) *Route {
 	route := r.Routes[worker]
 	if route == nil {
-		route = &Route{redirectedAt: clock.Never, RelayUntil: clock.Never, lastArrival: clock.Never, strandedAt: clock.Never}
+		route = &Route{
+			redirectedAt: clock.Never, RelayUntil: clock.Never,
+			lastArrival: clock.Never, strandedAt: clock.Never,
+		}
 		r.Routes[worker] = route
 	}
 	return route
