--- a/internal/admissioncontrol/follower.go
+++ b/internal/admissioncontrol/follower.go
@@ -65,7 +65,7 @@
 
 // EpochLength is how long a policy is in force.
 func (f *PolicyFollower) EpochLength() time.Duration {
-	return (config.Seconds(f.cluster.Workers.LeaseS) / epochsPerLease).Truncate(time.Millisecond)
+	return (f.cluster.WorkerLease() / epochsPerLease).Truncate(time.Millisecond)
 }
 
 // Bounds of the waiting time that follows from a policy, so that no record overflows a duration.
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -48,7 +48,7 @@
 	LastRevision() uint64
 }
 
-// PublisherOptions are the dependencies of a policyPublisher.
+// PublisherOptions are the dependencies of a Publisher.
 type PublisherOptions struct {
 	Host     PublisherHost
 	Follower *PolicyFollower
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -53,6 +53,10 @@
 	Resources Resources `toml:"resources"`
 }
 
+// WorkerLease returns the duration of the workers' lease, of which many other time spans are
+// fractions or multiples.
+func (c *Cluster) WorkerLease() time.Duration { return Seconds(c.Workers.LeaseS) }
+
 // Team returns the team of a name, or nil if there is none.
 func (c *Cluster) Team(name string) *Team {
 	for i := range c.Teams {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -74,7 +74,7 @@
 // newDaemon returns a daemon that is not connected yet.
 func newDaemon(platform *config.Platform, settings config.Settings, build string, log *slog.Logger) *daemon {
 	cluster := &platform.Cluster
-	workerLease := config.Seconds(cluster.Workers.LeaseS)
+	workerLease := cluster.WorkerLease()
 	budget := budgetConnections(cluster)
 	d := &daemon{
 		startedAt:      time.Now(),
--- a/internal/election/timing.go
+++ b/internal/election/timing.go
@@ -17,7 +17,7 @@
 )
 
 // workerLease returns the duration of the workers' lease.
-func (t timing) workerLease() time.Duration { return config.Seconds(t.cluster.Workers.LeaseS) }
+func (t timing) workerLease() time.Duration { return t.cluster.WorkerLease() }
 
 // LeaderLease returns the duration of the leader lease and of a peer's lease grant.
 func (t timing) LeaderLease() time.Duration { return t.workerLease() / LeaderLeasesPerWorkerLease }
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -3,10 +3,7 @@
 package reconcile
 
 import (
-	"time"
-
 	"hitchdoor/internal/cluster"
-	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
 )
@@ -236,7 +233,7 @@
 			r.ReleaseAttempt(attempt)
 		}
 	}
-	if r.Clock.Now()-machine.LastHeartbeat >= r.workerLease()/2 {
+	if r.Clock.Now()-machine.LastHeartbeat >= r.Config.WorkerLease()/2 {
 		return
 	}
 	// Heartbeats arrived without a gap. Either the worker's lease expired because responses do
@@ -248,6 +245,3 @@
 	}
 	machine.UnexpectedRestart = true
 }
-
-// workerLease returns the duration of the workers' lease.
-func (r *Reconciler) workerLease() time.Duration { return config.Seconds(r.Config.Workers.LeaseS) }
--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -38,7 +38,7 @@
 func RecoverySettings(platform *config.Cluster, settings *config.Settings) recovery.Settings {
 	return recovery.Settings{
 		HeartbeatInterval: config.Seconds(platform.Workers.HeartbeatIntervalS),
-		WorkerLease:       clock.WorkerLeaseTimeout(config.Seconds(platform.Workers.LeaseS)),
+		WorkerLease:       clock.WorkerLeaseTimeout(platform.WorkerLease()),
 		Limits: recovery.Limits{
 			RefillLeases: settings.RecoveryRefillLeases, ReplaceLeases: settings.RecoveryReplaceLeases,
 		},
@@ -159,8 +159,7 @@
 // MayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
 func (g *Gate) MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
 	if machine.Reconciled {
-		workerLease := config.Seconds(g.state.Config.Workers.LeaseS)
-		return silence > workerLease*6/10
+		return silence > g.state.Config.WorkerLease()*6/10
 	}
 	return g.recovery.MayReturnUnresponsive(silence)
 }
--- a/internal/submissions/queue.go
+++ b/internal/submissions/queue.go
@@ -74,8 +74,8 @@
 	Failed
 )
 
-// maxSubmissionRetries is how often the write of a submission is retried.
-const maxSubmissionRetries = 3
+// maxRetries is how often the write of a submission is retried.
+const maxRetries = 3
 
 // NewQueue returns an empty queue. The burst of the budget is the rate of the whole
 // cluster.
@@ -135,7 +135,7 @@
 
 // noteContention records that the key-value store refused a submission because of its rate limit.
 func (q *Queue) noteContention() {
-	q.contendedUntil = q.host.Now() + config.Seconds(q.cluster.Workers.LeaseS)
+	q.contendedUntil = q.host.Now() + q.cluster.WorkerLease()
 	q.budget.Tokens = 0
 }
 
@@ -157,7 +157,7 @@
 // onResponse handles the response to a write: it is sent again, or its result is passed on.
 func (q *Queue) onResponse(write *Write, status int, body []byte) {
 	rateLimited := status == http.StatusTooManyRequests
-	if (status == 0 || rateLimited) && write.retries < maxSubmissionRetries {
+	if (status == 0 || rateLimited) && write.retries < maxRetries {
 		// The rate limit was reached, or the response was lost. The transaction's conditions let only
 		// one copy succeed, so a retry is safe.
 		write.retries++
@@ -183,7 +183,7 @@
 			return Result{Outcome: Accepted, Revision: response.Revision}
 		}
 	case http.StatusConflict:
-		if w.retries < maxSubmissionRetries && json.Unmarshal(body, &response) == nil &&
+		if w.retries < maxRetries && json.Unmarshal(body, &response) == nil &&
 			onlyPolicyChanged(response.FailedKeys, w.Record.Spec.ID) {
 			return Result{Outcome: PolicyChanged}
 		}
--- a/internal/submissions/queue_test.go
+++ b/internal/submissions/queue_test.go
@@ -87,12 +87,12 @@
 		queue := newTestQueue(host)
 		var results []Result
 		queue.Add(newTestWrite("j-1", &results))
-		for range maxSubmissionRetries {
+		for range maxRetries {
 			host.answerNext(status, "")
 			host.now += time.Second
 			queue.WritePending()
 		}
-		if len(results) > 0 || len(host.sent) != 1+maxSubmissionRetries {
+		if len(results) > 0 || len(host.sent) != 1+maxRetries {
 			t.Errorf("status %d: sent %d times, results %+v", status, len(host.sent), results)
 		}
 		host.answerNext(status, "")
--- a/internal/workerrouting/router.go
+++ b/internal/workerrouting/router.go
@@ -74,9 +74,6 @@
 	return route
 }
 
-// workerLease returns the duration of the workers' lease.
-func (r *Router) workerLease() time.Duration { return config.Seconds(r.cluster.Workers.LeaseS) }
-
 // nodeSearchDuration is the longest time that a worker needs to try all nodes until one answers.
 func (r *Router) nodeSearchDuration() time.Duration {
 	return time.Duration(r.cluster.ControllerCount) * (protocol.HeartbeatTimeout + protocol.NextNodeDelay)
@@ -85,7 +82,7 @@
 // RelayTimeout is how long this node waits for the leader's response to a relayed heartbeat. It is
 // well within the time after which the worker discards the response.
 func (r *Router) RelayTimeout() time.Duration {
-	return min(r.workerLease()/6, protocol.HeartbeatTimeout*7/8)
+	return min(r.cluster.WorkerLease()/6, protocol.HeartbeatTimeout*7/8)
 }
 
 // recentlyRedirectedTo reports whether the worker was redirected to a node so lately that its
@@ -122,7 +119,7 @@
 		return RejectHeartbeat
 	}
 	if now >= route.RelayUntil && r.recentlyRedirectedTo(route, leaderName) {
-		route.RelayUntil = now + 2*r.workerLease()
+		route.RelayUntil = now + 2*r.cluster.WorkerLease()
 	}
 	if now >= route.RelayUntil && r.peerCapacities[leaderName].reserveConnection() {
 		r.recordRedirect(route, leaderName)
@@ -188,7 +185,7 @@
 // would ever be relayed for, and a leader that workers can't reach would lose them all.
 func (r *Router) ExpireRoutes() {
 	now := r.host.Now()
-	if now < r.prunedAt+r.workerLease() {
+	if now < r.prunedAt+r.cluster.WorkerLease() {
 		return
 	}
 	r.prunedAt = now
