--- a/internal/autoscaler/arrival_forecast.go
+++ b/internal/autoscaler/arrival_forecast.go
@@ -34,7 +34,7 @@
 func newArrivalForecast(options Options) *ArrivalForecast {
 	state := options.State
 	return &ArrivalForecast{
-		Forecast: fleet.NewForecast(workerLeaseOf(state)), state: state, records: options.Records,
+		Forecast: fleet.NewForecast(state.Config.WorkerLease()), state: state, records: options.Records,
 		wallClock: options.WallClock, store: options.Store, savedAt: state.Clock.Now(), restoredAt: clock.Never,
 	}
 }
@@ -52,7 +52,7 @@
 // save stores the forecast for the next leader at regular intervals.
 func (f *ArrivalForecast) save() {
 	now := f.state.Clock.Now()
-	if now < f.savedAt+forecastSaveIntervalLeases*workerLeaseOf(f.state) || f.Empty() {
+	if now < f.savedAt+forecastSaveIntervalLeases*f.state.Config.WorkerLease() || f.Empty() {
 		return
 	}
 	f.savedAt = now
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -3,8 +3,6 @@
 package autoscaler
 
 import (
-	"time"
-
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/config"
@@ -112,12 +110,7 @@
 		costSensitivity = *override
 	}
 	return fleet.NewPlanner(fleet.Settings{Headroom: state.Settings.Headroom, CostSensitivity: costSensitivity,
-		Lease: workerLeaseOf(state)})
-}
-
-// workerLeaseOf returns the duration of the workers' lease.
-func workerLeaseOf(state *cluster.State) time.Duration {
-	return config.Seconds(state.Config.Workers.LeaseS)
+		Lease: state.Config.WorkerLease()})
 }
 
 // Tick makes a new plan if one is due and sends the requests to the cloud that may be sent now.
@@ -172,7 +165,7 @@
 // logPlan logs the figures of a plan, at most planLogsPerLease times per worker lease.
 func (a *Autoscaler) logPlan(plan *fleet.Plan, usualLoad float64) {
 	now := a.state.Clock.Now()
-	if now <= a.planLoggedAt+workerLeaseOf(a.state)/planLogsPerLease {
+	if now <= a.planLoggedAt+a.state.Config.WorkerLease()/planLogsPerLease {
 		return
 	}
 	a.planLoggedAt = now
--- a/internal/autoscaler/cloud_calls.go
+++ b/internal/autoscaler/cloud_calls.go
@@ -3,6 +3,7 @@
 import (
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
+	"hitchdoor/internal/protocol"
 )
 
 // cloudCalls sends the autoscaler's requests to the cloud, and backs off after failed ones.
@@ -38,8 +39,8 @@
 
 // send sends a request, for which the caller has taken a request from the budget. Only the
 // following pages of a list go without.
-func (c *cloudCalls) send(method, path string, body any, onResponse func(CloudResponse)) {
-	c.client.Send(method, path, body, workerLeaseOf(c.state)/cloudTimeoutsPerLease, onResponse)
+func (c *cloudCalls) send(method, path string, body any, onResponse func(protocol.CloudResponse)) {
+	c.client.Send(method, path, body, c.state.Config.WorkerLease()/cloudTimeoutsPerLease, onResponse)
 }
 
 // recordSuccess ends the doubling of the backoff after a call that the cloud answered.
@@ -48,7 +49,7 @@
 // recordFailure backs off after a call that the cloud did not answer or refused.
 func (c *cloudCalls) recordFailure(status int) {
 	c.consecutiveFailures = min(c.consecutiveFailures+1, maxCountedFailures)
-	backoff := (workerLeaseOf(c.state) / minCloudBackoffsPerLease) << c.consecutiveFailures
+	backoff := (c.state.Config.WorkerLease() / minCloudBackoffsPerLease) << c.consecutiveFailures
 	c.retryAt = c.state.Clock.Now() + backoff
 	c.state.Log.Debug("cloud request failed", "status", status)
 }
--- a/internal/autoscaler/fakes_test.go
+++ b/internal/autoscaler/fakes_test.go
@@ -20,7 +20,7 @@
 type fakeCloudRequest struct {
 	method, path string
 	body         any
-	onResponse   func(CloudResponse)
+	onResponse   func(protocol.CloudResponse)
 }
 
 // fakeAutoscalerHost stands for the leader of an autoscaler. It records what the autoscaler asks
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	request.onResponse(CloudResponse{Status: status, Body: encoded})
+	request.onResponse(protocol.CloudResponse{Status: status, Body: encoded})
 	return request
 }
 
@@ -94,7 +94,7 @@
 
 func (h *fakeAutoscalerHost) ReturnRequest() { h.requestBudget++ }
 
-func (h *fakeAutoscalerHost) Send(method, path string, body any, _ time.Duration, onResponse func(CloudResponse)) {
+func (h *fakeAutoscalerHost) Send(method, path string, body any, _ time.Duration, onResponse func(protocol.CloudResponse)) {
 	h.requests = append(h.requests, fakeCloudRequest{method, path, body, onResponse})
 }
 
--- a/internal/autoscaler/interfaces.go
+++ b/internal/autoscaler/interfaces.go
@@ -10,13 +10,6 @@
 	"hitchdoor/internal/storage"
 )
 
-// CloudResponse is the response of the cloud to a request. Status 0 means that no usable response
-// arrived, and that the request may have been executed or may be later.
-type CloudResponse struct {
-	Status int
-	Body   []byte
-}
-
 // CloudClient sends requests to the cloud within a budget.
 type CloudClient interface {
 	// TakeRequest reports whether the budget allows a request now, and takes it from the budget.
@@ -24,7 +17,7 @@
 	// ReturnRequest gives a taken request back to the budget, if it was not sent after all.
 	ReturnRequest()
 	// Send sends a request. onResponse is called unless the leader has stepped down by then.
-	Send(method, path string, body any, timeout time.Duration, onResponse func(CloudResponse))
+	Send(method, path string, body any, timeout time.Duration, onResponse func(protocol.CloudResponse))
 }
 
 // RecordWriter writes records to the key-value store in transactions.
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"time"
 
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/config"
@@ -45,9 +43,9 @@
 
 // onPage processes a page of the list and requests the next one. After the last page, it drains
 // the machines that the list lacks.
-func (l *machineListing) onPage(response CloudResponse) {
+func (l *machineListing) onPage(response protocol.CloudResponse) {
 	var page protocol.HostPage
-	if response.Status != 200 || json.Unmarshal(response.Body, &page) != nil {
+	if !response.Decode(&page) {
 		l.inProgress = false
 		l.cloud.recordFailure(response.Status)
 		return
@@ -89,7 +87,7 @@
 func (l *machineListing) drainUnlisted() {
 	for _, machine := range l.state.MachinesByName() {
 		oldEnough := l.startedAt-machine.RentedAt > 4*l.listLag()
-		silent := l.startedAt-l.state.SilentSince(machine) > workerLeaseOf(l.state)/2
+		silent := l.startedAt-l.state.SilentSince(machine) > l.state.Config.WorkerLease()/2
 		if !l.listedNames[machine.Name] && oldEnough && silent {
 			l.state.BeginDrain(machine, cluster.NotListed)
 		}
--- a/internal/autoscaler/rentals.go
+++ b/internal/autoscaler/rentals.go
@@ -1,12 +1,11 @@
 package autoscaler
 
 import (
+	"net/http"
 	"slices"
 	"strconv"
 	"strings"
 
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/fleet"
@@ -105,7 +104,7 @@
 			return
 		}
 		rental.inFlight = true
-		r.cloud.send("POST", "/hosts", rental.RentalRequest, func(response CloudResponse) {
+		r.cloud.send("POST", "/hosts", rental.RentalRequest, func(response protocol.CloudResponse) {
 			rental.inFlight = false
 			r.onResponse(rental, response)
 		})
@@ -114,17 +113,17 @@
 
 // onResponse processes the response to a rental. A rental whose outcome is unknown stays pending
 // and is sent again.
-func (r *machineRentals) onResponse(rental *pendingRental, response CloudResponse) {
+func (r *machineRentals) onResponse(rental *pendingRental, response protocol.CloudResponse) {
 	var rented protocol.MachineNames
 	switch {
-	case response.Status == 200 && json.Unmarshal(response.Body, &rented) == nil:
+	case response.Decode(&rented):
 		r.cloud.recordSuccess()
 		r.addRented(rental, rented.Machines)
-	case response.Status == 503 && strings.Contains(string(response.Body), "no capacity"):
+	case response.Status == http.StatusServiceUnavailable && strings.Contains(string(response.Body), "no capacity"):
 		r.cloud.recordSuccess()
 		r.state.Log.Debug("cloud has no capacity", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot)
 		r.closeUnfilled(rental)
-	case response.Status == 400:
+	case response.Status == http.StatusBadRequest:
 		r.state.Log.Error("rental rejected as malformed", "request", rental.RequestID, "error", string(response.Body))
 		r.closeUnfilled(rental)
 	default:
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -1,6 +1,7 @@
 package autoscaler
 
 import (
+	"net/http"
 	"time"
 
 	"hitchdoor/internal/clock"
@@ -90,11 +91,11 @@
 // bootOverdue reports whether a machine should have sent its first heartbeat long ago.
 func (r *machineReturns) bootOverdue(machine *cluster.Machine) bool {
 	now := r.state.Clock.Now()
-	bootLimit := workerLeaseOf(r.state)
+	bootLimit := r.state.Config.WorkerLease()
 	if machine.MachineType != nil {
 		bootLimit += config.Seconds(bootTimesUntilOverdue * machine.MachineType.BootSeconds)
 	}
-	return now-machine.RentedAt > bootLimit && now-r.state.StartedAt > workerLeaseOf(r.state)
+	return now-machine.RentedAt > bootLimit && now-r.state.StartedAt > r.state.Config.WorkerLease()
 }
 
 // requestReturns returns the machines whose drain is complete. It reports whether the request
@@ -164,14 +165,15 @@
 		machine := r.state.Machines[name]
 		machine.Terminating, machine.TerminationRequested = true, true
 	}
-	r.cloud.send("POST", "/hosts/return", protocol.MachineNames{Machines: names}, func(response CloudResponse) {
+	request := protocol.MachineNames{Machines: names}
+	r.cloud.send("POST", "/hosts/return", request, func(response protocol.CloudResponse) {
 		r.onResponse(names, response)
 	})
 }
 
 // onResponse removes the machines that the cloud has taken back.
-func (r *machineReturns) onResponse(names []string, response CloudResponse) {
-	returned := response.Status == 200
+func (r *machineReturns) onResponse(names []string, response protocol.CloudResponse) {
+	returned := response.Status == http.StatusOK
 	for _, name := range names {
 		machine := r.state.Machines[name]
 		if machine == nil {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -34,12 +34,6 @@
 	requestInFlight bool
 }
 
-// Response is the response to a read. Status 0 means that no usable response arrived.
-type Response struct {
-	Status int
-	Body   []byte
-}
-
 // Host is what the catalog needs from its node.
 type Host interface {
 	// Now returns the time of the current step.
@@ -50,9 +44,9 @@
 	// from the budget.
 	TakeCloudRequest() bool
 	// ReadFromCloud reads a resource of the cloud.
-	ReadFromCloud(path string, timeout time.Duration, onResponse func(Response))
+	ReadFromCloud(path string, timeout time.Duration, onResponse func(protocol.CloudResponse))
 	// ReadFromStore reads a record of the key-value store.
-	ReadFromStore(key string, onResponse func(Response))
+	ReadFromStore(key string, onResponse func(storage.Response))
 	// MachineTypesChanged is called after the machine types were replaced.
 	MachineTypesChanged()
 }
@@ -111,10 +105,10 @@
 }
 
 // onCloudResponse applies a catalog read from the cloud.
-func (c *Catalog) onCloudResponse(response Response) {
+func (c *Catalog) onCloudResponse(response protocol.CloudResponse) {
 	c.requestInFlight = false
 	var catalog protocol.Catalog
-	if response.Status != 200 || json.Unmarshal(response.Body, &catalog) != nil || len(catalog.Types) == 0 {
+	if !response.Decode(&catalog) || len(catalog.Types) == 0 {
 		c.log.Debug("catalog read failed", "status", response.Status)
 		return
 	}
@@ -156,10 +150,10 @@
 // readStored loads the machine types that an earlier leader stored. Without them, a cluster that
 // restarts during an outage of the cloud could neither accept jobs nor use its machines.
 func (c *Catalog) readStored() {
-	c.host.ReadFromStore(storage.CatalogKey, func(response Response) {
+	c.host.ReadFromStore(storage.CatalogKey, func(response storage.Response) {
 		var item storage.Item
 		var catalog protocol.Catalog
-		if !c.Known() && response.Status == 200 && json.Unmarshal(response.Body, &item) == nil &&
+		if !c.Known() && response.Decode(&item) &&
 			json.Unmarshal(item.Value, &catalog) == nil && len(catalog.Types) > 0 {
 			c.log.Info("machine types loaded from the stored catalog")
 			c.replaceTypes(catalog)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,17 +7,18 @@
 
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
 )
 
 // offlineCatalogHost is the host of a catalog whose reads are never answered.
 type offlineCatalogHost struct{}
 
-func (offlineCatalogHost) Now() clock.Instant                                        { return 0 }
-func (offlineCatalogHost) Leading() bool                                             { return false }
-func (offlineCatalogHost) TakeCloudRequest() bool                                    { return true }
-func (offlineCatalogHost) ReadFromCloud(_ string, _ time.Duration, _ func(Response)) {}
-func (offlineCatalogHost) ReadFromStore(_ string, _ func(Response))                  {}
-func (offlineCatalogHost) MachineTypesChanged()                                      {}
+func (offlineCatalogHost) Now() clock.Instant                                                      { return 0 }
+func (offlineCatalogHost) Leading() bool                                                           { return false }
+func (offlineCatalogHost) TakeCloudRequest() bool                                                  { return true }
+func (offlineCatalogHost) ReadFromCloud(_ string, _ time.Duration, _ func(protocol.CloudResponse)) {}
+func (offlineCatalogHost) ReadFromStore(_ string, _ func(storage.Response))                        {}
+func (offlineCatalogHost) MachineTypesChanged()                                                    {}
 
 // A type that one catalogue lacks is believed to be there until the next one lacks it too.
 func TestTypeMissingOnce(t *testing.T) {
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -29,10 +29,10 @@
 
 // Send sends a request to the cloud, and passes on the response unless the node has stepped down
 // by then.
-func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration, onResponse func(autoscaler.CloudResponse)) {
+func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration, onResponse func(protocol.CloudResponse)) {
 	h.leader.node.callService(TargetCloud, method, path, body, timeout, func(result CallResult) {
 		if h.leader.node.leader == h.leader {
-			onResponse(autoscaler.CloudResponse{Status: result.Status, Body: result.Body})
+			onResponse(protocol.CloudResponse{Status: result.Status, Body: result.Body})
 		}
 	})
 }
--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
-	"hitchdoor/internal/catalog"
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
 )
 
 // nodeCatalogHost gives the machine catalog what it needs from its node.
@@ -21,16 +22,16 @@
 func (a nodeCatalogHost) TakeCloudRequest() bool { return a.node.cloudBudget.Take(a.node.now, 1) }
 
 // ReadFromCloud reads a resource of the cloud.
-func (a nodeCatalogHost) ReadFromCloud(path string, timeout time.Duration, onResponse func(catalog.Response)) {
+func (a nodeCatalogHost) ReadFromCloud(path string, timeout time.Duration, onResponse func(protocol.CloudResponse)) {
 	a.node.callService(TargetCloud, "GET", path, nil, timeout, func(result CallResult) {
-		onResponse(catalog.Response{Status: result.Status, Body: result.Body})
+		onResponse(protocol.CloudResponse{Status: result.Status, Body: result.Body})
 	})
 }
 
 // ReadFromStore reads a record of the key-value store.
-func (a nodeCatalogHost) ReadFromStore(key string, onResponse func(catalog.Response)) {
+func (a nodeCatalogHost) ReadFromStore(key string, onResponse func(storage.Response)) {
 	a.node.storeCall("GET", "/store/"+key, nil, func(result CallResult) {
-		onResponse(catalog.Response{Status: result.Status, Body: result.Body})
+		onResponse(storage.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -6,6 +6,7 @@
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/election"
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
 )
 
 // startElection creates the election and the records of the peers.
@@ -37,9 +38,9 @@
 func (a electionAdapter) Now() clock.Instant { return a.node.now }
 
 // CallStore sends a request to the key-value store.
-func (a electionAdapter) CallStore(method, path string, body any, onResponse func(election.StoreResponse)) {
+func (a electionAdapter) CallStore(method, path string, body any, onResponse func(storage.Response)) {
 	a.node.storeCall(method, path, body, func(result CallResult) {
-		onResponse(election.StoreResponse{Status: result.Status, Body: result.Body})
+		onResponse(storage.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -444,17 +444,17 @@
 
 func (h *agreeingStore) Now() clock.Instant { return h.now }
 
-func (h *agreeingStore) CallStore(_, path string, _ any, onResponse func(election.StoreResponse)) {
+func (h *agreeingStore) CallStore(_, path string, _ any, onResponse func(storage.Response)) {
 	switch path {
 	case "/store/" + storage.TermKey:
 		term := storage.Encode(storage.Term{Term: h.lastTerm})
-		onResponse(election.StoreResponse{Status: 200, Body: storage.Encode(storage.Item{Value: term})})
+		onResponse(storage.Response{Status: 200, Body: storage.Encode(storage.Item{Value: term})})
 	case "/holds":
-		onResponse(election.StoreResponse{Status: 200, Body: storage.Encode(storage.Lease{ID: 1})})
+		onResponse(storage.Response{Status: 200, Body: storage.Encode(storage.Lease{ID: 1})})
 	case "/multi":
-		onResponse(election.StoreResponse{Status: 200, Body: storage.Encode(storage.TxnResponse{})})
+		onResponse(storage.Response{Status: 200, Body: storage.Encode(storage.TxnResponse{})})
 	default:
-		onResponse(election.StoreResponse{Status: 404})
+		onResponse(storage.Response{Status: 404})
 	}
 }
 
--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -1,6 +1,7 @@
 package election
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/segmentio/encoding/json"
@@ -61,26 +62,39 @@
 	now := e.host.Now()
 	current := &candidacy{startedAt: now, votes: map[string]bool{}, votesRequestedAt: clock.Never, votesReadAt: now}
 	e.candidacy = current
-	e.readTerm(func(lastTerm storage.Term, version uint64, ok bool) {
+	e.readTerm(func(last *storedTerm) {
 		if e.candidacy != current {
 			return
 		}
-		if !ok {
+		if last == nil {
 			e.candidacy = nil
 			return
 		}
-		current.term = lastTerm.Term + 1
-		e.raiseTerm(current, version)
+		current.term = last.term.Term + 1
+		e.raiseTerm(current, last.version)
 	})
 }
 
-// readTerm reads the last term and its version, both zero if there is none.
-func (e *Election) readTerm(onTerm func(term storage.Term, version uint64, ok bool)) {
-	e.host.CallStore("GET", "/store/"+storage.TermKey, nil, func(response StoreResponse) {
+// storedTerm is the last term in the key-value store. It is zero if there is none yet.
+type storedTerm struct {
+	term    storage.Term
+	version uint64 // of its key
+}
+
+// readTerm reads the last term. The callback gets nil if it could not be read.
+func (e *Election) readTerm(onTerm func(last *storedTerm)) {
+	e.host.CallStore("GET", "/store/"+storage.TermKey, nil, func(response storage.Response) {
+		if response.Status == http.StatusNotFound {
+			onTerm(&storedTerm{})
+			return
+		}
 		var item storage.Item
 		var term storage.Term
-		ok := response.Status == 404 || response.decode(&item) && json.Unmarshal(item.Value, &term) == nil
-		onTerm(term, item.ModRevision, ok)
+		if !response.Decode(&item) || json.Unmarshal(item.Value, &term) != nil {
+			onTerm(nil)
+			return
+		}
+		onTerm(&storedTerm{term: term, version: item.ModRevision})
 	})
 }
 
@@ -91,12 +105,12 @@
 		Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: lastVersion}, {Key: storage.LeaderKey}},
 		Writes:     []storage.Write{storage.Put(storage.TermKey, storage.Term{Term: current.term, Node: e.node})},
 	}
-	e.host.CallStore("POST", "/multi", txn, func(response StoreResponse) {
+	e.host.CallStore("POST", "/multi", txn, func(response storage.Response) {
 		var result storage.TxnResponse
 		if e.candidacy != current {
 			return
 		}
-		if !response.decode(&result) {
+		if !response.Decode(&result) {
 			// Lost, or the outcome is unclear. A term is never used unless it is known to
 			// be this node's; a later candidacy raises it again.
 			e.candidacy = nil
@@ -145,12 +159,12 @@
 func (e *Election) requestLeaderLease(current *candidacy) {
 	requestedAt := e.host.Now()
 	request := storage.Lease{TTLMillis: e.LeaderLease().Milliseconds()}
-	e.host.CallStore("POST", "/holds", request, func(response StoreResponse) {
+	e.host.CallStore("POST", "/holds", request, func(response storage.Response) {
 		var lease storage.Lease
 		if e.candidacy != current {
 			return
 		}
-		if !response.decode(&lease) {
+		if !response.Decode(&lease) {
 			e.candidacy = nil
 			return
 		}
@@ -170,13 +184,13 @@
 		},
 		Writes: []storage.Write{leaderWrite},
 	}
-	e.host.CallStore("POST", "/multi", txn, func(response StoreResponse) {
+	e.host.CallStore("POST", "/multi", txn, func(response storage.Response) {
 		var result storage.TxnResponse
 		if e.candidacy != current {
 			return
 		}
 		e.candidacy = nil
-		if !response.decode(&result) {
+		if !response.Decode(&result) {
 			// If it was executed nevertheless, the key names this node, and
 			// revokeEarlierLease revokes its lease.
 			return
--- a/internal/election/election_step_test.go
+++ b/internal/election/election_step_test.go
@@ -25,8 +25,8 @@
 
 func (h *recordingHost) Now() clock.Instant { return h.now }
 
-func (h *recordingHost) CallStore(_, path string, _ any, onResponse func(StoreResponse)) {
-	response := StoreResponse{Status: h.storeStatus}
+func (h *recordingHost) CallStore(_, path string, _ any, onResponse func(storage.Response)) {
+	response := storage.Response{Status: h.storeStatus}
 	switch path {
 	case "/store/" + storage.LeaderKey, "/store/" + storage.TermKey:
 		response.Status = 404
--- a/internal/election/host.go
+++ b/internal/election/host.go
@@ -1,10 +1,9 @@
 package election
 
 import (
-	"github.com/segmentio/encoding/json"
-
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
 )
 
 // timeSource tells the time.
@@ -20,7 +19,7 @@
 	// CallStore sends a request to the key-value store and passes the response to onResponse in a
 	// later step. Before that, the host records the response as it does with all others of the
 	// store, so that the election knows whether the store answers this node.
-	CallStore(method, path string, body any, onResponse func(StoreResponse))
+	CallStore(method, path string, body any, onResponse func(storage.Response))
 	// SendMessage sends a message to a peer.
 	SendMessage(to string, message protocol.PeerMessage)
 	// DescribeController sets the fields of a heartbeat that are not the election's.
@@ -37,20 +36,8 @@
 	SteppedDown(reason string)
 }
 
-// StoreResponse is the response of the key-value store to a request. Status 0 means that no usable
-// response arrived; the request may have been executed, or may be later.
-type StoreResponse struct {
-	Status int
-	Body   []byte
-}
-
-// decode decodes the body of a successful response. It reports whether there is one.
-func (r StoreResponse) decode(value any) bool {
-	return r.Status == 200 && json.Unmarshal(r.Body, value) == nil
-}
-
 // ignoreResponse handles the response to a request on whose outcome nothing depends.
-func ignoreResponse(StoreResponse) {}
+func ignoreResponse(storage.Response) {}
 
 // LeaderCondition is the state of a leader that decides whether it should go on to lead.
 type LeaderCondition struct {
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -1,6 +1,7 @@
 package election
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/segmentio/encoding/json"
@@ -33,25 +34,25 @@
 // checks that the key-value store answers this node.
 func (e *Election) readLeaderKey() {
 	e.leaderKey.readInFlight, e.leaderKey.readAt = true, e.host.Now()
-	e.host.CallStore("GET", "/store/"+storage.LeaderKey, nil, func(response StoreResponse) {
+	e.host.CallStore("GET", "/store/"+storage.LeaderKey, nil, func(response storage.Response) {
 		e.leaderKey.readInFlight = false
 		if e.leadership != nil || e.candidacy != nil || e.draining {
 			return
 		}
 		switch response.Status {
-		case 200:
+		case http.StatusOK:
 			e.onLeaderKeyPresent(response)
-		case 404:
+		case http.StatusNotFound:
 			e.onLeaderKeyAbsent()
 		}
 	})
 }
 
 // onLeaderKeyPresent gives up the next candidacy, as some node leads.
-func (e *Election) onLeaderKeyPresent(response StoreResponse) {
+func (e *Election) onLeaderKeyPresent(response storage.Response) {
 	var item storage.Item
 	var record storage.Leader
-	if !response.decode(&item) || json.Unmarshal(item.Value, &record) != nil {
+	if !response.Decode(&item) || json.Unmarshal(item.Value, &record) != nil {
 		return
 	}
 	e.candidacyAt, e.leaderKey.absentSince = clock.Never, clock.Never
@@ -64,7 +65,7 @@
 // does not lead. The key belongs to an earlier process of this node, which has ended, as a node
 // runs one process at a time: there is no need to wait until its lease expires.
 func (e *Election) revokeEarlierLease(leaseID uint64) {
-	e.host.CallStore("DELETE", leasePath(leaseID), nil, func(StoreResponse) { e.leaderKey.readAt = clock.Never })
+	e.host.CallStore("DELETE", leasePath(leaseID), nil, func(storage.Response) { e.leaderKey.readAt = clock.Never })
 }
 
 // onLeaderKeyAbsent starts a candidacy in turn. A node that has no quorum within reach rather votes
--- a/internal/election/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -1,10 +1,12 @@
 package election
 
 import (
+	"net/http"
 	"strconv"
 	"time"
 
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/storage"
 )
 
 // leadership is the state of this node's term as the leader.
@@ -118,16 +120,16 @@
 func (e *Election) renewLease() {
 	current, sentAt := e.leadership, e.host.Now()
 	current.renewalInFlight, current.renewalSentAt = true, sentAt
-	e.host.CallStore("POST", leasePath(current.leaseID)+"/touch", nil, func(response StoreResponse) {
+	e.host.CallStore("POST", leasePath(current.leaseID)+"/touch", nil, func(response storage.Response) {
 		if e.leadership != current {
 			return
 		}
 		current.renewalInFlight = false
 		switch response.Status {
-		case 200:
+		case http.StatusOK:
 			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+SafeLeaseSpan(e.LeaderLease()))
 			current.renewalFailed = false
-		case 404:
+		case http.StatusNotFound:
 			e.StepDown("leader lease lost")
 		default:
 			current.renewalFailed = true
--- a/internal/election/store_availability.go
+++ b/internal/election/store_availability.go
@@ -1,6 +1,10 @@
 package election
 
-import "hitchdoor/internal/clock"
+import (
+	"net/http"
+
+	"hitchdoor/internal/clock"
+)
 
 // storeAvailability tracks whether the key-value store answers this node.
 type storeAvailability struct {
@@ -16,7 +20,7 @@
 
 // RecordStoreResponse records whether the key-value store answered a call with the status.
 func (a *storeAvailability) RecordStoreResponse(now clock.Instant, status int) {
-	if status == 0 || status == 429 || status >= 500 {
+	if status == 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError {
 		a.lastFailure = now
 		a.consecutiveFailures++
 		return
--- a/internal/election/votes.go
+++ b/internal/election/votes.go
@@ -48,10 +48,11 @@
 // each node would raise the term over the one that others vote for, and a cluster of
 // disconnected controllers would stay without a leader.
 func (e *Election) voteThroughStore() {
-	e.readTerm(func(lastTerm storage.Term, _ uint64, ok bool) {
-		if e.leadership != nil || e.candidacy != nil || !ok || !e.freeToVote() {
+	e.readTerm(func(last *storedTerm) {
+		if e.leadership != nil || e.candidacy != nil || last == nil || !e.freeToVote() {
 			return
 		}
+		lastTerm := last.term
 		if !e.isOpenCandidacy(lastTerm) || !e.mayVoteInTerm(lastTerm.Term) {
 			e.startCandidacyInTurn()
 			return
@@ -73,9 +74,9 @@
 func (e *Election) readStoredVotes(current *candidacy) {
 	current.votesReadAt = e.host.Now()
 	path := storage.ListPath(storage.VotePrefix, "", e.cluster.ControllerCount)
-	e.host.CallStore("GET", path, nil, func(response StoreResponse) {
+	e.host.CallStore("GET", path, nil, func(response storage.Response) {
 		var page storage.ListResponse
-		if e.candidacy != current || !response.decode(&page) {
+		if e.candidacy != current || !response.Decode(&page) {
 			return
 		}
 		for _, item := range page.Items {
--- a/internal/jobstore/effective_state.go
+++ b/internal/jobstore/effective_state.go
@@ -1,6 +1,7 @@
 package jobstore
 
 import (
+	"net/http"
 	"slices"
 
 	"github.com/segmentio/encoding/json"
@@ -19,13 +20,13 @@
 			return
 		}
 		search := cancellationSearch{reader: r, visited: map[string]bool{}}
-		search.onResult = func(ok, cancelled bool) {
-			switch {
-			case !ok:
+		search.onResult = func(result searchResult) {
+			switch result {
+			case searchFailed:
 				onRead(false, nil, nil)
-			case cancelled:
+			case cancellationFound:
 				onRead(true, nil, &storage.TerminalRecord{State: protocol.JobCancelled})
-			default:
+			case noCancellation:
 				onRead(true, openItem, nil)
 			}
 		}
@@ -33,19 +34,29 @@
 	})
 }
 
+// searchResult is the result of a cancellationSearch.
+type searchResult int
+
+// The results of a search.
+const (
+	searchFailed searchResult = iota // some record could not be read
+	noCancellation
+	cancellationFound
+)
+
 // cancellationSearch reads whether any of some jobs, or of their direct and indirect dependencies,
 // is cancelled. It reads each job once, one after the other.
 type cancellationSearch struct {
 	reader   *Reader
 	visited  map[string]bool // ids of jobs that were read
-	onResult func(ok, cancelled bool)
+	onResult func(searchResult)
 }
 
 // checkDependencies checks the jobs with the given ids and the dependencies of an open job.
 func (s *cancellationSearch) checkDependencies(openItem *storage.Item, otherIDs []string) {
 	s.reader.readDependencies(openItem, func(ok bool, ids []string) {
 		if !ok {
-			s.onResult(false, false)
+			s.onResult(searchFailed)
 			return
 		}
 		s.checkJobs(append(slices.Clone(otherIDs), ids...))
@@ -57,7 +68,7 @@
 func (s *cancellationSearch) checkJobs(ids []string) {
 	next := slices.IndexFunc(ids, func(id string) bool { return !s.visited[id] })
 	if next < 0 {
-		s.onResult(true, false)
+		s.onResult(noCancellation)
 		return
 	}
 	id, remaining := ids[next], ids[next+1:]
@@ -65,9 +76,9 @@
 	s.reader.ReadJob(id, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
 		case !ok:
-			s.onResult(false, false)
+			s.onResult(searchFailed)
 		case terminal != nil && terminal.State == protocol.JobCancelled:
-			s.onResult(true, true)
+			s.onResult(cancellationFound)
 		case openItem != nil:
 			s.checkDependencies(openItem, remaining)
 		default:
@@ -91,7 +102,7 @@
 	path := storage.ListPath(storage.DependenciesPrefix+record.Spec.ID+"/", "", record.DependencyRecords)
 	r.host.Get(path, func(status int, body []byte) {
 		var page storage.ListResponse
-		ok := status == 200 && json.Unmarshal(body, &page) == nil && record.RestoreDependencies(page.Items)
+		ok := status == http.StatusOK && json.Unmarshal(body, &page) == nil && record.RestoreDependencies(page.Items)
 		onRead(ok, record.Spec.Dependencies)
 	})
 }
--- a/internal/jobstore/reader.go
+++ b/internal/jobstore/reader.go
@@ -4,6 +4,7 @@
 package jobstore
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/segmentio/encoding/json"
@@ -69,7 +70,7 @@
 func (r *Reader) ReadItem(key string, onRead func(status int, item *storage.Item)) {
 	r.host.Get("/store/"+key, func(status int, body []byte) {
 		var item storage.Item
-		if status != 200 || json.Unmarshal(body, &item) != nil {
+		if status != http.StatusOK || json.Unmarshal(body, &item) != nil {
 			onRead(status, nil)
 			return
 		}
@@ -93,7 +94,7 @@
 		case item != nil:
 			r.RecordAccepted(jobID)
 			onRead(true, item, nil)
-		case status == 404:
+		case status == http.StatusNotFound:
 			r.ReadTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) { onRead(ok, nil, terminal) })
 		default:
 			onRead(false, nil, nil)
@@ -111,7 +112,7 @@
 		switch {
 		case known:
 			onRead(true, &terminal)
-		case status == 404:
+		case status == http.StatusNotFound:
 			onRead(true, nil)
 		default:
 			onRead(false, nil)
--- a/internal/jobstore/terminal_jobs.go
+++ b/internal/jobstore/terminal_jobs.go
@@ -1,6 +1,7 @@
 package jobstore
 
 import (
+	"net/http"
 	"strings"
 
 	"github.com/segmentio/encoding/json"
@@ -58,7 +59,7 @@
 	r.host.Get(path, func(status int, body []byte) {
 		cache.loading, cache.nextReadAt = false, r.host.Now()+r.pollInterval
 		var page storage.ListResponse
-		if status != 200 || json.Unmarshal(body, &page) != nil {
+		if status != http.StatusOK || json.Unmarshal(body, &page) != nil {
 			return
 		}
 		for _, item := range page.Items {
--- /dev/null
+++ b/internal/protocol/cloud_response.go
@@ -0,0 +1,19 @@
+package protocol
+
+import (
+	"net/http"
+
+	"github.com/segmentio/encoding/json"
+)
+
+// CloudResponse is the response of the cloud to a request. Status 0 means that no usable response
+// arrived; the request may have been executed, or may be later.
+type CloudResponse struct {
+	Status int
+	Body   []byte
+}
+
+// Decode decodes the body of a successful response into value. It reports whether there was one.
+func (r CloudResponse) Decode(value any) bool {
+	return r.Status == http.StatusOK && json.Unmarshal(r.Body, value) == nil
+}
--- a/internal/protocol/cloud_responses.go
+++ b/internal/protocol/cloud_responses.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"net/url"
 	"slices"
 	"strings"
@@ -12,7 +13,7 @@
 // CheckCloudResponse validates a response of the cloud with status 200. A truncated or
 // inconsistent body returns a *CloudResponseError; the caller must treat the call as unanswered.
 func CheckCloudResponse(method, path string, status int, body []byte) error {
-	if status != 200 {
+	if status != http.StatusOK {
 		return nil
 	}
 	var problem *CloudResponseError
--- a/internal/records/job_watch.go
+++ b/internal/records/job_watch.go
@@ -1,6 +1,7 @@
 package records
 
 import (
+	"net/http"
 	"time"
 
 	"hitchdoor/internal/storage"
@@ -52,10 +53,10 @@
 	switch {
 	case response.Decode(&events):
 		w.applyEvents(events, early)
-	case response.Status == 410:
+	case response.Status == http.StatusGone:
 		// The revision was compacted: list the open jobs again. Loaded jobs stay.
 		w.rereadJobs()
-	case response.Status == 503:
+	case response.Status == http.StatusServiceUnavailable:
 		w.failures = 1 // an outage, perhaps a short one: keep the pause short
 		w.scheduleWatch()
 	case w.failures == 0:
--- a/internal/records/quarantine.go
+++ b/internal/records/quarantine.go
@@ -5,6 +5,7 @@
 	"errors"
 	"log/slog"
 	"maps"
+	"net/http"
 	"slices"
 
 	"hitchdoor/internal/clock"
@@ -181,7 +182,7 @@
 // hasChanged reports whether the response to a read of the record shows that it was written again or
 // deleted.
 func (r *QuarantinedRecord) hasChanged(response storage.Response) bool {
-	if response.Status == 404 {
+	if response.Status == http.StatusNotFound {
 		return true
 	}
 	var item storage.Item
--- a/internal/records/transactions.go
+++ b/internal/records/transactions.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+	"net/http"
 
 	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/storage"
@@ -59,18 +60,18 @@
 	case response.Decode(&result):
 		w.CompleteInFlight(result.Revision)
 		w.SendNext()
-	case response.Status == 409 && w.OutcomeUnknown():
+	case response.Status == http.StatusConflict && w.OutcomeUnknown():
 		w.resolveOutcome(w.stepDownOnConflict)
-	case response.Status == 400 && w.OutcomeUnknown():
+	case response.Status == http.StatusBadRequest && w.OutcomeUnknown():
 		w.resolveOutcome(w.splitRefusedTransaction)
-	case response.Status == 400:
+	case response.Status == http.StatusBadRequest:
 		w.log.Warn("transaction rejected as invalid", "status", response.Status, "body", string(response.Body))
 		w.splitRefusedTransaction()
-	case response.Status == 409:
+	case response.Status == http.StatusConflict:
 		w.log.Warn("transaction conflict", "status", response.Status, "body", string(response.Body))
 		w.stepDownOnConflict()
 	default:
-		if response.Status == 0 || response.Status == 504 {
+		if response.Status == 0 || response.Status == http.StatusGatewayTimeout {
 			w.MarkOutcomeUnknown()
 		}
 		w.scheduleRetry(w.sendAgain)
@@ -106,11 +107,11 @@
 	w.host.CallStore("GET", "/store/"+w.ProbeKey(), nil, func(response storage.Response) {
 		var item storage.Item
 		switch {
-		case response.Status == 404 && w.MatchesProbe(nil):
+		case response.Status == http.StatusNotFound && w.MatchesProbe(nil):
 			w.CompleteInFlight(0)
 		case response.Decode(&item) && w.MatchesProbe(&item):
 			w.CompleteInFlight(item.ModRevision)
-		case response.Status == 200 || response.Status == 404:
+		case response.Status == http.StatusOK || response.Status == http.StatusNotFound:
 			onNotApplied()
 		default:
 			w.scheduleRetry(func() { w.resolveOutcome(onNotApplied) })
--- a/internal/storage/response.go
+++ b/internal/storage/response.go
@@ -1,6 +1,10 @@
 package storage
 
-import "github.com/segmentio/encoding/json"
+import (
+	"net/http"
+
+	"github.com/segmentio/encoding/json"
+)
 
 // Response is the response of the key-value store to a request. Status 0 means that no usable
 // response arrived; the request may have been executed, or may be later.
@@ -11,5 +15,5 @@
 
 // Decode decodes the body of a successful response into value. It reports whether there was one.
 func (r Response) Decode(value any) bool {
-	return r.Status == 200 && json.Unmarshal(r.Body, value) == nil
+	return r.Status == http.StatusOK && json.Unmarshal(r.Body, value) == nil
 }
--- a/internal/storage/responses.go
+++ b/internal/storage/responses.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"net/url"
 	"strings"
 
@@ -32,17 +33,18 @@
 func CheckResponse(method, path string, status int, body []byte) error {
 	var problem *ResponseError
 	switch status {
-	case 0, 400, 410, 429: // no response, or a status without a body to validate
-	case 200:
+	case 0, http.StatusBadRequest, http.StatusGone, http.StatusTooManyRequests:
+		// There is no response, or its status has no body to validate.
+	case http.StatusOK:
 		problem = checkResponseBody(method, path, body)
-	case 404:
+	case http.StatusNotFound:
 		if strings.HasPrefix(path, keyPath) {
 			problem = checkNotFound(body)
 		}
-	case 409:
+	case http.StatusConflict:
 		problem = checkConflict(body)
 	default:
-		if status < 500 {
+		if status < http.StatusInternalServerError {
 			problem = &ResponseError{Reason: "status is not part of the protocol"}
 		}
 	}
