--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,10 +16,10 @@
 	}
 }
 
-func randomDemands(rng *rand.Rand) []Demand {
-	demands := make([]Demand, 1+rng.IntN(40))
+func randomDemands(rng *rand.Rand) []groupDemand {
+	demands := make([]groupDemand, 1+rng.IntN(40))
 	for i := range demands {
-		demands[i] = Demand{Group: Group{Team: fmt.Sprint("t", rng.IntN(8)), Class: fmt.Sprint("c", i), PriorityRank: rng.IntN(4)},
+		demands[i] = groupDemand{Group: Group{Team: fmt.Sprint("t", rng.IntN(8)), Class: fmt.Sprint("c", i), PriorityRank: rng.IntN(4)},
 			Jobs: math.Exp(rng.Float64() * 9), Weight: 1 + 3*rng.Float64()}
 	}
 	return demands
@@ -33,7 +33,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	for round := range 2000 {
 		demands, capacity, epochs := randomDemands(rng), math.Exp(rng.Float64()*9), 1+rng.IntN(12)
-		given := AllotCapacity(capacity, demands, epochs)
+		given := allotCapacity(capacity, demands, epochs)
 		wanted, teams, got := 0.0, map[string]float64{}, map[string]float64{}
 		for i, d := range demands {
 			wanted += d.Jobs
@@ -68,7 +68,7 @@
 }
 
 // checkPriority looks for urgent work that goes short while other work has more than its floor.
-func checkPriority(t *testing.T, demands []Demand, given []float64, capacity float64, epochs int) {
+func checkPriority(t *testing.T, demands []groupDemand, given []float64, capacity float64, epochs int) {
 	t.Helper()
 	floors := make([]float64, len(demands))
 	if least := minimumAllotments(demands, epochs); sum(least) <= capacity {
--- a/internal/admission/allotment.go
+++ b/internal/admission/allotment.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Demand is the number of jobs of a group that wait to be admitted.
-type Demand struct {
+// groupDemand is the number of jobs of a group that wait to be admitted.
+type groupDemand struct {
 	Group
 	Jobs   float64
 	Weight float64 // of its team; a guarantee raises it
@@ -17,12 +17,12 @@
 // team among its groups, whatever their priority. The rest is allotted by priority.
 const floorShare = 0.25
 
-// AllotCapacity divides a capacity in jobs among groups: first the minimum that each needs for all
+// allotCapacity divides a capacity in jobs among groups: first the minimum that each needs for all
 // its jobs to be admitted in time, if there is enough for all; then floorShare of what is left
 // evenly among teams and among the groups of each; then the rest by priority, and among equal
 // priorities by weight. No group gets more than its demand. The result is in the order of the
 // demands.
-func AllotCapacity(capacity float64, demands []Demand, epochsToTurn int) []float64 {
+func allotCapacity(capacity float64, demands []groupDemand, epochsToTurn int) []float64 {
 	allotted := make([]float64, len(demands))
 	if minimum := minimumAllotments(demands, epochsToTurn); sum(minimum) <= capacity {
 		copy(allotted, minimum)
@@ -33,9 +33,9 @@
 	return allotted
 }
 
-// minimumAllotments is, for each group, the number of jobs per epoch by which all of it is admitted
-// within epochsToTurn epochs.
-func minimumAllotments(demands []Demand, epochsToTurn int) []float64 {
+// minimumAllotments returns, for each group, the number of jobs per epoch by which all of it is
+// admitted within epochsToTurn epochs.
+func minimumAllotments(demands []groupDemand, epochsToTurn int) []float64 {
 	minimum := make([]float64, len(demands))
 	for i, demand := range demands {
 		minimum[i] = demand.Jobs / float64(max(1, epochsToTurn))
@@ -44,7 +44,7 @@
 }
 
 // allotFloor adds an even portion of the amount for each team and group to the allotments.
-func allotFloor(amount float64, demands []Demand, allotted []float64) {
+func allotFloor(amount float64, demands []groupDemand, allotted []float64) {
 	members := map[string][]int{}
 	for i, demand := range demands {
 		members[demand.Team] = append(members[demand.Team], i)
@@ -58,25 +58,27 @@
 		}
 	}
 	for teamIndex, portion := range divideMaxMin(amount, claims) {
-		allotToMembers(portion, members[teams[teamIndex]], demands, allotted, func(Demand) float64 { return 1 })
+		allotToMembers(portion, members[teams[teamIndex]], demands, allotted, func(groupDemand) float64 { return 1 })
 	}
 }
 
 // allotByRank adds portions of the amount to the allotments by priority, most urgent first.
-func allotByRank(amount float64, demands []Demand, allotted []float64) {
+func allotByRank(amount float64, demands []groupDemand, allotted []float64) {
 	byRank := map[int][]int{}
 	for i, demand := range demands {
 		byRank[demand.PriorityRank] = append(byRank[demand.PriorityRank], i)
 	}
 	for _, rank := range slices.Sorted(maps.Keys(byRank)) {
 		before := sum(allotted)
-		allotToMembers(amount, byRank[rank], demands, allotted, func(demand Demand) float64 { return demand.Weight })
+		byWeight := func(demand groupDemand) float64 { return demand.Weight }
+		allotToMembers(amount, byRank[rank], demands, allotted, byWeight)
 		amount -= sum(allotted) - before
 	}
 }
 
 // allotToMembers divides an amount among some of the groups.
-func allotToMembers(amount float64, members []int, demands []Demand, allotted []float64, weight func(Demand) float64) {
+func allotToMembers(amount float64, members []int, demands []groupDemand, allotted []float64,
+	weight func(groupDemand) float64) {
 	claims := make([]claim, len(members))
 	for k, i := range members {
 		claims[k] = claim{demand: demands[i].Jobs - allotted[i], weight: weight(demands[i])}
@@ -114,8 +116,8 @@
 // sum adds up the values.
 func sum(values []float64) float64 {
 	total := 0.0
-	for _, v := range values {
-		total += v
+	for _, value := range values {
+		total += value
 	}
 	return total
 }
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -71,31 +71,31 @@
 	return planner
 }
 
-// Policy is the policy in force, or nil.
-func (c *Planner) Policy() *Policy { return c.policy }
+// Policy returns the policy in force, or nil.
+func (p *Planner) Policy() *Policy { return p.policy }
 
 // NextPolicy computes the policy of the next epoch from the loads of the one that ends and the
 // capacity of the next. It is nil while there is no overload. A new series of epochs is numbered
 // from firstEpoch.
-func (c *Planner) NextPolicy(loads []Load, capacity Capacity, firstEpoch uint64) *Policy {
-	c.updateEstimates(loads)
-	if c.policy == nil && !overloaded(loads, capacity) {
-		clear(c.estimates)
+func (p *Planner) NextPolicy(loads []Load, capacity Capacity, firstEpoch uint64) *Policy {
+	p.updateEstimates(loads)
+	if p.policy == nil && !overloaded(loads, capacity) {
+		clear(p.estimates)
 		return nil
 	}
-	demands := c.demands()
-	c.countUnderload(demands, capacity.Jobs)
-	if c.underloadEpochs >= underloadEpochsToEnd {
-		c.policy, c.underloadEpochs = nil, 0
-		clear(c.estimates)
+	demands := p.demands()
+	p.countUnderload(demands, capacity.Jobs)
+	if p.underloadEpochs >= underloadEpochsToEnd {
+		p.policy, p.underloadEpochs = nil, 0
+		clear(p.estimates)
 		return nil
 	}
-	next := &Policy{Epoch: firstEpoch, EpochLengthMS: c.settings.EpochLengthMS, DefaultShare: FullShare(Group{})}
-	if c.policy != nil {
-		next.Epoch = c.policy.Epoch + 1
+	next := &Policy{Epoch: firstEpoch, EpochLengthMS: p.settings.EpochLengthMS, DefaultShare: FullShare(Group{})}
+	if p.policy != nil {
+		next.Epoch = p.policy.Epoch + 1
 	}
-	c.assignShares(next, demands, AllotCapacity(targetUtilization*capacity.Jobs, demands, c.settings.MaxEpochsToTurn))
-	c.policy = next
+	p.assignShares(next, demands, allotCapacity(targetUtilization*capacity.Jobs, demands, p.settings.MaxEpochsToTurn))
+	p.policy = next
 	return next
 }
 
@@ -119,76 +119,76 @@
 	weight       float64
 }
 
-// demand is the estimated number of jobs that wait.
+// demand returns the estimated number of jobs that wait.
 func (e *demandEstimate) demand() float64 { return e.admittedJobs / e.sampledShare }
 
 // updateEstimates updates the estimates from the loads of an epoch and drops negligible ones.
-func (c *Planner) updateEstimates(loads []Load) {
+func (p *Planner) updateEstimates(loads []Load) {
 	seen := map[Group]bool{}
 	for _, load := range loads {
 		seen[load.Group] = true
-		c.addSample(load.Group, float64(load.Accepted+load.RejectedForCapacity))
-		c.estimates[load.Group].weight = load.Weight
+		p.addSample(load.Group, float64(load.Accepted+load.RejectedForCapacity))
+		p.estimates[load.Group].weight = load.Weight
 	}
-	for group, estimate := range c.estimates {
+	for group, estimate := range p.estimates {
 		if !seen[group] {
-			c.addSample(group, 0)
+			p.addSample(group, 0)
 		}
-		hasOwnShare := c.policy != nil && c.policy.shareOf(group) != &c.policy.DefaultShare
+		hasOwnShare := p.policy != nil && p.policy.shareOf(group) != &p.policy.DefaultShare
 		if estimate.demand() < negligibleDemand && !hasOwnShare {
-			delete(c.estimates, group)
+			delete(p.estimates, group)
 		}
 	}
 }
 
 // addSample adds the jobs of a group that the newest step of its arc admitted in an epoch.
-func (c *Planner) addSample(group Group, jobs float64) {
+func (p *Planner) addSample(group Group, jobs float64) {
 	newestShare := 1.0
-	if c.policy != nil {
-		newestShare = float64(c.policy.shareOf(group).lastStep()) / Ring
+	if p.policy != nil {
+		newestShare = float64(p.policy.shareOf(group).lastStep()) / Ring
 	}
-	estimate := c.estimates[group]
-	if estimate == nil || c.policy == nil {
+	estimate := p.estimates[group]
+	if estimate == nil || p.policy == nil {
 		estimate = &demandEstimate{}
-		c.estimates[group] = estimate
+		p.estimates[group] = estimate
 	}
 	estimate.admittedJobs = sampleRetention*estimate.admittedJobs + jobs
 	estimate.sampledShare = sampleRetention*estimate.sampledShare + newestShare
 }
 
 // demands lists the demands of all groups by team, class and rank.
-func (c *Planner) demands() []Demand {
-	demands := make([]Demand, 0, len(c.estimates))
-	for group, estimate := range c.estimates {
+func (p *Planner) demands() []groupDemand {
+	demands := make([]groupDemand, 0, len(p.estimates))
+	for group, estimate := range p.estimates {
 		weight := estimate.weight
 		if weight <= 0 {
 			weight = 1 // no submission since the group was read from a policy
 		}
-		demands = append(demands, Demand{Group: group, Jobs: estimate.demand(), Weight: weight})
+		demands = append(demands, groupDemand{Group: group, Jobs: estimate.demand(), Weight: weight})
 	}
-	slices.SortFunc(demands, func(a, b Demand) int {
+	slices.SortFunc(demands, func(a, b groupDemand) int {
 		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class), a.PriorityRank-b.PriorityRank)
 	})
 	return demands
 }
 
 // countUnderload counts the consecutive epochs in which the demand is well below the capacity.
-func (c *Planner) countUnderload(demands []Demand, capacity float64) {
+func (p *Planner) countUnderload(demands []groupDemand, capacity float64) {
 	demandedJobs := 0.0
 	for _, demand := range demands {
 		demandedJobs += demand.Jobs
 	}
 	if demandedJobs <= underloadShare*capacity {
-		c.underloadEpochs++
+		p.underloadEpochs++
 	} else {
-		c.underloadEpochs = 0
+		p.underloadEpochs = 0
 	}
 }
 
 // assignShares sets a share for each group whose demand can't be met as a whole. If the policy
 // can't name them all, the groups with the least demand have one share in common, together with
 // groups that are still unknown.
-func (c *Planner) assignShares(next *Policy, demands []Demand, allotted []float64) {
+func (p *Planner) assignShares(next *Policy, demands []groupDemand, allotted []float64) {
 	order := make([]int, len(demands))
 	for i := range order {
 		order[i] = i
@@ -196,10 +196,10 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(demands[b].Jobs, demands[a].Jobs) })
 	var restDemand, restAllotted float64
 	for _, i := range order {
-		share := c.nextShare(next.Epoch, demands[i], allotted[i])
+		share := p.nextShare(next.Epoch, demands[i], allotted[i])
 		switch {
 		case share.OpenPositions() >= Ring:
-		case len(next.Shares) < c.settings.MaxShares:
+		case len(next.Shares) < p.settings.MaxShares:
 			next.Shares = append(next.Shares, share)
 		default:
 			restDemand += demands[i].Jobs
@@ -207,17 +207,17 @@
 		}
 	}
 	if restDemand > 0 {
-		next.DefaultShare = c.nextShare(next.Epoch, Demand{Jobs: restDemand}, restAllotted)
+		next.DefaultShare = p.nextShare(next.Epoch, groupDemand{Jobs: restDemand}, restAllotted)
 	}
 }
 
 // nextShare advances a group's arc by the fraction of its demand that it is allotted.
-func (c *Planner) nextShare(epoch uint64, demand Demand, allotted float64) Share {
+func (p *Planner) nextShare(epoch uint64, demand groupDemand, allotted float64) Share {
 	fraction := 1.0
 	if demand.Jobs > 0 {
 		fraction = min(1, allotted/demand.Jobs)
 	}
-	share := c.lastShare(epoch, demand.Group)
+	share := p.lastShare(epoch, demand.Group)
 	if step := share.lastStep(); step > 0 {
 		fraction = min(fraction, maxStepGrowth*float64(step)/Ring)
 	}
@@ -229,11 +229,11 @@
 	return share
 }
 
-// lastShare is a group's share of the last epoch, or a new one. A new arc begins at a position
+// lastShare returns a group's share of the last epoch, or a new one. A new arc begins at a position
 // that depends on the epoch, so that no job is always among the last.
-func (c *Planner) lastShare(epoch uint64, group Group) Share {
-	if c.policy != nil {
-		if last := c.policy.shareOf(group); last.Group == group && last.OpenPositions() < Ring {
+func (p *Planner) lastShare(epoch uint64, group Group) Share {
+	if p.policy != nil {
+		if last := p.policy.shareOf(group); last.Group == group && last.OpenPositions() < Ring {
 			return *last
 		}
 	}
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -22,7 +22,7 @@
 // because a user may retry some seconds late.
 const graceEpochs = 2
 
-// Position is a job's place on the ring: the upper half of the 64-bit xxHash (XXH64, seed 0)
+// Position returns a job's place on the ring: the upper half of the 64-bit xxHash (XXH64, seed 0)
 // of its id. Versions must agree on it, so it never changes.
 func Position(jobID string) uint32 { return uint32(xxhash.Sum64String(jobID) >> 32) }
 
@@ -42,10 +42,10 @@
 	Demand float64  `json:"demand"` // estimated number of jobs that wait to be admitted
 }
 
-// FullShare is the share of a group that is admitted as a whole.
+// FullShare returns the share of a group that is admitted as a whole.
 func FullShare(group Group) Share { return Share{Group: group, Steps: []uint64{Ring}} }
 
-// OpenPositions is the number of positions that are admitted.
+// OpenPositions returns the number of positions that are admitted.
 func (s *Share) OpenPositions() uint64 {
 	open := uint64(0)
 	for _, step := range s.Steps {
@@ -54,8 +54,8 @@
 	return min(open, Ring)
 }
 
-// lastStep is by how much the end of the arc advanced in the last epoch, and will again if nothing
-// changes.
+// lastStep returns by how much the end of the arc advanced in the last epoch, and will again if
+// nothing changes.
 func (s *Share) lastStep() uint64 {
 	if len(s.Steps) == 0 {
 		return 0
@@ -86,7 +86,7 @@
 	return p.shareOf(group).evaluate(Position(jobID))
 }
 
-// shareOf is the share of a group.
+// shareOf returns the share of a group.
 func (p *Policy) shareOf(group Group) *Share {
 	for i := range p.Shares {
 		if p.Shares[i].Group == group {
@@ -106,7 +106,8 @@
 	return Verdict{EpochsToTurn: 1 + int((offset-open)/s.lastStep())}
 }
 
-// EpochsToAdmitAll is the number of epochs after which every job of the share has been admitted once.
+// EpochsToAdmitAll returns the number of epochs after which every job of the share has been
+// admitted once.
 func (s *Share) EpochsToAdmitAll() int {
 	open := s.OpenPositions()
 	if open >= Ring {
--- a/internal/admissioncontrol/follower.go
+++ b/internal/admissioncontrol/follower.go
@@ -1,6 +1,6 @@
-// Package admissioncontrol holds a controller's view of the admission policy record and its counts of
-// rejected submissions, and publishes the policy of each epoch as the leader. The policies themselves
-// are made by package admission. It does no I/O.
+// Package admissioncontrol holds a controller's view of the admission policy record and its counts
+// of rejected submissions, and publishes the policy of each epoch as the leader. The policies
+// themselves are made by package admission. It does no I/O.
 package admissioncontrol
 
 import (
@@ -55,7 +55,7 @@
 	return &PolicyFollower{rejections: newRejectionCounts(), host: host, cluster: cluster, log: log}
 }
 
-// GroupOf is the admission group that a job belongs to.
+// GroupOf returns the admission group that a job belongs to.
 func GroupOf(spec *protocol.Job) admission.Group {
 	return admission.Group{Team: spec.Team, Class: spec.Class, PriorityRank: spec.PriorityRank()}
 }
@@ -63,7 +63,7 @@
 // epochsPerLease is the number of epochs in a worker lease.
 const epochsPerLease = 4
 
-// EpochLength is how long a policy is in force.
+// EpochLength returns how long a policy is in force.
 func (f *PolicyFollower) EpochLength() time.Duration {
 	return (f.cluster.WorkerLease() / epochsPerLease).Truncate(time.Millisecond)
 }
@@ -74,7 +74,7 @@
 	maxEpochMS     = 3_600_000
 )
 
-// RetryAfterSeconds is the number of seconds until the policy admits a job.
+// RetryAfterSeconds returns the number of seconds until the policy admits a job.
 func (f *PolicyFollower) RetryAfterSeconds(verdict admission.Verdict) int {
 	epochs := time.Duration(min(verdict.EpochsToTurn, maxEpochsAhead))
 	epochLength := time.Duration(min(f.Current.EpochLengthMS, maxEpochMS)) * time.Millisecond
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// plannerSettings are the bounds of the policies.
+// plannerSettings returns the bounds of the policies.
 func (p *Publisher) plannerSettings() admission.Settings {
 	epochLength := p.follower.EpochLength()
 	turnDeadline := turnDeadlineShare * float64(protocol.SubmissionRetryWindow)
@@ -123,7 +123,7 @@
 	}
 }
 
-// groupLoad is the load of a group in this epoch, or nil if there are too many groups.
+// groupLoad returns the load of a group in this epoch, or nil if there are too many groups.
 func (p *Publisher) groupLoad(group admission.Group) *admission.Load {
 	load := p.EpochLoads[group]
 	if load == nil && len(p.EpochLoads) < protocol.MaxGroupLoads {
@@ -133,11 +133,12 @@
 	return load
 }
 
-// teamWeight is a team's weight among all teams. It grows with the team's guarantee, from 1 to 2.
+// teamWeight returns a team's weight among all teams. It grows with the team's guarantee, from 1 to
+// 2.
 func (p *Publisher) teamWeight(teamName string) float64 {
 	largest := 0.0
-	for _, t := range p.state.Config.Teams {
-		largest = max(largest, t.GuaranteedCPUs)
+	for _, other := range p.state.Config.Teams {
+		largest = max(largest, other.GuaranteedCPUs)
 	}
 	team := p.state.Config.Team(teamName)
 	if team == nil || largest == 0 {
@@ -146,8 +147,8 @@
 	return 1 + team.GuaranteedCPUs/largest
 }
 
-// EpochCapacity is the number of jobs that can be accepted in an epoch. It is limited by the rate
-// of writes, and by the memory left for open jobs, spread over the epochs within which every
+// EpochCapacity returns the number of jobs that can be accepted in an epoch. It is limited by the
+// rate of writes, and by the memory left for open jobs, spread over the epochs within which every
 // waiting job is to be admitted.
 func (p *Publisher) EpochCapacity() admission.Capacity {
 	byRate := p.host.SubmissionsPerSecond() * p.follower.EpochLength().Seconds()
--- a/internal/autoscaler/interfaces.go
+++ b/internal/autoscaler/interfaces.go
@@ -40,7 +40,7 @@
 	MayScaleIn() bool
 	// MayReturnUnresponsive reports whether a machine may be returned that has been silent for a
 	// time.
-	MayReturnUnresponsive(m *cluster.Machine, silence time.Duration) bool
+	MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool
 	// AllowedOperations returns how many of count operations the budget allows now, and takes them
 	// from the budget.
 	AllowedOperations(operation recovery.Operation, count int) int
@@ -55,7 +55,7 @@
 	// AddListedMachine adds a machine that the cloud lists and no record names.
 	AddListedMachine(host protocol.Host) *cluster.Machine
 	// RemoveMachine removes a machine that is certain to be gone, with all its attempts.
-	RemoveMachine(m *cluster.Machine)
+	RemoveMachine(machine *cluster.Machine)
 }
 
 // JobQueue is what the autoscaler needs to know of the jobs, besides the cluster state.
@@ -64,10 +64,10 @@
 	PendingJobs() []*cluster.Job
 	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
-	MayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool
+	MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool
 	// SoonReleasedDependents returns the jobs that wait only for this one, if it should end within
 	// the horizon.
-	SoonReleasedDependents(j *cluster.Job, horizon time.Duration) []*cluster.Job
+	SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job
 	// ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
 	ReleaseUndelivered()
 }
--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -27,8 +27,8 @@
 // machinesOf returns the machines that entries of a plan stand for.
 func (v *planView) machinesOf(planned []*fleet.Machine) []*cluster.Machine {
 	machines := make([]*cluster.Machine, 0, len(planned))
-	for _, m := range planned {
-		machines = append(machines, v.machineOf[m])
+	for _, entry := range planned {
+		machines = append(machines, v.machineOf[entry])
 	}
 	return machines
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -24,7 +24,7 @@
 	Headroom float64 `yaml:"headroom"`
 	// IdleRetention is how long an idle machine is kept, as a ratio to its boot time.
 	IdleRetention float64 `yaml:"idle_keep"`
-	// CostSensitivity determines how much less headroom is held on dearer machines: it is scaled
+	// CostSensitivity determines how much less headroom is held on more expensive machines: it is scaled
 	// by (lowest price / price) to this power. The default is 0.3 if there are SLOs on starting
 	// soon, and 2 otherwise.
 	CostSensitivity *float64 `yaml:"thrift"`
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -34,10 +34,10 @@
 	// InstantFromUnixMilli converts a stored wall clock time to an instant.
 	InstantFromUnixMilli(unixMilli int64) clock.Instant
 	// JobReleased handles a job that has become available to scheduling.
-	JobReleased(j *cluster.Job)
+	JobReleased(job *cluster.Job)
 	// CancelJob answers the users who wait for the cancellation of a job, and finishes the job as
 	// cancelled unless it is terminal.
-	CancelJob(j *cluster.Job)
+	CancelJob(job *cluster.Job)
 	// MayLookUp takes one read from the budget of lookups. It reports false if none is left or the
 	// key-value store is unavailable.
 	MayLookUp() bool
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -52,8 +52,8 @@
 	return &Forecast{lease: lease, classes: map[string]*classArrivals{}}
 }
 
-// Window returns the short window, over which the usual load is taken.
-func (f *Forecast) Window() time.Duration { return windowLeases * f.lease }
+// window returns the short window, over which the usual load is taken.
+func (f *Forecast) window() time.Duration { return windowLeases * f.lease }
 
 // RecordArrival adds the work, in core seconds, of a new job of a class. The job is due dueAfter
 // its arrival.
@@ -73,7 +73,7 @@
 // DecayTo decays the sums up to now. writable tells whether jobs could be stored since the last
 // call; if not, that time does not count as one without arrivals.
 func (f *Forecast) DecayTo(now time.Duration, writable bool) {
-	decayFactor := math.Exp(-(now - f.decayedAt).Seconds() / f.Window().Seconds())
+	decayFactor := math.Exp(-(now - f.decayedAt).Seconds() / f.window().Seconds())
 	longDecayFactor := math.Pow(decayFactor, 1.0/longWindowFactor)
 	for class, arrivals := range f.classes {
 		arrivals.recentWork *= decayFactor
@@ -92,8 +92,8 @@
 // longWindowSeconds returns the time that the sums of the long window cover: less than the full
 // window until they have been kept for that long.
 func (f *Forecast) longWindowSeconds() float64 {
-	fullWindow := longWindowFactor * f.Window().Seconds()
-	observed := f.Window().Seconds() + (f.decayedAt - f.countingSince).Seconds()
+	fullWindow := longWindowFactor * f.window().Seconds()
+	observed := f.window().Seconds() + (f.decayedAt - f.countingSince).Seconds()
 	return fullWindow * (1 - math.Exp(-observed/fullWindow))
 }
 
@@ -124,7 +124,7 @@
 	for _, arrivals := range f.classes {
 		work += arrivals.recentWork
 	}
-	return f.Confidence() * work / f.Window().Seconds()
+	return f.Confidence() * work / f.window().Seconds()
 }
 
 // ExpectedWork returns the work, in core seconds, that should arrive early enough to be due within
@@ -191,5 +191,5 @@
 // unknown.
 func (f *Forecast) InheritLoad(cores float64) {
 	f.sinceLastArrival = 0
-	f.inheritedWork = max(0, cores-f.UsualLoad()) * f.Window().Seconds()
+	f.inheritedWork = max(0, cores-f.UsualLoad()) * f.window().Seconds()
 }
--- a/internal/fleet/forecast_test.go
+++ b/internal/fleet/forecast_test.go
@@ -145,7 +145,7 @@
 	if got := forecast.UsualLoad(); got != 50 {
 		t.Errorf("usual load %v after a takeover with 50 cores", got)
 	}
-	forecast.DecayTo(time.Minute+forecast.Window(), true)
+	forecast.DecayTo(time.Minute+forecast.window(), true)
 	if got, want := forecast.UsualLoad(), 50/math.E; math.Abs(got-want) > 1e-9 {
 		t.Errorf("usual load %v a window later, not %v", got, want)
 	}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -55,7 +55,7 @@
 // Settings are the settings of a planner.
 type Settings struct {
 	Headroom float64 // spare cores, as a ratio to the usual load
-	// CostSensitivity determines how much less headroom is held on dearer machines: it is scaled
+	// CostSensitivity determines how much less headroom is held on more expensive machines: it is scaled
 	// by (lowest price / price) to this power.
 	CostSensitivity float64
 	Lease           time.Duration // of the workers
@@ -109,8 +109,9 @@
 		planner: p, view: view, plan: &Plan{},
 		kept: slices.Clone(view.Kept), lowestPricePerCore: math.Inf(1),
 	}
-	for _, t := range view.Catalog {
-		builder.lowestPricePerCore = min(builder.lowestPricePerCore, t.PricePerCore(true), t.PricePerCore(false))
+	for _, machineType := range view.Catalog {
+		spotPrice, onDemandPrice := machineType.PricePerCore(true), machineType.PricePerCore(false)
+		builder.lowestPricePerCore = min(builder.lowestPricePerCore, spotPrice, onDemandPrice)
 	}
 	builder.countHeldCores()
 	builder.plan.DemandCores = view.Demand.RequiredCores(builder.plan.HeldCores)
@@ -137,18 +138,18 @@
 
 // countHeldCores adds up the cores that are held or requested.
 func (b *planBuilder) countHeldCores() {
-	for _, m := range b.view.Kept {
-		b.plan.HeldCores += m.Type.Cores
+	for _, machine := range b.view.Kept {
+		b.plan.HeldCores += machine.Type.Cores
 	}
-	for _, r := range b.view.PendingRentals {
-		if t := b.view.Catalog[r.Type]; t != nil {
-			b.plan.HeldCores += t.Cores * float64(r.Count)
+	for _, rental := range b.view.PendingRentals {
+		if machineType := b.view.Catalog[rental.Type]; machineType != nil {
+			b.plan.HeldCores += machineType.Cores * float64(rental.Count)
 		}
 	}
 }
 
 // coresWorthHolding returns the number of cores up to which machines of a price are worth holding:
-// the dearer they are, the less headroom is held on them.
+// the more expensive they are, the less headroom is held on them.
 func (b *planBuilder) coresWorthHolding(pricePerCore float64) float64 {
 	settings := &b.planner.settings
 	headroomShare := math.Pow(b.lowestPricePerCore/pricePerCore, settings.CostSensitivity)
@@ -160,13 +161,13 @@
 func (b *planBuilder) cancelDrains() {
 	draining := slices.Clone(b.view.Draining)
 	slices.SortStableFunc(draining, func(a, b *Machine) int { return cmp.Compare(a.pricePerCore(), b.pricePerCore()) })
-	for _, m := range draining {
-		if b.plan.HeldCores+m.Type.Cores/2 > b.coresWorthHolding(m.pricePerCore()) {
+	for _, machine := range draining {
+		if b.plan.HeldCores+machine.Type.Cores/2 > b.coresWorthHolding(machine.pricePerCore()) {
 			continue
 		}
-		b.plan.CancelDrain = append(b.plan.CancelDrain, m)
-		b.plan.HeldCores += m.Type.Cores
-		b.kept = append(b.kept, m)
+		b.plan.CancelDrain = append(b.plan.CancelDrain, machine)
+		b.plan.HeldCores += machine.Type.Cores
+		b.kept = append(b.kept, machine)
 	}
 }
 
@@ -206,8 +207,8 @@
 
 // placeable reports whether a job fits on a machine that is held, requested, or about to be.
 func (b *planBuilder) placeable(job *protocol.Job) bool {
-	for _, m := range b.kept {
-		if m.Offering.Fits(job, m.Type) {
+	for _, machine := range b.kept {
+		if machine.Offering.Fits(job, machine.Type) {
 			return true
 		}
 	}
@@ -254,20 +255,20 @@
 	return machineType.Price(spot) * (1 + idleSeconds/windowSeconds) / min(machineType.Cores, max(cores, 1))
 }
 
-// scaleIn selects surplus machines: the dearest first, and of equal ones those with the least idle
-// time until they are empty.
+// scaleIn selects surplus machines: the most expensive first, and of equal ones those with the
+// least idle time until they are empty.
 func (b *planBuilder) scaleIn() {
 	slices.SortStableFunc(b.kept, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.pricePerCore(), a.pricePerCore()), cmp.Compare(a.IdleUntilEmpty, b.IdleUntilEmpty))
 	})
 	heldCores := b.plan.HeldCores
-	for _, m := range b.kept {
-		minCores := b.coresWorthHolding(m.pricePerCore()) - m.Type.Cores*minMachineFraction
-		if heldCores-m.Type.Cores < minCores || !m.Up || m.Reserved {
-			b.plan.Needed = append(b.plan.Needed, m)
+	for _, machine := range b.kept {
+		minCores := b.coresWorthHolding(machine.pricePerCore()) - machine.Type.Cores*minMachineFraction
+		if heldCores-machine.Type.Cores < minCores || !machine.Up || machine.Reserved {
+			b.plan.Needed = append(b.plan.Needed, machine)
 			continue
 		}
-		heldCores -= m.Type.Cores
-		b.plan.Surplus = append(b.plan.Surplus, m)
+		heldCores -= machine.Type.Cores
+		b.plan.Surplus = append(b.plan.Surplus, machine)
 	}
 }
--- a/internal/jobstore/terminal_jobs.go
+++ b/internal/jobstore/terminal_jobs.go
@@ -74,7 +74,7 @@
 // and processor time of a step.
 const terminalPageSize = 500
 
-// TerminalState is the state of a terminal job as users see it.
+// TerminalState returns the state of a terminal job as users see it.
 func TerminalState(jobID string, record storage.TerminalRecord) protocol.JobStatus {
 	noneRunning := 0
 	return protocol.JobStatus{ID: jobID, State: record.State, DoneTasks: &record.DoneTasks, RunningTasks: &noneRunning}
--- a/internal/reconcile/reported_tasks.go
+++ b/internal/reconcile/reported_tasks.go
@@ -32,8 +32,8 @@
 	return task
 }
 
-// reconcileTasks compares the tasks in a heartbeat with the recorded state of its machine, and returns
-// the commands that stop or forget tasks that should not be there.
+// reconcileTasks compares the tasks in a heartbeat with the recorded state of its machine, and
+// returns the commands that stop or forget tasks that should not be there.
 func (r *Reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) []protocol.Command {
 	var commands []protocol.Command
 	for _, attempt := range machine.AttemptsInOrder {
@@ -56,8 +56,8 @@
 	return commands
 }
 
-// reconcileUnreported processes an attempt that its machine does not report. It has ended, unless its
-// start command was not executed.
+// reconcileUnreported processes an attempt that its machine does not report. It has ended, unless
+// its start command was not executed.
 func (r *Reconciler) reconcileUnreported(attempt *cluster.TaskAttempt) {
 	switch attempt.Phase {
 	case cluster.AttemptAssigned: // its start command has not been sent
@@ -131,8 +131,8 @@
 	return action
 }
 
-// jobState is the state of a reported task's job, as the reconciliation needs it. The job is nil if it
-// is not open.
+// jobState returns the state of a reported task's job, as the reconciliation needs it. The job is
+// nil if it is not open.
 func (r *Reconciler) jobState(jobID string, job *cluster.Job) recovery.JobState {
 	if job != nil && job.Terminal || r.EndedJobs[jobID] {
 		return recovery.JobStateTerminal
@@ -194,8 +194,8 @@
 	attempt.Machine.TouchImage(job.Spec.Image, job.Spec.ImageGB)
 }
 
-// forgetIfSettled processes a task that has exited. It returns the command to forget the task, or nil
-// while the worker must retain its result.
+// forgetIfSettled processes a task that has exited. It returns the command to forget the task, or
+// nil while the worker must retain its result.
 func (r *Reconciler) forgetIfSettled(task *reportedTask) *protocol.Command {
 	if !r.handleTaskExit(task) {
 		task.machine.RetainedResults++
@@ -252,8 +252,8 @@
 	r.ReleaseAttempt(attempt)
 }
 
-// handleIncompleteExit releases an attempt that has ended without completing its task: it failed, was
-// stopped or was refused.
+// handleIncompleteExit releases an attempt that has ended without completing its task: it failed,
+// was stopped or was refused.
 func (r *Reconciler) handleIncompleteExit(task *reportedTask) {
 	runDuration := time.Duration(0)
 	if task.attempt.Phase == cluster.AttemptRunning {
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -24,10 +24,10 @@
 	// LegacyLeaderPossible reports whether a controller of version level 0 may become leader.
 	LegacyLeaderPossible() bool
 	// JobAdded handles a job that was added to the job table.
-	JobAdded(j *cluster.Job)
+	JobAdded(job *cluster.Job)
 	// JobFinished handles a job whose terminal record this leader has written, before it is removed
 	// from the job table.
-	JobFinished(j *cluster.Job, terminal storage.TerminalRecord)
+	JobFinished(job *cluster.Job, terminal storage.TerminalRecord)
 	// JobEnded handles the durable end of a job that was removed from the job table: it releases or
 	// cancels the job's dependents and answers the users that wait for its cancellation. writtenHere
 	// reports whether this leader has written the terminal record.
@@ -37,11 +37,11 @@
 // JobDependencies is what the job records need to know of the DAG of jobs.
 type JobDependencies interface {
 	// CompletionPriority returns the write priority of a job's terminal record.
-	CompletionPriority(j *cluster.Job) storage.Priority
+	CompletionPriority(job *cluster.Job) storage.Priority
 	// RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
 	RelaxDeadlines(cancelled *cluster.Job)
 	// ForEachDependent visits all direct and indirect dependents of a job once.
-	ForEachDependent(j *cluster.Job, visit func(dependent *cluster.Job))
+	ForEachDependent(job *cluster.Job, visit func(dependent *cluster.Job))
 }
 
 // NewJobs returns the job records of a new leader.
--- a/internal/recovery/mismatch.go
+++ b/internal/recovery/mismatch.go
@@ -43,6 +43,7 @@
 	mismatchKinds
 )
 
+// mismatchNames are the names of the kinds in status responses and metrics.
 var mismatchNames = [mismatchKinds]string{
 	MatchesRecord:        "as_stored",
 	JobNeverStored:       "job_never_stored",
@@ -59,7 +60,7 @@
 	MachineOvercommitted: "over_committed",
 }
 
-// String is the name of the kind in status responses and metrics.
+// String returns the name of the kind in status responses and metrics.
 func (m Mismatch) String() string { return mismatchNames[m] }
 
 // MismatchCounts holds a count for each kind of mismatch.
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -19,9 +19,10 @@
 	operationKinds
 )
 
+// operationNames are the names of the kinds in status responses and metrics.
 var operationNames = [operationKinds]string{"start", "stop", "rent", "return"}
 
-// String is the name of the kind in status responses and metrics.
+// String returns the name of the kind in status responses and metrics.
 func (o Operation) String() string { return operationNames[o] }
 
 // Urgency is the urgency of an operation. More urgent ones may use more of a budget.
@@ -77,7 +78,7 @@
 	Burst     float64 `json:"burst"`
 }
 
-// PerWindow is the maximum number of operations of the kind in any window of a second.
+// PerWindow returns the maximum number of operations of the kind in any window of a second.
 func (r Rate) PerWindow() float64 { return r.PerSecond + r.Burst }
 
 // Rates are the limits of all kinds of operations.
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -30,9 +30,10 @@
 	PhaseNormal
 )
 
+// phaseNames are the names of the phases in status responses and logs.
 var phaseNames = [...]string{"reading", "collecting", "reconciling", "pacing", "normal"}
 
-// String is the name of the phase in status responses and logs.
+// String returns the name of the phase in status responses and logs.
 func (p Phase) String() string {
 	if p < 0 || int(p) >= len(phaseNames) {
 		return fmt.Sprintf("phase %d", int(p))
@@ -104,7 +105,7 @@
 		notedMismatches: map[mismatchKey]bool{}, pacer: newPacer(now)}
 }
 
-// Phase is the present phase.
+// Phase returns the present phase.
 func (r *Recovery) Phase() Phase { return r.phase }
 
 // Completed reports whether the recovery is completed.
@@ -166,7 +167,7 @@
 	return r.phase == PhaseReading && now-r.phaseStartedAt > maxReadingLeases*r.settings.WorkerLease
 }
 
-// leaseFraction is a fraction, or a multiple, of a worker lease.
+// leaseFraction returns a fraction, or a multiple, of a worker lease.
 func (r *Recovery) leaseFraction(fraction float64) time.Duration {
 	return time.Duration(fraction * float64(r.settings.WorkerLease))
 }
@@ -192,8 +193,8 @@
 	return silence > r.leaseFraction(maxCollectingLeases)
 }
 
-// WaitsFor describes what the present phase waits for. Operators see it.
-func (r *Recovery) WaitsFor() string {
+// waitsFor describes what the present phase waits for. Operators see it.
+func (r *Recovery) waitsFor() string {
 	switch r.phase {
 	case PhaseReading:
 		return "the stored records"
--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -11,8 +11,8 @@
 	"hitchdoor/internal/recovery"
 )
 
-// Gate applies the limits of a new leader's recovery to its decisions: whether machines may
-// be rented or returned, how many commands may be sent now, and which jobs may be running on machines
+// Gate applies the limits of a new leader's recovery to its decisions: whether machines may be
+// rented or returned, how many commands may be sent now, and which jobs may be running on machines
 // that are not reconciled. It owns the leader's recovery.Recovery and feeds it with views of the
 // cluster state.
 type Gate struct {
@@ -34,7 +34,7 @@
 	}
 }
 
-// RecoverySettings are the intervals and limits of a recovery, from a controller's settings.
+// RecoverySettings returns the intervals and limits of a recovery, from a controller's settings.
 func RecoverySettings(platform *config.Cluster, settings *config.Settings) recovery.Settings {
 	return recovery.Settings{
 		HeartbeatInterval: config.Seconds(platform.Workers.HeartbeatIntervalS),
@@ -92,7 +92,7 @@
 	}
 }
 
-// view is the state of the cluster that the recovery depends on.
+// view returns the state of the cluster that the recovery depends on.
 func (g *Gate) view(recordsRead bool) recovery.View {
 	totals := g.state.CurrentMachineTotals()
 	return recovery.View{RecordsRead: recordsRead, InventoryIncomplete: g.state.InventoryIncomplete(),
@@ -100,7 +100,7 @@
 		Cores: totals.TotalCores, LargestCores: totals.LargestMachineCores}
 }
 
-// mismatchTotal is the number of mismatches of all kinds. Tasks that are as stored don't count.
+// mismatchTotal returns the number of mismatches of all kinds. Tasks that are as stored don't count.
 func mismatchTotal(counts recovery.MismatchCounts) int {
 	total := 0
 	counts.ForEach(func(kind recovery.Mismatch, count int) {
@@ -144,8 +144,8 @@
 func (g *Gate) Limited() bool { return !g.recovery.Completed() && g.appliesToFleet() }
 
 // appliesToFleet reports whether a recovery limits the leader of a fleet of this size. Small fleets
-// are exempt: in a simulated day of 40 machines, on which all controllers ended six times while their
-// workers were cut off, delaying rentals reduced the jobs completed in time by a third.
+// are exempt: in a simulated day of 40 machines, on which all controllers ended six times while
+// their workers were cut off, delaying rentals reduced the jobs completed in time by a third.
 func (g *Gate) appliesToFleet() bool {
 	return g.state.Settings.PacedRecovery && len(g.state.Machines) >= g.state.Settings.RecoveryMinMachines
 }
@@ -170,8 +170,8 @@
 	return !g.Limited() || g.recovery.Allow(g.state.Clock.Now(), operation, urgency, team)
 }
 
-// AllowedOperations is how many of count operations on machines are within the budget now. It takes
-// them from the budget.
+// AllowedOperations returns how many of count operations on machines are within the budget now. It
+// takes them from the budget.
 func (g *Gate) AllowedOperations(operation recovery.Operation, count int) int {
 	for i := range count {
 		if !g.allowOperation(operation, recovery.LatencySensitive, "") {
@@ -211,7 +211,7 @@
 	return g.allowOperation(recovery.StopTask, urgencyOf(job), job.Spec.Team)
 }
 
-// urgencyOf is the urgency of operations on a job's tasks.
+// urgencyOf returns the urgency of operations on a job's tasks.
 func urgencyOf(job *cluster.Job) recovery.Urgency {
 	switch {
 	case job.Terminal:
@@ -223,10 +223,10 @@
 	}
 }
 
-// MayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled.
-// An earlier leader can't have started a job that was accepted after the leader key was written,
-// nor one that depends on a job whose end this leader has written. Nor can a job be running there
-// that may use none of those machines.
+// MayRunUnreported reports whether tasks of a job may be running on machines that are not
+// reconciled. An earlier leader can't have started a job that was accepted after the leader key was
+// written, nor one that depends on a job whose end this leader has written. Nor can a job be
+// running there that may use none of those machines.
 func (g *Gate) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
 	if totals.AllReconciled || job.RecordVersion > g.leaderRevision || job.ReleasedThisTerm {
 		return false
--- a/internal/workerrouting/connection_capacity.go
+++ b/internal/workerrouting/connection_capacity.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Spare is how many more workers the node accepts before it is full.
+// Spare returns how many more workers the node accepts before it is full.
 func (c *ServerConnections) Spare() int {
 	if c.Full {
 		return 0
--- a/internal/workerrouting/router.go
+++ b/internal/workerrouting/router.go
@@ -1,5 +1,5 @@
-// Package workerrouting decides which controller serves a worker: where a follower redirects or relays
-// a heartbeat to, and when a full leader hands workers to its peers. It sends nothing.
+// Package workerrouting decides which controller serves a worker: where a follower redirects or
+// relays a heartbeat to, and when a full leader hands workers to its peers. It sends nothing.
 package workerrouting
 
 import (
@@ -74,13 +74,14 @@
 	return route
 }
 
-// nodeSearchDuration is the longest time that a worker needs to try all nodes until one answers.
+// nodeSearchDuration returns the longest time that a worker needs to try all nodes until one
+// answers.
 func (r *Router) nodeSearchDuration() time.Duration {
 	return time.Duration(r.cluster.ControllerCount) * (protocol.HeartbeatTimeout + protocol.NextNodeDelay)
 }
 
-// RelayTimeout is how long this node waits for the leader's response to a relayed heartbeat. It is
-// well within the time after which the worker discards the response.
+// RelayTimeout returns how long this node waits for the leader's response to a relayed heartbeat.
+// It is well within the time after which the worker discards the response.
 func (r *Router) RelayTimeout() time.Duration {
 	return min(r.cluster.WorkerLease()/6, protocol.HeartbeatTimeout*7/8)
 }
@@ -144,8 +145,8 @@
 	return target, true
 }
 
-// leastLoadedPeer is the reachable peer with the most spare connections, or empty if none reports
-// any.
+// leastLoadedPeer returns the reachable peer with the most spare connections, or empty if none
+// reports any.
 func (r *Router) leastLoadedPeer() string {
 	best, bestRemaining := "", 0
 	for _, name := range r.peerNames {
