--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -1,6 +1,7 @@
 package autoscaler
 
 import (
+	"net/http"
 	"time"
 
 	"hitchdoor/internal/clock"
@@ -63,7 +64,8 @@
 		// Two missed heartbeats count here although they do not cause a drain yet. When
 		// the leader itself is partitioned from its workers, the machines that reported
 		// first would otherwise be returned before it shows that most are missing.
-		if r.heartbeatOverdue(machine) || r.silence(machine) > missedHeartbeatsUntilCounted*r.state.HeartbeatInterval() {
+		missed := r.silence(machine) > missedHeartbeatsUntilCounted*r.state.HeartbeatInterval()
+		if r.heartbeatOverdue(machine) || missed {
 			missedCount++
 		}
 	}
@@ -89,11 +91,11 @@
 // bootOverdue reports whether a machine should have sent its first heartbeat long ago.
 func (r *machineReturns) bootOverdue(machine *cluster.Machine) bool {
 	now := r.state.Clock.Now()
-	bootLimit := workerLeaseOf(r.state)
+	bootLimit := r.state.Config.WorkerLease()
 	if machine.MachineType != nil {
 		bootLimit += config.Seconds(bootTimesUntilOverdue * machine.MachineType.BootSeconds)
 	}
-	return now-machine.RentedAt > bootLimit && now-r.state.StartedAt > workerLeaseOf(r.state)
+	return now-machine.RentedAt > bootLimit && now-r.state.StartedAt > r.state.Config.WorkerLease()
 }
 
 // requestReturns returns the machines whose drain is complete. It reports whether the request
@@ -130,7 +132,8 @@
 		if len(names) == maxMachinesPerReturn {
 			break
 		}
-		if machine.Draining && !machine.Terminating && !r.worthKeeping(machine) && (machine.MayForceReturn() || isEmpty(machine)) {
+		if machine.Draining && !machine.Terminating && !r.worthKeeping(machine) &&
+			(machine.MayForceReturn() || isEmpty(machine)) {
 			names = append(names, machine.Name)
 		}
 	}
@@ -162,14 +165,15 @@
 		machine := r.state.Machines[name]
 		machine.Terminating, machine.TerminationRequested = true, true
 	}
-	r.cloud.send("POST", "/hosts/return", protocol.MachineNames{Machines: names}, func(response CloudResponse) {
+	request := protocol.MachineNames{Machines: names}
+	r.cloud.send("POST", "/hosts/return", request, func(response protocol.CloudResponse) {
 		r.onResponse(names, response)
 	})
 }
 
 // onResponse removes the machines that the cloud has taken back.
-func (r *machineReturns) onResponse(names []string, response CloudResponse) {
-	returned := response.Status == 200
+func (r *machineReturns) onResponse(names []string, response protocol.CloudResponse) {
+	returned := response.Status == http.StatusOK
 	for _, name := range names {
 		machine := r.state.Machines[name]
 		if machine == nil {
@@ -179,7 +183,8 @@
 			machine.Terminating = false // it goes on draining, as a late copy of the request may return it
 			continue
 		}
-		r.state.Log.Info("machine returned", "machine", name, "reason", machine.DrainReason, "type", machine.TypeName, "spot", machine.Spot)
+		r.state.Log.Info("machine returned", "machine", name, "reason", machine.DrainReason,
+			"type", machine.TypeName, "spot", machine.Spot)
 		r.machines.RemoveMachine(machine)
 	}
 	if returned {
--- a/internal/jobstore/terminal_jobs.go
+++ b/internal/jobstore/terminal_jobs.go
@@ -1,6 +1,7 @@
 package jobstore
 
 import (
+	"net/http"
 	"strings"
 
 	"github.com/segmentio/encoding/json"
@@ -58,7 +59,7 @@
 	r.host.Get(path, func(status int, body []byte) {
 		cache.loading, cache.nextReadAt = false, r.host.Now()+r.pollInterval
 		var page storage.ListResponse
-		if status != 200 || json.Unmarshal(body, &page) != nil {
+		if status != http.StatusOK || json.Unmarshal(body, &page) != nil {
 			return
 		}
 		for _, item := range page.Items {
@@ -73,7 +74,7 @@
 // and processor time of a step.
 const terminalPageSize = 500
 
-// TerminalState is the state of a terminal job as users see it.
+// TerminalState returns the state of a terminal job as users see it.
 func TerminalState(jobID string, record storage.TerminalRecord) protocol.JobStatus {
 	noneRunning := 0
 	return protocol.JobStatus{ID: jobID, State: record.State, DoneTasks: &record.DoneTasks, RunningTasks: &noneRunning}
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -3,10 +3,7 @@
 package reconcile
 
 import (
-	"time"
-
 	"hitchdoor/internal/cluster"
-	"hitchdoor/internal/config"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
 )
@@ -92,7 +89,8 @@
 // requires by now. The response may renew the worker's lease.
 func (r *Reconciler) Respond(result Result) *protocol.HeartbeatResponse {
 	machine := result.Machine
-	response := &protocol.HeartbeatResponse{FencingToken: r.fencingToken, Commands: r.appendAttemptCommands(machine, result.commands)}
+	commands := r.appendAttemptCommands(machine, result.commands)
+	response := &protocol.HeartbeatResponse{FencingToken: r.fencingToken, Commands: commands}
 	machine.LastResponse = r.Clock.Now()
 	machine.UnconfirmedResponse = response
 	return response
@@ -100,7 +98,8 @@
 
 // applyHeartbeat updates the state of a machine from its heartbeat. It returns the commands that
 // stop or forget tasks that should not be on the machine.
-func (r *Reconciler) applyHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) []protocol.Command {
+func (r *Reconciler) applyHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
+	relayPeer string) []protocol.Command {
 	tokenAcknowledged := r.carriesToken(heartbeat)
 	if heartbeat.Epoch > machine.Epoch && machine.Epoch != 0 {
 		r.beginEpoch(machine)
@@ -234,7 +233,7 @@
 			r.ReleaseAttempt(attempt)
 		}
 	}
-	if r.Clock.Now()-machine.LastHeartbeat >= r.workerLease()/2 {
+	if r.Clock.Now()-machine.LastHeartbeat >= r.Config.WorkerLease()/2 {
 		return
 	}
 	// Heartbeats arrived without a gap. Either the worker's lease expired because responses do
@@ -246,6 +245,3 @@
 	}
 	machine.UnexpectedRestart = true
 }
-
-// workerLease returns the duration of the workers' lease.
-func (r *Reconciler) workerLease() time.Duration { return config.Seconds(r.Config.Workers.LeaseS) }
--- a/internal/workerrouting/router.go
+++ b/internal/workerrouting/router.go
@@ -1,5 +1,5 @@
-// Package workerrouting decides which controller serves a worker: where a follower redirects or relays
-// a heartbeat to, and when a full leader hands workers to its peers. It sends nothing.
+// Package workerrouting decides which controller serves a worker: where a follower redirects or
+// relays a heartbeat to, and when a full leader hands workers to its peers. It sends nothing.
 package workerrouting
 
 import (
@@ -65,24 +65,25 @@
 func (r *Router) RouteOf(worker string) *Route {
 	route := r.Routes[worker]
 	if route == nil {
-		route = &Route{redirectedAt: clock.Never, RelayUntil: clock.Never, lastArrival: clock.Never, strandedAt: clock.Never}
+		route = &Route{
+			redirectedAt: clock.Never, RelayUntil: clock.Never,
+			lastArrival: clock.Never, strandedAt: clock.Never,
+		}
 		r.Routes[worker] = route
 	}
 	return route
 }
 
-// workerLease returns the duration of the workers' lease.
-func (r *Router) workerLease() time.Duration { return config.Seconds(r.cluster.Workers.LeaseS) }
-
-// nodeSearchDuration is the longest time that a worker needs to try all nodes until one answers.
+// nodeSearchDuration returns the longest time that a worker needs to try all nodes until one
+// answers.
 func (r *Router) nodeSearchDuration() time.Duration {
 	return time.Duration(r.cluster.ControllerCount) * (protocol.HeartbeatTimeout + protocol.NextNodeDelay)
 }
 
-// RelayTimeout is how long this node waits for the leader's response to a relayed heartbeat. It is
-// well within the time after which the worker discards the response.
+// RelayTimeout returns how long this node waits for the leader's response to a relayed heartbeat.
+// It is well within the time after which the worker discards the response.
 func (r *Router) RelayTimeout() time.Duration {
-	return min(r.workerLease()/6, protocol.HeartbeatTimeout*7/8)
+	return min(r.cluster.WorkerLease()/6, protocol.HeartbeatTimeout*7/8)
 }
 
 // recentlyRedirectedTo reports whether the worker was redirected to a node so lately that its
@@ -119,7 +120,7 @@
 		return RejectHeartbeat
 	}
 	if now >= route.RelayUntil && r.recentlyRedirectedTo(route, leaderName) {
-		route.RelayUntil = now + 2*r.workerLease()
+		route.RelayUntil = now + 2*r.cluster.WorkerLease()
 	}
 	if now >= route.RelayUntil && r.peerCapacities[leaderName].reserveConnection() {
 		r.recordRedirect(route, leaderName)
@@ -144,8 +145,8 @@
 	return target, true
 }
 
-// leastLoadedPeer is the reachable peer with the most spare connections, or empty if none reports
-// any.
+// leastLoadedPeer returns the reachable peer with the most spare connections, or empty if none
+// reports any.
 func (r *Router) leastLoadedPeer() string {
 	best, bestRemaining := "", 0
 	for _, name := range r.peerNames {
@@ -185,7 +186,7 @@
 // would ever be relayed for, and a leader that workers can't reach would lose them all.
 func (r *Router) ExpireRoutes() {
 	now := r.host.Now()
-	if now < r.prunedAt+r.workerLease() {
+	if now < r.prunedAt+r.cluster.WorkerLease() {
 		return
 	}
 	r.prunedAt = now
