--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -63,26 +63,6 @@
 	return "", 0, false
 }
 
-// RemainingDuration returns how long an attempt should still run.
-func (s *State) RemainingDuration(attempt *TaskAttempt) time.Duration {
-	return s.RemainingOfExpected(attempt, s.ExpectedTaskDuration(attempt.Job))
-}
-
-// RemainingOfExpected returns how long an attempt should still run, given its expected total
-// duration.
-func (s *State) RemainingOfExpected(attempt *TaskAttempt, expected time.Duration) time.Duration {
-	if attempt.Phase == AttemptRunning {
-		return max(expected-(s.Clock.Now()-attempt.RunningSince), expected/8)
-	}
-	return expected
-}
-
-// CheckpointGraceS returns the grace period, in seconds, for an attempt to save a checkpoint, with
-// a margin for a slow machine.
-func (s *State) CheckpointGraceS(attempt *TaskAttempt) float64 {
-	return 2*attempt.Job.Spec.CheckpointSaveSeconds + s.HeartbeatInterval().Seconds()
-}
-
 // MinCountedRun is how long a task must run uninterrupted for its start to count towards the SLOs,
 // by the worker protocol.
 const MinCountedRun = 30 * time.Second
--- /dev/null
+++ b/internal/cluster/estimates.go
@@ -0,0 +1,149 @@
+package cluster
+
+import (
+	"math"
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/config"
+)
+
+// Estimates tells how long tasks should run and when jobs are due: from the users' estimates, the
+// tasks that have finished and the objectives of the settings. It changes no job, attempt or
+// machine: those are the transitions of State.
+type Estimates struct {
+	objectives
+	workerTiming
+	clock   TimeSource
+	classes map[string]*classDurations // by job class
+}
+
+// newEstimates returns the estimates at the start of a term, before any task has finished.
+func newEstimates(timeSource TimeSource, settings *config.Cluster) Estimates {
+	return Estimates{
+		objectives: newObjectives(settings), workerTiming: workerTiming{settings},
+		clock: timeSource, classes: map[string]*classDurations{},
+	}
+}
+
+// StartSLO returns the tightest start objective of the job's class, or 0 if the class is measured
+// by completion or has no objective.
+func (e *Estimates) StartSLO(job *Job) time.Duration {
+	if slos := e.Slos[job.Spec.Class]; len(slos) > 0 && slos[0].OnStart {
+		return slos[0].Limit
+	}
+	return 0
+}
+
+// TooSoonToScaleOut reports whether a start objective leaves no time to rent a machine.
+func (e *Estimates) TooSoonToScaleOut(limit time.Duration) bool { return limit < 2*e.workerLease() }
+
+// Due returns when the job should be complete: its deadline, or the first objective of its class
+// that can still be met. A start objective applies only to classes without a completion
+// objective; such jobs can wait for capacity on cheap machines.
+//
+// A job with dependents is due no later than their deadlines allow (LatestEnd).
+func (e *Estimates) Due(job *Job) clock.Instant { return e.DueFrom(job, job.EligibleAt) }
+
+// DueFrom returns the due time of a job that becomes eligible at the given time.
+func (e *Estimates) DueFrom(job *Job, from clock.Instant) clock.Instant {
+	return min(e.OwnDue(job, from), job.LatestEnd)
+}
+
+// OwnDue returns the due time by the job's own deadline or objectives. Without either, LatestEnd
+// or a bound in proportion to the run time applies.
+func (e *Estimates) OwnDue(job *Job, from clock.Instant) clock.Instant {
+	if job.Spec.DeadlineSeconds != nil {
+		return job.AcceptedAt + config.Seconds(*job.Spec.DeadlineSeconds)
+	}
+	slos := e.Slos[job.Spec.Class]
+	for i, objective := range slos {
+		end := from + objective.Limit
+		if objective.OnStart {
+			end += e.ExpectedTaskDuration(job)
+		}
+		if i == len(slos)-1 || end-e.ExpectedTaskDuration(job) > e.clock.Now() {
+			return end
+		}
+	}
+	if job.LatestEnd < clock.Forever {
+		return job.LatestEnd
+	}
+	// Without an objective the wait is still bounded, in proportion to the run time.
+	return from + min(4*e.ExpectedTaskDuration(job)+e.workerLease(), PlannedStartWithin+e.ExpectedTaskDuration(job))
+}
+
+// ExpectedTaskDuration returns the expected run time of one task: the user's estimate, corrected
+// by the finished tasks of the job's class.
+func (e *Estimates) ExpectedTaskDuration(job *Job) time.Duration {
+	bias := 0.0
+	if durations := e.classes[job.Spec.Class]; durations != nil {
+		bias = durations.logBias
+	}
+	return config.Seconds(max(job.Spec.EstimatedSeconds*math.Exp(bias), 1))
+}
+
+// classDurations holds the estimation error observed for a job class.
+type classDurations struct {
+	logBias float64 // mean of log(actual / estimated run time)
+	samples float64 // weight of the mean, at most maxClassSamples
+}
+
+// RecordTaskDuration updates the correction of the job's class by a finished task.
+func (e *Estimates) RecordTaskDuration(job *Job, took time.Duration) {
+	if took <= 0 || job.Spec.EstimatedSeconds <= 0 {
+		return
+	}
+	durations := e.classes[job.Spec.Class]
+	if durations == nil {
+		durations = &classDurations{}
+		e.classes[job.Spec.Class] = durations
+	}
+	durations.samples = min(durations.samples+1, maxClassSamples)
+	durations.logBias += (math.Log(took.Seconds()/job.Spec.EstimatedSeconds) - durations.logBias) / durations.samples
+}
+
+// maxClassSamples is the number of finished tasks over which the correction averages.
+const maxClassSamples = 60
+
+// RemainingDuration returns how long an attempt should still run.
+func (e *Estimates) RemainingDuration(attempt *TaskAttempt) time.Duration {
+	return e.RemainingOfExpected(attempt, e.ExpectedTaskDuration(attempt.Job))
+}
+
+// RemainingOfExpected returns how long an attempt should still run, given its expected total
+// duration.
+func (e *Estimates) RemainingOfExpected(attempt *TaskAttempt, expected time.Duration) time.Duration {
+	if attempt.Phase == AttemptRunning {
+		return max(expected-(e.clock.Now()-attempt.RunningSince), expected/8)
+	}
+	return expected
+}
+
+// CheckpointGraceS returns the grace period, in seconds, for an attempt to save a checkpoint, with
+// a margin for a slow machine.
+func (e *Estimates) CheckpointGraceS(attempt *TaskAttempt) float64 {
+	return 2*attempt.Job.Spec.CheckpointSaveSeconds + e.HeartbeatInterval().Seconds()
+}
+
+// RemainingCoreSeconds returns the work that a job still needs, with image fetches.
+func (e *Estimates) RemainingCoreSeconds(job *Job, pullRate ImagePullRate) float64 {
+	expected := e.ExpectedTaskDuration(job)
+	work := float64(job.PendingTasks) * (expected + pullRate.PullDuration(job.Spec.ImageGB)).Seconds()
+	for _, attempt := range job.Attempts {
+		work += e.RemainingOfExpected(attempt, expected).Seconds()
+	}
+	return work * job.Spec.Cores
+}
+
+// IdleUntilEmpty returns the mean time, in seconds, for which a core of the machine would be idle
+// until the last task on it ends.
+func (e *Estimates) IdleUntilEmpty(machine *Machine) float64 {
+	longestRemaining, work := 0.0, 0.0
+	for _, attempt := range machine.AttemptsInOrder {
+		remaining := e.RemainingDuration(attempt).Seconds()
+		longestRemaining = max(longestRemaining, remaining)
+		work += remaining * attempt.Job.Spec.Cores
+	}
+	return longestRemaining - work/machine.MachineType.Cores
+}
--- a/internal/cluster/objectives.go
+++ b/internal/cluster/objectives.go
@@ -2,11 +2,9 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
-	"hitchdoor/internal/clock"
 	"hitchdoor/internal/config"
 )
 
@@ -50,86 +48,6 @@
 	return table
 }
 
-// StartSLO returns the tightest start objective of the job's class, or 0 if the class is measured
-// by completion or has no objective.
-func (s *State) StartSLO(job *Job) time.Duration {
-	if slos := s.Slos[job.Spec.Class]; len(slos) > 0 && slos[0].OnStart {
-		return slos[0].Limit
-	}
-	return 0
-}
-
-// Due returns when the job should be complete: its deadline, or the first objective of its class
-// that can still be met. A start objective applies only to classes without a completion
-// objective; such jobs can wait for capacity on cheap machines.
-//
-// A job with dependents is due no later than their deadlines allow (LatestEnd).
-func (s *State) Due(job *Job) clock.Instant { return s.DueFrom(job, job.EligibleAt) }
-
-// DueFrom returns the due time of a job that becomes eligible at the given time.
-func (s *State) DueFrom(job *Job, from clock.Instant) clock.Instant {
-	return min(s.OwnDue(job, from), job.LatestEnd)
-}
-
-// OwnDue returns the due time by the job's own deadline or objectives. Without either, LatestEnd
-// or a bound in proportion to the run time applies.
-func (s *State) OwnDue(job *Job, from clock.Instant) clock.Instant {
-	if job.Spec.DeadlineSeconds != nil {
-		return job.AcceptedAt + config.Seconds(*job.Spec.DeadlineSeconds)
-	}
-	slos := s.Slos[job.Spec.Class]
-	for i, objective := range slos {
-		end := from + objective.Limit
-		if objective.OnStart {
-			end += s.ExpectedTaskDuration(job)
-		}
-		if i == len(slos)-1 || end-s.ExpectedTaskDuration(job) > s.Clock.Now() {
-			return end
-		}
-	}
-	if job.LatestEnd < clock.Forever {
-		return job.LatestEnd
-	}
-	// Without an objective the wait is still bounded, in proportion to the run time.
-	return from + min(4*s.ExpectedTaskDuration(job)+s.workerLease(), PlannedStartWithin+s.ExpectedTaskDuration(job))
-}
-
-// ExpectedTaskDuration returns the expected run time of one task: the user's estimate, corrected
-// by the finished tasks of the job's class.
-func (s *State) ExpectedTaskDuration(job *Job) time.Duration {
-	bias := 0.0
-	if durations := s.classes[job.Spec.Class]; durations != nil {
-		bias = durations.logBias
-	}
-	return config.Seconds(max(job.Spec.EstimatedSeconds*math.Exp(bias), 1))
-}
-
-// classDurations holds the estimation error observed for a job class.
-type classDurations struct {
-	logBias float64 // mean of log(actual / estimated run time)
-	samples float64 // weight of the mean, at most maxClassSamples
-}
-
-// RecordTaskDuration updates the correction of the job's class by a finished task.
-func (s *State) RecordTaskDuration(job *Job, took time.Duration) {
-	if took <= 0 || job.Spec.EstimatedSeconds <= 0 {
-		return
-	}
-	durations := s.classes[job.Spec.Class]
-	if durations == nil {
-		durations = &classDurations{}
-		s.classes[job.Spec.Class] = durations
-	}
-	durations.samples = min(durations.samples+1, maxClassSamples)
-	durations.logBias += (math.Log(took.Seconds()/job.Spec.EstimatedSeconds) - durations.logBias) / durations.samples
-}
-
-// maxClassSamples is the number of finished tasks over which the correction averages.
-const maxClassSamples = 60
-
-// TooSoonToScaleOut reports whether a start objective leaves no time to rent a machine.
-func (s *State) TooSoonToScaleOut(limit time.Duration) bool { return limit < 2*s.workerLease() }
-
 // Large jobs yield while not all jobs can be in time, and late jobs come last. Still, every job
 // must start within MaxStartDelay, however long a burst of small or latency-sensitive work lasts,
 // and no class or team may starve another. So a job that has not started after OverdueAfter is
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -7,7 +7,6 @@
 	"cmp"
 	"log/slog"
 	"slices"
-	"time"
 
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/config"
@@ -25,8 +24,8 @@
 	Catalog   map[string]*protocol.MachineType
 
 	jobTable
-	objectives
 	machineTable
+	Estimates
 	SchedulingNeeded bool // the state has changed since the last full scheduling pass
 	// CandidatesExamined counts the machines and jobs examined for placement. Tests check that it does
 	// not grow with each heartbeat.
@@ -55,39 +54,30 @@
 // New returns an empty cluster state at the start of a term.
 func New(o Options) *State {
 	return &State{
-		Clock: o.Clock, Config: o.Config, Settings: o.Settings, Log: o.Log, StartedAt: o.Clock.Now(), Catalog: o.Catalog,
-		jobTable: newJobTable(o.Config), objectives: newObjectives(o.Config), machineTable: newMachineTable(),
+		Clock: o.Clock, Config: o.Config, Settings: o.Settings, Log: o.Log, Catalog: o.Catalog,
+		StartedAt: o.Clock.Now(),
+		jobTable:  newJobTable(o.Config), machineTable: newMachineTable(), Estimates: newEstimates(o.Clock, o.Config),
 		InventoryIncompleteUntil: clock.Never,
 	}
 }
 
-// workerLease returns the duration of the workers' lease.
-func (s *State) workerLease() time.Duration { return config.Seconds(s.Config.Workers.LeaseS) }
-
-// HeartbeatInterval returns the interval of the workers' heartbeats.
-func (s *State) HeartbeatInterval() time.Duration {
-	return config.Seconds(s.Config.Workers.HeartbeatIntervalS)
-}
-
 // ResourceUsage is what a team's tasks occupy, from the start command to the confirmed end.
 type ResourceUsage struct{ Cores, Accelerators float64 }
 
 // jobTable holds the open jobs and the usage of their tasks.
 type jobTable struct {
 	Jobs         map[string]*Job
-	RunnableJobs map[string]*Job // open jobs without pending dependencies
-	EndedJobs    map[string]bool // jobs that became terminal in this term
-	classes      map[string]*classDurations
+	RunnableJobs map[string]*Job           // open jobs without pending dependencies
+	EndedJobs    map[string]bool           // jobs that became terminal in this term
 	TeamUsage    map[string]*ResourceUsage // by team
-	ActiveTasks  [2]int                    // tasks on machines: batch, urgent
+	ActiveTasks  [2]int                    // tasks on machines: batch, latency-sensitive
 }
 
 // newJobTable returns an empty job table with the teams of the settings.
 func newJobTable(c *config.Cluster) jobTable {
 	table := jobTable{
 		Jobs: map[string]*Job{}, RunnableJobs: map[string]*Job{},
-		EndedJobs: map[string]bool{},
-		classes:   map[string]*classDurations{}, TeamUsage: map[string]*ResourceUsage{},
+		EndedJobs: map[string]bool{}, TeamUsage: map[string]*ResourceUsage{},
 	}
 	for _, t := range c.Teams {
 		table.TeamUsage[t.Name] = &ResourceUsage{}
@@ -250,11 +240,6 @@
 	return jobs
 }
 
-// WorkerLeaseTimeout returns the node's worker lease timeout.
-func (s *State) WorkerLeaseTimeout() time.Duration {
-	return clock.WorkerLeaseTimeout(s.workerLease())
-}
-
 // SilentSince returns the time from which the silence of a machine counts: its last heartbeat, or
 // the start of the term if that is later.
 func (s *State) SilentSince(machine *Machine) clock.Instant {
--- a/internal/cluster/totals.go
+++ b/internal/cluster/totals.go
@@ -98,16 +98,6 @@
 	return config.Seconds(sizeGB * p.cores / p.weightedGBPerS)
 }
 
-// RemainingCoreSeconds returns the work that a job still needs, with image fetches.
-func (s *State) RemainingCoreSeconds(job *Job, pullRate ImagePullRate) float64 {
-	expected := s.ExpectedTaskDuration(job)
-	work := float64(job.PendingTasks) * (expected + pullRate.PullDuration(job.Spec.ImageGB)).Seconds()
-	for _, attempt := range job.Attempts {
-		work += s.RemainingOfExpected(attempt, expected).Seconds()
-	}
-	return work * job.Spec.Cores
-}
-
 // RetainedCores returns the cores of the machines that are up and not draining.
 func (s *State) RetainedCores() float64 {
 	cores := 0.0
@@ -129,15 +119,3 @@
 	}
 	return config.Seconds(shortest)
 }
-
-// IdleUntilEmpty returns the mean time, in seconds, for which a core of the machine would be idle
-// until the last task on it ends.
-func (s *State) IdleUntilEmpty(machine *Machine) float64 {
-	longestRemaining, work := 0.0, 0.0
-	for _, attempt := range machine.AttemptsInOrder {
-		remaining := s.RemainingDuration(attempt).Seconds()
-		longestRemaining = max(longestRemaining, remaining)
-		work += remaining * attempt.Job.Spec.Cores
-	}
-	return longestRemaining - work/machine.MachineType.Cores
-}
