--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -40,37 +40,62 @@
 	job.FailedMachines[machine.Name] = true
 	job.longestFailedRun = max(job.longestFailedRun, runDuration)
 	if len(job.FailedMachines) >= jobFaultMachines && job.DoneTasks == 0 {
-		// The job fails everywhere, so the fault is its own and not the machines'.
-		if !job.FailsEverywhere {
-			s.Log.Info("job fails everywhere", "job", job.Spec.ID)
-			for _, attempt := range job.Attempts {
-				if attempt.Phase == AttemptAssigned {
-					s.ReleaseAttempt(attempt)
-				}
-			}
+		s.blameJob(job)
+	}
+	s.backOffTask(job, taskIndex, machine)
+	if job.FailsEverywhere {
+		s.delayProbe(job)
+		job.FailureHistories[taskIndex].RetryAfter = s.Clock.Now() // NextProbeAt holds instead
+		return
+	}
+	s.blameMachine(machine, job)
+}
+
+// blameJob marks a job that fails everywhere: the fault is its own and not the machines'. Attempts
+// that were not sent yet are released, because from now on one task at a time probes the job.
+func (s *State) blameJob(job *Job) {
+	if job.FailsEverywhere {
+		return
+	}
+	s.Log.Info("job fails everywhere", "job", job.Spec.ID)
+	for _, attempt := range job.Attempts {
+		if attempt.Phase == AttemptAssigned {
+			s.ReleaseAttempt(attempt)
 		}
-		job.FailsEverywhere = true
 	}
+	job.FailsEverywhere = true
+}
+
+// backOffTask counts a failure of a task and delays its next attempt from the second failure on.
+func (s *State) backOffTask(job *Job, taskIndex int, machine *Machine) {
 	s.DelayTask(job, taskIndex, machine, 0)
 	history := job.FailureHistories[taskIndex]
 	history.failures++
 	if history.failures > 1 {
-		history.RetryAfter = s.Clock.Now() + min(s.HeartbeatInterval()<<min(history.failures-1, 10), 4*s.workerLease())
+		backoff := s.HeartbeatInterval() << min(history.failures-1, 10)
+		history.RetryAfter = s.Clock.Now() + min(backoff, 4*s.workerLease())
 	}
-	if job.FailsEverywhere {
-		// From now on one task at a time probes the job. Retrying each of hundreds of tasks
-		// takes capacity from work that succeeds.
-		if s.Clock.Now() >= job.NextProbeAt { // else the attempt started before the job was known to fail
-			job.FailedProbes++
-			job.NextProbeAt = s.Clock.Now() + min(s.workerLease()<<min(job.FailedProbes, 10)/2, maxProbeDelay)
-		}
-		history.RetryAfter = s.Clock.Now()
-		return
+}
+
+// delayProbe delays the next probe of a job that fails everywhere. Retrying each of hundreds of
+// tasks would take capacity from work that succeeds.
+func (s *State) delayProbe(job *Job) {
+	if s.Clock.Now() < job.NextProbeAt {
+		return // the attempt started before the job was known to fail
 	}
+	job.FailedProbes++
+	job.NextProbeAt = s.Clock.Now() + min(s.workerLease()<<min(job.FailedProbes, 10)/2, maxProbeDelay)
+}
+
+// blameMachine counts a failure of a task against its machine, and drains the machine once its
+// consecutive failures can't be the fault of one job alone.
+func (s *State) blameMachine(machine *Machine, job *Job) {
 	machine.ConsecutiveFailures++
 	machine.FailedJobs[job.Spec.ID] = true
-	if machine.ConsecutiveFailures >= machineFaultTasks && !machine.Unhealthy &&
-		(len(machine.FailedJobs) > 1 || job.DoneTasks > 0 || machine.ConsecutiveFailures >= 2*machineFaultTasks) {
+	if machine.Unhealthy || machine.ConsecutiveFailures < machineFaultTasks {
+		return
+	}
+	if len(machine.FailedJobs) > 1 || job.DoneTasks > 0 || machine.ConsecutiveFailures >= 2*machineFaultTasks {
 		machine.Unhealthy = true
 		s.BeginDrain(machine, Unhealthy)
 	}
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -188,9 +188,8 @@
 		m.AttemptsInOrder = append(m.AttemptsInOrder, attempt)
 		return
 	}
-	position, _ := slices.BinarySearchFunc(m.AttemptsInOrder, attempt.Number, func(other *TaskAttempt, number uint64) int {
-		return cmp.Compare(other.Number, number)
-	})
+	position, _ := slices.BinarySearchFunc(m.AttemptsInOrder, attempt.Number,
+		func(other *TaskAttempt, number uint64) int { return cmp.Compare(other.Number, number) })
 	m.AttemptsInOrder = slices.Insert(slices.Clone(m.AttemptsInOrder), position, attempt)
 }
 
--- a/internal/cluster/totals.go
+++ b/internal/cluster/totals.go
@@ -33,38 +33,56 @@
 		totals.AllReconciled, totals.UnreconciledTypeUnknown = false, true
 		totals.UnknownUsage = unboundedUsage
 	}
-	settings := s.Settings
 	for _, machine := range s.MachinesByName() {
 		s.CandidatesExamined++
-		if !machine.Reconciled {
-			totals.AllReconciled = false
-			totals.UnreconciledMachines++
-			totals.UnreconciledTypeUnknown = totals.UnreconciledTypeUnknown || machine.TypeName == ""
-			totals.UnreconciledOptions[machine.Offering()] = true
-		}
-		if machine.MachineType == nil {
-			if !machine.Reconciled || machine.UnknownTasks > 0 {
-				// The resources in use on a machine of an unknown type have no upper bound, so no quota has
-				// room. Counting them as zero let teams exceed their quota through machines of types no
-				// longer sold.
-				totals.UnknownUsage = unboundedUsage
-			}
-			continue
-		}
-		totals.TotalCores += machine.MachineType.Cores
-		totals.LargestMachineCores = max(totals.LargestMachineCores, machine.MachineType.Cores)
-		if machine.Up && machine.TokenAcknowledged {
-			totals.Slots += settings.SlotsPerCore*machine.MachineType.Cores + settings.BaseSlots
-		}
-		if !machine.Reconciled || machine.UnknownTasks > 0 {
-			totals.UnknownUsage.Cores += machine.MachineType.Cores
-			totals.UnknownUsage.Accelerators += machine.MachineType.Accelerators
-		}
+		totals.addReconciliation(machine)
+		totals.addUnknownUsage(machine)
+		totals.addCapacity(machine, s.Settings)
 	}
 	s.totals, s.TotalsValid = totals, true
 	return totals
 }
 
+// addReconciliation adds whether a machine is reconciled, and its offering if it is not.
+func (t *MachineTotals) addReconciliation(machine *Machine) {
+	if machine.Reconciled {
+		return
+	}
+	t.AllReconciled = false
+	t.UnreconciledMachines++
+	t.UnreconciledTypeUnknown = t.UnreconciledTypeUnknown || machine.TypeName == ""
+	t.UnreconciledOptions[machine.Offering()] = true
+}
+
+// addUnknownUsage adds the whole of a machine on which tasks unknown to this leader may run. The
+// resources in use on a machine of an unknown type have no upper bound, so no quota has room.
+// Counting them as zero let teams exceed their quota through machines of types no longer sold.
+func (t *MachineTotals) addUnknownUsage(machine *Machine) {
+	if machine.Reconciled && machine.UnknownTasks == 0 {
+		return
+	}
+	if machine.MachineType == nil {
+		t.UnknownUsage = unboundedUsage
+		return
+	}
+	t.UnknownUsage.Cores += machine.MachineType.Cores
+	t.UnknownUsage.Accelerators += machine.MachineType.Accelerators
+}
+
+// addCapacity adds the cores of a machine, and its slots if it is up. A machine of an unknown type
+// has neither.
+func (t *MachineTotals) addCapacity(machine *Machine, settings *config.Settings) {
+	machineType := machine.MachineType
+	if machineType == nil {
+		return
+	}
+	t.TotalCores += machineType.Cores
+	t.LargestMachineCores = max(t.LargestMachineCores, machineType.Cores)
+	if machine.Up && machine.TokenAcknowledged {
+		t.Slots += settings.SlotsPerCore*machineType.Cores + settings.BaseSlots
+	}
+}
+
 // AllReconciled reports whether no attempt of an earlier leader can be running unknown to this
 // one.
 func (s *State) AllReconciled() bool { return s.CurrentMachineTotals().AllReconciled }
