--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -71,7 +71,8 @@
 		if !s.acceptsTask(machine, job) {
 			continue
 		}
-		if machine.HasImage(job.Spec.Image) || mayFetch && job.Spec.ImageGB/machine.MachineType.PullGBPerSecond <= maxFetch {
+		fetchSeconds := job.Spec.ImageGB / machine.MachineType.PullGBPerSecond
+		if machine.HasImage(job.Spec.Image) || mayFetch && fetchSeconds <= maxFetch {
 			candidates.entries = append(candidates.entries, candidates.score(machine))
 		}
 	}
@@ -117,10 +118,14 @@
 
 // score returns a machine's score for the job.
 func (c *candidateHeap) score(machine *cluster.Machine) candidate {
-	scored := candidate{machine: machine, load: max(machine.UsedCores/machine.MachineType.Cores, machine.UsedRAM/machine.MachineType.MemoryGB)}
+	machineType := machine.MachineType
+	scored := candidate{
+		machine: machine,
+		load:    max(machine.UsedCores/machineType.Cores, machine.UsedRAM/machineType.MemoryGB),
+	}
 	scored.loadStep = int(scored.load * float64(c.scheduler.Settings.LoadSteps))
 	if image := c.job.Spec.Image; !machine.HasImage(image) {
-		scored.fetchSeconds = c.job.Spec.ImageGB / machine.MachineType.PullGBPerSecond
+		scored.fetchSeconds = c.job.Spec.ImageGB / machineType.PullGBPerSecond
 	}
 	if machine.Draining {
 		scored.drainPenalty = 1 // keep surplus machines empty unless no other has room
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -139,7 +139,8 @@
 				continue
 			}
 			team := victim.Job.Spec.Team
-			if s.TeamUsage[team].Cores-reclaimedCores[team] <= s.Config.Team(team).GuaranteedCPUs+cluster.ResourceTolerance {
+			guaranteedCores := s.Config.Team(team).GuaranteedCPUs + cluster.ResourceTolerance
+			if s.TeamUsage[team].Cores-reclaimedCores[team] <= guaranteedCores {
 				continue // the team is back within its guarantee
 			}
 			reclaimedCores[team] += victim.Job.Spec.Cores
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -88,7 +88,8 @@
 	switch age := now - job.EligibleAt; {
 	case age > cluster.OverdueAfter && !job.HasStarted():
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, job.EligibleAt, true
-	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive && !(job.HasStarted() && s.exceedsGuarantee(job)):
+	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive &&
+		!(job.HasStarted() && s.exceedsGuarantee(job)):
 		// A started job that exceeds its team's guarantee is not moved ahead.
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, job.EligibleAt, true
 	}
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -53,7 +53,8 @@
 	eligibleJobs := map[*cluster.Job]bool{}
 	for _, queued := range s.PendingOrder {
 		job := queued.Job
-		if queued.mayReserve && job.PendingTasks > 0 && job.BlockedBy == cluster.WaitCapacity && len(job.FailedMachines) == 0 {
+		lacksOnlyCapacity := job.BlockedBy == cluster.WaitCapacity && len(job.FailedMachines) == 0
+		if queued.mayReserve && job.PendingTasks > 0 && lacksOnlyCapacity {
 			eligibleJobs[job] = true
 		}
 	}
@@ -73,7 +74,8 @@
 		job.Reservation.SearchedAt = now
 		if machine := s.machineWithEarliestRoom(job); machine != nil {
 			job.Reservation.Machine, machine.ReservedFor = machine, job
-			s.Log.Debug("resource reservation made", "machine", machine.Name, "job", job.Spec.ID, "age", now-job.EligibleAt)
+			s.Log.Debug("resource reservation made",
+				"machine", machine.Name, "job", job.Spec.ID, "age", now-job.EligibleAt)
 		}
 		return
 	}
@@ -85,7 +87,8 @@
 	var best *cluster.Machine
 	var soonest time.Duration
 	for _, machine := range s.MachinesByName() {
-		if !machine.Schedulable() || machine.Draining || machine.ReservedFor != nil || !cluster.Feasible(&job.Spec, machine) {
+		if !machine.Schedulable() || machine.Draining || machine.ReservedFor != nil ||
+			!cluster.Feasible(&job.Spec, machine) {
 			continue
 		}
 		wait := s.timeToFreeCapacity(machine, &job.Spec)
@@ -131,7 +134,8 @@
 	if reservedJob == nil || reservedJob == job {
 		return true
 	}
-	if s.guaranteedJobs[job] && (reservedJob.HasStarted() || s.Clock.Now() < reservedJob.EligibleAt+firmReservationAfter) {
+	reservationIsFirm := !reservedJob.HasStarted() && s.Clock.Now() >= reservedJob.EligibleAt+firmReservationAfter
+	if s.guaranteedJobs[job] && !reservationIsFirm {
 		return true
 	}
 	free.Cores -= reservedJob.Spec.Cores
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -22,21 +22,21 @@
 type Host interface {
 	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
-	MayRunUnreported(j *cluster.Job, totals *cluster.MachineTotals) bool
+	MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool
 	// NextAttemptNumber returns a number that no other attempt has.
 	NextAttemptNumber() uint64
 	// TraceBlocked records the check that blocks a job, when it changes.
-	TraceBlocked(j *cluster.Job, was cluster.WaitReason)
+	TraceBlocked(job *cluster.Job, previous cluster.WaitReason)
 }
 
 // ScheduleState holds the results of the last full scheduling pass.
 type ScheduleState struct {
-	LastPass          clock.Instant         // last pass
-	PendingOrder      []QueuedJob           // pending jobs in scheduling order
-	guaranteedJobs    map[*cluster.Job]bool // jobs that fit into their team's guarantee
-	urgentWorkDelayed bool                  // urgent work had waited for too long
-	preemptedAt       clock.Instant
-	ReconciledOnce    bool // all machines were reconciled at some time in this term
+	LastPass                clock.Instant         // time of the pass
+	PendingOrder            []QueuedJob           // pending jobs in scheduling order
+	guaranteedJobs          map[*cluster.Job]bool // jobs that fit into their team's guarantee
+	latencySensitiveDelayed bool                  // latency-sensitive work has waited for too long
+	preemptedAt             clock.Instant         // when preemption was last tried
+	ReconciledOnce          bool                  // all machines were reconciled at some time in this term
 }
 
 // PassesPerHeartbeat is the maximum number of full scheduling passes per heartbeat interval.
@@ -47,12 +47,12 @@
 func (s *Scheduler) Schedule() {
 	s.SchedulingNeeded, s.LastPass = false, s.Clock.Now()
 	s.PendingOrder = s.BuildQueue()
-	s.urgentWorkDelayed = s.LatencySensitiveWorkDelayed(s.PendingOrder)
+	s.latencySensitiveDelayed = s.LatencySensitiveWorkDelayed(s.PendingOrder)
 	if len(s.PendingOrder) == 0 {
 		s.renewReservations()
 		return
 	}
-	pass := s.newSchedulingPass(s.urgentWorkDelayed)
+	pass := s.newSchedulingPass(s.latencySensitiveDelayed)
 	if pass.AllReconciled && !s.ReconciledOnce {
 		s.ReconciledOnce = true
 		s.Log.Info("all machines reconciled", "after", s.Clock.Now()-s.StartedAt)
@@ -74,7 +74,7 @@
 	if len(s.PendingOrder) == 0 || !machine.Schedulable() || machine.Draining || !machine.HasSpareCapacity() {
 		return
 	}
-	pass := s.newSchedulingPass(s.urgentWorkDelayed)
+	pass := s.newSchedulingPass(s.latencySensitiveDelayed)
 	pass.machines = []*cluster.Machine{machine}
 	s.scheduleQueue(pass)
 }
