--- /dev/null
+++ b/internal/cluster/transitions_test.go
@@ -0,0 +1,270 @@
+package cluster
+
+import (
+	"fmt"
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/config"
+	"hitchdoor/internal/protocol"
+)
+
+// fakeClock is a clock that tests set.
+type fakeClock struct{ now clock.Instant }
+
+func (f *fakeClock) Now() clock.Instant { return f.now }
+
+// Durations of the worker protocol in these tests, and the start of the term.
+const (
+	testHeartbeat    = 4 * time.Second
+	testLease        = 20 * time.Second
+	testLeaseTimeout = 20*time.Second + 420*time.Millisecond // with drift and margin
+	testTermStart    = time.Minute
+)
+
+// newTestState returns a state with the team blue at the start of a term.
+func newTestState() (*State, *fakeClock) {
+	now := &fakeClock{now: testTermStart}
+	platform := &config.Cluster{Teams: []config.Team{{Name: "blue"}}}
+	platform.Workers.HeartbeatIntervalS, platform.Workers.LeaseS = testHeartbeat.Seconds(), testLease.Seconds()
+	small := &protocol.MachineType{Name: "small", Cores: 8, MemoryGB: 32, Accelerators: 2, ImageCacheGB: 10}
+	return New(Options{
+		Clock: now, Config: platform, Settings: &config.Settings{SlotsPerCore: 2, BaseSlots: 1},
+		Log: slog.New(slog.DiscardHandler), Catalog: map[string]*protocol.MachineType{"small": small},
+	}), now
+}
+
+// newTestMachine adds a machine that is up.
+func newTestMachine(state *State, name string) *Machine {
+	machine := state.NewMachine(name, "small", "a", false)
+	machine.Up, machine.Reconciled, machine.TokenAcknowledged, machine.UseDurable = true, true, true, true
+	machine.Epoch, machine.Address, machine.LastResponse = 5, "10.0.0.1", state.Clock.Now()
+	return machine
+}
+
+// newTestJob adds a runnable job of the team blue with four tasks.
+func newTestJob(state *State, id string, priority protocol.Priority) *Job {
+	spec := protocol.Job{ID: id, Team: "blue", Priority: priority, TaskCount: 4, Image: "img"}
+	spec.Cores, spec.MemoryGB, spec.Accelerators = 2, 4, 1
+	job := NewJob(spec, 0, 0, 0)
+	job.TasksPerPart, job.BitmapParts = 4, []*BitmapPart{{SizeBytes: 1}}
+	state.Jobs[id], state.RunnableJobs[id] = job, job
+	return job
+}
+
+// place places an attempt in a phase. Its number follows those of the machine's other attempts.
+func place(state *State, job *Job, taskIndex int, machine *Machine, phase AttemptPhase) *TaskAttempt {
+	number := uint64(len(machine.Attempts) + 1)
+	attempt := &TaskAttempt{Job: job, TaskIndex: taskIndex, Number: number, Machine: machine, Phase: phase}
+	state.PlaceAttempt(attempt)
+	return attempt
+}
+
+// usage describes all that PlaceAttempt and ReleaseAttempt count.
+func usage(state *State, job *Job, machine *Machine) string {
+	return fmt.Sprint(job.PendingTasks, len(job.Attempts), len(machine.Attempts), len(machine.AttemptsInOrder),
+		machine.FreeCapacity(), *state.TeamUsage["blue"], state.ActiveTasks)
+}
+
+func TestPlacedAttemptIsCountedUntilItIsReleased(t *testing.T) {
+	for priority, active := range map[protocol.Priority]string{
+		protocol.PriorityLow: "[1 0]", protocol.PriorityStandard: "[1 0]",
+		protocol.PriorityUrgent: "[0 1]", protocol.PriorityProduction: "[0 1]",
+	} {
+		state, now := newTestState()
+		job, machine := newTestJob(state, "j-1", priority), newTestMachine(state, "m-1")
+		job.FirstPendingTask = 3
+		before := usage(state, job, machine)
+		attempt := place(state, job, 1, machine, AttemptRunning)
+		if got, want := usage(state, job, machine), "3 1 1 1 {6 28 1} {2 1} "+active; got != want || !machine.HasImage("img") {
+			t.Errorf("%s, placed: %s, not %s", priority, got, want)
+		}
+		now.now += time.Second
+		for range 2 { // the second release has no effect
+			state.ReleaseAttempt(attempt)
+			if got := usage(state, job, machine); got != before || job.FirstPendingTask != 1 || !state.SchedulingNeeded {
+				t.Errorf("%s, released: %s, not %s", priority, got, before)
+			}
+		}
+		if job.PendingSince != 0 {
+			t.Errorf("%s: pending since %v although other tasks were pending before", priority, job.PendingSince)
+		}
+	}
+}
+
+func TestReleasedTaskIsPendingUnlessItIsDoneOrHasAnotherAttempt(t *testing.T) {
+	for name, c := range map[string]struct {
+		change  func(state *State, job *Job)
+		pending int
+		since   clock.Instant
+	}{
+		"last task placed": {func(*State, *Job) {}, 1, testTermStart},
+		"done":             {func(_ *State, job *Job) { job.SetTaskBit(0) }, 0, 0},
+		"another attempt": {func(state *State, job *Job) {
+			place(state, job, 0, newTestMachine(state, "m-2"), AttemptAssigned)
+		}, 0, 0},
+		"other tasks pending": {func(_ *State, job *Job) { job.PendingTasks = 2 }, 3, 0},
+	} {
+		state, _ := newTestState()
+		job, machine := newTestJob(state, "j-1", protocol.PriorityStandard), newTestMachine(state, "m-1")
+		job.PendingTasks = 1
+		attempt := place(state, job, 0, machine, AttemptRunning)
+		c.change(state, job)
+		state.ReleaseAttempt(attempt)
+		if job.PendingTasks != c.pending || job.PendingSince != c.since || len(machine.Attempts) != 0 {
+			t.Errorf("%s: %d pending since %v", name, job.PendingTasks, job.PendingSince)
+		}
+	}
+}
+
+func TestRequestedStopKeepsTheShortestGrace(t *testing.T) {
+	for _, c := range []struct {
+		phase    AttemptPhase
+		graces   []float64
+		grace    float64
+		released bool
+	}{
+		{AttemptAssigned, []float64{9}, 0, true},
+		{AttemptSent, []float64{9}, 9, false},
+		{AttemptFetching, []float64{9, 4}, 4, false},
+		{AttemptRunning, []float64{4, 9}, 4, false},
+		{AttemptSaving, []float64{4, 0, 4}, 0, false},
+	} {
+		state, _ := newTestState()
+		machine := newTestMachine(state, "m-1")
+		attempt := place(state, newTestJob(state, "j-1", protocol.PriorityStandard), 0, machine, c.phase)
+		for _, grace := range c.graces {
+			state.RequestStop(attempt, grace)
+		}
+		switch released := len(machine.Attempts) == 0; {
+		case released != c.released:
+			t.Errorf("phase %d: released %v", c.phase, released)
+		case !released && (attempt.StopGrace == nil || *attempt.StopGrace != c.grace):
+			t.Errorf("phase %d: grace %v, not %v", c.phase, attempt.StopGrace, c.grace)
+		}
+	}
+}
+
+func TestMachineIsFencedOnceItsLeaseHasCertainlyExpired(t *testing.T) {
+	for name, c := range map[string]struct {
+		lastResponse, now clock.Instant
+		fenced            bool
+	}{
+		"at the timeout":                 {testTermStart + time.Second, testTermStart + time.Second + testLeaseTimeout, false},
+		"after the timeout":              {testTermStart + time.Second, testTermStart + time.Second + testLeaseTimeout + 1, true},
+		"no response, at the timeout":    {clock.Never, testTermStart + testLeaseTimeout, false},
+		"no response, after the timeout": {clock.Never, testTermStart + testLeaseTimeout + 1, true},
+		"response before the term":       {testTermStart - time.Second, testTermStart + testLeaseTimeout, false},
+	} {
+		state, now := newTestState()
+		machine := newTestMachine(state, "m-1")
+		machine.LastResponse, machine.Reconciled, machine.UnknownTasks = c.lastResponse, false, 2
+		job := newTestJob(state, "j-1", protocol.PriorityStandard)
+		place(state, job, 0, machine, AttemptRunning)
+		now.now = c.now
+		state.ExpireMachineLeases()
+		got := fmt.Sprintf("up %v, reconciled %v, fenced %d, address %q, unknown %d, pending %d, drain %q", machine.Up,
+			machine.Reconciled, machine.FencedEpoch, machine.Address, machine.UnknownTasks, job.PendingTasks, machine.DrainReason)
+		want := `up true, reconciled false, fenced 0, address "10.0.0.1", unknown 2, pending 3, drain ""`
+		if c.fenced {
+			want = `up false, reconciled true, fenced 5, address "", unknown 0, pending 4, drain "silent"`
+		}
+		if got != want {
+			t.Errorf("%s: %s, not %s", name, got, want)
+		}
+	}
+}
+
+func TestLeasesAreCheckedEightTimesPerHeartbeatInterval(t *testing.T) {
+	state, now := newTestState()
+	machine := newTestMachine(state, "m-1")
+	now.now = testTermStart + testLeaseTimeout
+	state.ExpireMachineLeases()
+	now.now += testHeartbeat/8 - 1
+	if state.ExpireMachineLeases(); !machine.Up {
+		t.Error("fenced by a check that was not due")
+	}
+	now.now++
+	if state.ExpireMachineLeases(); machine.Up {
+		t.Error("not fenced by the check that was due")
+	}
+}
+
+func TestDrainReasons(t *testing.T) {
+	for _, c := range []struct {
+		reasons []DrainReason
+		final   DrainReason
+	}{
+		{[]DrainReason{SurplusCapacity}, SurplusCapacity},
+		{[]DrainReason{SurplusCapacity, HeartbeatMissed}, HeartbeatMissed},
+		{[]DrainReason{HeartbeatMissed, SurplusCapacity}, HeartbeatMissed},
+		{[]DrainReason{HeartbeatMissed, PreemptionNoticed}, PreemptionNoticed},
+	} {
+		state, _ := newTestState()
+		job, machine := newTestJob(state, "j-1", protocol.PriorityStandard), newTestMachine(state, "m-1")
+		place(state, job, 0, machine, AttemptAssigned)
+		sent := place(state, job, 1, machine, AttemptSent)
+		for _, reason := range c.reasons {
+			state.BeginDrain(machine, reason)
+		}
+		if !machine.Draining || machine.DrainReason != c.final || !state.SchedulingNeeded {
+			t.Errorf("%v: draining %v for %q", c.reasons, machine.Draining, machine.DrainReason)
+		}
+		if !slices.Equal(machine.AttemptsInOrder, []*TaskAttempt{sent}) || sent.StopGrace != nil {
+			t.Errorf("%v: %d attempts left, not just the one that was sent", c.reasons, len(machine.AttemptsInOrder))
+		}
+		if state.CancelDrain(machine); machine.Draining || machine.DrainReason != "" {
+			t.Errorf("%v: not cancelled", c.reasons)
+		}
+	}
+}
+
+// Repeated failures are the fault of the job if it fails on three machines without any success, and
+// else of the machine.
+func TestFaultOfRepeatedFailures(t *testing.T) {
+	for name, c := range map[string]struct {
+		failures  []string // job and machine of each failure, one digit each
+		doneTasks int
+		fault     string // jobs failing everywhere, machines unhealthy
+	}{
+		"one failure":                       {[]string{"11"}, 1, "[] []"},
+		"one job twice on a machine":        {[]string{"11", "11"}, 0, "[] []"},
+		"one job four times on a machine":   {[]string{"11", "11", "11", "11"}, 0, "[] [m-1]"},
+		"a job with successes twice":        {[]string{"11", "11"}, 1, "[] [m-1]"},
+		"two jobs on a machine":             {[]string{"11", "21"}, 0, "[] [m-1]"},
+		"a job on two machines":             {[]string{"11", "12"}, 0, "[] []"},
+		"a job on three machines":           {[]string{"11", "12", "13"}, 0, "[j-1] []"},
+		"with successes, on three machines": {[]string{"11", "12", "13"}, 1, "[] []"},
+		"no blame by a job known to fail":   {[]string{"11", "12", "13", "13", "13", "23"}, 0, "[j-1] []"},
+		"blame by two other jobs":           {[]string{"11", "12", "13", "23", "33"}, 0, "[j-1] [m-3]"},
+	} {
+		state, _ := newTestState()
+		var jobs, machines []string
+		for i := range 3 {
+			newTestJob(state, fmt.Sprint("j-", i+1), protocol.PriorityStandard).DoneTasks = c.doneTasks
+			newTestMachine(state, fmt.Sprint("m-", i+1))
+		}
+		for _, failure := range c.failures {
+			state.RecordTaskFailure(state.Machines["m-"+failure[1:]], state.Jobs["j-"+failure[:1]], 0, time.Second)
+		}
+		for _, job := range state.JobsByAge() {
+			if job.FailsEverywhere {
+				jobs = append(jobs, job.Spec.ID)
+			}
+		}
+		for _, machine := range state.MachinesByName() {
+			if machine.Unhealthy {
+				machines = append(machines, machine.Name)
+			}
+			if machine.Unhealthy != (machine.DrainReason == Unhealthy) {
+				t.Errorf("%s: %s drains for %q", name, machine.Name, machine.DrainReason)
+			}
+		}
+		if got := fmt.Sprint(jobs, machines); got != c.fault {
+			t.Errorf("%s: %s, not %s", name, got, c.fault)
+		}
+	}
+}
