--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -34,11 +34,11 @@
 )
 
 // Key returns the task key of the attempt, computed once.
-func (r *TaskAttempt) Key() string {
-	if r.cachedKey == "" {
-		r.cachedKey = TaskKey(r.Job.Spec.ID, r.TaskIndex)
+func (a *TaskAttempt) Key() string {
+	if a.cachedKey == "" {
+		a.cachedKey = TaskKey(a.Job.Spec.ID, a.TaskIndex)
 	}
-	return r.cachedKey
+	return a.cachedKey
 }
 
 // TaskKey returns the key that identifies a task on the wire and in logs.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -302,6 +302,6 @@
 }
 
 // maxRemovedMachines is the number of removed machines above which old names are discarded.
-// Within a term the names prevent a delayed listing or a late copy of a heartbeat from adding the
+// Within a term the names prevent a delayed listing or a delayed copy of a heartbeat from adding the
 // machine again.
 const maxRemovedMachines = 20_000
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -14,7 +14,7 @@
 }
 
 // takenSlots returns the number of slots in use by both classes.
-func (s *slotUsage) takenSlots() int { return s.batchTasks + s.latencySensitiveTasks }
+func (u *slotUsage) takenSlots() int { return u.batchTasks + u.latencySensitiveTasks }
 
 // schedulingPass is the state shared by all checks and placements of one pass.
 type schedulingPass struct {
@@ -23,7 +23,7 @@
 	machines []*cluster.Machine // candidates of this pass
 }
 
-// newSchedulingPass returns a pass without machines, from the present totals.
+// newSchedulingPass returns a pass without machines, from the current machine totals.
 func (s *Scheduler) newSchedulingPass(latencySensitiveDelayed bool) *schedulingPass {
 	pass := &schedulingPass{MachineTotals: s.CurrentMachineTotals()}
 	pass.slotUsage = slotUsage{
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -101,7 +101,7 @@
 	return queued
 }
 
-// DemoteLargestJobs ranks jobs as late that cannot all be in time on the present machines.
+// DemoteLargestJobs ranks jobs as late that cannot all be in time on the current machines.
 // Objectives count jobs regardless of size, so the largest are demoted: going through the jobs by
 // due time, the largest so far is demoted whenever the next would be late (Moore-Hodgson
 // algorithm for the fewest late jobs).
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -61,8 +61,8 @@
 	return eligibleJobs
 }
 
-// addReservation reserves a machine for the first eligible job in queue order that has none and was
-// not tried a moment ago.
+// addReservation reserves a machine for the first eligible job in queue order that has none and has
+// not been tried within the last heartbeat interval.
 func (s *Scheduler) addReservation(eligibleJobs map[*cluster.Job]bool) {
 	now := s.Clock.Now()
 	for _, queued := range s.PendingOrder {
