--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -88,7 +88,8 @@
 	switch age := now - job.EligibleAt; {
 	case age > cluster.OverdueAfter && !job.HasStarted():
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, job.EligibleAt, true
-	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive && !(job.HasStarted() && s.exceedsGuarantee(job)):
+	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive &&
+		!(job.HasStarted() && s.exceedsGuarantee(job)):
 		// A started job that exceeds its team's guarantee is not moved ahead.
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, job.EligibleAt, true
 	}
@@ -100,7 +101,7 @@
 	return queued
 }
 
-// DemoteLargestJobs ranks jobs as late that cannot all be in time on the present machines.
+// DemoteLargestJobs ranks jobs as late that cannot all be in time on the current machines.
 // Objectives count jobs regardless of size, so the largest are demoted: going through the jobs by
 // due time, the largest so far is demoted whenever the next would be late (Moore-Hodgson
 // algorithm for the fewest late jobs).
