--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -42,6 +42,6 @@
 func (h nodeJobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
 	node := h.node
 	if node.unreadableTerminalRecords[jobID] == nil {
-		node.unreadableTerminalRecords[jobID] = records.NewQuarantinedRecord(node.log, item, err, node.newerVersionSeen())
+		node.unreadableTerminalRecords[jobID] = records.NewQuarantinedRecord(node.log, item, err, node.protocolLevels.newerVersionSeen())
 	}
 }
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -37,7 +37,7 @@
 // loadRecords reads all records. Scheduling starts only after all of them are loaded.
 func (l *leader) loadRecords() {
 	l.loader.ReadListings([]records.Listing{
-		{Prefix: storage.VersionPrefix, Apply: l.node.applyProtocolLevels},
+		{Prefix: storage.VersionPrefix, Apply: l.node.protocolLevels.apply},
 		{Prefix: storage.DependenciesPrefix, Apply: l.loader.LoadDependencies}, // before the jobs: later ones are read with their job
 		{Prefix: storage.JobPrefix, Apply: l.loader.LoadJobs},
 		{Prefix: storage.BitmapPrefix, Apply: l.loader.LoadBitmaps},
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -65,7 +65,7 @@
 	unreadableTerminalRecords map[string]*records.QuarantinedRecord
 	mismatches                recovery.MismatchCounts // of all recoveries in this process
 	leader                    *leader
-	protocolLevels            protocolLevels
+	protocolLevels            *protocolLevels
 
 	submissionQueue *submissions.Queue
 
@@ -107,7 +107,6 @@
 		peers:                     map[string]*peer{},
 		policyRejections:          jobstore.NewRecentJobs[admission.Group](jobstore.RecentJobsLimit),
 		unreadableTerminalRecords: map[string]*records.QuarantinedRecord{},
-		protocolLevels:            protocolLevels{lastRead: clock.Never},
 		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
@@ -115,6 +114,8 @@
 	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.WritesPerS)
 	node.leaderWriteBudget = leaderBudget
 	node.submissionQueue = submissions.NewQueue(submissionWriter{node}, cluster, submissionBudget)
+	node.protocolLevels = newProtocolLevels(nodeProtocolLevelsHost{node}, options,
+		node.workerLease()/pollsPerLease)
 	node.catalog = catalog.New(nodeCatalogHost{node}, node.log, node.workerLease())
 	peerNames := make([]string, 0, len(options.Platform.Peers))
 	for _, known := range options.Platform.Peers {
@@ -181,7 +182,7 @@
 	n.workerRouter.ExpireRoutes()
 	n.submissionQueue.WritePending()
 	n.jobReader.LoadTerminalJobs()
-	n.tickProtocolLevels()
+	n.protocolLevels.tick()
 	n.tickAdmission()
 	if n.leader != nil && n.holdsLeaderLease() {
 		n.leader.tick()
@@ -191,6 +192,9 @@
 // Now returns the time of the current step.
 func (n *Node) Now() clock.Instant { return n.now }
 
+// clusterSupports reports whether every configured node is known to have at least a protocol level.
+func (n *Node) clusterSupports(level int) bool { return n.protocolLevels.clusterSupports(level) }
+
 // workerLease returns the duration of the workers' lease. Most time spans of a controller are
 // defined as fractions of it.
 func (n *Node) workerLease() time.Duration { return config.Seconds(n.cfg.Cluster.Workers.LeaseS) }
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -1,11 +1,15 @@
 package controller
 
 import (
+	"log/slog"
+	"net/http"
 	"strings"
+	"time"
 
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/config"
 	"hitchdoor/internal/records"
 	"hitchdoor/internal/storage"
 )
@@ -18,102 +22,129 @@
 	protocolLevel             = protocolLevelAdmission
 )
 
+// protocolLevelsHost is what protocolLevels needs from its node.
+type protocolLevelsHost interface {
+	// Now returns the time of the current step.
+	Now() clock.Instant
+	// StoreReachable reports whether the key-value store responds.
+	StoreReachable() bool
+	// CallStore sends a request to the key-value store.
+	CallStore(method, path string, body any, onResponse func(storage.Response))
+	// ClusterLevelRaised is called when the level that every node understands has risen.
+	ClusterLevelRaised(previousLevel int)
+}
+
 // protocolLevels is what a node knows of the protocol levels of all controllers. Each node
 // writes its own level to the key-value store once. Formats that level 0 does not understand
 // are used only after every configured node has written a higher level. A node that has been
 // upgraded is never downgraded, so the minimum that was read stays valid regardless of late
 // messages and late writes from earlier processes.
 type protocolLevels struct {
+	host         protocolLevelsHost
+	log          *slog.Logger
+	node         string        // this node's name
+	peers        []config.Peer // the other configured nodes
+	build        string        // this version, written with its level
+	readInterval time.Duration
+
 	clusterLevel    int           // minimum over all configured nodes
 	highestSeen     int           // maximum that any node has written
 	requestInFlight bool          // a read or write of levels is in flight
 	lastRead        clock.Instant // last read of the levels
 }
 
+// newProtocolLevels returns the state of a node that has read no levels yet.
+func newProtocolLevels(host protocolLevelsHost, options Options, readInterval time.Duration) *protocolLevels {
+	return &protocolLevels{host: host, log: options.Log, node: options.Platform.Node, peers: options.Platform.Peers,
+		build: options.Build, readInterval: readInterval, lastRead: clock.Never}
+}
+
 // clusterSupports reports whether every configured node is known to have at least a level.
-func (n *Node) clusterSupports(level int) bool { return n.protocolLevels.clusterLevel >= level }
+func (p *protocolLevels) clusterSupports(level int) bool { return p.clusterLevel >= level }
 
 // newerVersionSeen reports whether a controller has written a higher protocol level than this
 // version's.
-func (n *Node) newerVersionSeen() bool { return n.protocolLevels.highestSeen > protocolLevel }
+func (p *protocolLevels) newerVersionSeen() bool { return p.highestSeen > protocolLevel }
 
-// tickProtocolLevels reads the levels until all nodes are known to have this node's level.
-func (n *Node) tickProtocolLevels() {
-	levels := &n.protocolLevels
-	if levels.clusterLevel >= protocolLevel || levels.requestInFlight ||
-		n.now < levels.lastRead+n.workerLease()/pollsPerLease ||
-		!n.election.StoreReachable() {
+// tick reads the levels until all nodes are known to have this node's level.
+func (p *protocolLevels) tick() {
+	if p.clusterLevel >= protocolLevel || p.requestInFlight ||
+		p.host.Now() < p.lastRead+p.readInterval || !p.host.StoreReachable() {
 		return
 	}
-	n.readProtocolLevels()
+	p.read()
 }
 
-// readProtocolLevels reads the levels of all nodes from the key-value store.
-func (n *Node) readProtocolLevels() {
-	levels := &n.protocolLevels
-	levels.requestInFlight, levels.lastRead = true, n.now
-	n.storeCall("GET", storage.ListPath(storage.VersionPrefix, "", records.MaxPageItems), nil, func(result CallResult) {
-		levels.requestInFlight = false
+// read reads the levels of all nodes from the key-value store.
+func (p *protocolLevels) read() {
+	p.requestInFlight, p.lastRead = true, p.host.Now()
+	path := storage.ListPath(storage.VersionPrefix, "", records.MaxPageItems)
+	p.host.CallStore(http.MethodGet, path, nil, func(response storage.Response) {
+		p.requestInFlight = false
 		var page storage.ListResponse
-		if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
+		if response.Status != http.StatusOK || json.Unmarshal(response.Body, &page) != nil {
 			return
 		}
-		n.applyProtocolLevels(page.Items)
+		p.apply(page.Items)
 	})
 }
 
-// applyProtocolLevels updates the known levels from the nodes' records. If this node's own level
-// is not stored yet, it is written first.
-func (n *Node) applyProtocolLevels(items []storage.Item) {
-	levelByNode := map[string]int{}
-	ownRevision := uint64(0)
-	for _, item := range items {
-		var record storage.VersionRecord
-		name := strings.TrimPrefix(item.Key, storage.VersionPrefix)
-		if json.Unmarshal(item.Value, &record) == nil {
-			levelByNode[name] = record.Level
-			n.protocolLevels.highestSeen = max(n.protocolLevels.highestSeen, record.Level)
-		}
-		if name == n.cfg.Node {
-			ownRevision = item.ModRevision
-		}
-	}
-	if n.protocolLevels.clusterLevel >= protocolLevel {
+// apply updates the known levels from the nodes' records. If this node's own level is not
+// stored yet, it is written first.
+func (p *protocolLevels) apply(items []storage.Item) {
+	levelByNode, ownRevision := p.parseRecords(items)
+	if p.clusterLevel >= protocolLevel {
 		return
 	}
-	if levelByNode[n.cfg.Node] < protocolLevel {
-		if !n.protocolLevels.requestInFlight {
-			n.writeProtocolLevel(ownRevision)
+	if levelByNode[p.node] < protocolLevel {
+		if !p.requestInFlight {
+			p.write(ownRevision)
 		}
 		return
 	}
 	clusterLevel := protocolLevel
-	for _, peer := range n.cfg.Peers {
+	for _, peer := range p.peers {
 		clusterLevel = min(clusterLevel, levelByNode[peer.Node])
 	}
-	previousLevel := n.protocolLevels.clusterLevel
+	previousLevel := p.clusterLevel
 	if clusterLevel <= previousLevel {
 		return
 	}
-	n.protocolLevels.clusterLevel = clusterLevel
-	n.log.Info("cluster protocol level raised", "level", clusterLevel)
-	if n.leader != nil && previousLevel < protocolLevelDependencies {
-		n.leader.jobRecords.UpgradeBitmapLayouts()
+	p.clusterLevel = clusterLevel
+	p.log.Info("cluster protocol level raised", "level", clusterLevel)
+	p.host.ClusterLevelRaised(previousLevel)
+}
+
+// parseRecords returns the level of each node according to its record, and the revision of this
+// node's own record.
+func (p *protocolLevels) parseRecords(items []storage.Item) (levelByNode map[string]int, ownRevision uint64) {
+	levelByNode = map[string]int{}
+	for _, item := range items {
+		var record storage.VersionRecord
+		name := strings.TrimPrefix(item.Key, storage.VersionPrefix)
+		if json.Unmarshal(item.Value, &record) == nil {
+			levelByNode[name] = record.Level
+			p.highestSeen = max(p.highestSeen, record.Level)
+		}
+		if name == p.node {
+			ownRevision = item.ModRevision
+		}
 	}
+	return levelByNode, ownRevision
 }
 
-// writeProtocolLevel writes this node's level, unless its record has changed since revision: a
-// later process of the node has written it then.
-func (n *Node) writeProtocolLevel(revision uint64) {
-	key := storage.VersionPrefix + n.cfg.Node
-	n.protocolLevels.requestInFlight = true
-	n.storeCall("POST", "/multi", storage.Txn{
+// write writes this node's level, unless its record has changed since revision: a later process
+// of the node has written it then.
+func (p *protocolLevels) write(revision uint64) {
+	key := storage.VersionPrefix + p.node
+	p.requestInFlight = true
+	p.host.CallStore(http.MethodPost, "/multi", storage.Txn{
 		Conditions: []storage.Condition{{Key: key, ModRevision: revision}},
-		Writes:     []storage.Write{storage.Put(key, storage.VersionRecord{Level: protocolLevel, Build: n.build})},
-	}, func(result CallResult) {
-		n.protocolLevels.requestInFlight = false
-		if result.Status == 200 {
-			n.protocolLevels.lastRead = clock.Never
+		Writes:     []storage.Write{storage.Put(key, storage.VersionRecord{Level: protocolLevel, Build: p.build})},
+	}, func(response storage.Response) {
+		p.requestInFlight = false
+		if response.Status == http.StatusOK {
+			p.lastRead = clock.Never
 		}
 	})
 }
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -68,7 +68,7 @@
 
 // NewerVersionSeen reports whether a controller has written a higher protocol level than this
 // version's.
-func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.newerVersionSeen() }
+func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.protocolLevels.newerVersionSeen() }
 
 // MarkJobAccepted records that a job is known to have been accepted.
 func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.jobReader.RecordAccepted(jobID) }
