--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -73,16 +73,7 @@
 
 func (m InboundMessage) apply(n *Node) { n.onPeerMessage(m) }
 
-// apply passes the result to the function that waits for it. A result without one is of a call whose
-// sender has been dropped.
-func (r CallResult) apply(n *Node) {
-	onResult, ok := n.pendingCalls[r.ID]
-	if !ok {
-		return
-	}
-	delete(n.pendingCalls, r.ID)
-	onResult(r)
-}
+func (r CallResult) apply(n *Node) { n.deliverResult(r) }
 
 func (Drain) apply(n *Node) {
 	n.draining = true
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -40,11 +40,6 @@
 	return connectivity{matrix: reachability.NewMatrix(names), invalidReportLogged: map[string]bool{}}
 }
 
-// workerLeases converts a number of worker leases to a duration.
-func (n *Node) workerLeases(count float64) time.Duration {
-	return time.Duration(count * float64(n.workerLease()))
-}
-
 // connectivityReport returns what this node tells its peers about its links and workers.
 func (n *Node) connectivityReport() *protocol.LinkReport {
 	report := &protocol.LinkReport{StoreReachable: !n.election.StoreFailing()}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -19,11 +19,9 @@
 	"hitchdoor/internal/election"
 	"hitchdoor/internal/forwarding"
 	"hitchdoor/internal/jobstore"
-	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/records"
 	"hitchdoor/internal/recovery"
-	"hitchdoor/internal/storage"
 	"hitchdoor/internal/submissions"
 	"hitchdoor/internal/workerrouting"
 )
@@ -31,24 +29,18 @@
 // Node holds all state of a controller. It is not safe for concurrent use: one goroutine
 // owns it and calls Step.
 type Node struct {
+	timing
+	outbox
+
 	cfg      *config.Platform
 	settings config.Settings
 	log      *slog.Logger
 	rng      *rand.Rand
-	// startTime is the wall clock at instant 0. It is used only in stored records and traces.
-	startTime time.Time
 	// processID distinguishes this process from earlier ones of the same node.
 	processID uint64
 	build     string
 	draining  bool // a Drain command was received
 
-	now     clock.Instant
-	effects []Effect
-
-	nextCallID        uint64
-	pendingCalls      map[uint64]func(CallResult)
-	invalidResponseAt map[Target]clock.Instant // last response that failed validation
-
 	election     *election.Election
 	peers        map[string]*peer
 	forwards     *forwarding.Table[Request] // requests forwarded to the leader
@@ -102,14 +94,15 @@
 	cluster := &options.Platform.Cluster
 	node := &Node{
 		cfg: options.Platform, settings: options.Settings, log: options.Log, rng: options.Rand,
-		startTime: options.StartTime, build: options.Build,
-		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{},
+		build:                     options.Build,
+		timing:                    timing{startTime: options.StartTime, cluster: cluster},
 		peers:                     map[string]*peer{},
 		policyRejections:          jobstore.NewRecentJobs[admission.Group](jobstore.RecentJobsLimit),
 		unreadableTerminalRecords: map[string]*records.QuarantinedRecord{},
 		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
 			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
+	node.outbox = newOutbox(&node.timing, node.log, nodeStoreObserver{node})
 	node.jobReader = jobstore.NewReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare, node.workerLease()/pollsPerLease)
 	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.WritesPerS)
 	node.leaderWriteBudget = leaderBudget
@@ -161,17 +154,13 @@
 // Step processes a batch of commands at the instant now and returns the resulting effects. An empty
 // batch only advances time.
 func (n *Node) Step(now clock.Instant, batch []Command) []Effect {
-	if now > n.now {
-		n.now = now
-	}
+	n.advance(now)
 	n.effects = nil
 	for _, command := range batch {
 		command.apply(n)
 	}
 	n.tick()
-	effects := n.effects
-	n.effects = nil
-	return effects
+	return n.takeEffects()
 }
 
 // tick runs the periodic work of every node, and of the leader if this node leads.
@@ -189,106 +178,10 @@
 	}
 }
 
-// Now returns the time of the current step.
-func (n *Node) Now() clock.Instant { return n.now }
-
 // clusterSupports reports whether every configured node is known to have at least a protocol level.
 func (n *Node) clusterSupports(level int) bool { return n.protocolLevels.clusterSupports(level) }
 
-// workerLease returns the duration of the workers' lease. Most time spans of a controller are
-// defined as fractions of it.
-func (n *Node) workerLease() time.Duration { return config.Seconds(n.cfg.Cluster.Workers.LeaseS) }
-
-// heartbeatInterval returns the interval of the workers' heartbeats.
-func (n *Node) heartbeatInterval() time.Duration {
-	return config.Seconds(n.cfg.Cluster.Workers.HeartbeatIntervalS)
-}
-
 // DrainDuration returns how long a node keeps running after a Drain command: long enough for
 // another node to lead, for the load balancer to notice, and for pending requests to be
 // answered.
 func (n *Node) DrainDuration() time.Duration { return n.leaderLease() }
-
-// nowUnixMilli returns the current wall clock in Unix milliseconds.
-func (n *Node) nowUnixMilli() int64 { return n.startTime.Add(n.now).UnixMilli() }
-
-// instantFromUnixMilli converts a stored wall clock time to an instant.
-func (n *Node) instantFromUnixMilli(ms int64) clock.Instant {
-	return time.UnixMilli(ms).Sub(n.startTime)
-}
-
-// encodeBody encodes a request or response body. A nil body stays empty and bytes are passed
-// through.
-func encodeBody(body any) []byte {
-	switch value := body.(type) {
-	case nil:
-		return nil
-	case []byte:
-		return value
-	default:
-		return storage.Encode(value)
-	}
-}
-
-// callService emits a request to an external service and passes its validated result to onResult.
-func (n *Node) callService(target Target, method, path string, body any, timeout time.Duration,
-	onResult func(CallResult)) {
-	n.nextCallID++
-	encodedBody := encodeBody(body)
-	n.pendingCalls[n.nextCallID] = func(result CallResult) { onResult(n.validateResult(target, method, path, result)) }
-	n.effects = append(n.effects, ServiceCall{ID: n.nextCallID, Target: target, Method: method, Path: path,
-		Body: encodedBody, Timeout: timeout})
-}
-
-// validateResult returns the result of a call. If the service can't have sent this response, it
-// returns a result with status 0, as the request may or may not have been executed.
-func (n *Node) validateResult(target Target, method, path string, result CallResult) CallResult {
-	check := storage.CheckResponse
-	if target == TargetCloud {
-		check = protocol.CheckCloudResponse
-	}
-	err := check(method, path, result.Status, result.Body)
-	if err == nil {
-		return result
-	}
-	// Rate-limited: during such a fault every response may be invalid.
-	if last, seen := n.invalidResponseAt[target]; !seen || n.now > last+4*n.workerLease() {
-		n.log.Warn("invalid response from service", "service", target.String(), "error", err)
-	}
-	n.invalidResponseAt[target] = n.now
-	return CallResult{ID: result.ID}
-}
-
-// storeTimeout returns the timeout of one call to the key-value store.
-func (n *Node) storeTimeout() time.Duration { return n.workerLease() / 14 }
-
-// storeCall emits a request to the key-value store and records whether the store answered it.
-func (n *Node) storeCall(method, path string, body any, onResult func(CallResult)) {
-	n.callService(TargetStore, method, path, body, n.storeTimeout(), func(result CallResult) {
-		n.election.RecordStoreResponse(n.now, result.Status)
-		if result.Status == 429 && path == "/multi" {
-			n.throttleWrites()
-		}
-		onResult(result)
-	})
-}
-
-// send emits a message to one peer.
-func (n *Node) send(to string, message protocol.PeerMessage) {
-	n.effects = append(n.effects, OutboundMessage{To: to, Message: message})
-}
-
-// reply answers a request, through the peer that forwarded it if there is one.
-func (n *Node) reply(origin Origin, status, retryAfter int, body any) {
-	encodedBody := encodeBody(body)
-	if origin.Peer != "" {
-		n.send(origin.Peer, protocol.ForwardedResponse{ID: origin.RequestID, Status: status, RetryAfter: retryAfter,
-			Body: encodedBody})
-		return
-	}
-	n.effects = append(n.effects, Reply{RequestID: origin.RequestID, Status: status, RetryAfter: retryAfter,
-		Body: encodedBody})
-}
-
-// replyUnavailable answers that the request can't be processed now and may be retried.
-func (n *Node) replyUnavailable(origin Origin) { n.reply(origin, 503, 1, nil) }
--- /dev/null
+++ b/internal/controller/outbox.go
@@ -0,0 +1,132 @@
+package controller
+
+import (
+	"log/slog"
+	"net/http"
+	"time"
+
+	"hitchdoor/internal/clock"
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/storage"
+)
+
+// storeResponseObserver is told of each response of the key-value store before the sender of the
+// call. Status 0 means that no usable response arrived.
+type storeResponseObserver interface {
+	StoreResponded(path string, status int)
+}
+
+// outbox collects the effects of a step and matches the results of calls with their senders. It
+// is the only part of a controller that emits effects.
+type outbox struct {
+	timing        *timing
+	log           *slog.Logger
+	storeObserver storeResponseObserver
+
+	effects           []Effect
+	nextCallID        uint64
+	pendingCalls      map[uint64]func(CallResult)
+	invalidResponseAt map[Target]clock.Instant // last response that failed validation
+}
+
+// newOutbox returns an outbox without effects and pending calls.
+func newOutbox(timing *timing, log *slog.Logger, storeObserver storeResponseObserver) outbox {
+	return outbox{timing: timing, log: log, storeObserver: storeObserver,
+		pendingCalls: map[uint64]func(CallResult){}, invalidResponseAt: map[Target]clock.Instant{}}
+}
+
+// emit adds an effect to those of the current step.
+func (o *outbox) emit(effect Effect) { o.effects = append(o.effects, effect) }
+
+// takeEffects returns the collected effects and forgets them.
+func (o *outbox) takeEffects() []Effect {
+	effects := o.effects
+	o.effects = nil
+	return effects
+}
+
+// callService emits a request to an external service and passes its validated result to onResult.
+func (o *outbox) callService(target Target, method, path string, body any, timeout time.Duration,
+	onResult func(CallResult)) {
+	o.nextCallID++
+	encodedBody := encodeBody(body)
+	o.pendingCalls[o.nextCallID] = func(result CallResult) { onResult(o.validateResult(target, method, path, result)) }
+	o.emit(ServiceCall{ID: o.nextCallID, Target: target, Method: method, Path: path, Body: encodedBody,
+		Timeout: timeout})
+}
+
+// deliverResult passes a result to the function that waits for it. A result without one is of a
+// call whose sender has been dropped.
+func (o *outbox) deliverResult(result CallResult) {
+	onResult, ok := o.pendingCalls[result.ID]
+	if !ok {
+		return
+	}
+	delete(o.pendingCalls, result.ID)
+	onResult(result)
+}
+
+// validateResult returns the result of a call. If the service can't have sent this response, it
+// returns a result with status 0, as the request may or may not have been executed.
+func (o *outbox) validateResult(target Target, method, path string, result CallResult) CallResult {
+	check := storage.CheckResponse
+	if target == TargetCloud {
+		check = protocol.CheckCloudResponse
+	}
+	err := check(method, path, result.Status, result.Body)
+	if err == nil {
+		return result
+	}
+	// Rate-limited: during such a fault every response may be invalid.
+	if last, seen := o.invalidResponseAt[target]; !seen || o.timing.now > last+4*o.timing.workerLease() {
+		o.log.Warn("invalid response from service", "service", target.String(), "error", err)
+	}
+	o.invalidResponseAt[target] = o.timing.now
+	return CallResult{ID: result.ID}
+}
+
+// storeTimeout returns the timeout of one call to the key-value store.
+func (o *outbox) storeTimeout() time.Duration { return o.timing.workerLease() / 14 }
+
+// storeCall emits a request to the key-value store and tells the observer of the response, which
+// shows whether the store is available.
+func (o *outbox) storeCall(method, path string, body any, onResult func(CallResult)) {
+	o.callService(TargetStore, method, path, body, o.storeTimeout(), func(result CallResult) {
+		o.storeObserver.StoreResponded(path, result.Status)
+		onResult(result)
+	})
+}
+
+// send emits a message to one peer.
+func (o *outbox) send(to string, message protocol.PeerMessage) {
+	o.emit(OutboundMessage{To: to, Message: message})
+}
+
+// reply answers a request, through the peer that forwarded it if there is one.
+func (o *outbox) reply(origin Origin, status, retryAfter int, body any) {
+	encodedBody := encodeBody(body)
+	if origin.Peer != "" {
+		o.send(origin.Peer, protocol.ForwardedResponse{ID: origin.RequestID, Status: status, RetryAfter: retryAfter,
+			Body: encodedBody})
+		return
+	}
+	o.emit(Reply{RequestID: origin.RequestID, Status: status, RetryAfter: retryAfter, Body: encodedBody})
+}
+
+// replyUnavailable answers that the request can't be processed now and may be retried.
+func (o *outbox) replyUnavailable(origin Origin) {
+	o.reply(origin, http.StatusServiceUnavailable, 1, nil)
+}
+
+// encodeBody encodes a request or response body. A nil body stays empty and bytes are passed
+// through.
+func encodeBody(body any) []byte {
+	switch value := body.(type) {
+	case nil:
+		return nil
+	case []byte:
+		return value
+	default:
+		return storage.Encode(value)
+	}
+}
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -18,7 +18,7 @@
 
 // UnixMilli returns the wall clock time of an instant in Unix milliseconds.
 func (h recordsHost) UnixMilli(at clock.Instant) int64 {
-	return h.leader.node.startTime.Add(at).UnixMilli()
+	return h.leader.node.unixMilli(at)
 }
 
 // InstantFromUnixMilli converts a stored wall clock time to an instant.
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -33,7 +33,7 @@
 	if n.admissionPolicy.Current != nil {
 		step.Epoch = n.admissionPolicy.Current.Epoch
 	}
-	n.effects = append(n.effects, TraceStep{step})
+	n.emit(TraceStep{step})
 }
 
 // verdictNote describes an admission verdict for a trace.
