--- /dev/null
+++ b/internal/controller/connectivity_host.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/reachability"
+)
+
+// connectivityReport returns what this node tells its peers about its links and workers.
+func (n *Node) connectivityReport() *protocol.LinkReport {
+	report := &protocol.LinkReport{StoreReachable: !n.election.StoreFailing()}
+	for _, known := range n.cfg.Peers {
+		if age := n.now - n.peers[known.Node].LastContact; age < n.workerLease() {
+			report.IncomingLinks = append(report.IncomingLinks,
+				reachability.IncomingLink{Node: known.Node, AgeMS: age.Milliseconds()})
+		}
+	}
+	report.RecentWorkers, report.StrandedWorkers = n.workerRouter.CountWorkers()
+	worst := n.connectivity.matrix.MostStrandedElsewhere(n.cfg.Node, n.now, n.leaderLease())
+	if worst.Workers > 0 {
+		report.MostStranded = &worst
+	}
+	return report
+}
+
+// twoWayPeerCount returns the number of peers with which messages pass in both directions.
+func (n *Node) twoWayPeerCount() int { return n.connectivity.twoWayPeerCount(n.now, n.leaderLease()) }
+
+// nodeLinks tells a leader's workerService of the links that its node sees.
+type nodeLinks struct{ node *Node }
+
+// WorkersReachPeers reports whether some peer reports workers that connect to it.
+func (l nodeLinks) WorkersReachPeers() bool {
+	return l.node.connectivity.workersReachPeers(l.node.now, l.node.leaderLease())
+}
+
+// Successor returns the other node with the most stranded workers, if there is one.
+func (l nodeLinks) Successor() reachability.StrandedCount {
+	return l.node.connectivity.matrix.Successor(l.node.cfg.Node, l.node.now, l.node.leaderLease())
+}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
@@ -44,6 +45,14 @@
 	l.earlyHeartbeats = append(l.earlyHeartbeats, request)
 }
 
+// arrivedBySameRoute reports whether a worker's heartbeat arrived by the same route as the one
+// before it. If so, the response to the previous one has reached the worker: without a response
+// the worker would have turned to another node. With a single node nothing can be concluded.
+func (l *leader) arrivedBySameRoute(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, via string) bool {
+	return len(l.node.peers) > 0 && machine.LastHeartbeat != clock.Never && machine.RelayPeer == via &&
+		heartbeat.Epoch == machine.Epoch && heartbeat.Sequence == machine.HeartbeatSeq+1
+}
+
 // reconcilerAdapter gives the reconciler what it needs from the leader. It implements its host
 // interface.
 type reconcilerAdapter struct{ leader *leader }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -21,7 +21,7 @@
 	*cluster.State
 	*scheduler.Scheduler
 	loadState
-	workerServiceState
+	workerService
 	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job
 
 	attemptCounter uint64
@@ -45,7 +45,8 @@
 	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog.Types})
 	l := &leader{
 		node: node, term: term, State: state,
-		loadState: newLoadState(node), workerServiceState: newWorkerServiceState(node.now),
+		loadState:     newLoadState(node),
+		workerService: newWorkerService(&node.timing, nodeLinks{node}, state, node.settings.LinkDecisions),
 		cancelWaiters: map[string][]Origin{},
 		recovery:      recoverygate.New(state, leaderKeyVersion, &node.mismatches),
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -37,7 +37,9 @@
 func (n *Node) recordPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
 	sender.protocolLevel = heartbeat.VersionLevel
 	n.admissionPolicy.RecordPeerRevision(heartbeat.PolicyRevision)
-	n.onConnectivityReport(sender, heartbeat.Links)
+	if err := n.connectivity.recordReport(sender.Name, n.now, heartbeat.Links); err != nil {
+		n.log.Warn("invalid connectivity report from peer", "peer", sender.Name, "error", err)
+	}
 	n.workerRouter.RecordPeerHeartbeat(sender.Name, heartbeat)
 	if heartbeat.WritesThrottled {
 		n.throttleWrites()
