--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -21,11 +21,11 @@
 
 // TakeRequest reports whether the cloud budget allows a request now, and takes it from the budget.
 func (h autoscalerHost) TakeRequest() bool {
-	return h.leader.node.cloudBudget.Take(h.leader.node.now, 1)
+	return h.leader.node.takeCloudRequest()
 }
 
 // ReturnRequest gives a request that was not sent back to the cloud budget.
-func (h autoscalerHost) ReturnRequest() { h.leader.node.cloudBudget.Tokens++ }
+func (h autoscalerHost) ReturnRequest() { h.leader.node.returnCloudRequest() }
 
 // Send sends a request to the cloud, and passes on the response unless the node has stepped down
 // by then.
--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -18,7 +18,7 @@
 
 // TakeCloudRequest reports whether the cloud budget allows a request now, and takes it from the
 // budget.
-func (a nodeCatalogHost) TakeCloudRequest() bool { return a.node.cloudBudget.Take(a.node.now, 1) }
+func (a nodeCatalogHost) TakeCloudRequest() bool { return a.node.takeCloudRequest() }
 
 // ReadFromCloud reads a resource of the cloud.
 func (a nodeCatalogHost) ReadFromCloud(path string, timeout time.Duration, onResponse func(catalog.Response)) {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -19,7 +19,6 @@
 	"hitchdoor/internal/election"
 	"hitchdoor/internal/forwarding"
 	"hitchdoor/internal/jobstore"
-	"hitchdoor/internal/ratelimit"
 	"hitchdoor/internal/records"
 	"hitchdoor/internal/recovery"
 	"hitchdoor/internal/submissions"
@@ -31,6 +30,7 @@
 type Node struct {
 	timing
 	outbox
+	serviceBudgets
 
 	cfg      *config.Platform
 	settings config.Settings
@@ -60,10 +60,6 @@
 	protocolLevels            *protocolLevels
 
 	submissionQueue *submissions.Queue
-
-	cloudBudget       ratelimit.TokenBucket
-	leaderWriteBudget ratelimit.TokenBucket // writes of the leader's records
-	writesThrottled   bool                  // writes are limited to the store's lower rate
 }
 
 // Options are the dependencies and settings of a new Node.
@@ -76,18 +72,9 @@
 	Build     string    // build version, shown to operators
 }
 
-// Shares of the external services' rate limits, and time spans as fractions of a worker
-// lease. The leader gets most of the writes. Submissions, which every node writes, have
-// their own share so that they never queue behind the leader's records. The shares leave a
-// margin for requests of a previous leader that are still in flight.
-const (
-	leaderWriteShare      = 0.6
-	submissionWriteShare  = 0.3 // total of all nodes, see submissionQueue.updateRate
-	followerReadShare     = 0.1
-	dependencyLookupShare = 0.2 // reads of dependencies' outcomes and of quarantined records
-	cloudRequestShare     = 0.75
-	pollsPerLease         = 28
-)
+// pollsPerLease is how often per worker lease a node polls the key-value store, for terminal jobs,
+// protocol levels and the like.
+const pollsPerLease = 28
 
 // New returns a node in follower state.
 func New(options Options) *Node {
@@ -99,14 +86,13 @@
 		peers:                     map[string]*peer{},
 		policyRejections:          jobstore.NewRecentJobs[admission.Group](jobstore.RecentJobsLimit),
 		unreadableTerminalRecords: map[string]*records.QuarantinedRecord{},
-		cloudBudget: ratelimit.NewTokenBucket(cluster.Cloud.RequestsPerS*cloudRequestShare,
-			max(1, cluster.Cloud.RequestsPerS*cloudRequestShare)),
 	}
 	node.outbox = newOutbox(&node.timing, node.log, nodeStoreObserver{node})
 	node.jobReader = jobstore.NewReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare, node.workerLease()/pollsPerLease)
-	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.WritesPerS)
-	node.leaderWriteBudget = leaderBudget
+	budgets, submissionBudget := newServiceBudgets(&node.timing, cluster, node.log)
 	node.submissionQueue = submissions.NewQueue(submissionWriter{node}, cluster, submissionBudget)
+	budgets.submissionWrites = node.submissionQueue
+	node.serviceBudgets = budgets
 	node.protocolLevels = newProtocolLevels(nodeProtocolLevelsHost{node}, options,
 		node.workerLease()/pollsPerLease)
 	node.catalog = catalog.New(nodeCatalogHost{node}, node.log, node.workerLease())
@@ -127,30 +113,6 @@
 	return node
 }
 
-// newWriteBudgets splits a write rate between the leader's records and submissions. The
-// leader's burst is at least two, as its smallest unit of work has two writes.
-func newWriteBudgets(cluster *config.Cluster, rps float64) (leaderBudget, submissionBudget ratelimit.TokenBucket) {
-	return ratelimit.NewTokenBucket(rps*leaderWriteShare, max(2, rps*leaderWriteShare)),
-		ratelimit.NewTokenBucket(rps*submissionWriteShare, max(1, rps*submissionWriteShare))
-}
-
-// throttleWrites limits writes to the lower rate from the settings. It is called when the
-// store rejects a write for its rate. Finding the lower rate by repeated rejections would
-// delay urgent writes as much as the others.
-func (n *Node) throttleWrites() {
-	cluster := &n.cfg.Cluster
-	if n.writesThrottled || cluster.Store.LowerWritesPerS() == cluster.Store.WritesPerS {
-		return
-	}
-	n.writesThrottled = true
-	n.log.Info("writes throttled to the lower rate", "rps", cluster.Store.LowerWritesPerS())
-	leaderBudget, submissionBudget := newWriteBudgets(cluster, cluster.Store.LowerWritesPerS())
-	leaderBudget.Tokens, leaderBudget.RefilledAt = 0, n.now
-	submissionBudget.Tokens, submissionBudget.RefilledAt = 0, n.now
-	n.leaderWriteBudget = leaderBudget
-	n.submissionQueue.SetBudget(submissionBudget)
-}
-
 // Step processes a batch of commands at the instant now and returns the resulting effects. An empty
 // batch only advances time.
 func (n *Node) Step(now clock.Instant, batch []Command) []Effect {
