--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -23,7 +23,9 @@
 
 // ReadRecord reads a record of the key-value store.
 func (h admissionHost) ReadRecord(key string, onResponse func(status int, body []byte)) {
-	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
+	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
+		onResponse(result.Status, result.Body)
+	})
 }
 
 // SubmissionsPerSecond returns the rate at which the cluster may write submissions.
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -15,8 +15,8 @@
 // newLeaderAutoscaler returns the autoscaler of a leader.
 func newLeaderAutoscaler(l *leader) *autoscaler.Autoscaler {
 	host := autoscalerHost{leader: l}
-	return autoscaler.New(autoscaler.Options{State: l.State, Term: l.term, Cloud: host, Records: l.writer, Recovery: l.recovery,
-		Machines: host, Jobs: host, WallClock: host, Store: host})
+	return autoscaler.New(autoscaler.Options{State: l.State, Term: l.term, Cloud: host, Records: l.writer,
+		Recovery: l.recovery, Machines: host, Jobs: host, WallClock: host, Store: host})
 }
 
 // TakeRequest reports whether the cloud budget allows a request now, and takes it from the budget.
@@ -29,7 +29,8 @@
 
 // Send sends a request to the cloud, and passes on the response unless the node has stepped down
 // by then.
-func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration, onResponse func(autoscaler.CloudResponse)) {
+func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration,
+	onResponse func(autoscaler.CloudResponse)) {
 	h.leader.node.callService(TargetCloud, method, path, body, timeout, func(result CallResult) {
 		if h.leader.node.leader == h.leader {
 			onResponse(autoscaler.CloudResponse{Status: result.Status, Body: result.Body})
--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"time"
 
 	"hitchdoor/internal/catalog"
@@ -22,14 +23,14 @@
 
 // ReadFromCloud reads a resource of the cloud.
 func (a nodeCatalogHost) ReadFromCloud(path string, timeout time.Duration, onResponse func(catalog.Response)) {
-	a.node.callService(TargetCloud, "GET", path, nil, timeout, func(result CallResult) {
+	a.node.callService(TargetCloud, http.MethodGet, path, nil, timeout, func(result CallResult) {
 		onResponse(catalog.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
 // ReadFromStore reads a record of the key-value store.
 func (a nodeCatalogHost) ReadFromStore(key string, onResponse func(catalog.Response)) {
-	a.node.storeCall("GET", "/store/"+key, nil, func(result CallResult) {
+	a.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(catalog.Response{Status: result.Status, Body: result.Body})
 	})
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -1,6 +1,10 @@
 package controller
 
-import "hitchdoor/internal/protocol"
+import (
+	"net/http"
+
+	"hitchdoor/internal/protocol"
+)
 
 // Command is an input of Node.Step. The commands are Request, InboundMessage, CallResult, Drain and
 // ServerLoad.
@@ -50,7 +54,8 @@
 // processed now.
 func (m InboundMessage) UnavailableResponse() OutboundMessage {
 	request, _ := m.Message.(protocol.ForwardedRequest)
-	return OutboundMessage{To: m.From, Message: protocol.ForwardedResponse{ID: request.ID, Status: 503, RetryAfter: 1}}
+	response := protocol.ForwardedResponse{ID: request.ID, Status: http.StatusServiceUnavailable, RetryAfter: 1}
+	return OutboundMessage{To: m.From, Message: response}
 }
 
 // Drain is the command to shut down: the node resigns as leader, starts no more candidacies,
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
@@ -32,7 +34,7 @@
 func (h leaderDependencyHost) CancelJob(job *cluster.Job) {
 	waiters := h.leader.cancelWaiters
 	for _, origin := range waiters[job.Spec.ID] {
-		h.leader.node.reply(origin, 200, 0, job.State())
+		h.leader.node.reply(origin, http.StatusOK, 0, job.State())
 	}
 	delete(waiters, job.Spec.ID)
 	if !job.Terminal {
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -82,7 +82,8 @@
 // LeaderCondition returns whether this leader should go on to lead.
 func (a electionAdapter) LeaderCondition() election.LeaderCondition {
 	current := a.node.leader
-	condition := election.LeaderCondition{LastWorkerHeartbeat: current.lastWorkerHeartbeat, ResignReason: current.resignReason()}
+	condition := election.LeaderCondition{LastWorkerHeartbeat: current.lastWorkerHeartbeat,
+		ResignReason: current.resignReason()}
 	if current.attemptCounter >= maxAttemptCounter {
 		condition.StepDownReason = "attempt numbers exhausted"
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
@@ -33,7 +35,7 @@
 		node.replyUnavailable(request.Origin)
 		return
 	}
-	node.reply(request.Origin, 200, 0, l.reconciler.Respond(result))
+	node.reply(request.Origin, http.StatusOK, 0, l.reconciler.Respond(result))
 }
 
 // queueEarlyHeartbeat holds a heartbeat until all records have been read.
@@ -86,7 +88,8 @@
 
 // ConfirmDelivery reports whether the route of a heartbeat shows that the last response has reached
 // the worker, and records that.
-func (a reconcilerAdapter) ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) bool {
+func (a reconcilerAdapter) ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
+	relayPeer string) bool {
 	if !a.leader.arrivedBySameRoute(machine, heartbeat, relayPeer) {
 		return false
 	}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -49,7 +51,7 @@
 		l.node.answerFromStore(request, l, retryLater)
 		return
 	}
-	l.node.reply(request.Origin, 200, 0, job.State())
+	l.node.reply(request.Origin, http.StatusOK, 0, job.State())
 }
 
 // onCancel serves a cancellation, also of a job that is not in the job table.
@@ -60,7 +62,7 @@
 		return
 	}
 	if !protocol.ValidJobID(request.JobID) {
-		n.reply(request.Origin, 404, 0, nil)
+		n.reply(request.Origin, http.StatusNotFound, 0, nil)
 		return
 	}
 	n.jobReader.ReadJob(request.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
@@ -68,7 +70,8 @@
 		case !ok || n.leader != l || !n.holdsLeaderLease():
 			n.replyUnavailable(request.Origin)
 		case final != nil:
-			n.reply(request.Origin, 200, 0, protocol.JobStatus{ID: request.JobID, State: final.State})
+			status := protocol.JobStatus{ID: request.JobID, State: final.State}
+			n.reply(request.Origin, http.StatusOK, 0, status)
 		case open != nil:
 			if job := l.adoptStoredJob(request.JobID, *open); job != nil {
 				l.cancelJob(job, request.Origin)
@@ -76,7 +79,7 @@
 			}
 			n.replyUnavailable(request.Origin)
 		default:
-			n.reply(request.Origin, 404, 0, nil)
+			n.reply(request.Origin, http.StatusNotFound, 0, nil)
 		}
 	})
 }
@@ -85,7 +88,7 @@
 // store is unavailable the user is told to retry; the cancellation remains in effect.
 func (l *leader) cancelJob(job *cluster.Job, origin Origin) {
 	if job.DependencyCancelled {
-		l.node.reply(origin, 200, 0, job.State())
+		l.node.reply(origin, http.StatusOK, 0, job.State())
 		return
 	}
 	if !job.Terminal {
--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/records"
 	"hitchdoor/internal/storage"
@@ -14,7 +16,7 @@
 
 // Get implements jobReaderHost.
 func (h nodeJobReaderHost) Get(path string, onResponse func(status int, body []byte)) {
-	h.node.storeCall("GET", path, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
+	h.node.storeCall(http.MethodGet, path, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
 }
 
 // StoreUnavailable implements jobReaderHost.
@@ -41,7 +43,9 @@
 // TerminalRecordUnreadable implements jobReaderHost.
 func (h nodeJobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
 	node := h.node
-	if node.unreadableTerminalRecords[jobID] == nil {
-		node.unreadableTerminalRecords[jobID] = records.NewQuarantinedRecord(node.log, item, err, node.protocolLevels.newerVersionSeen())
+	if node.unreadableTerminalRecords[jobID] != nil {
+		return
 	}
+	newerVersionSeen := node.protocolLevels.newerVersionSeen()
+	node.unreadableTerminalRecords[jobID] = records.NewQuarantinedRecord(node.log, item, err, newerVersionSeen)
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -42,7 +42,8 @@
 // newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
 // key, on which every write of the term is conditioned.
 func newLeader(node *Node, term, leaderKeyVersion uint64) *leader {
-	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings, Log: node.log, Catalog: node.catalog.Types})
+	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings,
+		Log: node.log, Catalog: node.catalog.Types})
 	l := &leader{
 		node: node, term: term, State: state,
 		loadState:     newLoadState(node),
@@ -51,12 +52,13 @@
 		recovery:      recoverygate.New(state, leaderKeyVersion, &node.mismatches),
 	}
 	l.initRecords(leaderKeyVersion)
-	l.Scheduler = &scheduler.Scheduler{State: state, ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}, Host: l}
+	l.Scheduler = &scheduler.Scheduler{State: state, Host: l,
+		ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}}
 	l.dependencies = dependency.New(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
 	l.reconciler = reconcile.New(state, term, l.recovery, reconcilerAdapter{leader: l})
 	l.autoscaler = newLeaderAutoscaler(l)
-	l.admission = admissioncontrol.NewPublisher(admissioncontrol.PublisherOptions{Host: admissionHost{node}, Follower: node.admissionPolicy,
-		State: state, Writer: l.writer, Log: node.log})
+	l.admission = admissioncontrol.NewPublisher(admissioncontrol.PublisherOptions{Host: admissionHost{node},
+		Follower: node.admissionPolicy, State: state, Writer: l.writer, Log: node.log})
 	return l
 }
 
@@ -76,7 +78,7 @@
 	return l.term<<attemptCounterBits | l.attemptCounter
 }
 
-// rejectWaitingRequests answers all pending requests with 503.
+// rejectWaitingRequests answers all pending requests that they may be retried.
 func (l *leader) rejectWaitingRequests() {
 	for _, waiters := range l.cancelWaiters {
 		for _, o := range waiters {
@@ -90,7 +92,7 @@
 // Otherwise their workers would wait for a response until their timeout of four seconds.
 func (l *leader) rejectEarlyHeartbeats() {
 	for _, request := range l.earlyHeartbeats {
-		l.node.reply(request.Origin, 503, 1, nil)
+		l.node.replyUnavailable(request.Origin)
 	}
 	l.earlyHeartbeats = nil
 }
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -38,7 +38,8 @@
 func (l *leader) loadRecords() {
 	l.loader.ReadListings([]records.Listing{
 		{Prefix: storage.VersionPrefix, Apply: l.node.protocolLevels.apply},
-		{Prefix: storage.DependenciesPrefix, Apply: l.loader.LoadDependencies}, // before the jobs: later ones are read with their job
+		// Before the jobs: later dependencies are read with their job.
+		{Prefix: storage.DependenciesPrefix, Apply: l.loader.LoadDependencies},
 		{Prefix: storage.JobPrefix, Apply: l.loader.LoadJobs},
 		{Prefix: storage.BitmapPrefix, Apply: l.loader.LoadBitmaps},
 		{Prefix: storage.MachineGroupPrefix, Apply: l.loader.LoadMachineGroups},
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"maps"
 	"slices"
 
@@ -44,7 +46,9 @@
 }
 
 // onRecoveryStatus answers an operator's request for the state of recovery.
-func (n *Node) onRecoveryStatus(request Request) { n.reply(request.Origin, 200, 0, n.recoveryStatus()) }
+func (n *Node) onRecoveryStatus(request Request) {
+	n.reply(request.Origin, http.StatusOK, 0, n.recoveryStatus())
+}
 
 // recoveryMetrics adds the metrics of recovery to a page.
 func (n *Node) recoveryMetrics(page *statuspage.MetricsPage) {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -88,7 +88,8 @@
 		unreadableTerminalRecords: map[string]*records.QuarantinedRecord{},
 	}
 	node.outbox = newOutbox(&node.timing, node.log, nodeStoreObserver{node})
-	node.jobReader = jobstore.NewReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare, node.workerLease()/pollsPerLease)
+	node.jobReader = jobstore.NewReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare,
+		node.workerLease()/pollsPerLease)
 	budgets, submissionBudget := newServiceBudgets(&node.timing, cluster, node.log)
 	node.submissionQueue = submissions.NewQueue(submissionWriter{node}, cluster, submissionBudget)
 	budgets.submissionWrites = node.submissionQueue
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"time"
 
 	"hitchdoor/internal/clock"
@@ -44,7 +46,7 @@
 // the term has ended by then. It does not count for the availability of the store.
 func (h recordsHost) WatchStore(path string, timeout time.Duration, onResponse func(storage.Response)) {
 	node := h.leader.node
-	node.callService(TargetStore, "GET", path, nil, timeout, func(result CallResult) {
+	node.callService(TargetStore, http.MethodGet, path, nil, timeout, func(result CallResult) {
 		if node.leader == h.leader {
 			onResponse(storage.Response{Status: result.Status, Body: result.Body})
 		}
@@ -131,7 +133,7 @@
 		status = jobstore.TerminalState(jobID, terminal)
 	}
 	for _, origin := range l.cancelWaiters[jobID] {
-		l.node.reply(origin, 200, 0, status)
+		l.node.reply(origin, http.StatusOK, 0, status)
 	}
 	delete(l.cancelWaiters, jobID)
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -17,13 +17,15 @@
 		n.reply(request.Origin, http.StatusServiceUnavailable, 0, nil)
 		return
 	}
-	n.reply(request.Origin, http.StatusOK, 0, statuspage.HealthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel})
+	n.reply(request.Origin, http.StatusOK, 0,
+		statuspage.HealthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel})
 }
 
 // onStatus answers with the node's status, and the leader's if this node leads.
 func (n *Node) onStatus(request Request) {
-	status := statuspage.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreFailing: n.election.StoreFailing(),
-		UptimeS: n.now.Round(time.Millisecond).Seconds(), Build: n.build, ProtocolLevel: protocolLevel,
+	status := statuspage.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(),
+		StoreFailing: n.election.StoreFailing(), UptimeS: n.now.Round(time.Millisecond).Seconds(),
+		Build: n.build, ProtocolLevel: protocolLevel,
 		ClusterSupportsLevel: n.clusterSupports(protocolLevel)}
 	for _, known := range n.cfg.Peers {
 		peer := n.peers[known.Node]
@@ -53,7 +55,8 @@
 	page.BoolGauge("connections_full", "1 while no more workers are taken in.", n.workerRouter.Connections.Full)
 	page.Gauge("workers_stranded", "Workers that came here lately and could not be served.",
 		float64(n.connectivityReport().StrandedWorkers))
-	page.BoolGauge("admission_policy", "1 while submissions are admitted by a policy.", n.admissionPolicy.Current != nil)
+	page.BoolGauge("admission_policy", "1 while submissions are admitted by a policy.",
+		n.admissionPolicy.Current != nil)
 	n.recoveryMetrics(page)
 	if n.holdsLeaderLease() {
 		n.leader.writeMetrics(page)
@@ -85,8 +88,9 @@
 // onConnectivity answers with the links that this node sees, for the operators' link overview.
 func (n *Node) onConnectivity(request Request) {
 	report := n.connectivityReport()
-	status := reachability.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreReachable: report.StoreReachable,
-		IncomingLinks: report.IncomingLinks, RecentWorkers: report.RecentWorkers, StrandedWorkers: report.StrandedWorkers,
+	status := reachability.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(),
+		StoreReachable: report.StoreReachable, IncomingLinks: report.IncomingLinks,
+		RecentWorkers: report.RecentWorkers, StrandedWorkers: report.StrandedWorkers,
 		LinkTimeoutMS: n.leaderLease().Milliseconds(), CandidacyPaused: n.election.CandidacyPaused()}
 	for _, known := range n.cfg.Peers {
 		status.Peers = append(status.Peers, known.Node)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -18,11 +18,14 @@
 	Error             string `json:"error"`
 }
 
+// unschedulableText tells a user why a job can't be scheduled.
+const unschedulableText = "unknown team, or a task that fits no machine type or the team's limit"
+
 // The responses to users about unknown jobs. Their texts are part of the HTTP interface.
 var (
 	jobNotFound       = errorResponse{http.StatusNotFound, 0, "no such job"}
 	jobTooLarge       = errorResponse{http.StatusBadRequest, 0, "the job is too large to be stored"}
-	jobUnschedulable  = errorResponse{http.StatusUnprocessableEntity, 0, "unknown team, or a task that fits no machine type or the team's limit"}
+	jobUnschedulable  = errorResponse{http.StatusUnprocessableEntity, 0, unschedulableText}
 	unknownDependency = errorResponse{http.StatusUnprocessableEntity, 0, "aguarda: names a job that was never accepted"}
 	retryLater        = errorResponse{http.StatusServiceUnavailable, 1, "can't be taken now"}
 )
@@ -69,7 +72,9 @@
 
 // ExecuteTxn sends a transaction to the key-value store.
 func (w submissionWriter) ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte)) {
-	w.node.storeCall(http.MethodPost, "/multi", txn, func(result CallResult) { onResponse(result.Status, result.Body) })
+	w.node.storeCall(http.MethodPost, "/multi", txn, func(result CallResult) {
+		onResponse(result.Status, result.Body)
+	})
 }
 
 // maxDirectJobReads is the number of jobs whose acceptance a node reads itself instead of asking
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -107,7 +107,8 @@
 
 // onForwardedRequest handles a request that a peer forwarded.
 func (n *Node) onForwardedRequest(sender *peer, message protocol.ForwardedRequest) {
-	request := Request{Origin: Origin{RequestID: message.ID, Peer: sender.Name}, Kind: message.Kind, JobID: message.JobID}
+	request := Request{Origin: Origin{RequestID: message.ID, Peer: sender.Name}, Kind: message.Kind,
+		JobID: message.JobID}
 	var err error
 	switch message.Kind {
 	case protocol.RequestSubmit:
@@ -197,7 +198,7 @@
 // store has no record of it. An open job is added to the state of asLeader, if that still leads
 // and holds its leader lease when the record arrives.
 func (n *Node) answerFromStore(request Request, asLeader *leader, ifUnknown errorResponse) {
-	n.jobReader.ReadEffectiveState(request.JobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
+	answer := func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
 		case !ok && ifUnknown.retryAfterSeconds == 0:
 			n.replyUnavailable(request.Origin)
@@ -221,5 +222,6 @@
 		default:
 			n.reply(request.Origin, ifUnknown.status, 0, ifUnknown)
 		}
-	})
+	}
+	n.jobReader.ReadEffectiveState(request.JobID, answer)
 }
