--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"time"
 
 	"hitchdoor/internal/clock"
@@ -19,18 +20,20 @@
 
 // TakeCloudRequest reports whether the cloud budget allows a request now, and takes it from the
 // budget.
-func (a nodeCatalogHost) TakeCloudRequest() bool { return a.node.cloudBudget.Take(a.node.now, 1) }
+func (a nodeCatalogHost) TakeCloudRequest() bool { return a.node.takeCloudRequest() }
 
 // ReadFromCloud reads a resource of the cloud.
-func (a nodeCatalogHost) ReadFromCloud(path string, timeout time.Duration, onResponse func(protocol.CloudResponse)) {
-	a.node.callService(TargetCloud, "GET", path, nil, timeout, func(result CallResult) {
+func (a nodeCatalogHost) ReadFromCloud(
+	path string, timeout time.Duration, onResponse func(protocol.CloudResponse),
+) {
+	a.node.callService(TargetCloud, http.MethodGet, path, nil, timeout, func(result CallResult) {
 		onResponse(protocol.CloudResponse{Status: result.Status, Body: result.Body})
 	})
 }
 
 // ReadFromStore reads a record of the key-value store.
 func (a nodeCatalogHost) ReadFromStore(key string, onResponse func(storage.Response)) {
-	a.node.storeCall("GET", "/store/"+key, nil, func(result CallResult) {
+	a.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(storage.Response{Status: result.Status, Body: result.Body})
 	})
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -1,6 +1,10 @@
 package controller
 
-import "hitchdoor/internal/protocol"
+import (
+	"net/http"
+
+	"hitchdoor/internal/protocol"
+)
 
 // Command is an input of Node.Step. The commands are Request, InboundMessage, CallResult, Drain and
 // ServerLoad.
@@ -50,7 +54,8 @@
 // processed now.
 func (m InboundMessage) UnavailableResponse() OutboundMessage {
 	request, _ := m.Message.(protocol.ForwardedRequest)
-	return OutboundMessage{To: m.From, Message: protocol.ForwardedResponse{ID: request.ID, Status: 503, RetryAfter: 1}}
+	response := protocol.ForwardedResponse{ID: request.ID, Status: http.StatusServiceUnavailable, RetryAfter: 1}
+	return OutboundMessage{To: m.From, Message: response}
 }
 
 // Drain is the command to shut down: the node resigns as leader, starts no more candidacies,
@@ -73,16 +78,7 @@
 
 func (m InboundMessage) apply(n *Node) { n.onPeerMessage(m) }
 
-// apply passes the result to the function that waits for it. A result without one is of a call whose
-// sender has been dropped.
-func (r CallResult) apply(n *Node) {
-	onResult, ok := n.pendingCalls[r.ID]
-	if !ok {
-		return
-	}
-	delete(n.pendingCalls, r.ID)
-	onResult(r)
-}
+func (r CallResult) apply(n *Node) { n.deliverResult(r) }
 
 func (Drain) apply(n *Node) {
 	n.draining = true
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,6 +1,9 @@
 package controller
 
 import (
+	"net/http"
+
+	"hitchdoor/internal/clock"
 	"hitchdoor/internal/cluster"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/recovery"
@@ -32,7 +35,7 @@
 		node.replyUnavailable(request.Origin)
 		return
 	}
-	node.reply(request.Origin, 200, 0, l.reconciler.Respond(result))
+	node.reply(request.Origin, http.StatusOK, 0, l.reconciler.Respond(result))
 }
 
 // queueEarlyHeartbeat holds a heartbeat until all records have been read.
@@ -44,6 +47,14 @@
 	l.earlyHeartbeats = append(l.earlyHeartbeats, request)
 }
 
+// arrivedBySameRoute reports whether a worker's heartbeat arrived by the same route as the one
+// before it. If so, the response to the previous one has reached the worker: without a response
+// the worker would have turned to another node. With a single node nothing can be concluded.
+func (l *leader) arrivedBySameRoute(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, via string) bool {
+	return len(l.node.peers) > 0 && machine.LastHeartbeat != clock.Never && machine.RelayPeer == via &&
+		heartbeat.Epoch == machine.Epoch && heartbeat.Sequence == machine.HeartbeatSeq+1
+}
+
 // reconcilerAdapter gives the reconciler what it needs from the leader. It implements its host
 // interface.
 type reconcilerAdapter struct{ leader *leader }
@@ -77,7 +88,8 @@
 
 // ConfirmDelivery reports whether the route of a heartbeat shows that the last response has reached
 // the worker, and records that.
-func (a reconcilerAdapter) ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) bool {
+func (a reconcilerAdapter) ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
+	relayPeer string) bool {
 	if !a.leader.arrivedBySameRoute(machine, heartbeat, relayPeer) {
 		return false
 	}
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"net/http"
+
 	"time"
 
 	"hitchdoor/internal/clock"
@@ -18,7 +20,7 @@
 
 // UnixMilli returns the wall clock time of an instant in Unix milliseconds.
 func (h recordsHost) UnixMilli(at clock.Instant) int64 {
-	return h.leader.node.startTime.Add(at).UnixMilli()
+	return h.leader.node.unixMilli(at)
 }
 
 // InstantFromUnixMilli converts a stored wall clock time to an instant.
@@ -44,7 +46,7 @@
 // the term has ended by then. It does not count for the availability of the store.
 func (h recordsHost) WatchStore(path string, timeout time.Duration, onResponse func(storage.Response)) {
 	node := h.leader.node
-	node.callService(TargetStore, "GET", path, nil, timeout, func(result CallResult) {
+	node.callService(TargetStore, http.MethodGet, path, nil, timeout, func(result CallResult) {
 		if node.leader == h.leader {
 			onResponse(storage.Response{Status: result.Status, Body: result.Body})
 		}
@@ -68,7 +70,7 @@
 
 // NewerVersionSeen reports whether a controller has written a higher protocol level than this
 // version's.
-func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.newerVersionSeen() }
+func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.protocolLevels.newerVersionSeen() }
 
 // MarkJobAccepted records that a job is known to have been accepted.
 func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.jobReader.RecordAccepted(jobID) }
@@ -131,7 +133,7 @@
 		status = jobstore.TerminalState(jobID, terminal)
 	}
 	for _, origin := range l.cancelWaiters[jobID] {
-		l.node.reply(origin, 200, 0, status)
+		l.node.reply(origin, http.StatusOK, 0, status)
 	}
 	delete(l.cancelWaiters, jobID)
 }
