--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -22,14 +22,14 @@
 // A machine that never comes up is given back, and another takes its place.
 func TestMachineThatNeverBoots(t *testing.T) {
 	w := newSimulation(t, 1)
-	l := w.waitLeader()
-	w.cloud.boot = time.Hour
-	w.submit(l.name, spec("j-1", 1))
-	if !w.until(30*time.Second, func() bool { return len(w.cloud.hosts) > 0 }) {
+	l := w.waitForLeader()
+	w.cloud.bootTime = time.Hour
+	w.submit(l.name, jobSpec("j-1", 1))
+	if !w.advanceUntil(30*time.Second, func() bool { return len(w.cloud.hosts) > 0 }) {
 		t.Fatal("nothing rented")
 	}
-	w.cloud.boot = 0
-	w.waitState("j-1", protocol.JobDone, 3*time.Minute)
+	w.cloud.bootTime = 0
+	w.waitForJobState("j-1", protocol.JobDone, 3*time.Minute)
 	if _, kept := w.cloud.hosts["m-000001"]; kept {
 		t.Fatal("a machine that never came up was kept")
 	}
@@ -38,26 +38,26 @@
 // Work that may wait to start is due late, and the plan leaves room for the work that
 // usually comes and is due before it. What is known of that outlives the leader: it
 // was once learnt anew after each takeover, while machines were let go.
-func TestForecastOutlivesTheLeader(t *testing.T) {
+func TestForecastSurvivesLeaderChange(t *testing.T) {
 	w := newSimulation(t, 3)
 	w.cfg.Objectives = []config.Objective{
 		{Kind: "finished", Class: "quick", WithinS: 60, MinShare: 0.9},
 		{Kind: "wait", Class: "patient", WithinS: 200, MinShare: 0.9},
 	}
 	for _, name := range w.names {
-		w.start(name)
+		w.startNode(name)
 	}
-	l := w.waitLeader()
-	w.machines(2)
+	l := w.waitForLeader()
+	w.startMachines(2)
 	for i := range 60 {
-		j := spec(fmt.Sprintf("j-%d", i), 4)
+		j := jobSpec(fmt.Sprintf("j-%d", i), 4)
 		if j.Class = "quick"; i%10 == 0 {
 			j.Class = "patient"
 		}
 		w.submit(l.name, j)
-		w.run(time.Second)
+		w.advance(time.Second)
 	}
-	last := spec("j-60", 1)
+	last := jobSpec("j-60", 1)
 	last.Class = "patient"
 	w.submit(l.name, last)
 	j := l.leader.Jobs["j-60"]
@@ -68,9 +68,9 @@
 	if before <= 0 || l.leader.autoscaler.Forecast.ExpectedWork(50) != 0 {
 		t.Fatalf("to come within 200 s: %v, within 50 s: %v", before, l.leader.autoscaler.Forecast.ExpectedWork(50))
 	}
-	w.crash(l.name)
-	w.run(time.Second)
-	next := w.waitLeader()
+	w.crashNode(l.name)
+	w.advance(time.Second)
+	next := w.waitForLeader()
 	if after := next.leader.autoscaler.Forecast.ExpectedWork(200); after < before/2 || after > before*1.1 {
 		t.Fatalf("to come within 200 s: %v, after the takeover %v", before, after)
 	}
@@ -80,16 +80,16 @@
 // arrivals fits a value, as a refused transaction would end the leadership.
 func TestManyClassesFitTheRecord(t *testing.T) {
 	w := newSimulation(t, 1)
-	l := w.waitLeader()
-	w.machines(1)
+	l := w.waitForLeader()
+	w.startMachines(1)
 	for i := range 300 {
-		j := spec(fmt.Sprintf("j-%d", i), 1)
+		j := jobSpec(fmt.Sprintf("j-%d", i), 1)
 		j.Class = strings.Repeat("x", 100) + fmt.Sprint(i)
 		w.submit(l.name, j)
 	}
 	term := l.leader.term
-	w.run(35 * time.Second) // the state service refuses values over the limit
-	if it, ok := w.state.keys[storage.ArrivalForecastKey]; !ok || len(it.Value) < 1000 {
+	w.advance(35 * time.Second) // the state service refuses values over the limit
+	if it, ok := w.store.keys[storage.ArrivalForecastKey]; !ok || len(it.Value) < 1000 {
 		t.Error("nothing is stored")
 	}
 	if l.leader == nil || l.leader.term != term {
@@ -103,11 +103,11 @@
 func TestForecastDropsWhenJobsStayAway(t *testing.T) {
 	w := newSimulation(t, 3)
 	w.cloud.capacity = 1
-	l := w.waitLeader()
+	l := w.waitForLeader()
 	lease := l.workerLease()
 	for i := range 120 { // one a second
-		w.submit(l.name, spec(fmt.Sprintf("j-%d", i), 1))
-		w.run(time.Second - 2*step)
+		w.submit(l.name, jobSpec(fmt.Sprintf("j-%d", i), 1))
+		w.advance(time.Second - 2*step)
 	}
 	f := l.leader.autoscaler.Forecast
 	f.Decay()
@@ -115,21 +115,21 @@
 	if f.Confidence() != 1 || steady == 0 || coming == 0 {
 		t.Fatalf("jobs arrive: believed %v, usual %v, coming %v", f.Confidence(), steady, coming)
 	}
-	w.state.setDown(true)
-	w.run(2 * lease)
+	w.store.setDown(true)
+	w.advance(2 * lease)
 	if f.Decay(); f.Confidence() != 1 {
 		t.Error("silence in an outage counts")
 	}
-	w.state.setDown(false)
-	w.run(lease)
+	w.store.setDown(false)
+	w.advance(lease)
 	if f.Decay(); f.Confidence() != 1 {
 		t.Error("users have had no time to come back")
 	}
-	w.run(lease)
+	w.advance(lease)
 	if f.Decay(); f.Confidence() > 0.4 || f.ExpectedWork(100) > coming/3 {
 		t.Errorf("two leases without a job: believed %v, coming %v of %v", f.Confidence(), f.ExpectedWork(100), coming)
 	}
-	w.submit(l.name, spec("j-999", 1))
+	w.submit(l.name, jobSpec("j-999", 1))
 	if f.Confidence() != 1 {
 		t.Error("not believed again with the next job")
 	}
@@ -143,23 +143,23 @@
 	w.cloud.capacity = 1
 	at := time.Unix(1_000_000, 0).UnixMilli()
 	for i := range 30 {
-		s := spec(fmt.Sprintf("j-%d", i), 10)
-		w.state.put(storage.JobKey(s.ID), storage.JobRecord{Spec: s, AcceptedAtMillis: at})
+		s := jobSpec(fmt.Sprintf("j-%d", i), 10)
+		w.store.putValue(storage.JobKey(s.ID), storage.JobRecord{Spec: s, AcceptedAtMillis: at})
 	}
-	first := w.waitLeader()
+	first := w.waitForLeader()
 	if seen := first.leader.autoscaler.Forecast.JobsSeen(); math.Abs(seen-30) > 1 {
 		t.Fatalf("of 30 jobs found, %v have arrived", seen)
 	}
-	w.run(2*first.workerLease() + 2*time.Second) // until that is stored
-	if _, stored := w.state.keys[storage.ArrivalForecastKey]; !stored {
+	w.advance(2*first.workerLease() + 2*time.Second) // until that is stored
+	if _, stored := w.store.keys[storage.ArrivalForecastKey]; !stored {
 		t.Fatal("nothing is stored")
 	}
 	seen := first.leader.autoscaler.Forecast.JobsSeen()
 	for i := range 5 {
-		w.submit(first.name, spec(fmt.Sprintf("j-late%d", i), 10))
+		w.submit(first.name, jobSpec(fmt.Sprintf("j-late%d", i), 10))
 	}
-	w.crash(first.name)
-	second := w.waitLeader()
+	w.crashNode(first.name)
+	second := w.waitForLeader()
 	if got := second.leader.autoscaler.Forecast.JobsSeen(); got < seen+3 || got > seen+5 {
 		t.Errorf("%v jobs seen by a leader, 5 since its record, %v by the next", seen, got)
 	}
@@ -168,9 +168,9 @@
 // Machines that nobody asked for, after a late rental request, are returned.
 func TestUnknownMachineIsUsedOrReturned(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.waitLeader()
-	x := w.cloud.rent("c4", "a", false)
-	if !w.until(3*time.Minute, func() bool { return w.cloud.hosts[x.name] == nil }) {
+	w.waitForLeader()
+	x := w.cloud.rentMachine("c4", "a", false)
+	if !w.advanceUntil(3*time.Minute, func() bool { return w.cloud.hosts[x.name] == nil }) {
 		t.Fatal("an unknown machine was kept")
 	}
 }
@@ -181,21 +181,21 @@
 func TestReturnsGoBeforeRentals(t *testing.T) {
 	w := newSimulation(t, 3)
 	w.cfg.Cloud.RequestsPerS = 0.4
-	w.runTime = func(string, int) time.Duration { return 8 * time.Second }
+	w.taskDuration = func(string, int) time.Duration { return 8 * time.Second }
 	for _, name := range w.names {
-		w.start(name)
+		w.startNode(name)
 	}
-	l := w.waitLeader()
-	w.machines(12)
+	l := w.waitForLeader()
+	w.startMachines(12)
 	w.cloud.capacity = 1
-	j := spec("j-1", 400)
+	j := jobSpec("j-1", 400)
 	w.submitAndStart(l.name, j, 48)
-	w.crash(l.name)
-	w.workers["m-000003"].silent = true
-	w.workers["m-000003"].hanging = true
-	next := w.waitLeader()
+	w.crashNode(l.name)
+	w.workers["m-000003"].unreachable = true
+	w.workers["m-000003"].hung = true
+	next := w.waitForLeader()
 	led := w.now
-	if !w.until(time.Minute, next.leader.AllReconciled) {
+	if !w.advanceUntil(time.Minute, next.leader.AllReconciled) {
 		t.Fatal("not accounted for")
 	}
 	if took := w.now - led; took > 8*time.Second {
@@ -220,24 +220,24 @@
 		"held since the beginning": {Machines: []protocol.Host{{Name: "m-000001", State: "running", RentedSeconds: 1e300}, {Name: "m-000003", State: "running", RentedSeconds: -1e300}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, l := running(t, 1, 2*time.Minute, 2, 8)
+			w, l := newRunningSimulation(t, 1, 2*time.Minute, 2, 8)
 			lists := 0
-			w.instead = func(call ServiceCall) (CallResult, bool) {
+			w.interceptCall = func(call ServiceCall) (CallResult, bool) {
 				if !strings.HasPrefix(call.Path, "/hosts?") {
 					return CallResult{}, false
 				}
 				lists++
 				return CallResult{Status: 200, Body: storage.Encode(list)}, true
 			}
-			w.run(90 * time.Second)
+			w.advance(90 * time.Second)
 			if lists > 60 {
 				t.Errorf("%d pages were read in 90 s", lists)
 			}
-			if l.leader == nil || w.leader() != l.name {
+			if l.leader == nil || w.leaderName() != l.name {
 				t.Fatal("the leader is gone")
 			}
-			w.waitState("j-1", protocol.JobDone, 2*time.Minute)
-			w.startedOnce()
+			w.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
+			w.checkStartedOnce()
 			for name := range l.leader.Machines {
 				if name == "" {
 					t.Error("a machine without a name is held")
@@ -259,19 +259,19 @@
 		"one that is gone": {"m-000050"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, l := running(t, 1, 30*time.Second, 2, 8)
+			w, l := newRunningSimulation(t, 1, 30*time.Second, 2, 8)
 			l.leader.RemovedMachines["m-000050"] = w.now
-			w.mangle = func(_ string, call ServiceCall, r CallResult) CallResult {
+			w.alterResult = func(_ string, call ServiceCall, r CallResult) CallResult {
 				if call.Path == "/hosts" && r.Status == 200 {
 					return CallResult{ID: r.ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: machines})}
 				}
 				return r
 			}
-			w.submit(l.name, spec("j-2", 40))
-			w.run(30 * time.Second)
-			w.mangle = nil
-			w.waitState("j-2", protocol.JobDone, 5*time.Minute)
-			w.startedOnce()
+			w.submit(l.name, jobSpec("j-2", 40))
+			w.advance(30 * time.Second)
+			w.alterResult = nil
+			w.waitForJobState("j-2", protocol.JobDone, 5*time.Minute)
+			w.checkStartedOnce()
 		})
 	}
 }
--- a/internal/controller/burst_test.go
+++ b/internal/controller/burst_test.go
@@ -21,11 +21,11 @@
 func TestFloodOfLargeJobsFitsTheMemory(t *testing.T) {
 	const jobs, perJob = 2000, 8 << 10
 	w := newSimulation(t, 1)
-	l := w.waitLeader()
+	l := w.waitForLeader()
 	before := heapInUse()
 	for i := range jobs {
-		rec := storage.JobRecord{Spec: spec(fmt.Sprintf("j-%d", i), protocol.MaxTasksPerJob), AcceptedAtMillis: l.nowUnixMilli()}
-		w.specs[rec.Spec.ID] = rec.Spec
+		rec := storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), protocol.MaxTasksPerJob), AcceptedAtMillis: l.nowUnixMilli()}
+		w.jobSpecs[rec.Spec.ID] = rec.Spec
 		l.leader.jobRecords.Add(rec, uint64(i+1))
 	}
 	if grown := int64(heapInUse()) - int64(before); grown > jobs*perJob {
@@ -46,31 +46,31 @@
 func TestFloodOfOneTeamLeavesOthersServed(t *testing.T) {
 	w := newSimulation(t, 3)
 	w.cloud.capacity = 4
-	w.runTime = func(string, int) time.Duration { return 10 * time.Second }
-	w.waitLeader()
-	w.machines(4)
+	w.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
+	w.waitForLeader()
+	w.startMachines(4)
 	c := newUserSimulation(w, 1)
 	for i := range 300 {
-		j := spec(fmt.Sprintf("j-flood-%d", i), 200)
+		j := jobSpec(fmt.Sprintf("j-flood-%d", i), 200)
 		j.Class = "flood"
-		w.after(c.within(20*time.Second), func() { c.submitUntil(j) })
+		w.schedule(c.randomDuration(20*time.Second), func() { c.submitWithRetries(j) })
 	}
-	w.run(20 * time.Second)
-	other := spec("j-other", 4)
+	w.advance(20 * time.Second)
+	other := jobSpec("j-other", 4)
 	other.Team, other.Class = "team", "other"
-	c.submitUntil(other)
-	if !w.until(cluster.MaxStartDelay, func() bool { return w.begun["j-other"] != 0 }) {
-		t.Fatalf("not begun after four minutes: %s", w.why("j-other"))
+	c.submitWithRetries(other)
+	if !w.advanceUntil(cluster.MaxStartDelay, func() bool { return w.firstStartAt["j-other"] != 0 }) {
+		t.Fatalf("not begun after four minutes: %s", w.explainPending("j-other"))
 	}
-	c.cancelUntil("j-flood-7")
-	if !w.until(5*time.Second, func() bool { return w.over["j-flood-7"] == protocol.JobCancelled }) {
+	c.cancelWithRetries("j-flood-7")
+	if !w.advanceUntil(5*time.Second, func() bool { return w.terminalStates["j-flood-7"] == protocol.JobCancelled }) {
 		t.Error("a cancellation is not confirmed within 5 s")
 	}
 }
 
 // DemoteLargestJobs demotes the same jobs as a plain walk over all of them does.
-func TestSacrificeIsMooresRule(t *testing.T) {
-	_, l := running(t, 1, time.Hour, 2, 8)
+func TestDemotionFollowsMooresRule(t *testing.T) {
+	_, l := newRunningSimulation(t, 1, time.Hour, 2, 8)
 	cores := l.leader.RetainedCores()
 	if cores == 0 {
 		t.Fatal("no machine stays")
@@ -79,7 +79,7 @@
 	for round := range 300 {
 		var all, plain []*scheduler.QueuedJob
 		for i := range 1 + rng.IntN(30) {
-			j := &cluster.Job{Spec: spec(fmt.Sprintf("j-%d", i), 1), TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
+			j := &cluster.Job{Spec: jobSpec(fmt.Sprintf("j-%d", i), 1), TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
 			r := scheduler.QueuedJob{Job: j, Rank: []int{cluster.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
 				Due: l.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
 			again := r
@@ -89,7 +89,7 @@
 		slices.SortStableFunc(all, byDue)
 		slices.SortStableFunc(plain, byDue)
 		l.leader.DemoteLargestJobs(all)
-		plainSacrifice(plain, cores*scheduler.PackingEfficiency, l.now)
+		referenceDemotion(plain, cores*scheduler.PackingEfficiency, l.now)
 		for i := range all {
 			if all[i].Rank != plain[i].Rank {
 				t.Fatalf("round %d: job %d has rank %d, not %d", round, i, all[i].Rank, plain[i].Rank)
@@ -99,7 +99,7 @@
 }
 
 // plainSacrifice is Moore's rule for the fewest late jobs, written down as it is defined.
-func plainSacrifice(all []*scheduler.QueuedJob, cores float64, now clock.Instant) {
+func referenceDemotion(all []*scheduler.QueuedJob, cores float64, now clock.Instant) {
 	sum := 0.0
 	var kept []*scheduler.QueuedJob
 	for _, r := range all {
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -18,28 +18,28 @@
 // watch over what the recovering leaders order.
 type coldStart struct {
 	*userSimulation
-	away      time.Duration
-	began     clock.Instant   // when the first controller was back
-	starts    []clock.Instant // at workers, since then, while a leader was recovering
-	rates     recovery.Rates
-	seen      map[recovery.Mismatch]int // by all leaders
-	leaderSet map[uint64]bool           // terms since the loss
+	downtime       time.Duration
+	restartedAt    clock.Instant   // when the first controller was back
+	startTimes     []clock.Instant // at workers, since then, while a leader was recovering
+	rateLimits     recovery.Rates
+	mismatchCounts map[recovery.Mismatch]int // by all leaders
+	leaderTerms    map[uint64]bool           // terms since the loss
 }
 
 // loseAll ends all controllers and brings each back after the time away and up to a spread.
-func (c *coldStart) loseAll(spread time.Duration) {
+func (c *coldStart) restartAllControllers(spread time.Duration) {
 	for _, name := range c.names {
-		c.back(name, c.away+c.within(spread+step))
+		c.restartAfter(name, c.downtime+c.randomDuration(spread+step))
 	}
-	c.began = c.now + c.away
-	c.rates = recoverygate.RecoverySettings(&c.nodes[c.names[0]].cfg.Cluster, &c.nodes[c.names[0]].settings).Rates(len(c.cloud.hosts), 4*float64(len(c.cloud.hosts)), 4)
+	c.restartedAt = c.now + c.downtime
+	c.rateLimits = recoverygate.RecoverySettings(&c.nodes[c.names[0]].cfg.Cluster, &c.nodes[c.names[0]].settings).Rates(len(c.cloud.hosts), 4*float64(len(c.cloud.hosts)), 4)
 	c.watchRentals()
 	c.watchStarts()
 }
 
 // recovering is the leader whose recovery is not over.
-func (c *coldStart) recovering() *leader {
-	if name := c.leader(); name != "" && !c.nodes[name].leader.recovery.Completed() {
+func (c *coldStart) recoveringLeader() *leader {
+	if name := c.leaderName(); name != "" && !c.nodes[name].leader.recovery.Completed() {
 		return c.nodes[name].leader
 	}
 	return nil
@@ -49,8 +49,8 @@
 // are not accounted for have cores for all that may be running unseen, nothing else waits, and the
 // usual load needs no more than what is held.
 func (c *coldStart) watchRentals() {
-	c.instead = func(call ServiceCall) (CallResult, bool) {
-		if l := c.recovering(); call.Target == TargetCloud && call.Path == "/hosts" && l != nil && l.recovery.Phase() <= recovery.PhaseCollecting &&
+	c.interceptCall = func(call ServiceCall) (CallResult, bool) {
+		if l := c.recoveringLeader(); call.Target == TargetCloud && call.Path == "/hosts" && l != nil && l.recovery.Phase() <= recovery.PhaseCollecting &&
 			strings.Contains(string(call.Body), "r-"+formatUint(l.term)+"-") {
 			totals := l.CurrentMachineTotals()
 			unknown, waiting, surely := totals.UnknownUsage.Cores, 0.0, 0
@@ -62,7 +62,7 @@
 				}
 			}
 			if usual := l.autoscaler.Forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.TotalCores {
-				c.broken("rented too early", "in phase %v, %v cores wait, %v are unknown", l.recovery.Phase(), waiting, unknown)
+				c.reportViolation("rented too early", "in phase %v, %v cores wait, %v are unknown", l.recovery.Phase(), waiting, unknown)
 			}
 		}
 		return CallResult{}, false
@@ -72,161 +72,161 @@
 // watchStarts notes the starts that workers receive while a leader recovers, and what such leaders
 // find.
 func (c *coldStart) watchStarts() {
-	all := c.allStarts()
-	var look func()
-	look = func() {
-		now := c.allStarts()
-		if l := c.recovering(); l != nil && c.now > c.began {
-			c.leaderSet[l.term] = true
+	all := c.totalStarts()
+	var poll func()
+	poll = func() {
+		now := c.totalStarts()
+		if l := c.recoveringLeader(); l != nil && c.now > c.restartedAt {
+			c.leaderTerms[l.term] = true
 			for range now - all {
-				c.starts = append(c.starts, c.now)
+				c.startTimes = append(c.startTimes, c.now)
 			}
 			counts := l.recovery.Counts()
-			counts.ForEach(func(kind recovery.Mismatch, count int) { c.seen[kind] = max(c.seen[kind], count) })
+			counts.ForEach(func(kind recovery.Mismatch, count int) { c.mismatchCounts[kind] = max(c.mismatchCounts[kind], count) })
 		}
 		all = now
-		c.after(step, look)
+		c.schedule(step, poll)
 	}
-	look()
+	poll()
 }
 
 // checkStarts fails the test if more starts came within a second than the limit allows. Each
 // leader may add one burst to what the rate brings.
 func (c *coldStart) checkStarts() {
 	c.t.Helper()
-	rate := c.rates[recovery.StartTask]
+	rate := c.rateLimits[recovery.StartTask]
 	first := 0
-	for i, at := range c.starts {
-		for at-c.starts[first] >= time.Second {
+	for i, at := range c.startTimes {
+		for at-c.startTimes[first] >= time.Second {
 			first++
 		}
 		if n := float64(i - first + 1); n > rate.PerWindow()*1.05+1 {
 			c.t.Fatalf("%.0f starts within a second of %v, limit %.1f", n, at, rate.PerWindow())
 		}
 	}
-	if len(c.starts) > 0 {
-		span := (c.starts[len(c.starts)-1] - c.began).Seconds()
-		if total := rate.PerSecond*span*1.05 + rate.Burst*float64(len(c.leaderSet)); float64(len(c.starts)) > total {
-			c.t.Fatalf("%d starts in %.1f s of %d leaders, limit %.0f", len(c.starts), span, len(c.leaderSet), total)
+	if len(c.startTimes) > 0 {
+		span := (c.startTimes[len(c.startTimes)-1] - c.restartedAt).Seconds()
+		if total := rate.PerSecond*span*1.05 + rate.Burst*float64(len(c.leaderTerms)); float64(len(c.startTimes)) > total {
+			c.t.Fatalf("%d starts in %.1f s of %d leaders, limit %.0f", len(c.startTimes), span, len(c.leaderTerms), total)
 		}
 	}
 }
 
 // someWorker is a worker that runs tasks.
-func (c *coldStart) someWorker(n int) *worker {
-	busy := slices.DeleteFunc(slices.Clone(c.inOrder()), func(x *worker) bool { return len(x.tasks) == 0 })
+func (c *coldStart) busyWorker(n int) *fakeWorker {
+	busy := slices.DeleteFunc(slices.Clone(c.sortedWorkers()), func(x *fakeWorker) bool { return len(x.tasks) == 0 })
 	if len(busy) == 0 {
-		return c.inOrder()[n%len(c.workers)]
+		return c.sortedWorkers()[n%len(c.workers)]
 	}
 	return busy[n%len(busy)]
 }
 
 // inPhase does something once a leader is in a phase, or past it.
-func (c *coldStart) inPhase(p recovery.Phase, f func()) {
-	var look func()
-	look = func() {
-		if name := c.leader(); name != "" && c.now > c.began && c.nodes[name].leader.recovery.Phase() >= p {
+func (c *coldStart) onRecoveryPhase(p recovery.Phase, f func()) {
+	var poll func()
+	poll = func() {
+		if name := c.leaderName(); name != "" && c.now > c.restartedAt && c.nodes[name].leader.recovery.Phase() >= p {
 			f()
 			return
 		}
-		c.after(step, look)
+		c.schedule(step, poll)
 	}
-	look()
+	poll()
 }
 
 // coldStarts are the troubles that meet a total loss. Each is arranged at the moment of the loss.
 var coldStarts = map[string]func(c *coldStart){
 	"mismatches of every kind": func(c *coldStart) {
-		c.after(c.away/2, func() {
-			never := &simTask{key: "j-never-stored/0", attempt: 7, state: protocol.TaskRunning, end: c.now + time.Hour}
-			c.someWorker(0).tasks = append(c.someWorker(0).tasks, never)
-			c.specs["j-never-stored"] = spec("j-never-stored", 1)
-			for _, t := range c.someWorker(1).tasks {
-				t.end = c.now // finished, and nobody has heard of it
+		c.schedule(c.downtime/2, func() {
+			never := &fakeTask{taskKey: "j-never-stored/0", attempt: 7, state: protocol.TaskRunning, endsAt: c.now + time.Hour}
+			c.busyWorker(0).tasks = append(c.busyWorker(0).tasks, never)
+			c.jobSpecs["j-never-stored"] = jobSpec("j-never-stored", 1)
+			for _, t := range c.busyWorker(1).tasks {
+				t.endsAt = c.now // finished, and nobody has heard of it
 			}
-			c.someWorker(2).silent = true
+			c.busyWorker(2).unreachable = true
 			for i := range 6 {
 				key := fmt.Sprintf("j-never-stored/%d", i+1)
-				c.someWorker(4).tasks = append(c.someWorker(4).tasks, &simTask{key: key, attempt: 7, state: protocol.TaskRunning, end: c.now + time.Hour})
+				c.busyWorker(4).tasks = append(c.busyWorker(4).tasks, &fakeTask{taskKey: key, attempt: 7, state: protocol.TaskRunning, endsAt: c.now + time.Hour})
 			}
 		})
-		c.after(c.away+2*c.lease(), func() {
+		c.schedule(c.downtime+2*c.machineLease(), func() {
 			for _, x := range c.workers {
-				x.silent = false
+				x.unreachable = false
 			}
 		})
 	},
-	"copies of reports from before the loss": func(c *coldStart) { c.holdBack() },
+	"copies of reports from before the loss": func(c *coldStart) { c.replayHeartbeats() },
 	"the state service is slow, then refuses one, then is out": func(c *coldStart) {
-		c.state.slow = func() time.Duration { return c.within(c.lease() / 30) }
-		c.inPhase(recovery.PhaseCollecting, func() {
-			refused := c.leader()
-			c.state.refuse[refused] = true
-			c.after(c.within(c.lease()/2), func() {
-				delete(c.state.refuse, refused)
-				c.state.setDown(true)
-				c.after(c.lease()/2+c.within(c.cancelSpan()), func() {
-					c.state.setDown(false)
-					c.state.slow = nil
+		c.store.requestDelay = func() time.Duration { return c.randomDuration(c.machineLease() / 30) }
+		c.onRecoveryPhase(recovery.PhaseCollecting, func() {
+			refused := c.leaderName()
+			c.store.refusedNodes[refused] = true
+			c.schedule(c.randomDuration(c.machineLease()/2), func() {
+				delete(c.store.refusedNodes, refused)
+				c.store.setDown(true)
+				c.schedule(c.machineLease()/2+c.randomDuration(c.cancelLimit()), func() {
+					c.store.setDown(false)
+					c.store.requestDelay = nil
 				})
 			})
 		})
 	},
 	"the cloud is down, and forgets machines": func(c *coldStart) {
-		c.cloud.down = true
-		c.after(c.away+c.within(c.lease()), func() {
-			c.cloud.down = false
-			c.cloud.hides = true
-			c.after(c.within(c.lease()/3), func() { c.cloud.hides = false })
+		c.cloud.unavailable = true
+		c.schedule(c.downtime+c.randomDuration(c.machineLease()), func() {
+			c.cloud.unavailable = false
+			c.cloud.listsEmpty = true
+			c.schedule(c.randomDuration(c.machineLease()/3), func() { c.cloud.listsEmpty = false })
 		})
 	},
 	"machines are taken back meanwhile": func(c *coldStart) {
-		for _, x := range c.inOrder() {
+		for _, x := range c.sortedWorkers() {
 			if c.rng.IntN(3) == 0 {
-				c.after(c.within(c.away+c.lease()/4), func() { c.cloud.take(x) })
+				c.schedule(c.randomDuration(c.downtime+c.machineLease()/4), func() { c.cloud.removeMachine(x) })
 			}
 		}
 	},
 	"cancellations in each phase": func(c *coldStart) {
 		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting, recovery.PhaseReconciling, recovery.PhasePacing} {
-			c.inPhase(phase, func() { c.cancelSome(3, c.lease()/20) })
+			c.onRecoveryPhase(phase, func() { c.cancelSomeJobs(3, c.machineLease()/20) })
 		}
 	},
 	"workers away for the whole recovery": func(c *coldStart) {
-		c.someWorkers(3, func(x *worker) {
-			x.silent = true
-			c.after(c.away+c.within(2*c.lease()), func() { x.silent = false })
+		c.forSomeWorkers(3, func(x *fakeWorker) {
+			x.unreachable = true
+			c.schedule(c.downtime+c.randomDuration(2*c.machineLease()), func() { x.unreachable = false })
 		})
 	},
 	"teams at their limits, machines silent": func(c *coldStart) {
 		// No more than the team can run in a minute and a half, once all is calm: with a longer queue
 		// some job waits for so long beside room that its team leaves between two tasks.
-		c.more(4, c.away+c.lease(), func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
-		c.someWorkers(4, func(x *worker) {
-			x.silent = true
-			c.after(c.away+c.within(c.lease()), func() { x.silent = false })
+		c.submitMoreJobs(4, c.downtime+c.machineLease(), func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
+		c.forSomeWorkers(4, func(x *fakeWorker) {
+			x.unreachable = true
+			c.schedule(c.downtime+c.randomDuration(c.machineLease()), func() { x.unreachable = false })
 		})
 	},
 	"leaders end in each phase": func(c *coldStart) {
 		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting, recovery.PhaseReconciling, recovery.PhasePacing, recovery.PhasePacing} {
-			c.inPhase(phase, func() { c.back(c.leader(), c.within(time.Second)) })
+			c.onRecoveryPhase(phase, func() { c.restartAfter(c.leaderName(), c.randomDuration(time.Second)) })
 		}
 	},
 	"one controller comes back alone": func(c *coldStart) {
-		first := c.anyNode()
+		first := c.randomNode()
 		for _, name := range c.names {
 			if name != first {
-				c.after(c.away, func() {
-					c.crash(name)
-					c.back(name, c.lease()/2+c.within(c.lease()))
+				c.schedule(c.downtime, func() {
+					c.crashNode(name)
+					c.restartAfter(name, c.machineLease()/2+c.randomDuration(c.machineLease()))
 				})
 			}
 		}
 	},
 	"a version before beside this one": func(c *coldStart) {
 		old := c.names[0]
-		c.crash(old)
-		c.old[old] = true
+		c.crashNode(old)
+		c.oldVersionNodes[old] = true
 	},
 }
 
@@ -236,31 +236,31 @@
 func TestColdStart(t *testing.T) {
 	for name, arrange := range coldStarts {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, 6, 120, func(t *testing.T, seed uint64) {
+			forEachSeed(t, 6, 120, func(t *testing.T, seed uint64) {
 				nodes := []int{3, 7}[seed%2]
 				away := []float64{0.5, 0.97, 3}[seed%3]
 				users, _ := newFaultCombination(t, nodes, deployments[seed%uint64(len(deployments))], seed, 8, 4)
-				c := &coldStart{userSimulation: users, seen: map[recovery.Mismatch]int{}, leaderSet: map[uint64]bool{}}
-				c.what = name
-				c.away = time.Duration(away * float64(c.lease()))
-				c.more(10, 2*c.lease(), nil)
-				c.run(c.within(5 * time.Second))
-				c.loseAll(c.lease() / 8)
+				c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{}, leaderTerms: map[uint64]bool{}}
+				c.scenario = name
+				c.downtime = time.Duration(away * float64(c.machineLease()))
+				c.submitMoreJobs(10, 2*c.machineLease(), nil)
+				c.advance(c.randomDuration(5 * time.Second))
+				c.restartAllControllers(c.machineLease() / 8)
 				arrange(c)
-				c.run(c.away + 3*c.lease())
+				c.advance(c.downtime + 3*c.machineLease())
 				c.checkStarts()
 				c.checkStops(t)
 				if name == "mismatches of every kind" {
 					c.checkMismatches(t)
 				}
-				c.runTime = func(string, int) time.Duration { return 5 * time.Second }
-				for _, x := range c.inOrder() {
-					x.silent = false
+				c.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
+				for _, x := range c.sortedWorkers() {
+					x.unreachable = false
 					for _, task := range x.tasks {
-						task.end = min(task.end, c.now+10*time.Second)
+						task.endsAt = min(task.endsAt, c.now+10*time.Second)
 					}
 				}
-				c.settle(4 * time.Minute)
+				c.waitForCompletion(4 * time.Minute)
 			})
 		})
 	}
@@ -270,7 +270,7 @@
 func (c *coldStart) checkStops(t *testing.T) {
 	t.Helper()
 	for _, key := range c.stoppedTasks {
-		if id := jobOf(key); c.submitted[id] && !c.mayBeCancelled(id) {
+		if id := jobIDOf(key); c.submitted[id] && !c.mayBeCancelled(id) {
 			t.Errorf("%s was stopped, though it ran rightly", key)
 		}
 	}
@@ -280,12 +280,12 @@
 func (c *coldStart) checkMismatches(t *testing.T) {
 	t.Helper()
 	for _, kind := range []recovery.Mismatch{recovery.JobNeverStored, recovery.MachineUnresponsive} {
-		if c.away < c.lease()*9/10 && c.seen[kind] == 0 {
-			t.Errorf("nobody found %v: %v", kind, c.seen)
+		if c.downtime < c.machineLease()*9/10 && c.mismatchCounts[kind] == 0 {
+			t.Errorf("nobody found %v: %v", kind, c.mismatchCounts)
 		}
 	}
-	if c.away < c.lease()*9/10 && (c.seen[recovery.MatchesRecord] == 0 || c.seen[recovery.CompletionNotStored] == 0) || c.away > c.lease() && c.seen[recovery.JobNotRunning] == 0 {
-		t.Errorf("found only %v", c.seen)
+	if c.downtime < c.machineLease()*9/10 && (c.mismatchCounts[recovery.MatchesRecord] == 0 || c.mismatchCounts[recovery.CompletionNotStored] == 0) || c.downtime > c.machineLease() && c.mismatchCounts[recovery.JobNotRunning] == 0 {
+		t.Errorf("found only %v", c.mismatchCounts)
 	}
 }
 
@@ -294,27 +294,27 @@
 func TestFiveLeadersOfOneRecovery(t *testing.T) {
 	for _, nodes := range []int{3, 7} {
 		users, _ := newFaultCombination(t, nodes, deployments[0], uint64(nodes), 20, 8)
-		c := &coldStart{userSimulation: users, seen: map[recovery.Mismatch]int{}, leaderSet: map[uint64]bool{}, away: 2 * users.lease()}
-		c.loseAll(0)
-		c.run(c.away)
+		c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{}, leaderTerms: map[uint64]bool{}, downtime: 2 * users.machineLease()}
+		c.restartAllControllers(0)
+		c.advance(c.downtime)
 		for range 5 {
-			before := c.allStarts()
-			if !c.until(c.lease()*2, func() bool { return c.leader() != "" && c.allStarts() > before }) {
-				t.Fatalf("%d nodes: no start: %s", nodes, c.noLeader())
+			before := c.totalStarts()
+			if !c.advanceUntil(c.machineLease()*2, func() bool { return c.leaderName() != "" && c.totalStarts() > before }) {
+				t.Fatalf("%d nodes: no start: %s", nodes, c.explainNoLeader())
 			}
-			c.run(c.within(time.Second))
-			if name := c.leader(); name != "" {
-				c.back(name, c.within(time.Second))
+			c.advance(c.randomDuration(time.Second))
+			if name := c.leaderName(); name != "" {
+				c.restartAfter(name, c.randomDuration(time.Second))
 			}
 		}
-		c.run(3 * c.lease())
+		c.advance(3 * c.machineLease())
 		c.checkStarts()
-		if len(c.leaderSet) < 5 {
-			t.Errorf("%d leaders", len(c.leaderSet))
+		if len(c.leaderTerms) < 5 {
+			t.Errorf("%d leaders", len(c.leaderTerms))
 		}
 		on := 0
 		for i := range 20 {
-			on += c.onMachines(fmt.Sprintf("j-%d", i))
+			on += c.activeTaskCount(fmt.Sprintf("j-%d", i))
 		}
 		if on != 160 {
 			t.Errorf("%d of 160 tasks run", on)
@@ -323,31 +323,31 @@
 }
 
 // A job that may use none of the machines that stay away starts at once; one that may waits.
-func TestPressingWorkDoesNotWaitForStragglers(t *testing.T) {
+func TestLatencySensitiveWorkDoesNotWaitForUnreachableMachines(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return time.Hour }
-	l := w.waitLeader()
-	w.machines(8)
-	w.submitAndStart(l.name, spec("j-0", 16), 16)
-	for _, x := range w.inOrder() {
-		x.silent = x.zone == "b"
+	w.taskDuration = func(string, int) time.Duration { return time.Hour }
+	l := w.waitForLeader()
+	w.startMachines(8)
+	w.submitAndStart(l.name, jobSpec("j-0", 16), 16)
+	for _, x := range w.sortedWorkers() {
+		x.unreachable = x.zone == "b"
 	}
-	w.cloud.down = true // so that none of them is returned
+	w.cloud.unavailable = true // so that none of them is returned
 	for _, name := range w.names {
-		w.crash(name)
+		w.crashNode(name)
 	}
 	for i, zone := range []string{"a", "b", ""} {
-		j := spec(fmt.Sprintf("j-%s%d", strings.Repeat("z", i+1), i), 2)
+		j := jobSpec(fmt.Sprintf("j-%s%d", strings.Repeat("z", i+1), i), 2)
 		j.Zone, j.Priority = zone, "urgent"
-		w.specs[j.ID] = j
-		w.state.put(storage.JobKey(j.ID), storage.JobRecord{Spec: j})
+		w.jobSpecs[j.ID] = j
+		w.store.putValue(storage.JobKey(j.ID), storage.JobRecord{Spec: j})
 	}
 	for _, name := range w.names {
-		w.restart(name)
+		w.restartNode(name)
 	}
-	w.waitLeader()
-	w.run(6 * time.Second)
-	if a, b, any := w.onMachines("j-z0"), w.onMachines("j-zz1"), w.onMachines("j-zzz2"); a != 2 || b != 0 || any != 0 {
+	w.waitForLeader()
+	w.advance(6 * time.Second)
+	if a, b, any := w.activeTaskCount("j-z0"), w.activeTaskCount("j-zz1"), w.activeTaskCount("j-zzz2"); a != 2 || b != 0 || any != 0 {
 		t.Errorf("%d, %d and %d tasks run, not 2, 0 and 0", a, b, any)
 	}
 }
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -103,7 +103,7 @@
 		id   string
 	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""}, {"links", protocol.RequestLinks, ""},
 		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""}, {"admission", protocol.RequestAdmission, job}} {
-		r := w.request(node, Request{Kind: page.kind, JobID: page.id})
+		r := w.requestAndWait(node, Request{Kind: page.kind, JobID: page.id})
 		if r.Status != 200 {
 			w.t.Fatalf("%s: %d", page.name, r.Status)
 		}
@@ -111,7 +111,7 @@
 			w.t.Fatal(err)
 		}
 	}
-	for text := range strings.Lines(string(w.request(node, Request{Kind: protocol.RequestMetrics}).Body)) {
+	for text := range strings.Lines(string(w.requestAndWait(node, Request{Kind: protocol.RequestMetrics}).Body)) {
 		text = strings.TrimSpace(text)
 		switch {
 		case strings.HasPrefix(text, "# HELP "): // prose
@@ -127,28 +127,28 @@
 // in a recovery, and with records that can't be read.
 func TestNamesOnPages(t *testing.T) {
 	names := nameSet{}
-	w, l := running(t, 3, 100*time.Second, 4, 8)
-	waiting := spec("j-2", 40)
+	w, l := newRunningSimulation(t, 3, 100*time.Second, 4, 8)
+	waiting := jobSpec("j-2", 40)
 	waiting.Team = "team"
 	w.submit(l.name, waiting)
-	w.inOrder()[0].notice = of(60.0)
-	w.state.put(storage.JobKey("j-damaged"), map[string]string{"spec": "damaged"})
-	w.run(10 * time.Second)
+	w.sortedWorkers()[0].preemptionNotice = pointerTo(60.0)
+	w.store.putValue(storage.JobKey("j-damaged"), map[string]string{"spec": "damaged"})
+	w.advance(10 * time.Second)
 	names.addPages(w, l.name, "j-1")
 	names.addPages(w, w.followers()[0], "j-1")
-	w.crash(l.name)
-	w.waitLeader()
+	w.crashNode(l.name)
+	w.waitForLeader()
 	for range 30 {
-		names.addPages(w, w.leader(), "j-2")
-		w.run(time.Second)
+		names.addPages(w, w.leaderName(), "j-2")
+		w.advance(time.Second)
 	}
 
-	c := overloaded(t, 3, true)
-	a := newApplicants(c)
+	c := newOverloadedSimulation(t, 3, true)
+	a := newSubmitters(c)
 	for i := range 60 {
-		a.submit(a.job("low", "low", i), inTime)
+		a.submit(a.classJob("low", "low", i), retryOnTime)
 	}
-	if !c.until(20*time.Second, func() bool { return len(c.judged) >= 2 }) {
+	if !c.advanceUntil(20*time.Second, func() bool { return len(c.acceptancesByEpoch) >= 2 }) {
 		t.Fatal("no admission by policy")
 	}
 	for range 10 {
@@ -181,19 +181,19 @@
 // code's types changes them.
 func TestRecordsOfEarlierVersions(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return 100 * time.Second }
-	host := w.cloud.rent("c4", "a", true)
+	w.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
+	host := w.cloud.rentMachine("c4", "a", true)
 	for id, tasks := range map[string]int{"j-0": 2, "j-1": 11, "j-2": 1} {
-		w.specs[id], w.submitted[id] = spec(id, tasks), true
+		w.jobSpecs[id], w.submitted[id] = jobSpec(id, tasks), true
 	}
-	w.asked["j-2"] = true
+	w.cancelRequested["j-2"] = true
 	for i := range 10 {
 		if i == 0 || i == 9 {
-			w.finished[protocol.TaskID("j-1", i)] = true
+			w.completedTasks[protocol.TaskID("j-1", i)] = true
 		}
 	}
 	for i := range 2 {
-		w.finished[protocol.TaskID("j-0", i)] = true
+		w.completedTasks[protocol.TaskID("j-0", i)] = true
 	}
 	for key, value := range map[string]string{
 		"term":              `{"term":7}`,
@@ -203,67 +203,67 @@
 		"bits/j-1/000":      `{"b":"AQI="}`,
 		"mach/" + host.name: `{"type":"c4","zone":"a","spot":true,"at":1000000000,"used":true}`,
 	} {
-		w.state.put(key, json.RawMessage(value))
+		w.store.putValue(key, json.RawMessage(value))
 	}
-	l := w.waitLeader()
-	w.run(10 * time.Second)
+	l := w.waitForLeader()
+	w.advance(10 * time.Second)
 	var lines []string
 	for _, id := range []string{"j-0", "j-1", "j-2"} {
-		r := w.request(l.name, Request{Kind: protocol.RequestQuery, JobID: id})
+		r := w.requestAndWait(l.name, Request{Kind: protocol.RequestQuery, JobID: id})
 		lines = append(lines, fmt.Sprintf("%s: %d %s", id, r.Status, r.Body))
 	}
 	for i := range 11 {
-		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i), w.starts[protocol.TaskID("j-1", i)]))
+		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i), w.startCounts[protocol.TaskID("j-1", i)]))
 	}
-	for _, key := range slices.Sorted(maps.Keys(w.state.keys)) {
+	for _, key := range slices.Sorted(maps.Keys(w.store.keys)) {
 		if key != storage.ArrivalForecastKey {
-			lines = append(lines, key+" "+string(w.state.keys[key].Value))
+			lines = append(lines, key+" "+string(w.store.keys[key].Value))
 		}
 	}
 	checkGolden(t, "records_taken_over.txt", lines)
 }
 
 // of is a pointer to a value.
-func of[T any](v T) *T { return &v }
+func pointerTo[T any](v T) *T { return &v }
 
 // What users, workers and the load balancer are answered.
 func TestAnswers(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return 5 * time.Second }
+	w.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
 	var lines []string
 	ask := func(name, node string, r Request) {
-		reply := w.request(node, r)
+		reply := w.requestAndWait(node, r)
 		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status, reply.RetryAfter, reply.Body))
 	}
 	user := func(name, node string, kind protocol.RequestKind, job protocol.Job) {
-		w.specs[job.ID] = job
+		w.jobSpecs[job.ID] = job
 		r := Request{Kind: kind, JobID: job.ID}
 		if kind == protocol.RequestSubmit {
 			r.Job = &job
 		}
 		ask(name, node, r)
 	}
-	user("submission without a leader", "n0", protocol.RequestSubmit, spec("j-1", 4))
-	w.waitLeader()
-	l, f := w.leader(), w.followers()[0]
+	user("submission without a leader", "n0", protocol.RequestSubmit, jobSpec("j-1", 4))
+	w.waitForLeader()
+	l, f := w.leaderName(), w.followers()[0]
 	ask("health", l, Request{Kind: protocol.RequestHealth})
-	user("submission", f, protocol.RequestSubmit, spec("j-1", 4))
-	user("submission, repeated", l, protocol.RequestSubmit, spec("j-1", 4))
-	user("query", l, protocol.RequestQuery, spec("j-1", 4))
-	w.waitState("j-1", protocol.JobRunning, time.Minute)
-	user("query of a running job", f, protocol.RequestQuery, spec("j-1", 4))
-	w.waitState("j-1", protocol.JobDone, time.Minute)
-	user("query of a job that is done", f, protocol.RequestQuery, spec("j-1", 4))
-	user("cancellation of a job that is done", l, protocol.RequestCancel, spec("j-1", 4))
-	user("submission of a job that is done", f, protocol.RequestSubmit, spec("j-1", 4))
-	user("submission", l, protocol.RequestSubmit, spec("j-2", 4))
-	user("cancellation", f, protocol.RequestCancel, spec("j-2", 4))
-	user("cancellation, repeated", l, protocol.RequestCancel, spec("j-2", 4))
-	user("query of a cancelled job", l, protocol.RequestQuery, spec("j-2", 4))
+	user("submission", f, protocol.RequestSubmit, jobSpec("j-1", 4))
+	user("submission, repeated", l, protocol.RequestSubmit, jobSpec("j-1", 4))
+	user("query", l, protocol.RequestQuery, jobSpec("j-1", 4))
+	w.waitForJobState("j-1", protocol.JobRunning, time.Minute)
+	user("query of a running job", f, protocol.RequestQuery, jobSpec("j-1", 4))
+	w.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	user("query of a job that is done", f, protocol.RequestQuery, jobSpec("j-1", 4))
+	user("cancellation of a job that is done", l, protocol.RequestCancel, jobSpec("j-1", 4))
+	user("submission of a job that is done", f, protocol.RequestSubmit, jobSpec("j-1", 4))
+	user("submission", l, protocol.RequestSubmit, jobSpec("j-2", 4))
+	user("cancellation", f, protocol.RequestCancel, jobSpec("j-2", 4))
+	user("cancellation, repeated", l, protocol.RequestCancel, jobSpec("j-2", 4))
+	user("query of a cancelled job", l, protocol.RequestQuery, jobSpec("j-2", 4))
 	for _, node := range []string{l, f} {
 		user("query of an unknown job", node, protocol.RequestQuery, protocol.Job{ID: "j-404"})
 		user("cancellation of an unknown job", node, protocol.RequestCancel, protocol.Job{ID: "j-404"})
-		unknownTeam, tooMuch, needs := spec("j-3", 1), spec("j-4", 1), spec("j-5", 1)
+		unknownTeam, tooMuch, needs := jobSpec("j-3", 1), jobSpec("j-4", 1), jobSpec("j-5", 1)
 		unknownTeam.Team = "nobody"
 		tooMuch.Cores = 5
 		needs.Dependencies = []string{"j-404"}
@@ -271,16 +271,16 @@
 		user("submission that fits no machine", node, protocol.RequestSubmit, tooMuch)
 		user("submission that needs an unknown job", node, protocol.RequestSubmit, needs)
 	}
-	large := spec("j-6", 1)
+	large := jobSpec("j-6", 1)
 	large.Image = strings.Repeat("x", int(w.cfg.Store.ValueKB*1024))
 	user("submission that is too large to be stored", l, protocol.RequestSubmit, large)
 	report := &protocol.WorkerHeartbeat{Machine: "m-000099", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	ask("report to a follower", f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
 	ask("report to the leader", l, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
-	w.state.setDown(true)
-	w.run(3 * time.Second)
+	w.store.setDown(true)
+	w.advance(3 * time.Second)
 	user("query of an unknown job in an outage", f, protocol.RequestQuery, protocol.Job{ID: "j-405"})
-	user("submission in an outage", l, protocol.RequestSubmit, spec("j-7", 1))
+	user("submission in an outage", l, protocol.RequestSubmit, jobSpec("j-7", 1))
 	checkGolden(t, "answers.txt", lines)
 }
 
@@ -291,7 +291,7 @@
 func TestCallsAndRecords(t *testing.T) {
 	calls, records := nameSet{}, nameSet{}
 	watch := func(w *simulation) {
-		w.watch = func(_ *simNode, effects []Effect) {
+		w.onEffects = func(_ *simNode, effects []Effect) {
 			for _, e := range effects {
 				call, is := e.(ServiceCall)
 				if !is {
@@ -321,26 +321,26 @@
 	}
 	w := newSimulation(t, 3)
 	watch(w)
-	l := w.waitLeader()
-	job, next := spec("j-1", 6), spec("j-2", 1)
-	job.MachineTypes, job.DeadlineSeconds = []string{"c4"}, of(900.0)
+	l := w.waitForLeader()
+	job, next := jobSpec("j-1", 6), jobSpec("j-2", 1)
+	job.MachineTypes, job.DeadlineSeconds = []string{"c4"}, pointerTo(900.0)
 	next.Dependencies = []string{"j-1"}
 	w.submit(w.followers()[0], job)
 	w.submit(l.name, next)
-	w.waitState("j-2", protocol.JobDone, 2*time.Minute)
-	w.cutOff(l.name)
-	w.run(time.Minute)
-	w.mend()
-	w.nodes[w.leader()].inbox = append(w.nodes[w.leader()].inbox, Drain{})
-	w.run(time.Minute)
+	w.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
+	w.isolateNode(l.name)
+	w.advance(time.Minute)
+	w.healCuts()
+	w.nodes[w.leaderName()].inbox = append(w.nodes[w.leaderName()].inbox, Drain{})
+	w.advance(time.Minute)
 
-	c := overloaded(t, 3, true)
+	c := newOverloadedSimulation(t, 3, true)
 	watch(c.simulation)
-	a := newApplicants(c)
+	a := newSubmitters(c)
 	for i := range 60 {
-		a.submit(a.job("low", "low", i), inTime)
+		a.submit(a.classJob("low", "low", i), retryOnTime)
 	}
-	c.run(40 * time.Second)
+	c.advance(40 * time.Second)
 	checkGolden(t, "calls.txt", calls.sorted())
 	checkGolden(t, "records.txt", records.sorted())
 }
@@ -365,11 +365,11 @@
 // effectDigest sums up all effects of all nodes, in their order, by spans of simulated time, so
 // that a difference names the span in which it begins.
 type effectDigest struct {
-	w                *simulation
-	sum              hash.Hash
-	countActiveTasks int
-	ends             clock.Instant
-	lines            []string
+	simulation  *simulation
+	hash        hash.Hash
+	effectCount int
+	spanEnd     clock.Instant
+	lines       []string
 }
 
 const digestSpan = 10 * time.Second
@@ -378,40 +378,40 @@
 var goldenTargets = map[Target]string{TargetStore: "state service", TargetCloud: "cloud"}
 
 func newEffectDigest(w *simulation) *effectDigest {
-	d := &effectDigest{w: w, sum: sha256.New(), ends: digestSpan}
-	w.watch = d.add
+	d := &effectDigest{simulation: w, hash: sha256.New(), spanEnd: digestSpan}
+	w.onEffects = d.add
 	return d
 }
 
 func (d *effectDigest) add(n *simNode, effects []Effect) {
-	for d.w.now > d.ends {
+	for d.simulation.now > d.spanEnd {
 		d.close()
 	}
 	for _, e := range effects {
-		d.countActiveTasks++
-		fmt.Fprintf(d.sum, "%d %s ", d.w.now, n.name)
+		d.effectCount++
+		fmt.Fprintf(d.hash, "%d %s ", d.simulation.now, n.name)
 		switch e := e.(type) {
 		case ServiceCall:
-			fmt.Fprintf(d.sum, "call %d %s %s %s %s %d\n", e.ID, goldenTargets[e.Target], e.Method, e.Path, e.Body, e.Timeout)
+			fmt.Fprintf(d.hash, "call %d %s %s %s %s %d\n", e.ID, goldenTargets[e.Target], e.Method, e.Path, e.Body, e.Timeout)
 		case Reply:
-			fmt.Fprintf(d.sum, "reply %d %d %d %s\n", e.RequestID, e.Status, e.RetryAfter, e.Body)
+			fmt.Fprintf(d.hash, "reply %d %d %d %s\n", e.RequestID, e.Status, e.RetryAfter, e.Body)
 		case OutboundMessage:
 			raw, err := protocol.EncodePeerMessage(e.Message)
 			if err != nil {
-				d.w.t.Fatal(err)
+				d.simulation.t.Fatal(err)
 			}
-			fmt.Fprintf(d.sum, "send %s %s\n", e.To, raw)
+			fmt.Fprintf(d.hash, "send %s %s\n", e.To, raw)
 		case TraceStep:
-			fmt.Fprintf(d.sum, "trace %s\n", storage.Encode(e.Step))
+			fmt.Fprintf(d.hash, "trace %s\n", storage.Encode(e.Step))
 		default:
-			d.w.t.Fatalf("effect %T", e)
+			d.simulation.t.Fatalf("effect %T", e)
 		}
 	}
 }
 
 func (d *effectDigest) close() {
-	d.lines = append(d.lines, fmt.Sprintf("until %v: %d effects, %x", d.ends, d.countActiveTasks, d.sum.Sum(nil)[:8]))
-	d.ends += digestSpan
+	d.lines = append(d.lines, fmt.Sprintf("until %v: %d effects, %x", d.spanEnd, d.effectCount, d.hash.Sum(nil)[:8]))
+	d.spanEnd += digestSpan
 }
 
 // A simulation with fixed seeds repeats to the letter: the same commands give the same effects in
@@ -426,10 +426,10 @@
 			for _, name := range w.names {
 				w.nodes[name].settings.MaxTraceSteps = 1
 			}
-			l := w.waitLeader()
-			w.machines(6)
+			l := w.waitForLeader()
+			w.startMachines(6)
 			for i := range 6 {
-				j := spec(fmt.Sprintf("j-%d", i), 3+4*i)
+				j := jobSpec(fmt.Sprintf("j-%d", i), 3+4*i)
 				j.Priority = []protocol.Priority{"prod", "urgent", "standard", "low"}[i%4]
 				j.Cores = 1 + float64(i%3)*0.3
 				j.Class = []string{"c", "d"}[i%2]
@@ -437,18 +437,18 @@
 					j.Dependencies = []string{"j-0", "j-1"}
 				}
 				w.submit(w.followers()[i%2], j)
-				w.run(time.Second)
+				w.advance(time.Second)
 			}
-			w.cancel(w.followers()[0], "j-4")
-			w.run(3 * time.Second)
+			w.cancelJob(w.followers()[0], "j-4")
+			w.advance(3 * time.Second)
 			if lose {
-				w.crash(l.name)
-				w.run(20 * time.Second)
-				w.restart(l.name)
-				w.waitLeader()
+				w.crashNode(l.name)
+				w.advance(20 * time.Second)
+				w.restartNode(l.name)
+				w.waitForLeader()
 			}
-			w.waitState("j-5", protocol.JobDone, 200*time.Second)
-			w.run(60 * time.Second)
+			w.waitForJobState("j-5", protocol.JobDone, 200*time.Second)
+			w.advance(60 * time.Second)
 			d.close()
 			checkGolden(t, name, d.lines)
 		})
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -14,22 +14,22 @@
 // tells users and the load balancer at once; another leads meanwhile, and nothing
 // starts twice when it is back.
 func TestHalfCutLeader(t *testing.T) {
-	w, l := running(t, 3, 20*time.Second, 3, 8)
-	w.state.lost[l.name] = true
-	w.cutOff(l.name)
-	if !w.until(5*time.Second, func() bool { return !l.holdsLeaderLease() }) {
+	w, l := newRunningSimulation(t, 3, 20*time.Second, 3, 8)
+	w.store.requestsDropped[l.name] = true
+	w.isolateNode(l.name)
+	if !w.advanceUntil(5*time.Second, func() bool { return !l.holdsLeaderLease() }) {
 		t.Fatal("it leads on")
 	}
 	answers := map[string]int{}
 	for name, x := range w.workers {
-		answers[name] = x.answers
+		answers[name] = x.responseCount
 	}
-	if !w.until(8*time.Second, func() bool { return w.leader() != "" && w.leader() != l.name }) {
+	if !w.advanceUntil(8*time.Second, func() bool { return w.leaderName() != "" && w.leaderName() != l.name }) {
 		t.Fatal("no other leads")
 	}
-	if !w.until(8*time.Second, func() bool {
+	if !w.advanceUntil(8*time.Second, func() bool {
 		for name, x := range w.workers {
-			if x.answers == answers[name] {
+			if x.responseCount == answers[name] {
 				return false
 			}
 		}
@@ -42,65 +42,65 @@
 		{Kind: protocol.RequestQuery, JobID: "j-1"}, {Kind: protocol.RequestCancel, JobID: "j-1"},
 	} {
 		asked := w.now
-		if got := w.request(l.name, r); got.Status != 503 || got.RetryAfter == 0 || w.now-asked > time.Second {
+		if got := w.requestAndWait(l.name, r); got.Status != 503 || got.RetryAfter == 0 || w.now-asked > time.Second {
 			t.Errorf("%s: %d, come back after %d, answered in %v", r.Kind, got.Status, got.RetryAfter, w.now-asked)
 		}
 	}
-	if got := w.request(l.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
+	if got := w.requestAndWait(l.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
 		t.Errorf("health: %d", got.Status)
 	}
-	w.mend()
-	delete(w.state.lost, l.name)
-	w.waitState("j-1", protocol.JobDone, time.Minute)
-	w.startedOnce()
+	w.healCuts()
+	delete(w.store.requestsDropped, l.name)
+	w.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	w.checkStartedOnce()
 }
 
 // A leader that alone is refused by the state service, while the other controllers
 // refuse its connections, is replaced; it neither leads on by lease grants nor comes back
 // in the way of the next.
-func TestLeaderRefusedByStateAndPeers(t *testing.T) {
-	w, l := running(t, 3, 25*time.Second, 3, 6)
-	w.state.refuse[l.name] = true
-	w.cutOff(l.name)
-	if !w.until(9*time.Second, func() bool { return w.leader() != "" && w.leader() != l.name }) {
+func TestLeaderRefusedByStoreAndPeers(t *testing.T) {
+	w, l := newRunningSimulation(t, 3, 25*time.Second, 3, 6)
+	w.store.refusedNodes[l.name] = true
+	w.isolateNode(l.name)
+	if !w.advanceUntil(9*time.Second, func() bool { return w.leaderName() != "" && w.leaderName() != l.name }) {
 		t.Fatal("it is not replaced")
 	}
-	next := w.leader()
-	w.run(3 * time.Second)
-	if got := w.request(l.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
+	next := w.leaderName()
+	w.advance(3 * time.Second)
+	if got := w.requestAndWait(l.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
 		t.Errorf("health: %d", got.Status)
 	}
-	w.run(7 * time.Second)
-	w.mend()
-	delete(w.state.refuse, l.name)
-	w.run(10 * time.Second)
-	if w.leader() != next {
-		t.Errorf("%s leads, not %s", w.leader(), next)
+	w.advance(7 * time.Second)
+	w.healCuts()
+	delete(w.store.refusedNodes, l.name)
+	w.advance(10 * time.Second)
+	if w.leaderName() != next {
+		t.Errorf("%s leads, not %s", w.leaderName(), next)
 	}
-	w.waitState("j-1", protocol.JobDone, time.Minute)
-	w.startedOnce()
+	w.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	w.checkStartedOnce()
 }
 
 // A follower that is cut in the same way sends no worker to a leader that it does
 // not hear any more, and nobody is worse off.
 func TestHalfCutFollower(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.waitLeader()
+	w.waitForLeader()
 	f := w.followers()[0]
-	w.state.lost[f] = true
-	w.cutOff(f)
-	w.run(5 * time.Second)
+	w.store.requestsDropped[f] = true
+	w.isolateNode(f)
+	w.advance(5 * time.Second)
 	rep := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-	if got := w.request(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}); got.Status != 503 {
+	if got := w.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}); got.Status != 503 {
 		t.Errorf("report: %d", got.Status)
 	}
-	if got := w.request(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 || got.RetryAfter == 0 {
+	if got := w.requestAndWait(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 || got.RetryAfter == 0 {
 		t.Errorf("query: %d, come back after %d", got.Status, got.RetryAfter)
 	}
-	if got := w.request(f, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
+	if got := w.requestAndWait(f, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
 		t.Errorf("health: %d", got.Status)
 	}
-	w.submitAndStart(w.leader(), spec("j-1", 2), 2)
+	w.submitAndStart(w.leaderName(), jobSpec("j-1", 2), 2)
 }
 
 // Once all troubles are over, some question about each job is answered within 75 s,
@@ -112,22 +112,22 @@
 	w.cloud.capacity = 1
 	const over, open = 4000, 400
 	for i := range over {
-		w.state.put(storage.TerminalKey(fmt.Sprintf("j-%d", i)), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 1, DoneTasks: 1})
+		w.store.putValue(storage.TerminalKey(fmt.Sprintf("j-%d", i)), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 1, DoneTasks: 1})
 	}
 	for i := over; i < over+open; i++ {
-		w.state.put(storage.JobKey(fmt.Sprintf("j-%d", i)), storage.JobRecord{Spec: spec(fmt.Sprintf("j-%d", i), 3), AcceptedAtMillis: 1})
+		w.store.putValue(storage.JobKey(fmt.Sprintf("j-%d", i)), storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), 3), AcceptedAtMillis: 1})
 	}
-	w.waitLeader()
-	w.state.setDown(true)
+	w.waitForLeader()
+	w.store.setDown(true)
 	for _, name := range w.names {
-		w.crash(name)
+		w.crashNode(name)
 	}
-	w.run(3 * time.Second)
+	w.advance(3 * time.Second)
 	for _, name := range w.names {
-		w.restart(name)
+		w.restartNode(name)
 	}
-	w.run(10 * time.Second)
-	w.state.setDown(false)
+	w.advance(10 * time.Second)
+	w.store.setDown(false)
 
 	// Each job is asked about every 5 s, at one node after the other.
 	answered := map[int]bool{}
@@ -137,7 +137,7 @@
 			if answered[i] {
 				continue
 			}
-			w.ask(w.names[(i+int(w.now/time.Second))%3], Request{Kind: protocol.RequestQuery, JobID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
+			w.sendRequest(w.names[(i+int(w.now/time.Second))%3], Request{Kind: protocol.RequestQuery, JobID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
 				switch r.Status {
 				case 200:
 					answered[i] = true
@@ -146,11 +146,11 @@
 				}
 			})
 			if i%40 == 0 {
-				w.run(step)
+				w.advance(step)
 			}
 		}
 		if w.now < round {
-			w.run(round - w.now)
+			w.advance(round - w.now)
 		}
 	}
 	if len(answered) < over+open {
@@ -162,29 +162,29 @@
 // replaced all the same: votes come through the state service.
 func TestLeaderLostWhilePeersRefuse(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
-		w, l := running(t, nodes, 20*time.Second, 3, 8)
+		w, l := newRunningSimulation(t, nodes, 20*time.Second, 3, 8)
 		for _, name := range w.followers() {
-			w.crash(name)
-			w.restart(name)
-			w.run(70 * time.Millisecond) // so that they don't look at the same time
+			w.crashNode(name)
+			w.restartNode(name)
+			w.advance(70 * time.Millisecond) // so that they don't look at the same time
 		}
-		w.cutAll()
-		w.run(4 * time.Second)
-		if w.leader() != l.name {
+		w.isolateAllNodes()
+		w.advance(4 * time.Second)
+		if w.leaderName() != l.name {
 			t.Fatalf("%d nodes: refused connections alone cost the leader", nodes)
 		}
 		term := l.leader.term
-		w.crash(l.name)
-		if !w.until(8*time.Second, func() bool { return w.leader() != "" }) {
+		w.crashNode(l.name)
+		if !w.advanceUntil(8*time.Second, func() bool { return w.leaderName() != "" }) {
 			t.Fatalf("%d nodes: nobody leads", nodes)
 		}
 		// Each raise takes the term from a candidate that others vote for: with
 		// seven nodes they went on until connections were no longer refused.
-		if raised := w.nodes[w.leader()].leader.term - term; raised > 2 {
+		if raised := w.nodes[w.leaderName()].leader.term - term; raised > 2 {
 			t.Errorf("%d nodes: the term was raised %d times", nodes, raised)
 		}
-		w.waitState("j-1", protocol.JobDone, time.Minute)
-		w.startedOnce()
+		w.waitForJobState("j-1", protocol.JobDone, time.Minute)
+		w.checkStartedOnce()
 	}
 }
 
@@ -192,21 +192,21 @@
 // the first on; in an outage of all, users are told at once when to come back.
 func TestSubmissionAtRefusedNode(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.waitLeader()
-	w.machines(1)
+	w.waitForLeader()
+	w.startMachines(1)
 	f := w.followers()[0]
-	w.state.refuse[f] = true
+	w.store.refusedNodes[f] = true
 	for i := range 3 {
 		asked := w.now
-		if r := w.submit(f, spec(fmt.Sprintf("j-%d", i), 1)); r.Status != 201 || w.now-asked > 200*time.Millisecond {
+		if r := w.submit(f, jobSpec(fmt.Sprintf("j-%d", i), 1)); r.Status != 201 || w.now-asked > 200*time.Millisecond {
 			t.Errorf("submission %d: %d after %v", i, r.Status, w.now-asked)
 		}
-		w.run(time.Second)
+		w.advance(time.Second)
 	}
-	w.state.setDown(true)
-	w.run(2 * time.Second)
+	w.store.setDown(true)
+	w.advance(2 * time.Second)
 	asked := w.now
-	if r := w.submit(f, spec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 || w.now-asked > 200*time.Millisecond {
+	if r := w.submit(f, jobSpec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 || w.now-asked > 200*time.Millisecond {
 		t.Errorf("in an outage: %d, come back after %d, answered in %v", r.Status, r.RetryAfter, w.now-asked)
 	}
 }
@@ -216,30 +216,30 @@
 // user's submission, and that job was never stored.
 func TestAnswerToAnEarlierProcess(t *testing.T) {
 	w := newSimulation(t, 3)
-	l := w.waitLeader()
-	w.submit(l.name, spec("j-1", 1))
+	l := w.waitForLeader()
+	w.submit(l.name, jobSpec("j-1", 1))
 	name := w.followers()[0]
 	forwarded := func(r Request, f func(Reply)) uint64 {
-		w.ask(name, r, f)
-		w.run(2 * step)
+		w.sendRequest(name, r, f)
+		w.advance(2 * step)
 		if forwards := w.nodes[name].forwards; forwards.Count() > 0 {
 			return forwards.LastID
 		}
 		t.Fatal("not passed on")
 		return 0
 	}
-	l.frozen = true
+	l.paused = true
 	before := forwarded(Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
-	l.frozen = false
-	w.crash(name)
-	w.restart(name)
-	w.run(time.Second)
-	l.frozen = true
+	l.paused = false
+	w.crashNode(name)
+	w.restartNode(name)
+	w.advance(time.Second)
+	l.paused = true
 	var got *Reply
 	forwarded(Request{Kind: protocol.RequestQuery, JobID: "j-2"}, func(r Reply) { got = &r })
 	n := w.nodes[name]
 	n.inbox = append(n.inbox, InboundMessage{From: l.name, Message: protocol.ForwardedResponse{ID: before, Status: 200, Body: []byte(`{"uid":"j-1","situacao":"withdrawn"}`)}})
-	w.run(5 * step)
+	w.advance(5 * step)
 	if got != nil {
 		t.Errorf("it is handed %d %s", got.Status, got.Body)
 	}
@@ -250,7 +250,7 @@
 func TestRelayForAnyNumberOfWorkers(t *testing.T) {
 	w := newSimulation(t, 3)
 	w.cfg.Resources.MaxConnections = 4000
-	w.waitLeader()
+	w.waitForLeader()
 	f := w.nodes[w.followers()[0]]
 	const workers = 3000
 	round := func() (sent, relayed int) {
@@ -259,7 +259,7 @@
 			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 		}
-		for _, e := range f.Step(f.clock(w.now), batch) {
+		for _, e := range f.Step(f.monotonicNow(w.now), batch) {
 			switch e := e.(type) {
 			case Reply:
 				if e.Status == 421 {
@@ -276,11 +276,11 @@
 	if sent, relayed := round(); sent != workers || relayed != 0 {
 		t.Errorf("at first %d of %d are sent to the leader, %d relayed", sent, workers, relayed)
 	}
-	w.run(3 * time.Second)
+	w.advance(3 * time.Second)
 	if sent, relayed := round(); sent != 0 || relayed != workers {
 		t.Errorf("back again, %d are sent to the leader, %d of %d relayed", sent, relayed, workers)
 	}
-	w.run(4 * f.workerLease())
+	w.advance(4 * f.workerLease())
 	if len(f.workerRouter.Routes) > 0 {
 		t.Errorf("%d are remembered for good", len(f.workerRouter.Routes))
 	}
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -16,11 +16,11 @@
 
 func TestOneLeaderAndQuickTakeover(t *testing.T) {
 	w := newSimulation(t, 3)
-	first := w.waitLeader()
+	first := w.waitForLeader()
 	term := first.leader.term
-	w.crash(first.name)
+	w.crashNode(first.name)
 	start := w.now
-	second := w.waitLeader()
+	second := w.waitForLeader()
 	if second.leader.term <= term {
 		t.Fatalf("term %d after %d", second.leader.term, term)
 	}
@@ -28,60 +28,60 @@
 		t.Fatalf("takeover took %v", took)
 	}
 	// Back in the middle of things, the old leader follows.
-	w.restart(first.name)
-	w.run(10 * time.Second)
-	if w.leader() != second.name {
-		t.Fatalf("%s leads", w.leader())
+	w.restartNode(first.name)
+	w.advance(10 * time.Second)
+	if w.leaderName() != second.name {
+		t.Fatalf("%s leads", w.leaderName())
 	}
 }
 
 // A leader that the state service alone refuses must stop by its own clock
 // before another may begin, and must be replaced although its peers hear it.
-func TestLeaderRefusedByStateIsReplaced(t *testing.T) {
+func TestLeaderRefusedByStoreIsReplaced(t *testing.T) {
 	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.state.refuse[first.name] = true
-	if !w.until(15*time.Second, func() bool { l := w.leader(); return l != "" && l != first.name }) {
+	first := w.waitForLeader()
+	w.store.refusedNodes[first.name] = true
+	if !w.advanceUntil(15*time.Second, func() bool { l := w.leaderName(); return l != "" && l != first.name }) {
 		t.Fatal("the refused leader was not replaced")
 	}
 }
 
 // Outages last longer than the leader's lease and than the workers': lease grants
 // of the peers keep the leader, and with it the tasks, alive.
-func TestStateOutageKeepsLeaderAndTasks(t *testing.T) {
+func TestStoreOutageKeepsLeaderAndTasks(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return 60 * time.Second }
-	first := w.waitLeader()
-	w.submitAndStart(first.name, spec("j-1", 3), 3)
+	w.taskDuration = func(string, int) time.Duration { return 60 * time.Second }
+	first := w.waitForLeader()
+	w.submitAndStart(first.name, jobSpec("j-1", 3), 3)
 	term := first.leader.term
-	w.state.setDown(true)
+	w.store.setDown(true)
 	for range 25 {
-		w.run(time.Second)
-		if w.leader() != first.name {
-			t.Fatalf("at %v %q leads", w.now, w.leader())
+		w.advance(time.Second)
+		if w.leaderName() != first.name {
+			t.Fatalf("at %v %q leads", w.now, w.leaderName())
 		}
 	}
-	if r := w.submit(w.followers()[0], spec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
+	if r := w.submit(w.followers()[0], jobSpec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
 		t.Fatalf("submission in an outage: %d, come back after %d", r.Status, r.RetryAfter)
 	}
-	if code, s := w.query(w.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
+	if code, s := w.queryJob(w.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
 		t.Fatalf("query in an outage: %d %v", code, s)
 	}
-	w.state.setDown(false)
-	w.run(5 * time.Second)
-	if w.leader() != first.name || first.leader.term != term {
+	w.store.setDown(false)
+	w.advance(5 * time.Second)
+	if w.leaderName() != first.name || first.leader.term != term {
 		t.Fatal("leadership moved after the outage")
 	}
-	if w.starts["j-1/0"] != 1 {
-		t.Fatalf("a task started %d times", w.starts["j-1/0"])
+	if w.startCounts["j-1/0"] != 1 {
+		t.Fatalf("a task started %d times", w.startCounts["j-1/0"])
 	}
-	if r := w.submit(w.followers()[0], spec("j-2", 1)); r.Status != 201 {
+	if r := w.submit(w.followers()[0], jobSpec("j-2", 1)); r.Status != 201 {
 		t.Fatalf("submission after the outage: %d", r.Status)
 	}
 }
 
 // says tells whether an effect sends a message of a type to a peer.
-func says[M protocol.PeerMessage](effect Effect) bool {
+func sendsMessage[M protocol.PeerMessage](effect Effect) bool {
 	s, ok := effect.(OutboundMessage)
 	if !ok {
 		return false
@@ -94,21 +94,21 @@
 // remembers, so it neither grants nor votes for one span.
 func TestRestartedPeerWaitsOutOneLeaseGrant(t *testing.T) {
 	w := newSimulation(t, 3)
-	first := w.waitLeader()
+	first := w.waitForLeader()
 	peer := w.followers()[0]
-	w.crash(peer)
-	w.restart(peer)
+	w.crashNode(peer)
+	w.restartNode(peer)
 	n := w.nodes[peer]
 	out := n.Step(step, []Command{InboundMessage{From: first.name, Message: protocol.VoteRequest{Term: 99}}})
 	for _, e := range out {
-		if says[protocol.Vote](e) {
+		if sendsMessage[protocol.Vote](e) {
 			t.Fatal("voted right after a restart")
 		}
 	}
 	n.election.RecordStoreResponse(step, 503)
 	out = n.Step(2*step, []Command{InboundMessage{From: first.name, Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
 	for _, e := range out {
-		if says[protocol.LeaseGrant](e) {
+		if sendsMessage[protocol.LeaseGrant](e) {
 			t.Fatal("granted a lease right after a restart")
 		}
 	}
@@ -119,22 +119,22 @@
 // nothing, nor does a majority: the one that is missing may live by a grant.
 func TestFullRestartWaitsForNoLeaseGrant(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.waitLeader()
+	w.waitForLeader()
 	for _, name := range w.names {
-		w.crash(name)
+		w.crashNode(name)
 	}
-	w.run(5 * time.Second) // the leader's lease is over
+	w.advance(5 * time.Second) // the leader's lease is over
 	for _, name := range w.names {
-		w.restart(name)
+		w.restartNode(name)
 	}
 	span := w.nodes["n0"].leaderLease()
-	if !w.until(span*2/3, func() bool { return w.leader() != "" }) {
+	if !w.advanceUntil(span*2/3, func() bool { return w.leaderName() != "" }) {
 		t.Fatalf("nobody leads %v after a full restart", span*2/3)
 	}
 	n := New(Options{Platform: w.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)), StartTime: time.Unix(5, 0)})
 	voted := func(from string, m protocol.PeerHeartbeat) bool {
 		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m}, InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
-		return slices.ContainsFunc(out, says[protocol.Vote])
+		return slices.ContainsFunc(out, sendsMessage[protocol.Vote])
 	}
 	if voted("n1", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
 		t.Error("votes while a peer is not heard")
@@ -154,10 +154,10 @@
 // voted for a candidate grants nothing to an older leader.
 func TestLeaseGrantAndVoteExcludeEachOther(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.state.setDown(true)
-	w.run(10 * time.Second)
+	w.store.setDown(true)
+	w.advance(10 * time.Second)
 	n := w.nodes["n0"]
-	now := w.now - n.boot
+	now := w.now - n.bootedAt
 	sent := func(is func(effect Effect) bool, messages ...protocol.PeerMessage) bool {
 		var batch []Command
 		for _, m := range messages {
@@ -166,17 +166,17 @@
 		now += step
 		return slices.ContainsFunc(n.Step(now, batch), is)
 	}
-	if !sent(says[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
+	if !sent(sendsMessage[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
 		t.Fatal("no lease granted in an outage")
 	}
-	if sent(says[protocol.Vote], protocol.VoteRequest{Term: 8}) {
+	if sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
 		t.Fatal("voted under a lease grant")
 	}
 	now += 2 * n.leaderLease()
-	if !sent(says[protocol.Vote], protocol.VoteRequest{Term: 8}) {
+	if !sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
 		t.Fatal("did not vote after the grant")
 	}
-	if sent(says[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
+	if sent(sendsMessage[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
 		t.Fatal("granted a lease to an older leader after a vote")
 	}
 }
@@ -185,16 +185,16 @@
 // would hold its key for ever and stop the service.
 func TestIsolatedLeaderResigns(t *testing.T) {
 	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.submit(first.name, spec("j-1", 2))
-	w.run(10 * time.Second)
+	first := w.waitForLeader()
+	w.submit(first.name, jobSpec("j-1", 2))
+	w.advance(10 * time.Second)
 	for _, other := range w.followers() {
-		w.cut[[2]string{first.name, other}] = true
+		w.linkCuts[[2]string{first.name, other}] = true
 	}
 	for _, x := range w.workers {
-		x.silent = true
+		x.unreachable = true
 	}
-	if !w.until(15*time.Second, func() bool { l := w.leader(); return l != "" && l != first.name }) {
+	if !w.advanceUntil(15*time.Second, func() bool { l := w.leaderName(); return l != "" && l != first.name }) {
 		t.Fatal("the isolated leader was not replaced")
 	}
 }
@@ -202,9 +202,9 @@
 // A transaction of a replaced leader that arrives late must change nothing.
 func TestLateTransactionOfOldLeader(t *testing.T) {
 	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.submit(first.name, spec("j-1", 1))
-	w.state.hold = func(node string, txn storage.Txn) bool {
+	first := w.waitForLeader()
+	w.submit(first.name, jobSpec("j-1", 1))
+	w.store.holdTransaction = func(node string, txn storage.Txn) bool {
 		if node != first.name || len(txn.Writes) == 0 {
 			return false
 		}
@@ -215,34 +215,34 @@
 		}
 		return false
 	}
-	w.ask(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
-	if !w.until(5*time.Second, func() bool { return len(w.state.machinesByName) > 0 }) {
+	w.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	if !w.advanceUntil(5*time.Second, func() bool { return len(w.store.heldTransactions) > 0 }) {
 		t.Fatal("the leader wrote nothing")
 	}
-	w.crash(first.name)
-	w.waitLeader()
-	for _, f := range w.state.machinesByName {
+	w.crashNode(first.name)
+	w.waitForLeader()
+	for _, f := range w.store.heldTransactions {
 		f()
 	}
-	if _, over := w.state.keys[storage.TerminalKey("j-1")]; over {
+	if _, over := w.store.keys[storage.TerminalKey("j-1")]; over {
 		t.Fatal("a late transaction of the old leader was applied")
 	}
-	w.state.hold = nil
-	w.waitState("j-1", protocol.JobDone, 60*time.Second)
+	w.store.holdTransaction = nil
+	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
 // Answers that are lost leave the outcome unclear; the transaction is sent again
 // to the letter, and a refusal is then checked against what is stored.
 func TestUnclearTransactionIsResolved(t *testing.T) {
 	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.submit(first.name, spec("j-1", 2))
-	w.state.lose = 3
-	w.waitState("j-1", protocol.JobDone, 60*time.Second)
-	if w.state.lose != 0 {
+	first := w.waitForLeader()
+	w.submit(first.name, jobSpec("j-1", 2))
+	w.store.responsesToLose = 3
+	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	if w.store.responsesToLose != 0 {
 		t.Fatal("no answer was lost")
 	}
-	if w.leader() != first.name {
+	if w.leaderName() != first.name {
 		t.Fatal("an unclear outcome cost the leadership")
 	}
 }
@@ -252,17 +252,17 @@
 func TestRollingRestartMovesLeadershipSeldom(t *testing.T) {
 	for first := range 3 {
 		w := newSimulation(t, 3)
-		leader := w.waitLeader().name
+		leader := w.waitForLeader().name
 		began := leader
-		w.run(20 * time.Second)
+		w.advance(20 * time.Second)
 		moves := 0
 		for i := range 3 {
 			name := w.names[(first+i)%3]
-			w.crash(name)
-			w.run(3 * time.Second)
-			w.restart(name)
-			w.run(20 * time.Second)
-			if now := w.leader(); now != leader {
+			w.crashNode(name)
+			w.advance(3 * time.Second)
+			w.restartNode(name)
+			w.advance(20 * time.Second)
+			if now := w.leaderName(); now != leader {
 				leader, moves = now, moves+1
 			}
 		}
@@ -281,55 +281,55 @@
 // authority at most, and once all is well again somebody leads within two leases. Here
 // nothing else goes on, so that thousands of elections fit.
 func TestAuthorityIsExclusive(t *testing.T) {
-	eachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
-		c := newUserSimulation(newSimulationOf(t, []int{3, 5, 7}[seed%3], deployments[seed/3%uint64(len(deployments))]), seed)
-		span := c.lease() / election.LeaderLeasesPerWorkerLease
+	forEachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
+		c := newUserSimulation(newSimulationWithTimings(t, []int{3, 5, 7}[seed%3], deployments[seed/3%uint64(len(deployments))]), seed)
+		span := c.machineLease() / election.LeaderLeasesPerWorkerLease
 		soon := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(span) * 0.7) }
 		c.driftClocks()
-		c.holds = seed%2 == 0
+		c.holdMessages = seed%2 == 0
 		if seed%4 == 1 {
-			c.state.late = func() (time.Duration, bool) {
+			c.store.lateExecution = func() (time.Duration, bool) {
 				return time.Duration(c.rng.ExpFloat64() * float64(span)), c.rng.IntN(8) == 0
 			}
 		}
-		for end := c.now + 8*c.lease(); c.now < end; c.run(soon() / 2) {
-			name, other := c.anyNode(), c.anyNode()
-			if l := c.leader(); l != "" && c.rng.IntN(3) == 0 {
+		for end := c.now + 8*c.machineLease(); c.now < end; c.advance(soon() / 2) {
+			name, other := c.randomNode(), c.randomNode()
+			if l := c.leaderName(); l != "" && c.rng.IntN(3) == 0 {
 				name = l
 			}
 			n := c.nodes[name]
 			switch c.rng.IntN(8) {
 			case 0, 1:
-				c.state.refuse[name] = true
-				c.after(soon(), func() { delete(c.state.refuse, name) })
+				c.store.refusedNodes[name] = true
+				c.schedule(soon(), func() { delete(c.store.refusedNodes, name) })
 			case 2:
 				for _, some := range c.names {
 					if c.rng.IntN(2) == 0 {
-						c.state.refuse[some] = true
-						c.after(soon(), func() { delete(c.state.refuse, some) })
+						c.store.refusedNodes[some] = true
+						c.schedule(soon(), func() { delete(c.store.refusedNodes, some) })
 					}
 				}
 			case 3:
-				c.state.setDown(true)
-				c.after(soon(), func() { c.state.setDown(false) })
+				c.store.setDown(true)
+				c.schedule(soon(), func() { c.store.setDown(false) })
 			case 4, 5:
-				c.cut[[2]string{name, other}] = true
-				c.after(soon(), c.mend)
+				c.linkCuts[[2]string{name, other}] = true
+				c.schedule(soon(), c.healCuts)
 			case 6:
 				if !n.down {
-					c.back(name, soon()/4)
+					c.restartAfter(name, soon()/4)
 				}
 			case 7:
-				if !n.down && !n.frozen {
-					c.freeze(n, soon(), func() {})
+				if !n.down && !n.paused {
+					c.pauseNode(n, soon(), func() {})
 				}
 			}
 		}
-		c.state.late = nil
-		c.run(12 * time.Second)
-		c.state.refuse = map[string]bool{}
-		c.mend()
-		if !c.until(2*c.lease(), func() bool { return c.leader() != "" }) {
+		c.store.lateExecution = nil
+		c.advance(12 * time.Second)
+		c.store.refusedNodes = map[string]bool{}
+		c.healCuts()
+		if !c.advanceUntil(2*c.machineLease(), func() bool { return c.leaderName() != "" }) {
 			t.Fatal("nobody leads, though all is well")
 		}
 	})
@@ -344,10 +344,10 @@
 			t.Run(fmt.Sprintf("%d nodes/%d", nodes, offset), func(t *testing.T) {
 				t.Parallel()
 				w := newSimulation(t, nodes)
-				first := w.waitLeader()
-				w.run(time.Duration(offset) * first.leaderLease() / 7)
-				w.state.refuse[first.name] = true
-				if !w.until(first.workerLease(), func() bool { l := w.leader(); return l != "" && l != first.name }) {
+				first := w.waitForLeader()
+				w.advance(time.Duration(offset) * first.leaderLease() / 7)
+				w.store.refusedNodes[first.name] = true
+				if !w.advanceUntil(first.workerLease(), func() bool { l := w.leaderName(); return l != "" && l != first.name }) {
 					t.Fatalf("not replaced within %v", first.workerLease())
 				}
 			})
@@ -364,27 +364,27 @@
 	changed := 0
 	for offset := range 60 {
 		w := newSimulation(t, 5)
-		old := w.waitLeader()
+		old := w.waitForLeader()
 		others := w.followers()
 		candidate, voter, returning, faithful := others[0], others[1], others[2], others[3]
 		for _, name := range []string{old.name, voter, returning, faithful} {
-			w.state.refuse[name] = true
+			w.store.refusedNodes[name] = true
 		}
-		w.cut[[2]string{old.name, returning}] = true
-		w.run(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
-		delete(w.state.refuse, voter) // its grant is the last one
+		w.linkCuts[[2]string{old.name, returning}] = true
+		w.advance(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
+		delete(w.store.refusedNodes, voter) // its grant is the last one
 		asks := func() bool {
 			return slices.Contains(w.nodes[candidate].election.Status().Votes, returning)
 		}
-		if w.until(old.leaderLease(), asks) {
-			w.back(returning, 20*time.Millisecond)
-			w.after(50*time.Millisecond, func() {
-				w.mend()
-				w.state.refuse[returning] = true
+		if w.advanceUntil(old.leaderLease(), asks) {
+			w.restartAfter(returning, 20*time.Millisecond)
+			w.schedule(50*time.Millisecond, func() {
+				w.healCuts()
+				w.store.refusedNodes[returning] = true
 			})
 		}
-		w.run(2 * old.leaderLease()) // the simulation sees two leaders, if there are
-		if w.leader() == candidate {
+		w.advance(2 * old.leaderLease()) // the simulation sees two leaders, if there are
+		if w.leaderName() == candidate {
 			changed++
 		}
 	}
@@ -397,8 +397,8 @@
 // answers are held up would go on after its lease has ended in the state service.
 func TestAuthorityCountsFromTheSentRenewal(t *testing.T) {
 	w := newSimulation(t, 3)
-	l := w.waitLeader()
-	now := l.clock(w.now)
+	l := w.waitForLeader()
+	now := l.monotonicNow(w.now)
 	var renewal ServiceCall
 	for renewal.ID == 0 {
 		now += step
@@ -417,15 +417,15 @@
 
 // A leader that stood still for longer than its lease finds reports and questions waiting
 // when it goes on, and its clocks have run on: it answers none of them as the leader.
-func TestLeaderThatStoodStillAnswersNothing(t *testing.T) {
+func TestPausedLeaderAnswersNothing(t *testing.T) {
 	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery, protocol.RequestCancel} {
 		t.Run(string(kind), func(t *testing.T) {
-			w, l := running(t, 3, time.Hour, 1, 4)
+			w, l := newRunningSimulation(t, 3, time.Hour, 1, 4)
 			request := Request{Origin: Origin{RequestID: 1 << 40}, Kind: kind, JobID: "j-1"}
 			if kind == protocol.RequestHeartbeat {
-				request.Heartbeat = w.inOrder()[0].report()
+				request.Heartbeat = w.sortedWorkers()[0].heartbeat()
 			}
-			for _, effect := range l.Step(l.clock(w.now)+l.workerLease(), []Command{request}) {
+			for _, effect := range l.Step(l.monotonicNow(w.now)+l.workerLease(), []Command{request}) {
 				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID && reply.Status == 200 {
 					t.Error("answered 200")
 				}
@@ -436,15 +436,15 @@
 
 // agreeingStore is the host of an election whose key-value store has no leader key and answers
 // each request of a candidate with success. It has a clock of its own.
-type agreeingStore struct {
+type acceptingStore struct {
 	electionAdapter
 	now      clock.Instant
 	lastTerm uint64
 }
 
-func (h *agreeingStore) Now() clock.Instant { return h.now }
+func (h *acceptingStore) Now() clock.Instant { return h.now }
 
-func (h *agreeingStore) CallStore(_, path string, _ any, onResponse func(election.StoreResponse)) {
+func (h *acceptingStore) CallStore(_, path string, _ any, onResponse func(election.StoreResponse)) {
 	switch path {
 	case "/store/" + storage.TermKey:
 		term := storage.Encode(storage.Term{Term: h.lastTerm})
@@ -461,7 +461,7 @@
 // forceLeadership makes a node the leader of a term, whoever else leads: in place of its election
 // comes one without peers, at a store that agrees to everything.
 func forceLeadership(n *Node, term uint64) {
-	host := &agreeingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
+	host := &acceptingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
 	alone := n.cfg.Cluster
 	alone.ControllerCount = 1
 	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone, Rand: n.rng, Host: host})
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -20,35 +20,35 @@
 // election, neither share the lead nor keep it from being taken.
 func TestQuickRestartsDuringElection(t *testing.T) {
 	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.crash(first.name)
+	first := w.waitForLeader()
+	w.crashNode(first.name)
 	for i := range 6 {
-		w.run(700 * time.Millisecond)
+		w.advance(700 * time.Millisecond)
 		name := w.names[i%3]
-		w.crash(name)
-		w.run(100 * time.Millisecond)
-		w.restart(name)
+		w.crashNode(name)
+		w.advance(100 * time.Millisecond)
+		w.restartNode(name)
 	}
-	w.waitLeader()
+	w.waitForLeader()
 }
 
 // A machine that hangs resumes within its lease and goes on; nothing is started
 // twice, and nothing of it counts as lost.
 func TestHangingMachineResumes(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return 20 * time.Second }
-	l := w.waitLeader()
-	w.submitAndStart(l.name, spec("j-1", 2), 2)
+	w.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+	l := w.waitForLeader()
+	w.submitAndStart(l.name, jobSpec("j-1", 2), 2)
 	for _, x := range w.workers {
-		x.hanging = true
+		x.hung = true
 	}
-	w.run(5 * time.Second)
+	w.advance(5 * time.Second)
 	for _, x := range w.workers {
-		x.hanging = false
+		x.hung = false
 	}
-	w.waitState("j-1", protocol.JobDone, 60*time.Second)
-	if w.starts["j-1/0"] != 1 || w.starts["j-1/1"] != 1 {
-		t.Fatalf("starts: %v", w.starts)
+	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	if w.startCounts["j-1/0"] != 1 || w.startCounts["j-1/1"] != 1 {
+		t.Fatalf("starts: %v", w.startCounts)
 	}
 }
 
@@ -57,13 +57,13 @@
 func TestEstimatesAreCorrected(t *testing.T) {
 	for _, factor := range []float64{0.4, 3} {
 		w := newSimulation(t, 1)
-		w.runTime = func(string, int) time.Duration { return config.Seconds(10 * factor) }
-		l := w.waitLeader()
-		j := spec("j-1", 24)
+		w.taskDuration = func(string, int) time.Duration { return config.Seconds(10 * factor) }
+		l := w.waitForLeader()
+		j := jobSpec("j-1", 24)
 		j.EstimatedSeconds = 10
 		w.submit(l.name, j)
-		w.waitState("j-1", protocol.JobDone, 10*time.Minute)
-		next := spec("j-2", 1)
+		w.waitForJobState("j-1", protocol.JobDone, 10*time.Minute)
+		next := jobSpec("j-2", 1)
 		next.EstimatedSeconds = 10
 		w.submit(l.name, next)
 		got := l.leader.ExpectedTaskDuration(l.leader.Jobs["j-2"]).Seconds()
@@ -75,18 +75,18 @@
 
 // A burst of a class: what can't all be in time gives way largest first, since
 // aims count jobs, and pressing work passes ahead of all.
-func TestBurstGivesWayLargestFirst(t *testing.T) {
+func TestBurstDemotesLargestFirst(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return 10 * time.Second }
-	l := w.waitLeader()
-	w.machines(2) // 8 cores
+	w.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
+	l := w.waitForLeader()
+	w.startMachines(2) // 8 cores
 	due := 40.0
 	for i, tasks := range []int{8, 60, 8} {
-		j := spec(fmt.Sprintf("j-%d", i), tasks)
+		j := jobSpec(fmt.Sprintf("j-%d", i), tasks)
 		j.EstimatedSeconds, j.DeadlineSeconds = 10, &due
 		w.submit(l.name, j)
 	}
-	urgent := spec("j-9", 2)
+	urgent := jobSpec("j-9", 2)
 	urgent.Priority = "urgent"
 	w.submit(l.name, urgent)
 	order := l.leader.BuildQueue()
@@ -109,10 +109,10 @@
 	w.cfg.ControllerCount = 1
 	w.cfg.Teams = []config.Team{{Name: "team", GuaranteedCPUs: 4}, {Name: "free"}}
 	w.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 20, MinShare: 0.9}}
-	w.start("n0")
-	l := w.waitLeader()
-	w.cloud.down = true
-	early, inside, beyond := spec("j-1", 2), spec("j-2", 4), spec("j-3", 4)
+	w.startNode("n0")
+	l := w.waitForLeader()
+	w.cloud.unavailable = true
+	early, inside, beyond := jobSpec("j-1", 2), jobSpec("j-2", 4), jobSpec("j-3", 4)
 	due := 30.0
 	early.DeadlineSeconds = &due
 	inside.Team, beyond.Team = "team", "team"
@@ -130,14 +130,14 @@
 // A task goes where its image is rather than to another machine with as much room.
 func TestImageDecidesBetweenMachines(t *testing.T) {
 	w := newSimulation(t, 1)
-	l := w.waitLeader()
-	w.machines(3)
+	l := w.waitForLeader()
+	w.startMachines(3)
 	with := l.leader.Machines["m-000002"]
 	with.TouchImage("special", 2)
-	j := spec("j-1", 1)
+	j := jobSpec("j-1", 1)
 	j.Image, j.ImageGB = "special", 2
 	w.submit(l.name, j)
-	if !w.until(10*time.Second, func() bool { return w.onMachines("j-1") == 1 }) {
+	if !w.advanceUntil(10*time.Second, func() bool { return w.activeTaskCount("j-1") == 1 }) {
 		t.Fatal("the task did not start")
 	}
 	if x := w.workers["m-000002"]; len(x.tasks) != 1 {
@@ -149,30 +149,30 @@
 // are surely gone, and the simulation's check sees no task twice.
 func TestSpotWaveWithoutNotice(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return 15 * time.Second }
-	w.waitLeader()
-	w.machines(4)
-	w.submitAndStart("n0", spec("j-1", 16), 12)
+	w.taskDuration = func(string, int) time.Duration { return 15 * time.Second }
+	w.waitForLeader()
+	w.startMachines(4)
+	w.submitAndStart("n0", jobSpec("j-1", 16), 12)
 	for _, name := range []string{"m-000001", "m-000002"} {
 		delete(w.workers, name)
 		delete(w.cloud.hosts, name)
 	}
-	w.waitState("j-1", protocol.JobDone, 2*time.Minute)
+	w.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
 // No worker reaches the leader, though its peers do: the followers relay, leases
 // hold, leadership stays, and nothing is started twice.
 func TestLeaderCutFromWorkers(t *testing.T) {
-	w, l := running(t, 3, 60*time.Second, 2, 4)
-	w.far[l.name] = true
-	w.run(40 * time.Second)
-	if w.leader() != l.name {
-		t.Fatalf("%q leads", w.leader())
-	}
-	w.submit(w.followers()[0], spec("j-2", 2))
-	w.waitState("j-1", protocol.JobDone, 60*time.Second)
-	w.waitState("j-2", protocol.JobDone, 2*time.Minute)
-	for task, n := range w.starts {
+	w, l := newRunningSimulation(t, 3, 60*time.Second, 2, 4)
+	w.unreachableNodes[l.name] = true
+	w.advance(40 * time.Second)
+	if w.leaderName() != l.name {
+		t.Fatalf("%q leads", w.leaderName())
+	}
+	w.submit(w.followers()[0], jobSpec("j-2", 2))
+	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	w.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
+	for task, n := range w.startCounts {
 		if n != 1 {
 			t.Errorf("%s started %d times", task, n)
 		}
@@ -183,24 +183,24 @@
 // a while: it begins within four minutes, and is served in the end.
 func TestLargeJobBeginsInLongBurst(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return 10 * time.Second }
-	l := w.waitLeader()
-	w.machines(2) // 8 cores
+	w.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
+	l := w.waitForLeader()
+	w.startMachines(2) // 8 cores
 	w.cloud.capacity = 2
 	due := 60.0
-	large := spec("j-large", 40)
+	large := jobSpec("j-large", 40)
 	large.EstimatedSeconds, large.DeadlineSeconds = 10, &due
 	w.submit(l.name, large)
 	begun := clock.Instant(0)
 	for i := 0; w.now < 12*time.Minute; i++ {
 		// Small and urgent work of 10 cores, while there are 8.
 		for k, priority := range []protocol.Priority{"standard", "urgent"} {
-			j := spec(fmt.Sprintf("j-%d-%d", i, k), 5)
+			j := jobSpec(fmt.Sprintf("j-%d-%d", i, k), 5)
 			j.Priority, j.EstimatedSeconds, j.DeadlineSeconds = priority, 10, &due
 			w.submit(l.name, j)
 		}
 		for end := w.now + 10*time.Second; w.now < end; {
-			if w.run(time.Second); begun == 0 && w.onMachines("j-large") > 0 {
+			if w.advance(time.Second); begun == 0 && w.activeTaskCount("j-large") > 0 {
 				begun = w.now
 			}
 		}
@@ -208,7 +208,7 @@
 	if begun == 0 || begun > cluster.MaxStartDelay {
 		t.Fatalf("the large job began after %v", begun)
 	}
-	if code, s := w.query(l.name, "j-large"); code != 200 || s.State != protocol.JobDone {
+	if code, s := w.queryJob(l.name, "j-large"); code != 200 || s.State != protocol.JobDone {
 		t.Fatalf("after %v the large job is %s, %d done", w.now, s.State, *s.DoneTasks)
 	}
 }
@@ -218,17 +218,17 @@
 // would never be done.
 func TestLongTaskIsMovedOnce(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.runTime = func(task string, _ int) time.Duration {
+	w.taskDuration = func(task string, _ int) time.Duration {
 		if task == "j-1/7" || task == "j-1/6" {
 			return 60 * time.Second
 		}
 		return 5 * time.Second
 	}
-	l := w.waitLeader()
-	w.machines(2)
-	w.submit(l.name, spec("j-1", 8))
-	w.waitState("j-1", protocol.JobDone, 4*time.Minute)
-	if n := w.starts["j-1/7"]; n > 2 {
+	l := w.waitForLeader()
+	w.startMachines(2)
+	w.submit(l.name, jobSpec("j-1", 8))
+	w.waitForJobState("j-1", protocol.JobDone, 4*time.Minute)
+	if n := w.startCounts["j-1/7"]; n > 2 {
 		t.Fatalf("started %d times", n)
 	}
 }
@@ -237,17 +237,17 @@
 // image: the first machine with room would miss the aim for sure by a long fetch.
 func TestUrgentWorkWaitsForItsImage(t *testing.T) {
 	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return time.Hour }
-	w.cloud.types = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 0.2, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a"}}}
+	w.taskDuration = func(string, int) time.Duration { return time.Hour }
+	w.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 0.2, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a"}}}
 	w.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 5, MinShare: 0.8}}
-	w.start("n0")
-	l := w.waitLeader()
-	w.run(2 * time.Second)
-	w.machines(2)
+	w.startNode("n0")
+	l := w.waitForLeader()
+	w.advance(2 * time.Second)
+	w.startMachines(2)
 	x := l.leader
 	has, other := x.Machines["m-000001"], x.Machines["m-000002"]
 	has.TouchImage("i", 2)
-	j := x.jobRecords.Add(storage.JobRecord{Spec: spec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
+	j := x.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
 	j.Spec.ImageGB = 2 // 10 s of fetching
 	fits := func(m *cluster.Machine) bool {
 		return x.FindCandidates(j, []*cluster.Machine{m}, true).BestMachine("") == m
@@ -273,22 +273,22 @@
 // if nothing else changes meanwhile.
 func TestBackOffEndsWithoutAnyChange(t *testing.T) {
 	w := newSimulation(t, 1)
-	l := w.waitLeader()
-	w.machines(1)
+	l := w.waitForLeader()
+	w.startMachines(1)
 	x := l.leader
-	w.submit(l.name, spec("j-1", 1))
+	w.submit(l.name, jobSpec("j-1", 1))
 	j := x.Jobs["j-1"]
 	j.FailureHistories[0] = &cluster.FailureHistory{RetryAfter: l.now + 10*time.Second}
 	for _, r := range j.Attempts {
 		x.ReleaseAttempt(r)
 	}
-	w.run(9 * time.Second)
-	if w.starts["j-1/0"] > 0 {
+	w.advance(9 * time.Second)
+	if w.startCounts["j-1/0"] > 0 {
 		t.Fatal("started while backing off")
 	}
-	w.cloud.down = true // nor does the fleet change
+	w.cloud.unavailable = true // nor does the fleet change
 	x.SchedulingNeeded = false
-	if !w.until(5*time.Second, func() bool { return w.starts["j-1/0"] == 1 }) {
+	if !w.advanceUntil(5*time.Second, func() bool { return w.startCounts["j-1/0"] == 1 }) {
 		t.Fatal("not started after its back-off")
 	}
 }
@@ -296,13 +296,13 @@
 // A job that was begun only lest it wait for too long, and can still meet its aim, is
 // planned for that aim. Taken for late, it was planned over four run times, and the
 // rest of its tasks started after the aim.
-func TestBegunJobIsPlannedForItsAim(t *testing.T) {
+func TestStartedJobIsPlannedForItsObjective(t *testing.T) {
 	w := newSimulation(t, 1)
 	w.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, MinShare: 0.9}}
-	w.start("n0")
-	x := w.waitLeader().leader
-	w.machines(1)
-	s := spec("j-1", 100)
+	w.startNode("n0")
+	x := w.waitForLeader().leader
+	w.startMachines(1)
+	s := jobSpec("j-1", 100)
 	s.EstimatedSeconds = 50
 	j := x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
 	j.EligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
@@ -315,13 +315,13 @@
 }
 
 // Where aims leave next to no late jobs, the plan counts on less of the machines' time.
-func TestPlanHasAMarginWhereAimsAreStrict(t *testing.T) {
+func TestPlanHasAMarginWhereObjectivesAreStrict(t *testing.T) {
 	demand := func(share float64) float64 {
 		w := newSimulation(t, 1)
 		w.cfg.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, MinShare: share}}
-		w.start("n0")
-		x := w.waitLeader().leader
-		s := spec("j-1", 200)
+		w.startNode("n0")
+		x := w.waitForLeader().leader
+		s := jobSpec("j-1", 200)
 		s.EstimatedSeconds = 20
 		x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
 		return requiredCores(x, 1000)
@@ -338,27 +338,27 @@
 // quota, others are rented at once, and every task runs in the end.
 func TestFleetFailsAtOnce(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return 25 * time.Second }
+	w.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
 	w.cfg.Cloud.RequestsPerS, w.cfg.Store.WritesPerS, w.cfg.Store.RequestsPerS = 6, 250, 600
 	for _, name := range w.names {
-		w.start(name)
+		w.startNode(name)
 	}
-	l := w.waitLeader()
+	l := w.waitForLeader()
 	const machines = 120
 	for i := range machines {
-		w.cloud.rent("c4", []string{"a", "b"}[i%2], true)
+		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	w.until(30*time.Second, func() bool { return len(w.workers) >= machines })
+	w.advanceUntil(30*time.Second, func() bool { return len(w.workers) >= machines })
 	for i := range 8 {
-		j := spec(fmt.Sprintf("j-%d", i), 90)
+		j := jobSpec(fmt.Sprintf("j-%d", i), 90)
 		if i%4 == 0 {
 			j.Team = "team" // with a limit of 16 cores
 			j.TaskCount = 20
 		}
 		w.submit(l.name, j)
 	}
-	if !w.until(30*time.Second, func() bool { return len(w.starts) > 440 }) {
-		t.Fatalf("%d tasks have started", len(w.starts))
+	if !w.advanceUntil(30*time.Second, func() bool { return len(w.startCounts) > 440 }) {
+		t.Fatalf("%d tasks have started", len(w.startCounts))
 	}
 	names := slices.Sorted(maps.Keys(w.workers))
 	hanging := names[60:90]
@@ -367,35 +367,35 @@
 		delete(w.cloud.hosts, name)
 	}
 	for _, name := range hanging {
-		w.workers[name].hanging = true
+		w.workers[name].hung = true
 	}
 	zone := w.followers()[0]
-	w.reach = func(x *worker, node string) bool {
+	w.workerReaches = func(x *fakeWorker, node string) bool {
 		return (x.name >= names[90] && x.name < names[110]) == (node == zone)
 	}
-	w.state.lost[zone] = true
-	w.cutOff(zone)
-	w.crash(l.name)
-	w.run(5 * time.Second)
-	w.restart(l.name)
+	w.store.requestsDropped[zone] = true
+	w.isolateNode(zone)
+	w.crashNode(l.name)
+	w.advance(5 * time.Second)
+	w.restartNode(l.name)
 	for _, name := range hanging {
-		w.workers[name].hanging = false
+		w.workers[name].hung = false
 	}
-	w.run(2 * time.Second)
+	w.advance(2 * time.Second)
 	for _, name := range hanging {
 		if w.workers[name] == nil {
 			t.Errorf("%s was returned for hanging within its lease", name)
 		}
 	}
-	rented := w.cloud.last
-	w.run(25 * time.Second)
-	if w.cloud.last < rented+10 {
-		t.Errorf("%d machines were rented for 40 that are gone", w.cloud.last-rented)
+	rented := w.cloud.lastMachineNumber
+	w.advance(25 * time.Second)
+	if w.cloud.lastMachineNumber < rented+10 {
+		t.Errorf("%d machines were rented for 40 that are gone", w.cloud.lastMachineNumber-rented)
 	}
-	w.reach = nil
-	delete(w.state.lost, zone)
-	w.mend()
+	w.workerReaches = nil
+	delete(w.store.requestsDropped, zone)
+	w.healCuts()
 	for i := range 8 {
-		w.waitState(fmt.Sprintf("j-%d", i), protocol.JobDone, 4*time.Minute)
+		w.waitForJobState(fmt.Sprintf("j-%d", i), protocol.JobDone, 4*time.Minute)
 	}
 }
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -18,7 +18,7 @@
 func sweepAll() bool { return os.Getenv("HITCHDOOR_SWEEP") != "" }
 
 // eachSeed runs a test, in parallel, with as many seeds as usual, or as a sweep asks for.
-func eachSeed(t *testing.T, usual, sweep uint64, run func(t *testing.T, seed uint64)) {
+func forEachSeed(t *testing.T, usual, sweep uint64, run func(t *testing.T, seed uint64)) {
 	t.Helper()
 	seeds := usual
 	if sweepAll() {
@@ -34,55 +34,55 @@
 
 // newFaultCombination is a simulation of the given proportions, with users, a leader, machines and
 // jobs whose tasks run for very long.
-func newFaultCombination(t *testing.T, nodes int, p proportions, seed uint64, jobs, tasks int) (*userSimulation, *simNode) {
+func newFaultCombination(t *testing.T, nodes int, p workerTimings, seed uint64, jobs, tasks int) (*userSimulation, *simNode) {
 	t.Helper()
-	c := newUserSimulation(newSimulationOf(t, nodes, p), seed)
-	c.runTime = func(string, int) time.Duration { return time.Hour }
+	c := newUserSimulation(newSimulationWithTimings(t, nodes, p), seed)
+	c.taskDuration = func(string, int) time.Duration { return time.Hour }
 	c.driftClocks()
-	c.waitLeader()
-	c.machines((jobs*tasks + 3) / 4)
+	c.waitForLeader()
+	c.startMachines((jobs*tasks + 3) / 4)
 	for i := range jobs {
-		j := spec(fmt.Sprintf("j-%d", i), tasks)
+		j := jobSpec(fmt.Sprintf("j-%d", i), tasks)
 		j.EstimatedSeconds = 3600
-		c.submit(c.anyNode(), j)
+		c.submit(c.randomNode(), j)
 	}
-	if !c.until(time.Minute, func() bool {
+	if !c.advanceUntil(time.Minute, func() bool {
 		on := 0
 		for i := range jobs {
-			on += c.onMachines(fmt.Sprintf("j-%d", i))
+			on += c.activeTaskCount(fmt.Sprintf("j-%d", i))
 		}
 		return on == jobs*tasks
 	}) {
 		t.Fatal("not all tasks are on machines")
 	}
-	l := c.waitLeader()
-	c.lookClosely()
+	l := c.waitForLeader()
+	c.queryAfterEachChange()
 	return c, l
 }
 
-func (c *userSimulation) lease() time.Duration { return config.Seconds(c.cfg.Workers.LeaseS) }
+func (c *userSimulation) machineLease() time.Duration { return config.Seconds(c.cfg.Workers.LeaseS) }
 
 // whenLed does something, once, when some other node than the given one leads.
-func (c *userSimulation) whenLed(but string, f func(name string)) {
-	var look func()
-	look = func() {
-		if name := c.leader(); name != "" && name != but {
+func (c *userSimulation) onNextLeader(except string, f func(name string)) {
+	var poll func()
+	poll = func() {
+		if name := c.leaderName(); name != "" && name != except {
 			f(name)
 			return
 		}
-		c.after(step, look)
+		c.schedule(step, poll)
 	}
-	look()
+	poll()
 }
 
 // within is a random time up to a bound.
-func (c *userSimulation) within(d time.Duration) time.Duration {
+func (c *userSimulation) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(d)))
 }
 
 // someWorkers does something to a random share of the workers, one in so many.
-func (c *userSimulation) someWorkers(oneIn int, f func(*worker)) {
-	for _, x := range c.inOrder() {
+func (c *userSimulation) forSomeWorkers(oneIn int, f func(*fakeWorker)) {
+	for _, x := range c.sortedWorkers() {
 		if c.rng.IntN(oneIn) == 0 {
 			f(x)
 		}
@@ -90,74 +90,74 @@
 }
 
 // newLeader ends the leader, or tells it to end, and brings it back, often at once.
-func (c *userSimulation) newLeader() {
-	name := c.leader()
+func (c *userSimulation) replaceLeader() {
+	name := c.leaderName()
 	if name == "" {
 		return
 	}
 	if c.rng.IntN(3) == 0 {
 		c.nodes[name].inbox = append(c.nodes[name].inbox, Drain{})
-		c.after(c.within(c.lease()/8), func() { c.back(name, c.within(time.Second)) })
+		c.schedule(c.randomDuration(c.machineLease()/8), func() { c.restartAfter(name, c.randomDuration(time.Second)) })
 		return
 	}
-	c.back(name, c.within(c.lease()/[]time.Duration{1, 40}[c.rng.IntN(2)]))
+	c.restartAfter(name, c.randomDuration(c.machineLease()/[]time.Duration{1, 40}[c.rng.IntN(2)]))
 }
 
 // cancelSome cancels some of the jobs that are open, all within a moment.
-func (c *userSimulation) cancelSome(oneIn int, moment time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(c.accepted)) {
-		if c.over[id] == "" && c.rng.IntN(oneIn) == 0 {
-			c.after(c.within(moment), func() { c.cancelUntil(id) })
+func (c *userSimulation) cancelSomeJobs(oneIn int, moment time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
+		if c.terminalStates[id] == "" && c.rng.IntN(oneIn) == 0 {
+			c.schedule(c.randomDuration(moment), func() { c.cancelWithRetries(id) })
 		}
 	}
 }
 
 // more submits jobs within some time.
-func (c *userSimulation) more(jobs int, d time.Duration, change func(i int, j *protocol.Job)) {
+func (c *userSimulation) submitMoreJobs(jobs int, span time.Duration, change func(i int, j *protocol.Job)) {
 	first := len(c.submitted)
 	for i := range jobs {
-		j := spec(fmt.Sprintf("j-%d", first+i), 1+c.rng.IntN(5))
+		j := jobSpec(fmt.Sprintf("j-%d", first+i), 1+c.rng.IntN(5))
 		j.Team = []string{"team", "free"}[c.rng.IntN(2)]
 		j.Priority = []protocol.Priority{"urgent", "standard", "low"}[c.rng.IntN(3)]
 		if change != nil {
 			change(i, &j)
 		}
 		c.submitted[j.ID] = true
-		c.after(c.within(d), func() { c.submitUntil(j) })
+		c.schedule(c.randomDuration(span), func() { c.submitWithRetries(j) })
 	}
 }
 
 // holdBack keeps copies of the reports, and gives them to all nodes when there is another
 // leader, and again and again for some time after.
-func (c *userSimulation) holdBack() {
-	var kept []*protocol.WorkerHeartbeat
-	c.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
+func (c *userSimulation) replayHeartbeats() {
+	var copies []*protocol.WorkerHeartbeat
+	c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 		if c.rng.IntN(6) == 0 {
-			again := *rep
-			kept = append(kept, &again)
+			again := *heartbeat
+			copies = append(copies, &again)
 		}
 	}
-	seen := c.leader()
+	seen := c.leaderName()
 	var look func()
 	look = func() {
-		name := c.leader()
+		name := c.leaderName()
 		if name == "" || name == seen {
-			c.after(step, look)
+			c.schedule(step, look)
 			return
 		}
 		seen = name
-		for _, rep := range kept {
+		for _, heartbeat := range copies {
 			for _, node := range c.names {
 				for range 2 {
-					c.after(c.within(c.lease()/10), func() {
-						again := *rep
-						c.ask(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
+					c.schedule(c.randomDuration(c.machineLease()/10), func() {
+						again := *heartbeat
+						c.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
 					})
 				}
 			}
 		}
-		kept = nil
-		c.after(step, look)
+		copies = nil
+		c.schedule(step, look)
 	}
 	look()
 }
@@ -166,174 +166,174 @@
 // machines and some jobs, and lasts for as long as it says.
 var faultCombinations = map[string]func(c *userSimulation) time.Duration{
 	"ends far apart, and a change of leader": func(c *userSimulation) time.Duration {
-		c.runTime = func(task string, _ int) time.Duration {
+		c.taskDuration = func(task string, _ int) time.Duration {
 			return 2*time.Second + time.Duration(task[len(task)-1]-'0')*20*time.Second
 		}
-		c.more(10, 10*time.Second, func(_ int, j *protocol.Job) { j.TaskCount = 2 + c.rng.IntN(2) })
+		c.submitMoreJobs(10, 10*time.Second, func(_ int, j *protocol.Job) { j.TaskCount = 2 + c.rng.IntN(2) })
 		for i := range 3 {
-			c.after(time.Duration(i)*15*time.Second+c.within(10*time.Second), c.newLeader)
+			c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(10*time.Second), c.replaceLeader)
 		}
 		return 50 * time.Second
 	},
 	"cancelled as soon as accepted, under close looks": func(c *userSimulation) time.Duration {
-		look := c.told
-		c.told = func(id string, state protocol.JobState) {
+		look := c.onJobState
+		c.onJobState = func(id string, state protocol.JobState) {
 			look(id, state)
 			if state == "accepted" && c.rng.IntN(2) == 0 {
-				c.after(c.within(200*time.Millisecond), func() { c.cancelUntil(id) })
+				c.schedule(c.randomDuration(200*time.Millisecond), func() { c.cancelWithRetries(id) })
 			}
 		}
-		c.more(30, 20*time.Second, nil)
-		c.after(c.within(20*time.Second), c.newLeader)
+		c.submitMoreJobs(30, 20*time.Second, nil)
+		c.schedule(c.randomDuration(20*time.Second), c.replaceLeader)
 		return 30 * time.Second
 	},
 	"only the answer of a transaction is lost": func(c *userSimulation) time.Duration {
-		c.state.late = func() (time.Duration, bool) { return 0, c.rng.IntN(5) < 2 }
-		c.more(20, 40*time.Second, nil)
+		c.store.lateExecution = func() (time.Duration, bool) { return 0, c.rng.IntN(5) < 2 }
+		c.submitMoreJobs(20, 40*time.Second, nil)
 		for i := range 4 {
-			c.after(time.Duration(i)*10*time.Second, func() { c.cancelSome(4, time.Second) })
+			c.schedule(time.Duration(i)*10*time.Second, func() { c.cancelSomeJobs(4, time.Second) })
 		}
-		c.after(c.within(40*time.Second), c.newLeader)
+		c.schedule(c.randomDuration(40*time.Second), c.replaceLeader)
 		return 45 * time.Second
 	},
 	"transactions and lease calls are carried out late": func(c *userSimulation) time.Duration {
-		c.state.late = func() (time.Duration, bool) {
-			return 2*time.Second + c.within(10*time.Second), c.rng.IntN(4) == 0
+		c.store.lateExecution = func() (time.Duration, bool) {
+			return 2*time.Second + c.randomDuration(10*time.Second), c.rng.IntN(4) == 0
 		}
-		c.more(20, 60*time.Second, nil)
+		c.submitMoreJobs(20, 60*time.Second, nil)
 		for i := range 4 {
-			c.after(time.Duration(i)*15*time.Second, func() { c.cancelSome(4, time.Second) })
-			c.after(time.Duration(i)*15*time.Second+c.within(3*time.Second), c.newLeader)
+			c.schedule(time.Duration(i)*15*time.Second, func() { c.cancelSomeJobs(4, time.Second) })
+			c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(3*time.Second), c.replaceLeader)
 		}
 		return 70 * time.Second
 	},
 	"more work than room, over slow links": func(c *userSimulation) time.Duration {
 		c.cloud.capacity = 9
-		c.state.slow = func() time.Duration { return c.within(600 * time.Millisecond) }
-		c.more(40, 40*time.Second, func(_ int, j *protocol.Job) { j.Team = "free" })
-		c.after(c.within(40*time.Second), c.newLeader)
-		c.after(20*time.Second, func() { c.cancelSome(4, time.Second) })
+		c.store.requestDelay = func() time.Duration { return c.randomDuration(600 * time.Millisecond) }
+		c.submitMoreJobs(40, 40*time.Second, func(_ int, j *protocol.Job) { j.Team = "free" })
+		c.schedule(c.randomDuration(40*time.Second), c.replaceLeader)
+		c.schedule(20*time.Second, func() { c.cancelSomeJobs(4, time.Second) })
 		return 60 * time.Second
 	},
 	"controllers hand over and back, all end, one returns": func(c *userSimulation) time.Duration {
-		c.more(15, 60*time.Second, nil)
+		c.submitMoreJobs(15, 60*time.Second, nil)
 		for i := range 3 {
 			at := time.Duration(i) * 20 * time.Second
-			c.after(at, c.newLeader)
-			c.after(at+c.within(time.Second), c.newLeader)
-			c.after(at+8*time.Second+c.within(4*time.Second), func() {
-				first := c.anyNode()
+			c.schedule(at, c.replaceLeader)
+			c.schedule(at+c.randomDuration(time.Second), c.replaceLeader)
+			c.schedule(at+8*time.Second+c.randomDuration(4*time.Second), func() {
+				first := c.randomNode()
 				for _, name := range c.names {
-					d := c.lease() / 2
+					d := c.machineLease() / 2
 					if name == first {
-						d = c.within(time.Second)
+						d = c.randomDuration(time.Second)
 					}
-					c.back(name, d)
+					c.restartAfter(name, d)
 				}
-				c.cancelSome(4, 3*time.Second)
+				c.cancelSomeJobs(4, 3*time.Second)
 			})
 		}
 		return 70 * time.Second
 	},
 	"workers reach no controller": func(c *userSimulation) time.Duration {
 		mute := map[string]bool{}
-		c.someWorkers(2, func(x *worker) { mute[x.name] = true })
-		c.reach = func(x *worker, _ string) bool { return !mute[x.name] }
-		c.more(10, 30*time.Second, nil)
-		c.cancelSome(3, 2*time.Second)
-		c.after(c.within(c.lease()), c.newLeader)
-		c.after(c.lease()/2+c.within(c.lease()), func() { c.reach = nil })
-		return 2 * c.lease()
+		c.forSomeWorkers(2, func(x *fakeWorker) { mute[x.name] = true })
+		c.workerReaches = func(x *fakeWorker, _ string) bool { return !mute[x.name] }
+		c.submitMoreJobs(10, 30*time.Second, nil)
+		c.cancelSomeJobs(3, 2*time.Second)
+		c.schedule(c.randomDuration(c.machineLease()), c.replaceLeader)
+		c.schedule(c.machineLease()/2+c.randomDuration(c.machineLease()), func() { c.workerReaches = nil })
+		return 2 * c.machineLease()
 	},
 	"a leader ends while machines can't be reached or hear nothing": func(c *userSimulation) time.Duration {
-		c.someWorkers(3, func(x *worker) { x.silent = true })
-		c.someWorkers(3, func(x *worker) { x.dropAnswers = true })
-		c.more(10, 30*time.Second, nil)
-		c.after(c.within(6*time.Second), c.newLeader)
-		c.after(c.within(10*time.Second), func() { c.cancelSome(3, 2*time.Second) })
-		for _, x := range c.inOrder() {
-			c.after(c.within(3*c.lease()/2), func() { x.silent, x.dropAnswers = false, false })
-		}
-		return 2 * c.lease()
+		c.forSomeWorkers(3, func(x *fakeWorker) { x.unreachable = true })
+		c.forSomeWorkers(3, func(x *fakeWorker) { x.dropResponses = true })
+		c.submitMoreJobs(10, 30*time.Second, nil)
+		c.schedule(c.randomDuration(6*time.Second), c.replaceLeader)
+		c.schedule(c.randomDuration(10*time.Second), func() { c.cancelSomeJobs(3, 2*time.Second) })
+		for _, x := range c.sortedWorkers() {
+			c.schedule(c.randomDuration(3*c.machineLease()/2), func() { x.unreachable, x.dropResponses = false, false })
+		}
+		return 2 * c.machineLease()
 	},
 	"a zone is cut off for longer than a lease": func(c *userSimulation) time.Duration {
-		inside := c.anyNode()
-		c.reach = func(x *worker, node string) bool { return (x.zone == "a") == (node == inside) }
-		c.state.lost[inside] = true
-		c.holds = c.rng.IntN(2) == 0
-		c.cutOff(inside)
-		c.more(10, 30*time.Second, nil)
-		c.cancelSome(3, 8*time.Second)
-		c.after(c.within(c.lease()), c.newLeader)
-		c.after(c.lease()*5/4+c.within(c.lease()/2), func() {
-			c.reach = nil
-			delete(c.state.lost, inside)
-			c.mend()
+		inside := c.randomNode()
+		c.workerReaches = func(x *fakeWorker, node string) bool { return (x.zone == "a") == (node == inside) }
+		c.store.requestsDropped[inside] = true
+		c.holdMessages = c.rng.IntN(2) == 0
+		c.isolateNode(inside)
+		c.submitMoreJobs(10, 30*time.Second, nil)
+		c.cancelSomeJobs(3, 8*time.Second)
+		c.schedule(c.randomDuration(c.machineLease()), c.replaceLeader)
+		c.schedule(c.machineLease()*5/4+c.randomDuration(c.machineLease()/2), func() {
+			c.workerReaches = nil
+			delete(c.store.requestsDropped, inside)
+			c.healCuts()
 		})
-		return 2 * c.lease()
+		return 2 * c.machineLease()
 	},
 	"cancelled as a controller's work changes hands": func(c *userSimulation) time.Duration {
-		c.more(20, 40*time.Second, nil)
+		c.submitMoreJobs(20, 40*time.Second, nil)
 		for i := range 5 {
 			at := 2*time.Second + time.Duration(i)*10*time.Second
-			c.after(at, c.newLeader)
-			c.after(at-2*time.Second, func() { c.cancelSome(3, 5*time.Second) })
+			c.schedule(at, c.replaceLeader)
+			c.schedule(at-2*time.Second, func() { c.cancelSomeJobs(3, 5*time.Second) })
 		}
 		return 55 * time.Second
 	},
 	"all controllers are away for longer than a lease": func(c *userSimulation) time.Duration {
-		c.cancelSome(3, 2*time.Second)
-		c.more(10, 2*time.Second, nil)
-		c.after(c.within(2*time.Second), func() {
+		c.cancelSomeJobs(3, 2*time.Second)
+		c.submitMoreJobs(10, 2*time.Second, nil)
+		c.schedule(c.randomDuration(2*time.Second), func() {
 			for _, name := range c.names {
 				if c.rng.IntN(2) == 0 {
-					c.back(name, c.lease()*6/5+c.within(time.Second))
+					c.restartAfter(name, c.machineLease()*6/5+c.randomDuration(time.Second))
 				} else {
-					c.freeze(c.nodes[name], c.lease()*6/5+c.within(time.Second), func() {})
+					c.pauseNode(c.nodes[name], c.machineLease()*6/5+c.randomDuration(time.Second), func() {})
 				}
 			}
 		})
-		return 2 * c.lease()
+		return 2 * c.machineLease()
 	},
 	"a half-cut leader, and cancellations through the new one": func(c *userSimulation) time.Duration {
-		old := c.leader()
-		c.reach = func(x *worker, node string) bool { return node == old || x.zone == "a" }
-		c.state.lost[old] = true
-		c.holds = c.rng.IntN(2) == 0
-		c.cutOff(old)
+		old := c.leaderName()
+		c.workerReaches = func(x *fakeWorker, node string) bool { return node == old || x.zone == "a" }
+		c.store.requestsDropped[old] = true
+		c.holdMessages = c.rng.IntN(2) == 0
+		c.isolateNode(old)
 		for range 3 {
-			c.after(c.within(c.lease()), func() { c.cancelSome(4, time.Second) })
+			c.schedule(c.randomDuration(c.machineLease()), func() { c.cancelSomeJobs(4, time.Second) })
 		}
-		c.more(8, 20*time.Second, nil)
-		c.after(c.cancelSpan()+c.within(c.lease()), func() {
-			c.reach = nil
-			delete(c.state.lost, old)
-			c.mend()
+		c.submitMoreJobs(8, 20*time.Second, nil)
+		c.schedule(c.cancelLimit()+c.randomDuration(c.machineLease()), func() {
+			c.workerReaches = nil
+			delete(c.store.requestsDropped, old)
+			c.healCuts()
 		})
-		return c.cancelSpan() + c.lease()
+		return c.cancelLimit() + c.machineLease()
 	},
 	"ten leaders in two minutes, inside an outage too": func(c *userSimulation) time.Duration {
-		c.more(20, 100*time.Second, nil)
+		c.submitMoreJobs(20, 100*time.Second, nil)
 		for i := range 10 {
-			c.after(time.Duration(i)*12*time.Second+c.within(3*time.Second), c.newLeader)
-			c.after(time.Duration(i)*12*time.Second+c.within(6*time.Second), func() { c.cancelSome(8, time.Second) })
+			c.schedule(time.Duration(i)*12*time.Second+c.randomDuration(3*time.Second), c.replaceLeader)
+			c.schedule(time.Duration(i)*12*time.Second+c.randomDuration(6*time.Second), func() { c.cancelSomeJobs(8, time.Second) })
 		}
-		at := c.within(90 * time.Second)
-		c.after(at, func() { c.state.setDown(true) })
-		c.after(at+5*time.Second+c.within(25*time.Second), func() { c.state.setDown(false) })
+		at := c.randomDuration(90 * time.Second)
+		c.schedule(at, func() { c.store.setDown(true) })
+		c.schedule(at+5*time.Second+c.randomDuration(25*time.Second), func() { c.store.setDown(false) })
 		return 2 * time.Minute
 	},
 	"machines up at once while writes lag, and the leader ends": func(c *userSimulation) time.Duration {
-		c.cloud.boot = 300 * time.Millisecond
-		c.state.slow = func() time.Duration { return c.within(c.lease() / 16) }
-		c.more(30, 30*time.Second, nil)
+		c.cloud.bootTime = 300 * time.Millisecond
+		c.store.requestDelay = func() time.Duration { return c.randomDuration(c.machineLease() / 16) }
+		c.submitMoreJobs(30, 30*time.Second, nil)
 		for i := range 3 {
-			c.after(time.Duration(i)*10*time.Second+c.within(8*time.Second), c.newLeader)
+			c.schedule(time.Duration(i)*10*time.Second+c.randomDuration(8*time.Second), c.replaceLeader)
 		}
 		return 40 * time.Second
 	},
 	"jobs bound to one zone lose machines": func(c *userSimulation) time.Duration {
-		c.more(15, 30*time.Second, func(i int, j *protocol.Job) {
+		c.submitMoreJobs(15, 30*time.Second, func(i int, j *protocol.Job) {
 			j.SameZone, j.Spread = i%3 == 0, i%3 == 1
 			if i%3 == 2 {
 				j.Zone = "a"
@@ -341,238 +341,238 @@
 			j.TaskCount = 2 + c.rng.IntN(6)
 		})
 		for range 3 {
-			c.after(c.within(30*time.Second), func() {
-				c.someWorkers(4, func(x *worker) {
+			c.schedule(c.randomDuration(30*time.Second), func() {
+				c.forSomeWorkers(4, func(x *fakeWorker) {
 					delete(c.workers, x.name)
 					delete(c.cloud.hosts, x.name)
 				})
 			})
 		}
-		c.after(c.within(30*time.Second), c.newLeader)
-		c.after(c.within(30*time.Second), func() { c.cancelSome(5, time.Second) })
+		c.schedule(c.randomDuration(30*time.Second), c.replaceLeader)
+		c.schedule(c.randomDuration(30*time.Second), func() { c.cancelSomeJobs(5, time.Second) })
 		return 45 * time.Second
 	},
 	"questions and cancellations meet the end of the last task": func(c *userSimulation) time.Duration {
-		run := c.runTime
-		c.runTime = func(task string, n int) time.Duration {
+		run := c.taskDuration
+		c.taskDuration = func(task string, n int) time.Duration {
 			d := run(task, n)
-			id := jobOf(task)
-			c.after(d+c.within(400*time.Millisecond), func() {
-				j := c.specs[id]
+			id := jobIDOf(task)
+			c.schedule(d+c.randomDuration(400*time.Millisecond), func() {
+				j := c.jobSpecs[id]
 				switch c.rng.IntN(3) {
 				case 0:
-					c.cancelUntil(id)
+					c.cancelWithRetries(id)
 				case 1:
-					c.submitUntil(j)
+					c.submitWithRetries(j)
 				default:
-					c.user(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
+					c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
 				}
 			})
 			return d
 		}
-		c.more(30, 30*time.Second, func(_ int, j *protocol.Job) { j.TaskCount = 1 + c.rng.IntN(2) })
+		c.submitMoreJobs(30, 30*time.Second, func(_ int, j *protocol.Job) { j.TaskCount = 1 + c.rng.IntN(2) })
 		return 45 * time.Second
 	},
 	"old reports after newer ones": func(c *userSimulation) time.Duration {
-		c.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
+		c.onHeartbeat = func(_ *fakeWorker, rep *protocol.WorkerHeartbeat) {
 			if c.rng.IntN(2) == 0 {
 				again := *rep
-				c.after(time.Duration(c.rng.ExpFloat64()*float64(c.lease())), func() {
-					c.ask(c.anyNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
+				c.schedule(time.Duration(c.rng.ExpFloat64()*float64(c.machineLease())), func() {
+					c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
 				})
 			}
 		}
-		c.someWorkers(3, func(x *worker) {
-			c.after(c.within(20*time.Second), func() {
-				x.restarted()
+		c.forSomeWorkers(3, func(x *fakeWorker) {
+			c.schedule(c.randomDuration(20*time.Second), func() {
+				x.restartMachine()
 			})
 		})
-		c.more(15, 30*time.Second, nil)
-		c.after(c.within(30*time.Second), c.newLeader)
-		c.cancelSome(4, 20*time.Second)
+		c.submitMoreJobs(15, 30*time.Second, nil)
+		c.schedule(c.randomDuration(30*time.Second), c.replaceLeader)
+		c.cancelSomeJobs(4, 20*time.Second)
 		return 45 * time.Second
 	},
 	"reports held back until a new leader acts, at all nodes": func(c *userSimulation) time.Duration {
-		c.holdBack()
-		c.more(15, 40*time.Second, nil)
+		c.replayHeartbeats()
+		c.submitMoreJobs(15, 40*time.Second, nil)
 		for i := range 3 {
-			c.after(4*time.Second+time.Duration(i)*14*time.Second, c.newLeader)
+			c.schedule(4*time.Second+time.Duration(i)*14*time.Second, c.replaceLeader)
 		}
-		c.after(c.within(40*time.Second), func() { c.cancelSome(4, time.Second) })
+		c.schedule(c.randomDuration(40*time.Second), func() { c.cancelSomeJobs(4, time.Second) })
 		return 50 * time.Second
 	},
 	"teams at their limits, machines cut off or hanging, cancellations, a takeover": func(c *userSimulation) time.Duration {
-		c.more(16, 5*time.Second, func(i int, j *protocol.Job) { j.Team, j.TaskCount = []string{"team", "small"}[i%2], 4 })
-		at := 8*time.Second + c.within(4*time.Second)
-		c.after(at, func() {
-			c.cancelSome(2, time.Second)
-			c.someWorkers(2, func(x *worker) {
+		c.submitMoreJobs(16, 5*time.Second, func(i int, j *protocol.Job) { j.Team, j.TaskCount = []string{"team", "small"}[i%2], 4 })
+		at := 8*time.Second + c.randomDuration(4*time.Second)
+		c.schedule(at, func() {
+			c.cancelSomeJobs(2, time.Second)
+			c.forSomeWorkers(2, func(x *fakeWorker) {
 				if c.rng.IntN(2) == 0 {
-					x.silent = true
-					c.after(c.within(2*c.lease()), func() { x.silent = false })
+					x.unreachable = true
+					c.schedule(c.randomDuration(2*c.machineLease()), func() { x.unreachable = false })
 				} else {
-					x.hanging = true
-					c.after(c.within(c.lease()*3/2), func() { x.hanging = false })
+					x.hung = true
+					c.schedule(c.randomDuration(c.machineLease()*3/2), func() { x.hung = false })
 				}
 			})
 		})
-		c.after(at+c.within(3*time.Second)-time.Second, c.newLeader)
-		return at + 2*c.lease()
+		c.schedule(at+c.randomDuration(3*time.Second)-time.Second, c.replaceLeader)
+		return at + 2*c.machineLease()
 	},
 	"answers are held up for seconds": func(c *userSimulation) time.Duration {
-		c.someWorkers(2, func(x *worker) { x.lag = c.within(6 * time.Second) })
-		c.more(15, 30*time.Second, nil)
-		c.cancelSome(3, 20*time.Second)
-		c.after(c.within(30*time.Second), c.newLeader)
-		for _, x := range c.inOrder() {
-			c.after(20*time.Second+c.within(20*time.Second), func() { x.lag = 0 })
+		c.forSomeWorkers(2, func(x *fakeWorker) { x.responseDelay = c.randomDuration(6 * time.Second) })
+		c.submitMoreJobs(15, 30*time.Second, nil)
+		c.cancelSomeJobs(3, 20*time.Second)
+		c.schedule(c.randomDuration(30*time.Second), c.replaceLeader)
+		for _, x := range c.sortedWorkers() {
+			c.schedule(20*time.Second+c.randomDuration(20*time.Second), func() { x.responseDelay = 0 })
 		}
 		return 45 * time.Second
 	},
 	"a slow state service refuses the leader, then everybody": func(c *userSimulation) time.Duration {
-		c.state.slow = func() time.Duration { return c.within(c.lease() / 20) }
-		name := c.leader()
-		c.state.refuse[name] = true
-		c.cancelSome(3, 4*time.Second)
-		c.more(6, 10*time.Second, nil)
-		at := c.within(c.lease() / 2)
-		c.after(at, func() { c.state.setDown(true) })
-		c.after(at+c.cancelSpan()*5/4, func() {
-			c.state.setDown(false)
-			delete(c.state.refuse, name)
-			c.state.slow = nil
+		c.store.requestDelay = func() time.Duration { return c.randomDuration(c.machineLease() / 20) }
+		name := c.leaderName()
+		c.store.refusedNodes[name] = true
+		c.cancelSomeJobs(3, 4*time.Second)
+		c.submitMoreJobs(6, 10*time.Second, nil)
+		at := c.randomDuration(c.machineLease() / 2)
+		c.schedule(at, func() { c.store.setDown(true) })
+		c.schedule(at+c.cancelLimit()*5/4, func() {
+			c.store.setDown(false)
+			delete(c.store.refusedNodes, name)
+			c.store.requestDelay = nil
 		})
-		return at + c.cancelSpan()*5/4 + 2*time.Second
+		return at + c.cancelLimit()*5/4 + 2*time.Second
 	},
 	"cancelled jobs' machines hang, and the leader changes": func(c *userSimulation) time.Duration {
-		at := c.within(4 * time.Second)
-		c.after(at, func() { c.cancelSome(2, 200*time.Millisecond) })
-		c.after(at+c.within(400*time.Millisecond), func() {
-			c.someWorkers(2, func(x *worker) {
-				x.hanging = true
-				c.after(c.within(c.lease()*3/2), func() { x.hanging = false })
+		at := c.randomDuration(4 * time.Second)
+		c.schedule(at, func() { c.cancelSomeJobs(2, 200*time.Millisecond) })
+		c.schedule(at+c.randomDuration(400*time.Millisecond), func() {
+			c.forSomeWorkers(2, func(x *fakeWorker) {
+				x.hung = true
+				c.schedule(c.randomDuration(c.machineLease()*3/2), func() { x.hung = false })
 			})
 		})
-		c.after(at+c.within(4*time.Second), c.newLeader)
-		c.more(6, 10*time.Second, nil)
-		return 2 * c.lease()
+		c.schedule(at+c.randomDuration(4*time.Second), c.replaceLeader)
+		c.submitMoreJobs(6, 10*time.Second, nil)
+		return 2 * c.machineLease()
 	},
 	"controllers go silent for a minute or more": func(c *userSimulation) time.Duration {
-		c.more(15, 40*time.Second, nil)
-		at := c.within(10 * time.Second)
-		c.after(at, func() {
+		c.submitMoreJobs(15, 40*time.Second, nil)
+		at := c.randomDuration(10 * time.Second)
+		c.schedule(at, func() {
 			all := c.rng.IntN(3) == 0
-			leader := c.leader()
+			leader := c.leaderName()
 			for _, name := range c.names {
 				if all || name == leader {
-					c.goSilent(name, time.Minute+c.within(30*time.Second))
+					c.pauseController(name, time.Minute+c.randomDuration(30*time.Second))
 				}
 			}
 		})
 		for range 3 {
-			c.after(max(0, at-time.Second)+c.within(3*time.Second), func() { c.cancelSome(4, time.Second) })
+			c.schedule(max(0, at-time.Second)+c.randomDuration(3*time.Second), func() { c.cancelSomeJobs(4, time.Second) })
 		}
 		return at + 95*time.Second
 	},
 	"silent in an election, at a confirmation, in a write": func(c *userSimulation) time.Duration {
-		c.more(20, 60*time.Second, nil)
+		c.submitMoreJobs(20, 60*time.Second, nil)
 		for i := range 4 {
 			at := time.Duration(i) * 20 * time.Second
-			c.after(at, c.newLeader)
+			c.schedule(at, c.replaceLeader)
 			for range 2 {
-				c.after(at+c.within(c.lease()/3), func() { c.goSilent(c.anyNode(), c.within(25*time.Second)) })
+				c.schedule(at+c.randomDuration(c.machineLease()/3), func() { c.pauseController(c.randomNode(), c.randomDuration(25*time.Second)) })
 			}
-			c.after(at+5*time.Second, func() {
-				c.cancelSome(4, 200*time.Millisecond)
-				if name := c.leader(); name != "" {
-					c.after(c.within(100*time.Millisecond), func() { c.goSilent(name, c.within(20*time.Second)) })
+			c.schedule(at+5*time.Second, func() {
+				c.cancelSomeJobs(4, 200*time.Millisecond)
+				if name := c.leaderName(); name != "" {
+					c.schedule(c.randomDuration(100*time.Millisecond), func() { c.pauseController(name, c.randomDuration(20*time.Second)) })
 				}
 			})
 		}
 		return 110 * time.Second
 	},
 	"a flood of questions, and a controller stands still": func(c *userSimulation) time.Duration {
-		c.more(15, 30*time.Second, nil)
+		c.submitMoreJobs(15, 30*time.Second, nil)
 		for i := range 600 {
-			c.after(time.Duration(i)*50*time.Millisecond, c.poll)
+			c.schedule(time.Duration(i)*50*time.Millisecond, c.queryAllJobs)
 		}
 		for range 3 {
-			c.after(c.within(25*time.Second), func() { c.goSilent(c.anyNode(), c.within(9*time.Second)) })
-			c.after(c.within(30*time.Second), func() { c.cancelSome(5, time.Second) })
+			c.schedule(c.randomDuration(25*time.Second), func() { c.pauseController(c.randomNode(), c.randomDuration(9*time.Second)) })
+			c.schedule(c.randomDuration(30*time.Second), func() { c.cancelSomeJobs(5, time.Second) })
 		}
 		return 40 * time.Second
 	},
 	"jobs with a mistake beside a faulty machine, and a change of leader": func(c *userSimulation) time.Duration {
-		c.more(12, 20*time.Second, func(i int, j *protocol.Job) {
+		c.submitMoreJobs(12, 20*time.Second, func(i int, j *protocol.Job) {
 			if i%4 == 0 {
-				c.mistake[j.ID] = true
+				c.failingJobs[j.ID] = true
 			}
 		})
-		c.after(5*time.Second, func() { c.someWorkers(6, func(x *worker) { x.faulty = true }) })
-		c.after(c.within(40*time.Second), c.newLeader)
-		c.after(80*time.Second, func() {
-			for id := range c.mistake {
-				c.cancelUntil(id)
+		c.schedule(5*time.Second, func() { c.forSomeWorkers(6, func(x *fakeWorker) { x.faulty = true }) })
+		c.schedule(c.randomDuration(40*time.Second), c.replaceLeader)
+		c.schedule(80*time.Second, func() {
+			for id := range c.failingJobs {
+				c.cancelWithRetries(id)
 			}
 		})
 		return 85 * time.Second
 	},
 	"machines come up late or never": func(c *userSimulation) time.Duration {
-		c.cloud.bootOf = func() time.Duration {
+		c.cloud.nextBootTime = func() time.Duration {
 			if c.rng.IntN(4) == 0 {
 				return time.Hour
 			}
 			return time.Second + time.Duration(c.rng.ExpFloat64()*float64(20*time.Second))
 		}
-		c.more(30, 30*time.Second, nil)
-		c.after(c.within(40*time.Second), c.newLeader)
-		c.after(60*time.Second, func() { c.cloud.bootOf = nil })
+		c.submitMoreJobs(30, 30*time.Second, nil)
+		c.schedule(c.randomDuration(40*time.Second), c.replaceLeader)
+		c.schedule(60*time.Second, func() { c.cloud.nextBootTime = nil })
 		return 70 * time.Second
 	},
 	"odd requests": func(c *userSimulation) time.Duration {
-		c.more(10, 20*time.Second, nil)
+		c.submitMoreJobs(10, 20*time.Second, nil)
 		for range 40 {
-			c.after(c.within(40*time.Second), func() { c.oddRequest() })
+			c.schedule(c.randomDuration(40*time.Second), func() { c.sendInvalidRequest() })
 		}
-		c.after(c.within(30*time.Second), c.newLeader)
+		c.schedule(c.randomDuration(30*time.Second), c.replaceLeader)
 		return 40 * time.Second
 	},
 }
 
 // goSilent lets a controller stand still, and go on as if nothing had been; some of them
 // between a decision and what comes of it.
-func (c *userSimulation) goSilent(name string, d time.Duration) {
+func (c *userSimulation) pauseController(name string, d time.Duration) {
 	n := c.nodes[name]
 	switch {
-	case n.down || n.frozen:
+	case n.down || n.paused:
 	case c.rng.IntN(2) == 0:
-		n.stall = d
+		n.pauseBeforeEffects = d
 	default:
-		c.freeze(n, d, func() {})
+		c.pauseNode(n, d, func() {})
 	}
 }
 
 // oddRequest repeats a submission in another form, cancels what is over, or sends a job
 // that fits no machine.
-func (c *userSimulation) oddRequest() {
-	ids := slices.Sorted(maps.Keys(c.accepted))
+func (c *userSimulation) sendInvalidRequest() {
+	ids := slices.Sorted(maps.Keys(c.acceptedAt))
 	if len(ids) == 0 {
 		return
 	}
 	id := ids[c.rng.IntN(len(ids))]
 	switch c.rng.IntN(3) {
 	case 0:
-		again := c.specs[id]
+		again := c.jobSpecs[id]
 		again.Cores, again.TaskCount, again.Team = 400, 77, "nobody"
-		c.user(Request{Kind: protocol.RequestSubmit, JobID: id, Job: &again}, func(Reply) {})
+		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: id, Job: &again}, func(Reply) {})
 	case 1:
-		if c.over[id] != "" {
-			c.user(Request{Kind: protocol.RequestCancel, JobID: id}, func(Reply) {})
+		if c.terminalStates[id] != "" {
+			c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: id}, func(Reply) {})
 		}
 	default:
-		j := spec(fmt.Sprintf("j-odd-%d", c.rng.IntN(5)), 1)
+		j := jobSpec(fmt.Sprintf("j-odd-%d", c.rng.IntN(5)), 1)
 		j.Cores = 400
-		c.user(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
+		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
 			if r.Status != 422 && r.Status != 503 && r.Status != 0 {
 				c.t.Errorf("a job that fits no machine: %d", r.Status)
 			}
@@ -586,30 +586,30 @@
 func TestFaultCombinations(t *testing.T) {
 	for name, meet := range faultCombinations {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, 8, 60, func(t *testing.T, seed uint64) {
-				w := newSimulationOf(t, []int{3, 7}[seed%2], deployments[seed/2%uint64(len(deployments))])
+			forEachSeed(t, 8, 60, func(t *testing.T, seed uint64) {
+				w := newSimulationWithTimings(t, []int{3, 7}[seed%2], deployments[seed/2%uint64(len(deployments))])
 				w.cfg.Teams = append(w.cfg.Teams, config.Team{Name: "small", MaxCPUs: 8})
 				c := newUserSimulation(w, seed*31+uint64(len(name)))
 				for _, node := range c.names {
-					c.start(node)
+					c.startNode(node)
 				}
 				c.driftClocks()
 				times := map[string]time.Duration{}
-				c.runTime = func(task string, _ int) time.Duration {
+				c.taskDuration = func(task string, _ int) time.Duration {
 					if times[task] == 0 {
-						times[task] = time.Second + c.within(40*time.Second)
+						times[task] = time.Second + c.randomDuration(40*time.Second)
 					}
 					return times[task]
 				}
-				c.waitLeader()
-				c.machines(8)
-				c.lookClosely()
-				c.more(8, 100*time.Millisecond, nil)
-				c.run(8 * time.Second)
-				c.run(meet(c))
-				c.state.late, c.state.slow, c.copies = nil, nil, nil
-				c.run(12 * time.Second) // what is late comes
-				c.settle(5 * time.Minute)
+				c.waitForLeader()
+				c.startMachines(8)
+				c.queryAfterEachChange()
+				c.submitMoreJobs(8, 100*time.Millisecond, nil)
+				c.advance(8 * time.Second)
+				c.advance(meet(c))
+				c.store.lateExecution, c.store.requestDelay, c.onHeartbeat = nil, nil, nil
+				c.advance(12 * time.Second) // what is late comes
+				c.waitForCompletion(5 * time.Minute)
 			})
 		})
 	}
@@ -620,37 +620,37 @@
 // grows, and cancellations are not confirmed later for it.
 func TestSmallJobsByTheHundred(t *testing.T) {
 	for k, p := range deployments {
-		t.Run(fmt.Sprintf("lease %v", p.lease), func(t *testing.T) {
+		t.Run(fmt.Sprintf("lease %v", p.machineLease), func(t *testing.T) {
 			t.Parallel()
-			c := newUserSimulation(newSimulationOf(t, 3, p), uint64(k))
-			c.state.limited = true
-			c.runTime = func(string, int) time.Duration { return time.Second + c.within(6*time.Second) }
-			c.waitLeader()
-			c.machines(12)
+			c := newUserSimulation(newSimulationWithTimings(t, 3, p), uint64(k))
+			c.store.limitWriteRate = true
+			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(6*time.Second) }
+			c.waitForLeader()
+			c.startMachines(12)
 			const minutes, rate = 3, 4
 			slowest, most := time.Duration(0), 0
 			for i := range minutes * 60 * rate {
-				j := spec(fmt.Sprintf("j-%d", i), 1)
-				c.after(time.Duration(i)*time.Second/rate, func() { c.submitUntil(j) })
+				j := jobSpec(fmt.Sprintf("j-%d", i), 1)
+				c.schedule(time.Duration(i)*time.Second/rate, func() { c.submitWithRetries(j) })
 				if i%4 == 0 {
-					c.after(time.Duration(i)*time.Second/rate+time.Second+c.within(5*time.Second), func() {
-						if !c.knows(j.ID) {
+					c.schedule(time.Duration(i)*time.Second/rate+time.Second+c.randomDuration(5*time.Second), func() {
+						if !c.knowsAccepted(j.ID) {
 							return // it is not accepted yet, as the leader changes
 						}
 						asked := c.now
-						c.user(Request{Kind: protocol.RequestCancel, JobID: j.ID}, func(r Reply) {
+						c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: j.ID}, func(r Reply) {
 							if r.Status == 200 {
 								slowest = max(slowest, c.now-asked)
 							} else {
-								c.cancelUntil(j.ID)
+								c.cancelWithRetries(j.ID)
 							}
 						})
 					})
 				}
 			}
-			c.after(minutes*30*time.Second, c.newLeader)
-			for end := c.now + minutes*time.Minute; c.now < end; c.run(time.Second) {
-				if name := c.leader(); name != "" {
+			c.schedule(minutes*30*time.Second, c.replaceLeader)
+			for end := c.now + minutes*time.Minute; c.now < end; c.advance(time.Second) {
+				if name := c.leaderName(); name != "" {
 					most = max(most, c.nodes[name].leader.writer.PendingChanges())
 				}
 			}
@@ -660,7 +660,7 @@
 			if most > 60 {
 				t.Errorf("%d changes waited", most)
 			}
-			c.settle(time.Minute)
+			c.waitForCompletion(time.Minute)
 		})
 	}
 }
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -11,38 +11,38 @@
 
 // busy is a leader at the size of a large deployment, with half as many machines
 // again: all full, and tens of thousands of tasks that wait.
-func busy(b *testing.B) (*simulation, *simNode) {
+func newBenchmarkLeader(b *testing.B) (*simulation, *simNode) {
 	defer b.ReportAllocs()
-	return busyLeader(&testing.T{}, 1800, 300)
+	return newBusyLeader(&testing.T{}, 1800, 300)
 }
 
 // busyLeader is a leader of so many full machines, with 60 jobs of so many tasks.
-func busyLeader(t *testing.T, machines, tasks int) (*simulation, *simNode) {
+func newBusyLeader(t *testing.T, machines, tasks int) (*simulation, *simNode) {
 	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return time.Hour }
-	l := w.waitLeader()
-	w.cloud.boot = time.Second
+	w.taskDuration = func(string, int) time.Duration { return time.Hour }
+	l := w.waitForLeader()
+	w.cloud.bootTime = time.Second
 	for i := range machines {
-		w.cloud.rent("c4", []string{"a", "b"}[i%2], true)
+		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	w.until(time.Minute, func() bool { return len(w.workers) >= machines })
+	w.advanceUntil(time.Minute, func() bool { return len(w.workers) >= machines })
 	w.cloud.capacity = machines
 	for i := range 60 {
-		j := spec(fmt.Sprintf("j-%d", i), tasks)
+		j := jobSpec(fmt.Sprintf("j-%d", i), tasks)
 		j.Image = fmt.Sprintf("i%d", i%18)
 		w.submit(l.name, j)
 	}
-	w.run(15 * time.Second)
+	w.advance(15 * time.Second)
 	return w, l
 }
 
 // What a report costs, counted in machines and jobs looked at, is the same with four
 // times the machines and tasks, also for work that is to start soon and looks
 // for a machine with its image.
-func TestReportCostsTheSameAtAnySize(t *testing.T) {
+func TestHeartbeatCostsTheSameAtAnySize(t *testing.T) {
 	cost := func(machines, tasks int) int {
-		w, n := busyLeader(t, machines, tasks)
-		l, now := n.leader, w.now-n.boot
+		w, n := newBusyLeader(t, machines, tasks)
+		l, now := n.leader, w.now-n.bootedAt
 		l.GuaranteedStartWithin = 10 * time.Second
 		for i, r := range l.PendingOrder {
 			r.Job.EligibleAt, r.Job.Spec.Image, r.Job.Spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
@@ -53,7 +53,7 @@
 		}
 		at := l.CandidatesExamined
 		for i, m := range l.MachinesByName()[:21] {
-			rep := w.workers[m.Name].report()
+			rep := w.workers[m.Name].heartbeat()
 			if i%2 == 0 { // a task has ended
 				rep.Tasks[0].State, rep.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
 			}
@@ -80,10 +80,10 @@
 // BenchmarkReport measures a leader's step for a report. Reports are most of its
 // work, so it must not grow with machines x tasks.
 func BenchmarkReport(b *testing.B) {
-	w, l := busy(b)
+	w, l := newBenchmarkLeader(b)
 	m := l.leader.Machines["m-000001"]
-	rep := w.workers["m-000001"].report()
-	now := w.now - l.boot
+	rep := w.workers["m-000001"].heartbeat()
+	now := w.now - l.bootedAt
 	for i := 0; b.Loop(); i++ {
 		// The clock stands still, within the leader's lease.
 		rep.Sequence = m.HeartbeatSeq + 1
@@ -97,7 +97,7 @@
 // BenchmarkPass measures a full pass of admission when a tenth of the machines
 // have room.
 func BenchmarkPass(b *testing.B) {
-	_, l := busy(b)
+	_, l := newBenchmarkLeader(b)
 	for b.Loop() {
 		for i, m := range l.leader.MachinesByName() {
 			if i%10 == 0 {
@@ -112,7 +112,7 @@
 
 // BenchmarkPlan measures the planning of the fleet.
 func BenchmarkPlan(b *testing.B) {
-	_, l := busy(b)
+	_, l := newBenchmarkLeader(b)
 	for b.Loop() {
 		l.leader.autoscaler.ApplyPlan()
 	}
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -14,7 +14,7 @@
 // mixedFaults is one short run of mixed troubles, all of it repeatable by its seed.
 type mixedFaults struct {
 	*userSimulation
-	limits bool // the state service may lower its limits
+	mayLowerLimits bool // the state service may lower its limits
 }
 
 // TestMixedFaults mixes, in many short runs, crashes and quick returns of
@@ -25,46 +25,46 @@
 // one node leads, no task runs twice and no team is over its limit; the invariant checker
 // also hears what users are told, and every accepted job runs in the end.
 func TestMixedFaults(t *testing.T) {
-	eachSeed(t, 96, 6000, runMixedFaults)
+	forEachSeed(t, 96, 6000, runMixedFaults)
 }
 
 func runMixedFaults(t *testing.T, seed uint64) {
-	c := &mixedFaults{userSimulation: newUserSimulation(newSimulationOf(t, 3+4*int(seed%3/2), deployments[seed/6%uint64(len(deployments))]), seed)}
+	c := &mixedFaults{userSimulation: newUserSimulation(newSimulationWithTimings(t, 3+4*int(seed%3/2), deployments[seed/6%uint64(len(deployments))]), seed)}
 	if seed%5 == 2 {
 		// One team has a guarantee, for which others give room back.
 		c.cfg.Teams[0].GuaranteedCPUs = 8
 		c.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
 		c.cloud.capacity = 6
 		for _, name := range c.names {
-			c.start(name)
+			c.startNode(name)
 		}
 	}
 	if seed%4 >= 2 {
-		c.limits = true
-		c.announce(1, 4, 30)
+		c.mayLowerLimits = true
+		c.announceUpcomingLimits(1, 4, 30)
 	}
 	if seed%3 > 0 {
 		// In mid-upgrade: a node that dies before its turn comes back old.
 		for i, name := range c.names {
-			c.old[name] = true
-			c.start(name)
-			c.after(time.Duration(20+i*c.rng.IntN(12))*time.Second, func() { c.upgrade(name) })
+			c.oldVersionNodes[name] = true
+			c.startNode(name)
+			c.schedule(time.Duration(20+i*c.rng.IntN(12))*time.Second, func() { c.upgradeNode(name) })
 		}
 	}
-	c.holds = seed%2 == 0
-	c.runTime = func(task string, _ int) time.Duration { return time.Duration(2+len(task)%9) * time.Second }
+	c.holdMessages = seed%2 == 0
+	c.taskDuration = func(task string, _ int) time.Duration { return time.Duration(2+len(task)%9) * time.Second }
 	if seed%5 == 2 {
-		c.runTime = func(task string, n int) time.Duration { return max(5, time.Duration(45/n)) * time.Second }
+		c.taskDuration = func(task string, n int) time.Duration { return max(5, time.Duration(45/n)) * time.Second }
 	}
 	c.driftClocks()
 	if seed%2 == 1 {
-		c.lookClosely()
+		c.queryAfterEachChange()
 	}
 	if seed%5 == 0 {
-		c.holdBack()
+		c.replayHeartbeats()
 	}
-	kept := c.copies
-	c.copies = func(x *worker, rep *protocol.WorkerHeartbeat) {
+	kept := c.onHeartbeat
+	c.onHeartbeat = func(x *fakeWorker, rep *protocol.WorkerHeartbeat) {
 		if kept != nil {
 			kept(x, rep)
 		}
@@ -72,31 +72,31 @@
 			copied := *rep
 			copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
 			late := time.Duration(c.rng.ExpFloat64() * float64(config.Seconds(c.cfg.Workers.LeaseS)))
-			c.after(late, func() {
-				c.ask(c.anyNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(Reply) {})
+			c.schedule(late, func() {
+				c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(Reply) {})
 			})
 		}
 	}
-	c.waitLeader()
-	c.machines(3)
-	troubles := []func(){c.crashSome, c.cutSome, c.halfCut, c.stateOutage, c.refuseOne, c.loseAnswers, c.lateTransaction,
-		c.deafen, c.hang, c.silence, c.restarted, c.quickReturn, c.peersRefuse, c.standStill, c.cutZone, c.lateWrites, c.answersLost, c.mute, c.cancelAndHang, c.cancelAtEnd,
-		c.refuseWithPeers, c.slowState, c.answersHeldUp, c.refusedThenOut, c.mistakes}
+	c.waitForLeader()
+	c.startMachines(3)
+	faults := []func(){c.crashControllers, c.cutRandomLinks, c.cutControllerFromPeersAndStore, c.stopStore, c.refuseController, c.loseStoreResponses, c.delayTransaction,
+		c.dropWorkerResponses, c.hangMachines, c.makeMachinesUnreachable, c.restartMachines, c.restartControllersQuickly, c.isolateAllControllers, c.pauseControllers, c.cutZone, c.executeWritesLate, c.dropWriteResponses, c.cutWorkersFromControllers, c.cancelJobsAndHangMachines, c.cancelJobsAtCompletion,
+		c.refuseAndIsolateController, c.delayStoreCalls, c.delayWorkerResponses, c.refuseLeaderThenStopStore, c.failJobs}
 	for i := range 14 {
-		c.userWork(i)
+		c.submitUserWork(i)
 		for range 1 + c.rng.IntN(2) {
-			troubles[c.rng.IntN(len(troubles))]()
+			faults[c.rng.IntN(len(faults))]()
 		}
-		c.poll()
-		c.run(time.Duration(c.rng.IntN(8000)) * time.Millisecond)
+		c.queryAllJobs()
+		c.advance(time.Duration(c.rng.IntN(8000)) * time.Millisecond)
 	}
-	c.run(c.cancelSpan()*5/4 + c.lease()) // all troubles end by themselves
-	c.settle(5 * time.Minute)
+	c.advance(c.cancelLimit()*5/4 + c.machineLease()) // all troubles end by themselves
+	c.waitForCompletion(5 * time.Minute)
 }
 
 // userWork submits a job, and at times cancels one.
-func (c *mixedFaults) userWork(i int) {
-	j := spec(fmt.Sprintf("j-%d", i), 1+c.rng.IntN(9))
+func (c *mixedFaults) submitUserWork(i int) {
+	j := jobSpec(fmt.Sprintf("j-%d", i), 1+c.rng.IntN(9))
 	if c.rng.IntN(2) == 0 {
 		j.Team = "team"
 	}
@@ -104,234 +104,234 @@
 		j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 10, 1
 	}
 	for range c.rng.IntN(4) {
-		if id := fmt.Sprintf("j-%d", c.rng.IntN(i+1)); c.knows(id) && len(c.old) == 0 {
+		if id := fmt.Sprintf("j-%d", c.rng.IntN(i+1)); c.knowsAccepted(id) && len(c.oldVersionNodes) == 0 {
 			j.Dependencies = append(j.Dependencies, id)
 		}
 	}
-	if c.limits && c.rng.IntN(4) == 0 && len(c.old) == 0 {
-		c.state.lowered = true
+	if c.mayLowerLimits && c.rng.IntN(4) == 0 && len(c.oldVersionNodes) == 0 {
+		c.store.enforceUpcomingLimits = true
 	}
-	c.specs[j.ID] = j
-	c.submitUntil(j)
+	c.jobSpecs[j.ID] = j
+	c.submitWithRetries(j)
 	if i > 2 && c.rng.IntN(3) == 0 {
 		id := fmt.Sprintf("j-%d", i-2)
-		if c.knows(id) {
-			c.cancelUntil(id)
+		if c.knowsAccepted(id) {
+			c.cancelWithRetries(id)
 		}
 	}
 }
 
-func (c *mixedFaults) anyWorkers(f func(*worker)) {
-	for i := range c.cloud.last {
+func (c *mixedFaults) forRandomWorkers(f func(*fakeWorker)) {
+	for i := range c.cloud.lastMachineNumber {
 		if x := c.workers[fmt.Sprintf("m-%06d", i+1)]; x != nil && c.rng.IntN(3) == 0 {
 			f(x)
 		}
 	}
 }
 
-func (c *mixedFaults) soon() time.Duration {
+func (c *mixedFaults) randomDelay() time.Duration {
 	return time.Duration(200+c.rng.IntN(25_000)) * time.Millisecond
 }
 
-func (c *mixedFaults) crashSome() {
+func (c *mixedFaults) crashControllers() {
 	for range 1 + c.rng.IntN(3) {
-		c.back(c.anyNode(), 3*time.Second)
+		c.restartAfter(c.randomNode(), 3*time.Second)
 	}
 }
 
-func (c *mixedFaults) quickReturn() {
+func (c *mixedFaults) restartControllersQuickly() {
 	for i := range 3 {
-		c.after(time.Duration(i*c.rng.IntN(900))*time.Millisecond, func() {
-			c.back(c.anyNode(), time.Duration(20+c.rng.IntN(400))*time.Millisecond)
+		c.schedule(time.Duration(i*c.rng.IntN(900))*time.Millisecond, func() {
+			c.restartAfter(c.randomNode(), time.Duration(20+c.rng.IntN(400))*time.Millisecond)
 		})
 	}
 }
 
-func (c *mixedFaults) cutSome() {
+func (c *mixedFaults) cutRandomLinks() {
 	for range 1 + c.rng.IntN(2) {
-		c.cut[[2]string{c.anyNode(), c.anyNode()}] = true
+		c.linkCuts[[2]string{c.randomNode(), c.randomNode()}] = true
 	}
-	c.after(c.soon(), c.mend)
+	c.schedule(c.randomDelay(), c.healCuts)
 }
 
 // peersRefuse cuts all controllers from each other.
-func (c *mixedFaults) peersRefuse() {
-	c.cutAll()
-	c.after(c.soon(), c.mend)
+func (c *mixedFaults) isolateAllControllers() {
+	c.isolateAllNodes()
+	c.schedule(c.randomDelay(), c.healCuts)
 }
 
 // halfCut takes the state service and the other controllers from one, not its workers.
-func (c *mixedFaults) halfCut() {
-	name := c.leader()
+func (c *mixedFaults) cutControllerFromPeersAndStore() {
+	name := c.leaderName()
 	if name == "" || c.rng.IntN(3) == 0 {
-		name = c.anyNode()
+		name = c.randomNode()
 	}
-	c.state.lost[name] = true
-	c.cutOff(name)
-	c.after(c.soon(), func() { delete(c.state.lost, name); c.mend() })
+	c.store.requestsDropped[name] = true
+	c.isolateNode(name)
+	c.schedule(c.randomDelay(), func() { delete(c.store.requestsDropped, name); c.healCuts() })
 }
 
 // standStill stops controllers for a moment or for longer than every lease, some of
 // them between a decision and what comes of it.
-func (c *mixedFaults) standStill() {
+func (c *mixedFaults) pauseControllers() {
 	for range 1 + c.rng.IntN(2) {
-		name := c.anyNode()
-		if l := c.leader(); l != "" && c.rng.IntN(2) == 0 {
+		name := c.randomNode()
+		if l := c.leaderName(); l != "" && c.rng.IntN(2) == 0 {
 			name = l
 		}
-		c.goSilent(name, time.Duration(c.rng.ExpFloat64()*float64(c.lease())/3))
+		c.pauseController(name, time.Duration(c.rng.ExpFloat64()*float64(c.machineLease())/3))
 	}
 }
 
 // mistakes lets some jobs fail on every machine until their users cancel them.
-func (c *mixedFaults) mistakes() {
-	for _, id := range slices.Sorted(maps.Keys(c.accepted)) {
-		if c.over[id] == "" && !c.mistake[id] && c.rng.IntN(4) == 0 {
-			c.mistake[id] = true
-			c.after(c.soon(), func() { c.cancelUntil(id) })
+func (c *mixedFaults) failJobs() {
+	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
+		if c.terminalStates[id] == "" && !c.failingJobs[id] && c.rng.IntN(4) == 0 {
+			c.failingJobs[id] = true
+			c.schedule(c.randomDelay(), func() { c.cancelWithRetries(id) })
 		}
 	}
 }
 
 // cutZone cuts one node and the workers of a zone from everything else.
 func (c *mixedFaults) cutZone() {
-	name := c.anyNode()
-	c.reach = func(x *worker, node string) bool { return (x.zone == "a") == (node == name) }
-	c.state.lost[name] = true
-	c.cutOff(name)
-	c.after(c.soon(), func() {
-		c.reach = nil
-		delete(c.state.lost, name)
-		c.mend()
+	name := c.randomNode()
+	c.workerReaches = func(x *fakeWorker, node string) bool { return (x.zone == "a") == (node == name) }
+	c.store.requestsDropped[name] = true
+	c.isolateNode(name)
+	c.schedule(c.randomDelay(), func() {
+		c.workerReaches = nil
+		delete(c.store.requestsDropped, name)
+		c.healCuts()
 	})
 }
 
-func (c *mixedFaults) stateOutage() {
-	c.state.setDown(true)
-	c.after(c.soon(), func() { c.state.setDown(false) })
+func (c *mixedFaults) stopStore() {
+	c.store.setDown(true)
+	c.schedule(c.randomDelay(), func() { c.store.setDown(false) })
 }
 
-func (c *mixedFaults) refuseOne() {
-	name := c.anyNode()
-	c.state.refuse[name] = true
-	c.after(c.soon(), func() { delete(c.state.refuse, name) })
+func (c *mixedFaults) refuseController() {
+	name := c.randomNode()
+	c.store.refusedNodes[name] = true
+	c.schedule(c.randomDelay(), func() { delete(c.store.refusedNodes, name) })
 }
 
-func (c *mixedFaults) loseAnswers() { c.state.lose += 1 + c.rng.IntN(3) }
+func (c *mixedFaults) loseStoreResponses() { c.store.responsesToLose += 1 + c.rng.IntN(3) }
 
 // lateTransaction keeps back a transaction, which is executed minutes later.
-func (c *mixedFaults) lateTransaction() {
-	s := c.state
-	s.hold = holdOne(s)
-	c.after(time.Duration(c.rng.IntN(60))*time.Second, func() {
-		held := s.machinesByName
-		s.machinesByName = nil
+func (c *mixedFaults) delayTransaction() {
+	store := c.store
+	store.holdTransaction = holdNextTransaction(store)
+	c.schedule(time.Duration(c.rng.IntN(60))*time.Second, func() {
+		held := store.heldTransactions
+		store.heldTransactions = nil
 		for _, f := range held {
 			f()
 		}
 	})
 }
 
-func (c *mixedFaults) deafen() {
-	c.anyWorkers(func(x *worker) {
-		x.dropAnswers = true
-		c.after(c.soon(), func() { x.dropAnswers = false })
+func (c *mixedFaults) dropWorkerResponses() {
+	c.forRandomWorkers(func(x *fakeWorker) {
+		x.dropResponses = true
+		c.schedule(c.randomDelay(), func() { x.dropResponses = false })
 	})
 }
 
-func (c *mixedFaults) hang() {
-	c.anyWorkers(func(x *worker) {
-		x.hanging = true
-		c.after(c.soon(), func() { x.hanging = false })
+func (c *mixedFaults) hangMachines() {
+	c.forRandomWorkers(func(x *fakeWorker) {
+		x.hung = true
+		c.schedule(c.randomDelay(), func() { x.hung = false })
 	})
 }
 
-func (c *mixedFaults) silence() {
-	c.anyWorkers(func(x *worker) {
-		x.silent = true
-		c.after(c.soon(), func() { x.silent = false })
+func (c *mixedFaults) makeMachinesUnreachable() {
+	c.forRandomWorkers(func(x *fakeWorker) {
+		x.unreachable = true
+		c.schedule(c.randomDelay(), func() { x.unreachable = false })
 	})
 }
 
 // restarted brings machines back at once in a new session, with nothing on them.
-func (c *mixedFaults) restarted() {
-	c.anyWorkers(func(x *worker) {
-		x.restarted()
+func (c *mixedFaults) restartMachines() {
+	c.forRandomWorkers(func(x *fakeWorker) {
+		x.restartMachine()
 	})
 }
 
 // lateWrites lets some transactions and lease calls go unanswered and be carried out late.
-func (c *mixedFaults) lateWrites() {
-	c.state.late = func() (time.Duration, bool) {
-		return 2*time.Second + c.within(10*time.Second), c.rng.IntN(4) == 0
+func (c *mixedFaults) executeWritesLate() {
+	c.store.lateExecution = func() (time.Duration, bool) {
+		return 2*time.Second + c.randomDuration(10*time.Second), c.rng.IntN(4) == 0
 	}
-	c.after(c.soon(), func() { c.state.late = nil })
+	c.schedule(c.randomDelay(), func() { c.store.lateExecution = nil })
 }
 
 // answersLost lets some be carried out at once, with only the answer lost.
-func (c *mixedFaults) answersLost() {
-	c.state.late = func() (time.Duration, bool) { return 0, c.rng.IntN(3) == 0 }
-	c.after(c.soon(), func() { c.state.late = nil })
+func (c *mixedFaults) dropWriteResponses() {
+	c.store.lateExecution = func() (time.Duration, bool) { return 0, c.rng.IntN(3) == 0 }
+	c.schedule(c.randomDelay(), func() { c.store.lateExecution = nil })
 }
 
 // slowState holds up each call to the state service.
-func (c *mixedFaults) slowState() {
-	c.state.slow = func() time.Duration { return c.within(c.lease() / 16) }
-	c.after(c.soon(), func() { c.state.slow = nil })
+func (c *mixedFaults) delayStoreCalls() {
+	c.store.requestDelay = func() time.Duration { return c.randomDuration(c.machineLease() / 16) }
+	c.schedule(c.randomDelay(), func() { c.store.requestDelay = nil })
 }
 
 // mute takes all controllers from some workers.
-func (c *mixedFaults) mute() {
-	mute := map[string]bool{}
-	c.anyWorkers(func(x *worker) { mute[x.name] = true })
-	c.reach = func(x *worker, _ string) bool { return !mute[x.name] }
-	c.after(c.soon(), func() { c.reach = nil })
+func (c *mixedFaults) cutWorkersFromControllers() {
+	isolated := map[string]bool{}
+	c.forRandomWorkers(func(x *fakeWorker) { isolated[x.name] = true })
+	c.workerReaches = func(x *fakeWorker, _ string) bool { return !isolated[x.name] }
+	c.schedule(c.randomDelay(), func() { c.workerReaches = nil })
 }
 
 // cancelAndHang cancels jobs and lets machines hang at that moment.
-func (c *mixedFaults) cancelAndHang() {
-	c.cancelSome(3, 200*time.Millisecond)
-	c.after(c.within(400*time.Millisecond), c.hang)
+func (c *mixedFaults) cancelJobsAndHangMachines() {
+	c.cancelSomeJobs(3, 200*time.Millisecond)
+	c.schedule(c.randomDuration(400*time.Millisecond), c.hangMachines)
 }
 
 // cancelAtEnd cancels jobs when their last task is about to end.
-func (c *mixedFaults) cancelAtEnd() {
-	for _, x := range c.inOrder() {
+func (c *mixedFaults) cancelJobsAtCompletion() {
+	for _, x := range c.sortedWorkers() {
 		for _, t := range x.tasks {
-			if id := jobOf(t.key); t.state == protocol.TaskRunning && c.rng.IntN(4) == 0 {
-				c.after(max(0, t.end-c.now)+c.within(400*time.Millisecond), func() { c.cancelUntil(id) })
+			if id := jobIDOf(t.taskKey); t.state == protocol.TaskRunning && c.rng.IntN(4) == 0 {
+				c.schedule(max(0, t.endsAt-c.now)+c.randomDuration(400*time.Millisecond), func() { c.cancelWithRetries(id) })
 			}
 		}
 	}
 }
 
 // refuseWithPeers lets a node be refused by the state service and the other nodes at once.
-func (c *mixedFaults) refuseWithPeers() {
-	name := c.anyNode()
-	c.state.refuse[name] = true
-	c.cutOff(name)
-	c.after(c.soon(), func() { delete(c.state.refuse, name); c.mend() })
+func (c *mixedFaults) refuseAndIsolateController() {
+	name := c.randomNode()
+	c.store.refusedNodes[name] = true
+	c.isolateNode(name)
+	c.schedule(c.randomDelay(), func() { delete(c.store.refusedNodes, name); c.healCuts() })
 }
 
 // answersHeldUp holds up answers to workers, for some beyond the four seconds.
-func (c *mixedFaults) answersHeldUp() {
-	c.anyWorkers(func(x *worker) {
-		x.lag = c.within(6 * time.Second)
-		c.after(c.soon(), func() { x.lag = 0 })
+func (c *mixedFaults) delayWorkerResponses() {
+	c.forRandomWorkers(func(x *fakeWorker) {
+		x.responseDelay = c.randomDuration(6 * time.Second)
+		c.schedule(c.randomDelay(), func() { x.responseDelay = 0 })
 	})
 }
 
 // refusedThenOut is the first combination: the leader refused alone, then an outage for all.
-func (c *mixedFaults) refusedThenOut() {
-	name := c.leader()
+func (c *mixedFaults) refuseLeaderThenStopStore() {
+	name := c.leaderName()
 	if name == "" {
 		return
 	}
-	c.state.refuse[name] = true
-	c.after(c.soon(), func() { delete(c.state.refuse, name) })
-	c.cancelSome(3, c.lease()/3)
-	c.after(c.within(c.lease()/2), func() {
-		c.state.setDown(true)
-		c.after(c.cancelSpan()*5/4, func() { c.state.setDown(false) })
+	c.store.refusedNodes[name] = true
+	c.schedule(c.randomDelay(), func() { delete(c.store.refusedNodes, name) })
+	c.cancelSomeJobs(3, c.machineLease()/3)
+	c.schedule(c.randomDuration(c.machineLease()/2), func() {
+		c.store.setDown(true)
+		c.schedule(c.cancelLimit()*5/4, func() { c.store.setDown(false) })
 	})
 }
--- a/internal/controller/one_way_cuts_bench_test.go
+++ b/internal/controller/one_way_cuts_bench_test.go
@@ -23,19 +23,19 @@
 			never := 0
 			for i, first := range names {
 				for _, second := range names[i:] {
-					if !reachable(first, second) {
+					if !leaderPossible(first, second) {
 						continue
 					}
-					w, l := running(&testing.T{}, nodes, 20*time.Second, 4, 8)
+					w, l := newRunningSimulation(&testing.T{}, nodes, 20*time.Second, 4, 8)
 					leader, term, from := l.name, l.leader.term, w.now
 					halfOpenCuts[first](w, leader, true)
 					halfOpenCuts[second](w, leader, true)
-					newUserSimulation(w, uint64(nodes)).submitUntil(spec("j-2", 2))
-					if !w.until(longest, func() bool { return w.begun["j-2"] != 0 }) {
+					newUserSimulation(w, uint64(nodes)).submitWithRetries(jobSpec("j-2", 2))
+					if !w.advanceUntil(longest, func() bool { return w.firstStartAt["j-2"] != 0 }) {
 						never++
 					}
 					pause.RecordValue(max(1, (w.now - from).Milliseconds()))
-					w.run(longest - (w.now - from))
+					w.advance(longest - (w.now - from))
 					highest, sessions := term, 0
 					for _, n := range w.nodes {
 						if n.leader != nil {
@@ -43,7 +43,7 @@
 						}
 					}
 					for _, x := range w.workers {
-						sessions += int(x.session - 1)
+						sessions += int(x.epoch - 1)
 					}
 					terms.RecordValue(int64(highest - term))
 					lost.RecordValue(int64(sessions))
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -10,7 +10,7 @@
 // A guest team without a guarantee uses what is left, and gives room back in time: of its
 // tasks that save, as many are stopped as guaranteed work needs, not before their start
 // counts, and each once. What does not save runs on.
-func TestGuestGivesRoomBack(t *testing.T) {
+func TestBorrowedCapacityIsReclaimed(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		checkpoint float64
@@ -28,29 +28,29 @@
 			w.cfg.Teams = append(w.cfg.Teams, config.Team{Name: "owner", GuaranteedCPUs: 4})
 			w.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
 			for _, name := range w.names {
-				w.start(name)
+				w.startNode(name)
 			}
 			w.cloud.capacity = 2
-			w.runTime = func(string, int) time.Duration { return time.Hour }
-			l := w.waitLeader()
-			w.machines(2)
-			guest := spec("j-guest", 12)
+			w.taskDuration = func(string, int) time.Duration { return time.Hour }
+			l := w.waitForLeader()
+			w.startMachines(2)
+			guest := jobSpec("j-guest", 12)
 			guest.Priority, guest.EstimatedSeconds, guest.CheckpointIntervalSeconds, guest.CheckpointSaveSeconds = "low", 3600, c.checkpoint, 1
 			w.submitAndStart(l.name, guest, 8)
-			w.run(c.ran)
-			owner := spec("j-owner", 3)
+			w.advance(c.ran)
+			owner := jobSpec("j-owner", 3)
 			owner.Team, owner.EstimatedSeconds = "owner", 60
 			w.submit(l.name, owner)
-			if got := w.until(c.begins, func() bool { return w.onMachines("j-owner") == 3 }); got != c.within {
-				t.Fatalf("%d of 3 guaranteed tasks run after %v", w.onMachines("j-owner"), c.begins)
+			if got := w.advanceUntil(c.begins, func() bool { return w.activeTaskCount("j-owner") == 3 }); got != c.within {
+				t.Fatalf("%d of 3 guaranteed tasks run after %v", w.activeTaskCount("j-owner"), c.begins)
 			}
 			if c.within {
-				w.run(time.Minute)
-				if n := w.onMachines("j-guest"); n != 5 {
+				w.advance(time.Minute)
+				if n := w.activeTaskCount("j-guest"); n != 5 {
 					t.Errorf("%d of the guest's tasks run beside 3, not 5", n)
 				}
 			}
-			for task, n := range w.starts {
+			for task, n := range w.startCounts {
 				if n > 2 {
 					t.Errorf("%s was started %d times", task, n)
 				}
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -15,53 +15,53 @@
 var refusalOutageWays = map[string]func(c *userSimulation, old string){
 	"plain": func(*userSimulation, string) {},
 	"answers lost": func(c *userSimulation, _ string) {
-		c.state.late = func() (time.Duration, bool) { return 0, c.rng.IntN(2) == 0 }
-		c.after(c.lease(), func() { c.state.late = nil })
+		c.store.lateExecution = func() (time.Duration, bool) { return 0, c.rng.IntN(2) == 0 }
+		c.schedule(c.machineLease(), func() { c.store.lateExecution = nil })
 	},
 	"writes late": func(c *userSimulation, _ string) {
-		c.state.late = func() (time.Duration, bool) {
+		c.store.lateExecution = func() (time.Duration, bool) {
 			return 2*time.Second + time.Duration(c.rng.IntN(10_000))*time.Millisecond, c.rng.IntN(3) == 0
 		}
-		c.after(c.lease(), func() { c.state.late = nil })
+		c.schedule(c.machineLease(), func() { c.store.lateExecution = nil })
 	},
 	"the successor ends": func(c *userSimulation, old string) {
-		c.whenLed(old, func(name string) {
-			c.after(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.back(name, c.cancelSpan()) })
+		c.onNextLeader(old, func(name string) {
+			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.restartAfter(name, c.cancelLimit()) })
 		})
 	},
 	"the successor is back at once": func(c *userSimulation, old string) {
-		c.whenLed(old, func(name string) {
-			c.after(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.back(name, 100*time.Millisecond) })
+		c.onNextLeader(old, func(name string) {
+			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.restartAfter(name, 100*time.Millisecond) })
 		})
 	},
 	"the successor is not heard": func(c *userSimulation, old string) {
-		c.whenLed(old, func(name string) {
-			c.after(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.cutOff(name) })
+		c.onNextLeader(old, func(name string) {
+			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.isolateNode(name) })
 		})
 	},
 	"the others forget": func(c *userSimulation, old string) {
-		c.whenLed(old, func(string) {
-			c.after(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() {
+		c.onNextLeader(old, func(string) {
+			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() {
 				for _, name := range c.names {
 					if name != old {
-						c.back(name, time.Duration(50+c.rng.IntN(400))*time.Millisecond)
+						c.restartAfter(name, time.Duration(50+c.rng.IntN(400))*time.Millisecond)
 					}
 				}
 			})
 		})
 	},
 	"the old leader hears nobody": func(c *userSimulation, old string) {
-		c.cutOff(old)
-		c.after(c.lease()/4, c.mend)
+		c.isolateNode(old)
+		c.schedule(c.machineLease()/4, c.healCuts)
 	},
 	"the old leader stands still": func(c *userSimulation, old string) {
-		c.freeze(c.nodes[old], time.Duration(c.rng.IntN(int(c.lease()/3))), func() {})
+		c.pauseNode(c.nodes[old], time.Duration(c.rng.IntN(int(c.machineLease()/3))), func() {})
 	},
 	"the election is in full swing": func(c *userSimulation, old string) {
 		for i := range 4 {
-			c.after(time.Duration(i)*c.lease()/12, func() {
-				if name := c.anyNode(); name != old && !c.nodes[name].down {
-					c.back(name, time.Duration(50+c.rng.IntN(400))*time.Millisecond)
+			c.schedule(time.Duration(i)*c.machineLease()/12, func() {
+				if name := c.randomNode(); name != old && !c.nodes[name].down {
+					c.restartAfter(name, time.Duration(50+c.rng.IntN(400))*time.Millisecond)
 				}
 			})
 		}
@@ -90,9 +90,9 @@
 						if !sweepAll() && (i+len(way))%(2*len(deployments)) != 2*k+m {
 							continue
 						}
-						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, p.lease, i), func(t *testing.T) {
+						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, p.machineLease, i), func(t *testing.T) {
 							t.Parallel()
-							gap(t, nodes, p, uint64(i), time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/election.LeaderLeasesPerWorkerLease*p.lease*1e9), prepare)
+							testRefusalThenOutage(t, nodes, p, uint64(i), time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/election.LeaderLeasesPerWorkerLease*p.machineLease*1e9), prepare)
 						})
 					}
 				}
@@ -107,37 +107,37 @@
 
 var confirmedElsewhere atomic.Int64
 
-func gap(t *testing.T, nodes int, p proportions, seed uint64, outageAfter time.Duration, prepare func(*userSimulation, string)) {
+func testRefusalThenOutage(t *testing.T, nodes int, p workerTimings, seed uint64, outageAfter time.Duration, prepare func(*userSimulation, string)) {
 	const jobs = 8
 	c, l := newFaultCombination(t, nodes, p, seed, jobs, 2)
-	outageAfter += time.Duration(c.rng.Float64() * float64(c.lease()) / 32)
+	outageAfter += time.Duration(c.rng.Float64() * float64(c.machineLease()) / 32)
 	// Half of the machines reach nobody but the old leader.
-	c.reach = func(x *worker, node string) bool { return node == l.name || x.name[len(x.name)-1]%2 == 0 }
+	c.workerReaches = func(x *fakeWorker, node string) bool { return node == l.name || x.name[len(x.name)-1]%2 == 0 }
 	prepare(c, l.name)
-	c.state.refuse[l.name] = true
-	c.after(c.lease()/2, func() { delete(c.state.refuse, l.name) })
+	c.store.refusedNodes[l.name] = true
+	c.schedule(c.machineLease()/2, func() { delete(c.store.refusedNodes, l.name) })
 	for i := range jobs - 1 {
-		at := time.Duration(c.rng.Int64N(int64(outageAfter + c.lease()/8)))
-		c.after(at, func() { c.cancelUntil(fmt.Sprintf("j-%d", i)) })
+		at := time.Duration(c.rng.Int64N(int64(outageAfter + c.machineLease()/8)))
+		c.schedule(at, func() { c.cancelWithRetries(fmt.Sprintf("j-%d", i)) })
 	}
-	c.after(outageAfter, func() {
-		c.state.setDown(true)
-		if len(c.overAt) > 0 && c.leader() != l.name {
+	c.schedule(outageAfter, func() {
+		c.store.setDown(true)
+		if len(c.terminalAt) > 0 && c.leaderName() != l.name {
 			confirmedElsewhere.Add(1)
 		}
 	})
-	c.after(outageAfter+c.cancelSpan()*5/4, func() { c.state.setDown(false); c.reach = nil; c.mend() })
-	c.run(outageAfter + c.cancelSpan()*5/4 + c.lease())
-	c.runTime = func(string, int) time.Duration { return time.Second }
-	c.settleCancelled(jobs - 1)
+	c.schedule(outageAfter+c.cancelLimit()*5/4, func() { c.store.setDown(false); c.workerReaches = nil; c.healCuts() })
+	c.advance(outageAfter + c.cancelLimit()*5/4 + c.machineLease())
+	c.taskDuration = func(string, int) time.Duration { return time.Second }
+	c.waitForCancellations(jobs - 1)
 }
 
 // settleCancelled checks that the first few jobs are cancelled for good.
-func (c *userSimulation) settleCancelled(jobs int) {
+func (c *userSimulation) waitForCancellations(jobs int) {
 	c.t.Helper()
-	if !c.until(time.Minute, func() bool {
+	if !c.advanceUntil(time.Minute, func() bool {
 		for i := range jobs {
-			if c.final(fmt.Sprintf("j-%d", i)) != protocol.JobCancelled {
+			if c.terminalState(fmt.Sprintf("j-%d", i)) != protocol.JobCancelled {
 				return false
 			}
 		}
@@ -145,6 +145,6 @@
 	}) {
 		c.t.Fatalf("at %v: not all cancellations were confirmed", c.now)
 	}
-	c.poll()
-	c.run(c.cancelSpan())
+	c.queryAllJobs()
+	c.advance(c.cancelLimit())
 }
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -62,33 +62,33 @@
 			for i, share := range []float64{0.1, 0.3, 0.6, 1} {
 				t.Run(fmt.Sprintf("%v/%s/%v", target, fault, share), func(t *testing.T) {
 					t.Parallel()
-					c := newUserSimulation(newSimulationOf(t, 3, deployments[i]), uint64(i)+uint64(len(fault)))
-					c.runTime = func(string, int) time.Duration { return time.Second + c.within(20*time.Second) }
+					c := newUserSimulation(newSimulationWithTimings(t, 3, deployments[i]), uint64(i)+uint64(len(fault)))
+					c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(20*time.Second) }
 					c.driftClocks()
-					c.waitLeader()
-					c.machines(3)
-					c.lookClosely()
-					c.more(6, 5*time.Second, nil)
-					c.run(5 * time.Second)
+					c.waitForLeader()
+					c.startMachines(3)
+					c.queryAfterEachChange()
+					c.submitMoreJobs(6, 5*time.Second, nil)
+					c.advance(5 * time.Second)
 					only := ""
 					if share == 0.6 {
-						only = c.leader()
+						only = c.leaderName()
 					}
-					c.mangleAnswers(target, only, share, alter)
-					c.more(8, 25*time.Second, nil)
+					c.alterServiceResults(target, only, share, alter)
+					c.submitMoreJobs(8, 25*time.Second, nil)
 					for range 4 {
-						c.after(c.within(25*time.Second), func() { c.cancelSome(4, time.Second) })
+						c.schedule(c.randomDuration(25*time.Second), func() { c.cancelSomeJobs(4, time.Second) })
 					}
 					for range 3 {
-						c.after(c.within(25*time.Second), c.newLeader)
+						c.schedule(c.randomDuration(25*time.Second), c.replaceLeader)
 					}
-					calls := c.countCalls()
-					c.run(30 * time.Second)
+					calls := c.countStoreCalls()
+					c.advance(30 * time.Second)
 					if most := int(30 * c.cfg.Store.RequestsPerS); calls() > most {
 						t.Errorf("%d calls in 30 s: %v a second are allowed", calls(), c.cfg.Store.RequestsPerS)
 					}
-					c.mangle = nil
-					c.settle(5 * time.Minute)
+					c.alterResult = nil
+					c.waitForCompletion(5 * time.Minute)
 				})
 			}
 		}
@@ -96,8 +96,8 @@
 }
 
 // mangleAnswers alters a share of a service's answers, to one node or to all.
-func (c *userSimulation) mangleAnswers(target Target, only string, share float64, alter func(CallResult) CallResult) {
-	c.mangle = func(node string, call ServiceCall, r CallResult) CallResult {
+func (c *userSimulation) alterServiceResults(target Target, only string, share float64, alter func(CallResult) CallResult) {
+	c.alterResult = func(node string, call ServiceCall, r CallResult) CallResult {
 		if call.Target != target || c.rng.Float64() > share || (only != "" && node != only) {
 			return r
 		}
@@ -106,10 +106,10 @@
 }
 
 // countCalls counts the calls to the state service that are answered from now on.
-func (c *userSimulation) countCalls() func() int {
+func (c *userSimulation) countStoreCalls() func() int {
 	calls := 0
-	inner := c.mangle
-	c.mangle = func(node string, call ServiceCall, r CallResult) CallResult {
+	inner := c.alterResult
+	c.alterResult = func(node string, call ServiceCall, r CallResult) CallResult {
 		if call.Target == TargetStore {
 			calls++
 		}
@@ -131,10 +131,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newSimulation(t, 3)
-			l := w.waitLeader()
-			w.machines(1)
+			l := w.waitForLeader()
+			w.startMachines(1)
 			watches, reads := 0, 0
-			w.instead = func(call ServiceCall) (CallResult, bool) {
+			w.interceptCall = func(call ServiceCall) (CallResult, bool) {
 				switch {
 				case strings.HasPrefix(call.Path, "/follow"):
 					watches++
@@ -144,15 +144,15 @@
 				}
 				return CallResult{}, false
 			}
-			w.run(time.Minute)
+			w.advance(time.Minute)
 			if most := 60; watches > most || reads > most {
 				t.Errorf("%d watches and %d listings in a minute", watches, reads)
 			}
 			if name == "empty" || name == "old changes" {
 				return // it may be that nothing has changed: only its own lease tells
 			}
-			w.submit(w.followers()[0], spec("j-1", 1))
-			if !w.until(20*time.Second, func() bool { return l.leader.Jobs["j-1"] != nil || w.final("j-1") != "" }) {
+			w.submit(w.followers()[0], jobSpec("j-1", 1))
+			if !w.advanceUntil(20*time.Second, func() bool { return l.leader.Jobs["j-1"] != nil || w.terminalState("j-1") != "" }) {
 				t.Error("a job that another node wrote is not found")
 			}
 		})
@@ -184,24 +184,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newUserSimulation(newSimulation(t, 3), 3)
-			c.waitLeader()
-			c.machines(2)
-			c.more(4, 5*time.Second, nil)
-			c.run(5 * time.Second)
-			c.cloud.types = types
+			c.waitForLeader()
+			c.startMachines(2)
+			c.submitMoreJobs(4, 5*time.Second, nil)
+			c.advance(5 * time.Second)
+			c.cloud.machineTypes = types
 			for _, node := range c.names { // all read the catalogue anew
 				c.nodes[node].catalog.RequestedAt = clock.Never
 			}
-			c.more(4, 5*time.Second, nil)
-			c.run(20 * time.Second)
-			if r := c.submit(c.leader(), spec("j-once", 1)); r.Status == 422 && name != "another type only" && name != "no cores" {
+			c.submitMoreJobs(4, 5*time.Second, nil)
+			c.advance(20 * time.Second)
+			if r := c.submit(c.leaderName(), jobSpec("j-once", 1)); r.Status == 422 && name != "another type only" && name != "no cores" {
 				t.Errorf("a job that fits is answered %d", r.Status)
 			}
-			c.cloud.types = nil
+			c.cloud.machineTypes = nil
 			for _, node := range c.names {
 				c.nodes[node].catalog.RequestedAt = clock.Never
 			}
-			c.settle(5 * time.Minute)
+			c.waitForCompletion(5 * time.Minute)
 		})
 	}
 }
@@ -218,22 +218,22 @@
 // other's newer session is not the end of what the first one runs. Once the first is surely
 // gone the other may have the name.
 func TestTwoWorkersUnderOneName(t *testing.T) {
-	w, l := running(t, 1, 2*time.Minute, 1, 4)
-	x := w.inOrder()[0]
+	w, l := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
+	x := w.sortedWorkers()[0]
 	other := func(session, seq uint64) int {
 		rep := &protocol.WorkerHeartbeat{Machine: x.name, Address: "10.9.9.9:9000", Type: "c4", Zone: x.zone, Spot: true,
-			Epoch: session, Sequence: seq, FencingToken: x.token}
-		return w.request(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}).Status
+			Epoch: session, Sequence: seq, FencingToken: x.fencingToken}
+		return w.requestAndWait(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}).Status
 	}
 	for i := range uint64(20) {
 		if status := other(1+i/4, 1000+i); status != 503 {
 			t.Fatalf("the other worker is answered %d", status)
 		}
-		w.run(2 * time.Second)
+		w.advance(2 * time.Second)
 	}
-	w.startedOnce()
+	w.checkStartedOnce()
 	delete(w.workers, x.name)
-	w.run(l.leader.WorkerLeaseTimeout() + time.Second)
+	w.advance(l.leader.WorkerLeaseTimeout() + time.Second)
 	if m := l.leader.Machines[x.name]; m != nil && m.Address != "" {
 		t.Errorf("the name still belongs to %s", m.Address)
 	}
@@ -241,7 +241,7 @@
 
 // Reports may hold whatever JSON allows: what nobody started is stopped, what is unknown is
 // left alone, and no amount of time is believed beyond all bounds.
-func TestOddReports(t *testing.T) {
+func TestInvalidHeartbeats(t *testing.T) {
 	notice := func(s float64) *float64 { return &s }
 	for name, change := range map[string]func(rep *protocol.WorkerHeartbeat){
 		"an unknown state": func(rep *protocol.WorkerHeartbeat) {
@@ -274,20 +274,20 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newUserSimulation(newSimulation(t, 3), uint64(len(name)))
-			c.runTime = func(string, int) time.Duration { return time.Second + c.within(15*time.Second) }
-			c.waitLeader()
-			c.machines(3)
+			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(15*time.Second) }
+			c.waitForLeader()
+			c.startMachines(3)
 			odd := true
-			c.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
+			c.onHeartbeat = func(_ *fakeWorker, rep *protocol.WorkerHeartbeat) {
 				if odd && c.rng.IntN(3) == 0 {
 					change(rep)
 				}
 			}
-			c.more(8, 15*time.Second, nil)
-			c.after(c.within(15*time.Second), c.newLeader)
-			c.run(30 * time.Second)
+			c.submitMoreJobs(8, 15*time.Second, nil)
+			c.schedule(c.randomDuration(15*time.Second), c.replaceLeader)
+			c.advance(30 * time.Second)
 			odd = false
-			c.settle(5 * time.Minute)
+			c.waitForCompletion(5 * time.Minute)
 		})
 	}
 }
@@ -298,22 +298,22 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			c := newUserSimulation(newSimulationOf(t, 3, deployments[seed]), seed)
-			c.wallOff = map[string]time.Duration{"n0": 5 * time.Minute, "n2": -7 * time.Minute}
+			c := newUserSimulation(newSimulationWithTimings(t, 3, deployments[seed]), seed)
+			c.wallClockOffsets = map[string]time.Duration{"n0": 5 * time.Minute, "n2": -7 * time.Minute}
 			for _, name := range c.names {
-				c.start(name)
+				c.startNode(name)
 			}
-			c.runTime = func(string, int) time.Duration { return time.Second + c.within(20*time.Second) }
-			c.waitLeader()
-			c.machines(4)
-			c.lookClosely()
-			c.more(20, 60*time.Second, nil)
+			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(20*time.Second) }
+			c.waitForLeader()
+			c.startMachines(4)
+			c.queryAfterEachChange()
+			c.submitMoreJobs(20, 60*time.Second, nil)
 			for i := range 4 {
-				c.after(time.Duration(i)*15*time.Second+c.within(10*time.Second), c.newLeader)
-				c.after(time.Duration(i)*15*time.Second+c.within(10*time.Second), func() { c.cancelSome(5, time.Second) })
+				c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(10*time.Second), c.replaceLeader)
+				c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(10*time.Second), func() { c.cancelSomeJobs(5, time.Second) })
 			}
-			c.run(70 * time.Second)
-			c.settle(5 * time.Minute)
+			c.advance(70 * time.Second)
+			c.waitForCompletion(5 * time.Minute)
 		})
 	}
 }
@@ -322,25 +322,25 @@
 // the machines there are, and the rest follows once there is capacity again.
 func TestNoCapacityAnywhere(t *testing.T) {
 	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return 20 * time.Second }
-	w.waitLeader()
-	w.machines(2)
+	w.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+	w.waitForLeader()
+	w.startMachines(2)
 	w.cloud.capacity = 2
 	c := newUserSimulation(w, 1)
-	c.more(10, 5*time.Second, func(_ int, j *protocol.Job) { j.TaskCount, j.Team = 8, "free" })
-	w.run(10 * time.Second)
+	c.submitMoreJobs(10, 5*time.Second, func(_ int, j *protocol.Job) { j.TaskCount, j.Team = 8, "free" })
+	w.advance(10 * time.Second)
 	asked := 0
-	w.mangle = func(_ string, call ServiceCall, r CallResult) CallResult {
+	w.alterResult = func(_ string, call ServiceCall, r CallResult) CallResult {
 		if call.Path == "/hosts" {
 			asked++
 		}
 		return r
 	}
-	w.run(time.Minute)
+	w.advance(time.Minute)
 	if most := int(60 * w.cfg.Cloud.RequestsPerS / 4); asked > most {
 		t.Errorf("%d rentals were asked for in a minute", asked)
 	}
 	w.cloud.capacity = 0
-	w.cloud.boot = 5 * time.Second
-	c.settle(5 * time.Minute)
+	w.cloud.bootTime = 5 * time.Second
+	c.waitForCompletion(5 * time.Minute)
 }
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -17,315 +17,315 @@
 
 // fakeCloud is the cloud.
 type fakeCloud struct {
-	w        *simulation
-	requests map[string][]string
-	hosts    map[string]*worker
-	last     int
-	down     bool
-	noSpot   bool
-	capacity int // machines to be had in all; 0: any number
-	noReturn bool
-	hides    bool // machine lists are empty
-	boot     time.Duration
-	bootOf   func() time.Duration // of the next machine
-	types    []protocol.MachineType
+	simulation        *simulation
+	rentals           map[string][]string
+	hosts             map[string]*fakeWorker
+	lastMachineNumber int
+	unavailable       bool
+	noSpot            bool
+	capacity          int // machines to be had in all; 0: any number
+	rejectReturns     bool
+	listsEmpty        bool // machine lists are empty
+	bootTime          time.Duration
+	nextBootTime      func() time.Duration // of the next machine
+	machineTypes      []protocol.MachineType
 }
 
-func (c *fakeCloud) serve(call ServiceCall, back func(int, any)) {
-	if c.down {
-		back(503, map[string]string{"error": "trouble"})
+func (c *fakeCloud) serve(call ServiceCall, respond func(int, any)) {
+	if c.unavailable {
+		respond(503, map[string]string{"error": "trouble"})
 		return
 	}
 	switch {
 	case call.Path == "/catalog":
-		types := c.types
+		types := c.machineTypes
 		if types == nil {
 			types = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
 		}
-		back(200, protocol.Catalog{Types: types})
+		respond(200, protocol.Catalog{Types: types})
 	case call.Path == "/hosts":
 		var r protocol.RentalRequest
 		if err := json.Unmarshal(call.Body, &r); err != nil {
-			c.w.t.Fatal(err)
+			c.simulation.t.Fatal(err)
 		}
-		if _, stored := c.w.state.keys[storage.RentalPrefix+r.RequestID]; !stored && c.requests[r.RequestID] == nil {
-			c.w.t.Fatalf("rental %s is not stored", r.RequestID) // nor has it been answered before
+		if _, stored := c.simulation.store.keys[storage.RentalPrefix+r.RequestID]; !stored && c.rentals[r.RequestID] == nil {
+			c.simulation.t.Fatalf("rental %s is not stored", r.RequestID) // nor has it been answered before
 		}
 		if (c.noSpot && r.Spot) || (c.capacity > 0 && len(c.hosts)+r.Count > c.capacity) {
-			back(503, map[string]string{"error": "no capacity"})
+			respond(503, map[string]string{"error": "no capacity"})
 			return
 		}
-		names, again := c.requests[r.RequestID]
-		if !again {
+		names, repeated := c.rentals[r.RequestID]
+		if !repeated {
 			for range r.Count {
-				names = append(names, c.rent(r.Type, r.Zone, r.Spot).name)
+				names = append(names, c.rentMachine(r.Type, r.Zone, r.Spot).name)
 			}
-			c.requests[r.RequestID] = names
+			c.rentals[r.RequestID] = names
 		}
-		back(200, protocol.MachineNames{Machines: names})
-	case call.Path == "/hosts/return" && c.noReturn:
-		back(503, map[string]string{"error": "trouble"})
+		respond(200, protocol.MachineNames{Machines: names})
+	case call.Path == "/hosts/return" && c.rejectReturns:
+		respond(503, map[string]string{"error": "trouble"})
 	case call.Path == "/hosts/return":
 		var m protocol.MachineNames
 		json.Unmarshal(call.Body, &m)
 		for _, name := range m.Machines {
-			if x := c.w.workers[name]; x != nil {
-				c.take(x)
+			if x := c.simulation.workers[name]; x != nil {
+				c.removeMachine(x)
 			}
 			delete(c.hosts, name)
 		}
-		back(200, nil)
+		respond(200, nil)
 	case strings.HasPrefix(call.Path, "/hosts?"):
 		var list protocol.HostPage
 		for _, x := range c.hosts {
-			if c.hides {
+			if c.listsEmpty {
 				break
 			}
-			list.Machines = append(list.Machines, protocol.Host{Name: x.name, Type: x.typ, Zone: x.zone, Spot: x.spot, State: "running"})
+			list.Machines = append(list.Machines, protocol.Host{Name: x.name, Type: x.machineType, Zone: x.zone, Spot: x.spot, State: "running"})
 		}
 		sort.Slice(list.Machines, func(i, j int) bool { return list.Machines[i].Name < list.Machines[j].Name })
-		back(200, list)
+		respond(200, list)
 	default:
-		c.w.t.Fatalf("cloud: %s", call.Path)
+		c.simulation.t.Fatalf("cloud: %s", call.Path)
 	}
 }
 
 // take takes a machine away without any notice.
-func (c *fakeCloud) take(x *worker) {
-	x.disconnect()
-	delete(c.w.workers, x.name)
-	delete(c.hosts, x.name)
+func (c *fakeCloud) removeMachine(worker *fakeWorker) {
+	worker.disconnect()
+	delete(c.simulation.workers, worker.name)
+	delete(c.hosts, worker.name)
 }
 
-func (c *fakeCloud) rent(typ, zone string, spot bool) *worker {
-	c.last++
-	x := &worker{w: c.w, name: fmt.Sprintf("m-%06d", c.last), typ: typ, zone: zone, spot: spot, session: 1,
-		node: c.w.names[c.last%len(c.w.names)]}
-	c.hosts[x.name] = x
-	boot := c.boot
-	if boot == 0 {
-		boot = 2 * time.Second
+func (c *fakeCloud) rentMachine(machineType, zone string, spot bool) *fakeWorker {
+	c.lastMachineNumber++
+	worker := &fakeWorker{simulation: c.simulation, name: fmt.Sprintf("m-%06d", c.lastMachineNumber), machineType: machineType, zone: zone, spot: spot, epoch: 1,
+		node: c.simulation.names[c.lastMachineNumber%len(c.simulation.names)]}
+	c.hosts[worker.name] = worker
+	bootTime := c.bootTime
+	if bootTime == 0 {
+		bootTime = 2 * time.Second
 	}
-	if c.bootOf != nil {
-		boot = c.bootOf()
+	if c.nextBootTime != nil {
+		bootTime = c.nextBootTime()
 	}
-	c.w.after(boot, func() {
-		if c.hosts[x.name] == x {
-			x.renewed, x.next = c.w.now, c.w.now
-			c.w.addWorker(x)
+	c.simulation.schedule(bootTime, func() {
+		if c.hosts[worker.name] == worker {
+			worker.leaseRenewedAt, worker.nextHeartbeatAt = c.simulation.now, c.simulation.now
+			c.simulation.addWorker(worker)
 		}
 	})
-	return x
+	return worker
 }
 
 // worker is a machine's worker.
-type worker struct {
-	w                *simulation
-	name, typ, zone  string
-	spot             bool
-	session, seq     uint64
-	token            uint64
-	node             string
-	connected        string // the node that its connection goes to, where those are counted
-	tasks            []*simTask
-	renewed          clock.Instant // when the last answered report was sent
-	next             clock.Instant
-	busy             bool
-	changed          bool
-	notice           *float64
-	silent           bool // no report leaves, no answer arrives
-	hanging          bool
-	faulty           bool
-	failsAfter       time.Duration // how long a faulty machine's tasks run; 0: to their end
-	dropAnswers      bool
-	lag              time.Duration // by how much answers to it are held up
-	grace            []float64     // of the stops it was given
-	forgotten        []string
-	answers, refused int
+type fakeWorker struct {
+	simulation                  *simulation
+	name, machineType, zone     string
+	spot                        bool
+	epoch, sequence             uint64
+	fencingToken                uint64
+	node                        string
+	connectedNode               string // the node that its connection goes to, where those are counted
+	tasks                       []*fakeTask
+	leaseRenewedAt              clock.Instant // when the last answered report was sent
+	nextHeartbeatAt             clock.Instant
+	awaitingResponse            bool
+	stateChanged                bool
+	preemptionNotice            *float64
+	unreachable                 bool // no report leaves, no answer arrives
+	hung                        bool
+	faulty                      bool
+	failureDelay                time.Duration // how long a faulty machine's tasks run; 0: to their end
+	dropResponses               bool
+	responseDelay               time.Duration // by how much answers to it are held up
+	stopGraces                  []float64     // of the stops it was given
+	forgottenTasks              []string
+	responseCount, refusalCount int
 }
 
-type simTask struct {
-	key     string
-	attempt uint64
-	state   protocol.TaskState
-	why     protocol.ExitReason
-	saved   bool
-	end     clock.Instant
+type fakeTask struct {
+	taskKey         string
+	attempt         uint64
+	state           protocol.TaskState
+	exitReason      protocol.ExitReason
+	checkpointSaved bool
+	endsAt          clock.Instant
 }
 
-func (x *worker) report() *protocol.WorkerHeartbeat {
-	x.seq++
-	r := &protocol.WorkerHeartbeat{Machine: x.name, Address: x.name + ":9000", Type: x.typ, Zone: x.zone, Spot: x.spot, Epoch: x.session, Sequence: x.seq,
-		FencingToken: x.token, PreemptionNoticeSeconds: x.notice}
+func (x *fakeWorker) heartbeat() *protocol.WorkerHeartbeat {
+	x.sequence++
+	r := &protocol.WorkerHeartbeat{Machine: x.name, Address: x.name + ":9000", Type: x.machineType, Zone: x.zone, Spot: x.spot, Epoch: x.epoch, Sequence: x.sequence,
+		FencingToken: x.fencingToken, PreemptionNoticeSeconds: x.preemptionNotice}
 	for _, t := range x.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: t.key, Attempt: t.attempt, State: t.state, ExitReason: t.why, CheckpointSaved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: t.taskKey, Attempt: t.attempt, State: t.state, ExitReason: t.exitReason, CheckpointSaved: t.checkpointSaved})
 	}
 	return r
 }
 
 // restarted is a machine that is back at once after an end, in a new session.
-func (x *worker) restarted() {
-	x.session++
-	x.tasks, x.renewed, x.changed, x.busy = nil, x.w.now, true, false
+func (x *fakeWorker) restartMachine() {
+	x.epoch++
+	x.tasks, x.leaseRenewedAt, x.stateChanged, x.awaitingResponse = nil, x.simulation.now, true, false
 }
 
 // tick lets the worker do what is due, with the workers' lease.
-func (x *worker) tick(lease time.Duration) {
-	w := x.w
-	if w.now-x.renewed > lease {
+func (x *fakeWorker) tick(leaseDuration time.Duration) {
+	w := x.simulation
+	if w.now-x.leaseRenewedAt > leaseDuration {
 		// A machine that hangs goes on within its lease or not at all.
-		x.session++
-		x.tasks, x.renewed, x.changed = nil, w.now, true
+		x.epoch++
+		x.tasks, x.leaseRenewedAt, x.stateChanged = nil, w.now, true
 	}
-	if x.hanging {
+	if x.hung {
 		return
 	}
 	for _, t := range x.tasks {
-		if t.state == protocol.TaskRunning && w.now >= t.end {
-			t.state, t.why, x.changed = protocol.TaskExited, protocol.ExitDone, true
-			if x.faulty || w.mistake[jobOf(t.key)] {
-				t.why = protocol.ExitFailed
+		if t.state == protocol.TaskRunning && w.now >= t.endsAt {
+			t.state, t.exitReason, x.stateChanged = protocol.TaskExited, protocol.ExitDone, true
+			if x.faulty || w.failingJobs[jobIDOf(t.taskKey)] {
+				t.exitReason = protocol.ExitFailed
 			} else {
-				w.finished[t.key] = true
+				w.completedTasks[t.taskKey] = true
 			}
 		}
 	}
-	if x.silent || x.busy || (w.now < x.next && !(x.changed && w.now > x.next-time.Second)) {
+	if x.unreachable || x.awaitingResponse || (w.now < x.nextHeartbeatAt && !(x.stateChanged && w.now > x.nextHeartbeatAt-time.Second)) {
 		return
 	}
-	x.send(x.report())
+	x.sendHeartbeat(x.heartbeat())
 }
 
 // send sends a report to the worker's node and deals with the answer.
-func (x *worker) send(rep *protocol.WorkerHeartbeat) {
-	w := x.w
-	if w.copies != nil {
-		w.copies(x, rep)
+func (x *fakeWorker) sendHeartbeat(heartbeat *protocol.WorkerHeartbeat) {
+	w := x.simulation
+	if w.onHeartbeat != nil {
+		w.onHeartbeat(x, heartbeat)
 	}
-	x.busy, x.changed = true, false
-	sent, session := w.now, x.session
-	x.next = w.now + config.Seconds(w.cfg.Workers.HeartbeatIntervalS)
+	x.awaitingResponse, x.stateChanged = true, false
+	sentAt, epoch := w.now, x.epoch
+	x.nextHeartbeatAt = w.now + config.Seconds(w.cfg.Workers.HeartbeatIntervalS)
 	done := false
 	finish := func(r Reply) {
 		if done {
 			return
 		}
-		done, x.busy = true, false
-		x.answer(r, sent, session)
+		done, x.awaitingResponse = true, false
+		x.handleResponse(r, sentAt, epoch)
 	}
-	w.after(4*time.Second, func() { finish(Reply{}) })
-	if w.far[x.node] || w.noReports[x.node] || (w.reach != nil && !w.reach(x, x.node)) {
+	w.schedule(4*time.Second, func() { finish(Reply{}) })
+	if w.unreachableNodes[x.node] || w.heartbeatsBlocked[x.node] || (w.workerReaches != nil && !w.workerReaches(x, x.node)) {
 		return // packets vanish
 	}
 	if !x.connect() {
-		w.after(step, func() { finish(Reply{Status: 503, RetryAfter: 1}) })
+		w.schedule(step, func() { finish(Reply{Status: 503, RetryAfter: 1}) })
 		return
 	}
 	node := x.node
-	w.ask(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}, func(r Reply) {
-		if !x.silent && !x.dropAnswers && !w.noAnswers[node] {
-			w.after(x.lag, func() { finish(r) })
+	w.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}, func(r Reply) {
+		if !x.unreachable && !x.dropResponses && !w.responsesBlocked[node] {
+			w.schedule(x.responseDelay, func() { finish(r) })
 		}
 	})
 }
 
 // connect opens a connection to the worker's node, unless that has no free one.
-func (x *worker) connect() bool {
-	w := x.w
-	if w.sockets == 0 || x.connected == x.node {
+func (x *fakeWorker) connect() bool {
+	w := x.simulation
+	if w.connectionLimit == 0 || x.connectedNode == x.node {
 		return true
 	}
 	x.disconnect()
 	if w.nodes[x.node].down {
 		return true // refused, and answered so
 	}
-	if w.open[x.node] >= w.sockets {
+	if w.openConnections[x.node] >= w.connectionLimit {
 		return false
 	}
-	x.connected = x.node
-	w.open[x.node]++
+	x.connectedNode = x.node
+	w.openConnections[x.node]++
 	return true
 }
 
-func (x *worker) disconnect() {
-	if x.connected != "" {
-		x.w.open[x.connected]--
-		x.connected = ""
+func (x *fakeWorker) disconnect() {
+	if x.connectedNode != "" {
+		x.simulation.openConnections[x.connectedNode]--
+		x.connectedNode = ""
 	}
 }
 
-func (x *worker) answer(r Reply, sent clock.Instant, session uint64) {
-	w := x.w
-	if w.sockets > 0 && (r.Status != 200 || w.open[x.connected] > w.sockets-w.sockets/8) {
+func (x *fakeWorker) handleResponse(r Reply, sentAt clock.Instant, epoch uint64) {
+	w := x.simulation
+	if w.connectionLimit > 0 && (r.Status != 200 || w.openConnections[x.connectedNode] > w.connectionLimit-w.connectionLimit/8) {
 		x.disconnect() // it goes elsewhere, or its server takes turns
 	}
-	other := func() {
+	switchNode := func() {
 		i := slices.Index(w.names, x.node)
 		x.node = w.names[(i+1)%len(w.names)]
-		x.next = w.now + time.Second
+		x.nextHeartbeatAt = w.now + time.Second
 	}
 	switch r.Status {
 	case 200:
-		x.answers++
-		var a protocol.HeartbeatResponse
-		if err := json.Unmarshal(r.Body, &a); err != nil {
+		x.responseCount++
+		var response protocol.HeartbeatResponse
+		if err := json.Unmarshal(r.Body, &response); err != nil {
 			w.t.Fatal(err)
 		}
-		if a.FencingToken < x.token || session != x.session {
+		if response.FencingToken < x.fencingToken || epoch != x.epoch {
 			return
 		}
-		if a.FencingToken > x.token {
-			x.token, x.changed = a.FencingToken, true
+		if response.FencingToken > x.fencingToken {
+			x.fencingToken, x.stateChanged = response.FencingToken, true
 		}
-		x.renewed = sent
-		for _, c := range a.Commands {
-			x.execute(c)
+		x.leaseRenewedAt = sentAt
+		for _, c := range response.Commands {
+			x.executeCommand(c)
 		}
 	case 421:
 		var to protocol.HeartbeatRedirect
 		json.Unmarshal(r.Body, &to)
 		if to.Node == "" || to.Node == x.node {
-			other()
+			switchNode()
 			return
 		}
-		x.node, x.next = to.Node, w.now
+		x.node, x.nextHeartbeatAt = to.Node, w.now
 	default:
-		x.refused++
-		other()
+		x.refusalCount++
+		switchNode()
 	}
 }
 
-func (x *worker) execute(c protocol.Command) {
-	i := slices.IndexFunc(x.tasks, func(t *simTask) bool { return t.key == c.TaskID && t.attempt == c.Attempt })
-	x.changed = true
-	switch c.Kind {
+func (x *fakeWorker) executeCommand(command protocol.Command) {
+	i := slices.IndexFunc(x.tasks, func(t *fakeTask) bool { return t.taskKey == command.TaskID && t.attempt == command.Attempt })
+	x.stateChanged = true
+	switch command.Kind {
 	case protocol.CommandStart:
 		if i >= 0 {
 			return
 		}
-		x.w.starts[c.TaskID]++
-		x.w.checkStart(x, c.TaskID)
-		end := x.w.now
-		if !x.w.finished[c.TaskID] { // else its result was kept
-			takes := x.w.runTime(c.TaskID, x.w.starts[c.TaskID])
-			if x.faulty && x.failsAfter > 0 {
-				takes = x.failsAfter
+		x.simulation.startCounts[command.TaskID]++
+		x.simulation.checkTaskStart(x, command.TaskID)
+		end := x.simulation.now
+		if !x.simulation.completedTasks[command.TaskID] { // else its result was kept
+			duration := x.simulation.taskDuration(command.TaskID, x.simulation.startCounts[command.TaskID])
+			if x.faulty && x.failureDelay > 0 {
+				duration = x.failureDelay
 			}
-			end += takes
+			end += duration
 		}
-		x.tasks = append(x.tasks, &simTask{key: c.TaskID, attempt: c.Attempt, state: protocol.TaskRunning, end: end})
+		x.tasks = append(x.tasks, &fakeTask{taskKey: command.TaskID, attempt: command.Attempt, state: protocol.TaskRunning, endsAt: end})
 	case protocol.CommandStop:
 		if i >= 0 && x.tasks[i].state != protocol.TaskExited {
-			x.grace = append(x.grace, *c.GraceSeconds)
+			x.stopGraces = append(x.stopGraces, *command.GraceSeconds)
 			t := x.tasks[i]
-			x.w.stoppedTasks = append(x.w.stoppedTasks, t.key)
-			t.state, t.why = protocol.TaskExited, protocol.ExitStopped
-			j := x.w.specs[jobOf(c.TaskID)]
-			t.saved = j.CheckpointIntervalSeconds > 0 && *c.GraceSeconds >= j.CheckpointSaveSeconds
+			x.simulation.stoppedTasks = append(x.simulation.stoppedTasks, t.taskKey)
+			t.state, t.exitReason = protocol.TaskExited, protocol.ExitStopped
+			j := x.simulation.jobSpecs[jobIDOf(command.TaskID)]
+			t.checkpointSaved = j.CheckpointIntervalSeconds > 0 && *command.GraceSeconds >= j.CheckpointSaveSeconds
 		}
 	case protocol.CommandForget:
 		if i >= 0 {
-			x.forgotten = append(x.forgotten, c.TaskID)
+			x.forgottenTasks = append(x.forgottenTasks, command.TaskID)
 			x.tasks = slices.Delete(x.tasks, i, i+1)
 		}
 	}
