--- /dev/null
+++ b/internal/controller/simulated_store_test.go
@@ -0,0 +1,301 @@
+package controller
+
+import (
+	"cmp"
+	"net/url"
+	"slices"
+	"sort"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/ratelimit"
+	"hitchdoor/internal/storage"
+)
+
+// fakeState is the state service.
+type fakeStore struct {
+	simulation            *simulation
+	keys                  map[string]storage.Item
+	revision              uint64
+	eventLog              []storage.WatchEvent
+	leases                map[uint64]*fakeLease
+	lastLeaseID           uint64
+	down                  bool
+	refusedNodes          map[string]bool
+	requestsDropped       map[string]bool        // nodes whose calls vanish
+	responsesDropped      map[string]bool        // nodes that get no answers, though their calls are carried out
+	limitWriteRate        bool                   // enforce the changes per second
+	enforceUpcomingLimits bool                   // the limits that the settings announce hold
+	oversizedKeys         []string               // keys of transactions that were too large for those
+	throttledTransactions int                    // changes that came too fast for those
+	rejectTransaction     func(storage.Txn) bool // transactions to refuse for good
+	writeBucket           ratelimit.TokenBucket
+	responsesToLose       int                                   // answers of executed transactions to swallow
+	holdTransaction       func(node string, t storage.Txn) bool // transactions to keep back
+	heldTransactions      []func()
+	lateExecution         func() (d time.Duration, is bool) // calls that get no answer and are carried out so much later
+	requestDelay          func() time.Duration              // by how much each call is held up on its way
+	watchers              []func() bool
+}
+
+type fakeLease struct{ ttl, remaining time.Duration }
+
+func (s *fakeStore) expireLeases() {
+	if s.down {
+		return
+	}
+	for id, l := range s.leases {
+		if l.remaining -= step; l.remaining <= 0 {
+			s.endLease(id)
+		}
+	}
+}
+
+func (s *fakeStore) endLease(id uint64) {
+	delete(s.leases, id)
+	for k, it := range s.keys {
+		if it.LeaseID == id {
+			s.revision++
+			s.deleteKey(k)
+		}
+	}
+}
+
+func (s *fakeStore) deleteKey(key string) {
+	delete(s.keys, key)
+	s.eventLog = append(s.eventLog, storage.WatchEvent{DeletedKey: key, ModRevision: s.revision})
+	s.notifyWatchers()
+}
+
+func (s *fakeStore) notifyWatchers() {
+	s.watchers = slices.DeleteFunc(s.watchers, func(f func() bool) bool { return f() })
+}
+
+func (s *fakeStore) setDown(down bool) {
+	s.down = down
+	for _, l := range s.leases {
+		l.remaining = l.ttl
+	}
+	if !down {
+		s.notifyWatchers()
+	}
+}
+
+func (s *fakeStore) serve(node string, call ServiceCall, respond func(int, any)) {
+	if s.requestsDropped[node] {
+		return
+	}
+	if s.lateExecution != nil && call.Method != "GET" && !s.down && !s.refusedNodes[node] {
+		if d, is := s.lateExecution(); is {
+			// A late one meets an outage or a refusal of its own node, too.
+			s.simulation.schedule(d, func() { s.executeCall(node, call, func(int, any) {}) })
+			return
+		}
+	}
+	if s.responsesDropped[node] {
+		respond = func(int, any) {}
+	}
+	s.executeCall(node, call, respond)
+}
+
+func (s *fakeStore) executeCall(node string, call ServiceCall, respond func(int, any)) {
+	if s.down || s.refusedNodes[node] {
+		if !strings.HasPrefix(call.Path, "/follow") {
+			s.simulation.schedule(step, func() { respond(503, nil) })
+		}
+		return
+	}
+	requestURL, err := url.Parse(call.Path)
+	if err != nil {
+		s.simulation.t.Fatal(err)
+	}
+	parameters := requestURL.Query()
+	switch {
+	case call.Method == "GET" && strings.HasPrefix(requestURL.Path, "/store/"):
+		if it, ok := s.keys[strings.TrimPrefix(requestURL.Path, "/store/")]; ok {
+			respond(200, it)
+		} else {
+			respond(404, storage.TxnResponse{Revision: s.revision})
+		}
+	case call.Method == "GET" && requestURL.Path == "/store":
+		page := storage.ListResponse{Revision: s.revision}
+		var keys []string
+		for k := range s.keys {
+			if strings.HasPrefix(k, parameters.Get("under")) && k > parameters.Get("since") {
+				keys = append(keys, k)
+			}
+		}
+		sort.Strings(keys)
+		limit, _ := strconv.Atoi(parameters.Get("limit"))
+		for i, k := range keys {
+			if i == limit {
+				page.Truncated = true
+				break
+			}
+			page.Items = append(page.Items, s.keys[k])
+		}
+		respond(200, page)
+	case requestURL.Path == "/multi":
+		var t storage.Txn
+		if err := json.Unmarshal(call.Body, &t); err != nil {
+			s.simulation.t.Fatal(err)
+		}
+		if s.rejectTransaction != nil && s.rejectTransaction(t) {
+			respond(400, nil)
+			return
+		}
+		rate := s.simulation.cfg.Store.WritesPerS
+		if s.enforceUpcomingLimits {
+			rate = s.simulation.cfg.Store.LowerWritesPerS()
+			if key := s.oversizedKey(t); key != "" {
+				s.oversizedKeys = append(s.oversizedKeys, key)
+				respond(400, nil)
+				return
+			}
+		}
+		if s.limitWriteRate || s.enforceUpcomingLimits {
+			s.writeBucket.Rate, s.writeBucket.Burst = rate, rate
+			if !s.writeBucket.Take(s.simulation.now, float64(len(t.Writes))) {
+				s.throttledTransactions++
+				respond(429, nil)
+				return
+			}
+		}
+		if s.holdTransaction != nil && s.holdTransaction(node, t) {
+			s.heldTransactions = append(s.heldTransactions, func() { s.executeTransaction(t) })
+			return // no answer: it may be executed later
+		}
+		status, res := s.executeTransaction(t)
+		if status == 200 && s.responsesToLose > 0 {
+			s.responsesToLose--
+			s.simulation.schedule(time.Second, func() { respond(0, nil) })
+			return
+		}
+		respond(status, res)
+	case requestURL.Path == "/holds":
+		var h storage.Lease
+		json.Unmarshal(call.Body, &h)
+		s.lastLeaseID++
+		ttl := time.Duration(h.TTLMillis) * time.Millisecond
+		s.leases[s.lastLeaseID] = &fakeLease{ttl, ttl}
+		respond(200, storage.Lease{ID: s.lastLeaseID})
+	case strings.HasPrefix(requestURL.Path, "/holds/"):
+		leaseID, keepAlive := strings.CutSuffix(strings.TrimPrefix(requestURL.Path, "/holds/"), "/touch")
+		id, _ := strconv.ParseUint(leaseID, 10, 64)
+		l := s.leases[id]
+		switch {
+		case l == nil:
+			respond(404, nil)
+		case keepAlive:
+			l.remaining = l.ttl
+			respond(200, storage.Lease{ID: id})
+		default:
+			s.endLease(id)
+			respond(200, nil)
+		}
+	case requestURL.Path == "/follow":
+		since, _ := strconv.ParseUint(parameters.Get("since"), 10, 64)
+		wait, _ := strconv.Atoi(parameters.Get("waitMs"))
+		under := parameters.Get("under")
+		end := s.simulation.now + time.Duration(wait)*time.Millisecond
+		poll := func() bool {
+			if s.down {
+				return false
+			}
+			response := storage.WatchResponse{Revision: s.revision}
+			for _, e := range s.eventsAfter(since) {
+				if strings.HasPrefix(cmp.Or(e.PutKey, e.DeletedKey), under) {
+					response.Events = append(response.Events, e)
+				}
+			}
+			if len(response.Events) == 0 && s.simulation.now < end {
+				return false
+			}
+			respond(200, response)
+			return true
+		}
+		if !poll() {
+			s.watchers = append(s.watchers, poll)
+			s.simulation.schedule(end-s.simulation.now, s.notifyWatchers)
+		}
+	default:
+		s.simulation.t.Fatalf("state service: %s %s", call.Method, call.Path)
+	}
+}
+
+// after are the events of the log that are newer than a revision. The log is in their order, as revisions
+// only grow.
+func (s *fakeStore) eventsAfter(revision uint64) []storage.WatchEvent {
+	from := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].ModRevision > revision })
+	return s.eventLog[from:]
+}
+
+// tooLarge names a key of a transaction that is over the announced limits.
+func (s *fakeStore) oversizedKey(t storage.Txn) string {
+	for _, wr := range t.Writes {
+		if len(wr.Value) > s.simulation.cfg.Store.MaxValueBytes() || len(t.Writes) > s.simulation.cfg.Store.MaxTxnOps() {
+			return wr.Key()
+		}
+	}
+	return ""
+}
+
+// put writes a value, as some earlier leader did.
+func (s *fakeStore) putValue(key string, value any) {
+	switch rec := value.(type) {
+	case storage.JobRecord:
+		s.simulation.submitted[rec.Spec.ID], s.simulation.jobSpecs[rec.Spec.ID] = true, rec.Spec
+	case storage.TerminalRecord:
+		id := strings.TrimPrefix(key, storage.TerminalPrefix)
+		s.simulation.submitted[id], s.simulation.cancelRequested[id] = true, rec.State == protocol.JobCancelled
+	}
+	s.revision++
+	s.keys[key] = storage.Item{Key: key, Value: storage.Encode(value), ModRevision: s.revision}
+}
+
+// holdOne keeps back the next transaction, which was not answered.
+func holdNextTransaction(s *fakeStore) func(string, storage.Txn) bool {
+	return func(string, storage.Txn) bool {
+		s.holdTransaction = nil
+		return true
+	}
+}
+
+func (s *fakeStore) executeTransaction(t storage.Txn) (int, any) {
+	for _, wr := range t.Writes {
+		if wr.LeaseID != 0 && s.leases[wr.LeaseID] == nil {
+			return 400, map[string]string{"error": "no such lease"}
+		}
+	}
+	var failed []string
+	for _, c := range t.Conditions {
+		if s.keys[c.Key].ModRevision != c.ModRevision {
+			failed = append(failed, c.Key)
+		}
+	}
+	if failed != nil {
+		return 409, storage.TxnResponse{FailedKeys: failed, Revision: s.revision}
+	}
+	if len(t.Writes) > s.simulation.cfg.Store.TxnOps {
+		s.simulation.t.Fatalf("transaction of %d writes", len(t.Writes))
+	}
+	s.simulation.checkAdmissionPolicy(t)
+	s.revision++
+	for _, wr := range t.Writes {
+		if wr.PutKey == "" {
+			s.deleteKey(wr.DeleteKey)
+			continue
+		}
+		if len(wr.Value) > int(s.simulation.cfg.Store.ValueKB*1024) {
+			s.simulation.t.Fatalf("value of %d bytes at %s", len(wr.Value), wr.PutKey)
+		}
+		s.keys[wr.PutKey] = storage.Item{Key: wr.PutKey, Value: wr.Value, ModRevision: s.revision, LeaseID: wr.LeaseID}
+		s.eventLog = append(s.eventLog, storage.WatchEvent{PutKey: wr.PutKey, Value: wr.Value, ModRevision: s.revision})
+	}
+	s.notifyWatchers()
+	return 200, storage.TxnResponse{Revision: s.revision}
+}
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -26,17 +26,17 @@
 // driftClocks lets the nodes' steady clocks run by as much as they may.
 func (c *userSimulation) driftClocks() {
 	for _, name := range c.names {
-		c.nodes[name].rate = 1 + (c.rng.Float64()-0.5)/1000
+		c.nodes[name].clockRate = 1 + (c.rng.Float64()-0.5)/1000
 	}
 }
 
-func (c *userSimulation) anyNode() string { return c.names[c.rng.IntN(len(c.names))] }
+func (c *userSimulation) randomNode() string { return c.names[c.rng.IntN(len(c.names))] }
 
 // knows tells whether some user was told that a job is accepted.
-func (c *userSimulation) knows(id string) bool { _, ok := c.accepted[id]; return ok }
+func (c *userSimulation) knowsAccepted(id string) bool { _, ok := c.acceptedAt[id]; return ok }
 
 // user asks any node, and gives up after 5 s as users do.
-func (c *userSimulation) user(r Request, f func(Reply)) {
+func (c *userSimulation) sendUserRequest(r Request, f func(Reply)) {
 	done := false
 	once := func(r Reply) {
 		if !done {
@@ -44,21 +44,21 @@
 			f(r)
 		}
 	}
-	c.ask(c.anyNode(), r, once)
-	c.after(5*time.Second, func() { once(Reply{}) })
+	c.sendRequest(c.randomNode(), r, once)
+	c.schedule(5*time.Second, func() { once(Reply{}) })
 }
 
 // submitUntil submits a job until some node has taken it, 40 times at most.
-func (c *userSimulation) submitUntil(j protocol.Job) {
+func (c *userSimulation) submitWithRetries(j protocol.Job) {
 	var try func(int)
 	try = func(tries int) {
-		c.user(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
+		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
 			switch {
 			case r.Status == 201 || r.Status == 200:
 			case r.Status != 503 && r.Status != 0:
 				c.t.Errorf("%s: submission answered %d", j.ID, r.Status)
 			case tries < 40:
-				c.after(time.Second, func() { try(tries + 1) })
+				c.schedule(time.Second, func() { try(tries + 1) })
 			}
 		})
 	}
@@ -66,37 +66,37 @@
 }
 
 // cancelUntil cancels a job until some node has confirmed it, or says that it is done.
-func (c *userSimulation) cancelUntil(id string) {
-	c.user(Request{Kind: protocol.RequestCancel, JobID: id}, func(r Reply) {
+func (c *userSimulation) cancelWithRetries(id string) {
+	c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: id}, func(r Reply) {
 		switch {
 		case r.Status == 200:
 		case r.Status == 404 || r.Status == 400:
 			c.t.Errorf("%s: cancellation answered %d", id, r.Status)
 		default:
-			c.after(time.Second, func() { c.cancelUntil(id) })
+			c.schedule(time.Second, func() { c.cancelWithRetries(id) })
 		}
 	})
 }
 
 // poll asks any nodes about all jobs, and about one that nobody submitted.
-func (c *userSimulation) poll() {
-	for _, id := range slices.Sorted(maps.Keys(c.accepted)) {
-		c.user(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
+func (c *userSimulation) queryAllJobs() {
+	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
+		c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
 	}
-	c.user(Request{Kind: protocol.RequestQuery, JobID: "j-nobodys"}, func(Reply) {})
+	c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: "j-nobodys"}, func(Reply) {})
 }
 
 // lookClosely lets users ask at all nodes, again and again within milliseconds, and repeat
 // the submission, as soon as anybody was told that a job is accepted, done or cancelled.
-func (c *userSimulation) lookClosely() {
-	c.told = func(id string, _ protocol.JobState) {
-		j := c.specs[id]
+func (c *userSimulation) queryAfterEachChange() {
+	c.onJobState = func(id string, _ protocol.JobState) {
+		j := c.jobSpecs[id]
 		for i := range 6 {
-			c.after(time.Duration(i*i)*step, func() {
+			c.schedule(time.Duration(i*i)*step, func() {
 				for _, name := range c.names {
-					c.ask(name, Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
+					c.sendRequest(name, Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
 					if i%3 == 1 && j.ID == id {
-						c.ask(name, Request{Kind: protocol.RequestSubmit, JobID: id, Job: &j}, func(Reply) {})
+						c.sendRequest(name, Request{Kind: protocol.RequestSubmit, JobID: id, Job: &j}, func(Reply) {})
 					}
 				}
 			})
@@ -106,18 +106,18 @@
 
 // calmDown says that all troubles are over: from here on nothing waits beside room, and
 // each job is asked about every 5 s and has to be answered within 75 s.
-func (c *userSimulation) calmDown() {
-	c.calm = c.now
+func (c *userSimulation) markFaultsEnded() {
+	c.faultsEndedAt = c.now
 	var again func()
 	again = func() {
-		c.poll()
-		c.after(5*time.Second, again)
+		c.queryAllJobs()
+		c.schedule(5*time.Second, again)
 	}
 	again()
-	c.after(75*time.Second, func() {
-		for id, at := range c.answered {
-			if at < c.calm && c.now >= c.calm {
-				c.broken("forgotten", "no question about %s is answered for 75 s", id)
+	c.schedule(75*time.Second, func() {
+		for id, at := range c.answeredAt {
+			if at < c.faultsEndedAt && c.now >= c.faultsEndedAt {
+				c.reportViolation("forgotten", "no question about %s is answered for 75 s", id)
 			}
 		}
 	})
@@ -125,11 +125,11 @@
 
 // settle waits until every job that was accepted and not cancelled is done, and the others
 // have their end written.
-func (c *userSimulation) settle(d time.Duration) {
+func (c *userSimulation) waitForCompletion(d time.Duration) {
 	c.t.Helper()
-	c.calmDown()
-	isOver := func(id string) bool {
-		switch state := c.final(id); {
+	c.markFaultsEnded()
+	isSettled := func(id string) bool {
+		switch state := c.terminalState(id); {
 		case state == protocol.JobCancelled:
 			return c.mayBeCancelled(id)
 		default:
@@ -138,33 +138,33 @@
 		}
 	}
 	open := func() []string {
-		return slices.DeleteFunc(slices.Sorted(maps.Keys(c.accepted)), isOver)
+		return slices.DeleteFunc(slices.Sorted(maps.Keys(c.acceptedAt)), isSettled)
 	}
-	last := "" // a job that was open when last looked at: while it is, the others need no look
-	allOver := func() bool {
-		if last != "" && !isOver(last) {
+	lastOpen := "" // a job that was open when last looked at: while it is, the others need no look
+	allSettled := func() bool {
+		if lastOpen != "" && !isSettled(lastOpen) {
 			return false
 		}
-		for id := range c.accepted {
-			if !isOver(id) {
-				last = id
+		for id := range c.acceptedAt {
+			if !isSettled(id) {
+				lastOpen = id
 				return false
 			}
 		}
 		return true
 	}
-	if !c.until(d, allOver) {
-		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(open(), ", "), c.why(open()[0]))
+	if !c.advanceUntil(d, allSettled) {
+		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(open(), ", "), c.explainPending(open()[0]))
 	}
-	c.poll()
-	c.run(2 * time.Second)
+	c.queryAllJobs()
+	c.advance(2 * time.Second)
 }
 
 // why tells what a job that is not done waits for.
-func (w *simulation) why(id string) string {
-	name := w.leader()
+func (w *simulation) explainPending(id string) string {
+	name := w.leaderName()
 	if name == "" {
-		return "nobody leads: " + w.noLeader()
+		return "nobody leads: " + w.explainNoLeader()
 	}
 	l := w.nodes[name].leader
 	j := l.Jobs[id]
@@ -177,8 +177,8 @@
 	}
 	for name, x := range w.workers {
 		for _, t := range x.tasks {
-			if strings.HasPrefix(t.key, id+"/") {
-				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name, *t, x.node, x.hanging, x.dropAnswers, x.silent, x.session)
+			if strings.HasPrefix(t.taskKey, id+"/") {
+				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name, *t, x.node, x.hung, x.dropResponses, x.unreachable, x.epoch)
 			}
 		}
 	}
@@ -186,12 +186,12 @@
 }
 
 // noLeader tells what each node does about it.
-func (w *simulation) noLeader() string {
-	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", w.state.down, w.state.refuse, w.state.lost, w.state.keys[storage.LeaderKey].Value)
+func (w *simulation) explainNoLeader() string {
+	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", w.store.down, w.store.refusedNodes, w.store.requestsDropped, w.store.keys[storage.LeaderKey].Value)
 	for _, name := range w.names {
 		n := w.nodes[name]
 		status := n.election.Status()
-		out += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.frozen, n.draining,
+		out += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.paused, n.draining,
 			n.leader != nil, status.IsCandidate, n.election.StoreFailing(), status.Isolated, n.election.RecentPeerCount(n.leaderLease()))
 	}
 	return out
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -28,46 +28,46 @@
 const step = 5 * time.Millisecond
 
 type simulation struct {
-	t            *testing.T
-	now          clock.Instant
-	cfg          config.Cluster
-	nodes        map[string]*simNode
-	names        []string
-	state        *fakeState
-	cloud        *fakeCloud
-	workers      map[string]*worker
-	ordered      []*worker
-	specs        map[string]protocol.Job
-	events       events
-	planned      int
-	cut          map[[2]string]bool // between nodes
-	oneWay       map[[2]string]bool // the same, of messages from the first to the second only
-	holds        bool               // cuts between nodes keep messages, which arrive once they end
-	kept         []event
-	far          map[string]bool                   // nodes that no worker reaches
-	reach        func(x *worker, node string) bool // nil: every worker reaches all others
-	noReports    map[string]bool                   // nodes that workers' reports don't reach
-	noAnswers    map[string]bool                   // nodes whose answers don't reach workers
-	runTime      func(task string, attempt int) time.Duration
-	copies       func(x *worker, rep *protocol.WorkerHeartbeat)               // sees every report that is sent
-	mangle       func(node string, call ServiceCall, r CallResult) CallResult // alters the answers of outside services
-	instead      func(call ServiceCall) (r CallResult, ok bool)               // answers calls at once, in the place of outside services
-	watch        func(n *simNode, effects []Effect)                           // sees all effects of nodes
-	starts       map[string]int                                               // by task
-	stoppedTasks []string                                                     // by command
-	mistake      map[string]bool                                              // jobs that fail on every machine
-	old          map[string]bool                                              // nodes that start with level 0
-	wallOff      map[string]time.Duration                                     // by how much nodes' times of day are wrong
-	fair         bool                                                         // admission by policy is switched on
-	sockets      int                                                          // connections that each node takes; 0: any number
-	open         map[string]int                                               // by node: workers' connections
+	t                 *testing.T
+	now               clock.Instant
+	cfg               config.Cluster
+	nodes             map[string]*simNode
+	names             []string
+	store             *fakeStore
+	cloud             *fakeCloud
+	workers           map[string]*fakeWorker
+	workersByName     []*fakeWorker
+	jobSpecs          map[string]protocol.Job
+	events            events
+	lastEventSeq      int
+	linkCuts          map[[2]string]bool // between nodes
+	oneWayCuts        map[[2]string]bool // the same, of messages from the first to the second only
+	holdMessages      bool               // cuts between nodes keep messages, which arrive once they end
+	heldMessages      []event
+	unreachableNodes  map[string]bool                       // nodes that no worker reaches
+	workerReaches     func(x *fakeWorker, node string) bool // nil: every worker reaches all others
+	heartbeatsBlocked map[string]bool                       // nodes that workers' reports don't reach
+	responsesBlocked  map[string]bool                       // nodes whose answers don't reach workers
+	taskDuration      func(task string, attempt int) time.Duration
+	onHeartbeat       func(x *fakeWorker, rep *protocol.WorkerHeartbeat)           // sees every report that is sent
+	alterResult       func(node string, call ServiceCall, r CallResult) CallResult // alters the answers of outside services
+	interceptCall     func(call ServiceCall) (r CallResult, ok bool)               // answers calls at once, in the place of outside services
+	onEffects         func(n *simNode, effects []Effect)                           // sees all effects of nodes
+	startCounts       map[string]int                                               // by task
+	stoppedTasks      []string                                                     // by command
+	failingJobs       map[string]bool                                              // jobs that fail on every machine
+	oldVersionNodes   map[string]bool                                              // nodes that start with level 0
+	wallClockOffsets  map[string]time.Duration                                     // by how much nodes' times of day are wrong
+	fairAdmission     bool                                                         // admission by policy is switched on
+	connectionLimit   int                                                          // connections that each node takes; 0: any number
+	openConnections   map[string]int                                               // by node: workers' connections
 	invariantChecker
 }
 
 type event struct {
-	at  clock.Instant
-	seq int
-	f   func()
+	dueAt  clock.Instant
+	seq    int
+	action func()
 }
 
 // events are what is to happen, as a binary heap, in their order. No two have the same number,
@@ -75,7 +75,7 @@
 type events []event
 
 func (e event) before(other event) bool {
-	return e.at < other.at || e.at == other.at && e.seq < other.seq
+	return e.dueAt < other.dueAt || e.dueAt == other.dueAt && e.seq < other.seq
 }
 
 func (e *events) push(x event) {
@@ -115,59 +115,59 @@
 
 type simNode struct {
 	*Node
-	name    string
-	boot    clock.Instant
-	epoch   int
-	inbox   []Command
-	asks    map[uint64]func(Reply)
-	ticket  uint64
-	down    bool
-	rate    float64       // of its clock; 0: exact
-	frozen  bool          // it stands still, while its clocks run on
-	old     bool          // it speaks and writes as level 0 does
-	stall   time.Duration // for how long it will, before it carries out what it next decides
-	counted clock.Instant // when it was last told how many connections are open
+	name               string
+	bootedAt           clock.Instant
+	epoch              int
+	inbox              []Command
+	pendingRequests    map[uint64]func(Reply)
+	lastRequestID      uint64
+	down               bool
+	clockRate          float64       // of its clock; 0: exact
+	paused             bool          // it stands still, while its clocks run on
+	oldVersion         bool          // it speaks and writes as level 0 does
+	pauseBeforeEffects time.Duration // for how long it will, before it carries out what it next decides
+	loadReportedAt     clock.Instant // when it was last told how many connections are open
 }
 
 // loadEvery is how often a node is told how many connections are open.
-const loadEvery = 20 * step
+const loadReportInterval = 20 * step
 
 // clock is the node's steady clock.
-func (n *simNode) clock(now clock.Instant) clock.Instant {
-	if n.rate == 0 {
-		return now - n.boot
+func (n *simNode) monotonicNow(now clock.Instant) clock.Instant {
+	if n.clockRate == 0 {
+		return now - n.bootedAt
 	}
-	return clock.Instant(float64(now-n.boot) * n.rate)
+	return clock.Instant(float64(now-n.bootedAt) * n.clockRate)
 }
 
 // proportions are the workers' settings of a deployment.
-type proportions struct{ report, lease, cancel float64 }
+type workerTimings struct{ heartbeatInterval, machineLease, cancelLimit float64 }
 
-var deployments = []proportions{{1.5, 14, 34}, {3, 18, 38}, {4, 22, 42}, {5, 26.5, 46.5}}
+var deployments = []workerTimings{{1.5, 14, 34}, {3, 18, 38}, {4, 22, 42}, {5, 26.5, 46.5}}
 
 func newSimulation(t *testing.T, nodes int) *simulation {
-	return newSimulationOf(t, nodes, deployments[0])
+	return newSimulationWithTimings(t, nodes, deployments[0])
 }
 
-func newSimulationOf(t *testing.T, nodes int, p proportions) *simulation {
-	w := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*worker{}, specs: map[string]protocol.Job{},
-		cut: map[[2]string]bool{}, oneWay: map[[2]string]bool{}, noReports: map[string]bool{}, noAnswers: map[string]bool{}, far: map[string]bool{}, starts: map[string]int{}, mistake: map[string]bool{}, old: map[string]bool{}, open: map[string]int{}, invariantChecker: newInvariantChecker(),
-		runTime: func(string, int) time.Duration { return 5 * time.Second }}
+func newSimulationWithTimings(t *testing.T, nodes int, p workerTimings) *simulation {
+	w := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*fakeWorker{}, jobSpecs: map[string]protocol.Job{},
+		linkCuts: map[[2]string]bool{}, oneWayCuts: map[[2]string]bool{}, heartbeatsBlocked: map[string]bool{}, responsesBlocked: map[string]bool{}, unreachableNodes: map[string]bool{}, startCounts: map[string]int{}, failingJobs: map[string]bool{}, oldVersionNodes: map[string]bool{}, openConnections: map[string]int{}, invariantChecker: newInvariantChecker(),
+		taskDuration: func(string, int) time.Duration { return 5 * time.Second }}
 	c := &w.cfg
 	c.ControllerCount = nodes
 	c.Zones = []string{"a", "b"}
-	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS = p.report, p.lease, p.cancel
+	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS = p.heartbeatInterval, p.machineLease, p.cancelLimit
 	c.Store.RequestsPerS, c.Store.WritesPerS, c.Store.ValueKB, c.Store.TxnOps = 200, 100, 8, 20
 	c.Cloud.RequestsPerS, c.Cloud.ListLagS = 4, 10
 	c.Resources.CoreShare, c.Resources.MemoryMB, c.Resources.MaxConnections = 0.1, 100, 1000
 	c.Teams = []config.Team{{Name: "team", MaxCPUs: 16}, {Name: "free"}}
-	w.state = &fakeState{w: w, keys: map[string]storage.Item{}, leases: map[uint64]*fakeLease{}, refuse: map[string]bool{}, lost: map[string]bool{}, mute: map[string]bool{}}
-	w.cloud = &fakeCloud{w: w, requests: map[string][]string{}, hosts: map[string]*worker{}}
+	w.store = &fakeStore{simulation: w, keys: map[string]storage.Item{}, leases: map[uint64]*fakeLease{}, refusedNodes: map[string]bool{}, requestsDropped: map[string]bool{}, responsesDropped: map[string]bool{}}
+	w.cloud = &fakeCloud{simulation: w, rentals: map[string][]string{}, hosts: map[string]*fakeWorker{}}
 	for i := range nodes {
 		w.names = append(w.names, fmt.Sprintf("n%d", i))
 	}
 	for _, name := range w.names {
-		w.start(name)
+		w.startNode(name)
 	}
 	return w
 }
@@ -180,167 +180,167 @@
 	return slog.New(slog.DiscardHandler)
 }
 
-func (w *simulation) start(name string) {
-	p := &config.Platform{Node: name, Cluster: w.cfg}
-	if w.old[name] {
-		p.Cluster.Store.Upcoming = config.StoreLimits{}.Upcoming // level 0 does not know them
+func (w *simulation) startNode(name string) {
+	platform := &config.Platform{Node: name, Cluster: w.cfg}
+	if w.oldVersionNodes[name] {
+		platform.Cluster.Store.Upcoming = config.StoreLimits{}.Upcoming // level 0 does not know them
 	}
 	for _, other := range w.names {
 		if other != name {
-			p.Peers = append(p.Peers, config.Peer{Node: other})
+			platform.Peers = append(platform.Peers, config.Peer{Node: other})
 		}
 	}
 	epoch := 1
 	if old := w.nodes[name]; old != nil {
 		epoch = old.epoch + 1
 	}
-	set := config.Defaults()
-	set.IdleRetention = 4 // so that machines stay for the races
-	set.FairAdmission = w.fair
-	set.RecoveryMinMachines = 0 // the simulated fleets are small
+	settings := config.Defaults()
+	settings.IdleRetention = 4 // so that machines stay for the races
+	settings.FairAdmission = w.fairAdmission
+	settings.RecoveryMinMachines = 0 // the simulated fleets are small
 	w.nodes[name] = &simNode{
-		Node: New(Options{Platform: p, Settings: set, Log: testLog().With("node", name),
-			Rand: rand.New(rand.NewPCG(uint64(len(name)), uint64(name[1]))), StartTime: time.Unix(1_000_000, 0).Add(w.now + w.wallOff[name])}),
-		name: name, boot: w.now, epoch: epoch, asks: map[uint64]func(Reply){}, old: w.old[name],
+		Node: New(Options{Platform: platform, Settings: settings, Log: testLog().With("node", name),
+			Rand: rand.New(rand.NewPCG(uint64(len(name)), uint64(name[1]))), StartTime: time.Unix(1_000_000, 0).Add(w.now + w.wallClockOffsets[name])}),
+		name: name, bootedAt: w.now, epoch: epoch, pendingRequests: map[uint64]func(Reply){}, oldVersion: w.oldVersionNodes[name],
 	}
 }
 
-func (w *simulation) crash(name string) {
+func (w *simulation) crashNode(name string) {
 	w.nodes[name].down = true
 	w.nodes[name].epoch++
 	for _, x := range w.workers {
-		if x.connected == name {
+		if x.connectedNode == name {
 			x.disconnect()
 		}
 	}
 }
 
-func (w *simulation) restart(name string) { w.start(name) }
+func (w *simulation) restartNode(name string) { w.startNode(name) }
 
 // back lets a node end and begin anew.
-func (w *simulation) back(name string, after time.Duration) {
-	w.crash(name)
-	w.after(after, func() {
+func (w *simulation) restartAfter(name string, after time.Duration) {
+	w.crashNode(name)
+	w.schedule(after, func() {
 		if w.nodes[name].down {
-			rate := w.nodes[name].rate
-			w.restart(name)
-			w.nodes[name].rate = rate
+			rate := w.nodes[name].clockRate
+			w.restartNode(name)
+			w.nodes[name].clockRate = rate
 		}
 	})
 }
 
-func (w *simulation) after(d time.Duration, f func()) {
-	w.planned++
-	w.events.push(event{w.now + d, w.planned, f})
+func (w *simulation) schedule(d time.Duration, f func()) {
+	w.lastEventSeq++
+	w.events.push(event{w.now + d, w.lastEventSeq, f})
 }
 
 // run lets the simulation go on for a while.
-func (w *simulation) run(d time.Duration) { w.until(d, func() bool { return false }) }
+func (w *simulation) advance(d time.Duration) { w.advanceUntil(d, func() bool { return false }) }
 
 // until lets the simulation go on until something holds, and tells whether it came to hold.
-func (w *simulation) until(d time.Duration, cond func() bool) bool {
+func (w *simulation) advanceUntil(d time.Duration, condition func() bool) bool {
 	w.t.Helper()
 	for end := w.now + d; w.now < end; {
-		if cond() {
+		if condition() {
 			return true
 		}
 		w.now += step
-		w.state.expire()
-		for len(w.events) > 0 && w.events[0].at <= w.now {
-			w.events.pop().f()
+		w.store.expireLeases()
+		for len(w.events) > 0 && w.events[0].dueAt <= w.now {
+			w.events.pop().action()
 		}
 		for _, name := range w.names {
 			w.stepNode(w.nodes[name])
 		}
-		lease := config.Seconds(w.cfg.Workers.LeaseS)
-		for _, x := range w.inOrder() {
-			x.tick(lease)
+		leaseDuration := config.Seconds(w.cfg.Workers.LeaseS)
+		for _, x := range w.sortedWorkers() {
+			x.tick(leaseDuration)
 		}
-		w.check()
+		w.checkInvariants()
 	}
-	return cond()
+	return condition()
 }
 
 // inOrder lists the workers by name. The list is kept as long as it is true: sorted at
 // each step it was half of the tests' time. Workers join by addWorker only, which drops the
 // list; so if it is as long as the map, none has left since either.
-func (w *simulation) inOrder() []*worker {
-	if len(w.ordered) != len(w.workers) {
-		w.ordered = slices.SortedFunc(maps.Values(w.workers), func(a, b *worker) int { return cmp.Compare(a.name, b.name) })
+func (w *simulation) sortedWorkers() []*fakeWorker {
+	if len(w.workersByName) != len(w.workers) {
+		w.workersByName = slices.SortedFunc(maps.Values(w.workers), func(a, b *fakeWorker) int { return cmp.Compare(a.name, b.name) })
 	}
-	return w.ordered
+	return w.workersByName
 }
 
 // addWorker lets a worker join.
-func (w *simulation) addWorker(x *worker) {
+func (w *simulation) addWorker(x *fakeWorker) {
 	w.workers[x.name] = x
-	w.ordered = nil
+	w.workersByName = nil
 }
 
 func (w *simulation) stepNode(n *simNode) {
-	if n.down || n.frozen {
+	if n.down || n.paused {
 		return
 	}
 	batch := n.inbox
 	n.inbox = nil
-	if w.sockets > 0 && n.clock(w.now) >= n.counted+loadEvery {
-		n.counted = n.clock(w.now)
-		batch = append(batch, ServerLoad{Open: w.open[n.name], Limit: w.sockets})
+	if w.connectionLimit > 0 && n.monotonicNow(w.now) >= n.loadReportedAt+loadReportInterval {
+		n.loadReportedAt = n.monotonicNow(w.now)
+		batch = append(batch, ServerLoad{Open: w.openConnections[n.name], Limit: w.connectionLimit})
 	}
-	effects := n.Step(n.clock(w.now), batch)
-	if w.watch != nil {
-		w.watch(n, effects)
+	effects := n.Step(n.monotonicNow(w.now), batch)
+	if w.onEffects != nil {
+		w.onEffects(n, effects)
 	}
-	if n.stall > 0 && len(effects) > 0 {
-		w.freeze(n, n.stall, func() { w.carryOut(n, effects) })
-		n.stall = 0
+	if n.pauseBeforeEffects > 0 && len(effects) > 0 {
+		w.pauseNode(n, n.pauseBeforeEffects, func() { w.applyEffects(n, effects) })
+		n.pauseBeforeEffects = 0
 		return
 	}
-	w.carryOut(n, effects)
+	w.applyEffects(n, effects)
 }
 
 // freeze lets a node stand still for a while and then do something first.
-func (w *simulation) freeze(n *simNode, d time.Duration, then func()) {
-	n.frozen = true
+func (w *simulation) pauseNode(n *simNode, d time.Duration, then func()) {
+	n.paused = true
 	epoch := n.epoch
-	w.after(d, func() {
-		n.frozen = false
+	w.schedule(d, func() {
+		n.paused = false
 		if !n.down && n.epoch == epoch {
 			then()
 		}
 	})
 }
 
-func (w *simulation) carryOut(n *simNode, effects []Effect) {
+func (w *simulation) applyEffects(n *simNode, effects []Effect) {
 	epoch := n.epoch
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Reply:
-			if f := n.asks[e.RequestID]; f != nil {
-				delete(n.asks, e.RequestID)
-				w.after(step, func() { f(e) })
+			if onReply := n.pendingRequests[e.RequestID]; onReply != nil {
+				delete(n.pendingRequests, e.RequestID)
+				w.schedule(step, func() { onReply(e) })
 			}
 		case OutboundMessage:
-			if n.old {
+			if n.oldVersion {
 				if beat, is := e.Message.(protocol.PeerHeartbeat); is {
 					beat.VersionLevel, beat.WritesThrottled = 0, false
 					e.Message = beat
 				}
 			}
-			to, message := e.To, overTheWire(w.t, e.Message)
+			to, message := e.To, roundTripMessage(w.t, e.Message)
 			arrive := func() {
 				if peer := w.nodes[to]; !peer.down {
 					peer.inbox = append(peer.inbox, InboundMessage{From: n.name, Message: message})
 				}
 			}
-			if !w.apart(n.name, to) {
-				w.after(step, arrive)
-			} else if w.holds {
-				w.kept = append(w.kept, event{f: arrive})
+			if !w.linkBlocked(n.name, to) {
+				w.schedule(step, arrive)
+			} else if w.holdMessages {
+				w.heldMessages = append(w.heldMessages, event{action: arrive})
 			}
 		case ServiceCall:
 			answered := false
-			back := func(status int, body any) {
+			respond := func(status int, body any) {
 				if w.nodes[n.name] == n && n.epoch == epoch && !answered {
 					answered = true
 					r := CallResult{ID: e.ID, Status: status}
@@ -351,31 +351,31 @@
 					default:
 						r.Body = storage.Encode(body)
 					}
-					if w.mangle != nil && status != 0 {
-						r = w.mangle(n.name, e, r)
+					if w.alterResult != nil && status != 0 {
+						r = w.alterResult(n.name, e, r)
 					}
 					n.inbox = append(n.inbox, r)
 				}
 			}
-			w.after(e.Timeout, func() { back(0, nil) })
-			held := step
-			if e.Target == TargetStore && w.state.slow != nil {
-				held += w.state.slow()
+			w.schedule(e.Timeout, func() { respond(0, nil) })
+			delay := step
+			if e.Target == TargetStore && w.store.requestDelay != nil {
+				delay += w.store.requestDelay()
 			}
-			w.after(held, func() {
-				if w.instead != nil {
-					if r, ok := w.instead(e); ok {
-						back(r.Status, json.RawMessage(r.Body))
+			w.schedule(delay, func() {
+				if w.interceptCall != nil {
+					if r, ok := w.interceptCall(e); ok {
+						respond(r.Status, json.RawMessage(r.Body))
 						return
 					}
 				}
 				if e.Target == TargetStore {
-					if n.old && e.Path == "/multi" {
-						e.Body = oldShape(w.t, e.Body)
+					if n.oldVersion && e.Path == "/multi" {
+						e.Body = levelZeroTransaction(w.t, e.Body)
 					}
-					w.state.serve(n.name, e, back)
+					w.store.serve(n.name, e, respond)
 				} else {
-					w.cloud.serve(e, back)
+					w.cloud.serve(e, respond)
 				}
 			})
 		}
@@ -383,7 +383,7 @@
 }
 
 // overTheWire is a message as it arrives.
-func overTheWire(t *testing.T, m protocol.PeerMessage) protocol.PeerMessage {
+func roundTripMessage(t *testing.T, m protocol.PeerMessage) protocol.PeerMessage {
 	raw, err := protocol.EncodePeerMessage(m)
 	if err != nil {
 		t.Fatal(err)
@@ -397,7 +397,7 @@
 
 // oldShape is a transaction as level 0 writes it: without the fields that it does not
 // know, and without its version, of which it says nothing.
-func oldShape(t *testing.T, body []byte) []byte {
+func levelZeroTransaction(t *testing.T, body []byte) []byte {
 	var txn storage.Txn
 	if err := json.Unmarshal(body, &txn); err != nil {
 		t.Fatal(err)
@@ -423,155 +423,155 @@
 }
 
 // upgrade ends a node and brings it back with this version.
-func (w *simulation) upgrade(name string) {
-	w.crash(name)
-	delete(w.old, name)
-	w.after(time.Second, func() { w.restart(name) })
+func (w *simulation) upgradeNode(name string) {
+	w.crashNode(name)
+	delete(w.oldVersionNodes, name)
+	w.schedule(time.Second, func() { w.restartNode(name) })
 }
 
 // allNew waits until every node that is up knows that all are of this version.
-func (w *simulation) allNew() {
+func (w *simulation) waitForNewVersion() {
 	w.t.Helper()
 	known := func(name string) bool { n := w.nodes[name]; return n.down || n.clusterSupports(protocolLevel) }
-	if !w.until(30*time.Second, func() bool { return !slices.ContainsFunc(w.names, func(s string) bool { return !known(s) }) }) {
+	if !w.advanceUntil(30*time.Second, func() bool { return !slices.ContainsFunc(w.names, func(s string) bool { return !known(s) }) }) {
 		w.t.Fatal("not all nodes are known to be new")
 	}
 }
 
 // final is what the state service knows of a job that is over.
-func (w *simulation) final(id string) protocol.JobState {
-	var f storage.TerminalRecord
-	if it, ok := w.state.keys[storage.TerminalKey(id)]; ok {
-		json.Unmarshal(it.Value, &f)
+func (w *simulation) terminalState(id string) protocol.JobState {
+	var record storage.TerminalRecord
+	if it, ok := w.store.keys[storage.TerminalKey(id)]; ok {
+		json.Unmarshal(it.Value, &record)
 	}
-	return f.State
+	return record.State
 }
 
 // apart tells whether messages from one node to another don't arrive.
-func (w *simulation) apart(from, to string) bool {
-	return w.cut[[2]string{from, to}] || w.cut[[2]string{to, from}] || w.oneWay[[2]string{from, to}]
+func (w *simulation) linkBlocked(from, to string) bool {
+	return w.linkCuts[[2]string{from, to}] || w.linkCuts[[2]string{to, from}] || w.oneWayCuts[[2]string{from, to}]
 }
 
 // cutOneWay cuts one node off from another, but not the other way, for a while.
-func (w *simulation) cutOneWay(from, to string, d time.Duration) {
-	w.oneWay[[2]string{from, to}] = true
-	w.after(d, func() {
-		delete(w.oneWay, [2]string{from, to})
-		w.mend()
+func (w *simulation) cutOneWayFor(from, to string, d time.Duration) {
+	w.oneWayCuts[[2]string{from, to}] = true
+	w.schedule(d, func() {
+		delete(w.oneWayCuts, [2]string{from, to})
+		w.healCuts()
 	})
 }
 
 // cutOff cuts a node from all others.
-func (w *simulation) cutOff(name string) {
+func (w *simulation) isolateNode(name string) {
 	for _, other := range w.names {
-		w.cut[[2]string{name, other}] = true
+		w.linkCuts[[2]string{name, other}] = true
 	}
 }
 
 // cutAll cuts all nodes from each other.
-func (w *simulation) cutAll() {
+func (w *simulation) isolateAllNodes() {
 	for _, name := range w.names {
-		w.cutOff(name)
+		w.isolateNode(name)
 	}
 }
 
 // mend ends all cuts between nodes; what they held back arrives now.
-func (w *simulation) mend() {
-	w.cut = map[[2]string]bool{}
-	kept := w.kept
-	w.kept = nil
+func (w *simulation) healCuts() {
+	w.linkCuts = map[[2]string]bool{}
+	kept := w.heldMessages
+	w.heldMessages = nil
 	for _, e := range kept {
-		w.after(step, e.f)
+		w.schedule(step, e.action)
 	}
 }
 
 // ask sends a request to a node; a node that is down gives status 0.
-func (w *simulation) ask(name string, r Request, f func(Reply)) {
+func (w *simulation) sendRequest(name string, r Request, onReply func(Reply)) {
 	n := w.nodes[name]
 	if n.down {
-		w.after(step, func() { f(Reply{}) })
+		w.schedule(step, func() { onReply(Reply{}) })
 		return
 	}
-	n.ticket++
-	r.Origin = Origin{RequestID: n.ticket}
-	n.asks[n.ticket] = w.listen(name, r, f)
+	n.lastRequestID++
+	r.Origin = Origin{RequestID: n.lastRequestID}
+	n.pendingRequests[n.lastRequestID] = w.observeReply(name, r, onReply)
 	n.inbox = append(n.inbox, r)
 }
 
 // listen lets the invariant checker hear what a user is told.
-func (w *simulation) listen(name string, r Request, f func(Reply)) func(Reply) {
+func (w *simulation) observeReply(name string, r Request, onReply func(Reply)) func(Reply) {
 	switch r.Kind {
 	case protocol.RequestSubmit:
 		w.submitted[r.JobID] = true
-		if _, known := w.specs[r.JobID]; !known {
-			w.specs[r.JobID] = *r.Job
+		if _, known := w.jobSpecs[r.JobID]; !known {
+			w.jobSpecs[r.JobID] = *r.Job
 		}
 	case protocol.RequestCancel:
-		w.asked[r.JobID] = true
+		w.cancelRequested[r.JobID] = true
 	case protocol.RequestQuery:
 	default:
-		return f
+		return onReply
 	}
 	sent := w.now
 	return func(reply Reply) {
-		w.hears(r, name, sent, reply)
-		f(reply)
+		w.checkReply(r, name, sent, reply)
+		onReply(reply)
 	}
 }
 
 // request asks a node and waits for the answer, 5 s at most.
-func (w *simulation) request(name string, r Request) Reply {
+func (w *simulation) requestAndWait(name string, r Request) Reply {
 	w.t.Helper()
 	var got *Reply
-	w.ask(name, r, func(x Reply) { got = &x })
-	if !w.until(5*time.Second, func() bool { return got != nil }) {
+	w.sendRequest(name, r, func(x Reply) { got = &x })
+	if !w.advanceUntil(5*time.Second, func() bool { return got != nil }) {
 		w.t.Fatalf("%s: no answer to a %s", name, r.Kind)
 	}
 	return *got
 }
 
 // machines brings up machines beside those that are rented for the work.
-func (w *simulation) machines(n int) {
+func (w *simulation) startMachines(n int) {
 	w.t.Helper()
 	for i := range n {
-		w.cloud.rent("c4", []string{"a", "b"}[i%2], true)
+		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	if !w.until(10*time.Second, func() bool { return len(w.workers) >= n }) {
+	if !w.advanceUntil(10*time.Second, func() bool { return len(w.workers) >= n }) {
 		w.t.Fatal("machines did not come up")
 	}
-	w.run(2 * time.Second)
+	w.advance(2 * time.Second)
 }
 
 func (w *simulation) submit(node string, j protocol.Job) Reply {
 	w.t.Helper()
-	w.specs[j.ID] = j
-	return w.request(node, Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j})
+	w.jobSpecs[j.ID] = j
+	return w.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j})
 }
 
 // submitAndStart submits a job and waits until so many of its tasks are on machines.
 func (w *simulation) submitAndStart(node string, j protocol.Job, tasks int) {
 	w.t.Helper()
 	w.submit(node, j)
-	if !w.until(time.Minute, func() bool { return w.onMachines(j.ID) >= tasks }) {
-		w.t.Fatalf("%d tasks of %s started, not %d", w.onMachines(j.ID), j.ID, tasks)
+	if !w.advanceUntil(time.Minute, func() bool { return w.activeTaskCount(j.ID) >= tasks }) {
+		w.t.Fatalf("%d tasks of %s started, not %d", w.activeTaskCount(j.ID), j.ID, tasks)
 	}
 }
 
 // running is a simulation whose leader runs one job, j-1: all its tasks are on machines, each
 // for so long.
-func running(t *testing.T, nodes int, takes time.Duration, machines, tasks int) (*simulation, *simNode) {
+func newRunningSimulation(t *testing.T, nodes int, takes time.Duration, machines, tasks int) (*simulation, *simNode) {
 	t.Helper()
 	w := newSimulation(t, nodes)
-	w.runTime = func(string, int) time.Duration { return takes }
-	l := w.waitLeader()
-	w.machines(machines)
-	w.submitAndStart(l.name, spec("j-1", tasks), tasks)
+	w.taskDuration = func(string, int) time.Duration { return takes }
+	l := w.waitForLeader()
+	w.startMachines(machines)
+	w.submitAndStart(l.name, jobSpec("j-1", tasks), tasks)
 	return w, l
 }
 
-func (w *simulation) query(node, id string) (int, protocol.JobStatus) {
+func (w *simulation) queryJob(node, id string) (int, protocol.JobStatus) {
 	w.t.Helper()
-	r := w.request(node, Request{Kind: protocol.RequestQuery, JobID: id})
+	r := w.requestAndWait(node, Request{Kind: protocol.RequestQuery, JobID: id})
 	var s protocol.JobStatus
 	if r.Status == 200 {
 		if err := json.Unmarshal(r.Body, &s); err != nil {
@@ -581,14 +581,14 @@
 	return r.Status, s
 }
 
-func (w *simulation) cancel(node, id string) Reply {
+func (w *simulation) cancelJob(node, id string) Reply {
 	w.t.Helper()
-	return w.request(node, Request{Kind: protocol.RequestCancel, JobID: id})
+	return w.requestAndWait(node, Request{Kind: protocol.RequestCancel, JobID: id})
 }
 
-func (w *simulation) leader() string {
+func (w *simulation) leaderName() string {
 	for _, name := range w.names {
-		if n := w.nodes[name]; !n.down && !n.frozen && n.holdsLeaderLease() {
+		if n := w.nodes[name]; !n.down && !n.paused && n.holdsLeaderLease() {
 			return name
 		}
 	}
@@ -596,48 +596,48 @@
 }
 
 // lead waits until some node leads and has read the records.
-func (w *simulation) waitLeader() *simNode {
+func (w *simulation) waitForLeader() *simNode {
 	w.t.Helper()
-	if !w.until(30*time.Second, func() bool { l := w.leader(); return l != "" && w.nodes[l].leader.recordsLoaded }) {
+	if !w.advanceUntil(30*time.Second, func() bool { l := w.leaderName(); return l != "" && w.nodes[l].leader.recordsLoaded }) {
 		w.t.Fatal("nobody leads")
 	}
-	return w.nodes[w.leader()]
+	return w.nodes[w.leaderName()]
 }
 
 func (w *simulation) followers() []string {
-	return slices.DeleteFunc(slices.Clone(w.names), func(s string) bool { return s == w.leader() || w.nodes[s].down })
+	return slices.DeleteFunc(slices.Clone(w.names), func(s string) bool { return s == w.leaderName() || w.nodes[s].down })
 }
 
 // waitState waits until a job has a state.
-func (w *simulation) waitState(id string, state protocol.JobState, d time.Duration) {
+func (w *simulation) waitForJobState(id string, state protocol.JobState, d time.Duration) {
 	w.t.Helper()
 	end := w.now + d
 	var last protocol.JobStatus
 	for w.now < end {
-		if l := w.leader(); l != "" {
+		if l := w.leaderName(); l != "" {
 			var code int
-			if code, last = w.query(l, id); code == 200 && last.State == state {
+			if code, last = w.queryJob(l, id); code == 200 && last.State == state {
 				return
 			}
 		}
-		w.run(200 * time.Millisecond)
+		w.advance(200 * time.Millisecond)
 	}
 	w.t.Fatalf("job %s is %q, not %q, after %v", id, last.State, state, d)
 }
 
 // allStarts counts how often tasks were started, all together.
-func (w *simulation) allStarts() int {
+func (w *simulation) totalStarts() int {
 	all := 0
-	for _, n := range w.starts {
+	for _, n := range w.startCounts {
 		all += n
 	}
 	return all
 }
 
 // startedOnce checks that no task was started a second time.
-func (w *simulation) startedOnce() {
+func (w *simulation) checkStartedOnce() {
 	w.t.Helper()
-	for task, n := range w.starts {
+	for task, n := range w.startCounts {
 		if n != 1 {
 			w.t.Errorf("%s was started %d times", task, n)
 		}
@@ -645,12 +645,12 @@
 }
 
 // onMachines counts a job's tasks that are on machines.
-func (w *simulation) onMachines(id string) int {
+func (w *simulation) activeTaskCount(id string) int {
 	count := 0
 	prefix := id + "/"
 	for _, x := range w.workers {
 		for _, t := range x.tasks {
-			if strings.HasPrefix(t.key, prefix) && t.state != protocol.TaskExited {
+			if strings.HasPrefix(t.taskKey, prefix) && t.state != protocol.TaskExited {
 				count++
 			}
 		}
@@ -658,10 +658,10 @@
 	return count
 }
 
-func jobOf(key string) string { id, _, _ := strings.Cut(key, "/"); return id }
+func jobIDOf(key string) string { id, _, _ := strings.Cut(key, "/"); return id }
 
 // spec is a job of so many one-core tasks.
-func spec(id string, tasks int) protocol.Job {
+func jobSpec(id string, tasks int) protocol.Job {
 	return protocol.Job{ID: id, Class: "c", Team: "free", Kind: "batch", Priority: "standard", TaskCount: tasks,
 		Cores: 1, MemoryGB: 1, Image: "i", SpotAllowed: true, EstimatedSeconds: 5}
 }
--- a/internal/controller/start_limit_test.go
+++ b/internal/controller/start_limit_test.go
@@ -33,43 +33,43 @@
 			w := newSimulation(t, 3)
 			w.cloud.capacity = 6
 			users := newUserSimulation(w, 1)
-			w.runTime = func(string, int) time.Duration { return 15*time.Second + users.within(45*time.Second) }
-			w.waitLeader()
-			w.machines(6)
+			w.taskDuration = func(string, int) time.Duration { return 15*time.Second + users.randomDuration(45*time.Second) }
+			w.waitForLeader()
+			w.startMachines(6)
 			submitted := w.now + 30*time.Second
-			w.after(30*time.Second, func() {
+			w.schedule(30*time.Second, func() {
 				for i := range c.jobs {
-					wide := spec(fmt.Sprintf("j-wide-%d", i), 8)
+					wide := jobSpec(fmt.Sprintf("j-wide-%d", i), 8)
 					wide.Priority, wide.Cores, wide.SameZone, wide.EstimatedSeconds = "low", c.cores, c.sameZone, 30
 					if i%2 == 1 {
 						wide.Zone = "b"
 					}
-					users.submitUntil(wide)
+					users.submitWithRetries(wide)
 				}
 			})
 			if c.crash {
-				w.after(120*time.Second, users.newLeader)
+				w.schedule(120*time.Second, users.replaceLeader)
 			}
 			small := 0
 			fillUntil := func(end clock.Instant) { // with more small work than the machines can do
 				for ; w.now < end; small++ {
-					j := spec(fmt.Sprintf("j-small-%d", small), 3)
+					j := jobSpec(fmt.Sprintf("j-small-%d", small), 3)
 					j.EstimatedSeconds = 30
-					users.submitUntil(j)
-					w.run(2 * time.Second)
+					users.submitWithRetries(j)
+					w.advance(2 * time.Second)
 				}
 			}
 			fillUntil(submitted + cluster.MaxStartDelay)
 			for i := range c.jobs {
-				if id := fmt.Sprintf("j-wide-%d", i); w.begun[id] == 0 {
-					t.Errorf("%s has not begun after four minutes: %s", id, w.why(id))
+				if id := fmt.Sprintf("j-wide-%d", i); w.firstStartAt[id] == 0 {
+					t.Errorf("%s has not begun after four minutes: %s", id, w.explainPending(id))
 				}
 			}
 			fillUntil(submitted + 3*cluster.MaxStartDelay)
 			// Six of them are more than half of the machines can do in this time; the
 			// oldest is served first.
-			if id := "j-wide-0"; w.final(id) != protocol.JobDone {
-				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, w.why(id))
+			if id := "j-wide-0"; w.terminalState(id) != protocol.JobDone {
+				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, w.explainPending(id))
 			}
 		})
 	}
@@ -78,17 +78,17 @@
 // A reservation ends with the wait that it was made for: a machine that is reserved for a
 // job that has been cancelled, with nothing else waiting, would be held for ever.
 func TestReservationEndsWithItsJob(t *testing.T) {
-	w, l := running(t, 1, 10*time.Minute, 1, 3)
+	w, l := newRunningSimulation(t, 1, 10*time.Minute, 1, 3)
 	w.cloud.capacity = 1
-	wide := spec("j-wide", 1)
+	wide := jobSpec("j-wide", 1)
 	wide.Cores = 4
 	w.submit(l.name, wide)
 	reserved := func() bool { return l.leader.Machines["m-000001"].ReservedFor != nil }
-	if !w.until(cluster.MaxStartDelay, reserved) {
-		t.Fatalf("no machine is reserved: %s", w.why("j-wide"))
+	if !w.advanceUntil(cluster.MaxStartDelay, reserved) {
+		t.Fatalf("no machine is reserved: %s", w.explainPending("j-wide"))
 	}
-	w.cancel(l.name, "j-wide")
-	if !w.until(5*time.Second, func() bool { return !reserved() }) {
+	w.cancelJob(l.name, "j-wide")
+	if !w.advanceUntil(5*time.Second, func() bool { return !reserved() }) {
 		t.Error("the machine is still reserved")
 	}
 }
