--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -17,18 +17,18 @@
 // policy, or without.
 func newOverloadedSimulation(t *testing.T, nodes int, fair bool) *userSimulation {
 	t.Helper()
-	w := newSimulation(t, nodes)
-	w.fairAdmission = fair
-	w.cfg.Store.WritesPerS = 12
-	w.store.limitWriteRate = true
-	w.taskDuration = func(string, int) time.Duration { return time.Second }
-	for _, name := range w.names {
-		w.startNode(name)
-	}
-	w.waitForLeader()
-	w.startMachines(4)
-	w.waitForNewVersion()
-	return newUserSimulation(w, 1)
+	sim := newSimulation(t, nodes)
+	sim.fairAdmission = fair
+	sim.cfg.Store.WritesPerS = 12
+	sim.store.limitWriteRate = true
+	sim.taskDuration = func(string, int) time.Duration { return time.Second }
+	for _, name := range sim.names {
+		sim.startNode(name)
+	}
+	sim.waitForLeader()
+	sim.startMachines(4)
+	sim.waitForNewVersion()
+	return newUserSimulation(sim, 1)
 }
 
 // lateBy is by how much some users come late.
@@ -56,21 +56,21 @@
 }
 
 // submit lets a user submit a job for as long as users do.
-func (a *submitters) submit(j protocol.Job, timing retryTiming) {
+func (a *submitters) submit(job protocol.Job, timing retryTiming) {
 	startedAt := a.now
 	var try func()
 	try = func() {
-		a.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
+		a.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			switch {
 			case r.Status == 201 || r.Status == 200:
 				if r.Status == 201 {
-					a.createdCounts[j.ID]++
+					a.createdCounts[job.ID]++
 				}
-				a.acceptanceDelays[j.ID] = a.now - startedAt
+				a.acceptanceDelays[job.ID] = a.now - startedAt
 			case r.Status != 503 && r.Status != 0:
-				a.t.Errorf("%s: %d", j.ID, r.Status)
+				a.t.Errorf("%s: %d", job.ID, r.Status)
 			case a.now-startedAt > protocol.SubmissionRetryWindow:
-				a.gaveUp[j.ID] = true
+				a.gaveUp[job.ID] = true
 			default:
 				a.schedule(clampRetryDelay(timing(time.Duration(r.RetryAfter)*time.Second)), try)
 			}
@@ -81,9 +81,9 @@
 
 // job is a job of a class, as urgent as it says.
 func (a *submitters) classJob(class, priority string, i int) protocol.Job {
-	j := jobSpec(fmt.Sprintf("j-%s-%d", class, i), 1)
-	j.Class, j.Priority = class, protocol.Priority(priority)
-	return j
+	job := jobSpec(fmt.Sprintf("j-%s-%d", class, i), 1)
+	job.Class, job.Priority = class, protocol.Priority(priority)
+	return job
 }
 
 // longest is how long a user of a class waited at most; those who gave up count as never.
@@ -157,9 +157,9 @@
 	for i := range 25 {
 		for k := range order {
 			class := order[(i+k)%len(order)]
-			j := a.classJob(class, "standard", i)
-			j.Class = "c" // one group: the name only tells the users apart
-			a.submit(j, backs[class])
+			job := a.classJob(class, "standard", i)
+			job.Class = "c" // one group: the name only tells the users apart
+			a.submit(job, backs[class])
 		}
 	}
 	c.advance(80 * time.Second)
@@ -197,11 +197,11 @@
 		t.Fatal("no policy holds")
 	}
 	for i := range 12 {
-		j := a.classJob("same", "standard", i)
+		job := a.classJob("same", "standard", i)
 		for range 6 {
-			a.submit(j, retryOnTime)
+			a.submit(job, retryOnTime)
 		}
-		c.schedule(30*time.Second, func() { a.submit(j, retryOnTime) })
+		c.schedule(30*time.Second, func() { a.submit(job, retryOnTime) })
 	}
 	c.advance(100 * time.Second)
 	for id, times := range a.createdCounts {
@@ -343,22 +343,22 @@
 // A policy waits for nodes that have never said that they understand it, also while they are
 // down.
 func TestPolicyWaitsForUnannouncedNodes(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.fairAdmission = true
-	w.cfg.Store.WritesPerS = 12
-	w.store.limitWriteRate = true
-	w.oldVersionNodes["n2"] = true
-	for _, name := range w.names {
-		w.startNode(name)
-	}
-	w.crashNode("n2")
-	w.waitForLeader()
-	a := newSubmitters(newUserSimulation(w, 1))
+	sim := newSimulation(t, 3)
+	sim.fairAdmission = true
+	sim.cfg.Store.WritesPerS = 12
+	sim.store.limitWriteRate = true
+	sim.oldVersionNodes["n2"] = true
+	for _, name := range sim.names {
+		sim.startNode(name)
+	}
+	sim.crashNode("n2")
+	sim.waitForLeader()
+	a := newSubmitters(newUserSimulation(sim, 1))
 	for i := range 200 {
 		a.submit(a.classJob("flood", "standard", i), retryOnTime)
 	}
-	w.advance(20 * time.Second)
-	if len(w.acceptancesByEpoch) > 0 {
+	sim.advance(20 * time.Second)
+	if len(sim.acceptancesByEpoch) > 0 {
 		t.Error("a policy is published that a node may not know")
 	}
 }
@@ -396,7 +396,7 @@
 		n.admissionPolicy.PolicyRecord = admissioncontrol.PolicyRecord{Current: all, Version: 8, Revision: 8}
 	}
 	c.crashNode(c.leaderName())
-	if l := c.waitForLeader(); l.admissionPolicy.Current != nil {
+	if leaderNode := c.waitForLeader(); leaderNode.admissionPolicy.Current != nil {
 		t.Error("a new leader goes on from a policy that has ended")
 	}
 }
@@ -432,13 +432,13 @@
 
 // With many jobs open, the memory limits what an epoch takes before any node turns a job away.
 func TestCapacityFollowsMemory(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader().leader
+	sim := newSimulation(t, 1)
+	l := sim.waitForLeader().leader
 	free := l.admission.EpochCapacity()
 	if free.MemoryLimited || free.Jobs <= 0 {
 		t.Errorf("without jobs: %+v", free)
 	}
-	most := int(admissioncontrol.OpenJobsMemoryShare * w.cfg.Resources.MemoryMB * (1 << 20) / admissioncontrol.OpenJobBytes)
+	most := int(admissioncontrol.OpenJobsMemoryShare * sim.cfg.Resources.MemoryMB * (1 << 20) / admissioncontrol.OpenJobBytes)
 	for i := range most - 20 {
 		l.Jobs[fmt.Sprintf("j-%d", i)] = nil
 	}
--- a/internal/controller/burst_test.go
+++ b/internal/controller/burst_test.go
@@ -20,18 +20,18 @@
 // a controller has, and each leader would have ended by it in turn.
 func TestFloodOfLargeJobsFitsTheMemory(t *testing.T) {
 	const jobs, perJob = 2000, 8 << 10
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
 	before := heapInUse()
 	for i := range jobs {
-		rec := storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), protocol.MaxTasksPerJob), AcceptedAtMillis: l.nowUnixMilli()}
-		w.jobSpecs[rec.Spec.ID] = rec.Spec
-		l.leader.jobRecords.Add(rec, uint64(i+1))
+		rec := storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), protocol.MaxTasksPerJob), AcceptedAtMillis: leaderNode.nowUnixMilli()}
+		sim.jobSpecs[rec.Spec.ID] = rec.Spec
+		leaderNode.leader.jobRecords.Add(rec, uint64(i+1))
 	}
 	if grown := int64(heapInUse()) - int64(before); grown > jobs*perJob {
 		t.Errorf("%d jobs that wait take %d bytes each", jobs, grown/jobs)
 	}
-	runtime.KeepAlive(l)
+	runtime.KeepAlive(leaderNode)
 }
 
 func heapInUse() uint64 {
@@ -44,34 +44,34 @@
 // Another team's job begins in time beside a flood, and questions, cancellations and the
 // other jobs of the flood are answered.
 func TestFloodOfOneTeamLeavesOthersServed(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.cloud.capacity = 4
-	w.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
-	w.waitForLeader()
-	w.startMachines(4)
-	c := newUserSimulation(w, 1)
+	sim := newSimulation(t, 3)
+	sim.cloud.capacity = 4
+	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
+	sim.waitForLeader()
+	sim.startMachines(4)
+	c := newUserSimulation(sim, 1)
 	for i := range 300 {
-		j := jobSpec(fmt.Sprintf("j-flood-%d", i), 200)
-		j.Class = "flood"
-		w.schedule(c.randomDuration(20*time.Second), func() { c.submitWithRetries(j) })
+		job := jobSpec(fmt.Sprintf("j-flood-%d", i), 200)
+		job.Class = "flood"
+		sim.schedule(c.randomDuration(20*time.Second), func() { c.submitWithRetries(job) })
 	}
-	w.advance(20 * time.Second)
+	sim.advance(20 * time.Second)
 	other := jobSpec("j-other", 4)
 	other.Team, other.Class = "team", "other"
 	c.submitWithRetries(other)
-	if !w.advanceUntil(cluster.MaxStartDelay, func() bool { return w.firstStartAt["j-other"] != 0 }) {
-		t.Fatalf("not begun after four minutes: %s", w.explainPending("j-other"))
+	if !sim.advanceUntil(cluster.MaxStartDelay, func() bool { return sim.firstStartAt["j-other"] != 0 }) {
+		t.Fatalf("not begun after four minutes: %s", sim.explainPending("j-other"))
 	}
 	c.cancelWithRetries("j-flood-7")
-	if !w.advanceUntil(5*time.Second, func() bool { return w.terminalStates["j-flood-7"] == protocol.JobCancelled }) {
+	if !sim.advanceUntil(5*time.Second, func() bool { return sim.terminalStates["j-flood-7"] == protocol.JobCancelled }) {
 		t.Error("a cancellation is not confirmed within 5 s")
 	}
 }
 
 // DemoteLargestJobs demotes the same jobs as a plain walk over all of them does.
 func TestDemotionFollowsMooresRule(t *testing.T) {
-	_, l := newRunningSimulation(t, 1, time.Hour, 2, 8)
-	cores := l.leader.RetainedCores()
+	_, leaderNode := newRunningSimulation(t, 1, time.Hour, 2, 8)
+	cores := leaderNode.leader.RetainedCores()
 	if cores == 0 {
 		t.Fatal("no machine stays")
 	}
@@ -79,17 +79,17 @@
 	for round := range 300 {
 		var all, plain []*scheduler.QueuedJob
 		for i := range 1 + rng.IntN(30) {
-			j := &cluster.Job{Spec: jobSpec(fmt.Sprintf("j-%d", i), 1), TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
-			r := scheduler.QueuedJob{Job: j, Rank: []int{cluster.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
-				Due: l.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
+			job := &cluster.Job{Spec: jobSpec(fmt.Sprintf("j-%d", i), 1), TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
+			r := scheduler.QueuedJob{Job: job, Rank: []int{cluster.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
+				Due: leaderNode.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
 			again := r
 			all, plain = append(all, &r), append(plain, &again)
 		}
 		byDue := func(a, b *scheduler.QueuedJob) int { return int(a.Due - b.Due) }
 		slices.SortStableFunc(all, byDue)
 		slices.SortStableFunc(plain, byDue)
-		l.leader.DemoteLargestJobs(all)
-		referenceDemotion(plain, cores*scheduler.PackingEfficiency, l.now)
+		leaderNode.leader.DemoteLargestJobs(all)
+		referenceDemotion(plain, cores*scheduler.PackingEfficiency, leaderNode.now)
 		for i := range all {
 			if all[i].Rank != plain[i].Rank {
 				t.Fatalf("round %d: job %d has rank %d, not %d", round, i, all[i].Rank, plain[i].Rank)
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -54,11 +54,11 @@
 			strings.Contains(string(call.Body), "r-"+formatUint(l.term)+"-") {
 			totals := l.CurrentMachineTotals()
 			unknown, waiting, surely := totals.UnknownUsage.Cores, 0.0, 0
-			for _, j := range l.RunnableJobs {
-				if l.MayRunUnreported(j, &totals) {
-					waiting += float64(j.PendingTasks) * j.Spec.Cores
+			for _, job := range l.RunnableJobs {
+				if l.MayRunUnreported(job, &totals) {
+					waiting += float64(job.PendingTasks) * job.Spec.Cores
 				} else {
-					surely += j.PendingTasks
+					surely += job.PendingTasks
 				}
 			}
 			if usual := l.autoscaler.Forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.TotalCores {
@@ -114,7 +114,7 @@
 
 // someWorker is a worker that runs tasks.
 func (c *coldStart) busyWorker(n int) *fakeWorker {
-	busy := slices.DeleteFunc(slices.Clone(c.sortedWorkers()), func(x *fakeWorker) bool { return len(x.tasks) == 0 })
+	busy := slices.DeleteFunc(slices.Clone(c.sortedWorkers()), func(worker *fakeWorker) bool { return len(worker.tasks) == 0 })
 	if len(busy) == 0 {
 		return c.sortedWorkers()[n%len(c.workers)]
 	}
@@ -254,9 +254,9 @@
 					c.checkMismatches(t)
 				}
 				c.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
-				for _, x := range c.sortedWorkers() {
-					x.unreachable = false
-					for _, task := range x.tasks {
+				for _, worker := range c.sortedWorkers() {
+					worker.unreachable = false
+					for _, task := range worker.tasks {
 						task.endsAt = min(task.endsAt, c.now+10*time.Second)
 					}
 				}
@@ -324,30 +324,30 @@
 
 // A job that may use none of the machines that stay away starts at once; one that may waits.
 func TestLatencySensitiveWorkDoesNotWaitForUnreachableMachines(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return time.Hour }
-	l := w.waitForLeader()
-	w.startMachines(8)
-	w.submitAndStart(l.name, jobSpec("j-0", 16), 16)
-	for _, x := range w.sortedWorkers() {
-		x.unreachable = x.zone == "b"
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(8)
+	sim.submitAndStart(leaderNode.name, jobSpec("j-0", 16), 16)
+	for _, worker := range sim.sortedWorkers() {
+		worker.unreachable = worker.zone == "b"
 	}
-	w.cloud.unavailable = true // so that none of them is returned
-	for _, name := range w.names {
-		w.crashNode(name)
+	sim.cloud.unavailable = true // so that none of them is returned
+	for _, name := range sim.names {
+		sim.crashNode(name)
 	}
 	for i, zone := range []string{"a", "b", ""} {
-		j := jobSpec(fmt.Sprintf("j-%s%d", strings.Repeat("z", i+1), i), 2)
-		j.Zone, j.Priority = zone, "urgent"
-		w.jobSpecs[j.ID] = j
-		w.store.putValue(storage.JobKey(j.ID), storage.JobRecord{Spec: j})
+		job := jobSpec(fmt.Sprintf("j-%s%d", strings.Repeat("z", i+1), i), 2)
+		job.Zone, job.Priority = zone, "urgent"
+		sim.jobSpecs[job.ID] = job
+		sim.store.putValue(storage.JobKey(job.ID), storage.JobRecord{Spec: job})
 	}
-	for _, name := range w.names {
-		w.restartNode(name)
+	for _, name := range sim.names {
+		sim.restartNode(name)
 	}
-	w.waitForLeader()
-	w.advance(6 * time.Second)
-	if a, b, any := w.activeTaskCount("j-z0"), w.activeTaskCount("j-zz1"), w.activeTaskCount("j-zzz2"); a != 2 || b != 0 || any != 0 {
+	sim.waitForLeader()
+	sim.advance(6 * time.Second)
+	if a, b, any := sim.activeTaskCount("j-z0"), sim.activeTaskCount("j-zz1"), sim.activeTaskCount("j-zzz2"); a != 2 || b != 0 || any != 0 {
 		t.Errorf("%d, %d and %d tasks run, not 2, 0 and 0", a, b, any)
 	}
 }
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -95,23 +95,23 @@
 var machineName = regexp.MustCompile(`^m-\d{6}$`)
 
 // addPages adds the names on all pages of a node.
-func (s nameSet) addPages(w *simulation, node, job string) {
-	w.t.Helper()
+func (s nameSet) addPages(sim *simulation, node, job string) {
+	sim.t.Helper()
 	for _, page := range []struct {
 		name string
 		kind protocol.RequestKind
 		id   string
 	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""}, {"links", protocol.RequestLinks, ""},
 		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""}, {"admission", protocol.RequestAdmission, job}} {
-		r := w.requestAndWait(node, Request{Kind: page.kind, JobID: page.id})
+		r := sim.requestAndWait(node, Request{Kind: page.kind, JobID: page.id})
 		if r.Status != 200 {
-			w.t.Fatalf("%s: %d", page.name, r.Status)
+			sim.t.Fatalf("%s: %d", page.name, r.Status)
 		}
 		if err := s.addFields(page.name, r.Body); err != nil {
-			w.t.Fatal(err)
+			sim.t.Fatal(err)
 		}
 	}
-	for text := range strings.Lines(string(w.requestAndWait(node, Request{Kind: protocol.RequestMetrics}).Body)) {
+	for text := range strings.Lines(string(sim.requestAndWait(node, Request{Kind: protocol.RequestMetrics}).Body)) {
 		text = strings.TrimSpace(text)
 		switch {
 		case strings.HasPrefix(text, "# HELP "): // prose
@@ -127,20 +127,20 @@
 // in a recovery, and with records that can't be read.
 func TestNamesOnPages(t *testing.T) {
 	names := nameSet{}
-	w, l := newRunningSimulation(t, 3, 100*time.Second, 4, 8)
+	sim, leaderNode := newRunningSimulation(t, 3, 100*time.Second, 4, 8)
 	waiting := jobSpec("j-2", 40)
 	waiting.Team = "team"
-	w.submit(l.name, waiting)
-	w.sortedWorkers()[0].preemptionNotice = pointerTo(60.0)
-	w.store.putValue(storage.JobKey("j-damaged"), map[string]string{"spec": "damaged"})
-	w.advance(10 * time.Second)
-	names.addPages(w, l.name, "j-1")
-	names.addPages(w, w.followers()[0], "j-1")
-	w.crashNode(l.name)
-	w.waitForLeader()
+	sim.submit(leaderNode.name, waiting)
+	sim.sortedWorkers()[0].preemptionNotice = pointerTo(60.0)
+	sim.store.putValue(storage.JobKey("j-damaged"), map[string]string{"spec": "damaged"})
+	sim.advance(10 * time.Second)
+	names.addPages(sim, leaderNode.name, "j-1")
+	names.addPages(sim, sim.followers()[0], "j-1")
+	sim.crashNode(leaderNode.name)
+	sim.waitForLeader()
 	for range 30 {
-		names.addPages(w, w.leaderName(), "j-2")
-		w.advance(time.Second)
+		names.addPages(sim, sim.leaderName(), "j-2")
+		sim.advance(time.Second)
 	}
 
 	c := newOverloadedSimulation(t, 3, true)
@@ -180,20 +180,20 @@
 // numbers, records without the later fields. The values are written out, so that no change of the
 // code's types changes them.
 func TestRecordsOfEarlierVersions(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
-	host := w.cloud.rentMachine("c4", "a", true)
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
+	host := sim.cloud.rentMachine("c4", "a", true)
 	for id, tasks := range map[string]int{"j-0": 2, "j-1": 11, "j-2": 1} {
-		w.jobSpecs[id], w.submitted[id] = jobSpec(id, tasks), true
+		sim.jobSpecs[id], sim.submitted[id] = jobSpec(id, tasks), true
 	}
-	w.cancelRequested["j-2"] = true
+	sim.cancelRequested["j-2"] = true
 	for i := range 10 {
 		if i == 0 || i == 9 {
-			w.completedTasks[protocol.TaskID("j-1", i)] = true
+			sim.completedTasks[protocol.TaskID("j-1", i)] = true
 		}
 	}
 	for i := range 2 {
-		w.completedTasks[protocol.TaskID("j-0", i)] = true
+		sim.completedTasks[protocol.TaskID("j-0", i)] = true
 	}
 	for key, value := range map[string]string{
 		"term":              `{"term":7}`,
@@ -203,21 +203,21 @@
 		"bits/j-1/000":      `{"b":"AQI="}`,
 		"mach/" + host.name: `{"type":"c4","zone":"a","spot":true,"at":1000000000,"used":true}`,
 	} {
-		w.store.putValue(key, json.RawMessage(value))
+		sim.store.putValue(key, json.RawMessage(value))
 	}
-	l := w.waitForLeader()
-	w.advance(10 * time.Second)
+	leaderNode := sim.waitForLeader()
+	sim.advance(10 * time.Second)
 	var lines []string
 	for _, id := range []string{"j-0", "j-1", "j-2"} {
-		r := w.requestAndWait(l.name, Request{Kind: protocol.RequestQuery, JobID: id})
+		r := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestQuery, JobID: id})
 		lines = append(lines, fmt.Sprintf("%s: %d %s", id, r.Status, r.Body))
 	}
 	for i := range 11 {
-		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i), w.startCounts[protocol.TaskID("j-1", i)]))
+		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i), sim.startCounts[protocol.TaskID("j-1", i)]))
 	}
-	for _, key := range slices.Sorted(maps.Keys(w.store.keys)) {
+	for _, key := range slices.Sorted(maps.Keys(sim.store.keys)) {
 		if key != storage.ArrivalForecastKey {
-			lines = append(lines, key+" "+string(w.store.keys[key].Value))
+			lines = append(lines, key+" "+string(sim.store.keys[key].Value))
 		}
 	}
 	checkGolden(t, "records_taken_over.txt", lines)
@@ -228,15 +228,15 @@
 
 // What users, workers and the load balancer are answered.
 func TestAnswers(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
 	var lines []string
 	ask := func(name, node string, r Request) {
-		reply := w.requestAndWait(node, r)
+		reply := sim.requestAndWait(node, r)
 		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status, reply.RetryAfter, reply.Body))
 	}
 	user := func(name, node string, kind protocol.RequestKind, job protocol.Job) {
-		w.jobSpecs[job.ID] = job
+		sim.jobSpecs[job.ID] = job
 		r := Request{Kind: kind, JobID: job.ID}
 		if kind == protocol.RequestSubmit {
 			r.Job = &job
@@ -244,15 +244,15 @@
 		ask(name, node, r)
 	}
 	user("submission without a leader", "n0", protocol.RequestSubmit, jobSpec("j-1", 4))
-	w.waitForLeader()
-	l, f := w.leaderName(), w.followers()[0]
+	sim.waitForLeader()
+	l, f := sim.leaderName(), sim.followers()[0]
 	ask("health", l, Request{Kind: protocol.RequestHealth})
 	user("submission", f, protocol.RequestSubmit, jobSpec("j-1", 4))
 	user("submission, repeated", l, protocol.RequestSubmit, jobSpec("j-1", 4))
 	user("query", l, protocol.RequestQuery, jobSpec("j-1", 4))
-	w.waitForJobState("j-1", protocol.JobRunning, time.Minute)
+	sim.waitForJobState("j-1", protocol.JobRunning, time.Minute)
 	user("query of a running job", f, protocol.RequestQuery, jobSpec("j-1", 4))
-	w.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
 	user("query of a job that is done", f, protocol.RequestQuery, jobSpec("j-1", 4))
 	user("cancellation of a job that is done", l, protocol.RequestCancel, jobSpec("j-1", 4))
 	user("submission of a job that is done", f, protocol.RequestSubmit, jobSpec("j-1", 4))
@@ -272,13 +272,13 @@
 		user("submission that needs an unknown job", node, protocol.RequestSubmit, needs)
 	}
 	large := jobSpec("j-6", 1)
-	large.Image = strings.Repeat("x", int(w.cfg.Store.ValueKB*1024))
+	large.Image = strings.Repeat("x", int(sim.cfg.Store.ValueKB*1024))
 	user("submission that is too large to be stored", l, protocol.RequestSubmit, large)
 	report := &protocol.WorkerHeartbeat{Machine: "m-000099", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	ask("report to a follower", f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
 	ask("report to the leader", l, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
-	w.store.setDown(true)
-	w.advance(3 * time.Second)
+	sim.store.setDown(true)
+	sim.advance(3 * time.Second)
 	user("query of an unknown job in an outage", f, protocol.RequestQuery, protocol.Job{ID: "j-405"})
 	user("submission in an outage", l, protocol.RequestSubmit, jobSpec("j-7", 1))
 	checkGolden(t, "answers.txt", lines)
@@ -290,8 +290,8 @@
 // The calls of the outside services, and the keys and fields of the stored records.
 func TestCallsAndRecords(t *testing.T) {
 	calls, records := nameSet{}, nameSet{}
-	watch := func(w *simulation) {
-		w.onEffects = func(_ *simNode, effects []Effect) {
+	watch := func(sim *simulation) {
+		sim.onEffects = func(_ *simNode, effects []Effect) {
 			for _, e := range effects {
 				call, is := e.(ServiceCall)
 				if !is {
@@ -311,28 +311,28 @@
 				if err := json.Unmarshal(call.Body, &txn); err != nil {
 					t.Fatal(err)
 				}
-				for _, wr := range txn.Writes {
-					if err := records.addFields(digits.ReplaceAllString(wr.PutKey, "N"), wr.Value); wr.PutKey != "" && err != nil {
+				for _, write := range txn.Writes {
+					if err := records.addFields(digits.ReplaceAllString(write.PutKey, "N"), write.Value); write.PutKey != "" && err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		}
 	}
-	w := newSimulation(t, 3)
-	watch(w)
-	l := w.waitForLeader()
+	sim := newSimulation(t, 3)
+	watch(sim)
+	leaderNode := sim.waitForLeader()
 	job, next := jobSpec("j-1", 6), jobSpec("j-2", 1)
 	job.MachineTypes, job.DeadlineSeconds = []string{"c4"}, pointerTo(900.0)
 	next.Dependencies = []string{"j-1"}
-	w.submit(w.followers()[0], job)
-	w.submit(l.name, next)
-	w.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
-	w.isolateNode(l.name)
-	w.advance(time.Minute)
-	w.healCuts()
-	w.nodes[w.leaderName()].inbox = append(w.nodes[w.leaderName()].inbox, Drain{})
-	w.advance(time.Minute)
+	sim.submit(sim.followers()[0], job)
+	sim.submit(leaderNode.name, next)
+	sim.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
+	sim.isolateNode(leaderNode.name)
+	sim.advance(time.Minute)
+	sim.healCuts()
+	sim.nodes[sim.leaderName()].inbox = append(sim.nodes[sim.leaderName()].inbox, Drain{})
+	sim.advance(time.Minute)
 
 	c := newOverloadedSimulation(t, 3, true)
 	watch(c.simulation)
@@ -377,9 +377,9 @@
 // goldenTargets are the names of the targets in the golden files, whatever the log calls them.
 var goldenTargets = map[Target]string{TargetStore: "state service", TargetCloud: "cloud"}
 
-func newEffectDigest(w *simulation) *effectDigest {
-	d := &effectDigest{simulation: w, hash: sha256.New(), spanEnd: digestSpan}
-	w.onEffects = d.add
+func newEffectDigest(sim *simulation) *effectDigest {
+	d := &effectDigest{simulation: sim, hash: sha256.New(), spanEnd: digestSpan}
+	sim.onEffects = d.add
 	return d
 }
 
@@ -421,34 +421,34 @@
 func TestEffectsAreThoseOfTheVersionBefore(t *testing.T) {
 	for name, lose := range map[string]bool{"effects_at_work.txt": false, "effects_leader_lost.txt": true} {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, 3)
-			d := newEffectDigest(w)
-			for _, name := range w.names {
-				w.nodes[name].settings.MaxTraceSteps = 1
+			sim := newSimulation(t, 3)
+			d := newEffectDigest(sim)
+			for _, name := range sim.names {
+				sim.nodes[name].settings.MaxTraceSteps = 1
 			}
-			l := w.waitForLeader()
-			w.startMachines(6)
+			leaderNode := sim.waitForLeader()
+			sim.startMachines(6)
 			for i := range 6 {
-				j := jobSpec(fmt.Sprintf("j-%d", i), 3+4*i)
-				j.Priority = []protocol.Priority{"prod", "urgent", "standard", "low"}[i%4]
-				j.Cores = 1 + float64(i%3)*0.3
-				j.Class = []string{"c", "d"}[i%2]
+				job := jobSpec(fmt.Sprintf("j-%d", i), 3+4*i)
+				job.Priority = []protocol.Priority{"prod", "urgent", "standard", "low"}[i%4]
+				job.Cores = 1 + float64(i%3)*0.3
+				job.Class = []string{"c", "d"}[i%2]
 				if i == 5 {
-					j.Dependencies = []string{"j-0", "j-1"}
+					job.Dependencies = []string{"j-0", "j-1"}
 				}
-				w.submit(w.followers()[i%2], j)
-				w.advance(time.Second)
+				sim.submit(sim.followers()[i%2], job)
+				sim.advance(time.Second)
 			}
-			w.cancelJob(w.followers()[0], "j-4")
-			w.advance(3 * time.Second)
+			sim.cancelJob(sim.followers()[0], "j-4")
+			sim.advance(3 * time.Second)
 			if lose {
-				w.crashNode(l.name)
-				w.advance(20 * time.Second)
-				w.restartNode(l.name)
-				w.waitForLeader()
+				sim.crashNode(leaderNode.name)
+				sim.advance(20 * time.Second)
+				sim.restartNode(leaderNode.name)
+				sim.waitForLeader()
 			}
-			w.waitForJobState("j-5", protocol.JobDone, 200*time.Second)
-			w.advance(60 * time.Second)
+			sim.waitForJobState("j-5", protocol.JobDone, 200*time.Second)
+			sim.advance(60 * time.Second)
 			d.close()
 			checkGolden(t, name, d.lines)
 		})
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -14,131 +14,131 @@
 
 // after is a job of so many tasks that needs others.
 func dependentSpec(id string, tasks int, needs ...string) protocol.Job {
-	j := jobSpec(id, tasks)
-	j.Dependencies = needs
-	return j
+	job := jobSpec(id, tasks)
+	job.Dependencies = needs
+	return job
 }
 
 // pipelines is a simulation of nodes that are all known to be new, with a leader.
 func newPipelineSimulation(t *testing.T, nodes int) (*simulation, *simNode) {
 	t.Helper()
-	w := newSimulation(t, nodes)
-	l := w.waitForLeader()
-	w.waitForNewVersion()
-	w.startMachines(2)
-	return w, l
+	sim := newSimulation(t, nodes)
+	leaderNode := sim.waitForLeader()
+	sim.waitForNewVersion()
+	sim.startMachines(2)
+	return sim, leaderNode
 }
 
-func (w *simulation) submitAccepted(node string, j protocol.Job) {
-	w.t.Helper()
-	if r := w.submit(node, j); r.Status != 201 {
-		w.t.Fatalf("%s: submission answered %d", j.ID, r.Status)
+func (sim *simulation) submitAccepted(node string, job protocol.Job) {
+	sim.t.Helper()
+	if r := sim.submit(node, job); r.Status != 201 {
+		sim.t.Fatalf("%s: submission answered %d", job.ID, r.Status)
 	}
 }
 
 // Each job of a pipeline starts only when all that it needs are done, whichever node
 // took it; its times begin then. (The simulation checks each start against the records.)
 func TestPipelineRunsInOrder(t *testing.T) {
-	w, l := newPipelineSimulation(t, 3)
-	other := w.followers()[0]
-	w.submitAccepted(other, jobSpec("j-a", 3))
-	w.submitAccepted(l.name, dependentSpec("j-b", 2, "j-a"))
-	w.submitAccepted(other, dependentSpec("j-c", 1, "j-a", "j-b"))
-	if _, s := w.queryJob(other, "j-c"); s.State != protocol.JobQueued {
+	sim, leaderNode := newPipelineSimulation(t, 3)
+	other := sim.followers()[0]
+	sim.submitAccepted(other, jobSpec("j-a", 3))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 2, "j-a"))
+	sim.submitAccepted(other, dependentSpec("j-c", 1, "j-a", "j-b"))
+	if _, s := sim.queryJob(other, "j-c"); s.State != protocol.JobQueued {
 		t.Errorf("a job that waits is called %q", s.State)
 	}
-	if l.leader.RunnableJobs["j-b"] != nil || len(l.leader.BuildQueue()) > 1 {
+	if leaderNode.leader.RunnableJobs["j-b"] != nil || len(leaderNode.leader.BuildQueue()) > 1 {
 		t.Error("a job that waits for another takes part in the passes")
 	}
-	w.waitForJobState("j-c", protocol.JobDone, time.Minute)
-	if n := len(l.leader.dependencies.Dependents) + len(l.leader.dependencies.Lookups) + len(l.leader.RunnableJobs); n != 0 {
+	sim.waitForJobState("j-c", protocol.JobDone, time.Minute)
+	if n := len(leaderNode.leader.dependencies.Dependents) + len(leaderNode.leader.dependencies.Lookups) + len(leaderNode.leader.RunnableJobs); n != 0 {
 		t.Errorf("%d entries are left of jobs that are over", n)
 	}
 	// One that is submitted when all is over begins at once, and one that repeats a
 	// submission is told how the job is.
-	w.submitAccepted(other, dependentSpec("j-d", 1, "j-a", "j-c"))
-	w.waitForJobState("j-d", protocol.JobDone, 20*time.Second)
-	if r := w.submit(other, dependentSpec("j-d", 1, "j-a", "j-c")); r.Status != 200 || !strings.Contains(string(r.Body), "done") {
+	sim.submitAccepted(other, dependentSpec("j-d", 1, "j-a", "j-c"))
+	sim.waitForJobState("j-d", protocol.JobDone, 20*time.Second)
+	if r := sim.submit(other, dependentSpec("j-d", 1, "j-a", "j-c")); r.Status != 200 || !strings.Contains(string(r.Body), "done") {
 		t.Errorf("a repeat is answered %d %s", r.Status, r.Body)
 	}
 }
 
 // Several jobs that one report shows as ended release what needs them all, once.
 func TestCompletionsInOneHeartbeat(t *testing.T) {
-	w, l := newPipelineSimulation(t, 3)
-	w.cloud.capacity = 1
-	w.taskDuration = func(string, int) time.Duration { return 4 * time.Second }
+	sim, leaderNode := newPipelineSimulation(t, 3)
+	sim.cloud.capacity = 1
+	sim.taskDuration = func(string, int) time.Duration { return 4 * time.Second }
 	for _, id := range []string{"j-a", "j-b", "j-c"} {
-		w.submitAccepted(l.name, jobSpec(id, 1))
+		sim.submitAccepted(leaderNode.name, jobSpec(id, 1))
 	}
-	w.submitAccepted(l.name, dependentSpec("j-d", 1, "j-a", "j-b", "j-c"))
-	w.submitAccepted(l.name, dependentSpec("j-e", 1, "j-d", "j-b"))
-	w.waitForJobState("j-e", protocol.JobDone, time.Minute)
-	w.checkStartedOnce()
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-d", 1, "j-a", "j-b", "j-c"))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-e", 1, "j-d", "j-b"))
+	sim.waitForJobState("j-e", protocol.JobDone, time.Minute)
+	sim.checkStartedOnce()
 }
 
 // What the leader alone has seen is not enough: the next leader may not know it.
 func TestStartWaitsForTheDurableEnd(t *testing.T) {
-	w, l := newPipelineSimulation(t, 3)
-	w.submitAccepted(l.name, jobSpec("j-a", 1))
-	w.submitAccepted(l.name, dependentSpec("j-b", 1, "j-a"))
-	w.advanceUntil(20*time.Second, func() bool { return w.activeTaskCount("j-a") == 1 })
-	w.store.setDown(true)
-	w.advance(12 * time.Second) // it ends meanwhile
-	if w.startCounts["j-b/0"] != 0 {
+	sim, leaderNode := newPipelineSimulation(t, 3)
+	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
+	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-a") == 1 })
+	sim.store.setDown(true)
+	sim.advance(12 * time.Second) // it ends meanwhile
+	if sim.startCounts["j-b/0"] != 0 {
 		t.Fatal("started before the end of j-a was durable")
 	}
-	w.store.setDown(false)
-	w.waitForJobState("j-b", protocol.JobDone, time.Minute)
+	sim.store.setDown(false)
+	sim.waitForJobState("j-b", protocol.JobDone, time.Minute)
 }
 
 // A job whose answer was lost ended all the same: what needs it goes on, once.
 func TestUncertainCompletionReleasesDependents(t *testing.T) {
-	w, l := newPipelineSimulation(t, 3)
-	w.submitAccepted(l.name, jobSpec("j-a", 1))
-	w.submitAccepted(l.name, dependentSpec("j-b", 1, "j-a"))
-	w.advanceUntil(20*time.Second, func() bool { return w.activeTaskCount("j-a") == 1 })
-	w.store.holdTransaction = func(_ string, txn storage.Txn) bool {
-		if !slices.ContainsFunc(txn.Writes, func(wr storage.Write) bool { return wr.PutKey == storage.TerminalKey("j-a") }) {
+	sim, leaderNode := newPipelineSimulation(t, 3)
+	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
+	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-a") == 1 })
+	sim.store.holdTransaction = func(_ string, txn storage.Txn) bool {
+		if !slices.ContainsFunc(txn.Writes, func(write storage.Write) bool { return write.PutKey == storage.TerminalKey("j-a") }) {
 			return false
 		}
-		w.store.holdTransaction = nil
-		w.schedule(3*time.Second, func() {
-			for _, f := range w.store.heldTransactions {
+		sim.store.holdTransaction = nil
+		sim.schedule(3*time.Second, func() {
+			for _, f := range sim.store.heldTransactions {
 				f()
 			}
 		})
 		return true
 	}
-	w.waitForJobState("j-b", protocol.JobDone, time.Minute)
-	w.checkStartedOnce()
+	sim.waitForJobState("j-b", protocol.JobDone, time.Minute)
+	sim.checkStartedOnce()
 }
 
 // A job that can't be run, or whose needs were never accepted, is refused; but an
 // accepted one never, whatever has become of what it names.
 func TestDependenciesNeverAccepted(t *testing.T) {
-	w, l := newPipelineSimulation(t, 3)
-	other := w.followers()[0]
-	for _, node := range []string{l.name, other} {
-		if r := w.submit(node, dependentSpec("j-x", 1, "j-nobodys")); r.Status != 422 {
+	sim, leaderNode := newPipelineSimulation(t, 3)
+	other := sim.followers()[0]
+	for _, node := range []string{leaderNode.name, other} {
+		if r := sim.submit(node, dependentSpec("j-x", 1, "j-nobodys")); r.Status != 422 {
 			t.Errorf("%s: never accepted: %d", node, r.Status)
 		}
-		if r := w.submit(node, dependentSpec("j-x", 1, "j-x")); r.Status != 422 {
+		if r := sim.submit(node, dependentSpec("j-x", 1, "j-x")); r.Status != 422 {
 			t.Errorf("%s: itself: %d", node, r.Status)
 		}
 	}
-	w.submitAccepted(l.name, jobSpec("j-a", 1))
-	w.submitAccepted(other, dependentSpec("j-b", 1, "j-a"))
-	w.cancelJob(l.name, "j-a")
-	for _, node := range w.names {
-		if r := w.submit(node, dependentSpec("j-b", 1, "j-a")); r.Status != 200 || !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
+	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
+	sim.submitAccepted(other, dependentSpec("j-b", 1, "j-a"))
+	sim.cancelJob(leaderNode.name, "j-a")
+	for _, node := range sim.names {
+		if r := sim.submit(node, dependentSpec("j-b", 1, "j-a")); r.Status != 200 || !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
 			t.Errorf("%s: a repeat is answered %d %s", node, r.Status, r.Body)
 		}
 	}
-	w.store.setDown(true)
-	w.advance(2 * time.Second)
-	for _, node := range w.names {
-		if r := w.submit(node, dependentSpec("j-y", 1, "j-nobodys")); r.Status != 503 || r.RetryAfter == 0 {
+	sim.store.setDown(true)
+	sim.advance(2 * time.Second)
+	for _, node := range sim.names {
+		if r := sim.submit(node, dependentSpec("j-y", 1, "j-nobodys")); r.Status != 503 || r.RetryAfter == 0 {
 			t.Errorf("%s: nothing can be read: %d, Retry-After %d", node, r.Status, r.RetryAfter)
 		}
 	}
@@ -147,27 +147,27 @@
 // A broad pipeline is taken at once by any node: what it does not know of so many jobs, the
 // leader does, rather than that each is read within a node's few reads a second.
 func TestBroadPipeline(t *testing.T) {
-	w, l := newPipelineSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return time.Second }
+	sim, leaderNode := newPipelineSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return time.Second }
 	var all []string
 	for i := range 60 {
 		all = append(all, fmt.Sprintf("j-%d", i))
-		w.submitAccepted(l.name, jobSpec(all[i], 1))
+		sim.submitAccepted(leaderNode.name, jobSpec(all[i], 1))
 	}
-	w.submitAccepted(w.followers()[0], dependentSpec("j-all", 1, all...))
-	w.waitForJobState("j-all", protocol.JobDone, 2*time.Minute)
+	sim.submitAccepted(sim.followers()[0], dependentSpec("j-all", 1, all...))
+	sim.waitForJobState("j-all", protocol.JobDone, 2*time.Minute)
 }
 
 // What a job needs may take more than one value of the state service: it is stored with
 // the job, read before the job is known, by any node and leader, and dropped with it.
 func TestDependenciesOverManyRecords(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.announceUpcomingLimits(1, 4, 60)
-	w.store.enforceUpcomingLimits = true
-	l := w.waitForLeader()
-	w.waitForNewVersion()
-	w.startMachines(4)
-	w.taskDuration = func(task string, _ int) time.Duration {
+	sim := newSimulation(t, 3)
+	sim.announceUpcomingLimits(1, 4, 60)
+	sim.store.enforceUpcomingLimits = true
+	leaderNode := sim.waitForLeader()
+	sim.waitForNewVersion()
+	sim.startMachines(4)
+	sim.taskDuration = func(task string, _ int) time.Duration {
 		if jobIDOf(task) == "j-000" {
 			return time.Minute
 		}
@@ -176,18 +176,18 @@
 	var all []string
 	for i := range 200 {
 		all = append(all, fmt.Sprintf("j-%03d", i))
-		w.submitAccepted(l.name, jobSpec(all[i], 1))
+		sim.submitAccepted(leaderNode.name, jobSpec(all[i], 1))
 	}
-	other := w.followers()[0]
-	w.submitAccepted(other, dependentSpec("j-all", 1, all...))
-	w.submitAccepted(l.name, dependentSpec("j-most", 1, append(slices.Clone(all[1:]), "j-all")...))
-	w.submitAccepted(l.name, dependentSpec("j-mine", 1, all...))
+	other := sim.followers()[0]
+	sim.submitAccepted(other, dependentSpec("j-all", 1, all...))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-most", 1, append(slices.Clone(all[1:]), "j-all")...))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-mine", 1, all...))
 	for _, id := range []string{"j-all", "j-most", "j-mine"} {
-		if n := len(w.store.keys[storage.JobKey(id)].Value); n > 1024 || n == 0 {
+		if n := len(sim.store.keys[storage.JobKey(id)].Value); n > 1024 || n == 0 {
 			t.Errorf("the record of %s has %d bytes", id, n)
 		}
-		if j := l.leader.Jobs[id]; j == nil || len(j.Spec.Dependencies) != 200 {
-			t.Errorf("%s is known as %+v", id, j)
+		if job := leaderNode.leader.Jobs[id]; job == nil || len(job.Spec.Dependencies) != 200 {
+			t.Errorf("%s is known as %+v", id, job)
 		}
 	}
 	var broad []string
@@ -197,19 +197,19 @@
 	for i := range broad {
 		broad[i] = fmt.Sprintf("%s-%d", broad[i], i/200)
 	}
-	if r := w.submit(l.name, dependentSpec("j-broad", 1, broad...)); r.Status != 400 {
+	if r := sim.submit(leaderNode.name, dependentSpec("j-broad", 1, broad...)); r.Status != 400 {
 		t.Errorf("more than can be stored: answered %d", r.Status)
 	}
-	w.crashNode(l.name)
-	l = w.waitForLeader()
-	w.advance(time.Second)
-	w.cancelJob(l.name, "j-mine")
-	w.waitForJobState("j-most", protocol.JobDone, 5*time.Minute)
-	if len(w.store.oversizedKeys) > 0 {
-		t.Errorf("too large: %v", w.store.oversizedKeys)
+	sim.crashNode(leaderNode.name)
+	leaderNode = sim.waitForLeader()
+	sim.advance(time.Second)
+	sim.cancelJob(leaderNode.name, "j-mine")
+	sim.waitForJobState("j-most", protocol.JobDone, 5*time.Minute)
+	if len(sim.store.oversizedKeys) > 0 {
+		t.Errorf("too large: %v", sim.store.oversizedKeys)
 	}
-	w.advance(5 * time.Second)
-	for key := range w.store.keys {
+	sim.advance(5 * time.Second)
+	for key := range sim.store.keys {
 		if strings.HasPrefix(key, storage.DependenciesPrefix) {
 			t.Errorf("%s is kept", key)
 		}
@@ -219,23 +219,23 @@
 // Cancelling a job reaches all that need it, also one that is submitted later, and only
 // those.
 func TestCancelReachesAllDependents(t *testing.T) {
-	w, l := newPipelineSimulation(t, 3)
-	other := w.followers()[0]
-	w.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
-	w.submitAccepted(l.name, jobSpec("j-a", 1))
-	w.submitAccepted(l.name, jobSpec("j-k", 1))
-	w.submitAccepted(other, dependentSpec("j-b", 1, "j-a"))
-	w.submitAccepted(other, dependentSpec("j-c", 1, "j-k", "j-b"))
-	w.submitAccepted(other, dependentSpec("j-d", 1, "j-k"))
-	if r := w.cancelJob(other, "j-b"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
+	sim, leaderNode := newPipelineSimulation(t, 3)
+	other := sim.followers()[0]
+	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
+	sim.submitAccepted(leaderNode.name, jobSpec("j-k", 1))
+	sim.submitAccepted(other, dependentSpec("j-b", 1, "j-a"))
+	sim.submitAccepted(other, dependentSpec("j-c", 1, "j-k", "j-b"))
+	sim.submitAccepted(other, dependentSpec("j-d", 1, "j-k"))
+	if r := sim.cancelJob(other, "j-b"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
-	w.submitAccepted(other, dependentSpec("j-e", 1, "j-c"))
+	sim.submitAccepted(other, dependentSpec("j-e", 1, "j-c"))
 	for _, id := range []string{"j-b", "j-c", "j-e"} {
-		w.waitForJobState(id, protocol.JobCancelled, 2*time.Second)
+		sim.waitForJobState(id, protocol.JobCancelled, 2*time.Second)
 	}
 	for _, id := range []string{"j-a", "j-k", "j-d"} {
-		w.waitForJobState(id, protocol.JobDone, time.Minute)
+		sim.waitForJobState(id, protocol.JobDone, time.Minute)
 	}
 }
 
@@ -245,42 +245,42 @@
 func TestCancelAtTheHeadOfALongPipeline(t *testing.T) {
 	for _, trouble := range []string{"none", "takeover", "outage"} {
 		t.Run(trouble, func(t *testing.T) {
-			w, l := newPipelineSimulation(t, 3)
-			w.taskDuration = func(string, int) time.Duration { return time.Hour }
+			sim, leaderNode := newPipelineSimulation(t, 3)
+			sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 			const length = 150
-			w.submitAccepted(l.name, jobSpec("j-0", 1))
+			sim.submitAccepted(leaderNode.name, jobSpec("j-0", 1))
 			for i := 1; i < length; i++ {
-				w.submitAccepted(l.name, dependentSpec(fmt.Sprintf("j-%d", i), 1, fmt.Sprintf("j-%d", i-1)))
+				sim.submitAccepted(leaderNode.name, dependentSpec(fmt.Sprintf("j-%d", i), 1, fmt.Sprintf("j-%d", i-1)))
 			}
 			last := fmt.Sprintf("j-%d", length-1)
-			if r := w.cancelJob(l.name, "j-0"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
+			if r := sim.cancelJob(leaderNode.name, "j-0"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
 				t.Fatalf("%d %s", r.Status, r.Body)
 			}
-			if _, s := w.queryJob(l.name, last); s.State != protocol.JobCancelled {
+			if _, s := sim.queryJob(leaderNode.name, last); s.State != protocol.JobCancelled {
 				t.Errorf("the last job is %q after the answer", s.State)
 			}
-			told := w.now
+			told := sim.now
 			switch trouble {
 			case "takeover":
-				w.crashNode(l.name)
-				w.waitForLeader()
+				sim.crashNode(leaderNode.name)
+				sim.waitForLeader()
 			case "outage":
-				w.store.setDown(true)
-				w.schedule(25*time.Second, func() { w.store.setDown(false) })
+				sim.store.setDown(true)
+				sim.schedule(25*time.Second, func() { sim.store.setDown(false) })
 			}
-			for w.now < told+34*time.Second {
-				for _, node := range w.names {
-					if w.nodes[node].down {
+			for sim.now < told+34*time.Second {
+				for _, node := range sim.names {
+					if sim.nodes[node].down {
 						continue
 					}
-					if code, s := w.queryJob(node, last); code == 404 || code == 200 && s.State != protocol.JobCancelled {
-						t.Fatalf("went_back: at %v %s says %d %q of the last job", w.now-told, node, code, s.State)
+					if code, s := sim.queryJob(node, last); code == 404 || code == 200 && s.State != protocol.JobCancelled {
+						t.Fatalf("went_back: at %v %s says %d %q of the last job", sim.now-told, node, code, s.State)
 					}
 				}
-				w.advance(500 * time.Millisecond)
+				sim.advance(500 * time.Millisecond)
 			}
 			for i := range length {
-				w.waitForJobState(fmt.Sprintf("j-%d", i), protocol.JobCancelled, 30*time.Second)
+				sim.waitForJobState(fmt.Sprintf("j-%d", i), protocol.JobCancelled, 30*time.Second)
 			}
 		})
 	}
@@ -290,48 +290,48 @@
 // and cancelled as well, on either side of that write and in the next term.
 func TestSubmissionAgainstCancellation(t *testing.T) {
 	for _, crash := range []bool{false, true} {
-		w, l := newPipelineSimulation(t, 3)
-		other := w.followers()[0]
-		w.taskDuration = func(string, int) time.Duration { return time.Minute }
-		w.submitAccepted(l.name, jobSpec("j-a", 1))
-		w.store.holdTransaction = func(_ string, txn storage.Txn) bool {
-			return slices.ContainsFunc(txn.Writes, func(wr storage.Write) bool { return wr.PutKey == storage.JobKey("j-b") })
+		sim, leaderNode := newPipelineSimulation(t, 3)
+		other := sim.followers()[0]
+		sim.taskDuration = func(string, int) time.Duration { return time.Minute }
+		sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
+		sim.store.holdTransaction = func(_ string, txn storage.Txn) bool {
+			return slices.ContainsFunc(txn.Writes, func(write storage.Write) bool { return write.PutKey == storage.JobKey("j-b") })
 		}
-		j := dependentSpec("j-b", 1, "j-a")
-		w.jobSpecs["j-b"] = j
+		job := dependentSpec("j-b", 1, "j-a")
+		sim.jobSpecs["j-b"] = job
 		accepted := 0
-		w.sendRequest(other, Request{Kind: protocol.RequestSubmit, JobID: "j-b", Job: &j}, func(r Reply) { accepted = r.Status })
-		w.advance(200 * time.Millisecond)
-		w.cancelJob(l.name, "j-a")
-		w.store.holdTransaction = nil
-		for _, f := range w.store.heldTransactions {
+		sim.sendRequest(other, Request{Kind: protocol.RequestSubmit, JobID: "j-b", Job: &job}, func(r Reply) { accepted = r.Status })
+		sim.advance(200 * time.Millisecond)
+		sim.cancelJob(leaderNode.name, "j-a")
+		sim.store.holdTransaction = nil
+		for _, f := range sim.store.heldTransactions {
 			f() // written after the cancellation
 		}
 		if crash {
-			w.crashNode(l.name)
+			sim.crashNode(leaderNode.name)
 		}
-		w.advanceUntil(10*time.Second, func() bool { return accepted != 0 })
+		sim.advanceUntil(10*time.Second, func() bool { return accepted != 0 })
 		if accepted != 201 && accepted != 200 {
 			t.Errorf("the submission is answered %d", accepted)
 		}
-		w.waitForJobState("j-b", protocol.JobCancelled, 20*time.Second)
+		sim.waitForJobState("j-b", protocol.JobCancelled, 20*time.Second)
 	}
 }
 
 // A leader that has not yet read what became of a job does not call one after it queued:
 // a predecessor may have told its user that it is cancelled.
 func TestNeedNotReadYet(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.store.putValue(storage.TerminalKey("j-a"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 1})
-	w.store.putValue(storage.JobKey("j-b"), storage.JobRecord{Spec: dependentSpec("j-b", 1, "j-a"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
-	w.store.putValue(storage.JobKey("j-c"), storage.JobRecord{Spec: dependentSpec("j-c", 1, "j-b"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
-	for w.now < 20*time.Second {
-		if code, s := w.queryJob("n0", "j-c"); code == 200 && s.State != protocol.JobCancelled {
-			t.Fatalf("at %v it is called %q", w.now, s.State)
+	sim := newSimulation(t, 1)
+	sim.store.putValue(storage.TerminalKey("j-a"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 1})
+	sim.store.putValue(storage.JobKey("j-b"), storage.JobRecord{Spec: dependentSpec("j-b", 1, "j-a"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
+	sim.store.putValue(storage.JobKey("j-c"), storage.JobRecord{Spec: dependentSpec("j-c", 1, "j-b"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
+	for sim.now < 20*time.Second {
+		if code, s := sim.queryJob("n0", "j-c"); code == 200 && s.State != protocol.JobCancelled {
+			t.Fatalf("at %v it is called %q", sim.now, s.State)
 		}
-		w.advance(20 * time.Millisecond)
+		sim.advance(20 * time.Millisecond)
 	}
-	if w.terminalState("j-c") != protocol.JobCancelled {
+	if sim.terminalState("j-c") != protocol.JobCancelled {
 		t.Error("its end is not written")
 	}
 }
@@ -339,18 +339,18 @@
 // A pipeline's slack is spent once: each job is due when the longest way after it leaves
 // no more time, and as urgent as any job that needs it, for as long as one does.
 func TestDeadlineAndPriorityReachBack(t *testing.T) {
-	w, n := newPipelineSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return time.Hour }
+	sim, n := newPipelineSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	l := n.leader
-	w.submitAccepted(n.name, jobSpec("j-a", 1))
-	w.submitAccepted(n.name, dependentSpec("j-b", 1, "j-a"))
+	sim.submitAccepted(n.name, jobSpec("j-a", 1))
+	sim.submitAccepted(n.name, dependentSpec("j-b", 1, "j-a"))
 	slow := dependentSpec("j-s", 1, "j-a")
 	slow.EstimatedSeconds = 40
-	w.submitAccepted(n.name, slow)
+	sim.submitAccepted(n.name, slow)
 	last := dependentSpec("j-z", 1, "j-b", "j-s")
 	deadline := 120.0
 	last.DeadlineSeconds, last.Priority = &deadline, "urgent"
-	w.submitAccepted(n.name, last)
+	sim.submitAccepted(n.name, last)
 	a, b, s, z := l.Jobs["j-a"], l.Jobs["j-b"], l.Jobs["j-s"], l.Jobs["j-z"]
 	end := z.AcceptedAt + 120*time.Second
 	if want := end - l.dependencies.ExpectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want || l.Due(s) != want {
@@ -362,7 +362,7 @@
 	if a.EffectiveRank() != 1 || b.EffectiveRank() != 1 || a.Spec.PriorityRank() != 2 {
 		t.Errorf("ranks %d and %d", a.EffectiveRank(), b.EffectiveRank())
 	}
-	w.cancelJob(n.name, "j-z")
+	sim.cancelJob(n.name, "j-z")
 	if a.EffectiveRank() != 2 || a.LatestEnd != clock.Forever {
 		t.Errorf("rank %d, end by %v, though nothing needs it in time", a.EffectiveRank(), a.LatestEnd)
 	}
@@ -371,46 +371,46 @@
 // The four minutes within which a job begins, and its aims, count from the end of the
 // last job that it needs, for the next leader too.
 func TestTimesCountFromTheLastEnd(t *testing.T) {
-	w, l := newPipelineSimulation(t, 3)
-	w.taskDuration = func(task string, _ int) time.Duration {
+	sim, leaderNode := newPipelineSimulation(t, 3)
+	sim.taskDuration = func(task string, _ int) time.Duration {
 		if jobIDOf(task) == "j-a" {
 			return 100 * time.Second
 		}
 		return time.Hour
 	}
-	w.submitAccepted(l.name, jobSpec("j-a", 1))
-	w.submitAccepted(l.name, dependentSpec("j-b", 1, "j-a"))
-	w.advanceUntil(3*time.Minute, func() bool { return w.terminalState("j-a") != "" })
-	ended := w.now
-	w.crashNode(l.name)
-	l = w.waitForLeader()
-	w.advanceUntil(20*time.Second, func() bool { return w.activeTaskCount("j-b") == 1 })
-	b := l.leader.Jobs["j-b"]
-	if from := b.EligibleAt + l.bootedAt; from < ended-time.Second || from > ended+time.Second {
+	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
+	sim.advanceUntil(3*time.Minute, func() bool { return sim.terminalState("j-a") != "" })
+	ended := sim.now
+	sim.crashNode(leaderNode.name)
+	leaderNode = sim.waitForLeader()
+	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-b") == 1 })
+	b := leaderNode.leader.Jobs["j-b"]
+	if from := b.EligibleAt + leaderNode.bootedAt; from < ended-time.Second || from > ended+time.Second {
 		t.Errorf("its times count from %v, not %v", from, ended)
 	}
-	if b.AcceptedAt+l.bootedAt > 20*time.Second {
-		t.Errorf("accepted at %v", b.AcceptedAt+l.bootedAt)
+	if b.AcceptedAt+leaderNode.bootedAt > 20*time.Second {
+		t.Errorf("accepted at %v", b.AcceptedAt+leaderNode.bootedAt)
 	}
 }
 
 // What waits is no backlog, until the job before it is about to end: then machines for it
 // have just the time to come up.
 func TestNextStageIsPlannedInTime(t *testing.T) {
-	w, n := newPipelineSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return time.Hour }
+	sim, n := newPipelineSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	a := jobSpec("j-a", 1)
 	a.EstimatedSeconds = 60
-	w.submitAccepted(n.name, a)
-	w.advanceUntil(20*time.Second, func() bool { return w.activeTaskCount("j-a") == 1 })
-	w.advance(time.Second)
+	sim.submitAccepted(n.name, a)
+	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-a") == 1 })
+	sim.advance(time.Second)
 	alone := requiredCores(n.leader, 1000)
-	w.submitAccepted(n.name, dependentSpec("j-b", 200, "j-a"))
-	w.submitAccepted(n.name, dependentSpec("j-c", 200, "j-a", "j-b")) // must wait for j-b as well
+	sim.submitAccepted(n.name, dependentSpec("j-b", 200, "j-a"))
+	sim.submitAccepted(n.name, dependentSpec("j-c", 200, "j-a", "j-b")) // must wait for j-b as well
 	if got := requiredCores(n.leader, 1000); got > alone {
 		t.Errorf("%v cores are planned for work that waits, %v without it", got, alone)
 	}
-	w.advance(56 * time.Second) // a machine boots in 5 s
+	sim.advance(56 * time.Second) // a machine boots in 5 s
 	due := n.leader.DueFrom(n.leader.Jobs["j-b"], n.now) - n.now
 	if got, want := requiredCores(n.leader, 1000), 200*5/due.Seconds(); got < want || got > 2*want {
 		t.Errorf("%v cores are planned for the next stage, not %v", got, want)
@@ -420,49 +420,49 @@
 // A stage that the new leader has released need not wait for machines that hold up older
 // jobs: no earlier leader can have started it.
 func TestReleasedStageIsNotHeldUp(t *testing.T) {
-	w, first := newPipelineSimulation(t, 3)
-	w.taskDuration = func(task string, _ int) time.Duration {
+	sim, first := newPipelineSimulation(t, 3)
+	sim.taskDuration = func(task string, _ int) time.Duration {
 		if jobIDOf(task) == "j-a" {
 			return 12 * time.Second
 		}
 		return 200 * time.Second
 	}
-	w.submitAndStart(first.name, jobSpec("j-1", 6), 6)
-	w.submitAndStart(first.name, jobSpec("j-a", 1), 1)
-	w.submitAccepted(first.name, dependentSpec("j-b", 1, "j-a"))
+	sim.submitAndStart(first.name, jobSpec("j-1", 6), 6)
+	sim.submitAndStart(first.name, jobSpec("j-a", 1), 1)
+	sim.submitAccepted(first.name, dependentSpec("j-b", 1, "j-a"))
 	silenced := 0
-	for _, x := range w.workers {
-		if !slices.ContainsFunc(x.tasks, func(t *fakeTask) bool { return jobIDOf(t.taskKey) == "j-a" }) {
-			x.unreachable = true
+	for _, worker := range sim.workers {
+		if !slices.ContainsFunc(worker.tasks, func(t *fakeTask) bool { return jobIDOf(t.taskKey) == "j-a" }) {
+			worker.unreachable = true
 			silenced++
 		}
 	}
-	w.cloud.rejectReturns = true // or that would make sure sooner
-	w.crashNode(first.name)
-	l := w.waitForLeader()
-	took := w.now
-	if !w.advanceUntil(30*time.Second, func() bool { return w.activeTaskCount("j-b") == 1 }) || silenced == 0 {
+	sim.cloud.rejectReturns = true // or that would make sure sooner
+	sim.crashNode(first.name)
+	leaderNode := sim.waitForLeader()
+	took := sim.now
+	if !sim.advanceUntil(30*time.Second, func() bool { return sim.activeTaskCount("j-b") == 1 }) || silenced == 0 {
 		t.Fatal("not started")
 	}
-	if l.leader.ReconciledOnce {
-		t.Errorf("started only when all machines were accounted for, %v after the takeover", w.now-took)
+	if leaderNode.leader.ReconciledOnce {
+		t.Errorf("started only when all machines were accounted for, %v after the takeover", sim.now-took)
 	}
 }
 
 // Jobs that wait cost a pass and a report nothing.
 func TestWaitingJobsCostNothing(t *testing.T) {
-	w, n := newPipelineSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return time.Hour }
-	w.submitAccepted(n.name, jobSpec("j-0", 1))
-	w.advanceUntil(20*time.Second, func() bool { return w.activeTaskCount("j-0") == 1 })
+	sim, n := newPipelineSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+	sim.submitAccepted(n.name, jobSpec("j-0", 1))
+	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-0") == 1 })
 	cost := func() int {
 		at := n.leader.CandidatesExamined
-		w.advance(15 * time.Second)
+		sim.advance(15 * time.Second)
 		return n.leader.CandidatesExamined - at
 	}
 	before := cost()
 	for i := 1; i < 200; i++ {
-		w.submitAccepted(n.name, dependentSpec(fmt.Sprintf("j-%d", i), 50, fmt.Sprintf("j-%d", i/2)))
+		sim.submitAccepted(n.name, dependentSpec(fmt.Sprintf("j-%d", i), 50, fmt.Sprintf("j-%d", i/2)))
 	}
 	if got := cost(); got > before+before/4 || len(n.leader.JobsByAge()) != 1 {
 		t.Errorf("looked at %d with 200 jobs that wait, %d without; %d are served", got, before, len(n.leader.JobsByAge()))
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -14,22 +14,22 @@
 // tells users and the load balancer at once; another leads meanwhile, and nothing
 // starts twice when it is back.
 func TestHalfCutLeader(t *testing.T) {
-	w, l := newRunningSimulation(t, 3, 20*time.Second, 3, 8)
-	w.store.requestsDropped[l.name] = true
-	w.isolateNode(l.name)
-	if !w.advanceUntil(5*time.Second, func() bool { return !l.holdsLeaderLease() }) {
+	sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 3, 8)
+	sim.store.requestsDropped[leaderNode.name] = true
+	sim.isolateNode(leaderNode.name)
+	if !sim.advanceUntil(5*time.Second, func() bool { return !leaderNode.holdsLeaderLease() }) {
 		t.Fatal("it leads on")
 	}
 	answers := map[string]int{}
-	for name, x := range w.workers {
-		answers[name] = x.responseCount
+	for name, worker := range sim.workers {
+		answers[name] = worker.responseCount
 	}
-	if !w.advanceUntil(8*time.Second, func() bool { return w.leaderName() != "" && w.leaderName() != l.name }) {
+	if !sim.advanceUntil(8*time.Second, func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
 		t.Fatal("no other leads")
 	}
-	if !w.advanceUntil(8*time.Second, func() bool {
-		for name, x := range w.workers {
-			if x.responseCount == answers[name] {
+	if !sim.advanceUntil(8*time.Second, func() bool {
+		for name, worker := range sim.workers {
+			if worker.responseCount == answers[name] {
 				return false
 			}
 		}
@@ -41,66 +41,66 @@
 		{Kind: protocol.RequestSubmit, JobID: "j-2", Job: &protocol.Job{ID: "j-2", Team: "free", TaskCount: 1}},
 		{Kind: protocol.RequestQuery, JobID: "j-1"}, {Kind: protocol.RequestCancel, JobID: "j-1"},
 	} {
-		asked := w.now
-		if got := w.requestAndWait(l.name, r); got.Status != 503 || got.RetryAfter == 0 || w.now-asked > time.Second {
-			t.Errorf("%s: %d, come back after %d, answered in %v", r.Kind, got.Status, got.RetryAfter, w.now-asked)
+		asked := sim.now
+		if got := sim.requestAndWait(leaderNode.name, r); got.Status != 503 || got.RetryAfter == 0 || sim.now-asked > time.Second {
+			t.Errorf("%s: %d, come back after %d, answered in %v", r.Kind, got.Status, got.RetryAfter, sim.now-asked)
 		}
 	}
-	if got := w.requestAndWait(l.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
+	if got := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
 		t.Errorf("health: %d", got.Status)
 	}
-	w.healCuts()
-	delete(w.store.requestsDropped, l.name)
-	w.waitForJobState("j-1", protocol.JobDone, time.Minute)
-	w.checkStartedOnce()
+	sim.healCuts()
+	delete(sim.store.requestsDropped, leaderNode.name)
+	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	sim.checkStartedOnce()
 }
 
 // A leader that alone is refused by the state service, while the other controllers
 // refuse its connections, is replaced; it neither leads on by lease grants nor comes back
 // in the way of the next.
 func TestLeaderRefusedByStoreAndPeers(t *testing.T) {
-	w, l := newRunningSimulation(t, 3, 25*time.Second, 3, 6)
-	w.store.refusedNodes[l.name] = true
-	w.isolateNode(l.name)
-	if !w.advanceUntil(9*time.Second, func() bool { return w.leaderName() != "" && w.leaderName() != l.name }) {
+	sim, leaderNode := newRunningSimulation(t, 3, 25*time.Second, 3, 6)
+	sim.store.refusedNodes[leaderNode.name] = true
+	sim.isolateNode(leaderNode.name)
+	if !sim.advanceUntil(9*time.Second, func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
 		t.Fatal("it is not replaced")
 	}
-	next := w.leaderName()
-	w.advance(3 * time.Second)
-	if got := w.requestAndWait(l.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
+	next := sim.leaderName()
+	sim.advance(3 * time.Second)
+	if got := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
 		t.Errorf("health: %d", got.Status)
 	}
-	w.advance(7 * time.Second)
-	w.healCuts()
-	delete(w.store.refusedNodes, l.name)
-	w.advance(10 * time.Second)
-	if w.leaderName() != next {
-		t.Errorf("%s leads, not %s", w.leaderName(), next)
+	sim.advance(7 * time.Second)
+	sim.healCuts()
+	delete(sim.store.refusedNodes, leaderNode.name)
+	sim.advance(10 * time.Second)
+	if sim.leaderName() != next {
+		t.Errorf("%s leads, not %s", sim.leaderName(), next)
 	}
-	w.waitForJobState("j-1", protocol.JobDone, time.Minute)
-	w.checkStartedOnce()
+	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	sim.checkStartedOnce()
 }
 
 // A follower that is cut in the same way sends no worker to a leader that it does
 // not hear any more, and nobody is worse off.
 func TestHalfCutFollower(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.waitForLeader()
-	f := w.followers()[0]
-	w.store.requestsDropped[f] = true
-	w.isolateNode(f)
-	w.advance(5 * time.Second)
+	sim := newSimulation(t, 3)
+	sim.waitForLeader()
+	f := sim.followers()[0]
+	sim.store.requestsDropped[f] = true
+	sim.isolateNode(f)
+	sim.advance(5 * time.Second)
 	rep := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-	if got := w.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}); got.Status != 503 {
+	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}); got.Status != 503 {
 		t.Errorf("report: %d", got.Status)
 	}
-	if got := w.requestAndWait(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 || got.RetryAfter == 0 {
+	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 || got.RetryAfter == 0 {
 		t.Errorf("query: %d, come back after %d", got.Status, got.RetryAfter)
 	}
-	if got := w.requestAndWait(f, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
+	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
 		t.Errorf("health: %d", got.Status)
 	}
-	w.submitAndStart(w.leaderName(), jobSpec("j-1", 2), 2)
+	sim.submitAndStart(sim.leaderName(), jobSpec("j-1", 2), 2)
 }
 
 // Once all troubles are over, some question about each job is answered within 75 s,
@@ -108,36 +108,36 @@
 // controllers restart, with thousands of jobs over and hundreds open, while the
 // leader is still reading its records.
 func TestNothingForgottenAfterEverything(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.cloud.capacity = 1
+	sim := newSimulation(t, 3)
+	sim.cloud.capacity = 1
 	const over, open = 4000, 400
 	for i := range over {
-		w.store.putValue(storage.TerminalKey(fmt.Sprintf("j-%d", i)), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 1, DoneTasks: 1})
+		sim.store.putValue(storage.TerminalKey(fmt.Sprintf("j-%d", i)), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 1, DoneTasks: 1})
 	}
 	for i := over; i < over+open; i++ {
-		w.store.putValue(storage.JobKey(fmt.Sprintf("j-%d", i)), storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), 3), AcceptedAtMillis: 1})
+		sim.store.putValue(storage.JobKey(fmt.Sprintf("j-%d", i)), storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), 3), AcceptedAtMillis: 1})
 	}
-	w.waitForLeader()
-	w.store.setDown(true)
-	for _, name := range w.names {
-		w.crashNode(name)
+	sim.waitForLeader()
+	sim.store.setDown(true)
+	for _, name := range sim.names {
+		sim.crashNode(name)
 	}
-	w.advance(3 * time.Second)
-	for _, name := range w.names {
-		w.restartNode(name)
+	sim.advance(3 * time.Second)
+	for _, name := range sim.names {
+		sim.restartNode(name)
 	}
-	w.advance(10 * time.Second)
-	w.store.setDown(false)
+	sim.advance(10 * time.Second)
+	sim.store.setDown(false)
 
 	// Each job is asked about every 5 s, at one node after the other.
 	answered := map[int]bool{}
-	for end := w.now + 75*time.Second; w.now < end && len(answered) < over+open; {
-		round := w.now + 5*time.Second
+	for end := sim.now + 75*time.Second; sim.now < end && len(answered) < over+open; {
+		round := sim.now + 5*time.Second
 		for i := range over + open {
 			if answered[i] {
 				continue
 			}
-			w.sendRequest(w.names[(i+int(w.now/time.Second))%3], Request{Kind: protocol.RequestQuery, JobID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
+			sim.sendRequest(sim.names[(i+int(sim.now/time.Second))%3], Request{Kind: protocol.RequestQuery, JobID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
 				switch r.Status {
 				case 200:
 					answered[i] = true
@@ -146,11 +146,11 @@
 				}
 			})
 			if i%40 == 0 {
-				w.advance(step)
+				sim.advance(step)
 			}
 		}
-		if w.now < round {
-			w.advance(round - w.now)
+		if sim.now < round {
+			sim.advance(round - sim.now)
 		}
 	}
 	if len(answered) < over+open {
@@ -162,52 +162,52 @@
 // replaced all the same: votes come through the state service.
 func TestLeaderLostWhilePeersRefuse(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
-		w, l := newRunningSimulation(t, nodes, 20*time.Second, 3, 8)
-		for _, name := range w.followers() {
-			w.crashNode(name)
-			w.restartNode(name)
-			w.advance(70 * time.Millisecond) // so that they don't look at the same time
+		sim, leaderNode := newRunningSimulation(t, nodes, 20*time.Second, 3, 8)
+		for _, name := range sim.followers() {
+			sim.crashNode(name)
+			sim.restartNode(name)
+			sim.advance(70 * time.Millisecond) // so that they don't look at the same time
 		}
-		w.isolateAllNodes()
-		w.advance(4 * time.Second)
-		if w.leaderName() != l.name {
+		sim.isolateAllNodes()
+		sim.advance(4 * time.Second)
+		if sim.leaderName() != leaderNode.name {
 			t.Fatalf("%d nodes: refused connections alone cost the leader", nodes)
 		}
-		term := l.leader.term
-		w.crashNode(l.name)
-		if !w.advanceUntil(8*time.Second, func() bool { return w.leaderName() != "" }) {
+		term := leaderNode.leader.term
+		sim.crashNode(leaderNode.name)
+		if !sim.advanceUntil(8*time.Second, func() bool { return sim.leaderName() != "" }) {
 			t.Fatalf("%d nodes: nobody leads", nodes)
 		}
 		// Each raise takes the term from a candidate that others vote for: with
 		// seven nodes they went on until connections were no longer refused.
-		if raised := w.nodes[w.leaderName()].leader.term - term; raised > 2 {
+		if raised := sim.nodes[sim.leaderName()].leader.term - term; raised > 2 {
 			t.Errorf("%d nodes: the term was raised %d times", nodes, raised)
 		}
-		w.waitForJobState("j-1", protocol.JobDone, time.Minute)
-		w.checkStartedOnce()
+		sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
+		sim.checkStartedOnce()
 	}
 }
 
 // A node that the state service refuses alone hands submissions to the leader, from
 // the first on; in an outage of all, users are told at once when to come back.
 func TestSubmissionAtRefusedNode(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.waitForLeader()
-	w.startMachines(1)
-	f := w.followers()[0]
-	w.store.refusedNodes[f] = true
+	sim := newSimulation(t, 3)
+	sim.waitForLeader()
+	sim.startMachines(1)
+	f := sim.followers()[0]
+	sim.store.refusedNodes[f] = true
 	for i := range 3 {
-		asked := w.now
-		if r := w.submit(f, jobSpec(fmt.Sprintf("j-%d", i), 1)); r.Status != 201 || w.now-asked > 200*time.Millisecond {
-			t.Errorf("submission %d: %d after %v", i, r.Status, w.now-asked)
+		asked := sim.now
+		if r := sim.submit(f, jobSpec(fmt.Sprintf("j-%d", i), 1)); r.Status != 201 || sim.now-asked > 200*time.Millisecond {
+			t.Errorf("submission %d: %d after %v", i, r.Status, sim.now-asked)
 		}
-		w.advance(time.Second)
+		sim.advance(time.Second)
 	}
-	w.store.setDown(true)
-	w.advance(2 * time.Second)
-	asked := w.now
-	if r := w.submit(f, jobSpec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 || w.now-asked > 200*time.Millisecond {
-		t.Errorf("in an outage: %d, come back after %d, answered in %v", r.Status, r.RetryAfter, w.now-asked)
+	sim.store.setDown(true)
+	sim.advance(2 * time.Second)
+	asked := sim.now
+	if r := sim.submit(f, jobSpec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 || sim.now-asked > 200*time.Millisecond {
+		t.Errorf("in an outage: %d, come back after %d, answered in %v", r.Status, r.RetryAfter, sim.now-asked)
 	}
 }
 
@@ -215,31 +215,31 @@
 // node that was back at once handed the answer to one user's cancellation to another
 // user's submission, and that job was never stored.
 func TestAnswerToAnEarlierProcess(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitForLeader()
-	w.submit(l.name, jobSpec("j-1", 1))
-	name := w.followers()[0]
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	sim.submit(leaderNode.name, jobSpec("j-1", 1))
+	name := sim.followers()[0]
 	forwarded := func(r Request, f func(Reply)) uint64 {
-		w.sendRequest(name, r, f)
-		w.advance(2 * step)
-		if forwards := w.nodes[name].forwards; forwards.Count() > 0 {
+		sim.sendRequest(name, r, f)
+		sim.advance(2 * step)
+		if forwards := sim.nodes[name].forwards; forwards.Count() > 0 {
 			return forwards.LastID
 		}
 		t.Fatal("not passed on")
 		return 0
 	}
-	l.paused = true
+	leaderNode.paused = true
 	before := forwarded(Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
-	l.paused = false
-	w.crashNode(name)
-	w.restartNode(name)
-	w.advance(time.Second)
-	l.paused = true
+	leaderNode.paused = false
+	sim.crashNode(name)
+	sim.restartNode(name)
+	sim.advance(time.Second)
+	leaderNode.paused = true
 	var got *Reply
 	forwarded(Request{Kind: protocol.RequestQuery, JobID: "j-2"}, func(r Reply) { got = &r })
-	n := w.nodes[name]
-	n.inbox = append(n.inbox, InboundMessage{From: l.name, Message: protocol.ForwardedResponse{ID: before, Status: 200, Body: []byte(`{"uid":"j-1","situacao":"withdrawn"}`)}})
-	w.advance(5 * step)
+	n := sim.nodes[name]
+	n.inbox = append(n.inbox, InboundMessage{From: leaderNode.name, Message: protocol.ForwardedResponse{ID: before, Status: 200, Body: []byte(`{"uid":"j-1","situacao":"withdrawn"}`)}})
+	sim.advance(5 * step)
 	if got != nil {
 		t.Errorf("it is handed %d %s", got.Status, got.Body)
 	}
@@ -248,10 +248,10 @@
 // Workers that were sent to the leader and come back, as they can't reach it, are
 // relayed for, however many there are; and they are forgotten once that is over.
 func TestRelayForAnyNumberOfWorkers(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.cfg.Resources.MaxConnections = 4000
-	w.waitForLeader()
-	f := w.nodes[w.followers()[0]]
+	sim := newSimulation(t, 3)
+	sim.cfg.Resources.MaxConnections = 4000
+	sim.waitForLeader()
+	f := sim.nodes[sim.followers()[0]]
 	const workers = 3000
 	round := func() (sent, relayed int) {
 		var batch []Command
@@ -259,7 +259,7 @@
 			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 		}
-		for _, e := range f.Step(f.monotonicNow(w.now), batch) {
+		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
 			case Reply:
 				if e.Status == 421 {
@@ -276,11 +276,11 @@
 	if sent, relayed := round(); sent != workers || relayed != 0 {
 		t.Errorf("at first %d of %d are sent to the leader, %d relayed", sent, workers, relayed)
 	}
-	w.advance(3 * time.Second)
+	sim.advance(3 * time.Second)
 	if sent, relayed := round(); sent != 0 || relayed != workers {
 		t.Errorf("back again, %d are sent to the leader, %d of %d relayed", sent, relayed, workers)
 	}
-	w.advance(4 * f.workerLease())
+	sim.advance(4 * f.workerLease())
 	if len(f.workerRouter.Routes) > 0 {
 		t.Errorf("%d are remembered for good", len(f.workerRouter.Routes))
 	}
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -15,33 +15,33 @@
 )
 
 func TestOneLeaderAndQuickTakeover(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
 	term := first.leader.term
-	w.crashNode(first.name)
-	start := w.now
-	second := w.waitForLeader()
+	sim.crashNode(first.name)
+	start := sim.now
+	second := sim.waitForLeader()
 	if second.leader.term <= term {
 		t.Fatalf("term %d after %d", second.leader.term, term)
 	}
-	if took := w.now - start; took > 2*first.leaderLease() {
+	if took := sim.now - start; took > 2*first.leaderLease() {
 		t.Fatalf("takeover took %v", took)
 	}
 	// Back in the middle of things, the old leader follows.
-	w.restartNode(first.name)
-	w.advance(10 * time.Second)
-	if w.leaderName() != second.name {
-		t.Fatalf("%s leads", w.leaderName())
+	sim.restartNode(first.name)
+	sim.advance(10 * time.Second)
+	if sim.leaderName() != second.name {
+		t.Fatalf("%s leads", sim.leaderName())
 	}
 }
 
 // A leader that the state service alone refuses must stop by its own clock
 // before another may begin, and must be replaced although its peers hear it.
 func TestLeaderRefusedByStoreIsReplaced(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
-	w.store.refusedNodes[first.name] = true
-	if !w.advanceUntil(15*time.Second, func() bool { l := w.leaderName(); return l != "" && l != first.name }) {
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.store.refusedNodes[first.name] = true
+	if !sim.advanceUntil(15*time.Second, func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
 		t.Fatal("the refused leader was not replaced")
 	}
 }
@@ -49,33 +49,33 @@
 // Outages last longer than the leader's lease and than the workers': lease grants
 // of the peers keep the leader, and with it the tasks, alive.
 func TestStoreOutageKeepsLeaderAndTasks(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 60 * time.Second }
-	first := w.waitForLeader()
-	w.submitAndStart(first.name, jobSpec("j-1", 3), 3)
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 60 * time.Second }
+	first := sim.waitForLeader()
+	sim.submitAndStart(first.name, jobSpec("j-1", 3), 3)
 	term := first.leader.term
-	w.store.setDown(true)
+	sim.store.setDown(true)
 	for range 25 {
-		w.advance(time.Second)
-		if w.leaderName() != first.name {
-			t.Fatalf("at %v %q leads", w.now, w.leaderName())
+		sim.advance(time.Second)
+		if sim.leaderName() != first.name {
+			t.Fatalf("at %v %q leads", sim.now, sim.leaderName())
 		}
 	}
-	if r := w.submit(w.followers()[0], jobSpec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
+	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
 		t.Fatalf("submission in an outage: %d, come back after %d", r.Status, r.RetryAfter)
 	}
-	if code, s := w.queryJob(w.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
+	if code, s := sim.queryJob(sim.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
 		t.Fatalf("query in an outage: %d %v", code, s)
 	}
-	w.store.setDown(false)
-	w.advance(5 * time.Second)
-	if w.leaderName() != first.name || first.leader.term != term {
+	sim.store.setDown(false)
+	sim.advance(5 * time.Second)
+	if sim.leaderName() != first.name || first.leader.term != term {
 		t.Fatal("leadership moved after the outage")
 	}
-	if w.startCounts["j-1/0"] != 1 {
-		t.Fatalf("a task started %d times", w.startCounts["j-1/0"])
+	if sim.startCounts["j-1/0"] != 1 {
+		t.Fatalf("a task started %d times", sim.startCounts["j-1/0"])
 	}
-	if r := w.submit(w.followers()[0], jobSpec("j-2", 1)); r.Status != 201 {
+	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 201 {
 		t.Fatalf("submission after the outage: %d", r.Status)
 	}
 }
@@ -93,12 +93,12 @@
 // A peer that has just restarted may have granted a lease that it no longer
 // remembers, so it neither grants nor votes for one span.
 func TestRestartedPeerWaitsOutOneLeaseGrant(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
-	peer := w.followers()[0]
-	w.crashNode(peer)
-	w.restartNode(peer)
-	n := w.nodes[peer]
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	peer := sim.followers()[0]
+	sim.crashNode(peer)
+	sim.restartNode(peer)
+	n := sim.nodes[peer]
 	out := n.Step(step, []Command{InboundMessage{From: first.name, Message: protocol.VoteRequest{Term: 99}}})
 	for _, e := range out {
 		if sendsMessage[protocol.Vote](e) {
@@ -118,20 +118,20 @@
 // node has said that it does not lead. What an earlier process of a node was told says
 // nothing, nor does a majority: the one that is missing may live by a grant.
 func TestFullRestartWaitsForNoLeaseGrant(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.waitForLeader()
-	for _, name := range w.names {
-		w.crashNode(name)
+	sim := newSimulation(t, 3)
+	sim.waitForLeader()
+	for _, name := range sim.names {
+		sim.crashNode(name)
 	}
-	w.advance(5 * time.Second) // the leader's lease is over
-	for _, name := range w.names {
-		w.restartNode(name)
+	sim.advance(5 * time.Second) // the leader's lease is over
+	for _, name := range sim.names {
+		sim.restartNode(name)
 	}
-	span := w.nodes["n0"].leaderLease()
-	if !w.advanceUntil(span*2/3, func() bool { return w.leaderName() != "" }) {
+	span := sim.nodes["n0"].leaderLease()
+	if !sim.advanceUntil(span*2/3, func() bool { return sim.leaderName() != "" }) {
 		t.Fatalf("nobody leads %v after a full restart", span*2/3)
 	}
-	n := New(Options{Platform: w.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)), StartTime: time.Unix(5, 0)})
+	n := New(Options{Platform: sim.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)), StartTime: time.Unix(5, 0)})
 	voted := func(from string, m protocol.PeerHeartbeat) bool {
 		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m}, InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
 		return slices.ContainsFunc(out, sendsMessage[protocol.Vote])
@@ -153,11 +153,11 @@
 // A peer that has granted a lease votes for nobody until it is over, and one that has
 // voted for a candidate grants nothing to an older leader.
 func TestLeaseGrantAndVoteExcludeEachOther(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.store.setDown(true)
-	w.advance(10 * time.Second)
-	n := w.nodes["n0"]
-	now := w.now - n.bootedAt
+	sim := newSimulation(t, 3)
+	sim.store.setDown(true)
+	sim.advance(10 * time.Second)
+	n := sim.nodes["n0"]
+	now := sim.now - n.bootedAt
 	sent := func(is func(effect Effect) bool, messages ...protocol.PeerMessage) bool {
 		var batch []Command
 		for _, m := range messages {
@@ -184,65 +184,65 @@
 // A leader cut off from peers and workers, but not from the state service,
 // would hold its key for ever and stop the service.
 func TestIsolatedLeaderResigns(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
-	w.submit(first.name, jobSpec("j-1", 2))
-	w.advance(10 * time.Second)
-	for _, other := range w.followers() {
-		w.linkCuts[[2]string{first.name, other}] = true
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.submit(first.name, jobSpec("j-1", 2))
+	sim.advance(10 * time.Second)
+	for _, other := range sim.followers() {
+		sim.linkCuts[[2]string{first.name, other}] = true
 	}
-	for _, x := range w.workers {
-		x.unreachable = true
+	for _, worker := range sim.workers {
+		worker.unreachable = true
 	}
-	if !w.advanceUntil(15*time.Second, func() bool { l := w.leaderName(); return l != "" && l != first.name }) {
+	if !sim.advanceUntil(15*time.Second, func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
 		t.Fatal("the isolated leader was not replaced")
 	}
 }
 
 // A transaction of a replaced leader that arrives late must change nothing.
 func TestLateTransactionOfOldLeader(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
-	w.submit(first.name, jobSpec("j-1", 1))
-	w.store.holdTransaction = func(node string, txn storage.Txn) bool {
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.submit(first.name, jobSpec("j-1", 1))
+	sim.store.holdTransaction = func(node string, txn storage.Txn) bool {
 		if node != first.name || len(txn.Writes) == 0 {
 			return false
 		}
-		for _, wr := range txn.Writes {
-			if wr.PutKey == storage.TerminalKey("j-1") {
+		for _, write := range txn.Writes {
+			if write.PutKey == storage.TerminalKey("j-1") {
 				return true
 			}
 		}
 		return false
 	}
-	w.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
-	if !w.advanceUntil(5*time.Second, func() bool { return len(w.store.heldTransactions) > 0 }) {
+	sim.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	if !sim.advanceUntil(5*time.Second, func() bool { return len(sim.store.heldTransactions) > 0 }) {
 		t.Fatal("the leader wrote nothing")
 	}
-	w.crashNode(first.name)
-	w.waitForLeader()
-	for _, f := range w.store.heldTransactions {
+	sim.crashNode(first.name)
+	sim.waitForLeader()
+	for _, f := range sim.store.heldTransactions {
 		f()
 	}
-	if _, over := w.store.keys[storage.TerminalKey("j-1")]; over {
+	if _, over := sim.store.keys[storage.TerminalKey("j-1")]; over {
 		t.Fatal("a late transaction of the old leader was applied")
 	}
-	w.store.holdTransaction = nil
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	sim.store.holdTransaction = nil
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
 // Answers that are lost leave the outcome unclear; the transaction is sent again
 // to the letter, and a refusal is then checked against what is stored.
 func TestUnclearTransactionIsResolved(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
-	w.submit(first.name, jobSpec("j-1", 2))
-	w.store.responsesToLose = 3
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
-	if w.store.responsesToLose != 0 {
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.submit(first.name, jobSpec("j-1", 2))
+	sim.store.responsesToLose = 3
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	if sim.store.responsesToLose != 0 {
 		t.Fatal("no answer was lost")
 	}
-	if w.leaderName() != first.name {
+	if sim.leaderName() != first.name {
 		t.Fatal("an unclear outcome cost the leadership")
 	}
 }
@@ -251,27 +251,27 @@
 // by the node that restarted last, whose turn is over, so leadership moves seldom.
 func TestRollingRestartMovesLeadershipSeldom(t *testing.T) {
 	for first := range 3 {
-		w := newSimulation(t, 3)
-		leader := w.waitForLeader().name
+		sim := newSimulation(t, 3)
+		leader := sim.waitForLeader().name
 		began := leader
-		w.advance(20 * time.Second)
+		sim.advance(20 * time.Second)
 		moves := 0
 		for i := range 3 {
-			name := w.names[(first+i)%3]
-			w.crashNode(name)
-			w.advance(3 * time.Second)
-			w.restartNode(name)
-			w.advance(20 * time.Second)
-			if now := w.leaderName(); now != leader {
+			name := sim.names[(first+i)%3]
+			sim.crashNode(name)
+			sim.advance(3 * time.Second)
+			sim.restartNode(name)
+			sim.advance(20 * time.Second)
+			if now := sim.leaderName(); now != leader {
 				leader, moves = now, moves+1
 			}
 		}
 		want := 1
-		if began == w.names[first] {
+		if began == sim.names[first] {
 			want = 2 // it goes first, when nobody's turn is over yet
 		}
 		if moves > want {
-			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", w.names[first], began, moves)
+			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", sim.names[first], began, moves)
 		}
 	}
 }
@@ -343,11 +343,11 @@
 		for offset := range 12 {
 			t.Run(fmt.Sprintf("%d nodes/%d", nodes, offset), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, nodes)
-				first := w.waitForLeader()
-				w.advance(time.Duration(offset) * first.leaderLease() / 7)
-				w.store.refusedNodes[first.name] = true
-				if !w.advanceUntil(first.workerLease(), func() bool { l := w.leaderName(); return l != "" && l != first.name }) {
+				sim := newSimulation(t, nodes)
+				first := sim.waitForLeader()
+				sim.advance(time.Duration(offset) * first.leaderLease() / 7)
+				sim.store.refusedNodes[first.name] = true
+				if !sim.advanceUntil(first.workerLease(), func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
 					t.Fatalf("not replaced within %v", first.workerLease())
 				}
 			})
@@ -363,28 +363,28 @@
 func TestForgottenVoteGrantsNothing(t *testing.T) {
 	changed := 0
 	for offset := range 60 {
-		w := newSimulation(t, 5)
-		old := w.waitForLeader()
-		others := w.followers()
+		sim := newSimulation(t, 5)
+		old := sim.waitForLeader()
+		others := sim.followers()
 		candidate, voter, returning, faithful := others[0], others[1], others[2], others[3]
 		for _, name := range []string{old.name, voter, returning, faithful} {
-			w.store.refusedNodes[name] = true
+			sim.store.refusedNodes[name] = true
 		}
-		w.linkCuts[[2]string{old.name, returning}] = true
-		w.advance(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
-		delete(w.store.refusedNodes, voter) // its grant is the last one
+		sim.linkCuts[[2]string{old.name, returning}] = true
+		sim.advance(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
+		delete(sim.store.refusedNodes, voter) // its grant is the last one
 		asks := func() bool {
-			return slices.Contains(w.nodes[candidate].election.Status().Votes, returning)
+			return slices.Contains(sim.nodes[candidate].election.Status().Votes, returning)
 		}
-		if w.advanceUntil(old.leaderLease(), asks) {
-			w.restartAfter(returning, 20*time.Millisecond)
-			w.schedule(50*time.Millisecond, func() {
-				w.healCuts()
-				w.store.refusedNodes[returning] = true
+		if sim.advanceUntil(old.leaderLease(), asks) {
+			sim.restartAfter(returning, 20*time.Millisecond)
+			sim.schedule(50*time.Millisecond, func() {
+				sim.healCuts()
+				sim.store.refusedNodes[returning] = true
 			})
 		}
-		w.advance(2 * old.leaderLease()) // the simulation sees two leaders, if there are
-		if w.leaderName() == candidate {
+		sim.advance(2 * old.leaderLease()) // the simulation sees two leaders, if there are
+		if sim.leaderName() == candidate {
 			changed++
 		}
 	}
@@ -396,21 +396,21 @@
 // Authority counts from when a renewal was sent. Counted from its answer, a leader whose
 // answers are held up would go on after its lease has ended in the state service.
 func TestAuthorityCountsFromTheSentRenewal(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitForLeader()
-	now := l.monotonicNow(w.now)
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	now := leaderNode.monotonicNow(sim.now)
 	var renewal ServiceCall
 	for renewal.ID == 0 {
 		now += step
-		for _, effect := range l.Step(now, nil) {
+		for _, effect := range leaderNode.Step(now, nil) {
 			if call, ok := effect.(ServiceCall); ok && strings.HasSuffix(call.Path, "/touch") {
 				renewal = call
 			}
 		}
 	}
 	sent := now
-	l.Step(sent+l.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
-	if until := l.election.Status().LeaseValidUntil; until != sent+election.SafeLeaseSpan(l.leaderLease()) {
+	leaderNode.Step(sent+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
+	if until := leaderNode.election.Status().LeaseValidUntil; until != sent+election.SafeLeaseSpan(leaderNode.leaderLease()) {
 		t.Errorf("authority until %v after a renewal sent at %v", until, sent)
 	}
 }
@@ -420,12 +420,12 @@
 func TestPausedLeaderAnswersNothing(t *testing.T) {
 	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery, protocol.RequestCancel} {
 		t.Run(string(kind), func(t *testing.T) {
-			w, l := newRunningSimulation(t, 3, time.Hour, 1, 4)
+			sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 1, 4)
 			request := Request{Origin: Origin{RequestID: 1 << 40}, Kind: kind, JobID: "j-1"}
 			if kind == protocol.RequestHeartbeat {
-				request.Heartbeat = w.sortedWorkers()[0].heartbeat()
+				request.Heartbeat = sim.sortedWorkers()[0].heartbeat()
 			}
-			for _, effect := range l.Step(l.monotonicNow(w.now)+l.workerLease(), []Command{request}) {
+			for _, effect := range leaderNode.Step(leaderNode.monotonicNow(sim.now)+leaderNode.workerLease(), []Command{request}) {
 				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID && reply.Status == 200 {
 					t.Error("answered 200")
 				}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -19,36 +19,36 @@
 // Controllers that come back within a fraction of a second, in the middle of an
 // election, neither share the lead nor keep it from being taken.
 func TestQuickRestartsDuringElection(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
-	w.crashNode(first.name)
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.crashNode(first.name)
 	for i := range 6 {
-		w.advance(700 * time.Millisecond)
-		name := w.names[i%3]
-		w.crashNode(name)
-		w.advance(100 * time.Millisecond)
-		w.restartNode(name)
+		sim.advance(700 * time.Millisecond)
+		name := sim.names[i%3]
+		sim.crashNode(name)
+		sim.advance(100 * time.Millisecond)
+		sim.restartNode(name)
 	}
-	w.waitForLeader()
+	sim.waitForLeader()
 }
 
 // A machine that hangs resumes within its lease and goes on; nothing is started
 // twice, and nothing of it counts as lost.
 func TestHangingMachineResumes(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
-	l := w.waitForLeader()
-	w.submitAndStart(l.name, jobSpec("j-1", 2), 2)
-	for _, x := range w.workers {
-		x.hung = true
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 2), 2)
+	for _, worker := range sim.workers {
+		worker.hung = true
 	}
-	w.advance(5 * time.Second)
-	for _, x := range w.workers {
-		x.hung = false
+	sim.advance(5 * time.Second)
+	for _, worker := range sim.workers {
+		worker.hung = false
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
-	if w.startCounts["j-1/0"] != 1 || w.startCounts["j-1/1"] != 1 {
-		t.Fatalf("starts: %v", w.startCounts)
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	if sim.startCounts["j-1/0"] != 1 || sim.startCounts["j-1/1"] != 1 {
+		t.Fatalf("starts: %v", sim.startCounts)
 	}
 }
 
@@ -56,17 +56,17 @@
 // correct them.
 func TestEstimatesAreCorrected(t *testing.T) {
 	for _, factor := range []float64{0.4, 3} {
-		w := newSimulation(t, 1)
-		w.taskDuration = func(string, int) time.Duration { return config.Seconds(10 * factor) }
-		l := w.waitForLeader()
-		j := jobSpec("j-1", 24)
-		j.EstimatedSeconds = 10
-		w.submit(l.name, j)
-		w.waitForJobState("j-1", protocol.JobDone, 10*time.Minute)
+		sim := newSimulation(t, 1)
+		sim.taskDuration = func(string, int) time.Duration { return config.Seconds(10 * factor) }
+		leaderNode := sim.waitForLeader()
+		job := jobSpec("j-1", 24)
+		job.EstimatedSeconds = 10
+		sim.submit(leaderNode.name, job)
+		sim.waitForJobState("j-1", protocol.JobDone, 10*time.Minute)
 		next := jobSpec("j-2", 1)
 		next.EstimatedSeconds = 10
-		w.submit(l.name, next)
-		got := l.leader.ExpectedTaskDuration(l.leader.Jobs["j-2"]).Seconds()
+		sim.submit(leaderNode.name, next)
+		got := leaderNode.leader.ExpectedTaskDuration(leaderNode.leader.Jobs["j-2"]).Seconds()
 		if math.Abs(math.Log(got/(10*factor))) > 0.35 {
 			t.Errorf("real times are %v times the estimates: expects %.1f s for 10 s", factor, got)
 		}
@@ -76,20 +76,20 @@
 // A burst of a class: what can't all be in time gives way largest first, since
 // aims count jobs, and pressing work passes ahead of all.
 func TestBurstDemotesLargestFirst(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
-	l := w.waitForLeader()
-	w.startMachines(2) // 8 cores
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(2) // 8 cores
 	due := 40.0
 	for i, tasks := range []int{8, 60, 8} {
-		j := jobSpec(fmt.Sprintf("j-%d", i), tasks)
-		j.EstimatedSeconds, j.DeadlineSeconds = 10, &due
-		w.submit(l.name, j)
+		job := jobSpec(fmt.Sprintf("j-%d", i), tasks)
+		job.EstimatedSeconds, job.DeadlineSeconds = 10, &due
+		sim.submit(leaderNode.name, job)
 	}
 	urgent := jobSpec("j-9", 2)
 	urgent.Priority = "urgent"
-	w.submit(l.name, urgent)
-	order := l.leader.BuildQueue()
+	sim.submit(leaderNode.name, urgent)
+	order := leaderNode.leader.BuildQueue()
 	if order[0].Job.Spec.ID != "j-9" {
 		t.Errorf("%s passes ahead of urgent work", order[0].Job.Spec.ID)
 	}
@@ -104,22 +104,22 @@
 // Work inside its team's guarantee goes by the aim on starting; beyond the
 // guarantee it does not.
 func TestGuaranteedWorkGoesFirst(t *testing.T) {
-	w := newSimulation(t, 0)
-	w.names = []string{"n0"}
-	w.cfg.ControllerCount = 1
-	w.cfg.Teams = []config.Team{{Name: "team", GuaranteedCPUs: 4}, {Name: "free"}}
-	w.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 20, MinShare: 0.9}}
-	w.startNode("n0")
-	l := w.waitForLeader()
-	w.cloud.unavailable = true
+	sim := newSimulation(t, 0)
+	sim.names = []string{"n0"}
+	sim.cfg.ControllerCount = 1
+	sim.cfg.Teams = []config.Team{{Name: "team", GuaranteedCPUs: 4}, {Name: "free"}}
+	sim.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 20, MinShare: 0.9}}
+	sim.startNode("n0")
+	leaderNode := sim.waitForLeader()
+	sim.cloud.unavailable = true
 	early, inside, beyond := jobSpec("j-1", 2), jobSpec("j-2", 4), jobSpec("j-3", 4)
 	due := 30.0
 	early.DeadlineSeconds = &due
 	inside.Team, beyond.Team = "team", "team"
-	for _, j := range []protocol.Job{early, inside, beyond} {
-		w.submit(l.name, j)
+	for _, job := range []protocol.Job{early, inside, beyond} {
+		sim.submit(leaderNode.name, job)
 	}
-	order := l.leader.BuildQueue()
+	order := leaderNode.leader.BuildQueue()
 	if len(order) != 3 || order[0].Job.Spec.ID != "j-2" || order[2].Job.Spec.ID != "j-3" {
 		for _, r := range order {
 			t.Errorf("%s at %v", r.Job.Spec.ID, r.LatestStart)
@@ -129,18 +129,18 @@
 
 // A task goes where its image is rather than to another machine with as much room.
 func TestImageDecidesBetweenMachines(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
-	w.startMachines(3)
-	with := l.leader.Machines["m-000002"]
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(3)
+	with := leaderNode.leader.Machines["m-000002"]
 	with.TouchImage("special", 2)
-	j := jobSpec("j-1", 1)
-	j.Image, j.ImageGB = "special", 2
-	w.submit(l.name, j)
-	if !w.advanceUntil(10*time.Second, func() bool { return w.activeTaskCount("j-1") == 1 }) {
+	job := jobSpec("j-1", 1)
+	job.Image, job.ImageGB = "special", 2
+	sim.submit(leaderNode.name, job)
+	if !sim.advanceUntil(10*time.Second, func() bool { return sim.activeTaskCount("j-1") == 1 }) {
 		t.Fatal("the task did not start")
 	}
-	if x := w.workers["m-000002"]; len(x.tasks) != 1 {
+	if worker := sim.workers["m-000002"]; len(worker.tasks) != 1 {
 		t.Fatal("the task went elsewhere")
 	}
 }
@@ -148,31 +148,31 @@
 // A wave takes machines without notice: their work starts elsewhere once they
 // are surely gone, and the simulation's check sees no task twice.
 func TestSpotWaveWithoutNotice(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 15 * time.Second }
-	w.waitForLeader()
-	w.startMachines(4)
-	w.submitAndStart("n0", jobSpec("j-1", 16), 12)
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 15 * time.Second }
+	sim.waitForLeader()
+	sim.startMachines(4)
+	sim.submitAndStart("n0", jobSpec("j-1", 16), 12)
 	for _, name := range []string{"m-000001", "m-000002"} {
-		delete(w.workers, name)
-		delete(w.cloud.hosts, name)
+		delete(sim.workers, name)
+		delete(sim.cloud.hosts, name)
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
+	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
 // No worker reaches the leader, though its peers do: the followers relay, leases
 // hold, leadership stays, and nothing is started twice.
 func TestLeaderCutFromWorkers(t *testing.T) {
-	w, l := newRunningSimulation(t, 3, 60*time.Second, 2, 4)
-	w.unreachableNodes[l.name] = true
-	w.advance(40 * time.Second)
-	if w.leaderName() != l.name {
-		t.Fatalf("%q leads", w.leaderName())
-	}
-	w.submit(w.followers()[0], jobSpec("j-2", 2))
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
-	w.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
-	for task, n := range w.startCounts {
+	sim, leaderNode := newRunningSimulation(t, 3, 60*time.Second, 2, 4)
+	sim.unreachableNodes[leaderNode.name] = true
+	sim.advance(40 * time.Second)
+	if sim.leaderName() != leaderNode.name {
+		t.Fatalf("%q leads", sim.leaderName())
+	}
+	sim.submit(sim.followers()[0], jobSpec("j-2", 2))
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	sim.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
+	for task, n := range sim.startCounts {
 		if n != 1 {
 			t.Errorf("%s started %d times", task, n)
 		}
@@ -182,34 +182,34 @@
 // A large job gives way to small and pressing work that keeps coming, but only for
 // a while: it begins within four minutes, and is served in the end.
 func TestLargeJobBeginsInLongBurst(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
-	l := w.waitForLeader()
-	w.startMachines(2) // 8 cores
-	w.cloud.capacity = 2
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(2) // 8 cores
+	sim.cloud.capacity = 2
 	due := 60.0
 	large := jobSpec("j-large", 40)
 	large.EstimatedSeconds, large.DeadlineSeconds = 10, &due
-	w.submit(l.name, large)
+	sim.submit(leaderNode.name, large)
 	begun := clock.Instant(0)
-	for i := 0; w.now < 12*time.Minute; i++ {
+	for i := 0; sim.now < 12*time.Minute; i++ {
 		// Small and urgent work of 10 cores, while there are 8.
 		for k, priority := range []protocol.Priority{"standard", "urgent"} {
-			j := jobSpec(fmt.Sprintf("j-%d-%d", i, k), 5)
-			j.Priority, j.EstimatedSeconds, j.DeadlineSeconds = priority, 10, &due
-			w.submit(l.name, j)
+			job := jobSpec(fmt.Sprintf("j-%d-%d", i, k), 5)
+			job.Priority, job.EstimatedSeconds, job.DeadlineSeconds = priority, 10, &due
+			sim.submit(leaderNode.name, job)
 		}
-		for end := w.now + 10*time.Second; w.now < end; {
-			if w.advance(time.Second); begun == 0 && w.activeTaskCount("j-large") > 0 {
-				begun = w.now
+		for end := sim.now + 10*time.Second; sim.now < end; {
+			if sim.advance(time.Second); begun == 0 && sim.activeTaskCount("j-large") > 0 {
+				begun = sim.now
 			}
 		}
 	}
 	if begun == 0 || begun > cluster.MaxStartDelay {
 		t.Fatalf("the large job began after %v", begun)
 	}
-	if code, s := w.queryJob(l.name, "j-large"); code != 200 || s.State != protocol.JobDone {
-		t.Fatalf("after %v the large job is %s, %d done", w.now, s.State, *s.DoneTasks)
+	if code, s := sim.queryJob(leaderNode.name, "j-large"); code != 200 || s.State != protocol.JobDone {
+		t.Fatalf("after %v the large job is %s, %d done", sim.now, s.State, *s.DoneTasks)
 	}
 }
 
@@ -217,18 +217,18 @@
 // the machine may be slow, and then runs to its end: stopped again and again it
 // would never be done.
 func TestLongTaskIsMovedOnce(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(task string, _ int) time.Duration {
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(task string, _ int) time.Duration {
 		if task == "j-1/7" || task == "j-1/6" {
 			return 60 * time.Second
 		}
 		return 5 * time.Second
 	}
-	l := w.waitForLeader()
-	w.startMachines(2)
-	w.submit(l.name, jobSpec("j-1", 8))
-	w.waitForJobState("j-1", protocol.JobDone, 4*time.Minute)
-	if n := w.startCounts["j-1/7"]; n > 2 {
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(2)
+	sim.submit(leaderNode.name, jobSpec("j-1", 8))
+	sim.waitForJobState("j-1", protocol.JobDone, 4*time.Minute)
+	if n := sim.startCounts["j-1/7"]; n > 2 {
 		t.Fatalf("started %d times", n)
 	}
 }
@@ -236,21 +236,21 @@
 // Work that is to start within seconds waits a moment for a machine that has its
 // image: the first machine with room would miss the aim for sure by a long fetch.
 func TestUrgentWorkWaitsForItsImage(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return time.Hour }
-	w.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 0.2, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a"}}}
-	w.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 5, MinShare: 0.8}}
-	w.startNode("n0")
-	l := w.waitForLeader()
-	w.advance(2 * time.Second)
-	w.startMachines(2)
-	x := l.leader
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 0.2, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a"}}}
+	sim.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 5, MinShare: 0.8}}
+	sim.startNode("n0")
+	leaderNode := sim.waitForLeader()
+	sim.advance(2 * time.Second)
+	sim.startMachines(2)
+	x := leaderNode.leader
 	has, other := x.Machines["m-000001"], x.Machines["m-000002"]
 	has.TouchImage("i", 2)
-	j := x.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1), AcceptedAtMillis: l.nowUnixMilli()}, 1)
-	j.Spec.ImageGB = 2 // 10 s of fetching
-	fits := func(m *cluster.Machine) bool {
-		return x.FindCandidates(j, []*cluster.Machine{m}, true).BestMachine("") == m
+	job := x.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1), AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
+	job.Spec.ImageGB = 2 // 10 s of fetching
+	fits := func(machine *cluster.Machine) bool {
+		return x.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
 	}
 	if fits(other) {
 		t.Error("it fetches where it must miss its aim, though another machine has the image")
@@ -258,12 +258,12 @@
 	if !fits(has) {
 		t.Error("it does not start where its image is")
 	}
-	j.EligibleAt -= 4 * time.Second
+	job.EligibleAt -= 4 * time.Second
 	if !fits(other) {
 		t.Error("it waits for longer than its aim leaves")
 	}
-	j.EligibleAt += 4 * time.Second
-	has.Images, j.ImageCheckedAt = nil, clock.Never // as in the next pass
+	job.EligibleAt += 4 * time.Second
+	has.Images, job.ImageCheckedAt = nil, clock.Never // as in the next pass
 	if !fits(other) {
 		t.Error("it waits for an image that no machine has")
 	}
@@ -272,23 +272,23 @@
 // What waits for a time, here for its back-off, is taken up when that is over, even
 // if nothing else changes meanwhile.
 func TestBackOffEndsWithoutAnyChange(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
-	w.startMachines(1)
-	x := l.leader
-	w.submit(l.name, jobSpec("j-1", 1))
-	j := x.Jobs["j-1"]
-	j.FailureHistories[0] = &cluster.FailureHistory{RetryAfter: l.now + 10*time.Second}
-	for _, r := range j.Attempts {
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(1)
+	x := leaderNode.leader
+	sim.submit(leaderNode.name, jobSpec("j-1", 1))
+	job := x.Jobs["j-1"]
+	job.FailureHistories[0] = &cluster.FailureHistory{RetryAfter: leaderNode.now + 10*time.Second}
+	for _, r := range job.Attempts {
 		x.ReleaseAttempt(r)
 	}
-	w.advance(9 * time.Second)
-	if w.startCounts["j-1/0"] > 0 {
+	sim.advance(9 * time.Second)
+	if sim.startCounts["j-1/0"] > 0 {
 		t.Fatal("started while backing off")
 	}
-	w.cloud.unavailable = true // nor does the fleet change
+	sim.cloud.unavailable = true // nor does the fleet change
 	x.SchedulingNeeded = false
-	if !w.advanceUntil(5*time.Second, func() bool { return w.startCounts["j-1/0"] == 1 }) {
+	if !sim.advanceUntil(5*time.Second, func() bool { return sim.startCounts["j-1/0"] == 1 }) {
 		t.Fatal("not started after its back-off")
 	}
 }
@@ -297,17 +297,17 @@
 // planned for that aim. Taken for late, it was planned over four run times, and the
 // rest of its tasks started after the aim.
 func TestStartedJobIsPlannedForItsObjective(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, MinShare: 0.9}}
-	w.startNode("n0")
-	x := w.waitForLeader().leader
-	w.startMachines(1)
+	sim := newSimulation(t, 1)
+	sim.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, MinShare: 0.9}}
+	sim.startNode("n0")
+	x := sim.waitForLeader().leader
+	sim.startMachines(1)
 	s := jobSpec("j-1", 100)
 	s.EstimatedSeconds = 50
-	j := x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
-	j.EligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
+	job := x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
+	job.EligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
 	unbegun := requiredCores(x, 1000)
-	j.FirstStartAt = x.node.now
+	job.FirstStartAt = x.node.now
 	left := 100.0 // seconds until its last task should have ended
 	if got := requiredCores(x, 1000); got < 100*50/left || got > unbegun {
 		t.Errorf("%v cores are planned, and %v before it began", got, unbegun)
@@ -317,10 +317,10 @@
 // Where aims leave next to no late jobs, the plan counts on less of the machines' time.
 func TestPlanHasAMarginWhereObjectivesAreStrict(t *testing.T) {
 	demand := func(share float64) float64 {
-		w := newSimulation(t, 1)
-		w.cfg.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, MinShare: share}}
-		w.startNode("n0")
-		x := w.waitForLeader().leader
+		sim := newSimulation(t, 1)
+		sim.cfg.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, MinShare: share}}
+		sim.startNode("n0")
+		x := sim.waitForLeader().leader
 		s := jobSpec("j-1", 200)
 		s.EstimatedSeconds = 20
 		x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
@@ -337,65 +337,65 @@
 // it are cut off. What hangs is not condemned in bulk, nothing runs twice or over a
 // quota, others are rented at once, and every task runs in the end.
 func TestFleetFailsAtOnce(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
-	w.cfg.Cloud.RequestsPerS, w.cfg.Store.WritesPerS, w.cfg.Store.RequestsPerS = 6, 250, 600
-	for _, name := range w.names {
-		w.startNode(name)
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
+	sim.cfg.Cloud.RequestsPerS, sim.cfg.Store.WritesPerS, sim.cfg.Store.RequestsPerS = 6, 250, 600
+	for _, name := range sim.names {
+		sim.startNode(name)
 	}
-	l := w.waitForLeader()
+	leaderNode := sim.waitForLeader()
 	const machines = 120
 	for i := range machines {
-		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	w.advanceUntil(30*time.Second, func() bool { return len(w.workers) >= machines })
+	sim.advanceUntil(30*time.Second, func() bool { return len(sim.workers) >= machines })
 	for i := range 8 {
-		j := jobSpec(fmt.Sprintf("j-%d", i), 90)
+		job := jobSpec(fmt.Sprintf("j-%d", i), 90)
 		if i%4 == 0 {
-			j.Team = "team" // with a limit of 16 cores
-			j.TaskCount = 20
+			job.Team = "team" // with a limit of 16 cores
+			job.TaskCount = 20
 		}
-		w.submit(l.name, j)
+		sim.submit(leaderNode.name, job)
 	}
-	if !w.advanceUntil(30*time.Second, func() bool { return len(w.startCounts) > 440 }) {
-		t.Fatalf("%d tasks have started", len(w.startCounts))
+	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.startCounts) > 440 }) {
+		t.Fatalf("%d tasks have started", len(sim.startCounts))
 	}
-	names := slices.Sorted(maps.Keys(w.workers))
+	names := slices.Sorted(maps.Keys(sim.workers))
 	hanging := names[60:90]
 	for _, name := range names[:40] { // taken or dead
-		delete(w.workers, name)
-		delete(w.cloud.hosts, name)
+		delete(sim.workers, name)
+		delete(sim.cloud.hosts, name)
 	}
 	for _, name := range hanging {
-		w.workers[name].hung = true
+		sim.workers[name].hung = true
 	}
-	zone := w.followers()[0]
-	w.workerReaches = func(x *fakeWorker, node string) bool {
-		return (x.name >= names[90] && x.name < names[110]) == (node == zone)
+	zone := sim.followers()[0]
+	sim.workerReaches = func(worker *fakeWorker, node string) bool {
+		return (worker.name >= names[90] && worker.name < names[110]) == (node == zone)
 	}
-	w.store.requestsDropped[zone] = true
-	w.isolateNode(zone)
-	w.crashNode(l.name)
-	w.advance(5 * time.Second)
-	w.restartNode(l.name)
+	sim.store.requestsDropped[zone] = true
+	sim.isolateNode(zone)
+	sim.crashNode(leaderNode.name)
+	sim.advance(5 * time.Second)
+	sim.restartNode(leaderNode.name)
 	for _, name := range hanging {
-		w.workers[name].hung = false
+		sim.workers[name].hung = false
 	}
-	w.advance(2 * time.Second)
+	sim.advance(2 * time.Second)
 	for _, name := range hanging {
-		if w.workers[name] == nil {
+		if sim.workers[name] == nil {
 			t.Errorf("%s was returned for hanging within its lease", name)
 		}
 	}
-	rented := w.cloud.lastMachineNumber
-	w.advance(25 * time.Second)
-	if w.cloud.lastMachineNumber < rented+10 {
-		t.Errorf("%d machines were rented for 40 that are gone", w.cloud.lastMachineNumber-rented)
+	rented := sim.cloud.lastMachineNumber
+	sim.advance(25 * time.Second)
+	if sim.cloud.lastMachineNumber < rented+10 {
+		t.Errorf("%d machines were rented for 40 that are gone", sim.cloud.lastMachineNumber-rented)
 	}
-	w.workerReaches = nil
-	delete(w.store.requestsDropped, zone)
-	w.healCuts()
+	sim.workerReaches = nil
+	delete(sim.store.requestsDropped, zone)
+	sim.healCuts()
 	for i := range 8 {
-		w.waitForJobState(fmt.Sprintf("j-%d", i), protocol.JobDone, 4*time.Minute)
+		sim.waitForJobState(fmt.Sprintf("j-%d", i), protocol.JobDone, 4*time.Minute)
 	}
 }
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -42,9 +42,9 @@
 	c.waitForLeader()
 	c.startMachines((jobs*tasks + 3) / 4)
 	for i := range jobs {
-		j := jobSpec(fmt.Sprintf("j-%d", i), tasks)
-		j.EstimatedSeconds = 3600
-		c.submit(c.randomNode(), j)
+		job := jobSpec(fmt.Sprintf("j-%d", i), tasks)
+		job.EstimatedSeconds = 3600
+		c.submit(c.randomNode(), job)
 	}
 	if !c.advanceUntil(time.Minute, func() bool {
 		on := 0
@@ -55,9 +55,9 @@
 	}) {
 		t.Fatal("not all tasks are on machines")
 	}
-	l := c.waitForLeader()
+	leaderNode := c.waitForLeader()
 	c.queryAfterEachChange()
-	return c, l
+	return c, leaderNode
 }
 
 func (c *userSimulation) machineLease() time.Duration { return config.Seconds(c.cfg.Workers.LeaseS) }
@@ -82,9 +82,9 @@
 
 // someWorkers does something to a random share of the workers, one in so many.
 func (c *userSimulation) forSomeWorkers(oneIn int, f func(*fakeWorker)) {
-	for _, x := range c.sortedWorkers() {
+	for _, worker := range c.sortedWorkers() {
 		if c.rng.IntN(oneIn) == 0 {
-			f(x)
+			f(worker)
 		}
 	}
 }
@@ -113,17 +113,17 @@
 }
 
 // more submits jobs within some time.
-func (c *userSimulation) submitMoreJobs(jobs int, span time.Duration, change func(i int, j *protocol.Job)) {
+func (c *userSimulation) submitMoreJobs(jobs int, span time.Duration, change func(i int, job *protocol.Job)) {
 	first := len(c.submitted)
 	for i := range jobs {
-		j := jobSpec(fmt.Sprintf("j-%d", first+i), 1+c.rng.IntN(5))
-		j.Team = []string{"team", "free"}[c.rng.IntN(2)]
-		j.Priority = []protocol.Priority{"urgent", "standard", "low"}[c.rng.IntN(3)]
+		job := jobSpec(fmt.Sprintf("j-%d", first+i), 1+c.rng.IntN(5))
+		job.Team = []string{"team", "free"}[c.rng.IntN(2)]
+		job.Priority = []protocol.Priority{"urgent", "standard", "low"}[c.rng.IntN(3)]
 		if change != nil {
-			change(i, &j)
+			change(i, &job)
 		}
-		c.submitted[j.ID] = true
-		c.schedule(c.randomDuration(span), func() { c.submitWithRetries(j) })
+		c.submitted[job.ID] = true
+		c.schedule(c.randomDuration(span), func() { c.submitWithRetries(job) })
 	}
 }
 
@@ -570,9 +570,9 @@
 			c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: id}, func(Reply) {})
 		}
 	default:
-		j := jobSpec(fmt.Sprintf("j-odd-%d", c.rng.IntN(5)), 1)
-		j.Cores = 400
-		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
+		job := jobSpec(fmt.Sprintf("j-odd-%d", c.rng.IntN(5)), 1)
+		job.Cores = 400
+		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			if r.Status != 422 && r.Status != 503 && r.Status != 0 {
 				c.t.Errorf("a job that fits no machine: %d", r.Status)
 			}
@@ -587,9 +587,9 @@
 	for name, meet := range faultCombinations {
 		t.Run(name, func(t *testing.T) {
 			forEachSeed(t, 8, 60, func(t *testing.T, seed uint64) {
-				w := newSimulationWithTimings(t, []int{3, 7}[seed%2], deployments[seed/2%uint64(len(deployments))])
-				w.cfg.Teams = append(w.cfg.Teams, config.Team{Name: "small", MaxCPUs: 8})
-				c := newUserSimulation(w, seed*31+uint64(len(name)))
+				sim := newSimulationWithTimings(t, []int{3, 7}[seed%2], deployments[seed/2%uint64(len(deployments))])
+				sim.cfg.Teams = append(sim.cfg.Teams, config.Team{Name: "small", MaxCPUs: 8})
+				c := newUserSimulation(sim, seed*31+uint64(len(name)))
 				for _, node := range c.names {
 					c.startNode(node)
 				}
@@ -630,19 +630,19 @@
 			const minutes, rate = 3, 4
 			slowest, most := time.Duration(0), 0
 			for i := range minutes * 60 * rate {
-				j := jobSpec(fmt.Sprintf("j-%d", i), 1)
-				c.schedule(time.Duration(i)*time.Second/rate, func() { c.submitWithRetries(j) })
+				job := jobSpec(fmt.Sprintf("j-%d", i), 1)
+				c.schedule(time.Duration(i)*time.Second/rate, func() { c.submitWithRetries(job) })
 				if i%4 == 0 {
 					c.schedule(time.Duration(i)*time.Second/rate+time.Second+c.randomDuration(5*time.Second), func() {
-						if !c.knowsAccepted(j.ID) {
+						if !c.knowsAccepted(job.ID) {
 							return // it is not accepted yet, as the leader changes
 						}
 						asked := c.now
-						c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: j.ID}, func(r Reply) {
+						c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: job.ID}, func(r Reply) {
 							if r.Status == 200 {
 								slowest = max(slowest, c.now-asked)
 							} else {
-								c.cancelWithRetries(j.ID)
+								c.cancelWithRetries(job.ID)
 							}
 						})
 					})
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -79,86 +79,86 @@
 }
 
 // broken reports that a rule is broken.
-func (w *simulation) reportViolation(rule, format string, args ...any) {
-	w.t.Helper()
-	if w.caughtViolations != nil {
-		w.caughtViolations[rule]++
+func (sim *simulation) reportViolation(rule, format string, args ...any) {
+	sim.t.Helper()
+	if sim.caughtViolations != nil {
+		sim.caughtViolations[rule]++
 		return
 	}
-	w.t.Fatalf("%s at %v: %s: %s", w.scenario, w.now, rule, fmt.Sprintf(format, args...))
+	sim.t.Fatalf("%s at %v: %s: %s", sim.scenario, sim.now, rule, fmt.Sprintf(format, args...))
 }
 
 // hears judges the answer to a user's request that was sent at some moment.
-func (w *simulation) checkReply(r Request, node string, sent clock.Instant, reply Reply) {
-	w.t.Helper()
+func (sim *simulation) checkReply(r Request, node string, sent clock.Instant, reply Reply) {
+	sim.t.Helper()
 	id := r.JobID
-	accepted, known := w.acceptedAt[id]
+	accepted, known := sim.acceptedAt[id]
 	if reply.Status == 503 && reply.RetryAfter == 0 {
-		w.reportViolation("silent wait", "%s of %s at %s: 503 without Retry-After", r.Kind, id, node)
+		sim.reportViolation("silent wait", "%s of %s at %s: 503 without Retry-After", r.Kind, id, node)
 	}
 	if known && sent >= accepted &&
 		(reply.Status == 404 || r.Kind == protocol.RequestSubmit && (reply.Status == 400 || reply.Status == 422)) {
-		w.reportViolation("forgotten", "%s of %s at %s: %d", r.Kind, id, node, reply.Status)
+		sim.reportViolation("forgotten", "%s of %s at %s: %d", r.Kind, id, node, reply.Status)
 	}
 	if reply.Status != 200 && reply.Status != 201 {
 		return
 	}
 	var status protocol.JobStatus
 	if json.Unmarshal(reply.Body, &status) != nil {
-		w.t.Fatalf("%s of %s: %s", r.Kind, id, reply.Body)
+		sim.t.Fatalf("%s of %s: %s", r.Kind, id, reply.Body)
 	}
-	if !w.submitted[id] {
-		w.reportViolation("invented", "%s of %s at %s: %s", r.Kind, id, node, status.State)
+	if !sim.submitted[id] {
+		sim.reportViolation("invented", "%s of %s at %s: %s", r.Kind, id, node, status.State)
 	}
-	w.answeredAt[id] = w.now
+	sim.answeredAt[id] = sim.now
 	if !known {
-		w.acceptedAt[id] = w.now
-		w.notifyJobState(id, "accepted")
+		sim.acceptedAt[id] = sim.now
+		sim.notifyJobState(id, "accepted")
 	}
-	terminalState, terminal := w.terminalStates[id]
+	terminalState, terminal := sim.terminalStates[id]
 	endsJob := status.State == protocol.JobDone || status.State == protocol.JobCancelled
 	switch {
-	case terminal && status.State != terminalState && (endsJob || sent >= w.terminalAt[id]):
-		w.reportViolation("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id, node, status.State, terminalState, sent, w.terminalAt[id])
-	case status.State == protocol.JobCancelled && !w.mayBeCancelled(id):
-		w.reportViolation("went_back", "%s is cancelled, and nobody asked for it", id)
+	case terminal && status.State != terminalState && (endsJob || sent >= sim.terminalAt[id]):
+		sim.reportViolation("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id, node, status.State, terminalState, sent, sim.terminalAt[id])
+	case status.State == protocol.JobCancelled && !sim.mayBeCancelled(id):
+		sim.reportViolation("went_back", "%s is cancelled, and nobody asked for it", id)
 	case status.State == protocol.JobDone:
-		for i := range w.jobSpecs[id].TaskCount {
-			if !w.completedTasks[cluster.TaskKey(id, i)] {
-				w.reportViolation("not_done", "%s is done, but %s is not", id, cluster.TaskKey(id, i))
+		for i := range sim.jobSpecs[id].TaskCount {
+			if !sim.completedTasks[cluster.TaskKey(id, i)] {
+				sim.reportViolation("not_done", "%s is done, but %s is not", id, cluster.TaskKey(id, i))
 				break
 			}
 		}
 	}
-	if since, orphan := w.cancelledAt(id); orphan && !terminal && sent > since+w.cancelLimit() && status.State != protocol.JobCancelled {
-		w.reportViolation("orphaned", "%s is %s", id, status.State)
+	if since, orphan := sim.cancelledAt(id); orphan && !terminal && sent > since+sim.cancelLimit() && status.State != protocol.JobCancelled {
+		sim.reportViolation("orphaned", "%s is %s", id, status.State)
 	}
 	if endsJob && !terminal {
-		w.terminalStates[id], w.terminalAt[id] = status.State, w.now
-		w.notifyJobState(id, status.State)
+		sim.terminalStates[id], sim.terminalAt[id] = status.State, sim.now
+		sim.notifyJobState(id, status.State)
 	}
 }
 
-func (w *simulation) notifyJobState(id string, state protocol.JobState) {
-	if w.onJobState != nil {
-		w.onJobState(id, state)
+func (sim *simulation) notifyJobState(id string, state protocol.JobState) {
+	if sim.onJobState != nil {
+		sim.onJobState(id, state)
 	}
 }
 
 // mayBeCancelled tells whether a user has asked to cancel a job or one that it needs.
-func (w *simulation) mayBeCancelled(id string) bool {
-	return w.cancelRequested[id] || slices.ContainsFunc(w.jobSpecs[id].Dependencies, w.mayBeCancelled)
+func (sim *simulation) mayBeCancelled(id string) bool {
+	return sim.cancelRequested[id] || slices.ContainsFunc(sim.jobSpecs[id].Dependencies, sim.mayBeCancelled)
 }
 
 // cancelledAt is when users were first told that a job, or one that it needs, is cancelled;
 // of the latter not before it was itself accepted.
-func (w *simulation) cancelledAt(id string) (at clock.Instant, ok bool) {
-	if w.terminalStates[id] == protocol.JobCancelled {
-		at, ok = w.terminalAt[id], true
+func (sim *simulation) cancelledAt(id string) (at clock.Instant, ok bool) {
+	if sim.terminalStates[id] == protocol.JobCancelled {
+		at, ok = sim.terminalAt[id], true
 	}
-	for _, need := range w.jobSpecs[id].Dependencies {
-		since, is := w.cancelledAt(need)
-		accepted, known := w.acceptedAt[id]
+	for _, need := range sim.jobSpecs[id].Dependencies {
+		since, is := sim.cancelledAt(need)
+		accepted, known := sim.acceptedAt[id]
 		if since = max(since, accepted); is && known && (!ok || since < at) {
 			at, ok = since, true
 		}
@@ -166,27 +166,27 @@
 	return at, ok
 }
 
-func (w *simulation) cancelLimit() time.Duration { return config.Seconds(w.cfg.Workers.CancelS) }
+func (sim *simulation) cancelLimit() time.Duration { return config.Seconds(sim.cfg.Workers.CancelS) }
 
 // check looks for a rule that is broken at this moment.
-func (w *simulation) checkInvariants() {
-	if !w.helperMarked {
-		w.helperMarked = true // once is enough for a test, and it is slow
-		w.t.Helper()
+func (sim *simulation) checkInvariants() {
+	if !sim.helperMarked {
+		sim.helperMarked = true // once is enough for a test, and it is slow
+		sim.t.Helper()
 	}
 	leaders := 0
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if n.leader != nil && !n.down && !n.paused && n.holdsLeaderLease() {
 			leaders++
 		}
 	}
 	if leaders > 1 {
-		w.reportViolation("two leaders", "%d nodes have authority", leaders)
+		sim.reportViolation("two leaders", "%d nodes have authority", leaders)
 	}
-	w.checkRunningTasks()
-	if w.faultsEndedAt != clock.Never && w.now >= w.lastWaitingCheck+time.Second {
-		w.lastWaitingCheck = w.now
-		w.checkWaitingJobs(w.load.machineByTask, w.load.coresByTeam)
+	sim.checkRunningTasks()
+	if sim.faultsEndedAt != clock.Never && sim.now >= sim.lastWaitingCheck+time.Second {
+		sim.lastWaitingCheck = sim.now
+		sim.checkWaitingJobs(sim.load.machineByTask, sim.load.coresByTeam)
 	}
 }
 
@@ -194,24 +194,24 @@
 // runs changes only with the list of those that run, and what teams use only with that list and
 // the specifications of its jobs. Both are compared at each step, and the rest is judged at
 // each step, as it depends on the time and on what users were told too, but once for each job.
-func (w *simulation) checkRunningTasks() {
-	load := &w.load
-	same := w.runningTasksUnchanged()
+func (sim *simulation) checkRunningTasks() {
+	load := &sim.load
+	same := sim.runningTasksUnchanged()
 	if !same {
-		w.collectRunningTasks()
+		sim.collectRunningTasks()
 	}
 	for i := range load.jobs {
 		running := &load.jobs[i]
-		j := w.jobSpecs[running.id]
-		if running.team != j.Team || running.cores != j.Cores || running.gpus != j.Accelerators {
-			running.team, running.cores, running.gpus = j.Team, j.Cores, j.Accelerators
+		job := sim.jobSpecs[running.id]
+		if running.team != job.Team || running.cores != job.Cores || running.gpus != job.Accelerators {
+			running.team, running.cores, running.gpus = job.Team, job.Cores, job.Accelerators
 			same = false
 		}
-		if since, cancelled := w.cancelledAt(running.id); cancelled && w.now > since+w.cancelLimit() {
+		if since, cancelled := sim.cancelledAt(running.id); cancelled && sim.now > since+sim.cancelLimit() {
 			for _, t := range load.running {
 				if jobIDOf(t.taskKey) == running.id {
-					w.t.Helper()
-					w.reportViolation("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.taskKey, t.worker.name, since, t.worker.describe())
+					sim.t.Helper()
+					sim.reportViolation("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.taskKey, t.worker.name, since, t.worker.describe())
 				}
 			}
 		}
@@ -219,10 +219,10 @@
 	if !same {
 		load.sumByTeam()
 	}
-	for _, team := range w.cfg.Teams {
+	for _, team := range sim.cfg.Teams {
 		if team.MaxCPUs > 0 && load.coresByTeam[team.Name] > team.MaxCPUs || team.MaxGPUs > 0 && load.gpusByTeam[team.Name] > team.MaxGPUs {
-			w.t.Helper()
-			w.reportViolation("quota", "%s uses %v cores, %v accelerators", team.Name, load.coresByTeam[team.Name], load.gpusByTeam[team.Name])
+			sim.t.Helper()
+			sim.reportViolation("quota", "%s uses %v cores, %v accelerators", team.Name, load.coresByTeam[team.Name], load.gpusByTeam[team.Name])
 		}
 	}
 }
@@ -240,17 +240,17 @@
 }
 
 // sameRunning tells whether the same tasks run on the same machines as at the last check.
-func (w *simulation) runningTasksUnchanged() bool {
-	if !w.load.valid {
+func (sim *simulation) runningTasksUnchanged() bool {
+	if !sim.load.valid {
 		return false
 	}
-	rest := w.load.running
-	for _, x := range w.sortedWorkers() {
-		for _, t := range x.tasks {
-			if t.state == protocol.TaskExited {
+	rest := sim.load.running
+	for _, worker := range sim.sortedWorkers() {
+		for _, task := range worker.tasks {
+			if task.state == protocol.TaskExited {
 				continue
 			}
-			if len(rest) == 0 || rest[0].worker != x || rest[0].taskKey != t.taskKey {
+			if len(rest) == 0 || rest[0].worker != worker || rest[0].taskKey != task.taskKey {
 				return false
 			}
 			rest = rest[1:]
@@ -261,25 +261,25 @@
 
 // countRunning lists what runs, and looks for tasks that run twice. While one does, the list
 // is made anew at each step, so that it is found at each.
-func (w *simulation) collectRunningTasks() {
-	load := &w.load
+func (sim *simulation) collectRunningTasks() {
+	load := &sim.load
 	load.valid = true
 	load.running, load.jobs = load.running[:0], load.jobs[:0]
 	clear(load.machineByTask)
 	clear(load.jobIndices)
-	for _, x := range w.sortedWorkers() {
-		for _, t := range x.tasks {
-			if t.state == protocol.TaskExited {
+	for _, worker := range sim.sortedWorkers() {
+		for _, task := range worker.tasks {
+			if task.state == protocol.TaskExited {
 				continue
 			}
-			load.running = append(load.running, runningTask{x, t.taskKey})
-			if other, twice := load.machineByTask[t.taskKey]; twice {
+			load.running = append(load.running, runningTask{worker, task.taskKey})
+			if other, twice := load.machineByTask[task.taskKey]; twice {
 				load.valid = false
-				w.t.Helper()
-				w.reportViolation("ran_twice", "%s is on %s and %s", t.taskKey, other, x.name)
+				sim.t.Helper()
+				sim.reportViolation("ran_twice", "%s is on %s and %s", task.taskKey, other, worker.name)
 			}
-			load.machineByTask[t.taskKey] = x.name
-			id := jobIDOf(t.taskKey)
+			load.machineByTask[task.taskKey] = worker.name
+			id := jobIDOf(task.taskKey)
 			i, known := load.jobIndices[id]
 			if !known {
 				i = len(load.jobs)
@@ -294,60 +294,60 @@
 // checkWaiting looks for jobs that wait, after all troubles, for 90 s though a machine
 // that fits has room and their team is under its limit, and for jobs that have not begun
 // after four minutes.
-func (w *simulation) checkWaitingJobs(where map[string]string, cores map[string]float64) {
-	w.t.Helper()
-	for _, id := range slices.Sorted(maps.Keys(w.acceptedAt)) {
-		if _, cancelled := w.cancelledAt(id); cancelled || w.terminalStates[id] != "" || w.mayBeCancelled(id) || w.failingJobs[id] {
-			delete(w.waitingSince, id)
+func (sim *simulation) checkWaitingJobs(where map[string]string, cores map[string]float64) {
+	sim.t.Helper()
+	for _, id := range slices.Sorted(maps.Keys(sim.acceptedAt)) {
+		if _, cancelled := sim.cancelledAt(id); cancelled || sim.terminalStates[id] != "" || sim.mayBeCancelled(id) || sim.failingJobs[id] {
+			delete(sim.waitingSince, id)
 			continue
 		}
-		if !w.hasRoomFor(id, where, cores) {
-			delete(w.waitingSince, id)
+		if !sim.hasRoomFor(id, where, cores) {
+			delete(sim.waitingSince, id)
 			continue
 		}
-		if w.waitingSince[id] == 0 {
-			w.waitingSince[id] = w.now
+		if sim.waitingSince[id] == 0 {
+			sim.waitingSince[id] = sim.now
 		}
-		if w.now > w.waitingSince[id]+90*time.Second {
-			w.reportViolation("waits", "%s waits for 90 s beside a machine with room: %s", id, w.explainPending(id))
+		if sim.now > sim.waitingSince[id]+90*time.Second {
+			sim.reportViolation("waits", "%s waits for 90 s beside a machine with room: %s", id, sim.explainPending(id))
 		}
-		from := max(w.faultsEndedAt, w.acceptedAt[id])
-		for _, need := range w.jobSpecs[id].Dependencies {
-			from = max(from, w.terminalAt[need]) // times begin when all that it needs is done
+		from := max(sim.faultsEndedAt, sim.acceptedAt[id])
+		for _, need := range sim.jobSpecs[id].Dependencies {
+			from = max(from, sim.terminalAt[need]) // times begin when all that it needs is done
 		}
-		if w.firstStartAt[id] == 0 && w.now > from+4*time.Minute {
-			w.reportViolation("waits", "%s has not begun after four minutes: %s", id, w.explainPending(id))
+		if sim.firstStartAt[id] == 0 && sim.now > from+4*time.Minute {
+			sim.reportViolation("waits", "%s has not begun after four minutes: %s", id, sim.explainPending(id))
 		}
 	}
 }
 
 // hasRoom tells whether a task of a job waits though it could run somewhere.
-func (w *simulation) hasRoomFor(id string, where map[string]string, cores map[string]float64) bool {
-	j := w.jobSpecs[id]
-	if slices.ContainsFunc(j.Dependencies, func(need string) bool { return w.terminalStates[need] != protocol.JobDone }) {
+func (sim *simulation) hasRoomFor(id string, where map[string]string, cores map[string]float64) bool {
+	job := sim.jobSpecs[id]
+	if slices.ContainsFunc(job.Dependencies, func(need string) bool { return sim.terminalStates[need] != protocol.JobDone }) {
 		return false
 	}
 	waiting := false
-	for i := range j.TaskCount {
+	for i := range job.TaskCount {
 		key := cluster.TaskKey(id, i)
-		waiting = waiting || !w.completedTasks[key] && where[key] == ""
+		waiting = waiting || !sim.completedTasks[key] && where[key] == ""
 	}
-	for _, team := range w.cfg.Teams {
-		if team.Name == j.Team && team.MaxCPUs > 0 && cores[team.Name]+j.Cores > team.MaxCPUs {
+	for _, team := range sim.cfg.Teams {
+		if team.Name == job.Team && team.MaxCPUs > 0 && cores[team.Name]+job.Cores > team.MaxCPUs {
 			return false
 		}
 	}
 	if !waiting {
 		return false
 	}
-	for _, x := range w.workers {
+	for _, worker := range sim.workers {
 		used := 0.0
-		for _, t := range x.tasks {
-			if t.state != protocol.TaskExited {
-				used += w.jobSpecs[jobIDOf(t.taskKey)].Cores
+		for _, task := range worker.tasks {
+			if task.state != protocol.TaskExited {
+				used += sim.jobSpecs[jobIDOf(task.taskKey)].Cores
 			}
 		}
-		if x.preemptionNotice == nil && !x.faulty && used+j.Cores <= 4 && w.placementViolation(&j, x) == "" {
+		if worker.preemptionNotice == nil && !worker.faulty && used+job.Cores <= 4 && sim.placementViolation(&job, worker) == "" {
 			return true
 		}
 	}
@@ -355,23 +355,23 @@
 }
 
 // misplaced tells why a job's next task may not start on a machine now, if so.
-func (w *simulation) placementViolation(j *protocol.Job, x *fakeWorker) string {
+func (sim *simulation) placementViolation(job *protocol.Job, worker *fakeWorker) string {
 	switch {
-	case len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, x.machineType):
-		return "type " + x.machineType
-	case j.Zone != "" && j.Zone != x.zone:
-		return "zone " + x.zone
-	case !j.SpotAllowed && x.spot:
+	case len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, worker.machineType):
+		return "type " + worker.machineType
+	case job.Zone != "" && job.Zone != worker.zone:
+		return "zone " + worker.zone
+	case !job.SpotAllowed && worker.spot:
 		return "a spot machine"
 	}
-	if !j.SameZone && !j.Spread {
+	if !job.SameZone && !job.Spread {
 		return ""
 	}
 	same, other := 0, 0
-	for _, y := range w.workers {
-		for _, t := range y.tasks {
-			if jobIDOf(t.taskKey) == j.ID && t.state != protocol.TaskExited {
-				if y.zone == x.zone {
+	for _, y := range sim.workers {
+		for _, task := range y.tasks {
+			if jobIDOf(task.taskKey) == job.ID && task.state != protocol.TaskExited {
+				if y.zone == worker.zone {
 					same++
 				} else {
 					other++
@@ -380,9 +380,9 @@
 		}
 	}
 	switch {
-	case j.SameZone && other > 0:
+	case job.SameZone && other > 0:
 		return "not where the other tasks are"
-	case j.Spread && same+1 > (j.TaskCount+1)/2:
+	case job.Spread && same+1 > (job.TaskCount+1)/2:
 		return "more than half in one zone"
 	}
 	return ""
@@ -390,28 +390,28 @@
 
 // checkStart judges a start on a machine. An answer to a report takes four seconds at
 // most, so a later start after the confirmation of a cancellation was commanded after it.
-func (w *simulation) checkTaskStart(x *fakeWorker, key string) {
-	w.t.Helper()
+func (sim *simulation) checkTaskStart(worker *fakeWorker, key string) {
+	sim.t.Helper()
 	id := jobIDOf(key)
-	j := w.jobSpecs[id]
-	for _, need := range j.Dependencies {
-		if w.terminalState(need) != protocol.JobDone {
-			w.reportViolation("too_early", "%s, while the end of %s is %q", key, need, w.terminalState(need))
+	job := sim.jobSpecs[id]
+	for _, need := range job.Dependencies {
+		if sim.terminalState(need) != protocol.JobDone {
+			sim.reportViolation("too_early", "%s, while the end of %s is %q", key, need, sim.terminalState(need))
 		}
 	}
-	if why := w.placementViolation(&j, x); why != "" {
-		w.reportViolation("wrong_place", "%s starts on %s: %s", key, x.name, why)
+	if why := sim.placementViolation(&job, worker); why != "" {
+		sim.reportViolation("wrong_place", "%s starts on %s: %s", key, worker.name, why)
 	}
-	if since, cancelled := w.cancelledAt(id); cancelled && w.now > since+4*time.Second {
-		w.reportViolation("started after its cancellation", "%s, cancelled at %v", key, since)
+	if since, cancelled := sim.cancelledAt(id); cancelled && sim.now > since+4*time.Second {
+		sim.reportViolation("started after its cancellation", "%s, cancelled at %v", key, since)
 	}
-	if w.firstStartAt[id] == 0 {
-		w.firstStartAt[id] = w.now
+	if sim.firstStartAt[id] == 0 {
+		sim.firstStartAt[id] = sim.now
 	}
 }
 
-func (x *fakeWorker) describe() string {
-	return fmt.Sprintf("session %d, token %d, reports to %s, hanging %v, silent %v, deaf %v", x.epoch, x.fencingToken, x.node, x.hung, x.unreachable, x.dropResponses)
+func (worker *fakeWorker) describe() string {
+	return fmt.Sprintf("session %d, token %d, reports to %s, hanging %v, silent %v, deaf %v", worker.epoch, worker.fencingToken, worker.node, worker.hung, worker.unreachable, worker.dropResponses)
 }
 
 // The invariant checker must be able to fail: each rule is broken here on purpose, by an answer that
@@ -421,117 +421,117 @@
 		return Reply{Status: 200, Body: []byte(`{"uid":"j-1","situacao":"` + s + `"}`)}
 	}
 	query, submit := Request{Kind: protocol.RequestQuery, JobID: "j-1"}, Request{Kind: protocol.RequestSubmit, JobID: "j-1"}
-	put := func(w *simulation, name, key string, attempt uint64) {
-		w.workers[name].tasks = append(w.workers[name].tasks,
-			&fakeTask{taskKey: key, attempt: attempt, state: protocol.TaskRunning, endsAt: w.now + time.Hour})
-	}
-	start := func(w *simulation, name, key string) {
-		w.workers[name].executeCommand(protocol.Command{Kind: protocol.CommandStart, TaskID: key, Attempt: 99})
-	}
-	for rule, breaks := range map[string]func(w *simulation){
-		"forgotten":  func(w *simulation) { w.checkReply(query, "n0", w.now, Reply{Status: 404}) },
-		"forgotten ": func(w *simulation) { w.checkReply(submit, "n0", w.now, Reply{Status: 422}) },
-		"invented": func(w *simulation) {
-			w.checkReply(Request{Kind: protocol.RequestQuery, JobID: "j-x"}, "n0", w.now, state(protocol.JobQueued))
+	put := func(sim *simulation, name, key string, attempt uint64) {
+		sim.workers[name].tasks = append(sim.workers[name].tasks,
+			&fakeTask{taskKey: key, attempt: attempt, state: protocol.TaskRunning, endsAt: sim.now + time.Hour})
+	}
+	start := func(sim *simulation, name, key string) {
+		sim.workers[name].executeCommand(protocol.Command{Kind: protocol.CommandStart, TaskID: key, Attempt: 99})
+	}
+	for rule, breaks := range map[string]func(sim *simulation){
+		"forgotten":  func(sim *simulation) { sim.checkReply(query, "n0", sim.now, Reply{Status: 404}) },
+		"forgotten ": func(sim *simulation) { sim.checkReply(submit, "n0", sim.now, Reply{Status: 422}) },
+		"invented": func(sim *simulation) {
+			sim.checkReply(Request{Kind: protocol.RequestQuery, JobID: "j-x"}, "n0", sim.now, state(protocol.JobQueued))
 		},
-		"went_back": func(w *simulation) {
-			w.terminalStates["j-1"], w.terminalAt["j-1"] = protocol.JobCancelled, w.now
-			w.checkReply(query, "n0", w.now, state(protocol.JobRunning))
+		"went_back": func(sim *simulation) {
+			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now
+			sim.checkReply(query, "n0", sim.now, state(protocol.JobRunning))
 		},
-		"went_back ":  func(w *simulation) { w.checkReply(query, "n0", w.now, state(protocol.JobCancelled)) },
-		"not_done":    func(w *simulation) { w.checkReply(query, "n0", w.now, state(protocol.JobDone)) },
-		"silent wait": func(w *simulation) { w.checkReply(query, "n0", w.now, Reply{Status: 503}) },
-		"orphaned": func(w *simulation) {
-			j := w.jobSpecs["j-1"]
-			j.Dependencies = []string{"j-0"}
-			w.jobSpecs["j-1"] = j
-			w.terminalStates["j-0"], w.terminalAt["j-0"] = protocol.JobCancelled, w.now-time.Minute
-			w.acceptedAt["j-1"] -= time.Minute
-			w.checkReply(query, "n0", w.now, state(protocol.JobQueued))
+		"went_back ":  func(sim *simulation) { sim.checkReply(query, "n0", sim.now, state(protocol.JobCancelled)) },
+		"not_done":    func(sim *simulation) { sim.checkReply(query, "n0", sim.now, state(protocol.JobDone)) },
+		"silent wait": func(sim *simulation) { sim.checkReply(query, "n0", sim.now, Reply{Status: 503}) },
+		"orphaned": func(sim *simulation) {
+			job := sim.jobSpecs["j-1"]
+			job.Dependencies = []string{"j-0"}
+			sim.jobSpecs["j-1"] = job
+			sim.terminalStates["j-0"], sim.terminalAt["j-0"] = protocol.JobCancelled, sim.now-time.Minute
+			sim.acceptedAt["j-1"] -= time.Minute
+			sim.checkReply(query, "n0", sim.now, state(protocol.JobQueued))
 		},
-		"ran_twice": func(w *simulation) {
-			put(w, "m-000001", "j-1/0", 1)
-			put(w, "m-000002", "j-1/0", 2)
-			w.checkInvariants()
+		"ran_twice": func(sim *simulation) {
+			put(sim, "m-000001", "j-1/0", 1)
+			put(sim, "m-000002", "j-1/0", 2)
+			sim.checkInvariants()
 		},
-		"quota": func(w *simulation) {
-			j := jobSpec("j-2", 17)
-			j.Team = "team"
-			w.jobSpecs["j-2"] = j
+		"quota": func(sim *simulation) {
+			job := jobSpec("j-2", 17)
+			job.Team = "team"
+			sim.jobSpecs["j-2"] = job
 			for i := range 17 {
-				put(w, "m-000001", cluster.TaskKey("j-2", i), 1)
+				put(sim, "m-000001", cluster.TaskKey("j-2", i), 1)
 			}
-			w.checkInvariants()
+			sim.checkInvariants()
 		},
-		"ran_cancelled": func(w *simulation) {
-			w.terminalStates["j-1"], w.terminalAt["j-1"] = protocol.JobCancelled, w.now-w.cancelLimit()-time.Second
-			put(w, "m-000001", "j-1/0", 1)
-			w.checkInvariants()
+		"ran_cancelled": func(sim *simulation) {
+			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now-sim.cancelLimit()-time.Second
+			put(sim, "m-000001", "j-1/0", 1)
+			sim.checkInvariants()
 		},
-		"started after its cancellation": func(w *simulation) {
-			w.terminalStates["j-1"], w.terminalAt["j-1"] = protocol.JobCancelled, w.now-5*time.Second
-			start(w, "m-000001", "j-1/0")
+		"started after its cancellation": func(sim *simulation) {
+			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now-5*time.Second
+			start(sim, "m-000001", "j-1/0")
 		},
-		"too_early": func(w *simulation) {
-			j := dependentSpec("j-2", 1, "j-1")
-			w.jobSpecs["j-2"] = j
-			start(w, "m-000001", "j-2/0")
+		"too_early": func(sim *simulation) {
+			job := dependentSpec("j-2", 1, "j-1")
+			sim.jobSpecs["j-2"] = job
+			start(sim, "m-000001", "j-2/0")
 		},
-		"wrong_place": func(w *simulation) {
-			j := jobSpec("j-2", 1)
-			j.SpotAllowed = false
-			w.jobSpecs["j-2"] = j
-			start(w, "m-000001", "j-2/0")
+		"wrong_place": func(sim *simulation) {
+			job := jobSpec("j-2", 1)
+			job.SpotAllowed = false
+			sim.jobSpecs["j-2"] = job
+			start(sim, "m-000001", "j-2/0")
 		},
-		"wrong_place ": func(w *simulation) {
-			j := jobSpec("j-2", 2)
-			j.SameZone = true
-			w.jobSpecs["j-2"] = j
-			start(w, "m-000001", "j-2/0")
-			start(w, "m-000002", "j-2/1")
+		"wrong_place ": func(sim *simulation) {
+			job := jobSpec("j-2", 2)
+			job.SameZone = true
+			sim.jobSpecs["j-2"] = job
+			start(sim, "m-000001", "j-2/0")
+			start(sim, "m-000002", "j-2/1")
 		},
-		"two leaders": func(w *simulation) {
-			for _, n := range w.nodes {
+		"two leaders": func(sim *simulation) {
+			for _, n := range sim.nodes {
 				if n.leader == nil {
 					forceLeadership(n.Node, 99)
 				}
 			}
-			w.checkInvariants()
+			sim.checkInvariants()
 		},
-		"forgotten  ": func(w *simulation) {
-			for _, n := range w.nodes {
+		"forgotten  ": func(sim *simulation) {
+			for _, n := range sim.nodes {
 				n.down = true
 			}
-			w.advance(time.Second)
-			(newUserSimulation(w, 1)).markFaultsEnded()
-			w.advance(76 * time.Second)
+			sim.advance(time.Second)
+			(newUserSimulation(sim, 1)).markFaultsEnded()
+			sim.advance(76 * time.Second)
 		},
-		"waits ": func(w *simulation) {
-			w.cloud.noSpot = true
-			w.acceptedAt["j-2"], w.jobSpecs["j-2"], w.faultsEndedAt = w.now, dependentSpec("j-2", 1), w.now
+		"waits ": func(sim *simulation) {
+			sim.cloud.noSpot = true
+			sim.acceptedAt["j-2"], sim.jobSpecs["j-2"], sim.faultsEndedAt = sim.now, dependentSpec("j-2", 1), sim.now
 			for i := range 8 {
-				put(w, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room
+				put(sim, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room
 			}
-			w.advance(4*time.Minute + 2*time.Second)
+			sim.advance(4*time.Minute + 2*time.Second)
 		},
-		"waits": func(w *simulation) {
-			for _, n := range w.nodes {
+		"waits": func(sim *simulation) {
+			for _, n := range sim.nodes {
 				n.down = true
 			}
-			w.acceptedAt["j-2"], w.jobSpecs["j-2"], w.faultsEndedAt = w.now, jobSpec("j-2", 1), w.now
-			w.advance(92 * time.Second)
+			sim.acceptedAt["j-2"], sim.jobSpecs["j-2"], sim.faultsEndedAt = sim.now, jobSpec("j-2", 1), sim.now
+			sim.advance(92 * time.Second)
 		},
 	} {
 		t.Run(rule, func(t *testing.T) {
-			w := newSimulation(t, 3)
-			w.taskDuration = func(string, int) time.Duration { return time.Hour }
-			l := w.waitForLeader()
-			w.startMachines(2)
-			w.submit(l.name, jobSpec("j-1", 1))
-			w.caughtViolations = map[string]int{}
-			breaks(w)
-			if rule = strings.TrimSpace(rule); w.caughtViolations[rule] == 0 {
-				t.Fatalf("not caught: %v", w.caughtViolations)
+			sim := newSimulation(t, 3)
+			sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+			leaderNode := sim.waitForLeader()
+			sim.startMachines(2)
+			sim.submit(leaderNode.name, jobSpec("j-1", 1))
+			sim.caughtViolations = map[string]int{}
+			breaks(sim)
+			if rule = strings.TrimSpace(rule); sim.caughtViolations[rule] == 0 {
+				t.Fatalf("not caught: %v", sim.caughtViolations)
 			}
 		})
 	}
@@ -539,9 +539,9 @@
 
 // checkPolicy judges a transaction that is about to be carried out: no job is accepted that
 // the policy in force does not admit, unless its writer knows of no policies.
-func (w *simulation) checkAdmissionPolicy(t storage.Txn) {
-	w.t.Helper()
-	record, exists := w.store.keys[storage.AdmissionPolicyKey]
+func (sim *simulation) checkAdmissionPolicy(t storage.Txn) {
+	sim.t.Helper()
+	record, exists := sim.store.keys[storage.AdmissionPolicyKey]
 	if !exists || !slices.ContainsFunc(t.Conditions, func(c storage.Condition) bool { return c.Key == storage.AdmissionPolicyKey }) {
 		return
 	}
@@ -549,14 +549,14 @@
 	if json.Unmarshal(record.Value, policy) != nil {
 		policy = &admission.Policy{DefaultShare: admission.Share{Steps: []uint64{0}}} // nobody
 	}
-	for _, wr := range t.Writes {
+	for _, write := range t.Writes {
 		var job storage.JobRecord
-		if !strings.HasPrefix(wr.PutKey, storage.JobPrefix) || json.Unmarshal(wr.Value, &job) != nil {
+		if !strings.HasPrefix(write.PutKey, storage.JobPrefix) || json.Unmarshal(write.Value, &job) != nil {
 			continue
 		}
-		w.acceptancesByEpoch[policy.Epoch]++
+		sim.acceptancesByEpoch[policy.Epoch]++
 		if !policy.Evaluate(admissioncontrol.GroupOf(&job.Spec), job.Spec.ID).Admit {
-			w.reportViolation("policy", "%s is accepted in epoch %d", job.Spec.ID, policy.Epoch)
+			sim.reportViolation("policy", "%s is accepted in epoch %d", job.Spec.ID, policy.Epoch)
 		}
 	}
 }
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -18,22 +18,22 @@
 
 // busyLeader is a leader of so many full machines, with 60 jobs of so many tasks.
 func newBusyLeader(t *testing.T, machines, tasks int) (*simulation, *simNode) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return time.Hour }
-	l := w.waitForLeader()
-	w.cloud.bootTime = time.Second
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+	leaderNode := sim.waitForLeader()
+	sim.cloud.bootTime = time.Second
 	for i := range machines {
-		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	w.advanceUntil(time.Minute, func() bool { return len(w.workers) >= machines })
-	w.cloud.capacity = machines
+	sim.advanceUntil(time.Minute, func() bool { return len(sim.workers) >= machines })
+	sim.cloud.capacity = machines
 	for i := range 60 {
-		j := jobSpec(fmt.Sprintf("j-%d", i), tasks)
-		j.Image = fmt.Sprintf("i%d", i%18)
-		w.submit(l.name, j)
+		job := jobSpec(fmt.Sprintf("j-%d", i), tasks)
+		job.Image = fmt.Sprintf("i%d", i%18)
+		sim.submit(leaderNode.name, job)
 	}
-	w.advance(15 * time.Second)
-	return w, l
+	sim.advance(15 * time.Second)
+	return sim, leaderNode
 }
 
 // What a report costs, counted in machines and jobs looked at, is the same with four
@@ -41,8 +41,8 @@
 // for a machine with its image.
 func TestHeartbeatCostsTheSameAtAnySize(t *testing.T) {
 	cost := func(machines, tasks int) int {
-		w, n := newBusyLeader(t, machines, tasks)
-		l, now := n.leader, w.now-n.bootedAt
+		sim, n := newBusyLeader(t, machines, tasks)
+		l, now := n.leader, sim.now-n.bootedAt
 		l.GuaranteedStartWithin = 10 * time.Second
 		for i, r := range l.PendingOrder {
 			r.Job.EligibleAt, r.Job.Spec.Image, r.Job.Spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
@@ -52,17 +52,17 @@
 			l.Slos[r.Job.Spec.Class] = []cluster.Slo{{Limit: 10 * time.Second, OnStart: true}}
 		}
 		at := l.CandidatesExamined
-		for i, m := range l.MachinesByName()[:21] {
-			rep := w.workers[m.Name].heartbeat()
+		for i, machine := range l.MachinesByName()[:21] {
+			rep := sim.workers[machine.Name].heartbeat()
 			if i%2 == 0 { // a task has ended
 				rep.Tasks[0].State, rep.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
 			}
-			rep.Sequence = m.HeartbeatSeq + 1
+			rep.Sequence = machine.HeartbeatSeq + 1
 			if !n.holdsLeaderLease() {
 				t.Fatal("the lease has ended, though the clock stands still")
 			}
 			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
-			if m.HeartbeatSeq != rep.Sequence {
+			if machine.HeartbeatSeq != rep.Sequence {
 				t.Fatal("a report was not taken")
 			}
 			if i == 0 {
@@ -80,16 +80,16 @@
 // BenchmarkReport measures a leader's step for a report. Reports are most of its
 // work, so it must not grow with machines x tasks.
 func BenchmarkReport(b *testing.B) {
-	w, l := newBenchmarkLeader(b)
-	m := l.leader.Machines["m-000001"]
-	rep := w.workers["m-000001"].heartbeat()
-	now := w.now - l.bootedAt
+	sim, leaderNode := newBenchmarkLeader(b)
+	machine := leaderNode.leader.Machines["m-000001"]
+	rep := sim.workers["m-000001"].heartbeat()
+	now := sim.now - leaderNode.bootedAt
 	for i := 0; b.Loop(); i++ {
 		// The clock stands still, within the leader's lease.
-		rep.Sequence = m.HeartbeatSeq + 1
-		l.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
+		rep.Sequence = machine.HeartbeatSeq + 1
+		leaderNode.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 	}
-	if m.HeartbeatSeq != rep.Sequence {
+	if machine.HeartbeatSeq != rep.Sequence {
 		b.Fatal("the reports were not taken")
 	}
 }
@@ -97,23 +97,23 @@
 // BenchmarkPass measures a full pass of admission when a tenth of the machines
 // have room.
 func BenchmarkPass(b *testing.B) {
-	_, l := newBenchmarkLeader(b)
+	_, leaderNode := newBenchmarkLeader(b)
 	for b.Loop() {
-		for i, m := range l.leader.MachinesByName() {
+		for i, machine := range leaderNode.leader.MachinesByName() {
 			if i%10 == 0 {
-				for _, r := range m.AttemptsInOrder {
-					l.leader.ReleaseAttempt(r)
+				for _, r := range machine.AttemptsInOrder {
+					leaderNode.leader.ReleaseAttempt(r)
 				}
 			}
 		}
-		l.leader.Schedule()
+		leaderNode.leader.Schedule()
 	}
 }
 
 // BenchmarkPlan measures the planning of the fleet.
 func BenchmarkPlan(b *testing.B) {
-	_, l := newBenchmarkLeader(b)
+	_, leaderNode := newBenchmarkLeader(b)
 	for b.Loop() {
-		l.leader.autoscaler.ApplyPlan()
+		leaderNode.leader.autoscaler.ApplyPlan()
 	}
 }
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -64,9 +64,9 @@
 		c.replayHeartbeats()
 	}
 	kept := c.onHeartbeat
-	c.onHeartbeat = func(x *fakeWorker, rep *protocol.WorkerHeartbeat) {
+	c.onHeartbeat = func(worker *fakeWorker, rep *protocol.WorkerHeartbeat) {
 		if kept != nil {
-			kept(x, rep)
+			kept(worker, rep)
 		}
 		if c.rng.IntN(4) == 0 {
 			copied := *rep
@@ -96,23 +96,23 @@
 
 // userWork submits a job, and at times cancels one.
 func (c *mixedFaults) submitUserWork(i int) {
-	j := jobSpec(fmt.Sprintf("j-%d", i), 1+c.rng.IntN(9))
+	job := jobSpec(fmt.Sprintf("j-%d", i), 1+c.rng.IntN(9))
 	if c.rng.IntN(2) == 0 {
-		j.Team = "team"
+		job.Team = "team"
 	}
 	if c.rng.IntN(2) == 0 {
-		j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 10, 1
+		job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = 10, 1
 	}
 	for range c.rng.IntN(4) {
 		if id := fmt.Sprintf("j-%d", c.rng.IntN(i+1)); c.knowsAccepted(id) && len(c.oldVersionNodes) == 0 {
-			j.Dependencies = append(j.Dependencies, id)
+			job.Dependencies = append(job.Dependencies, id)
 		}
 	}
 	if c.mayLowerLimits && c.rng.IntN(4) == 0 && len(c.oldVersionNodes) == 0 {
 		c.store.enforceUpcomingLimits = true
 	}
-	c.jobSpecs[j.ID] = j
-	c.submitWithRetries(j)
+	c.jobSpecs[job.ID] = job
+	c.submitWithRetries(job)
 	if i > 2 && c.rng.IntN(3) == 0 {
 		id := fmt.Sprintf("j-%d", i-2)
 		if c.knowsAccepted(id) {
@@ -123,8 +123,8 @@
 
 func (c *mixedFaults) forRandomWorkers(f func(*fakeWorker)) {
 	for i := range c.cloud.lastMachineNumber {
-		if x := c.workers[fmt.Sprintf("m-%06d", i+1)]; x != nil && c.rng.IntN(3) == 0 {
-			f(x)
+		if worker := c.workers[fmt.Sprintf("m-%06d", i+1)]; worker != nil && c.rng.IntN(3) == 0 {
+			f(worker)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 // cutZone cuts one node and the workers of a zone from everything else.
 func (c *mixedFaults) cutZone() {
 	name := c.randomNode()
-	c.workerReaches = func(x *fakeWorker, node string) bool { return (x.zone == "a") == (node == name) }
+	c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == name) }
 	c.store.requestsDropped[name] = true
 	c.isolateNode(name)
 	c.schedule(c.randomDelay(), func() {
@@ -233,30 +233,30 @@
 }
 
 func (c *mixedFaults) dropWorkerResponses() {
-	c.forRandomWorkers(func(x *fakeWorker) {
-		x.dropResponses = true
-		c.schedule(c.randomDelay(), func() { x.dropResponses = false })
+	c.forRandomWorkers(func(worker *fakeWorker) {
+		worker.dropResponses = true
+		c.schedule(c.randomDelay(), func() { worker.dropResponses = false })
 	})
 }
 
 func (c *mixedFaults) hangMachines() {
-	c.forRandomWorkers(func(x *fakeWorker) {
-		x.hung = true
-		c.schedule(c.randomDelay(), func() { x.hung = false })
+	c.forRandomWorkers(func(worker *fakeWorker) {
+		worker.hung = true
+		c.schedule(c.randomDelay(), func() { worker.hung = false })
 	})
 }
 
 func (c *mixedFaults) makeMachinesUnreachable() {
-	c.forRandomWorkers(func(x *fakeWorker) {
-		x.unreachable = true
-		c.schedule(c.randomDelay(), func() { x.unreachable = false })
+	c.forRandomWorkers(func(worker *fakeWorker) {
+		worker.unreachable = true
+		c.schedule(c.randomDelay(), func() { worker.unreachable = false })
 	})
 }
 
 // restarted brings machines back at once in a new session, with nothing on them.
 func (c *mixedFaults) restartMachines() {
-	c.forRandomWorkers(func(x *fakeWorker) {
-		x.restartMachine()
+	c.forRandomWorkers(func(worker *fakeWorker) {
+		worker.restartMachine()
 	})
 }
 
@@ -283,8 +283,8 @@
 // mute takes all controllers from some workers.
 func (c *mixedFaults) cutWorkersFromControllers() {
 	isolated := map[string]bool{}
-	c.forRandomWorkers(func(x *fakeWorker) { isolated[x.name] = true })
-	c.workerReaches = func(x *fakeWorker, _ string) bool { return !isolated[x.name] }
+	c.forRandomWorkers(func(worker *fakeWorker) { isolated[worker.name] = true })
+	c.workerReaches = func(worker *fakeWorker, _ string) bool { return !isolated[worker.name] }
 	c.schedule(c.randomDelay(), func() { c.workerReaches = nil })
 }
 
@@ -296,10 +296,10 @@
 
 // cancelAtEnd cancels jobs when their last task is about to end.
 func (c *mixedFaults) cancelJobsAtCompletion() {
-	for _, x := range c.sortedWorkers() {
-		for _, t := range x.tasks {
-			if id := jobIDOf(t.taskKey); t.state == protocol.TaskRunning && c.rng.IntN(4) == 0 {
-				c.schedule(max(0, t.endsAt-c.now)+c.randomDuration(400*time.Millisecond), func() { c.cancelWithRetries(id) })
+	for _, worker := range c.sortedWorkers() {
+		for _, task := range worker.tasks {
+			if id := jobIDOf(task.taskKey); task.state == protocol.TaskRunning && c.rng.IntN(4) == 0 {
+				c.schedule(max(0, task.endsAt-c.now)+c.randomDuration(400*time.Millisecond), func() { c.cancelWithRetries(id) })
 			}
 		}
 	}
@@ -315,9 +315,9 @@
 
 // answersHeldUp holds up answers to workers, for some beyond the four seconds.
 func (c *mixedFaults) delayWorkerResponses() {
-	c.forRandomWorkers(func(x *fakeWorker) {
-		x.responseDelay = c.randomDuration(6 * time.Second)
-		c.schedule(c.randomDelay(), func() { x.responseDelay = 0 })
+	c.forRandomWorkers(func(worker *fakeWorker) {
+		worker.responseDelay = c.randomDuration(6 * time.Second)
+		c.schedule(c.randomDelay(), func() { worker.responseDelay = 0 })
 	})
 }
 
--- a/internal/controller/one_way_cuts_bench_test.go
+++ b/internal/controller/one_way_cuts_bench_test.go
@@ -26,24 +26,24 @@
 					if !leaderPossible(first, second) {
 						continue
 					}
-					w, l := newRunningSimulation(&testing.T{}, nodes, 20*time.Second, 4, 8)
-					leader, term, from := l.name, l.leader.term, w.now
-					halfOpenCuts[first](w, leader, true)
-					halfOpenCuts[second](w, leader, true)
-					newUserSimulation(w, uint64(nodes)).submitWithRetries(jobSpec("j-2", 2))
-					if !w.advanceUntil(longest, func() bool { return w.firstStartAt["j-2"] != 0 }) {
+					sim, leaderNode := newRunningSimulation(&testing.T{}, nodes, 20*time.Second, 4, 8)
+					leader, term, from := leaderNode.name, leaderNode.leader.term, sim.now
+					halfOpenCuts[first](sim, leader, true)
+					halfOpenCuts[second](sim, leader, true)
+					newUserSimulation(sim, uint64(nodes)).submitWithRetries(jobSpec("j-2", 2))
+					if !sim.advanceUntil(longest, func() bool { return sim.firstStartAt["j-2"] != 0 }) {
 						never++
 					}
-					pause.RecordValue(max(1, (w.now - from).Milliseconds()))
-					w.advance(longest - (w.now - from))
+					pause.RecordValue(max(1, (sim.now - from).Milliseconds()))
+					sim.advance(longest - (sim.now - from))
 					highest, sessions := term, 0
-					for _, n := range w.nodes {
+					for _, n := range sim.nodes {
 						if n.leader != nil {
 							highest = max(highest, n.leader.term)
 						}
 					}
-					for _, x := range w.workers {
-						sessions += int(x.epoch - 1)
+					for _, worker := range sim.workers {
+						sessions += int(worker.epoch - 1)
 					}
 					terms.RecordValue(int64(highest - term))
 					lost.RecordValue(int64(sessions))
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -60,20 +60,20 @@
 	},
 }
 
-func (w *simulation) setOneWayCut(from, to string, on bool) {
+func (sim *simulation) setOneWayCut(from, to string, on bool) {
 	if from == to {
 		return
 	}
 	if on {
-		w.oneWayCuts[[2]string{from, to}] = true
+		sim.oneWayCuts[[2]string{from, to}] = true
 	} else {
-		delete(w.oneWayCuts, [2]string{from, to})
+		delete(sim.oneWayCuts, [2]string{from, to})
 	}
 }
 
 // after1 is the node after another, by name.
-func (w *simulation) nextNode(name string) string {
-	return w.names[(slices.Index(w.names, name)+1)%len(w.names)]
+func (sim *simulation) nextNode(name string) string {
+	return sim.names[(slices.Index(sim.names, name)+1)%len(sim.names)]
 }
 
 // reachable tells whether some node has all that a leader needs: with a pair of cuts after
@@ -106,22 +106,22 @@
 
 func testHalfOpenCut(t *testing.T, nodes int, a, b string) {
 	t.Helper()
-	w, l := newRunningSimulation(t, nodes, 20*time.Second, 4, 8)
-	w.scenario = a + ", " + b
-	c := newUserSimulation(w, uint64(nodes))
+	sim, leaderNode := newRunningSimulation(t, nodes, 20*time.Second, 4, 8)
+	sim.scenario = a + ", " + b
+	c := newUserSimulation(sim, uint64(nodes))
 	c.driftClocks()
-	leader, from := l.name, w.now
-	halfOpenCuts[a](w, leader, true)
-	halfOpenCuts[b](w, leader, true)
-	w.advance(2 * time.Second)
+	leader, from := leaderNode.name, sim.now
+	halfOpenCuts[a](sim, leader, true)
+	halfOpenCuts[b](sim, leader, true)
+	sim.advance(2 * time.Second)
 	c.submitWithRetries(jobSpec("j-2", 2))
-	began := w.advanceUntil(recoveryLeaseCount*l.workerLease(), func() bool { return w.firstStartAt["j-2"] != 0 })
+	began := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(), func() bool { return sim.firstStartAt["j-2"] != 0 })
 	if !began && leaderPossible(a, b) {
-		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, a, b, w.now-from, w.explainNoLeader())
+		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, a, b, sim.now-from, sim.explainNoLeader())
 	}
-	w.advance(l.workerLease())
-	halfOpenCuts[a](w, leader, false)
-	halfOpenCuts[b](w, leader, false)
+	sim.advance(leaderNode.workerLease())
+	halfOpenCuts[a](sim, leader, false)
+	halfOpenCuts[b](sim, leader, false)
 	c.waitForCompletion(5 * time.Minute)
 }
 
@@ -133,30 +133,30 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, period := range []float64{1.0 / election.HeartbeatsPerWorkerLease, 0.2, 0.5, 1.1} {
-				w, l := newRunningSimulation(t, 3, 3*time.Second, 4, 4)
-				c := newUserSimulation(w, 3)
-				leader, lease := l.name, l.workerLease()
+				sim, leaderNode := newRunningSimulation(t, 3, 3*time.Second, 4, 4)
+				c := newUserSimulation(sim, 3)
+				leader, lease := leaderNode.name, leaderNode.workerLease()
 				half := max(2*step, time.Duration(period*float64(lease))/2)
 				const leases = 12
-				end := w.now + leases*lease
+				end := sim.now + leases*lease
 				on := false
 				var flap func()
 				flap = func() {
-					if on = !on && w.now < end; on || w.now < end+half {
-						halfOpenCuts[name](w, leader, on)
-						w.schedule(half, flap)
+					if on = !on && sim.now < end; on || sim.now < end+half {
+						halfOpenCuts[name](sim, leader, on)
+						sim.schedule(half, flap)
 					}
 				}
 				flap()
-				first := l.leader.term
+				first := leaderNode.leader.term
 				for i := range 2 * leases {
 					c.submitWithRetries(jobSpec(fmt.Sprintf("j-f%d", i), 1))
-					w.advance(lease / 2)
+					sim.advance(lease / 2)
 				}
-				w.advance(2 * half)
-				halfOpenCuts[name](w, leader, false)
+				sim.advance(2 * half)
+				halfOpenCuts[name](sim, leader, false)
 				c.waitForCompletion(5 * time.Minute)
-				if terms := w.waitForLeader().leader.term - first; terms > leases+2 {
+				if terms := sim.waitForLeader().leader.term - first; terms > leases+2 {
 					t.Errorf("period of %.2f leases: %d terms in %d leases", period, terms, leases)
 				}
 			}
@@ -172,18 +172,18 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for moment := range 6 {
-				w, l := newRunningSimulation(t, 3, 6*time.Second, 4, 6)
-				c := newUserSimulation(w, uint64(moment))
-				w.holdMessages = true
-				leader := l.name
-				halfOpenCuts[name](w, leader, true)
+				sim, leaderNode := newRunningSimulation(t, 3, 6*time.Second, 4, 6)
+				c := newUserSimulation(sim, uint64(moment))
+				sim.holdMessages = true
+				leader := leaderNode.name
+				halfOpenCuts[name](sim, leader, true)
 				for i := range 5 {
 					c.submitWithRetries(jobSpec(fmt.Sprintf("j-h%d", i), 2))
 				}
 				c.schedule(time.Second, func() { c.cancelWithRetries("j-1") })
-				w.advance(time.Duration(float64(moment+1) * 0.37 * float64(l.workerLease())))
-				halfOpenCuts[name](w, leader, false)
-				w.healCuts()
+				sim.advance(time.Duration(float64(moment+1) * 0.37 * float64(leaderNode.workerLease())))
+				halfOpenCuts[name](sim, leader, false)
+				sim.healCuts()
 				c.waitForCompletion(5 * time.Minute)
 			}
 		})
@@ -193,37 +193,37 @@
 // Workers come to one node alone, which does not hear the leader: that resigns, and another is
 // elected that can serve them, whatever meets the change.
 func TestHandOverUnderFaults(t *testing.T) {
-	for name, trouble := range map[string]func(w *simulation, leader, stranded string){
+	for name, trouble := range map[string]func(sim *simulation, leader, stranded string){
 		"nothing":         func(*simulation, string, string) {},
-		"that node ends":  func(w *simulation, _, stranded string) { w.restartAfter(stranded, 3*time.Second) },
-		"the leader ends": func(w *simulation, leader, _ string) { w.restartAfter(leader, 200*time.Millisecond) },
-		"an outage": func(w *simulation, _, _ string) {
-			w.store.setDown(true)
-			w.schedule(5*time.Second, func() { w.store.setDown(false) })
+		"that node ends":  func(sim *simulation, _, stranded string) { sim.restartAfter(stranded, 3*time.Second) },
+		"the leader ends": func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 200*time.Millisecond) },
+		"an outage": func(sim *simulation, _, _ string) {
+			sim.store.setDown(true)
+			sim.schedule(5*time.Second, func() { sim.store.setDown(false) })
 		},
-		"the leader stands": func(w *simulation, leader, _ string) { w.nodes[leader].pauseBeforeEffects = 9 * time.Second },
-		"that node is slow": func(w *simulation, _, stranded string) { w.nodes[stranded].pauseBeforeEffects = 3 * time.Second },
-		"the cut turns over": func(w *simulation, leader, stranded string) {
-			w.setOneWayCut(leader, stranded, false)
-			w.setOneWayCut(stranded, leader, true)
+		"the leader stands": func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 9 * time.Second },
+		"that node is slow": func(sim *simulation, _, stranded string) { sim.nodes[stranded].pauseBeforeEffects = 3 * time.Second },
+		"the cut turns over": func(sim *simulation, leader, stranded string) {
+			sim.setOneWayCut(leader, stranded, false)
+			sim.setOneWayCut(stranded, leader, true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for moment := range 5 {
-				w, l := newRunningSimulation(t, 3, 20*time.Second, 4, 8)
-				c := newUserSimulation(w, uint64(moment))
-				leader := l.name
-				stranded, third := w.nextNode(leader), w.nextNode(w.nextNode(leader))
-				w.heartbeatsBlocked[leader], w.heartbeatsBlocked[third] = true, true
-				w.setOneWayCut(leader, stranded, true)
+				sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 4, 8)
+				c := newUserSimulation(sim, uint64(moment))
+				leader := leaderNode.name
+				stranded, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
+				sim.heartbeatsBlocked[leader], sim.heartbeatsBlocked[third] = true, true
+				sim.setOneWayCut(leader, stranded, true)
 				c.submitWithRetries(jobSpec("j-2", 2))
-				w.advance(time.Duration(moment+1) * l.workerLeases(strandedResignLeases) / 4)
-				trouble(w, leader, stranded)
-				if !w.advanceUntil(recoveryLeaseCount*l.workerLease(), func() bool { return w.firstStartAt["j-2"] != 0 }) {
-					t.Errorf("moment %d: nothing begins: %s", moment, w.explainNoLeader())
+				sim.advance(time.Duration(moment+1) * leaderNode.workerLeases(strandedResignLeases) / 4)
+				trouble(sim, leader, stranded)
+				if !sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(), func() bool { return sim.firstStartAt["j-2"] != 0 }) {
+					t.Errorf("moment %d: nothing begins: %s", moment, sim.explainNoLeader())
 				}
-				w.oneWayCuts, w.heartbeatsBlocked = map[[2]string]bool{}, map[string]bool{}
+				sim.oneWayCuts, sim.heartbeatsBlocked = map[[2]string]bool{}, map[string]bool{}
 				c.waitForCompletion(5 * time.Minute)
 			}
 		})
@@ -238,22 +238,22 @@
 // What a peer says of links and can't be true changes nothing and is named once; a message
 // of an earlier version, without any of it, leaves the links unknown.
 func TestImpossibleLinkReports(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitForLeader()
-	peer := w.followers()[0]
-	before := l.linkFrom(peer)
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	peer := sim.followers()[0]
+	before := leaderNode.linkFrom(peer)
 	for _, bad := range []*protocol.LinkReport{
 		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}}, {IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
-		{IncomingLinks: []reachability.IncomingLink{{Node: l.name, AgeMS: -1}}}, {RecentWorkers: -1},
+		{IncomingLinks: []reachability.IncomingLink{{Node: leaderNode.name, AgeMS: -1}}}, {RecentWorkers: -1},
 	} {
-		l.Step(l.monotonicNow(w.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
+		leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
 	}
-	if l.linkFrom(peer) != before || before != reachability.LinkUp || len(l.connectivity.invalidReportLogged) != 1 {
-		t.Errorf("link %v after %v", l.linkFrom(peer), before)
+	if leaderNode.linkFrom(peer) != before || before != reachability.LinkUp || len(leaderNode.connectivity.invalidReportLogged) != 1 {
+		t.Errorf("link %v after %v", leaderNode.linkFrom(peer), before)
 	}
-	fresh := w.nodes[w.followers()[1]]
+	fresh := sim.nodes[sim.followers()[1]]
 	fresh.connectivity = newConnectivity(fresh.name, fresh.peers)
-	fresh.Step(fresh.monotonicNow(w.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
+	fresh.Step(fresh.monotonicNow(sim.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
 	if got := fresh.linkFrom(peer); got != reachability.LinkUnknown || fresh.twoWayPeerCount() == 0 {
 		t.Errorf("an earlier version: %v, %d two ways", got, fresh.twoWayPeerCount())
 	}
@@ -262,24 +262,24 @@
 // While no worker reaches the leader the others relay; it is tried again from time to time
 // whether they do, so once the cut has healed they are served directly.
 func TestRelaysEndAfterTheCut(t *testing.T) {
-	w, l := newRunningSimulation(t, 3, time.Hour, 4, 8)
-	w.heartbeatsBlocked[l.name] = true
-	w.advance(3 * l.workerLease())
+	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 4, 8)
+	sim.heartbeatsBlocked[leaderNode.name] = true
+	sim.advance(3 * leaderNode.workerLease())
 	direct := func() int {
 		count := 0
-		for _, m := range l.leader.Machines {
-			if m.Up && m.RelayPeer == "" {
+		for _, machine := range leaderNode.leader.Machines {
+			if machine.Up && machine.RelayPeer == "" {
 				count++
 			}
 		}
 		return count
 	}
-	if l.leader == nil || direct() > 0 || !l.leader.needsRelays() {
+	if leaderNode.leader == nil || direct() > 0 || !leaderNode.leader.needsRelays() {
 		t.Fatal("the leader does not have others relay")
 	}
-	w.heartbeatsBlocked[l.name] = false
-	if !w.advanceUntil(8*l.workerLease(), func() bool { return l.leader != nil && direct() == len(l.leader.Machines) }) {
-		t.Errorf("%d of %d are served directly", direct(), len(l.leader.Machines))
+	sim.heartbeatsBlocked[leaderNode.name] = false
+	if !sim.advanceUntil(8*leaderNode.workerLease(), func() bool { return leaderNode.leader != nil && direct() == len(leaderNode.leader.Machines) }) {
+		t.Errorf("%d of %d are served directly", direct(), len(leaderNode.leader.Machines))
 	}
 }
 
@@ -287,23 +287,23 @@
 // hear it, hands over, too; one that serves most of them stays.
 func TestHandOverToWhereMostWorkersAre(t *testing.T) {
 	for _, x := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
-		w, l := newRunningSimulation(t, 3, time.Hour, x.served+x.stranded, 4)
-		leader, term := l.name, l.leader.term
-		other, third := w.nextNode(leader), w.nextNode(w.nextNode(leader))
-		w.cloud.capacity, w.cloud.rejectReturns = x.served+x.stranded, true // else it would rent others
-		split := map[string]bool{}                                          // those that reach the other node alone
-		for _, m := range w.sortedWorkers()[:x.stranded] {
+		sim, leaderNode := newRunningSimulation(t, 3, time.Hour, x.served+x.stranded, 4)
+		leader, term := leaderNode.name, leaderNode.leader.term
+		other, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
+		sim.cloud.capacity, sim.cloud.rejectReturns = x.served+x.stranded, true // else it would rent others
+		split := map[string]bool{}                                              // those that reach the other node alone
+		for _, m := range sim.sortedWorkers()[:x.stranded] {
 			split[m.name] = true
 		}
-		w.workerReaches = func(m *fakeWorker, node string) bool { return split[m.name] == (node == other) }
-		w.heartbeatsBlocked[third] = true
-		w.setOneWayCut(leader, other, true)
-		moved := w.advanceUntil(recoveryLeaseCount*l.workerLease(), func() bool { now := w.leaderName(); return now != "" && now != leader })
+		sim.workerReaches = func(m *fakeWorker, node string) bool { return split[m.name] == (node == other) }
+		sim.heartbeatsBlocked[third] = true
+		sim.setOneWayCut(leader, other, true)
+		moved := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(), func() bool { now := sim.leaderName(); return now != "" && now != leader })
 		if moved != (x.stranded > x.served) {
-			t.Errorf("%d served, %d stranded: %s leads after %s", x.served, x.stranded, w.leaderName(), leader)
+			t.Errorf("%d served, %d stranded: %s leads after %s", x.served, x.stranded, sim.leaderName(), leader)
 		}
-		w.advance(10 * l.workerLease())
-		if terms := w.waitForLeader().leader.term - term; terms > 6 {
+		sim.advance(10 * leaderNode.workerLease())
+		if terms := sim.waitForLeader().leader.term - term; terms > 6 {
 			t.Errorf("%d served, %d stranded: %d terms in 12 leases", x.served, x.stranded, terms)
 		}
 	}
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -24,33 +24,33 @@
 		{"tasks that don't save", 0, 40 * time.Second, 10 * time.Second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newSimulation(t, 3)
-			w.cfg.Teams = append(w.cfg.Teams, config.Team{Name: "owner", GuaranteedCPUs: 4})
-			w.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
-			for _, name := range w.names {
-				w.startNode(name)
+			sim := newSimulation(t, 3)
+			sim.cfg.Teams = append(sim.cfg.Teams, config.Team{Name: "owner", GuaranteedCPUs: 4})
+			sim.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
+			for _, name := range sim.names {
+				sim.startNode(name)
 			}
-			w.cloud.capacity = 2
-			w.taskDuration = func(string, int) time.Duration { return time.Hour }
-			l := w.waitForLeader()
-			w.startMachines(2)
+			sim.cloud.capacity = 2
+			sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+			leaderNode := sim.waitForLeader()
+			sim.startMachines(2)
 			guest := jobSpec("j-guest", 12)
 			guest.Priority, guest.EstimatedSeconds, guest.CheckpointIntervalSeconds, guest.CheckpointSaveSeconds = "low", 3600, c.checkpoint, 1
-			w.submitAndStart(l.name, guest, 8)
-			w.advance(c.ran)
+			sim.submitAndStart(leaderNode.name, guest, 8)
+			sim.advance(c.ran)
 			owner := jobSpec("j-owner", 3)
 			owner.Team, owner.EstimatedSeconds = "owner", 60
-			w.submit(l.name, owner)
-			if got := w.advanceUntil(c.begins, func() bool { return w.activeTaskCount("j-owner") == 3 }); got != c.within {
-				t.Fatalf("%d of 3 guaranteed tasks run after %v", w.activeTaskCount("j-owner"), c.begins)
+			sim.submit(leaderNode.name, owner)
+			if got := sim.advanceUntil(c.begins, func() bool { return sim.activeTaskCount("j-owner") == 3 }); got != c.within {
+				t.Fatalf("%d of 3 guaranteed tasks run after %v", sim.activeTaskCount("j-owner"), c.begins)
 			}
 			if c.within {
-				w.advance(time.Minute)
-				if n := w.activeTaskCount("j-guest"); n != 5 {
+				sim.advance(time.Minute)
+				if n := sim.activeTaskCount("j-guest"); n != 5 {
 					t.Errorf("%d of the guest's tasks run beside 3, not 5", n)
 				}
 			}
-			for task, n := range w.startCounts {
+			for task, n := range sim.startCounts {
 				if n > 2 {
 					t.Errorf("%s was started %d times", task, n)
 				}
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -44,13 +44,13 @@
 }
 
 // endAll ends all controllers and lets them begin anew after a while.
-func (w *simulation) restartAllNodes(away time.Duration) {
-	for _, name := range w.names {
-		w.crashNode(name)
+func (sim *simulation) restartAllNodes(away time.Duration) {
+	for _, name := range sim.names {
+		sim.crashNode(name)
 	}
-	w.advance(away)
-	for _, name := range w.names {
-		w.restartNode(name)
+	sim.advance(away)
+	for _, name := range sim.names {
+		sim.restartNode(name)
 	}
 }
 
@@ -60,7 +60,7 @@
 // Once it is mended, all is as if nothing had been.
 func TestDamagedRecordIsQuarantined(t *testing.T) {
 	for name, x := range map[string]struct {
-		key       func(w *simulation) string
+		key       func(sim *simulation) string
 		value     string
 		rewritten bool // it may be written over: a forecast alone
 		silent    bool // users of j-1 can only be told to come back
@@ -72,8 +72,8 @@
 		"job with needs":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-1","aguarda":7}}`, silent: true},
 		"bitmap":              {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `{"b":"%%%"}`},
 		"bitmap no object":    {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `[]`},
-		"group":               {key: func(w *simulation) string { return w.store.onlyKeyWithPrefix(w.t, storage.MachineGroupPrefix) }, value: `"?"`, frees: true},
-		"group entry":         {key: func(w *simulation) string { return w.store.onlyKeyWithPrefix(w.t, storage.MachineGroupPrefix) }, value: `{"m-000001":{"type":"c4","zone":"a","used":true},"m-000002":7}`, frees: true},
+		"group":               {key: func(sim *simulation) string { return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix) }, value: `"?"`, frees: true},
+		"group entry":         {key: func(sim *simulation) string { return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix) }, value: `{"m-000001":{"type":"c4","zone":"a","used":true},"m-000002":7}`, frees: true},
 		"single machine":      {key: func(*simulation) string { return storage.SingleMachinePrefix + "m-000002" }, value: `"?"`, frees: true},
 		"rental":              {key: func(*simulation) string { return storage.RentalPrefix + "r-1-99" }, value: `{"pedido":"r-1-98"}`, frees: true},
 		"end of another":      {key: func(*simulation) string { return storage.TerminalKey("j-9") }, value: `{"state":"?"}`, frees: true},
@@ -84,56 +84,56 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, 3)
-			w.taskDuration = func(task string, _ int) time.Duration {
+			sim := newSimulation(t, 3)
+			sim.taskDuration = func(task string, _ int) time.Duration {
 				if jobIDOf(task) == "j-1" && !strings.HasSuffix(task, "/0") {
 					return 50 * time.Second
 				}
 				return 3 * time.Second
 			}
-			l := w.waitForLeader()
-			w.startMachines(2)
-			j := jobSpec("j-1", 4)
-			j.EstimatedSeconds = 50
-			w.submitAndStart(l.name, j, 4)
-			if !w.advanceUntil(20*time.Second, func() bool {
-				return w.completedTasks["j-1/0"] && w.store.keys[storage.BitmapKey("j-1", 0)].ModRevision > 0
+			leaderNode := sim.waitForLeader()
+			sim.startMachines(2)
+			job := jobSpec("j-1", 4)
+			job.EstimatedSeconds = 50
+			sim.submitAndStart(leaderNode.name, job, 4)
+			if !sim.advanceUntil(20*time.Second, func() bool {
+				return sim.completedTasks["j-1/0"] && sim.store.keys[storage.BitmapKey("j-1", 0)].ModRevision > 0
 			}) {
 				t.Fatal("no task is done")
 			}
-			w.advance(time.Second)
-			key := x.key(w)
-			mend := w.store.overwriteValue(key, x.value)
-			started := w.totalStarts()
-			w.restartAllNodes(2 * time.Second)
-			l = w.waitForLeader()
-			w.submit(l.name, jobSpec("j-2", 6))
-			w.waitForJobState("j-2", protocol.JobDone, 40*time.Second)
-			if got := string(w.store.keys[key].Value); got != x.value && !x.rewritten {
+			sim.advance(time.Second)
+			key := x.key(sim)
+			mend := sim.store.overwriteValue(key, x.value)
+			started := sim.totalStarts()
+			sim.restartAllNodes(2 * time.Second)
+			leaderNode = sim.waitForLeader()
+			sim.submit(leaderNode.name, jobSpec("j-2", 6))
+			sim.waitForJobState("j-2", protocol.JobDone, 40*time.Second)
+			if got := string(sim.store.keys[key].Value); got != x.value && !x.rewritten {
 				t.Errorf("the record is now %s", got)
 			}
-			for _, node := range w.names {
-				status, s := w.queryJob(node, "j-1")
+			for _, node := range sim.names {
+				status, s := sim.queryJob(node, "j-1")
 				if x.silent && status != 503 || !x.silent && (status != 200 || s.State != protocol.JobQueued && s.State != protocol.JobRunning) {
 					t.Errorf("%s says %d, %q of the job", node, status, s.State)
 				}
-				if reply := w.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &j}); reply.Status != 200 && !x.silent {
+				if reply := sim.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &job}); reply.Status != 200 && !x.silent {
 					t.Errorf("%s answers %d to the job's submission", node, reply.Status)
 				}
 			}
-			if on := w.activeTaskCount("j-1"); on != 3 || w.totalStarts() != started+6 {
-				t.Errorf("%d of 3 tasks go on, %d starts after %d", on, w.totalStarts(), started)
+			if on := sim.activeTaskCount("j-1"); on != 3 || sim.totalStarts() != started+6 {
+				t.Errorf("%d of 3 tasks go on, %d starts after %d", on, sim.totalStarts(), started)
 			}
-			w.advance(30 * time.Second) // the tasks end; what they did is kept
-			if !x.frees && w.terminalState("j-1") != "" {
-				t.Errorf("the job is %s by its record", w.terminalState("j-1"))
+			sim.advance(30 * time.Second) // the tasks end; what they did is kept
+			if !x.frees && sim.terminalState("j-1") != "" {
+				t.Errorf("the job is %s by its record", sim.terminalState("j-1"))
 			}
-			if w.leaderName() != l.name {
+			if sim.leaderName() != leaderNode.name {
 				t.Error("the leader has changed")
 			}
 			mend()
-			w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
-			w.checkStartedOnce()
+			sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+			sim.checkStartedOnce()
 		})
 	}
 }
@@ -142,27 +142,27 @@
 // node, and its tasks are stopped.
 func TestOpenAndTerminalRecordIsTerminal(t *testing.T) {
 	for i, state := range []protocol.JobState{protocol.JobDone, protocol.JobCancelled, protocol.JobDone, protocol.JobCancelled} {
-		w, _ := newRunningSimulation(t, 3, time.Hour, 1, 2)
+		sim, _ := newRunningSimulation(t, 3, time.Hour, 1, 2)
 		for i := range 2 {
-			w.completedTasks[cluster.TaskKey("j-1", i)] = state == protocol.JobDone
+			sim.completedTasks[cluster.TaskKey("j-1", i)] = state == protocol.JobDone
 		}
-		w.cancelRequested["j-1"] = true
-		w.store.putValue(storage.TerminalKey("j-1"), storage.TerminalRecord{State: state, TaskCount: 2})
+		sim.cancelRequested["j-1"] = true
+		sim.store.putValue(storage.TerminalKey("j-1"), storage.TerminalRecord{State: state, TaskCount: 2})
 		if i >= 2 {
-			w.store.overwriteValue(storage.JobKey("j-1"), `{}`)
+			sim.store.overwriteValue(storage.JobKey("j-1"), `{}`)
 		}
-		w.restartAllNodes(2 * time.Second)
-		w.waitForLeader()
-		w.advance(10 * time.Second)
-		for _, node := range w.names {
-			if status, s := w.queryJob(node, "j-1"); status != 200 || s.State != state {
+		sim.restartAllNodes(2 * time.Second)
+		sim.waitForLeader()
+		sim.advance(10 * time.Second)
+		for _, node := range sim.names {
+			if status, s := sim.queryJob(node, "j-1"); status != 200 || s.State != state {
 				t.Errorf("%s: %d, %q, not %q", node, status, s.State, state)
 			}
 		}
-		if on := w.activeTaskCount("j-1"); on != 0 {
+		if on := sim.activeTaskCount("j-1"); on != 0 {
 			t.Errorf("%d tasks go on of a job that is %s", on, state)
 		}
-		if w.store.keys[storage.JobKey("j-1")].ModRevision == 0 {
+		if sim.store.keys[storage.JobKey("j-1")].ModRevision == 0 {
 			t.Error("the open record was deleted")
 		}
 	}
@@ -170,25 +170,25 @@
 
 // Many damaged records of each kind at once: no node ends, and nothing else is held up.
 func TestManyDamagedRecords(t *testing.T) {
-	w, _ := newRunningSimulation(t, 3, 10*time.Second, 2, 4)
+	sim, _ := newRunningSimulation(t, 3, 10*time.Second, 2, 4)
 	for i := range 30 {
-		w.store.overwriteValue(storage.JobKey(fmt.Sprintf("j-x%d", i)), `{}`)
-		w.store.overwriteValue(storage.TerminalKey(fmt.Sprintf("j-y%d", i)), `[]`)
-		w.store.overwriteValue(storage.MachineGroupKey(100+i), `"?"`)
-		w.store.overwriteValue(storage.DependenciesKey(fmt.Sprintf("j-x%d", i), 0), `{}`)
+		sim.store.overwriteValue(storage.JobKey(fmt.Sprintf("j-x%d", i)), `{}`)
+		sim.store.overwriteValue(storage.TerminalKey(fmt.Sprintf("j-y%d", i)), `[]`)
+		sim.store.overwriteValue(storage.MachineGroupKey(100+i), `"?"`)
+		sim.store.overwriteValue(storage.DependenciesKey(fmt.Sprintf("j-x%d", i), 0), `{}`)
 	}
-	w.restartAllNodes(time.Second)
-	l := w.waitForLeader()
-	w.waitForJobState("j-1", protocol.JobDone, time.Minute)
-	w.submit(l.name, jobSpec("j-2", 8))
-	w.waitForJobState("j-2", protocol.JobDone, time.Minute)
-	if got := l.leader.quarantine.RecordCount(); got != 60 {
+	sim.restartAllNodes(time.Second)
+	leaderNode := sim.waitForLeader()
+	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	sim.submit(leaderNode.name, jobSpec("j-2", 8))
+	sim.waitForJobState("j-2", protocol.JobDone, time.Minute)
+	if got := leaderNode.leader.quarantine.RecordCount(); got != 60 {
 		t.Errorf("%d of 60 records are set aside", got)
 	}
-	for _, node := range w.names {
-		if got := len(w.nodes[node].unreadableTerminalRecords); got != 30 {
+	for _, node := range sim.names {
+		if got := len(sim.nodes[node].unreadableTerminalRecords); got != 30 {
 			t.Errorf("%s: %d of 30 records of ends are set aside", node, got)
 		}
 	}
-	w.checkStartedOnce()
+	sim.checkStartedOnce()
 }
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -109,20 +109,22 @@
 
 func testRefusalThenOutage(t *testing.T, nodes int, p workerTimings, seed uint64, outageAfter time.Duration, prepare func(*userSimulation, string)) {
 	const jobs = 8
-	c, l := newFaultCombination(t, nodes, p, seed, jobs, 2)
+	c, leaderNode := newFaultCombination(t, nodes, p, seed, jobs, 2)
 	outageAfter += time.Duration(c.rng.Float64() * float64(c.machineLease()) / 32)
 	// Half of the machines reach nobody but the old leader.
-	c.workerReaches = func(x *fakeWorker, node string) bool { return node == l.name || x.name[len(x.name)-1]%2 == 0 }
-	prepare(c, l.name)
-	c.store.refusedNodes[l.name] = true
-	c.schedule(c.machineLease()/2, func() { delete(c.store.refusedNodes, l.name) })
+	c.workerReaches = func(worker *fakeWorker, node string) bool {
+		return node == leaderNode.name || worker.name[len(worker.name)-1]%2 == 0
+	}
+	prepare(c, leaderNode.name)
+	c.store.refusedNodes[leaderNode.name] = true
+	c.schedule(c.machineLease()/2, func() { delete(c.store.refusedNodes, leaderNode.name) })
 	for i := range jobs - 1 {
 		at := time.Duration(c.rng.Int64N(int64(outageAfter + c.machineLease()/8)))
 		c.schedule(at, func() { c.cancelWithRetries(fmt.Sprintf("j-%d", i)) })
 	}
 	c.schedule(outageAfter, func() {
 		c.store.setDown(true)
-		if len(c.terminalAt) > 0 && c.leaderName() != l.name {
+		if len(c.terminalAt) > 0 && c.leaderName() != leaderNode.name {
 			confirmedElsewhere.Add(1)
 		}
 	})
