--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -16,74 +16,74 @@
 )
 
 func TestJobRunsToDone(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.waitForLeader()
-	f := w.followers()[0]
-	if r := w.submit(f, jobSpec("j-1", 20)); r.Status != 201 {
+	sim := newSimulation(t, 3)
+	sim.waitForLeader()
+	f := sim.followers()[0]
+	if r := sim.submit(f, jobSpec("j-1", 20)); r.Status != 201 {
 		t.Fatalf("submission: %d", r.Status)
 	}
-	if r := w.submit(f, jobSpec("j-1", 20)); r.Status != 200 {
+	if r := sim.submit(f, jobSpec("j-1", 20)); r.Status != 200 {
 		t.Fatalf("repeated submission: %d", r.Status)
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
+	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
 	for i := range 20 {
-		if n := w.startCounts[fmt.Sprintf("j-1/%d", i)]; n != 1 {
+		if n := sim.startCounts[fmt.Sprintf("j-1/%d", i)]; n != 1 {
 			t.Fatalf("task %d started %d times", i, n)
 		}
 	}
-	if r := w.submit(f, jobSpec("j-1", 20)); r.Status != 200 {
+	if r := sim.submit(f, jobSpec("j-1", 20)); r.Status != 200 {
 		t.Fatalf("submission of a finished job: %d", r.Status)
 	}
 	// Idle machines go back.
-	if !w.advanceUntil(5*time.Minute, func() bool { return len(w.cloud.hosts) == 0 }) {
-		t.Fatalf("%d machines kept for nothing", len(w.cloud.hosts))
+	if !sim.advanceUntil(5*time.Minute, func() bool { return len(sim.cloud.hosts) == 0 }) {
+		t.Fatalf("%d machines kept for nothing", len(sim.cloud.hosts))
 	}
 }
 
 // forgotten, went_back: what was accepted or over stays so after all
 // controllers have been killed at once.
 func TestNothingForgottenAfterFullRestart(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.waitForLeader()
-	w.submit("n0", jobSpec("j-1", 1))
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
-	w.submit("n1", jobSpec("j-2", 2))
-	if r := w.cancelJob("n2", "j-2"); r.Status != 200 {
+	sim := newSimulation(t, 3)
+	sim.waitForLeader()
+	sim.submit("n0", jobSpec("j-1", 1))
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	sim.submit("n1", jobSpec("j-2", 2))
+	if r := sim.cancelJob("n2", "j-2"); r.Status != 200 {
 		t.Fatalf("cancel: %d", r.Status)
 	}
-	w.submit("n1", jobSpec("j-3", 1))
-	for _, n := range w.names {
-		w.crashNode(n)
+	sim.submit("n1", jobSpec("j-3", 1))
+	for _, n := range sim.names {
+		sim.crashNode(n)
 	}
-	for _, n := range w.names {
-		w.restartNode(n)
+	for _, n := range sim.names {
+		sim.restartNode(n)
 	}
-	for _, n := range w.names {
+	for _, n := range sim.names {
 		for id, want := range map[string]protocol.JobState{"j-1": protocol.JobDone, "j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
-			if code, s := w.queryJob(n, id); code != 200 || s.State != want {
+			if code, s := sim.queryJob(n, id); code != 200 || s.State != want {
 				t.Fatalf("%s on %s: %d %v", id, n, code, s.State)
 			}
 		}
-		if r := w.submit(n, jobSpec("j-1", 1)); r.Status != 200 && r.Status != 503 {
+		if r := sim.submit(n, jobSpec("j-1", 1)); r.Status != 200 && r.Status != 503 {
 			t.Fatalf("repeated submission: %d", r.Status)
 		}
 	}
-	w.waitForJobState("j-3", protocol.JobDone, 60*time.Second)
+	sim.waitForJobState("j-3", protocol.JobDone, 60*time.Second)
 }
 
 // invented, forgotten: 404 only after the state service has said so.
 func TestUnknownJobs(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.waitForLeader()
-	for _, n := range w.names {
-		if code, _ := w.queryJob(n, "j-404"); code != 404 {
+	sim := newSimulation(t, 3)
+	sim.waitForLeader()
+	for _, n := range sim.names {
+		if code, _ := sim.queryJob(n, "j-404"); code != 404 {
 			t.Fatalf("unknown job on %s: %d", n, code)
 		}
 	}
-	w.store.setDown(true)
-	w.advance(3 * time.Second)
-	for _, n := range w.names {
-		if code, _ := w.queryJob(n, "j-404"); code != 503 {
+	sim.store.setDown(true)
+	sim.advance(3 * time.Second)
+	for _, n := range sim.names {
+		if code, _ := sim.queryJob(n, "j-404"); code != 503 {
 			t.Fatalf("unknown job in an outage on %s: %d", n, code)
 		}
 	}
@@ -92,29 +92,29 @@
 // A submission whose write was executed, but whose answer was lost in a crash,
 // is known when it is repeated.
 func TestCrashBetweenWriteAndAnswer(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
-	j := jobSpec("j-1", 1)
-	w.jobSpecs["j-1"] = j
-	w.sendRequest(first.name, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &j}, func(Reply) {})
-	if !w.advanceUntil(time.Second, func() bool { return w.store.keys[storage.JobKey("j-1")].ModRevision != 0 }) {
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	job := jobSpec("j-1", 1)
+	sim.jobSpecs["j-1"] = job
+	sim.sendRequest(first.name, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &job}, func(Reply) {})
+	if !sim.advanceUntil(time.Second, func() bool { return sim.store.keys[storage.JobKey("j-1")].ModRevision != 0 }) {
 		t.Fatal("nothing written")
 	}
-	w.crashNode(first.name)
-	if r := w.submit(w.followers()[0], j); r.Status != 200 {
+	sim.crashNode(first.name)
+	if r := sim.submit(sim.followers()[0], job); r.Status != 200 {
 		t.Fatalf("repeated submission: %d", r.Status)
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
 // ran_twice: a new leader finds the tasks that run and lets them run.
 func TestTakeoverKeepsRunningTasks(t *testing.T) {
-	w, first := newRunningSimulation(t, 3, 40*time.Second, 2, 8)
-	w.crashNode(first.name)
-	w.waitForLeader()
-	w.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
+	sim, first := newRunningSimulation(t, 3, 40*time.Second, 2, 8)
+	sim.crashNode(first.name)
+	sim.waitForLeader()
+	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
 	for i := range 8 {
-		if n := w.startCounts[fmt.Sprintf("j-1/%d", i)]; n != 1 {
+		if n := sim.startCounts[fmt.Sprintf("j-1/%d", i)]; n != 1 {
 			t.Fatalf("task %d started %d times", i, n)
 		}
 	}
@@ -123,81 +123,81 @@
 // ran_twice: a machine that the new leader does not hear may still run tasks. Old
 // jobs wait for its lease; a job accepted since can't be on it and need not.
 func TestTakeoverWaitsForSilentMachine(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 200 * time.Second }
-	first := w.waitForLeader()
-	w.submitAndStart(first.name, jobSpec("j-1", 4), 4)
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 200 * time.Second }
+	first := sim.waitForLeader()
+	sim.submitAndStart(first.name, jobSpec("j-1", 4), 4)
 	var victim *fakeWorker
-	for _, x := range w.workers {
-		if len(x.tasks) > 0 {
-			victim = x
+	for _, worker := range sim.workers {
+		if len(worker.tasks) > 0 {
+			victim = worker
 		}
 	}
-	w.cloud.rejectReturns = true // or that would make sure sooner
-	w.crashNode(first.name)
+	sim.cloud.rejectReturns = true // or that would make sure sooner
+	sim.crashNode(first.name)
 	victim.unreachable = true
-	w.waitForLeader()
-	took := w.now
-	w.cloud.rentMachine("c4", "a", true)
-	w.submit(w.leaderName(), jobSpec("j-2", 1))
-	if !w.advanceUntil(8*time.Second, func() bool { return w.activeTaskCount("j-2") == 1 }) {
+	sim.waitForLeader()
+	took := sim.now
+	sim.cloud.rentMachine("c4", "a", true)
+	sim.submit(sim.leaderName(), jobSpec("j-2", 1))
+	if !sim.advanceUntil(8*time.Second, func() bool { return sim.activeTaskCount("j-2") == 1 }) {
 		t.Fatal("a new job waits for a machine it can't be on")
 	}
-	if waits := w.nodes[w.leaderName()].leader.Jobs["j-1"].BlockedBy; waits != cluster.WaitReconciliation {
+	if waits := sim.nodes[sim.leaderName()].leader.Jobs["j-1"].BlockedBy; waits != cluster.WaitReconciliation {
 		t.Fatalf("the old job waits for %q", waits)
 	}
-	if !w.advanceUntil(90*time.Second, func() bool { return w.startCounts["j-1/0"] == 2 }) {
+	if !sim.advanceUntil(90*time.Second, func() bool { return sim.startCounts["j-1/0"] == 2 }) {
 		t.Fatal("the lost tasks did not start again")
 	}
-	if w.now-took < config.Seconds(w.cfg.Workers.LeaseS)-w.nodes[w.leaderName()].leaderLease() {
-		t.Fatalf("started again after %v", w.now-took)
+	if sim.now-took < config.Seconds(sim.cfg.Workers.LeaseS)-sim.nodes[sim.leaderName()].leaderLease() {
+		t.Fatalf("started again after %v", sim.now-took)
 	}
 }
 
 // ran_twice: a session that was declared lost never gets a 200, or its tasks
 // would live on beside their second runs.
 func TestFencedEpochIsNeverAnswered(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
-	l := w.waitForLeader()
-	w.submitAndStart(l.name, jobSpec("j-1", 1), 1)
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 1), 1)
 	var victim *fakeWorker
-	for _, x := range w.workers {
-		if len(x.tasks) > 0 {
-			victim = x
+	for _, worker := range sim.workers {
+		if len(worker.tasks) > 0 {
+			victim = worker
 		}
 	}
 	late := victim.heartbeat()
-	victim.unreachable, w.cloud.unavailable = true, true
-	if !w.advanceUntil(30*time.Second, func() bool { return !l.leader.Machines[victim.name].Up }) {
+	victim.unreachable, sim.cloud.unavailable = true, true
+	if !sim.advanceUntil(30*time.Second, func() bool { return !leaderNode.leader.Machines[victim.name].Up }) {
 		t.Fatal("the silent machine was not declared lost")
 	}
 	late.Sequence += 100
-	if r := w.requestAndWait(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
+	if r := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
 		t.Fatal("a lost session got a 200")
 	}
 }
 
 // A late report, older than one already seen, changes nothing and gets no 200.
 func TestLateHeartbeatIsIgnored(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
-	l := w.waitForLeader()
-	w.submitAndStart(l.name, jobSpec("j-1", 1), 1)
-	w.advance(5 * time.Second)
-	for _, x := range w.workers {
-		m := l.leader.Machines[x.name]
-		runs := len(m.Attempts)
-		late := &protocol.WorkerHeartbeat{Machine: x.name, Type: x.machineType, Zone: x.zone, Spot: x.spot, Epoch: x.epoch, Sequence: 1, FencingToken: l.leader.term}
-		if r := w.requestAndWait(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 1), 1)
+	sim.advance(5 * time.Second)
+	for _, worker := range sim.workers {
+		machine := leaderNode.leader.Machines[worker.name]
+		runs := len(machine.Attempts)
+		late := &protocol.WorkerHeartbeat{Machine: worker.name, Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, Epoch: worker.epoch, Sequence: 1, FencingToken: leaderNode.leader.term}
+		if r := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
 			t.Fatal("a late report got a 200")
 		}
-		if len(m.Attempts) != runs {
+		if len(machine.Attempts) != runs {
 			t.Fatal("a late report changed what is known of the machine")
 		}
 	}
-	w.advance(10 * time.Second)
-	if w.startCounts["j-1/0"] != 1 {
+	sim.advance(10 * time.Second)
+	if sim.startCounts["j-1/0"] != 1 {
 		t.Fatal("the task was started again")
 	}
 }
@@ -205,34 +205,34 @@
 // A start whose answer was dropped was not executed: the same attempt is sent
 // again, and nothing is counted twice.
 func TestDroppedAnswerIsSentAgain(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
-	w.submit(l.name, jobSpec("j-1", 1))
-	if !w.advanceUntil(30*time.Second, func() bool { return len(w.workers) > 0 }) {
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
+	sim.submit(leaderNode.name, jobSpec("j-1", 1))
+	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.workers) > 0 }) {
 		t.Fatal("no machine")
 	}
-	for _, x := range w.workers {
-		x.dropResponses = true
+	for _, worker := range sim.workers {
+		worker.dropResponses = true
 	}
-	w.advance(9 * time.Second)
-	for _, x := range w.workers {
-		x.dropResponses = false
+	sim.advance(9 * time.Second)
+	for _, worker := range sim.workers {
+		worker.dropResponses = false
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
-	if w.startCounts["j-1/0"] != 1 {
-		t.Fatalf("started %d times", w.startCounts["j-1/0"])
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	if sim.startCounts["j-1/0"] != 1 {
+		t.Fatalf("started %d times", sim.startCounts["j-1/0"])
 	}
 }
 
 // ran_cancelled: a start is in flight when the user cancels.
 func TestCancelAgainstStartInFlight(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
-	w.waitForLeader()
-	w.submit("n0", jobSpec("j-1", 6))
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
+	sim.waitForLeader()
+	sim.submit("n0", jobSpec("j-1", 6))
 	started := func() bool {
-		for _, m := range w.nodes[w.leaderName()].leader.Machines {
-			for _, r := range m.Attempts {
+		for _, machine := range sim.nodes[sim.leaderName()].leader.Machines {
+			for _, r := range machine.Attempts {
 				if r.Phase == cluster.AttemptSent {
 					return true
 				}
@@ -240,117 +240,117 @@
 		}
 		return false
 	}
-	if !w.advanceUntil(60*time.Second, started) {
+	if !sim.advanceUntil(60*time.Second, started) {
 		t.Fatal("no start in flight")
 	}
-	if r := w.cancelJob(w.followers()[0], "j-1"); r.Status != 200 {
+	if r := sim.cancelJob(sim.followers()[0], "j-1"); r.Status != 200 {
 		t.Fatalf("cancel: %d", r.Status)
 	}
-	w.advance(8 * time.Second)
-	if n := w.activeTaskCount("j-1"); n != 0 {
+	sim.advance(8 * time.Second)
+	if n := sim.activeTaskCount("j-1"); n != 0 {
 		t.Fatalf("%d tasks of a cancelled job are on machines", n)
 	}
-	w.waitForJobState("j-1", protocol.JobCancelled, time.Second)
-	if r := w.cancelJob("n0", "j-404"); r.Status != 404 {
+	sim.waitForJobState("j-1", protocol.JobCancelled, time.Second)
+	if r := sim.cancelJob("n0", "j-404"); r.Status != 404 {
 		t.Fatalf("cancel of an unknown job: %d", r.Status)
 	}
 }
 
 // not_done, went_back: no user hears "withdrawn" before it is durable.
 func TestCancelWaitsForTheWrite(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitForLeader()
-	w.submit(first.name, jobSpec("j-1", 4))
-	w.store.setDown(true)
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.submit(first.name, jobSpec("j-1", 4))
+	sim.store.setDown(true)
 	var got *Reply
-	w.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(r Reply) { got = &r })
-	w.advance(4 * time.Second)
+	sim.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(r Reply) { got = &r })
+	sim.advance(4 * time.Second)
 	if got != nil && got.Status == 200 {
 		t.Fatal("told withdrawn without a write")
 	}
-	w.store.setDown(false)
-	w.waitForJobState("j-1", protocol.JobCancelled, 10*time.Second)
+	sim.store.setDown(false)
+	sim.waitForJobState("j-1", protocol.JobCancelled, 10*time.Second)
 }
 
 // A result is forgotten by its worker only once its bit is durable; it is the
 // only copy until then.
 func TestForgetOnlyAfterDoneIsDurable(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(key string, _ int) time.Duration {
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(key string, _ int) time.Duration {
 		if key == "j-1/0" {
 			return 2 * time.Second
 		}
 		return 60 * time.Second
 	}
-	first := w.waitForLeader()
-	w.submitAndStart(first.name, jobSpec("j-1", 2), 2)
-	w.store.setDown(true)
-	w.advance(6 * time.Second)
-	for _, x := range w.workers {
-		if len(x.forgottenTasks) > 0 {
+	first := sim.waitForLeader()
+	sim.submitAndStart(first.name, jobSpec("j-1", 2), 2)
+	sim.store.setDown(true)
+	sim.advance(6 * time.Second)
+	for _, worker := range sim.workers {
+		if len(worker.forgottenTasks) > 0 {
 			t.Fatal("a result was forgotten before its bit was written")
 		}
 	}
-	w.crashNode(first.name)
-	w.store.setDown(false)
-	w.waitForJobState("j-1", protocol.JobDone, 120*time.Second)
-	if w.startCounts["j-1/0"] != 1 {
-		t.Fatalf("a finished task was started %d times", w.startCounts["j-1/0"])
+	sim.crashNode(first.name)
+	sim.store.setDown(false)
+	sim.waitForJobState("j-1", protocol.JobDone, 120*time.Second)
+	if sim.startCounts["j-1/0"] != 1 {
+		t.Fatalf("a finished task was started %d times", sim.startCounts["j-1/0"])
 	}
 }
 
 // quota: what a silent machine may still run counts until it is surely over; the
 // simulation's check holds the limit at each moment.
 func TestQuotaCountsUnreachableTasks(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 30 * time.Second }
-	w.waitForLeader()
-	j := jobSpec("j-1", 40)
-	j.Team = "team" // 16 cores
-	w.submit("n0", j)
-	full := func() bool { return w.activeTaskCount("j-1") == 16 }
-	if !w.advanceUntil(60*time.Second, full) {
-		t.Fatalf("%d tasks run, not 16", w.activeTaskCount("j-1"))
-	}
-	for _, x := range w.workers {
-		if len(x.tasks) > 1 {
-			x.unreachable = true
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 30 * time.Second }
+	sim.waitForLeader()
+	job := jobSpec("j-1", 40)
+	job.Team = "team" // 16 cores
+	sim.submit("n0", job)
+	full := func() bool { return sim.activeTaskCount("j-1") == 16 }
+	if !sim.advanceUntil(60*time.Second, full) {
+		t.Fatalf("%d tasks run, not 16", sim.activeTaskCount("j-1"))
+	}
+	for _, worker := range sim.workers {
+		if len(worker.tasks) > 1 {
+			worker.unreachable = true
 			break
 		}
 	}
-	w.crashNode(w.leaderName())
-	w.waitForLeader()
+	sim.crashNode(sim.leaderName())
+	sim.waitForLeader()
 	// A job accepted since then may start at once, but not into the share of
 	// what the silent machine may still run.
 	next := jobSpec("j-2", 16)
 	next.Team = "team"
-	w.cloud.rejectReturns = true
-	w.startMachines(10)
-	w.submit(w.leaderName(), next)
-	w.advance(20 * time.Second)
-	w.cloud.rejectReturns = false
-	w.waitForJobState("j-1", protocol.JobDone, 6*time.Minute)
+	sim.cloud.rejectReturns = true
+	sim.startMachines(10)
+	sim.submit(sim.leaderName(), next)
+	sim.advance(20 * time.Second)
+	sim.cloud.rejectReturns = false
+	sim.waitForJobState("j-1", protocol.JobDone, 6*time.Minute)
 }
 
 // wrong_place: types, zone, kind and the places of the job's other tasks.
 func TestPlacementObeysTheJob(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
-	l := w.waitForLeader()
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+	leaderNode := sim.waitForLeader()
 	zoned, plain, one, apart := jobSpec("j-1", 3), jobSpec("j-2", 3), jobSpec("j-3", 6), jobSpec("j-4", 5)
 	zoned.Zone = "b"
 	plain.SpotAllowed = false
 	one.SameZone = true
 	apart.Spread = true
-	for _, j := range []protocol.Job{zoned, plain, one, apart} {
-		w.submit(l.name, j)
+	for _, job := range []protocol.Job{zoned, plain, one, apart} {
+		sim.submit(leaderNode.name, job)
 	}
 	seen := map[string]bool{}
 	for range 600 {
-		w.advance(100 * time.Millisecond)
+		sim.advance(100 * time.Millisecond)
 		zones := map[string]map[string]int{}
-		for _, x := range w.workers {
-			for _, task := range x.tasks {
+		for _, worker := range sim.workers {
+			for _, task := range worker.tasks {
 				id := jobIDOf(task.taskKey)
 				if task.state == protocol.TaskExited {
 					continue
@@ -359,9 +359,9 @@
 				if zones[id] == nil {
 					zones[id] = map[string]int{}
 				}
-				zones[id][x.zone]++
-				if (id == "j-1" && x.zone != "b") || (id == "j-2" && x.spot) {
-					t.Fatalf("%s on %s in zone %s, spot %v", task.taskKey, x.name, x.zone, x.spot)
+				zones[id][worker.zone]++
+				if (id == "j-1" && worker.zone != "b") || (id == "j-2" && worker.spot) {
+					t.Fatalf("%s on %s in zone %s, spot %v", task.taskKey, worker.name, worker.zone, worker.spot)
 				}
 			}
 		}
@@ -381,23 +381,23 @@
 
 // The checks of admission come in their order, and the job says which stopped it.
 func TestAdmissionOrder(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
-	l := w.waitForLeader()
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
+	leaderNode := sim.waitForLeader()
 	j := jobSpec("j-1", 40)
 	j.Team = "team"
-	w.submit(l.name, j)
-	if !w.advanceUntil(60*time.Second, func() bool { return w.activeTaskCount("j-1") == 16 }) {
+	sim.submit(leaderNode.name, j)
+	if !sim.advanceUntil(60*time.Second, func() bool { return sim.activeTaskCount("j-1") == 16 }) {
 		t.Fatal("quota not filled")
 	}
-	l.leader.Schedule()
-	job := l.leader.Jobs["j-1"]
+	leaderNode.leader.Schedule()
+	job := leaderNode.leader.Jobs["j-1"]
 	if job.BlockedBy != cluster.WaitTeamQuota {
 		t.Fatalf("waits for %q", job.BlockedBy)
 	}
-	l.Node.settings.SlotsPerCore, l.Node.settings.BaseSlots = 0.01, 0
-	l.leader.InvalidateMachineIndex()
-	l.leader.Schedule()
+	leaderNode.Node.settings.SlotsPerCore, leaderNode.Node.settings.BaseSlots = 0.01, 0
+	leaderNode.leader.InvalidateMachineIndex()
+	leaderNode.leader.Schedule()
 	if job.BlockedBy != cluster.WaitSlots {
 		t.Fatalf("waits for %q, though the slots come first", job.BlockedBy)
 	}
@@ -405,13 +405,13 @@
 
 // Set-aside slots are lent to batch work until pressing work has waited.
 func TestBorrowedSlotsComeBack(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
 	low, urgent := jobSpec("j-1", 10), jobSpec("j-2", 1)
 	urgent.Priority = "urgent"
-	w.submit(l.name, low)
-	w.submit(l.name, urgent)
-	x := l.leader
+	sim.submit(leaderNode.name, low)
+	sim.submit(leaderNode.name, urgent)
+	x := leaderNode.leader
 	if x.LatencySensitiveWorkDelayed(x.BuildQueue()) {
 		t.Fatal("lending ended at once")
 	}
@@ -427,55 +427,55 @@
 // A failed task is retried at once on another machine; a machine that fails
 // everything is found and returned.
 func TestUnhealthyMachineIsReturned(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 3 * time.Second }
-	l := w.waitForLeader()
-	w.startMachines(3)
-	w.submitAndStart(l.name, jobSpec("j-1", 16), 8)
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 3 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(3)
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 16), 8)
 	var sick *fakeWorker
-	for _, x := range w.workers {
-		if len(x.tasks) > 0 {
-			sick = x
+	for _, worker := range sim.workers {
+		if len(worker.tasks) > 0 {
+			sick = worker
 		}
 	}
 	sick.faulty = true
-	w.submit(l.name, jobSpec("j-2", 16))
-	if !w.advanceUntil(60*time.Second, func() bool { return w.cloud.hosts[sick.name] == nil }) {
+	sim.submit(leaderNode.name, jobSpec("j-2", 16))
+	if !sim.advanceUntil(60*time.Second, func() bool { return sim.cloud.hosts[sick.name] == nil }) {
 		t.Fatal("the sick machine was kept")
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
-	w.waitForJobState("j-2", protocol.JobDone, 60*time.Second)
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	sim.waitForJobState("j-2", protocol.JobDone, 60*time.Second)
 }
 
 // A job that fails on every machine is the job's own mistake: no machine is
 // condemned for it, and other work goes on.
 func TestFailingJobMarksNoMachineUnhealthy(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
-	w.submitAndStart(l.name, jobSpec("j-1", 12), 4)
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 12), 4)
 	bad := jobSpec("j-9", 6)
-	w.submit(l.name, bad)
+	sim.submit(leaderNode.name, bad)
 	spoil := func() bool {
-		for _, x := range w.workers {
-			for _, task := range x.tasks {
+		for _, worker := range sim.workers {
+			for _, task := range worker.tasks {
 				if jobIDOf(task.taskKey) == "j-9" && task.state == protocol.TaskRunning {
-					task.state, task.exitReason, x.stateChanged = protocol.TaskExited, protocol.ExitFailed, true
+					task.state, task.exitReason, worker.stateChanged = protocol.TaskExited, protocol.ExitFailed, true
 				}
 			}
 		}
 		return false
 	}
-	w.advanceUntil(40*time.Second, spoil)
-	if !l.leader.Jobs["j-9"].FailsEverywhere {
+	sim.advanceUntil(40*time.Second, spoil)
+	if !leaderNode.leader.Jobs["j-9"].FailsEverywhere {
 		t.Fatal("the job was not found bad")
 	}
-	for _, m := range l.leader.Machines {
-		if m.Unhealthy {
-			t.Fatalf("%s was condemned for a bad job", m.Name)
+	for _, machine := range leaderNode.leader.Machines {
+		if machine.Unhealthy {
+			t.Fatalf("%s was condemned for a bad job", machine.Name)
 		}
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
-	if r := w.cancelJob(l.name, "j-9"); r.Status != 200 {
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	if r := sim.cancelJob(leaderNode.name, "j-9"); r.Status != 200 {
 		t.Fatalf("cancel: %d", r.Status)
 	}
 }
@@ -483,32 +483,32 @@
 // A spot notice drains the machine: tasks that save are stopped with time to
 // save, and the machine gets nothing more.
 func TestSpotNoticeDrains(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
-	l := w.waitForLeader()
-	j := jobSpec("j-1", 4)
-	j.EstimatedSeconds, j.CheckpointIntervalSeconds, j.CheckpointSaveSeconds = 100, 10, 3
-	w.submitAndStart(l.name, j, 4)
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
+	leaderNode := sim.waitForLeader()
+	job := jobSpec("j-1", 4)
+	job.EstimatedSeconds, job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = 100, 10, 3
+	sim.submitAndStart(leaderNode.name, job, 4)
 	var taken *fakeWorker
-	for _, x := range w.workers {
-		if len(x.tasks) > 0 {
-			taken = x
+	for _, worker := range sim.workers {
+		if len(worker.tasks) > 0 {
+			taken = worker
 		}
 	}
 	left := 20.0
 	taken.preemptionNotice, taken.stateChanged = &left, true
-	if !w.advanceUntil(10*time.Second, func() bool { return len(taken.stopGraces) > 0 }) {
+	if !sim.advanceUntil(10*time.Second, func() bool { return len(taken.stopGraces) > 0 }) {
 		t.Fatal("nothing was stopped")
 	}
 	for _, g := range taken.stopGraces {
-		if g < j.CheckpointSaveSeconds {
+		if g < job.CheckpointSaveSeconds {
 			t.Fatalf("stopped with %v s to save", g)
 		}
 	}
-	if !w.advanceUntil(20*time.Second, func() bool { return w.cloud.hosts[taken.name] == nil }) {
+	if !sim.advanceUntil(20*time.Second, func() bool { return sim.cloud.hosts[taken.name] == nil }) {
 		t.Fatal("the drained machine was not returned")
 	}
-	if !w.advanceUntil(40*time.Second, func() bool { return w.activeTaskCount("j-1") == 4 }) {
+	if !sim.advanceUntil(40*time.Second, func() bool { return sim.activeTaskCount("j-1") == 4 }) {
 		t.Fatal("the tasks did not go on elsewhere")
 	}
 }
@@ -516,37 +516,37 @@
 // The cloud may be down or have no cheap machines: demand is remembered, other
 // kinds are tried, and no request name is used twice.
 func TestCloudFaults(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
-	w.cloud.unavailable = true
-	w.submit(l.name, jobSpec("j-1", 4))
-	w.advance(20 * time.Second)
-	w.cloud.unavailable, w.cloud.noSpot = false, true
-	w.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
-	if len(w.cloud.hosts) > 4 {
-		t.Fatalf("%d machines rented in a burst", len(w.cloud.hosts))
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
+	sim.cloud.unavailable = true
+	sim.submit(leaderNode.name, jobSpec("j-1", 4))
+	sim.advance(20 * time.Second)
+	sim.cloud.unavailable, sim.cloud.noSpot = false, true
+	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
+	if len(sim.cloud.hosts) > 4 {
+		t.Fatalf("%d machines rented in a burst", len(sim.cloud.hosts))
 	}
 }
 
 // A worker that can't reach the leader comes back after its 421, and is then
 // relayed, so that its lease holds.
 func TestFollowerRelaysForCutWorkers(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitForLeader()
-	f := w.followers()[0]
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	f := sim.followers()[0]
 	rep := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	ask := func() Reply {
 		rep.Sequence++
-		return w.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep})
+		return sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 	}
 	if r := ask(); r.Status != 421 {
 		t.Fatalf("first report: %d", r.Status)
 	}
-	w.advance(time.Second)
+	sim.advance(time.Second)
 	if r := ask(); r.Status != 200 {
 		t.Fatalf("report of a worker that came back: %d", r.Status)
 	}
-	if l.leader.Machines["m-9"] == nil {
+	if leaderNode.leader.Machines["m-9"] == nil {
 		t.Fatal("the leader did not get the report")
 	}
 }
@@ -554,49 +554,49 @@
 // A machine that runs its tasks far slower than their siblings run elsewhere is
 // emptied, and what would be done sooner from the start moves.
 func TestSlowMachineIsDrained(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
-	w.startMachines(3)
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(3)
 	var victim string
-	w.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
-	w.submitAndStart(l.name, jobSpec("j-1", 24), 8)
-	for name, x := range w.workers {
-		if len(x.tasks) > 1 && (victim == "" || name < victim) {
+	sim.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 24), 8)
+	for name, worker := range sim.workers {
+		if len(worker.tasks) > 1 && (victim == "" || name < victim) {
 			victim = name
 		}
 	}
-	for _, task := range w.workers[victim].tasks {
+	for _, task := range sim.workers[victim].tasks {
 		task.endsAt += 200 * time.Second
 	}
-	if !w.advanceUntil(30*time.Second, func() bool { return w.cloud.hosts[victim] == nil }) {
+	if !sim.advanceUntil(30*time.Second, func() bool { return sim.cloud.hosts[victim] == nil }) {
 		t.Fatal("the slow machine was kept")
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
+	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
 }
 
 // The largest job fits the value limit (the stand-in checks each write), and what
 // is finished survives a takeover.
 func TestLargestJob(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return time.Second }
-	w.waitForLeader()
-	j := jobSpec("j-1", protocol.MaxTasksPerJob)
-	w.submit("n0", j)
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return time.Second }
+	sim.waitForLeader()
+	job := jobSpec("j-1", protocol.MaxTasksPerJob)
+	sim.submit("n0", job)
 	done := func() int {
-		l := w.leaderName()
-		if l == "" || w.nodes[l].leader.Jobs["j-1"] == nil {
+		l := sim.leaderName()
+		if l == "" || sim.nodes[l].leader.Jobs["j-1"] == nil {
 			return 0
 		}
-		return w.nodes[l].leader.Jobs["j-1"].DoneTasks
+		return sim.nodes[l].leader.Jobs["j-1"].DoneTasks
 	}
-	if !w.advanceUntil(40*time.Second, func() bool { return done() >= 40 }) {
+	if !sim.advanceUntil(40*time.Second, func() bool { return done() >= 40 }) {
 		t.Fatalf("%d tasks done", done())
 	}
-	w.advance(3 * time.Second)
+	sim.advance(3 * time.Second)
 	before := done()
-	w.crashNode(w.leaderName())
-	l := w.waitForLeader()
-	w.advance(5 * time.Second)
+	sim.crashNode(sim.leaderName())
+	l := sim.waitForLeader()
+	sim.advance(5 * time.Second)
 	if done() < before*9/10 {
 		t.Fatalf("%d tasks done before the takeover, %d after", before, done())
 	}
@@ -608,16 +608,16 @@
 // A report may be written over several lines; between controllers a line is a
 // message, so what was parsed is forwarded and not what came.
 func TestForwardedBodyIsOneLine(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.waitForLeader()
-	f := w.nodes[w.followers()[0]]
+	sim := newSimulation(t, 3)
+	sim.waitForLeader()
+	f := sim.nodes[sim.followers()[0]]
 	rep, err := protocol.ParseWorkerHeartbeat([]byte("{\"maquina\":\"m-9\",\n\"porte\":\"c4\",\"praca\":\"a\",\"turno\":1,\n\"contagem\":1,\"pecas\":[]}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	asked := false
 	for range 2 { // a worker that comes back can't reach the leader and is relayed
-		for _, e := range f.Step(w.now-f.bootedAt+step, []Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
+		for _, e := range f.Step(sim.now-f.bootedAt+step, []Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
 			s, ok := e.(OutboundMessage)
 			if !ok {
 				continue
@@ -639,29 +639,29 @@
 // Submissions must not wait behind the records of machines: a burst of rented
 // machines once used up all changes and users were turned away.
 func TestSubmissionsPassMachineRecords(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.cfg.Store.WritesPerS = 25
-	for _, name := range w.names {
-		w.startNode(name)
+	sim := newSimulation(t, 3)
+	sim.cfg.Store.WritesPerS = 25
+	for _, name := range sim.names {
+		sim.startNode(name)
 	}
-	w.waitForLeader()
-	w.store.limitWriteRate = true
+	sim.waitForLeader()
+	sim.store.limitWriteRate = true
 	for i := range 100 {
-		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	w.advanceUntil(10*time.Second, func() bool { return len(w.workers) == 100 })
-	sent, answered := w.now, 0
+	sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) == 100 })
+	sent, answered := sim.now, 0
 	for i := range 9 {
-		j := jobSpec(fmt.Sprintf("j-%d", i), 3)
-		w.jobSpecs[j.ID] = j
-		w.sendRequest(w.names[i%3], Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
+		job := jobSpec(fmt.Sprintf("j-%d", i), 3)
+		sim.jobSpecs[job.ID] = job
+		sim.sendRequest(sim.names[i%3], Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			if r.Status != 201 {
-				t.Errorf("%s: answered %d after %v", j.ID, r.Status, w.now-sent)
+				t.Errorf("%s: answered %d after %v", job.ID, r.Status, sim.now-sent)
 			}
 			answered++
 		})
 	}
-	if !w.advanceUntil(time.Second, func() bool { return answered == 9 }) {
+	if !sim.advanceUntil(time.Second, func() bool { return answered == 9 }) {
 		t.Fatalf("%d of 9 submissions answered in a second", answered)
 	}
 }
@@ -669,40 +669,40 @@
 // Hundreds of machines that come up together must be durable by name before their
 // first task without waiting for one another's changes.
 func TestMachinesShareRecords(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.cfg.Store.WritesPerS = 25
-	w.startNode("n0")
-	l := w.waitForLeader()
-	w.store.limitWriteRate = true
+	sim := newSimulation(t, 1)
+	sim.cfg.Store.WritesPerS = 25
+	sim.startNode("n0")
+	leaderNode := sim.waitForLeader()
+	sim.store.limitWriteRate = true
 	for i := range 300 {
-		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
 	ready := func() int {
 		count := 0
-		for _, m := range l.leader.Machines {
-			if m.Schedulable() {
+		for _, machine := range leaderNode.leader.Machines {
+			if machine.Schedulable() {
 				count++
 			}
 		}
 		return count
 	}
-	if !w.advanceUntil(10*time.Second, func() bool { return len(w.workers) == 300 }) {
+	if !sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) == 300 }) {
 		t.Fatal("machines did not come up")
 	}
-	if !w.advanceUntil(3*time.Second, func() bool { return ready() == 300 }) {
+	if !sim.advanceUntil(3*time.Second, func() bool { return ready() == 300 }) {
 		t.Fatalf("%d of 300 machines are ready", ready())
 	}
-	w.crashNode(l.name)
-	w.restartNode(l.name)
-	l = w.waitForLeader()
-	if n := len(l.leader.Machines); n != 300 {
+	sim.crashNode(leaderNode.name)
+	sim.restartNode(leaderNode.name)
+	leaderNode = sim.waitForLeader()
+	if n := len(leaderNode.leader.Machines); n != 300 {
 		t.Fatalf("%d of 300 machines were read", n)
 	}
-	if !w.advanceUntil(5*time.Minute, func() bool { return len(w.cloud.hosts) == 0 }) {
-		t.Fatalf("%d machines are kept", len(w.cloud.hosts))
+	if !sim.advanceUntil(5*time.Minute, func() bool { return len(sim.cloud.hosts) == 0 }) {
+		t.Fatalf("%d machines are kept", len(sim.cloud.hosts))
 	}
-	w.advance(5 * time.Second)
-	for key := range w.store.keys {
+	sim.advance(5 * time.Second)
+	for key := range sim.store.keys {
 		if strings.HasPrefix(key, storage.MachineGroupPrefix) {
 			t.Errorf("%s is kept for machines that are gone", key)
 		}
@@ -712,24 +712,24 @@
 // Records of single machines, as the version before wrote them, are still read: a
 // machine that had tasks is waited for, and its record moves into a group.
 func TestRecordsOfTheVersionBefore(t *testing.T) {
-	w := newSimulation(t, 1)
-	x := w.cloud.rentMachine("c4", "a", true)
-	w.cloud.bootTime = time.Hour
-	w.cloud.rentMachine("c4", "a", true) // recorded, but never up
-	w.store.putValue(storage.SingleMachinePrefix+x.name, storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
-	w.store.putValue(storage.SingleMachinePrefix+"m-000002", storage.MachineRecord{Type: "c4", Zone: "a", Spot: true})
-	l := w.waitForLeader()
-	if a, b := l.leader.Machines[x.name], l.leader.Machines["m-000002"]; a == nil || a.Reconciled || b == nil || !b.Reconciled {
+	sim := newSimulation(t, 1)
+	worker := sim.cloud.rentMachine("c4", "a", true)
+	sim.cloud.bootTime = time.Hour
+	sim.cloud.rentMachine("c4", "a", true) // recorded, but never up
+	sim.store.putValue(storage.SingleMachinePrefix+worker.name, storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
+	sim.store.putValue(storage.SingleMachinePrefix+"m-000002", storage.MachineRecord{Type: "c4", Zone: "a", Spot: true})
+	leaderNode := sim.waitForLeader()
+	if a, b := leaderNode.leader.Machines[worker.name], leaderNode.leader.Machines["m-000002"]; a == nil || a.Reconciled || b == nil || !b.Reconciled {
 		t.Fatalf("read as %+v and %+v", a, b)
 	}
-	w.advance(2 * time.Second)
-	for key := range w.store.keys {
+	sim.advance(2 * time.Second)
+	for key := range sim.store.keys {
 		if strings.HasPrefix(key, storage.SingleMachinePrefix) {
 			t.Errorf("%s is kept", key)
 		}
 	}
 	var rec storage.MachineGroupRecord
-	if json.Unmarshal(w.store.keys[storage.MachineGroupKey(0)].Value, &rec) != nil || !rec[x.name].Used || rec["m-000002"].Used {
+	if json.Unmarshal(sim.store.keys[storage.MachineGroupKey(0)].Value, &rec) != nil || !rec[worker.name].Used || rec["m-000002"].Used {
 		t.Errorf("moved as %+v", rec)
 	}
 }
@@ -738,32 +738,32 @@
 // it has: the machine types are stored. A job that no stored type fits is not refused
 // for good, as types may have come since.
 func TestStartWhileTheCloudIsDown(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitForLeader()
-	w.startMachines(2)
-	w.submitAndStart(l.name, jobSpec("j-1", 4), 4)
-	w.cloud.unavailable = true
-	for _, name := range w.names {
-		w.crashNode(name)
-	}
-	w.advance(time.Second)
-	for _, name := range w.names {
-		w.restartNode(name)
-	}
-	w.waitForLeader()
-	w.advance(time.Second)
-	if r := w.submit(w.leaderName(), jobSpec("j-2", 4)); r.Status != 201 {
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(2)
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 4), 4)
+	sim.cloud.unavailable = true
+	for _, name := range sim.names {
+		sim.crashNode(name)
+	}
+	sim.advance(time.Second)
+	for _, name := range sim.names {
+		sim.restartNode(name)
+	}
+	sim.waitForLeader()
+	sim.advance(time.Second)
+	if r := sim.submit(sim.leaderName(), jobSpec("j-2", 4)); r.Status != 201 {
 		t.Fatalf("answered %d", r.Status)
 	}
-	w.waitForJobState("j-2", protocol.JobDone, time.Minute)
+	sim.waitForJobState("j-2", protocol.JobDone, time.Minute)
 	big := jobSpec("j-3", 1)
 	big.Cores = 64
-	if r := w.submit(w.followers()[0], big); r.Status != 503 {
+	if r := sim.submit(sim.followers()[0], big); r.Status != 503 {
 		t.Errorf("a job that fits no stored type: %d", r.Status)
 	}
-	w.cloud.unavailable = false
-	w.advance(time.Minute)
-	if r := w.submit(w.followers()[0], big); r.Status != 422 {
+	sim.cloud.unavailable = false
+	sim.advance(time.Minute)
+	if r := sim.submit(sim.followers()[0], big); r.Status != 422 {
 		t.Errorf("a job that fits no type: %d", r.Status)
 	}
 }
@@ -773,35 +773,35 @@
 func TestCheckpointingTasksAreConsolidated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(from, to *cluster.Machine, j *cluster.Job)
+		change func(from, to *cluster.Machine, job *cluster.Job)
 		moves  bool
 	}{
 		{"two of 32 cores are used for minutes", func(*cluster.Machine, *cluster.Machine, *cluster.Job) {}, true},
-		{"they don't save", func(_, _ *cluster.Machine, j *cluster.Job) { j.Spec.CheckpointIntervalSeconds = 0 }, false},
+		{"they don't save", func(_, _ *cluster.Machine, job *cluster.Job) { job.Spec.CheckpointIntervalSeconds = 0 }, false},
 		{"no other machine has room", func(_, to *cluster.Machine, _ *cluster.Job) { to.UsedCores = 31 }, false},
-		{"they are nearly done", func(_, _ *cluster.Machine, j *cluster.Job) { j.Spec.EstimatedSeconds = 62 }, false},
+		{"they are nearly done", func(_, _ *cluster.Machine, job *cluster.Job) { job.Spec.EstimatedSeconds = 62 }, false},
 		{"one has just started", func(from, _ *cluster.Machine, _ *cluster.Job) {
 			from.AttemptsInOrder[0].RunningSince += 50 * time.Second
 		}, false},
 		{"the machine is needed", func(from, _ *cluster.Machine, _ *cluster.Job) { from.Draining, from.DrainReason = false, "" }, false},
 	} {
-		w := newSimulation(t, 1)
-		w.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 32, MemoryGB: 128, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
-		w.startNode("n0")
-		l := w.waitForLeader()
-		w.startMachines(2)
-		x := l.leader
+		sim := newSimulation(t, 1)
+		sim.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 32, MemoryGB: 128, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
+		sim.startNode("n0")
+		leaderNode := sim.waitForLeader()
+		sim.startMachines(2)
+		x := leaderNode.leader
 		from, to := x.Machines["m-000001"], x.Machines["m-000002"]
 		x.CancelDrain(to)
 		from.Draining, from.DrainReason = true, cluster.SurplusCapacity
 		from.RentedAt -= time.Hour
 		spec := jobSpec("j-1", 2)
 		spec.EstimatedSeconds, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 300, 30, 4
-		j := x.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: l.nowUnixMilli()}, 1)
+		job := x.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
 		for i := range 2 {
-			x.PlaceAttempt(&cluster.TaskAttempt{Job: j, TaskIndex: i, Number: x.NextAttemptNumber(), Machine: from, Phase: cluster.AttemptRunning, RunningSince: l.now - time.Minute})
+			x.PlaceAttempt(&cluster.TaskAttempt{Job: job, TaskIndex: i, Number: x.NextAttemptNumber(), Machine: from, Phase: cluster.AttemptRunning, RunningSince: leaderNode.now - time.Minute})
 		}
-		c.change(from, to, j)
+		c.change(from, to, job)
 		x.autoscaler.Consolidate([]*cluster.Machine{to})
 		for _, r := range from.AttemptsInOrder {
 			if (r.StopGrace != nil) != c.moves {
@@ -816,14 +816,14 @@
 // A job whose record outgrows a value can't be kept, so it is refused for good; it
 // was once turned away with 503, to be sent again and again.
 func TestJobTooLargeToStore(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitForLeader()
-	w.startMachines(1)
-	j := jobSpec("j-1", 1)
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(1)
+	job := jobSpec("j-1", 1)
 	for i := range 1000 {
-		j.MachineTypes = append(j.MachineTypes, fmt.Sprintf("type-%d", i))
+		job.MachineTypes = append(job.MachineTypes, fmt.Sprintf("type-%d", i))
 	}
-	if r := w.submit(l.name, j); r.Status != 400 {
+	if r := sim.submit(leaderNode.name, job); r.Status != 400 {
 		t.Errorf("answered %d", r.Status)
 	}
 }
@@ -831,32 +831,32 @@
 // Once a job's end is in the state service, any node may tell it, though the leader
 // that wrote it has got no answer yet: the leader must not say anything older.
 func TestEndIsToldByAllOrNone(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitForLeader()
-	w.startMachines(1)
-	w.cloud.capacity = 1
-	w.waitForNewVersion()
-	w.submit(l.name, jobSpec("j-1", 400))
-	w.submit(l.name, dependentSpec("j-2", 1, "j-1"))
-	w.submit(l.name, dependentSpec("j-3", 1, "j-2"))
-	w.advance(2 * time.Second)
-	w.store.holdTransaction = func(_ string, txn storage.Txn) bool { // executed, but not answered
-		for _, wr := range txn.Writes {
-			if wr.PutKey == storage.TerminalKey("j-1") {
-				w.store.holdTransaction = nil
-				w.store.executeTransaction(txn)
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(1)
+	sim.cloud.capacity = 1
+	sim.waitForNewVersion()
+	sim.submit(leaderNode.name, jobSpec("j-1", 400))
+	sim.submit(leaderNode.name, dependentSpec("j-2", 1, "j-1"))
+	sim.submit(leaderNode.name, dependentSpec("j-3", 1, "j-2"))
+	sim.advance(2 * time.Second)
+	sim.store.holdTransaction = func(_ string, txn storage.Txn) bool { // executed, but not answered
+		for _, write := range txn.Writes {
+			if write.PutKey == storage.TerminalKey("j-1") {
+				sim.store.holdTransaction = nil
+				sim.store.executeTransaction(txn)
 				return true
 			}
 		}
 		return false
 	}
-	w.sendRequest(l.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
-	if !w.advanceUntil(2*time.Second, func() bool { return w.store.keys[storage.TerminalKey("j-1")].ModRevision > 0 }) {
+	sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	if !sim.advanceUntil(2*time.Second, func() bool { return sim.store.keys[storage.TerminalKey("j-1")].ModRevision > 0 }) {
 		t.Fatal("not written")
 	}
-	w.submitAccepted(w.followers()[0], dependentSpec("j-4", 1, "j-3"))
+	sim.submitAccepted(sim.followers()[0], dependentSpec("j-4", 1, "j-3"))
 	for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} { // those that need it are cancelled with it
-		if _, s := w.queryJob(l.name, id); s.State != protocol.JobCancelled {
+		if _, s := sim.queryJob(leaderNode.name, id); s.State != protocol.JobCancelled {
 			t.Fatalf("the leader says %q of %s after the end was written", s.State, id)
 		}
 	}
@@ -865,32 +865,32 @@
 // quota: what may still run on a machine of a type that is no longer sold fills the limits
 // of all teams until it is known; it once counted for nothing.
 func TestQuotaCountsTypesNoLongerSold(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return time.Hour }
-	l := w.waitForLeader()
-	j := jobSpec("j-1", 16) // the team's limit
-	j.Team, j.EstimatedSeconds = "team", 3600
-	w.submitAndStart(l.name, j, 16)
-	w.cloud.machineTypes = []protocol.MachineType{{Name: "c9", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
-	w.store.keys[storage.CatalogKey] = storage.Item{Key: storage.CatalogKey, Value: storage.Encode(protocol.Catalog{Types: w.cloud.machineTypes}), ModRevision: 1}
-	w.cloud.rejectReturns = true
-	for _, x := range w.workers {
-		x.hung = true
-	}
-	for _, name := range w.names {
-		w.restartAfter(name, 100*time.Millisecond)
-	}
-	next := w.waitForLeader()
-	j = jobSpec("j-2", 4)
-	j.Team, j.EstimatedSeconds = "team", 3600
-	w.submit(next.name, j)
-	w.advance(config.Seconds(w.cfg.Workers.LeaseS) - 4*time.Second)
-	if n := w.activeTaskCount("j-2"); n > 0 {
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+	leaderNode := sim.waitForLeader()
+	job := jobSpec("j-1", 16) // the team's limit
+	job.Team, job.EstimatedSeconds = "team", 3600
+	sim.submitAndStart(leaderNode.name, job, 16)
+	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c9", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
+	sim.store.keys[storage.CatalogKey] = storage.Item{Key: storage.CatalogKey, Value: storage.Encode(protocol.Catalog{Types: sim.cloud.machineTypes}), ModRevision: 1}
+	sim.cloud.rejectReturns = true
+	for _, worker := range sim.workers {
+		worker.hung = true
+	}
+	for _, name := range sim.names {
+		sim.restartAfter(name, 100*time.Millisecond)
+	}
+	next := sim.waitForLeader()
+	job = jobSpec("j-2", 4)
+	job.Team, job.EstimatedSeconds = "team", 3600
+	sim.submit(next.name, job)
+	sim.advance(config.Seconds(sim.cfg.Workers.LeaseS) - 4*time.Second)
+	if n := sim.activeTaskCount("j-2"); n > 0 {
 		t.Fatalf("%d tasks run beside 16 that may", n)
 	}
-	w.cloud.rejectReturns = false
-	w.advance(30 * time.Second)
-	if n := w.activeTaskCount("j-1") + w.activeTaskCount("j-2"); n == 0 {
+	sim.cloud.rejectReturns = false
+	sim.advance(30 * time.Second)
+	if n := sim.activeTaskCount("j-1") + sim.activeTaskCount("j-2"); n == 0 {
 		t.Fatal("the room does not come back")
 	}
 }
@@ -900,43 +900,43 @@
 // known, and runs as soon as the mistake is mended where it reads it. A faulty machine is
 // still found beside it.
 func TestFailingJobIsRetriedWithOneTask(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 2 * time.Second }
-	l := w.waitForLeader()
-	w.startMachines(6)
-	w.failingJobs["j-1"], w.failingJobs["j-2"] = true, true
-	w.submit(l.name, jobSpec("j-1", 60))
-	w.submit(l.name, jobSpec("j-2", 60))
-	w.advance(20 * time.Second)
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 2 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(6)
+	sim.failingJobs["j-1"], sim.failingJobs["j-2"] = true, true
+	sim.submit(leaderNode.name, jobSpec("j-1", 60))
+	sim.submit(leaderNode.name, jobSpec("j-2", 60))
+	sim.advance(20 * time.Second)
 	started := func() (n int) {
-		for task, times := range w.startCounts {
-			if w.failingJobs[jobIDOf(task)] {
+		for task, times := range sim.startCounts {
+			if sim.failingJobs[jobIDOf(task)] {
 				n += times
 			}
 		}
 		return n
 	}
 	before := started()
-	w.advance(2 * time.Minute)
+	sim.advance(2 * time.Minute)
 	if n := started() - before; n < 4 || n > 16 {
 		t.Errorf("%d starts of two jobs with mistakes in two minutes, after %d", n, before)
 	}
-	w.submitAndStart(l.name, jobSpec("j-3", 30), 8)
-	faulty := w.sortedWorkers()[0]
+	sim.submitAndStart(leaderNode.name, jobSpec("j-3", 30), 8)
+	faulty := sim.sortedWorkers()[0]
 	faulty.faulty = true
-	w.waitForJobState("j-3", protocol.JobDone, time.Minute)
-	for name, m := range l.leader.Machines {
-		if m.Unhealthy && name != faulty.name {
+	sim.waitForJobState("j-3", protocol.JobDone, time.Minute)
+	for name, machine := range leaderNode.leader.Machines {
+		if machine.Unhealthy && name != faulty.name {
 			t.Errorf("%s is condemned", name)
 		}
 	}
-	delete(w.failingJobs, "j-2")
-	w.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
-	if r := w.cancelJob(l.name, "j-1"); r.Status != 200 {
+	delete(sim.failingJobs, "j-2")
+	sim.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
+	if r := sim.cancelJob(leaderNode.name, "j-1"); r.Status != 200 {
 		t.Fatalf("cancel: %d", r.Status)
 	}
-	w.advance(time.Second)
-	if n := w.activeTaskCount("j-1"); n > 0 {
+	sim.advance(time.Second)
+	if n := sim.activeTaskCount("j-1"); n > 0 {
 		t.Errorf("%d tasks run after the cancellation", n)
 	}
 }
@@ -945,30 +945,30 @@
 // and is tried on a machine that it has not failed on as soon as there is one, though the
 // faulty ones are idle and hold its image.
 func TestSmallJobOnFaultyMachines(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.taskDuration = func(string, int) time.Duration { return 2 * time.Second }
-	l := w.waitForLeader()
-	w.startMachines(4)
-	w.submit(l.name, jobSpec("j-1", 4))
-	var j *cluster.Job
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 2 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(4)
+	sim.submit(leaderNode.name, jobSpec("j-1", 4))
+	var job *cluster.Job
 	bad := func() bool {
-		for _, x := range w.workers {
-			x.faulty = true
+		for _, worker := range sim.workers {
+			worker.faulty = true
 		}
-		j = l.leader.Jobs["j-1"]
-		return j != nil && j.FailsEverywhere
+		job = leaderNode.leader.Jobs["j-1"]
+		return job != nil && job.FailsEverywhere
 	}
-	if !w.advanceUntil(time.Minute, bad) {
+	if !sim.advanceUntil(time.Minute, bad) {
 		t.Fatal("the job was not found bad")
 	}
-	for name, x := range w.workers {
-		x.faulty = j.FailedMachines[name]
+	for name, worker := range sim.workers {
+		worker.faulty = job.FailedMachines[name]
 	}
-	w.cloud.rentMachine("c4", "a", true)
-	if !w.advanceUntil(config.Seconds(w.cfg.Workers.LeaseS)+12*time.Second, func() bool { return j.DoneTasks > 0 }) {
-		t.Fatalf("nothing is done after %d more tries, failed on %v", j.FailedProbes, j.FailedMachines)
+	sim.cloud.rentMachine("c4", "a", true)
+	if !sim.advanceUntil(config.Seconds(sim.cfg.Workers.LeaseS)+12*time.Second, func() bool { return job.DoneTasks > 0 }) {
+		t.Fatalf("nothing is done after %d more tries, failed on %v", job.FailedProbes, job.FailedMachines)
 	}
-	w.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
+	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
 // A healthy job whose first tasks all met faulty machines is taken for one with a mistake.
@@ -976,31 +976,31 @@
 // not, and the others follow it at once rather than after its whole run.
 func TestHealthyJobDoesNotPauseForAWholeRun(t *testing.T) {
 	const takes = 2 * time.Minute
-	w := newSimulation(t, 1)
-	w.cloud.capacity = 8
-	w.taskDuration = func(string, int) time.Duration { return takes }
-	l := w.waitForLeader()
-	w.startMachines(4)
-	for _, x := range w.workers {
-		x.faulty, x.failureDelay = true, time.Second
-	}
-	w.submit(l.name, jobSpec("j-1", 12))
-	if !w.advanceUntil(time.Minute, func() bool { j := l.leader.Jobs["j-1"]; return j != nil && j.FailsEverywhere }) {
+	sim := newSimulation(t, 1)
+	sim.cloud.capacity = 8
+	sim.taskDuration = func(string, int) time.Duration { return takes }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(4)
+	for _, worker := range sim.workers {
+		worker.faulty, worker.failureDelay = true, time.Second
+	}
+	sim.submit(leaderNode.name, jobSpec("j-1", 12))
+	if !sim.advanceUntil(time.Minute, func() bool { job := leaderNode.leader.Jobs["j-1"]; return job != nil && job.FailsEverywhere }) {
 		t.Fatal("the job was not found bad")
 	}
 	for range 4 {
-		w.cloud.rentMachine("c4", "a", true) // these are not faulty
+		sim.cloud.rentMachine("c4", "a", true) // these are not faulty
 	}
 	first := clock.Instant(0)
-	if !w.advanceUntil(2*time.Minute, func() bool {
-		if n := w.activeTaskCount("j-1"); n > 0 && first == 0 {
-			first = w.now
+	if !sim.advanceUntil(2*time.Minute, func() bool {
+		if n := sim.activeTaskCount("j-1"); n > 0 && first == 0 {
+			first = sim.now
 		}
-		return w.activeTaskCount("j-1") >= 8
+		return sim.activeTaskCount("j-1") >= 8
 	}) {
-		t.Fatalf("%d tasks run: %s", w.activeTaskCount("j-1"), w.explainPending("j-1"))
+		t.Fatalf("%d tasks run: %s", sim.activeTaskCount("j-1"), sim.explainPending("j-1"))
 	}
-	if waited := w.now - first; waited > takes/4 {
+	if waited := sim.now - first; waited > takes/4 {
 		t.Errorf("the others began %v after the first", waited)
 	}
 }
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -130,11 +130,11 @@
 		"old changes": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1, Events: []storage.WatchEvent{{DeletedKey: "job/j-9", ModRevision: 1}}})},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, 3)
-			l := w.waitForLeader()
-			w.startMachines(1)
+			sim := newSimulation(t, 3)
+			leaderNode := sim.waitForLeader()
+			sim.startMachines(1)
 			watches, reads := 0, 0
-			w.interceptCall = func(call ServiceCall) (CallResult, bool) {
+			sim.interceptCall = func(call ServiceCall) (CallResult, bool) {
 				switch {
 				case strings.HasPrefix(call.Path, "/follow"):
 					watches++
@@ -144,15 +144,15 @@
 				}
 				return CallResult{}, false
 			}
-			w.advance(time.Minute)
+			sim.advance(time.Minute)
 			if most := 60; watches > most || reads > most {
 				t.Errorf("%d watches and %d listings in a minute", watches, reads)
 			}
 			if name == "empty" || name == "old changes" {
 				return // it may be that nothing has changed: only its own lease tells
 			}
-			w.submit(w.followers()[0], jobSpec("j-1", 1))
-			if !w.advanceUntil(20*time.Second, func() bool { return l.leader.Jobs["j-1"] != nil || w.terminalState("j-1") != "" }) {
+			sim.submit(sim.followers()[0], jobSpec("j-1", 1))
+			if !sim.advanceUntil(20*time.Second, func() bool { return leaderNode.leader.Jobs["j-1"] != nil || sim.terminalState("j-1") != "" }) {
 				t.Error("a job that another node wrote is not found")
 			}
 		})
@@ -218,24 +218,24 @@
 // other's newer session is not the end of what the first one runs. Once the first is surely
 // gone the other may have the name.
 func TestTwoWorkersUnderOneName(t *testing.T) {
-	w, l := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
-	x := w.sortedWorkers()[0]
+	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
+	worker := sim.sortedWorkers()[0]
 	other := func(session, seq uint64) int {
-		rep := &protocol.WorkerHeartbeat{Machine: x.name, Address: "10.9.9.9:9000", Type: "c4", Zone: x.zone, Spot: true,
-			Epoch: session, Sequence: seq, FencingToken: x.fencingToken}
-		return w.requestAndWait(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}).Status
+		rep := &protocol.WorkerHeartbeat{Machine: worker.name, Address: "10.9.9.9:9000", Type: "c4", Zone: worker.zone, Spot: true,
+			Epoch: session, Sequence: seq, FencingToken: worker.fencingToken}
+		return sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}).Status
 	}
 	for i := range uint64(20) {
 		if status := other(1+i/4, 1000+i); status != 503 {
 			t.Fatalf("the other worker is answered %d", status)
 		}
-		w.advance(2 * time.Second)
+		sim.advance(2 * time.Second)
 	}
-	w.checkStartedOnce()
-	delete(w.workers, x.name)
-	w.advance(l.leader.WorkerLeaseTimeout() + time.Second)
-	if m := l.leader.Machines[x.name]; m != nil && m.Address != "" {
-		t.Errorf("the name still belongs to %s", m.Address)
+	sim.checkStartedOnce()
+	delete(sim.workers, worker.name)
+	sim.advance(leaderNode.leader.WorkerLeaseTimeout() + time.Second)
+	if machine := leaderNode.leader.Machines[worker.name]; machine != nil && machine.Address != "" {
+		t.Errorf("the name still belongs to %s", machine.Address)
 	}
 }
 
@@ -321,26 +321,26 @@
 // While no zone has capacity left, rentals are asked for at a bounded rate, work goes on on
 // the machines there are, and the rest follows once there is capacity again.
 func TestNoCapacityAnywhere(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
-	w.waitForLeader()
-	w.startMachines(2)
-	w.cloud.capacity = 2
-	c := newUserSimulation(w, 1)
-	c.submitMoreJobs(10, 5*time.Second, func(_ int, j *protocol.Job) { j.TaskCount, j.Team = 8, "free" })
-	w.advance(10 * time.Second)
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+	sim.waitForLeader()
+	sim.startMachines(2)
+	sim.cloud.capacity = 2
+	c := newUserSimulation(sim, 1)
+	c.submitMoreJobs(10, 5*time.Second, func(_ int, job *protocol.Job) { job.TaskCount, job.Team = 8, "free" })
+	sim.advance(10 * time.Second)
 	asked := 0
-	w.alterResult = func(_ string, call ServiceCall, r CallResult) CallResult {
+	sim.alterResult = func(_ string, call ServiceCall, r CallResult) CallResult {
 		if call.Path == "/hosts" {
 			asked++
 		}
 		return r
 	}
-	w.advance(time.Minute)
-	if most := int(60 * w.cfg.Cloud.RequestsPerS / 4); asked > most {
+	sim.advance(time.Minute)
+	if most := int(60 * sim.cfg.Cloud.RequestsPerS / 4); asked > most {
 		t.Errorf("%d rentals were asked for in a minute", asked)
 	}
-	w.cloud.capacity = 0
-	w.cloud.bootTime = 5 * time.Second
+	sim.cloud.capacity = 0
+	sim.cloud.bootTime = 5 * time.Second
 	c.waitForCompletion(5 * time.Minute)
 }
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -69,19 +69,19 @@
 		var m protocol.MachineNames
 		json.Unmarshal(call.Body, &m)
 		for _, name := range m.Machines {
-			if x := c.simulation.workers[name]; x != nil {
-				c.removeMachine(x)
+			if worker := c.simulation.workers[name]; worker != nil {
+				c.removeMachine(worker)
 			}
 			delete(c.hosts, name)
 		}
 		respond(200, nil)
 	case strings.HasPrefix(call.Path, "/hosts?"):
 		var list protocol.HostPage
-		for _, x := range c.hosts {
+		for _, worker := range c.hosts {
 			if c.listsEmpty {
 				break
 			}
-			list.Machines = append(list.Machines, protocol.Host{Name: x.name, Type: x.machineType, Zone: x.zone, Spot: x.spot, State: "running"})
+			list.Machines = append(list.Machines, protocol.Host{Name: worker.name, Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, State: "running"})
 		}
 		sort.Slice(list.Machines, func(i, j int) bool { return list.Machines[i].Name < list.Machines[j].Name })
 		respond(200, list)
@@ -153,180 +153,180 @@
 	endsAt          clock.Instant
 }
 
-func (x *fakeWorker) heartbeat() *protocol.WorkerHeartbeat {
-	x.sequence++
-	r := &protocol.WorkerHeartbeat{Machine: x.name, Address: x.name + ":9000", Type: x.machineType, Zone: x.zone, Spot: x.spot, Epoch: x.epoch, Sequence: x.sequence,
-		FencingToken: x.fencingToken, PreemptionNoticeSeconds: x.preemptionNotice}
-	for _, t := range x.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: t.taskKey, Attempt: t.attempt, State: t.state, ExitReason: t.exitReason, CheckpointSaved: t.checkpointSaved})
+func (worker *fakeWorker) heartbeat() *protocol.WorkerHeartbeat {
+	worker.sequence++
+	r := &protocol.WorkerHeartbeat{Machine: worker.name, Address: worker.name + ":9000", Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, Epoch: worker.epoch, Sequence: worker.sequence,
+		FencingToken: worker.fencingToken, PreemptionNoticeSeconds: worker.preemptionNotice}
+	for _, task := range worker.tasks {
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: task.taskKey, Attempt: task.attempt, State: task.state, ExitReason: task.exitReason, CheckpointSaved: task.checkpointSaved})
 	}
 	return r
 }
 
 // restarted is a machine that is back at once after an end, in a new session.
-func (x *fakeWorker) restartMachine() {
-	x.epoch++
-	x.tasks, x.leaseRenewedAt, x.stateChanged, x.awaitingResponse = nil, x.simulation.now, true, false
+func (worker *fakeWorker) restartMachine() {
+	worker.epoch++
+	worker.tasks, worker.leaseRenewedAt, worker.stateChanged, worker.awaitingResponse = nil, worker.simulation.now, true, false
 }
 
 // tick lets the worker do what is due, with the workers' lease.
-func (x *fakeWorker) tick(leaseDuration time.Duration) {
-	w := x.simulation
-	if w.now-x.leaseRenewedAt > leaseDuration {
+func (worker *fakeWorker) tick(leaseDuration time.Duration) {
+	sim := worker.simulation
+	if sim.now-worker.leaseRenewedAt > leaseDuration {
 		// A machine that hangs goes on within its lease or not at all.
-		x.epoch++
-		x.tasks, x.leaseRenewedAt, x.stateChanged = nil, w.now, true
+		worker.epoch++
+		worker.tasks, worker.leaseRenewedAt, worker.stateChanged = nil, sim.now, true
 	}
-	if x.hung {
+	if worker.hung {
 		return
 	}
-	for _, t := range x.tasks {
-		if t.state == protocol.TaskRunning && w.now >= t.endsAt {
-			t.state, t.exitReason, x.stateChanged = protocol.TaskExited, protocol.ExitDone, true
-			if x.faulty || w.failingJobs[jobIDOf(t.taskKey)] {
-				t.exitReason = protocol.ExitFailed
+	for _, task := range worker.tasks {
+		if task.state == protocol.TaskRunning && sim.now >= task.endsAt {
+			task.state, task.exitReason, worker.stateChanged = protocol.TaskExited, protocol.ExitDone, true
+			if worker.faulty || sim.failingJobs[jobIDOf(task.taskKey)] {
+				task.exitReason = protocol.ExitFailed
 			} else {
-				w.completedTasks[t.taskKey] = true
+				sim.completedTasks[task.taskKey] = true
 			}
 		}
 	}
-	if x.unreachable || x.awaitingResponse || (w.now < x.nextHeartbeatAt && !(x.stateChanged && w.now > x.nextHeartbeatAt-time.Second)) {
+	if worker.unreachable || worker.awaitingResponse || (sim.now < worker.nextHeartbeatAt && !(worker.stateChanged && sim.now > worker.nextHeartbeatAt-time.Second)) {
 		return
 	}
-	x.sendHeartbeat(x.heartbeat())
+	worker.sendHeartbeat(worker.heartbeat())
 }
 
 // send sends a report to the worker's node and deals with the answer.
-func (x *fakeWorker) sendHeartbeat(heartbeat *protocol.WorkerHeartbeat) {
-	w := x.simulation
-	if w.onHeartbeat != nil {
-		w.onHeartbeat(x, heartbeat)
+func (worker *fakeWorker) sendHeartbeat(heartbeat *protocol.WorkerHeartbeat) {
+	sim := worker.simulation
+	if sim.onHeartbeat != nil {
+		sim.onHeartbeat(worker, heartbeat)
 	}
-	x.awaitingResponse, x.stateChanged = true, false
-	sentAt, epoch := w.now, x.epoch
-	x.nextHeartbeatAt = w.now + config.Seconds(w.cfg.Workers.HeartbeatIntervalS)
+	worker.awaitingResponse, worker.stateChanged = true, false
+	sentAt, epoch := sim.now, worker.epoch
+	worker.nextHeartbeatAt = sim.now + config.Seconds(sim.cfg.Workers.HeartbeatIntervalS)
 	done := false
 	finish := func(r Reply) {
 		if done {
 			return
 		}
-		done, x.awaitingResponse = true, false
-		x.handleResponse(r, sentAt, epoch)
+		done, worker.awaitingResponse = true, false
+		worker.handleResponse(r, sentAt, epoch)
 	}
-	w.schedule(4*time.Second, func() { finish(Reply{}) })
-	if w.unreachableNodes[x.node] || w.heartbeatsBlocked[x.node] || (w.workerReaches != nil && !w.workerReaches(x, x.node)) {
+	sim.schedule(4*time.Second, func() { finish(Reply{}) })
+	if sim.unreachableNodes[worker.node] || sim.heartbeatsBlocked[worker.node] || (sim.workerReaches != nil && !sim.workerReaches(worker, worker.node)) {
 		return // packets vanish
 	}
-	if !x.connect() {
-		w.schedule(step, func() { finish(Reply{Status: 503, RetryAfter: 1}) })
+	if !worker.connect() {
+		sim.schedule(step, func() { finish(Reply{Status: 503, RetryAfter: 1}) })
 		return
 	}
-	node := x.node
-	w.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}, func(r Reply) {
-		if !x.unreachable && !x.dropResponses && !w.responsesBlocked[node] {
-			w.schedule(x.responseDelay, func() { finish(r) })
+	node := worker.node
+	sim.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}, func(r Reply) {
+		if !worker.unreachable && !worker.dropResponses && !sim.responsesBlocked[node] {
+			sim.schedule(worker.responseDelay, func() { finish(r) })
 		}
 	})
 }
 
 // connect opens a connection to the worker's node, unless that has no free one.
-func (x *fakeWorker) connect() bool {
-	w := x.simulation
-	if w.connectionLimit == 0 || x.connectedNode == x.node {
+func (worker *fakeWorker) connect() bool {
+	sim := worker.simulation
+	if sim.connectionLimit == 0 || worker.connectedNode == worker.node {
 		return true
 	}
-	x.disconnect()
-	if w.nodes[x.node].down {
+	worker.disconnect()
+	if sim.nodes[worker.node].down {
 		return true // refused, and answered so
 	}
-	if w.openConnections[x.node] >= w.connectionLimit {
+	if sim.openConnections[worker.node] >= sim.connectionLimit {
 		return false
 	}
-	x.connectedNode = x.node
-	w.openConnections[x.node]++
+	worker.connectedNode = worker.node
+	sim.openConnections[worker.node]++
 	return true
 }
 
-func (x *fakeWorker) disconnect() {
-	if x.connectedNode != "" {
-		x.simulation.openConnections[x.connectedNode]--
-		x.connectedNode = ""
+func (worker *fakeWorker) disconnect() {
+	if worker.connectedNode != "" {
+		worker.simulation.openConnections[worker.connectedNode]--
+		worker.connectedNode = ""
 	}
 }
 
-func (x *fakeWorker) handleResponse(r Reply, sentAt clock.Instant, epoch uint64) {
-	w := x.simulation
-	if w.connectionLimit > 0 && (r.Status != 200 || w.openConnections[x.connectedNode] > w.connectionLimit-w.connectionLimit/8) {
-		x.disconnect() // it goes elsewhere, or its server takes turns
+func (worker *fakeWorker) handleResponse(r Reply, sentAt clock.Instant, epoch uint64) {
+	sim := worker.simulation
+	if sim.connectionLimit > 0 && (r.Status != 200 || sim.openConnections[worker.connectedNode] > sim.connectionLimit-sim.connectionLimit/8) {
+		worker.disconnect() // it goes elsewhere, or its server takes turns
 	}
 	switchNode := func() {
-		i := slices.Index(w.names, x.node)
-		x.node = w.names[(i+1)%len(w.names)]
-		x.nextHeartbeatAt = w.now + time.Second
+		i := slices.Index(sim.names, worker.node)
+		worker.node = sim.names[(i+1)%len(sim.names)]
+		worker.nextHeartbeatAt = sim.now + time.Second
 	}
 	switch r.Status {
 	case 200:
-		x.responseCount++
+		worker.responseCount++
 		var response protocol.HeartbeatResponse
 		if err := json.Unmarshal(r.Body, &response); err != nil {
-			w.t.Fatal(err)
+			sim.t.Fatal(err)
 		}
-		if response.FencingToken < x.fencingToken || epoch != x.epoch {
+		if response.FencingToken < worker.fencingToken || epoch != worker.epoch {
 			return
 		}
-		if response.FencingToken > x.fencingToken {
-			x.fencingToken, x.stateChanged = response.FencingToken, true
+		if response.FencingToken > worker.fencingToken {
+			worker.fencingToken, worker.stateChanged = response.FencingToken, true
 		}
-		x.leaseRenewedAt = sentAt
+		worker.leaseRenewedAt = sentAt
 		for _, c := range response.Commands {
-			x.executeCommand(c)
+			worker.executeCommand(c)
 		}
 	case 421:
 		var to protocol.HeartbeatRedirect
 		json.Unmarshal(r.Body, &to)
-		if to.Node == "" || to.Node == x.node {
+		if to.Node == "" || to.Node == worker.node {
 			switchNode()
 			return
 		}
-		x.node, x.nextHeartbeatAt = to.Node, w.now
+		worker.node, worker.nextHeartbeatAt = to.Node, sim.now
 	default:
-		x.refusalCount++
+		worker.refusalCount++
 		switchNode()
 	}
 }
 
-func (x *fakeWorker) executeCommand(command protocol.Command) {
-	i := slices.IndexFunc(x.tasks, func(t *fakeTask) bool { return t.taskKey == command.TaskID && t.attempt == command.Attempt })
-	x.stateChanged = true
+func (worker *fakeWorker) executeCommand(command protocol.Command) {
+	i := slices.IndexFunc(worker.tasks, func(task *fakeTask) bool { return task.taskKey == command.TaskID && task.attempt == command.Attempt })
+	worker.stateChanged = true
 	switch command.Kind {
 	case protocol.CommandStart:
 		if i >= 0 {
 			return
 		}
-		x.simulation.startCounts[command.TaskID]++
-		x.simulation.checkTaskStart(x, command.TaskID)
-		end := x.simulation.now
-		if !x.simulation.completedTasks[command.TaskID] { // else its result was kept
-			duration := x.simulation.taskDuration(command.TaskID, x.simulation.startCounts[command.TaskID])
-			if x.faulty && x.failureDelay > 0 {
-				duration = x.failureDelay
+		worker.simulation.startCounts[command.TaskID]++
+		worker.simulation.checkTaskStart(worker, command.TaskID)
+		end := worker.simulation.now
+		if !worker.simulation.completedTasks[command.TaskID] { // else its result was kept
+			duration := worker.simulation.taskDuration(command.TaskID, worker.simulation.startCounts[command.TaskID])
+			if worker.faulty && worker.failureDelay > 0 {
+				duration = worker.failureDelay
 			}
 			end += duration
 		}
-		x.tasks = append(x.tasks, &fakeTask{taskKey: command.TaskID, attempt: command.Attempt, state: protocol.TaskRunning, endsAt: end})
+		worker.tasks = append(worker.tasks, &fakeTask{taskKey: command.TaskID, attempt: command.Attempt, state: protocol.TaskRunning, endsAt: end})
 	case protocol.CommandStop:
-		if i >= 0 && x.tasks[i].state != protocol.TaskExited {
-			x.stopGraces = append(x.stopGraces, *command.GraceSeconds)
-			t := x.tasks[i]
-			x.simulation.stoppedTasks = append(x.simulation.stoppedTasks, t.taskKey)
-			t.state, t.exitReason = protocol.TaskExited, protocol.ExitStopped
-			j := x.simulation.jobSpecs[jobIDOf(command.TaskID)]
-			t.checkpointSaved = j.CheckpointIntervalSeconds > 0 && *command.GraceSeconds >= j.CheckpointSaveSeconds
+		if i >= 0 && worker.tasks[i].state != protocol.TaskExited {
+			worker.stopGraces = append(worker.stopGraces, *command.GraceSeconds)
+			task := worker.tasks[i]
+			worker.simulation.stoppedTasks = append(worker.simulation.stoppedTasks, task.taskKey)
+			task.state, task.exitReason = protocol.TaskExited, protocol.ExitStopped
+			job := worker.simulation.jobSpecs[jobIDOf(command.TaskID)]
+			task.checkpointSaved = job.CheckpointIntervalSeconds > 0 && *command.GraceSeconds >= job.CheckpointSaveSeconds
 		}
 	case protocol.CommandForget:
 		if i >= 0 {
-			x.forgottenTasks = append(x.forgottenTasks, command.TaskID)
-			x.tasks = slices.Delete(x.tasks, i, i+1)
+			worker.forgottenTasks = append(worker.forgottenTasks, command.TaskID)
+			worker.tasks = slices.Delete(worker.tasks, i, i+1)
 		}
 	}
 }
--- a/internal/controller/simulated_store_test.go
+++ b/internal/controller/simulated_store_test.go
@@ -236,9 +236,9 @@
 
 // tooLarge names a key of a transaction that is over the announced limits.
 func (s *fakeStore) oversizedKey(t storage.Txn) string {
-	for _, wr := range t.Writes {
-		if len(wr.Value) > s.simulation.cfg.Store.MaxValueBytes() || len(t.Writes) > s.simulation.cfg.Store.MaxTxnOps() {
-			return wr.Key()
+	for _, write := range t.Writes {
+		if len(write.Value) > s.simulation.cfg.Store.MaxValueBytes() || len(t.Writes) > s.simulation.cfg.Store.MaxTxnOps() {
+			return write.Key()
 		}
 	}
 	return ""
@@ -266,8 +266,8 @@
 }
 
 func (s *fakeStore) executeTransaction(t storage.Txn) (int, any) {
-	for _, wr := range t.Writes {
-		if wr.LeaseID != 0 && s.leases[wr.LeaseID] == nil {
+	for _, write := range t.Writes {
+		if write.LeaseID != 0 && s.leases[write.LeaseID] == nil {
 			return 400, map[string]string{"error": "no such lease"}
 		}
 	}
@@ -285,16 +285,16 @@
 	}
 	s.simulation.checkAdmissionPolicy(t)
 	s.revision++
-	for _, wr := range t.Writes {
-		if wr.PutKey == "" {
-			s.deleteKey(wr.DeleteKey)
+	for _, write := range t.Writes {
+		if write.PutKey == "" {
+			s.deleteKey(write.DeleteKey)
 			continue
 		}
-		if len(wr.Value) > int(s.simulation.cfg.Store.ValueKB*1024) {
-			s.simulation.t.Fatalf("value of %d bytes at %s", len(wr.Value), wr.PutKey)
+		if len(write.Value) > int(s.simulation.cfg.Store.ValueKB*1024) {
+			s.simulation.t.Fatalf("value of %d bytes at %s", len(write.Value), write.PutKey)
 		}
-		s.keys[wr.PutKey] = storage.Item{Key: wr.PutKey, Value: wr.Value, ModRevision: s.revision, LeaseID: wr.LeaseID}
-		s.eventLog = append(s.eventLog, storage.WatchEvent{PutKey: wr.PutKey, Value: wr.Value, ModRevision: s.revision})
+		s.keys[write.PutKey] = storage.Item{Key: write.PutKey, Value: write.Value, ModRevision: s.revision, LeaseID: write.LeaseID}
+		s.eventLog = append(s.eventLog, storage.WatchEvent{PutKey: write.PutKey, Value: write.Value, ModRevision: s.revision})
 	}
 	s.notifyWatchers()
 	return 200, storage.TxnResponse{Revision: s.revision}
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -19,8 +19,8 @@
 	rng *rand.Rand
 }
 
-func newUserSimulation(w *simulation, seed uint64) *userSimulation {
-	return &userSimulation{simulation: w, rng: rand.New(rand.NewPCG(seed, 7))}
+func newUserSimulation(sim *simulation, seed uint64) *userSimulation {
+	return &userSimulation{simulation: sim, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
 // driftClocks lets the nodes' steady clocks run by as much as they may.
@@ -49,14 +49,14 @@
 }
 
 // submitUntil submits a job until some node has taken it, 40 times at most.
-func (c *userSimulation) submitWithRetries(j protocol.Job) {
+func (c *userSimulation) submitWithRetries(job protocol.Job) {
 	var try func(int)
 	try = func(tries int) {
-		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
+		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			switch {
 			case r.Status == 201 || r.Status == 200:
 			case r.Status != 503 && r.Status != 0:
-				c.t.Errorf("%s: submission answered %d", j.ID, r.Status)
+				c.t.Errorf("%s: submission answered %d", job.ID, r.Status)
 			case tries < 40:
 				c.schedule(time.Second, func() { try(tries + 1) })
 			}
@@ -90,13 +90,13 @@
 // the submission, as soon as anybody was told that a job is accepted, done or cancelled.
 func (c *userSimulation) queryAfterEachChange() {
 	c.onJobState = func(id string, _ protocol.JobState) {
-		j := c.jobSpecs[id]
+		job := c.jobSpecs[id]
 		for i := range 6 {
 			c.schedule(time.Duration(i*i)*step, func() {
 				for _, name := range c.names {
 					c.sendRequest(name, Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
-					if i%3 == 1 && j.ID == id {
-						c.sendRequest(name, Request{Kind: protocol.RequestSubmit, JobID: id, Job: &j}, func(Reply) {})
+					if i%3 == 1 && job.ID == id {
+						c.sendRequest(name, Request{Kind: protocol.RequestSubmit, JobID: id, Job: &job}, func(Reply) {})
 					}
 				}
 			})
@@ -161,24 +161,24 @@
 }
 
 // why tells what a job that is not done waits for.
-func (w *simulation) explainPending(id string) string {
-	name := w.leaderName()
+func (sim *simulation) explainPending(id string) string {
+	name := sim.leaderName()
 	if name == "" {
-		return "nobody leads: " + w.explainNoLeader()
+		return "nobody leads: " + sim.explainNoLeader()
 	}
-	l := w.nodes[name].leader
-	j := l.Jobs[id]
-	if j == nil {
+	l := sim.nodes[name].leader
+	job := l.Jobs[id]
+	if job == nil {
 		return "the leader does not know it"
 	}
-	out := fmt.Sprintf("%d pending, waits for %q", j.PendingTasks, j.BlockedBy)
-	for _, r := range j.Attempts {
+	out := fmt.Sprintf("%d pending, waits for %q", job.PendingTasks, job.BlockedBy)
+	for _, r := range job.Attempts {
 		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.Key(), r.Phase, r.Machine.Name, r.Machine.Up, r.Machine.TokenAcknowledged, r.Machine.DrainReason)
 	}
-	for name, x := range w.workers {
-		for _, t := range x.tasks {
-			if strings.HasPrefix(t.taskKey, id+"/") {
-				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name, *t, x.node, x.hung, x.dropResponses, x.unreachable, x.epoch)
+	for name, worker := range sim.workers {
+		for _, task := range worker.tasks {
+			if strings.HasPrefix(task.taskKey, id+"/") {
+				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name, *task, worker.node, worker.hung, worker.dropResponses, worker.unreachable, worker.epoch)
 			}
 		}
 	}
@@ -186,10 +186,10 @@
 }
 
 // noLeader tells what each node does about it.
-func (w *simulation) explainNoLeader() string {
-	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", w.store.down, w.store.refusedNodes, w.store.requestsDropped, w.store.keys[storage.LeaderKey].Value)
-	for _, name := range w.names {
-		n := w.nodes[name]
+func (sim *simulation) explainNoLeader() string {
+	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", sim.store.down, sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
+	for _, name := range sim.names {
+		n := sim.nodes[name]
 		status := n.election.Status()
 		out += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.paused, n.draining,
 			n.leader != nil, status.IsCandidate, n.election.StoreFailing(), status.Isolated, n.election.RecentPeerCount(n.leaderLease()))
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -150,10 +150,10 @@
 }
 
 func newSimulationWithTimings(t *testing.T, nodes int, p workerTimings) *simulation {
-	w := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*fakeWorker{}, jobSpecs: map[string]protocol.Job{},
+	sim := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*fakeWorker{}, jobSpecs: map[string]protocol.Job{},
 		linkCuts: map[[2]string]bool{}, oneWayCuts: map[[2]string]bool{}, heartbeatsBlocked: map[string]bool{}, responsesBlocked: map[string]bool{}, unreachableNodes: map[string]bool{}, startCounts: map[string]int{}, failingJobs: map[string]bool{}, oldVersionNodes: map[string]bool{}, openConnections: map[string]int{}, invariantChecker: newInvariantChecker(),
 		taskDuration: func(string, int) time.Duration { return 5 * time.Second }}
-	c := &w.cfg
+	c := &sim.cfg
 	c.ControllerCount = nodes
 	c.Zones = []string{"a", "b"}
 	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS = p.heartbeatInterval, p.machineLease, p.cancelLimit
@@ -161,15 +161,15 @@
 	c.Cloud.RequestsPerS, c.Cloud.ListLagS = 4, 10
 	c.Resources.CoreShare, c.Resources.MemoryMB, c.Resources.MaxConnections = 0.1, 100, 1000
 	c.Teams = []config.Team{{Name: "team", MaxCPUs: 16}, {Name: "free"}}
-	w.store = &fakeStore{simulation: w, keys: map[string]storage.Item{}, leases: map[uint64]*fakeLease{}, refusedNodes: map[string]bool{}, requestsDropped: map[string]bool{}, responsesDropped: map[string]bool{}}
-	w.cloud = &fakeCloud{simulation: w, rentals: map[string][]string{}, hosts: map[string]*fakeWorker{}}
+	sim.store = &fakeStore{simulation: sim, keys: map[string]storage.Item{}, leases: map[uint64]*fakeLease{}, refusedNodes: map[string]bool{}, requestsDropped: map[string]bool{}, responsesDropped: map[string]bool{}}
+	sim.cloud = &fakeCloud{simulation: sim, rentals: map[string][]string{}, hosts: map[string]*fakeWorker{}}
 	for i := range nodes {
-		w.names = append(w.names, fmt.Sprintf("n%d", i))
+		sim.names = append(sim.names, fmt.Sprintf("n%d", i))
 	}
-	for _, name := range w.names {
-		w.startNode(name)
+	for _, name := range sim.names {
+		sim.startNode(name)
 	}
-	return w
+	return sim
 }
 
 // testLog writes to the standard error output if LOG_LEVEL is debug. Otherwise no record is formatted.
@@ -180,83 +180,83 @@
 	return slog.New(slog.DiscardHandler)
 }
 
-func (w *simulation) startNode(name string) {
-	platform := &config.Platform{Node: name, Cluster: w.cfg}
-	if w.oldVersionNodes[name] {
+func (sim *simulation) startNode(name string) {
+	platform := &config.Platform{Node: name, Cluster: sim.cfg}
+	if sim.oldVersionNodes[name] {
 		platform.Cluster.Store.Upcoming = config.StoreLimits{}.Upcoming // level 0 does not know them
 	}
-	for _, other := range w.names {
+	for _, other := range sim.names {
 		if other != name {
 			platform.Peers = append(platform.Peers, config.Peer{Node: other})
 		}
 	}
 	epoch := 1
-	if old := w.nodes[name]; old != nil {
+	if old := sim.nodes[name]; old != nil {
 		epoch = old.epoch + 1
 	}
 	settings := config.Defaults()
 	settings.IdleRetention = 4 // so that machines stay for the races
-	settings.FairAdmission = w.fairAdmission
+	settings.FairAdmission = sim.fairAdmission
 	settings.RecoveryMinMachines = 0 // the simulated fleets are small
-	w.nodes[name] = &simNode{
+	sim.nodes[name] = &simNode{
 		Node: New(Options{Platform: platform, Settings: settings, Log: testLog().With("node", name),
-			Rand: rand.New(rand.NewPCG(uint64(len(name)), uint64(name[1]))), StartTime: time.Unix(1_000_000, 0).Add(w.now + w.wallClockOffsets[name])}),
-		name: name, bootedAt: w.now, epoch: epoch, pendingRequests: map[uint64]func(Reply){}, oldVersion: w.oldVersionNodes[name],
+			Rand: rand.New(rand.NewPCG(uint64(len(name)), uint64(name[1]))), StartTime: time.Unix(1_000_000, 0).Add(sim.now + sim.wallClockOffsets[name])}),
+		name: name, bootedAt: sim.now, epoch: epoch, pendingRequests: map[uint64]func(Reply){}, oldVersion: sim.oldVersionNodes[name],
 	}
 }
 
-func (w *simulation) crashNode(name string) {
-	w.nodes[name].down = true
-	w.nodes[name].epoch++
-	for _, x := range w.workers {
-		if x.connectedNode == name {
-			x.disconnect()
+func (sim *simulation) crashNode(name string) {
+	sim.nodes[name].down = true
+	sim.nodes[name].epoch++
+	for _, worker := range sim.workers {
+		if worker.connectedNode == name {
+			worker.disconnect()
 		}
 	}
 }
 
-func (w *simulation) restartNode(name string) { w.startNode(name) }
+func (sim *simulation) restartNode(name string) { sim.startNode(name) }
 
 // back lets a node end and begin anew.
-func (w *simulation) restartAfter(name string, after time.Duration) {
-	w.crashNode(name)
-	w.schedule(after, func() {
-		if w.nodes[name].down {
-			rate := w.nodes[name].clockRate
-			w.restartNode(name)
-			w.nodes[name].clockRate = rate
+func (sim *simulation) restartAfter(name string, after time.Duration) {
+	sim.crashNode(name)
+	sim.schedule(after, func() {
+		if sim.nodes[name].down {
+			rate := sim.nodes[name].clockRate
+			sim.restartNode(name)
+			sim.nodes[name].clockRate = rate
 		}
 	})
 }
 
-func (w *simulation) schedule(d time.Duration, f func()) {
-	w.lastEventSeq++
-	w.events.push(event{w.now + d, w.lastEventSeq, f})
+func (sim *simulation) schedule(d time.Duration, f func()) {
+	sim.lastEventSeq++
+	sim.events.push(event{sim.now + d, sim.lastEventSeq, f})
 }
 
 // run lets the simulation go on for a while.
-func (w *simulation) advance(d time.Duration) { w.advanceUntil(d, func() bool { return false }) }
+func (sim *simulation) advance(d time.Duration) { sim.advanceUntil(d, func() bool { return false }) }
 
 // until lets the simulation go on until something holds, and tells whether it came to hold.
-func (w *simulation) advanceUntil(d time.Duration, condition func() bool) bool {
-	w.t.Helper()
-	for end := w.now + d; w.now < end; {
+func (sim *simulation) advanceUntil(d time.Duration, condition func() bool) bool {
+	sim.t.Helper()
+	for end := sim.now + d; sim.now < end; {
 		if condition() {
 			return true
 		}
-		w.now += step
-		w.store.expireLeases()
-		for len(w.events) > 0 && w.events[0].dueAt <= w.now {
-			w.events.pop().action()
+		sim.now += step
+		sim.store.expireLeases()
+		for len(sim.events) > 0 && sim.events[0].dueAt <= sim.now {
+			sim.events.pop().action()
 		}
-		for _, name := range w.names {
-			w.stepNode(w.nodes[name])
+		for _, name := range sim.names {
+			sim.stepNode(sim.nodes[name])
 		}
-		leaseDuration := config.Seconds(w.cfg.Workers.LeaseS)
-		for _, x := range w.sortedWorkers() {
-			x.tick(leaseDuration)
+		leaseDuration := config.Seconds(sim.cfg.Workers.LeaseS)
+		for _, worker := range sim.sortedWorkers() {
+			worker.tick(leaseDuration)
 		}
-		w.checkInvariants()
+		sim.checkInvariants()
 	}
 	return condition()
 }
@@ -264,46 +264,46 @@
 // inOrder lists the workers by name. The list is kept as long as it is true: sorted at
 // each step it was half of the tests' time. Workers join by addWorker only, which drops the
 // list; so if it is as long as the map, none has left since either.
-func (w *simulation) sortedWorkers() []*fakeWorker {
-	if len(w.workersByName) != len(w.workers) {
-		w.workersByName = slices.SortedFunc(maps.Values(w.workers), func(a, b *fakeWorker) int { return cmp.Compare(a.name, b.name) })
+func (sim *simulation) sortedWorkers() []*fakeWorker {
+	if len(sim.workersByName) != len(sim.workers) {
+		sim.workersByName = slices.SortedFunc(maps.Values(sim.workers), func(a, b *fakeWorker) int { return cmp.Compare(a.name, b.name) })
 	}
-	return w.workersByName
+	return sim.workersByName
 }
 
 // addWorker lets a worker join.
-func (w *simulation) addWorker(x *fakeWorker) {
-	w.workers[x.name] = x
-	w.workersByName = nil
+func (sim *simulation) addWorker(worker *fakeWorker) {
+	sim.workers[worker.name] = worker
+	sim.workersByName = nil
 }
 
-func (w *simulation) stepNode(n *simNode) {
+func (sim *simulation) stepNode(n *simNode) {
 	if n.down || n.paused {
 		return
 	}
 	batch := n.inbox
 	n.inbox = nil
-	if w.connectionLimit > 0 && n.monotonicNow(w.now) >= n.loadReportedAt+loadReportInterval {
-		n.loadReportedAt = n.monotonicNow(w.now)
-		batch = append(batch, ServerLoad{Open: w.openConnections[n.name], Limit: w.connectionLimit})
+	if sim.connectionLimit > 0 && n.monotonicNow(sim.now) >= n.loadReportedAt+loadReportInterval {
+		n.loadReportedAt = n.monotonicNow(sim.now)
+		batch = append(batch, ServerLoad{Open: sim.openConnections[n.name], Limit: sim.connectionLimit})
 	}
-	effects := n.Step(n.monotonicNow(w.now), batch)
-	if w.onEffects != nil {
-		w.onEffects(n, effects)
+	effects := n.Step(n.monotonicNow(sim.now), batch)
+	if sim.onEffects != nil {
+		sim.onEffects(n, effects)
 	}
 	if n.pauseBeforeEffects > 0 && len(effects) > 0 {
-		w.pauseNode(n, n.pauseBeforeEffects, func() { w.applyEffects(n, effects) })
+		sim.pauseNode(n, n.pauseBeforeEffects, func() { sim.applyEffects(n, effects) })
 		n.pauseBeforeEffects = 0
 		return
 	}
-	w.applyEffects(n, effects)
+	sim.applyEffects(n, effects)
 }
 
 // freeze lets a node stand still for a while and then do something first.
-func (w *simulation) pauseNode(n *simNode, d time.Duration, then func()) {
+func (sim *simulation) pauseNode(n *simNode, d time.Duration, then func()) {
 	n.paused = true
 	epoch := n.epoch
-	w.schedule(d, func() {
+	sim.schedule(d, func() {
 		n.paused = false
 		if !n.down && n.epoch == epoch {
 			then()
@@ -311,14 +311,14 @@
 	})
 }
 
-func (w *simulation) applyEffects(n *simNode, effects []Effect) {
+func (sim *simulation) applyEffects(n *simNode, effects []Effect) {
 	epoch := n.epoch
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Reply:
 			if onReply := n.pendingRequests[e.RequestID]; onReply != nil {
 				delete(n.pendingRequests, e.RequestID)
-				w.schedule(step, func() { onReply(e) })
+				sim.schedule(step, func() { onReply(e) })
 			}
 		case OutboundMessage:
 			if n.oldVersion {
@@ -327,21 +327,21 @@
 					e.Message = beat
 				}
 			}
-			to, message := e.To, roundTripMessage(w.t, e.Message)
+			to, message := e.To, roundTripMessage(sim.t, e.Message)
 			arrive := func() {
-				if peer := w.nodes[to]; !peer.down {
+				if peer := sim.nodes[to]; !peer.down {
 					peer.inbox = append(peer.inbox, InboundMessage{From: n.name, Message: message})
 				}
 			}
-			if !w.linkBlocked(n.name, to) {
-				w.schedule(step, arrive)
-			} else if w.holdMessages {
-				w.heldMessages = append(w.heldMessages, event{action: arrive})
+			if !sim.linkBlocked(n.name, to) {
+				sim.schedule(step, arrive)
+			} else if sim.holdMessages {
+				sim.heldMessages = append(sim.heldMessages, event{action: arrive})
 			}
 		case ServiceCall:
 			answered := false
 			respond := func(status int, body any) {
-				if w.nodes[n.name] == n && n.epoch == epoch && !answered {
+				if sim.nodes[n.name] == n && n.epoch == epoch && !answered {
 					answered = true
 					r := CallResult{ID: e.ID, Status: status}
 					switch body := body.(type) {
@@ -351,31 +351,31 @@
 					default:
 						r.Body = storage.Encode(body)
 					}
-					if w.alterResult != nil && status != 0 {
-						r = w.alterResult(n.name, e, r)
+					if sim.alterResult != nil && status != 0 {
+						r = sim.alterResult(n.name, e, r)
 					}
 					n.inbox = append(n.inbox, r)
 				}
 			}
-			w.schedule(e.Timeout, func() { respond(0, nil) })
+			sim.schedule(e.Timeout, func() { respond(0, nil) })
 			delay := step
-			if e.Target == TargetStore && w.store.requestDelay != nil {
-				delay += w.store.requestDelay()
+			if e.Target == TargetStore && sim.store.requestDelay != nil {
+				delay += sim.store.requestDelay()
 			}
-			w.schedule(delay, func() {
-				if w.interceptCall != nil {
-					if r, ok := w.interceptCall(e); ok {
+			sim.schedule(delay, func() {
+				if sim.interceptCall != nil {
+					if r, ok := sim.interceptCall(e); ok {
 						respond(r.Status, json.RawMessage(r.Body))
 						return
 					}
 				}
 				if e.Target == TargetStore {
 					if n.oldVersion && e.Path == "/multi" {
-						e.Body = levelZeroTransaction(w.t, e.Body)
+						e.Body = levelZeroTransaction(sim.t, e.Body)
 					}
-					w.store.serve(n.name, e, respond)
+					sim.store.serve(n.name, e, respond)
 				} else {
-					w.cloud.serve(e, respond)
+					sim.cloud.serve(e, respond)
 				}
 			})
 		}
@@ -402,19 +402,19 @@
 	if err := json.Unmarshal(body, &txn); err != nil {
 		t.Fatal(err)
 	}
-	txn.Writes = slices.DeleteFunc(txn.Writes, func(wr storage.Write) bool {
-		return strings.HasPrefix(wr.PutKey, storage.VersionPrefix)
+	txn.Writes = slices.DeleteFunc(txn.Writes, func(write storage.Write) bool {
+		return strings.HasPrefix(write.PutKey, storage.VersionPrefix)
 	})
-	for i, wr := range txn.Writes {
-		if strings.HasPrefix(wr.PutKey, storage.TerminalPrefix) {
+	for i, write := range txn.Writes {
+		if strings.HasPrefix(write.PutKey, storage.TerminalPrefix) {
 			var rec storage.TerminalRecord
-			json.Unmarshal(wr.Value, &rec)
+			json.Unmarshal(write.Value, &rec)
 			rec.EndedAtMillis = 0
 			txn.Writes[i].Value = storage.Encode(rec)
 		}
-		if strings.HasPrefix(wr.PutKey, storage.JobPrefix) {
+		if strings.HasPrefix(write.PutKey, storage.JobPrefix) {
 			var rec storage.JobRecord
-			json.Unmarshal(wr.Value, &rec)
+			json.Unmarshal(write.Value, &rec)
 			rec.Spec.Dependencies = nil
 			txn.Writes[i].Value = storage.Encode(rec)
 		}
@@ -423,137 +423,137 @@
 }
 
 // upgrade ends a node and brings it back with this version.
-func (w *simulation) upgradeNode(name string) {
-	w.crashNode(name)
-	delete(w.oldVersionNodes, name)
-	w.schedule(time.Second, func() { w.restartNode(name) })
+func (sim *simulation) upgradeNode(name string) {
+	sim.crashNode(name)
+	delete(sim.oldVersionNodes, name)
+	sim.schedule(time.Second, func() { sim.restartNode(name) })
 }
 
 // allNew waits until every node that is up knows that all are of this version.
-func (w *simulation) waitForNewVersion() {
-	w.t.Helper()
-	known := func(name string) bool { n := w.nodes[name]; return n.down || n.clusterSupports(protocolLevel) }
-	if !w.advanceUntil(30*time.Second, func() bool { return !slices.ContainsFunc(w.names, func(s string) bool { return !known(s) }) }) {
-		w.t.Fatal("not all nodes are known to be new")
+func (sim *simulation) waitForNewVersion() {
+	sim.t.Helper()
+	known := func(name string) bool { n := sim.nodes[name]; return n.down || n.clusterSupports(protocolLevel) }
+	if !sim.advanceUntil(30*time.Second, func() bool { return !slices.ContainsFunc(sim.names, func(s string) bool { return !known(s) }) }) {
+		sim.t.Fatal("not all nodes are known to be new")
 	}
 }
 
 // final is what the state service knows of a job that is over.
-func (w *simulation) terminalState(id string) protocol.JobState {
+func (sim *simulation) terminalState(id string) protocol.JobState {
 	var record storage.TerminalRecord
-	if it, ok := w.store.keys[storage.TerminalKey(id)]; ok {
+	if it, ok := sim.store.keys[storage.TerminalKey(id)]; ok {
 		json.Unmarshal(it.Value, &record)
 	}
 	return record.State
 }
 
 // apart tells whether messages from one node to another don't arrive.
-func (w *simulation) linkBlocked(from, to string) bool {
-	return w.linkCuts[[2]string{from, to}] || w.linkCuts[[2]string{to, from}] || w.oneWayCuts[[2]string{from, to}]
+func (sim *simulation) linkBlocked(from, to string) bool {
+	return sim.linkCuts[[2]string{from, to}] || sim.linkCuts[[2]string{to, from}] || sim.oneWayCuts[[2]string{from, to}]
 }
 
 // cutOneWay cuts one node off from another, but not the other way, for a while.
-func (w *simulation) cutOneWayFor(from, to string, d time.Duration) {
-	w.oneWayCuts[[2]string{from, to}] = true
-	w.schedule(d, func() {
-		delete(w.oneWayCuts, [2]string{from, to})
-		w.healCuts()
+func (sim *simulation) cutOneWayFor(from, to string, d time.Duration) {
+	sim.oneWayCuts[[2]string{from, to}] = true
+	sim.schedule(d, func() {
+		delete(sim.oneWayCuts, [2]string{from, to})
+		sim.healCuts()
 	})
 }
 
 // cutOff cuts a node from all others.
-func (w *simulation) isolateNode(name string) {
-	for _, other := range w.names {
-		w.linkCuts[[2]string{name, other}] = true
+func (sim *simulation) isolateNode(name string) {
+	for _, other := range sim.names {
+		sim.linkCuts[[2]string{name, other}] = true
 	}
 }
 
 // cutAll cuts all nodes from each other.
-func (w *simulation) isolateAllNodes() {
-	for _, name := range w.names {
-		w.isolateNode(name)
+func (sim *simulation) isolateAllNodes() {
+	for _, name := range sim.names {
+		sim.isolateNode(name)
 	}
 }
 
 // mend ends all cuts between nodes; what they held back arrives now.
-func (w *simulation) healCuts() {
-	w.linkCuts = map[[2]string]bool{}
-	kept := w.heldMessages
-	w.heldMessages = nil
+func (sim *simulation) healCuts() {
+	sim.linkCuts = map[[2]string]bool{}
+	kept := sim.heldMessages
+	sim.heldMessages = nil
 	for _, e := range kept {
-		w.schedule(step, e.action)
+		sim.schedule(step, e.action)
 	}
 }
 
 // ask sends a request to a node; a node that is down gives status 0.
-func (w *simulation) sendRequest(name string, r Request, onReply func(Reply)) {
-	n := w.nodes[name]
+func (sim *simulation) sendRequest(name string, r Request, onReply func(Reply)) {
+	n := sim.nodes[name]
 	if n.down {
-		w.schedule(step, func() { onReply(Reply{}) })
+		sim.schedule(step, func() { onReply(Reply{}) })
 		return
 	}
 	n.lastRequestID++
 	r.Origin = Origin{RequestID: n.lastRequestID}
-	n.pendingRequests[n.lastRequestID] = w.observeReply(name, r, onReply)
+	n.pendingRequests[n.lastRequestID] = sim.observeReply(name, r, onReply)
 	n.inbox = append(n.inbox, r)
 }
 
 // listen lets the invariant checker hear what a user is told.
-func (w *simulation) observeReply(name string, r Request, onReply func(Reply)) func(Reply) {
+func (sim *simulation) observeReply(name string, r Request, onReply func(Reply)) func(Reply) {
 	switch r.Kind {
 	case protocol.RequestSubmit:
-		w.submitted[r.JobID] = true
-		if _, known := w.jobSpecs[r.JobID]; !known {
-			w.jobSpecs[r.JobID] = *r.Job
+		sim.submitted[r.JobID] = true
+		if _, known := sim.jobSpecs[r.JobID]; !known {
+			sim.jobSpecs[r.JobID] = *r.Job
 		}
 	case protocol.RequestCancel:
-		w.cancelRequested[r.JobID] = true
+		sim.cancelRequested[r.JobID] = true
 	case protocol.RequestQuery:
 	default:
 		return onReply
 	}
-	sent := w.now
+	sent := sim.now
 	return func(reply Reply) {
-		w.checkReply(r, name, sent, reply)
+		sim.checkReply(r, name, sent, reply)
 		onReply(reply)
 	}
 }
 
 // request asks a node and waits for the answer, 5 s at most.
-func (w *simulation) requestAndWait(name string, r Request) Reply {
-	w.t.Helper()
+func (sim *simulation) requestAndWait(name string, r Request) Reply {
+	sim.t.Helper()
 	var got *Reply
-	w.sendRequest(name, r, func(x Reply) { got = &x })
-	if !w.advanceUntil(5*time.Second, func() bool { return got != nil }) {
-		w.t.Fatalf("%s: no answer to a %s", name, r.Kind)
+	sim.sendRequest(name, r, func(x Reply) { got = &x })
+	if !sim.advanceUntil(5*time.Second, func() bool { return got != nil }) {
+		sim.t.Fatalf("%s: no answer to a %s", name, r.Kind)
 	}
 	return *got
 }
 
 // machines brings up machines beside those that are rented for the work.
-func (w *simulation) startMachines(n int) {
-	w.t.Helper()
+func (sim *simulation) startMachines(n int) {
+	sim.t.Helper()
 	for i := range n {
-		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	if !w.advanceUntil(10*time.Second, func() bool { return len(w.workers) >= n }) {
-		w.t.Fatal("machines did not come up")
+	if !sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) >= n }) {
+		sim.t.Fatal("machines did not come up")
 	}
-	w.advance(2 * time.Second)
+	sim.advance(2 * time.Second)
 }
 
-func (w *simulation) submit(node string, j protocol.Job) Reply {
-	w.t.Helper()
-	w.jobSpecs[j.ID] = j
-	return w.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j})
+func (sim *simulation) submit(node string, job protocol.Job) Reply {
+	sim.t.Helper()
+	sim.jobSpecs[job.ID] = job
+	return sim.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job})
 }
 
 // submitAndStart submits a job and waits until so many of its tasks are on machines.
-func (w *simulation) submitAndStart(node string, j protocol.Job, tasks int) {
-	w.t.Helper()
-	w.submit(node, j)
-	if !w.advanceUntil(time.Minute, func() bool { return w.activeTaskCount(j.ID) >= tasks }) {
-		w.t.Fatalf("%d tasks of %s started, not %d", w.activeTaskCount(j.ID), j.ID, tasks)
+func (sim *simulation) submitAndStart(node string, job protocol.Job, tasks int) {
+	sim.t.Helper()
+	sim.submit(node, job)
+	if !sim.advanceUntil(time.Minute, func() bool { return sim.activeTaskCount(job.ID) >= tasks }) {
+		sim.t.Fatalf("%d tasks of %s started, not %d", sim.activeTaskCount(job.ID), job.ID, tasks)
 	}
 }
 
@@ -561,34 +561,34 @@
 // for so long.
 func newRunningSimulation(t *testing.T, nodes int, takes time.Duration, machines, tasks int) (*simulation, *simNode) {
 	t.Helper()
-	w := newSimulation(t, nodes)
-	w.taskDuration = func(string, int) time.Duration { return takes }
-	l := w.waitForLeader()
-	w.startMachines(machines)
-	w.submitAndStart(l.name, jobSpec("j-1", tasks), tasks)
-	return w, l
+	sim := newSimulation(t, nodes)
+	sim.taskDuration = func(string, int) time.Duration { return takes }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(machines)
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", tasks), tasks)
+	return sim, leaderNode
 }
 
-func (w *simulation) queryJob(node, id string) (int, protocol.JobStatus) {
-	w.t.Helper()
-	r := w.requestAndWait(node, Request{Kind: protocol.RequestQuery, JobID: id})
+func (sim *simulation) queryJob(node, id string) (int, protocol.JobStatus) {
+	sim.t.Helper()
+	r := sim.requestAndWait(node, Request{Kind: protocol.RequestQuery, JobID: id})
 	var s protocol.JobStatus
 	if r.Status == 200 {
 		if err := json.Unmarshal(r.Body, &s); err != nil {
-			w.t.Fatal(err)
+			sim.t.Fatal(err)
 		}
 	}
 	return r.Status, s
 }
 
-func (w *simulation) cancelJob(node, id string) Reply {
-	w.t.Helper()
-	return w.requestAndWait(node, Request{Kind: protocol.RequestCancel, JobID: id})
+func (sim *simulation) cancelJob(node, id string) Reply {
+	sim.t.Helper()
+	return sim.requestAndWait(node, Request{Kind: protocol.RequestCancel, JobID: id})
 }
 
-func (w *simulation) leaderName() string {
-	for _, name := range w.names {
-		if n := w.nodes[name]; !n.down && !n.paused && n.holdsLeaderLease() {
+func (sim *simulation) leaderName() string {
+	for _, name := range sim.names {
+		if n := sim.nodes[name]; !n.down && !n.paused && n.holdsLeaderLease() {
 			return name
 		}
 	}
@@ -596,61 +596,61 @@
 }
 
 // lead waits until some node leads and has read the records.
-func (w *simulation) waitForLeader() *simNode {
-	w.t.Helper()
-	if !w.advanceUntil(30*time.Second, func() bool { l := w.leaderName(); return l != "" && w.nodes[l].leader.recordsLoaded }) {
-		w.t.Fatal("nobody leads")
+func (sim *simulation) waitForLeader() *simNode {
+	sim.t.Helper()
+	if !sim.advanceUntil(30*time.Second, func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.recordsLoaded }) {
+		sim.t.Fatal("nobody leads")
 	}
-	return w.nodes[w.leaderName()]
+	return sim.nodes[sim.leaderName()]
 }
 
-func (w *simulation) followers() []string {
-	return slices.DeleteFunc(slices.Clone(w.names), func(s string) bool { return s == w.leaderName() || w.nodes[s].down })
+func (sim *simulation) followers() []string {
+	return slices.DeleteFunc(slices.Clone(sim.names), func(s string) bool { return s == sim.leaderName() || sim.nodes[s].down })
 }
 
 // waitState waits until a job has a state.
-func (w *simulation) waitForJobState(id string, state protocol.JobState, d time.Duration) {
-	w.t.Helper()
-	end := w.now + d
+func (sim *simulation) waitForJobState(id string, state protocol.JobState, d time.Duration) {
+	sim.t.Helper()
+	end := sim.now + d
 	var last protocol.JobStatus
-	for w.now < end {
-		if l := w.leaderName(); l != "" {
+	for sim.now < end {
+		if l := sim.leaderName(); l != "" {
 			var code int
-			if code, last = w.queryJob(l, id); code == 200 && last.State == state {
+			if code, last = sim.queryJob(l, id); code == 200 && last.State == state {
 				return
 			}
 		}
-		w.advance(200 * time.Millisecond)
+		sim.advance(200 * time.Millisecond)
 	}
-	w.t.Fatalf("job %s is %q, not %q, after %v", id, last.State, state, d)
+	sim.t.Fatalf("job %s is %q, not %q, after %v", id, last.State, state, d)
 }
 
 // allStarts counts how often tasks were started, all together.
-func (w *simulation) totalStarts() int {
+func (sim *simulation) totalStarts() int {
 	all := 0
-	for _, n := range w.startCounts {
+	for _, n := range sim.startCounts {
 		all += n
 	}
 	return all
 }
 
 // startedOnce checks that no task was started a second time.
-func (w *simulation) checkStartedOnce() {
-	w.t.Helper()
-	for task, n := range w.startCounts {
+func (sim *simulation) checkStartedOnce() {
+	sim.t.Helper()
+	for task, n := range sim.startCounts {
 		if n != 1 {
-			w.t.Errorf("%s was started %d times", task, n)
+			sim.t.Errorf("%s was started %d times", task, n)
 		}
 	}
 }
 
 // onMachines counts a job's tasks that are on machines.
-func (w *simulation) activeTaskCount(id string) int {
+func (sim *simulation) activeTaskCount(id string) int {
 	count := 0
 	prefix := id + "/"
-	for _, x := range w.workers {
-		for _, t := range x.tasks {
-			if strings.HasPrefix(t.taskKey, prefix) && t.state != protocol.TaskExited {
+	for _, worker := range sim.workers {
+		for _, task := range worker.tasks {
+			if strings.HasPrefix(task.taskKey, prefix) && task.state != protocol.TaskExited {
 				count++
 			}
 		}
--- a/internal/controller/start_limit_test.go
+++ b/internal/controller/start_limit_test.go
@@ -30,14 +30,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, 3)
-			w.cloud.capacity = 6
-			users := newUserSimulation(w, 1)
-			w.taskDuration = func(string, int) time.Duration { return 15*time.Second + users.randomDuration(45*time.Second) }
-			w.waitForLeader()
-			w.startMachines(6)
-			submitted := w.now + 30*time.Second
-			w.schedule(30*time.Second, func() {
+			sim := newSimulation(t, 3)
+			sim.cloud.capacity = 6
+			users := newUserSimulation(sim, 1)
+			sim.taskDuration = func(string, int) time.Duration { return 15*time.Second + users.randomDuration(45*time.Second) }
+			sim.waitForLeader()
+			sim.startMachines(6)
+			submitted := sim.now + 30*time.Second
+			sim.schedule(30*time.Second, func() {
 				for i := range c.jobs {
 					wide := jobSpec(fmt.Sprintf("j-wide-%d", i), 8)
 					wide.Priority, wide.Cores, wide.SameZone, wide.EstimatedSeconds = "low", c.cores, c.sameZone, 30
@@ -48,28 +48,28 @@
 				}
 			})
 			if c.crash {
-				w.schedule(120*time.Second, users.replaceLeader)
+				sim.schedule(120*time.Second, users.replaceLeader)
 			}
 			small := 0
 			fillUntil := func(end clock.Instant) { // with more small work than the machines can do
-				for ; w.now < end; small++ {
-					j := jobSpec(fmt.Sprintf("j-small-%d", small), 3)
-					j.EstimatedSeconds = 30
-					users.submitWithRetries(j)
-					w.advance(2 * time.Second)
+				for ; sim.now < end; small++ {
+					job := jobSpec(fmt.Sprintf("j-small-%d", small), 3)
+					job.EstimatedSeconds = 30
+					users.submitWithRetries(job)
+					sim.advance(2 * time.Second)
 				}
 			}
 			fillUntil(submitted + cluster.MaxStartDelay)
 			for i := range c.jobs {
-				if id := fmt.Sprintf("j-wide-%d", i); w.firstStartAt[id] == 0 {
-					t.Errorf("%s has not begun after four minutes: %s", id, w.explainPending(id))
+				if id := fmt.Sprintf("j-wide-%d", i); sim.firstStartAt[id] == 0 {
+					t.Errorf("%s has not begun after four minutes: %s", id, sim.explainPending(id))
 				}
 			}
 			fillUntil(submitted + 3*cluster.MaxStartDelay)
 			// Six of them are more than half of the machines can do in this time; the
 			// oldest is served first.
-			if id := "j-wide-0"; w.terminalState(id) != protocol.JobDone {
-				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, w.explainPending(id))
+			if id := "j-wide-0"; sim.terminalState(id) != protocol.JobDone {
+				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, sim.explainPending(id))
 			}
 		})
 	}
@@ -78,17 +78,17 @@
 // A reservation ends with the wait that it was made for: a machine that is reserved for a
 // job that has been cancelled, with nothing else waiting, would be held for ever.
 func TestReservationEndsWithItsJob(t *testing.T) {
-	w, l := newRunningSimulation(t, 1, 10*time.Minute, 1, 3)
-	w.cloud.capacity = 1
+	sim, leaderNode := newRunningSimulation(t, 1, 10*time.Minute, 1, 3)
+	sim.cloud.capacity = 1
 	wide := jobSpec("j-wide", 1)
 	wide.Cores = 4
-	w.submit(l.name, wide)
-	reserved := func() bool { return l.leader.Machines["m-000001"].ReservedFor != nil }
-	if !w.advanceUntil(cluster.MaxStartDelay, reserved) {
-		t.Fatalf("no machine is reserved: %s", w.explainPending("j-wide"))
+	sim.submit(leaderNode.name, wide)
+	reserved := func() bool { return leaderNode.leader.Machines["m-000001"].ReservedFor != nil }
+	if !sim.advanceUntil(cluster.MaxStartDelay, reserved) {
+		t.Fatalf("no machine is reserved: %s", sim.explainPending("j-wide"))
 	}
-	w.cancelJob(l.name, "j-wide")
-	if !w.advanceUntil(5*time.Second, func() bool { return !reserved() }) {
+	sim.cancelJob(leaderNode.name, "j-wide")
+	if !sim.advanceUntil(5*time.Second, func() bool { return !reserved() }) {
 		t.Error("the machine is still reserved")
 	}
 }
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -12,34 +12,34 @@
 // many machines up.
 func newConnectionLimitedSimulation(t *testing.T, nodes, sockets, machines int) *simulation {
 	t.Helper()
-	w := newSimulationWithTimings(t, nodes, deployments[3])
-	w.connectionLimit = sockets
-	w.taskDuration = func(string, int) time.Duration { return 10 * time.Minute }
-	w.waitForLeader()
+	sim := newSimulationWithTimings(t, nodes, deployments[3])
+	sim.connectionLimit = sockets
+	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Minute }
+	sim.waitForLeader()
 	for i := range machines {
-		w.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	w.cloud.capacity, w.cloud.rejectReturns = machines, true // what is lost shows as a session that has ended
-	if !w.advanceUntil(30*time.Second, func() bool { return len(w.workers) >= machines }) {
+	sim.cloud.capacity, sim.cloud.rejectReturns = machines, true // what is lost shows as a session that has ended
+	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.workers) >= machines }) {
 		t.Fatal("machines did not come up")
 	}
-	return w
+	return sim
 }
 
 // direct counts the machines that have a connection to a node.
-func (w *simulation) connectionCount(node string) int { return w.openConnections[node] }
+func (sim *simulation) connectionCount(node string) int { return sim.openConnections[node] }
 
 // sessionsHold checks that no machine's lease has run out.
-func (w *simulation) checkLeasesHeld(when string) {
-	w.t.Helper()
+func (sim *simulation) checkLeasesHeld(when string) {
+	sim.t.Helper()
 	lost := 0
-	for _, x := range w.workers {
-		if x.epoch > 1 {
+	for _, worker := range sim.workers {
+		if worker.epoch > 1 {
 			lost++
 		}
 	}
 	if lost > 0 {
-		w.t.Errorf("%s: the leases of %d of %d machines ran out", when, lost, len(w.workers))
+		sim.t.Errorf("%s: the leases of %d of %d machines ran out", when, lost, len(sim.workers))
 	}
 }
 
@@ -48,76 +48,76 @@
 // all controllers, when all of them connect anew at once.
 func TestFourThousandMachines(t *testing.T) {
 	const machines, sockets = 4000, 1200
-	w := newConnectionLimitedSimulation(t, 5, sockets, machines)
-	c := newUserSimulation(w, 1)
+	sim := newConnectionLimitedSimulation(t, 5, sockets, machines)
+	c := newUserSimulation(sim, 1)
 	jobs := 8
 	for i := range jobs {
 		c.submitWithRetries(jobSpec(fmt.Sprintf("j-%d", i), 50))
 	}
-	w.advance(2 * w.nodes["n0"].workerLease())
-	w.checkLeasesHeld("all up")
-	if served := w.connectionCount(w.leaderName()); served > sockets*7/8 {
+	sim.advance(2 * sim.nodes["n0"].workerLease())
+	sim.checkLeasesHeld("all up")
+	if served := sim.connectionCount(sim.leaderName()); served > sockets*7/8 {
 		t.Errorf("the leader has %d of %d connections in use", served, sockets)
 	}
-	if l := w.nodes[w.leaderName()].leader; !l.AllReconciled() || len(l.MachinesByName()) != machines {
+	if l := sim.nodes[sim.leaderName()].leader; !l.AllReconciled() || len(l.MachinesByName()) != machines {
 		t.Errorf("%d machines are known", len(l.MachinesByName()))
 	}
-	started := w.totalStarts()
+	started := sim.totalStarts()
 	if started != jobs*50 {
 		t.Errorf("%d tasks started", started)
 	}
 
-	w.restartAfter(w.leaderName(), 10*time.Second)
-	w.advance(2 * w.nodes["n0"].workerLease())
-	w.waitForLeader()
-	w.checkLeasesHeld("after a takeover")
+	sim.restartAfter(sim.leaderName(), 10*time.Second)
+	sim.advance(2 * sim.nodes["n0"].workerLease())
+	sim.waitForLeader()
+	sim.checkLeasesHeld("after a takeover")
 
-	for _, name := range w.names {
-		w.restartAfter(name, 8*time.Second)
+	for _, name := range sim.names {
+		sim.restartAfter(name, 8*time.Second)
 	}
-	w.advance(8 * time.Second)
-	w.waitForLeader()
-	if !w.advanceUntil(w.nodes["n0"].workerLease(), func() bool { l := w.leaderName(); return l != "" && w.nodes[l].leader.AllReconciled() }) {
+	sim.advance(8 * time.Second)
+	sim.waitForLeader()
+	if !sim.advanceUntil(sim.nodes["n0"].workerLease(), func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.AllReconciled() }) {
 		t.Error("not all machines are accounted for within a lease")
 	}
-	w.advance(w.nodes["n0"].workerLease())
-	w.checkLeasesHeld("after an end of all")
-	if again := w.totalStarts(); again != started {
+	sim.advance(sim.nodes["n0"].workerLease())
+	sim.checkLeasesHeld("after an end of all")
+	if again := sim.totalStarts(); again != started {
 		t.Errorf("%d tasks were started anew", again-started)
 	}
-	w.checkStartedOnce()
+	sim.checkStartedOnce()
 }
 
 // A controller that remains alone has a connection for each fourth machine. It serves all
 // of them in turns: none waits in silence, and no lease runs out.
 func TestLoneControllerTakesTurns(t *testing.T) {
 	const machines, sockets = 400, 100
-	w := newConnectionLimitedSimulation(t, 3, sockets, machines)
-	newUserSimulation(w, 1).submitWithRetries(jobSpec("j-1", 200))
-	w.advance(time.Minute)
-	for _, name := range w.followers() {
-		w.crashNode(name)
+	sim := newConnectionLimitedSimulation(t, 3, sockets, machines)
+	newUserSimulation(sim, 1).submitWithRetries(jobSpec("j-1", 200))
+	sim.advance(time.Minute)
+	for _, name := range sim.followers() {
+		sim.crashNode(name)
 	}
-	w.advance(4 * w.nodes["n0"].workerLease())
-	if w.leaderName() == "" {
+	sim.advance(4 * sim.nodes["n0"].workerLease())
+	if sim.leaderName() == "" {
 		t.Fatal("it does not lead")
 	}
-	w.checkLeasesHeld("alone")
-	w.checkStartedOnce()
+	sim.checkLeasesHeld("alone")
+	sim.checkStartedOnce()
 }
 
 // A full leader sends newcomers to the node with the most room, once; one that comes back
 // can't get through there, so it is served.
 func TestFullLeaderRedirectsNewcomers(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitForLeader()
-	for i, name := range w.followers() {
-		l.Step(l.monotonicNow(w.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, SpareConnections: 10 * (i + 1)}}})
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	for i, name := range sim.followers() {
+		leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, SpareConnections: 10 * (i + 1)}}})
 	}
-	roomiest := w.followers()[1]
+	roomiest := sim.followers()[1]
 	report := func(name string, seq uint64) Reply {
 		rep := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
-		for _, e := range l.Step(l.monotonicNow(w.now), []Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
+		for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
 			if reply, is := e.(Reply); is {
 				return reply
 			}
@@ -128,7 +128,7 @@
 	if r := report("m-1", 1); r.Status != 200 {
 		t.Errorf("with room: %+v", r)
 	}
-	l.Step(l.monotonicNow(w.now), []Command{ServerLoad{Open: 90, Limit: 100}})
+	leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{ServerLoad{Open: 90, Limit: 100}})
 	if r := report("m-1", 2); r.Status != 200 {
 		t.Errorf("one that is served: %+v", r)
 	}
@@ -138,8 +138,8 @@
 	if r := report("m-2", 2); r.Status != 200 {
 		t.Errorf("back again: %+v", r)
 	}
-	for _, name := range w.followers() {
-		l.Step(l.monotonicNow(w.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
+	for _, name := range sim.followers() {
+		leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
 	}
 	if r := report("m-3", 1); r.Status != 200 {
 		t.Errorf("with all nodes full: %+v", r)
@@ -150,39 +150,39 @@
 // stands still, or is cut off one way, at any moment of a report: no task runs twice, every
 // job ends, and a worker is never handed an answer older than it waits for.
 func TestRelayingNodeFails(t *testing.T) {
-	troubles := map[string]func(w *simulation, leader, relaying string){
-		"relaying node ends":        func(w *simulation, _, relaying string) { w.restartAfter(relaying, 300*time.Millisecond) },
-		"relaying node stands":      func(w *simulation, _, relaying string) { w.nodes[relaying].pauseBeforeEffects = 6 * time.Second },
-		"leader ends":               func(w *simulation, leader, _ string) { w.restartAfter(leader, 300*time.Millisecond) },
-		"leader stands":             func(w *simulation, leader, _ string) { w.nodes[leader].pauseBeforeEffects = 30 * time.Second },
-		"answers don't get through": func(w *simulation, leader, relaying string) { w.cutOneWayFor(leader, relaying, 20*time.Second) },
-		"reports don't get through": func(w *simulation, leader, relaying string) { w.cutOneWayFor(relaying, leader, 20*time.Second) },
-		"held back": func(w *simulation, leader, relaying string) {
-			w.holdMessages = true
-			w.cutOneWayFor(leader, relaying, 9*time.Second)
+	troubles := map[string]func(sim *simulation, leader, relaying string){
+		"relaying node ends":        func(sim *simulation, _, relaying string) { sim.restartAfter(relaying, 300*time.Millisecond) },
+		"relaying node stands":      func(sim *simulation, _, relaying string) { sim.nodes[relaying].pauseBeforeEffects = 6 * time.Second },
+		"leader ends":               func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 300*time.Millisecond) },
+		"leader stands":             func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 30 * time.Second },
+		"answers don't get through": func(sim *simulation, leader, relaying string) { sim.cutOneWayFor(leader, relaying, 20*time.Second) },
+		"reports don't get through": func(sim *simulation, leader, relaying string) { sim.cutOneWayFor(relaying, leader, 20*time.Second) },
+		"held back": func(sim *simulation, leader, relaying string) {
+			sim.holdMessages = true
+			sim.cutOneWayFor(leader, relaying, 9*time.Second)
 		},
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for offset := range 4 {
-				w := newConnectionLimitedSimulation(t, 3, 8, 12)
-				w.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
-				c := newUserSimulation(w, uint64(offset))
+				sim := newConnectionLimitedSimulation(t, 3, 8, 12)
+				sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+				c := newUserSimulation(sim, uint64(offset))
 				for i := range 6 {
 					c.submitWithRetries(jobSpec(fmt.Sprintf("j-%d", i), 12))
 				}
-				w.advance(15*time.Second + time.Duration(offset)*311*time.Millisecond)
-				leader := w.leaderName()
-				relaying := w.followers()[offset%2]
-				if w.connectionCount(relaying) == 0 {
-					relaying = w.followers()[(offset+1)%2]
+				sim.advance(15*time.Second + time.Duration(offset)*311*time.Millisecond)
+				leader := sim.leaderName()
+				relaying := sim.followers()[offset%2]
+				if sim.connectionCount(relaying) == 0 {
+					relaying = sim.followers()[(offset+1)%2]
 				}
-				if w.connectionCount(relaying) == 0 {
+				if sim.connectionCount(relaying) == 0 {
 					t.Fatal("no machine is relayed for")
 				}
-				trouble(w, leader, relaying)
-				w.advance(25 * time.Second)
+				trouble(sim, leader, relaying)
+				sim.advance(25 * time.Second)
 				c.waitForCompletion(5 * time.Minute)
 			}
 		})
@@ -192,9 +192,9 @@
 // Where the leader is full, a follower passes reports on without sending their workers there
 // first; where it has room for some, so many are sent, in their share, and no more.
 func TestFollowerRelaysForFullLeader(t *testing.T) {
-	w := newSimulation(t, 3)
-	leader := w.waitForLeader()
-	f := w.nodes[w.followers()[0]]
+	sim := newSimulation(t, 3)
+	leader := sim.waitForLeader()
+	f := sim.nodes[sim.followers()[0]]
 	counts := func(beat protocol.PeerHeartbeat, workers string) (sent, relayed int) {
 		beat.Term, beat.IsLeader, beat.ProcessID, beat.VersionLevel = leader.leader.term, true, leader.processID, protocolLevel
 		batch := []Command{InboundMessage{From: leader.name, Message: beat}}
@@ -202,7 +202,7 @@
 			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 		}
-		for _, e := range f.Step(f.monotonicNow(w.now), batch) {
+		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
 			case Reply:
 				sent++
@@ -232,21 +232,21 @@
 // An answer that was held up for longer than its worker waits is not passed on: the
 // controller that relays may have stood still with it in its hands.
 func TestLateAnswerIsNotPassedOn(t *testing.T) {
-	w := newSimulation(t, 3)
-	leader := w.waitForLeader()
-	f := w.nodes[w.followers()[0]]
+	sim := newSimulation(t, 3)
+	leader := sim.waitForLeader()
+	f := sim.nodes[sim.followers()[0]]
 	rep := &protocol.WorkerHeartbeat{Machine: "m-1", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	for _, x := range []struct {
 		after  time.Duration
 		status int
 	}{{f.workerRouter.RelayTimeout() - step, 200}, {f.workerRouter.RelayTimeout(), 503}} {
 		f.workerRouter.RouteOf("m-1").RelayUntil = f.now + time.Hour
-		f.Step(f.monotonicNow(w.now), []Command{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
+		f.Step(f.monotonicNow(sim.now), []Command{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
 			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.forwards.LastID, Status: 200, Body: []byte("{}")}}
-		w.now += x.after
+		sim.now += x.after
 		got := 0
-		for _, e := range f.Step(f.monotonicNow(w.now), []Command{answer}) {
+		for _, e := range f.Step(f.monotonicNow(sim.now), []Command{answer}) {
 			if reply, is := e.(Reply); is {
 				got = reply.Status
 			}
@@ -261,16 +261,16 @@
 // some node, so none is turned away for their number.
 func TestEarlyHeartbeatsOfAllMachines(t *testing.T) {
 	const machines = 4000
-	w := newSimulation(t, 5)
-	w.cfg.Resources.MaxConnections = 1000
-	l := w.waitForLeader()
-	l.leader.recordsLoaded = false
+	sim := newSimulation(t, 5)
+	sim.cfg.Resources.MaxConnections = 1000
+	leaderNode := sim.waitForLeader()
+	leaderNode.leader.recordsLoaded = false
 	batch := make([]Command, 0, machines)
 	for i := range machines {
 		rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
 	}
-	for _, e := range l.Step(l.monotonicNow(w.now), batch) {
+	for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), batch) {
 		if reply, is := e.(Reply); is {
 			t.Fatalf("a report is answered %d", reply.Status)
 		}
@@ -280,13 +280,13 @@
 // A leader whose counter of attempts comes to its end hands over to a new term, as its next
 // attempts would be those of the term after.
 func TestAttemptsAreNeverUsedTwice(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitForLeader()
-	term := l.leader.term
-	l.leader.attemptCounter = maxAttemptCounter - 1
-	last := l.leader.NextAttemptNumber()
-	w.advance(20 * step)
-	if next := w.waitForLeader().leader; next.term <= term || next.NextAttemptNumber() <= last {
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	term := leaderNode.leader.term
+	leaderNode.leader.attemptCounter = maxAttemptCounter - 1
+	last := leaderNode.leader.NextAttemptNumber()
+	sim.advance(20 * step)
+	if next := sim.waitForLeader().leader; next.term <= term || next.NextAttemptNumber() <= last {
 		t.Errorf("term %d goes on after %d", next.term, term)
 	}
 }
