--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -13,8 +13,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// overloaded is a cluster that takes some three submissions a second, with admission by
-// policy, or without.
+// newOverloadedSimulation returns a cluster that can accept some three submissions a second, with
+// or without admission by policy.
 func newOverloadedSimulation(t *testing.T, nodes int, fair bool) *userSimulation {
 	t.Helper()
 	sim := newSimulation(t, nodes)
@@ -31,10 +31,10 @@
 	return newUserSimulation(sim, 1)
 }
 
-// lateBy is by how much some users come late.
+// lateRetryDelay is by how much some users exceed the Retry-After they were given.
 const lateRetryDelay = 3 * time.Second
 
-// manners are how a user comes back after a refusal.
+// retryTiming returns after which delay a user retries, given the Retry-After of a rejection.
 type retryTiming func(retryAfter time.Duration) time.Duration
 
 func retryOnTime(d time.Duration) time.Duration     { return d }
@@ -43,19 +43,20 @@
 func retryAtOnce(time.Duration) time.Duration       { return time.Second }
 func clampRetryDelay(d time.Duration) time.Duration { return min(30*time.Second, max(time.Second, d)) }
 
-// applicants are users who submit at any node, and what became of them.
+// submitters are users who submit jobs at random nodes; it records the outcome of each job.
 type submitters struct {
 	*userSimulation
-	acceptanceDelays map[string]time.Duration // until they were told that their job is accepted
+	acceptanceDelays map[string]time.Duration // until the first reply that the job is accepted, by job
 	gaveUp           map[string]bool
-	createdCounts    map[string]int // 201s, by job
+	createdCounts    map[string]int // replies with status 201, by job
 }
 
 func newSubmitters(c *userSimulation) *submitters {
 	return &submitters{userSimulation: c, acceptanceDelays: map[string]time.Duration{}, gaveUp: map[string]bool{}, createdCounts: map[string]int{}}
 }
 
-// submit lets a user submit a job for as long as users do.
+// submit submits a job and retries, at the times that timing gives, until the job is accepted or
+// the retry window of users has passed.
 func (a *submitters) submit(job protocol.Job, timing retryTiming) {
 	startedAt := a.now
 	var try func()
@@ -79,14 +80,15 @@
 	try()
 }
 
-// job is a job of a class, as urgent as it says.
+// classJob returns a one-task job of a class and priority.
 func (a *submitters) classJob(class, priority string, i int) protocol.Job {
 	job := jobSpec(fmt.Sprintf("j-%s-%d", class, i), 1)
 	job.Class, job.Priority = class, protocol.Priority(priority)
 	return job
 }
 
-// longest is how long a user of a class waited at most; those who gave up count as never.
+// longestWait returns the longest acceptance delay of a class. Users who gave up count as an hour,
+// which fails every bound.
 func (a *submitters) longestWait(class string, jobs int) time.Duration {
 	longest := time.Duration(0)
 	for i := range jobs {
@@ -100,9 +102,10 @@
 	return longest
 }
 
-// Bursts of three classes reach three controllers within a millisecond. No controller accepts
-// what the policy does not admit (the invariant checker looks at each acceptance); the urgent
-// class waits least, each class waits less than users do, and the policy ends afterwards.
+// Bursts of three classes reach three controllers within a millisecond. No controller accepts a job
+// that the policy does not admit (the invariant checker evaluates each accepting transaction). The
+// urgent class has the shortest delay, each class is accepted within the users' retry window, and
+// the policy ends afterwards.
 func TestBurstAtAllControllers(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, true)
 	a := newSubmitters(c)
@@ -129,7 +132,7 @@
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// Without overload nothing is written, and no submission is read for.
+// Without overload no policy is written, and a submission costs no additional read.
 func TestNoOverloadNoPolicy(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, true)
 	a := newSubmitters(c)
@@ -147,8 +150,8 @@
 	}
 }
 
-// Users who come early, late by some seconds, or again and again get their turn all the same,
-// and none of them goes first for it.
+// Users who retry early, some seconds late or repeatedly are admitted nevertheless, and none gains
+// an advantage by it.
 func TestRetryTimingGainsNothing(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, true)
 	a := newSubmitters(c)
@@ -158,7 +161,7 @@
 		for k := range order {
 			class := order[(i+k)%len(order)]
 			job := a.classJob(class, "standard", i)
-			job.Class = "c" // one group: the name only tells the users apart
+			job.Class = "c" // one admission group: the name only distinguishes the users
 			a.submit(job, backs[class])
 		}
 	}
@@ -176,7 +179,7 @@
 	for class, mean := range means {
 		longest := 2 * inTime
 		if class == "late" {
-			longest = inTime + 4*lateRetryDelay // by as much as it comes late itself, a few times
+			longest = inTime + 4*lateRetryDelay // its own delay, for a few retries
 		}
 		if mean < inTime/2 || mean > longest {
 			t.Errorf("mean waits: %q %v, in time %v", class, mean, inTime)
@@ -184,8 +187,8 @@
 	}
 }
 
-// One id is submitted at all controllers at once, and again later, while a policy holds: it
-// is accepted once, and from then on known.
+// One job id is submitted at all controllers at once, and again later, while a policy is in force:
+// it is accepted exactly once, and known from then on.
 func TestSameJobAtAllControllers(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, true)
 	a := newSubmitters(c)
@@ -215,9 +218,9 @@
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// The leader ends, stands still, is cut off or refused, or its transactions come late, at any
-// moment of an epoch: nothing is accepted against the policy in force, nothing accepted is
-// forgotten, and once the troubles are over the policy ends.
+// The leader crashes, pauses, is isolated or refused by the store, or its transactions execute
+// late, at any moment of an epoch: nothing is accepted against the policy in force, no accepted job
+// is forgotten, and the policy ends once the faults have ended.
 func TestPolicyUnderFaults(t *testing.T) {
 	troubles := map[string]func(c *userSimulation, leader string){
 		"ends": func(c *userSimulation, leader string) { c.restartAfter(leader, 200*time.Millisecond) },
@@ -274,8 +277,8 @@
 	}
 }
 
-// A record that is no policy is named once, submissions get an honest 503 while it stands,
-// what was accepted is known, and the leader removes it.
+// An admission record that is not a valid policy is logged once. Submissions get 503 with
+// Retry-After while it exists, accepted jobs stay known, and the leader removes it.
 func TestInvalidPolicy(t *testing.T) {
 	for _, fair := range []bool{false, true} {
 		testInvalidPolicy(t, fair)
@@ -310,8 +313,8 @@
 	}
 }
 
-// No policy is published until every node understands it, and one that has gone back to an
-// earlier version ends it: its acceptances break no rule, they only obey no policy.
+// No policy is published until every node supports it. A node that returns to an earlier version
+// ends the policy: its acceptances violate no invariant, but they follow no policy.
 func TestPolicyNeedsAllNodes(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, true)
 	follower := c.followers()[0]
@@ -340,8 +343,7 @@
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// A policy waits for nodes that have never said that they understand it, also while they are
-// down.
+// A policy waits for nodes that have never announced support for it, also while they are down.
 func TestPolicyWaitsForUnannouncedNodes(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.fairAdmission = true
@@ -363,8 +365,8 @@
 	}
 }
 
-// A flood at all nodes, many times what the state service takes: the leader's transactions are
-// larger than those that accept jobs, and the first policy gets through between them.
+// Submissions at all nodes exceed many times what the store accepts. The leader's transactions have
+// more writes than those that accept jobs, and the first policy is still written between them.
 func TestFirstPolicyGetsThrough(t *testing.T) {
 	c := newOverloadedSimulation(t, 5, true)
 	a := newSubmitters(c)
@@ -376,8 +378,8 @@
 	}
 }
 
-// A node that judges by a policy that has moved on finds out by its transaction, and judges
-// anew at once; what it learns out of order changes nothing.
+// A node that evaluates submissions by an outdated policy detects it by the failed condition of its
+// transaction and evaluates again at once. Policies that it reads out of order change nothing.
 func TestStalePolicyIsFoundOut(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, false)
 	f := c.nodes[c.followers()[0]]
@@ -401,8 +403,8 @@
 	}
 }
 
-// What was accepted is known at every node, though a policy would refuse it now; loads that
-// were judged by another policy say nothing of this one.
+// An accepted job is known at every node although the present policy would reject it, and loads
+// that were measured under another policy don't count for the present one.
 func TestAcceptedStaysAccepted(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, false)
 	c.submitAccepted(c.leaderName(), jobSpec("j-1", 1))
@@ -414,7 +416,7 @@
 		n := c.nodes[name]
 		n.admissionPolicy.ApplyRecord(c.store.keys[storage.AdmissionPolicyKey])
 		if n.leader != nil {
-			n.leader.admission.EpochStartedAt = n.now + time.Hour // it leaves the policy alone
+			n.leader.admission.EpochStartedAt = n.now + time.Hour // keeps the policy unchanged
 			clear(n.leader.admission.EpochLoads)
 			n.leader.admission.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: version - 1, Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9}}})
 			if len(n.leader.admission.EpochLoads) > 0 {
@@ -430,7 +432,8 @@
 	}
 }
 
-// With many jobs open, the memory limits what an epoch takes before any node turns a job away.
+// With many jobs open, the memory limit lowers the capacity of an epoch before any node rejects a
+// job for lack of memory.
 func TestCapacityFollowsMemory(t *testing.T) {
 	sim := newSimulation(t, 1)
 	l := sim.waitForLeader().leader
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -19,7 +19,7 @@
 	return demand.RequiredCores(heldCores)
 }
 
-// A machine that never comes up is given back, and another takes its place.
+// A machine that never boots is returned, and another one is rented in its place.
 func TestMachineThatNeverBoots(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -35,9 +35,9 @@
 	}
 }
 
-// Work that may wait to start is due late, and the plan leaves room for the work that
-// usually comes and is due before it. What is known of that outlives the leader: it
-// was once learnt anew after each takeover, while machines were let go.
+// Work that may wait before it starts is due late, and the plan reserves capacity for work that
+// usually arrives meanwhile and is due earlier. The forecast behind that survives a change of
+// leader: without the record each new leader learnt it again, and machines were returned meanwhile.
 func TestForecastSurvivesLeaderChange(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Objectives = []config.Objective{
@@ -76,8 +76,8 @@
 	}
 }
 
-// Users name the classes; however many and long their names, what is stored of the
-// arrivals fits a value, as a refused transaction would end the leadership.
+// Users choose the class names. However many and however long they are, the stored forecast stays
+// within the value limit, because a transaction that the store rejects would end the leadership.
 func TestManyClassesFitTheRecord(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -88,7 +88,7 @@
 		sim.submit(leaderNode.name, job)
 	}
 	term := leaderNode.leader.term
-	sim.advance(35 * time.Second) // the state service refuses values over the limit
+	sim.advance(35 * time.Second) // the store rejects values over the limit
 	if it, ok := sim.store.keys[storage.ArrivalForecastKey]; !ok || len(it.Value) < 1000 {
 		t.Error("nothing is stored")
 	}
@@ -97,15 +97,15 @@
 	}
 }
 
-// The sums behind the forecast decay over minutes. Once far more jobs in a row stay away
-// than luck explains, no machines are held for them; but silence while nothing could be
-// written, or for the time that users need to come back, says nothing.
+// The sums behind the forecast decay over minutes. Once more jobs in a row fail to arrive than
+// chance explains, no machines are kept for them. A gap in arrivals while nothing could be written,
+// or within the users' retry time, is no evidence.
 func TestForecastDropsWhenJobsStayAway(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
 	leaderNode := sim.waitForLeader()
 	lease := leaderNode.workerLease()
-	for i := range 120 { // one a second
+	for i := range 120 { // one job a second
 		sim.submit(leaderNode.name, jobSpec(fmt.Sprintf("j-%d", i), 1))
 		sim.advance(time.Second - 2*step)
 	}
@@ -135,9 +135,9 @@
 	}
 }
 
-// What the first leader finds has arrived: on a day that begins with hundreds of jobs,
-// machines were rented for far less when it came some seconds late. A successor counts
-// only what came since its predecessor's record.
+// Jobs that the first leader finds count as arrivals. When they did not, far too few machines were
+// rented on a day that began with hundreds of jobs and a leader elected some seconds late. A
+// successor counts only the arrivals after its predecessor's record.
 func TestJobsFoundHaveArrived(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
@@ -150,7 +150,7 @@
 	if seen := first.leader.autoscaler.Forecast.JobsSeen(); math.Abs(seen-30) > 1 {
 		t.Fatalf("of 30 jobs found, %v have arrived", seen)
 	}
-	sim.advance(2*first.workerLease() + 2*time.Second) // until that is stored
+	sim.advance(2*first.workerLease() + 2*time.Second) // until the forecast is stored
 	if _, stored := sim.store.keys[storage.ArrivalForecastKey]; !stored {
 		t.Fatal("nothing is stored")
 	}
@@ -165,7 +165,7 @@
 	}
 }
 
-// Machines that nobody asked for, after a late rental request, are returned.
+// Machines that nobody requested, by a rental request that was executed late, are used or returned.
 func TestUnknownMachineIsUsedOrReturned(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -175,9 +175,9 @@
 	}
 }
 
-// Where there is no capacity, rentals are asked for all the time. They must not take
-// the cloud calls from returns: a quiet machine that a takeover waits for holds up
-// all older jobs until it is returned.
+// Without capacity in the cloud, rentals are retried all the time. They must not use up the cloud
+// calls of returns: until an unreachable machine that a new leader has to reconcile is returned,
+// all older jobs are held up.
 func TestReturnsGoBeforeRentals(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Cloud.RequestsPerS = 0.4
@@ -203,8 +203,8 @@
 	}
 }
 
-// Machine lists that are empty, that repeat or contradict themselves return no machine that
-// reports, and are not read without end.
+// Machine lists that are empty, repeat machines or contradict themselves cause no return of a
+// machine that reports, and listing ends.
 func TestOddMachineLists(t *testing.T) {
 	host := func(name string, state protocol.HostState) protocol.Host {
 		return protocol.Host{Name: name, Type: "c4", Zone: "a", Spot: true, State: state, RentedSeconds: 500}
@@ -247,8 +247,8 @@
 	}
 }
 
-// Rentals that are answered with machines known already, returned already, without names or
-// with more than was asked for neither confuse the books nor stop the next ones.
+// Responses to rentals that name known or returned machines, none, or more than requested neither
+// corrupt the accounting nor block later rentals.
 func TestOddRentals(t *testing.T) {
 	for name, machines := range map[string][]string{
 		"known ones":       {"m-000001", "m-000002"},
--- a/internal/controller/burst_test.go
+++ b/internal/controller/burst_test.go
@@ -15,9 +15,9 @@
 	"hitchdoor/internal/storage"
 )
 
-// One team submits hundreds of the largest jobs. Accepted, they have to be known, but what
-// waits takes next to no memory: a byte for each task, two thousand of them were twice what
-// a controller has, and each leader would have ended by it in turn.
+// One team submits hundreds of the largest jobs. Accepted jobs have to be known, but pending tasks
+// must need next to no memory: at one byte per task, two thousand such jobs needed twice the memory
+// of a controller, and each leader in turn would have run out of it.
 func TestFloodOfLargeJobsFitsTheMemory(t *testing.T) {
 	const jobs, perJob = 2000, 8 << 10
 	sim := newSimulation(t, 1)
@@ -41,8 +41,8 @@
 	return stats.HeapAlloc
 }
 
-// Another team's job begins in time beside a flood, and questions, cancellations and the
-// other jobs of the flood are answered.
+// Another team's job starts in time during a flood of submissions, and queries, cancellations and
+// the other jobs of the flood are served.
 func TestFloodOfOneTeamLeavesOthersServed(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 4
@@ -68,7 +68,7 @@
 	}
 }
 
-// DemoteLargestJobs demotes the same jobs as a plain walk over all of them does.
+// DemoteLargestJobs demotes the same jobs as a direct implementation of Moore's rule.
 func TestDemotionFollowsMooresRule(t *testing.T) {
 	_, leaderNode := newRunningSimulation(t, 1, time.Hour, 2, 8)
 	cores := leaderNode.leader.RetainedCores()
@@ -98,7 +98,7 @@
 	}
 }
 
-// plainSacrifice is Moore's rule for the fewest late jobs, written down as it is defined.
+// referenceDemotion is the Moore-Hodgson algorithm for the fewest late jobs, in its textbook form.
 func referenceDemotion(all []*scheduler.QueuedJob, cores float64, now clock.Instant) {
 	sum := 0.0
 	var kept []*scheduler.QueuedJob
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -14,19 +14,20 @@
 	"hitchdoor/internal/storage"
 )
 
-// coldStart is a cluster whose controllers all end at once and come back, with users, and with a
-// watch over what the recovering leaders order.
+// coldStart is a cluster with users whose controllers all crash at once and restart. It records
+// what the recovering leaders start and rent.
 type coldStart struct {
 	*userSimulation
 	downtime       time.Duration
-	restartedAt    clock.Instant   // when the first controller was back
-	startTimes     []clock.Instant // at workers, since then, while a leader was recovering
+	restartedAt    clock.Instant   // when the first controller restarted
+	startTimes     []clock.Instant // of tasks started by a recovering leader
 	rateLimits     recovery.Rates
-	mismatchCounts map[recovery.Mismatch]int // by all leaders
-	leaderTerms    map[uint64]bool           // terms since the loss
+	mismatchCounts map[recovery.Mismatch]int // maxima over all leaders
+	leaderTerms    map[uint64]bool           // terms since the crash
 }
 
-// loseAll ends all controllers and brings each back after the time away and up to a spread.
+// restartAllControllers crashes all controllers and restarts each after the downtime and a random
+// part of the spread.
 func (c *coldStart) restartAllControllers(spread time.Duration) {
 	for _, name := range c.names {
 		c.restartAfter(name, c.downtime+c.randomDuration(spread+step))
@@ -37,7 +38,7 @@
 	c.watchStarts()
 }
 
-// recovering is the leader whose recovery is not over.
+// recoveringLeader returns the leader if its recovery is not completed, and nil otherwise.
 func (c *coldStart) recoveringLeader() *leader {
 	if name := c.leaderName(); name != "" && !c.nodes[name].leader.recovery.Completed() {
 		return c.nodes[name].leader
@@ -45,9 +46,9 @@
 	return nil
 }
 
-// watchRentals fails the test if a leader that collects reports asks for machines, though those that
-// are not accounted for have cores for all that may be running unseen, nothing else waits, and the
-// usual load needs no more than what is held.
+// watchRentals fails the test if a leader in the collecting phase rents machines although the
+// unreconciled machines have cores for all tasks that may run unreported, no other task is pending,
+// and the usual load fits the machines that there are.
 func (c *coldStart) watchRentals() {
 	c.interceptCall = func(call ServiceCall) (CallResult, bool) {
 		if l := c.recoveringLeader(); call.Target == TargetCloud && call.Path == "/hosts" && l != nil && l.recovery.Phase() <= recovery.PhaseCollecting &&
@@ -69,8 +70,8 @@
 	}
 }
 
-// watchStarts notes the starts that workers receive while a leader recovers, and what such leaders
-// find.
+// watchStarts records the starts that workers receive while a leader recovers, and the mismatches
+// that such leaders count.
 func (c *coldStart) watchStarts() {
 	all := c.totalStarts()
 	var poll func()
@@ -90,8 +91,8 @@
 	poll()
 }
 
-// checkStarts fails the test if more starts came within a second than the limit allows. Each
-// leader may add one burst to what the rate brings.
+// checkStarts fails the test if the starts within any second, or in all, exceed the rate limit.
+// Each leader may add one burst to the sustained rate.
 func (c *coldStart) checkStarts() {
 	c.t.Helper()
 	rate := c.rateLimits[recovery.StartTask]
@@ -112,7 +113,7 @@
 	}
 }
 
-// someWorker is a worker that runs tasks.
+// busyWorker returns the n-th worker that runs tasks, or any worker if none does.
 func (c *coldStart) busyWorker(n int) *fakeWorker {
 	busy := slices.DeleteFunc(slices.Clone(c.sortedWorkers()), func(worker *fakeWorker) bool { return len(worker.tasks) == 0 })
 	if len(busy) == 0 {
@@ -121,7 +122,7 @@
 	return busy[n%len(busy)]
 }
 
-// inPhase does something once a leader is in a phase, or past it.
+// onRecoveryPhase calls f once a leader has reached the phase p.
 func (c *coldStart) onRecoveryPhase(p recovery.Phase, f func()) {
 	var poll func()
 	poll = func() {
@@ -134,7 +135,8 @@
 	poll()
 }
 
-// coldStarts are the troubles that meet a total loss. Each is arranged at the moment of the loss.
+// coldStarts are the faults combined with a crash of all controllers. Each is set up at the moment
+// of the crash.
 var coldStarts = map[string]func(c *coldStart){
 	"mismatches of every kind": func(c *coldStart) {
 		c.schedule(c.downtime/2, func() {
@@ -142,7 +144,7 @@
 			c.busyWorker(0).tasks = append(c.busyWorker(0).tasks, never)
 			c.jobSpecs["j-never-stored"] = jobSpec("j-never-stored", 1)
 			for _, t := range c.busyWorker(1).tasks {
-				t.endsAt = c.now // finished, and nobody has heard of it
+				t.endsAt = c.now // finished, but not yet reported
 			}
 			c.busyWorker(2).unreachable = true
 			for i := range 6 {
@@ -199,8 +201,9 @@
 		})
 	},
 	"teams at their limits, machines silent": func(c *coldStart) {
-		// No more than the team can run in a minute and a half, once all is calm: with a longer queue
-		// some job waits for so long beside room that its team leaves between two tasks.
+		// At most as much as the team can run in a minute and a half after the faults. With a
+		// longer queue some job would be pending for that long beside free capacity, which its team
+		// leaves for a moment between two tasks.
 		c.submitMoreJobs(4, c.downtime+c.machineLease(), func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
 		c.forSomeWorkers(4, func(x *fakeWorker) {
 			x.unreachable = true
@@ -230,9 +233,10 @@
 	},
 }
 
-// All controllers end, in the middle of work, for half a lease, about one, and three; troubles meet
-// the recovery. No rule is broken, no machine is rented before the phase allows it, starts stay
-// within their limit whoever leads, and nothing that runs rightly is stopped.
+// All controllers crash in the middle of work, for half a worker lease, about one, and three, and
+// other faults hit the recovery. No invariant is violated, no machine is rented before the phase
+// allows it, starts stay within their rate limit across leaders, and no task that runs legitimately
+// is stopped.
 func TestColdStart(t *testing.T) {
 	for name, arrange := range coldStarts {
 		t.Run(name, func(t *testing.T) {
@@ -266,7 +270,7 @@
 	}
 }
 
-// checkStops fails the test if a task was stopped that ran rightly.
+// checkStops fails the test if a task that ran legitimately was stopped.
 func (c *coldStart) checkStops(t *testing.T) {
 	t.Helper()
 	for _, key := range c.stoppedTasks {
@@ -276,7 +280,7 @@
 	}
 }
 
-// checkMismatches fails the test if the leaders did not find what was arranged.
+// checkMismatches fails the test if the leaders did not count the mismatches that were set up.
 func (c *coldStart) checkMismatches(t *testing.T) {
 	t.Helper()
 	for _, kind := range []recovery.Mismatch{recovery.JobNeverStored, recovery.MachineUnresponsive} {
@@ -289,8 +293,8 @@
 	}
 }
 
-// Five leaders follow each other, each of which ends as soon as it has begun to start what was
-// lost. Together they start no more in a second, nor in all, than the limit allows.
+// Five leaders follow each other, and each crashes as soon as it has started some of the lost
+// tasks. Together they exceed the start limit neither within a second nor in all.
 func TestFiveLeadersOfOneRecovery(t *testing.T) {
 	for _, nodes := range []int{3, 7} {
 		users, _ := newFaultCombination(t, nodes, deployments[0], uint64(nodes), 20, 8)
@@ -322,7 +326,8 @@
 	}
 }
 
-// A job that may use none of the machines that stay away starts at once; one that may waits.
+// A pending job that can't be on any of the unreachable machines starts at once; one that may be on
+// them waits for reconciliation.
 func TestLatencySensitiveWorkDoesNotWaitForUnreachableMachines(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -23,9 +23,9 @@
 )
 
 // These tests pin what other programs and operators see of a node: the names on its pages, its
-// answers to users, its calls of the outside services and its stored keys. The golden files in
-// testdata were written by the code of commit 5adb309. The flag -update writes them anew; that is
-// a change of what others rely on, or of decisions, and needs a reason of its own.
+// replies to users, its calls to the key-value store and the cloud, and its stored keys. The golden
+// files in testdata were written by the code of commit 5adb309. The flag -update rewrites them;
+// that changes what others rely on, or a decision, and needs a reason of its own.
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
@@ -64,7 +64,7 @@
 
 func (s nameSet) sorted() []string { return slices.Sorted(maps.Keys(s)) }
 
-// addFields adds the names of all fields of a JSON document, with the kinds of their values.
+// addFields adds the names of all fields of a JSON document, with the types of their values.
 func (s nameSet) addFields(prefix string, raw []byte) error {
 	var value any
 	if err := json.Unmarshal(raw, &value); err != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// machineName matches the names of machines, which are keys of a group's record.
+// machineName matches machine names, which are keys within the record of a machine group.
 var machineName = regexp.MustCompile(`^m-\d{6}$`)
 
 // addPages adds the names on all pages of a node.
@@ -114,7 +114,7 @@
 	for text := range strings.Lines(string(sim.requestAndWait(node, Request{Kind: protocol.RequestMetrics}).Body)) {
 		text = strings.TrimSpace(text)
 		switch {
-		case strings.HasPrefix(text, "# HELP "): // prose
+		case strings.HasPrefix(text, "# HELP "): // prose may change
 		case strings.HasPrefix(text, "# TYPE "):
 			s["metrics: "+text] = true
 		default:
@@ -123,8 +123,8 @@
 	}
 }
 
-// The names on the pages of a leader and of its followers: at work, under a policy of admission,
-// in a recovery, and with records that can't be read.
+// The names on the pages of a leader and of its followers: with running jobs, under an admission
+// policy, in a recovery, and with records that can't be read.
 func TestNamesOnPages(t *testing.T) {
 	names := nameSet{}
 	sim, leaderNode := newRunningSimulation(t, 3, 100*time.Second, 4, 8)
@@ -176,9 +176,9 @@
 	checkGolden(t, "words.txt", lines)
 }
 
-// A leader takes over what level 0 stored: a record for each machine, parts of bitmaps by their
-// numbers, records without the later fields. The values are written out, so that no change of the
-// code's types changes them.
+// A leader reads what level 0 stored: one record for each machine, bitmap parts by their numbers,
+// records without the later fields. The values are literals, so that no change of a Go type changes
+// them.
 func TestRecordsOfEarlierVersions(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -223,10 +223,10 @@
 	checkGolden(t, "records_taken_over.txt", lines)
 }
 
-// of is a pointer to a value.
+// pointerTo returns a pointer to a value.
 func pointerTo[T any](v T) *T { return &v }
 
-// What users, workers and the load balancer are answered.
+// The replies to users, workers and the load balancer.
 func TestAnswers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
@@ -287,7 +287,7 @@
 // digits matches numbers in paths and keys.
 var digits = regexp.MustCompile(`\d+`)
 
-// The calls of the outside services, and the keys and fields of the stored records.
+// The calls to the key-value store and the cloud, and the keys and fields of the stored records.
 func TestCallsAndRecords(t *testing.T) {
 	calls, records := nameSet{}, nameSet{}
 	watch := func(sim *simulation) {
@@ -345,7 +345,7 @@
 	checkGolden(t, "records.txt", records.sorted())
 }
 
-// withoutValues is the body of a call; of a transaction without the records in it.
+// withoutValues returns the body of a call; for a transaction, without the values it writes.
 func withoutValues(t *testing.T, call ServiceCall) []byte {
 	if call.Path != "/multi" {
 		return call.Body
@@ -362,8 +362,8 @@
 	return storage.Encode(txn)
 }
 
-// effectDigest sums up all effects of all nodes, in their order, by spans of simulated time, so
-// that a difference names the span in which it begins.
+// effectDigest hashes all effects of all nodes in order, by spans of simulated time, so that a
+// difference names the span in which it begins.
 type effectDigest struct {
 	simulation  *simulation
 	hash        hash.Hash
@@ -374,7 +374,8 @@
 
 const digestSpan = 10 * time.Second
 
-// goldenTargets are the names of the targets in the golden files, whatever the log calls them.
+// goldenTargets are the names of the call targets in the golden files, independent of the names in
+// the log.
 var goldenTargets = map[Target]string{TargetStore: "state service", TargetCloud: "cloud"}
 
 func newEffectDigest(sim *simulation) *effectDigest {
@@ -414,10 +415,10 @@
 	d.spanEnd += digestSpan
 }
 
-// A simulation with fixed seeds repeats to the letter: the same commands give the same effects in
-// the same order. One that lets several forwarded requests expire in the same step does not, as
-// their answers then come in the order of a map; here none expire so. On processors with fused
-// multiplication the digests may be others.
+// A simulation with fixed seeds is deterministic: the same commands give the same effects in the
+// same order. The exception is several forwarded requests that expire in one step, since their
+// replies come in map order; none do here. Processors with fused multiply-add may give other
+// digests.
 func TestEffectsAreThoseOfTheVersionBefore(t *testing.T) {
 	for name, lose := range map[string]bool{"effects_at_work.txt": false, "effects_leader_lost.txt": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,14 +12,15 @@
 	"hitchdoor/internal/storage"
 )
 
-// after is a job of so many tasks that needs others.
+// dependentSpec returns a job of tasks one-core tasks that depends on the jobs needs.
 func dependentSpec(id string, tasks int, needs ...string) protocol.Job {
 	job := jobSpec(id, tasks)
 	job.Dependencies = needs
 	return job
 }
 
-// pipelines is a simulation of nodes that are all known to be new, with a leader.
+// newPipelineSimulation returns a simulation with a leader and two machines, in which every node
+// has announced the present version.
 func newPipelineSimulation(t *testing.T, nodes int) (*simulation, *simNode) {
 	t.Helper()
 	sim := newSimulation(t, nodes)
@@ -36,8 +37,8 @@
 	}
 }
 
-// Each job of a pipeline starts only when all that it needs are done, whichever node
-// took it; its times begin then. (The simulation checks each start against the records.)
+// A job of a pipeline starts only when all its dependencies are done, whichever node accepted it,
+// and its deadlines count from then. (The simulation checks each start against the records.)
 func TestPipelineRunsInOrder(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	other := sim.followers()[0]
@@ -54,8 +55,8 @@
 	if n := len(leaderNode.leader.dependencies.Dependents) + len(leaderNode.leader.dependencies.Lookups) + len(leaderNode.leader.RunnableJobs); n != 0 {
 		t.Errorf("%d entries are left of jobs that are over", n)
 	}
-	// One that is submitted when all is over begins at once, and one that repeats a
-	// submission is told how the job is.
+	// A job submitted after its dependencies are done starts at once, and a repeated submission is
+	// answered with the state of the job.
 	sim.submitAccepted(other, dependentSpec("j-d", 1, "j-a", "j-c"))
 	sim.waitForJobState("j-d", protocol.JobDone, 20*time.Second)
 	if r := sim.submit(other, dependentSpec("j-d", 1, "j-a", "j-c")); r.Status != 200 || !strings.Contains(string(r.Body), "done") {
@@ -63,7 +64,7 @@
 	}
 }
 
-// Several jobs that one report shows as ended release what needs them all, once.
+// Several jobs that end with one heartbeat release their common dependents, once.
 func TestCompletionsInOneHeartbeat(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.cloud.capacity = 1
@@ -77,14 +78,14 @@
 	sim.checkStartedOnce()
 }
 
-// What the leader alone has seen is not enough: the next leader may not know it.
+// A completion that only the leader has seen releases nothing: the next leader may not know of it.
 func TestStartWaitsForTheDurableEnd(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
 	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-a") == 1 })
 	sim.store.setDown(true)
-	sim.advance(12 * time.Second) // it ends meanwhile
+	sim.advance(12 * time.Second) // the job completes meanwhile
 	if sim.startCounts["j-b/0"] != 0 {
 		t.Fatal("started before the end of j-a was durable")
 	}
@@ -92,7 +93,8 @@
 	sim.waitForJobState("j-b", protocol.JobDone, time.Minute)
 }
 
-// A job whose answer was lost ended all the same: what needs it goes on, once.
+// A job whose terminal write got no response has ended nevertheless: its dependents are released,
+// once.
 func TestUncertainCompletionReleasesDependents(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
@@ -114,8 +116,8 @@
 	sim.checkStartedOnce()
 }
 
-// A job that can't be run, or whose needs were never accepted, is refused; but an
-// accepted one never, whatever has become of what it names.
+// A job that can't run, or whose dependencies were never accepted, is rejected. An accepted job is
+// never rejected, whatever has become of its dependencies.
 func TestDependenciesNeverAccepted(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	other := sim.followers()[0]
@@ -144,8 +146,8 @@
 	}
 }
 
-// A broad pipeline is taken at once by any node: what it does not know of so many jobs, the
-// leader does, rather than that each is read within a node's few reads a second.
+// A broad pipeline is accepted at once by any node. What the node does not know of that many jobs,
+// it asks the leader, since reading each of them would exceed the node's few reads a second.
 func TestBroadPipeline(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Second }
@@ -158,8 +160,8 @@
 	sim.waitForJobState("j-all", protocol.JobDone, 2*time.Minute)
 }
 
-// What a job needs may take more than one value of the state service: it is stored with
-// the job, read before the job is known, by any node and leader, and dropped with it.
+// The dependencies of a job may need more than one value of the store: they are stored with the
+// job, read by any node and leader before the job is known, and deleted with it.
 func TestDependenciesOverManyRecords(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.announceUpcomingLimits(1, 4, 60)
@@ -216,8 +218,8 @@
 	}
 }
 
-// Cancelling a job reaches all that need it, also one that is submitted later, and only
-// those.
+// The cancellation of a job cancels all its dependents, also one that is submitted later, and no
+// other jobs.
 func TestCancelReachesAllDependents(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	other := sim.followers()[0]
@@ -239,9 +241,9 @@
 	}
 }
 
-// The cancellation of a job is the only record of the fate of all that need it. They are
-// called cancelled by every node from then on, though their own ends can't be written,
-// and the next leader goes on from the records alone.
+// The cancellation record of a job is the only record of the state of all its dependents. Every
+// node reports them as cancelled from then on although their own terminal records can't be written,
+// and the next leader continues from the records alone.
 func TestCancelAtTheHeadOfALongPipeline(t *testing.T) {
 	for _, trouble := range []string{"none", "takeover", "outage"} {
 		t.Run(trouble, func(t *testing.T) {
@@ -286,8 +288,8 @@
 	}
 }
 
-// A submission that one node writes while the leader cancels what it names is accepted,
-// and cancelled as well, on either side of that write and in the next term.
+// A submission that one node writes while the leader cancels one of its dependencies is accepted
+// and then cancelled, whichever comes first, and in the next term too.
 func TestSubmissionAgainstCancellation(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		sim, leaderNode := newPipelineSimulation(t, 3)
@@ -318,8 +320,8 @@
 	}
 }
 
-// A leader that has not yet read what became of a job does not call one after it queued:
-// a predecessor may have told its user that it is cancelled.
+// A leader that has not yet read the state of a job does not report a dependent of it as queued: a
+// predecessor may have told the user that it is cancelled.
 func TestNeedNotReadYet(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.store.putValue(storage.TerminalKey("j-a"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 1})
@@ -336,8 +338,8 @@
 	}
 }
 
-// A pipeline's slack is spent once: each job is due when the longest way after it leaves
-// no more time, and as urgent as any job that needs it, for as long as one does.
+// The slack of a pipeline is counted once: each job is due when the longest path of its dependents
+// leaves no more time, and is as urgent as its most urgent dependent for as long as there is one.
 func TestDeadlineAndPriorityReachBack(t *testing.T) {
 	sim, n := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -368,8 +370,8 @@
 	}
 }
 
-// The four minutes within which a job begins, and its aims, count from the end of the
-// last job that it needs, for the next leader too.
+// The four minutes within which a job has to start, and its objectives, count from the completion
+// of its last dependency, for the next leader too.
 func TestTimesCountFromTheLastEnd(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -394,8 +396,8 @@
 	}
 }
 
-// What waits is no backlog, until the job before it is about to end: then machines for it
-// have just the time to come up.
+// A job with pending dependencies adds nothing to the backlog until the last dependency is about to
+// complete: machines for it are then rented just in time to boot.
 func TestNextStageIsPlannedInTime(t *testing.T) {
 	sim, n := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -406,7 +408,7 @@
 	sim.advance(time.Second)
 	alone := requiredCores(n.leader, 1000)
 	sim.submitAccepted(n.name, dependentSpec("j-b", 200, "j-a"))
-	sim.submitAccepted(n.name, dependentSpec("j-c", 200, "j-a", "j-b")) // must wait for j-b as well
+	sim.submitAccepted(n.name, dependentSpec("j-c", 200, "j-a", "j-b")) // also depends on j-b
 	if got := requiredCores(n.leader, 1000); got > alone {
 		t.Errorf("%v cores are planned for work that waits, %v without it", got, alone)
 	}
@@ -417,8 +419,8 @@
 	}
 }
 
-// A stage that the new leader has released need not wait for machines that hold up older
-// jobs: no earlier leader can have started it.
+// A stage that the new leader has released does not wait for machines whose reconciliation holds up
+// older jobs: no earlier leader can have started it.
 func TestReleasedStageIsNotHeldUp(t *testing.T) {
 	sim, first := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -437,7 +439,7 @@
 			silenced++
 		}
 	}
-	sim.cloud.rejectReturns = true // or that would make sure sooner
+	sim.cloud.rejectReturns = true // or a return would reconcile them sooner
 	sim.crashNode(first.name)
 	leaderNode := sim.waitForLeader()
 	took := sim.now
@@ -449,7 +451,7 @@
 	}
 }
 
-// Jobs that wait cost a pass and a report nothing.
+// Jobs with pending dependencies add nothing to the cost of a scheduling pass or of a heartbeat.
 func TestWaitingJobsCostNothing(t *testing.T) {
 	sim, n := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -9,10 +9,10 @@
 	"hitchdoor/internal/storage"
 )
 
-// A controller that loses the state service and the other controllers, but not its
-// workers, neither answers reports beyond its authority nor keeps its workers, and
-// tells users and the load balancer at once; another leads meanwhile, and nothing
-// starts twice when it is back.
+// A leader that loses the key-value store and the other controllers, but not its workers, answers
+// no heartbeat beyond its lease, keeps none of its workers, and rejects users and the load
+// balancer's health check at once. Another node leads meanwhile, and no task starts twice when the
+// first is back.
 func TestHalfCutLeader(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 3, 8)
 	sim.store.requestsDropped[leaderNode.name] = true
@@ -55,9 +55,8 @@
 	sim.checkStartedOnce()
 }
 
-// A leader that alone is refused by the state service, while the other controllers
-// refuse its connections, is replaced; it neither leads on by lease grants nor comes back
-// in the way of the next.
+// A leader that only the key-value store and the other controllers refuse is replaced. It neither
+// stays leader by lease grants nor disturbs its successor.
 func TestLeaderRefusedByStoreAndPeers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 25*time.Second, 3, 6)
 	sim.store.refusedNodes[leaderNode.name] = true
@@ -81,8 +80,8 @@
 	sim.checkStartedOnce()
 }
 
-// A follower that is cut in the same way sends no worker to a leader that it does
-// not hear any more, and nobody is worse off.
+// A follower that is isolated in the same way redirects no worker to a leader that it no longer
+// receives heartbeats from, and nothing else is affected.
 func TestHalfCutFollower(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -103,10 +102,9 @@
 	sim.submitAndStart(sim.leaderName(), jobSpec("j-1", 2), 2)
 }
 
-// Once all troubles are over, some question about each job is answered within 75 s,
-// at whichever node it arrives: here after a state outage during which all
-// controllers restart, with thousands of jobs over and hundreds open, while the
-// leader is still reading its records.
+// Once all faults have ended, some query about each job is answered within 75 s, at whichever node
+// it arrives: here after a store outage during which all controllers restart, with thousands of
+// terminal jobs and hundreds of open ones, while the leader is still reading its records.
 func TestNothingForgottenAfterEverything(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
@@ -129,7 +127,7 @@
 	sim.advance(10 * time.Second)
 	sim.store.setDown(false)
 
-	// Each job is asked about every 5 s, at one node after the other.
+	// Each job is queried every 5 s, at one node after the other.
 	answered := map[int]bool{}
 	for end := sim.now + 75*time.Second; sim.now < end && len(answered) < over+open; {
 		round := sim.now + 5*time.Second
@@ -158,15 +156,15 @@
 	}
 }
 
-// While the controllers refuse each other's connections, a leader that is lost is
-// replaced all the same: votes come through the state service.
+// While the controllers refuse each other's connections, a lost leader is replaced nevertheless:
+// votes are exchanged through the key-value store.
 func TestLeaderLostWhilePeersRefuse(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
 		sim, leaderNode := newRunningSimulation(t, nodes, 20*time.Second, 3, 8)
 		for _, name := range sim.followers() {
 			sim.crashNode(name)
 			sim.restartNode(name)
-			sim.advance(70 * time.Millisecond) // so that they don't look at the same time
+			sim.advance(70 * time.Millisecond) // so that they don't poll at the same time
 		}
 		sim.isolateAllNodes()
 		sim.advance(4 * time.Second)
@@ -178,8 +176,8 @@
 		if !sim.advanceUntil(8*time.Second, func() bool { return sim.leaderName() != "" }) {
 			t.Fatalf("%d nodes: nobody leads", nodes)
 		}
-		// Each raise takes the term from a candidate that others vote for: with
-		// seven nodes they went on until connections were no longer refused.
+		// A candidate that raises the term takes it from one that others vote for. With seven nodes
+		// they repeated that until connections were accepted again.
 		if raised := sim.nodes[sim.leaderName()].leader.term - term; raised > 2 {
 			t.Errorf("%d nodes: the term was raised %d times", nodes, raised)
 		}
@@ -188,8 +186,8 @@
 	}
 }
 
-// A node that the state service refuses alone hands submissions to the leader, from
-// the first on; in an outage of all, users are told at once when to come back.
+// A node that only the key-value store refuses forwards submissions to the leader, from the first
+// one on. In an outage for all nodes users get Retry-After at once.
 func TestSubmissionAtRefusedNode(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -211,9 +209,9 @@
 	}
 }
 
-// An answer to a question that an earlier process of a node had passed on is nobody's: a
-// node that was back at once handed the answer to one user's cancellation to another
-// user's submission, and that job was never stored.
+// A reply to a request that an earlier process of a node forwarded is discarded. A node that had
+// restarted quickly passed the reply to one user's cancellation on as the reply to another user's
+// submission, and that job was never stored.
 func TestAnswerToAnEarlierProcess(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -245,8 +243,8 @@
 	}
 }
 
-// Workers that were sent to the leader and come back, as they can't reach it, are
-// relayed for, however many there are; and they are forgotten once that is over.
+// Workers that were redirected to the leader and return because they can't reach it are relayed,
+// however many there are; the routes are dropped once the leader is reachable.
 func TestRelayForAnyNumberOfWorkers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Resources.MaxConnections = 4000
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -27,7 +27,7 @@
 	if took := sim.now - start; took > 2*first.leaderLease() {
 		t.Fatalf("takeover took %v", took)
 	}
-	// Back in the middle of things, the old leader follows.
+	// Restarted in the middle of the term, the old leader follows.
 	sim.restartNode(first.name)
 	sim.advance(10 * time.Second)
 	if sim.leaderName() != second.name {
@@ -35,8 +35,8 @@
 	}
 }
 
-// A leader that the state service alone refuses must stop by its own clock
-// before another may begin, and must be replaced although its peers hear it.
+// A leader that only the key-value store refuses must stop by its own clock before another may
+// lead, and must be replaced although its peers receive its heartbeats.
 func TestLeaderRefusedByStoreIsReplaced(t *testing.T) {
 	sim := newSimulation(t, 3)
 	first := sim.waitForLeader()
@@ -46,8 +46,8 @@
 	}
 }
 
-// Outages last longer than the leader's lease and than the workers': lease grants
-// of the peers keep the leader, and with it the tasks, alive.
+// Outages exceed the leader's lease and the workers': lease grants of the peers extend the
+// leadership, and with it the tasks continue.
 func TestStoreOutageKeepsLeaderAndTasks(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 60 * time.Second }
@@ -80,7 +80,7 @@
 	}
 }
 
-// says tells whether an effect sends a message of a type to a peer.
+// sendsMessage tells whether an effect sends a message of type M to a peer.
 func sendsMessage[M protocol.PeerMessage](effect Effect) bool {
 	s, ok := effect.(OutboundMessage)
 	if !ok {
@@ -90,8 +90,8 @@
 	return is
 }
 
-// A peer that has just restarted may have granted a lease that it no longer
-// remembers, so it neither grants nor votes for one span.
+// A peer that has just restarted may have granted a lease that it no longer remembers, so it
+// neither grants a lease nor votes for one span of a grant.
 func TestRestartedPeerWaitsOutOneLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
 	first := sim.waitForLeader()
@@ -114,16 +114,16 @@
 	}
 }
 
-// After an end of all controllers the next leader does not wait out a lease grant: every
-// node has said that it does not lead. What an earlier process of a node was told says
-// nothing, nor does a majority: the one that is missing may live by a grant.
+// After a restart of all controllers the next leader does not wait out a lease grant, since every
+// node has announced that it does not lead. Neither an announcement to an earlier process of a node
+// nor one by a mere majority is enough: the missing node may lead by a grant.
 func TestFullRestartWaitsForNoLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	for _, name := range sim.names {
 		sim.crashNode(name)
 	}
-	sim.advance(5 * time.Second) // the leader's lease is over
+	sim.advance(5 * time.Second) // the leader's lease has ended
 	for _, name := range sim.names {
 		sim.restartNode(name)
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-// A peer that has granted a lease votes for nobody until it is over, and one that has
-// voted for a candidate grants nothing to an older leader.
+// A peer that has granted a lease votes for nobody until the grant ends, and one that has voted for
+// a candidate grants no lease to an older leader.
 func TestLeaseGrantAndVoteExcludeEachOther(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.store.setDown(true)
@@ -181,8 +181,8 @@
 	}
 }
 
-// A leader cut off from peers and workers, but not from the state service,
-// would hold its key for ever and stop the service.
+// A leader isolated from peers and workers, but not from the key-value store, would hold its key
+// for ever and stop the service.
 func TestIsolatedLeaderResigns(t *testing.T) {
 	sim := newSimulation(t, 3)
 	first := sim.waitForLeader()
@@ -199,7 +199,7 @@
 	}
 }
 
-// A transaction of a replaced leader that arrives late must change nothing.
+// A transaction of a replaced leader that executes late changes nothing.
 func TestLateTransactionOfOldLeader(t *testing.T) {
 	sim := newSimulation(t, 3)
 	first := sim.waitForLeader()
@@ -231,8 +231,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
-// Answers that are lost leave the outcome unclear; the transaction is sent again
-// to the letter, and a refusal is then checked against what is stored.
+// A lost response leaves the outcome of a transaction uncertain. The identical transaction is sent
+// again, and a failed condition is then checked against the stored records.
 func TestUnclearTransactionIsResolved(t *testing.T) {
 	sim := newSimulation(t, 3)
 	first := sim.waitForLeader()
@@ -247,8 +247,8 @@
 	}
 }
 
-// In a rolling restart each node goes down once. A leader that goes is followed
-// by the node that restarted last, whose turn is over, so leadership moves seldom.
+// In a rolling restart each node is down once. A leader that drains is succeeded by the node that
+// restarted last, which need not restart again, so leadership moves seldom.
 func TestRollingRestartMovesLeadershipSeldom(t *testing.T) {
 	for first := range 3 {
 		sim := newSimulation(t, 3)
@@ -268,7 +268,7 @@
 		}
 		want := 1
 		if began == sim.names[first] {
-			want = 2 // it goes first, when nobody's turn is over yet
+			want = 2 // drained first, before any other node has restarted
 		}
 		if moves > want {
 			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", sim.names[first], began, moves)
@@ -276,10 +276,9 @@
 	}
 }
 
-// However the state service refuses some nodes and not others, messages are lost, nodes
-// end, come back at once and stand still, and calls are carried out late: one node has
-// authority at most, and once all is well again somebody leads within two leases. Here
-// nothing else goes on, so that thousands of elections fit.
+// The store refuses some nodes, messages are lost, nodes crash, restart at once and pause, and
+// calls execute late. At most one node holds a leader lease, and a leader is elected within two
+// leases once the faults have ended. Nothing else runs here, so that thousands of elections fit.
 func TestAuthorityIsExclusive(t *testing.T) {
 	forEachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
 		c := newUserSimulation(newSimulationWithTimings(t, []int{3, 5, 7}[seed%3], deployments[seed/3%uint64(len(deployments))]), seed)
@@ -335,9 +334,9 @@
 	})
 }
 
-// A leader that the state service alone refuses is replaced within a worker lease, with any
-// number of nodes and whenever it begins: a peer that the state service serves grants it no
-// lease. Granted, its peers would be bound for as long as it asks.
+// A leader that only the key-value store refuses is replaced within a worker lease, with any number
+// of nodes and from any moment on: a peer that the store serves grants it no lease. Such a grant
+// would bind the peers for as long as the leader asks for it.
 func TestLeaderRefusedAloneIsReplacedByAnyNumber(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
 		for offset := range 12 {
@@ -355,11 +354,11 @@
 	}
 }
 
-// A node that has voted for a candidate, and is back at once with its vote forgotten, may
-// not grant a lease to the old leader: the candidate counts on the vote. Here the old leader
-// lives by grants of two of five nodes. One of them is served by the state service again, so
-// that its grant ends and it votes for the candidate, too; the other and the node that is
-// back would be the majority by which the old leader stays, beside the new one.
+// A node that has voted for a candidate and restarts without a memory of its vote must not grant a
+// lease to the old leader, because the candidate counts on the vote. Here the old leader leads by
+// grants of two of five nodes. The store serves one of them again, so that its grant ends and it
+// votes for the candidate as well; the other one and the restarted node would be the majority that
+// extends the old leadership beside the new one.
 func TestForgottenVoteGrantsNothing(t *testing.T) {
 	changed := 0
 	for offset := range 60 {
@@ -372,7 +371,7 @@
 		}
 		sim.linkCuts[[2]string{old.name, returning}] = true
 		sim.advance(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
-		delete(sim.store.refusedNodes, voter) // its grant is the last one
+		delete(sim.store.refusedNodes, voter) // its present grant is the last one
 		asks := func() bool {
 			return slices.Contains(sim.nodes[candidate].election.Status().Votes, returning)
 		}
@@ -383,7 +382,7 @@
 				sim.store.refusedNodes[returning] = true
 			})
 		}
-		sim.advance(2 * old.leaderLease()) // the simulation sees two leaders, if there are
+		sim.advance(2 * old.leaderLease()) // the invariant checker fails on two leaders
 		if sim.leaderName() == candidate {
 			changed++
 		}
@@ -393,8 +392,8 @@
 	}
 }
 
-// Authority counts from when a renewal was sent. Counted from its answer, a leader whose
-// answers are held up would go on after its lease has ended in the state service.
+// A lease counts from when its renewal was sent. Counted from the response, a leader whose
+// responses are delayed would continue after its lease has ended in the key-value store.
 func TestAuthorityCountsFromTheSentRenewal(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -415,8 +414,8 @@
 	}
 }
 
-// A leader that stood still for longer than its lease finds reports and questions waiting
-// when it goes on, and its clocks have run on: it answers none of them as the leader.
+// A leader that was paused for longer than its lease finds heartbeats and requests in its queue
+// when it resumes, and its clocks have advanced: it answers none of them as the leader.
 func TestPausedLeaderAnswersNothing(t *testing.T) {
 	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery, protocol.RequestCancel} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -434,8 +433,8 @@
 	}
 }
 
-// agreeingStore is the host of an election whose key-value store has no leader key and answers
-// each request of a candidate with success. It has a clock of its own.
+// acceptingStore is the host of an election whose key-value store has no leader key and accepts
+// each request of a candidate. It has a clock of its own.
 type acceptingStore struct {
 	electionAdapter
 	now      clock.Instant
@@ -458,8 +457,8 @@
 	}
 }
 
-// forceLeadership makes a node the leader of a term, whoever else leads: in place of its election
-// comes one without peers, at a store that agrees to everything.
+// forceLeadership makes a node the leader of a term, whoever else leads: it replaces the node's
+// election by one without peers, at a store that accepts everything.
 func forceLeadership(n *Node, term uint64) {
 	host := &acceptingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
 	alone := n.cfg.Cluster
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -16,8 +16,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// Controllers that come back within a fraction of a second, in the middle of an
-// election, neither share the lead nor keep it from being taken.
+// Controllers that restart within a fraction of a second during an election neither cause two
+// leaders nor prevent the election.
 func TestQuickRestartsDuringElection(t *testing.T) {
 	sim := newSimulation(t, 3)
 	first := sim.waitForLeader()
@@ -32,8 +32,8 @@
 	sim.waitForLeader()
 }
 
-// A machine that hangs resumes within its lease and goes on; nothing is started
-// twice, and nothing of it counts as lost.
+// A machine that hangs for less than its lease resumes and continues: nothing is started twice, and
+// none of its tasks counts as lost.
 func TestHangingMachineResumes(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
@@ -52,8 +52,7 @@
 	}
 }
 
-// Owners' estimates may all be too low, or too high; finished tasks of the class
-// correct them.
+// Users' estimates may all be too low or too high; completed tasks of the class correct them.
 func TestEstimatesAreCorrected(t *testing.T) {
 	for _, factor := range []float64{0.4, 3} {
 		sim := newSimulation(t, 1)
@@ -73,8 +72,8 @@
 	}
 }
 
-// A burst of a class: what can't all be in time gives way largest first, since
-// aims count jobs, and pressing work passes ahead of all.
+// In a burst of one class, of the jobs that can't all meet their objectives the largest are demoted
+// first, since objectives count jobs. Latency-sensitive work passes ahead of all.
 func TestBurstDemotesLargestFirst(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
@@ -101,8 +100,8 @@
 	}
 }
 
-// Work inside its team's guarantee goes by the aim on starting; beyond the
-// guarantee it does not.
+// Work within the guarantee of its team is ranked by the objective on its start; work beyond the
+// guarantee is not.
 func TestGuaranteedWorkGoesFirst(t *testing.T) {
 	sim := newSimulation(t, 0)
 	sim.names = []string{"n0"}
@@ -127,7 +126,7 @@
 	}
 }
 
-// A task goes where its image is rather than to another machine with as much room.
+// A task is placed on a machine that has its image rather than on another one with as much room.
 func TestImageDecidesBetweenMachines(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -145,8 +144,8 @@
 	}
 }
 
-// A wave takes machines without notice: their work starts elsewhere once they
-// are surely gone, and the simulation's check sees no task twice.
+// Spot machines are preempted in bulk without notice: their tasks start elsewhere once the machines
+// are known to be gone, and no task runs twice.
 func TestSpotWaveWithoutNotice(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 15 * time.Second }
@@ -160,8 +159,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// No worker reaches the leader, though its peers do: the followers relay, leases
-// hold, leadership stays, and nothing is started twice.
+// No worker reaches the leader, though its peers do: the followers relay, worker leases hold,
+// leadership stays, and nothing is started twice.
 func TestLeaderCutFromWorkers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 60*time.Second, 2, 4)
 	sim.unreachableNodes[leaderNode.name] = true
@@ -179,8 +178,8 @@
 	}
 }
 
-// A large job gives way to small and pressing work that keeps coming, but only for
-// a while: it begins within four minutes, and is served in the end.
+// A large job gives way to small and latency-sensitive work that keeps arriving, but not without
+// limit: it starts within four minutes, and completes in the end.
 func TestLargeJobBeginsInLongBurst(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
@@ -193,7 +192,7 @@
 	sim.submit(leaderNode.name, large)
 	begun := clock.Instant(0)
 	for i := 0; sim.now < 12*time.Minute; i++ {
-		// Small and urgent work of 10 cores, while there are 8.
+		// Small and urgent work that needs 10 cores, with 8 cores in all.
 		for k, priority := range []protocol.Priority{"standard", "urgent"} {
 			job := jobSpec(fmt.Sprintf("j-%d-%d", i, k), 5)
 			job.Priority, job.EstimatedSeconds, job.DeadlineSeconds = priority, 10, &due
@@ -213,9 +212,8 @@
 	}
 }
 
-// A task that takes far longer than its siblings is moved off its machine once, as
-// the machine may be slow, and then runs to its end: stopped again and again it
-// would never be done.
+// A task that takes far longer than its siblings is moved off its machine once, as the machine may
+// be slow, and then runs to completion: moved repeatedly it would never complete.
 func TestLongTaskIsMovedOnce(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -233,8 +231,8 @@
 	}
 }
 
-// Work that is to start within seconds waits a moment for a machine that has its
-// image: the first machine with room would miss the aim for sure by a long fetch.
+// Work that is to start within seconds waits a moment for a machine that has its image: on the
+// first machine with room, fetching the image would miss the objective for certain.
 func TestUrgentWorkWaitsForItsImage(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -248,7 +246,7 @@
 	has, other := x.Machines["m-000001"], x.Machines["m-000002"]
 	has.TouchImage("i", 2)
 	job := x.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1), AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
-	job.Spec.ImageGB = 2 // 10 s of fetching
+	job.Spec.ImageGB = 2 // 10 s to fetch
 	fits := func(machine *cluster.Machine) bool {
 		return x.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
 	}
@@ -269,8 +267,7 @@
 	}
 }
 
-// What waits for a time, here for its back-off, is taken up when that is over, even
-// if nothing else changes meanwhile.
+// A task whose back-off ends is scheduled then, even if nothing else changes meanwhile.
 func TestBackOffEndsWithoutAnyChange(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -293,9 +290,9 @@
 	}
 }
 
-// A job that was begun only lest it wait for too long, and can still meet its aim, is
-// planned for that aim. Taken for late, it was planned over four run times, and the
-// rest of its tasks started after the aim.
+// A job that was started only to limit its wait, and can still meet its objective, is planned for
+// that objective. Ranked as late, it was planned over four run times, and the rest of its tasks
+// started after the objective.
 func TestStartedJobIsPlannedForItsObjective(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, MinShare: 0.9}}
@@ -305,16 +302,16 @@
 	s := jobSpec("j-1", 100)
 	s.EstimatedSeconds = 50
 	job := x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
-	job.EligibleAt -= 150 * time.Second // the plan's reserve is used up, 50 s are left to start in
+	job.EligibleAt -= 150 * time.Second // the reserve of the plan is used up; 50 s remain to start in
 	unbegun := requiredCores(x, 1000)
 	job.FirstStartAt = x.node.now
-	left := 100.0 // seconds until its last task should have ended
+	left := 100.0 // seconds until its last task should have completed
 	if got := requiredCores(x, 1000); got < 100*50/left || got > unbegun {
 		t.Errorf("%v cores are planned, and %v before it began", got, unbegun)
 	}
 }
 
-// Where aims leave next to no late jobs, the plan counts on less of the machines' time.
+// Where objectives allow next to no late jobs, the plan counts on less of the machines' time.
 func TestPlanHasAMarginWhereObjectivesAreStrict(t *testing.T) {
 	demand := func(share float64) float64 {
 		sim := newSimulation(t, 1)
@@ -332,10 +329,10 @@
 	}
 }
 
-// A fleet fails at once: a third of the cheap machines are taken without a notice, others
-// die, others hang within their lease, and the leader and a zone with a controller in
-// it are cut off. What hangs is not condemned in bulk, nothing runs twice or over a
-// quota, others are rented at once, and every task runs in the end.
+// Large parts of the fleet fail at once: a third of the spot machines is preempted without notice,
+// others crash, others hang within their lease, and the leader and a zone with a controller in it
+// are isolated. Hung machines are not returned in bulk, no task runs twice and no quota is
+// exceeded, replacements are rented at once, and every task completes in the end.
 func TestFleetFailsAtOnce(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
@@ -352,7 +349,7 @@
 	for i := range 8 {
 		job := jobSpec(fmt.Sprintf("j-%d", i), 90)
 		if i%4 == 0 {
-			job.Team = "team" // with a limit of 16 cores
+			job.Team = "team" // which has a limit of 16 cores
 			job.TaskCount = 20
 		}
 		sim.submit(leaderNode.name, job)
@@ -362,7 +359,7 @@
 	}
 	names := slices.Sorted(maps.Keys(sim.workers))
 	hanging := names[60:90]
-	for _, name := range names[:40] { // taken or dead
+	for _, name := range names[:40] { // preempted or crashed
 		delete(sim.workers, name)
 		delete(sim.cloud.hosts, name)
 	}
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -12,12 +12,12 @@
 	"hitchdoor/internal/protocol"
 )
 
-// The combinations of two faults that the users name. Each is swept over offsets and seeds:
-// a single lucky timing is not a test of one. HITCHDOOR_SWEEP=1 sweeps all
-// combinations instead of every few.
+// sweepAll tells whether HITCHDOOR_SWEEP asks for a sweep of all combinations of two faults instead
+// of a sample. Each combination is run with many offsets and seeds, since a single timing may pass
+// by chance.
 func sweepAll() bool { return os.Getenv("HITCHDOOR_SWEEP") != "" }
 
-// eachSeed runs a test, in parallel, with as many seeds as usual, or as a sweep asks for.
+// forEachSeed runs a parallel sub-test for each of the usual number of seeds, or of the sweep's.
 func forEachSeed(t *testing.T, usual, sweep uint64, run func(t *testing.T, seed uint64)) {
 	t.Helper()
 	seeds := usual
@@ -32,8 +32,8 @@
 	}
 }
 
-// newFaultCombination is a simulation of the given proportions, with users, a leader, machines and
-// jobs whose tasks run for very long.
+// newFaultCombination returns a simulation with the given worker timings, users, a leader, machines
+// and jobs whose tasks run for an hour.
 func newFaultCombination(t *testing.T, nodes int, p workerTimings, seed uint64, jobs, tasks int) (*userSimulation, *simNode) {
 	t.Helper()
 	c := newUserSimulation(newSimulationWithTimings(t, nodes, p), seed)
@@ -62,7 +62,7 @@
 
 func (c *userSimulation) machineLease() time.Duration { return config.Seconds(c.cfg.Workers.LeaseS) }
 
-// whenLed does something, once, when some other node than the given one leads.
+// onNextLeader calls f, once, when a node other than except leads.
 func (c *userSimulation) onNextLeader(except string, f func(name string)) {
 	var poll func()
 	poll = func() {
@@ -75,12 +75,12 @@
 	poll()
 }
 
-// within is a random time up to a bound.
+// randomDuration returns a random duration below d.
 func (c *userSimulation) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(d)))
 }
 
-// someWorkers does something to a random share of the workers, one in so many.
+// forSomeWorkers calls f for a random sample of the workers, one in oneIn.
 func (c *userSimulation) forSomeWorkers(oneIn int, f func(*fakeWorker)) {
 	for _, worker := range c.sortedWorkers() {
 		if c.rng.IntN(oneIn) == 0 {
@@ -89,7 +89,7 @@
 	}
 }
 
-// newLeader ends the leader, or tells it to end, and brings it back, often at once.
+// replaceLeader crashes or drains the leader and restarts it, often at once.
 func (c *userSimulation) replaceLeader() {
 	name := c.leaderName()
 	if name == "" {
@@ -103,7 +103,7 @@
 	c.restartAfter(name, c.randomDuration(c.machineLease()/[]time.Duration{1, 40}[c.rng.IntN(2)]))
 }
 
-// cancelSome cancels some of the jobs that are open, all within a moment.
+// cancelSomeJobs cancels one in oneIn of the open jobs, all within a moment.
 func (c *userSimulation) cancelSomeJobs(oneIn int, moment time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
 		if c.terminalStates[id] == "" && c.rng.IntN(oneIn) == 0 {
@@ -112,7 +112,7 @@
 	}
 }
 
-// more submits jobs within some time.
+// submitMoreJobs submits jobs at random times within a span.
 func (c *userSimulation) submitMoreJobs(jobs int, span time.Duration, change func(i int, job *protocol.Job)) {
 	first := len(c.submitted)
 	for i := range jobs {
@@ -127,8 +127,8 @@
 	}
 }
 
-// holdBack keeps copies of the reports, and gives them to all nodes when there is another
-// leader, and again and again for some time after.
+// replayHeartbeats keeps copies of heartbeats and sends them to all nodes once there is another
+// leader, and repeatedly for some time after.
 func (c *userSimulation) replayHeartbeats() {
 	var copies []*protocol.WorkerHeartbeat
 	c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
@@ -162,8 +162,8 @@
 	look()
 }
 
-// faultCombinations are the users' other combinations, by what meets. Each gets a leader, eight
-// machines and some jobs, and lasts for as long as it says.
+// faultCombinations are the combinations of two faults that users asked for, by what coincides.
+// Each gets a leader, eight machines and some jobs, and returns how long its faults last.
 var faultCombinations = map[string]func(c *userSimulation) time.Duration{
 	"ends far apart, and a change of leader": func(c *userSimulation) time.Duration {
 		c.taskDuration = func(task string, _ int) time.Duration {
@@ -539,8 +539,8 @@
 	},
 }
 
-// goSilent lets a controller stand still, and go on as if nothing had been; some of them
-// between a decision and what comes of it.
+// pauseController pauses a controller, which then resumes as if no time had passed; half of the
+// pauses are between a decision and its effects.
 func (c *userSimulation) pauseController(name string, d time.Duration) {
 	n := c.nodes[name]
 	switch {
@@ -552,8 +552,8 @@
 	}
 }
 
-// oddRequest repeats a submission in another form, cancels what is over, or sends a job
-// that fits no machine.
+// sendInvalidRequest repeats a submission with another specification, cancels a terminal job, or
+// submits a job that fits no machine type.
 func (c *userSimulation) sendInvalidRequest() {
 	ids := slices.Sorted(maps.Keys(c.acceptedAt))
 	if len(ids) == 0 {
@@ -580,9 +580,9 @@
 	}
 }
 
-// TestFaultCombinations brings about each of the combinations, with 3 and 7 nodes, in the proportions
-// of each deployment, at random offsets; under close looks all along. Whatever met, in the
-// end every job is done or cancelled, nothing waits beside room, and nothing is forgotten.
+// TestFaultCombinations runs each combination with 3 and 7 nodes, with the worker timings of each
+// deployment, at random offsets, under frequent queries. In the end every job is done or cancelled,
+// no job is pending beside free capacity, and no job is forgotten.
 func TestFaultCombinations(t *testing.T) {
 	for name, meet := range faultCombinations {
 		t.Run(name, func(t *testing.T) {
@@ -608,16 +608,16 @@
 				c.advance(8 * time.Second)
 				c.advance(meet(c))
 				c.store.lateExecution, c.store.requestDelay, c.onHeartbeat = nil, nil, nil
-				c.advance(12 * time.Second) // what is late comes
+				c.advance(12 * time.Second) // delayed calls arrive
 				c.waitForCompletion(5 * time.Minute)
 			})
 		})
 	}
 }
 
-// One-task jobs come four a second for minutes, a quarter of them cancelled, while the
-// state service takes changes at its rate and the leader changes: no backlog of changes
-// grows, and cancellations are not confirmed later for it.
+// One-task jobs arrive four a second for minutes, a quarter of them is cancelled, while the store
+// limits its write rate and the leader changes: no backlog of writes grows, and cancellations are
+// confirmed without additional delay.
 func TestSmallJobsByTheHundred(t *testing.T) {
 	for k, p := range deployments {
 		t.Run(fmt.Sprintf("lease %v", p.machineLease), func(t *testing.T) {
@@ -635,7 +635,7 @@
 				if i%4 == 0 {
 					c.schedule(time.Duration(i)*time.Second/rate+time.Second+c.randomDuration(5*time.Second), func() {
 						if !c.knowsAccepted(job.ID) {
-							return // it is not accepted yet, as the leader changes
+							return // not accepted yet, as the leader changes
 						}
 						asked := c.now
 						c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: job.ID}, func(r Reply) {
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -19,40 +19,40 @@
 	"hitchdoor/internal/storage"
 )
 
-// invariantChecker is the part of the simulation that knows the rules. It hears every answer that a
-// user gets, from any node and by any way, and sees every task on every machine. Answers
-// are ordered by real time: a question that was asked after an answer had arrived may get
-// nothing older, milliseconds later at another node included.
+// invariantChecker is the part of the simulation that checks the invariants. It observes every
+// reply that a user gets, from any node and by any route, and every task on every machine. Replies
+// are ordered by real time: a query that was sent after a reply had arrived must not get an older
+// state, also milliseconds later at another node.
 type invariantChecker struct {
 	submitted          map[string]bool
-	acceptedAt         map[string]clock.Instant     // when a user was first told so
-	terminalStates     map[string]protocol.JobState // final states that users were told
-	terminalAt         map[string]clock.Instant     // when the first of them was
-	cancelRequested    map[string]bool              // jobs that a user has begun to cancel
-	answeredAt         map[string]clock.Instant     // when a question about a job was last answered
+	acceptedAt         map[string]clock.Instant     // of the first reply that says so, by job
+	terminalStates     map[string]protocol.JobState // terminal states in replies, by job
+	terminalAt         map[string]clock.Instant     // of the first such reply, by job
+	cancelRequested    map[string]bool              // jobs for which a user has sent a cancellation
+	answeredAt         map[string]clock.Instant     // of the last reply about a job
 	completedTasks     map[string]bool              // tasks that have completed
-	firstStartAt       map[string]clock.Instant     // when a job's first task started
-	faultsEndedAt      clock.Instant                // since when there are no troubles; never: there are
-	waitingSince       map[string]clock.Instant     // since when a job waits though there is room for it
+	firstStartAt       map[string]clock.Instant     // when the first task of a job started
+	faultsEndedAt      clock.Instant                // clock.Never while there are faults
+	waitingSince       map[string]clock.Instant     // since when a job is pending although there is room for it
 	lastWaitingCheck   clock.Instant
-	onJobState         func(id string, state protocol.JobState) // is told what users are told for the first time
+	onJobState         func(id string, state protocol.JobState) // called for the first reply with "accepted" or a terminal state
 	acceptancesByEpoch map[uint64]int                           // jobs accepted under a policy, by epoch
-	scenario           string                                   // what is tested, for the messages
-	caughtViolations   map[string]int                           // by rule, instead of failing the test: to test the checker itself
+	scenario           string                                   // the test case, for messages
+	caughtViolations   map[string]int                           // by rule; not nil: count instead of failing, to test the checker itself
 	load               machineLoad                              // what runs, as of the last check
-	helperMarked       bool                                     // the check is marked as a helper of the test
+	helperMarked       bool                                     // checkInvariants has called t.Helper
 }
 
-// machineLoad is what runs on the machines. It is made anew when a task begins or ends, and not
-// at each step.
+// machineLoad is what runs on the machines. It is rebuilt when a task starts or ends, and not at
+// each step.
 type machineLoad struct {
 	valid         bool
-	running       []runningTask     // by machine, in the order of their names
-	machineByTask map[string]string // by task: its machine
+	running       []runningTask     // by machine, in order of name
+	machineByTask map[string]string // by task: the name of its machine
 	jobs          []jobLoad
-	jobIndices    map[string]int     // of jobs, by id
+	jobIndices    map[string]int     // index into jobs, by job id
 	coresByTeam   map[string]float64 // by team
-	gpusByTeam    map[string]float64 // the same, of accelerators
+	gpusByTeam    map[string]float64 // accelerators, by team
 }
 
 type runningTask struct {
@@ -60,7 +60,7 @@
 	taskKey string
 }
 
-// jobLoad is how many tasks of a job run, and what each uses.
+// jobLoad is the number of running tasks of a job, and what each of them uses.
 type jobLoad struct {
 	id          string
 	taskCount   int
@@ -78,7 +78,7 @@
 	return machineLoad{machineByTask: map[string]string{}, jobIndices: map[string]int{}, coresByTeam: map[string]float64{}, gpusByTeam: map[string]float64{}}
 }
 
-// broken reports that a rule is broken.
+// reportViolation fails the test, or counts the violation if the checker itself is tested.
 func (sim *simulation) reportViolation(rule, format string, args ...any) {
 	sim.t.Helper()
 	if sim.caughtViolations != nil {
@@ -88,7 +88,7 @@
 	sim.t.Fatalf("%s at %v: %s: %s", sim.scenario, sim.now, rule, fmt.Sprintf(format, args...))
 }
 
-// hears judges the answer to a user's request that was sent at some moment.
+// checkReply checks the reply to a user's request that was sent at some moment.
 func (sim *simulation) checkReply(r Request, node string, sent clock.Instant, reply Reply) {
 	sim.t.Helper()
 	id := r.JobID
@@ -145,13 +145,14 @@
 	}
 }
 
-// mayBeCancelled tells whether a user has asked to cancel a job or one that it needs.
+// mayBeCancelled tells whether a user has sent a cancellation of a job or of one of its
+// dependencies.
 func (sim *simulation) mayBeCancelled(id string) bool {
 	return sim.cancelRequested[id] || slices.ContainsFunc(sim.jobSpecs[id].Dependencies, sim.mayBeCancelled)
 }
 
-// cancelledAt is when users were first told that a job, or one that it needs, is cancelled;
-// of the latter not before it was itself accepted.
+// cancelledAt returns when users were first told that a job, or one of its dependencies, is
+// cancelled. A cancellation of a dependency counts from the acceptance of the job at the earliest.
 func (sim *simulation) cancelledAt(id string) (at clock.Instant, ok bool) {
 	if sim.terminalStates[id] == protocol.JobCancelled {
 		at, ok = sim.terminalAt[id], true
@@ -168,10 +169,11 @@
 
 func (sim *simulation) cancelLimit() time.Duration { return config.Seconds(sim.cfg.Workers.CancelS) }
 
-// check looks for a rule that is broken at this moment.
+// checkInvariants checks the invariants that hold at each moment: one leader, and those of running
+// and pending tasks.
 func (sim *simulation) checkInvariants() {
 	if !sim.helperMarked {
-		sim.helperMarked = true // once is enough for a test, and it is slow
+		sim.helperMarked = true // once is enough for a test, and the call is slow
 		sim.t.Helper()
 	}
 	leaders := 0
@@ -190,10 +192,10 @@
 	}
 }
 
-// checkRunning looks for a rule that is broken by what runs on the machines. Where each task
-// runs changes only with the list of those that run, and what teams use only with that list and
-// the specifications of its jobs. Both are compared at each step, and the rest is judged at
-// each step, as it depends on the time and on what users were told too, but once for each job.
+// checkRunningTasks checks the invariants of running tasks. Where each task runs changes only with
+// the list of running tasks, and what teams use only with that list and the specifications of its
+// jobs: both are compared at each step. The rest depends on the time and on replies as well and is
+// checked at each step, but once for each job.
 func (sim *simulation) checkRunningTasks() {
 	load := &sim.load
 	same := sim.runningTasksUnchanged()
@@ -227,7 +229,7 @@
 	}
 }
 
-// sum adds up what each team uses.
+// sumByTeam adds up what the tasks of each team use.
 func (l *machineLoad) sumByTeam() {
 	clear(l.coresByTeam)
 	clear(l.gpusByTeam)
@@ -239,7 +241,7 @@
 	}
 }
 
-// sameRunning tells whether the same tasks run on the same machines as at the last check.
+// runningTasksUnchanged tells whether the same tasks run on the same machines as at the last check.
 func (sim *simulation) runningTasksUnchanged() bool {
 	if !sim.load.valid {
 		return false
@@ -259,8 +261,8 @@
 	return len(rest) == 0
 }
 
-// countRunning lists what runs, and looks for tasks that run twice. While one does, the list
-// is made anew at each step, so that it is found at each.
+// collectRunningTasks lists the running tasks and checks that none runs twice. While one does, the
+// list is rebuilt at each step, so that each step reports it.
 func (sim *simulation) collectRunningTasks() {
 	load := &sim.load
 	load.valid = true
@@ -291,9 +293,9 @@
 	}
 }
 
-// checkWaiting looks for jobs that wait, after all troubles, for 90 s though a machine
-// that fits has room and their team is under its limit, and for jobs that have not begun
-// after four minutes.
+// checkWaitingJobs checks, after the faults have ended, that no job is pending for 90 s although a
+// machine that fits has room and the team is within its quota, and that every job starts within
+// four minutes.
 func (sim *simulation) checkWaitingJobs(where map[string]string, cores map[string]float64) {
 	sim.t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(sim.acceptedAt)) {
@@ -313,7 +315,7 @@
 		}
 		from := max(sim.faultsEndedAt, sim.acceptedAt[id])
 		for _, need := range sim.jobSpecs[id].Dependencies {
-			from = max(from, sim.terminalAt[need]) // times begin when all that it needs is done
+			from = max(from, sim.terminalAt[need]) // the time counts from the completion of all dependencies
 		}
 		if sim.firstStartAt[id] == 0 && sim.now > from+4*time.Minute {
 			sim.reportViolation("waits", "%s has not begun after four minutes: %s", id, sim.explainPending(id))
@@ -321,7 +323,7 @@
 	}
 }
 
-// hasRoom tells whether a task of a job waits though it could run somewhere.
+// hasRoomFor tells whether a job has a pending task that some machine and the quota have room for.
 func (sim *simulation) hasRoomFor(id string, where map[string]string, cores map[string]float64) bool {
 	job := sim.jobSpecs[id]
 	if slices.ContainsFunc(job.Dependencies, func(need string) bool { return sim.terminalStates[need] != protocol.JobDone }) {
@@ -354,7 +356,7 @@
 	return false
 }
 
-// misplaced tells why a job's next task may not start on a machine now, if so.
+// placementViolation returns why the next task of a job may not start on a machine now, or "".
 func (sim *simulation) placementViolation(job *protocol.Job, worker *fakeWorker) string {
 	switch {
 	case len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, worker.machineType):
@@ -388,8 +390,9 @@
 	return ""
 }
 
-// checkStart judges a start on a machine. An answer to a report takes four seconds at
-// most, so a later start after the confirmation of a cancellation was commanded after it.
+// checkTaskStart checks the start of a task on a machine. A response to a heartbeat takes at most
+// four seconds, so a start later than that after the confirmation of a cancellation was sent after
+// it.
 func (sim *simulation) checkTaskStart(worker *fakeWorker, key string) {
 	sim.t.Helper()
 	id := jobIDOf(key)
@@ -414,8 +417,8 @@
 	return fmt.Sprintf("session %d, token %d, reports to %s, hanging %v, silent %v, deaf %v", worker.epoch, worker.fencingToken, worker.node, worker.hung, worker.unreachable, worker.dropResponses)
 }
 
-// The invariant checker must be able to fail: each rule is broken here on purpose, by an answer that
-// no node gives, or by a machine that no leader has told what it does.
+// TestInvariantCheckerFindsEachViolation checks that the invariant checker can fail: each rule is
+// violated here by a reply that no node sends, or by a task that no leader started.
 func TestInvariantCheckerFindsEachViolation(t *testing.T) {
 	state := func(s protocol.JobState) Reply {
 		return Reply{Status: 200, Body: []byte(`{"uid":"j-1","situacao":"` + s + `"}`)}
@@ -510,7 +513,7 @@
 			sim.cloud.noSpot = true
 			sim.acceptedAt["j-2"], sim.jobSpecs["j-2"], sim.faultsEndedAt = sim.now, dependentSpec("j-2", 1), sim.now
 			for i := range 8 {
-				put(sim, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room
+				put(sim, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room is left
 			}
 			sim.advance(4*time.Minute + 2*time.Second)
 		},
@@ -537,8 +540,8 @@
 	}
 }
 
-// checkPolicy judges a transaction that is about to be carried out: no job is accepted that
-// the policy in force does not admit, unless its writer knows of no policies.
+// checkAdmissionPolicy checks a transaction before it is executed: it accepts no job that the
+// policy in force does not admit, unless its writer does not support policies.
 func (sim *simulation) checkAdmissionPolicy(t storage.Txn) {
 	sim.t.Helper()
 	record, exists := sim.store.keys[storage.AdmissionPolicyKey]
@@ -547,7 +550,7 @@
 	}
 	policy := &admission.Policy{}
 	if json.Unmarshal(record.Value, policy) != nil {
-		policy = &admission.Policy{DefaultShare: admission.Share{Steps: []uint64{0}}} // nobody
+		policy = &admission.Policy{DefaultShare: admission.Share{Steps: []uint64{0}}} // admits no job
 	}
 	for _, write := range t.Writes {
 		var job storage.JobRecord
--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -9,9 +9,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A machine whose reports arrive but which hears no answer gets no more work, and
-// what waited for it runs elsewhere. Its fresh reports once kept tasks waiting on
-// it for ever.
+// A machine whose heartbeats arrive but which gets no responses is given no more work, and the
+// tasks that were assigned to it run elsewhere. Its heartbeats once kept those tasks assigned for
+// ever.
 func TestMachineWithoutResponsesGetsNoWork(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -36,8 +36,9 @@
 	}
 }
 
-// What a deaf machine runs is free again once its lease is surely over, though it
-// goes on reporting: answers that don't arrive renew nothing. Several at once.
+// Tasks of machines that get no responses are rescheduled once the worker lease has certainly
+// expired, although the machines keep sending heartbeats: a response that does not arrive renews no
+// lease. Several machines at once.
 func TestMachinesWithoutResponsesLoseTheirTasks(t *testing.T) {
 	sim, _ := newRunningSimulation(t, 3, 25*time.Second, 4, 12)
 	sim.cloud.rejectReturns = true
@@ -47,8 +48,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// After a takeover a deaf machine must not hold up the older jobs: it never shows
-// the new token, and each answer to it once put off the end of accounting.
+// After a takeover a machine without responses must not hold up older jobs: it never carries the
+// new fencing token, and each response sent to it once postponed its reconciliation.
 func TestDeafMachineAcrossTakeover(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -67,7 +68,7 @@
 	sim.crashNode(leaderNode.name)
 	sim.advance(time.Second)
 	next := sim.waitForLeader()
-	// Its reports all arrive at the new leader, as often as may be.
+	// Its heartbeats all arrive at the new leader, at the highest rate.
 	for _, worker := range sim.workers {
 		if worker.dropResponses {
 			worker.node = next.name
@@ -82,8 +83,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
 }
 
-// A machine that hears again after it was taken for deaf is safe: nothing of it
-// runs twice, whether it has been returned or not.
+// A machine that receives responses again after it was treated as unreachable is handled safely:
+// none of its tasks runs twice, whether it has been returned or not.
 func TestMachineReceivesResponsesAgain(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 12 * time.Second }
@@ -101,9 +102,9 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// Late copies of reports arrive from seconds to well over a lease late: after
-// newer ones, after the machine was returned, after a takeover by a leader that
-// remembers nothing of it. None brings back a machine, a task or a quota.
+// Late copies of heartbeats arrive seconds to well over a lease late: after newer ones, after the
+// machine was returned, after a takeover by a leader that knows nothing of it. None restores a
+// machine, a task or used quota.
 func TestLateCopiesReviveNothing(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -120,11 +121,11 @@
 		seen = append(seen, &copied)
 	}
 	job := jobSpec("j-1", 16)
-	job.Team = "team" // its limit is 16 cores
+	job.Team = "team" // which has a limit of 16 cores
 	sim.startMachines(5)
 	sim.submitAndStart(sim.leaderName(), job, 16)
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
-	// All machines are returned, and their records dropped.
+	// All machines are returned, and their records deleted.
 	if !sim.advanceUntil(5*time.Minute, func() bool { return len(sim.workers) == 0 && len(sim.nodes[sim.leaderName()].leader.Machines) == 0 }) {
 		t.Fatalf("machines are kept: %d", len(sim.workers))
 	}
@@ -161,7 +162,7 @@
 	sim.waitForLeader()
 	replay()
 	look("after a takeover")
-	// A job of the full quota starts as if nothing had come.
+	// A job that needs the full quota starts as if no copy had arrived.
 	job = jobSpec("j-2", 16)
 	job.EstimatedSeconds = 3600
 	job.Team = "team"
@@ -178,8 +179,8 @@
 	}
 }
 
-// Copies that come while the machine lives, in any order and long after, neither
-// bring back a task that has finished or moved, nor free one that runs.
+// Copies that arrive while the machine is up, in any order and long after, neither restore a task
+// that has completed or moved nor release one that runs.
 func TestLateCopiesOfLivingMachines(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 4 * time.Second }
@@ -220,8 +221,8 @@
 	}
 }
 
-// A machine that is back at once after an end, in a new session, loses what it ran and
-// gets it again; it is not taken for one that hears nothing.
+// A machine that restarts at once, with a new epoch, loses its tasks and is given them again; it is
+// not treated as one without responses.
 func TestMachineBackAtOnce(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
@@ -241,8 +242,8 @@
 	}
 }
 
-// Machines that a leader loses sight of together are not returned one after the other
-// before it shows how many they are, nor once they have spoken again.
+// Machines that a leader loses contact with together are not returned one after the other before
+// their number is known, nor after they have reported again.
 func TestMachinesCutOffTogetherAreKept(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 9, 36)
 	held := len(sim.cloud.hosts)
@@ -257,7 +258,7 @@
 			worker.unreachable = false
 		}
 	}
-	// Six of nine, not all at the same moment: fewer than half when the first are due.
+	// Six of nine, not all at the same moment: fewer than half when the first ones are due.
 	cut(6, 500*time.Millisecond)
 	sim.advance(8 * time.Second)
 	back()
@@ -286,9 +287,8 @@
 	sim.checkStartedOnce()
 }
 
-// A copy that was kept for the next leader, and reaches it before anything newer does,
-// shows a task where it ran before it moved. The task goes on where it is: the copy once
-// had it ended there.
+// A copy that reaches the next leader before any newer heartbeat shows a task on the machine from
+// which it has moved. The task continues where it is: the copy once ended it there.
 func TestCopyKeptForTheNextLeader(t *testing.T) {
 	for nodes := 1; nodes <= 7; nodes += 2 {
 		for offset := range 12 {
@@ -309,8 +309,8 @@
 					}
 				}
 				sim.advance(4 * time.Second)
-				// The cloud says that it takes the machines, so that their tasks move, but
-				// neither takes them nor lets them be returned.
+				// The cloud announces a preemption, so that the tasks move, but neither takes the
+				// machines nor accepts their return.
 				sim.cloud.rejectReturns = true
 				soon := 30.0
 				var old []*fakeWorker
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -9,14 +9,14 @@
 	"hitchdoor/internal/protocol"
 )
 
-// busy is a leader at the size of a large deployment, with half as many machines
-// again: all full, and tens of thousands of tasks that wait.
+// newBenchmarkLeader returns a leader with half as many machines again as a large deployment: all
+// full, with tens of thousands of pending tasks.
 func newBenchmarkLeader(b *testing.B) (*simulation, *simNode) {
 	defer b.ReportAllocs()
 	return newBusyLeader(&testing.T{}, 1800, 300)
 }
 
-// busyLeader is a leader of so many full machines, with 60 jobs of so many tasks.
+// newBusyLeader returns a leader of full machines, with 60 jobs of the given number of tasks.
 func newBusyLeader(t *testing.T, machines, tasks int) (*simulation, *simNode) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -36,9 +36,8 @@
 	return sim, leaderNode
 }
 
-// What a report costs, counted in machines and jobs looked at, is the same with four
-// times the machines and tasks, also for work that is to start soon and looks
-// for a machine with its image.
+// The cost of a heartbeat, counted in machines and jobs examined, is the same with four times the
+// machines and tasks, also for latency-sensitive work that prefers a machine with its image.
 func TestHeartbeatCostsTheSameAtAnySize(t *testing.T) {
 	cost := func(machines, tasks int) int {
 		sim, n := newBusyLeader(t, machines, tasks)
@@ -47,14 +46,14 @@
 		for i, r := range l.PendingOrder {
 			r.Job.EligibleAt, r.Job.Spec.Image, r.Job.Spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
 			if i < len(l.PendingOrder)/2 {
-				r.Job.Spec.MemoryGB = 15 // no room on any machine, but each is asked
+				r.Job.Spec.MemoryGB = 15 // fits on no machine, but is examined for each
 			}
 			l.Slos[r.Job.Spec.Class] = []cluster.Slo{{Limit: 10 * time.Second, OnStart: true}}
 		}
 		at := l.CandidatesExamined
 		for i, machine := range l.MachinesByName()[:21] {
 			rep := sim.workers[machine.Name].heartbeat()
-			if i%2 == 0 { // a task has ended
+			if i%2 == 0 { // a task has completed
 				rep.Tasks[0].State, rep.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
 			}
 			rep.Sequence = machine.HeartbeatSeq + 1
@@ -66,7 +65,7 @@
 				t.Fatal("a report was not taken")
 			}
 			if i == 0 {
-				at = l.CandidatesExamined // the first one after a pass looks for the images
+				at = l.CandidatesExamined // the first one after a pass looks up the images
 			}
 		}
 		return l.CandidatesExamined - at
@@ -77,15 +76,15 @@
 	}
 }
 
-// BenchmarkReport measures a leader's step for a report. Reports are most of its
-// work, so it must not grow with machines x tasks.
+// BenchmarkReport measures a leader's step for a heartbeat. Heartbeats are most of its work, so the
+// cost must not grow with machines x tasks.
 func BenchmarkReport(b *testing.B) {
 	sim, leaderNode := newBenchmarkLeader(b)
 	machine := leaderNode.leader.Machines["m-000001"]
 	rep := sim.workers["m-000001"].heartbeat()
 	now := sim.now - leaderNode.bootedAt
 	for i := 0; b.Loop(); i++ {
-		// The clock stands still, within the leader's lease.
+		// The clock doesn't advance, so the leader's lease holds.
 		rep.Sequence = machine.HeartbeatSeq + 1
 		leaderNode.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
 	}
@@ -94,8 +93,7 @@
 	}
 }
 
-// BenchmarkPass measures a full pass of admission when a tenth of the machines
-// have room.
+// BenchmarkPass measures a full scheduling pass when a tenth of the machines have room.
 func BenchmarkPass(b *testing.B) {
 	_, leaderNode := newBenchmarkLeader(b)
 	for b.Loop() {
@@ -110,7 +108,7 @@
 	}
 }
 
-// BenchmarkPlan measures the planning of the fleet.
+// BenchmarkPlan measures one plan of the fleet.
 func BenchmarkPlan(b *testing.B) {
 	_, leaderNode := newBenchmarkLeader(b)
 	for b.Loop() {
--- a/internal/controller/main_test.go
+++ b/internal/controller/main_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Each simulation keeps little and drops much, so that the collector ran all the time: with the
-// write barriers that it switches on it was a quarter of the tests' processor time. A
-// GOGC in the environment holds instead.
+// TestMain lets the garbage collector run less often. Each simulation retains little and allocates
+// much, so that the collector ran all the time, and with its write barriers took a quarter of the
+// tests' processor time. A GOGC in the environment takes precedence.
 func TestMain(m *testing.M) {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(400)
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -11,19 +11,20 @@
 	"hitchdoor/internal/protocol"
 )
 
-// mixedFaults is one short run of mixed troubles, all of it repeatable by its seed.
+// mixedFaults is one short run of mixed faults, reproducible by its seed.
 type mixedFaults struct {
 	*userSimulation
-	mayLowerLimits bool // the state service may lower its limits
+	mayLowerLimits bool // the store may begin to enforce its upcoming limits
 }
 
-// TestMixedFaults mixes, in many short runs, crashes and quick returns of
-// controllers, controllers that stand still, cuts that hold messages, cut zones, half-cut
-// controllers, state outages, lost answers, late transactions, deaf, hanging and silent machines, machines that are
-// back at once, mute ones, hangs at a cancellation, cancellations at an end, late copies of reports, also for the next leader, rolling upgrades from the version before, and a
-// state service that lowers its limits; jobs need others. The simulation checks at each moment that
-// one node leads, no task runs twice and no team is over its limit; the invariant checker
-// also hears what users are told, and every accepted job runs in the end.
+// TestMixedFaults mixes faults in many short runs: crashes, quick restarts and pauses of
+// controllers; cuts that delay messages, isolated zones, and controllers isolated from peers and
+// store; store outages, lost responses and late transactions; machines that hang, restart at once,
+// get no responses or are unreachable; cancellations combined with hangs or completions; late
+// copies of heartbeats, also for the next leader; rolling upgrades from the previous version; and a
+// store that lowers its limits. Jobs have dependencies. The simulation checks at each step that one
+// node leads, no task runs twice and no team exceeds its quota; the invariant checker also checks
+// the replies to users, and every accepted job completes in the end.
 func TestMixedFaults(t *testing.T) {
 	forEachSeed(t, 96, 6000, runMixedFaults)
 }
@@ -31,7 +32,7 @@
 func runMixedFaults(t *testing.T, seed uint64) {
 	c := &mixedFaults{userSimulation: newUserSimulation(newSimulationWithTimings(t, 3+4*int(seed%3/2), deployments[seed/6%uint64(len(deployments))]), seed)}
 	if seed%5 == 2 {
-		// One team has a guarantee, for which others give room back.
+		// One team has a guarantee, for which other teams' tasks are preempted.
 		c.cfg.Teams[0].GuaranteedCPUs = 8
 		c.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
 		c.cloud.capacity = 6
@@ -44,7 +45,7 @@
 		c.announceUpcomingLimits(1, 4, 30)
 	}
 	if seed%3 > 0 {
-		// In mid-upgrade: a node that dies before its turn comes back old.
+		// During the upgrade, a node that crashes before its turn restarts with the old version.
 		for i, name := range c.names {
 			c.oldVersionNodes[name] = true
 			c.startNode(name)
@@ -90,11 +91,11 @@
 		c.queryAllJobs()
 		c.advance(time.Duration(c.rng.IntN(8000)) * time.Millisecond)
 	}
-	c.advance(c.cancelLimit()*5/4 + c.machineLease()) // all troubles end by themselves
+	c.advance(c.cancelLimit()*5/4 + c.machineLease()) // every fault ends by itself
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// userWork submits a job, and at times cancels one.
+// submitUserWork submits a job, and sometimes cancels one.
 func (c *mixedFaults) submitUserWork(i int) {
 	job := jobSpec(fmt.Sprintf("j-%d", i), 1+c.rng.IntN(9))
 	if c.rng.IntN(2) == 0 {
@@ -154,13 +155,14 @@
 	c.schedule(c.randomDelay(), c.healCuts)
 }
 
-// peersRefuse cuts all controllers from each other.
+// isolateAllControllers cuts all links between controllers.
 func (c *mixedFaults) isolateAllControllers() {
 	c.isolateAllNodes()
 	c.schedule(c.randomDelay(), c.healCuts)
 }
 
-// halfCut takes the state service and the other controllers from one, not its workers.
+// cutControllerFromPeersAndStore isolates a controller from the store and the other controllers,
+// but not from its workers.
 func (c *mixedFaults) cutControllerFromPeersAndStore() {
 	name := c.leaderName()
 	if name == "" || c.rng.IntN(3) == 0 {
@@ -171,8 +173,8 @@
 	c.schedule(c.randomDelay(), func() { delete(c.store.requestsDropped, name); c.healCuts() })
 }
 
-// standStill stops controllers for a moment or for longer than every lease, some of
-// them between a decision and what comes of it.
+// pauseControllers pauses controllers for a moment or for longer than every lease, some of them
+// between a decision and its effects.
 func (c *mixedFaults) pauseControllers() {
 	for range 1 + c.rng.IntN(2) {
 		name := c.randomNode()
@@ -183,7 +185,7 @@
 	}
 }
 
-// mistakes lets some jobs fail on every machine until their users cancel them.
+// failJobs makes some jobs fail on every machine until their users cancel them.
 func (c *mixedFaults) failJobs() {
 	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
 		if c.terminalStates[id] == "" && !c.failingJobs[id] && c.rng.IntN(4) == 0 {
@@ -193,7 +195,7 @@
 	}
 }
 
-// cutZone cuts one node and the workers of a zone from everything else.
+// cutZone isolates one node and the workers of a zone from everything else.
 func (c *mixedFaults) cutZone() {
 	name := c.randomNode()
 	c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == name) }
@@ -219,7 +221,7 @@
 
 func (c *mixedFaults) loseStoreResponses() { c.store.responsesToLose += 1 + c.rng.IntN(3) }
 
-// lateTransaction keeps back a transaction, which is executed minutes later.
+// delayTransaction holds back a transaction, which is executed up to a minute later.
 func (c *mixedFaults) delayTransaction() {
 	store := c.store
 	store.holdTransaction = holdNextTransaction(store)
@@ -253,14 +255,14 @@
 	})
 }
 
-// restarted brings machines back at once in a new session, with nothing on them.
+// restartMachines restarts machines at once, with a new epoch and without tasks.
 func (c *mixedFaults) restartMachines() {
 	c.forRandomWorkers(func(worker *fakeWorker) {
 		worker.restartMachine()
 	})
 }
 
-// lateWrites lets some transactions and lease calls go unanswered and be carried out late.
+// executeWritesLate executes some transactions and lease calls late, without a response.
 func (c *mixedFaults) executeWritesLate() {
 	c.store.lateExecution = func() (time.Duration, bool) {
 		return 2*time.Second + c.randomDuration(10*time.Second), c.rng.IntN(4) == 0
@@ -268,19 +270,19 @@
 	c.schedule(c.randomDelay(), func() { c.store.lateExecution = nil })
 }
 
-// answersLost lets some be carried out at once, with only the answer lost.
+// dropWriteResponses executes some writes at once, but drops their responses.
 func (c *mixedFaults) dropWriteResponses() {
 	c.store.lateExecution = func() (time.Duration, bool) { return 0, c.rng.IntN(3) == 0 }
 	c.schedule(c.randomDelay(), func() { c.store.lateExecution = nil })
 }
 
-// slowState holds up each call to the state service.
+// delayStoreCalls delays each call to the key-value store.
 func (c *mixedFaults) delayStoreCalls() {
 	c.store.requestDelay = func() time.Duration { return c.randomDuration(c.machineLease() / 16) }
 	c.schedule(c.randomDelay(), func() { c.store.requestDelay = nil })
 }
 
-// mute takes all controllers from some workers.
+// cutWorkersFromControllers isolates some workers from all controllers.
 func (c *mixedFaults) cutWorkersFromControllers() {
 	isolated := map[string]bool{}
 	c.forRandomWorkers(func(worker *fakeWorker) { isolated[worker.name] = true })
@@ -288,13 +290,13 @@
 	c.schedule(c.randomDelay(), func() { c.workerReaches = nil })
 }
 
-// cancelAndHang cancels jobs and lets machines hang at that moment.
+// cancelJobsAndHangMachines cancels jobs and hangs machines at about the same moment.
 func (c *mixedFaults) cancelJobsAndHangMachines() {
 	c.cancelSomeJobs(3, 200*time.Millisecond)
 	c.schedule(c.randomDuration(400*time.Millisecond), c.hangMachines)
 }
 
-// cancelAtEnd cancels jobs when their last task is about to end.
+// cancelJobsAtCompletion cancels jobs at about the moment when a task completes.
 func (c *mixedFaults) cancelJobsAtCompletion() {
 	for _, worker := range c.sortedWorkers() {
 		for _, task := range worker.tasks {
@@ -305,7 +307,7 @@
 	}
 }
 
-// refuseWithPeers lets a node be refused by the state service and the other nodes at once.
+// refuseAndIsolateController makes the store and the other nodes refuse a controller at once.
 func (c *mixedFaults) refuseAndIsolateController() {
 	name := c.randomNode()
 	c.store.refusedNodes[name] = true
@@ -313,7 +315,8 @@
 	c.schedule(c.randomDelay(), func() { delete(c.store.refusedNodes, name); c.healCuts() })
 }
 
-// answersHeldUp holds up answers to workers, for some beyond the four seconds.
+// delayWorkerResponses delays responses to workers, some beyond the workers' timeout of four
+// seconds.
 func (c *mixedFaults) delayWorkerResponses() {
 	c.forRandomWorkers(func(worker *fakeWorker) {
 		worker.responseDelay = c.randomDuration(6 * time.Second)
@@ -321,7 +324,8 @@
 	})
 }
 
-// refusedThenOut is the first combination: the leader refused alone, then an outage for all.
+// refuseLeaderThenStopStore is the first of the users' combinations: the store refuses the leader
+// alone, and then has an outage for all nodes.
 func (c *mixedFaults) refuseLeaderThenStopStore() {
 	name := c.leaderName()
 	if name == "" {
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -12,10 +12,10 @@
 	"hitchdoor/internal/reachability"
 )
 
-// A half-open cut stops one direction of some links. It can be begun and ended again.
+// halfOpenCut stops, or restores, one direction of some links.
 type halfOpenCut func(w *simulation, leader string, on bool)
 
-// halfOpenCuts are those between a leader, the other nodes, the state service and workers.
+// halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers.
 var halfOpenCuts = map[string]halfOpenCut{
 	"leader to nodes": func(w *simulation, leader string, on bool) {
 		for _, other := range w.names {
@@ -71,25 +71,25 @@
 	}
 }
 
-// after1 is the node after another, by name.
+// nextNode returns the node after another, in order of name.
 func (sim *simulation) nextNode(name string) string {
 	return sim.names[(slices.Index(sim.names, name)+1)%len(sim.names)]
 }
 
-// reachable tells whether some node has all that a leader needs: with a pair of cuts after
-// which every worker lacks a node that it both reaches and hears, nothing can go on.
+// leaderPossible tells whether some node has all the links that a leader needs. With some pairs of
+// cuts no worker has a node that it can both reach and receive from, and no progress is possible.
 func leaderPossible(a, b string) bool {
 	workers := []string{"workers to leader", "leader to workers"}
 	const others = "workers to all nodes but leader"
 	return !(a == others && slices.Contains(workers, b) || b == others && slices.Contains(workers, a))
 }
 
-// cutSpan is within how many leases work begins again, whatever is cut.
+// recoveryLeaseCount is the number of leases within which tasks start again, under any cut.
 const recoveryLeaseCount = 4
 
-// Each cut alone and each pair of them, for three, five and seven nodes with drifting clocks:
-// no task starts twice, and a job that is submitted two seconds after the cut begins within
-// four leases, though the cut goes on. Once it heals everything is done.
+// Each cut alone and each pair of them, for three, five and seven nodes with drifting clocks: no
+// task starts twice, and a job that is submitted two seconds after the cut starts within four
+// leases although the cut persists. Once it heals every job completes.
 func TestHalfOpenCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, nodes := range []int{3, 5, 7} {
@@ -125,8 +125,8 @@
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// Cuts that flap, at periods around the heartbeat, half of the lease and the lease: work goes
-// on, and there is one new leader in a lease at most.
+// Cuts that flap, with periods around the heartbeat interval, half of the lease and the lease: work
+// continues, and there is at most one new leader in a lease.
 func TestFlappingCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
@@ -164,8 +164,8 @@
 	}
 }
 
-// A cut that heals in the middle of things: at any moment after it began, with what it held
-// back delivered then, while jobs are submitted and cancelled.
+// A cut heals at any moment after it began, and the messages it held back are delivered then, while
+// jobs are submitted and cancelled.
 func TestCutHealsInBetween(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
@@ -190,8 +190,8 @@
 	}
 }
 
-// Workers come to one node alone, which does not hear the leader: that resigns, and another is
-// elected that can serve them, whatever meets the change.
+// Workers reach only one node, which does not receive the leader's heartbeats: the leader resigns,
+// and a node that can serve the workers is elected, whatever fault coincides with the change.
 func TestHandOverUnderFaults(t *testing.T) {
 	for name, trouble := range map[string]func(sim *simulation, leader, stranded string){
 		"nothing":         func(*simulation, string, string) {},
@@ -230,13 +230,13 @@
 	}
 }
 
-// hearsUs tells whether a peer says that it hears this node.
+// linkFrom returns the state of the link from this node to a peer, by the reports of the peer.
 func (n *Node) linkFrom(name string) reachability.Link {
 	return n.connectivity.matrix.Link(n.cfg.Node, name, n.now, n.leaderLease())
 }
 
-// What a peer says of links and can't be true changes nothing and is named once; a message
-// of an earlier version, without any of it, leaves the links unknown.
+// A link report of a peer that can't be true changes nothing and is logged once; a message of an
+// earlier version, which carries no report, leaves the links unknown.
 func TestImpossibleLinkReports(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -259,8 +259,8 @@
 	}
 }
 
-// While no worker reaches the leader the others relay; it is tried again from time to time
-// whether they do, so once the cut has healed they are served directly.
+// While no worker reaches the leader the others relay. They retry from time to time whether workers
+// do, so that workers are served directly once the cut has healed.
 func TestRelaysEndAfterTheCut(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 4, 8)
 	sim.heartbeatsBlocked[leaderNode.name] = true
@@ -283,15 +283,15 @@
 	}
 }
 
-// A leader that still serves a few workers, while clearly more come to a node that does not
-// hear it, hands over, too; one that serves most of them stays.
+// A leader that still serves a few workers while clearly more reach only a node that does not
+// receive its heartbeats hands over as well; one that serves most of them stays.
 func TestHandOverToWhereMostWorkersAre(t *testing.T) {
 	for _, x := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
 		sim, leaderNode := newRunningSimulation(t, 3, time.Hour, x.served+x.stranded, 4)
 		leader, term := leaderNode.name, leaderNode.leader.term
 		other, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
-		sim.cloud.capacity, sim.cloud.rejectReturns = x.served+x.stranded, true // else it would rent others
-		split := map[string]bool{}                                              // those that reach the other node alone
+		sim.cloud.capacity, sim.cloud.rejectReturns = x.served+x.stranded, true // or it would rent others
+		split := map[string]bool{}                                              // workers that reach the other node only
 		for _, m := range sim.sortedWorkers()[:x.stranded] {
 			split[m.name] = true
 		}
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -7,9 +7,9 @@
 	"hitchdoor/internal/config"
 )
 
-// A guest team without a guarantee uses what is left, and gives room back in time: of its
-// tasks that save, as many are stopped as guaranteed work needs, not before their start
-// counts, and each once. What does not save runs on.
+// A team without a guarantee borrows idle capacity and is preempted in time: of its tasks that
+// checkpoint, as many are stopped as guaranteed work needs, not before their start counts, and each
+// once. Tasks that don't checkpoint run on.
 func TestBorrowedCapacityIsReclaimed(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -14,7 +14,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// announce lets the settings name lower limits of the state service.
+// announceUpcomingLimits starts all nodes anew with settings that announce lower limits of the
+// key-value store.
 func (sim *simulation) announceUpcomingLimits(valueKB float64, ops int, rps float64) {
 	next := &sim.cfg.Store.Upcoming
 	next.ValueKB, next.TxnOps, next.WritesPerS = &valueKB, &ops, &rps
@@ -23,7 +24,7 @@
 	}
 }
 
-// The records as the version in production writes them.
+// The records and messages as the version in production writes them.
 const (
 	productionJob = `{"spec":{"uid":"j-p","lote":"c","dono":"free","feitio":"batch","vez":"standard","pecas":3,"cores":1,
 	 "accelerators":0,"ramGb":1,"molde":"i","pullGb":0,"portes":null,"praca":"","samePlace":false,"apart":false,"avulsas":true,
@@ -37,8 +38,8 @@
 
 func (sim *simulation) putRaw(key, value string) { sim.store.putValue(key, json.RawMessage(value)) }
 
-// What production has written is read, led and rewritten; a job may need one that
-// production ended.
+// Records of production are read, continued and rewritten; a job may depend on one that production
+// ended.
 func TestRecordsOfProduction(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.putRaw(storage.TermKey, productionTerm)
@@ -68,7 +69,7 @@
 	}
 }
 
-// A line of production says nothing of its version, and is understood.
+// A message of production carries no version, and is understood.
 func TestMessagesOfProduction(t *testing.T) {
 	sim := newSimulation(t, 3)
 	m, err := protocol.DecodePeerMessage([]byte(productionHeartbeat))
@@ -80,7 +81,7 @@
 	if p := n.leaderPeer(); p == nil || p.Name != "n1" || p.protocolLevel != 0 {
 		t.Errorf("taken as %+v", p)
 	}
-	// And what this version adds, production ignores: it is added, nothing is changed.
+	// Production ignores the fields that this version adds; no field of production is changed.
 	var beat map[string]any
 	line, err := protocol.EncodePeerMessage(protocol.PeerHeartbeat{Term: 4, IsLeader: true, SentAt: 12, Uptime: 12, ProcessID: 5, ReceiverProcessID: 7, VersionLevel: protocolLevel, WritesThrottled: true})
 	if err != nil {
@@ -96,9 +97,9 @@
 	}
 }
 
-// Groups that production made larger than a value may be by now are split before they
-// are written again: each machine stays durable by name at every moment, and so it does
-// when leaders change in between.
+// Groups that production wrote larger than the present value limit are split before they are
+// written again. Each machine stays recorded by name at every moment, also across changes of
+// leader.
 func TestLargeGroupsAreSplit(t *testing.T) {
 	for _, crashAt := range []time.Duration{0, 5 * time.Millisecond, 30 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond} {
 		sim := newSimulation(t, 3)
@@ -112,7 +113,7 @@
 		}
 		sim.store.putValue(storage.MachineGroupKey(0), large)
 		sim.store.putValue(storage.MachineGroupKey(2), storage.MachineGroupRecord{"m-000900": {Type: "c4", Zone: "b", Spot: true, RentedAtMillis: 1_000_000_000}})
-		recorded := func() map[string]bool { // by name: used
+		recorded := func() map[string]bool { // by name: whether it has had tasks
 			all := map[string]bool{}
 			for key, it := range sim.store.keys {
 				var rec storage.MachineGroupRecord
@@ -148,8 +149,8 @@
 	}
 }
 
-// A machine that two groups name, as a leader died while it split one, is used if either
-// says so: it may have tasks.
+// A machine in two groups, because a leader crashed while it split one, counts as used if either
+// group says so: it may have tasks.
 func TestMachineInTwoGroups(t *testing.T) {
 	for _, first := range []bool{false, true} {
 		sim := newSimulation(t, 1)
@@ -171,9 +172,9 @@
 	}
 }
 
-// Bitmaps of the largest jobs change their layout only once no node of the version before
-// may lead: it takes a part for another one by its number, and would call tasks done
-// that never ran.
+// Bitmaps of the largest jobs change their layout only once no node of the previous version can
+// lead: it takes a part for another one by its number, and would report tasks as done that never
+// ran.
 func TestBitmapsOfTheLargestJobs(t *testing.T) {
 	const tasks, doneTask = 20_000, 15_000
 	sim := newSimulation(t, 3)
@@ -224,8 +225,8 @@
 	}
 }
 
-// While some node may be of the version before, which would start such a job at once, a
-// job that needs others is not taken; and what a node of it has written is led on.
+// While some node may run the previous version, which would start such a job at once, a job with
+// dependencies is not accepted; a job that such a node has written is continued.
 func TestNoNewFormatBeforeAllSupportIt(t *testing.T) {
 	sim := newSimulation(t, 3)
 	for _, name := range sim.names {
@@ -237,8 +238,8 @@
 	sim.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
 	sim.submitAccepted("n0", jobSpec("j-a", 4))
 	for i, name := range sim.names {
-		// Each is killed once more after its turn and once before the next one's, so
-		// that old nodes follow new ones and lead after them.
+		// Each node crashes once more after its turn and once before the next one's, so that old
+		// nodes follow and succeed new ones.
 		sim.upgradeNode(name)
 		sim.advance(4 * time.Second)
 		sim.crashNode(sim.leaderName())
@@ -260,14 +261,13 @@
 	sim.submitAccepted("n1", dependentSpec("j-b", 1, "j-a"))
 	sim.waitForJobState("j-b", protocol.JobDone, 2*time.Minute)
 	sim.checkStartedOnce()
-	// A late message of an earlier process changes nothing.
+	// A late message of an earlier process is ignored.
 	sim.nodes["n0"].inbox = append(sim.nodes["n0"].inbox, InboundMessage{From: "n1", Message: protocol.PeerHeartbeat{Uptime: 1}})
 	sim.submitAccepted("n0", dependentSpec("j-c", 1, "j-b"))
 }
 
-// The state service lowers its limits without notice: nothing that is sent is too
-// large, changes are paced by the lower rate after the first refusal, and what matters
-// is written first.
+// The store lowers its limits without notice: no value that is sent is too large, writes are paced
+// at the lower rate after the first refusal, and critical records are written first.
 func TestLowerLimits(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.announceUpcomingLimits(1, 4, 12)
@@ -297,8 +297,8 @@
 	}
 }
 
-// A transaction that the state service refuses for good, as its limits are lower than
-// the settings say, is cut anew and never sent again as it was; nobody stops leading.
+// A transaction that the store rejects permanently, as its limits are lower than configured, is
+// split again and never repeated unchanged; the leader stays.
 func TestRefusedForGood(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -326,8 +326,8 @@
 	}
 }
 
-// A submission that is too large for the limits is refused at once, but never one that
-// was accepted when they were wider.
+// A submission that is too large for the limits is rejected at once, but never one that was
+// accepted under the wider limits.
 func TestTooLargeForTheNewLimits(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.announceUpcomingLimits(1, 4, 40)
@@ -345,7 +345,7 @@
 	}
 }
 
-// A leader that is told to end hands over at once, and its machines' tasks go on.
+// A leader that is drained hands over at once, and the tasks on its machines continue.
 func TestDrainedLeaderHandsOver(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 40*time.Second, 2, 6)
 	leaderNode.inbox = append(leaderNode.inbox, Drain{})
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -11,7 +11,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// damage overwrites a stored value as no controller does, and returns how to undo that.
+// overwriteValue replaces a stored value by one that no controller writes, and returns a function
+// that restores it.
 func (s *fakeStore) overwriteValue(key, value string) (restore func()) {
 	previous, known := s.keys[key]
 	set := func(value []byte) {
@@ -31,7 +32,7 @@
 	}
 }
 
-// keyOf finds the only key with a prefix.
+// onlyKeyWithPrefix returns a key with a prefix, of which there has to be one only.
 func (s *fakeStore) onlyKeyWithPrefix(t *testing.T, prefix string) string {
 	t.Helper()
 	for key := range s.keys {
@@ -43,7 +44,7 @@
 	return ""
 }
 
-// endAll ends all controllers and lets them begin anew after a while.
+// restartAllNodes crashes all nodes and restarts them after some time.
 func (sim *simulation) restartAllNodes(away time.Duration) {
 	for _, name := range sim.names {
 		sim.crashNode(name)
@@ -54,16 +55,16 @@
 	}
 }
 
-// A record that can't be read once had its job unknown to its users and its tasks started
-// again, or the leader stepped down again and again as it wrote over it. It is set aside: never
-// written, its job known and not started, its running tasks left alone; everything else goes on.
-// Once it is mended, all is as if nothing had been.
+// A record that can't be read once made its job unknown to users and its tasks start again, or made
+// the leader step down repeatedly when it overwrote the record. It is quarantined: never written,
+// its job known but not started, its running tasks left alone, and everything else continues. Once
+// the record is repaired, processing resumes normally.
 func TestDamagedRecordIsQuarantined(t *testing.T) {
 	for name, x := range map[string]struct {
 		key       func(sim *simulation) string
 		value     string
-		rewritten bool // it may be written over: a forecast alone
-		silent    bool // users of j-1 can only be told to come back
+		rewritten bool // may be overwritten: a forecast only
+		silent    bool // queries about j-1 get 503 only
 		frees     bool // j-1 itself is not held up by it
 	}{
 		"job unreadable":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"pecas":"x"}}`},
@@ -124,7 +125,7 @@
 			if on := sim.activeTaskCount("j-1"); on != 3 || sim.totalStarts() != started+6 {
 				t.Errorf("%d of 3 tasks go on, %d starts after %d", on, sim.totalStarts(), started)
 			}
-			sim.advance(30 * time.Second) // the tasks end; what they did is kept
+			sim.advance(30 * time.Second) // the tasks complete; their results are kept
 			if !x.frees && sim.terminalState("j-1") != "" {
 				t.Errorf("the job is %s by its record", sim.terminalState("j-1"))
 			}
@@ -138,7 +139,7 @@
 	}
 }
 
-// A job that is open by one record, be that readable or not, and over by another is over, on every
+// A job that is open by one record, readable or not, and terminal by another is terminal on every
 // node, and its tasks are stopped.
 func TestOpenAndTerminalRecordIsTerminal(t *testing.T) {
 	for i, state := range []protocol.JobState{protocol.JobDone, protocol.JobCancelled, protocol.JobDone, protocol.JobCancelled} {
@@ -168,7 +169,7 @@
 	}
 }
 
-// Many damaged records of each kind at once: no node ends, and nothing else is held up.
+// With many damaged records of each kind at once no node crashes, and no other job is held up.
 func TestManyDamagedRecords(t *testing.T) {
 	sim, _ := newRunningSimulation(t, 3, 10*time.Second, 2, 4)
 	for i := range 30 {
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -10,8 +10,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// refusalOutageWays are the ways in which an end comes to be told while the old leader doesn't know
-// of it, or in which that leader may come to keep its workers.
+// refusalOutageWays are the ways in which a terminal state is reported while the old leader doesn't
+// know of it, or in which that leader may keep its workers.
 var refusalOutageWays = map[string]func(c *userSimulation, old string){
 	"plain": func(*userSimulation, string) {},
 	"answers lost": func(c *userSimulation, _ string) {
@@ -68,17 +68,17 @@
 	},
 }
 
-// The first combination: the state service refuses the leader alone, another controller
-// confirms cancellations, and then the state service is out for all for longer than
-// cancel_s, while workers go on reporting to the old leader. The refusal begins up to three
-// terms before the outage; users cancel all along.
+// The first of the users' combinations: the key-value store refuses the leader alone, another
+// controller confirms cancellations, and then the store has an outage for all nodes that exceeds
+// cancel_s, while workers keep sending heartbeats to the old leader. The refusal begins up to three
+// lease terms before the outage; users send cancellations all along.
 func TestCancelledBetweenRefusalAndOutage(t *testing.T) {
 	t.Cleanup(func() {
 		if !t.Failed() && confirmedElsewhere.Load() == 0 {
 			t.Error("no cancellation was confirmed by a successor before an outage: the meeting was not brought about")
 		}
 	})
-	offsets := 12 // each run is put off by up to a heartbeat more
+	offsets := 12 // each run is shifted by up to one more heartbeat
 	if sweepAll() {
 		offsets = 320 // a twentieth of a heartbeat apart
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// refusalOutageTerms is how many spans of a leader's lease the refusal begins before the outage, at
-// most: a successor is elected after one or two.
+// refusalOutageTerms is the largest offset, in leader leases, between the refusal and the outage: a
+// successor is elected after one or two.
 const refusalOutageTerms = 3.2
 
 var confirmedElsewhere atomic.Int64
@@ -111,7 +111,7 @@
 	const jobs = 8
 	c, leaderNode := newFaultCombination(t, nodes, p, seed, jobs, 2)
 	outageAfter += time.Duration(c.rng.Float64() * float64(c.machineLease()) / 32)
-	// Half of the machines reach nobody but the old leader.
+	// Half of the machines reach only the old leader.
 	c.workerReaches = func(worker *fakeWorker, node string) bool {
 		return node == leaderNode.name || worker.name[len(worker.name)-1]%2 == 0
 	}
@@ -134,7 +134,7 @@
 	c.waitForCancellations(jobs - 1)
 }
 
-// settleCancelled checks that the first few jobs are cancelled for good.
+// waitForCancellations waits until the first jobs are cancelled durably.
 func (c *userSimulation) waitForCancellations(jobs int) {
 	c.t.Helper()
 	if !c.advanceUntil(time.Minute, func() bool {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -34,14 +34,14 @@
 	if r := sim.submit(f, jobSpec("j-1", 20)); r.Status != 200 {
 		t.Fatalf("submission of a finished job: %d", r.Status)
 	}
-	// Idle machines go back.
+	// Idle machines are returned.
 	if !sim.advanceUntil(5*time.Minute, func() bool { return len(sim.cloud.hosts) == 0 }) {
 		t.Fatalf("%d machines kept for nothing", len(sim.cloud.hosts))
 	}
 }
 
-// forgotten, went_back: what was accepted or over stays so after all
-// controllers have been killed at once.
+// forgotten, went_back: accepted and terminal jobs stay so after all controllers have crashed at
+// once.
 func TestNothingForgottenAfterFullRestart(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -71,7 +71,7 @@
 	sim.waitForJobState("j-3", protocol.JobDone, 60*time.Second)
 }
 
-// invented, forgotten: 404 only after the state service has said so.
+// invented, forgotten: a node answers 404 only after the key-value store has said so.
 func TestUnknownJobs(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -89,8 +89,8 @@
 	}
 }
 
-// A submission whose write was executed, but whose answer was lost in a crash,
-// is known when it is repeated.
+// A submission whose write was executed, but whose reply was lost in a crash, is known when it is
+// repeated.
 func TestCrashBetweenWriteAndAnswer(t *testing.T) {
 	sim := newSimulation(t, 3)
 	first := sim.waitForLeader()
@@ -107,7 +107,7 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
-// ran_twice: a new leader finds the tasks that run and lets them run.
+// ran_twice: a new leader finds the running tasks and lets them run.
 func TestTakeoverKeepsRunningTasks(t *testing.T) {
 	sim, first := newRunningSimulation(t, 3, 40*time.Second, 2, 8)
 	sim.crashNode(first.name)
@@ -120,8 +120,8 @@
 	}
 }
 
-// ran_twice: a machine that the new leader does not hear may still run tasks. Old
-// jobs wait for its lease; a job accepted since can't be on it and need not.
+// ran_twice: a machine that does not report to the new leader may still run tasks. Older jobs wait
+// for its lease; a job accepted since can't be on it and need not wait.
 func TestTakeoverWaitsForSilentMachine(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 200 * time.Second }
@@ -133,7 +133,7 @@
 			victim = worker
 		}
 	}
-	sim.cloud.rejectReturns = true // or that would make sure sooner
+	sim.cloud.rejectReturns = true // or a return would reconcile it sooner
 	sim.crashNode(first.name)
 	victim.unreachable = true
 	sim.waitForLeader()
@@ -154,8 +154,8 @@
 	}
 }
 
-// ran_twice: a session that was declared lost never gets a 200, or its tasks
-// would live on beside their second runs.
+// ran_twice: an epoch that was fenced never gets a 200, or its tasks would continue beside their
+// second attempts.
 func TestFencedEpochIsNeverAnswered(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
@@ -178,7 +178,7 @@
 	}
 }
 
-// A late report, older than one already seen, changes nothing and gets no 200.
+// A late heartbeat, older than one already processed, changes nothing and gets no 200.
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -202,8 +202,8 @@
 	}
 }
 
-// A start whose answer was dropped was not executed: the same attempt is sent
-// again, and nothing is counted twice.
+// A start command whose response was lost was not executed: the same attempt is sent again, and
+// nothing is counted twice.
 func TestDroppedAnswerIsSentAgain(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -224,7 +224,7 @@
 	}
 }
 
-// ran_cancelled: a start is in flight when the user cancels.
+// ran_cancelled: a start command is in flight when the user cancels.
 func TestCancelAgainstStartInFlight(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
@@ -256,7 +256,7 @@
 	}
 }
 
-// not_done, went_back: no user hears "withdrawn" before it is durable.
+// not_done, went_back: no user is told that a job is cancelled before that is durable.
 func TestCancelWaitsForTheWrite(t *testing.T) {
 	sim := newSimulation(t, 3)
 	first := sim.waitForLeader()
@@ -272,8 +272,7 @@
 	sim.waitForJobState("j-1", protocol.JobCancelled, 10*time.Second)
 }
 
-// A result is forgotten by its worker only once its bit is durable; it is the
-// only copy until then.
+// A worker forgets a result only once its bit is durable; until then the worker has the only copy.
 func TestForgetOnlyAfterDoneIsDurable(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(key string, _ int) time.Duration {
@@ -299,8 +298,8 @@
 	}
 }
 
-// quota: what a silent machine may still run counts until it is surely over; the
-// simulation's check holds the limit at each moment.
+// quota: what an unreachable machine may still run counts until it has certainly ended; the
+// invariant checker checks the quota at each step.
 func TestQuotaCountsUnreachableTasks(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 30 * time.Second }
@@ -320,8 +319,8 @@
 	}
 	sim.crashNode(sim.leaderName())
 	sim.waitForLeader()
-	// A job accepted since then may start at once, but not into the share of
-	// what the silent machine may still run.
+	// A job accepted since then may start at once, but not within the quota that tasks on the
+	// unreachable machine may still use.
 	next := jobSpec("j-2", 16)
 	next.Team = "team"
 	sim.cloud.rejectReturns = true
@@ -332,7 +331,7 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 6*time.Minute)
 }
 
-// wrong_place: types, zone, kind and the places of the job's other tasks.
+// wrong_place: machine types, zone, spot or on-demand, and the placement of the job's other tasks.
 func TestPlacementObeysTheJob(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
@@ -379,7 +378,7 @@
 	}
 }
 
-// The checks of admission come in their order, and the job says which stopped it.
+// The admission checks are made in order, and the job names the one that blocks it.
 func TestAdmissionOrder(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -403,7 +402,7 @@
 	}
 }
 
-// Set-aside slots are lent to batch work until pressing work has waited.
+// Reserved slots are lent to batch work until latency-sensitive work has been pending.
 func TestBorrowedSlotsComeBack(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -424,8 +423,8 @@
 	}
 }
 
-// A failed task is retried at once on another machine; a machine that fails
-// everything is found and returned.
+// A failed task is retried at once on another machine; a machine on which every task fails is
+// detected and returned.
 func TestUnhealthyMachineIsReturned(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 3 * time.Second }
@@ -447,8 +446,8 @@
 	sim.waitForJobState("j-2", protocol.JobDone, 60*time.Second)
 }
 
-// A job that fails on every machine is the job's own mistake: no machine is
-// condemned for it, and other work goes on.
+// A job that fails on every machine is at fault itself: no machine is marked unhealthy for it, and
+// other work continues.
 func TestFailingJobMarksNoMachineUnhealthy(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -480,8 +479,8 @@
 	}
 }
 
-// A spot notice drains the machine: tasks that save are stopped with time to
-// save, and the machine gets nothing more.
+// A preemption notice drains the machine: tasks that checkpoint are stopped in time to save, and
+// the machine gets no more work.
 func TestSpotNoticeDrains(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -513,8 +512,8 @@
 	}
 }
 
-// The cloud may be down or have no cheap machines: demand is remembered, other
-// kinds are tried, and no request name is used twice.
+// The cloud may be down or out of spot machines: demand is kept, other machine types are tried, and
+// no request id is used twice.
 func TestCloudFaults(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -528,8 +527,8 @@
 	}
 }
 
-// A worker that can't reach the leader comes back after its 421, and is then
-// relayed, so that its lease holds.
+// A worker that can't reach the leader returns after its 421 and is then relayed, so that its lease
+// holds.
 func TestFollowerRelaysForCutWorkers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -551,8 +550,8 @@
 	}
 }
 
-// A machine that runs its tasks far slower than their siblings run elsewhere is
-// emptied, and what would be done sooner from the start moves.
+// A machine on which tasks run far slower than their siblings elsewhere is drained, and tasks that
+// would complete sooner when started afresh move.
 func TestSlowMachineIsDrained(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -574,8 +573,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
 }
 
-// The largest job fits the value limit (the stand-in checks each write), and what
-// is finished survives a takeover.
+// The largest job fits the value limit (the fake store checks each write), and its completed tasks
+// survive a takeover.
 func TestLargestJob(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Second }
@@ -605,8 +604,8 @@
 	}
 }
 
-// A report may be written over several lines; between controllers a line is a
-// message, so what was parsed is forwarded and not what came.
+// A heartbeat may span several lines; between controllers a line is a message, so the parsed
+// heartbeat is forwarded rather than the received bytes.
 func TestForwardedBodyIsOneLine(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -616,7 +615,7 @@
 		t.Fatal(err)
 	}
 	asked := false
-	for range 2 { // a worker that comes back can't reach the leader and is relayed
+	for range 2 { // a worker that returns can't reach the leader and is relayed
 		for _, e := range f.Step(sim.now-f.bootedAt+step, []Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
 			s, ok := e.(OutboundMessage)
 			if !ok {
@@ -636,8 +635,8 @@
 	}
 }
 
-// Submissions must not wait behind the records of machines: a burst of rented
-// machines once used up all changes and users were turned away.
+// Submissions must not wait behind machine records: a burst of rented machines once used up the
+// write rate, and submissions were rejected.
 func TestSubmissionsPassMachineRecords(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Store.WritesPerS = 25
@@ -666,8 +665,8 @@
 	}
 }
 
-// Hundreds of machines that come up together must be durable by name before their
-// first task without waiting for one another's changes.
+// Hundreds of machines that boot together must be recorded by name before their first task, without
+// one write for each.
 func TestMachinesShareRecords(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.cfg.Store.WritesPerS = 25
@@ -709,8 +708,8 @@
 	}
 }
 
-// Records of single machines, as the version before wrote them, are still read: a
-// machine that had tasks is waited for, and its record moves into a group.
+// Records of single machines, as the previous version wrote them, are still read: a machine that
+// had tasks is reconciled, and its record moves into a group.
 func TestRecordsOfTheVersionBefore(t *testing.T) {
 	sim := newSimulation(t, 1)
 	worker := sim.cloud.rentMachine("c4", "a", true)
@@ -734,9 +733,9 @@
 	}
 }
 
-// A cluster that starts anew while the cloud is down takes jobs and uses the machines
-// it has: the machine types are stored. A job that no stored type fits is not refused
-// for good, as types may have come since.
+// A cluster that restarts while the cloud is down accepts jobs and uses the machines that it has,
+// since the machine types are stored. A job that fits no stored type is not rejected permanently,
+// as types may have been added since.
 func TestStartWhileTheCloudIsDown(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -768,8 +767,8 @@
 	}
 }
 
-// A few long tasks that save must not keep a large surplus machine: they move to
-// others that have room, if that is worth it and costs no aim.
+// A few long tasks that checkpoint must not keep a large surplus machine: they move to other
+// machines with room, if that saves enough and violates no objective.
 func TestCheckpointingTasksAreConsolidated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -813,8 +812,8 @@
 	}
 }
 
-// A job whose record outgrows a value can't be kept, so it is refused for good; it
-// was once turned away with 503, to be sent again and again.
+// A job whose record exceeds the value limit can't be stored, so it is rejected permanently; it
+// once got 503 and was submitted again and again.
 func TestJobTooLargeToStore(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -828,8 +827,8 @@
 	}
 }
 
-// Once a job's end is in the state service, any node may tell it, though the leader
-// that wrote it has got no answer yet: the leader must not say anything older.
+// Once the terminal record of a job is in the key-value store, any node may report it although the
+// leader that wrote it has no response yet: the leader must not report an older state.
 func TestEndIsToldByAllOrNone(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -840,7 +839,7 @@
 	sim.submit(leaderNode.name, dependentSpec("j-2", 1, "j-1"))
 	sim.submit(leaderNode.name, dependentSpec("j-3", 1, "j-2"))
 	sim.advance(2 * time.Second)
-	sim.store.holdTransaction = func(_ string, txn storage.Txn) bool { // executed, but not answered
+	sim.store.holdTransaction = func(_ string, txn storage.Txn) bool { // executed, but without a response
 		for _, write := range txn.Writes {
 			if write.PutKey == storage.TerminalKey("j-1") {
 				sim.store.holdTransaction = nil
@@ -855,20 +854,20 @@
 		t.Fatal("not written")
 	}
 	sim.submitAccepted(sim.followers()[0], dependentSpec("j-4", 1, "j-3"))
-	for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} { // those that need it are cancelled with it
+	for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} { // its dependents are cancelled with it
 		if _, s := sim.queryJob(leaderNode.name, id); s.State != protocol.JobCancelled {
 			t.Fatalf("the leader says %q of %s after the end was written", s.State, id)
 		}
 	}
 }
 
-// quota: what may still run on a machine of a type that is no longer sold fills the limits
-// of all teams until it is known; it once counted for nothing.
+// quota: what may still run on a machine of a type that is no longer offered fills the quotas of
+// all teams until it is reconciled; it once counted for nothing.
 func TestQuotaCountsTypesNoLongerSold(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	leaderNode := sim.waitForLeader()
-	job := jobSpec("j-1", 16) // the team's limit
+	job := jobSpec("j-1", 16) // the team's quota
 	job.Team, job.EstimatedSeconds = "team", 3600
 	sim.submitAndStart(leaderNode.name, job, 16)
 	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c9", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
@@ -895,10 +894,9 @@
 	}
 }
 
-// A job that was submitted with a mistake fails on every machine until its user cancels
-// it: after its first tasks it is tried with one at a time, takes next to no room, stays
-// known, and runs as soon as the mistake is mended where it reads it. A faulty machine is
-// still found beside it.
+// A job with an error of its own fails on every machine until its user cancels it: after its first
+// tasks it is retried one task at a time, takes next to no capacity, stays known, and runs as soon
+// as the error is fixed where it reads it. A faulty machine is still detected beside it.
 func TestFailingJobIsRetriedWithOneTask(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 2 * time.Second }
@@ -941,9 +939,9 @@
 	}
 }
 
-// A small job whose first tasks met faulty machines only is taken for one with a mistake,
-// and is tried on a machine that it has not failed on as soon as there is one, though the
-// faulty ones are idle and hold its image.
+// A small job whose first tasks ran only on faulty machines is treated as failing everywhere. It is
+// retried on a machine on which it has not failed as soon as there is one, although the faulty ones
+// are idle and have its image.
 func TestSmallJobOnFaultyMachines(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 2 * time.Second }
@@ -971,9 +969,9 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// A healthy job whose first tasks all met faulty machines is taken for one with a mistake.
-// The first task that runs for longer than those did before they failed shows that it is
-// not, and the others follow it at once rather than after its whole run.
+// A healthy job whose first tasks all ran on faulty machines is treated as failing everywhere. The
+// first task that runs for longer than those did shows otherwise, and the others follow at once
+// rather than after its completion.
 func TestHealthyJobDoesNotPauseForAWholeRun(t *testing.T) {
 	const takes = 2 * time.Minute
 	sim := newSimulation(t, 1)
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -15,8 +15,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// answerFaults are what a service, or something on the way to it, makes of an answer. The
-// call itself was carried out.
+// answerFaults are what a service, or a proxy before it, may make of a response. The call itself
+// was executed.
 var answerFaults = map[string]func(r CallResult) CallResult{
 	"cut short":         func(r CallResult) CallResult { r.Body = r.Body[:len(r.Body)/2]; return r },
 	"a page of a proxy": func(r CallResult) CallResult { r.Body = []byte("<html>ok</html>"); return r },
@@ -38,7 +38,7 @@
 	},
 }
 
-// retyped turns each number of an answer into a string.
+// retyped replaces each number of a response by a string.
 func retyped(r CallResult) CallResult {
 	var fields map[string]any
 	if json.Unmarshal(r.Body, &fields) != nil {
@@ -53,9 +53,9 @@
 	return r
 }
 
-// Whatever the state service or the cloud answers for half a minute, to one node or to all,
-// now and then or always: no rule is broken, nobody is told anything false, the node goes
-// on by itself, and everything is served once the answers are right again.
+// The key-value store or the cloud returns invalid responses for half a minute, to one node or to
+// all, sometimes or always: no invariant is violated, no user gets a false reply, the node recovers
+// by itself, and all requests are served once the responses are valid again.
 func TestOddAnswersOfOutsideServices(t *testing.T) {
 	for fault, alter := range answerFaults {
 		for _, target := range []Target{TargetStore, TargetCloud} {
@@ -95,7 +95,7 @@
 	}
 }
 
-// mangleAnswers alters a share of a service's answers, to one node or to all.
+// alterServiceResults alters a share of the responses of a service, for one node or for all.
 func (c *userSimulation) alterServiceResults(target Target, only string, share float64, alter func(CallResult) CallResult) {
 	c.alterResult = func(node string, call ServiceCall, r CallResult) CallResult {
 		if call.Target != target || c.rng.Float64() > share || (only != "" && node != only) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// countCalls counts the calls to the state service that are answered from now on.
+// countStoreCalls counts the calls to the key-value store that are answered from now on.
 func (c *userSimulation) countStoreCalls() func() int {
 	calls := 0
 	inner := c.alterResult
@@ -118,9 +118,9 @@
 	return func() int { return calls }
 }
 
-// A watch that always comes back at once, with nothing or with 410, is asked for again
-// after a pause that grows: without it, a leader asked as fast as answers came. Jobs that
-// other nodes write are found all the same.
+// A watch that always returns at once, with no event or with 410, is retried after a growing delay:
+// without that, a leader repeated it as fast as responses arrived. Jobs that other nodes write are
+// found nevertheless.
 func TestWatchThatComesBackAtOnce(t *testing.T) {
 	for name, answer := range map[string]CallResult{
 		"empty":       {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
@@ -159,9 +159,9 @@
 	}
 }
 
-// What the cloud says of machine types, machines and rentals may be wrong in every way that
-// JSON allows: types that are missing once or given away, lists that repeat, contradict or
-// name nobody, rentals answered with machines that are known.
+// What the cloud says of machine types, machines and rentals may be wrong in every way that JSON
+// allows: types that are missing once or free of charge, lists that repeat, contradict or name
+// nobody, rentals answered with known machines.
 func TestOddCloudFacts(t *testing.T) {
 	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
 	with := func(change func(*protocol.MachineType)) []protocol.MachineType {
@@ -189,7 +189,7 @@
 			c.submitMoreJobs(4, 5*time.Second, nil)
 			c.advance(5 * time.Second)
 			c.cloud.machineTypes = types
-			for _, node := range c.names { // all read the catalogue anew
+			for _, node := range c.names { // all nodes read the catalog again
 				c.nodes[node].catalog.RequestedAt = clock.Never
 			}
 			c.submitMoreJobs(4, 5*time.Second, nil)
@@ -214,9 +214,8 @@
 	return names
 }
 
-// Two workers report under one name. The one that was heard first keeps its tasks: the
-// other's newer session is not the end of what the first one runs. Once the first is surely
-// gone the other may have the name.
+// Two workers report under one name. The first one keeps its tasks: the newer epoch of the other is
+// no proof that they have ended. Once the first has certainly ended the other may use the name.
 func TestTwoWorkersUnderOneName(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
 	worker := sim.sortedWorkers()[0]
@@ -239,8 +238,8 @@
 	}
 }
 
-// Reports may hold whatever JSON allows: what nobody started is stopped, what is unknown is
-// left alone, and no amount of time is believed beyond all bounds.
+// Heartbeats may hold whatever JSON allows: tasks that nobody started are stopped, unknown ones are
+// left alone, and durations are bounded.
 func TestInvalidHeartbeats(t *testing.T) {
 	notice := func(s float64) *float64 { return &s }
 	for name, change := range map[string]func(rep *protocol.WorkerHeartbeat){
@@ -292,8 +291,8 @@
 	}
 }
 
-// Wall clocks that differ by minutes order nothing that matters: rules hold through changes
-// of leader either way, and every job begins in time and is done.
+// Wall clocks that differ by minutes decide no order that matters: the invariants hold across
+// changes of leader in either direction, and every job starts in time and completes.
 func TestWallClocksMinutesApart(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -318,8 +317,8 @@
 	}
 }
 
-// While no zone has capacity left, rentals are asked for at a bounded rate, work goes on on
-// the machines there are, and the rest follows once there is capacity again.
+// While no zone has capacity, rentals are retried at a bounded rate, work continues on the present
+// machines, and the rest follows once there is capacity.
 func TestNoCapacityAnywhere(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -15,7 +15,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// fakeCloud is the cloud.
+// fakeCloud is an in-process fake of the cloud's HTTP interface.
 type fakeCloud struct {
 	simulation        *simulation
 	rentals           map[string][]string
@@ -23,11 +23,11 @@
 	lastMachineNumber int
 	unavailable       bool
 	noSpot            bool
-	capacity          int // machines to be had in all; 0: any number
+	capacity          int // limit of machines in all; 0: none
 	rejectReturns     bool
 	listsEmpty        bool // machine lists are empty
 	bootTime          time.Duration
-	nextBootTime      func() time.Duration // of the next machine
+	nextBootTime      func() time.Duration // of the next machine; nil: bootTime
 	machineTypes      []protocol.MachineType
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-// take takes a machine away without any notice.
+// removeMachine takes a machine away without notice, as a preemption may.
 func (c *fakeCloud) removeMachine(worker *fakeWorker) {
 	worker.disconnect()
 	delete(c.simulation.workers, worker.name)
@@ -118,7 +118,7 @@
 	return worker
 }
 
-// worker is a machine's worker.
+// fakeWorker simulates the worker of one machine: its heartbeats, its lease and its tasks.
 type fakeWorker struct {
 	simulation                  *simulation
 	name, machineType, zone     string
@@ -126,20 +126,20 @@
 	epoch, sequence             uint64
 	fencingToken                uint64
 	node                        string
-	connectedNode               string // the node that its connection goes to, where those are counted
+	connectedNode               string // set where connections are counted
 	tasks                       []*fakeTask
-	leaseRenewedAt              clock.Instant // when the last answered report was sent
+	leaseRenewedAt              clock.Instant // when the last answered heartbeat was sent
 	nextHeartbeatAt             clock.Instant
 	awaitingResponse            bool
 	stateChanged                bool
 	preemptionNotice            *float64
-	unreachable                 bool // no report leaves, no answer arrives
+	unreachable                 bool // no heartbeat leaves, no response arrives
 	hung                        bool
 	faulty                      bool
-	failureDelay                time.Duration // how long a faulty machine's tasks run; 0: to their end
+	failureDelay                time.Duration // after which tasks of a faulty machine fail; 0: at their end
 	dropResponses               bool
-	responseDelay               time.Duration // by how much answers to it are held up
-	stopGraces                  []float64     // of the stops it was given
+	responseDelay               time.Duration // delay of the responses to it
+	stopGraces                  []float64     // of the stop commands it received
 	forgottenTasks              []string
 	responseCount, refusalCount int
 }
@@ -163,17 +163,18 @@
 	return r
 }
 
-// restarted is a machine that is back at once after an end, in a new session.
+// restartMachine restarts the machine at once, with a new epoch and without tasks.
 func (worker *fakeWorker) restartMachine() {
 	worker.epoch++
 	worker.tasks, worker.leaseRenewedAt, worker.stateChanged, worker.awaitingResponse = nil, worker.simulation.now, true, false
 }
 
-// tick lets the worker do what is due, with the workers' lease.
+// tick advances the worker by one step: it ends its epoch if its lease has expired, ends tasks, and
+// sends a heartbeat that is due.
 func (worker *fakeWorker) tick(leaseDuration time.Duration) {
 	sim := worker.simulation
 	if sim.now-worker.leaseRenewedAt > leaseDuration {
-		// A machine that hangs goes on within its lease or not at all.
+		// A hung machine resumes within its lease or loses its tasks.
 		worker.epoch++
 		worker.tasks, worker.leaseRenewedAt, worker.stateChanged = nil, sim.now, true
 	}
@@ -196,7 +197,7 @@
 	worker.sendHeartbeat(worker.heartbeat())
 }
 
-// send sends a report to the worker's node and deals with the answer.
+// sendHeartbeat sends a heartbeat to the worker's node and handles the response.
 func (worker *fakeWorker) sendHeartbeat(heartbeat *protocol.WorkerHeartbeat) {
 	sim := worker.simulation
 	if sim.onHeartbeat != nil {
@@ -215,7 +216,7 @@
 	}
 	sim.schedule(4*time.Second, func() { finish(Reply{}) })
 	if sim.unreachableNodes[worker.node] || sim.heartbeatsBlocked[worker.node] || (sim.workerReaches != nil && !sim.workerReaches(worker, worker.node)) {
-		return // packets vanish
+		return // the request is lost
 	}
 	if !worker.connect() {
 		sim.schedule(step, func() { finish(Reply{Status: 503, RetryAfter: 1}) })
@@ -229,7 +230,7 @@
 	})
 }
 
-// connect opens a connection to the worker's node, unless that has no free one.
+// connect opens a connection to the worker's node, and reports false if that has no free one.
 func (worker *fakeWorker) connect() bool {
 	sim := worker.simulation
 	if sim.connectionLimit == 0 || worker.connectedNode == worker.node {
@@ -237,7 +238,7 @@
 	}
 	worker.disconnect()
 	if sim.nodes[worker.node].down {
-		return true // refused, and answered so
+		return true // refused at once, which the request finds out
 	}
 	if sim.openConnections[worker.node] >= sim.connectionLimit {
 		return false
@@ -257,7 +258,7 @@
 func (worker *fakeWorker) handleResponse(r Reply, sentAt clock.Instant, epoch uint64) {
 	sim := worker.simulation
 	if sim.connectionLimit > 0 && (r.Status != 200 || sim.openConnections[worker.connectedNode] > sim.connectionLimit-sim.connectionLimit/8) {
-		worker.disconnect() // it goes elsewhere, or its server takes turns
+		worker.disconnect() // it switches nodes, or its server closes connections to serve others in turn
 	}
 	switchNode := func() {
 		i := slices.Index(sim.names, worker.node)
@@ -306,7 +307,7 @@
 		worker.simulation.startCounts[command.TaskID]++
 		worker.simulation.checkTaskStart(worker, command.TaskID)
 		end := worker.simulation.now
-		if !worker.simulation.completedTasks[command.TaskID] { // else its result was kept
+		if !worker.simulation.completedTasks[command.TaskID] { // or its result was kept
 			duration := worker.simulation.taskDuration(command.TaskID, worker.simulation.startCounts[command.TaskID])
 			if worker.faulty && worker.failureDelay > 0 {
 				duration = worker.failureDelay
--- a/internal/controller/simulated_store_test.go
+++ b/internal/controller/simulated_store_test.go
@@ -16,7 +16,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// fakeState is the state service.
+// fakeStore is an in-process fake of the key-value store's HTTP interface.
 type fakeStore struct {
 	simulation            *simulation
 	keys                  map[string]storage.Item
@@ -26,19 +26,19 @@
 	lastLeaseID           uint64
 	down                  bool
 	refusedNodes          map[string]bool
-	requestsDropped       map[string]bool        // nodes whose calls vanish
-	responsesDropped      map[string]bool        // nodes that get no answers, though their calls are carried out
-	limitWriteRate        bool                   // enforce the changes per second
-	enforceUpcomingLimits bool                   // the limits that the settings announce hold
-	oversizedKeys         []string               // keys of transactions that were too large for those
-	throttledTransactions int                    // changes that came too fast for those
-	rejectTransaction     func(storage.Txn) bool // transactions to refuse for good
+	requestsDropped       map[string]bool        // nodes whose requests are lost
+	responsesDropped      map[string]bool        // nodes whose requests are executed, but whose responses are lost
+	limitWriteRate        bool                   // enforce the configured write rate
+	enforceUpcomingLimits bool                   // enforce the limits that the settings announce
+	oversizedKeys         []string               // keys of transactions rejected as too large for the upcoming limits
+	throttledTransactions int                    // transactions rejected for the rate
+	rejectTransaction     func(storage.Txn) bool // transactions to reject permanently
 	writeBucket           ratelimit.TokenBucket
-	responsesToLose       int                                   // answers of executed transactions to swallow
-	holdTransaction       func(node string, t storage.Txn) bool // transactions to keep back
+	responsesToLose       int                                   // responses of executed transactions to drop
+	holdTransaction       func(node string, t storage.Txn) bool // transactions to hold back without a response
 	heldTransactions      []func()
-	lateExecution         func() (d time.Duration, is bool) // calls that get no answer and are carried out so much later
-	requestDelay          func() time.Duration              // by how much each call is held up on its way
+	lateExecution         func() (d time.Duration, is bool) // calls to execute after a delay, without a response
+	requestDelay          func() time.Duration              // delay of each call on its way
 	watchers              []func() bool
 }
 
@@ -91,7 +91,7 @@
 	}
 	if s.lateExecution != nil && call.Method != "GET" && !s.down && !s.refusedNodes[node] {
 		if d, is := s.lateExecution(); is {
-			// A late one meets an outage or a refusal of its own node, too.
+			// A late call is subject to an outage or a refusal of its own node, too.
 			s.simulation.schedule(d, func() { s.executeCall(node, call, func(int, any) {}) })
 			return
 		}
@@ -167,7 +167,7 @@
 		}
 		if s.holdTransaction != nil && s.holdTransaction(node, t) {
 			s.heldTransactions = append(s.heldTransactions, func() { s.executeTransaction(t) })
-			return // no answer: it may be executed later
+			return // no response: it may be executed later
 		}
 		status, res := s.executeTransaction(t)
 		if status == 200 && s.responsesToLose > 0 {
@@ -227,14 +227,14 @@
 	}
 }
 
-// after are the events of the log that are newer than a revision. The log is in their order, as revisions
-// only grow.
+// eventsAfter returns the events of the log that are newer than a revision. The log is ordered by
+// revision, so a binary search finds them.
 func (s *fakeStore) eventsAfter(revision uint64) []storage.WatchEvent {
 	from := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].ModRevision > revision })
 	return s.eventLog[from:]
 }
 
-// tooLarge names a key of a transaction that is over the announced limits.
+// oversizedKey returns a key of a transaction that exceeds the announced limits, or "".
 func (s *fakeStore) oversizedKey(t storage.Txn) string {
 	for _, write := range t.Writes {
 		if len(write.Value) > s.simulation.cfg.Store.MaxValueBytes() || len(t.Writes) > s.simulation.cfg.Store.MaxTxnOps() {
@@ -244,7 +244,7 @@
 	return ""
 }
 
-// put writes a value, as some earlier leader did.
+// putValue stores a value as an earlier leader would have.
 func (s *fakeStore) putValue(key string, value any) {
 	switch rec := value.(type) {
 	case storage.JobRecord:
@@ -257,7 +257,7 @@
 	s.keys[key] = storage.Item{Key: key, Value: storage.Encode(value), ModRevision: s.revision}
 }
 
-// holdOne keeps back the next transaction, which was not answered.
+// holdNextTransaction returns a holdTransaction that holds back the next transaction only.
 func holdNextTransaction(s *fakeStore) func(string, storage.Txn) bool {
 	return func(string, storage.Txn) bool {
 		s.holdTransaction = nil
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -12,8 +12,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// userSimulation is a simulation together with users who ask any node, repeat what was not answered, and look
-// closely. What they are told is heard by the invariant checker.
+// userSimulation is a simulation with users who send requests to random nodes, repeat unanswered
+// ones, and query often. The invariant checker checks their replies.
 type userSimulation struct {
 	*simulation
 	rng *rand.Rand
@@ -23,7 +23,7 @@
 	return &userSimulation{simulation: sim, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
-// driftClocks lets the nodes' steady clocks run by as much as they may.
+// driftClocks gives the nodes' monotonic clocks random rates within the permitted drift.
 func (c *userSimulation) driftClocks() {
 	for _, name := range c.names {
 		c.nodes[name].clockRate = 1 + (c.rng.Float64()-0.5)/1000
@@ -32,10 +32,10 @@
 
 func (c *userSimulation) randomNode() string { return c.names[c.rng.IntN(len(c.names))] }
 
-// knows tells whether some user was told that a job is accepted.
+// knowsAccepted tells whether some user was told that a job is accepted.
 func (c *userSimulation) knowsAccepted(id string) bool { _, ok := c.acceptedAt[id]; return ok }
 
-// user asks any node, and gives up after 5 s as users do.
+// sendUserRequest sends a request to a random node, and gives up after 5 s as users do.
 func (c *userSimulation) sendUserRequest(r Request, f func(Reply)) {
 	done := false
 	once := func(r Reply) {
@@ -48,7 +48,7 @@
 	c.schedule(5*time.Second, func() { once(Reply{}) })
 }
 
-// submitUntil submits a job until some node has taken it, 40 times at most.
+// submitWithRetries submits a job until some node has accepted it, 40 times at most.
 func (c *userSimulation) submitWithRetries(job protocol.Job) {
 	var try func(int)
 	try = func(tries int) {
@@ -65,7 +65,7 @@
 	try(0)
 }
 
-// cancelUntil cancels a job until some node has confirmed it, or says that it is done.
+// cancelWithRetries cancels a job until some node has confirmed it or reports it as done.
 func (c *userSimulation) cancelWithRetries(id string) {
 	c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: id}, func(r Reply) {
 		switch {
@@ -78,7 +78,7 @@
 	})
 }
 
-// poll asks any nodes about all jobs, and about one that nobody submitted.
+// queryAllJobs queries all accepted jobs at random nodes, and one that nobody submitted.
 func (c *userSimulation) queryAllJobs() {
 	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
 		c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
@@ -86,8 +86,8 @@
 	c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: "j-nobodys"}, func(Reply) {})
 }
 
-// lookClosely lets users ask at all nodes, again and again within milliseconds, and repeat
-// the submission, as soon as anybody was told that a job is accepted, done or cancelled.
+// queryAfterEachChange lets users query all nodes repeatedly within milliseconds, and repeat the
+// submission, as soon as any user was told that a job is accepted, done or cancelled.
 func (c *userSimulation) queryAfterEachChange() {
 	c.onJobState = func(id string, _ protocol.JobState) {
 		job := c.jobSpecs[id]
@@ -104,8 +104,8 @@
 	}
 }
 
-// calmDown says that all troubles are over: from here on nothing waits beside room, and
-// each job is asked about every 5 s and has to be answered within 75 s.
+// markFaultsEnded declares all faults ended: from here on no job may be pending beside free
+// capacity, and each job is queried every 5 s and has to be answered within 75 s.
 func (c *userSimulation) markFaultsEnded() {
 	c.faultsEndedAt = c.now
 	var again func()
@@ -123,8 +123,8 @@
 	})
 }
 
-// settle waits until every job that was accepted and not cancelled is done, and the others
-// have their end written.
+// waitForCompletion waits until every accepted job that was not cancelled is done, and the terminal
+// records of the others are written.
 func (c *userSimulation) waitForCompletion(d time.Duration) {
 	c.t.Helper()
 	c.markFaultsEnded()
@@ -140,7 +140,7 @@
 	open := func() []string {
 		return slices.DeleteFunc(slices.Sorted(maps.Keys(c.acceptedAt)), isSettled)
 	}
-	lastOpen := "" // a job that was open when last looked at: while it is, the others need no look
+	lastOpen := "" // a job that was open at the last check: while it is, the others need no check
 	allSettled := func() bool {
 		if lastOpen != "" && !isSettled(lastOpen) {
 			return false
@@ -160,7 +160,7 @@
 	c.advance(2 * time.Second)
 }
 
-// why tells what a job that is not done waits for.
+// explainPending describes why a job that is not done is pending.
 func (sim *simulation) explainPending(id string) string {
 	name := sim.leaderName()
 	if name == "" {
@@ -185,7 +185,7 @@
 	return out
 }
 
-// noLeader tells what each node does about it.
+// explainNoLeader describes the state of each node's election.
 func (sim *simulation) explainNoLeader() string {
 	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", sim.store.down, sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
 	for _, name := range sim.names {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -20,10 +20,9 @@
 	"hitchdoor/internal/storage"
 )
 
-// The simulation of the tests: a fake clock, nodes that are stepped by hand, and
-// stand-ins for the state service, the cloud and the workers, written from the
-// protocol. Every test also has the invariant checker of invariants_test.go, who looks at each moment and
-// at each answer for a rule that is broken.
+// The simulation runs controller nodes step by step on a fake clock, with in-process fakes of the
+// key-value store, the cloud and the workers that are written from the protocol. Every test also
+// runs the invariant checker of invariants_test.go, which checks each step and each reply.
 
 const step = 5 * time.Millisecond
 
@@ -40,27 +39,27 @@
 	jobSpecs          map[string]protocol.Job
 	events            events
 	lastEventSeq      int
-	linkCuts          map[[2]string]bool // between nodes
-	oneWayCuts        map[[2]string]bool // the same, of messages from the first to the second only
-	holdMessages      bool               // cuts between nodes keep messages, which arrive once they end
+	linkCuts          map[[2]string]bool // between nodes, in both directions
+	oneWayCuts        map[[2]string]bool // between nodes, from the first to the second
+	holdMessages      bool               // cuts delay messages until they heal instead of dropping them
 	heldMessages      []event
 	unreachableNodes  map[string]bool                       // nodes that no worker reaches
-	workerReaches     func(x *fakeWorker, node string) bool // nil: every worker reaches all others
-	heartbeatsBlocked map[string]bool                       // nodes that workers' reports don't reach
-	responsesBlocked  map[string]bool                       // nodes whose answers don't reach workers
+	workerReaches     func(x *fakeWorker, node string) bool // nil: every worker reaches all other nodes
+	heartbeatsBlocked map[string]bool                       // nodes that workers' heartbeats don't reach
+	responsesBlocked  map[string]bool                       // nodes whose responses don't reach workers
 	taskDuration      func(task string, attempt int) time.Duration
-	onHeartbeat       func(x *fakeWorker, rep *protocol.WorkerHeartbeat)           // sees every report that is sent
-	alterResult       func(node string, call ServiceCall, r CallResult) CallResult // alters the answers of outside services
-	interceptCall     func(call ServiceCall) (r CallResult, ok bool)               // answers calls at once, in the place of outside services
-	onEffects         func(n *simNode, effects []Effect)                           // sees all effects of nodes
+	onHeartbeat       func(x *fakeWorker, rep *protocol.WorkerHeartbeat)           // called for each heartbeat that is sent
+	alterResult       func(node string, call ServiceCall, r CallResult) CallResult // alters results of the store and the cloud
+	interceptCall     func(call ServiceCall) (r CallResult, ok bool)               // answers calls at once, in place of the fakes
+	onEffects         func(n *simNode, effects []Effect)                           // called with the effects of each step
 	startCounts       map[string]int                                               // by task
-	stoppedTasks      []string                                                     // by command
+	stoppedTasks      []string                                                     // by stop command
 	failingJobs       map[string]bool                                              // jobs that fail on every machine
-	oldVersionNodes   map[string]bool                                              // nodes that start with level 0
-	wallClockOffsets  map[string]time.Duration                                     // by how much nodes' times of day are wrong
-	fairAdmission     bool                                                         // admission by policy is switched on
-	connectionLimit   int                                                          // connections that each node takes; 0: any number
-	openConnections   map[string]int                                               // by node: workers' connections
+	oldVersionNodes   map[string]bool                                              // nodes that start with protocol level 0
+	wallClockOffsets  map[string]time.Duration                                     // errors of the nodes' wall clocks
+	fairAdmission     bool                                                         // admission by policy is enabled
+	connectionLimit   int                                                          // workers' connections to each node; 0: not limited
+	openConnections   map[string]int                                               // workers' connections, by node
 	invariantChecker
 }
 
@@ -70,8 +69,9 @@
 	action func()
 }
 
-// events are what is to happen, as a binary heap, in their order. No two have the same number,
-// so the order is total. The heap is typed: container/heap allocates for each event.
+// events are scheduled actions, as a binary heap ordered by time and sequence number. No two have
+// the same number, so the order is total. The heap is typed, since container/heap allocates for
+// each event.
 type events []event
 
 func (e event) before(other event) bool {
@@ -92,7 +92,7 @@
 func (e *events) pop() event {
 	h := *e
 	first, last := h[0], h[len(h)-1]
-	h[len(h)-1] = event{} // let go of its function
+	h[len(h)-1] = event{} // releases its function
 	h = h[:len(h)-1]
 	*e = h
 	if len(h) == 0 {
@@ -122,17 +122,17 @@
 	pendingRequests    map[uint64]func(Reply)
 	lastRequestID      uint64
 	down               bool
-	clockRate          float64       // of its clock; 0: exact
-	paused             bool          // it stands still, while its clocks run on
-	oldVersion         bool          // it speaks and writes as level 0 does
-	pauseBeforeEffects time.Duration // for how long it will, before it carries out what it next decides
-	loadReportedAt     clock.Instant // when it was last told how many connections are open
+	clockRate          float64       // of its monotonic clock; 0: exact
+	paused             bool          // its steps are suspended, while its clocks advance
+	oldVersion         bool          // it sends and writes as protocol level 0 does
+	pauseBeforeEffects time.Duration // how long it pauses between its next decision and the effects
+	loadReportedAt     clock.Instant // when it was last given the number of open connections
 }
 
-// loadEvery is how often a node is told how many connections are open.
+// loadReportInterval is how often a node is given its number of open connections.
 const loadReportInterval = 20 * step
 
-// clock is the node's steady clock.
+// monotonicNow returns the node's monotonic time.
 func (n *simNode) monotonicNow(now clock.Instant) clock.Instant {
 	if n.clockRate == 0 {
 		return now - n.bootedAt
@@ -140,7 +140,7 @@
 	return clock.Instant(float64(now-n.bootedAt) * n.clockRate)
 }
 
-// proportions are the workers' settings of a deployment.
+// workerTimings are the settings of workers in a deployment, in seconds.
 type workerTimings struct{ heartbeatInterval, machineLease, cancelLimit float64 }
 
 var deployments = []workerTimings{{1.5, 14, 34}, {3, 18, 38}, {4, 22, 42}, {5, 26.5, 46.5}}
@@ -172,7 +172,8 @@
 	return sim
 }
 
-// testLog writes to the standard error output if LOG_LEVEL is debug. Otherwise no record is formatted.
+// testLog returns a logger to standard error if LOG_LEVEL is debug. Otherwise no record is
+// formatted.
 func testLog() *slog.Logger {
 	if os.Getenv("LOG_LEVEL") == "debug" {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -195,7 +196,7 @@
 		epoch = old.epoch + 1
 	}
 	settings := config.Defaults()
-	settings.IdleRetention = 4 // so that machines stay for the races
+	settings.IdleRetention = 4 // so that machines are kept for the races
 	settings.FairAdmission = sim.fairAdmission
 	settings.RecoveryMinMachines = 0 // the simulated fleets are small
 	sim.nodes[name] = &simNode{
@@ -217,7 +218,7 @@
 
 func (sim *simulation) restartNode(name string) { sim.startNode(name) }
 
-// back lets a node end and begin anew.
+// restartAfter crashes a node and restarts it after some time.
 func (sim *simulation) restartAfter(name string, after time.Duration) {
 	sim.crashNode(name)
 	sim.schedule(after, func() {
@@ -234,10 +235,11 @@
 	sim.events.push(event{sim.now + d, sim.lastEventSeq, f})
 }
 
-// run lets the simulation go on for a while.
+// advance runs the simulation for a duration.
 func (sim *simulation) advance(d time.Duration) { sim.advanceUntil(d, func() bool { return false }) }
 
-// until lets the simulation go on until something holds, and tells whether it came to hold.
+// advanceUntil runs the simulation until the condition holds or the duration has passed, and
+// returns whether it holds.
 func (sim *simulation) advanceUntil(d time.Duration, condition func() bool) bool {
 	sim.t.Helper()
 	for end := sim.now + d; sim.now < end; {
@@ -261,9 +263,9 @@
 	return condition()
 }
 
-// inOrder lists the workers by name. The list is kept as long as it is true: sorted at
-// each step it was half of the tests' time. Workers join by addWorker only, which drops the
-// list; so if it is as long as the map, none has left since either.
+// sortedWorkers returns the workers by name. The list is cached: sorting at each step took half of
+// the tests' time. Workers join by addWorker only, which drops the cache, so if it is as long as
+// the map, no worker has left since either.
 func (sim *simulation) sortedWorkers() []*fakeWorker {
 	if len(sim.workersByName) != len(sim.workers) {
 		sim.workersByName = slices.SortedFunc(maps.Values(sim.workers), func(a, b *fakeWorker) int { return cmp.Compare(a.name, b.name) })
@@ -271,7 +273,7 @@
 	return sim.workersByName
 }
 
-// addWorker lets a worker join.
+// addWorker adds a worker, whose machine is up.
 func (sim *simulation) addWorker(worker *fakeWorker) {
 	sim.workers[worker.name] = worker
 	sim.workersByName = nil
@@ -299,7 +301,7 @@
 	sim.applyEffects(n, effects)
 }
 
-// freeze lets a node stand still for a while and then do something first.
+// pauseNode suspends a node's steps for a duration, and calls then when it resumes.
 func (sim *simulation) pauseNode(n *simNode, d time.Duration, then func()) {
 	n.paused = true
 	epoch := n.epoch
@@ -347,7 +349,7 @@
 					switch body := body.(type) {
 					case nil:
 					case json.RawMessage:
-						r.Body = body // as it is: it need not be JSON
+						r.Body = body // unchanged: it need not be JSON
 					default:
 						r.Body = storage.Encode(body)
 					}
@@ -382,7 +384,7 @@
 	}
 }
 
-// overTheWire is a message as it arrives.
+// roundTripMessage returns a message as its receiver decodes it.
 func roundTripMessage(t *testing.T, m protocol.PeerMessage) protocol.PeerMessage {
 	raw, err := protocol.EncodePeerMessage(m)
 	if err != nil {
@@ -395,8 +397,8 @@
 	return read
 }
 
-// oldShape is a transaction as level 0 writes it: without the fields that it does not
-// know, and without its version, of which it says nothing.
+// levelZeroTransaction returns a transaction as protocol level 0 writes it: without the fields that
+// it does not know and without a version record.
 func levelZeroTransaction(t *testing.T, body []byte) []byte {
 	var txn storage.Txn
 	if err := json.Unmarshal(body, &txn); err != nil {
@@ -422,14 +424,14 @@
 	return storage.Encode(txn)
 }
 
-// upgrade ends a node and brings it back with this version.
+// upgradeNode crashes a node and restarts it with this version.
 func (sim *simulation) upgradeNode(name string) {
 	sim.crashNode(name)
 	delete(sim.oldVersionNodes, name)
 	sim.schedule(time.Second, func() { sim.restartNode(name) })
 }
 
-// allNew waits until every node that is up knows that all are of this version.
+// waitForNewVersion waits until every running node knows that all nodes run this version.
 func (sim *simulation) waitForNewVersion() {
 	sim.t.Helper()
 	known := func(name string) bool { n := sim.nodes[name]; return n.down || n.clusterSupports(protocolLevel) }
@@ -438,7 +440,7 @@
 	}
 }
 
-// final is what the state service knows of a job that is over.
+// terminalState returns the state in the terminal record of a job, or "".
 func (sim *simulation) terminalState(id string) protocol.JobState {
 	var record storage.TerminalRecord
 	if it, ok := sim.store.keys[storage.TerminalKey(id)]; ok {
@@ -447,12 +449,12 @@
 	return record.State
 }
 
-// apart tells whether messages from one node to another don't arrive.
+// linkBlocked tells whether messages from one node to another are lost or delayed.
 func (sim *simulation) linkBlocked(from, to string) bool {
 	return sim.linkCuts[[2]string{from, to}] || sim.linkCuts[[2]string{to, from}] || sim.oneWayCuts[[2]string{from, to}]
 }
 
-// cutOneWay cuts one node off from another, but not the other way, for a while.
+// cutOneWayFor cuts the link from one node to another, in this direction only, for a duration.
 func (sim *simulation) cutOneWayFor(from, to string, d time.Duration) {
 	sim.oneWayCuts[[2]string{from, to}] = true
 	sim.schedule(d, func() {
@@ -461,21 +463,21 @@
 	})
 }
 
-// cutOff cuts a node from all others.
+// isolateNode cuts a node's links to all others.
 func (sim *simulation) isolateNode(name string) {
 	for _, other := range sim.names {
 		sim.linkCuts[[2]string{name, other}] = true
 	}
 }
 
-// cutAll cuts all nodes from each other.
+// isolateAllNodes cuts all links between nodes.
 func (sim *simulation) isolateAllNodes() {
 	for _, name := range sim.names {
 		sim.isolateNode(name)
 	}
 }
 
-// mend ends all cuts between nodes; what they held back arrives now.
+// healCuts ends all cuts between nodes and delivers the messages that they delayed.
 func (sim *simulation) healCuts() {
 	sim.linkCuts = map[[2]string]bool{}
 	kept := sim.heldMessages
@@ -485,7 +487,7 @@
 	}
 }
 
-// ask sends a request to a node; a node that is down gives status 0.
+// sendRequest sends a request to a node; the reply of a node that is down has status 0.
 func (sim *simulation) sendRequest(name string, r Request, onReply func(Reply)) {
 	n := sim.nodes[name]
 	if n.down {
@@ -498,7 +500,7 @@
 	n.inbox = append(n.inbox, r)
 }
 
-// listen lets the invariant checker hear what a user is told.
+// observeReply passes the replies to users on to the invariant checker first.
 func (sim *simulation) observeReply(name string, r Request, onReply func(Reply)) func(Reply) {
 	switch r.Kind {
 	case protocol.RequestSubmit:
@@ -519,7 +521,7 @@
 	}
 }
 
-// request asks a node and waits for the answer, 5 s at most.
+// requestAndWait sends a request to a node and waits for the reply, 5 s at most.
 func (sim *simulation) requestAndWait(name string, r Request) Reply {
 	sim.t.Helper()
 	var got *Reply
@@ -530,7 +532,7 @@
 	return *got
 }
 
-// machines brings up machines beside those that are rented for the work.
+// startMachines brings up machines in addition to those that are rented for the work.
 func (sim *simulation) startMachines(n int) {
 	sim.t.Helper()
 	for i := range n {
@@ -548,7 +550,7 @@
 	return sim.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job})
 }
 
-// submitAndStart submits a job and waits until so many of its tasks are on machines.
+// submitAndStart submits a job and waits until the given number of its tasks run.
 func (sim *simulation) submitAndStart(node string, job protocol.Job, tasks int) {
 	sim.t.Helper()
 	sim.submit(node, job)
@@ -557,8 +559,8 @@
 	}
 }
 
-// running is a simulation whose leader runs one job, j-1: all its tasks are on machines, each
-// for so long.
+// newRunningSimulation returns a simulation whose leader runs one job, j-1, with all its tasks on
+// machines, each for the given duration.
 func newRunningSimulation(t *testing.T, nodes int, takes time.Duration, machines, tasks int) (*simulation, *simNode) {
 	t.Helper()
 	sim := newSimulation(t, nodes)
@@ -595,7 +597,7 @@
 	return ""
 }
 
-// lead waits until some node leads and has read the records.
+// waitForLeader waits until some node leads and has read the records.
 func (sim *simulation) waitForLeader() *simNode {
 	sim.t.Helper()
 	if !sim.advanceUntil(30*time.Second, func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.recordsLoaded }) {
@@ -608,7 +610,7 @@
 	return slices.DeleteFunc(slices.Clone(sim.names), func(s string) bool { return s == sim.leaderName() || sim.nodes[s].down })
 }
 
-// waitState waits until a job has a state.
+// waitForJobState waits until the leader reports a state of a job.
 func (sim *simulation) waitForJobState(id string, state protocol.JobState, d time.Duration) {
 	sim.t.Helper()
 	end := sim.now + d
@@ -625,7 +627,7 @@
 	sim.t.Fatalf("job %s is %q, not %q, after %v", id, last.State, state, d)
 }
 
-// allStarts counts how often tasks were started, all together.
+// totalStarts returns the number of task starts in all.
 func (sim *simulation) totalStarts() int {
 	all := 0
 	for _, n := range sim.startCounts {
@@ -634,7 +636,7 @@
 	return all
 }
 
-// startedOnce checks that no task was started a second time.
+// checkStartedOnce checks that no task was started a second time.
 func (sim *simulation) checkStartedOnce() {
 	sim.t.Helper()
 	for task, n := range sim.startCounts {
@@ -644,7 +646,7 @@
 	}
 }
 
-// onMachines counts a job's tasks that are on machines.
+// activeTaskCount returns the number of a job's tasks that run on machines.
 func (sim *simulation) activeTaskCount(id string) int {
 	count := 0
 	prefix := id + "/"
@@ -660,7 +662,7 @@
 
 func jobIDOf(key string) string { id, _, _ := strings.Cut(key, "/"); return id }
 
-// spec is a job of so many one-core tasks.
+// jobSpec returns a job of the given number of one-core tasks.
 func jobSpec(id string, tasks int) protocol.Job {
 	return protocol.Job{ID: id, Class: "c", Team: "free", Kind: "batch", Priority: "standard", TaskCount: tasks,
 		Cores: 1, MemoryGB: 1, Image: "i", SpotAllowed: true, EstimatedSeconds: 5}
--- a/internal/controller/start_limit_test.go
+++ b/internal/controller/start_limit_test.go
@@ -10,9 +10,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Small tasks that keep coming take each core as it becomes free, so that a task as large
-// as a whole machine would never find room: a machine is reserved for a job that is
-// overdue, and the job begins within four minutes and, oldest first, is done in the end. Jobs that are bound to one machine type
+// Small tasks that keep arriving take each core as it becomes free, so that a task as large as a
+// whole machine would never find room. A machine is reserved for a job that is overdue, and the job
+// starts within four minutes and, oldest first, completes. Jobs that are bound to one machine type
 // or one zone, several at once, and a change of leader meanwhile are no exception.
 func TestJobWithLargeTasksBeginsOnAFullFleet(t *testing.T) {
 	for _, c := range []struct {
@@ -51,7 +51,7 @@
 				sim.schedule(120*time.Second, users.replaceLeader)
 			}
 			small := 0
-			fillUntil := func(end clock.Instant) { // with more small work than the machines can do
+			fillUntil := func(end clock.Instant) { // with more small work than the machines can process
 				for ; sim.now < end; small++ {
 					job := jobSpec(fmt.Sprintf("j-small-%d", small), 3)
 					job.EstimatedSeconds = 30
@@ -66,7 +66,7 @@
 				}
 			}
 			fillUntil(submitted + 3*cluster.MaxStartDelay)
-			// Six of them are more than half of the machines can do in this time; the
+			// Six of them are more than half of what the machines can process in this time; the
 			// oldest is served first.
 			if id := "j-wide-0"; sim.terminalState(id) != protocol.JobDone {
 				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, sim.explainPending(id))
@@ -75,8 +75,8 @@
 	}
 }
 
-// A reservation ends with the wait that it was made for: a machine that is reserved for a
-// job that has been cancelled, with nothing else waiting, would be held for ever.
+// A reservation ends with the wait that it was made for: a machine that is reserved for a cancelled
+// job, with no other job pending, would be kept for ever.
 func TestReservationEndsWithItsJob(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 1, 10*time.Minute, 1, 3)
 	sim.cloud.capacity = 1
