--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -8,8 +8,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// withSockets is a simulation of nodes that take so many workers' connections each, with so
-// many machines up.
+// newConnectionLimitedSimulation returns a simulation whose nodes accept a limited number of worker
+// connections each, with the given number of machines up.
 func newConnectionLimitedSimulation(t *testing.T, nodes, sockets, machines int) *simulation {
 	t.Helper()
 	sim := newSimulationWithTimings(t, nodes, deployments[3])
@@ -19,17 +19,17 @@
 	for i := range machines {
 		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	sim.cloud.capacity, sim.cloud.rejectReturns = machines, true // what is lost shows as a session that has ended
+	sim.cloud.capacity, sim.cloud.rejectReturns = machines, true // so that a lost machine shows as a lease that has expired
 	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.workers) >= machines }) {
 		t.Fatal("machines did not come up")
 	}
 	return sim
 }
 
-// direct counts the machines that have a connection to a node.
+// connectionCount returns the number of machines that are connected to a node.
 func (sim *simulation) connectionCount(node string) int { return sim.openConnections[node] }
 
-// sessionsHold checks that no machine's lease has run out.
+// checkLeasesHeld checks that no machine's lease has expired.
 func (sim *simulation) checkLeasesHeld(when string) {
 	sim.t.Helper()
 	lost := 0
@@ -43,9 +43,9 @@
 	}
 }
 
-// Four thousand machines, more than three controllers together have connections for: their
-// reports are spread, and their leases hold while the leader is replaced and after an end of
-// all controllers, when all of them connect anew at once.
+// Four thousand machines exceed the connections of three controllers together: their heartbeats are
+// spread, and their leases hold while the leader is replaced and after a restart of all
+// controllers, when all of them connect again at once.
 func TestFourThousandMachines(t *testing.T) {
 	const machines, sockets = 4000, 1200
 	sim := newConnectionLimitedSimulation(t, 5, sockets, machines)
@@ -88,8 +88,8 @@
 	sim.checkStartedOnce()
 }
 
-// A controller that remains alone has a connection for each fourth machine. It serves all
-// of them in turns: none waits in silence, and no lease runs out.
+// A single remaining controller has a connection for each fourth machine. It serves all of them in
+// turns: none waits without a response, and no lease expires.
 func TestLoneControllerTakesTurns(t *testing.T) {
 	const machines, sockets = 400, 100
 	sim := newConnectionLimitedSimulation(t, 3, sockets, machines)
@@ -106,8 +106,8 @@
 	sim.checkStartedOnce()
 }
 
-// A full leader sends newcomers to the node with the most room, once; one that comes back
-// can't get through there, so it is served.
+// A full leader redirects new workers to the node with the most free connections, once; a worker
+// that returns can't reach that node, so it is served.
 func TestFullLeaderRedirectsNewcomers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -146,9 +146,9 @@
 	}
 }
 
-// Most machines are relayed for while the controller that relays, or the leader, ends,
-// stands still, or is cut off one way, at any moment of a report: no task runs twice, every
-// job ends, and a worker is never handed an answer older than it waits for.
+// Most machines are relayed while the relaying controller, or the leader, crashes, pauses or is cut
+// one way, at any moment of a heartbeat: no task runs twice, every job completes, and a worker
+// never gets a response older than the one it waits for.
 func TestRelayingNodeFails(t *testing.T) {
 	troubles := map[string]func(sim *simulation, leader, relaying string){
 		"relaying node ends":        func(sim *simulation, _, relaying string) { sim.restartAfter(relaying, 300*time.Millisecond) },
@@ -189,8 +189,8 @@
 	}
 }
 
-// Where the leader is full, a follower passes reports on without sending their workers there
-// first; where it has room for some, so many are sent, in their share, and no more.
+// Where the leader is full, a follower relays heartbeats without redirecting their workers first;
+// where it has room for some, as many are redirected, in proportion, and no more.
 func TestFollowerRelaysForFullLeader(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leader := sim.waitForLeader()
@@ -229,8 +229,8 @@
 	}
 }
 
-// An answer that was held up for longer than its worker waits is not passed on: the
-// controller that relays may have stood still with it in its hands.
+// A response that was delayed beyond the worker's timeout is not passed on: the relaying controller
+// may have been paused while it held the response.
 func TestLateAnswerIsNotPassedOn(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leader := sim.waitForLeader()
@@ -257,8 +257,8 @@
 	}
 }
 
-// All machines report at once while a leader reads the records. Each has a connection at
-// some node, so none is turned away for their number.
+// All machines report at once while a leader reads the records. Each is connected to some node, so
+// none is rejected for their number.
 func TestEarlyHeartbeatsOfAllMachines(t *testing.T) {
 	const machines = 4000
 	sim := newSimulation(t, 5)
@@ -277,8 +277,8 @@
 	}
 }
 
-// A leader whose counter of attempts comes to its end hands over to a new term, as its next
-// attempts would be those of the term after.
+// A leader whose attempt counter is exhausted hands over to a new term, as its next attempt numbers
+// would be those of the term after.
 func TestAttemptsAreNeverUsedTwice(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
