--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -145,8 +145,8 @@
 			t.Fatal("a policy was published")
 		}
 	}
-	if w := a.longestWait("calm", 30); w > time.Second {
-		t.Errorf("a user waited for %v", w)
+	if waited := a.longestWait("calm", 30); waited > time.Second {
+		t.Errorf("a user waited for %v", waited)
 	}
 }
 
@@ -168,8 +168,8 @@
 	c.advance(80 * time.Second)
 	means := map[string]time.Duration{}
 	for class := range backs {
-		if w := a.longestWait(class, 25); w > protocol.SubmissionRetryWindow+5*time.Second {
-			t.Errorf("a user of %q waited for %v", class, w)
+		if waited := a.longestWait(class, 25); waited > protocol.SubmissionRetryWindow+5*time.Second {
+			t.Errorf("a user of %q waited for %v", class, waited)
 		}
 		for i := range 25 {
 			means[class] += a.acceptanceDelays[fmt.Sprintf("j-%s-%d", class, i)] / 25
@@ -212,8 +212,8 @@
 			t.Errorf("%s was accepted %d times", id, times)
 		}
 	}
-	if w := a.longestWait("same", 12); w > protocol.SubmissionRetryWindow+5*time.Second {
-		t.Errorf("waited for %v", w)
+	if waited := a.longestWait("same", 12); waited > protocol.SubmissionRetryWindow+5*time.Second {
+		t.Errorf("waited for %v", waited)
 	}
 	c.waitForCompletion(5 * time.Minute)
 }
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -153,8 +153,8 @@
 			}
 		})
 		c.schedule(c.downtime+2*c.machineLease(), func() {
-			for _, x := range c.workers {
-				x.unreachable = false
+			for _, worker := range c.workers {
+				worker.unreachable = false
 			}
 		})
 	},
@@ -183,9 +183,9 @@
 		})
 	},
 	"machines are taken back meanwhile": func(c *coldStart) {
-		for _, x := range c.sortedWorkers() {
+		for _, worker := range c.sortedWorkers() {
 			if c.rng.IntN(3) == 0 {
-				c.schedule(c.randomDuration(c.downtime+c.machineLease()/4), func() { c.cloud.removeMachine(x) })
+				c.schedule(c.randomDuration(c.downtime+c.machineLease()/4), func() { c.cloud.removeMachine(worker) })
 			}
 		}
 	},
@@ -195,9 +195,9 @@
 		}
 	},
 	"workers away for the whole recovery": func(c *coldStart) {
-		c.forSomeWorkers(3, func(x *fakeWorker) {
-			x.unreachable = true
-			c.schedule(c.downtime+c.randomDuration(2*c.machineLease()), func() { x.unreachable = false })
+		c.forSomeWorkers(3, func(worker *fakeWorker) {
+			worker.unreachable = true
+			c.schedule(c.downtime+c.randomDuration(2*c.machineLease()), func() { worker.unreachable = false })
 		})
 	},
 	"teams at their limits, machines silent": func(c *coldStart) {
@@ -205,9 +205,9 @@
 		// longer queue some job would be pending for that long beside free capacity, which its team
 		// leaves for a moment between two tasks.
 		c.submitMoreJobs(4, c.downtime+c.machineLease(), func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
-		c.forSomeWorkers(4, func(x *fakeWorker) {
-			x.unreachable = true
-			c.schedule(c.downtime+c.randomDuration(c.machineLease()), func() { x.unreachable = false })
+		c.forSomeWorkers(4, func(worker *fakeWorker) {
+			worker.unreachable = true
+			c.schedule(c.downtime+c.randomDuration(c.machineLease()), func() { worker.unreachable = false })
 		})
 	},
 	"leaders end in each phase": func(c *coldStart) {
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -89,8 +89,8 @@
 	sim.store.requestsDropped[f] = true
 	sim.isolateNode(f)
 	sim.advance(5 * time.Second)
-	rep := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}); got.Status != 503 {
+	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}); got.Status != 503 {
 		t.Errorf("report: %d", got.Status)
 	}
 	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 || got.RetryAfter == 0 {
@@ -254,8 +254,8 @@
 	round := func() (sent, relayed int) {
 		var batch []Command
 		for i := range workers {
-			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
+			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 		}
 		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -237,8 +237,8 @@
 	},
 	"workers reach no controller": func(c *userSimulation) time.Duration {
 		mute := map[string]bool{}
-		c.forSomeWorkers(2, func(x *fakeWorker) { mute[x.name] = true })
-		c.workerReaches = func(x *fakeWorker, _ string) bool { return !mute[x.name] }
+		c.forSomeWorkers(2, func(worker *fakeWorker) { mute[worker.name] = true })
+		c.workerReaches = func(worker *fakeWorker, _ string) bool { return !mute[worker.name] }
 		c.submitMoreJobs(10, 30*time.Second, nil)
 		c.cancelSomeJobs(3, 2*time.Second)
 		c.schedule(c.randomDuration(c.machineLease()), c.replaceLeader)
@@ -246,19 +246,19 @@
 		return 2 * c.machineLease()
 	},
 	"a leader ends while machines can't be reached or hear nothing": func(c *userSimulation) time.Duration {
-		c.forSomeWorkers(3, func(x *fakeWorker) { x.unreachable = true })
-		c.forSomeWorkers(3, func(x *fakeWorker) { x.dropResponses = true })
+		c.forSomeWorkers(3, func(worker *fakeWorker) { worker.unreachable = true })
+		c.forSomeWorkers(3, func(worker *fakeWorker) { worker.dropResponses = true })
 		c.submitMoreJobs(10, 30*time.Second, nil)
 		c.schedule(c.randomDuration(6*time.Second), c.replaceLeader)
 		c.schedule(c.randomDuration(10*time.Second), func() { c.cancelSomeJobs(3, 2*time.Second) })
-		for _, x := range c.sortedWorkers() {
-			c.schedule(c.randomDuration(3*c.machineLease()/2), func() { x.unreachable, x.dropResponses = false, false })
+		for _, worker := range c.sortedWorkers() {
+			c.schedule(c.randomDuration(3*c.machineLease()/2), func() { worker.unreachable, worker.dropResponses = false, false })
 		}
 		return 2 * c.machineLease()
 	},
 	"a zone is cut off for longer than a lease": func(c *userSimulation) time.Duration {
 		inside := c.randomNode()
-		c.workerReaches = func(x *fakeWorker, node string) bool { return (x.zone == "a") == (node == inside) }
+		c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == inside) }
 		c.store.requestsDropped[inside] = true
 		c.holdMessages = c.rng.IntN(2) == 0
 		c.isolateNode(inside)
@@ -297,7 +297,7 @@
 	},
 	"a half-cut leader, and cancellations through the new one": func(c *userSimulation) time.Duration {
 		old := c.leaderName()
-		c.workerReaches = func(x *fakeWorker, node string) bool { return node == old || x.zone == "a" }
+		c.workerReaches = func(worker *fakeWorker, node string) bool { return node == old || worker.zone == "a" }
 		c.store.requestsDropped[old] = true
 		c.holdMessages = c.rng.IntN(2) == 0
 		c.isolateNode(old)
@@ -342,9 +342,9 @@
 		})
 		for range 3 {
 			c.schedule(c.randomDuration(30*time.Second), func() {
-				c.forSomeWorkers(4, func(x *fakeWorker) {
-					delete(c.workers, x.name)
-					delete(c.cloud.hosts, x.name)
+				c.forSomeWorkers(4, func(worker *fakeWorker) {
+					delete(c.workers, worker.name)
+					delete(c.cloud.hosts, worker.name)
 				})
 			})
 		}
@@ -374,17 +374,17 @@
 		return 45 * time.Second
 	},
 	"old reports after newer ones": func(c *userSimulation) time.Duration {
-		c.onHeartbeat = func(_ *fakeWorker, rep *protocol.WorkerHeartbeat) {
+		c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 			if c.rng.IntN(2) == 0 {
-				again := *rep
+				again := *heartbeat
 				c.schedule(time.Duration(c.rng.ExpFloat64()*float64(c.machineLease())), func() {
 					c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
 				})
 			}
 		}
-		c.forSomeWorkers(3, func(x *fakeWorker) {
+		c.forSomeWorkers(3, func(worker *fakeWorker) {
 			c.schedule(c.randomDuration(20*time.Second), func() {
-				x.restartMachine()
+				worker.restartMachine()
 			})
 		})
 		c.submitMoreJobs(15, 30*time.Second, nil)
@@ -406,13 +406,13 @@
 		at := 8*time.Second + c.randomDuration(4*time.Second)
 		c.schedule(at, func() {
 			c.cancelSomeJobs(2, time.Second)
-			c.forSomeWorkers(2, func(x *fakeWorker) {
+			c.forSomeWorkers(2, func(worker *fakeWorker) {
 				if c.rng.IntN(2) == 0 {
-					x.unreachable = true
-					c.schedule(c.randomDuration(2*c.machineLease()), func() { x.unreachable = false })
+					worker.unreachable = true
+					c.schedule(c.randomDuration(2*c.machineLease()), func() { worker.unreachable = false })
 				} else {
-					x.hung = true
-					c.schedule(c.randomDuration(c.machineLease()*3/2), func() { x.hung = false })
+					worker.hung = true
+					c.schedule(c.randomDuration(c.machineLease()*3/2), func() { worker.hung = false })
 				}
 			})
 		})
@@ -420,12 +420,12 @@
 		return at + 2*c.machineLease()
 	},
 	"answers are held up for seconds": func(c *userSimulation) time.Duration {
-		c.forSomeWorkers(2, func(x *fakeWorker) { x.responseDelay = c.randomDuration(6 * time.Second) })
+		c.forSomeWorkers(2, func(worker *fakeWorker) { worker.responseDelay = c.randomDuration(6 * time.Second) })
 		c.submitMoreJobs(15, 30*time.Second, nil)
 		c.cancelSomeJobs(3, 20*time.Second)
 		c.schedule(c.randomDuration(30*time.Second), c.replaceLeader)
-		for _, x := range c.sortedWorkers() {
-			c.schedule(20*time.Second+c.randomDuration(20*time.Second), func() { x.responseDelay = 0 })
+		for _, worker := range c.sortedWorkers() {
+			c.schedule(20*time.Second+c.randomDuration(20*time.Second), func() { worker.responseDelay = 0 })
 		}
 		return 45 * time.Second
 	},
@@ -448,9 +448,9 @@
 		at := c.randomDuration(4 * time.Second)
 		c.schedule(at, func() { c.cancelSomeJobs(2, 200*time.Millisecond) })
 		c.schedule(at+c.randomDuration(400*time.Millisecond), func() {
-			c.forSomeWorkers(2, func(x *fakeWorker) {
-				x.hung = true
-				c.schedule(c.randomDuration(c.machineLease()*3/2), func() { x.hung = false })
+			c.forSomeWorkers(2, func(worker *fakeWorker) {
+				worker.hung = true
+				c.schedule(c.randomDuration(c.machineLease()*3/2), func() { worker.hung = false })
 			})
 		})
 		c.schedule(at+c.randomDuration(4*time.Second), c.replaceLeader)
@@ -508,7 +508,7 @@
 				c.failingJobs[j.ID] = true
 			}
 		})
-		c.schedule(5*time.Second, func() { c.forSomeWorkers(6, func(x *fakeWorker) { x.faulty = true }) })
+		c.schedule(5*time.Second, func() { c.forSomeWorkers(6, func(worker *fakeWorker) { worker.faulty = true }) })
 		c.schedule(c.randomDuration(40*time.Second), c.replaceLeader)
 		c.schedule(80*time.Second, func() {
 			for id := range c.failingJobs {
--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -115,9 +115,9 @@
 	}
 	sim.waitForLeader()
 	var seen []*protocol.WorkerHeartbeat
-	sim.onHeartbeat = func(_ *fakeWorker, rep *protocol.WorkerHeartbeat) {
-		copied := *rep
-		copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
+	sim.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
+		copied := *heartbeat
+		copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
 		seen = append(seen, &copied)
 	}
 	job := jobSpec("j-1", 16)
@@ -133,9 +133,9 @@
 	sim.onHeartbeat = nil
 	replay := func() {
 		for i := range old {
-			rep := *old[i]
+			heartbeat := *old[i]
 			for _, name := range sim.names {
-				sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &rep}, func(Reply) {})
+				sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &heartbeat}, func(Reply) {})
 			}
 		}
 		sim.advance(time.Second)
@@ -186,10 +186,10 @@
 	sim.taskDuration = func(string, int) time.Duration { return 4 * time.Second }
 	leaderNode := sim.waitForLeader()
 	count := 0
-	sim.onHeartbeat = func(worker *fakeWorker, rep *protocol.WorkerHeartbeat) {
+	sim.onHeartbeat = func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 		count++
-		copied := *rep
-		copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
+		copied := *heartbeat
+		copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
 		for _, late := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second, 25 * time.Second} {
 			sim.schedule(late, func() {
 				sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(r Reply) {
@@ -302,9 +302,9 @@
 				job.EstimatedSeconds = 80
 				sim.submitAndStart(leaderNode.name, job, 4)
 				kept := map[string]*protocol.WorkerHeartbeat{}
-				sim.onHeartbeat = func(worker *fakeWorker, rep *protocol.WorkerHeartbeat) {
-					if len(rep.Tasks) > 0 {
-						copied := *rep
+				sim.onHeartbeat = func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
+					if len(heartbeat.Tasks) > 0 {
+						copied := *heartbeat
 						kept[worker.name] = &copied
 					}
 				}
@@ -328,9 +328,9 @@
 				before, total := len(sim.startCounts), sim.totalStarts()
 				sim.restartAfter(sim.leaderName(), 300*time.Millisecond)
 				send := func() {
-					for _, rep := range kept {
+					for _, heartbeat := range kept {
 						for _, name := range sim.names {
-							again := *rep
+							again := *heartbeat
 							sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
 						}
 					}
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -52,16 +52,16 @@
 		}
 		at := l.CandidatesExamined
 		for i, machine := range l.MachinesByName()[:21] {
-			rep := sim.workers[machine.Name].heartbeat()
+			heartbeat := sim.workers[machine.Name].heartbeat()
 			if i%2 == 0 { // a task has completed
-				rep.Tasks[0].State, rep.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
+				heartbeat.Tasks[0].State, heartbeat.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
 			}
-			rep.Sequence = machine.HeartbeatSeq + 1
+			heartbeat.Sequence = machine.HeartbeatSeq + 1
 			if !n.holdsLeaderLease() {
 				t.Fatal("the lease has ended, though the clock stands still")
 			}
-			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
-			if machine.HeartbeatSeq != rep.Sequence {
+			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
+			if machine.HeartbeatSeq != heartbeat.Sequence {
 				t.Fatal("a report was not taken")
 			}
 			if i == 0 {
@@ -81,14 +81,14 @@
 func BenchmarkReport(b *testing.B) {
 	sim, leaderNode := newBenchmarkLeader(b)
 	machine := leaderNode.leader.Machines["m-000001"]
-	rep := sim.workers["m-000001"].heartbeat()
+	heartbeat := sim.workers["m-000001"].heartbeat()
 	now := sim.now - leaderNode.bootedAt
 	for i := 0; b.Loop(); i++ {
 		// The clock doesn't advance, so the leader's lease holds.
-		rep.Sequence = machine.HeartbeatSeq + 1
-		leaderNode.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
+		heartbeat.Sequence = machine.HeartbeatSeq + 1
+		leaderNode.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
 	}
-	if machine.HeartbeatSeq != rep.Sequence {
+	if machine.HeartbeatSeq != heartbeat.Sequence {
 		b.Fatal("the reports were not taken")
 	}
 }
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -65,13 +65,13 @@
 		c.replayHeartbeats()
 	}
 	kept := c.onHeartbeat
-	c.onHeartbeat = func(worker *fakeWorker, rep *protocol.WorkerHeartbeat) {
+	c.onHeartbeat = func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 		if kept != nil {
-			kept(worker, rep)
+			kept(worker, heartbeat)
 		}
 		if c.rng.IntN(4) == 0 {
-			copied := *rep
-			copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
+			copied := *heartbeat
+			copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
 			late := time.Duration(c.rng.ExpFloat64() * float64(config.Seconds(c.cfg.Workers.LeaseS)))
 			c.schedule(late, func() {
 				c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(Reply) {})
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -13,47 +13,47 @@
 )
 
 // halfOpenCut stops, or restores, one direction of some links.
-type halfOpenCut func(w *simulation, leader string, on bool)
+type halfOpenCut func(sim *simulation, leader string, on bool)
 
 // halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers.
 var halfOpenCuts = map[string]halfOpenCut{
-	"leader to nodes": func(w *simulation, leader string, on bool) {
-		for _, other := range w.names {
-			w.setOneWayCut(leader, other, on)
+	"leader to nodes": func(sim *simulation, leader string, on bool) {
+		for _, other := range sim.names {
+			sim.setOneWayCut(leader, other, on)
 		}
 	},
-	"nodes to leader": func(w *simulation, leader string, on bool) {
-		for _, other := range w.names {
-			w.setOneWayCut(other, leader, on)
+	"nodes to leader": func(sim *simulation, leader string, on bool) {
+		for _, other := range sim.names {
+			sim.setOneWayCut(other, leader, on)
 		}
 	},
-	"leader to a node":  func(w *simulation, leader string, on bool) { w.setOneWayCut(leader, w.nextNode(leader), on) },
-	"a node to leader":  func(w *simulation, leader string, on bool) { w.setOneWayCut(w.nextNode(leader), leader, on) },
-	"leader to state":   func(w *simulation, leader string, on bool) { w.store.requestsDropped[leader] = on },
-	"state to leader":   func(w *simulation, leader string, on bool) { w.store.responsesDropped[leader] = on },
-	"workers to leader": func(w *simulation, leader string, on bool) { w.heartbeatsBlocked[leader] = on },
-	"leader to workers": func(w *simulation, leader string, on bool) { w.responsesBlocked[leader] = on },
-	"workers to all nodes but leader": func(w *simulation, leader string, on bool) {
-		for _, other := range w.names {
+	"leader to a node":  func(sim *simulation, leader string, on bool) { sim.setOneWayCut(leader, sim.nextNode(leader), on) },
+	"a node to leader":  func(sim *simulation, leader string, on bool) { sim.setOneWayCut(sim.nextNode(leader), leader, on) },
+	"leader to state":   func(sim *simulation, leader string, on bool) { sim.store.requestsDropped[leader] = on },
+	"state to leader":   func(sim *simulation, leader string, on bool) { sim.store.responsesDropped[leader] = on },
+	"workers to leader": func(sim *simulation, leader string, on bool) { sim.heartbeatsBlocked[leader] = on },
+	"leader to workers": func(sim *simulation, leader string, on bool) { sim.responsesBlocked[leader] = on },
+	"workers to all nodes but leader": func(sim *simulation, leader string, on bool) {
+		for _, other := range sim.names {
 			if other != leader {
-				w.heartbeatsBlocked[other] = on
+				sim.heartbeatsBlocked[other] = on
 			}
 		}
 	},
-	"nodes from each other": func(w *simulation, leader string, on bool) {
-		for _, a := range w.names {
-			for _, b := range w.names {
+	"nodes from each other": func(sim *simulation, leader string, on bool) {
+		for _, a := range sim.names {
+			for _, b := range sim.names {
 				if a != leader && b != leader {
-					w.setOneWayCut(a, b, on)
+					sim.setOneWayCut(a, b, on)
 				}
 			}
 		}
 	},
-	"a ring": func(w *simulation, _ string, on bool) {
-		for i, a := range w.names {
-			for k, b := range w.names {
-				if k != (i+1)%len(w.names) {
-					w.setOneWayCut(a, b, on)
+	"a ring": func(sim *simulation, _ string, on bool) {
+		for i, a := range sim.names {
+			for k, b := range sim.names {
+				if k != (i+1)%len(sim.names) {
+					sim.setOneWayCut(a, b, on)
 				}
 			}
 		}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -533,10 +533,10 @@
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	f := sim.followers()[0]
-	rep := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	ask := func() Reply {
-		rep.Sequence++
-		return sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep})
+		heartbeat.Sequence++
+		return sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	}
 	if r := ask(); r.Status != 421 {
 		t.Fatalf("first report: %d", r.Status)
@@ -610,13 +610,13 @@
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	f := sim.nodes[sim.followers()[0]]
-	rep, err := protocol.ParseWorkerHeartbeat([]byte("{\"maquina\":\"m-9\",\n\"porte\":\"c4\",\"praca\":\"a\",\"turno\":1,\n\"contagem\":1,\"pecas\":[]}\n"))
+	heartbeat, err := protocol.ParseWorkerHeartbeat([]byte("{\"maquina\":\"m-9\",\n\"porte\":\"c4\",\"praca\":\"a\",\"turno\":1,\n\"contagem\":1,\"pecas\":[]}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	asked := false
 	for range 2 { // a worker that returns can't reach the leader and is relayed
-		for _, e := range f.Step(sim.now-f.bootedAt+step, []Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
+		for _, e := range f.Step(sim.now-f.bootedAt+step, []Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
 			s, ok := e.(OutboundMessage)
 			if !ok {
 				continue
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -220,9 +220,9 @@
 	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
 	worker := sim.sortedWorkers()[0]
 	other := func(session, seq uint64) int {
-		rep := &protocol.WorkerHeartbeat{Machine: worker.name, Address: "10.9.9.9:9000", Type: "c4", Zone: worker.zone, Spot: true,
+		heartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Address: "10.9.9.9:9000", Type: "c4", Zone: worker.zone, Spot: true,
 			Epoch: session, Sequence: seq, FencingToken: worker.fencingToken}
-		return sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}).Status
+		return sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}).Status
 	}
 	for i := range uint64(20) {
 		if status := other(1+i/4, 1000+i); status != 503 {
@@ -242,33 +242,37 @@
 // left alone, and durations are bounded.
 func TestInvalidHeartbeats(t *testing.T) {
 	notice := func(s float64) *float64 { return &s }
-	for name, change := range map[string]func(rep *protocol.WorkerHeartbeat){
-		"an unknown state": func(rep *protocol.WorkerHeartbeat) {
-			for i := range rep.Tasks {
-				rep.Tasks[i].State = "sleeping"
+	for name, change := range map[string]func(heartbeat *protocol.WorkerHeartbeat){
+		"an unknown state": func(heartbeat *protocol.WorkerHeartbeat) {
+			for i := range heartbeat.Tasks {
+				heartbeat.Tasks[i].State = "sleeping"
 			}
 		},
-		"an unknown reason": func(rep *protocol.WorkerHeartbeat) {
-			for i := range rep.Tasks {
-				if rep.Tasks[i].State == protocol.TaskExited && rep.Tasks[i].ExitReason != protocol.ExitDone {
-					rep.Tasks[i].ExitReason = "bored"
+		"an unknown reason": func(heartbeat *protocol.WorkerHeartbeat) {
+			for i := range heartbeat.Tasks {
+				if heartbeat.Tasks[i].State == protocol.TaskExited && heartbeat.Tasks[i].ExitReason != protocol.ExitDone {
+					heartbeat.Tasks[i].ExitReason = "bored"
 				}
 			}
 		},
-		"tasks that nobody started": func(rep *protocol.WorkerHeartbeat) {
-			rep.Tasks = append(rep.Tasks,
+		"tasks that nobody started": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Tasks = append(heartbeat.Tasks,
 				protocol.TaskStatus{TaskID: "j-nobodys/0", Attempt: 1, State: protocol.TaskRunning},
 				protocol.TaskStatus{TaskID: "j-1/99999", Attempt: 1, State: protocol.TaskRunning},
 				protocol.TaskStatus{TaskID: "j-1/-1", Attempt: 1, State: protocol.TaskRunning},
 				protocol.TaskStatus{TaskID: "", Attempt: 1, State: ""},
 				protocol.TaskStatus{TaskID: "j-1/0", Attempt: 1 << 63, State: protocol.TaskExited, ExitReason: protocol.ExitFailed})
 		},
-		"each task twice":   func(rep *protocol.WorkerHeartbeat) { rep.Tasks = append(rep.Tasks, rep.Tasks...) },
-		"a notice long ago": func(rep *protocol.WorkerHeartbeat) { rep.PreemptionNoticeSeconds = notice(-1e300) },
-		"a notice of years": func(rep *protocol.WorkerHeartbeat) { rep.PreemptionNoticeSeconds = notice(1e300) },
-		"another type":      func(rep *protocol.WorkerHeartbeat) { rep.Type, rep.Zone = "x9", "nowhere" },
-		"no type":           func(rep *protocol.WorkerHeartbeat) { rep.Type, rep.Zone, rep.Address = "", "", "" },
-		"the last sequence": func(rep *protocol.WorkerHeartbeat) { rep.Sequence += 1 << 62 },
+		"each task twice": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Tasks = append(heartbeat.Tasks, heartbeat.Tasks...)
+		},
+		"a notice long ago": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(-1e300) },
+		"a notice of years": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(1e300) },
+		"another type":      func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.Type, heartbeat.Zone = "x9", "nowhere" },
+		"no type": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Type, heartbeat.Zone, heartbeat.Address = "", "", ""
+		},
+		"the last sequence": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.Sequence += 1 << 62 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -277,9 +281,9 @@
 			c.waitForLeader()
 			c.startMachines(3)
 			odd := true
-			c.onHeartbeat = func(_ *fakeWorker, rep *protocol.WorkerHeartbeat) {
+			c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 				if odd && c.rng.IntN(3) == 0 {
-					change(rep)
+					change(heartbeat)
 				}
 			}
 			c.submitMoreJobs(8, 15*time.Second, nil)
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -43,23 +43,23 @@
 	oneWayCuts        map[[2]string]bool // between nodes, from the first to the second
 	holdMessages      bool               // cuts delay messages until they heal instead of dropping them
 	heldMessages      []event
-	unreachableNodes  map[string]bool                       // nodes that no worker reaches
-	workerReaches     func(x *fakeWorker, node string) bool // nil: every worker reaches all other nodes
-	heartbeatsBlocked map[string]bool                       // nodes that workers' heartbeats don't reach
-	responsesBlocked  map[string]bool                       // nodes whose responses don't reach workers
+	unreachableNodes  map[string]bool                            // nodes that no worker reaches
+	workerReaches     func(worker *fakeWorker, node string) bool // nil: every worker reaches all other nodes
+	heartbeatsBlocked map[string]bool                            // nodes that workers' heartbeats don't reach
+	responsesBlocked  map[string]bool                            // nodes whose responses don't reach workers
 	taskDuration      func(task string, attempt int) time.Duration
-	onHeartbeat       func(x *fakeWorker, rep *protocol.WorkerHeartbeat)           // called for each heartbeat that is sent
-	alterResult       func(node string, call ServiceCall, r CallResult) CallResult // alters results of the store and the cloud
-	interceptCall     func(call ServiceCall) (r CallResult, ok bool)               // answers calls at once, in place of the fakes
-	onEffects         func(n *simNode, effects []Effect)                           // called with the effects of each step
-	startCounts       map[string]int                                               // by task
-	stoppedTasks      []string                                                     // by stop command
-	failingJobs       map[string]bool                                              // jobs that fail on every machine
-	oldVersionNodes   map[string]bool                                              // nodes that start with protocol level 0
-	wallClockOffsets  map[string]time.Duration                                     // errors of the nodes' wall clocks
-	fairAdmission     bool                                                         // admission by policy is enabled
-	connectionLimit   int                                                          // workers' connections to each node; 0: not limited
-	openConnections   map[string]int                                               // workers' connections, by node
+	onHeartbeat       func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) // called for each heartbeat that is sent
+	alterResult       func(node string, call ServiceCall, r CallResult) CallResult  // alters results of the store and the cloud
+	interceptCall     func(call ServiceCall) (r CallResult, ok bool)                // answers calls at once, in place of the fakes
+	onEffects         func(n *simNode, effects []Effect)                            // called with the effects of each step
+	startCounts       map[string]int                                                // by task
+	stoppedTasks      []string                                                      // by stop command
+	failingJobs       map[string]bool                                               // jobs that fail on every machine
+	oldVersionNodes   map[string]bool                                               // nodes that start with protocol level 0
+	wallClockOffsets  map[string]time.Duration                                      // errors of the nodes' wall clocks
+	fairAdmission     bool                                                          // admission by policy is enabled
+	connectionLimit   int                                                           // workers' connections to each node; 0: not limited
+	openConnections   map[string]int                                                // workers' connections, by node
 	invariantChecker
 }
 
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -116,8 +116,8 @@
 	}
 	roomiest := sim.followers()[1]
 	report := func(name string, seq uint64) Reply {
-		rep := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
-		for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
+		heartbeat := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
+		for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
 			if reply, is := e.(Reply); is {
 				return reply
 			}
@@ -199,8 +199,8 @@
 		beat.Term, beat.IsLeader, beat.ProcessID, beat.VersionLevel = leader.leader.term, true, leader.processID, protocolLevel
 		batch := []Command{InboundMessage{From: leader.name, Message: beat}}
 		for i := range 20 {
-			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
+			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 		}
 		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
@@ -235,14 +235,14 @@
 	sim := newSimulation(t, 3)
 	leader := sim.waitForLeader()
 	f := sim.nodes[sim.followers()[0]]
-	rep := &protocol.WorkerHeartbeat{Machine: "m-1", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-1", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	for _, x := range []struct {
 		after  time.Duration
 		status int
 	}{{f.workerRouter.RelayTimeout() - step, 200}, {f.workerRouter.RelayTimeout(), 503}} {
 		f.workerRouter.RouteOf("m-1").RelayUntil = f.now + time.Hour
 		f.Step(f.monotonicNow(sim.now), []Command{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
-			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
+			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
 		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.forwards.LastID, Status: 200, Body: []byte("{}")}}
 		sim.now += x.after
 		got := 0
@@ -267,8 +267,8 @@
 	leaderNode.leader.recordsLoaded = false
 	batch := make([]Command, 0, machines)
 	for i := range machines {
-		rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
+		heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	}
 	for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), batch) {
 		if reply, is := e.(Reply); is {
