--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -222,7 +222,7 @@
 // late, at any moment of an epoch: nothing is accepted against the policy in force, no accepted job
 // is forgotten, and the policy ends once the faults have ended.
 func TestPolicyUnderFaults(t *testing.T) {
-	troubles := map[string]func(c *userSimulation, leader string){
+	faults := map[string]func(c *userSimulation, leader string){
 		"ends": func(c *userSimulation, leader string) { c.restartAfter(leader, 200*time.Millisecond) },
 		"all end": func(c *userSimulation, _ string) {
 			for _, n := range c.names {
@@ -250,7 +250,7 @@
 			c.schedule(20*time.Second, func() { c.store.lateExecution = nil })
 		},
 	}
-	for name, trouble := range troubles {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for offset := range 3 {
@@ -266,7 +266,7 @@
 					t.Fatal("no admission by policy")
 				}
 				c.advance(time.Duration(offset) * 1234 * time.Millisecond)
-				trouble(c, c.leaderName())
+				inject(c, c.leaderName())
 				c.advance(45 * time.Second)
 				c.waitForCompletion(5 * time.Minute)
 				if !c.advanceUntil(time.Minute, func() bool { _, left := c.store.keys[storage.AdmissionPolicyKey]; return !left }) {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -245,8 +245,8 @@
 // node reports them as cancelled from then on although their own terminal records can't be written,
 // and the next leader continues from the records alone.
 func TestCancelAtTheHeadOfALongPipeline(t *testing.T) {
-	for _, trouble := range []string{"none", "takeover", "outage"} {
-		t.Run(trouble, func(t *testing.T) {
+	for _, fault := range []string{"none", "takeover", "outage"} {
+		t.Run(fault, func(t *testing.T) {
 			sim, leaderNode := newPipelineSimulation(t, 3)
 			sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 			const length = 150
@@ -261,8 +261,8 @@
 			if _, s := sim.queryJob(leaderNode.name, last); s.State != protocol.JobCancelled {
 				t.Errorf("the last job is %q after the answer", s.State)
 			}
-			told := sim.now
-			switch trouble {
+			confirmedAt := sim.now
+			switch fault {
 			case "takeover":
 				sim.crashNode(leaderNode.name)
 				sim.waitForLeader()
@@ -270,13 +270,13 @@
 				sim.store.setDown(true)
 				sim.schedule(25*time.Second, func() { sim.store.setDown(false) })
 			}
-			for sim.now < told+34*time.Second {
+			for sim.now < confirmedAt+34*time.Second {
 				for _, node := range sim.names {
 					if sim.nodes[node].down {
 						continue
 					}
 					if code, s := sim.queryJob(node, last); code == 404 || code == 200 && s.State != protocol.JobCancelled {
-						t.Fatalf("went_back: at %v %s says %d %q of the last job", sim.now-told, node, code, s.State)
+						t.Fatalf("went_back: at %v %s says %d %q of the last job", sim.now-confirmedAt, node, code, s.State)
 					}
 				}
 				sim.advance(500 * time.Millisecond)
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -236,9 +236,9 @@
 		return 70 * time.Second
 	},
 	"workers reach no controller": func(c *userSimulation) time.Duration {
-		mute := map[string]bool{}
-		c.forSomeWorkers(2, func(worker *fakeWorker) { mute[worker.name] = true })
-		c.workerReaches = func(worker *fakeWorker, _ string) bool { return !mute[worker.name] }
+		isolated := map[string]bool{}
+		c.forSomeWorkers(2, func(worker *fakeWorker) { isolated[worker.name] = true })
+		c.workerReaches = func(worker *fakeWorker, _ string) bool { return !isolated[worker.name] }
 		c.submitMoreJobs(10, 30*time.Second, nil)
 		c.cancelSomeJobs(3, 2*time.Second)
 		c.schedule(c.randomDuration(c.machineLease()), c.replaceLeader)
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -193,7 +193,7 @@
 // Workers reach only one node, which does not receive the leader's heartbeats: the leader resigns,
 // and a node that can serve the workers is elected, whatever fault coincides with the change.
 func TestHandOverUnderFaults(t *testing.T) {
-	for name, trouble := range map[string]func(sim *simulation, leader, stranded string){
+	for name, inject := range map[string]func(sim *simulation, leader, stranded string){
 		"nothing":         func(*simulation, string, string) {},
 		"that node ends":  func(sim *simulation, _, stranded string) { sim.restartAfter(stranded, 3*time.Second) },
 		"the leader ends": func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 200*time.Millisecond) },
@@ -219,7 +219,7 @@
 				sim.setOneWayCut(leader, stranded, true)
 				c.submitWithRetries(jobSpec("j-2", 2))
 				sim.advance(time.Duration(moment+1) * leaderNode.workerLeases(strandedResignLeases) / 4)
-				trouble(sim, leader, stranded)
+				inject(sim, leader, stranded)
 				if !sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(), func() bool { return sim.firstStartAt["j-2"] != 0 }) {
 					t.Errorf("moment %d: nothing begins: %s", moment, sim.explainNoLeader())
 				}
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -61,27 +61,27 @@
 // the record is repaired, processing resumes normally.
 func TestDamagedRecordIsQuarantined(t *testing.T) {
 	for name, x := range map[string]struct {
-		key       func(sim *simulation) string
-		value     string
-		rewritten bool // may be overwritten: a forecast only
-		silent    bool // queries about j-1 get 503 only
-		frees     bool // j-1 itself is not held up by it
+		key           func(sim *simulation) string
+		value         string
+		rewritten     bool // may be overwritten: a forecast only
+		unavailable   bool // queries about j-1 get 503 only
+		jobUnaffected bool // j-1 itself is not held up by it
 	}{
 		"job unreadable":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"pecas":"x"}}`},
 		"job of another key":  {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-7","pecas":4}}`},
 		"job impossible":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-1","lote":"c","dono":"free","feitio":"batch","vez":"low","pecas":-4}}`},
-		"job with needs":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-1","aguarda":7}}`, silent: true},
+		"job with needs":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-1","aguarda":7}}`, unavailable: true},
 		"bitmap":              {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `{"b":"%%%"}`},
 		"bitmap no object":    {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `[]`},
-		"group":               {key: func(sim *simulation) string { return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix) }, value: `"?"`, frees: true},
-		"group entry":         {key: func(sim *simulation) string { return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix) }, value: `{"m-000001":{"type":"c4","zone":"a","used":true},"m-000002":7}`, frees: true},
-		"single machine":      {key: func(*simulation) string { return storage.SingleMachinePrefix + "m-000002" }, value: `"?"`, frees: true},
-		"rental":              {key: func(*simulation) string { return storage.RentalPrefix + "r-1-99" }, value: `{"pedido":"r-1-98"}`, frees: true},
-		"end of another":      {key: func(*simulation) string { return storage.TerminalKey("j-9") }, value: `{"state":"?"}`, frees: true},
-		"forecast":            {key: func(*simulation) string { return storage.ArrivalForecastKey }, value: `"?"`, rewritten: true, frees: true},
-		"needs of no job":     {key: func(*simulation) string { return storage.DependenciesKey("j-9", 0) }, value: `7`, frees: true},
-		"a newer version's":   {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) + "-x" }, value: `7`, frees: true},
-		"unknown job's group": {key: func(*simulation) string { return storage.MachineGroupKey(77) }, value: `{"m-000099":{"type":"c9","zone":"a","used":true}}`, rewritten: true, frees: true},
+		"group":               {key: func(sim *simulation) string { return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix) }, value: `"?"`, jobUnaffected: true},
+		"group entry":         {key: func(sim *simulation) string { return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix) }, value: `{"m-000001":{"type":"c4","zone":"a","used":true},"m-000002":7}`, jobUnaffected: true},
+		"single machine":      {key: func(*simulation) string { return storage.SingleMachinePrefix + "m-000002" }, value: `"?"`, jobUnaffected: true},
+		"rental":              {key: func(*simulation) string { return storage.RentalPrefix + "r-1-99" }, value: `{"pedido":"r-1-98"}`, jobUnaffected: true},
+		"end of another":      {key: func(*simulation) string { return storage.TerminalKey("j-9") }, value: `{"state":"?"}`, jobUnaffected: true},
+		"forecast":            {key: func(*simulation) string { return storage.ArrivalForecastKey }, value: `"?"`, rewritten: true, jobUnaffected: true},
+		"needs of no job":     {key: func(*simulation) string { return storage.DependenciesKey("j-9", 0) }, value: `7`, jobUnaffected: true},
+		"a newer version's":   {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) + "-x" }, value: `7`, jobUnaffected: true},
+		"unknown job's group": {key: func(*simulation) string { return storage.MachineGroupKey(77) }, value: `{"m-000099":{"type":"c9","zone":"a","used":true}}`, rewritten: true, jobUnaffected: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -104,7 +104,7 @@
 			}
 			sim.advance(time.Second)
 			key := x.key(sim)
-			mend := sim.store.overwriteValue(key, x.value)
+			restore := sim.store.overwriteValue(key, x.value)
 			started := sim.totalStarts()
 			sim.restartAllNodes(2 * time.Second)
 			leaderNode = sim.waitForLeader()
@@ -115,10 +115,10 @@
 			}
 			for _, node := range sim.names {
 				status, s := sim.queryJob(node, "j-1")
-				if x.silent && status != 503 || !x.silent && (status != 200 || s.State != protocol.JobQueued && s.State != protocol.JobRunning) {
+				if x.unavailable && status != 503 || !x.unavailable && (status != 200 || s.State != protocol.JobQueued && s.State != protocol.JobRunning) {
 					t.Errorf("%s says %d, %q of the job", node, status, s.State)
 				}
-				if reply := sim.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &job}); reply.Status != 200 && !x.silent {
+				if reply := sim.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &job}); reply.Status != 200 && !x.unavailable {
 					t.Errorf("%s answers %d to the job's submission", node, reply.Status)
 				}
 			}
@@ -126,13 +126,13 @@
 				t.Errorf("%d of 3 tasks go on, %d starts after %d", on, sim.totalStarts(), started)
 			}
 			sim.advance(30 * time.Second) // the tasks complete; their results are kept
-			if !x.frees && sim.terminalState("j-1") != "" {
+			if !x.jobUnaffected && sim.terminalState("j-1") != "" {
 				t.Errorf("the job is %s by its record", sim.terminalState("j-1"))
 			}
 			if sim.leaderName() != leaderNode.name {
 				t.Error("the leader has changed")
 			}
-			mend()
+			restore()
 			sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 			sim.checkStartedOnce()
 		})
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -431,15 +431,15 @@
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(3)
 	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 16), 8)
-	var sick *fakeWorker
+	var faulty *fakeWorker
 	for _, worker := range sim.workers {
 		if len(worker.tasks) > 0 {
-			sick = worker
+			faulty = worker
 		}
 	}
-	sick.faulty = true
+	faulty.faulty = true
 	sim.submit(leaderNode.name, jobSpec("j-2", 16))
-	if !sim.advanceUntil(60*time.Second, func() bool { return sim.cloud.hosts[sick.name] == nil }) {
+	if !sim.advanceUntil(60*time.Second, func() bool { return sim.cloud.hosts[faulty.name] == nil }) {
 		t.Fatal("the sick machine was kept")
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
@@ -454,7 +454,7 @@
 	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 12), 4)
 	bad := jobSpec("j-9", 6)
 	sim.submit(leaderNode.name, bad)
-	spoil := func() bool {
+	failRunningTasks := func() bool {
 		for _, worker := range sim.workers {
 			for _, task := range worker.tasks {
 				if jobIDOf(task.taskKey) == "j-9" && task.state == protocol.TaskRunning {
@@ -464,7 +464,7 @@
 		}
 		return false
 	}
-	sim.advanceUntil(40*time.Second, spoil)
+	sim.advanceUntil(40*time.Second, failRunningTasks)
 	if !leaderNode.leader.Jobs["j-9"].FailsEverywhere {
 		t.Fatal("the job was not found bad")
 	}
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -150,7 +150,7 @@
 // one way, at any moment of a heartbeat: no task runs twice, every job completes, and a worker
 // never gets a response older than the one it waits for.
 func TestRelayingNodeFails(t *testing.T) {
-	troubles := map[string]func(sim *simulation, leader, relaying string){
+	faults := map[string]func(sim *simulation, leader, relaying string){
 		"relaying node ends":        func(sim *simulation, _, relaying string) { sim.restartAfter(relaying, 300*time.Millisecond) },
 		"relaying node stands":      func(sim *simulation, _, relaying string) { sim.nodes[relaying].pauseBeforeEffects = 6 * time.Second },
 		"leader ends":               func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 300*time.Millisecond) },
@@ -162,7 +162,7 @@
 			sim.cutOneWayFor(leader, relaying, 9*time.Second)
 		},
 	}
-	for name, trouble := range troubles {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for offset := range 4 {
@@ -181,7 +181,7 @@
 				if sim.connectionCount(relaying) == 0 {
 					t.Fatal("no machine is relayed for")
 				}
-				trouble(sim, leader, relaying)
+				inject(sim, leader, relaying)
 				sim.advance(25 * time.Second)
 				c.waitForCompletion(5 * time.Minute)
 			}
