--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -50,7 +50,7 @@
 
 // After a takeover a machine without responses must not hold up older jobs: it never carries the
 // new fencing token, and each response sent to it once postponed its reconciliation.
-func TestDeafMachineAcrossTakeover(t *testing.T) {
+func TestMachineWithoutResponsesAcrossTakeover(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
 		if jobIDOf(task) == "j-1" {
