--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -52,7 +52,8 @@
 }
 
 func newSubmitters(c *userSimulation) *submitters {
-	return &submitters{userSimulation: c, acceptanceDelays: map[string]time.Duration{}, gaveUp: map[string]bool{}, createdCounts: map[string]int{}}
+	return &submitters{userSimulation: c, acceptanceDelays: map[string]time.Duration{},
+		gaveUp: map[string]bool{}, createdCounts: map[string]int{}}
 }
 
 // submit submits a job and retries, at the times that timing gives, until the job is accepted or
@@ -123,7 +124,8 @@
 	}
 	c.advance(80 * time.Second)
 	urgent, low := a.longestWait("urgent", 15), a.longestWait("low", 40)
-	if standard := a.longestWait("standard", 25); urgent > 30*time.Second || standard > protocol.SubmissionRetryWindow || low > protocol.SubmissionRetryWindow {
+	if standard := a.longestWait("standard", 25); urgent > 30*time.Second ||
+		standard > protocol.SubmissionRetryWindow || low > protocol.SubmissionRetryWindow {
 		t.Errorf("urgent work waited for %v, standard for %v, low for %v", urgent, standard, low)
 	}
 	if _, left := c.store.keys[storage.AdmissionPolicyKey]; left {
@@ -155,7 +157,8 @@
 func TestRetryTimingGainsNothing(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, true)
 	a := newSubmitters(c)
-	backs := map[string]retryTiming{"in-time": retryOnTime, "early": retryEarly, "late": retryLate, "impatient": retryAtOnce}
+	backs := map[string]retryTiming{"in-time": retryOnTime, "early": retryEarly, "late": retryLate,
+		"impatient": retryAtOnce}
 	order := slices.Sorted(maps.Keys(backs))
 	for i := range 25 {
 		for k := range order {
@@ -269,7 +272,8 @@
 				inject(c, c.leaderName())
 				c.advance(45 * time.Second)
 				c.waitForCompletion(5 * time.Minute)
-				if !c.advanceUntil(time.Minute, func() bool { _, left := c.store.keys[storage.AdmissionPolicyKey]; return !left }) {
+				if !c.advanceUntil(time.Minute,
+					func() bool { _, left := c.store.keys[storage.AdmissionPolicyKey]; return !left }) {
 					t.Error("the policy did not end")
 				}
 			}
@@ -289,7 +293,8 @@
 	t.Helper()
 	c := newOverloadedSimulation(t, 3, fair)
 	c.submitAccepted(c.leaderName(), jobSpec("j-known", 1))
-	for _, value := range []any{"no policy", map[string]any{"epoch": 3, "lengthMs": 5, "rest": map[string]any{"steps": []int{0}}}} {
+	for _, value := range []any{"no policy",
+		map[string]any{"epoch": 3, "lengthMs": 5, "rest": map[string]any{"steps": []int{0}}}} {
 		c.store.putValue(storage.AdmissionPolicyKey, value)
 		if r := c.submit(c.followers()[0], jobSpec("j-new", 1)); r.Status != 503 || r.RetryAfter == 0 {
 			t.Errorf("%v: %d, Retry-After %d", value, r.Status, r.RetryAfter)
@@ -304,7 +309,8 @@
 		c.restartNode(c.names[1])
 		c.restartNode(c.names[2])
 		c.waitForLeader()
-		if !c.advanceUntil(20*time.Second, func() bool { _, left := c.store.keys[storage.AdmissionPolicyKey]; return !left }) {
+		if !c.advanceUntil(20*time.Second,
+			func() bool { _, left := c.store.keys[storage.AdmissionPolicyKey]; return !left }) {
 			t.Fatalf("%v: it is left", value)
 		}
 	}
@@ -371,9 +377,11 @@
 	c := newOverloadedSimulation(t, 5, true)
 	a := newSubmitters(c)
 	for i := range 600 {
-		c.schedule(time.Duration(i)*20*time.Millisecond, func() { a.submit(a.classJob("flood", "standard", i), retryAtOnce) })
+		c.schedule(time.Duration(i)*20*time.Millisecond,
+			func() { a.submit(a.classJob("flood", "standard", i), retryAtOnce) })
 	}
-	if !c.advanceUntil(4*c.nodes["n0"].admissionPolicy.EpochLength(), func() bool { return len(c.acceptancesByEpoch) > 0 }) {
+	if !c.advanceUntil(4*c.nodes["n0"].admissionPolicy.EpochLength(),
+		func() bool { return len(c.acceptancesByEpoch) > 0 }) {
 		t.Error("no policy in four epochs")
 	}
 }
@@ -385,7 +393,8 @@
 	f := c.nodes[c.followers()[0]]
 	all := &admission.Policy{Epoch: 5, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
 	raw := storage.Encode(all)
-	f.admissionPolicy.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: c.store.revision})
+	f.admissionPolicy.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw,
+		ModRevision: c.store.revision})
 	if r := c.submit(f.name, jobSpec("j-1", 1)); r.Status != 201 || f.admissionPolicy.Current != nil {
 		t.Errorf("answered %d, judges by %+v", r.Status, f.admissionPolicy.Current)
 	}
@@ -409,7 +418,8 @@
 	c := newOverloadedSimulation(t, 3, false)
 	c.submitAccepted(c.leaderName(), jobSpec("j-1", 1))
 	c.advance(time.Second)
-	none := &admission.Policy{Epoch: 5, EpochLengthMS: 3500, DefaultShare: admission.Share{Tail: admission.Position("j-1") + 1, Steps: []uint64{1}}}
+	none := &admission.Policy{Epoch: 5, EpochLengthMS: 3500,
+		DefaultShare: admission.Share{Tail: admission.Position("j-1") + 1, Steps: []uint64{1}}}
 	c.store.putValue(storage.AdmissionPolicyKey, none)
 	version := c.store.keys[storage.AdmissionPolicyKey].ModRevision
 	for _, name := range c.names {
@@ -418,7 +428,8 @@
 		if n.leader != nil {
 			n.leader.admission.EpochStartedAt = n.now + time.Hour // keeps the policy unchanged
 			clear(n.leader.admission.EpochLoads)
-			n.leader.admission.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: version - 1, Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9}}})
+			n.leader.admission.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: version - 1,
+				Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9}}})
 			if len(n.leader.admission.EpochLoads) > 0 {
 				t.Error("loads of another policy count")
 			}
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -66,7 +66,8 @@
 	}
 	before := leaderNode.leader.autoscaler.Forecast.ExpectedWork(200)
 	if before <= 0 || leaderNode.leader.autoscaler.Forecast.ExpectedWork(50) != 0 {
-		t.Fatalf("to come within 200 s: %v, within 50 s: %v", before, leaderNode.leader.autoscaler.Forecast.ExpectedWork(50))
+		t.Fatalf("to come within 200 s: %v, within 50 s: %v", before,
+			leaderNode.leader.autoscaler.Forecast.ExpectedWork(50))
 	}
 	sim.crashNode(leaderNode.name)
 	sim.advance(time.Second)
@@ -210,14 +211,16 @@
 		return protocol.Host{Name: name, Type: "c4", Zone: "a", Spot: true, State: state, RentedSeconds: 500}
 	}
 	for name, list := range map[string]protocol.HostPage{
-		"empty":                    {},
-		"empty, and more to come":  {Truncated: true},
-		"the same page for ever":   {Machines: []protocol.Host{host("m-000001", "running")}, Truncated: true},
-		"in no order":              {Machines: []protocol.Host{host("m-000009", "running"), host("m-000002", "running")}},
-		"all have failed":          {Machines: []protocol.Host{host("m-000001", "failed"), host("m-000002", "failed")}},
-		"nameless":                 {Machines: []protocol.Host{host("", "running")}},
-		"unknown states":           {Machines: []protocol.Host{host("m-000001", "?"), host("m-000002", "")}},
-		"held since the beginning": {Machines: []protocol.Host{{Name: "m-000001", State: "running", RentedSeconds: 1e300}, {Name: "m-000003", State: "running", RentedSeconds: -1e300}}},
+		"empty":                   {},
+		"empty, and more to come": {Truncated: true},
+		"the same page for ever":  {Machines: []protocol.Host{host("m-000001", "running")}, Truncated: true},
+		"in no order": {Machines: []protocol.Host{host("m-000009", "running"),
+			host("m-000002", "running")}},
+		"all have failed": {Machines: []protocol.Host{host("m-000001", "failed"), host("m-000002", "failed")}},
+		"nameless":        {Machines: []protocol.Host{host("", "running")}},
+		"unknown states":  {Machines: []protocol.Host{host("m-000001", "?"), host("m-000002", "")}},
+		"held since the beginning": {Machines: []protocol.Host{{Name: "m-000001", State: "running",
+			RentedSeconds: 1e300}, {Name: "m-000003", State: "running", RentedSeconds: -1e300}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 2, 8)
@@ -263,7 +266,8 @@
 			leaderNode.leader.RemovedMachines["m-000050"] = sim.now
 			sim.alterResult = func(_ string, call ServiceCall, r CallResult) CallResult {
 				if call.Path == "/hosts" && r.Status == 200 {
-					return CallResult{ID: r.ID, Status: 200, Body: storage.Encode(protocol.MachineNames{Machines: machines})}
+					return CallResult{ID: r.ID, Status: 200,
+						Body: storage.Encode(protocol.MachineNames{Machines: machines})}
 				}
 				return r
 			}
--- a/internal/controller/burst_test.go
+++ b/internal/controller/burst_test.go
@@ -24,7 +24,8 @@
 	leaderNode := sim.waitForLeader()
 	before := heapInUse()
 	for i := range jobs {
-		rec := storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), protocol.MaxTasksPerJob), AcceptedAtMillis: leaderNode.nowUnixMilli()}
+		rec := storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), protocol.MaxTasksPerJob),
+			AcceptedAtMillis: leaderNode.nowUnixMilli()}
 		sim.jobSpecs[rec.Spec.ID] = rec.Spec
 		leaderNode.leader.jobRecords.Add(rec, uint64(i+1))
 	}
@@ -63,7 +64,8 @@
 		t.Fatalf("not begun after four minutes: %s", sim.explainPending("j-other"))
 	}
 	c.cancelWithRetries("j-flood-7")
-	if !sim.advanceUntil(5*time.Second, func() bool { return sim.terminalStates["j-flood-7"] == protocol.JobCancelled }) {
+	if !sim.advanceUntil(5*time.Second,
+		func() bool { return sim.terminalStates["j-flood-7"] == protocol.JobCancelled }) {
 		t.Error("a cancellation is not confirmed within 5 s")
 	}
 }
@@ -79,9 +81,11 @@
 	for round := range 300 {
 		var all, plain []*scheduler.QueuedJob
 		for i := range 1 + rng.IntN(30) {
-			job := &cluster.Job{Spec: jobSpec(fmt.Sprintf("j-%d", i), 1), TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
-			r := scheduler.QueuedJob{Job: job, Rank: []int{cluster.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
-				Due: leaderNode.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
+			job := &cluster.Job{Spec: jobSpec(fmt.Sprintf("j-%d", i), 1),
+				TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
+			r := scheduler.QueuedJob{Job: job,
+				Rank: []int{cluster.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
+				Due:  leaderNode.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
 			again := r
 			all, plain = append(all, &r), append(plain, &again)
 		}
@@ -111,7 +115,8 @@
 		for sum/cores > (r.Due - now).Seconds() {
 			worst := -1
 			for i, k := range kept {
-				if k.Rank == scheduler.RankOnTime && k.Job.PendingTasks > 0 && (worst < 0 || k.RemainingCoreSeconds > kept[worst].RemainingCoreSeconds) {
+				if k.Rank == scheduler.RankOnTime && k.Job.PendingTasks > 0 &&
+					(worst < 0 || k.RemainingCoreSeconds > kept[worst].RemainingCoreSeconds) {
 					worst = i
 				}
 			}
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -33,7 +33,8 @@
 		c.restartAfter(name, c.downtime+c.randomDuration(spread+step))
 	}
 	c.restartedAt = c.now + c.downtime
-	c.rateLimits = recoverygate.RecoverySettings(&c.nodes[c.names[0]].cfg.Cluster, &c.nodes[c.names[0]].settings).Rates(len(c.cloud.hosts), 4*float64(len(c.cloud.hosts)), 4)
+	c.rateLimits = recoverygate.RecoverySettings(&c.nodes[c.names[0]].cfg.Cluster,
+		&c.nodes[c.names[0]].settings).Rates(len(c.cloud.hosts), 4*float64(len(c.cloud.hosts)), 4)
 	c.watchRentals()
 	c.watchStarts()
 }
@@ -51,7 +52,8 @@
 // and the usual load fits the machines that there are.
 func (c *coldStart) watchRentals() {
 	c.interceptCall = func(call ServiceCall) (CallResult, bool) {
-		if l := c.recoveringLeader(); call.Target == TargetCloud && call.Path == "/hosts" && l != nil && l.recovery.Phase() <= recovery.PhaseCollecting &&
+		if l := c.recoveringLeader(); call.Target == TargetCloud && call.Path == "/hosts" && l != nil &&
+			l.recovery.Phase() <= recovery.PhaseCollecting &&
 			strings.Contains(string(call.Body), "r-"+formatUint(l.term)+"-") {
 			totals := l.CurrentMachineTotals()
 			unknown, waiting, surely := totals.UnknownUsage.Cores, 0.0, 0
@@ -63,7 +65,8 @@
 				}
 			}
 			if usual := l.autoscaler.Forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.TotalCores {
-				c.reportViolation("rented too early", "in phase %v, %v cores wait, %v are unknown", l.recovery.Phase(), waiting, unknown)
+				c.reportViolation("rented too early", "in phase %v, %v cores wait, %v are unknown",
+					l.recovery.Phase(), waiting, unknown)
 			}
 		}
 		return CallResult{}, false
@@ -108,14 +111,16 @@
 	if len(c.startTimes) > 0 {
 		span := (c.startTimes[len(c.startTimes)-1] - c.restartedAt).Seconds()
 		if total := rate.PerSecond*span*1.05 + rate.Burst*float64(len(c.leaderTerms)); float64(len(c.startTimes)) > total {
-			c.t.Fatalf("%d starts in %.1f s of %d leaders, limit %.0f", len(c.startTimes), span, len(c.leaderTerms), total)
+			c.t.Fatalf("%d starts in %.1f s of %d leaders, limit %.0f", len(c.startTimes), span,
+				len(c.leaderTerms), total)
 		}
 	}
 }
 
 // busyWorker returns the n-th worker that runs tasks, or any worker if none does.
 func (c *coldStart) busyWorker(n int) *fakeWorker {
-	busy := slices.DeleteFunc(slices.Clone(c.sortedWorkers()), func(worker *fakeWorker) bool { return len(worker.tasks) == 0 })
+	busy := slices.DeleteFunc(slices.Clone(c.sortedWorkers()),
+		func(worker *fakeWorker) bool { return len(worker.tasks) == 0 })
 	if len(busy) == 0 {
 		return c.sortedWorkers()[n%len(c.workers)]
 	}
@@ -140,7 +145,8 @@
 var coldStarts = map[string]func(c *coldStart){
 	"mismatches of every kind": func(c *coldStart) {
 		c.schedule(c.downtime/2, func() {
-			never := &fakeTask{taskKey: "j-never-stored/0", attempt: 7, state: protocol.TaskRunning, endsAt: c.now + time.Hour}
+			never := &fakeTask{taskKey: "j-never-stored/0", attempt: 7, state: protocol.TaskRunning,
+				endsAt: c.now + time.Hour}
 			c.busyWorker(0).tasks = append(c.busyWorker(0).tasks, never)
 			c.jobSpecs["j-never-stored"] = jobSpec("j-never-stored", 1)
 			for _, t := range c.busyWorker(1).tasks {
@@ -149,7 +155,8 @@
 			c.busyWorker(2).unreachable = true
 			for i := range 6 {
 				key := fmt.Sprintf("j-never-stored/%d", i+1)
-				c.busyWorker(4).tasks = append(c.busyWorker(4).tasks, &fakeTask{taskKey: key, attempt: 7, state: protocol.TaskRunning, endsAt: c.now + time.Hour})
+				c.busyWorker(4).tasks = append(c.busyWorker(4).tasks,
+					&fakeTask{taskKey: key, attempt: 7, state: protocol.TaskRunning, endsAt: c.now + time.Hour})
 			}
 		})
 		c.schedule(c.downtime+2*c.machineLease(), func() {
@@ -190,7 +197,8 @@
 		}
 	},
 	"cancellations in each phase": func(c *coldStart) {
-		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting, recovery.PhaseReconciling, recovery.PhasePacing} {
+		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting,
+			recovery.PhaseReconciling, recovery.PhasePacing} {
 			c.onRecoveryPhase(phase, func() { c.cancelSomeJobs(3, c.machineLease()/20) })
 		}
 	},
@@ -204,14 +212,16 @@
 		// At most as much as the team can run in a minute and a half after the faults. With a
 		// longer queue some job would be pending for that long beside free capacity, which its team
 		// leaves for a moment between two tasks.
-		c.submitMoreJobs(4, c.downtime+c.machineLease(), func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
+		c.submitMoreJobs(4, c.downtime+c.machineLease(),
+			func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
 		c.forSomeWorkers(4, func(worker *fakeWorker) {
 			worker.unreachable = true
 			c.schedule(c.downtime+c.randomDuration(c.machineLease()), func() { worker.unreachable = false })
 		})
 	},
 	"leaders end in each phase": func(c *coldStart) {
-		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting, recovery.PhaseReconciling, recovery.PhasePacing, recovery.PhasePacing} {
+		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting,
+			recovery.PhaseReconciling, recovery.PhasePacing, recovery.PhasePacing} {
 			c.onRecoveryPhase(phase, func() { c.restartAfter(c.leaderName(), c.randomDuration(time.Second)) })
 		}
 	},
@@ -244,7 +254,8 @@
 				nodes := []int{3, 7}[seed%2]
 				away := []float64{0.5, 0.97, 3}[seed%3]
 				users, _ := newFaultCombination(t, nodes, deployments[seed%uint64(len(deployments))], seed, 8, 4)
-				c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{}, leaderTerms: map[uint64]bool{}}
+				c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{},
+					leaderTerms: map[uint64]bool{}}
 				c.scenario = name
 				c.downtime = time.Duration(away * float64(c.machineLease()))
 				c.submitMoreJobs(10, 2*c.machineLease(), nil)
@@ -288,7 +299,9 @@
 			t.Errorf("nobody found %v: %v", kind, c.mismatchCounts)
 		}
 	}
-	if c.downtime < c.machineLease()*9/10 && (c.mismatchCounts[recovery.MatchesRecord] == 0 || c.mismatchCounts[recovery.CompletionNotStored] == 0) || c.downtime > c.machineLease() && c.mismatchCounts[recovery.JobNotRunning] == 0 {
+	if c.downtime < c.machineLease()*9/10 &&
+		(c.mismatchCounts[recovery.MatchesRecord] == 0 ||
+			c.mismatchCounts[recovery.CompletionNotStored] == 0) || c.downtime > c.machineLease() && c.mismatchCounts[recovery.JobNotRunning] == 0 {
 		t.Errorf("found only %v", c.mismatchCounts)
 	}
 }
@@ -298,12 +311,14 @@
 func TestFiveLeadersOfOneRecovery(t *testing.T) {
 	for _, nodes := range []int{3, 7} {
 		users, _ := newFaultCombination(t, nodes, deployments[0], uint64(nodes), 20, 8)
-		c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{}, leaderTerms: map[uint64]bool{}, downtime: 2 * users.machineLease()}
+		c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{},
+			leaderTerms: map[uint64]bool{}, downtime: 2 * users.machineLease()}
 		c.restartAllControllers(0)
 		c.advance(c.downtime)
 		for range 5 {
 			before := c.totalStarts()
-			if !c.advanceUntil(c.machineLease()*2, func() bool { return c.leaderName() != "" && c.totalStarts() > before }) {
+			if !c.advanceUntil(c.machineLease()*2,
+				func() bool { return c.leaderName() != "" && c.totalStarts() > before }) {
 				t.Fatalf("%d nodes: no start: %s", nodes, c.explainNoLeader())
 			}
 			c.advance(c.randomDuration(time.Second))
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -101,8 +101,10 @@
 		name string
 		kind protocol.RequestKind
 		id   string
-	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""}, {"links", protocol.RequestLinks, ""},
-		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""}, {"admission", protocol.RequestAdmission, job}} {
+	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""},
+		{"links", protocol.RequestLinks, ""},
+		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""},
+		{"admission", protocol.RequestAdmission, job}} {
 		r := sim.requestAndWait(node, Request{Kind: page.kind, JobID: page.id})
 		if r.Status != 200 {
 			sim.t.Fatalf("%s: %d", page.name, r.Status)
@@ -164,14 +166,19 @@
 // The words on the status page and in traces.
 func TestWordsOnPages(t *testing.T) {
 	lines := []string{"jobs wait for:"}
-	for _, waits := range []cluster.WaitReason{cluster.WaitDependencies, cluster.WaitBackoff, cluster.WaitReconciliation, cluster.WaitSlots, cluster.WaitTeamQuota, cluster.WaitOverallQuota, cluster.WaitCapacity, cluster.WaitImage, cluster.WaitQuarantine, cluster.WaitNone} {
+	for _, waits := range []cluster.WaitReason{cluster.WaitDependencies, cluster.WaitBackoff,
+		cluster.WaitReconciliation, cluster.WaitSlots, cluster.WaitTeamQuota,
+		cluster.WaitOverallQuota, cluster.WaitCapacity, cluster.WaitImage, cluster.WaitQuarantine, cluster.WaitNone} {
 		lines = append(lines, string(waits))
 	}
 	lines = append(lines, "machines leave because:")
-	for _, why := range []cluster.DrainReason{cluster.SurplusCapacity, cluster.PreemptionNoticed, cluster.SlowExecution, cluster.Unhealthy, cluster.CommandsUndelivered, cluster.HeartbeatMissed, cluster.NeverReported, cluster.InstanceFailed, cluster.NotListed} {
+	for _, why := range []cluster.DrainReason{cluster.SurplusCapacity, cluster.PreemptionNoticed,
+		cluster.SlowExecution, cluster.Unhealthy, cluster.CommandsUndelivered,
+		cluster.HeartbeatMissed, cluster.NeverReported, cluster.InstanceFailed, cluster.NotListed} {
 		lines = append(lines, string(why))
 	}
-	lines = append(lines, "steps of traces:", stepAdmissionVerdict, stepRejected, stepStored, stepLoaded, stepBlocked, stepFirstStart, stepFirstRunning, stepTerminal,
+	lines = append(lines, "steps of traces:", stepAdmissionVerdict, stepRejected, stepStored, stepLoaded,
+		stepBlocked, stepFirstStart, stepFirstRunning, stepTerminal,
 		"level of records and messages:", fmt.Sprint(protocolLevel))
 	checkGolden(t, "words.txt", lines)
 }
@@ -213,7 +220,8 @@
 		lines = append(lines, fmt.Sprintf("%s: %d %s", id, r.Status, r.Body))
 	}
 	for i := range 11 {
-		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i), sim.startCounts[protocol.TaskID("j-1", i)]))
+		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i),
+			sim.startCounts[protocol.TaskID("j-1", i)]))
 	}
 	for _, key := range slices.Sorted(maps.Keys(sim.store.keys)) {
 		if key != storage.ArrivalForecastKey {
@@ -233,7 +241,8 @@
 	var lines []string
 	ask := func(name, node string, r Request) {
 		reply := sim.requestAndWait(node, r)
-		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status, reply.RetryAfter, reply.Body))
+		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status,
+			reply.RetryAfter, reply.Body))
 	}
 	user := func(name, node string, kind protocol.RequestKind, job protocol.Job) {
 		sim.jobSpecs[job.ID] = job
@@ -312,7 +321,8 @@
 					t.Fatal(err)
 				}
 				for _, write := range txn.Writes {
-					if err := records.addFields(digits.ReplaceAllString(write.PutKey, "N"), write.Value); write.PutKey != "" && err != nil {
+					if err := records.addFields(digits.ReplaceAllString(write.PutKey, "N"),
+						write.Value); write.PutKey != "" && err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -393,7 +403,8 @@
 		fmt.Fprintf(d.hash, "%d %s ", d.simulation.now, n.name)
 		switch e := e.(type) {
 		case ServiceCall:
-			fmt.Fprintf(d.hash, "call %d %s %s %s %s %d\n", e.ID, goldenTargets[e.Target], e.Method, e.Path, e.Body, e.Timeout)
+			fmt.Fprintf(d.hash, "call %d %s %s %s %s %d\n", e.ID, goldenTargets[e.Target], e.Method, e.Path,
+				e.Body, e.Timeout)
 		case Reply:
 			fmt.Fprintf(d.hash, "reply %d %d %d %s\n", e.RequestID, e.Status, e.RetryAfter, e.Body)
 		case OutboundMessage:
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -59,7 +59,8 @@
 	// answered with the state of the job.
 	sim.submitAccepted(other, dependentSpec("j-d", 1, "j-a", "j-c"))
 	sim.waitForJobState("j-d", protocol.JobDone, 20*time.Second)
-	if r := sim.submit(other, dependentSpec("j-d", 1, "j-a", "j-c")); r.Status != 200 || !strings.Contains(string(r.Body), "done") {
+	if r := sim.submit(other, dependentSpec("j-d", 1, "j-a", "j-c")); r.Status != 200 ||
+		!strings.Contains(string(r.Body), "done") {
 		t.Errorf("a repeat is answered %d %s", r.Status, r.Body)
 	}
 }
@@ -101,7 +102,8 @@
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
 	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-a") == 1 })
 	sim.store.holdTransaction = func(_ string, txn storage.Txn) bool {
-		if !slices.ContainsFunc(txn.Writes, func(write storage.Write) bool { return write.PutKey == storage.TerminalKey("j-a") }) {
+		if !slices.ContainsFunc(txn.Writes,
+			func(write storage.Write) bool { return write.PutKey == storage.TerminalKey("j-a") }) {
 			return false
 		}
 		sim.store.holdTransaction = nil
@@ -133,7 +135,8 @@
 	sim.submitAccepted(other, dependentSpec("j-b", 1, "j-a"))
 	sim.cancelJob(leaderNode.name, "j-a")
 	for _, node := range sim.names {
-		if r := sim.submit(node, dependentSpec("j-b", 1, "j-a")); r.Status != 200 || !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
+		if r := sim.submit(node, dependentSpec("j-b", 1, "j-a")); r.Status != 200 ||
+			!strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
 			t.Errorf("%s: a repeat is answered %d %s", node, r.Status, r.Body)
 		}
 	}
@@ -255,7 +258,8 @@
 				sim.submitAccepted(leaderNode.name, dependentSpec(fmt.Sprintf("j-%d", i), 1, fmt.Sprintf("j-%d", i-1)))
 			}
 			last := fmt.Sprintf("j-%d", length-1)
-			if r := sim.cancelJob(leaderNode.name, "j-0"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
+			if r := sim.cancelJob(leaderNode.name, "j-0"); !strings.Contains(string(r.Body),
+				string(protocol.JobCancelled)) {
 				t.Fatalf("%d %s", r.Status, r.Body)
 			}
 			if _, s := sim.queryJob(leaderNode.name, last); s.State != protocol.JobCancelled {
@@ -275,8 +279,10 @@
 					if sim.nodes[node].down {
 						continue
 					}
-					if code, s := sim.queryJob(node, last); code == 404 || code == 200 && s.State != protocol.JobCancelled {
-						t.Fatalf("went_back: at %v %s says %d %q of the last job", sim.now-confirmedAt, node, code, s.State)
+					if code, s := sim.queryJob(node, last); code == 404 ||
+						code == 200 && s.State != protocol.JobCancelled {
+						t.Fatalf("went_back: at %v %s says %d %q of the last job", sim.now-confirmedAt, node,
+							code, s.State)
 					}
 				}
 				sim.advance(500 * time.Millisecond)
@@ -297,12 +303,14 @@
 		sim.taskDuration = func(string, int) time.Duration { return time.Minute }
 		sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
 		sim.store.holdTransaction = func(_ string, txn storage.Txn) bool {
-			return slices.ContainsFunc(txn.Writes, func(write storage.Write) bool { return write.PutKey == storage.JobKey("j-b") })
+			return slices.ContainsFunc(txn.Writes,
+				func(write storage.Write) bool { return write.PutKey == storage.JobKey("j-b") })
 		}
 		job := dependentSpec("j-b", 1, "j-a")
 		sim.jobSpecs["j-b"] = job
 		accepted := 0
-		sim.sendRequest(other, Request{Kind: protocol.RequestSubmit, JobID: "j-b", Job: &job}, func(r Reply) { accepted = r.Status })
+		sim.sendRequest(other, Request{Kind: protocol.RequestSubmit, JobID: "j-b", Job: &job},
+			func(r Reply) { accepted = r.Status })
 		sim.advance(200 * time.Millisecond)
 		sim.cancelJob(leaderNode.name, "j-a")
 		sim.store.holdTransaction = nil
@@ -325,8 +333,10 @@
 func TestNeedNotReadYet(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.store.putValue(storage.TerminalKey("j-a"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 1})
-	sim.store.putValue(storage.JobKey("j-b"), storage.JobRecord{Spec: dependentSpec("j-b", 1, "j-a"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
-	sim.store.putValue(storage.JobKey("j-c"), storage.JobRecord{Spec: dependentSpec("j-c", 1, "j-b"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
+	sim.store.putValue(storage.JobKey("j-b"),
+		storage.JobRecord{Spec: dependentSpec("j-b", 1, "j-a"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
+	sim.store.putValue(storage.JobKey("j-c"),
+		storage.JobRecord{Spec: dependentSpec("j-c", 1, "j-b"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
 	for sim.now < 20*time.Second {
 		if code, s := sim.queryJob("n0", "j-c"); code == 200 && s.State != protocol.JobCancelled {
 			t.Fatalf("at %v it is called %q", sim.now, s.State)
@@ -358,7 +368,8 @@
 	if want := end - l.dependencies.ExpectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want || l.Due(s) != want {
 		t.Errorf("b is due at %v, s at %v, not %v", l.Due(b), l.Due(s), want)
 	}
-	if want := end - l.dependencies.ExpectedJobDuration(z, l.ImagePullRate()) - l.dependencies.ExpectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
+	if want := end - l.dependencies.ExpectedJobDuration(z,
+		l.ImagePullRate()) - l.dependencies.ExpectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
 		t.Errorf("a is due at %v, not %v: the longest way counts", l.Due(a), want)
 	}
 	if a.EffectiveRank() != 1 || b.EffectiveRank() != 1 || a.Spec.PriorityRank() != 2 {
@@ -467,6 +478,7 @@
 		sim.submitAccepted(n.name, dependentSpec(fmt.Sprintf("j-%d", i), 50, fmt.Sprintf("j-%d", i/2)))
 	}
 	if got := cost(); got > before+before/4 || len(n.leader.JobsByAge()) != 1 {
-		t.Errorf("looked at %d with 200 jobs that wait, %d without; %d are served", got, before, len(n.leader.JobsByAge()))
+		t.Errorf("looked at %d with 200 jobs that wait, %d without; %d are served", got, before,
+			len(n.leader.JobsByAge()))
 	}
 }
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -24,7 +24,8 @@
 	for name, worker := range sim.workers {
 		answers[name] = worker.responseCount
 	}
-	if !sim.advanceUntil(8*time.Second, func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
+	if !sim.advanceUntil(8*time.Second,
+		func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
 		t.Fatal("no other leads")
 	}
 	if !sim.advanceUntil(8*time.Second, func() bool {
@@ -42,7 +43,8 @@
 		{Kind: protocol.RequestQuery, JobID: "j-1"}, {Kind: protocol.RequestCancel, JobID: "j-1"},
 	} {
 		asked := sim.now
-		if got := sim.requestAndWait(leaderNode.name, r); got.Status != 503 || got.RetryAfter == 0 || sim.now-asked > time.Second {
+		if got := sim.requestAndWait(leaderNode.name, r); got.Status != 503 || got.RetryAfter == 0 ||
+			sim.now-asked > time.Second {
 			t.Errorf("%s: %d, come back after %d, answered in %v", r.Kind, got.Status, got.RetryAfter, sim.now-asked)
 		}
 	}
@@ -61,7 +63,8 @@
 	sim, leaderNode := newRunningSimulation(t, 3, 25*time.Second, 3, 6)
 	sim.store.refusedNodes[leaderNode.name] = true
 	sim.isolateNode(leaderNode.name)
-	if !sim.advanceUntil(9*time.Second, func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
+	if !sim.advanceUntil(9*time.Second,
+		func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
 		t.Fatal("it is not replaced")
 	}
 	next := sim.leaderName()
@@ -93,7 +96,8 @@
 	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}); got.Status != 503 {
 		t.Errorf("report: %d", got.Status)
 	}
-	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 || got.RetryAfter == 0 {
+	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 ||
+		got.RetryAfter == 0 {
 		t.Errorf("query: %d, come back after %d", got.Status, got.RetryAfter)
 	}
 	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
@@ -110,10 +114,12 @@
 	sim.cloud.capacity = 1
 	const over, open = 4000, 400
 	for i := range over {
-		sim.store.putValue(storage.TerminalKey(fmt.Sprintf("j-%d", i)), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 1, DoneTasks: 1})
+		sim.store.putValue(storage.TerminalKey(fmt.Sprintf("j-%d", i)),
+			storage.TerminalRecord{State: protocol.JobDone, TaskCount: 1, DoneTasks: 1})
 	}
 	for i := over; i < over+open; i++ {
-		sim.store.putValue(storage.JobKey(fmt.Sprintf("j-%d", i)), storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), 3), AcceptedAtMillis: 1})
+		sim.store.putValue(storage.JobKey(fmt.Sprintf("j-%d", i)),
+			storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), 3), AcceptedAtMillis: 1})
 	}
 	sim.waitForLeader()
 	sim.store.setDown(true)
@@ -135,14 +141,15 @@
 			if answered[i] {
 				continue
 			}
-			sim.sendRequest(sim.names[(i+int(sim.now/time.Second))%3], Request{Kind: protocol.RequestQuery, JobID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
-				switch r.Status {
-				case 200:
-					answered[i] = true
-				case 404:
-					t.Errorf("j-%d is forgotten", i)
-				}
-			})
+			sim.sendRequest(sim.names[(i+int(sim.now/time.Second))%3],
+				Request{Kind: protocol.RequestQuery, JobID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
+					switch r.Status {
+					case 200:
+						answered[i] = true
+					case 404:
+						t.Errorf("j-%d is forgotten", i)
+					}
+				})
 			if i%40 == 0 {
 				sim.advance(step)
 			}
@@ -196,7 +203,8 @@
 	sim.store.refusedNodes[f] = true
 	for i := range 3 {
 		asked := sim.now
-		if r := sim.submit(f, jobSpec(fmt.Sprintf("j-%d", i), 1)); r.Status != 201 || sim.now-asked > 200*time.Millisecond {
+		if r := sim.submit(f, jobSpec(fmt.Sprintf("j-%d", i), 1)); r.Status != 201 ||
+			sim.now-asked > 200*time.Millisecond {
 			t.Errorf("submission %d: %d after %v", i, r.Status, sim.now-asked)
 		}
 		sim.advance(time.Second)
@@ -204,7 +212,8 @@
 	sim.store.setDown(true)
 	sim.advance(2 * time.Second)
 	asked := sim.now
-	if r := sim.submit(f, jobSpec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 || sim.now-asked > 200*time.Millisecond {
+	if r := sim.submit(f, jobSpec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 ||
+		sim.now-asked > 200*time.Millisecond {
 		t.Errorf("in an outage: %d, come back after %d, answered in %v", r.Status, r.RetryAfter, sim.now-asked)
 	}
 }
@@ -236,7 +245,9 @@
 	var got *Reply
 	forwarded(Request{Kind: protocol.RequestQuery, JobID: "j-2"}, func(r Reply) { got = &r })
 	n := sim.nodes[name]
-	n.inbox = append(n.inbox, InboundMessage{From: leaderNode.name, Message: protocol.ForwardedResponse{ID: before, Status: 200, Body: []byte(`{"uid":"j-1","situacao":"withdrawn"}`)}})
+	n.inbox = append(n.inbox, InboundMessage{From: leaderNode.name,
+		Message: protocol.ForwardedResponse{ID: before, Status: 200,
+			Body: []byte(`{"uid":"j-1","situacao":"withdrawn"}`)}})
 	sim.advance(5 * step)
 	if got != nil {
 		t.Errorf("it is handed %d %s", got.Status, got.Body)
@@ -254,8 +265,10 @@
 	round := func() (sent, relayed int) {
 		var batch []Command
 		for i := range workers {
-			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
+			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a",
+				Epoch: 1, Sequence: 1}
+			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)},
+				Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 		}
 		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -106,7 +106,8 @@
 		}
 	}
 	n.election.RecordStoreResponse(step, 503)
-	out = n.Step(2*step, []Command{InboundMessage{From: first.name, Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
+	out = n.Step(2*step, []Command{InboundMessage{From: first.name,
+		Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
 	for _, e := range out {
 		if sendsMessage[protocol.LeaseGrant](e) {
 			t.Fatal("granted a lease right after a restart")
@@ -131,9 +132,11 @@
 	if !sim.advanceUntil(span*2/3, func() bool { return sim.leaderName() != "" }) {
 		t.Fatalf("nobody leads %v after a full restart", span*2/3)
 	}
-	n := New(Options{Platform: sim.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)), StartTime: time.Unix(5, 0)})
+	n := New(Options{Platform: sim.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)),
+		StartTime: time.Unix(5, 0)})
 	voted := func(from string, m protocol.PeerHeartbeat) bool {
-		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m}, InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
+		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m},
+			InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
 		return slices.ContainsFunc(out, sendsMessage[protocol.Vote])
 	}
 	if voted("n1", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
@@ -166,7 +169,8 @@
 		now += step
 		return slices.ContainsFunc(n.Step(now, batch), is)
 	}
-	if !sent(sendsMessage[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
+	if !sent(sendsMessage[protocol.LeaseGrant],
+		protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
 		t.Fatal("no lease granted in an outage")
 	}
 	if sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
@@ -281,7 +285,8 @@
 // leases once the faults have ended. Nothing else runs here, so that thousands of elections fit.
 func TestAuthorityIsExclusive(t *testing.T) {
 	forEachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
-		c := newUserSimulation(newSimulationWithTimings(t, []int{3, 5, 7}[seed%3], deployments[seed/3%uint64(len(deployments))]), seed)
+		c := newUserSimulation(newSimulationWithTimings(t, []int{3, 5, 7}[seed%3],
+			deployments[seed/3%uint64(len(deployments))]), seed)
 		span := c.machineLease() / election.LeaderLeasesPerWorkerLease
 		soon := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(span) * 0.7) }
 		c.driftClocks()
@@ -346,7 +351,8 @@
 				first := sim.waitForLeader()
 				sim.advance(time.Duration(offset) * first.leaderLease() / 7)
 				sim.store.refusedNodes[first.name] = true
-				if !sim.advanceUntil(first.workerLease(), func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
+				if !sim.advanceUntil(first.workerLease(),
+					func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
 					t.Fatalf("not replaced within %v", first.workerLease())
 				}
 			})
@@ -417,15 +423,18 @@
 // A leader that was paused for longer than its lease finds heartbeats and requests in its queue
 // when it resumes, and its clocks have advanced: it answers none of them as the leader.
 func TestPausedLeaderAnswersNothing(t *testing.T) {
-	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery, protocol.RequestCancel} {
+	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery,
+		protocol.RequestCancel} {
 		t.Run(string(kind), func(t *testing.T) {
 			sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 1, 4)
 			request := Request{Origin: Origin{RequestID: 1 << 40}, Kind: kind, JobID: "j-1"}
 			if kind == protocol.RequestHeartbeat {
 				request.Heartbeat = sim.sortedWorkers()[0].heartbeat()
 			}
-			for _, effect := range leaderNode.Step(leaderNode.monotonicNow(sim.now)+leaderNode.workerLease(), []Command{request}) {
-				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID && reply.Status == 200 {
+			for _, effect := range leaderNode.Step(leaderNode.monotonicNow(sim.now)+leaderNode.workerLease(),
+				[]Command{request}) {
+				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID &&
+					reply.Status == 200 {
 					t.Error("answered 200")
 				}
 			}
@@ -463,7 +472,8 @@
 	host := &acceptingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
 	alone := n.cfg.Cluster
 	alone.ControllerCount = 1
-	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone, Rand: n.rng, Host: host})
+	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone,
+		Rand: n.rng, Host: host})
 	for !n.holdsLeaderLease() {
 		host.now += step
 		n.election.Tick()
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -93,7 +93,8 @@
 		t.Errorf("%s passes ahead of urgent work", order[0].Job.Spec.ID)
 	}
 	for _, r := range order {
-		want := map[string]int{"j-0": scheduler.RankOnTime, "j-1": scheduler.RankLate, "j-2": scheduler.RankOnTime, "j-9": 1}[r.Job.Spec.ID]
+		want := map[string]int{"j-0": scheduler.RankOnTime, "j-1": scheduler.RankLate,
+			"j-2": scheduler.RankOnTime, "j-9": 1}[r.Job.Spec.ID]
 		if r.Rank != want {
 			t.Errorf("%s has rank %d, not %d", r.Job.Spec.ID, r.Rank, want)
 		}
@@ -236,7 +237,8 @@
 func TestUrgentWorkWaitsForItsImage(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
-	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 0.2, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a"}}}
+	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40,
+		PullGBPerSecond: 0.2, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a"}}}
 	sim.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 5, MinShare: 0.8}}
 	sim.startNode("n0")
 	leaderNode := sim.waitForLeader()
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -252,7 +252,8 @@
 		c.schedule(c.randomDuration(6*time.Second), c.replaceLeader)
 		c.schedule(c.randomDuration(10*time.Second), func() { c.cancelSomeJobs(3, 2*time.Second) })
 		for _, worker := range c.sortedWorkers() {
-			c.schedule(c.randomDuration(3*c.machineLease()/2), func() { worker.unreachable, worker.dropResponses = false, false })
+			c.schedule(c.randomDuration(3*c.machineLease()/2),
+				func() { worker.unreachable, worker.dropResponses = false, false })
 		}
 		return 2 * c.machineLease()
 	},
@@ -316,7 +317,8 @@
 		c.submitMoreJobs(20, 100*time.Second, nil)
 		for i := range 10 {
 			c.schedule(time.Duration(i)*12*time.Second+c.randomDuration(3*time.Second), c.replaceLeader)
-			c.schedule(time.Duration(i)*12*time.Second+c.randomDuration(6*time.Second), func() { c.cancelSomeJobs(8, time.Second) })
+			c.schedule(time.Duration(i)*12*time.Second+c.randomDuration(6*time.Second),
+				func() { c.cancelSomeJobs(8, time.Second) })
 		}
 		at := c.randomDuration(90 * time.Second)
 		c.schedule(at, func() { c.store.setDown(true) })
@@ -378,7 +380,8 @@
 			if c.rng.IntN(2) == 0 {
 				again := *heartbeat
 				c.schedule(time.Duration(c.rng.ExpFloat64()*float64(c.machineLease())), func() {
-					c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
+					c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat,
+						Heartbeat: &again}, func(Reply) {})
 				})
 			}
 		}
@@ -402,7 +405,8 @@
 		return 50 * time.Second
 	},
 	"teams at their limits, machines cut off or hanging, cancellations, a takeover": func(c *userSimulation) time.Duration {
-		c.submitMoreJobs(16, 5*time.Second, func(i int, j *protocol.Job) { j.Team, j.TaskCount = []string{"team", "small"}[i%2], 4 })
+		c.submitMoreJobs(16, 5*time.Second,
+			func(i int, j *protocol.Job) { j.Team, j.TaskCount = []string{"team", "small"}[i%2], 4 })
 		at := 8*time.Second + c.randomDuration(4*time.Second)
 		c.schedule(at, func() {
 			c.cancelSomeJobs(2, time.Second)
@@ -470,7 +474,8 @@
 			}
 		})
 		for range 3 {
-			c.schedule(max(0, at-time.Second)+c.randomDuration(3*time.Second), func() { c.cancelSomeJobs(4, time.Second) })
+			c.schedule(max(0, at-time.Second)+c.randomDuration(3*time.Second),
+				func() { c.cancelSomeJobs(4, time.Second) })
 		}
 		return at + 95*time.Second
 	},
@@ -480,12 +485,14 @@
 			at := time.Duration(i) * 20 * time.Second
 			c.schedule(at, c.replaceLeader)
 			for range 2 {
-				c.schedule(at+c.randomDuration(c.machineLease()/3), func() { c.pauseController(c.randomNode(), c.randomDuration(25*time.Second)) })
+				c.schedule(at+c.randomDuration(c.machineLease()/3),
+					func() { c.pauseController(c.randomNode(), c.randomDuration(25*time.Second)) })
 			}
 			c.schedule(at+5*time.Second, func() {
 				c.cancelSomeJobs(4, 200*time.Millisecond)
 				if name := c.leaderName(); name != "" {
-					c.schedule(c.randomDuration(100*time.Millisecond), func() { c.pauseController(name, c.randomDuration(20*time.Second)) })
+					c.schedule(c.randomDuration(100*time.Millisecond),
+						func() { c.pauseController(name, c.randomDuration(20*time.Second)) })
 				}
 			})
 		}
@@ -497,7 +504,8 @@
 			c.schedule(time.Duration(i)*50*time.Millisecond, c.queryAllJobs)
 		}
 		for range 3 {
-			c.schedule(c.randomDuration(25*time.Second), func() { c.pauseController(c.randomNode(), c.randomDuration(9*time.Second)) })
+			c.schedule(c.randomDuration(25*time.Second),
+				func() { c.pauseController(c.randomNode(), c.randomDuration(9*time.Second)) })
 			c.schedule(c.randomDuration(30*time.Second), func() { c.cancelSomeJobs(5, time.Second) })
 		}
 		return 40 * time.Second
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -69,13 +69,16 @@
 }
 
 func newInvariantChecker() invariantChecker {
-	return invariantChecker{submitted: map[string]bool{}, acceptedAt: map[string]clock.Instant{}, terminalStates: map[string]protocol.JobState{},
-		terminalAt: map[string]clock.Instant{}, cancelRequested: map[string]bool{}, answeredAt: map[string]clock.Instant{},
+	return invariantChecker{submitted: map[string]bool{}, acceptedAt: map[string]clock.Instant{},
+		terminalStates: map[string]protocol.JobState{},
+		terminalAt:     map[string]clock.Instant{}, cancelRequested: map[string]bool{},
+		answeredAt:     map[string]clock.Instant{},
 		completedTasks: map[string]bool{}, firstStartAt: map[string]clock.Instant{}, load: newMachineLoad(), acceptancesByEpoch: map[uint64]int{}, faultsEndedAt: clock.Never, waitingSince: map[string]clock.Instant{}}
 }
 
 func newMachineLoad() machineLoad {
-	return machineLoad{machineByTask: map[string]string{}, jobIndices: map[string]int{}, coresByTeam: map[string]float64{}, gpusByTeam: map[string]float64{}}
+	return machineLoad{machineByTask: map[string]string{}, jobIndices: map[string]int{},
+		coresByTeam: map[string]float64{}, gpusByTeam: map[string]float64{}}
 }
 
 // reportViolation fails the test, or counts the violation if the checker itself is tested.
@@ -119,7 +122,8 @@
 	endsJob := status.State == protocol.JobDone || status.State == protocol.JobCancelled
 	switch {
 	case terminal && status.State != terminalState && (endsJob || sent >= sim.terminalAt[id]):
-		sim.reportViolation("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id, node, status.State, terminalState, sent, sim.terminalAt[id])
+		sim.reportViolation("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id,
+			node, status.State, terminalState, sent, sim.terminalAt[id])
 	case status.State == protocol.JobCancelled && !sim.mayBeCancelled(id):
 		sim.reportViolation("went_back", "%s is cancelled, and nobody asked for it", id)
 	case status.State == protocol.JobDone:
@@ -130,7 +134,8 @@
 			}
 		}
 	}
-	if since, orphan := sim.cancelledAt(id); orphan && !terminal && sent > since+sim.cancelLimit() && status.State != protocol.JobCancelled {
+	if since, orphan := sim.cancelledAt(id); orphan && !terminal && sent > since+sim.cancelLimit() &&
+		status.State != protocol.JobCancelled {
 		sim.reportViolation("orphaned", "%s is %s", id, status.State)
 	}
 	if endsJob && !terminal {
@@ -213,7 +218,8 @@
 			for _, t := range load.running {
 				if jobIDOf(t.taskKey) == running.id {
 					sim.t.Helper()
-					sim.reportViolation("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.taskKey, t.worker.name, since, t.worker.describe())
+					sim.reportViolation("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.taskKey,
+						t.worker.name, since, t.worker.describe())
 				}
 			}
 		}
@@ -222,9 +228,11 @@
 		load.sumByTeam()
 	}
 	for _, team := range sim.cfg.Teams {
-		if team.MaxCPUs > 0 && load.coresByTeam[team.Name] > team.MaxCPUs || team.MaxGPUs > 0 && load.gpusByTeam[team.Name] > team.MaxGPUs {
+		if team.MaxCPUs > 0 && load.coresByTeam[team.Name] > team.MaxCPUs ||
+			team.MaxGPUs > 0 && load.gpusByTeam[team.Name] > team.MaxGPUs {
 			sim.t.Helper()
-			sim.reportViolation("quota", "%s uses %v cores, %v accelerators", team.Name, load.coresByTeam[team.Name], load.gpusByTeam[team.Name])
+			sim.reportViolation("quota", "%s uses %v cores, %v accelerators", team.Name,
+				load.coresByTeam[team.Name], load.gpusByTeam[team.Name])
 		}
 	}
 }
@@ -299,7 +307,8 @@
 func (sim *simulation) checkWaitingJobs(where map[string]string, cores map[string]float64) {
 	sim.t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(sim.acceptedAt)) {
-		if _, cancelled := sim.cancelledAt(id); cancelled || sim.terminalStates[id] != "" || sim.mayBeCancelled(id) || sim.failingJobs[id] {
+		if _, cancelled := sim.cancelledAt(id); cancelled || sim.terminalStates[id] != "" ||
+			sim.mayBeCancelled(id) || sim.failingJobs[id] {
 			delete(sim.waitingSince, id)
 			continue
 		}
@@ -326,7 +335,8 @@
 // hasRoomFor tells whether a job has a pending task that some machine and the quota have room for.
 func (sim *simulation) hasRoomFor(id string, where map[string]string, cores map[string]float64) bool {
 	job := sim.jobSpecs[id]
-	if slices.ContainsFunc(job.Dependencies, func(need string) bool { return sim.terminalStates[need] != protocol.JobDone }) {
+	if slices.ContainsFunc(job.Dependencies,
+		func(need string) bool { return sim.terminalStates[need] != protocol.JobDone }) {
 		return false
 	}
 	waiting := false
@@ -349,7 +359,8 @@
 				used += sim.jobSpecs[jobIDOf(task.taskKey)].Cores
 			}
 		}
-		if worker.preemptionNotice == nil && !worker.faulty && used+job.Cores <= 4 && sim.placementViolation(&job, worker) == "" {
+		if worker.preemptionNotice == nil && !worker.faulty && used+job.Cores <= 4 &&
+			sim.placementViolation(&job, worker) == "" {
 			return true
 		}
 	}
@@ -414,7 +425,8 @@
 }
 
 func (worker *fakeWorker) describe() string {
-	return fmt.Sprintf("session %d, token %d, reports to %s, hanging %v, silent %v, deaf %v", worker.epoch, worker.fencingToken, worker.node, worker.hung, worker.unreachable, worker.dropResponses)
+	return fmt.Sprintf("session %d, token %d, reports to %s, hanging %v, silent %v, deaf %v", worker.epoch,
+		worker.fencingToken, worker.node, worker.hung, worker.unreachable, worker.dropResponses)
 }
 
 // TestInvariantCheckerFindsEachViolation checks that the invariant checker can fail: each rule is
@@ -423,7 +435,8 @@
 	state := func(s protocol.JobState) Reply {
 		return Reply{Status: 200, Body: []byte(`{"uid":"j-1","situacao":"` + s + `"}`)}
 	}
-	query, submit := Request{Kind: protocol.RequestQuery, JobID: "j-1"}, Request{Kind: protocol.RequestSubmit, JobID: "j-1"}
+	query, submit := Request{Kind: protocol.RequestQuery, JobID: "j-1"}, Request{Kind: protocol.RequestSubmit,
+		JobID: "j-1"}
 	put := func(sim *simulation, name, key string, attempt uint64) {
 		sim.workers[name].tasks = append(sim.workers[name].tasks,
 			&fakeTask{taskKey: key, attempt: attempt, state: protocol.TaskRunning, endsAt: sim.now + time.Hour})
@@ -545,7 +558,8 @@
 func (sim *simulation) checkAdmissionPolicy(t storage.Txn) {
 	sim.t.Helper()
 	record, exists := sim.store.keys[storage.AdmissionPolicyKey]
-	if !exists || !slices.ContainsFunc(t.Conditions, func(c storage.Condition) bool { return c.Key == storage.AdmissionPolicyKey }) {
+	if !exists || !slices.ContainsFunc(t.Conditions,
+		func(c storage.Condition) bool { return c.Key == storage.AdmissionPolicyKey }) {
 		return
 	}
 	policy := &admission.Policy{}
--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -126,7 +126,8 @@
 	sim.submitAndStart(sim.leaderName(), job, 16)
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
 	// All machines are returned, and their records deleted.
-	if !sim.advanceUntil(5*time.Minute, func() bool { return len(sim.workers) == 0 && len(sim.nodes[sim.leaderName()].leader.Machines) == 0 }) {
+	if !sim.advanceUntil(5*time.Minute,
+		func() bool { return len(sim.workers) == 0 && len(sim.nodes[sim.leaderName()].leader.Machines) == 0 }) {
 		t.Fatalf("machines are kept: %d", len(sim.workers))
 	}
 	old := seen
@@ -190,13 +191,15 @@
 		count++
 		copied := *heartbeat
 		copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
-		for _, late := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second, 25 * time.Second} {
+		for _, late := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second,
+			25 * time.Second} {
 			sim.schedule(late, func() {
-				sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(r Reply) {
-					if r.Status == 200 && (copied.Epoch < worker.epoch || copied.Sequence < worker.sequence-1) {
-						t.Errorf("a copy %v late is answered 200", late)
-					}
-				})
+				sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied},
+					func(r Reply) {
+						if r.Status == 200 && (copied.Epoch < worker.epoch || copied.Sequence < worker.sequence-1) {
+							t.Errorf("a copy %v late is answered 200", late)
+						}
+					})
 			})
 		}
 	}
@@ -237,7 +240,8 @@
 		t.Fatalf("%d of 4 tasks run again", sim.activeTaskCount("j-1"))
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
-	if machine := leaderNode.leader.Machines["m-000001"]; machine == nil || machine.DrainReason == cluster.CommandsUndelivered {
+	if machine := leaderNode.leader.Machines["m-000001"]; machine == nil ||
+		machine.DrainReason == cluster.CommandsUndelivered {
 		t.Fatal("the machine is taken for deaf")
 	}
 }
@@ -331,7 +335,8 @@
 					for _, heartbeat := range kept {
 						for _, name := range sim.names {
 							again := *heartbeat
-							sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
+							sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat,
+								Heartbeat: &again}, func(Reply) {})
 						}
 					}
 				}
@@ -340,7 +345,8 @@
 					sim.schedule(time.Duration(offset*i)*10*time.Millisecond, send)
 				}
 				sim.advance(20 * time.Second)
-				if now := sim.totalStarts(); len(sim.startCounts) != before || now != total || sim.activeTaskCount("j-1") != 4 {
+				if now := sim.totalStarts(); len(sim.startCounts) != before || now != total ||
+					sim.activeTaskCount("j-1") != 4 {
 					t.Errorf("%d of 4 tasks run, %d starts after %d", sim.activeTaskCount("j-1"), now, total)
 				}
 				sim.cloud.rejectReturns = false
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -60,7 +60,8 @@
 			if !n.holdsLeaderLease() {
 				t.Fatal("the lease has ended, though the clock stands still")
 			}
-			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
+			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat,
+				Heartbeat: heartbeat})
 			if machine.HeartbeatSeq != heartbeat.Sequence {
 				t.Fatal("a report was not taken")
 			}
@@ -86,7 +87,8 @@
 	for i := 0; b.Loop(); i++ {
 		// The clock doesn't advance, so the leader's lease holds.
 		heartbeat.Sequence = machine.HeartbeatSeq + 1
-		leaderNode.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
+		leaderNode.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)},
+			Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
 	}
 	if machine.HeartbeatSeq != heartbeat.Sequence {
 		b.Fatal("the reports were not taken")
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -30,7 +30,8 @@
 }
 
 func runMixedFaults(t *testing.T, seed uint64) {
-	c := &mixedFaults{userSimulation: newUserSimulation(newSimulationWithTimings(t, 3+4*int(seed%3/2), deployments[seed/6%uint64(len(deployments))]), seed)}
+	c := &mixedFaults{userSimulation: newUserSimulation(newSimulationWithTimings(t, 3+4*int(seed%3/2),
+		deployments[seed/6%uint64(len(deployments))]), seed)}
 	if seed%5 == 2 {
 		// One team has a guarantee, for which other teams' tasks are preempted.
 		c.cfg.Teams[0].GuaranteedCPUs = 8
@@ -74,15 +75,20 @@
 			copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
 			late := time.Duration(c.rng.ExpFloat64() * float64(config.Seconds(c.cfg.Workers.LeaseS)))
 			c.schedule(late, func() {
-				c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(Reply) {})
+				c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat,
+					Heartbeat: &copied}, func(Reply) {})
 			})
 		}
 	}
 	c.waitForLeader()
 	c.startMachines(3)
-	faults := []func(){c.crashControllers, c.cutRandomLinks, c.cutControllerFromPeersAndStore, c.stopStore, c.refuseController, c.loseStoreResponses, c.delayTransaction,
-		c.dropWorkerResponses, c.hangMachines, c.makeMachinesUnreachable, c.restartMachines, c.restartControllersQuickly, c.isolateAllControllers, c.pauseControllers, c.cutZone, c.executeWritesLate, c.dropWriteResponses, c.cutWorkersFromControllers, c.cancelJobsAndHangMachines, c.cancelJobsAtCompletion,
-		c.refuseAndIsolateController, c.delayStoreCalls, c.delayWorkerResponses, c.refuseLeaderThenStopStore, c.failJobs}
+	faults := []func(){c.crashControllers, c.cutRandomLinks, c.cutControllerFromPeersAndStore, c.stopStore,
+		c.refuseController, c.loseStoreResponses, c.delayTransaction,
+		c.dropWorkerResponses, c.hangMachines, c.makeMachinesUnreachable, c.restartMachines,
+		c.restartControllersQuickly, c.isolateAllControllers, c.pauseControllers, c.cutZone,
+		c.executeWritesLate, c.dropWriteResponses, c.cutWorkersFromControllers, c.cancelJobsAndHangMachines,
+		c.cancelJobsAtCompletion, c.refuseAndIsolateController, c.delayStoreCalls, c.delayWorkerResponses,
+		c.refuseLeaderThenStopStore, c.failJobs}
 	for i := range 14 {
 		c.submitUserWork(i)
 		for range 1 + c.rng.IntN(2) {
@@ -301,7 +307,8 @@
 	for _, worker := range c.sortedWorkers() {
 		for _, task := range worker.tasks {
 			if id := jobIDOf(task.taskKey); task.state == protocol.TaskRunning && c.rng.IntN(4) == 0 {
-				c.schedule(max(0, task.endsAt-c.now)+c.randomDuration(400*time.Millisecond), func() { c.cancelWithRetries(id) })
+				c.schedule(max(0, task.endsAt-c.now)+c.randomDuration(400*time.Millisecond),
+					func() { c.cancelWithRetries(id) })
 			}
 		}
 	}
--- a/internal/controller/one_way_cuts_bench_test.go
+++ b/internal/controller/one_way_cuts_bench_test.go
@@ -19,7 +19,8 @@
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for b.Loop() {
 		for _, nodes := range []int{3, 5, 7} {
-			pause, terms, lost := hdrhistogram.New(1, longest.Milliseconds(), 3), hdrhistogram.New(1, 1000, 3), hdrhistogram.New(1, 1000, 3)
+			pause, terms, lost := hdrhistogram.New(1, longest.Milliseconds(), 3), hdrhistogram.New(1, 1000,
+				3), hdrhistogram.New(1, 1000, 3)
 			never := 0
 			for i, first := range names {
 				for _, second := range names[i:] {
@@ -50,7 +51,8 @@
 				}
 			}
 			b.Logf("%d nodes, %d pairs: nothing begins for ms p50 %d, p90 %d, max %d, in %d pairs for %v; terms p50 %d, p90 %d, max %d; leases lost p50 %d, p90 %d, max %d",
-				nodes, pause.TotalCount(), pause.ValueAtQuantile(50), pause.ValueAtQuantile(90), pause.Max(), never, longest,
+				nodes, pause.TotalCount(), pause.ValueAtQuantile(50), pause.ValueAtQuantile(90), pause.Max(),
+				never, longest,
 				terms.ValueAtQuantile(50), terms.ValueAtQuantile(90), terms.Max(), lost.ValueAtQuantile(50), lost.ValueAtQuantile(90), lost.Max())
 		}
 	}
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -27,7 +27,10 @@
 			sim.setOneWayCut(other, leader, on)
 		}
 	},
-	"leader to a node":  func(sim *simulation, leader string, on bool) { sim.setOneWayCut(leader, sim.nextNode(leader), on) },
+	"leader to a node": func(sim *simulation, leader string, on bool) {
+		sim.setOneWayCut(leader,
+			sim.nextNode(leader), on)
+	},
 	"a node to leader":  func(sim *simulation, leader string, on bool) { sim.setOneWayCut(sim.nextNode(leader), leader, on) },
 	"leader to state":   func(sim *simulation, leader string, on bool) { sim.store.requestsDropped[leader] = on },
 	"state to leader":   func(sim *simulation, leader string, on bool) { sim.store.responsesDropped[leader] = on },
@@ -115,7 +118,8 @@
 	halfOpenCuts[b](sim, leader, true)
 	sim.advance(2 * time.Second)
 	c.submitWithRetries(jobSpec("j-2", 2))
-	began := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(), func() bool { return sim.firstStartAt["j-2"] != 0 })
+	began := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+		func() bool { return sim.firstStartAt["j-2"] != 0 })
 	if !began && leaderPossible(a, b) {
 		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, a, b, sim.now-from, sim.explainNoLeader())
 	}
@@ -220,7 +224,8 @@
 				c.submitWithRetries(jobSpec("j-2", 2))
 				sim.advance(time.Duration(moment+1) * leaderNode.workerLeases(strandedResignLeases) / 4)
 				inject(sim, leader, stranded)
-				if !sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(), func() bool { return sim.firstStartAt["j-2"] != 0 }) {
+				if !sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+					func() bool { return sim.firstStartAt["j-2"] != 0 }) {
 					t.Errorf("moment %d: nothing begins: %s", moment, sim.explainNoLeader())
 				}
 				sim.oneWayCuts, sim.heartbeatsBlocked = map[[2]string]bool{}, map[string]bool{}
@@ -243,17 +248,21 @@
 	peer := sim.followers()[0]
 	before := leaderNode.linkFrom(peer)
 	for _, bad := range []*protocol.LinkReport{
-		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}}, {IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
+		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}},
+		{IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
 		{IncomingLinks: []reachability.IncomingLink{{Node: leaderNode.name, AgeMS: -1}}}, {RecentWorkers: -1},
 	} {
-		leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
+		leaderNode.Step(leaderNode.monotonicNow(sim.now),
+			[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
 	}
-	if leaderNode.linkFrom(peer) != before || before != reachability.LinkUp || len(leaderNode.connectivity.invalidReportLogged) != 1 {
+	if leaderNode.linkFrom(peer) != before || before != reachability.LinkUp ||
+		len(leaderNode.connectivity.invalidReportLogged) != 1 {
 		t.Errorf("link %v after %v", leaderNode.linkFrom(peer), before)
 	}
 	fresh := sim.nodes[sim.followers()[1]]
 	fresh.connectivity = newConnectivity(fresh.name, fresh.peers)
-	fresh.Step(fresh.monotonicNow(sim.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
+	fresh.Step(fresh.monotonicNow(sim.now),
+		[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
 	if got := fresh.linkFrom(peer); got != reachability.LinkUnknown || fresh.twoWayPeerCount() == 0 {
 		t.Errorf("an earlier version: %v, %d two ways", got, fresh.twoWayPeerCount())
 	}
@@ -278,7 +287,8 @@
 		t.Fatal("the leader does not have others relay")
 	}
 	sim.heartbeatsBlocked[leaderNode.name] = false
-	if !sim.advanceUntil(8*leaderNode.workerLease(), func() bool { return leaderNode.leader != nil && direct() == len(leaderNode.leader.Machines) }) {
+	if !sim.advanceUntil(8*leaderNode.workerLease(),
+		func() bool { return leaderNode.leader != nil && direct() == len(leaderNode.leader.Machines) }) {
 		t.Errorf("%d of %d are served directly", direct(), len(leaderNode.leader.Machines))
 	}
 }
@@ -298,7 +308,8 @@
 		sim.workerReaches = func(m *fakeWorker, node string) bool { return split[m.name] == (node == other) }
 		sim.heartbeatsBlocked[third] = true
 		sim.setOneWayCut(leader, other, true)
-		moved := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(), func() bool { now := sim.leaderName(); return now != "" && now != leader })
+		moved := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+			func() bool { now := sim.leaderName(); return now != "" && now != leader })
 		if moved != (x.stranded > x.served) {
 			t.Errorf("%d served, %d stranded: %s leads after %s", x.served, x.stranded, sim.leaderName(), leader)
 		}
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -41,7 +41,8 @@
 			owner := jobSpec("j-owner", 3)
 			owner.Team, owner.EstimatedSeconds = "owner", 60
 			sim.submit(leaderNode.name, owner)
-			if got := sim.advanceUntil(c.begins, func() bool { return sim.activeTaskCount("j-owner") == 3 }); got != c.within {
+			if got := sim.advanceUntil(c.begins,
+				func() bool { return sim.activeTaskCount("j-owner") == 3 }); got != c.within {
 				t.Fatalf("%d of 3 guaranteed tasks run after %v", sim.activeTaskCount("j-owner"), c.begins)
 			}
 			if c.within {
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -62,7 +62,8 @@
 	sim.submitAccepted(leaderNode.name, job)
 	sim.waitForJobState("j-n", protocol.JobDone, time.Minute)
 	if sim.startCounts["j-p/1"] != 0 || sim.startCounts["j-p/0"] != 1 {
-		t.Errorf("starts of a task that was done: %d, of another: %d", sim.startCounts["j-p/1"], sim.startCounts["j-p/0"])
+		t.Errorf("starts of a task that was done: %d, of another: %d", sim.startCounts["j-p/1"],
+			sim.startCounts["j-p/0"])
 	}
 	if _, left := sim.store.keys[storage.BitmapPrefix+"j-p/000"]; left {
 		t.Error("the bitmap of a job that is over is kept")
@@ -83,7 +84,8 @@
 	}
 	// Production ignores the fields that this version adds; no field of production is changed.
 	var beat map[string]any
-	line, err := protocol.EncodePeerMessage(protocol.PeerHeartbeat{Term: 4, IsLeader: true, SentAt: 12, Uptime: 12, ProcessID: 5, ReceiverProcessID: 7, VersionLevel: protocolLevel, WritesThrottled: true})
+	line, err := protocol.EncodePeerMessage(protocol.PeerHeartbeat{Term: 4, IsLeader: true, SentAt: 12,
+		Uptime: 12, ProcessID: 5, ReceiverProcessID: 7, VersionLevel: protocolLevel, WritesThrottled: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +103,8 @@
 // written again. Each machine stays recorded by name at every moment, also across changes of
 // leader.
 func TestLargeGroupsAreSplit(t *testing.T) {
-	for _, crashAt := range []time.Duration{0, 5 * time.Millisecond, 30 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond} {
+	for _, crashAt := range []time.Duration{0, 5 * time.Millisecond, 30 * time.Millisecond,
+		60 * time.Millisecond, 120 * time.Millisecond} {
 		sim := newSimulation(t, 3)
 		sim.announceUpcomingLimits(1, 4, 40)
 		sim.store.enforceUpcomingLimits = true
@@ -109,10 +112,12 @@
 		large := storage.MachineGroupRecord{}
 		for i := range 80 {
 			worker := sim.cloud.rentMachine("c4", "a", true)
-			large[worker.name] = storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000, Used: i%2 == 0}
+			large[worker.name] = storage.MachineRecord{Type: "c4", Zone: "a", Spot: true,
+				RentedAtMillis: 1_000_000_000, Used: i%2 == 0}
 		}
 		sim.store.putValue(storage.MachineGroupKey(0), large)
-		sim.store.putValue(storage.MachineGroupKey(2), storage.MachineGroupRecord{"m-000900": {Type: "c4", Zone: "b", Spot: true, RentedAtMillis: 1_000_000_000}})
+		sim.store.putValue(storage.MachineGroupKey(2),
+			storage.MachineGroupRecord{"m-000900": {Type: "c4", Zone: "b", Spot: true, RentedAtMillis: 1_000_000_000}})
 		recorded := func() map[string]bool { // by name: whether it has had tasks
 			all := map[string]bool{}
 			for key, it := range sim.store.keys {
@@ -155,10 +160,13 @@
 	for _, first := range []bool{false, true} {
 		sim := newSimulation(t, 1)
 		for i, used := range []bool{first, !first} {
-			sim.store.putValue(storage.MachineGroupKey(i), storage.MachineGroupRecord{"m-000900": {Type: "c4", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000, Used: used}})
+			sim.store.putValue(storage.MachineGroupKey(i),
+				storage.MachineGroupRecord{"m-000900": {Type: "c4", Zone: "a", Spot: true,
+					RentedAtMillis: 1_000_000_000, Used: used}})
 		}
 		leaderNode := sim.waitForLeader()
-		if machine := leaderNode.leader.Machines["m-000900"]; machine == nil || !machine.UseDurable || machine.Reconciled {
+		if machine := leaderNode.leader.Machines["m-000900"]; machine == nil || !machine.UseDurable ||
+			machine.Reconciled {
 			t.Errorf("first used: %v: read as %+v", first, machine)
 		}
 		sim.advance(500 * time.Millisecond)
@@ -166,7 +174,8 @@
 			t.Error("it is kept in both")
 		}
 		var rec storage.MachineGroupRecord
-		if it, ok := sim.store.keys[storage.MachineGroupKey(1)]; ok && (json.Unmarshal(it.Value, &rec) != nil || !rec["m-000900"].Used) {
+		if it, ok := sim.store.keys[storage.MachineGroupKey(1)]; ok &&
+			(json.Unmarshal(it.Value, &rec) != nil || !rec["m-000900"].Used) {
 			t.Errorf("first used: %v: what is left says %+v", first, rec)
 		}
 	}
@@ -182,13 +191,15 @@
 	sim.announceUpcomingLimits(1, 4, 40)
 	bits := make([]byte, (tasks+7)/8)
 	bits[doneTask/8] |= 1 << (doneTask % 8)
-	sim.store.putValue(storage.JobKey("j-l"), storage.JobRecord{Spec: jobSpec("j-l", tasks), AcceptedAtMillis: 1_000_000_000})
+	sim.store.putValue(storage.JobKey("j-l"),
+		storage.JobRecord{Spec: jobSpec("j-l", tasks), AcceptedAtMillis: 1_000_000_000})
 	sim.putRaw(storage.BitmapPrefix+"j-l/000", `{"b":"`+base64.StdEncoding.EncodeToString(bits)+`"}`)
 	sim.jobSpecs["j-l"] = jobSpec("j-l", tasks)
 	sim.taskDuration = func(task string, _ int) time.Duration { return 2 * time.Second }
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(2)
-	sim.advanceUntil(20*time.Second, func() bool { return leaderNode.leader == nil || leaderNode.leader.Jobs["j-l"].DoneTasks > 3 })
+	sim.advanceUntil(20*time.Second,
+		func() bool { return leaderNode.leader == nil || leaderNode.leader.Jobs["j-l"].DoneTasks > 3 })
 	sim.advance(2 * time.Second)
 	count := func() (numbered, byTask int) {
 		for key := range sim.store.keys {
@@ -262,7 +273,8 @@
 	sim.waitForJobState("j-b", protocol.JobDone, 2*time.Minute)
 	sim.checkStartedOnce()
 	// A late message of an earlier process is ignored.
-	sim.nodes["n0"].inbox = append(sim.nodes["n0"].inbox, InboundMessage{From: "n1", Message: protocol.PeerHeartbeat{Uptime: 1}})
+	sim.nodes["n0"].inbox = append(sim.nodes["n0"].inbox,
+		InboundMessage{From: "n1", Message: protocol.PeerHeartbeat{Uptime: 1}})
 	sim.submitAccepted("n0", dependentSpec("j-c", 1, "j-b"))
 }
 
@@ -350,7 +362,8 @@
 	sim, leaderNode := newRunningSimulation(t, 3, 40*time.Second, 2, 6)
 	leaderNode.inbox = append(leaderNode.inbox, Drain{})
 	at := sim.now
-	if !sim.advanceUntil(3*time.Second, func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
+	if !sim.advanceUntil(3*time.Second,
+		func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
 		t.Fatal("nobody else leads")
 	}
 	if r := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHealth}); r.Status != 503 {
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -67,21 +67,37 @@
 		unavailable   bool // queries about j-1 get 503 only
 		jobUnaffected bool // j-1 itself is not held up by it
 	}{
-		"job unreadable":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"pecas":"x"}}`},
-		"job of another key":  {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-7","pecas":4}}`},
-		"job impossible":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-1","lote":"c","dono":"free","feitio":"batch","vez":"low","pecas":-4}}`},
-		"job with needs":      {key: func(*simulation) string { return storage.JobKey("j-1") }, value: `{"spec":{"uid":"j-1","aguarda":7}}`, unavailable: true},
-		"bitmap":              {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `{"b":"%%%"}`},
-		"bitmap no object":    {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `[]`},
-		"group":               {key: func(sim *simulation) string { return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix) }, value: `"?"`, jobUnaffected: true},
-		"group entry":         {key: func(sim *simulation) string { return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix) }, value: `{"m-000001":{"type":"c4","zone":"a","used":true},"m-000002":7}`, jobUnaffected: true},
-		"single machine":      {key: func(*simulation) string { return storage.SingleMachinePrefix + "m-000002" }, value: `"?"`, jobUnaffected: true},
-		"rental":              {key: func(*simulation) string { return storage.RentalPrefix + "r-1-99" }, value: `{"pedido":"r-1-98"}`, jobUnaffected: true},
-		"end of another":      {key: func(*simulation) string { return storage.TerminalKey("j-9") }, value: `{"state":"?"}`, jobUnaffected: true},
-		"forecast":            {key: func(*simulation) string { return storage.ArrivalForecastKey }, value: `"?"`, rewritten: true, jobUnaffected: true},
-		"needs of no job":     {key: func(*simulation) string { return storage.DependenciesKey("j-9", 0) }, value: `7`, jobUnaffected: true},
-		"a newer version's":   {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) + "-x" }, value: `7`, jobUnaffected: true},
-		"unknown job's group": {key: func(*simulation) string { return storage.MachineGroupKey(77) }, value: `{"m-000099":{"type":"c9","zone":"a","used":true}}`, rewritten: true, jobUnaffected: true},
+		"job unreadable": {key: func(*simulation) string { return storage.JobKey("j-1") },
+			value: `{"spec":{"pecas":"x"}}`},
+		"job of another key": {key: func(*simulation) string { return storage.JobKey("j-1") },
+			value: `{"spec":{"uid":"j-7","pecas":4}}`},
+		"job impossible": {key: func(*simulation) string { return storage.JobKey("j-1") },
+			value: `{"spec":{"uid":"j-1","lote":"c","dono":"free","feitio":"batch","vez":"low","pecas":-4}}`},
+		"job with needs": {key: func(*simulation) string { return storage.JobKey("j-1") },
+			value: `{"spec":{"uid":"j-1","aguarda":7}}`, unavailable: true},
+		"bitmap": {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) },
+			value: `{"b":"%%%"}`},
+		"bitmap no object": {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) }, value: `[]`},
+		"group": {key: func(sim *simulation) string {
+			return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix)
+		}, value: `"?"`, jobUnaffected: true},
+		"group entry": {key: func(sim *simulation) string {
+			return sim.store.onlyKeyWithPrefix(sim.t, storage.MachineGroupPrefix)
+		}, value: `{"m-000001":{"type":"c4","zone":"a","used":true},"m-000002":7}`, jobUnaffected: true},
+		"single machine": {key: func(*simulation) string { return storage.SingleMachinePrefix + "m-000002" },
+			value: `"?"`, jobUnaffected: true},
+		"rental": {key: func(*simulation) string { return storage.RentalPrefix + "r-1-99" },
+			value: `{"pedido":"r-1-98"}`, jobUnaffected: true},
+		"end of another": {key: func(*simulation) string { return storage.TerminalKey("j-9") },
+			value: `{"state":"?"}`, jobUnaffected: true},
+		"forecast": {key: func(*simulation) string { return storage.ArrivalForecastKey },
+			value: `"?"`, rewritten: true, jobUnaffected: true},
+		"needs of no job": {key: func(*simulation) string { return storage.DependenciesKey("j-9", 0) },
+			value: `7`, jobUnaffected: true},
+		"a newer version's": {key: func(*simulation) string { return storage.BitmapKey("j-1", 0) + "-x" },
+			value: `7`, jobUnaffected: true},
+		"unknown job's group": {key: func(*simulation) string { return storage.MachineGroupKey(77) },
+			value: `{"m-000099":{"type":"c9","zone":"a","used":true}}`, rewritten: true, jobUnaffected: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -115,10 +131,14 @@
 			}
 			for _, node := range sim.names {
 				status, s := sim.queryJob(node, "j-1")
-				if x.unavailable && status != 503 || !x.unavailable && (status != 200 || s.State != protocol.JobQueued && s.State != protocol.JobRunning) {
+				if x.unavailable && status != 503 ||
+					!x.unavailable && (status != 200 ||
+						s.State != protocol.JobQueued && s.State != protocol.JobRunning) {
 					t.Errorf("%s says %d, %q of the job", node, status, s.State)
 				}
-				if reply := sim.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &job}); reply.Status != 200 && !x.unavailable {
+				if reply := sim.requestAndWait(node,
+					Request{Kind: protocol.RequestSubmit, JobID: "j-1",
+						Job: &job}); reply.Status != 200 && !x.unavailable {
 					t.Errorf("%s answers %d to the job's submission", node, reply.Status)
 				}
 			}
@@ -142,7 +162,8 @@
 // A job that is open by one record, readable or not, and terminal by another is terminal on every
 // node, and its tasks are stopped.
 func TestOpenAndTerminalRecordIsTerminal(t *testing.T) {
-	for i, state := range []protocol.JobState{protocol.JobDone, protocol.JobCancelled, protocol.JobDone, protocol.JobCancelled} {
+	for i, state := range []protocol.JobState{protocol.JobDone, protocol.JobCancelled, protocol.JobDone,
+		protocol.JobCancelled} {
 		sim, _ := newRunningSimulation(t, 3, time.Hour, 1, 2)
 		for i := range 2 {
 			sim.completedTasks[cluster.TaskKey("j-1", i)] = state == protocol.JobDone
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -26,12 +26,14 @@
 	},
 	"the successor ends": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(name string) {
-			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.restartAfter(name, c.cancelLimit()) })
+			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond,
+				func() { c.restartAfter(name, c.cancelLimit()) })
 		})
 	},
 	"the successor is back at once": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(name string) {
-			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.restartAfter(name, 100*time.Millisecond) })
+			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond,
+				func() { c.restartAfter(name, 100*time.Millisecond) })
 		})
 	},
 	"the successor is not heard": func(c *userSimulation, old string) {
@@ -90,10 +92,12 @@
 						if !sweepAll() && (i+len(way))%(2*len(deployments)) != 2*k+m {
 							continue
 						}
-						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, p.machineLease, i), func(t *testing.T) {
-							t.Parallel()
-							testRefusalThenOutage(t, nodes, p, uint64(i), time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/election.LeaderLeasesPerWorkerLease*p.machineLease*1e9), prepare)
-						})
+						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, p.machineLease, i),
+							func(t *testing.T) {
+								t.Parallel()
+								testRefusalThenOutage(t, nodes, p, uint64(i),
+									time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/election.LeaderLeasesPerWorkerLease*p.machineLease*1e9), prepare)
+							})
 					}
 				}
 			}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -59,7 +59,8 @@
 		sim.restartNode(n)
 	}
 	for _, n := range sim.names {
-		for id, want := range map[string]protocol.JobState{"j-1": protocol.JobDone, "j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
+		for id, want := range map[string]protocol.JobState{"j-1": protocol.JobDone,
+			"j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
 			if code, s := sim.queryJob(n, id); code != 200 || s.State != want {
 				t.Fatalf("%s on %s: %d %v", id, n, code, s.State)
 			}
@@ -173,7 +174,8 @@
 		t.Fatal("the silent machine was not declared lost")
 	}
 	late.Sequence += 100
-	if r := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
+	if r := sim.requestAndWait(leaderNode.name,
+		Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
 		t.Fatal("a lost session got a 200")
 	}
 }
@@ -188,8 +190,10 @@
 	for _, worker := range sim.workers {
 		machine := leaderNode.leader.Machines[worker.name]
 		runs := len(machine.Attempts)
-		late := &protocol.WorkerHeartbeat{Machine: worker.name, Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, Epoch: worker.epoch, Sequence: 1, FencingToken: leaderNode.leader.term}
-		if r := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
+		late := &protocol.WorkerHeartbeat{Machine: worker.name, Type: worker.machineType, Zone: worker.zone,
+			Spot: worker.spot, Epoch: worker.epoch, Sequence: 1, FencingToken: leaderNode.leader.term}
+		if r := sim.requestAndWait(leaderNode.name,
+			Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
 			t.Fatal("a late report got a 200")
 		}
 		if len(machine.Attempts) != runs {
@@ -616,7 +620,8 @@
 	}
 	asked := false
 	for range 2 { // a worker that returns can't reach the leader and is relayed
-		for _, e := range f.Step(sim.now-f.bootedAt+step, []Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
+		for _, e := range f.Step(sim.now-f.bootedAt+step,
+			[]Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
 			s, ok := e.(OutboundMessage)
 			if !ok {
 				continue
@@ -715,10 +720,12 @@
 	worker := sim.cloud.rentMachine("c4", "a", true)
 	sim.cloud.bootTime = time.Hour
 	sim.cloud.rentMachine("c4", "a", true) // recorded, but never up
-	sim.store.putValue(storage.SingleMachinePrefix+worker.name, storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
+	sim.store.putValue(storage.SingleMachinePrefix+worker.name,
+		storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
 	sim.store.putValue(storage.SingleMachinePrefix+"m-000002", storage.MachineRecord{Type: "c4", Zone: "a", Spot: true})
 	leaderNode := sim.waitForLeader()
-	if a, b := leaderNode.leader.Machines[worker.name], leaderNode.leader.Machines["m-000002"]; a == nil || a.Reconciled || b == nil || !b.Reconciled {
+	if a, b := leaderNode.leader.Machines[worker.name], leaderNode.leader.Machines["m-000002"]; a == nil ||
+		a.Reconciled || b == nil || !b.Reconciled {
 		t.Fatalf("read as %+v and %+v", a, b)
 	}
 	sim.advance(2 * time.Second)
@@ -728,7 +735,8 @@
 		}
 	}
 	var rec storage.MachineGroupRecord
-	if json.Unmarshal(sim.store.keys[storage.MachineGroupKey(0)].Value, &rec) != nil || !rec[worker.name].Used || rec["m-000002"].Used {
+	if json.Unmarshal(sim.store.keys[storage.MachineGroupKey(0)].Value, &rec) != nil ||
+		!rec[worker.name].Used || rec["m-000002"].Used {
 		t.Errorf("moved as %+v", rec)
 	}
 }
@@ -782,10 +790,13 @@
 		{"one has just started", func(from, _ *cluster.Machine, _ *cluster.Job) {
 			from.AttemptsInOrder[0].RunningSince += 50 * time.Second
 		}, false},
-		{"the machine is needed", func(from, _ *cluster.Machine, _ *cluster.Job) { from.Draining, from.DrainReason = false, "" }, false},
+		{"the machine is needed", func(from, _ *cluster.Machine, _ *cluster.Job) {
+			from.Draining, from.DrainReason = false, ""
+		}, false},
 	} {
 		sim := newSimulation(t, 1)
-		sim.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 32, MemoryGB: 128, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
+		sim.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 32, MemoryGB: 128,
+			ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
 		sim.startNode("n0")
 		leaderNode := sim.waitForLeader()
 		sim.startMachines(2)
@@ -798,7 +809,8 @@
 		spec.EstimatedSeconds, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 300, 30, 4
 		job := x.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
 		for i := range 2 {
-			x.PlaceAttempt(&cluster.TaskAttempt{Job: job, TaskIndex: i, Number: x.NextAttemptNumber(), Machine: from, Phase: cluster.AttemptRunning, RunningSince: leaderNode.now - time.Minute})
+			x.PlaceAttempt(&cluster.TaskAttempt{Job: job, TaskIndex: i, Number: x.NextAttemptNumber(),
+				Machine: from, Phase: cluster.AttemptRunning, RunningSince: leaderNode.now - time.Minute})
 		}
 		c.change(from, to, job)
 		x.autoscaler.Consolidate([]*cluster.Machine{to})
@@ -850,7 +862,8 @@
 		return false
 	}
 	sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
-	if !sim.advanceUntil(2*time.Second, func() bool { return sim.store.keys[storage.TerminalKey("j-1")].ModRevision > 0 }) {
+	if !sim.advanceUntil(2*time.Second,
+		func() bool { return sim.store.keys[storage.TerminalKey("j-1")].ModRevision > 0 }) {
 		t.Fatal("not written")
 	}
 	sim.submitAccepted(sim.followers()[0], dependentSpec("j-4", 1, "j-3"))
@@ -870,8 +883,10 @@
 	job := jobSpec("j-1", 16) // the team's quota
 	job.Team, job.EstimatedSeconds = "team", 3600
 	sim.submitAndStart(leaderNode.name, job, 16)
-	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c9", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
-	sim.store.keys[storage.CatalogKey] = storage.Item{Key: storage.CatalogKey, Value: storage.Encode(protocol.Catalog{Types: sim.cloud.machineTypes}), ModRevision: 1}
+	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c9", Cores: 4, MemoryGB: 16, ImageCacheGB: 40,
+		PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
+	sim.store.keys[storage.CatalogKey] = storage.Item{Key: storage.CatalogKey,
+		Value: storage.Encode(protocol.Catalog{Types: sim.cloud.machineTypes}), ModRevision: 1}
 	sim.cloud.rejectReturns = true
 	for _, worker := range sim.workers {
 		worker.hung = true
@@ -963,7 +978,8 @@
 		worker.faulty = job.FailedMachines[name]
 	}
 	sim.cloud.rentMachine("c4", "a", true)
-	if !sim.advanceUntil(config.Seconds(sim.cfg.Workers.LeaseS)+12*time.Second, func() bool { return job.DoneTasks > 0 }) {
+	if !sim.advanceUntil(config.Seconds(sim.cfg.Workers.LeaseS)+12*time.Second,
+		func() bool { return job.DoneTasks > 0 }) {
 		t.Fatalf("nothing is done after %d more tries, failed on %v", job.FailedProbes, job.FailedMachines)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
@@ -983,7 +999,8 @@
 		worker.faulty, worker.failureDelay = true, time.Second
 	}
 	sim.submit(leaderNode.name, jobSpec("j-1", 12))
-	if !sim.advanceUntil(time.Minute, func() bool { job := leaderNode.leader.Jobs["j-1"]; return job != nil && job.FailsEverywhere }) {
+	if !sim.advanceUntil(time.Minute,
+		func() bool { job := leaderNode.leader.Jobs["j-1"]; return job != nil && job.FailsEverywhere }) {
 		t.Fatal("the job was not found bad")
 	}
 	for range 4 {
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -29,10 +29,13 @@
 	"not found": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 404, Body: []byte("<html>404</html>")}
 	},
-	"forbidden":          func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 403} },
-	"a conflict":         func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 409} },
-	"an odd status":      func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 207, Body: r.Body} },
-	"an error of a node": func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 500, Body: []byte("oops")} },
+	"forbidden":     func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 403} },
+	"a conflict":    func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 409} },
+	"an odd status": func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 207, Body: r.Body} },
+	"an error of a node": func(r CallResult) CallResult {
+		return CallResult{ID: r.ID, Status: 500,
+			Body: []byte("oops")}
+	},
 	"refused for the rate": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 429}
 	},
@@ -123,11 +126,12 @@
 // found nevertheless.
 func TestWatchThatComesBackAtOnce(t *testing.T) {
 	for name, answer := range map[string]CallResult{
-		"empty":       {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
-		"gone":        {Status: 410},
-		"no answer":   {Status: 0},
-		"unreadable":  {Status: 200, Body: []byte("{")},
-		"old changes": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1, Events: []storage.WatchEvent{{DeletedKey: "job/j-9", ModRevision: 1}}})},
+		"empty":      {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
+		"gone":       {Status: 410},
+		"no answer":  {Status: 0},
+		"unreadable": {Status: 200, Body: []byte("{")},
+		"old changes": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1,
+			Events: []storage.WatchEvent{{DeletedKey: "job/j-9", ModRevision: 1}}})},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, 3)
@@ -152,7 +156,8 @@
 				return // it may be that nothing has changed: only its own lease tells
 			}
 			sim.submit(sim.followers()[0], jobSpec("j-1", 1))
-			if !sim.advanceUntil(20*time.Second, func() bool { return leaderNode.leader.Jobs["j-1"] != nil || sim.terminalState("j-1") != "" }) {
+			if !sim.advanceUntil(20*time.Second,
+				func() bool { return leaderNode.leader.Jobs["j-1"] != nil || sim.terminalState("j-1") != "" }) {
 				t.Error("a job that another node wrote is not found")
 			}
 		})
@@ -163,7 +168,8 @@
 // allows: types that are missing once or free of charge, lists that repeat, contradict or name
 // nobody, rentals answered with known machines.
 func TestOddCloudFacts(t *testing.T) {
-	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
+	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1,
+		OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
 	with := func(change func(*protocol.MachineType)) []protocol.MachineType {
 		t := c4
 		change(&t)
@@ -178,7 +184,10 @@
 		"another type only":         with(func(t *protocol.MachineType) { t.Name = "x9" }),
 		"the same type twice":       {c4, c4},
 		"a boot of a hundred years": with(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
-		"amounts beyond all bounds": with(func(t *protocol.MachineType) { t.BootSeconds, t.ImageCacheGB, t.OnDemandPrice = 1e300, 1e300, 1e300 }),
+		"amounts beyond all bounds": with(func(t *protocol.MachineType) {
+			t.BootSeconds, t.ImageCacheGB,
+				t.OnDemandPrice = 1e300, 1e300, 1e300
+		}),
 	}
 	for name, types := range catalogs {
 		t.Run(name, func(t *testing.T) {
@@ -194,7 +203,8 @@
 			}
 			c.submitMoreJobs(4, 5*time.Second, nil)
 			c.advance(20 * time.Second)
-			if r := c.submit(c.leaderName(), jobSpec("j-once", 1)); r.Status == 422 && name != "another type only" && name != "no cores" {
+			if r := c.submit(c.leaderName(), jobSpec("j-once", 1)); r.Status == 422 &&
+				name != "another type only" && name != "no cores" {
 				t.Errorf("a job that fits is answered %d", r.Status)
 			}
 			c.cloud.machineTypes = nil
@@ -220,9 +230,11 @@
 	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
 	worker := sim.sortedWorkers()[0]
 	other := func(session, seq uint64) int {
-		heartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Address: "10.9.9.9:9000", Type: "c4", Zone: worker.zone, Spot: true,
+		heartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Address: "10.9.9.9:9000", Type: "c4",
+			Zone: worker.zone, Spot: true,
 			Epoch: session, Sequence: seq, FencingToken: worker.fencingToken}
-		return sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}).Status
+		return sim.requestAndWait(leaderNode.name,
+			Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}).Status
 	}
 	for i := range uint64(20) {
 		if status := other(1+i/4, 1000+i); status != 503 {
@@ -250,7 +262,8 @@
 		},
 		"an unknown reason": func(heartbeat *protocol.WorkerHeartbeat) {
 			for i := range heartbeat.Tasks {
-				if heartbeat.Tasks[i].State == protocol.TaskExited && heartbeat.Tasks[i].ExitReason != protocol.ExitDone {
+				if heartbeat.Tasks[i].State == protocol.TaskExited &&
+					heartbeat.Tasks[i].ExitReason != protocol.ExitDone {
 					heartbeat.Tasks[i].ExitReason = "bored"
 				}
 			}
@@ -261,14 +274,17 @@
 				protocol.TaskStatus{TaskID: "j-1/99999", Attempt: 1, State: protocol.TaskRunning},
 				protocol.TaskStatus{TaskID: "j-1/-1", Attempt: 1, State: protocol.TaskRunning},
 				protocol.TaskStatus{TaskID: "", Attempt: 1, State: ""},
-				protocol.TaskStatus{TaskID: "j-1/0", Attempt: 1 << 63, State: protocol.TaskExited, ExitReason: protocol.ExitFailed})
+				protocol.TaskStatus{TaskID: "j-1/0", Attempt: 1 << 63, State: protocol.TaskExited,
+					ExitReason: protocol.ExitFailed})
 		},
 		"each task twice": func(heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Tasks = append(heartbeat.Tasks, heartbeat.Tasks...)
 		},
 		"a notice long ago": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(-1e300) },
 		"a notice of years": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(1e300) },
-		"another type":      func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.Type, heartbeat.Zone = "x9", "nowhere" },
+		"another type": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Type, heartbeat.Zone = "x9", "nowhere"
+		},
 		"no type": func(heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Type, heartbeat.Zone, heartbeat.Address = "", "", ""
 		},
@@ -313,7 +329,8 @@
 			c.submitMoreJobs(20, 60*time.Second, nil)
 			for i := range 4 {
 				c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(10*time.Second), c.replaceLeader)
-				c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(10*time.Second), func() { c.cancelSomeJobs(5, time.Second) })
+				c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(10*time.Second),
+					func() { c.cancelSomeJobs(5, time.Second) })
 			}
 			c.advance(70 * time.Second)
 			c.waitForCompletion(5 * time.Minute)
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -40,7 +40,8 @@
 	case call.Path == "/catalog":
 		types := c.machineTypes
 		if types == nil {
-			types = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
+			types = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40,
+				PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
 		}
 		respond(200, protocol.Catalog{Types: types})
 	case call.Path == "/hosts":
@@ -48,7 +49,8 @@
 		if err := json.Unmarshal(call.Body, &r); err != nil {
 			c.simulation.t.Fatal(err)
 		}
-		if _, stored := c.simulation.store.keys[storage.RentalPrefix+r.RequestID]; !stored && c.rentals[r.RequestID] == nil {
+		if _, stored := c.simulation.store.keys[storage.RentalPrefix+r.RequestID]; !stored &&
+			c.rentals[r.RequestID] == nil {
 			c.simulation.t.Fatalf("rental %s is not stored", r.RequestID) // nor has it been answered before
 		}
 		if (c.noSpot && r.Spot) || (c.capacity > 0 && len(c.hosts)+r.Count > c.capacity) {
@@ -81,7 +83,9 @@
 			if c.listsEmpty {
 				break
 			}
-			list.Machines = append(list.Machines, protocol.Host{Name: worker.name, Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, State: "running"})
+			list.Machines = append(list.Machines,
+				protocol.Host{Name: worker.name, Type: worker.machineType, Zone: worker.zone,
+					Spot: worker.spot, State: "running"})
 		}
 		sort.Slice(list.Machines, func(i, j int) bool { return list.Machines[i].Name < list.Machines[j].Name })
 		respond(200, list)
@@ -99,7 +103,8 @@
 
 func (c *fakeCloud) rentMachine(machineType, zone string, spot bool) *fakeWorker {
 	c.lastMachineNumber++
-	worker := &fakeWorker{simulation: c.simulation, name: fmt.Sprintf("m-%06d", c.lastMachineNumber), machineType: machineType, zone: zone, spot: spot, epoch: 1,
+	worker := &fakeWorker{simulation: c.simulation, name: fmt.Sprintf("m-%06d", c.lastMachineNumber),
+		machineType: machineType, zone: zone, spot: spot, epoch: 1,
 		node: c.simulation.names[c.lastMachineNumber%len(c.simulation.names)]}
 	c.hosts[worker.name] = worker
 	bootTime := c.bootTime
@@ -155,10 +160,12 @@
 
 func (worker *fakeWorker) heartbeat() *protocol.WorkerHeartbeat {
 	worker.sequence++
-	r := &protocol.WorkerHeartbeat{Machine: worker.name, Address: worker.name + ":9000", Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, Epoch: worker.epoch, Sequence: worker.sequence,
+	r := &protocol.WorkerHeartbeat{Machine: worker.name, Address: worker.name + ":9000",
+		Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, Epoch: worker.epoch, Sequence: worker.sequence,
 		FencingToken: worker.fencingToken, PreemptionNoticeSeconds: worker.preemptionNotice}
 	for _, task := range worker.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: task.taskKey, Attempt: task.attempt, State: task.state, ExitReason: task.exitReason, CheckpointSaved: task.checkpointSaved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: task.taskKey, Attempt: task.attempt,
+			State: task.state, ExitReason: task.exitReason, CheckpointSaved: task.checkpointSaved})
 	}
 	return r
 }
@@ -191,7 +198,8 @@
 			}
 		}
 	}
-	if worker.unreachable || worker.awaitingResponse || (sim.now < worker.nextHeartbeatAt && !(worker.stateChanged && sim.now > worker.nextHeartbeatAt-time.Second)) {
+	if worker.unreachable || worker.awaitingResponse ||
+		(sim.now < worker.nextHeartbeatAt && !(worker.stateChanged && sim.now > worker.nextHeartbeatAt-time.Second)) {
 		return
 	}
 	worker.sendHeartbeat(worker.heartbeat())
@@ -215,7 +223,8 @@
 		worker.handleResponse(r, sentAt, epoch)
 	}
 	sim.schedule(4*time.Second, func() { finish(Reply{}) })
-	if sim.unreachableNodes[worker.node] || sim.heartbeatsBlocked[worker.node] || (sim.workerReaches != nil && !sim.workerReaches(worker, worker.node)) {
+	if sim.unreachableNodes[worker.node] || sim.heartbeatsBlocked[worker.node] ||
+		(sim.workerReaches != nil && !sim.workerReaches(worker, worker.node)) {
 		return // the request is lost
 	}
 	if !worker.connect() {
@@ -257,7 +266,8 @@
 
 func (worker *fakeWorker) handleResponse(r Reply, sentAt clock.Instant, epoch uint64) {
 	sim := worker.simulation
-	if sim.connectionLimit > 0 && (r.Status != 200 || sim.openConnections[worker.connectedNode] > sim.connectionLimit-sim.connectionLimit/8) {
+	if sim.connectionLimit > 0 && (r.Status != 200 ||
+		sim.openConnections[worker.connectedNode] > sim.connectionLimit-sim.connectionLimit/8) {
 		worker.disconnect() // it switches nodes, or its server closes connections to serve others in turn
 	}
 	switchNode := func() {
@@ -297,7 +307,8 @@
 }
 
 func (worker *fakeWorker) executeCommand(command protocol.Command) {
-	i := slices.IndexFunc(worker.tasks, func(task *fakeTask) bool { return task.taskKey == command.TaskID && task.attempt == command.Attempt })
+	i := slices.IndexFunc(worker.tasks,
+		func(task *fakeTask) bool { return task.taskKey == command.TaskID && task.attempt == command.Attempt })
 	worker.stateChanged = true
 	switch command.Kind {
 	case protocol.CommandStart:
@@ -314,7 +325,8 @@
 			}
 			end += duration
 		}
-		worker.tasks = append(worker.tasks, &fakeTask{taskKey: command.TaskID, attempt: command.Attempt, state: protocol.TaskRunning, endsAt: end})
+		worker.tasks = append(worker.tasks,
+			&fakeTask{taskKey: command.TaskID, attempt: command.Attempt, state: protocol.TaskRunning, endsAt: end})
 	case protocol.CommandStop:
 		if i >= 0 && worker.tasks[i].state != protocol.TaskExited {
 			worker.stopGraces = append(worker.stopGraces, *command.GraceSeconds)
@@ -322,7 +334,8 @@
 			worker.simulation.stoppedTasks = append(worker.simulation.stoppedTasks, task.taskKey)
 			task.state, task.exitReason = protocol.TaskExited, protocol.ExitStopped
 			job := worker.simulation.jobSpecs[jobIDOf(command.TaskID)]
-			task.checkpointSaved = job.CheckpointIntervalSeconds > 0 && *command.GraceSeconds >= job.CheckpointSaveSeconds
+			task.checkpointSaved = job.CheckpointIntervalSeconds > 0 &&
+				*command.GraceSeconds >= job.CheckpointSaveSeconds
 		}
 	case protocol.CommandForget:
 		if i >= 0 {
--- a/internal/controller/simulated_store_test.go
+++ b/internal/controller/simulated_store_test.go
@@ -237,7 +237,8 @@
 // oversizedKey returns a key of a transaction that exceeds the announced limits, or "".
 func (s *fakeStore) oversizedKey(t storage.Txn) string {
 	for _, write := range t.Writes {
-		if len(write.Value) > s.simulation.cfg.Store.MaxValueBytes() || len(t.Writes) > s.simulation.cfg.Store.MaxTxnOps() {
+		if len(write.Value) > s.simulation.cfg.Store.MaxValueBytes() ||
+			len(t.Writes) > s.simulation.cfg.Store.MaxTxnOps() {
 			return write.Key()
 		}
 	}
@@ -293,8 +294,10 @@
 		if len(write.Value) > int(s.simulation.cfg.Store.ValueKB*1024) {
 			s.simulation.t.Fatalf("value of %d bytes at %s", len(write.Value), write.PutKey)
 		}
-		s.keys[write.PutKey] = storage.Item{Key: write.PutKey, Value: write.Value, ModRevision: s.revision, LeaseID: write.LeaseID}
-		s.eventLog = append(s.eventLog, storage.WatchEvent{PutKey: write.PutKey, Value: write.Value, ModRevision: s.revision})
+		s.keys[write.PutKey] = storage.Item{Key: write.PutKey, Value: write.Value, ModRevision: s.revision,
+			LeaseID: write.LeaseID}
+		s.eventLog = append(s.eventLog,
+			storage.WatchEvent{PutKey: write.PutKey, Value: write.Value, ModRevision: s.revision})
 	}
 	s.notifyWatchers()
 	return 200, storage.TxnResponse{Revision: s.revision}
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -154,7 +154,8 @@
 		return true
 	}
 	if !c.advanceUntil(d, allSettled) {
-		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(open(), ", "), c.explainPending(open()[0]))
+		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(open(), ", "),
+			c.explainPending(open()[0]))
 	}
 	c.queryAllJobs()
 	c.advance(2 * time.Second)
@@ -173,12 +174,14 @@
 	}
 	out := fmt.Sprintf("%d pending, waits for %q", job.PendingTasks, job.BlockedBy)
 	for _, r := range job.Attempts {
-		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.Key(), r.Phase, r.Machine.Name, r.Machine.Up, r.Machine.TokenAcknowledged, r.Machine.DrainReason)
+		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.Key(), r.Phase, r.Machine.Name,
+			r.Machine.Up, r.Machine.TokenAcknowledged, r.Machine.DrainReason)
 	}
 	for name, worker := range sim.workers {
 		for _, task := range worker.tasks {
 			if strings.HasPrefix(task.taskKey, id+"/") {
-				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name, *task, worker.node, worker.hung, worker.dropResponses, worker.unreachable, worker.epoch)
+				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name,
+					*task, worker.node, worker.hung, worker.dropResponses, worker.unreachable, worker.epoch)
 			}
 		}
 	}
@@ -187,7 +190,8 @@
 
 // explainNoLeader describes the state of each node's election.
 func (sim *simulation) explainNoLeader() string {
-	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", sim.store.down, sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
+	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", sim.store.down,
+		sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
 	for _, name := range sim.names {
 		n := sim.nodes[name]
 		status := n.election.Status()
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -150,8 +150,12 @@
 }
 
 func newSimulationWithTimings(t *testing.T, nodes int, p workerTimings) *simulation {
-	sim := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*fakeWorker{}, jobSpecs: map[string]protocol.Job{},
-		linkCuts: map[[2]string]bool{}, oneWayCuts: map[[2]string]bool{}, heartbeatsBlocked: map[string]bool{}, responsesBlocked: map[string]bool{}, unreachableNodes: map[string]bool{}, startCounts: map[string]int{}, failingJobs: map[string]bool{}, oldVersionNodes: map[string]bool{}, openConnections: map[string]int{}, invariantChecker: newInvariantChecker(),
+	sim := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*fakeWorker{},
+		jobSpecs: map[string]protocol.Job{},
+		linkCuts: map[[2]string]bool{}, oneWayCuts: map[[2]string]bool{},
+		heartbeatsBlocked: map[string]bool{}, responsesBlocked: map[string]bool{},
+		unreachableNodes: map[string]bool{}, startCounts: map[string]int{}, failingJobs: map[string]bool{},
+		oldVersionNodes: map[string]bool{}, openConnections: map[string]int{}, invariantChecker: newInvariantChecker(),
 		taskDuration: func(string, int) time.Duration { return 5 * time.Second }}
 	c := &sim.cfg
 	c.ControllerCount = nodes
@@ -161,7 +165,8 @@
 	c.Cloud.RequestsPerS, c.Cloud.ListLagS = 4, 10
 	c.Resources.CoreShare, c.Resources.MemoryMB, c.Resources.MaxConnections = 0.1, 100, 1000
 	c.Teams = []config.Team{{Name: "team", MaxCPUs: 16}, {Name: "free"}}
-	sim.store = &fakeStore{simulation: sim, keys: map[string]storage.Item{}, leases: map[uint64]*fakeLease{}, refusedNodes: map[string]bool{}, requestsDropped: map[string]bool{}, responsesDropped: map[string]bool{}}
+	sim.store = &fakeStore{simulation: sim, keys: map[string]storage.Item{}, leases: map[uint64]*fakeLease{},
+		refusedNodes: map[string]bool{}, requestsDropped: map[string]bool{}, responsesDropped: map[string]bool{}}
 	sim.cloud = &fakeCloud{simulation: sim, rentals: map[string][]string{}, hosts: map[string]*fakeWorker{}}
 	for i := range nodes {
 		sim.names = append(sim.names, fmt.Sprintf("n%d", i))
@@ -201,8 +206,10 @@
 	settings.RecoveryMinMachines = 0 // the simulated fleets are small
 	sim.nodes[name] = &simNode{
 		Node: New(Options{Platform: platform, Settings: settings, Log: testLog().With("node", name),
-			Rand: rand.New(rand.NewPCG(uint64(len(name)), uint64(name[1]))), StartTime: time.Unix(1_000_000, 0).Add(sim.now + sim.wallClockOffsets[name])}),
-		name: name, bootedAt: sim.now, epoch: epoch, pendingRequests: map[uint64]func(Reply){}, oldVersion: sim.oldVersionNodes[name],
+			Rand:      rand.New(rand.NewPCG(uint64(len(name)), uint64(name[1]))),
+			StartTime: time.Unix(1_000_000, 0).Add(sim.now + sim.wallClockOffsets[name])}),
+		name: name, bootedAt: sim.now, epoch: epoch, pendingRequests: map[uint64]func(Reply){},
+		oldVersion: sim.oldVersionNodes[name],
 	}
 }
 
@@ -268,7 +275,8 @@
 // the map, no worker has left since either.
 func (sim *simulation) sortedWorkers() []*fakeWorker {
 	if len(sim.workersByName) != len(sim.workers) {
-		sim.workersByName = slices.SortedFunc(maps.Values(sim.workers), func(a, b *fakeWorker) int { return cmp.Compare(a.name, b.name) })
+		sim.workersByName = slices.SortedFunc(maps.Values(sim.workers),
+			func(a, b *fakeWorker) int { return cmp.Compare(a.name, b.name) })
 	}
 	return sim.workersByName
 }
@@ -435,7 +443,8 @@
 func (sim *simulation) waitForNewVersion() {
 	sim.t.Helper()
 	known := func(name string) bool { n := sim.nodes[name]; return n.down || n.clusterSupports(protocolLevel) }
-	if !sim.advanceUntil(30*time.Second, func() bool { return !slices.ContainsFunc(sim.names, func(s string) bool { return !known(s) }) }) {
+	if !sim.advanceUntil(30*time.Second,
+		func() bool { return !slices.ContainsFunc(sim.names, func(s string) bool { return !known(s) }) }) {
 		sim.t.Fatal("not all nodes are known to be new")
 	}
 }
@@ -600,14 +609,16 @@
 // waitForLeader waits until some node leads and has read the records.
 func (sim *simulation) waitForLeader() *simNode {
 	sim.t.Helper()
-	if !sim.advanceUntil(30*time.Second, func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.recordsLoaded }) {
+	if !sim.advanceUntil(30*time.Second,
+		func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.recordsLoaded }) {
 		sim.t.Fatal("nobody leads")
 	}
 	return sim.nodes[sim.leaderName()]
 }
 
 func (sim *simulation) followers() []string {
-	return slices.DeleteFunc(slices.Clone(sim.names), func(s string) bool { return s == sim.leaderName() || sim.nodes[s].down })
+	return slices.DeleteFunc(slices.Clone(sim.names),
+		func(s string) bool { return s == sim.leaderName() || sim.nodes[s].down })
 }
 
 // waitForJobState waits until the leader reports a state of a job.
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -77,7 +77,8 @@
 	}
 	sim.advance(8 * time.Second)
 	sim.waitForLeader()
-	if !sim.advanceUntil(sim.nodes["n0"].workerLease(), func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.AllReconciled() }) {
+	if !sim.advanceUntil(sim.nodes["n0"].workerLease(),
+		func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.AllReconciled() }) {
 		t.Error("not all machines are accounted for within a lease")
 	}
 	sim.advance(sim.nodes["n0"].workerLease())
@@ -112,12 +113,16 @@
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	for i, name := range sim.followers() {
-		leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, SpareConnections: 10 * (i + 1)}}})
+		leaderNode.Step(leaderNode.monotonicNow(sim.now),
+			[]Command{InboundMessage{From: name,
+				Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel,
+					SpareConnections: 10 * (i + 1)}}})
 	}
 	roomiest := sim.followers()[1]
 	report := func(name string, seq uint64) Reply {
 		heartbeat := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
-		for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
+		for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now),
+			[]Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
 			if reply, is := e.(Reply); is {
 				return reply
 			}
@@ -139,7 +144,9 @@
 		t.Errorf("back again: %+v", r)
 	}
 	for _, name := range sim.followers() {
-		leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
+		leaderNode.Step(leaderNode.monotonicNow(sim.now),
+			[]Command{InboundMessage{From: name,
+				Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
 	}
 	if r := report("m-3", 1); r.Status != 200 {
 		t.Errorf("with all nodes full: %+v", r)
@@ -151,11 +158,19 @@
 // never gets a response older than the one it waits for.
 func TestRelayingNodeFails(t *testing.T) {
 	faults := map[string]func(sim *simulation, leader, relaying string){
-		"relaying node ends":        func(sim *simulation, _, relaying string) { sim.restartAfter(relaying, 300*time.Millisecond) },
-		"relaying node stands":      func(sim *simulation, _, relaying string) { sim.nodes[relaying].pauseBeforeEffects = 6 * time.Second },
-		"leader ends":               func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 300*time.Millisecond) },
-		"leader stands":             func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 30 * time.Second },
-		"answers don't get through": func(sim *simulation, leader, relaying string) { sim.cutOneWayFor(leader, relaying, 20*time.Second) },
+		"relaying node ends": func(sim *simulation, _, relaying string) {
+			sim.restartAfter(relaying, 300*time.Millisecond)
+		},
+		"relaying node stands": func(sim *simulation, _, relaying string) { sim.nodes[relaying].pauseBeforeEffects = 6 * time.Second },
+		"leader ends": func(sim *simulation, leader, _ string) {
+			sim.restartAfter(leader,
+				300*time.Millisecond)
+		},
+		"leader stands": func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 30 * time.Second },
+		"answers don't get through": func(sim *simulation, leader, relaying string) {
+			sim.cutOneWayFor(leader,
+				relaying, 20*time.Second)
+		},
 		"reports don't get through": func(sim *simulation, leader, relaying string) { sim.cutOneWayFor(relaying, leader, 20*time.Second) },
 		"held back": func(sim *simulation, leader, relaying string) {
 			sim.holdMessages = true
@@ -199,8 +214,10 @@
 		beat.Term, beat.IsLeader, beat.ProcessID, beat.VersionLevel = leader.leader.term, true, leader.processID, protocolLevel
 		batch := []Command{InboundMessage{From: leader.name, Message: beat}}
 		for i := range 20 {
-			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
+			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4",
+				Zone: "a", Epoch: 1, Sequence: 1}
+			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)},
+				Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 		}
 		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
@@ -241,9 +258,12 @@
 		status int
 	}{{f.workerRouter.RelayTimeout() - step, 200}, {f.workerRouter.RelayTimeout(), 503}} {
 		f.workerRouter.RouteOf("m-1").RelayUntil = f.now + time.Hour
-		f.Step(f.monotonicNow(sim.now), []Command{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
-			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
-		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.forwards.LastID, Status: 200, Body: []byte("{}")}}
+		f.Step(f.monotonicNow(sim.now),
+			[]Command{InboundMessage{From: leader.name,
+				Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
+				Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
+		answer := InboundMessage{From: leader.name,
+			Message: protocol.ForwardedResponse{ID: f.forwards.LastID, Status: 200, Body: []byte("{}")}}
 		sim.now += x.after
 		got := 0
 		for _, e := range f.Step(f.monotonicNow(sim.now), []Command{answer}) {
@@ -267,8 +287,10 @@
 	leaderNode.leader.recordsLoaded = false
 	batch := make([]Command, 0, machines)
 	for i := range machines {
-		heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
+		heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a",
+			Epoch: 1, Sequence: 1}
+		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)},
+			Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	}
 	for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), batch) {
 		if reply, is := e.(Reply); is {
