--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -23,9 +23,9 @@
 )
 
 // These tests pin what other programs and operators see of a node: the names on its pages, its
-// answers to users, its calls of the outside services and its stored keys. The golden files in
-// testdata were written by the code of commit 5adb309. The flag -update writes them anew; that is
-// a change of what others rely on, or of decisions, and needs a reason of its own.
+// replies to users, its calls to the key-value store and the cloud, and its stored keys. The golden
+// files in testdata were written by the code of commit 5adb309. The flag -update rewrites them;
+// that changes what others rely on, or a decision, and needs a reason of its own.
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
@@ -64,7 +64,7 @@
 
 func (s nameSet) sorted() []string { return slices.Sorted(maps.Keys(s)) }
 
-// addFields adds the names of all fields of a JSON document, with the kinds of their values.
+// addFields adds the names of all fields of a JSON document, with the types of their values.
 func (s nameSet) addFields(prefix string, raw []byte) error {
 	var value any
 	if err := json.Unmarshal(raw, &value); err != nil {
@@ -91,30 +91,32 @@
 	}
 }
 
-// machineName matches the names of machines, which are keys of a group's record.
+// machineName matches machine names, which are keys within the record of a machine group.
 var machineName = regexp.MustCompile(`^m-\d{6}$`)
 
 // addPages adds the names on all pages of a node.
-func (s nameSet) addPages(w *simulation, node, job string) {
-	w.t.Helper()
+func (s nameSet) addPages(sim *simulation, node, job string) {
+	sim.t.Helper()
 	for _, page := range []struct {
 		name string
 		kind protocol.RequestKind
 		id   string
-	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""}, {"links", protocol.RequestLinks, ""},
-		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""}, {"admission", protocol.RequestAdmission, job}} {
-		r := w.request(node, Request{Kind: page.kind, JobID: page.id})
+	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""},
+		{"links", protocol.RequestLinks, ""},
+		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""},
+		{"admission", protocol.RequestAdmission, job}} {
+		r := sim.requestAndWait(node, Request{Kind: page.kind, JobID: page.id})
 		if r.Status != 200 {
-			w.t.Fatalf("%s: %d", page.name, r.Status)
+			sim.t.Fatalf("%s: %d", page.name, r.Status)
 		}
 		if err := s.addFields(page.name, r.Body); err != nil {
-			w.t.Fatal(err)
+			sim.t.Fatal(err)
 		}
 	}
-	for text := range strings.Lines(string(w.request(node, Request{Kind: protocol.RequestMetrics}).Body)) {
+	for text := range strings.Lines(string(sim.requestAndWait(node, Request{Kind: protocol.RequestMetrics}).Body)) {
 		text = strings.TrimSpace(text)
 		switch {
-		case strings.HasPrefix(text, "# HELP "): // prose
+		case strings.HasPrefix(text, "# HELP "): // prose may change
 		case strings.HasPrefix(text, "# TYPE "):
 			s["metrics: "+text] = true
 		default:
@@ -123,32 +125,32 @@
 	}
 }
 
-// The names on the pages of a leader and of its followers: at work, under a policy of admission,
-// in a recovery, and with records that can't be read.
+// The names on the pages of a leader and of its followers: with running jobs, under an admission
+// policy, in a recovery, and with records that can't be read.
 func TestNamesOnPages(t *testing.T) {
 	names := nameSet{}
-	w, l := running(t, 3, 100*time.Second, 4, 8)
-	waiting := spec("j-2", 40)
+	sim, leaderNode := newRunningSimulation(t, 3, 100*time.Second, 4, 8)
+	waiting := jobSpec("j-2", 40)
 	waiting.Team = "team"
-	w.submit(l.name, waiting)
-	w.inOrder()[0].notice = of(60.0)
-	w.state.put(storage.JobKey("j-damaged"), map[string]string{"spec": "damaged"})
-	w.run(10 * time.Second)
-	names.addPages(w, l.name, "j-1")
-	names.addPages(w, w.followers()[0], "j-1")
-	w.crash(l.name)
-	w.waitLeader()
+	sim.submit(leaderNode.name, waiting)
+	sim.sortedWorkers()[0].preemptionNotice = pointerTo(60.0)
+	sim.store.putValue(storage.JobKey("j-damaged"), map[string]string{"spec": "damaged"})
+	sim.advance(10 * time.Second)
+	names.addPages(sim, leaderNode.name, "j-1")
+	names.addPages(sim, sim.followers()[0], "j-1")
+	sim.crashNode(leaderNode.name)
+	sim.waitForLeader()
 	for range 30 {
-		names.addPages(w, w.leader(), "j-2")
-		w.run(time.Second)
+		names.addPages(sim, sim.leaderName(), "j-2")
+		sim.advance(time.Second)
 	}
 
-	c := overloaded(t, 3, true)
-	a := newApplicants(c)
+	c := newOverloadedSimulation(t, 3, true)
+	a := newSubmitters(c)
 	for i := range 60 {
-		a.submit(a.job("low", "low", i), inTime)
+		a.submit(a.classJob("low", "low", i), retryOnTime)
 	}
-	if !c.until(20*time.Second, func() bool { return len(c.judged) >= 2 }) {
+	if !c.advanceUntil(20*time.Second, func() bool { return len(c.acceptancesByEpoch) >= 2 }) {
 		t.Fatal("no admission by policy")
 	}
 	for range 10 {
@@ -164,36 +166,41 @@
 // The words on the status page and in traces.
 func TestWordsOnPages(t *testing.T) {
 	lines := []string{"jobs wait for:"}
-	for _, waits := range []cluster.WaitReason{cluster.WaitDependencies, cluster.WaitBackoff, cluster.WaitReconciliation, cluster.WaitSlots, cluster.WaitTeamQuota, cluster.WaitOverallQuota, cluster.WaitCapacity, cluster.WaitImage, cluster.WaitQuarantine, cluster.WaitNone} {
+	for _, waits := range []cluster.WaitReason{cluster.WaitDependencies, cluster.WaitBackoff,
+		cluster.WaitReconciliation, cluster.WaitSlots, cluster.WaitTeamQuota,
+		cluster.WaitOverallQuota, cluster.WaitCapacity, cluster.WaitImage, cluster.WaitQuarantine, cluster.WaitNone} {
 		lines = append(lines, string(waits))
 	}
 	lines = append(lines, "machines leave because:")
-	for _, why := range []cluster.DrainReason{cluster.SurplusCapacity, cluster.PreemptionNoticed, cluster.SlowExecution, cluster.Unhealthy, cluster.CommandsUndelivered, cluster.HeartbeatMissed, cluster.NeverReported, cluster.InstanceFailed, cluster.NotListed} {
+	for _, why := range []cluster.DrainReason{cluster.SurplusCapacity, cluster.PreemptionNoticed,
+		cluster.SlowExecution, cluster.Unhealthy, cluster.CommandsUndelivered,
+		cluster.HeartbeatMissed, cluster.NeverReported, cluster.InstanceFailed, cluster.NotListed} {
 		lines = append(lines, string(why))
 	}
-	lines = append(lines, "steps of traces:", stepAdmissionVerdict, stepRejected, stepStored, stepLoaded, stepBlocked, stepFirstStart, stepFirstRunning, stepTerminal,
+	lines = append(lines, "steps of traces:", stepAdmissionVerdict, stepRejected, stepStored, stepLoaded,
+		stepBlocked, stepFirstStart, stepFirstRunning, stepTerminal,
 		"level of records and messages:", fmt.Sprint(protocolLevel))
 	checkGolden(t, "words.txt", lines)
 }
 
-// A leader takes over what level 0 stored: a record for each machine, parts of bitmaps by their
-// numbers, records without the later fields. The values are written out, so that no change of the
-// code's types changes them.
+// A leader reads what level 0 stored: one record for each machine, bitmap parts by their numbers,
+// records without the later fields. The values are literals, so that no change of a Go type changes
+// them.
 func TestRecordsOfEarlierVersions(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return 100 * time.Second }
-	host := w.cloud.rent("c4", "a", true)
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
+	host := sim.cloud.rentMachine("c4", "a", true)
 	for id, tasks := range map[string]int{"j-0": 2, "j-1": 11, "j-2": 1} {
-		w.specs[id], w.submitted[id] = spec(id, tasks), true
+		sim.jobSpecs[id], sim.submitted[id] = jobSpec(id, tasks), true
 	}
-	w.asked["j-2"] = true
+	sim.cancelRequested["j-2"] = true
 	for i := range 10 {
 		if i == 0 || i == 9 {
-			w.finished[protocol.TaskID("j-1", i)] = true
+			sim.completedTasks[protocol.TaskID("j-1", i)] = true
 		}
 	}
 	for i := range 2 {
-		w.finished[protocol.TaskID("j-0", i)] = true
+		sim.completedTasks[protocol.TaskID("j-0", i)] = true
 	}
 	for key, value := range map[string]string{
 		"term":              `{"term":7}`,
@@ -203,67 +210,69 @@
 		"bits/j-1/000":      `{"b":"AQI="}`,
 		"mach/" + host.name: `{"type":"c4","zone":"a","spot":true,"at":1000000000,"used":true}`,
 	} {
-		w.state.put(key, json.RawMessage(value))
+		sim.store.putValue(key, json.RawMessage(value))
 	}
-	l := w.waitLeader()
-	w.run(10 * time.Second)
+	leaderNode := sim.waitForLeader()
+	sim.advance(10 * time.Second)
 	var lines []string
 	for _, id := range []string{"j-0", "j-1", "j-2"} {
-		r := w.request(l.name, Request{Kind: protocol.RequestQuery, JobID: id})
+		r := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestQuery, JobID: id})
 		lines = append(lines, fmt.Sprintf("%s: %d %s", id, r.Status, r.Body))
 	}
 	for i := range 11 {
-		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i), w.starts[protocol.TaskID("j-1", i)]))
+		lines = append(lines, fmt.Sprintf("%s started %d times", protocol.TaskID("j-1", i),
+			sim.startCounts[protocol.TaskID("j-1", i)]))
 	}
-	for _, key := range slices.Sorted(maps.Keys(w.state.keys)) {
+	for _, key := range slices.Sorted(maps.Keys(sim.store.keys)) {
 		if key != storage.ArrivalForecastKey {
-			lines = append(lines, key+" "+string(w.state.keys[key].Value))
+			lines = append(lines, key+" "+string(sim.store.keys[key].Value))
 		}
 	}
 	checkGolden(t, "records_taken_over.txt", lines)
 }
 
-// of is a pointer to a value.
-func of[T any](v T) *T { return &v }
+// pointerTo returns a pointer to a value.
+func pointerTo[T any](v T) *T { return &v }
 
-// What users, workers and the load balancer are answered.
+// The replies to users, workers and the load balancer.
 func TestAnswers(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return 5 * time.Second }
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
 	var lines []string
 	ask := func(name, node string, r Request) {
-		reply := w.request(node, r)
-		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status, reply.RetryAfter, reply.Body))
+		reply := sim.requestAndWait(node, r)
+		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status,
+			reply.RetryAfter, reply.Body))
 	}
 	user := func(name, node string, kind protocol.RequestKind, job protocol.Job) {
-		w.specs[job.ID] = job
+		sim.jobSpecs[job.ID] = job
 		r := Request{Kind: kind, JobID: job.ID}
 		if kind == protocol.RequestSubmit {
 			r.Job = &job
 		}
 		ask(name, node, r)
 	}
-	user("submission without a leader", "n0", protocol.RequestSubmit, spec("j-1", 4))
-	w.waitLeader()
-	l, f := w.leader(), w.followers()[0]
+	user("submission without a leader", "n0", protocol.RequestSubmit, jobSpec("j-1", 4))
+	sim.waitForLeader()
+	l, f := sim.leaderName(), sim.followers()[0]
 	ask("health", l, Request{Kind: protocol.RequestHealth})
-	user("submission", f, protocol.RequestSubmit, spec("j-1", 4))
-	user("submission, repeated", l, protocol.RequestSubmit, spec("j-1", 4))
-	user("query", l, protocol.RequestQuery, spec("j-1", 4))
-	w.waitState("j-1", protocol.JobRunning, time.Minute)
-	user("query of a running job", f, protocol.RequestQuery, spec("j-1", 4))
-	w.waitState("j-1", protocol.JobDone, time.Minute)
-	user("query of a job that is done", f, protocol.RequestQuery, spec("j-1", 4))
-	user("cancellation of a job that is done", l, protocol.RequestCancel, spec("j-1", 4))
-	user("submission of a job that is done", f, protocol.RequestSubmit, spec("j-1", 4))
-	user("submission", l, protocol.RequestSubmit, spec("j-2", 4))
-	user("cancellation", f, protocol.RequestCancel, spec("j-2", 4))
-	user("cancellation, repeated", l, protocol.RequestCancel, spec("j-2", 4))
-	user("query of a cancelled job", l, protocol.RequestQuery, spec("j-2", 4))
+	user("submission", f, protocol.RequestSubmit, jobSpec("j-1", 4))
+	user("submission, repeated", l, protocol.RequestSubmit, jobSpec("j-1", 4))
+	user("query", l, protocol.RequestQuery, jobSpec("j-1", 4))
+	sim.waitForJobState("j-1", protocol.JobRunning, time.Minute)
+	user("query of a running job", f, protocol.RequestQuery, jobSpec("j-1", 4))
+	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	user("query of a job that is done", f, protocol.RequestQuery, jobSpec("j-1", 4))
+	user("cancellation of a job that is done", l, protocol.RequestCancel, jobSpec("j-1", 4))
+	user("submission of a job that is done", f, protocol.RequestSubmit, jobSpec("j-1", 4))
+	user("submission", l, protocol.RequestSubmit, jobSpec("j-2", 4))
+	user("cancellation", f, protocol.RequestCancel, jobSpec("j-2", 4))
+	user("cancellation, repeated", l, protocol.RequestCancel, jobSpec("j-2", 4))
+	user("query of a cancelled job", l, protocol.RequestQuery, jobSpec("j-2", 4))
 	for _, node := range []string{l, f} {
 		user("query of an unknown job", node, protocol.RequestQuery, protocol.Job{ID: "j-404"})
 		user("cancellation of an unknown job", node, protocol.RequestCancel, protocol.Job{ID: "j-404"})
-		unknownTeam, tooMuch, needs := spec("j-3", 1), spec("j-4", 1), spec("j-5", 1)
+		unknownTeam, tooMuch, needs := jobSpec("j-3", 1), jobSpec("j-4", 1), jobSpec("j-5", 1)
 		unknownTeam.Team = "nobody"
 		tooMuch.Cores = 5
 		needs.Dependencies = []string{"j-404"}
@@ -271,27 +280,27 @@
 		user("submission that fits no machine", node, protocol.RequestSubmit, tooMuch)
 		user("submission that needs an unknown job", node, protocol.RequestSubmit, needs)
 	}
-	large := spec("j-6", 1)
-	large.Image = strings.Repeat("x", int(w.cfg.Store.ValueKB*1024))
+	large := jobSpec("j-6", 1)
+	large.Image = strings.Repeat("x", int(sim.cfg.Store.ValueKB*1024))
 	user("submission that is too large to be stored", l, protocol.RequestSubmit, large)
 	report := &protocol.WorkerHeartbeat{Machine: "m-000099", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	ask("report to a follower", f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
 	ask("report to the leader", l, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
-	w.state.setDown(true)
-	w.run(3 * time.Second)
+	sim.store.setDown(true)
+	sim.advance(3 * time.Second)
 	user("query of an unknown job in an outage", f, protocol.RequestQuery, protocol.Job{ID: "j-405"})
-	user("submission in an outage", l, protocol.RequestSubmit, spec("j-7", 1))
+	user("submission in an outage", l, protocol.RequestSubmit, jobSpec("j-7", 1))
 	checkGolden(t, "answers.txt", lines)
 }
 
 // digits matches numbers in paths and keys.
 var digits = regexp.MustCompile(`\d+`)
 
-// The calls of the outside services, and the keys and fields of the stored records.
+// The calls to the key-value store and the cloud, and the keys and fields of the stored records.
 func TestCallsAndRecords(t *testing.T) {
 	calls, records := nameSet{}, nameSet{}
-	watch := func(w *simulation) {
-		w.watch = func(_ *simNode, effects []Effect) {
+	watch := func(sim *simulation) {
+		sim.onEffects = func(_ *simNode, effects []Effect) {
 			for _, e := range effects {
 				call, is := e.(ServiceCall)
 				if !is {
@@ -311,41 +320,42 @@
 				if err := json.Unmarshal(call.Body, &txn); err != nil {
 					t.Fatal(err)
 				}
-				for _, wr := range txn.Writes {
-					if err := records.addFields(digits.ReplaceAllString(wr.PutKey, "N"), wr.Value); wr.PutKey != "" && err != nil {
+				for _, write := range txn.Writes {
+					if err := records.addFields(digits.ReplaceAllString(write.PutKey, "N"),
+						write.Value); write.PutKey != "" && err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		}
 	}
-	w := newSimulation(t, 3)
-	watch(w)
-	l := w.waitLeader()
-	job, next := spec("j-1", 6), spec("j-2", 1)
-	job.MachineTypes, job.DeadlineSeconds = []string{"c4"}, of(900.0)
+	sim := newSimulation(t, 3)
+	watch(sim)
+	leaderNode := sim.waitForLeader()
+	job, next := jobSpec("j-1", 6), jobSpec("j-2", 1)
+	job.MachineTypes, job.DeadlineSeconds = []string{"c4"}, pointerTo(900.0)
 	next.Dependencies = []string{"j-1"}
-	w.submit(w.followers()[0], job)
-	w.submit(l.name, next)
-	w.waitState("j-2", protocol.JobDone, 2*time.Minute)
-	w.cutOff(l.name)
-	w.run(time.Minute)
-	w.mend()
-	w.nodes[w.leader()].inbox = append(w.nodes[w.leader()].inbox, Drain{})
-	w.run(time.Minute)
+	sim.submit(sim.followers()[0], job)
+	sim.submit(leaderNode.name, next)
+	sim.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
+	sim.isolateNode(leaderNode.name)
+	sim.advance(time.Minute)
+	sim.healCuts()
+	sim.nodes[sim.leaderName()].inbox = append(sim.nodes[sim.leaderName()].inbox, Drain{})
+	sim.advance(time.Minute)
 
-	c := overloaded(t, 3, true)
+	c := newOverloadedSimulation(t, 3, true)
 	watch(c.simulation)
-	a := newApplicants(c)
+	a := newSubmitters(c)
 	for i := range 60 {
-		a.submit(a.job("low", "low", i), inTime)
+		a.submit(a.classJob("low", "low", i), retryOnTime)
 	}
-	c.run(40 * time.Second)
+	c.advance(40 * time.Second)
 	checkGolden(t, "calls.txt", calls.sorted())
 	checkGolden(t, "records.txt", records.sorted())
 }
 
-// withoutValues is the body of a call; of a transaction without the records in it.
+// withoutValues returns the body of a call; for a transaction, without the values it writes.
 func withoutValues(t *testing.T, call ServiceCall) []byte {
 	if call.Path != "/multi" {
 		return call.Body
@@ -362,93 +372,95 @@
 	return storage.Encode(txn)
 }
 
-// effectDigest sums up all effects of all nodes, in their order, by spans of simulated time, so
-// that a difference names the span in which it begins.
+// effectDigest hashes all effects of all nodes in order, by spans of simulated time, so that a
+// difference names the span in which it begins.
 type effectDigest struct {
-	w                *simulation
-	sum              hash.Hash
-	countActiveTasks int
-	ends             clock.Instant
-	lines            []string
+	simulation  *simulation
+	hash        hash.Hash
+	effectCount int
+	spanEnd     clock.Instant
+	lines       []string
 }
 
 const digestSpan = 10 * time.Second
 
-// goldenTargets are the names of the targets in the golden files, whatever the log calls them.
+// goldenTargets are the names of the call targets in the golden files, independent of the names in
+// the log.
 var goldenTargets = map[Target]string{TargetStore: "state service", TargetCloud: "cloud"}
 
-func newEffectDigest(w *simulation) *effectDigest {
-	d := &effectDigest{w: w, sum: sha256.New(), ends: digestSpan}
-	w.watch = d.add
+func newEffectDigest(sim *simulation) *effectDigest {
+	d := &effectDigest{simulation: sim, hash: sha256.New(), spanEnd: digestSpan}
+	sim.onEffects = d.add
 	return d
 }
 
 func (d *effectDigest) add(n *simNode, effects []Effect) {
-	for d.w.now > d.ends {
+	for d.simulation.now > d.spanEnd {
 		d.close()
 	}
 	for _, e := range effects {
-		d.countActiveTasks++
-		fmt.Fprintf(d.sum, "%d %s ", d.w.now, n.name)
+		d.effectCount++
+		fmt.Fprintf(d.hash, "%d %s ", d.simulation.now, n.name)
 		switch e := e.(type) {
 		case ServiceCall:
-			fmt.Fprintf(d.sum, "call %d %s %s %s %s %d\n", e.ID, goldenTargets[e.Target], e.Method, e.Path, e.Body, e.Timeout)
+			fmt.Fprintf(d.hash, "call %d %s %s %s %s %d\n", e.ID, goldenTargets[e.Target], e.Method, e.Path,
+				e.Body, e.Timeout)
 		case Reply:
-			fmt.Fprintf(d.sum, "reply %d %d %d %s\n", e.RequestID, e.Status, e.RetryAfter, e.Body)
+			fmt.Fprintf(d.hash, "reply %d %d %d %s\n", e.RequestID, e.Status, e.RetryAfter, e.Body)
 		case OutboundMessage:
 			raw, err := protocol.EncodePeerMessage(e.Message)
 			if err != nil {
-				d.w.t.Fatal(err)
+				d.simulation.t.Fatal(err)
 			}
-			fmt.Fprintf(d.sum, "send %s %s\n", e.To, raw)
+			fmt.Fprintf(d.hash, "send %s %s\n", e.To, raw)
 		case TraceStep:
-			fmt.Fprintf(d.sum, "trace %s\n", storage.Encode(e.Step))
+			fmt.Fprintf(d.hash, "trace %s\n", storage.Encode(e.Step))
 		default:
-			d.w.t.Fatalf("effect %T", e)
+			d.simulation.t.Fatalf("effect %T", e)
 		}
 	}
 }
 
 func (d *effectDigest) close() {
-	d.lines = append(d.lines, fmt.Sprintf("until %v: %d effects, %x", d.ends, d.countActiveTasks, d.sum.Sum(nil)[:8]))
-	d.ends += digestSpan
+	d.lines = append(d.lines, fmt.Sprintf("until %v: %d effects, %x", d.spanEnd, d.effectCount, d.hash.Sum(nil)[:8]))
+	d.spanEnd += digestSpan
 }
 
-// A simulation with fixed seeds repeats to the letter: the same commands give the same effects in
-// the same order. One that lets several forwarded requests expire in the same step does not, as
-// their answers then come in the order of a map; here none expire so. On processors with fused
-// multiplication the digests may be others.
+// A simulation with fixed seeds is deterministic: the same commands give the same effects in the
+// same order. The exception is several forwarded requests that expire in one step, since their
+// replies come in map order; none do here. Processors with fused multiply-add may give other
+// digests.
 func TestEffectsAreThoseOfTheVersionBefore(t *testing.T) {
 	for name, lose := range map[string]bool{"effects_at_work.txt": false, "effects_leader_lost.txt": true} {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, 3)
-			d := newEffectDigest(w)
-			for _, name := range w.names {
-				w.nodes[name].settings.MaxTraceSteps = 1
+			sim := newSimulation(t, 3)
+			d := newEffectDigest(sim)
+			for _, name := range sim.names {
+				sim.nodes[name].settings.MaxTraceSteps = 1
 			}
-			l := w.waitLeader()
-			w.machines(6)
+			leaderNode := sim.waitForLeader()
+			sim.startMachines(6)
 			for i := range 6 {
-				j := spec(fmt.Sprintf("j-%d", i), 3+4*i)
-				j.Priority = []protocol.Priority{"prod", "urgent", "standard", "low"}[i%4]
-				j.Cores = 1 + float64(i%3)*0.3
-				j.Class = []string{"c", "d"}[i%2]
+				job := jobSpec(fmt.Sprintf("j-%d", i), 3+4*i)
+				job.Priority = []protocol.Priority{"prod", "urgent", "standard", "low"}[i%4]
+				job.Cores = 1 + float64(i%3)*0.3
+				job.Class = []string{"c", "d"}[i%2]
 				if i == 5 {
-					j.Dependencies = []string{"j-0", "j-1"}
+					job.Dependencies = []string{"j-0", "j-1"}
 				}
-				w.submit(w.followers()[i%2], j)
-				w.run(time.Second)
+				sim.submit(sim.followers()[i%2], job)
+				sim.advance(time.Second)
 			}
-			w.cancel(w.followers()[0], "j-4")
-			w.run(3 * time.Second)
+			sim.cancelJob(sim.followers()[0], "j-4")
+			sim.advance(3 * time.Second)
 			if lose {
-				w.crash(l.name)
-				w.run(20 * time.Second)
-				w.restart(l.name)
-				w.waitLeader()
+				sim.crashNode(leaderNode.name)
+				sim.advance(20 * time.Second)
+				sim.restartNode(leaderNode.name)
+				sim.waitForLeader()
 			}
-			w.waitState("j-5", protocol.JobDone, 200*time.Second)
-			w.run(60 * time.Second)
+			sim.waitForJobState("j-5", protocol.JobDone, 200*time.Second)
+			sim.advance(60 * time.Second)
 			d.close()
 			checkGolden(t, name, d.lines)
 		})
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -15,73 +15,73 @@
 )
 
 func TestOneLeaderAndQuickTakeover(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitLeader()
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
 	term := first.leader.term
-	w.crash(first.name)
-	start := w.now
-	second := w.waitLeader()
+	sim.crashNode(first.name)
+	start := sim.now
+	second := sim.waitForLeader()
 	if second.leader.term <= term {
 		t.Fatalf("term %d after %d", second.leader.term, term)
 	}
-	if took := w.now - start; took > 2*first.leaderLease() {
+	if took := sim.now - start; took > 2*first.leaderLease() {
 		t.Fatalf("takeover took %v", took)
 	}
-	// Back in the middle of things, the old leader follows.
-	w.restart(first.name)
-	w.run(10 * time.Second)
-	if w.leader() != second.name {
-		t.Fatalf("%s leads", w.leader())
+	// Restarted in the middle of the term, the old leader follows.
+	sim.restartNode(first.name)
+	sim.advance(10 * time.Second)
+	if sim.leaderName() != second.name {
+		t.Fatalf("%s leads", sim.leaderName())
 	}
 }
 
-// A leader that the state service alone refuses must stop by its own clock
-// before another may begin, and must be replaced although its peers hear it.
-func TestLeaderRefusedByStateIsReplaced(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.state.refuse[first.name] = true
-	if !w.until(15*time.Second, func() bool { l := w.leader(); return l != "" && l != first.name }) {
+// A leader that only the key-value store refuses must stop by its own clock before another may
+// lead, and must be replaced although its peers receive its heartbeats.
+func TestLeaderRefusedByStoreIsReplaced(t *testing.T) {
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.store.refusedNodes[first.name] = true
+	if !sim.advanceUntil(15*time.Second, func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
 		t.Fatal("the refused leader was not replaced")
 	}
 }
 
-// Outages last longer than the leader's lease and than the workers': lease grants
-// of the peers keep the leader, and with it the tasks, alive.
-func TestStateOutageKeepsLeaderAndTasks(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return 60 * time.Second }
-	first := w.waitLeader()
-	w.submitAndStart(first.name, spec("j-1", 3), 3)
+// Outages exceed the leader's lease and the workers': lease grants of the peers extend the
+// leadership, and with it the tasks continue.
+func TestStoreOutageKeepsLeaderAndTasks(t *testing.T) {
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 60 * time.Second }
+	first := sim.waitForLeader()
+	sim.submitAndStart(first.name, jobSpec("j-1", 3), 3)
 	term := first.leader.term
-	w.state.setDown(true)
+	sim.store.setDown(true)
 	for range 25 {
-		w.run(time.Second)
-		if w.leader() != first.name {
-			t.Fatalf("at %v %q leads", w.now, w.leader())
+		sim.advance(time.Second)
+		if sim.leaderName() != first.name {
+			t.Fatalf("at %v %q leads", sim.now, sim.leaderName())
 		}
 	}
-	if r := w.submit(w.followers()[0], spec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
+	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
 		t.Fatalf("submission in an outage: %d, come back after %d", r.Status, r.RetryAfter)
 	}
-	if code, s := w.query(w.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
+	if code, s := sim.queryJob(sim.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
 		t.Fatalf("query in an outage: %d %v", code, s)
 	}
-	w.state.setDown(false)
-	w.run(5 * time.Second)
-	if w.leader() != first.name || first.leader.term != term {
+	sim.store.setDown(false)
+	sim.advance(5 * time.Second)
+	if sim.leaderName() != first.name || first.leader.term != term {
 		t.Fatal("leadership moved after the outage")
 	}
-	if w.starts["j-1/0"] != 1 {
-		t.Fatalf("a task started %d times", w.starts["j-1/0"])
+	if sim.startCounts["j-1/0"] != 1 {
+		t.Fatalf("a task started %d times", sim.startCounts["j-1/0"])
 	}
-	if r := w.submit(w.followers()[0], spec("j-2", 1)); r.Status != 201 {
+	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 201 {
 		t.Fatalf("submission after the outage: %d", r.Status)
 	}
 }
 
-// says tells whether an effect sends a message of a type to a peer.
-func says[M protocol.PeerMessage](effect Effect) bool {
+// sendsMessage tells whether an effect sends a message of type M to a peer.
+func sendsMessage[M protocol.PeerMessage](effect Effect) bool {
 	s, ok := effect.(OutboundMessage)
 	if !ok {
 		return false
@@ -90,51 +90,54 @@
 	return is
 }
 
-// A peer that has just restarted may have granted a lease that it no longer
-// remembers, so it neither grants nor votes for one span.
+// A peer that has just restarted may have granted a lease that it no longer remembers, so it
+// neither grants a lease nor votes for one span of a grant.
 func TestRestartedPeerWaitsOutOneLeaseGrant(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	peer := w.followers()[0]
-	w.crash(peer)
-	w.restart(peer)
-	n := w.nodes[peer]
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	peer := sim.followers()[0]
+	sim.crashNode(peer)
+	sim.restartNode(peer)
+	n := sim.nodes[peer]
 	out := n.Step(step, []Command{InboundMessage{From: first.name, Message: protocol.VoteRequest{Term: 99}}})
 	for _, e := range out {
-		if says[protocol.Vote](e) {
+		if sendsMessage[protocol.Vote](e) {
 			t.Fatal("voted right after a restart")
 		}
 	}
 	n.election.RecordStoreResponse(step, 503)
-	out = n.Step(2*step, []Command{InboundMessage{From: first.name, Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
+	out = n.Step(2*step, []Command{InboundMessage{From: first.name,
+		Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
 	for _, e := range out {
-		if says[protocol.LeaseGrant](e) {
+		if sendsMessage[protocol.LeaseGrant](e) {
 			t.Fatal("granted a lease right after a restart")
 		}
 	}
 }
 
-// After an end of all controllers the next leader does not wait out a lease grant: every
-// node has said that it does not lead. What an earlier process of a node was told says
-// nothing, nor does a majority: the one that is missing may live by a grant.
+// After a restart of all controllers the next leader does not wait out a lease grant, since every
+// node has announced that it does not lead. Neither an announcement to an earlier process of a node
+// nor one by a mere majority is enough: the missing node may lead by a grant.
 func TestFullRestartWaitsForNoLeaseGrant(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.waitLeader()
-	for _, name := range w.names {
-		w.crash(name)
+	sim := newSimulation(t, 3)
+	sim.waitForLeader()
+	for _, name := range sim.names {
+		sim.crashNode(name)
 	}
-	w.run(5 * time.Second) // the leader's lease is over
-	for _, name := range w.names {
-		w.restart(name)
+	sim.advance(5 * time.Second) // the leader's lease has ended
+	for _, name := range sim.names {
+		sim.restartNode(name)
 	}
-	span := w.nodes["n0"].leaderLease()
-	if !w.until(span*2/3, func() bool { return w.leader() != "" }) {
+	span := sim.nodes["n0"].leaderLease()
+	if !sim.advanceUntil(span*2/3, func() bool { return sim.leaderName() != "" }) {
 		t.Fatalf("nobody leads %v after a full restart", span*2/3)
 	}
-	n := New(Options{Platform: w.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)), StartTime: time.Unix(5, 0)})
+	n := New(Options{Platform: sim.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)),
+		StartTime: time.Unix(5, 0)})
 	voted := func(from string, m protocol.PeerHeartbeat) bool {
-		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m}, InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
-		return slices.ContainsFunc(out, says[protocol.Vote])
+		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m},
+			InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
+		return slices.ContainsFunc(out, sendsMessage[protocol.Vote])
 	}
 	if voted("n1", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
 		t.Error("votes while a peer is not heard")
@@ -150,14 +153,14 @@
 	}
 }
 
-// A peer that has granted a lease votes for nobody until it is over, and one that has
-// voted for a candidate grants nothing to an older leader.
+// A peer that has granted a lease votes for nobody until the grant ends, and one that has voted for
+// a candidate grants no lease to an older leader.
 func TestLeaseGrantAndVoteExcludeEachOther(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.state.setDown(true)
-	w.run(10 * time.Second)
-	n := w.nodes["n0"]
-	now := w.now - n.boot
+	sim := newSimulation(t, 3)
+	sim.store.setDown(true)
+	sim.advance(10 * time.Second)
+	n := sim.nodes["n0"]
+	now := sim.now - n.bootedAt
 	sent := func(is func(effect Effect) bool, messages ...protocol.PeerMessage) bool {
 		var batch []Command
 		for _, m := range messages {
@@ -166,188 +169,190 @@
 		now += step
 		return slices.ContainsFunc(n.Step(now, batch), is)
 	}
-	if !sent(says[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
+	if !sent(sendsMessage[protocol.LeaseGrant],
+		protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
 		t.Fatal("no lease granted in an outage")
 	}
-	if sent(says[protocol.Vote], protocol.VoteRequest{Term: 8}) {
+	if sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
 		t.Fatal("voted under a lease grant")
 	}
 	now += 2 * n.leaderLease()
-	if !sent(says[protocol.Vote], protocol.VoteRequest{Term: 8}) {
+	if !sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
 		t.Fatal("did not vote after the grant")
 	}
-	if sent(says[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
+	if sent(sendsMessage[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
 		t.Fatal("granted a lease to an older leader after a vote")
 	}
 }
 
-// A leader cut off from peers and workers, but not from the state service,
-// would hold its key for ever and stop the service.
+// A leader isolated from peers and workers, but not from the key-value store, would hold its key
+// for ever and stop the service.
 func TestIsolatedLeaderResigns(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.submit(first.name, spec("j-1", 2))
-	w.run(10 * time.Second)
-	for _, other := range w.followers() {
-		w.cut[[2]string{first.name, other}] = true
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.submit(first.name, jobSpec("j-1", 2))
+	sim.advance(10 * time.Second)
+	for _, other := range sim.followers() {
+		sim.linkCuts[[2]string{first.name, other}] = true
 	}
-	for _, x := range w.workers {
-		x.silent = true
+	for _, worker := range sim.workers {
+		worker.unreachable = true
 	}
-	if !w.until(15*time.Second, func() bool { l := w.leader(); return l != "" && l != first.name }) {
+	if !sim.advanceUntil(15*time.Second, func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
 		t.Fatal("the isolated leader was not replaced")
 	}
 }
 
-// A transaction of a replaced leader that arrives late must change nothing.
+// A transaction of a replaced leader that executes late changes nothing.
 func TestLateTransactionOfOldLeader(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.submit(first.name, spec("j-1", 1))
-	w.state.hold = func(node string, txn storage.Txn) bool {
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.submit(first.name, jobSpec("j-1", 1))
+	sim.store.holdTransaction = func(node string, txn storage.Txn) bool {
 		if node != first.name || len(txn.Writes) == 0 {
 			return false
 		}
-		for _, wr := range txn.Writes {
-			if wr.PutKey == storage.TerminalKey("j-1") {
+		for _, write := range txn.Writes {
+			if write.PutKey == storage.TerminalKey("j-1") {
 				return true
 			}
 		}
 		return false
 	}
-	w.ask(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
-	if !w.until(5*time.Second, func() bool { return len(w.state.machinesByName) > 0 }) {
+	sim.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	if !sim.advanceUntil(5*time.Second, func() bool { return len(sim.store.heldTransactions) > 0 }) {
 		t.Fatal("the leader wrote nothing")
 	}
-	w.crash(first.name)
-	w.waitLeader()
-	for _, f := range w.state.machinesByName {
+	sim.crashNode(first.name)
+	sim.waitForLeader()
+	for _, f := range sim.store.heldTransactions {
 		f()
 	}
-	if _, over := w.state.keys[storage.TerminalKey("j-1")]; over {
+	if _, over := sim.store.keys[storage.TerminalKey("j-1")]; over {
 		t.Fatal("a late transaction of the old leader was applied")
 	}
-	w.state.hold = nil
-	w.waitState("j-1", protocol.JobDone, 60*time.Second)
+	sim.store.holdTransaction = nil
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
-// Answers that are lost leave the outcome unclear; the transaction is sent again
-// to the letter, and a refusal is then checked against what is stored.
+// A lost response leaves the outcome of a transaction uncertain. The identical transaction is sent
+// again, and a failed condition is then checked against the stored records.
 func TestUnclearTransactionIsResolved(t *testing.T) {
-	w := newSimulation(t, 3)
-	first := w.waitLeader()
-	w.submit(first.name, spec("j-1", 2))
-	w.state.lose = 3
-	w.waitState("j-1", protocol.JobDone, 60*time.Second)
-	if w.state.lose != 0 {
+	sim := newSimulation(t, 3)
+	first := sim.waitForLeader()
+	sim.submit(first.name, jobSpec("j-1", 2))
+	sim.store.responsesToLose = 3
+	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
+	if sim.store.responsesToLose != 0 {
 		t.Fatal("no answer was lost")
 	}
-	if w.leader() != first.name {
+	if sim.leaderName() != first.name {
 		t.Fatal("an unclear outcome cost the leadership")
 	}
 }
 
-// In a rolling restart each node goes down once. A leader that goes is followed
-// by the node that restarted last, whose turn is over, so leadership moves seldom.
+// In a rolling restart each node is down once. A leader that drains is succeeded by the node that
+// restarted last, which need not restart again, so leadership moves seldom.
 func TestRollingRestartMovesLeadershipSeldom(t *testing.T) {
 	for first := range 3 {
-		w := newSimulation(t, 3)
-		leader := w.waitLeader().name
+		sim := newSimulation(t, 3)
+		leader := sim.waitForLeader().name
 		began := leader
-		w.run(20 * time.Second)
+		sim.advance(20 * time.Second)
 		moves := 0
 		for i := range 3 {
-			name := w.names[(first+i)%3]
-			w.crash(name)
-			w.run(3 * time.Second)
-			w.restart(name)
-			w.run(20 * time.Second)
-			if now := w.leader(); now != leader {
+			name := sim.names[(first+i)%3]
+			sim.crashNode(name)
+			sim.advance(3 * time.Second)
+			sim.restartNode(name)
+			sim.advance(20 * time.Second)
+			if now := sim.leaderName(); now != leader {
 				leader, moves = now, moves+1
 			}
 		}
 		want := 1
-		if began == w.names[first] {
-			want = 2 // it goes first, when nobody's turn is over yet
+		if began == sim.names[first] {
+			want = 2 // drained first, before any other node has restarted
 		}
 		if moves > want {
-			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", w.names[first], began, moves)
+			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", sim.names[first], began, moves)
 		}
 	}
 }
 
-// However the state service refuses some nodes and not others, messages are lost, nodes
-// end, come back at once and stand still, and calls are carried out late: one node has
-// authority at most, and once all is well again somebody leads within two leases. Here
-// nothing else goes on, so that thousands of elections fit.
+// The store refuses some nodes, messages are lost, nodes crash, restart at once and pause, and
+// calls execute late. At most one node holds a leader lease, and a leader is elected within two
+// leases once the faults have ended. Nothing else runs here, so that thousands of elections fit.
 func TestAuthorityIsExclusive(t *testing.T) {
-	eachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
-		c := newUserSimulation(newSimulationOf(t, []int{3, 5, 7}[seed%3], deployments[seed/3%uint64(len(deployments))]), seed)
-		span := c.lease() / election.LeaderLeasesPerWorkerLease
+	forEachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
+		c := newUserSimulation(newSimulationWithTimings(t, []int{3, 5, 7}[seed%3],
+			deployments[seed/3%uint64(len(deployments))]), seed)
+		span := c.machineLease() / election.LeaderLeasesPerWorkerLease
 		soon := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(span) * 0.7) }
 		c.driftClocks()
-		c.holds = seed%2 == 0
+		c.holdMessages = seed%2 == 0
 		if seed%4 == 1 {
-			c.state.late = func() (time.Duration, bool) {
+			c.store.lateExecution = func() (time.Duration, bool) {
 				return time.Duration(c.rng.ExpFloat64() * float64(span)), c.rng.IntN(8) == 0
 			}
 		}
-		for end := c.now + 8*c.lease(); c.now < end; c.run(soon() / 2) {
-			name, other := c.anyNode(), c.anyNode()
-			if l := c.leader(); l != "" && c.rng.IntN(3) == 0 {
+		for end := c.now + 8*c.machineLease(); c.now < end; c.advance(soon() / 2) {
+			name, other := c.randomNode(), c.randomNode()
+			if l := c.leaderName(); l != "" && c.rng.IntN(3) == 0 {
 				name = l
 			}
 			n := c.nodes[name]
 			switch c.rng.IntN(8) {
 			case 0, 1:
-				c.state.refuse[name] = true
-				c.after(soon(), func() { delete(c.state.refuse, name) })
+				c.store.refusedNodes[name] = true
+				c.schedule(soon(), func() { delete(c.store.refusedNodes, name) })
 			case 2:
 				for _, some := range c.names {
 					if c.rng.IntN(2) == 0 {
-						c.state.refuse[some] = true
-						c.after(soon(), func() { delete(c.state.refuse, some) })
+						c.store.refusedNodes[some] = true
+						c.schedule(soon(), func() { delete(c.store.refusedNodes, some) })
 					}
 				}
 			case 3:
-				c.state.setDown(true)
-				c.after(soon(), func() { c.state.setDown(false) })
+				c.store.setDown(true)
+				c.schedule(soon(), func() { c.store.setDown(false) })
 			case 4, 5:
-				c.cut[[2]string{name, other}] = true
-				c.after(soon(), c.mend)
+				c.linkCuts[[2]string{name, other}] = true
+				c.schedule(soon(), c.healCuts)
 			case 6:
 				if !n.down {
-					c.back(name, soon()/4)
+					c.restartAfter(name, soon()/4)
 				}
 			case 7:
-				if !n.down && !n.frozen {
-					c.freeze(n, soon(), func() {})
+				if !n.down && !n.paused {
+					c.pauseNode(n, soon(), func() {})
 				}
 			}
 		}
-		c.state.late = nil
-		c.run(12 * time.Second)
-		c.state.refuse = map[string]bool{}
-		c.mend()
-		if !c.until(2*c.lease(), func() bool { return c.leader() != "" }) {
+		c.store.lateExecution = nil
+		c.advance(12 * time.Second)
+		c.store.refusedNodes = map[string]bool{}
+		c.healCuts()
+		if !c.advanceUntil(2*c.machineLease(), func() bool { return c.leaderName() != "" }) {
 			t.Fatal("nobody leads, though all is well")
 		}
 	})
 }
 
-// A leader that the state service alone refuses is replaced within a worker lease, with any
-// number of nodes and whenever it begins: a peer that the state service serves grants it no
-// lease. Granted, its peers would be bound for as long as it asks.
+// A leader that only the key-value store refuses is replaced within a worker lease, with any number
+// of nodes and from any moment on: a peer that the store serves grants it no lease. Such a grant
+// would bind the peers for as long as the leader asks for it.
 func TestLeaderRefusedAloneIsReplacedByAnyNumber(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
 		for offset := range 12 {
 			t.Run(fmt.Sprintf("%d nodes/%d", nodes, offset), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, nodes)
-				first := w.waitLeader()
-				w.run(time.Duration(offset) * first.leaderLease() / 7)
-				w.state.refuse[first.name] = true
-				if !w.until(first.workerLease(), func() bool { l := w.leader(); return l != "" && l != first.name }) {
+				sim := newSimulation(t, nodes)
+				first := sim.waitForLeader()
+				sim.advance(time.Duration(offset) * first.leaderLease() / 7)
+				sim.store.refusedNodes[first.name] = true
+				if !sim.advanceUntil(first.workerLease(),
+					func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
 					t.Fatalf("not replaced within %v", first.workerLease())
 				}
 			})
@@ -355,36 +360,36 @@
 	}
 }
 
-// A node that has voted for a candidate, and is back at once with its vote forgotten, may
-// not grant a lease to the old leader: the candidate counts on the vote. Here the old leader
-// lives by grants of two of five nodes. One of them is served by the state service again, so
-// that its grant ends and it votes for the candidate, too; the other and the node that is
-// back would be the majority by which the old leader stays, beside the new one.
+// A node that has voted for a candidate and restarts without a memory of its vote must not grant a
+// lease to the old leader, because the candidate counts on the vote. Here the old leader leads by
+// grants of two of five nodes. The store serves one of them again, so that its grant ends and it
+// votes for the candidate as well; the other one and the restarted node would be the majority that
+// extends the old leadership beside the new one.
 func TestForgottenVoteGrantsNothing(t *testing.T) {
 	changed := 0
 	for offset := range 60 {
-		w := newSimulation(t, 5)
-		old := w.waitLeader()
-		others := w.followers()
+		sim := newSimulation(t, 5)
+		old := sim.waitForLeader()
+		others := sim.followers()
 		candidate, voter, returning, faithful := others[0], others[1], others[2], others[3]
 		for _, name := range []string{old.name, voter, returning, faithful} {
-			w.state.refuse[name] = true
+			sim.store.refusedNodes[name] = true
 		}
-		w.cut[[2]string{old.name, returning}] = true
-		w.run(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
-		delete(w.state.refuse, voter) // its grant is the last one
+		sim.linkCuts[[2]string{old.name, returning}] = true
+		sim.advance(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
+		delete(sim.store.refusedNodes, voter) // its present grant is the last one
 		asks := func() bool {
-			return slices.Contains(w.nodes[candidate].election.Status().Votes, returning)
+			return slices.Contains(sim.nodes[candidate].election.Status().Votes, returning)
 		}
-		if w.until(old.leaderLease(), asks) {
-			w.back(returning, 20*time.Millisecond)
-			w.after(50*time.Millisecond, func() {
-				w.mend()
-				w.state.refuse[returning] = true
+		if sim.advanceUntil(old.leaderLease(), asks) {
+			sim.restartAfter(returning, 20*time.Millisecond)
+			sim.schedule(50*time.Millisecond, func() {
+				sim.healCuts()
+				sim.store.refusedNodes[returning] = true
 			})
 		}
-		w.run(2 * old.leaderLease()) // the simulation sees two leaders, if there are
-		if w.leader() == candidate {
+		sim.advance(2 * old.leaderLease()) // the invariant checker fails on two leaders
+		if sim.leaderName() == candidate {
 			changed++
 		}
 	}
@@ -393,40 +398,43 @@
 	}
 }
 
-// Authority counts from when a renewal was sent. Counted from its answer, a leader whose
-// answers are held up would go on after its lease has ended in the state service.
+// A lease counts from when its renewal was sent. Counted from the response, a leader whose
+// responses are delayed would continue after its lease has ended in the key-value store.
 func TestAuthorityCountsFromTheSentRenewal(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitLeader()
-	now := l.clock(w.now)
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	now := leaderNode.monotonicNow(sim.now)
 	var renewal ServiceCall
 	for renewal.ID == 0 {
 		now += step
-		for _, effect := range l.Step(now, nil) {
+		for _, effect := range leaderNode.Step(now, nil) {
 			if call, ok := effect.(ServiceCall); ok && strings.HasSuffix(call.Path, "/touch") {
 				renewal = call
 			}
 		}
 	}
 	sent := now
-	l.Step(sent+l.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
-	if until := l.election.Status().LeaseValidUntil; until != sent+election.SafeLeaseSpan(l.leaderLease()) {
+	leaderNode.Step(sent+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
+	if until := leaderNode.election.Status().LeaseValidUntil; until != sent+election.SafeLeaseSpan(leaderNode.leaderLease()) {
 		t.Errorf("authority until %v after a renewal sent at %v", until, sent)
 	}
 }
 
-// A leader that stood still for longer than its lease finds reports and questions waiting
-// when it goes on, and its clocks have run on: it answers none of them as the leader.
-func TestLeaderThatStoodStillAnswersNothing(t *testing.T) {
-	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery, protocol.RequestCancel} {
+// A leader that was paused for longer than its lease finds heartbeats and requests in its queue
+// when it resumes, and its clocks have advanced: it answers none of them as the leader.
+func TestPausedLeaderAnswersNothing(t *testing.T) {
+	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery,
+		protocol.RequestCancel} {
 		t.Run(string(kind), func(t *testing.T) {
-			w, l := running(t, 3, time.Hour, 1, 4)
+			sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 1, 4)
 			request := Request{Origin: Origin{RequestID: 1 << 40}, Kind: kind, JobID: "j-1"}
 			if kind == protocol.RequestHeartbeat {
-				request.Heartbeat = w.inOrder()[0].report()
+				request.Heartbeat = sim.sortedWorkers()[0].heartbeat()
 			}
-			for _, effect := range l.Step(l.clock(w.now)+l.workerLease(), []Command{request}) {
-				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID && reply.Status == 200 {
+			for _, effect := range leaderNode.Step(leaderNode.monotonicNow(sim.now)+leaderNode.workerLease(),
+				[]Command{request}) {
+				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID &&
+					reply.Status == 200 {
 					t.Error("answered 200")
 				}
 			}
@@ -434,17 +442,17 @@
 	}
 }
 
-// agreeingStore is the host of an election whose key-value store has no leader key and answers
-// each request of a candidate with success. It has a clock of its own.
-type agreeingStore struct {
+// acceptingStore is the host of an election whose key-value store has no leader key and accepts
+// each request of a candidate. It has a clock of its own.
+type acceptingStore struct {
 	electionAdapter
 	now      clock.Instant
 	lastTerm uint64
 }
 
-func (h *agreeingStore) Now() clock.Instant { return h.now }
+func (h *acceptingStore) Now() clock.Instant { return h.now }
 
-func (h *agreeingStore) CallStore(_, path string, _ any, onResponse func(storage.Response)) {
+func (h *acceptingStore) CallStore(_, path string, _ any, onResponse func(storage.Response)) {
 	switch path {
 	case "/store/" + storage.TermKey:
 		term := storage.Encode(storage.Term{Term: h.lastTerm})
@@ -458,13 +466,14 @@
 	}
 }
 
-// forceLeadership makes a node the leader of a term, whoever else leads: in place of its election
-// comes one without peers, at a store that agrees to everything.
+// forceLeadership makes a node the leader of a term, whoever else leads: it replaces the node's
+// election by one without peers, at a store that accepts everything.
 func forceLeadership(n *Node, term uint64) {
-	host := &agreeingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
+	host := &acceptingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
 	alone := n.cfg.Cluster
 	alone.ControllerCount = 1
-	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone, Rand: n.rng, Host: host})
+	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone,
+		Rand: n.rng, Host: host})
 	for !n.holdsLeaderLease() {
 		host.now += step
 		n.election.Tick()
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -19,146 +19,152 @@
 	"hitchdoor/internal/storage"
 )
 
-// invariantChecker is the part of the simulation that knows the rules. It hears every answer that a
-// user gets, from any node and by any way, and sees every task on every machine. Answers
-// are ordered by real time: a question that was asked after an answer had arrived may get
-// nothing older, milliseconds later at another node included.
+// invariantChecker is the part of the simulation that checks the invariants. It observes every
+// reply that a user gets, from any node and by any route, and every task on every machine. Replies
+// are ordered by real time: a query that was sent after a reply had arrived must not get an older
+// state, also milliseconds later at another node.
 type invariantChecker struct {
-	submitted map[string]bool
-	accepted  map[string]clock.Instant     // when a user was first told so
-	over      map[string]protocol.JobState // final states that users were told
-	overAt    map[string]clock.Instant     // when the first of them was
-	asked     map[string]bool              // jobs that a user has begun to cancel
-	answered  map[string]clock.Instant     // when a question about a job was last answered
-	finished  map[string]bool              // tasks that have completed
-	begun     map[string]clock.Instant     // when a job's first task started
-	calm      clock.Instant                // since when there are no troubles; never: there are
-	waits     map[string]clock.Instant     // since when a job waits though there is room for it
-	lookedAt  clock.Instant
-	told      func(id string, state protocol.JobState) // is told what users are told for the first time
-	judged    map[uint64]int                           // jobs accepted under a policy, by epoch
-	what      string                                   // what is tested, for the messages
-	caught    map[string]int                           // by rule, instead of failing the test: to test the checker itself
-	load      machineLoad                              // what runs, as of the last check
-	marked    bool                                     // the check is marked as a helper of the test
+	submitted          map[string]bool
+	acceptedAt         map[string]clock.Instant     // of the first reply that says so, by job
+	terminalStates     map[string]protocol.JobState // terminal states in replies, by job
+	terminalAt         map[string]clock.Instant     // of the first such reply, by job
+	cancelRequested    map[string]bool              // jobs for which a user has sent a cancellation
+	answeredAt         map[string]clock.Instant     // of the last reply about a job
+	completedTasks     map[string]bool              // tasks that have completed
+	firstStartAt       map[string]clock.Instant     // when the first task of a job started
+	faultsEndedAt      clock.Instant                // clock.Never while there are faults
+	waitingSince       map[string]clock.Instant     // since when a job is pending although there is room for it
+	lastWaitingCheck   clock.Instant
+	onJobState         func(id string, state protocol.JobState) // called for the first reply with "accepted" or a terminal state
+	acceptancesByEpoch map[uint64]int                           // jobs accepted under a policy, by epoch
+	scenario           string                                   // the test case, for messages
+	caughtViolations   map[string]int                           // by rule; not nil: count instead of failing, to test the checker itself
+	load               machineLoad                              // what runs, as of the last check
+	helperMarked       bool                                     // checkInvariants has called t.Helper
 }
 
-// machineLoad is what runs on the machines. It is made anew when a task begins or ends, and not
-// at each step.
+// machineLoad is what runs on the machines. It is rebuilt when a task starts or ends, and not at
+// each step.
 type machineLoad struct {
-	valid   bool
-	running []runningTask     // by machine, in the order of their names
-	where   map[string]string // by task: its machine
-	jobs    []jobLoad
-	indices map[string]int     // of jobs, by id
-	cores   map[string]float64 // by team
-	gpus    map[string]float64 // the same, of accelerators
+	valid         bool
+	running       []runningTask     // by machine, in order of name
+	machineByTask map[string]string // by task: the name of its machine
+	jobs          []jobLoad
+	jobIndices    map[string]int     // index into jobs, by job id
+	coresByTeam   map[string]float64 // by team
+	gpusByTeam    map[string]float64 // accelerators, by team
 }
 
 type runningTask struct {
-	x   *worker
-	key string
+	worker  *fakeWorker
+	taskKey string
 }
 
-// jobLoad is how many tasks of a job run, and what each uses.
+// jobLoad is the number of running tasks of a job, and what each of them uses.
 type jobLoad struct {
-	id           string
-	tasks        int
-	teamSettings string
-	cores, gpus  float64
+	id          string
+	taskCount   int
+	team        string
+	cores, gpus float64
 }
 
 func newInvariantChecker() invariantChecker {
-	return invariantChecker{submitted: map[string]bool{}, accepted: map[string]clock.Instant{}, over: map[string]protocol.JobState{},
-		overAt: map[string]clock.Instant{}, asked: map[string]bool{}, answered: map[string]clock.Instant{},
-		finished: map[string]bool{}, begun: map[string]clock.Instant{}, load: newMachineLoad(), judged: map[uint64]int{}, calm: clock.Never, waits: map[string]clock.Instant{}}
+	return invariantChecker{submitted: map[string]bool{}, acceptedAt: map[string]clock.Instant{},
+		terminalStates: map[string]protocol.JobState{},
+		terminalAt:     map[string]clock.Instant{}, cancelRequested: map[string]bool{},
+		answeredAt:     map[string]clock.Instant{},
+		completedTasks: map[string]bool{}, firstStartAt: map[string]clock.Instant{}, load: newMachineLoad(), acceptancesByEpoch: map[uint64]int{}, faultsEndedAt: clock.Never, waitingSince: map[string]clock.Instant{}}
 }
 
 func newMachineLoad() machineLoad {
-	return machineLoad{where: map[string]string{}, indices: map[string]int{}, cores: map[string]float64{}, gpus: map[string]float64{}}
+	return machineLoad{machineByTask: map[string]string{}, jobIndices: map[string]int{},
+		coresByTeam: map[string]float64{}, gpusByTeam: map[string]float64{}}
 }
 
-// broken reports that a rule is broken.
-func (w *simulation) broken(rule, format string, args ...any) {
-	w.t.Helper()
-	if w.caught != nil {
-		w.caught[rule]++
+// reportViolation fails the test, or counts the violation if the checker itself is tested.
+func (sim *simulation) reportViolation(rule, format string, args ...any) {
+	sim.t.Helper()
+	if sim.caughtViolations != nil {
+		sim.caughtViolations[rule]++
 		return
 	}
-	w.t.Fatalf("%s at %v: %s: %s", w.what, w.now, rule, fmt.Sprintf(format, args...))
+	sim.t.Fatalf("%s at %v: %s: %s", sim.scenario, sim.now, rule, fmt.Sprintf(format, args...))
 }
 
-// hears judges the answer to a user's request that was sent at some moment.
-func (w *simulation) hears(r Request, node string, sent clock.Instant, reply Reply) {
-	w.t.Helper()
+// checkReply checks the reply to a user's request that was sent at some moment.
+func (sim *simulation) checkReply(r Request, node string, sent clock.Instant, reply Reply) {
+	sim.t.Helper()
 	id := r.JobID
-	accepted, known := w.accepted[id]
+	accepted, known := sim.acceptedAt[id]
 	if reply.Status == 503 && reply.RetryAfter == 0 {
-		w.broken("silent wait", "%s of %s at %s: 503 without Retry-After", r.Kind, id, node)
+		sim.reportViolation("silent wait", "%s of %s at %s: 503 without Retry-After", r.Kind, id, node)
 	}
 	if known && sent >= accepted &&
 		(reply.Status == 404 || r.Kind == protocol.RequestSubmit && (reply.Status == 400 || reply.Status == 422)) {
-		w.broken("forgotten", "%s of %s at %s: %d", r.Kind, id, node, reply.Status)
+		sim.reportViolation("forgotten", "%s of %s at %s: %d", r.Kind, id, node, reply.Status)
 	}
 	if reply.Status != 200 && reply.Status != 201 {
 		return
 	}
-	var s protocol.JobStatus
-	if json.Unmarshal(reply.Body, &s) != nil {
-		w.t.Fatalf("%s of %s: %s", r.Kind, id, reply.Body)
+	var status protocol.JobStatus
+	if json.Unmarshal(reply.Body, &status) != nil {
+		sim.t.Fatalf("%s of %s: %s", r.Kind, id, reply.Body)
 	}
-	if !w.submitted[id] {
-		w.broken("invented", "%s of %s at %s: %s", r.Kind, id, node, s.State)
+	if !sim.submitted[id] {
+		sim.reportViolation("invented", "%s of %s at %s: %s", r.Kind, id, node, status.State)
 	}
-	w.answered[id] = w.now
+	sim.answeredAt[id] = sim.now
 	if !known {
-		w.accepted[id] = w.now
-		w.tells(id, "accepted")
+		sim.acceptedAt[id] = sim.now
+		sim.notifyJobState(id, "accepted")
 	}
-	was, over := w.over[id]
-	final := s.State == protocol.JobDone || s.State == protocol.JobCancelled
+	terminalState, terminal := sim.terminalStates[id]
+	endsJob := status.State == protocol.JobDone || status.State == protocol.JobCancelled
 	switch {
-	case over && s.State != was && (final || sent >= w.overAt[id]):
-		w.broken("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id, node, s.State, was, sent, w.overAt[id])
-	case s.State == protocol.JobCancelled && !w.mayBeCancelled(id):
-		w.broken("went_back", "%s is cancelled, and nobody asked for it", id)
-	case s.State == protocol.JobDone:
-		for i := range w.specs[id].TaskCount {
-			if !w.finished[cluster.TaskKey(id, i)] {
-				w.broken("not_done", "%s is done, but %s is not", id, cluster.TaskKey(id, i))
+	case terminal && status.State != terminalState && (endsJob || sent >= sim.terminalAt[id]):
+		sim.reportViolation("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id,
+			node, status.State, terminalState, sent, sim.terminalAt[id])
+	case status.State == protocol.JobCancelled && !sim.mayBeCancelled(id):
+		sim.reportViolation("went_back", "%s is cancelled, and nobody asked for it", id)
+	case status.State == protocol.JobDone:
+		for i := range sim.jobSpecs[id].TaskCount {
+			if !sim.completedTasks[cluster.TaskKey(id, i)] {
+				sim.reportViolation("not_done", "%s is done, but %s is not", id, cluster.TaskKey(id, i))
 				break
 			}
 		}
 	}
-	if since, orphan := w.cancelledAt(id); orphan && !over && sent > since+w.cancelSpan() && s.State != protocol.JobCancelled {
-		w.broken("orphaned", "%s is %s", id, s.State)
+	if since, orphan := sim.cancelledAt(id); orphan && !terminal && sent > since+sim.cancelLimit() &&
+		status.State != protocol.JobCancelled {
+		sim.reportViolation("orphaned", "%s is %s", id, status.State)
 	}
-	if final && !over {
-		w.over[id], w.overAt[id] = s.State, w.now
-		w.tells(id, s.State)
+	if endsJob && !terminal {
+		sim.terminalStates[id], sim.terminalAt[id] = status.State, sim.now
+		sim.notifyJobState(id, status.State)
 	}
 }
 
-func (w *simulation) tells(id string, state protocol.JobState) {
-	if w.told != nil {
-		w.told(id, state)
+func (sim *simulation) notifyJobState(id string, state protocol.JobState) {
+	if sim.onJobState != nil {
+		sim.onJobState(id, state)
 	}
 }
 
-// mayBeCancelled tells whether a user has asked to cancel a job or one that it needs.
-func (w *simulation) mayBeCancelled(id string) bool {
-	return w.asked[id] || slices.ContainsFunc(w.specs[id].Dependencies, w.mayBeCancelled)
+// mayBeCancelled tells whether a user has sent a cancellation of a job or of one of its
+// dependencies.
+func (sim *simulation) mayBeCancelled(id string) bool {
+	return sim.cancelRequested[id] || slices.ContainsFunc(sim.jobSpecs[id].Dependencies, sim.mayBeCancelled)
 }
 
-// cancelledAt is when users were first told that a job, or one that it needs, is cancelled;
-// of the latter not before it was itself accepted.
-func (w *simulation) cancelledAt(id string) (at clock.Instant, ok bool) {
-	if w.over[id] == protocol.JobCancelled {
-		at, ok = w.overAt[id], true
-	}
-	for _, need := range w.specs[id].Dependencies {
-		since, is := w.cancelledAt(need)
-		accepted, known := w.accepted[id]
+// cancelledAt returns when users were first told that a job, or one of its dependencies, is
+// cancelled. A cancellation of a dependency counts from the acceptance of the job at the earliest.
+func (sim *simulation) cancelledAt(id string) (at clock.Instant, ok bool) {
+	if sim.terminalStates[id] == protocol.JobCancelled {
+		at, ok = sim.terminalAt[id], true
+	}
+	for _, need := range sim.jobSpecs[id].Dependencies {
+		since, is := sim.cancelledAt(need)
+		accepted, known := sim.acceptedAt[id]
 		if since = max(since, accepted); is && known && (!ok || since < at) {
 			at, ok = since, true
 		}
@@ -166,91 +172,95 @@
 	return at, ok
 }
 
-func (w *simulation) cancelSpan() time.Duration { return config.Seconds(w.cfg.Workers.CancelS) }
+func (sim *simulation) cancelLimit() time.Duration { return config.Seconds(sim.cfg.Workers.CancelS) }
 
-// check looks for a rule that is broken at this moment.
-func (w *simulation) check() {
-	if !w.marked {
-		w.marked = true // once is enough for a test, and it is slow
-		w.t.Helper()
+// checkInvariants checks the invariants that hold at each moment: one leader, and those of running
+// and pending tasks.
+func (sim *simulation) checkInvariants() {
+	if !sim.helperMarked {
+		sim.helperMarked = true // once is enough for a test, and the call is slow
+		sim.t.Helper()
 	}
 	leaders := 0
-	for _, n := range w.nodes {
-		if n.leader != nil && !n.down && !n.frozen && n.holdsLeaderLease() {
+	for _, n := range sim.nodes {
+		if n.leader != nil && !n.down && !n.paused && n.holdsLeaderLease() {
 			leaders++
 		}
 	}
 	if leaders > 1 {
-		w.broken("two leaders", "%d nodes have authority", leaders)
+		sim.reportViolation("two leaders", "%d nodes have authority", leaders)
 	}
-	w.checkRunning()
-	if w.calm != clock.Never && w.now >= w.lookedAt+time.Second {
-		w.lookedAt = w.now
-		w.checkWaiting(w.load.where, w.load.cores)
+	sim.checkRunningTasks()
+	if sim.faultsEndedAt != clock.Never && sim.now >= sim.lastWaitingCheck+time.Second {
+		sim.lastWaitingCheck = sim.now
+		sim.checkWaitingJobs(sim.load.machineByTask, sim.load.coresByTeam)
 	}
 }
 
-// checkRunning looks for a rule that is broken by what runs on the machines. Where each task
-// runs changes only with the list of those that run, and what teams use only with that list and
-// the specifications of its jobs. Both are compared at each step, and the rest is judged at
-// each step, as it depends on the time and on what users were told too, but once for each job.
-func (w *simulation) checkRunning() {
-	load := &w.load
-	same := w.sameRunning()
+// checkRunningTasks checks the invariants of running tasks. Where each task runs changes only with
+// the list of running tasks, and what teams use only with that list and the specifications of its
+// jobs: both are compared at each step. The rest depends on the time and on replies as well and is
+// checked at each step, but once for each job.
+func (sim *simulation) checkRunningTasks() {
+	load := &sim.load
+	same := sim.runningTasksUnchanged()
 	if !same {
-		w.countRunning()
+		sim.collectRunningTasks()
 	}
 	for i := range load.jobs {
 		running := &load.jobs[i]
-		j := w.specs[running.id]
-		if running.teamSettings != j.Team || running.cores != j.Cores || running.gpus != j.Accelerators {
-			running.teamSettings, running.cores, running.gpus = j.Team, j.Cores, j.Accelerators
+		job := sim.jobSpecs[running.id]
+		if running.team != job.Team || running.cores != job.Cores || running.gpus != job.Accelerators {
+			running.team, running.cores, running.gpus = job.Team, job.Cores, job.Accelerators
 			same = false
 		}
-		if since, cancelled := w.cancelledAt(running.id); cancelled && w.now > since+w.cancelSpan() {
+		if since, cancelled := sim.cancelledAt(running.id); cancelled && sim.now > since+sim.cancelLimit() {
 			for _, t := range load.running {
-				if jobOf(t.key) == running.id {
-					w.t.Helper()
-					w.broken("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.key, t.x.name, since, t.x.how())
+				if jobIDOf(t.taskKey) == running.id {
+					sim.t.Helper()
+					sim.reportViolation("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.taskKey,
+						t.worker.name, since, t.worker.describe())
 				}
 			}
 		}
 	}
 	if !same {
-		load.sum()
-	}
-	for _, team := range w.cfg.Teams {
-		if team.MaxCPUs > 0 && load.cores[team.Name] > team.MaxCPUs || team.MaxGPUs > 0 && load.gpus[team.Name] > team.MaxGPUs {
-			w.t.Helper()
-			w.broken("quota", "%s uses %v cores, %v accelerators", team.Name, load.cores[team.Name], load.gpus[team.Name])
+		load.sumByTeam()
+	}
+	for _, team := range sim.cfg.Teams {
+		if team.MaxCPUs > 0 && load.coresByTeam[team.Name] > team.MaxCPUs ||
+			team.MaxGPUs > 0 && load.gpusByTeam[team.Name] > team.MaxGPUs {
+			sim.t.Helper()
+			sim.reportViolation("quota", "%s uses %v cores, %v accelerators", team.Name,
+				load.coresByTeam[team.Name], load.gpusByTeam[team.Name])
 		}
 	}
 }
 
-// sum adds up what each team uses.
-func (l *machineLoad) sum() {
-	clear(l.cores)
-	clear(l.gpus)
+// sumByTeam adds up what the tasks of each team use.
+func (l *machineLoad) sumByTeam() {
+	clear(l.coresByTeam)
+	clear(l.gpusByTeam)
 	for _, j := range l.jobs {
-		for range j.tasks {
-			l.cores[j.teamSettings] += j.cores
-			l.gpus[j.teamSettings] += j.gpus
+		for range j.taskCount {
+			l.coresByTeam[j.team] += j.cores
+			l.gpusByTeam[j.team] += j.gpus
 		}
 	}
 }
 
-// sameRunning tells whether the same tasks run on the same machines as at the last check.
-func (w *simulation) sameRunning() bool {
-	if !w.load.valid {
+// runningTasksUnchanged tells whether the same tasks run on the same machines as at the last check.
+func (sim *simulation) runningTasksUnchanged() bool {
+	if !sim.load.valid {
 		return false
 	}
-	rest := w.load.running
-	for _, x := range w.inOrder() {
-		for _, t := range x.tasks {
-			if t.state == protocol.TaskExited {
+	rest := sim.load.running
+	for _, worker := range sim.sortedWorkers() {
+		for _, task := range worker.tasks {
+			if task.state == protocol.TaskExited {
 				continue
 			}
-			if len(rest) == 0 || rest[0].x != x || rest[0].key != t.key {
+			if len(rest) == 0 || rest[0].worker != worker || rest[0].taskKey != task.taskKey {
 				return false
 			}
 			rest = rest[1:]
@@ -259,119 +269,122 @@
 	return len(rest) == 0
 }
 
-// countRunning lists what runs, and looks for tasks that run twice. While one does, the list
-// is made anew at each step, so that it is found at each.
-func (w *simulation) countRunning() {
-	load := &w.load
+// collectRunningTasks lists the running tasks and checks that none runs twice. While one does, the
+// list is rebuilt at each step, so that each step reports it.
+func (sim *simulation) collectRunningTasks() {
+	load := &sim.load
 	load.valid = true
 	load.running, load.jobs = load.running[:0], load.jobs[:0]
-	clear(load.where)
-	clear(load.indices)
-	for _, x := range w.inOrder() {
-		for _, t := range x.tasks {
-			if t.state == protocol.TaskExited {
+	clear(load.machineByTask)
+	clear(load.jobIndices)
+	for _, worker := range sim.sortedWorkers() {
+		for _, task := range worker.tasks {
+			if task.state == protocol.TaskExited {
 				continue
 			}
-			load.running = append(load.running, runningTask{x, t.key})
-			if other, twice := load.where[t.key]; twice {
+			load.running = append(load.running, runningTask{worker, task.taskKey})
+			if other, twice := load.machineByTask[task.taskKey]; twice {
 				load.valid = false
-				w.t.Helper()
-				w.broken("ran_twice", "%s is on %s and %s", t.key, other, x.name)
+				sim.t.Helper()
+				sim.reportViolation("ran_twice", "%s is on %s and %s", task.taskKey, other, worker.name)
 			}
-			load.where[t.key] = x.name
-			id := jobOf(t.key)
-			i, known := load.indices[id]
+			load.machineByTask[task.taskKey] = worker.name
+			id := jobIDOf(task.taskKey)
+			i, known := load.jobIndices[id]
 			if !known {
 				i = len(load.jobs)
-				load.indices[id] = i
+				load.jobIndices[id] = i
 				load.jobs = append(load.jobs, jobLoad{id: id})
 			}
-			load.jobs[i].tasks++
+			load.jobs[i].taskCount++
 		}
 	}
 }
 
-// checkWaiting looks for jobs that wait, after all troubles, for 90 s though a machine
-// that fits has room and their team is under its limit, and for jobs that have not begun
-// after four minutes.
-func (w *simulation) checkWaiting(where map[string]string, cores map[string]float64) {
-	w.t.Helper()
-	for _, id := range slices.Sorted(maps.Keys(w.accepted)) {
-		if _, cancelled := w.cancelledAt(id); cancelled || w.over[id] != "" || w.mayBeCancelled(id) || w.mistake[id] {
-			delete(w.waits, id)
+// checkWaitingJobs checks, after the faults have ended, that no job is pending for 90 s although a
+// machine that fits has room and the team is within its quota, and that every job starts within
+// four minutes.
+func (sim *simulation) checkWaitingJobs(where map[string]string, cores map[string]float64) {
+	sim.t.Helper()
+	for _, id := range slices.Sorted(maps.Keys(sim.acceptedAt)) {
+		if _, cancelled := sim.cancelledAt(id); cancelled || sim.terminalStates[id] != "" ||
+			sim.mayBeCancelled(id) || sim.failingJobs[id] {
+			delete(sim.waitingSince, id)
 			continue
 		}
-		if !w.hasRoom(id, where, cores) {
-			delete(w.waits, id)
+		if !sim.hasRoomFor(id, where, cores) {
+			delete(sim.waitingSince, id)
 			continue
 		}
-		if w.waits[id] == 0 {
-			w.waits[id] = w.now
+		if sim.waitingSince[id] == 0 {
+			sim.waitingSince[id] = sim.now
 		}
-		if w.now > w.waits[id]+90*time.Second {
-			w.broken("waits", "%s waits for 90 s beside a machine with room: %s", id, w.why(id))
+		if sim.now > sim.waitingSince[id]+90*time.Second {
+			sim.reportViolation("waits", "%s waits for 90 s beside a machine with room: %s", id, sim.explainPending(id))
 		}
-		from := max(w.calm, w.accepted[id])
-		for _, need := range w.specs[id].Dependencies {
-			from = max(from, w.overAt[need]) // times begin when all that it needs is done
+		from := max(sim.faultsEndedAt, sim.acceptedAt[id])
+		for _, need := range sim.jobSpecs[id].Dependencies {
+			from = max(from, sim.terminalAt[need]) // the time counts from the completion of all dependencies
 		}
-		if w.begun[id] == 0 && w.now > from+4*time.Minute {
-			w.broken("waits", "%s has not begun after four minutes: %s", id, w.why(id))
+		if sim.firstStartAt[id] == 0 && sim.now > from+4*time.Minute {
+			sim.reportViolation("waits", "%s has not begun after four minutes: %s", id, sim.explainPending(id))
 		}
 	}
 }
 
-// hasRoom tells whether a task of a job waits though it could run somewhere.
-func (w *simulation) hasRoom(id string, where map[string]string, cores map[string]float64) bool {
-	j := w.specs[id]
-	if slices.ContainsFunc(j.Dependencies, func(need string) bool { return w.over[need] != protocol.JobDone }) {
+// hasRoomFor tells whether a job has a pending task that some machine and the quota have room for.
+func (sim *simulation) hasRoomFor(id string, where map[string]string, cores map[string]float64) bool {
+	job := sim.jobSpecs[id]
+	if slices.ContainsFunc(job.Dependencies,
+		func(need string) bool { return sim.terminalStates[need] != protocol.JobDone }) {
 		return false
 	}
 	waiting := false
-	for i := range j.TaskCount {
+	for i := range job.TaskCount {
 		key := cluster.TaskKey(id, i)
-		waiting = waiting || !w.finished[key] && where[key] == ""
+		waiting = waiting || !sim.completedTasks[key] && where[key] == ""
 	}
-	for _, team := range w.cfg.Teams {
-		if team.Name == j.Team && team.MaxCPUs > 0 && cores[team.Name]+j.Cores > team.MaxCPUs {
+	for _, team := range sim.cfg.Teams {
+		if team.Name == job.Team && team.MaxCPUs > 0 && cores[team.Name]+job.Cores > team.MaxCPUs {
 			return false
 		}
 	}
 	if !waiting {
 		return false
 	}
-	for _, x := range w.workers {
+	for _, worker := range sim.workers {
 		used := 0.0
-		for _, t := range x.tasks {
-			if t.state != protocol.TaskExited {
-				used += w.specs[jobOf(t.key)].Cores
+		for _, task := range worker.tasks {
+			if task.state != protocol.TaskExited {
+				used += sim.jobSpecs[jobIDOf(task.taskKey)].Cores
 			}
 		}
-		if x.notice == nil && !x.faulty && used+j.Cores <= 4 && w.misplaced(&j, x) == "" {
+		if worker.preemptionNotice == nil && !worker.faulty && used+job.Cores <= 4 &&
+			sim.placementViolation(&job, worker) == "" {
 			return true
 		}
 	}
 	return false
 }
 
-// misplaced tells why a job's next task may not start on a machine now, if so.
-func (w *simulation) misplaced(j *protocol.Job, x *worker) string {
+// placementViolation returns why the next task of a job may not start on a machine now, or "".
+func (sim *simulation) placementViolation(job *protocol.Job, worker *fakeWorker) string {
 	switch {
-	case len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, x.typ):
-		return "type " + x.typ
-	case j.Zone != "" && j.Zone != x.zone:
-		return "zone " + x.zone
-	case !j.SpotAllowed && x.spot:
+	case len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, worker.machineType):
+		return "type " + worker.machineType
+	case job.Zone != "" && job.Zone != worker.zone:
+		return "zone " + worker.zone
+	case !job.SpotAllowed && worker.spot:
 		return "a spot machine"
 	}
-	if !j.SameZone && !j.Spread {
+	if !job.SameZone && !job.Spread {
 		return ""
 	}
 	same, other := 0, 0
-	for _, y := range w.workers {
-		for _, t := range y.tasks {
-			if jobOf(t.key) == j.ID && t.state != protocol.TaskExited {
-				if y.zone == x.zone {
+	for _, y := range sim.workers {
+		for _, task := range y.tasks {
+			if jobIDOf(task.taskKey) == job.ID && task.state != protocol.TaskExited {
+				if y.zone == worker.zone {
 					same++
 				} else {
 					other++
@@ -380,183 +393,187 @@
 		}
 	}
 	switch {
-	case j.SameZone && other > 0:
+	case job.SameZone && other > 0:
 		return "not where the other tasks are"
-	case j.Spread && same+1 > (j.TaskCount+1)/2:
+	case job.Spread && same+1 > (job.TaskCount+1)/2:
 		return "more than half in one zone"
 	}
 	return ""
 }
 
-// checkStart judges a start on a machine. An answer to a report takes four seconds at
-// most, so a later start after the confirmation of a cancellation was commanded after it.
-func (w *simulation) checkStart(x *worker, key string) {
-	w.t.Helper()
-	id := jobOf(key)
-	j := w.specs[id]
-	for _, need := range j.Dependencies {
-		if w.final(need) != protocol.JobDone {
-			w.broken("too_early", "%s, while the end of %s is %q", key, need, w.final(need))
+// checkTaskStart checks the start of a task on a machine. A response to a heartbeat takes at most
+// four seconds, so a start later than that after the confirmation of a cancellation was sent after
+// it.
+func (sim *simulation) checkTaskStart(worker *fakeWorker, key string) {
+	sim.t.Helper()
+	id := jobIDOf(key)
+	job := sim.jobSpecs[id]
+	for _, need := range job.Dependencies {
+		if sim.terminalState(need) != protocol.JobDone {
+			sim.reportViolation("too_early", "%s, while the end of %s is %q", key, need, sim.terminalState(need))
 		}
 	}
-	if why := w.misplaced(&j, x); why != "" {
-		w.broken("wrong_place", "%s starts on %s: %s", key, x.name, why)
+	if why := sim.placementViolation(&job, worker); why != "" {
+		sim.reportViolation("wrong_place", "%s starts on %s: %s", key, worker.name, why)
 	}
-	if since, cancelled := w.cancelledAt(id); cancelled && w.now > since+4*time.Second {
-		w.broken("started after its cancellation", "%s, cancelled at %v", key, since)
+	if since, cancelled := sim.cancelledAt(id); cancelled && sim.now > since+4*time.Second {
+		sim.reportViolation("started after its cancellation", "%s, cancelled at %v", key, since)
 	}
-	if w.begun[id] == 0 {
-		w.begun[id] = w.now
+	if sim.firstStartAt[id] == 0 {
+		sim.firstStartAt[id] = sim.now
 	}
 }
 
-func (x *worker) how() string {
-	return fmt.Sprintf("session %d, token %d, reports to %s, hanging %v, silent %v, deaf %v", x.session, x.token, x.node, x.hanging, x.silent, x.dropAnswers)
+func (worker *fakeWorker) describe() string {
+	return fmt.Sprintf("session %d, token %d, reports to %s, hanging %v, silent %v, deaf %v", worker.epoch,
+		worker.fencingToken, worker.node, worker.hung, worker.unreachable, worker.dropResponses)
 }
 
-// The invariant checker must be able to fail: each rule is broken here on purpose, by an answer that
-// no node gives, or by a machine that no leader has told what it does.
+// TestInvariantCheckerFindsEachViolation checks that the invariant checker can fail: each rule is
+// violated here by a reply that no node sends, or by a task that no leader started.
 func TestInvariantCheckerFindsEachViolation(t *testing.T) {
 	state := func(s protocol.JobState) Reply {
 		return Reply{Status: 200, Body: []byte(`{"uid":"j-1","situacao":"` + s + `"}`)}
 	}
-	query, submit := Request{Kind: protocol.RequestQuery, JobID: "j-1"}, Request{Kind: protocol.RequestSubmit, JobID: "j-1"}
-	put := func(w *simulation, name, key string, attempt uint64) {
-		w.workers[name].tasks = append(w.workers[name].tasks,
-			&simTask{key: key, attempt: attempt, state: protocol.TaskRunning, end: w.now + time.Hour})
+	query, submit := Request{Kind: protocol.RequestQuery, JobID: "j-1"}, Request{Kind: protocol.RequestSubmit,
+		JobID: "j-1"}
+	put := func(sim *simulation, name, key string, attempt uint64) {
+		sim.workers[name].tasks = append(sim.workers[name].tasks,
+			&fakeTask{taskKey: key, attempt: attempt, state: protocol.TaskRunning, endsAt: sim.now + time.Hour})
 	}
-	start := func(w *simulation, name, key string) {
-		w.workers[name].execute(protocol.Command{Kind: protocol.CommandStart, TaskID: key, Attempt: 99})
+	start := func(sim *simulation, name, key string) {
+		sim.workers[name].executeCommand(protocol.Command{Kind: protocol.CommandStart, TaskID: key, Attempt: 99})
 	}
-	for rule, breaks := range map[string]func(w *simulation){
-		"forgotten":  func(w *simulation) { w.hears(query, "n0", w.now, Reply{Status: 404}) },
-		"forgotten ": func(w *simulation) { w.hears(submit, "n0", w.now, Reply{Status: 422}) },
-		"invented": func(w *simulation) {
-			w.hears(Request{Kind: protocol.RequestQuery, JobID: "j-x"}, "n0", w.now, state(protocol.JobQueued))
+	for rule, breaks := range map[string]func(sim *simulation){
+		"forgotten":  func(sim *simulation) { sim.checkReply(query, "n0", sim.now, Reply{Status: 404}) },
+		"forgotten ": func(sim *simulation) { sim.checkReply(submit, "n0", sim.now, Reply{Status: 422}) },
+		"invented": func(sim *simulation) {
+			sim.checkReply(Request{Kind: protocol.RequestQuery, JobID: "j-x"}, "n0", sim.now, state(protocol.JobQueued))
 		},
-		"went_back": func(w *simulation) {
-			w.over["j-1"], w.overAt["j-1"] = protocol.JobCancelled, w.now
-			w.hears(query, "n0", w.now, state(protocol.JobRunning))
+		"went_back": func(sim *simulation) {
+			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now
+			sim.checkReply(query, "n0", sim.now, state(protocol.JobRunning))
 		},
-		"went_back ":  func(w *simulation) { w.hears(query, "n0", w.now, state(protocol.JobCancelled)) },
-		"not_done":    func(w *simulation) { w.hears(query, "n0", w.now, state(protocol.JobDone)) },
-		"silent wait": func(w *simulation) { w.hears(query, "n0", w.now, Reply{Status: 503}) },
-		"orphaned": func(w *simulation) {
-			j := w.specs["j-1"]
-			j.Dependencies = []string{"j-0"}
-			w.specs["j-1"] = j
-			w.over["j-0"], w.overAt["j-0"] = protocol.JobCancelled, w.now-time.Minute
-			w.accepted["j-1"] -= time.Minute
-			w.hears(query, "n0", w.now, state(protocol.JobQueued))
+		"went_back ":  func(sim *simulation) { sim.checkReply(query, "n0", sim.now, state(protocol.JobCancelled)) },
+		"not_done":    func(sim *simulation) { sim.checkReply(query, "n0", sim.now, state(protocol.JobDone)) },
+		"silent wait": func(sim *simulation) { sim.checkReply(query, "n0", sim.now, Reply{Status: 503}) },
+		"orphaned": func(sim *simulation) {
+			job := sim.jobSpecs["j-1"]
+			job.Dependencies = []string{"j-0"}
+			sim.jobSpecs["j-1"] = job
+			sim.terminalStates["j-0"], sim.terminalAt["j-0"] = protocol.JobCancelled, sim.now-time.Minute
+			sim.acceptedAt["j-1"] -= time.Minute
+			sim.checkReply(query, "n0", sim.now, state(protocol.JobQueued))
 		},
-		"ran_twice": func(w *simulation) {
-			put(w, "m-000001", "j-1/0", 1)
-			put(w, "m-000002", "j-1/0", 2)
-			w.check()
+		"ran_twice": func(sim *simulation) {
+			put(sim, "m-000001", "j-1/0", 1)
+			put(sim, "m-000002", "j-1/0", 2)
+			sim.checkInvariants()
 		},
-		"quota": func(w *simulation) {
-			j := spec("j-2", 17)
-			j.Team = "team"
-			w.specs["j-2"] = j
+		"quota": func(sim *simulation) {
+			job := jobSpec("j-2", 17)
+			job.Team = "team"
+			sim.jobSpecs["j-2"] = job
 			for i := range 17 {
-				put(w, "m-000001", cluster.TaskKey("j-2", i), 1)
+				put(sim, "m-000001", cluster.TaskKey("j-2", i), 1)
 			}
-			w.check()
+			sim.checkInvariants()
 		},
-		"ran_cancelled": func(w *simulation) {
-			w.over["j-1"], w.overAt["j-1"] = protocol.JobCancelled, w.now-w.cancelSpan()-time.Second
-			put(w, "m-000001", "j-1/0", 1)
-			w.check()
+		"ran_cancelled": func(sim *simulation) {
+			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now-sim.cancelLimit()-time.Second
+			put(sim, "m-000001", "j-1/0", 1)
+			sim.checkInvariants()
 		},
-		"started after its cancellation": func(w *simulation) {
-			w.over["j-1"], w.overAt["j-1"] = protocol.JobCancelled, w.now-5*time.Second
-			start(w, "m-000001", "j-1/0")
+		"started after its cancellation": func(sim *simulation) {
+			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now-5*time.Second
+			start(sim, "m-000001", "j-1/0")
 		},
-		"too_early": func(w *simulation) {
-			j := after("j-2", 1, "j-1")
-			w.specs["j-2"] = j
-			start(w, "m-000001", "j-2/0")
+		"too_early": func(sim *simulation) {
+			job := dependentSpec("j-2", 1, "j-1")
+			sim.jobSpecs["j-2"] = job
+			start(sim, "m-000001", "j-2/0")
 		},
-		"wrong_place": func(w *simulation) {
-			j := spec("j-2", 1)
-			j.SpotAllowed = false
-			w.specs["j-2"] = j
-			start(w, "m-000001", "j-2/0")
+		"wrong_place": func(sim *simulation) {
+			job := jobSpec("j-2", 1)
+			job.SpotAllowed = false
+			sim.jobSpecs["j-2"] = job
+			start(sim, "m-000001", "j-2/0")
 		},
-		"wrong_place ": func(w *simulation) {
-			j := spec("j-2", 2)
-			j.SameZone = true
-			w.specs["j-2"] = j
-			start(w, "m-000001", "j-2/0")
-			start(w, "m-000002", "j-2/1")
+		"wrong_place ": func(sim *simulation) {
+			job := jobSpec("j-2", 2)
+			job.SameZone = true
+			sim.jobSpecs["j-2"] = job
+			start(sim, "m-000001", "j-2/0")
+			start(sim, "m-000002", "j-2/1")
 		},
-		"two leaders": func(w *simulation) {
-			for _, n := range w.nodes {
+		"two leaders": func(sim *simulation) {
+			for _, n := range sim.nodes {
 				if n.leader == nil {
 					forceLeadership(n.Node, 99)
 				}
 			}
-			w.check()
+			sim.checkInvariants()
 		},
-		"forgotten  ": func(w *simulation) {
-			for _, n := range w.nodes {
+		"forgotten  ": func(sim *simulation) {
+			for _, n := range sim.nodes {
 				n.down = true
 			}
-			w.run(time.Second)
-			(newUserSimulation(w, 1)).calmDown()
-			w.run(76 * time.Second)
+			sim.advance(time.Second)
+			(newUserSimulation(sim, 1)).markFaultsEnded()
+			sim.advance(76 * time.Second)
 		},
-		"waits ": func(w *simulation) {
-			w.cloud.noSpot = true
-			w.accepted["j-2"], w.specs["j-2"], w.calm = w.now, after("j-2", 1), w.now
+		"waits ": func(sim *simulation) {
+			sim.cloud.noSpot = true
+			sim.acceptedAt["j-2"], sim.jobSpecs["j-2"], sim.faultsEndedAt = sim.now, dependentSpec("j-2", 1), sim.now
 			for i := range 8 {
-				put(w, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room
+				put(sim, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room is left
 			}
-			w.run(4*time.Minute + 2*time.Second)
+			sim.advance(4*time.Minute + 2*time.Second)
 		},
-		"waits": func(w *simulation) {
-			for _, n := range w.nodes {
+		"waits": func(sim *simulation) {
+			for _, n := range sim.nodes {
 				n.down = true
 			}
-			w.accepted["j-2"], w.specs["j-2"], w.calm = w.now, spec("j-2", 1), w.now
-			w.run(92 * time.Second)
+			sim.acceptedAt["j-2"], sim.jobSpecs["j-2"], sim.faultsEndedAt = sim.now, jobSpec("j-2", 1), sim.now
+			sim.advance(92 * time.Second)
 		},
 	} {
 		t.Run(rule, func(t *testing.T) {
-			w := newSimulation(t, 3)
-			w.runTime = func(string, int) time.Duration { return time.Hour }
-			l := w.waitLeader()
-			w.machines(2)
-			w.submit(l.name, spec("j-1", 1))
-			w.caught = map[string]int{}
-			breaks(w)
-			if rule = strings.TrimSpace(rule); w.caught[rule] == 0 {
-				t.Fatalf("not caught: %v", w.caught)
+			sim := newSimulation(t, 3)
+			sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+			leaderNode := sim.waitForLeader()
+			sim.startMachines(2)
+			sim.submit(leaderNode.name, jobSpec("j-1", 1))
+			sim.caughtViolations = map[string]int{}
+			breaks(sim)
+			if rule = strings.TrimSpace(rule); sim.caughtViolations[rule] == 0 {
+				t.Fatalf("not caught: %v", sim.caughtViolations)
 			}
 		})
 	}
 }
 
-// checkPolicy judges a transaction that is about to be carried out: no job is accepted that
-// the policy in force does not admit, unless its writer knows of no policies.
-func (w *simulation) checkPolicy(t storage.Txn) {
-	w.t.Helper()
-	record, exists := w.state.keys[storage.AdmissionPolicyKey]
-	if !exists || !slices.ContainsFunc(t.Conditions, func(c storage.Condition) bool { return c.Key == storage.AdmissionPolicyKey }) {
+// checkAdmissionPolicy checks a transaction before it is executed: it accepts no job that the
+// policy in force does not admit, unless its writer does not support policies.
+func (sim *simulation) checkAdmissionPolicy(t storage.Txn) {
+	sim.t.Helper()
+	record, exists := sim.store.keys[storage.AdmissionPolicyKey]
+	if !exists || !slices.ContainsFunc(t.Conditions,
+		func(c storage.Condition) bool { return c.Key == storage.AdmissionPolicyKey }) {
 		return
 	}
 	policy := &admission.Policy{}
 	if json.Unmarshal(record.Value, policy) != nil {
-		policy = &admission.Policy{DefaultShare: admission.Share{Steps: []uint64{0}}} // nobody
+		policy = &admission.Policy{DefaultShare: admission.Share{Steps: []uint64{0}}} // admits no job
 	}
-	for _, wr := range t.Writes {
+	for _, write := range t.Writes {
 		var job storage.JobRecord
-		if !strings.HasPrefix(wr.PutKey, storage.JobPrefix) || json.Unmarshal(wr.Value, &job) != nil {
+		if !strings.HasPrefix(write.PutKey, storage.JobPrefix) || json.Unmarshal(write.Value, &job) != nil {
 			continue
 		}
-		w.judged[policy.Epoch]++
+		sim.acceptancesByEpoch[policy.Epoch]++
 		if !policy.Evaluate(admissioncontrol.GroupOf(&job.Spec), job.Spec.ID).Admit {
-			w.broken("policy", "%s is accepted in epoch %d", job.Spec.ID, policy.Epoch)
+			sim.reportViolation("policy", "%s is accepted in epoch %d", job.Spec.ID, policy.Epoch)
 		}
 	}
 }
--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -9,340 +9,348 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A machine whose reports arrive but which hears no answer gets no more work, and
-// what waited for it runs elsewhere. Its fresh reports once kept tasks waiting on
-// it for ever.
-func TestDeafMachineGetsNoWork(t *testing.T) {
-	w := newSimulation(t, 1)
-	l := w.waitLeader()
-	w.machines(2)
-	w.runTime = func(string, int) time.Duration { return time.Hour }
-	w.workers["m-000001"].dropAnswers = true
-	j := spec("j-1", 60)
-	j.EstimatedSeconds = 3600
-	w.submit(l.name, j)
-	w.run(25 * time.Second)
-	if got := w.onMachines("j-1"); got != 60 {
+// A machine whose heartbeats arrive but which gets no responses is given no more work, and the
+// tasks that were assigned to it run elsewhere. Its heartbeats once kept those tasks assigned for
+// ever.
+func TestMachineWithoutResponsesGetsNoWork(t *testing.T) {
+	sim := newSimulation(t, 1)
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(2)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+	sim.workers["m-000001"].dropResponses = true
+	job := jobSpec("j-1", 60)
+	job.EstimatedSeconds = 3600
+	sim.submit(leaderNode.name, job)
+	sim.advance(25 * time.Second)
+	if got := sim.activeTaskCount("j-1"); got != 60 {
 		t.Fatalf("%d of 60 tasks run beside a deaf machine", got)
 	}
-	next := spec("j-2", 4)
+	next := jobSpec("j-2", 4)
 	next.EstimatedSeconds = 3600
-	w.submit(l.name, next)
-	if !w.until(12*time.Second, func() bool { return w.onMachines("j-2") == 4 }) {
-		t.Fatalf("%d of 4 tasks run beside a deaf machine", w.onMachines("j-2"))
+	sim.submit(leaderNode.name, next)
+	if !sim.advanceUntil(12*time.Second, func() bool { return sim.activeTaskCount("j-2") == 4 }) {
+		t.Fatalf("%d of 4 tasks run beside a deaf machine", sim.activeTaskCount("j-2"))
 	}
-	if !w.until(20*time.Second, func() bool { return w.cloud.hosts["m-000001"] == nil }) {
+	if !sim.advanceUntil(20*time.Second, func() bool { return sim.cloud.hosts["m-000001"] == nil }) {
 		t.Fatal("a deaf machine is kept")
 	}
 }
 
-// What a deaf machine runs is free again once its lease is surely over, though it
-// goes on reporting: answers that don't arrive renew nothing. Several at once.
-func TestDeafMachinesLoseTheirTasks(t *testing.T) {
-	w, _ := running(t, 3, 25*time.Second, 4, 12)
-	w.cloud.noReturn = true
+// Tasks of machines that get no responses are rescheduled once the worker lease has certainly
+// expired, although the machines keep sending heartbeats: a response that does not arrive renews no
+// lease. Several machines at once.
+func TestMachinesWithoutResponsesLoseTheirTasks(t *testing.T) {
+	sim, _ := newRunningSimulation(t, 3, 25*time.Second, 4, 12)
+	sim.cloud.rejectReturns = true
 	for _, name := range []string{"m-000001", "m-000002"} {
-		w.workers[name].dropAnswers = true
+		sim.workers[name].dropResponses = true
 	}
-	w.waitState("j-1", protocol.JobDone, 2*time.Minute)
+	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// After a takeover a deaf machine must not hold up the older jobs: it never shows
-// the new token, and each answer to it once put off the end of accounting.
-func TestDeafMachineAcrossTakeover(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.runTime = func(task string, _ int) time.Duration {
-		if jobOf(task) == "j-1" {
+// After a takeover a machine without responses must not hold up older jobs: it never carries the
+// new fencing token, and each response sent to it once postponed its reconciliation.
+func TestMachineWithoutResponsesAcrossTakeover(t *testing.T) {
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(task string, _ int) time.Duration {
+		if jobIDOf(task) == "j-1" {
 			return 20 * time.Second
 		}
 		return 3 * time.Second
 	}
-	l := w.waitLeader()
-	w.submitAndStart(l.name, spec("j-1", 6), 6)
-	for _, x := range w.workers {
-		x.dropAnswers = true
+	leaderNode := sim.waitForLeader()
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 6), 6)
+	for _, worker := range sim.workers {
+		worker.dropResponses = true
 		break
 	}
-	w.submit(l.name, spec("j-2", 30))
-	w.crash(l.name)
-	w.run(time.Second)
-	next := w.waitLeader()
-	// Its reports all arrive at the new leader, as often as may be.
-	for _, x := range w.workers {
-		if x.dropAnswers {
-			x.node = next.name
-			w.copies = func(y *worker, _ *protocol.WorkerHeartbeat) {
-				if y == x {
-					x.node = next.name
+	sim.submit(leaderNode.name, jobSpec("j-2", 30))
+	sim.crashNode(leaderNode.name)
+	sim.advance(time.Second)
+	next := sim.waitForLeader()
+	// Its heartbeats all arrive at the new leader, at the highest rate.
+	for _, worker := range sim.workers {
+		if worker.dropResponses {
+			worker.node = next.name
+			sim.onHeartbeat = func(other *fakeWorker, _ *protocol.WorkerHeartbeat) {
+				if other == worker {
+					worker.node = next.name
 				}
 			}
 		}
 	}
-	w.waitState("j-2", protocol.JobDone, 50*time.Second)
-	w.waitState("j-1", protocol.JobDone, time.Minute)
+	sim.waitForJobState("j-2", protocol.JobDone, 50*time.Second)
+	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
 }
 
-// A machine that hears again after it was taken for deaf is safe: nothing of it
-// runs twice, whether it has been returned or not.
-func TestDeafMachineHearsAgain(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return 12 * time.Second }
-	l := w.waitLeader()
-	w.submitAndStart(l.name, spec("j-1", 4), 4)
-	w.cloud.noReturn = true
-	for _, x := range w.workers {
-		x.dropAnswers = true
+// A machine that receives responses again after it was treated as unreachable is handled safely:
+// none of its tasks runs twice, whether it has been returned or not.
+func TestMachineReceivesResponsesAgain(t *testing.T) {
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 12 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 4), 4)
+	sim.cloud.rejectReturns = true
+	for _, worker := range sim.workers {
+		worker.dropResponses = true
 	}
-	w.run(22 * time.Second)
-	for _, x := range w.workers {
-		x.dropAnswers = false
+	sim.advance(22 * time.Second)
+	for _, worker := range sim.workers {
+		worker.dropResponses = false
 	}
-	w.cloud.noReturn = false
-	w.waitState("j-1", protocol.JobDone, 2*time.Minute)
+	sim.cloud.rejectReturns = false
+	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// Late copies of reports arrive from seconds to well over a lease late: after
-// newer ones, after the machine was returned, after a takeover by a leader that
-// remembers nothing of it. None brings back a machine, a task or a quota.
+// Late copies of heartbeats arrive seconds to well over a lease late: after newer ones, after the
+// machine was returned, after a takeover by a leader that knows nothing of it. None restores a
+// machine, a task or used quota.
 func TestLateCopiesReviveNothing(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.runTime = func(task string, _ int) time.Duration {
-		if jobOf(task) == "j-2" {
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(task string, _ int) time.Duration {
+		if jobIDOf(task) == "j-2" {
 			return time.Hour
 		}
 		return 15 * time.Second
 	}
-	w.waitLeader()
+	sim.waitForLeader()
 	var seen []*protocol.WorkerHeartbeat
-	w.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
-		copied := *rep
-		copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
+	sim.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
+		copied := *heartbeat
+		copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
 		seen = append(seen, &copied)
 	}
-	j := spec("j-1", 16)
-	j.Team = "team" // its limit is 16 cores
-	w.machines(5)
-	w.submitAndStart(w.leader(), j, 16)
-	w.waitState("j-1", protocol.JobDone, time.Minute)
-	// All machines are returned, and their records dropped.
-	if !w.until(5*time.Minute, func() bool { return len(w.workers) == 0 && len(w.nodes[w.leader()].leader.Machines) == 0 }) {
-		t.Fatalf("machines are kept: %d", len(w.workers))
+	job := jobSpec("j-1", 16)
+	job.Team = "team" // which has a limit of 16 cores
+	sim.startMachines(5)
+	sim.submitAndStart(sim.leaderName(), job, 16)
+	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
+	// All machines are returned, and their records deleted.
+	if !sim.advanceUntil(5*time.Minute,
+		func() bool { return len(sim.workers) == 0 && len(sim.nodes[sim.leaderName()].leader.Machines) == 0 }) {
+		t.Fatalf("machines are kept: %d", len(sim.workers))
 	}
 	old := seen
-	w.copies = nil
+	sim.onHeartbeat = nil
 	replay := func() {
 		for i := range old {
-			rep := *old[i]
-			for _, name := range w.names {
-				w.ask(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &rep}, func(Reply) {})
+			heartbeat := *old[i]
+			for _, name := range sim.names {
+				sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &heartbeat}, func(Reply) {})
 			}
 		}
-		w.run(time.Second)
+		sim.advance(time.Second)
 	}
 	look := func(when string) {
 		t.Helper()
-		l := w.nodes[w.leader()].leader
+		l := sim.nodes[sim.leaderName()].leader
 		if c := l.CurrentMachineTotals(); c.Slots != 0 || c.UnknownUsage.Cores != 0 || !c.AllReconciled {
 			t.Fatalf("%s: late copies count: %+v", when, c)
 		}
 		if u := l.TeamUsage["team"]; u.Cores != 0 {
 			t.Fatalf("%s: late copies use %v cores of a quota", when, u.Cores)
 		}
-		for name, m := range l.Machines {
-			if m.Schedulable() {
+		for name, machine := range l.Machines {
+			if machine.Schedulable() {
 				t.Fatalf("%s: late copies make %s ready", when, name)
 			}
 		}
 	}
 	replay()
 	look("same leader")
-	w.crash(w.leader())
-	w.run(time.Second)
-	w.waitLeader()
+	sim.crashNode(sim.leaderName())
+	sim.advance(time.Second)
+	sim.waitForLeader()
 	replay()
 	look("after a takeover")
-	// A job of the full quota starts as if nothing had come.
-	j = spec("j-2", 16)
-	j.EstimatedSeconds = 3600
-	j.Team = "team"
-	w.submit(w.leader(), j)
+	// A job that needs the full quota starts as if no copy had arrived.
+	job = jobSpec("j-2", 16)
+	job.EstimatedSeconds = 3600
+	job.Team = "team"
+	sim.submit(sim.leaderName(), job)
 	for i := range 30 {
-		w.run(time.Second)
+		sim.advance(time.Second)
 		replay()
-		if w.onMachines("j-2") == 16 {
+		if sim.activeTaskCount("j-2") == 16 {
 			return
 		}
 		if i == 29 {
-			t.Fatalf("%d of 16 tasks started among late copies", w.onMachines("j-2"))
+			t.Fatalf("%d of 16 tasks started among late copies", sim.activeTaskCount("j-2"))
 		}
 	}
 }
 
-// Copies that come while the machine lives, in any order and long after, neither
-// bring back a task that has finished or moved, nor free one that runs.
+// Copies that arrive while the machine is up, in any order and long after, neither restore a task
+// that has completed or moved nor release one that runs.
 func TestLateCopiesOfLivingMachines(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return 4 * time.Second }
-	l := w.waitLeader()
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 4 * time.Second }
+	leaderNode := sim.waitForLeader()
 	count := 0
-	w.copies = func(x *worker, rep *protocol.WorkerHeartbeat) {
+	sim.onHeartbeat = func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 		count++
-		copied := *rep
-		copied.Tasks = append([]protocol.TaskStatus(nil), rep.Tasks...)
-		for _, late := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second, 25 * time.Second} {
-			w.after(late, func() {
-				w.ask(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(r Reply) {
-					if r.Status == 200 && (copied.Epoch < x.session || copied.Sequence < x.seq-1) {
-						t.Errorf("a copy %v late is answered 200", late)
-					}
-				})
+		copied := *heartbeat
+		copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
+		for _, late := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second,
+			25 * time.Second} {
+			sim.schedule(late, func() {
+				sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied},
+					func(r Reply) {
+						if r.Status == 200 && (copied.Epoch < worker.epoch || copied.Sequence < worker.sequence-1) {
+							t.Errorf("a copy %v late is answered 200", late)
+						}
+					})
 			})
 		}
 	}
 	for i := range 6 {
-		w.submit(l.name, spec(fmt.Sprintf("j-%d", i), 10))
-		w.run(5 * time.Second)
+		sim.submit(leaderNode.name, jobSpec(fmt.Sprintf("j-%d", i), 10))
+		sim.advance(5 * time.Second)
 		if i == 2 {
-			w.cancel(l.name, "j-2")
+			sim.cancelJob(leaderNode.name, "j-2")
 		}
 	}
-	w.run(40 * time.Second)
+	sim.advance(40 * time.Second)
 	for i := range 6 {
 		want := protocol.JobDone
 		if i == 2 {
 			want = protocol.JobCancelled
 		}
-		w.waitState(fmt.Sprintf("j-%d", i), want, time.Minute)
+		sim.waitForJobState(fmt.Sprintf("j-%d", i), want, time.Minute)
 	}
-	w.startedOnce()
+	sim.checkStartedOnce()
 	if count == 0 {
 		t.Fatal("no copies were sent")
 	}
 }
 
-// A machine that is back at once after an end, in a new session, loses what it ran and
-// gets it again; it is not taken for one that hears nothing.
+// A machine that restarts at once, with a new epoch, loses its tasks and is given them again; it is
+// not treated as one without responses.
 func TestMachineBackAtOnce(t *testing.T) {
-	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return 20 * time.Second }
-	l := w.waitLeader()
-	w.machines(1)
-	w.cloud.capacity = 1
-	w.submitAndStart(l.name, spec("j-1", 4), 4)
-	w.run(10 * time.Second)
-	x := w.workers["m-000001"]
-	x.restarted()
-	if !w.until(3*time.Second, func() bool { return w.onMachines("j-1") == 4 }) {
-		t.Fatalf("%d of 4 tasks run again", w.onMachines("j-1"))
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(1)
+	sim.cloud.capacity = 1
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 4), 4)
+	sim.advance(10 * time.Second)
+	worker := sim.workers["m-000001"]
+	worker.restartMachine()
+	if !sim.advanceUntil(3*time.Second, func() bool { return sim.activeTaskCount("j-1") == 4 }) {
+		t.Fatalf("%d of 4 tasks run again", sim.activeTaskCount("j-1"))
 	}
-	w.waitState("j-1", protocol.JobDone, 30*time.Second)
-	if m := l.leader.Machines["m-000001"]; m == nil || m.DrainReason == cluster.CommandsUndelivered {
+	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
+	if machine := leaderNode.leader.Machines["m-000001"]; machine == nil ||
+		machine.DrainReason == cluster.CommandsUndelivered {
 		t.Fatal("the machine is taken for deaf")
 	}
 }
 
-// Machines that a leader loses sight of together are not returned one after the other
-// before it shows how many they are, nor once they have spoken again.
+// Machines that a leader loses contact with together are not returned one after the other before
+// their number is known, nor after they have reported again.
 func TestMachinesCutOffTogetherAreKept(t *testing.T) {
-	w, l := running(t, 3, time.Hour, 9, 36)
-	held := len(w.cloud.hosts)
+	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 9, 36)
+	held := len(sim.cloud.hosts)
 	cut := func(n int, apart time.Duration) {
 		for i := range n {
-			w.workers[fmt.Sprintf("m-%06d", i+1)].silent = true
-			w.run(apart)
+			sim.workers[fmt.Sprintf("m-%06d", i+1)].unreachable = true
+			sim.advance(apart)
 		}
 	}
 	back := func() {
-		for _, x := range w.workers {
-			x.silent = false
+		for _, worker := range sim.workers {
+			worker.unreachable = false
 		}
 	}
-	// Six of nine, not all at the same moment: fewer than half when the first are due.
+	// Six of nine, not all at the same moment: fewer than half when the first ones are due.
 	cut(6, 500*time.Millisecond)
-	w.run(8 * time.Second)
+	sim.advance(8 * time.Second)
 	back()
-	w.run(5 * time.Second)
-	if len(w.cloud.hosts) < held {
-		t.Fatalf("%d of %d machines are left after a cut of six", len(w.cloud.hosts), held)
+	sim.advance(5 * time.Second)
+	if len(sim.cloud.hosts) < held {
+		t.Fatalf("%d of %d machines are left after a cut of six", len(sim.cloud.hosts), held)
 	}
 	// Three of nine, while the cloud is down.
-	w.cloud.down = true
+	sim.cloud.unavailable = true
 	cut(3, 0)
-	w.run(10 * time.Second)
-	if m := l.leader.Machines["m-000001"]; m.DrainReason != cluster.HeartbeatMissed {
-		t.Fatalf("a silent machine is not to be returned (%q)", m.DrainReason)
+	sim.advance(10 * time.Second)
+	if machine := leaderNode.leader.Machines["m-000001"]; machine.DrainReason != cluster.HeartbeatMissed {
+		t.Fatalf("a silent machine is not to be returned (%q)", machine.DrainReason)
 	}
-	l.leader.Machines["m-000003"].Unhealthy = true
+	leaderNode.leader.Machines["m-000003"].Unhealthy = true
 	back()
-	w.run(4 * time.Second)
-	if m := l.leader.Machines["m-000003"]; m.DrainReason != cluster.Unhealthy {
-		t.Errorf("a sick machine that was silent is kept (%q)", m.DrainReason)
+	sim.advance(4 * time.Second)
+	if machine := leaderNode.leader.Machines["m-000003"]; machine.DrainReason != cluster.Unhealthy {
+		t.Errorf("a sick machine that was silent is kept (%q)", machine.DrainReason)
 	}
-	w.cloud.down = false
-	w.run(10 * time.Second)
-	if len(w.cloud.hosts) < held {
-		t.Errorf("%d of %d machines are left after an outage of the cloud", len(w.cloud.hosts), held)
+	sim.cloud.unavailable = false
+	sim.advance(10 * time.Second)
+	if len(sim.cloud.hosts) < held {
+		t.Errorf("%d of %d machines are left after an outage of the cloud", len(sim.cloud.hosts), held)
 	}
-	w.startedOnce()
+	sim.checkStartedOnce()
 }
 
-// A copy that was kept for the next leader, and reaches it before anything newer does,
-// shows a task where it ran before it moved. The task goes on where it is: the copy once
-// had it ended there.
+// A copy that reaches the next leader before any newer heartbeat shows a task on the machine from
+// which it has moved. The task continues where it is: the copy once ended it there.
 func TestCopyKeptForTheNextLeader(t *testing.T) {
 	for nodes := 1; nodes <= 7; nodes += 2 {
 		for offset := range 12 {
 			t.Run(fmt.Sprintf("%d nodes, offset %d", nodes, offset), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, nodes)
-				w.runTime = func(string, int) time.Duration { return 80 * time.Second }
-				l := w.waitLeader()
-				w.machines(1)
-				j := spec("j-1", 4)
-				j.EstimatedSeconds = 80
-				w.submitAndStart(l.name, j, 4)
+				sim := newSimulation(t, nodes)
+				sim.taskDuration = func(string, int) time.Duration { return 80 * time.Second }
+				leaderNode := sim.waitForLeader()
+				sim.startMachines(1)
+				job := jobSpec("j-1", 4)
+				job.EstimatedSeconds = 80
+				sim.submitAndStart(leaderNode.name, job, 4)
 				kept := map[string]*protocol.WorkerHeartbeat{}
-				w.copies = func(x *worker, rep *protocol.WorkerHeartbeat) {
-					if len(rep.Tasks) > 0 {
-						copied := *rep
-						kept[x.name] = &copied
+				sim.onHeartbeat = func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
+					if len(heartbeat.Tasks) > 0 {
+						copied := *heartbeat
+						kept[worker.name] = &copied
 					}
 				}
-				w.run(4 * time.Second)
-				// The cloud says that it takes the machines, so that their tasks move, but
-				// neither takes them nor lets them be returned.
-				w.cloud.noReturn = true
+				sim.advance(4 * time.Second)
+				// The cloud announces a preemption, so that the tasks move, but neither takes the
+				// machines nor accepts their return.
+				sim.cloud.rejectReturns = true
 				soon := 30.0
-				var old []*worker
-				for _, x := range w.inOrder() {
-					x.notice = &soon
-					old = append(old, x)
+				var old []*fakeWorker
+				for _, worker := range sim.sortedWorkers() {
+					worker.preemptionNotice = &soon
+					old = append(old, worker)
 				}
-				w.copies = nil
-				if !w.until(time.Minute, func() bool { return w.onMachines("j-1") == 4 && len(old[0].tasks)+len(old[len(old)-1].tasks) == 0 }) {
+				sim.onHeartbeat = nil
+				if !sim.advanceUntil(time.Minute, func() bool {
+					return sim.activeTaskCount("j-1") == 4 && len(old[0].tasks)+len(old[len(old)-1].tasks) == 0
+				}) {
 					t.Fatal("the tasks don't run elsewhere")
 				}
-				w.run(5 * time.Second)
-				before, total := len(w.starts), w.allStarts()
-				w.back(w.leader(), 300*time.Millisecond)
+				sim.advance(5 * time.Second)
+				before, total := len(sim.startCounts), sim.totalStarts()
+				sim.restartAfter(sim.leaderName(), 300*time.Millisecond)
 				send := func() {
-					for _, rep := range kept {
-						for _, name := range w.names {
-							again := *rep
-							w.ask(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
+					for _, heartbeat := range kept {
+						for _, name := range sim.names {
+							again := *heartbeat
+							sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat,
+								Heartbeat: &again}, func(Reply) {})
 						}
 					}
 				}
-				w.until(30*time.Second, func() bool { return w.leader() != "" })
+				sim.advanceUntil(30*time.Second, func() bool { return sim.leaderName() != "" })
 				for i := range 8 {
-					w.after(time.Duration(offset*i)*10*time.Millisecond, send)
+					sim.schedule(time.Duration(offset*i)*10*time.Millisecond, send)
 				}
-				w.run(20 * time.Second)
-				if now := w.allStarts(); len(w.starts) != before || now != total || w.onMachines("j-1") != 4 {
-					t.Errorf("%d of 4 tasks run, %d starts after %d", w.onMachines("j-1"), now, total)
+				sim.advance(20 * time.Second)
+				if now := sim.totalStarts(); len(sim.startCounts) != before || now != total ||
+					sim.activeTaskCount("j-1") != 4 {
+					t.Errorf("%d of 4 tasks run, %d starts after %d", sim.activeTaskCount("j-1"), now, total)
 				}
-				w.cloud.noReturn = false
-				w.waitState("j-1", protocol.JobDone, 2*time.Minute)
+				sim.cloud.rejectReturns = false
+				sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 			})
 		}
 	}
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -9,64 +9,64 @@
 	"hitchdoor/internal/protocol"
 )
 
-// busy is a leader at the size of a large deployment, with half as many machines
-// again: all full, and tens of thousands of tasks that wait.
-func busy(b *testing.B) (*simulation, *simNode) {
+// newBenchmarkLeader returns a leader with half as many machines again as a large deployment: all
+// full, with tens of thousands of pending tasks.
+func newBenchmarkLeader(b *testing.B) (*simulation, *simNode) {
 	defer b.ReportAllocs()
-	return busyLeader(&testing.T{}, 1800, 300)
+	return newBusyLeader(&testing.T{}, 1800, 300)
 }
 
-// busyLeader is a leader of so many full machines, with 60 jobs of so many tasks.
-func busyLeader(t *testing.T, machines, tasks int) (*simulation, *simNode) {
-	w := newSimulation(t, 1)
-	w.runTime = func(string, int) time.Duration { return time.Hour }
-	l := w.waitLeader()
-	w.cloud.boot = time.Second
+// newBusyLeader returns a leader of full machines, with 60 jobs of the given number of tasks.
+func newBusyLeader(t *testing.T, machines, tasks int) (*simulation, *simNode) {
+	sim := newSimulation(t, 1)
+	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
+	leaderNode := sim.waitForLeader()
+	sim.cloud.bootTime = time.Second
 	for i := range machines {
-		w.cloud.rent("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	w.until(time.Minute, func() bool { return len(w.workers) >= machines })
-	w.cloud.capacity = machines
+	sim.advanceUntil(time.Minute, func() bool { return len(sim.workers) >= machines })
+	sim.cloud.capacity = machines
 	for i := range 60 {
-		j := spec(fmt.Sprintf("j-%d", i), tasks)
-		j.Image = fmt.Sprintf("i%d", i%18)
-		w.submit(l.name, j)
+		job := jobSpec(fmt.Sprintf("j-%d", i), tasks)
+		job.Image = fmt.Sprintf("i%d", i%18)
+		sim.submit(leaderNode.name, job)
 	}
-	w.run(15 * time.Second)
-	return w, l
+	sim.advance(15 * time.Second)
+	return sim, leaderNode
 }
 
-// What a report costs, counted in machines and jobs looked at, is the same with four
-// times the machines and tasks, also for work that is to start soon and looks
-// for a machine with its image.
-func TestReportCostsTheSameAtAnySize(t *testing.T) {
+// The cost of a heartbeat, counted in machines and jobs examined, is the same with four times the
+// machines and tasks, also for latency-sensitive work that prefers a machine with its image.
+func TestHeartbeatCostsTheSameAtAnySize(t *testing.T) {
 	cost := func(machines, tasks int) int {
-		w, n := busyLeader(t, machines, tasks)
-		l, now := n.leader, w.now-n.boot
+		sim, n := newBusyLeader(t, machines, tasks)
+		l, now := n.leader, sim.now-n.bootedAt
 		l.GuaranteedStartWithin = 10 * time.Second
 		for i, r := range l.PendingOrder {
 			r.Job.EligibleAt, r.Job.Spec.Image, r.Job.Spec.ImageGB = now, fmt.Sprintf("new%d", i), 1
 			if i < len(l.PendingOrder)/2 {
-				r.Job.Spec.MemoryGB = 15 // no room on any machine, but each is asked
+				r.Job.Spec.MemoryGB = 15 // fits on no machine, but is examined for each
 			}
 			l.Slos[r.Job.Spec.Class] = []cluster.Slo{{Limit: 10 * time.Second, OnStart: true}}
 		}
 		at := l.CandidatesExamined
-		for i, m := range l.MachinesByName()[:21] {
-			rep := w.workers[m.Name].report()
-			if i%2 == 0 { // a task has ended
-				rep.Tasks[0].State, rep.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
+		for i, machine := range l.MachinesByName()[:21] {
+			heartbeat := sim.workers[machine.Name].heartbeat()
+			if i%2 == 0 { // a task has completed
+				heartbeat.Tasks[0].State, heartbeat.Tasks[0].ExitReason = protocol.TaskExited, protocol.ExitDone
 			}
-			rep.Sequence = m.HeartbeatSeq + 1
+			heartbeat.Sequence = machine.HeartbeatSeq + 1
 			if !n.holdsLeaderLease() {
 				t.Fatal("the lease has ended, though the clock stands still")
 			}
-			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
-			if m.HeartbeatSeq != rep.Sequence {
+			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat,
+				Heartbeat: heartbeat})
+			if machine.HeartbeatSeq != heartbeat.Sequence {
 				t.Fatal("a report was not taken")
 			}
 			if i == 0 {
-				at = l.CandidatesExamined // the first one after a pass looks for the images
+				at = l.CandidatesExamined // the first one after a pass looks up the images
 			}
 		}
 		return l.CandidatesExamined - at
@@ -77,43 +77,43 @@
 	}
 }
 
-// BenchmarkReport measures a leader's step for a report. Reports are most of its
-// work, so it must not grow with machines x tasks.
+// BenchmarkReport measures a leader's step for a heartbeat. Heartbeats are most of its work, so the
+// cost must not grow with machines x tasks.
 func BenchmarkReport(b *testing.B) {
-	w, l := busy(b)
-	m := l.leader.Machines["m-000001"]
-	rep := w.workers["m-000001"].report()
-	now := w.now - l.boot
+	sim, leaderNode := newBenchmarkLeader(b)
+	machine := leaderNode.leader.Machines["m-000001"]
+	heartbeat := sim.workers["m-000001"].heartbeat()
+	now := sim.now - leaderNode.bootedAt
 	for i := 0; b.Loop(); i++ {
-		// The clock stands still, within the leader's lease.
-		rep.Sequence = m.HeartbeatSeq + 1
-		l.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
+		// The clock doesn't advance, so the leader's lease holds.
+		heartbeat.Sequence = machine.HeartbeatSeq + 1
+		leaderNode.Step(now, []Command{Request{Origin: Origin{RequestID: uint64(i)},
+			Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
 	}
-	if m.HeartbeatSeq != rep.Sequence {
+	if machine.HeartbeatSeq != heartbeat.Sequence {
 		b.Fatal("the reports were not taken")
 	}
 }
 
-// BenchmarkPass measures a full pass of admission when a tenth of the machines
-// have room.
+// BenchmarkPass measures a full scheduling pass when a tenth of the machines have room.
 func BenchmarkPass(b *testing.B) {
-	_, l := busy(b)
+	_, leaderNode := newBenchmarkLeader(b)
 	for b.Loop() {
-		for i, m := range l.leader.MachinesByName() {
+		for i, machine := range leaderNode.leader.MachinesByName() {
 			if i%10 == 0 {
-				for _, r := range m.AttemptsInOrder {
-					l.leader.ReleaseAttempt(r)
+				for _, r := range machine.AttemptsInOrder {
+					leaderNode.leader.ReleaseAttempt(r)
 				}
 			}
 		}
-		l.leader.Schedule()
+		leaderNode.leader.Schedule()
 	}
 }
 
-// BenchmarkPlan measures the planning of the fleet.
+// BenchmarkPlan measures one plan of the fleet.
 func BenchmarkPlan(b *testing.B) {
-	_, l := busy(b)
+	_, leaderNode := newBenchmarkLeader(b)
 	for b.Loop() {
-		l.leader.autoscaler.ApplyPlan()
+		leaderNode.leader.autoscaler.ApplyPlan()
 	}
 }
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -12,84 +12,87 @@
 	"hitchdoor/internal/reachability"
 )
 
-// A half-open cut stops one direction of some links. It can be begun and ended again.
-type halfOpenCut func(w *simulation, leader string, on bool)
+// halfOpenCut stops, or restores, one direction of some links.
+type halfOpenCut func(sim *simulation, leader string, on bool)
 
-// halfOpenCuts are those between a leader, the other nodes, the state service and workers.
+// halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers.
 var halfOpenCuts = map[string]halfOpenCut{
-	"leader to nodes": func(w *simulation, leader string, on bool) {
-		for _, other := range w.names {
-			w.setOneWay(leader, other, on)
+	"leader to nodes": func(sim *simulation, leader string, on bool) {
+		for _, other := range sim.names {
+			sim.setOneWayCut(leader, other, on)
 		}
 	},
-	"nodes to leader": func(w *simulation, leader string, on bool) {
-		for _, other := range w.names {
-			w.setOneWay(other, leader, on)
+	"nodes to leader": func(sim *simulation, leader string, on bool) {
+		for _, other := range sim.names {
+			sim.setOneWayCut(other, leader, on)
 		}
 	},
-	"leader to a node":  func(w *simulation, leader string, on bool) { w.setOneWay(leader, w.after1(leader), on) },
-	"a node to leader":  func(w *simulation, leader string, on bool) { w.setOneWay(w.after1(leader), leader, on) },
-	"leader to state":   func(w *simulation, leader string, on bool) { w.state.lost[leader] = on },
-	"state to leader":   func(w *simulation, leader string, on bool) { w.state.mute[leader] = on },
-	"workers to leader": func(w *simulation, leader string, on bool) { w.noReports[leader] = on },
-	"leader to workers": func(w *simulation, leader string, on bool) { w.noAnswers[leader] = on },
-	"workers to all nodes but leader": func(w *simulation, leader string, on bool) {
-		for _, other := range w.names {
+	"leader to a node": func(sim *simulation, leader string, on bool) {
+		sim.setOneWayCut(leader,
+			sim.nextNode(leader), on)
+	},
+	"a node to leader":  func(sim *simulation, leader string, on bool) { sim.setOneWayCut(sim.nextNode(leader), leader, on) },
+	"leader to state":   func(sim *simulation, leader string, on bool) { sim.store.requestsDropped[leader] = on },
+	"state to leader":   func(sim *simulation, leader string, on bool) { sim.store.responsesDropped[leader] = on },
+	"workers to leader": func(sim *simulation, leader string, on bool) { sim.heartbeatsBlocked[leader] = on },
+	"leader to workers": func(sim *simulation, leader string, on bool) { sim.responsesBlocked[leader] = on },
+	"workers to all nodes but leader": func(sim *simulation, leader string, on bool) {
+		for _, other := range sim.names {
 			if other != leader {
-				w.noReports[other] = on
+				sim.heartbeatsBlocked[other] = on
 			}
 		}
 	},
-	"nodes from each other": func(w *simulation, leader string, on bool) {
-		for _, a := range w.names {
-			for _, b := range w.names {
+	"nodes from each other": func(sim *simulation, leader string, on bool) {
+		for _, a := range sim.names {
+			for _, b := range sim.names {
 				if a != leader && b != leader {
-					w.setOneWay(a, b, on)
+					sim.setOneWayCut(a, b, on)
 				}
 			}
 		}
 	},
-	"a ring": func(w *simulation, _ string, on bool) {
-		for i, a := range w.names {
-			for k, b := range w.names {
-				if k != (i+1)%len(w.names) {
-					w.setOneWay(a, b, on)
+	"a ring": func(sim *simulation, _ string, on bool) {
+		for i, a := range sim.names {
+			for k, b := range sim.names {
+				if k != (i+1)%len(sim.names) {
+					sim.setOneWayCut(a, b, on)
 				}
 			}
 		}
 	},
 }
 
-func (w *simulation) setOneWay(from, to string, on bool) {
+func (sim *simulation) setOneWayCut(from, to string, on bool) {
 	if from == to {
 		return
 	}
 	if on {
-		w.oneWay[[2]string{from, to}] = true
+		sim.oneWayCuts[[2]string{from, to}] = true
 	} else {
-		delete(w.oneWay, [2]string{from, to})
+		delete(sim.oneWayCuts, [2]string{from, to})
 	}
 }
 
-// after1 is the node after another, by name.
-func (w *simulation) after1(name string) string {
-	return w.names[(slices.Index(w.names, name)+1)%len(w.names)]
+// nextNode returns the node after another, in order of name.
+func (sim *simulation) nextNode(name string) string {
+	return sim.names[(slices.Index(sim.names, name)+1)%len(sim.names)]
 }
 
-// reachable tells whether some node has all that a leader needs: with a pair of cuts after
-// which every worker lacks a node that it both reaches and hears, nothing can go on.
-func reachable(a, b string) bool {
+// leaderPossible tells whether some node has all the links that a leader needs. With some pairs of
+// cuts no worker has a node that it can both reach and receive from, and no progress is possible.
+func leaderPossible(a, b string) bool {
 	workers := []string{"workers to leader", "leader to workers"}
 	const others = "workers to all nodes but leader"
 	return !(a == others && slices.Contains(workers, b) || b == others && slices.Contains(workers, a))
 }
 
-// cutSpan is within how many leases work begins again, whatever is cut.
-const cutSpan = 4
+// recoveryLeaseCount is the number of leases within which tasks start again, under any cut.
+const recoveryLeaseCount = 4
 
-// Each cut alone and each pair of them, for three, five and seven nodes with drifting clocks:
-// no task starts twice, and a job that is submitted two seconds after the cut begins within
-// four leases, though the cut goes on. Once it heals everything is done.
+// Each cut alone and each pair of them, for three, five and seven nodes with drifting clocks: no
+// task starts twice, and a job that is submitted two seconds after the cut starts within four
+// leases although the cut persists. Once it heals every job completes.
 func TestHalfOpenCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, nodes := range []int{3, 5, 7} {
@@ -106,57 +109,58 @@
 
 func testHalfOpenCut(t *testing.T, nodes int, a, b string) {
 	t.Helper()
-	w, l := running(t, nodes, 20*time.Second, 4, 8)
-	w.what = a + ", " + b
-	c := newUserSimulation(w, uint64(nodes))
+	sim, leaderNode := newRunningSimulation(t, nodes, 20*time.Second, 4, 8)
+	sim.scenario = a + ", " + b
+	c := newUserSimulation(sim, uint64(nodes))
 	c.driftClocks()
-	leader, from := l.name, w.now
-	halfOpenCuts[a](w, leader, true)
-	halfOpenCuts[b](w, leader, true)
-	w.run(2 * time.Second)
-	c.submitUntil(spec("j-2", 2))
-	began := w.until(cutSpan*l.workerLease(), func() bool { return w.begun["j-2"] != 0 })
-	if !began && reachable(a, b) {
-		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, a, b, w.now-from, w.noLeader())
+	leader, from := leaderNode.name, sim.now
+	halfOpenCuts[a](sim, leader, true)
+	halfOpenCuts[b](sim, leader, true)
+	sim.advance(2 * time.Second)
+	c.submitWithRetries(jobSpec("j-2", 2))
+	began := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+		func() bool { return sim.firstStartAt["j-2"] != 0 })
+	if !began && leaderPossible(a, b) {
+		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, a, b, sim.now-from, sim.explainNoLeader())
 	}
-	w.run(l.workerLease())
-	halfOpenCuts[a](w, leader, false)
-	halfOpenCuts[b](w, leader, false)
-	c.settle(5 * time.Minute)
+	sim.advance(leaderNode.workerLease())
+	halfOpenCuts[a](sim, leader, false)
+	halfOpenCuts[b](sim, leader, false)
+	c.waitForCompletion(5 * time.Minute)
 }
 
-// Cuts that flap, at periods around the heartbeat, half of the lease and the lease: work goes
-// on, and there is one new leader in a lease at most.
+// Cuts that flap, with periods around the heartbeat interval, half of the lease and the lease: work
+// continues, and there is at most one new leader in a lease.
 func TestFlappingCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, period := range []float64{1.0 / election.HeartbeatsPerWorkerLease, 0.2, 0.5, 1.1} {
-				w, l := running(t, 3, 3*time.Second, 4, 4)
-				c := newUserSimulation(w, 3)
-				leader, lease := l.name, l.workerLease()
+				sim, leaderNode := newRunningSimulation(t, 3, 3*time.Second, 4, 4)
+				c := newUserSimulation(sim, 3)
+				leader, lease := leaderNode.name, leaderNode.workerLease()
 				half := max(2*step, time.Duration(period*float64(lease))/2)
 				const leases = 12
-				end := w.now + leases*lease
+				end := sim.now + leases*lease
 				on := false
 				var flap func()
 				flap = func() {
-					if on = !on && w.now < end; on || w.now < end+half {
-						halfOpenCuts[name](w, leader, on)
-						w.after(half, flap)
+					if on = !on && sim.now < end; on || sim.now < end+half {
+						halfOpenCuts[name](sim, leader, on)
+						sim.schedule(half, flap)
 					}
 				}
 				flap()
-				first := l.leader.term
+				first := leaderNode.leader.term
 				for i := range 2 * leases {
-					c.submitUntil(spec(fmt.Sprintf("j-f%d", i), 1))
-					w.run(lease / 2)
+					c.submitWithRetries(jobSpec(fmt.Sprintf("j-f%d", i), 1))
+					sim.advance(lease / 2)
 				}
-				w.run(2 * half)
-				halfOpenCuts[name](w, leader, false)
-				c.settle(5 * time.Minute)
-				if terms := w.waitLeader().leader.term - first; terms > leases+2 {
+				sim.advance(2 * half)
+				halfOpenCuts[name](sim, leader, false)
+				c.waitForCompletion(5 * time.Minute)
+				if terms := sim.waitForLeader().leader.term - first; terms > leases+2 {
 					t.Errorf("period of %.2f leases: %d terms in %d leases", period, terms, leases)
 				}
 			}
@@ -164,146 +168,153 @@
 	}
 }
 
-// A cut that heals in the middle of things: at any moment after it began, with what it held
-// back delivered then, while jobs are submitted and cancelled.
+// A cut heals at any moment after it began, and the messages it held back are delivered then, while
+// jobs are submitted and cancelled.
 func TestCutHealsInBetween(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for moment := range 6 {
-				w, l := running(t, 3, 6*time.Second, 4, 6)
-				c := newUserSimulation(w, uint64(moment))
-				w.holds = true
-				leader := l.name
-				halfOpenCuts[name](w, leader, true)
+				sim, leaderNode := newRunningSimulation(t, 3, 6*time.Second, 4, 6)
+				c := newUserSimulation(sim, uint64(moment))
+				sim.holdMessages = true
+				leader := leaderNode.name
+				halfOpenCuts[name](sim, leader, true)
 				for i := range 5 {
-					c.submitUntil(spec(fmt.Sprintf("j-h%d", i), 2))
+					c.submitWithRetries(jobSpec(fmt.Sprintf("j-h%d", i), 2))
 				}
-				c.after(time.Second, func() { c.cancelUntil("j-1") })
-				w.run(time.Duration(float64(moment+1) * 0.37 * float64(l.workerLease())))
-				halfOpenCuts[name](w, leader, false)
-				w.mend()
-				c.settle(5 * time.Minute)
+				c.schedule(time.Second, func() { c.cancelWithRetries("j-1") })
+				sim.advance(time.Duration(float64(moment+1) * 0.37 * float64(leaderNode.workerLease())))
+				halfOpenCuts[name](sim, leader, false)
+				sim.healCuts()
+				c.waitForCompletion(5 * time.Minute)
 			}
 		})
 	}
 }
 
-// Workers come to one node alone, which does not hear the leader: that resigns, and another is
-// elected that can serve them, whatever meets the change.
-func TestHandOverMeetsTroubles(t *testing.T) {
-	for name, trouble := range map[string]func(w *simulation, leader, stranded string){
+// Workers reach only one node, which does not receive the leader's heartbeats: the leader resigns,
+// and a node that can serve the workers is elected, whatever fault coincides with the change.
+func TestHandOverUnderFaults(t *testing.T) {
+	for name, inject := range map[string]func(sim *simulation, leader, stranded string){
 		"nothing":         func(*simulation, string, string) {},
-		"that node ends":  func(w *simulation, _, stranded string) { w.back(stranded, 3*time.Second) },
-		"the leader ends": func(w *simulation, leader, _ string) { w.back(leader, 200*time.Millisecond) },
-		"an outage": func(w *simulation, _, _ string) {
-			w.state.setDown(true)
-			w.after(5*time.Second, func() { w.state.setDown(false) })
+		"that node ends":  func(sim *simulation, _, stranded string) { sim.restartAfter(stranded, 3*time.Second) },
+		"the leader ends": func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 200*time.Millisecond) },
+		"an outage": func(sim *simulation, _, _ string) {
+			sim.store.setDown(true)
+			sim.schedule(5*time.Second, func() { sim.store.setDown(false) })
 		},
-		"the leader stands": func(w *simulation, leader, _ string) { w.nodes[leader].stall = 9 * time.Second },
-		"that node is slow": func(w *simulation, _, stranded string) { w.nodes[stranded].stall = 3 * time.Second },
-		"the cut turns over": func(w *simulation, leader, stranded string) {
-			w.setOneWay(leader, stranded, false)
-			w.setOneWay(stranded, leader, true)
+		"the leader stands": func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 9 * time.Second },
+		"that node is slow": func(sim *simulation, _, stranded string) { sim.nodes[stranded].pauseBeforeEffects = 3 * time.Second },
+		"the cut turns over": func(sim *simulation, leader, stranded string) {
+			sim.setOneWayCut(leader, stranded, false)
+			sim.setOneWayCut(stranded, leader, true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for moment := range 5 {
-				w, l := running(t, 3, 20*time.Second, 4, 8)
-				c := newUserSimulation(w, uint64(moment))
-				leader := l.name
-				stranded, third := w.after1(leader), w.after1(w.after1(leader))
-				w.noReports[leader], w.noReports[third] = true, true
-				w.setOneWay(leader, stranded, true)
-				c.submitUntil(spec("j-2", 2))
-				w.run(time.Duration(moment+1) * l.workerLeases(strandedResignLeases) / 4)
-				trouble(w, leader, stranded)
-				if !w.until(cutSpan*l.workerLease(), func() bool { return w.begun["j-2"] != 0 }) {
-					t.Errorf("moment %d: nothing begins: %s", moment, w.noLeader())
+				sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 4, 8)
+				c := newUserSimulation(sim, uint64(moment))
+				leader := leaderNode.name
+				stranded, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
+				sim.heartbeatsBlocked[leader], sim.heartbeatsBlocked[third] = true, true
+				sim.setOneWayCut(leader, stranded, true)
+				c.submitWithRetries(jobSpec("j-2", 2))
+				sim.advance(time.Duration(moment+1) * leaderNode.workerLeases(strandedResignLeases) / 4)
+				inject(sim, leader, stranded)
+				if !sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+					func() bool { return sim.firstStartAt["j-2"] != 0 }) {
+					t.Errorf("moment %d: nothing begins: %s", moment, sim.explainNoLeader())
 				}
-				w.oneWay, w.noReports = map[[2]string]bool{}, map[string]bool{}
-				c.settle(5 * time.Minute)
+				sim.oneWayCuts, sim.heartbeatsBlocked = map[[2]string]bool{}, map[string]bool{}
+				c.waitForCompletion(5 * time.Minute)
 			}
 		})
 	}
 }
 
-// hearsUs tells whether a peer says that it hears this node.
-func (n *Node) hearsUs(name string) reachability.Link {
+// linkFrom returns the state of the link from this node to a peer, by the reports of the peer.
+func (n *Node) linkFrom(name string) reachability.Link {
 	return n.connectivity.matrix.Link(n.cfg.Node, name, n.now, n.leaderLease())
 }
 
-// What a peer says of links and can't be true changes nothing and is named once; a message
-// of an earlier version, without any of it, leaves the links unknown.
+// A link report of a peer that can't be true changes nothing and is logged once; a message of an
+// earlier version, which carries no report, leaves the links unknown.
 func TestImpossibleLinkReports(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitLeader()
-	peer := w.followers()[0]
-	before := l.hearsUs(peer)
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	peer := sim.followers()[0]
+	before := leaderNode.linkFrom(peer)
 	for _, bad := range []*protocol.LinkReport{
-		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}}, {IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
-		{IncomingLinks: []reachability.IncomingLink{{Node: l.name, AgeMS: -1}}}, {RecentWorkers: -1},
+		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}},
+		{IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
+		{IncomingLinks: []reachability.IncomingLink{{Node: leaderNode.name, AgeMS: -1}}}, {RecentWorkers: -1},
 	} {
-		l.Step(l.clock(w.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
+		leaderNode.Step(leaderNode.monotonicNow(sim.now),
+			[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
 	}
-	if l.hearsUs(peer) != before || before != reachability.LinkUp || len(l.connectivity.invalidReportLogged) != 1 {
-		t.Errorf("link %v after %v", l.hearsUs(peer), before)
+	if leaderNode.linkFrom(peer) != before || before != reachability.LinkUp ||
+		len(leaderNode.connectivity.invalidReportLogged) != 1 {
+		t.Errorf("link %v after %v", leaderNode.linkFrom(peer), before)
 	}
-	fresh := w.nodes[w.followers()[1]]
+	fresh := sim.nodes[sim.followers()[1]]
 	fresh.connectivity = newConnectivity(fresh.name, fresh.peers)
-	fresh.Step(fresh.clock(w.now), []Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
-	if got := fresh.hearsUs(peer); got != reachability.LinkUnknown || fresh.twoWayPeerCount() == 0 {
+	fresh.Step(fresh.monotonicNow(sim.now),
+		[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
+	if got := fresh.linkFrom(peer); got != reachability.LinkUnknown || fresh.twoWayPeerCount() == 0 {
 		t.Errorf("an earlier version: %v, %d two ways", got, fresh.twoWayPeerCount())
 	}
 }
 
-// While no worker reaches the leader the others relay; it is tried again from time to time
-// whether they do, so once the cut has healed they are served directly.
+// While no worker reaches the leader the others relay. They retry from time to time whether workers
+// do, so that workers are served directly once the cut has healed.
 func TestRelaysEndAfterTheCut(t *testing.T) {
-	w, l := running(t, 3, time.Hour, 4, 8)
-	w.noReports[l.name] = true
-	w.run(3 * l.workerLease())
+	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 4, 8)
+	sim.heartbeatsBlocked[leaderNode.name] = true
+	sim.advance(3 * leaderNode.workerLease())
 	direct := func() int {
 		count := 0
-		for _, m := range l.leader.Machines {
-			if m.Up && m.RelayPeer == "" {
+		for _, machine := range leaderNode.leader.Machines {
+			if machine.Up && machine.RelayPeer == "" {
 				count++
 			}
 		}
 		return count
 	}
-	if l.leader == nil || direct() > 0 || !l.leader.needsRelays() {
+	if leaderNode.leader == nil || direct() > 0 || !leaderNode.leader.needsRelays() {
 		t.Fatal("the leader does not have others relay")
 	}
-	w.noReports[l.name] = false
-	if !w.until(8*l.workerLease(), func() bool { return l.leader != nil && direct() == len(l.leader.Machines) }) {
-		t.Errorf("%d of %d are served directly", direct(), len(l.leader.Machines))
+	sim.heartbeatsBlocked[leaderNode.name] = false
+	if !sim.advanceUntil(8*leaderNode.workerLease(),
+		func() bool { return leaderNode.leader != nil && direct() == len(leaderNode.leader.Machines) }) {
+		t.Errorf("%d of %d are served directly", direct(), len(leaderNode.leader.Machines))
 	}
 }
 
-// A leader that still serves a few workers, while clearly more come to a node that does not
-// hear it, hands over, too; one that serves most of them stays.
+// A leader that still serves a few workers while clearly more reach only a node that does not
+// receive its heartbeats hands over as well; one that serves most of them stays.
 func TestHandOverToWhereMostWorkersAre(t *testing.T) {
 	for _, x := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
-		w, l := running(t, 3, time.Hour, x.served+x.stranded, 4)
-		leader, term := l.name, l.leader.term
-		other, third := w.after1(leader), w.after1(w.after1(leader))
-		w.cloud.capacity, w.cloud.noReturn = x.served+x.stranded, true // else it would rent others
-		split := map[string]bool{}                                     // those that reach the other node alone
-		for _, m := range w.inOrder()[:x.stranded] {
+		sim, leaderNode := newRunningSimulation(t, 3, time.Hour, x.served+x.stranded, 4)
+		leader, term := leaderNode.name, leaderNode.leader.term
+		other, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
+		sim.cloud.capacity, sim.cloud.rejectReturns = x.served+x.stranded, true // or it would rent others
+		split := map[string]bool{}                                              // workers that reach the other node only
+		for _, m := range sim.sortedWorkers()[:x.stranded] {
 			split[m.name] = true
 		}
-		w.reach = func(m *worker, node string) bool { return split[m.name] == (node == other) }
-		w.noReports[third] = true
-		w.setOneWay(leader, other, true)
-		moved := w.until(cutSpan*l.workerLease(), func() bool { now := w.leader(); return now != "" && now != leader })
+		sim.workerReaches = func(m *fakeWorker, node string) bool { return split[m.name] == (node == other) }
+		sim.heartbeatsBlocked[third] = true
+		sim.setOneWayCut(leader, other, true)
+		moved := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+			func() bool { now := sim.leaderName(); return now != "" && now != leader })
 		if moved != (x.stranded > x.served) {
-			t.Errorf("%d served, %d stranded: %s leads after %s", x.served, x.stranded, w.leader(), leader)
+			t.Errorf("%d served, %d stranded: %s leads after %s", x.served, x.stranded, sim.leaderName(), leader)
 		}
-		w.run(10 * l.workerLease())
-		if terms := w.waitLeader().leader.term - term; terms > 6 {
+		sim.advance(10 * leaderNode.workerLease())
+		if terms := sim.waitForLeader().leader.term - term; terms > 6 {
 			t.Errorf("%d served, %d stranded: %d terms in 12 leases", x.served, x.stranded, terms)
 		}
 	}
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -15,8 +15,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// answerFaults are what a service, or something on the way to it, makes of an answer. The
-// call itself was carried out.
+// answerFaults are what a service, or a proxy before it, may make of a response. The call itself
+// was executed.
 var answerFaults = map[string]func(r CallResult) CallResult{
 	"cut short":         func(r CallResult) CallResult { r.Body = r.Body[:len(r.Body)/2]; return r },
 	"a page of a proxy": func(r CallResult) CallResult { r.Body = []byte("<html>ok</html>"); return r },
@@ -29,16 +29,19 @@
 	"not found": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 404, Body: []byte("<html>404</html>")}
 	},
-	"forbidden":          func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 403} },
-	"a conflict":         func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 409} },
-	"an odd status":      func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 207, Body: r.Body} },
-	"an error of a node": func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 500, Body: []byte("oops")} },
+	"forbidden":     func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 403} },
+	"a conflict":    func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 409} },
+	"an odd status": func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 207, Body: r.Body} },
+	"an error of a node": func(r CallResult) CallResult {
+		return CallResult{ID: r.ID, Status: 500,
+			Body: []byte("oops")}
+	},
 	"refused for the rate": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 429}
 	},
 }
 
-// retyped turns each number of an answer into a string.
+// retyped replaces each number of a response by a string.
 func retyped(r CallResult) CallResult {
 	var fields map[string]any
 	if json.Unmarshal(r.Body, &fields) != nil {
@@ -53,51 +56,51 @@
 	return r
 }
 
-// Whatever the state service or the cloud answers for half a minute, to one node or to all,
-// now and then or always: no rule is broken, nobody is told anything false, the node goes
-// on by itself, and everything is served once the answers are right again.
+// The key-value store or the cloud returns invalid responses for half a minute, to one node or to
+// all, sometimes or always: no invariant is violated, no user gets a false reply, the node recovers
+// by itself, and all requests are served once the responses are valid again.
 func TestOddAnswersOfOutsideServices(t *testing.T) {
 	for fault, alter := range answerFaults {
 		for _, target := range []Target{TargetStore, TargetCloud} {
 			for i, share := range []float64{0.1, 0.3, 0.6, 1} {
 				t.Run(fmt.Sprintf("%v/%s/%v", target, fault, share), func(t *testing.T) {
 					t.Parallel()
-					c := newUserSimulation(newSimulationOf(t, 3, deployments[i]), uint64(i)+uint64(len(fault)))
-					c.runTime = func(string, int) time.Duration { return time.Second + c.within(20*time.Second) }
+					c := newUserSimulation(newSimulationWithTimings(t, 3, deployments[i]), uint64(i)+uint64(len(fault)))
+					c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(20*time.Second) }
 					c.driftClocks()
-					c.waitLeader()
-					c.machines(3)
-					c.lookClosely()
-					c.more(6, 5*time.Second, nil)
-					c.run(5 * time.Second)
+					c.waitForLeader()
+					c.startMachines(3)
+					c.queryAfterEachChange()
+					c.submitMoreJobs(6, 5*time.Second, nil)
+					c.advance(5 * time.Second)
 					only := ""
 					if share == 0.6 {
-						only = c.leader()
+						only = c.leaderName()
 					}
-					c.mangleAnswers(target, only, share, alter)
-					c.more(8, 25*time.Second, nil)
+					c.alterServiceResults(target, only, share, alter)
+					c.submitMoreJobs(8, 25*time.Second, nil)
 					for range 4 {
-						c.after(c.within(25*time.Second), func() { c.cancelSome(4, time.Second) })
+						c.schedule(c.randomDuration(25*time.Second), func() { c.cancelSomeJobs(4, time.Second) })
 					}
 					for range 3 {
-						c.after(c.within(25*time.Second), c.newLeader)
+						c.schedule(c.randomDuration(25*time.Second), c.replaceLeader)
 					}
-					calls := c.countCalls()
-					c.run(30 * time.Second)
+					calls := c.countStoreCalls()
+					c.advance(30 * time.Second)
 					if most := int(30 * c.cfg.Store.RequestsPerS); calls() > most {
 						t.Errorf("%d calls in 30 s: %v a second are allowed", calls(), c.cfg.Store.RequestsPerS)
 					}
-					c.mangle = nil
-					c.settle(5 * time.Minute)
+					c.alterResult = nil
+					c.waitForCompletion(5 * time.Minute)
 				})
 			}
 		}
 	}
 }
 
-// mangleAnswers alters a share of a service's answers, to one node or to all.
-func (c *userSimulation) mangleAnswers(target Target, only string, share float64, alter func(CallResult) CallResult) {
-	c.mangle = func(node string, call ServiceCall, r CallResult) CallResult {
+// alterServiceResults alters a share of the responses of a service, for one node or for all.
+func (c *userSimulation) alterServiceResults(target Target, only string, share float64, alter func(CallResult) CallResult) {
+	c.alterResult = func(node string, call ServiceCall, r CallResult) CallResult {
 		if call.Target != target || c.rng.Float64() > share || (only != "" && node != only) {
 			return r
 		}
@@ -105,11 +108,11 @@
 	}
 }
 
-// countCalls counts the calls to the state service that are answered from now on.
-func (c *userSimulation) countCalls() func() int {
+// countStoreCalls counts the calls to the key-value store that are answered from now on.
+func (c *userSimulation) countStoreCalls() func() int {
 	calls := 0
-	inner := c.mangle
-	c.mangle = func(node string, call ServiceCall, r CallResult) CallResult {
+	inner := c.alterResult
+	c.alterResult = func(node string, call ServiceCall, r CallResult) CallResult {
 		if call.Target == TargetStore {
 			calls++
 		}
@@ -118,23 +121,24 @@
 	return func() int { return calls }
 }
 
-// A watch that always comes back at once, with nothing or with 410, is asked for again
-// after a pause that grows: without it, a leader asked as fast as answers came. Jobs that
-// other nodes write are found all the same.
+// A watch that always returns at once, with no event or with 410, is retried after a growing delay:
+// without that, a leader repeated it as fast as responses arrived. Jobs that other nodes write are
+// found nevertheless.
 func TestWatchThatComesBackAtOnce(t *testing.T) {
 	for name, answer := range map[string]CallResult{
-		"empty":       {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
-		"gone":        {Status: 410},
-		"no answer":   {Status: 0},
-		"unreadable":  {Status: 200, Body: []byte("{")},
-		"old changes": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1, Events: []storage.WatchEvent{{DeletedKey: "job/j-9", ModRevision: 1}}})},
+		"empty":      {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
+		"gone":       {Status: 410},
+		"no answer":  {Status: 0},
+		"unreadable": {Status: 200, Body: []byte("{")},
+		"old changes": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1,
+			Events: []storage.WatchEvent{{DeletedKey: "job/j-9", ModRevision: 1}}})},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newSimulation(t, 3)
-			l := w.waitLeader()
-			w.machines(1)
+			sim := newSimulation(t, 3)
+			leaderNode := sim.waitForLeader()
+			sim.startMachines(1)
 			watches, reads := 0, 0
-			w.instead = func(call ServiceCall) (CallResult, bool) {
+			sim.interceptCall = func(call ServiceCall) (CallResult, bool) {
 				switch {
 				case strings.HasPrefix(call.Path, "/follow"):
 					watches++
@@ -144,26 +148,28 @@
 				}
 				return CallResult{}, false
 			}
-			w.run(time.Minute)
+			sim.advance(time.Minute)
 			if most := 60; watches > most || reads > most {
 				t.Errorf("%d watches and %d listings in a minute", watches, reads)
 			}
 			if name == "empty" || name == "old changes" {
 				return // it may be that nothing has changed: only its own lease tells
 			}
-			w.submit(w.followers()[0], spec("j-1", 1))
-			if !w.until(20*time.Second, func() bool { return l.leader.Jobs["j-1"] != nil || w.final("j-1") != "" }) {
+			sim.submit(sim.followers()[0], jobSpec("j-1", 1))
+			if !sim.advanceUntil(20*time.Second,
+				func() bool { return leaderNode.leader.Jobs["j-1"] != nil || sim.terminalState("j-1") != "" }) {
 				t.Error("a job that another node wrote is not found")
 			}
 		})
 	}
 }
 
-// What the cloud says of machine types, machines and rentals may be wrong in every way that
-// JSON allows: types that are missing once or given away, lists that repeat, contradict or
-// name nobody, rentals answered with machines that are known.
+// What the cloud says of machine types, machines and rentals may be wrong in every way that JSON
+// allows: types that are missing once or free of charge, lists that repeat, contradict or name
+// nobody, rentals answered with known machines.
 func TestOddCloudFacts(t *testing.T) {
-	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
+	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1,
+		OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
 	with := func(change func(*protocol.MachineType)) []protocol.MachineType {
 		t := c4
 		change(&t)
@@ -178,30 +184,34 @@
 		"another type only":         with(func(t *protocol.MachineType) { t.Name = "x9" }),
 		"the same type twice":       {c4, c4},
 		"a boot of a hundred years": with(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
-		"amounts beyond all bounds": with(func(t *protocol.MachineType) { t.BootSeconds, t.ImageCacheGB, t.OnDemandPrice = 1e300, 1e300, 1e300 }),
+		"amounts beyond all bounds": with(func(t *protocol.MachineType) {
+			t.BootSeconds, t.ImageCacheGB,
+				t.OnDemandPrice = 1e300, 1e300, 1e300
+		}),
 	}
 	for name, types := range catalogs {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newUserSimulation(newSimulation(t, 3), 3)
-			c.waitLeader()
-			c.machines(2)
-			c.more(4, 5*time.Second, nil)
-			c.run(5 * time.Second)
-			c.cloud.types = types
-			for _, node := range c.names { // all read the catalogue anew
+			c.waitForLeader()
+			c.startMachines(2)
+			c.submitMoreJobs(4, 5*time.Second, nil)
+			c.advance(5 * time.Second)
+			c.cloud.machineTypes = types
+			for _, node := range c.names { // all nodes read the catalog again
 				c.nodes[node].catalog.RequestedAt = clock.Never
 			}
-			c.more(4, 5*time.Second, nil)
-			c.run(20 * time.Second)
-			if r := c.submit(c.leader(), spec("j-once", 1)); r.Status == 422 && name != "another type only" && name != "no cores" {
+			c.submitMoreJobs(4, 5*time.Second, nil)
+			c.advance(20 * time.Second)
+			if r := c.submit(c.leaderName(), jobSpec("j-once", 1)); r.Status == 422 &&
+				name != "another type only" && name != "no cores" {
 				t.Errorf("a job that fits is answered %d", r.Status)
 			}
-			c.cloud.types = nil
+			c.cloud.machineTypes = nil
 			for _, node := range c.names {
 				c.nodes[node].catalog.RequestedAt = clock.Never
 			}
-			c.settle(5 * time.Minute)
+			c.waitForCompletion(5 * time.Minute)
 		})
 	}
 }
@@ -214,133 +224,143 @@
 	return names
 }
 
-// Two workers report under one name. The one that was heard first keeps its tasks: the
-// other's newer session is not the end of what the first one runs. Once the first is surely
-// gone the other may have the name.
+// Two workers report under one name. The first one keeps its tasks: the newer epoch of the other is
+// no proof that they have ended. Once the first has certainly ended the other may use the name.
 func TestTwoWorkersUnderOneName(t *testing.T) {
-	w, l := running(t, 1, 2*time.Minute, 1, 4)
-	x := w.inOrder()[0]
+	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
+	worker := sim.sortedWorkers()[0]
 	other := func(session, seq uint64) int {
-		rep := &protocol.WorkerHeartbeat{Machine: x.name, Address: "10.9.9.9:9000", Type: "c4", Zone: x.zone, Spot: true,
-			Epoch: session, Sequence: seq, FencingToken: x.token}
-		return w.request(l.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}).Status
+		heartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Address: "10.9.9.9:9000", Type: "c4",
+			Zone: worker.zone, Spot: true,
+			Epoch: session, Sequence: seq, FencingToken: worker.fencingToken}
+		return sim.requestAndWait(leaderNode.name,
+			Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}).Status
 	}
 	for i := range uint64(20) {
 		if status := other(1+i/4, 1000+i); status != 503 {
 			t.Fatalf("the other worker is answered %d", status)
 		}
-		w.run(2 * time.Second)
+		sim.advance(2 * time.Second)
 	}
-	w.startedOnce()
-	delete(w.workers, x.name)
-	w.run(l.leader.WorkerLeaseTimeout() + time.Second)
-	if m := l.leader.Machines[x.name]; m != nil && m.Address != "" {
-		t.Errorf("the name still belongs to %s", m.Address)
+	sim.checkStartedOnce()
+	delete(sim.workers, worker.name)
+	sim.advance(leaderNode.leader.WorkerLeaseTimeout() + time.Second)
+	if machine := leaderNode.leader.Machines[worker.name]; machine != nil && machine.Address != "" {
+		t.Errorf("the name still belongs to %s", machine.Address)
 	}
 }
 
-// Reports may hold whatever JSON allows: what nobody started is stopped, what is unknown is
-// left alone, and no amount of time is believed beyond all bounds.
-func TestOddReports(t *testing.T) {
+// Heartbeats may hold whatever JSON allows: tasks that nobody started are stopped, unknown ones are
+// left alone, and durations are bounded.
+func TestInvalidHeartbeats(t *testing.T) {
 	notice := func(s float64) *float64 { return &s }
-	for name, change := range map[string]func(rep *protocol.WorkerHeartbeat){
-		"an unknown state": func(rep *protocol.WorkerHeartbeat) {
-			for i := range rep.Tasks {
-				rep.Tasks[i].State = "sleeping"
+	for name, change := range map[string]func(heartbeat *protocol.WorkerHeartbeat){
+		"an unknown state": func(heartbeat *protocol.WorkerHeartbeat) {
+			for i := range heartbeat.Tasks {
+				heartbeat.Tasks[i].State = "sleeping"
 			}
 		},
-		"an unknown reason": func(rep *protocol.WorkerHeartbeat) {
-			for i := range rep.Tasks {
-				if rep.Tasks[i].State == protocol.TaskExited && rep.Tasks[i].ExitReason != protocol.ExitDone {
-					rep.Tasks[i].ExitReason = "bored"
+		"an unknown reason": func(heartbeat *protocol.WorkerHeartbeat) {
+			for i := range heartbeat.Tasks {
+				if heartbeat.Tasks[i].State == protocol.TaskExited &&
+					heartbeat.Tasks[i].ExitReason != protocol.ExitDone {
+					heartbeat.Tasks[i].ExitReason = "bored"
 				}
 			}
 		},
-		"tasks that nobody started": func(rep *protocol.WorkerHeartbeat) {
-			rep.Tasks = append(rep.Tasks,
+		"tasks that nobody started": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Tasks = append(heartbeat.Tasks,
 				protocol.TaskStatus{TaskID: "j-nobodys/0", Attempt: 1, State: protocol.TaskRunning},
 				protocol.TaskStatus{TaskID: "j-1/99999", Attempt: 1, State: protocol.TaskRunning},
 				protocol.TaskStatus{TaskID: "j-1/-1", Attempt: 1, State: protocol.TaskRunning},
 				protocol.TaskStatus{TaskID: "", Attempt: 1, State: ""},
-				protocol.TaskStatus{TaskID: "j-1/0", Attempt: 1 << 63, State: protocol.TaskExited, ExitReason: protocol.ExitFailed})
+				protocol.TaskStatus{TaskID: "j-1/0", Attempt: 1 << 63, State: protocol.TaskExited,
+					ExitReason: protocol.ExitFailed})
+		},
+		"each task twice": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Tasks = append(heartbeat.Tasks, heartbeat.Tasks...)
+		},
+		"a notice long ago": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(-1e300) },
+		"a notice of years": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(1e300) },
+		"another type": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Type, heartbeat.Zone = "x9", "nowhere"
+		},
+		"no type": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Type, heartbeat.Zone, heartbeat.Address = "", "", ""
 		},
-		"each task twice":   func(rep *protocol.WorkerHeartbeat) { rep.Tasks = append(rep.Tasks, rep.Tasks...) },
-		"a notice long ago": func(rep *protocol.WorkerHeartbeat) { rep.PreemptionNoticeSeconds = notice(-1e300) },
-		"a notice of years": func(rep *protocol.WorkerHeartbeat) { rep.PreemptionNoticeSeconds = notice(1e300) },
-		"another type":      func(rep *protocol.WorkerHeartbeat) { rep.Type, rep.Zone = "x9", "nowhere" },
-		"no type":           func(rep *protocol.WorkerHeartbeat) { rep.Type, rep.Zone, rep.Address = "", "", "" },
-		"the last sequence": func(rep *protocol.WorkerHeartbeat) { rep.Sequence += 1 << 62 },
+		"the last sequence": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.Sequence += 1 << 62 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newUserSimulation(newSimulation(t, 3), uint64(len(name)))
-			c.runTime = func(string, int) time.Duration { return time.Second + c.within(15*time.Second) }
-			c.waitLeader()
-			c.machines(3)
+			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(15*time.Second) }
+			c.waitForLeader()
+			c.startMachines(3)
 			odd := true
-			c.copies = func(_ *worker, rep *protocol.WorkerHeartbeat) {
+			c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 				if odd && c.rng.IntN(3) == 0 {
-					change(rep)
+					change(heartbeat)
 				}
 			}
-			c.more(8, 15*time.Second, nil)
-			c.after(c.within(15*time.Second), c.newLeader)
-			c.run(30 * time.Second)
+			c.submitMoreJobs(8, 15*time.Second, nil)
+			c.schedule(c.randomDuration(15*time.Second), c.replaceLeader)
+			c.advance(30 * time.Second)
 			odd = false
-			c.settle(5 * time.Minute)
+			c.waitForCompletion(5 * time.Minute)
 		})
 	}
 }
 
-// Wall clocks that differ by minutes order nothing that matters: rules hold through changes
-// of leader either way, and every job begins in time and is done.
+// Wall clocks that differ by minutes decide no order that matters: the invariants hold across
+// changes of leader in either direction, and every job starts in time and completes.
 func TestWallClocksMinutesApart(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			c := newUserSimulation(newSimulationOf(t, 3, deployments[seed]), seed)
-			c.wallOff = map[string]time.Duration{"n0": 5 * time.Minute, "n2": -7 * time.Minute}
+			c := newUserSimulation(newSimulationWithTimings(t, 3, deployments[seed]), seed)
+			c.wallClockOffsets = map[string]time.Duration{"n0": 5 * time.Minute, "n2": -7 * time.Minute}
 			for _, name := range c.names {
-				c.start(name)
+				c.startNode(name)
 			}
-			c.runTime = func(string, int) time.Duration { return time.Second + c.within(20*time.Second) }
-			c.waitLeader()
-			c.machines(4)
-			c.lookClosely()
-			c.more(20, 60*time.Second, nil)
+			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(20*time.Second) }
+			c.waitForLeader()
+			c.startMachines(4)
+			c.queryAfterEachChange()
+			c.submitMoreJobs(20, 60*time.Second, nil)
 			for i := range 4 {
-				c.after(time.Duration(i)*15*time.Second+c.within(10*time.Second), c.newLeader)
-				c.after(time.Duration(i)*15*time.Second+c.within(10*time.Second), func() { c.cancelSome(5, time.Second) })
+				c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(10*time.Second), c.replaceLeader)
+				c.schedule(time.Duration(i)*15*time.Second+c.randomDuration(10*time.Second),
+					func() { c.cancelSomeJobs(5, time.Second) })
 			}
-			c.run(70 * time.Second)
-			c.settle(5 * time.Minute)
+			c.advance(70 * time.Second)
+			c.waitForCompletion(5 * time.Minute)
 		})
 	}
 }
 
-// While no zone has capacity left, rentals are asked for at a bounded rate, work goes on on
-// the machines there are, and the rest follows once there is capacity again.
+// While no zone has capacity, rentals are retried at a bounded rate, work continues on the present
+// machines, and the rest follows once there is capacity.
 func TestNoCapacityAnywhere(t *testing.T) {
-	w := newSimulation(t, 3)
-	w.runTime = func(string, int) time.Duration { return 20 * time.Second }
-	w.waitLeader()
-	w.machines(2)
-	w.cloud.capacity = 2
-	c := newUserSimulation(w, 1)
-	c.more(10, 5*time.Second, func(_ int, j *protocol.Job) { j.TaskCount, j.Team = 8, "free" })
-	w.run(10 * time.Second)
+	sim := newSimulation(t, 3)
+	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+	sim.waitForLeader()
+	sim.startMachines(2)
+	sim.cloud.capacity = 2
+	c := newUserSimulation(sim, 1)
+	c.submitMoreJobs(10, 5*time.Second, func(_ int, job *protocol.Job) { job.TaskCount, job.Team = 8, "free" })
+	sim.advance(10 * time.Second)
 	asked := 0
-	w.mangle = func(_ string, call ServiceCall, r CallResult) CallResult {
+	sim.alterResult = func(_ string, call ServiceCall, r CallResult) CallResult {
 		if call.Path == "/hosts" {
 			asked++
 		}
 		return r
 	}
-	w.run(time.Minute)
-	if most := int(60 * w.cfg.Cloud.RequestsPerS / 4); asked > most {
+	sim.advance(time.Minute)
+	if most := int(60 * sim.cfg.Cloud.RequestsPerS / 4); asked > most {
 		t.Errorf("%d rentals were asked for in a minute", asked)
 	}
-	w.cloud.capacity = 0
-	w.cloud.boot = 5 * time.Second
-	c.settle(5 * time.Minute)
+	sim.cloud.capacity = 0
+	sim.cloud.bootTime = 5 * time.Second
+	c.waitForCompletion(5 * time.Minute)
 }
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -15,318 +15,332 @@
 	"hitchdoor/internal/storage"
 )
 
-// fakeCloud is the cloud.
+// fakeCloud is an in-process fake of the cloud's HTTP interface.
 type fakeCloud struct {
-	w        *simulation
-	requests map[string][]string
-	hosts    map[string]*worker
-	last     int
-	down     bool
-	noSpot   bool
-	capacity int // machines to be had in all; 0: any number
-	noReturn bool
-	hides    bool // machine lists are empty
-	boot     time.Duration
-	bootOf   func() time.Duration // of the next machine
-	types    []protocol.MachineType
+	simulation        *simulation
+	rentals           map[string][]string
+	hosts             map[string]*fakeWorker
+	lastMachineNumber int
+	unavailable       bool
+	noSpot            bool
+	capacity          int // limit of machines in all; 0: none
+	rejectReturns     bool
+	listsEmpty        bool // machine lists are empty
+	bootTime          time.Duration
+	nextBootTime      func() time.Duration // of the next machine; nil: bootTime
+	machineTypes      []protocol.MachineType
 }
 
-func (c *fakeCloud) serve(call ServiceCall, back func(int, any)) {
-	if c.down {
-		back(503, map[string]string{"error": "trouble"})
+func (c *fakeCloud) serve(call ServiceCall, respond func(int, any)) {
+	if c.unavailable {
+		respond(503, map[string]string{"error": "trouble"})
 		return
 	}
 	switch {
 	case call.Path == "/catalog":
-		types := c.types
+		types := c.machineTypes
 		if types == nil {
-			types = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
+			types = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40,
+				PullGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}}
 		}
-		back(200, protocol.Catalog{Types: types})
+		respond(200, protocol.Catalog{Types: types})
 	case call.Path == "/hosts":
 		var r protocol.RentalRequest
 		if err := json.Unmarshal(call.Body, &r); err != nil {
-			c.w.t.Fatal(err)
+			c.simulation.t.Fatal(err)
 		}
-		if _, stored := c.w.state.keys[storage.RentalPrefix+r.RequestID]; !stored && c.requests[r.RequestID] == nil {
-			c.w.t.Fatalf("rental %s is not stored", r.RequestID) // nor has it been answered before
+		if _, stored := c.simulation.store.keys[storage.RentalPrefix+r.RequestID]; !stored &&
+			c.rentals[r.RequestID] == nil {
+			c.simulation.t.Fatalf("rental %s is not stored", r.RequestID) // nor has it been answered before
 		}
 		if (c.noSpot && r.Spot) || (c.capacity > 0 && len(c.hosts)+r.Count > c.capacity) {
-			back(503, map[string]string{"error": "no capacity"})
+			respond(503, map[string]string{"error": "no capacity"})
 			return
 		}
-		names, again := c.requests[r.RequestID]
-		if !again {
+		names, repeated := c.rentals[r.RequestID]
+		if !repeated {
 			for range r.Count {
-				names = append(names, c.rent(r.Type, r.Zone, r.Spot).name)
+				names = append(names, c.rentMachine(r.Type, r.Zone, r.Spot).name)
 			}
-			c.requests[r.RequestID] = names
+			c.rentals[r.RequestID] = names
 		}
-		back(200, protocol.MachineNames{Machines: names})
-	case call.Path == "/hosts/return" && c.noReturn:
-		back(503, map[string]string{"error": "trouble"})
+		respond(200, protocol.MachineNames{Machines: names})
+	case call.Path == "/hosts/return" && c.rejectReturns:
+		respond(503, map[string]string{"error": "trouble"})
 	case call.Path == "/hosts/return":
 		var m protocol.MachineNames
 		json.Unmarshal(call.Body, &m)
 		for _, name := range m.Machines {
-			if x := c.w.workers[name]; x != nil {
-				c.take(x)
+			if worker := c.simulation.workers[name]; worker != nil {
+				c.removeMachine(worker)
 			}
 			delete(c.hosts, name)
 		}
-		back(200, nil)
+		respond(200, nil)
 	case strings.HasPrefix(call.Path, "/hosts?"):
 		var list protocol.HostPage
-		for _, x := range c.hosts {
-			if c.hides {
+		for _, worker := range c.hosts {
+			if c.listsEmpty {
 				break
 			}
-			list.Machines = append(list.Machines, protocol.Host{Name: x.name, Type: x.typ, Zone: x.zone, Spot: x.spot, State: "running"})
+			list.Machines = append(list.Machines,
+				protocol.Host{Name: worker.name, Type: worker.machineType, Zone: worker.zone,
+					Spot: worker.spot, State: "running"})
 		}
 		sort.Slice(list.Machines, func(i, j int) bool { return list.Machines[i].Name < list.Machines[j].Name })
-		back(200, list)
+		respond(200, list)
 	default:
-		c.w.t.Fatalf("cloud: %s", call.Path)
+		c.simulation.t.Fatalf("cloud: %s", call.Path)
 	}
 }
 
-// take takes a machine away without any notice.
-func (c *fakeCloud) take(x *worker) {
-	x.disconnect()
-	delete(c.w.workers, x.name)
-	delete(c.hosts, x.name)
+// removeMachine takes a machine away without notice, as a preemption may.
+func (c *fakeCloud) removeMachine(worker *fakeWorker) {
+	worker.disconnect()
+	delete(c.simulation.workers, worker.name)
+	delete(c.hosts, worker.name)
 }
 
-func (c *fakeCloud) rent(typ, zone string, spot bool) *worker {
-	c.last++
-	x := &worker{w: c.w, name: fmt.Sprintf("m-%06d", c.last), typ: typ, zone: zone, spot: spot, session: 1,
-		node: c.w.names[c.last%len(c.w.names)]}
-	c.hosts[x.name] = x
-	boot := c.boot
-	if boot == 0 {
-		boot = 2 * time.Second
+func (c *fakeCloud) rentMachine(machineType, zone string, spot bool) *fakeWorker {
+	c.lastMachineNumber++
+	worker := &fakeWorker{simulation: c.simulation, name: fmt.Sprintf("m-%06d", c.lastMachineNumber),
+		machineType: machineType, zone: zone, spot: spot, epoch: 1,
+		node: c.simulation.names[c.lastMachineNumber%len(c.simulation.names)]}
+	c.hosts[worker.name] = worker
+	bootTime := c.bootTime
+	if bootTime == 0 {
+		bootTime = 2 * time.Second
 	}
-	if c.bootOf != nil {
-		boot = c.bootOf()
+	if c.nextBootTime != nil {
+		bootTime = c.nextBootTime()
 	}
-	c.w.after(boot, func() {
-		if c.hosts[x.name] == x {
-			x.renewed, x.next = c.w.now, c.w.now
-			c.w.addWorker(x)
+	c.simulation.schedule(bootTime, func() {
+		if c.hosts[worker.name] == worker {
+			worker.leaseRenewedAt, worker.nextHeartbeatAt = c.simulation.now, c.simulation.now
+			c.simulation.addWorker(worker)
 		}
 	})
-	return x
+	return worker
 }
 
-// worker is a machine's worker.
-type worker struct {
-	w                *simulation
-	name, typ, zone  string
-	spot             bool
-	session, seq     uint64
-	token            uint64
-	node             string
-	connected        string // the node that its connection goes to, where those are counted
-	tasks            []*simTask
-	renewed          clock.Instant // when the last answered report was sent
-	next             clock.Instant
-	busy             bool
-	changed          bool
-	notice           *float64
-	silent           bool // no report leaves, no answer arrives
-	hanging          bool
-	faulty           bool
-	failsAfter       time.Duration // how long a faulty machine's tasks run; 0: to their end
-	dropAnswers      bool
-	lag              time.Duration // by how much answers to it are held up
-	grace            []float64     // of the stops it was given
-	forgotten        []string
-	answers, refused int
+// fakeWorker simulates the worker of one machine: its heartbeats, its lease and its tasks.
+type fakeWorker struct {
+	simulation                  *simulation
+	name, machineType, zone     string
+	spot                        bool
+	epoch, sequence             uint64
+	fencingToken                uint64
+	node                        string
+	connectedNode               string // set where connections are counted
+	tasks                       []*fakeTask
+	leaseRenewedAt              clock.Instant // when the last answered heartbeat was sent
+	nextHeartbeatAt             clock.Instant
+	awaitingResponse            bool
+	stateChanged                bool
+	preemptionNotice            *float64
+	unreachable                 bool // no heartbeat leaves, no response arrives
+	hung                        bool
+	faulty                      bool
+	failureDelay                time.Duration // after which tasks of a faulty machine fail; 0: at their end
+	dropResponses               bool
+	responseDelay               time.Duration // delay of the responses to it
+	stopGraces                  []float64     // of the stop commands it received
+	forgottenTasks              []string
+	responseCount, refusalCount int
 }
 
-type simTask struct {
-	key     string
-	attempt uint64
-	state   protocol.TaskState
-	why     protocol.ExitReason
-	saved   bool
-	end     clock.Instant
+type fakeTask struct {
+	taskKey         string
+	attempt         uint64
+	state           protocol.TaskState
+	exitReason      protocol.ExitReason
+	checkpointSaved bool
+	endsAt          clock.Instant
 }
 
-func (x *worker) report() *protocol.WorkerHeartbeat {
-	x.seq++
-	r := &protocol.WorkerHeartbeat{Machine: x.name, Address: x.name + ":9000", Type: x.typ, Zone: x.zone, Spot: x.spot, Epoch: x.session, Sequence: x.seq,
-		FencingToken: x.token, PreemptionNoticeSeconds: x.notice}
-	for _, t := range x.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: t.key, Attempt: t.attempt, State: t.state, ExitReason: t.why, CheckpointSaved: t.saved})
+func (worker *fakeWorker) heartbeat() *protocol.WorkerHeartbeat {
+	worker.sequence++
+	r := &protocol.WorkerHeartbeat{Machine: worker.name, Address: worker.name + ":9000",
+		Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, Epoch: worker.epoch, Sequence: worker.sequence,
+		FencingToken: worker.fencingToken, PreemptionNoticeSeconds: worker.preemptionNotice}
+	for _, task := range worker.tasks {
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: task.taskKey, Attempt: task.attempt,
+			State: task.state, ExitReason: task.exitReason, CheckpointSaved: task.checkpointSaved})
 	}
 	return r
 }
 
-// restarted is a machine that is back at once after an end, in a new session.
-func (x *worker) restarted() {
-	x.session++
-	x.tasks, x.renewed, x.changed, x.busy = nil, x.w.now, true, false
+// restartMachine restarts the machine at once, with a new epoch and without tasks.
+func (worker *fakeWorker) restartMachine() {
+	worker.epoch++
+	worker.tasks, worker.leaseRenewedAt, worker.stateChanged, worker.awaitingResponse = nil, worker.simulation.now, true, false
 }
 
-// tick lets the worker do what is due, with the workers' lease.
-func (x *worker) tick(lease time.Duration) {
-	w := x.w
-	if w.now-x.renewed > lease {
-		// A machine that hangs goes on within its lease or not at all.
-		x.session++
-		x.tasks, x.renewed, x.changed = nil, w.now, true
+// tick advances the worker by one step: it ends its epoch if its lease has expired, ends tasks, and
+// sends a heartbeat that is due.
+func (worker *fakeWorker) tick(leaseDuration time.Duration) {
+	sim := worker.simulation
+	if sim.now-worker.leaseRenewedAt > leaseDuration {
+		// A hung machine resumes within its lease or loses its tasks.
+		worker.epoch++
+		worker.tasks, worker.leaseRenewedAt, worker.stateChanged = nil, sim.now, true
 	}
-	if x.hanging {
+	if worker.hung {
 		return
 	}
-	for _, t := range x.tasks {
-		if t.state == protocol.TaskRunning && w.now >= t.end {
-			t.state, t.why, x.changed = protocol.TaskExited, protocol.ExitDone, true
-			if x.faulty || w.mistake[jobOf(t.key)] {
-				t.why = protocol.ExitFailed
+	for _, task := range worker.tasks {
+		if task.state == protocol.TaskRunning && sim.now >= task.endsAt {
+			task.state, task.exitReason, worker.stateChanged = protocol.TaskExited, protocol.ExitDone, true
+			if worker.faulty || sim.failingJobs[jobIDOf(task.taskKey)] {
+				task.exitReason = protocol.ExitFailed
 			} else {
-				w.finished[t.key] = true
+				sim.completedTasks[task.taskKey] = true
 			}
 		}
 	}
-	if x.silent || x.busy || (w.now < x.next && !(x.changed && w.now > x.next-time.Second)) {
+	if worker.unreachable || worker.awaitingResponse ||
+		(sim.now < worker.nextHeartbeatAt && !(worker.stateChanged && sim.now > worker.nextHeartbeatAt-time.Second)) {
 		return
 	}
-	x.send(x.report())
+	worker.sendHeartbeat(worker.heartbeat())
 }
 
-// send sends a report to the worker's node and deals with the answer.
-func (x *worker) send(rep *protocol.WorkerHeartbeat) {
-	w := x.w
-	if w.copies != nil {
-		w.copies(x, rep)
+// sendHeartbeat sends a heartbeat to the worker's node and handles the response.
+func (worker *fakeWorker) sendHeartbeat(heartbeat *protocol.WorkerHeartbeat) {
+	sim := worker.simulation
+	if sim.onHeartbeat != nil {
+		sim.onHeartbeat(worker, heartbeat)
 	}
-	x.busy, x.changed = true, false
-	sent, session := w.now, x.session
-	x.next = w.now + config.Seconds(w.cfg.Workers.HeartbeatIntervalS)
+	worker.awaitingResponse, worker.stateChanged = true, false
+	sentAt, epoch := sim.now, worker.epoch
+	worker.nextHeartbeatAt = sim.now + config.Seconds(sim.cfg.Workers.HeartbeatIntervalS)
 	done := false
 	finish := func(r Reply) {
 		if done {
 			return
 		}
-		done, x.busy = true, false
-		x.answer(r, sent, session)
+		done, worker.awaitingResponse = true, false
+		worker.handleResponse(r, sentAt, epoch)
 	}
-	w.after(4*time.Second, func() { finish(Reply{}) })
-	if w.far[x.node] || w.noReports[x.node] || (w.reach != nil && !w.reach(x, x.node)) {
-		return // packets vanish
+	sim.schedule(4*time.Second, func() { finish(Reply{}) })
+	if sim.unreachableNodes[worker.node] || sim.heartbeatsBlocked[worker.node] ||
+		(sim.workerReaches != nil && !sim.workerReaches(worker, worker.node)) {
+		return // the request is lost
 	}
-	if !x.connect() {
-		w.after(step, func() { finish(Reply{Status: 503, RetryAfter: 1}) })
+	if !worker.connect() {
+		sim.schedule(step, func() { finish(Reply{Status: 503, RetryAfter: 1}) })
 		return
 	}
-	node := x.node
-	w.ask(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: rep}, func(r Reply) {
-		if !x.silent && !x.dropAnswers && !w.noAnswers[node] {
-			w.after(x.lag, func() { finish(r) })
+	node := worker.node
+	sim.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}, func(r Reply) {
+		if !worker.unreachable && !worker.dropResponses && !sim.responsesBlocked[node] {
+			sim.schedule(worker.responseDelay, func() { finish(r) })
 		}
 	})
 }
 
-// connect opens a connection to the worker's node, unless that has no free one.
-func (x *worker) connect() bool {
-	w := x.w
-	if w.sockets == 0 || x.connected == x.node {
+// connect opens a connection to the worker's node, and reports false if that has no free one.
+func (worker *fakeWorker) connect() bool {
+	sim := worker.simulation
+	if sim.connectionLimit == 0 || worker.connectedNode == worker.node {
 		return true
 	}
-	x.disconnect()
-	if w.nodes[x.node].down {
-		return true // refused, and answered so
+	worker.disconnect()
+	if sim.nodes[worker.node].down {
+		return true // refused at once, which the request finds out
 	}
-	if w.open[x.node] >= w.sockets {
+	if sim.openConnections[worker.node] >= sim.connectionLimit {
 		return false
 	}
-	x.connected = x.node
-	w.open[x.node]++
+	worker.connectedNode = worker.node
+	sim.openConnections[worker.node]++
 	return true
 }
 
-func (x *worker) disconnect() {
-	if x.connected != "" {
-		x.w.open[x.connected]--
-		x.connected = ""
+func (worker *fakeWorker) disconnect() {
+	if worker.connectedNode != "" {
+		worker.simulation.openConnections[worker.connectedNode]--
+		worker.connectedNode = ""
 	}
 }
 
-func (x *worker) answer(r Reply, sent clock.Instant, session uint64) {
-	w := x.w
-	if w.sockets > 0 && (r.Status != 200 || w.open[x.connected] > w.sockets-w.sockets/8) {
-		x.disconnect() // it goes elsewhere, or its server takes turns
+func (worker *fakeWorker) handleResponse(r Reply, sentAt clock.Instant, epoch uint64) {
+	sim := worker.simulation
+	if sim.connectionLimit > 0 && (r.Status != 200 ||
+		sim.openConnections[worker.connectedNode] > sim.connectionLimit-sim.connectionLimit/8) {
+		worker.disconnect() // it switches nodes, or its server closes connections to serve others in turn
 	}
-	other := func() {
-		i := slices.Index(w.names, x.node)
-		x.node = w.names[(i+1)%len(w.names)]
-		x.next = w.now + time.Second
+	switchNode := func() {
+		i := slices.Index(sim.names, worker.node)
+		worker.node = sim.names[(i+1)%len(sim.names)]
+		worker.nextHeartbeatAt = sim.now + time.Second
 	}
 	switch r.Status {
 	case 200:
-		x.answers++
-		var a protocol.HeartbeatResponse
-		if err := json.Unmarshal(r.Body, &a); err != nil {
-			w.t.Fatal(err)
+		worker.responseCount++
+		var response protocol.HeartbeatResponse
+		if err := json.Unmarshal(r.Body, &response); err != nil {
+			sim.t.Fatal(err)
 		}
-		if a.FencingToken < x.token || session != x.session {
+		if response.FencingToken < worker.fencingToken || epoch != worker.epoch {
 			return
 		}
-		if a.FencingToken > x.token {
-			x.token, x.changed = a.FencingToken, true
+		if response.FencingToken > worker.fencingToken {
+			worker.fencingToken, worker.stateChanged = response.FencingToken, true
 		}
-		x.renewed = sent
-		for _, c := range a.Commands {
-			x.execute(c)
+		worker.leaseRenewedAt = sentAt
+		for _, c := range response.Commands {
+			worker.executeCommand(c)
 		}
 	case 421:
 		var to protocol.HeartbeatRedirect
 		json.Unmarshal(r.Body, &to)
-		if to.Node == "" || to.Node == x.node {
-			other()
+		if to.Node == "" || to.Node == worker.node {
+			switchNode()
 			return
 		}
-		x.node, x.next = to.Node, w.now
+		worker.node, worker.nextHeartbeatAt = to.Node, sim.now
 	default:
-		x.refused++
-		other()
+		worker.refusalCount++
+		switchNode()
 	}
 }
 
-func (x *worker) execute(c protocol.Command) {
-	i := slices.IndexFunc(x.tasks, func(t *simTask) bool { return t.key == c.TaskID && t.attempt == c.Attempt })
-	x.changed = true
-	switch c.Kind {
+func (worker *fakeWorker) executeCommand(command protocol.Command) {
+	i := slices.IndexFunc(worker.tasks,
+		func(task *fakeTask) bool { return task.taskKey == command.TaskID && task.attempt == command.Attempt })
+	worker.stateChanged = true
+	switch command.Kind {
 	case protocol.CommandStart:
 		if i >= 0 {
 			return
 		}
-		x.w.starts[c.TaskID]++
-		x.w.checkStart(x, c.TaskID)
-		end := x.w.now
-		if !x.w.finished[c.TaskID] { // else its result was kept
-			takes := x.w.runTime(c.TaskID, x.w.starts[c.TaskID])
-			if x.faulty && x.failsAfter > 0 {
-				takes = x.failsAfter
+		worker.simulation.startCounts[command.TaskID]++
+		worker.simulation.checkTaskStart(worker, command.TaskID)
+		end := worker.simulation.now
+		if !worker.simulation.completedTasks[command.TaskID] { // or its result was kept
+			duration := worker.simulation.taskDuration(command.TaskID, worker.simulation.startCounts[command.TaskID])
+			if worker.faulty && worker.failureDelay > 0 {
+				duration = worker.failureDelay
 			}
-			end += takes
+			end += duration
 		}
-		x.tasks = append(x.tasks, &simTask{key: c.TaskID, attempt: c.Attempt, state: protocol.TaskRunning, end: end})
+		worker.tasks = append(worker.tasks,
+			&fakeTask{taskKey: command.TaskID, attempt: command.Attempt, state: protocol.TaskRunning, endsAt: end})
 	case protocol.CommandStop:
-		if i >= 0 && x.tasks[i].state != protocol.TaskExited {
-			x.grace = append(x.grace, *c.GraceSeconds)
-			t := x.tasks[i]
-			x.w.stoppedTasks = append(x.w.stoppedTasks, t.key)
-			t.state, t.why = protocol.TaskExited, protocol.ExitStopped
-			j := x.w.specs[jobOf(c.TaskID)]
-			t.saved = j.CheckpointIntervalSeconds > 0 && *c.GraceSeconds >= j.CheckpointSaveSeconds
+		if i >= 0 && worker.tasks[i].state != protocol.TaskExited {
+			worker.stopGraces = append(worker.stopGraces, *command.GraceSeconds)
+			task := worker.tasks[i]
+			worker.simulation.stoppedTasks = append(worker.simulation.stoppedTasks, task.taskKey)
+			task.state, task.exitReason = protocol.TaskExited, protocol.ExitStopped
+			job := worker.simulation.jobSpecs[jobIDOf(command.TaskID)]
+			task.checkpointSaved = job.CheckpointIntervalSeconds > 0 &&
+				*command.GraceSeconds >= job.CheckpointSaveSeconds
 		}
 	case protocol.CommandForget:
 		if i >= 0 {
-			x.forgotten = append(x.forgotten, c.TaskID)
-			x.tasks = slices.Delete(x.tasks, i, i+1)
+			worker.forgottenTasks = append(worker.forgottenTasks, command.TaskID)
+			worker.tasks = slices.Delete(worker.tasks, i, i+1)
 		}
 	}
 }
--- /dev/null
+++ b/internal/controller/simulated_store_test.go
@@ -0,0 +1,304 @@
+package controller
+
+import (
+	"cmp"
+	"net/url"
+	"slices"
+	"sort"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"hitchdoor/internal/protocol"
+	"hitchdoor/internal/ratelimit"
+	"hitchdoor/internal/storage"
+)
+
+// fakeStore is an in-process fake of the key-value store's HTTP interface.
+type fakeStore struct {
+	simulation            *simulation
+	keys                  map[string]storage.Item
+	revision              uint64
+	eventLog              []storage.WatchEvent
+	leases                map[uint64]*fakeLease
+	lastLeaseID           uint64
+	down                  bool
+	refusedNodes          map[string]bool
+	requestsDropped       map[string]bool        // nodes whose requests are lost
+	responsesDropped      map[string]bool        // nodes whose requests are executed, but whose responses are lost
+	limitWriteRate        bool                   // enforce the configured write rate
+	enforceUpcomingLimits bool                   // enforce the limits that the settings announce
+	oversizedKeys         []string               // keys of transactions rejected as too large for the upcoming limits
+	throttledTransactions int                    // transactions rejected for the rate
+	rejectTransaction     func(storage.Txn) bool // transactions to reject permanently
+	writeBucket           ratelimit.TokenBucket
+	responsesToLose       int                                   // responses of executed transactions to drop
+	holdTransaction       func(node string, t storage.Txn) bool // transactions to hold back without a response
+	heldTransactions      []func()
+	lateExecution         func() (d time.Duration, is bool) // calls to execute after a delay, without a response
+	requestDelay          func() time.Duration              // delay of each call on its way
+	watchers              []func() bool
+}
+
+type fakeLease struct{ ttl, remaining time.Duration }
+
+func (s *fakeStore) expireLeases() {
+	if s.down {
+		return
+	}
+	for id, l := range s.leases {
+		if l.remaining -= step; l.remaining <= 0 {
+			s.endLease(id)
+		}
+	}
+}
+
+func (s *fakeStore) endLease(id uint64) {
+	delete(s.leases, id)
+	for k, it := range s.keys {
+		if it.LeaseID == id {
+			s.revision++
+			s.deleteKey(k)
+		}
+	}
+}
+
+func (s *fakeStore) deleteKey(key string) {
+	delete(s.keys, key)
+	s.eventLog = append(s.eventLog, storage.WatchEvent{DeletedKey: key, ModRevision: s.revision})
+	s.notifyWatchers()
+}
+
+func (s *fakeStore) notifyWatchers() {
+	s.watchers = slices.DeleteFunc(s.watchers, func(f func() bool) bool { return f() })
+}
+
+func (s *fakeStore) setDown(down bool) {
+	s.down = down
+	for _, l := range s.leases {
+		l.remaining = l.ttl
+	}
+	if !down {
+		s.notifyWatchers()
+	}
+}
+
+func (s *fakeStore) serve(node string, call ServiceCall, respond func(int, any)) {
+	if s.requestsDropped[node] {
+		return
+	}
+	if s.lateExecution != nil && call.Method != "GET" && !s.down && !s.refusedNodes[node] {
+		if d, is := s.lateExecution(); is {
+			// A late call is subject to an outage or a refusal of its own node, too.
+			s.simulation.schedule(d, func() { s.executeCall(node, call, func(int, any) {}) })
+			return
+		}
+	}
+	if s.responsesDropped[node] {
+		respond = func(int, any) {}
+	}
+	s.executeCall(node, call, respond)
+}
+
+func (s *fakeStore) executeCall(node string, call ServiceCall, respond func(int, any)) {
+	if s.down || s.refusedNodes[node] {
+		if !strings.HasPrefix(call.Path, "/follow") {
+			s.simulation.schedule(step, func() { respond(503, nil) })
+		}
+		return
+	}
+	requestURL, err := url.Parse(call.Path)
+	if err != nil {
+		s.simulation.t.Fatal(err)
+	}
+	parameters := requestURL.Query()
+	switch {
+	case call.Method == "GET" && strings.HasPrefix(requestURL.Path, "/store/"):
+		if it, ok := s.keys[strings.TrimPrefix(requestURL.Path, "/store/")]; ok {
+			respond(200, it)
+		} else {
+			respond(404, storage.TxnResponse{Revision: s.revision})
+		}
+	case call.Method == "GET" && requestURL.Path == "/store":
+		page := storage.ListResponse{Revision: s.revision}
+		var keys []string
+		for k := range s.keys {
+			if strings.HasPrefix(k, parameters.Get("under")) && k > parameters.Get("since") {
+				keys = append(keys, k)
+			}
+		}
+		sort.Strings(keys)
+		limit, _ := strconv.Atoi(parameters.Get("limit"))
+		for i, k := range keys {
+			if i == limit {
+				page.Truncated = true
+				break
+			}
+			page.Items = append(page.Items, s.keys[k])
+		}
+		respond(200, page)
+	case requestURL.Path == "/multi":
+		var t storage.Txn
+		if err := json.Unmarshal(call.Body, &t); err != nil {
+			s.simulation.t.Fatal(err)
+		}
+		if s.rejectTransaction != nil && s.rejectTransaction(t) {
+			respond(400, nil)
+			return
+		}
+		rate := s.simulation.cfg.Store.WritesPerS
+		if s.enforceUpcomingLimits {
+			rate = s.simulation.cfg.Store.LowerWritesPerS()
+			if key := s.oversizedKey(t); key != "" {
+				s.oversizedKeys = append(s.oversizedKeys, key)
+				respond(400, nil)
+				return
+			}
+		}
+		if s.limitWriteRate || s.enforceUpcomingLimits {
+			s.writeBucket.Rate, s.writeBucket.Burst = rate, rate
+			if !s.writeBucket.Take(s.simulation.now, float64(len(t.Writes))) {
+				s.throttledTransactions++
+				respond(429, nil)
+				return
+			}
+		}
+		if s.holdTransaction != nil && s.holdTransaction(node, t) {
+			s.heldTransactions = append(s.heldTransactions, func() { s.executeTransaction(t) })
+			return // no response: it may be executed later
+		}
+		status, res := s.executeTransaction(t)
+		if status == 200 && s.responsesToLose > 0 {
+			s.responsesToLose--
+			s.simulation.schedule(time.Second, func() { respond(0, nil) })
+			return
+		}
+		respond(status, res)
+	case requestURL.Path == "/holds":
+		var h storage.Lease
+		json.Unmarshal(call.Body, &h)
+		s.lastLeaseID++
+		ttl := time.Duration(h.TTLMillis) * time.Millisecond
+		s.leases[s.lastLeaseID] = &fakeLease{ttl, ttl}
+		respond(200, storage.Lease{ID: s.lastLeaseID})
+	case strings.HasPrefix(requestURL.Path, "/holds/"):
+		leaseID, keepAlive := strings.CutSuffix(strings.TrimPrefix(requestURL.Path, "/holds/"), "/touch")
+		id, _ := strconv.ParseUint(leaseID, 10, 64)
+		l := s.leases[id]
+		switch {
+		case l == nil:
+			respond(404, nil)
+		case keepAlive:
+			l.remaining = l.ttl
+			respond(200, storage.Lease{ID: id})
+		default:
+			s.endLease(id)
+			respond(200, nil)
+		}
+	case requestURL.Path == "/follow":
+		since, _ := strconv.ParseUint(parameters.Get("since"), 10, 64)
+		wait, _ := strconv.Atoi(parameters.Get("waitMs"))
+		under := parameters.Get("under")
+		end := s.simulation.now + time.Duration(wait)*time.Millisecond
+		poll := func() bool {
+			if s.down {
+				return false
+			}
+			response := storage.WatchResponse{Revision: s.revision}
+			for _, e := range s.eventsAfter(since) {
+				if strings.HasPrefix(cmp.Or(e.PutKey, e.DeletedKey), under) {
+					response.Events = append(response.Events, e)
+				}
+			}
+			if len(response.Events) == 0 && s.simulation.now < end {
+				return false
+			}
+			respond(200, response)
+			return true
+		}
+		if !poll() {
+			s.watchers = append(s.watchers, poll)
+			s.simulation.schedule(end-s.simulation.now, s.notifyWatchers)
+		}
+	default:
+		s.simulation.t.Fatalf("state service: %s %s", call.Method, call.Path)
+	}
+}
+
+// eventsAfter returns the events of the log that are newer than a revision. The log is ordered by
+// revision, so a binary search finds them.
+func (s *fakeStore) eventsAfter(revision uint64) []storage.WatchEvent {
+	from := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].ModRevision > revision })
+	return s.eventLog[from:]
+}
+
+// oversizedKey returns a key of a transaction that exceeds the announced limits, or "".
+func (s *fakeStore) oversizedKey(t storage.Txn) string {
+	for _, write := range t.Writes {
+		if len(write.Value) > s.simulation.cfg.Store.MaxValueBytes() ||
+			len(t.Writes) > s.simulation.cfg.Store.MaxTxnOps() {
+			return write.Key()
+		}
+	}
+	return ""
+}
+
+// putValue stores a value as an earlier leader would have.
+func (s *fakeStore) putValue(key string, value any) {
+	switch rec := value.(type) {
+	case storage.JobRecord:
+		s.simulation.submitted[rec.Spec.ID], s.simulation.jobSpecs[rec.Spec.ID] = true, rec.Spec
+	case storage.TerminalRecord:
+		id := strings.TrimPrefix(key, storage.TerminalPrefix)
+		s.simulation.submitted[id], s.simulation.cancelRequested[id] = true, rec.State == protocol.JobCancelled
+	}
+	s.revision++
+	s.keys[key] = storage.Item{Key: key, Value: storage.Encode(value), ModRevision: s.revision}
+}
+
+// holdNextTransaction returns a holdTransaction that holds back the next transaction only.
+func holdNextTransaction(s *fakeStore) func(string, storage.Txn) bool {
+	return func(string, storage.Txn) bool {
+		s.holdTransaction = nil
+		return true
+	}
+}
+
+func (s *fakeStore) executeTransaction(t storage.Txn) (int, any) {
+	for _, write := range t.Writes {
+		if write.LeaseID != 0 && s.leases[write.LeaseID] == nil {
+			return 400, map[string]string{"error": "no such lease"}
+		}
+	}
+	var failed []string
+	for _, c := range t.Conditions {
+		if s.keys[c.Key].ModRevision != c.ModRevision {
+			failed = append(failed, c.Key)
+		}
+	}
+	if failed != nil {
+		return 409, storage.TxnResponse{FailedKeys: failed, Revision: s.revision}
+	}
+	if len(t.Writes) > s.simulation.cfg.Store.TxnOps {
+		s.simulation.t.Fatalf("transaction of %d writes", len(t.Writes))
+	}
+	s.simulation.checkAdmissionPolicy(t)
+	s.revision++
+	for _, write := range t.Writes {
+		if write.PutKey == "" {
+			s.deleteKey(write.DeleteKey)
+			continue
+		}
+		if len(write.Value) > int(s.simulation.cfg.Store.ValueKB*1024) {
+			s.simulation.t.Fatalf("value of %d bytes at %s", len(write.Value), write.PutKey)
+		}
+		s.keys[write.PutKey] = storage.Item{Key: write.PutKey, Value: write.Value, ModRevision: s.revision,
+			LeaseID: write.LeaseID}
+		s.eventLog = append(s.eventLog,
+			storage.WatchEvent{PutKey: write.PutKey, Value: write.Value, ModRevision: s.revision})
+	}
+	s.notifyWatchers()
+	return 200, storage.TxnResponse{Revision: s.revision}
+}
