--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -12,31 +12,31 @@
 	"hitchdoor/internal/storage"
 )
 
-// userSimulation is a simulation together with users who ask any node, repeat what was not answered, and look
-// closely. What they are told is heard by the invariant checker.
+// userSimulation is a simulation with users who send requests to random nodes, repeat unanswered
+// ones, and query often. The invariant checker checks their replies.
 type userSimulation struct {
 	*simulation
 	rng *rand.Rand
 }
 
-func newUserSimulation(w *simulation, seed uint64) *userSimulation {
-	return &userSimulation{simulation: w, rng: rand.New(rand.NewPCG(seed, 7))}
+func newUserSimulation(sim *simulation, seed uint64) *userSimulation {
+	return &userSimulation{simulation: sim, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
-// driftClocks lets the nodes' steady clocks run by as much as they may.
+// driftClocks gives the nodes' monotonic clocks random rates within the permitted drift.
 func (c *userSimulation) driftClocks() {
 	for _, name := range c.names {
-		c.nodes[name].rate = 1 + (c.rng.Float64()-0.5)/1000
+		c.nodes[name].clockRate = 1 + (c.rng.Float64()-0.5)/1000
 	}
 }
 
-func (c *userSimulation) anyNode() string { return c.names[c.rng.IntN(len(c.names))] }
+func (c *userSimulation) randomNode() string { return c.names[c.rng.IntN(len(c.names))] }
 
-// knows tells whether some user was told that a job is accepted.
-func (c *userSimulation) knows(id string) bool { _, ok := c.accepted[id]; return ok }
+// knowsAccepted tells whether some user was told that a job is accepted.
+func (c *userSimulation) knowsAccepted(id string) bool { _, ok := c.acceptedAt[id]; return ok }
 
-// user asks any node, and gives up after 5 s as users do.
-func (c *userSimulation) user(r Request, f func(Reply)) {
+// sendUserRequest sends a request to a random node, and gives up after 5 s as users do.
+func (c *userSimulation) sendUserRequest(r Request, f func(Reply)) {
 	done := false
 	once := func(r Reply) {
 		if !done {
@@ -44,59 +44,59 @@
 			f(r)
 		}
 	}
-	c.ask(c.anyNode(), r, once)
-	c.after(5*time.Second, func() { once(Reply{}) })
+	c.sendRequest(c.randomNode(), r, once)
+	c.schedule(5*time.Second, func() { once(Reply{}) })
 }
 
-// submitUntil submits a job until some node has taken it, 40 times at most.
-func (c *userSimulation) submitUntil(j protocol.Job) {
+// submitWithRetries submits a job until some node has accepted it, 40 times at most.
+func (c *userSimulation) submitWithRetries(job protocol.Job) {
 	var try func(int)
 	try = func(tries int) {
-		c.user(Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j}, func(r Reply) {
+		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			switch {
 			case r.Status == 201 || r.Status == 200:
 			case r.Status != 503 && r.Status != 0:
-				c.t.Errorf("%s: submission answered %d", j.ID, r.Status)
+				c.t.Errorf("%s: submission answered %d", job.ID, r.Status)
 			case tries < 40:
-				c.after(time.Second, func() { try(tries + 1) })
+				c.schedule(time.Second, func() { try(tries + 1) })
 			}
 		})
 	}
 	try(0)
 }
 
-// cancelUntil cancels a job until some node has confirmed it, or says that it is done.
-func (c *userSimulation) cancelUntil(id string) {
-	c.user(Request{Kind: protocol.RequestCancel, JobID: id}, func(r Reply) {
+// cancelWithRetries cancels a job until some node has confirmed it or reports it as done.
+func (c *userSimulation) cancelWithRetries(id string) {
+	c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: id}, func(r Reply) {
 		switch {
 		case r.Status == 200:
 		case r.Status == 404 || r.Status == 400:
 			c.t.Errorf("%s: cancellation answered %d", id, r.Status)
 		default:
-			c.after(time.Second, func() { c.cancelUntil(id) })
+			c.schedule(time.Second, func() { c.cancelWithRetries(id) })
 		}
 	})
 }
 
-// poll asks any nodes about all jobs, and about one that nobody submitted.
-func (c *userSimulation) poll() {
-	for _, id := range slices.Sorted(maps.Keys(c.accepted)) {
-		c.user(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
+// queryAllJobs queries all accepted jobs at random nodes, and one that nobody submitted.
+func (c *userSimulation) queryAllJobs() {
+	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
+		c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
 	}
-	c.user(Request{Kind: protocol.RequestQuery, JobID: "j-nobodys"}, func(Reply) {})
+	c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: "j-nobodys"}, func(Reply) {})
 }
 
-// lookClosely lets users ask at all nodes, again and again within milliseconds, and repeat
-// the submission, as soon as anybody was told that a job is accepted, done or cancelled.
-func (c *userSimulation) lookClosely() {
-	c.told = func(id string, _ protocol.JobState) {
-		j := c.specs[id]
+// queryAfterEachChange lets users query all nodes repeatedly within milliseconds, and repeat the
+// submission, as soon as any user was told that a job is accepted, done or cancelled.
+func (c *userSimulation) queryAfterEachChange() {
+	c.onJobState = func(id string, _ protocol.JobState) {
+		job := c.jobSpecs[id]
 		for i := range 6 {
-			c.after(time.Duration(i*i)*step, func() {
+			c.schedule(time.Duration(i*i)*step, func() {
 				for _, name := range c.names {
-					c.ask(name, Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
-					if i%3 == 1 && j.ID == id {
-						c.ask(name, Request{Kind: protocol.RequestSubmit, JobID: id, Job: &j}, func(Reply) {})
+					c.sendRequest(name, Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
+					if i%3 == 1 && job.ID == id {
+						c.sendRequest(name, Request{Kind: protocol.RequestSubmit, JobID: id, Job: &job}, func(Reply) {})
 					}
 				}
 			})
@@ -104,32 +104,32 @@
 	}
 }
 
-// calmDown says that all troubles are over: from here on nothing waits beside room, and
-// each job is asked about every 5 s and has to be answered within 75 s.
-func (c *userSimulation) calmDown() {
-	c.calm = c.now
+// markFaultsEnded declares all faults ended: from here on no job may be pending beside free
+// capacity, and each job is queried every 5 s and has to be answered within 75 s.
+func (c *userSimulation) markFaultsEnded() {
+	c.faultsEndedAt = c.now
 	var again func()
 	again = func() {
-		c.poll()
-		c.after(5*time.Second, again)
+		c.queryAllJobs()
+		c.schedule(5*time.Second, again)
 	}
 	again()
-	c.after(75*time.Second, func() {
-		for id, at := range c.answered {
-			if at < c.calm && c.now >= c.calm {
-				c.broken("forgotten", "no question about %s is answered for 75 s", id)
+	c.schedule(75*time.Second, func() {
+		for id, at := range c.answeredAt {
+			if at < c.faultsEndedAt && c.now >= c.faultsEndedAt {
+				c.reportViolation("forgotten", "no question about %s is answered for 75 s", id)
 			}
 		}
 	})
 }
 
-// settle waits until every job that was accepted and not cancelled is done, and the others
-// have their end written.
-func (c *userSimulation) settle(d time.Duration) {
+// waitForCompletion waits until every accepted job that was not cancelled is done, and the terminal
+// records of the others are written.
+func (c *userSimulation) waitForCompletion(d time.Duration) {
 	c.t.Helper()
-	c.calmDown()
-	isOver := func(id string) bool {
-		switch state := c.final(id); {
+	c.markFaultsEnded()
+	isSettled := func(id string) bool {
+		switch state := c.terminalState(id); {
 		case state == protocol.JobCancelled:
 			return c.mayBeCancelled(id)
 		default:
@@ -138,60 +138,64 @@
 		}
 	}
 	open := func() []string {
-		return slices.DeleteFunc(slices.Sorted(maps.Keys(c.accepted)), isOver)
+		return slices.DeleteFunc(slices.Sorted(maps.Keys(c.acceptedAt)), isSettled)
 	}
-	last := "" // a job that was open when last looked at: while it is, the others need no look
-	allOver := func() bool {
-		if last != "" && !isOver(last) {
+	lastOpen := "" // a job that was open at the last check: while it is, the others need no check
+	allSettled := func() bool {
+		if lastOpen != "" && !isSettled(lastOpen) {
 			return false
 		}
-		for id := range c.accepted {
-			if !isOver(id) {
-				last = id
+		for id := range c.acceptedAt {
+			if !isSettled(id) {
+				lastOpen = id
 				return false
 			}
 		}
 		return true
 	}
-	if !c.until(d, allOver) {
-		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(open(), ", "), c.why(open()[0]))
+	if !c.advanceUntil(d, allSettled) {
+		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(open(), ", "),
+			c.explainPending(open()[0]))
 	}
-	c.poll()
-	c.run(2 * time.Second)
+	c.queryAllJobs()
+	c.advance(2 * time.Second)
 }
 
-// why tells what a job that is not done waits for.
-func (w *simulation) why(id string) string {
-	name := w.leader()
+// explainPending describes why a job that is not done is pending.
+func (sim *simulation) explainPending(id string) string {
+	name := sim.leaderName()
 	if name == "" {
-		return "nobody leads: " + w.noLeader()
+		return "nobody leads: " + sim.explainNoLeader()
 	}
-	l := w.nodes[name].leader
-	j := l.Jobs[id]
-	if j == nil {
+	l := sim.nodes[name].leader
+	job := l.Jobs[id]
+	if job == nil {
 		return "the leader does not know it"
 	}
-	out := fmt.Sprintf("%d pending, waits for %q", j.PendingTasks, j.BlockedBy)
-	for _, r := range j.Attempts {
-		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.Key(), r.Phase, r.Machine.Name, r.Machine.Up, r.Machine.TokenAcknowledged, r.Machine.DrainReason)
+	out := fmt.Sprintf("%d pending, waits for %q", job.PendingTasks, job.BlockedBy)
+	for _, r := range job.Attempts {
+		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.Key(), r.Phase, r.Machine.Name,
+			r.Machine.Up, r.Machine.TokenAcknowledged, r.Machine.DrainReason)
 	}
-	for name, x := range w.workers {
-		for _, t := range x.tasks {
-			if strings.HasPrefix(t.key, id+"/") {
-				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name, *t, x.node, x.hanging, x.dropAnswers, x.silent, x.session)
+	for name, worker := range sim.workers {
+		for _, task := range worker.tasks {
+			if strings.HasPrefix(task.taskKey, id+"/") {
+				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name,
+					*task, worker.node, worker.hung, worker.dropResponses, worker.unreachable, worker.epoch)
 			}
 		}
 	}
 	return out
 }
 
-// noLeader tells what each node does about it.
-func (w *simulation) noLeader() string {
-	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", w.state.down, w.state.refuse, w.state.lost, w.state.keys[storage.LeaderKey].Value)
-	for _, name := range w.names {
-		n := w.nodes[name]
+// explainNoLeader describes the state of each node's election.
+func (sim *simulation) explainNoLeader() string {
+	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", sim.store.down,
+		sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
+	for _, name := range sim.names {
+		n := sim.nodes[name]
 		status := n.election.Status()
-		out += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.frozen, n.draining,
+		out += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.paused, n.draining,
 			n.leader != nil, status.IsCandidate, n.election.StoreFailing(), status.Isolated, n.election.RecentPeerCount(n.leaderLease()))
 	}
 	return out
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -20,62 +20,62 @@
 	"hitchdoor/internal/storage"
 )
 
-// The simulation of the tests: a fake clock, nodes that are stepped by hand, and
-// stand-ins for the state service, the cloud and the workers, written from the
-// protocol. Every test also has the invariant checker of invariants_test.go, who looks at each moment and
-// at each answer for a rule that is broken.
+// The simulation runs controller nodes step by step on a fake clock, with in-process fakes of the
+// key-value store, the cloud and the workers that are written from the protocol. Every test also
+// runs the invariant checker of invariants_test.go, which checks each step and each reply.
 
 const step = 5 * time.Millisecond
 
 type simulation struct {
-	t            *testing.T
-	now          clock.Instant
-	cfg          config.Cluster
-	nodes        map[string]*simNode
-	names        []string
-	state        *fakeState
-	cloud        *fakeCloud
-	workers      map[string]*worker
-	ordered      []*worker
-	specs        map[string]protocol.Job
-	events       events
-	planned      int
-	cut          map[[2]string]bool // between nodes
-	oneWay       map[[2]string]bool // the same, of messages from the first to the second only
-	holds        bool               // cuts between nodes keep messages, which arrive once they end
-	kept         []event
-	far          map[string]bool                   // nodes that no worker reaches
-	reach        func(x *worker, node string) bool // nil: every worker reaches all others
-	noReports    map[string]bool                   // nodes that workers' reports don't reach
-	noAnswers    map[string]bool                   // nodes whose answers don't reach workers
-	runTime      func(task string, attempt int) time.Duration
-	copies       func(x *worker, rep *protocol.WorkerHeartbeat)               // sees every report that is sent
-	mangle       func(node string, call ServiceCall, r CallResult) CallResult // alters the answers of outside services
-	instead      func(call ServiceCall) (r CallResult, ok bool)               // answers calls at once, in the place of outside services
-	watch        func(n *simNode, effects []Effect)                           // sees all effects of nodes
-	starts       map[string]int                                               // by task
-	stoppedTasks []string                                                     // by command
-	mistake      map[string]bool                                              // jobs that fail on every machine
-	old          map[string]bool                                              // nodes that start with level 0
-	wallOff      map[string]time.Duration                                     // by how much nodes' times of day are wrong
-	fair         bool                                                         // admission by policy is switched on
-	sockets      int                                                          // connections that each node takes; 0: any number
-	open         map[string]int                                               // by node: workers' connections
+	t                 *testing.T
+	now               clock.Instant
+	cfg               config.Cluster
+	nodes             map[string]*simNode
+	names             []string
+	store             *fakeStore
+	cloud             *fakeCloud
+	workers           map[string]*fakeWorker
+	workersByName     []*fakeWorker
+	jobSpecs          map[string]protocol.Job
+	events            events
+	lastEventSeq      int
+	linkCuts          map[[2]string]bool // between nodes, in both directions
+	oneWayCuts        map[[2]string]bool // between nodes, from the first to the second
+	holdMessages      bool               // cuts delay messages until they heal instead of dropping them
+	heldMessages      []event
+	unreachableNodes  map[string]bool                            // nodes that no worker reaches
+	workerReaches     func(worker *fakeWorker, node string) bool // nil: every worker reaches all other nodes
+	heartbeatsBlocked map[string]bool                            // nodes that workers' heartbeats don't reach
+	responsesBlocked  map[string]bool                            // nodes whose responses don't reach workers
+	taskDuration      func(task string, attempt int) time.Duration
+	onHeartbeat       func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) // called for each heartbeat that is sent
+	alterResult       func(node string, call ServiceCall, r CallResult) CallResult  // alters results of the store and the cloud
+	interceptCall     func(call ServiceCall) (r CallResult, ok bool)                // answers calls at once, in place of the fakes
+	onEffects         func(n *simNode, effects []Effect)                            // called with the effects of each step
+	startCounts       map[string]int                                                // by task
+	stoppedTasks      []string                                                      // by stop command
+	failingJobs       map[string]bool                                               // jobs that fail on every machine
+	oldVersionNodes   map[string]bool                                               // nodes that start with protocol level 0
+	wallClockOffsets  map[string]time.Duration                                      // errors of the nodes' wall clocks
+	fairAdmission     bool                                                          // admission by policy is enabled
+	connectionLimit   int                                                           // workers' connections to each node; 0: not limited
+	openConnections   map[string]int                                                // workers' connections, by node
 	invariantChecker
 }
 
 type event struct {
-	at  clock.Instant
-	seq int
-	f   func()
+	dueAt  clock.Instant
+	seq    int
+	action func()
 }
 
-// events are what is to happen, as a binary heap, in their order. No two have the same number,
-// so the order is total. The heap is typed: container/heap allocates for each event.
+// events are scheduled actions, as a binary heap ordered by time and sequence number. No two have
+// the same number, so the order is total. The heap is typed, since container/heap allocates for
+// each event.
 type events []event
 
 func (e event) before(other event) bool {
-	return e.at < other.at || e.at == other.at && e.seq < other.seq
+	return e.dueAt < other.dueAt || e.dueAt == other.dueAt && e.seq < other.seq
 }
 
 func (e *events) push(x event) {
@@ -92,7 +92,7 @@
 func (e *events) pop() event {
 	h := *e
 	first, last := h[0], h[len(h)-1]
-	h[len(h)-1] = event{} // let go of its function
+	h[len(h)-1] = event{} // releases its function
 	h = h[:len(h)-1]
 	*e = h
 	if len(h) == 0 {
@@ -115,64 +115,70 @@
 
 type simNode struct {
 	*Node
-	name    string
-	boot    clock.Instant
-	epoch   int
-	inbox   []Command
-	asks    map[uint64]func(Reply)
-	ticket  uint64
-	down    bool
-	rate    float64       // of its clock; 0: exact
-	frozen  bool          // it stands still, while its clocks run on
-	old     bool          // it speaks and writes as level 0 does
-	stall   time.Duration // for how long it will, before it carries out what it next decides
-	counted clock.Instant // when it was last told how many connections are open
+	name               string
+	bootedAt           clock.Instant
+	epoch              int
+	inbox              []Command
+	pendingRequests    map[uint64]func(Reply)
+	lastRequestID      uint64
+	down               bool
+	clockRate          float64       // of its monotonic clock; 0: exact
+	paused             bool          // its steps are suspended, while its clocks advance
+	oldVersion         bool          // it sends and writes as protocol level 0 does
+	pauseBeforeEffects time.Duration // how long it pauses between its next decision and the effects
+	loadReportedAt     clock.Instant // when it was last given the number of open connections
 }
 
-// loadEvery is how often a node is told how many connections are open.
-const loadEvery = 20 * step
+// loadReportInterval is how often a node is given its number of open connections.
+const loadReportInterval = 20 * step
 
-// clock is the node's steady clock.
-func (n *simNode) clock(now clock.Instant) clock.Instant {
-	if n.rate == 0 {
-		return now - n.boot
+// monotonicNow returns the node's monotonic time.
+func (n *simNode) monotonicNow(now clock.Instant) clock.Instant {
+	if n.clockRate == 0 {
+		return now - n.bootedAt
 	}
-	return clock.Instant(float64(now-n.boot) * n.rate)
+	return clock.Instant(float64(now-n.bootedAt) * n.clockRate)
 }
 
-// proportions are the workers' settings of a deployment.
-type proportions struct{ report, lease, cancel float64 }
+// workerTimings are the settings of workers in a deployment, in seconds.
+type workerTimings struct{ heartbeatInterval, machineLease, cancelLimit float64 }
 
-var deployments = []proportions{{1.5, 14, 34}, {3, 18, 38}, {4, 22, 42}, {5, 26.5, 46.5}}
+var deployments = []workerTimings{{1.5, 14, 34}, {3, 18, 38}, {4, 22, 42}, {5, 26.5, 46.5}}
 
 func newSimulation(t *testing.T, nodes int) *simulation {
-	return newSimulationOf(t, nodes, deployments[0])
-}
-
-func newSimulationOf(t *testing.T, nodes int, p proportions) *simulation {
-	w := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*worker{}, specs: map[string]protocol.Job{},
-		cut: map[[2]string]bool{}, oneWay: map[[2]string]bool{}, noReports: map[string]bool{}, noAnswers: map[string]bool{}, far: map[string]bool{}, starts: map[string]int{}, mistake: map[string]bool{}, old: map[string]bool{}, open: map[string]int{}, invariantChecker: newInvariantChecker(),
-		runTime: func(string, int) time.Duration { return 5 * time.Second }}
-	c := &w.cfg
+	return newSimulationWithTimings(t, nodes, deployments[0])
+}
+
+func newSimulationWithTimings(t *testing.T, nodes int, p workerTimings) *simulation {
+	sim := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*fakeWorker{},
+		jobSpecs: map[string]protocol.Job{},
+		linkCuts: map[[2]string]bool{}, oneWayCuts: map[[2]string]bool{},
+		heartbeatsBlocked: map[string]bool{}, responsesBlocked: map[string]bool{},
+		unreachableNodes: map[string]bool{}, startCounts: map[string]int{}, failingJobs: map[string]bool{},
+		oldVersionNodes: map[string]bool{}, openConnections: map[string]int{}, invariantChecker: newInvariantChecker(),
+		taskDuration: func(string, int) time.Duration { return 5 * time.Second }}
+	c := &sim.cfg
 	c.ControllerCount = nodes
 	c.Zones = []string{"a", "b"}
-	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS = p.report, p.lease, p.cancel
+	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS = p.heartbeatInterval, p.machineLease, p.cancelLimit
 	c.Store.RequestsPerS, c.Store.WritesPerS, c.Store.ValueKB, c.Store.TxnOps = 200, 100, 8, 20
 	c.Cloud.RequestsPerS, c.Cloud.ListLagS = 4, 10
 	c.Resources.CoreShare, c.Resources.MemoryMB, c.Resources.MaxConnections = 0.1, 100, 1000
 	c.Teams = []config.Team{{Name: "team", MaxCPUs: 16}, {Name: "free"}}
-	w.state = &fakeState{w: w, keys: map[string]storage.Item{}, leases: map[uint64]*fakeLease{}, refuse: map[string]bool{}, lost: map[string]bool{}, mute: map[string]bool{}}
-	w.cloud = &fakeCloud{w: w, requests: map[string][]string{}, hosts: map[string]*worker{}}
+	sim.store = &fakeStore{simulation: sim, keys: map[string]storage.Item{}, leases: map[uint64]*fakeLease{},
+		refusedNodes: map[string]bool{}, requestsDropped: map[string]bool{}, responsesDropped: map[string]bool{}}
+	sim.cloud = &fakeCloud{simulation: sim, rentals: map[string][]string{}, hosts: map[string]*fakeWorker{}}
 	for i := range nodes {
-		w.names = append(w.names, fmt.Sprintf("n%d", i))
+		sim.names = append(sim.names, fmt.Sprintf("n%d", i))
 	}
-	for _, name := range w.names {
-		w.start(name)
+	for _, name := range sim.names {
+		sim.startNode(name)
 	}
-	return w
+	return sim
 }
 
-// testLog writes to the standard error output if LOG_LEVEL is debug. Otherwise no record is formatted.
+// testLog returns a logger to standard error if LOG_LEVEL is debug. Otherwise no record is
+// formatted.
 func testLog() *slog.Logger {
 	if os.Getenv("LOG_LEVEL") == "debug" {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -180,210 +186,214 @@
 	return slog.New(slog.DiscardHandler)
 }
 
-func (w *simulation) start(name string) {
-	p := &config.Platform{Node: name, Cluster: w.cfg}
-	if w.old[name] {
-		p.Cluster.Store.Upcoming = config.StoreLimits{}.Upcoming // level 0 does not know them
+func (sim *simulation) startNode(name string) {
+	platform := &config.Platform{Node: name, Cluster: sim.cfg}
+	if sim.oldVersionNodes[name] {
+		platform.Cluster.Store.Upcoming = config.StoreLimits{}.Upcoming // level 0 does not know them
 	}
-	for _, other := range w.names {
+	for _, other := range sim.names {
 		if other != name {
-			p.Peers = append(p.Peers, config.Peer{Node: other})
+			platform.Peers = append(platform.Peers, config.Peer{Node: other})
 		}
 	}
 	epoch := 1
-	if old := w.nodes[name]; old != nil {
+	if old := sim.nodes[name]; old != nil {
 		epoch = old.epoch + 1
 	}
-	set := config.Defaults()
-	set.IdleRetention = 4 // so that machines stay for the races
-	set.FairAdmission = w.fair
-	set.RecoveryMinMachines = 0 // the simulated fleets are small
-	w.nodes[name] = &simNode{
-		Node: New(Options{Platform: p, Settings: set, Log: testLog().With("node", name),
-			Rand: rand.New(rand.NewPCG(uint64(len(name)), uint64(name[1]))), StartTime: time.Unix(1_000_000, 0).Add(w.now + w.wallOff[name])}),
-		name: name, boot: w.now, epoch: epoch, asks: map[uint64]func(Reply){}, old: w.old[name],
-	}
-}
-
-func (w *simulation) crash(name string) {
-	w.nodes[name].down = true
-	w.nodes[name].epoch++
-	for _, x := range w.workers {
-		if x.connected == name {
-			x.disconnect()
+	settings := config.Defaults()
+	settings.IdleRetention = 4 // so that machines are kept for the races
+	settings.FairAdmission = sim.fairAdmission
+	settings.RecoveryMinMachines = 0 // the simulated fleets are small
+	sim.nodes[name] = &simNode{
+		Node: New(Options{Platform: platform, Settings: settings, Log: testLog().With("node", name),
+			Rand:      rand.New(rand.NewPCG(uint64(len(name)), uint64(name[1]))),
+			StartTime: time.Unix(1_000_000, 0).Add(sim.now + sim.wallClockOffsets[name])}),
+		name: name, bootedAt: sim.now, epoch: epoch, pendingRequests: map[uint64]func(Reply){},
+		oldVersion: sim.oldVersionNodes[name],
+	}
+}
+
+func (sim *simulation) crashNode(name string) {
+	sim.nodes[name].down = true
+	sim.nodes[name].epoch++
+	for _, worker := range sim.workers {
+		if worker.connectedNode == name {
+			worker.disconnect()
 		}
 	}
 }
 
-func (w *simulation) restart(name string) { w.start(name) }
+func (sim *simulation) restartNode(name string) { sim.startNode(name) }
 
-// back lets a node end and begin anew.
-func (w *simulation) back(name string, after time.Duration) {
-	w.crash(name)
-	w.after(after, func() {
-		if w.nodes[name].down {
-			rate := w.nodes[name].rate
-			w.restart(name)
-			w.nodes[name].rate = rate
+// restartAfter crashes a node and restarts it after some time.
+func (sim *simulation) restartAfter(name string, after time.Duration) {
+	sim.crashNode(name)
+	sim.schedule(after, func() {
+		if sim.nodes[name].down {
+			rate := sim.nodes[name].clockRate
+			sim.restartNode(name)
+			sim.nodes[name].clockRate = rate
 		}
 	})
 }
 
-func (w *simulation) after(d time.Duration, f func()) {
-	w.planned++
-	w.events.push(event{w.now + d, w.planned, f})
+func (sim *simulation) schedule(d time.Duration, f func()) {
+	sim.lastEventSeq++
+	sim.events.push(event{sim.now + d, sim.lastEventSeq, f})
 }
 
-// run lets the simulation go on for a while.
-func (w *simulation) run(d time.Duration) { w.until(d, func() bool { return false }) }
+// advance runs the simulation for a duration.
+func (sim *simulation) advance(d time.Duration) { sim.advanceUntil(d, func() bool { return false }) }
 
-// until lets the simulation go on until something holds, and tells whether it came to hold.
-func (w *simulation) until(d time.Duration, cond func() bool) bool {
-	w.t.Helper()
-	for end := w.now + d; w.now < end; {
-		if cond() {
+// advanceUntil runs the simulation until the condition holds or the duration has passed, and
+// returns whether it holds.
+func (sim *simulation) advanceUntil(d time.Duration, condition func() bool) bool {
+	sim.t.Helper()
+	for end := sim.now + d; sim.now < end; {
+		if condition() {
 			return true
 		}
-		w.now += step
-		w.state.expire()
-		for len(w.events) > 0 && w.events[0].at <= w.now {
-			w.events.pop().f()
+		sim.now += step
+		sim.store.expireLeases()
+		for len(sim.events) > 0 && sim.events[0].dueAt <= sim.now {
+			sim.events.pop().action()
 		}
-		for _, name := range w.names {
-			w.stepNode(w.nodes[name])
+		for _, name := range sim.names {
+			sim.stepNode(sim.nodes[name])
 		}
-		lease := config.Seconds(w.cfg.Workers.LeaseS)
-		for _, x := range w.inOrder() {
-			x.tick(lease)
+		leaseDuration := config.Seconds(sim.cfg.Workers.LeaseS)
+		for _, worker := range sim.sortedWorkers() {
+			worker.tick(leaseDuration)
 		}
-		w.check()
+		sim.checkInvariants()
 	}
-	return cond()
+	return condition()
 }
 
-// inOrder lists the workers by name. The list is kept as long as it is true: sorted at
-// each step it was half of the tests' time. Workers join by addWorker only, which drops the
-// list; so if it is as long as the map, none has left since either.
-func (w *simulation) inOrder() []*worker {
-	if len(w.ordered) != len(w.workers) {
-		w.ordered = slices.SortedFunc(maps.Values(w.workers), func(a, b *worker) int { return cmp.Compare(a.name, b.name) })
+// sortedWorkers returns the workers by name. The list is cached: sorting at each step took half of
+// the tests' time. Workers join by addWorker only, which drops the cache, so if it is as long as
+// the map, no worker has left since either.
+func (sim *simulation) sortedWorkers() []*fakeWorker {
+	if len(sim.workersByName) != len(sim.workers) {
+		sim.workersByName = slices.SortedFunc(maps.Values(sim.workers),
+			func(a, b *fakeWorker) int { return cmp.Compare(a.name, b.name) })
 	}
-	return w.ordered
+	return sim.workersByName
 }
 
-// addWorker lets a worker join.
-func (w *simulation) addWorker(x *worker) {
-	w.workers[x.name] = x
-	w.ordered = nil
+// addWorker adds a worker, whose machine is up.
+func (sim *simulation) addWorker(worker *fakeWorker) {
+	sim.workers[worker.name] = worker
+	sim.workersByName = nil
 }
 
-func (w *simulation) stepNode(n *simNode) {
-	if n.down || n.frozen {
+func (sim *simulation) stepNode(n *simNode) {
+	if n.down || n.paused {
 		return
 	}
 	batch := n.inbox
 	n.inbox = nil
-	if w.sockets > 0 && n.clock(w.now) >= n.counted+loadEvery {
-		n.counted = n.clock(w.now)
-		batch = append(batch, ServerLoad{Open: w.open[n.name], Limit: w.sockets})
+	if sim.connectionLimit > 0 && n.monotonicNow(sim.now) >= n.loadReportedAt+loadReportInterval {
+		n.loadReportedAt = n.monotonicNow(sim.now)
+		batch = append(batch, ServerLoad{Open: sim.openConnections[n.name], Limit: sim.connectionLimit})
 	}
-	effects := n.Step(n.clock(w.now), batch)
-	if w.watch != nil {
-		w.watch(n, effects)
+	effects := n.Step(n.monotonicNow(sim.now), batch)
+	if sim.onEffects != nil {
+		sim.onEffects(n, effects)
 	}
-	if n.stall > 0 && len(effects) > 0 {
-		w.freeze(n, n.stall, func() { w.carryOut(n, effects) })
-		n.stall = 0
+	if n.pauseBeforeEffects > 0 && len(effects) > 0 {
+		sim.pauseNode(n, n.pauseBeforeEffects, func() { sim.applyEffects(n, effects) })
+		n.pauseBeforeEffects = 0
 		return
 	}
-	w.carryOut(n, effects)
+	sim.applyEffects(n, effects)
 }
 
-// freeze lets a node stand still for a while and then do something first.
-func (w *simulation) freeze(n *simNode, d time.Duration, then func()) {
-	n.frozen = true
+// pauseNode suspends a node's steps for a duration, and calls then when it resumes.
+func (sim *simulation) pauseNode(n *simNode, d time.Duration, then func()) {
+	n.paused = true
 	epoch := n.epoch
-	w.after(d, func() {
-		n.frozen = false
+	sim.schedule(d, func() {
+		n.paused = false
 		if !n.down && n.epoch == epoch {
 			then()
 		}
 	})
 }
 
-func (w *simulation) carryOut(n *simNode, effects []Effect) {
+func (sim *simulation) applyEffects(n *simNode, effects []Effect) {
 	epoch := n.epoch
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Reply:
-			if f := n.asks[e.RequestID]; f != nil {
-				delete(n.asks, e.RequestID)
-				w.after(step, func() { f(e) })
+			if onReply := n.pendingRequests[e.RequestID]; onReply != nil {
+				delete(n.pendingRequests, e.RequestID)
+				sim.schedule(step, func() { onReply(e) })
 			}
 		case OutboundMessage:
-			if n.old {
+			if n.oldVersion {
 				if beat, is := e.Message.(protocol.PeerHeartbeat); is {
 					beat.VersionLevel, beat.WritesThrottled = 0, false
 					e.Message = beat
 				}
 			}
-			to, message := e.To, overTheWire(w.t, e.Message)
+			to, message := e.To, roundTripMessage(sim.t, e.Message)
 			arrive := func() {
-				if peer := w.nodes[to]; !peer.down {
+				if peer := sim.nodes[to]; !peer.down {
 					peer.inbox = append(peer.inbox, InboundMessage{From: n.name, Message: message})
 				}
 			}
-			if !w.apart(n.name, to) {
-				w.after(step, arrive)
-			} else if w.holds {
-				w.kept = append(w.kept, event{f: arrive})
+			if !sim.linkBlocked(n.name, to) {
+				sim.schedule(step, arrive)
+			} else if sim.holdMessages {
+				sim.heldMessages = append(sim.heldMessages, event{action: arrive})
 			}
 		case ServiceCall:
 			answered := false
-			back := func(status int, body any) {
-				if w.nodes[n.name] == n && n.epoch == epoch && !answered {
+			respond := func(status int, body any) {
+				if sim.nodes[n.name] == n && n.epoch == epoch && !answered {
 					answered = true
 					r := CallResult{ID: e.ID, Status: status}
 					switch body := body.(type) {
 					case nil:
 					case json.RawMessage:
-						r.Body = body // as it is: it need not be JSON
+						r.Body = body // unchanged: it need not be JSON
 					default:
 						r.Body = storage.Encode(body)
 					}
-					if w.mangle != nil && status != 0 {
-						r = w.mangle(n.name, e, r)
+					if sim.alterResult != nil && status != 0 {
+						r = sim.alterResult(n.name, e, r)
 					}
 					n.inbox = append(n.inbox, r)
 				}
 			}
-			w.after(e.Timeout, func() { back(0, nil) })
-			held := step
-			if e.Target == TargetStore && w.state.slow != nil {
-				held += w.state.slow()
+			sim.schedule(e.Timeout, func() { respond(0, nil) })
+			delay := step
+			if e.Target == TargetStore && sim.store.requestDelay != nil {
+				delay += sim.store.requestDelay()
 			}
-			w.after(held, func() {
-				if w.instead != nil {
-					if r, ok := w.instead(e); ok {
-						back(r.Status, json.RawMessage(r.Body))
+			sim.schedule(delay, func() {
+				if sim.interceptCall != nil {
+					if r, ok := sim.interceptCall(e); ok {
+						respond(r.Status, json.RawMessage(r.Body))
 						return
 					}
 				}
 				if e.Target == TargetStore {
-					if n.old && e.Path == "/multi" {
-						e.Body = oldShape(w.t, e.Body)
+					if n.oldVersion && e.Path == "/multi" {
+						e.Body = levelZeroTransaction(sim.t, e.Body)
 					}
-					w.state.serve(n.name, e, back)
+					sim.store.serve(n.name, e, respond)
 				} else {
-					w.cloud.serve(e, back)
+					sim.cloud.serve(e, respond)
 				}
 			})
 		}
 	}
 }
 
-// overTheWire is a message as it arrives.
-func overTheWire(t *testing.T, m protocol.PeerMessage) protocol.PeerMessage {
+// roundTripMessage returns a message as its receiver decodes it.
+func roundTripMessage(t *testing.T, m protocol.PeerMessage) protocol.PeerMessage {
 	raw, err := protocol.EncodePeerMessage(m)
 	if err != nil {
 		t.Fatal(err)
@@ -395,26 +405,26 @@
 	return read
 }
 
-// oldShape is a transaction as level 0 writes it: without the fields that it does not
-// know, and without its version, of which it says nothing.
-func oldShape(t *testing.T, body []byte) []byte {
+// levelZeroTransaction returns a transaction as protocol level 0 writes it: without the fields that
+// it does not know and without a version record.
+func levelZeroTransaction(t *testing.T, body []byte) []byte {
 	var txn storage.Txn
 	if err := json.Unmarshal(body, &txn); err != nil {
 		t.Fatal(err)
 	}
-	txn.Writes = slices.DeleteFunc(txn.Writes, func(wr storage.Write) bool {
-		return strings.HasPrefix(wr.PutKey, storage.VersionPrefix)
+	txn.Writes = slices.DeleteFunc(txn.Writes, func(write storage.Write) bool {
+		return strings.HasPrefix(write.PutKey, storage.VersionPrefix)
 	})
-	for i, wr := range txn.Writes {
-		if strings.HasPrefix(wr.PutKey, storage.TerminalPrefix) {
+	for i, write := range txn.Writes {
+		if strings.HasPrefix(write.PutKey, storage.TerminalPrefix) {
 			var rec storage.TerminalRecord
-			json.Unmarshal(wr.Value, &rec)
+			json.Unmarshal(write.Value, &rec)
 			rec.EndedAtMillis = 0
 			txn.Writes[i].Value = storage.Encode(rec)
 		}
-		if strings.HasPrefix(wr.PutKey, storage.JobPrefix) {
+		if strings.HasPrefix(write.PutKey, storage.JobPrefix) {
 			var rec storage.JobRecord
-			json.Unmarshal(wr.Value, &rec)
+			json.Unmarshal(write.Value, &rec)
 			rec.Spec.Dependencies = nil
 			txn.Writes[i].Value = storage.Encode(rec)
 		}
@@ -422,235 +432,238 @@
 	return storage.Encode(txn)
 }
 
-// upgrade ends a node and brings it back with this version.
-func (w *simulation) upgrade(name string) {
-	w.crash(name)
-	delete(w.old, name)
-	w.after(time.Second, func() { w.restart(name) })
+// upgradeNode crashes a node and restarts it with this version.
+func (sim *simulation) upgradeNode(name string) {
+	sim.crashNode(name)
+	delete(sim.oldVersionNodes, name)
+	sim.schedule(time.Second, func() { sim.restartNode(name) })
 }
 
-// allNew waits until every node that is up knows that all are of this version.
-func (w *simulation) allNew() {
-	w.t.Helper()
-	known := func(name string) bool { n := w.nodes[name]; return n.down || n.clusterSupports(protocolLevel) }
-	if !w.until(30*time.Second, func() bool { return !slices.ContainsFunc(w.names, func(s string) bool { return !known(s) }) }) {
-		w.t.Fatal("not all nodes are known to be new")
+// waitForNewVersion waits until every running node knows that all nodes run this version.
+func (sim *simulation) waitForNewVersion() {
+	sim.t.Helper()
+	known := func(name string) bool { n := sim.nodes[name]; return n.down || n.clusterSupports(protocolLevel) }
+	if !sim.advanceUntil(30*time.Second,
+		func() bool { return !slices.ContainsFunc(sim.names, func(s string) bool { return !known(s) }) }) {
+		sim.t.Fatal("not all nodes are known to be new")
 	}
 }
 
-// final is what the state service knows of a job that is over.
-func (w *simulation) final(id string) protocol.JobState {
-	var f storage.TerminalRecord
-	if it, ok := w.state.keys[storage.TerminalKey(id)]; ok {
-		json.Unmarshal(it.Value, &f)
+// terminalState returns the state in the terminal record of a job, or "".
+func (sim *simulation) terminalState(id string) protocol.JobState {
+	var record storage.TerminalRecord
+	if it, ok := sim.store.keys[storage.TerminalKey(id)]; ok {
+		json.Unmarshal(it.Value, &record)
 	}
-	return f.State
+	return record.State
 }
 
-// apart tells whether messages from one node to another don't arrive.
-func (w *simulation) apart(from, to string) bool {
-	return w.cut[[2]string{from, to}] || w.cut[[2]string{to, from}] || w.oneWay[[2]string{from, to}]
+// linkBlocked tells whether messages from one node to another are lost or delayed.
+func (sim *simulation) linkBlocked(from, to string) bool {
+	return sim.linkCuts[[2]string{from, to}] || sim.linkCuts[[2]string{to, from}] || sim.oneWayCuts[[2]string{from, to}]
 }
 
-// cutOneWay cuts one node off from another, but not the other way, for a while.
-func (w *simulation) cutOneWay(from, to string, d time.Duration) {
-	w.oneWay[[2]string{from, to}] = true
-	w.after(d, func() {
-		delete(w.oneWay, [2]string{from, to})
-		w.mend()
+// cutOneWayFor cuts the link from one node to another, in this direction only, for a duration.
+func (sim *simulation) cutOneWayFor(from, to string, d time.Duration) {
+	sim.oneWayCuts[[2]string{from, to}] = true
+	sim.schedule(d, func() {
+		delete(sim.oneWayCuts, [2]string{from, to})
+		sim.healCuts()
 	})
 }
 
-// cutOff cuts a node from all others.
-func (w *simulation) cutOff(name string) {
-	for _, other := range w.names {
-		w.cut[[2]string{name, other}] = true
+// isolateNode cuts a node's links to all others.
+func (sim *simulation) isolateNode(name string) {
+	for _, other := range sim.names {
+		sim.linkCuts[[2]string{name, other}] = true
 	}
 }
 
-// cutAll cuts all nodes from each other.
-func (w *simulation) cutAll() {
-	for _, name := range w.names {
-		w.cutOff(name)
+// isolateAllNodes cuts all links between nodes.
+func (sim *simulation) isolateAllNodes() {
+	for _, name := range sim.names {
+		sim.isolateNode(name)
 	}
 }
 
-// mend ends all cuts between nodes; what they held back arrives now.
-func (w *simulation) mend() {
-	w.cut = map[[2]string]bool{}
-	kept := w.kept
-	w.kept = nil
+// healCuts ends all cuts between nodes and delivers the messages that they delayed.
+func (sim *simulation) healCuts() {
+	sim.linkCuts = map[[2]string]bool{}
+	kept := sim.heldMessages
+	sim.heldMessages = nil
 	for _, e := range kept {
-		w.after(step, e.f)
+		sim.schedule(step, e.action)
 	}
 }
 
-// ask sends a request to a node; a node that is down gives status 0.
-func (w *simulation) ask(name string, r Request, f func(Reply)) {
-	n := w.nodes[name]
+// sendRequest sends a request to a node; the reply of a node that is down has status 0.
+func (sim *simulation) sendRequest(name string, r Request, onReply func(Reply)) {
+	n := sim.nodes[name]
 	if n.down {
-		w.after(step, func() { f(Reply{}) })
+		sim.schedule(step, func() { onReply(Reply{}) })
 		return
 	}
-	n.ticket++
-	r.Origin = Origin{RequestID: n.ticket}
-	n.asks[n.ticket] = w.listen(name, r, f)
+	n.lastRequestID++
+	r.Origin = Origin{RequestID: n.lastRequestID}
+	n.pendingRequests[n.lastRequestID] = sim.observeReply(name, r, onReply)
 	n.inbox = append(n.inbox, r)
 }
 
-// listen lets the invariant checker hear what a user is told.
-func (w *simulation) listen(name string, r Request, f func(Reply)) func(Reply) {
+// observeReply passes the replies to users on to the invariant checker first.
+func (sim *simulation) observeReply(name string, r Request, onReply func(Reply)) func(Reply) {
 	switch r.Kind {
 	case protocol.RequestSubmit:
-		w.submitted[r.JobID] = true
-		if _, known := w.specs[r.JobID]; !known {
-			w.specs[r.JobID] = *r.Job
+		sim.submitted[r.JobID] = true
+		if _, known := sim.jobSpecs[r.JobID]; !known {
+			sim.jobSpecs[r.JobID] = *r.Job
 		}
 	case protocol.RequestCancel:
-		w.asked[r.JobID] = true
+		sim.cancelRequested[r.JobID] = true
 	case protocol.RequestQuery:
 	default:
-		return f
+		return onReply
 	}
-	sent := w.now
+	sent := sim.now
 	return func(reply Reply) {
-		w.hears(r, name, sent, reply)
-		f(reply)
+		sim.checkReply(r, name, sent, reply)
+		onReply(reply)
 	}
 }
 
-// request asks a node and waits for the answer, 5 s at most.
-func (w *simulation) request(name string, r Request) Reply {
-	w.t.Helper()
+// requestAndWait sends a request to a node and waits for the reply, 5 s at most.
+func (sim *simulation) requestAndWait(name string, r Request) Reply {
+	sim.t.Helper()
 	var got *Reply
-	w.ask(name, r, func(x Reply) { got = &x })
-	if !w.until(5*time.Second, func() bool { return got != nil }) {
-		w.t.Fatalf("%s: no answer to a %s", name, r.Kind)
+	sim.sendRequest(name, r, func(x Reply) { got = &x })
+	if !sim.advanceUntil(5*time.Second, func() bool { return got != nil }) {
+		sim.t.Fatalf("%s: no answer to a %s", name, r.Kind)
 	}
 	return *got
 }
 
-// machines brings up machines beside those that are rented for the work.
-func (w *simulation) machines(n int) {
-	w.t.Helper()
+// startMachines brings up machines in addition to those that are rented for the work.
+func (sim *simulation) startMachines(n int) {
+	sim.t.Helper()
 	for i := range n {
-		w.cloud.rent("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	if !w.until(10*time.Second, func() bool { return len(w.workers) >= n }) {
-		w.t.Fatal("machines did not come up")
+	if !sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) >= n }) {
+		sim.t.Fatal("machines did not come up")
 	}
-	w.run(2 * time.Second)
+	sim.advance(2 * time.Second)
 }
 
-func (w *simulation) submit(node string, j protocol.Job) Reply {
-	w.t.Helper()
-	w.specs[j.ID] = j
-	return w.request(node, Request{Kind: protocol.RequestSubmit, JobID: j.ID, Job: &j})
+func (sim *simulation) submit(node string, job protocol.Job) Reply {
+	sim.t.Helper()
+	sim.jobSpecs[job.ID] = job
+	return sim.requestAndWait(node, Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job})
 }
 
-// submitAndStart submits a job and waits until so many of its tasks are on machines.
-func (w *simulation) submitAndStart(node string, j protocol.Job, tasks int) {
-	w.t.Helper()
-	w.submit(node, j)
-	if !w.until(time.Minute, func() bool { return w.onMachines(j.ID) >= tasks }) {
-		w.t.Fatalf("%d tasks of %s started, not %d", w.onMachines(j.ID), j.ID, tasks)
+// submitAndStart submits a job and waits until the given number of its tasks run.
+func (sim *simulation) submitAndStart(node string, job protocol.Job, tasks int) {
+	sim.t.Helper()
+	sim.submit(node, job)
+	if !sim.advanceUntil(time.Minute, func() bool { return sim.activeTaskCount(job.ID) >= tasks }) {
+		sim.t.Fatalf("%d tasks of %s started, not %d", sim.activeTaskCount(job.ID), job.ID, tasks)
 	}
 }
 
-// running is a simulation whose leader runs one job, j-1: all its tasks are on machines, each
-// for so long.
-func running(t *testing.T, nodes int, takes time.Duration, machines, tasks int) (*simulation, *simNode) {
+// newRunningSimulation returns a simulation whose leader runs one job, j-1, with all its tasks on
+// machines, each for the given duration.
+func newRunningSimulation(t *testing.T, nodes int, takes time.Duration, machines, tasks int) (*simulation, *simNode) {
 	t.Helper()
-	w := newSimulation(t, nodes)
-	w.runTime = func(string, int) time.Duration { return takes }
-	l := w.waitLeader()
-	w.machines(machines)
-	w.submitAndStart(l.name, spec("j-1", tasks), tasks)
-	return w, l
+	sim := newSimulation(t, nodes)
+	sim.taskDuration = func(string, int) time.Duration { return takes }
+	leaderNode := sim.waitForLeader()
+	sim.startMachines(machines)
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", tasks), tasks)
+	return sim, leaderNode
 }
 
-func (w *simulation) query(node, id string) (int, protocol.JobStatus) {
-	w.t.Helper()
-	r := w.request(node, Request{Kind: protocol.RequestQuery, JobID: id})
+func (sim *simulation) queryJob(node, id string) (int, protocol.JobStatus) {
+	sim.t.Helper()
+	r := sim.requestAndWait(node, Request{Kind: protocol.RequestQuery, JobID: id})
 	var s protocol.JobStatus
 	if r.Status == 200 {
 		if err := json.Unmarshal(r.Body, &s); err != nil {
-			w.t.Fatal(err)
+			sim.t.Fatal(err)
 		}
 	}
 	return r.Status, s
 }
 
-func (w *simulation) cancel(node, id string) Reply {
-	w.t.Helper()
-	return w.request(node, Request{Kind: protocol.RequestCancel, JobID: id})
+func (sim *simulation) cancelJob(node, id string) Reply {
+	sim.t.Helper()
+	return sim.requestAndWait(node, Request{Kind: protocol.RequestCancel, JobID: id})
 }
 
-func (w *simulation) leader() string {
-	for _, name := range w.names {
-		if n := w.nodes[name]; !n.down && !n.frozen && n.holdsLeaderLease() {
+func (sim *simulation) leaderName() string {
+	for _, name := range sim.names {
+		if n := sim.nodes[name]; !n.down && !n.paused && n.holdsLeaderLease() {
 			return name
 		}
 	}
 	return ""
 }
 
-// lead waits until some node leads and has read the records.
-func (w *simulation) waitLeader() *simNode {
-	w.t.Helper()
-	if !w.until(30*time.Second, func() bool { l := w.leader(); return l != "" && w.nodes[l].leader.recordsLoaded }) {
-		w.t.Fatal("nobody leads")
+// waitForLeader waits until some node leads and has read the records.
+func (sim *simulation) waitForLeader() *simNode {
+	sim.t.Helper()
+	if !sim.advanceUntil(30*time.Second,
+		func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.recordsLoaded }) {
+		sim.t.Fatal("nobody leads")
 	}
-	return w.nodes[w.leader()]
+	return sim.nodes[sim.leaderName()]
 }
 
-func (w *simulation) followers() []string {
-	return slices.DeleteFunc(slices.Clone(w.names), func(s string) bool { return s == w.leader() || w.nodes[s].down })
+func (sim *simulation) followers() []string {
+	return slices.DeleteFunc(slices.Clone(sim.names),
+		func(s string) bool { return s == sim.leaderName() || sim.nodes[s].down })
 }
 
-// waitState waits until a job has a state.
-func (w *simulation) waitState(id string, state protocol.JobState, d time.Duration) {
-	w.t.Helper()
-	end := w.now + d
+// waitForJobState waits until the leader reports a state of a job.
+func (sim *simulation) waitForJobState(id string, state protocol.JobState, d time.Duration) {
+	sim.t.Helper()
+	end := sim.now + d
 	var last protocol.JobStatus
-	for w.now < end {
-		if l := w.leader(); l != "" {
+	for sim.now < end {
+		if l := sim.leaderName(); l != "" {
 			var code int
-			if code, last = w.query(l, id); code == 200 && last.State == state {
+			if code, last = sim.queryJob(l, id); code == 200 && last.State == state {
 				return
 			}
 		}
-		w.run(200 * time.Millisecond)
+		sim.advance(200 * time.Millisecond)
 	}
-	w.t.Fatalf("job %s is %q, not %q, after %v", id, last.State, state, d)
+	sim.t.Fatalf("job %s is %q, not %q, after %v", id, last.State, state, d)
 }
 
-// allStarts counts how often tasks were started, all together.
-func (w *simulation) allStarts() int {
+// totalStarts returns the number of task starts in all.
+func (sim *simulation) totalStarts() int {
 	all := 0
-	for _, n := range w.starts {
+	for _, n := range sim.startCounts {
 		all += n
 	}
 	return all
 }
 
-// startedOnce checks that no task was started a second time.
-func (w *simulation) startedOnce() {
-	w.t.Helper()
-	for task, n := range w.starts {
+// checkStartedOnce checks that no task was started a second time.
+func (sim *simulation) checkStartedOnce() {
+	sim.t.Helper()
+	for task, n := range sim.startCounts {
 		if n != 1 {
-			w.t.Errorf("%s was started %d times", task, n)
+			sim.t.Errorf("%s was started %d times", task, n)
 		}
 	}
 }
 
-// onMachines counts a job's tasks that are on machines.
-func (w *simulation) onMachines(id string) int {
+// activeTaskCount returns the number of a job's tasks that run on machines.
+func (sim *simulation) activeTaskCount(id string) int {
 	count := 0
 	prefix := id + "/"
-	for _, x := range w.workers {
-		for _, t := range x.tasks {
-			if strings.HasPrefix(t.key, prefix) && t.state != protocol.TaskExited {
+	for _, worker := range sim.workers {
+		for _, task := range worker.tasks {
+			if strings.HasPrefix(task.taskKey, prefix) && task.state != protocol.TaskExited {
 				count++
 			}
 		}
@@ -658,10 +671,10 @@
 	return count
 }
 
-func jobOf(key string) string { id, _, _ := strings.Cut(key, "/"); return id }
+func jobIDOf(key string) string { id, _, _ := strings.Cut(key, "/"); return id }
 
-// spec is a job of so many one-core tasks.
-func spec(id string, tasks int) protocol.Job {
+// jobSpec returns a job of the given number of one-core tasks.
+func jobSpec(id string, tasks int) protocol.Job {
 	return protocol.Job{ID: id, Class: "c", Team: "free", Kind: "batch", Priority: "standard", TaskCount: tasks,
 		Cores: 1, MemoryGB: 1, Image: "i", SpotAllowed: true, EstimatedSeconds: 5}
 }
--- a/internal/controller/start_limit_test.go
+++ b/internal/controller/start_limit_test.go
@@ -10,9 +10,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Small tasks that keep coming take each core as it becomes free, so that a task as large
-// as a whole machine would never find room: a machine is reserved for a job that is
-// overdue, and the job begins within four minutes and, oldest first, is done in the end. Jobs that are bound to one machine type
+// Small tasks that keep arriving take each core as it becomes free, so that a task as large as a
+// whole machine would never find room. A machine is reserved for a job that is overdue, and the job
+// starts within four minutes and, oldest first, completes. Jobs that are bound to one machine type
 // or one zone, several at once, and a change of leader meanwhile are no exception.
 func TestJobWithLargeTasksBeginsOnAFullFleet(t *testing.T) {
 	for _, c := range []struct {
@@ -30,65 +30,65 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, 3)
-			w.cloud.capacity = 6
-			users := newUserSimulation(w, 1)
-			w.runTime = func(string, int) time.Duration { return 15*time.Second + users.within(45*time.Second) }
-			w.waitLeader()
-			w.machines(6)
-			submitted := w.now + 30*time.Second
-			w.after(30*time.Second, func() {
+			sim := newSimulation(t, 3)
+			sim.cloud.capacity = 6
+			users := newUserSimulation(sim, 1)
+			sim.taskDuration = func(string, int) time.Duration { return 15*time.Second + users.randomDuration(45*time.Second) }
+			sim.waitForLeader()
+			sim.startMachines(6)
+			submitted := sim.now + 30*time.Second
+			sim.schedule(30*time.Second, func() {
 				for i := range c.jobs {
-					wide := spec(fmt.Sprintf("j-wide-%d", i), 8)
+					wide := jobSpec(fmt.Sprintf("j-wide-%d", i), 8)
 					wide.Priority, wide.Cores, wide.SameZone, wide.EstimatedSeconds = "low", c.cores, c.sameZone, 30
 					if i%2 == 1 {
 						wide.Zone = "b"
 					}
-					users.submitUntil(wide)
+					users.submitWithRetries(wide)
 				}
 			})
 			if c.crash {
-				w.after(120*time.Second, users.newLeader)
+				sim.schedule(120*time.Second, users.replaceLeader)
 			}
 			small := 0
-			fillUntil := func(end clock.Instant) { // with more small work than the machines can do
-				for ; w.now < end; small++ {
-					j := spec(fmt.Sprintf("j-small-%d", small), 3)
-					j.EstimatedSeconds = 30
-					users.submitUntil(j)
-					w.run(2 * time.Second)
+			fillUntil := func(end clock.Instant) { // with more small work than the machines can process
+				for ; sim.now < end; small++ {
+					job := jobSpec(fmt.Sprintf("j-small-%d", small), 3)
+					job.EstimatedSeconds = 30
+					users.submitWithRetries(job)
+					sim.advance(2 * time.Second)
 				}
 			}
 			fillUntil(submitted + cluster.MaxStartDelay)
 			for i := range c.jobs {
-				if id := fmt.Sprintf("j-wide-%d", i); w.begun[id] == 0 {
-					t.Errorf("%s has not begun after four minutes: %s", id, w.why(id))
+				if id := fmt.Sprintf("j-wide-%d", i); sim.firstStartAt[id] == 0 {
+					t.Errorf("%s has not begun after four minutes: %s", id, sim.explainPending(id))
 				}
 			}
 			fillUntil(submitted + 3*cluster.MaxStartDelay)
-			// Six of them are more than half of the machines can do in this time; the
+			// Six of them are more than half of what the machines can process in this time; the
 			// oldest is served first.
-			if id := "j-wide-0"; w.final(id) != protocol.JobDone {
-				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, w.why(id))
+			if id := "j-wide-0"; sim.terminalState(id) != protocol.JobDone {
+				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, sim.explainPending(id))
 			}
 		})
 	}
 }
 
-// A reservation ends with the wait that it was made for: a machine that is reserved for a
-// job that has been cancelled, with nothing else waiting, would be held for ever.
+// A reservation ends with the wait that it was made for: a machine that is reserved for a cancelled
+// job, with no other job pending, would be kept for ever.
 func TestReservationEndsWithItsJob(t *testing.T) {
-	w, l := running(t, 1, 10*time.Minute, 1, 3)
-	w.cloud.capacity = 1
-	wide := spec("j-wide", 1)
+	sim, leaderNode := newRunningSimulation(t, 1, 10*time.Minute, 1, 3)
+	sim.cloud.capacity = 1
+	wide := jobSpec("j-wide", 1)
 	wide.Cores = 4
-	w.submit(l.name, wide)
-	reserved := func() bool { return l.leader.Machines["m-000001"].ReservedFor != nil }
-	if !w.until(cluster.MaxStartDelay, reserved) {
-		t.Fatalf("no machine is reserved: %s", w.why("j-wide"))
+	sim.submit(leaderNode.name, wide)
+	reserved := func() bool { return leaderNode.leader.Machines["m-000001"].ReservedFor != nil }
+	if !sim.advanceUntil(cluster.MaxStartDelay, reserved) {
+		t.Fatalf("no machine is reserved: %s", sim.explainPending("j-wide"))
 	}
-	w.cancel(l.name, "j-wide")
-	if !w.until(5*time.Second, func() bool { return !reserved() }) {
+	sim.cancelJob(leaderNode.name, "j-wide")
+	if !sim.advanceUntil(5*time.Second, func() bool { return !reserved() }) {
 		t.Error("the machine is still reserved")
 	}
 }
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -8,116 +8,121 @@
 	"hitchdoor/internal/protocol"
 )
 
-// withSockets is a simulation of nodes that take so many workers' connections each, with so
-// many machines up.
-func withSockets(t *testing.T, nodes, sockets, machines int) *simulation {
+// newConnectionLimitedSimulation returns a simulation whose nodes accept a limited number of worker
+// connections each, with the given number of machines up.
+func newConnectionLimitedSimulation(t *testing.T, nodes, sockets, machines int) *simulation {
 	t.Helper()
-	w := newSimulationOf(t, nodes, deployments[3])
-	w.sockets = sockets
-	w.runTime = func(string, int) time.Duration { return 10 * time.Minute }
-	w.waitLeader()
+	sim := newSimulationWithTimings(t, nodes, deployments[3])
+	sim.connectionLimit = sockets
+	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Minute }
+	sim.waitForLeader()
 	for i := range machines {
-		w.cloud.rent("c4", []string{"a", "b"}[i%2], true)
+		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	w.cloud.capacity, w.cloud.noReturn = machines, true // what is lost shows as a session that has ended
-	if !w.until(30*time.Second, func() bool { return len(w.workers) >= machines }) {
+	sim.cloud.capacity, sim.cloud.rejectReturns = machines, true // so that a lost machine shows as a lease that has expired
+	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.workers) >= machines }) {
 		t.Fatal("machines did not come up")
 	}
-	return w
+	return sim
 }
 
-// direct counts the machines that have a connection to a node.
-func (w *simulation) direct(node string) int { return w.open[node] }
+// connectionCount returns the number of machines that are connected to a node.
+func (sim *simulation) connectionCount(node string) int { return sim.openConnections[node] }
 
-// sessionsHold checks that no machine's lease has run out.
-func (w *simulation) sessionsHold(when string) {
-	w.t.Helper()
+// checkLeasesHeld checks that no machine's lease has expired.
+func (sim *simulation) checkLeasesHeld(when string) {
+	sim.t.Helper()
 	lost := 0
-	for _, x := range w.workers {
-		if x.session > 1 {
+	for _, worker := range sim.workers {
+		if worker.epoch > 1 {
 			lost++
 		}
 	}
 	if lost > 0 {
-		w.t.Errorf("%s: the leases of %d of %d machines ran out", when, lost, len(w.workers))
+		sim.t.Errorf("%s: the leases of %d of %d machines ran out", when, lost, len(sim.workers))
 	}
 }
 
-// Four thousand machines, more than three controllers together have connections for: their
-// reports are spread, and their leases hold while the leader is replaced and after an end of
-// all controllers, when all of them connect anew at once.
+// Four thousand machines exceed the connections of three controllers together: their heartbeats are
+// spread, and their leases hold while the leader is replaced and after a restart of all
+// controllers, when all of them connect again at once.
 func TestFourThousandMachines(t *testing.T) {
 	const machines, sockets = 4000, 1200
-	w := withSockets(t, 5, sockets, machines)
-	c := newUserSimulation(w, 1)
+	sim := newConnectionLimitedSimulation(t, 5, sockets, machines)
+	c := newUserSimulation(sim, 1)
 	jobs := 8
 	for i := range jobs {
-		c.submitUntil(spec(fmt.Sprintf("j-%d", i), 50))
+		c.submitWithRetries(jobSpec(fmt.Sprintf("j-%d", i), 50))
 	}
-	w.run(2 * w.nodes["n0"].workerLease())
-	w.sessionsHold("all up")
-	if served := w.direct(w.leader()); served > sockets*7/8 {
+	sim.advance(2 * sim.nodes["n0"].workerLease())
+	sim.checkLeasesHeld("all up")
+	if served := sim.connectionCount(sim.leaderName()); served > sockets*7/8 {
 		t.Errorf("the leader has %d of %d connections in use", served, sockets)
 	}
-	if l := w.nodes[w.leader()].leader; !l.AllReconciled() || len(l.MachinesByName()) != machines {
+	if l := sim.nodes[sim.leaderName()].leader; !l.AllReconciled() || len(l.MachinesByName()) != machines {
 		t.Errorf("%d machines are known", len(l.MachinesByName()))
 	}
-	started := w.allStarts()
+	started := sim.totalStarts()
 	if started != jobs*50 {
 		t.Errorf("%d tasks started", started)
 	}
 
-	w.back(w.leader(), 10*time.Second)
-	w.run(2 * w.nodes["n0"].workerLease())
-	w.waitLeader()
-	w.sessionsHold("after a takeover")
+	sim.restartAfter(sim.leaderName(), 10*time.Second)
+	sim.advance(2 * sim.nodes["n0"].workerLease())
+	sim.waitForLeader()
+	sim.checkLeasesHeld("after a takeover")
 
-	for _, name := range w.names {
-		w.back(name, 8*time.Second)
+	for _, name := range sim.names {
+		sim.restartAfter(name, 8*time.Second)
 	}
-	w.run(8 * time.Second)
-	w.waitLeader()
-	if !w.until(w.nodes["n0"].workerLease(), func() bool { l := w.leader(); return l != "" && w.nodes[l].leader.AllReconciled() }) {
+	sim.advance(8 * time.Second)
+	sim.waitForLeader()
+	if !sim.advanceUntil(sim.nodes["n0"].workerLease(),
+		func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.AllReconciled() }) {
 		t.Error("not all machines are accounted for within a lease")
 	}
-	w.run(w.nodes["n0"].workerLease())
-	w.sessionsHold("after an end of all")
-	if again := w.allStarts(); again != started {
+	sim.advance(sim.nodes["n0"].workerLease())
+	sim.checkLeasesHeld("after an end of all")
+	if again := sim.totalStarts(); again != started {
 		t.Errorf("%d tasks were started anew", again-started)
 	}
-	w.startedOnce()
+	sim.checkStartedOnce()
 }
 
-// A controller that remains alone has a connection for each fourth machine. It serves all
-// of them in turns: none waits in silence, and no lease runs out.
+// A single remaining controller has a connection for each fourth machine. It serves all of them in
+// turns: none waits without a response, and no lease expires.
 func TestLoneControllerTakesTurns(t *testing.T) {
 	const machines, sockets = 400, 100
-	w := withSockets(t, 3, sockets, machines)
-	newUserSimulation(w, 1).submitUntil(spec("j-1", 200))
-	w.run(time.Minute)
-	for _, name := range w.followers() {
-		w.crash(name)
+	sim := newConnectionLimitedSimulation(t, 3, sockets, machines)
+	newUserSimulation(sim, 1).submitWithRetries(jobSpec("j-1", 200))
+	sim.advance(time.Minute)
+	for _, name := range sim.followers() {
+		sim.crashNode(name)
 	}
-	w.run(4 * w.nodes["n0"].workerLease())
-	if w.leader() == "" {
+	sim.advance(4 * sim.nodes["n0"].workerLease())
+	if sim.leaderName() == "" {
 		t.Fatal("it does not lead")
 	}
-	w.sessionsHold("alone")
-	w.startedOnce()
+	sim.checkLeasesHeld("alone")
+	sim.checkStartedOnce()
 }
 
-// A full leader sends newcomers to the node with the most room, once; one that comes back
-// can't get through there, so it is served.
+// A full leader redirects new workers to the node with the most free connections, once; a worker
+// that returns can't reach that node, so it is served.
 func TestFullLeaderRedirectsNewcomers(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitLeader()
-	for i, name := range w.followers() {
-		l.Step(l.clock(w.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, SpareConnections: 10 * (i + 1)}}})
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	for i, name := range sim.followers() {
+		leaderNode.Step(leaderNode.monotonicNow(sim.now),
+			[]Command{InboundMessage{From: name,
+				Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel,
+					SpareConnections: 10 * (i + 1)}}})
 	}
-	roomiest := w.followers()[1]
+	roomiest := sim.followers()[1]
 	report := func(name string, seq uint64) Reply {
-		rep := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
-		for _, e := range l.Step(l.clock(w.now), []Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}}) {
+		heartbeat := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
+		for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now),
+			[]Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
 			if reply, is := e.(Reply); is {
 				return reply
 			}
@@ -128,7 +133,7 @@
 	if r := report("m-1", 1); r.Status != 200 {
 		t.Errorf("with room: %+v", r)
 	}
-	l.Step(l.clock(w.now), []Command{ServerLoad{Open: 90, Limit: 100}})
+	leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{ServerLoad{Open: 90, Limit: 100}})
 	if r := report("m-1", 2); r.Status != 200 {
 		t.Errorf("one that is served: %+v", r)
 	}
@@ -138,71 +143,83 @@
 	if r := report("m-2", 2); r.Status != 200 {
 		t.Errorf("back again: %+v", r)
 	}
-	for _, name := range w.followers() {
-		l.Step(l.clock(w.now), []Command{InboundMessage{From: name, Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
+	for _, name := range sim.followers() {
+		leaderNode.Step(leaderNode.monotonicNow(sim.now),
+			[]Command{InboundMessage{From: name,
+				Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
 	}
 	if r := report("m-3", 1); r.Status != 200 {
 		t.Errorf("with all nodes full: %+v", r)
 	}
 }
 
-// Most machines are relayed for while the controller that relays, or the leader, ends,
-// stands still, or is cut off one way, at any moment of a report: no task runs twice, every
-// job ends, and a worker is never handed an answer older than it waits for.
+// Most machines are relayed while the relaying controller, or the leader, crashes, pauses or is cut
+// one way, at any moment of a heartbeat: no task runs twice, every job completes, and a worker
+// never gets a response older than the one it waits for.
 func TestRelayingNodeFails(t *testing.T) {
-	troubles := map[string]func(w *simulation, leader, relaying string){
-		"relaying node ends":        func(w *simulation, _, relaying string) { w.back(relaying, 300*time.Millisecond) },
-		"relaying node stands":      func(w *simulation, _, relaying string) { w.nodes[relaying].stall = 6 * time.Second },
-		"leader ends":               func(w *simulation, leader, _ string) { w.back(leader, 300*time.Millisecond) },
-		"leader stands":             func(w *simulation, leader, _ string) { w.nodes[leader].stall = 30 * time.Second },
-		"answers don't get through": func(w *simulation, leader, relaying string) { w.cutOneWay(leader, relaying, 20*time.Second) },
-		"reports don't get through": func(w *simulation, leader, relaying string) { w.cutOneWay(relaying, leader, 20*time.Second) },
-		"held back": func(w *simulation, leader, relaying string) {
-			w.holds = true
-			w.cutOneWay(leader, relaying, 9*time.Second)
+	faults := map[string]func(sim *simulation, leader, relaying string){
+		"relaying node ends": func(sim *simulation, _, relaying string) {
+			sim.restartAfter(relaying, 300*time.Millisecond)
+		},
+		"relaying node stands": func(sim *simulation, _, relaying string) { sim.nodes[relaying].pauseBeforeEffects = 6 * time.Second },
+		"leader ends": func(sim *simulation, leader, _ string) {
+			sim.restartAfter(leader,
+				300*time.Millisecond)
+		},
+		"leader stands": func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 30 * time.Second },
+		"answers don't get through": func(sim *simulation, leader, relaying string) {
+			sim.cutOneWayFor(leader,
+				relaying, 20*time.Second)
+		},
+		"reports don't get through": func(sim *simulation, leader, relaying string) { sim.cutOneWayFor(relaying, leader, 20*time.Second) },
+		"held back": func(sim *simulation, leader, relaying string) {
+			sim.holdMessages = true
+			sim.cutOneWayFor(leader, relaying, 9*time.Second)
 		},
 	}
-	for name, trouble := range troubles {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for offset := range 4 {
-				w := withSockets(t, 3, 8, 12)
-				w.runTime = func(string, int) time.Duration { return 20 * time.Second }
-				c := newUserSimulation(w, uint64(offset))
+				sim := newConnectionLimitedSimulation(t, 3, 8, 12)
+				sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
+				c := newUserSimulation(sim, uint64(offset))
 				for i := range 6 {
-					c.submitUntil(spec(fmt.Sprintf("j-%d", i), 12))
+					c.submitWithRetries(jobSpec(fmt.Sprintf("j-%d", i), 12))
 				}
-				w.run(15*time.Second + time.Duration(offset)*311*time.Millisecond)
-				leader := w.leader()
-				relaying := w.followers()[offset%2]
-				if w.direct(relaying) == 0 {
-					relaying = w.followers()[(offset+1)%2]
+				sim.advance(15*time.Second + time.Duration(offset)*311*time.Millisecond)
+				leader := sim.leaderName()
+				relaying := sim.followers()[offset%2]
+				if sim.connectionCount(relaying) == 0 {
+					relaying = sim.followers()[(offset+1)%2]
 				}
-				if w.direct(relaying) == 0 {
+				if sim.connectionCount(relaying) == 0 {
 					t.Fatal("no machine is relayed for")
 				}
-				trouble(w, leader, relaying)
-				w.run(25 * time.Second)
-				c.settle(5 * time.Minute)
+				inject(sim, leader, relaying)
+				sim.advance(25 * time.Second)
+				c.waitForCompletion(5 * time.Minute)
 			}
 		})
 	}
 }
 
-// Where the leader is full, a follower passes reports on without sending their workers there
-// first; where it has room for some, so many are sent, in their share, and no more.
+// Where the leader is full, a follower relays heartbeats without redirecting their workers first;
+// where it has room for some, as many are redirected, in proportion, and no more.
 func TestFollowerRelaysForFullLeader(t *testing.T) {
-	w := newSimulation(t, 3)
-	leader := w.waitLeader()
-	f := w.nodes[w.followers()[0]]
+	sim := newSimulation(t, 3)
+	leader := sim.waitForLeader()
+	f := sim.nodes[sim.followers()[0]]
 	counts := func(beat protocol.PeerHeartbeat, workers string) (sent, relayed int) {
 		beat.Term, beat.IsLeader, beat.ProcessID, beat.VersionLevel = leader.leader.term, true, leader.processID, protocolLevel
 		batch := []Command{InboundMessage{From: leader.name, Message: beat}}
 		for i := range 20 {
-			rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
+			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4",
+				Zone: "a", Epoch: 1, Sequence: 1}
+			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)},
+				Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 		}
-		for _, e := range f.Step(f.clock(w.now), batch) {
+		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
 			case Reply:
 				sent++
@@ -229,24 +246,27 @@
 	}
 }
 
-// An answer that was held up for longer than its worker waits is not passed on: the
-// controller that relays may have stood still with it in its hands.
+// A response that was delayed beyond the worker's timeout is not passed on: the relaying controller
+// may have been paused while it held the response.
 func TestLateAnswerIsNotPassedOn(t *testing.T) {
-	w := newSimulation(t, 3)
-	leader := w.waitLeader()
-	f := w.nodes[w.followers()[0]]
-	rep := &protocol.WorkerHeartbeat{Machine: "m-1", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+	sim := newSimulation(t, 3)
+	leader := sim.waitForLeader()
+	f := sim.nodes[sim.followers()[0]]
+	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-1", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	for _, x := range []struct {
 		after  time.Duration
 		status int
 	}{{f.workerRouter.RelayTimeout() - step, 200}, {f.workerRouter.RelayTimeout(), 503}} {
 		f.workerRouter.RouteOf("m-1").RelayUntil = f.now + time.Hour
-		f.Step(f.clock(w.now), []Command{InboundMessage{From: leader.name, Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
-			Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: rep}})
-		answer := InboundMessage{From: leader.name, Message: protocol.ForwardedResponse{ID: f.forwards.LastID, Status: 200, Body: []byte("{}")}}
-		w.now += x.after
+		f.Step(f.monotonicNow(sim.now),
+			[]Command{InboundMessage{From: leader.name,
+				Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
+				Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
+		answer := InboundMessage{From: leader.name,
+			Message: protocol.ForwardedResponse{ID: f.forwards.LastID, Status: 200, Body: []byte("{}")}}
+		sim.now += x.after
 		got := 0
-		for _, e := range f.Step(f.clock(w.now), []Command{answer}) {
+		for _, e := range f.Step(f.monotonicNow(sim.now), []Command{answer}) {
 			if reply, is := e.(Reply); is {
 				got = reply.Status
 			}
@@ -257,36 +277,38 @@
 	}
 }
 
-// All machines report at once while a leader reads the records. Each has a connection at
-// some node, so none is turned away for their number.
-func TestEarlyReportsOfAllMachines(t *testing.T) {
+// All machines report at once while a leader reads the records. Each is connected to some node, so
+// none is rejected for their number.
+func TestEarlyHeartbeatsOfAllMachines(t *testing.T) {
 	const machines = 4000
-	w := newSimulation(t, 5)
-	w.cfg.Resources.MaxConnections = 1000
-	l := w.waitLeader()
-	l.leader.recordsLoaded = false
+	sim := newSimulation(t, 5)
+	sim.cfg.Resources.MaxConnections = 1000
+	leaderNode := sim.waitForLeader()
+	leaderNode.leader.recordsLoaded = false
 	batch := make([]Command, 0, machines)
 	for i := range machines {
-		rep := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)}, Kind: protocol.RequestHeartbeat, Heartbeat: rep})
+		heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a",
+			Epoch: 1, Sequence: 1}
+		batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)},
+			Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	}
-	for _, e := range l.Step(l.clock(w.now), batch) {
+	for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), batch) {
 		if reply, is := e.(Reply); is {
 			t.Fatalf("a report is answered %d", reply.Status)
 		}
 	}
 }
 
-// A leader whose counter of attempts comes to its end hands over to a new term, as its next
-// attempts would be those of the term after.
+// A leader whose attempt counter is exhausted hands over to a new term, as its next attempt numbers
+// would be those of the term after.
 func TestAttemptsAreNeverUsedTwice(t *testing.T) {
-	w := newSimulation(t, 3)
-	l := w.waitLeader()
-	term := l.leader.term
-	l.leader.attemptCounter = maxAttemptCounter - 1
-	last := l.leader.NextAttemptNumber()
-	w.run(20 * step)
-	if next := w.waitLeader().leader; next.term <= term || next.NextAttemptNumber() <= last {
+	sim := newSimulation(t, 3)
+	leaderNode := sim.waitForLeader()
+	term := leaderNode.leader.term
+	leaderNode.leader.attemptCounter = maxAttemptCounter - 1
+	last := leaderNode.leader.NextAttemptNumber()
+	sim.advance(20 * step)
+	if next := sim.waitForLeader().leader; next.term <= term || next.NextAttemptNumber() <= last {
 		t.Errorf("term %d goes on after %d", next.term, term)
 	}
 }
