--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -56,7 +56,7 @@
 	c.holdMessages = seed%2 == 0
 	c.taskDuration = func(task string, _ int) time.Duration { return time.Duration(2+len(task)%9) * time.Second }
 	if seed%5 == 2 {
-		c.taskDuration = func(task string, n int) time.Duration { return max(5, time.Duration(45/n)) * time.Second }
+		c.taskDuration = func(_ string, n int) time.Duration { return max(5, time.Duration(45/n)) * time.Second }
 	}
 	c.driftClocks()
 	if seed%2 == 1 {
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -195,7 +195,7 @@
 		storage.JobRecord{Spec: jobSpec("j-l", tasks), AcceptedAtMillis: 1_000_000_000})
 	sim.putRaw(storage.BitmapPrefix+"j-l/000", `{"b":"`+base64.StdEncoding.EncodeToString(bits)+`"}`)
 	sim.jobSpecs["j-l"] = jobSpec("j-l", tasks)
-	sim.taskDuration = func(task string, _ int) time.Duration { return 2 * time.Second }
+	sim.taskDuration = func(_ string, _ int) time.Duration { return 2 * time.Second }
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(2)
 	sim.advanceUntil(20*time.Second,
