--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -2,9 +2,7 @@
 
 import (
 	"net/http"
-	"time"
 
-	"hitchdoor/internal/admission"
 	"hitchdoor/internal/admissioncontrol"
 	"hitchdoor/internal/clock"
 	"hitchdoor/internal/election"
@@ -113,38 +111,3 @@
 		n.send(leaderPeer.Name, report)
 	}
 }
-
-// onAdmissionStatus answers an operator's request for this node's admission policy and, if it
-// names a job, for the job's admission.
-func (n *Node) onAdmissionStatus(request Request) {
-	policy := n.admissionPolicy
-	status := admission.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), Enabled: n.settings.FairAdmission,
-		Version: policy.Version, Invalid: policy.Invalid, Policy: policy.Current}
-	if policy.Version != 0 {
-		status.PolicyAgeSeconds = (n.now - policy.KnownSince).Round(time.Millisecond).Seconds()
-	}
-	if status.IsLeader {
-		status.EpochCapacity = n.leader.admission.EpochCapacity().Jobs
-		status.WaitingGroups = admissioncontrol.WaitingGroups(n.leader.State)
-	}
-	if request.JobID != "" {
-		status.Job = n.jobAdmissionStatus(request.JobID)
-	}
-	n.reply(request.Origin, http.StatusOK, 0, status)
-}
-
-// jobAdmissionStatus is what this node knows of a job's admission.
-func (n *Node) jobAdmissionStatus(jobID string) *admission.JobStatus {
-	status := &admission.JobStatus{ID: jobID, Accepted: n.jobReader.KnownAccepted(jobID)}
-	group, rejected := n.policyRejections.Get(jobID)
-	if status.Accepted || !rejected {
-		return status
-	}
-	status.RejectedGroup = &group
-	verdict := n.admissionPolicy.Current.Evaluate(group, jobID)
-	status.AdmittedNow = verdict.Admit && !n.admissionPolicy.Invalid
-	if !status.AdmittedNow {
-		status.TurnInSeconds = n.admissionPolicy.RetryAfterSeconds(verdict)
-	}
-	return status
-}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -28,18 +28,13 @@
 // Node holds all state of a controller. It is not safe for concurrent use: one goroutine
 // owns it and calls Step.
 type Node struct {
+	process
 	timing
 	outbox
 	serviceBudgets
 
-	cfg      *config.Platform
-	settings config.Settings
 	log      *slog.Logger
-	rng      *rand.Rand
-	// processID distinguishes this process from earlier ones of the same node.
-	processID uint64
-	build     string
-	draining  bool // a Drain command was received
+	draining bool // a Drain command was received
 
 	election     *election.Election
 	peers        map[string]*peer
@@ -80,8 +75,8 @@
 func New(options Options) *Node {
 	cluster := &options.Platform.Cluster
 	node := &Node{
-		cfg: options.Platform, settings: options.Settings, log: options.Log, rng: options.Rand,
-		build:                     options.Build,
+		process:                   newProcess(options),
+		log:                       options.Log,
 		timing:                    timing{startTime: options.StartTime, cluster: cluster},
 		peers:                     map[string]*peer{},
 		policyRejections:          jobstore.NewRecentJobs[admission.Group](jobstore.RecentJobsLimit),
@@ -103,7 +98,6 @@
 	}
 	node.admissionPolicy = admissioncontrol.NewPolicyFollower(admissionHost{node}, cluster, node.log)
 	node.workerRouter = workerrouting.NewRouter(node, cluster, peerNames)
-	node.processID = node.rng.Uint64() ^ uint64(node.startTime.UnixNano()) | 1 // never 0, which means unknown
 	node.startElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
 	// A response to a request that an earlier process of this node forwarded may still
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -4,25 +4,41 @@
 	"net/http"
 	"time"
 
+	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/reachability"
 	"hitchdoor/internal/statuspage"
 )
 
-// onHealth answers the health check of the load balancer. A node is unhealthy while it is
+// statusPages answers the requests about a controller itself: of the load balancer, of operators
+// and for metrics. It reads the node's state and changes nothing.
+type statusPages struct{ node *Node }
+
+// statusPageByKind maps the kinds of requests about the controller itself to the pages that answer
+// them with a status and a body.
+var statusPageByKind = map[protocol.RequestKind]func(statusPages, Request) (status int, body any){
+	protocol.RequestHealth:    statusPages.health,
+	protocol.RequestStatus:    statusPages.nodeStatus,
+	protocol.RequestMetrics:   statusPages.metrics,
+	protocol.RequestAdmission: statusPages.admissionStatus,
+	protocol.RequestLinks:     statusPages.connectivity,
+	protocol.RequestRecovery:  statusPages.recovery,
+}
+
+// health answers the health check of the load balancer. A node is unhealthy while it is
 // draining, or while it reaches neither the key-value store nor another controller and does not
 // lead.
-func (n *Node) onHealth(request Request) {
+func (p statusPages) health(Request) (int, any) {
+	n := p.node
 	isolated := len(n.peers) > 0 && n.election.RecentPeerCount(n.workerLease()/4) == 0
 	if n.draining || isolated && n.election.StoreFailing() && !n.holdsLeaderLease() {
-		n.reply(request.Origin, http.StatusServiceUnavailable, 0, nil)
-		return
+		return http.StatusServiceUnavailable, nil
 	}
-	n.reply(request.Origin, http.StatusOK, 0,
-		statuspage.HealthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel})
+	return http.StatusOK, statuspage.HealthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel}
 }
 
-// onStatus answers with the node's status, and the leader's if this node leads.
-func (n *Node) onStatus(request Request) {
+// nodeStatus answers with the node's status, and the leader's if this node leads.
+func (p statusPages) nodeStatus(Request) (int, any) {
+	n := p.node
 	status := statuspage.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(),
 		StoreFailing: n.election.StoreFailing(), UptimeS: n.now.Round(time.Millisecond).Seconds(),
 		Build: n.build, ProtocolLevel: protocolLevel,
@@ -39,11 +55,12 @@
 		status.Leader, status.Term = n.cfg.Node, n.leader.term
 		status.LeaderStatus = n.leader.status()
 	}
-	n.reply(request.Origin, http.StatusOK, 0, status)
+	return http.StatusOK, status
 }
 
-// onMetrics answers with the node's metrics, and the leader's if this node leads.
-func (n *Node) onMetrics(request Request) {
+// metrics answers with the node's metrics, and the leader's if this node leads.
+func (p statusPages) metrics(Request) (int, any) {
+	n := p.node
 	page := &statuspage.MetricsPage{}
 	page.BoolGauge("leading", "1 on the node that leads.", n.holdsLeaderLease())
 	page.Gauge("level", "The level of records and messages that this node's version understands.", protocolLevel)
@@ -57,11 +74,11 @@
 		float64(n.connectivityReport().StrandedWorkers))
 	page.BoolGauge("admission_policy", "1 while submissions are admitted by a policy.",
 		n.admissionPolicy.Current != nil)
-	n.recoveryMetrics(page)
+	p.recoveryMetrics(page)
 	if n.holdsLeaderLease() {
 		n.leader.writeMetrics(page)
 	}
-	n.reply(request.Origin, http.StatusOK, 0, []byte(page.String()))
+	return http.StatusOK, []byte(page.String())
 }
 
 // status returns the leader's status with its jobs and machines.
@@ -85,8 +102,9 @@
 	page.Gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.PendingChanges()))
 }
 
-// onConnectivity answers with the links that this node sees, for the operators' link overview.
-func (n *Node) onConnectivity(request Request) {
+// connectivity answers with the links that this node sees, for the operators' link overview.
+func (p statusPages) connectivity(Request) (int, any) {
+	n := p.node
 	report := n.connectivityReport()
 	status := reachability.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(),
 		StoreReachable: report.StoreReachable, IncomingLinks: report.IncomingLinks,
@@ -102,5 +120,5 @@
 		status.Term, status.RecentWorkers = n.leader.term, len(n.leader.Machines)
 		status.SecondsSinceServed = (n.now - n.leader.lastDelivery).Round(time.Millisecond).Seconds()
 	}
-	n.reply(request.Origin, http.StatusOK, 0, status)
+	return http.StatusOK, status
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"hitchdoor/internal/clock"
+	"hitchdoor/internal/config"
 	"hitchdoor/internal/fleet"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/storage"
@@ -38,15 +39,15 @@
 
 // isSchedulable reports whether the job's team exists and may use enough resources for one task,
 // and whether a task of the job fits some machine type.
-func (n *Node) isSchedulable(spec *protocol.Job) bool {
-	team := n.cfg.Cluster.Team(spec.Team)
+func isSchedulable(spec *protocol.Job, cluster *config.Cluster, types map[string]*protocol.MachineType) bool {
+	team := cluster.Team(spec.Team)
 	if team == nil {
 		return false
 	}
 	if (team.MaxCPUs > 0 && spec.Cores > team.MaxCPUs) || (team.MaxGPUs > 0 && spec.Accelerators > team.MaxGPUs) {
 		return false
 	}
-	for _, machineType := range n.catalog.Types {
+	for _, machineType := range types {
 		if fleet.FitsType(spec, machineType) {
 			return true
 		}
@@ -129,7 +130,7 @@
 // has no record.
 func (n *Node) validateSubmission(job *protocol.Job, writes []storage.Write) *errorResponse {
 	limits := &n.cfg.Cluster.Store
-	schedulable := n.isSchedulable(job)
+	schedulable := isSchedulable(job, &n.cfg.Cluster, n.catalog.Types)
 	switch {
 	case !storage.FitsTxn(writes, limits.MaxValueBytes(), limits.MaxTxnOps()):
 		return &jobTooLarge // no record can hold it, so a retry can't succeed
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -20,23 +20,16 @@
 	return protocol.JobStatus{ID: jobID, State: protocol.JobQueued, DoneTasks: &done, RunningTasks: &running}
 }
 
-// nodeRequestHandlers maps the kinds of requests that have a handler of their own. All other
-// kinds are user requests about a job.
-var nodeRequestHandlers = map[protocol.RequestKind]func(*Node, Request){
-	protocol.RequestHealth:    (*Node).onHealth,
-	protocol.RequestHeartbeat: (*Node).onWorkerHeartbeat,
-	protocol.RequestStatus:    (*Node).onStatus,
-	protocol.RequestMetrics:   (*Node).onMetrics,
-	protocol.RequestAdmission: (*Node).onAdmissionStatus,
-	protocol.RequestLinks:     (*Node).onConnectivity,
-	protocol.RequestRecovery:  (*Node).onRecoveryStatus,
-}
-
 // onRequest dispatches a request that arrived on one of this node's own connections, or that a
 // peer forwarded.
 func (n *Node) onRequest(request Request) {
-	if handler := nodeRequestHandlers[request.Kind]; handler != nil {
-		handler(n, request)
+	if request.Kind == protocol.RequestHeartbeat {
+		n.onWorkerHeartbeat(request)
+		return
+	}
+	if page := statusPageByKind[request.Kind]; page != nil {
+		status, body := page(statusPages{n}, request)
+		n.reply(request.Origin, status, 0, body)
 		return
 	}
 	if record, ok := n.jobReader.TerminalRecord(request.JobID); ok {
@@ -65,10 +58,6 @@
 	}
 }
 
-// maxPendingRequests bounds the requests that are kept waiting. Each holds a connection, here or
-// at a peer.
-func (n *Node) maxPendingRequests() int { return n.cfg.Cluster.Resources.MaxConnections }
-
 // forwardToPeer forwards a request to a peer and waits at most for the timeout.
 func (n *Node) forwardToPeer(target *peer, request Request, timeout time.Duration) {
 	id := n.forwards.Add(request, n.now+timeout)
@@ -164,11 +153,6 @@
 	n.replyWithAnswer(request.Origin, answer)
 }
 
-// replyWithAnswer answers a request with the leader's response to it.
-func (n *Node) replyWithAnswer(origin Origin, answer protocol.ForwardedResponse) {
-	n.reply(origin, answer.Status, answer.RetryAfter, []byte(answer.Body))
-}
-
 // serveWithoutLeader answers what can be answered from the key-value store alone.
 func (n *Node) serveWithoutLeader(request Request) {
 	switch request.Kind {
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -73,9 +73,3 @@
 func (n *Node) PeerReachable(name string) bool {
 	return n.now-n.peers[name].LastContact < n.leaderLease()
 }
-
-// maxEarlyHeartbeats bounds the worker heartbeats that wait while a leader reads the stored
-// records. Each holds a connection, here or at a peer.
-func (n *Node) maxEarlyHeartbeats() int {
-	return n.maxPendingRequests() * n.cfg.Cluster.ControllerCount
-}
