--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-
 	"time"
 
 	"hitchdoor/internal/clock"
