--- a/internal/dependency/lookups.go
+++ b/internal/dependency/lookups.go
@@ -10,6 +10,9 @@
 
 // TickLookups reads the state of dependencies that are not among the open jobs.
 func (g *Graph) TickLookups() {
+	if len(g.Lookups) == 0 {
+		return // the common case, at each step
+	}
 	for _, id := range slices.Sorted(maps.Keys(g.Lookups)) {
 		now := g.state.Clock.Now()
 		switch dueAt := g.Lookups[id]; {
--- a/internal/reachability/matrix.go
+++ b/internal/reachability/matrix.go
@@ -59,6 +59,7 @@
 // Matrix is one node's knowledge of all links.
 type Matrix struct {
 	nodes   map[string]bool
+	inOrder []string // the nodes by name, which never change
 	reports map[string]receivedReport
 }
 
@@ -68,6 +69,7 @@
 	for _, node := range nodes {
 		m.nodes[node] = true
 	}
+	m.inOrder = slices.Sorted(maps.Keys(m.nodes))
 	return m
 }
 
@@ -126,7 +128,7 @@
 // ignored.
 func (m *Matrix) Successor(self string, now, window time.Duration) StrandedCount {
 	successor, most := "", 0
-	for _, node := range slices.Sorted(maps.Keys(m.nodes)) {
+	for _, node := range m.inOrder {
 		report, ok := m.LatestReport(node, now, window)
 		if node == self || !ok {
 			continue
@@ -144,7 +146,7 @@
 // MostStrandedElsewhere is the other node that reported the most stranded workers within the window.
 func (m *Matrix) MostStrandedElsewhere(self string, now, window time.Duration) StrandedCount {
 	mostStranded := StrandedCount{}
-	for _, node := range slices.Sorted(maps.Keys(m.nodes)) {
+	for _, node := range m.inOrder {
 		if report, ok := m.LatestReport(node, now, window); node != self && ok &&
 			report.StoreReachable && report.StrandedWorkers > mostStranded.Workers {
 			mostStranded = StrandedCount{node, report.StrandedWorkers}
