--- a/cmd/hitchdoor/emulate.go
+++ b/cmd/hitchdoor/emulate.go
@@ -13,7 +13,8 @@
 	"hitchdoor/internal/emulator"
 )
 
-// emulate runs controllers against emulated services on this machine.
+// newEmulateCommand returns the subcommand that runs controllers against emulated services on this
+// machine.
 func emulate() *cobra.Command {
 	var o emulator.Options
 	cmd := &cobra.Command{
@@ -36,7 +37,8 @@
 	flags.DurationVar(&o.For, "for", 40*time.Second, "how long users submit jobs")
 	flags.DurationVar(&o.LoseAt, "lose-controllers-at", 15*time.Second, "when all controllers end at once; 0: never")
 	flags.DurationVar(&o.Away, "away", 3*time.Second, "how long they are away")
-	flags.DurationSliceVar(&o.LoseAgain, "lose-again-after", nil, "when they end again while they recover, one after the other")
+	flags.DurationSliceVar(&o.LoseAgain, "lose-again-after", nil,
+		"when they end again while they recover, one after the other")
 	flags.Uint64Var(&o.Seed, "seed", 1, "of the load")
 	flags.StringVar(&o.ReportFile, "report", "", "a file for the report (JSON)")
 	flags.StringVar(&o.Program, "program", "", "the controllers' program, to compare versions (this one)")
@@ -46,7 +48,7 @@
 	return cmd
 }
 
-// terminal is a file if it is a terminal, and nil otherwise.
+// terminalWriter returns the file if it is a terminal, and nil otherwise.
 func terminal(f *os.File) io.Writer {
 	info, err := f.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
--- a/cmd/hitchdoor/main.go
+++ b/cmd/hitchdoor/main.go
@@ -1,5 +1,5 @@
-// Command hitchdoor is a cluster scheduler: it takes jobs, rents machines, and
-// runs the jobs' tasks on them.
+// Command hitchdoor is a cluster scheduler: it accepts jobs, rents machines and runs the jobs' tasks
+// on them. Its subcommands check settings files, query running controllers and emulate a cluster.
 package main
 
 import (
@@ -28,6 +28,7 @@
 	}
 }
 
+// newRootCommand returns the command that runs a controller, with all subcommands.
 func root() *cobra.Command {
 	var platform, operators string
 	load := func() (*config.Platform, config.Settings, error) {
@@ -81,6 +82,7 @@
 	return cmd
 }
 
+// buildVersion returns the version of a release build, or else that of the module.
 func buildVersion() string {
 	if version != "" {
 		return version
@@ -91,7 +93,7 @@
 	return "(unknown)"
 }
 
-// logger writes to standard error as much as LOG_LEVEL asks for.
+// newLogger returns a logger to standard error with the level of the environment variable LOG_LEVEL.
 func logger() *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
--- a/cmd/hitchdoor/tools.go
+++ b/cmd/hitchdoor/tools.go
@@ -9,7 +9,7 @@
 	"hitchdoor/internal/toolbox"
 )
 
-// tools are the operators' subcommands, which ask all controllers and change nothing.
+// newOperatorCommands returns the subcommands that query all controllers and change nothing.
 func tools() []*cobra.Command {
 	var options toolbox.Options
 	var job string
@@ -36,7 +36,7 @@
 			return toolbox.Trace(c.OutOrStdout(), options, args[0])
 		},
 	}
-	// report makes a tool that asks all nodes one question.
+	// newQueryCommand returns a subcommand without arguments of its own.
 	report := func(name, short string, ask func(io.Writer, toolbox.Options) error) *cobra.Command {
 		return &cobra.Command{
 			Use:   name + " --nodes HOST:PORT,...",
@@ -51,7 +51,8 @@
 		}
 	}
 	links := report("links", "Show which controllers hear each other, and who leads by whose word", toolbox.Links)
-	recovery := report("recovery", "Show how far a new leader's recovery is, and what differs from the records", toolbox.Recovery)
+	recovery := report("recovery",
+		"Show how far a new leader's recovery is, and what differs from the records", toolbox.Recovery)
 	commands := []*cobra.Command{admission, trace, links, recovery}
 	for _, c := range commands {
 		c.Flags().StringSliceVar(&options.Nodes, "nodes", nil, "the client addresses of all controllers")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,7 @@
-// Package daemon runs a controller: it feeds the owner with commands in batches
-// and carries out the effects.
+// Package daemon runs a controller process. One goroutine, the owner, passes batches of commands to
+// the node (the state machine of the controller) and executes the effects that the node returns. The
+// package connects the node with the transports and shares out connections and memory; it makes no
+// scheduling decision.
 package daemon
 
 import (
@@ -21,33 +23,37 @@
 
 // Sizes of the owner's queue and batches.
 const (
-	// queuePerConnection is the length of the owner's queue, as a ratio to the connections:
-	// all workers may report at once, and some through other controllers.
+	// commandsPerConnection is the length of the command queue per connection. All workers may
+	// send a heartbeat at once, some of them through other controllers.
 	queuePerConnection = 4
-	batchSize          = 256
-	// questionShare is the part of queue and batch, one in so many, that questions may fill.
+	// maxBatchSize bounds the commands of one step.
+	batchSize = 256
+	// queryDivisor sets the share of queue and batch (1/queryDivisor) that queries may fill.
 	questionShare = 4
 )
 
+// daemon connects the node with the transports. Only the owner goroutine (runOwner) uses the node;
+// mu guards the fields below it.
 type daemon struct {
 	start  time.Time
 	queue  chan any
 	server *transport.Server
-	// questions wait apart: there may be many times as many as usual, and reports,
-	// heartbeats, renewals, submissions and cancellations must not wait behind them.
+	// queryQueue holds read-only requests. During an overload there are many of them, and
+	// heartbeats, lease renewals, submissions and cancellations must not be queued behind them.
 	questions chan any
 	node      *coordination.Node
 	clients   map[coordination.Target]*transport.Client
 	peers     *transport.Peers
-	traces    *tracing.Recorder // nil: off
+	traces    *tracing.Recorder // nil: tracing is disabled
 
 	mu      sync.Mutex
 	tickets map[uint64]chan coordination.Reply
 	last    uint64
 }
 
-// Run runs a controller until it fails, or hands over once ctx ends.
-func Run(ctx context.Context, p *config.Platform, set config.Settings, build string, log *slog.Logger) error {
+// Run runs a controller until it fails, or until ctx is cancelled and the node has handed over.
+func Run(ctx context.Context, p *config.Platform, set config.Settings, build string,
+	log *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(p.Cluster.Resources.MemMB * set.MemoryRatio * (1 << 20)))
 
@@ -67,7 +73,8 @@
 		d.traces = tracing.NewRecorder(p.Node, set.TraceSteps)
 	}
 	conns := shareSockets(&p.Cluster)
-	opt := transport.ClientOptions{Dial: lease / 8, Idle: lease / 2, MaxBody: maxAnswer(&p.Cluster)}
+	opt := transport.ClientOptions{Dial: lease / 8, Idle: lease / 2,
+		MaxBody: maxAnswer(&p.Cluster)}
 	client := func(addr string, connections int) *transport.Client {
 		opt.Connections = connections
 		return transport.NewClient(addr, opt)
@@ -93,42 +100,44 @@
 	failed := make(chan error, 2)
 	go func() { failed <- d.server.Serve(transport.Steady(users, log)) }()
 	go func() { failed <- d.peers.Serve(transport.Steady(others, log)) }()
-	log.Info("started", "node", p.Node, "users", p.ClientListen, "peers", p.PeerBind)
+	log.Info("controller started", "node", p.Node, "clientAddress", p.ClientListen, "peerAddress", p.PeerBind)
 	return d.loop(ctx, report/24, failed)
 }
 
-// queueSize is the length of the owner's queue.
+// commandQueueLength returns the length of the command queue.
 func queueSize(c *config.Cluster) int { return queuePerConnection * c.Resources.MaxConnections }
 
-// answerShare is the part of the memory, one in so many, that one answer of another service
-// may take: several may come at once.
+// responseMemoryDivisor sets the share of memory (1/responseMemoryDivisor) that one response of
+// another service may take, as several may arrive at once.
 const answerShare = 16
 
-// maxAnswer bounds an answer in bytes. A watch may bring every change of an outage at once.
+// maxResponseBytes returns the size limit of a response. After an outage, the response of a watch may
+// hold every change at once.
 func maxAnswer(c *config.Cluster) int {
 	return int(c.Resources.MemMB * (1 << 20) / answerShare)
 }
 
-// sockets is how a controller's connections are shared out.
+// connectionBudget is the number of connections that each kind of link may use.
 type sockets struct{ state, cloud, peers, server int }
 
-// shareSockets keeps for the state service, the cloud and the other controllers what
-// authority and machines depend on, and leaves all others to workers and users: the
-// leader has a connection of each machine, so they are what limits a deployment.
+// budgetConnections reserves connections to the key-value store, the cloud and the other
+// controllers, as the leader lease and the rented machines depend on them. All others are for
+// workers and users: the leader has a connection from each machine, so their number limits the size
+// of a deployment.
 func shareSockets(c *config.Cluster) sockets {
 	all := c.Resources.MaxConnections
 	s := sockets{
 		state: max(4, all/16),
-		// No more calls can be under way than may be made while one is waited for.
+		// The rate limit bounds how many calls can be in flight before the first of them times out.
 		cloud: max(4, min(all/16, int(c.Cloud.RPS*c.Workers.LeaseS/4))),
 		peers: transport.PeerConnections(c.Count),
 	}
-	// A few are left for listeners, logs and connections that are just being closed.
+	// The rest is for listeners, logs and connections that are being closed.
 	s.server = max(8, all-s.state-s.cloud-s.peers-all/64)
 	return s
 }
 
-// loop is the owner: it alone touches the node.
+// runOwner is the owner goroutine: it alone accesses the node.
 func (d *daemon) loop(ctx context.Context, tick time.Duration, failed chan error) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -159,7 +168,7 @@
 	}
 }
 
-// gather fills a batch with what waits, questions last and not too many at once.
+// fillBatch adds queued commands to a batch, and then a limited number of queries.
 func (d *daemon) gather(batch []any) []any {
 	for len(batch) < batchSize && len(d.queue) > 0 {
 		batch = append(batch, <-d.queue)
@@ -171,8 +180,8 @@
 	return batch
 }
 
-// fromPeer takes a message of another controller. A question that it passes on and that
-// can't be answered now is refused at once.
+// receivePeerMessage queues a message of another controller. A forwarded query is rejected at once
+// if the query queue is full.
 func (d *daemon) fromPeer(m coordination.PeerMessage) {
 	if !m.IsQuestion() {
 		d.queue <- m
@@ -186,6 +195,7 @@
 	}
 }
 
+// execute executes one effect of the node.
 func (d *daemon) carryOut(e any) {
 	switch e := e.(type) {
 	case coordination.Call:
@@ -208,7 +218,7 @@
 	}
 }
 
-// Trace lists the steps of a job that are kept here.
+// Trace returns the recorded steps of a job; none if tracing is disabled.
 func (d *daemon) Trace(job string) []tracing.Step {
 	if d.traces == nil {
 		return nil
@@ -216,8 +226,8 @@
 	return d.traces.Of(job)
 }
 
-// Ask hands a request to the owner. A full queue, or an owner that does not
-// answer in time, is answered with when to come back.
+// Handle passes a request to the owner and waits for the reply. If the queue is full or the owner
+// does not reply in time, the reply is status 503 with Retry-After.
 func (d *daemon) Ask(r coordination.Request, patience time.Duration) coordination.Reply {
 	busy := coordination.Reply{Status: 503, RetryAfter: 1}
 	ch := make(chan coordination.Reply, 1)
@@ -248,6 +258,7 @@
 	}
 }
 
+// discardTicket removes a pending reply that nobody waits for any more.
 func (d *daemon) drop(ticket uint64) {
 	d.mu.Lock()
 	delete(d.tickets, ticket)
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -8,16 +8,17 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// CloudError says why an answer can't be the cloud's.
+// CloudResponseError reports why a response can't come from the cloud.
 type CloudError struct {
 	Call   string // method and path
 	Reason string
 }
 
+// Error implements error.
 func (e *CloudError) Error() string { return e.Call + ": " + e.Reason }
 
-// CheckCloudAnswer tells whether the cloud can have given an answer of 200: one that was cut
-// short or that contradicts itself is treated as no answer.
+// CheckCloudResponse validates a response of the cloud with status 200. A truncated or
+// inconsistent body returns a *CloudResponseError; the caller must treat the call as unanswered.
 func CheckCloudAnswer(method, path string, status int, body []byte) error {
 	if status != 200 {
 		return nil
@@ -37,6 +38,7 @@
 	return &CloudError{Call: method + " " + path, Reason: reason}
 }
 
+// checkCatalog returns what is wrong with a catalogue, or "".
 func checkCatalog(body []byte) string {
 	var catalog Catalog
 	if json.Unmarshal(body, &catalog) != nil || len(catalog.Usable()) == 0 {
@@ -45,6 +47,7 @@
 	return ""
 }
 
+// checkMachineNames returns what is wrong with the response to a rental, or "".
 func checkNames(body []byte) string {
 	var names MachineNames
 	if json.Unmarshal(body, &names) != nil {
@@ -58,8 +61,9 @@
 	return ""
 }
 
-// checkHosts looks for machines in order and beyond where the page begins: a page that does
-// not advance would be asked for again and again.
+// checkHostPage returns what is wrong with a page of the machine list, or "". Machines must be
+// in strictly increasing order after the page's start: a page that does not advance would make
+// the caller request it forever.
 func checkHosts(path string, body []byte) string {
 	var list HostList
 	if json.Unmarshal(body, &list) != nil {
@@ -83,14 +87,15 @@
 	return ""
 }
 
-// The least that is believed of a machine type. Prices and rates are divided by, so that a
-// type that is given away, or that never fetches an image, would spoil every comparison.
+// Lower bounds of what a catalogue states. Prices and fetch rates are used as divisors, so a
+// zero would make every comparison between machine types meaningless.
 const (
 	leastPrice   = 1e-6
 	leastPullGBs = 1e-3
 )
 
-// Usable lists the types of the catalogue that can hold a task.
+// UsableTypes returns the machine types that can hold a task, with prices, rates and sizes
+// raised to their lower bounds.
 func (c *Catalog) Usable() []MachineType {
 	var usable []MachineType
 	for _, t := range c.Types {
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -9,51 +9,53 @@
 	"hitchdoor/internal/reachability"
 )
 
-// PeerMessage is a message between controllers, one JSON line on the wire: Heartbeat,
-// LeaseGrant, VoteRequest, Vote, ForwardedRequest, ForwardedAnswer or AdmissionLoad.
+// PeerMessage is a message between controllers, one JSON line on the wire: PeerHeartbeat,
+// LeaseGrant, VoteRequest, Vote, ForwardedRequest, ForwardedResponse or AdmissionLoad.
 type PeerMessage interface {
-	// line is the message as it stands on the wire.
+	// toWire returns the wire form of the message.
 	line() peerLine
 }
 
-// Heartbeat says that its sender is there, and whether it leads.
+// PeerHeartbeat is sent periodically by each controller to each other controller. It carries the
+// sender's role, capacity and connectivity.
 type Heartbeat struct {
-	Term       uint64        // of the leadership, if the sender leads
-	Leads      bool          // the sender has authority
-	WantsGrant bool          // a leader that can't renew its lease asks for lease grants
+	Term       uint64        // leader term, if the sender leads
+	Leads      bool          // the sender holds the leader lease
+	WantsGrant bool          // the leader can't renew its lease and requests lease grants
 	Sent       time.Duration // by the sender's clock
-	Uptime     time.Duration // of the sender
-	Process    uint64        // tells the sender's process from earlier ones of the same node
-	Heard      uint64        // the receiver's process that the sender has heard last
-	Level      int           // of the sender's version
-	Slowed     bool          // the lower rate of changes holds
-	Full       bool          // the sender has no connection to spare for more workers
-	Room       int           // how many more it takes in; 0 if it does not say
-	Links      *LinkReport   // what the sender sees of the links; nil if it does not say
-	Policy     uint64        // revision of the last change of the admission policy that it knows
+	Uptime     time.Duration // of the sender's process
+	Process    uint64        // distinguishes the sender's process from earlier ones of the same node
+	Heard      uint64        // the receiver's process from which the sender last received a heartbeat
+	Level      int           // level of records and messages that the sender understands
+	Slowed     bool          // the sender's rate of writes is throttled
+	Full       bool          // the sender has no connections left for more workers
+	Room       int           // how many more workers the sender accepts; 0: not stated
+	Links      *LinkReport   // the sender's view of the links; nil: not stated
+	Policy     uint64        // revision of the latest admission policy that the sender knows
 }
 
-// LeaseGrant answers a heartbeat that asks for it: the sender is bound not to stand or vote.
+// LeaseGrant is the response to a heartbeat that requests it: for the duration of a leader lease
+// the sender neither becomes a candidate nor votes.
 type LeaseGrant struct {
 	Term uint64
-	Sent time.Duration // of the heartbeat, by its sender's clock
+	Sent time.Duration // when the heartbeat was sent, by its sender's clock
 }
 
-// VoteRequest asks for a vote for a candidate's term.
+// VoteRequest requests a vote for the candidate's term.
 type VoteRequest struct {
 	Term uint64
 }
 
-// Vote answers a vote request.
+// Vote is the response to a VoteRequest.
 type Vote struct {
 	Term    uint64
 	Granted bool
 }
 
-// RequestKind is what a user, a worker, the load balancer or an operator asks for.
+// RequestKind is the kind of a request of a user, a worker, the load balancer or an operator.
 type RequestKind string
 
-// Kinds of requests. Only the first four are forwarded.
+// Kinds of requests. Only the first four are forwarded to the leader.
 const (
 	RequestSubmit  RequestKind = "submit"
 	RequestQuery   RequestKind = "query"
@@ -62,60 +64,60 @@
 	RequestStatus  RequestKind = "status"
 	RequestHealth  RequestKind = "health"
 	RequestMetrics RequestKind = "metrics"
-	// RequestAdmission asks for the policy by which a node judges.
+	// RequestAdmission reads the admission policy that a node applies.
 	RequestAdmission RequestKind = "admission"
-	// RequestLinks asks for what a node sees of the links.
+	// RequestLinks reads a node's view of the links between controllers.
 	RequestLinks RequestKind = "links"
-	// RequestRecovery asks for how far a leader's recovery is.
+	// RequestRecovery reads the progress of a new leader's recovery.
 	RequestRecovery RequestKind = "recovery"
 )
 
-// ForwardedRequest is a request that a node hands to the leader.
+// ForwardedRequest is a request that a follower forwards to the leader.
 type ForwardedRequest struct {
 	ID   uint64
 	Kind RequestKind
-	Job  string          // its id; none in a report
-	Body json.RawMessage // the submission or the report
+	Job  string          // empty in a worker's heartbeat
+	Body json.RawMessage // the submission or the worker's heartbeat
 }
 
-// ForwardedAnswer is the leader's answer to it.
+// ForwardedResponse is the leader's response to the ForwardedRequest with the same ID.
 type ForwardedAnswer struct {
 	ID         uint64
 	Status     int
-	RetryAfter int // in seconds; 0: not said
+	RetryAfter int // in seconds; 0: not stated
 	Body       json.RawMessage
 }
 
-// MaxGroupLoads bounds the groups of jobs that a message, or a node, counts submissions of.
+// MaxGroupLoads bounds the number of job groups in an AdmissionLoad, and in a node's counters.
 const MaxGroupLoads = 512
 
-// GroupLoad is what a node had to turn away of the submissions of a group of jobs.
+// GroupLoad counts the rejected submissions of one group of jobs.
 type GroupLoad struct {
 	Team       string `json:"team"`
 	Class      string `json:"class"`
 	Rank       int    `json:"rank"`
-	TurnedAway int    `json:"away,omitempty"`    // jobs that were admitted, but there was no room
-	Refused    int    `json:"refused,omitempty"` // attempts that were not admitted
+	TurnedAway int    `json:"away,omitempty"`    // admitted by the policy, rejected for lack of capacity
+	Refused    int    `json:"refused,omitempty"` // attempts rejected by the policy
 }
 
-// AdmissionLoad tells the leader of submissions that its sender had to turn away since it
-// said so last, all of them judged by the policy of one version.
+// AdmissionLoad reports to the leader the submissions that the sender has rejected since its
+// previous AdmissionLoad, all under the same revision of the admission policy.
 type AdmissionLoad struct {
-	Version uint64 // of the policy's record; 0: there was none
+	Version uint64 // of the policy's record; 0: no policy was in force
 	Groups  []GroupLoad
 }
 
-// LinkReport is what a node sees of the links between controllers and to workers.
+// LinkReport is a node's view of the links between controllers and to workers.
 type LinkReport struct {
 	Hears    []reachability.Heard `json:"hears"`
-	State    bool                 `json:"state"`              // the state service answers it
-	Workers  int                  `json:"workers,omitempty"`  // that came to it lately
-	Stranded int                  `json:"stranded,omitempty"` // of these, that it could not serve
-	// Worst is the node with the most stranded workers that the sender has heard of.
+	State    bool                 `json:"state"`              // the key-value store responds to the sender
+	Workers  int                  `json:"workers,omitempty"`  // sent heartbeats to the sender lately
+	Stranded int                  `json:"stranded,omitempty"` // of these, workers that it could not serve
+	// MostStranded is the node with the most stranded workers that the sender knows of.
 	Worst *reachability.Elsewhere `json:"worst,omitempty"`
 }
 
-// Report is the same for a matrix of links.
+// ReachabilityReport converts the report for a reachability.Matrix.
 func (r *LinkReport) Report() reachability.Report {
 	report := reachability.Report{Hears: r.Hears, State: r.State, Workers: r.Workers, Stranded: r.Stranded}
 	if r.Worst != nil {
@@ -124,7 +126,8 @@
 	return report
 }
 
-// peerLine is the wire form of all of them. Its words are those of earlier versions.
+// wirePeerMessage is the wire form of every PeerMessage. The tags are fixed by earlier versions,
+// as controllers of two versions exchange messages during an upgrade.
 type peerLine struct {
 	Type  peerType        `json:"type"`
 	Term  uint64          `json:"term,omitempty"`
@@ -150,9 +153,10 @@
 	Body  json.RawMessage `json:"body,omitempty"`
 }
 
-// peerType is the word by which the wire tells the messages apart.
+// peerMessageType identifies the message in its wire form.
 type peerType string
 
+// Message types, with the names that earlier versions gave them on the wire.
 const (
 	typeHeartbeat   peerType = "beat"
 	typeLeaseGrant  peerType = "promise"
@@ -163,49 +167,61 @@
 	typeLoad        peerType = "load"
 )
 
+// toWire implements PeerMessage.
 func (m Heartbeat) line() peerLine {
-	return peerLine{Type: typeHeartbeat, Term: m.Term, Lead: m.Leads, Want: m.WantsGrant, Sent: int64(m.Sent), Up: int64(m.Uptime),
-		Run: m.Process, Heard: m.Heard, Level: m.Level, Slow: m.Slowed, Full: m.Full, Room: m.Room, Links: m.Links, Rev: m.Policy}
+	return peerLine{Type: typeHeartbeat, Term: m.Term, Lead: m.Leads, Want: m.WantsGrant,
+		Sent: int64(m.Sent), Up: int64(m.Uptime),
+		Run: m.Process, Heard: m.Heard, Level: m.Level,
+		Slow: m.Slowed, Full: m.Full, Room: m.Room,
+		Links: m.Links, Rev: m.Policy}
 }
 
+// toWire implements PeerMessage.
 func (m LeaseGrant) line() peerLine {
 	return peerLine{Type: typeLeaseGrant, Term: m.Term, Sent: int64(m.Sent)}
 }
 
+// toWire implements PeerMessage.
 func (m VoteRequest) line() peerLine { return peerLine{Type: typeVoteRequest, Term: m.Term} }
 
+// toWire implements PeerMessage.
 func (m Vote) line() peerLine { return peerLine{Type: typeVote, Term: m.Term, OK: m.Granted} }
 
+// toWire implements PeerMessage.
 func (m ForwardedRequest) line() peerLine {
 	return peerLine{Type: typeRequest, ID: m.ID, Kind: m.Kind, Job: m.Job, Body: m.Body}
 }
 
+// toWire implements PeerMessage.
 func (m ForwardedAnswer) line() peerLine {
 	return peerLine{Type: typeAnswer, ID: m.ID, Code: m.Status, Retry: m.RetryAfter, Body: m.Body}
 }
 
+// toWire implements PeerMessage.
 func (m AdmissionLoad) line() peerLine {
 	return peerLine{Type: typeLoad, Rev: m.Version, Loads: m.Groups}
 }
 
-// PeerLineError says why a line of another controller can't be read.
+// PeerMessageError reports why a message of another controller is malformed.
 type PeerLineError struct{ Reason string }
 
-func (e *PeerLineError) Error() string { return "line between controllers: " + e.Reason }
+// Error implements error.
+func (e *PeerLineError) Error() string { return "peer message: " + e.Reason }
 
-// UnknownPeerTypeError names a message, or a kind of request, that a later version may send.
-// It is to be ignored.
+// UnknownPeerMessageError reports a message type, or a kind of request, that this version does
+// not know. A later version may send it, so receivers ignore the message.
 type UnknownPeerTypeError struct{ Type, Kind string }
 
+// Error implements error.
 func (e *UnknownPeerTypeError) Error() string {
-	return fmt.Sprintf("line between controllers: unknown type %q, kind %q", e.Type, e.Kind)
+	return fmt.Sprintf("peer message: unknown type %q, kind %q", e.Type, e.Kind)
 }
 
-// EncodePeer turns a message into JSON, without a line break.
+// EncodePeerMessage encodes a message as JSON, without a line break.
 func EncodePeer(m PeerMessage) ([]byte, error) { return json.Marshal(m.line()) }
 
-// DecodePeer reads a message and checks it. It fails with a *PeerLineError, or with an
-// *UnknownPeerTypeError.
+// DecodePeerMessage decodes and validates a message. The error is a *PeerMessageError or an
+// *UnknownPeerMessageError.
 func DecodePeer(raw []byte) (PeerMessage, error) {
 	var l peerLine
 	if err := json.Unmarshal(raw, &l); err != nil {
@@ -221,7 +237,7 @@
 	return message, nil
 }
 
-// message is the typed message of a line, or what is wrong with it; neither if its type is
+// decode returns the typed message, or the reason why it is malformed; neither if the type is
 // unknown.
 func (l *peerLine) message() (m PeerMessage, reason string) {
 	switch l.Type {
@@ -255,14 +271,19 @@
 	return nil, ""
 }
 
+// decodePeerHeartbeat is decode for a PeerHeartbeat.
 func (l *peerLine) heartbeat() (m PeerMessage, reason string) {
 	if l.Sent < 0 || l.Up < 0 || l.Level < 0 || l.Room < 0 || (l.Lead && l.Term == 0) {
 		return nil, "a negative amount, or a leader without a term"
 	}
-	return Heartbeat{Term: l.Term, Leads: l.Lead, WantsGrant: l.Want, Sent: time.Duration(l.Sent), Uptime: time.Duration(l.Up),
-		Process: l.Run, Heard: l.Heard, Level: l.Level, Slowed: l.Slow, Full: l.Full, Room: l.Room, Links: l.Links, Policy: l.Rev}, ""
+	return Heartbeat{Term: l.Term, Leads: l.Lead, WantsGrant: l.Want,
+		Sent: time.Duration(l.Sent), Uptime: time.Duration(l.Up),
+		Process: l.Run, Heard: l.Heard, Level: l.Level,
+		Slowed: l.Slow, Full: l.Full, Room: l.Room,
+		Links: l.Links, Policy: l.Rev}, ""
 }
 
+// decodeForwardedRequest is decode for a ForwardedRequest.
 func (l *peerLine) request() (m PeerMessage, reason string) {
 	if l.ID == 0 {
 		return nil, "without a number"
@@ -277,11 +298,12 @@
 			return nil, "without a body"
 		}
 	default:
-		return nil, "" // of a later version
+		return nil, "" // a kind of a later version
 	}
 	return ForwardedRequest{ID: l.ID, Kind: l.Kind, Job: l.Job, Body: l.Body}, ""
 }
 
+// decodeAdmissionLoad is decode for an AdmissionLoad.
 func (l *peerLine) admissionLoad() (m PeerMessage, reason string) {
 	if len(l.Loads) == 0 || len(l.Loads) > MaxGroupLoads {
 		return nil, "no groups, or too many"
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,4 +1,8 @@
-// Package protocol holds the messages of every interface and their checks.
+// Package protocol defines the messages of every interface: users, workers, the cloud and the
+// other controllers. It encodes, decodes and validates them, and does no I/O.
+//
+// The names on the wire are fixed by the protocol. The Go identifiers use the terms of the field;
+// the struct tags are the only mapping between the two.
 package protocol
 
 import (
@@ -11,15 +15,18 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Limits of the wire.
+// Limits and timeouts of the protocol.
 const (
-	MaxBody  = 64 << 10
+	// MaxBodyBytes bounds the body of a request.
+	MaxBody = 64 << 10
+	// MaxTasksPerJob bounds the tasks of a job.
 	MaxTasks = 100_000
-	// ReportTimeout is how long a worker waits for the answer to a report; it drops a later one.
+	// HeartbeatTimeout is how long a worker waits for the response to a heartbeat. It drops a
+	// later response.
 	ReportTimeout = 4 * time.Second
-	// NextNodePause is after what time a worker that got no answer tries the next node.
+	// NextNodeDelay is how long a worker that got no response waits before it tries the next node.
 	NextNodePause = time.Second
-	// RetrySpan is for how long users repeat a submission that was not taken.
+	// SubmissionRetryWindow is how long users retry a submission that was not accepted.
 	RetrySpan = 60 * time.Second
 )
 
@@ -39,24 +46,24 @@
 	TaskExited   = "exited"
 )
 
-// Why a task exited.
+// Exit reasons of a task. The last three mean that the worker refused to start it.
 const (
 	WhyDone    = "done"
-	WhyHalted  = "halted"
+	WhyHalted  = "halted" // stopped by command
 	WhyError   = "error"
-	WhyFull    = "full"
-	WhyInUse   = "in_use"
-	WhyUnknown = "unknown"
+	WhyFull    = "full"    // not enough free resources on the machine
+	WhyInUse   = "in_use"  // the machine has another attempt of the task
+	WhyUnknown = "unknown" // no such job or task, or the job was not submitted
 )
 
-// Commands to a worker.
+// Kinds of commands to a worker.
 const (
 	OpStart  = "start"
 	OpStop   = "stop"
 	OpForget = "forget"
 )
 
-// Job is a submission.
+// Job is the specification of a job as its user submits it.
 type Job struct {
 	UID          string   `json:"uid"`
 	Class        string   `json:"lote"`
@@ -78,20 +85,21 @@
 	CheckpointS  float64  `json:"marcoS"`
 	SaveS        float64  `json:"guardaS"`
 	DeadlineS    *float64 `json:"prazoS"`
-	// Needs are the jobs that have to be done before any task of this one starts,
-	// each named once.
+	// Dependencies are the ids, without duplicates, of the jobs that must be done before any task
+	// of this job starts.
 	Needs []string `json:"aguarda,omitempty"`
 }
 
+// jobIDPattern is the form of a job id. Ids are part of keys and paths, so it allows no slash.
 var jobID = regexp.MustCompile(`^j-[0-9A-Za-z][0-9A-Za-z._-]{0,99}$`)
 
-// ValidJobID tells whether an id has the form that every job id has.
+// ValidJobID reports whether an id has the form of a job id.
 func ValidJobID(id string) bool { return jobID.MatchString(id) }
 
-// Ranks of the priorities, most pressing first.
+// priorityRanks orders the priorities; the smallest rank is the most urgent.
 var ranks = map[string]int{"prod": 0, "urgent": 1, "standard": 2, "low": 3}
 
-// PriorityOf names the priority of a rank.
+// PriorityName returns the priority with the given rank, or "unknown".
 func PriorityOf(rank int) string {
 	for priority, r := range ranks {
 		if r == rank {
@@ -101,15 +109,15 @@
 	return "unknown"
 }
 
-// Rank orders priorities; a smaller rank passes ahead.
+// PriorityRank returns the rank of the job's priority; smaller ranks are scheduled first.
 func (j *Job) Rank() int { return ranks[j.Priority] }
 
-// required are the fields of a submission that can't be null, and so can't be omitted.
+// requiredFields are the fields of a submission that must be present and not null.
 var required = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb", "molde",
 	"pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
 
-// ParseJob reads a submission and checks all that needs no settings. Any error
-// means 400.
+// ParseJob decodes a submission and validates all that does not depend on the settings. Any error
+// means status 400.
 func ParseJob(body []byte) (*Job, error) {
 	if len(body) > MaxBody {
 		return nil, errors.New("body over 64 KiB")
@@ -139,7 +147,7 @@
 	return &j, nil
 }
 
-// Check tells what is impossible about a job, whatever the settings are.
+// Validate returns an error if no settings would allow the job.
 func (j *Job) Check() error {
 	_, knownRank := ranks[j.Priority]
 	switch {
@@ -166,7 +174,7 @@
 	return nil
 }
 
-// JobState is the answer to a submission, a query and a cancellation.
+// JobStatus is the response to a submission, a query and a cancellation.
 type JobState struct {
 	UID     string `json:"uid"`
 	State   string `json:"situacao"`
@@ -174,7 +182,10 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// Report is what a worker says of itself.
+// WorkerHeartbeat is the periodic message of a worker: its machine, the newest fencing token it
+// has seen, and all tasks on the machine. The protocol calls it a report. Of two heartbeats of a
+// machine, the one with the larger (epoch, sequence) is newer; a worker begins a new epoch when its
+// lease has expired.
 type Report struct {
 	Machine      string       `json:"maquina"`
 	Address      string       `json:"address"`
@@ -188,7 +199,7 @@
 	Tasks        []TaskReport `json:"pecas"`
 }
 
-// TaskReport is one task in a report.
+// TaskStatus is the status of one task attempt in a worker's heartbeat.
 type TaskReport struct {
 	Task    string `json:"peca"`
 	Attempt uint64 `json:"tentativa"`
@@ -197,22 +208,23 @@
 	Saved   bool   `json:"saved,omitempty"`
 }
 
-// ParseReport reads a worker's report.
+// ParseWorkerHeartbeat decodes a worker's heartbeat. Machine and epoch are required: without them
+// heartbeats can't be ordered.
 func ParseReport(body []byte) (*Report, error) {
 	var r Report
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, err
 	}
-	if r.Machine == "" || r.Session == 0 { // the least that tells one report from another
+	if r.Machine == "" || r.Session == 0 {
 		return nil, errors.New("report without machine or session")
 	}
 	return &r, nil
 }
 
-// TaskKey is the name of a job's task, by its number.
+// TaskID returns the id of the job's task with the given index.
 func TaskKey(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// Command tells a worker what to do with a task.
+// Command instructs a worker to start, stop or forget a task attempt.
 type Command struct {
 	Op      string   `json:"ordem"`
 	Task    string   `json:"peca"`
@@ -220,18 +232,19 @@
 	GraceS  *float64 `json:"folgaS,omitempty"`
 }
 
-// ReportAnswer is the 200 to a report.
+// HeartbeatResponse is the body of status 200 to a worker's heartbeat. A worker drops it if the
+// token is lower than the highest one it has seen.
 type ReportAnswer struct {
 	FencingToken uint64    `json:"bastao"`
 	Commands     []Command `json:"ordens"`
 }
 
-// Redirect is the 421 to a report.
+// HeartbeatRedirect is the body of status 421 to a worker's heartbeat; it names the node to use.
 type Redirect struct {
 	ReportTo string `json:"reportaA,omitempty"`
 }
 
-// MachineType is one entry of the cloud's catalogue.
+// MachineType is one entry of the cloud's catalogue. Prices are per hour.
 type MachineType struct {
 	Name         string   `json:"sku"`
 	Cores        float64  `json:"cores"`
@@ -245,7 +258,7 @@
 	Zones        []string `json:"pracas"`
 }
 
-// Price is the machine's present price per hour.
+// Price returns the current price per hour.
 func (t *MachineType) Price(spot bool) float64 {
 	if spot {
 		return t.SpotRate
@@ -253,15 +266,16 @@
 	return t.Rate
 }
 
-// PerCore is the machine's present price per core and hour.
+// PricePerCore returns the current price per core and hour.
 func (t *MachineType) PerCore(spot bool) float64 { return t.Price(spot) / t.Cores }
 
-// Catalog is the answer of the cloud's /catalog.
+// Catalog is the response of the cloud's /catalog.
 type Catalog struct {
 	Types []MachineType `json:"portes"`
 }
 
-// Rental asks the cloud for machines.
+// RentalRequest requests machines from the cloud. RequestID makes the call idempotent: the cloud
+// returns the same machines for the same id, so an id must never be reused.
 type Rental struct {
 	Request string `json:"pedido"`
 	Type    string `json:"porte"`
@@ -270,21 +284,21 @@
 	Count   int    `json:"count"`
 }
 
-// MachineNames is the answer to a rental and the body of a return.
+// MachineNames is the response to a rental request and the body of a return request.
 type MachineNames struct {
 	Machines []string `json:"maquinas"`
 }
 
-// HostList is one page of the cloud's machine list.
+// HostPage is one page of the cloud's machine list.
 type HostList struct {
 	Machines  []Host `json:"maquinas"`
 	Truncated bool   `json:"truncated"`
 }
 
-// HostFailed is the state of a machine that has stopped on its own.
+// HostFailed is the state of a machine that has stopped by itself.
 const HostFailed = "failed"
 
-// Host is one machine of the list.
+// Host is one machine in the cloud's list.
 type Host struct {
 	UID     string  `json:"uid"`
 	Address string  `json:"address"`
--- a/internal/storage/answers.go
+++ b/internal/storage/answers.go
@@ -8,26 +8,27 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// AnswerError says why an answer can't be the state service's: it was cut short, or some
-// proxy or another server gave it.
+// ResponseError reports why a response can't come from the key-value store: it was truncated, or a
+// proxy or another server sent it.
 type AnswerError struct {
 	Call   string // method and path
 	Status int
 	Reason string
 }
 
+// Error implements error.
 func (e *AnswerError) Error() string {
-	return fmt.Sprintf("%s: answer %d: %s", e.Call, e.Status, e.Reason)
+	return fmt.Sprintf("%s: response %d: %s", e.Call, e.Status, e.Reason)
 }
 
-// CheckAnswer tells whether the state service can have given an answer. Any other must be
-// treated as no answer: taken at its word, a page without items hides all machines from a
-// new leader, a result without a revision spoils the conditions of later transactions, and
-// a proxy's 404 denies a job.
+// CheckResponse validates a response of the key-value store. After an error, a *ResponseError, the
+// caller must treat the call as unanswered: if it trusted the response, a page without items would
+// hide all machines from a new leader, a result without a revision would invalidate the conditions
+// of later transactions, and a proxy's 404 would deny the existence of a job.
 func CheckAnswer(method, path string, status int, body []byte) error {
 	reason := ""
 	switch status {
-	case 0, 400, 410, 429: // no answer at all, or one that needs no body
+	case 0, 400, 410, 429: // no response, or a status without a body to validate
 	case 200:
 		reason = checkBody(method, path, body)
 	case 404:
@@ -41,7 +42,7 @@
 		}
 	default:
 		if status < 500 {
-			reason = "no status of the protocol"
+			reason = "status is not part of the protocol"
 		}
 	}
 	if reason == "" {
@@ -50,7 +51,7 @@
 	return &AnswerError{Call: method + " " + path, Status: status, Reason: reason}
 }
 
-// Paths of the state service.
+// Paths of the key-value store's API.
 const (
 	keyPath    = "/store/"
 	listPath   = "/store?"
@@ -59,7 +60,7 @@
 	holdsPath  = "/holds"
 )
 
-// checkBody tells what is wrong with the body of a 200, if anything is.
+// checkResponseBody returns what is wrong with the body of a response with status 200, or "".
 func checkBody(method, path string, body []byte) string {
 	switch {
 	case strings.HasPrefix(path, keyPath):
@@ -82,6 +83,7 @@
 	return ""
 }
 
+// checkItem returns what is wrong with the response to a read of one key, or "".
 func checkItem(key string, body []byte) string {
 	var item Item
 	switch {
@@ -93,16 +95,17 @@
 	return ""
 }
 
-// checkAbsent looks for the revision that comes with each 404 of the state service.
+// checkNotFound returns what is wrong with the body of a 404, or "". The key-value store names its
+// revision in every 404; a proxy does not.
 func checkAbsent(body []byte) string {
 	if !hasRevision(body) {
-		return "absent at no revision"
+		return "not found, without a revision"
 	}
 	return ""
 }
 
-// hasRevision tells whether an answer names the revision that it is of. An empty store is
-// at revision 0, so that the number alone does not tell.
+// hasRevision reports whether a response states the store's revision. An empty store is at
+// revision 0, so a zero value does not mean that the field is missing.
 func hasRevision(body []byte) bool {
 	var answer struct {
 		Revision *uint64 `json:"edicao"`
@@ -110,8 +113,9 @@
 	return json.Unmarshal(body, &answer) == nil && answer.Revision != nil
 }
 
-// checkPage looks for items of the prefix, in order and beyond where the page begins: a
-// page that does not advance would be asked for again and again.
+// checkPage returns what is wrong with a page of a listing, or "". Items must have the prefix and be
+// in strictly increasing order after the page's start: a page that does not advance would make the
+// caller request it forever.
 func checkPage(path string, body []byte) string {
 	var page Page
 	if json.Unmarshal(body, &page) != nil || !hasRevision(body) {
@@ -121,7 +125,7 @@
 	last := query.Get("since")
 	for _, item := range page.Items {
 		if !strings.HasPrefix(item.Key, query.Get("under")) || item.Key <= last || item.Version == 0 {
-			return "items out of place"
+			return "items out of order or range"
 		}
 		last = item.Key
 	}
@@ -131,6 +135,7 @@
 	return ""
 }
 
+// checkWatchResponse returns what is wrong with the response of a watch, or "".
 func checkEvents(path string, body []byte) string {
 	var events Events
 	if json.Unmarshal(body, &events) != nil || !hasRevision(body) {
@@ -139,12 +144,13 @@
 	prefix := queryOf(path).Get("under")
 	for _, event := range events.Log {
 		if !strings.HasPrefix(event.Set+event.Drop, prefix) || event.Version == 0 {
-			return "changes out of place"
+			return "changes outside the watched prefix"
 		}
 	}
 	return ""
 }
 
+// parseQuery returns the query of a path; nil if it is malformed.
 func queryOf(path string) url.Values {
 	_, query, _ := strings.Cut(path, "?")
 	values, err := url.ParseQuery(query)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -1,5 +1,6 @@
-// Package storage holds what the controllers keep in the state service: the
-// layout of the records, the transactions and the messages that carry them.
+// Package storage defines what the controllers keep in the key-value store: the layout of keys and
+// records, the messages of the store's API, and the Writer that groups the leader's changes into
+// compare-and-swap transactions. It does no I/O.
 package storage
 
 import (
@@ -14,7 +15,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Keys and prefixes.
+// Keys and key prefixes. Their names are fixed, as the next version reads the same store.
 const (
 	TermKey       = "term"
 	LeaderKey     = "leader"
@@ -22,7 +23,7 @@
 	FinalPrefix   = "final/"
 	BitsPrefix    = "bits/"
 	GroupPrefix   = "machines/"
-	MachinePrefix = "mach/" // of single machines, as earlier versions wrote them
+	MachinePrefix = "mach/" // records of single machines, written by earlier versions only
 	RentPrefix    = "rent/"
 	VotePrefix    = "clear/"
 	FlowKey       = "flow"
@@ -32,26 +33,26 @@
 	PolicyKey     = "admission"
 )
 
-// JobKey is the key of an open job.
+// JobKey returns the key of an open job.
 func JobKey(id string) string { return JobPrefix + id }
 
-// FinalKey is the key of a job that is over.
+// TerminalKey returns the key of a terminal job.
 func FinalKey(id string) string { return FinalPrefix + id }
 
-// GroupKey is the key of one group of machines.
+// MachineGroupKey returns the key of the machine group with the given number.
 func GroupKey(i int) string { return fmt.Sprintf("%s%03d", GroupPrefix, i) }
 
-// NeedsKey is the key of one of the records of the jobs that a job needs.
+// DependenciesKey returns the key of one part of a job's dependencies.
 func NeedsKey(id string, i int) string { return fmt.Sprintf("%s%s/%03d", NeedsPrefix, id, i) }
 
-// NeedsOf is the job of such a key.
+// JobIDOfDependenciesKey returns the job of a key that DependenciesKey returned.
 func NeedsOf(key string) string {
 	id, _, _ := strings.Cut(strings.TrimPrefix(key, NeedsPrefix), "/")
 	return id
 }
 
-// JobOf is the job whose own record, or record of the jobs that it needs, has such a key; empty
-// for other keys.
+// JobIDOfKey returns the job whose open record, or part of whose dependencies, has the key; empty for
+// other keys.
 func JobOf(key string) string {
 	if strings.HasPrefix(key, NeedsPrefix) {
 		return NeedsOf(key)
@@ -63,26 +64,27 @@
 	return id
 }
 
-// GroupNumber is the reverse of GroupKey.
+// MachineGroupNumber is the inverse of MachineGroupKey.
 func GroupNumber(key string) int {
 	i, _ := strconv.Atoi(strings.TrimPrefix(key, GroupPrefix))
 	return i
 }
 
-// BitsKey is the key of one part of a job's bitmap of finished tasks, by its number:
-// of the first and only part, or as level 0 names the parts.
+// BitmapKey returns the key of one part of a job's bitmap of finished tasks, by the part's number.
+// It names the only part of a small bitmap, and every part at version level 0.
 func BitsKey(id string, part int) string { return fmt.Sprintf("%s%s/%03d", BitsPrefix, id, part) }
 
-// fromMark begins the names of parts that say with which task they begin.
+// firstTaskMarker precedes the first task in the name of a part that is identified by it.
 const fromMark = "from-"
 
-// BitsFromKey is the key of the part that begins with a task. The number of a part
-// means another task whenever the size of the parts has changed.
+// BitmapKeyFromTask returns the key of the part that begins with the given task. Unlike the number
+// of a part, the first task keeps its meaning when the size of the parts changes.
 func BitsFromKey(id string, from int) string {
 	return fmt.Sprintf("%s%s/%s%06d", BitsPrefix, id, fromMark, from)
 }
 
-// ParseBitsKey is the reverse of both, where a numbered part has so many tasks.
+// ParseBitmapKey is the inverse of BitmapKey and BitmapKeyFromTask. A numbered part is taken to
+// have tasksPerPart tasks.
 func ParseBitsKey(key string, partTasks int) (id string, from int, ok bool) {
 	id, name, _ := strings.Cut(strings.TrimPrefix(key, BitsPrefix), "/")
 	num, byTask := strings.CutPrefix(name, fromMark)
@@ -93,14 +95,14 @@
 	return id, from, err == nil && from >= 0
 }
 
-// Term is the value of the term key: the last term, and who raised it.
+// Term is the value of the term key: the latest term, and the node that raised it.
 type Term struct {
 	Term uint64 `json:"term"`
 	Node string `json:"node,omitempty"`
 }
 
-// VoteRecord is what a node writes for a candidate that it can't reach: the highest
-// term that it has voted for.
+// VoteRecord is the highest term that a node has voted for. The node stores it for a candidate that
+// it can't reach directly.
 type VoteRecord struct {
 	Term uint64 `json:"term"`
 }
@@ -111,18 +113,18 @@
 	Term uint64 `json:"term"`
 }
 
-// JobRecord is an open job. AtMS is the time of day of its acceptance; it
-// orders work and counts towards no rule.
+// JobRecord is the record of an open job. AcceptedAtMillis is the time of day of its acceptance; it
+// only orders jobs, as the clocks of nodes differ.
 type JobRecord struct {
 	Spec protocol.Job `json:"spec"`
 	AtMS int64        `json:"at"`
-	// More is in how many records of their own the jobs are that it needs, where its own
-	// can't hold them.
+	// DependencyRecords is the number of separate records that hold the dependencies, if they do
+	// not fit into this record; 0 if they do.
 	More int `json:"more,omitempty"`
 }
 
-// JobWrites are the changes that store a job: one, or some more where it needs too many
-// others for one value.
+// JobWrites returns the writes that store a job: one, or several if its dependencies exceed the size
+// limit of a value.
 func JobWrites(rec JobRecord, valueBytes int) []Write {
 	whole := Set(JobKey(rec.Spec.UID), rec)
 	if len(whole.Value) <= valueBytes || len(rec.Spec.Needs) == 0 {
@@ -144,7 +146,7 @@
 	return append([]Write{Set(JobKey(rec.Spec.UID), rec)}, more...)
 }
 
-// Fits tells whether a transaction of some changes is within the limits.
+// FitsTxn reports whether a transaction of the writes is within the store's limits.
 func Fits(writes []Write, valueBytes, ops int) bool {
 	size := 0
 	for _, w := range writes {
@@ -156,8 +158,8 @@
 	return len(writes) <= ops && size <= maxTxnBytes
 }
 
-// TakeNeeds puts the jobs that a record needs back into it from records of their own, in
-// their order, and tells whether all of them are there.
+// RestoreDependencies moves the dependencies from their separate records, given in order, back into
+// the job's record. It reports whether all of them are there.
 func (r *JobRecord) TakeNeeds(more []Item) bool {
 	if len(more) != r.More {
 		return false
@@ -174,8 +176,8 @@
 	return true
 }
 
-// FinalRecord is what remains of a job that is over. AtMS is the time of day of its
-// end, from which the times of those that need it count; level 0 does not write it.
+// TerminalRecord is the record of a terminal job. EndedAtMillis is the time of day of its end, from
+// which the deadlines of its dependents count; version level 0 does not write it.
 type FinalRecord struct {
 	State string `json:"state"`
 	Tasks int    `json:"tasks"`
@@ -183,15 +185,14 @@
 	AtMS  int64  `json:"at,omitempty"`
 }
 
-// VersionRecord is what a node says of its version: the level of records and messages
-// that it understands.
+// VersionRecord is a node's version: the level of records and messages that it understands.
 type VersionRecord struct {
 	Level int    `json:"level"`
 	Build string `json:"build,omitempty"`
 }
 
-// MachineRecord is a machine that the controllers hold. Used is set before the
-// first task: only such a machine has to be accounted for after a takeover.
+// MachineRecord is the record of a rented machine. Used is durable before the machine's first task
+// starts, so that a new leader need only reconcile machines that have it set.
 type MachineRecord struct {
 	Type string `json:"type"`
 	Zone string `json:"zone"`
@@ -200,30 +201,31 @@
 	Used bool   `json:"used"`
 }
 
-// GroupRecord is a group of machines by name, in one value: many changes of many
-// machines share one write.
+// MachineGroupRecord holds the records of several machines, by name, in one value, so that changes
+// of many machines share one write.
 type GroupRecord map[string]MachineRecord
 
-// EntryBytes is what a machine takes in its group's record.
+// MachineEntryBytes returns the size of a machine's entry in its group's record.
 func EntryBytes(name string, r MachineRecord) int {
-	r.Used = false // the longer word: it must not outgrow its group when it is used
+	r.Used = false // "false" is longer than "true", so the entry never grows beyond this size
 	return len(Encode(name)) + len(Encode(r)) + 2
 }
 
-// GroupBytes is how large a group's record may grow, well inside the value limit; and
-// several share a transaction, as all of a group is written for each change in it.
+// MaxMachineGroupBytes returns the size limit of a machine group's record. It is well below the
+// limit of a value, and small enough that several groups fit into a transaction, as each change of a
+// machine writes its whole group.
 func GroupBytes(valueBytes int) int { return min(valueBytes*7/8, maxTxnBytes/4) }
 
-// FlowRecord is what a leader has learnt of the work that arrives, over a time, by
-// class of jobs.
+// ArrivalForecastRecord is a leader's forecast of arriving work by class of jobs, from the arrivals
+// within WindowSeconds. The next leader starts from it.
 type FlowRecord struct {
 	AtMS    int64           `json:"at"`
 	OverS   float64         `json:"over"`
 	Classes map[string]Flow `json:"classes"`
 }
 
-// Flow is the work that arrives of one class: decaying sums, and how long after
-// its arrival it is due.
+// ClassArrivals is the arriving work of one class: sums of core seconds that decay quickly and
+// slowly, the decayed number of jobs, and how long after its arrival the latest job was due.
 type Flow struct {
 	Work float64 `json:"work"`
 	Slow float64 `json:"slow"`
@@ -231,24 +233,24 @@
 	DueS float64 `json:"due"`
 }
 
-// BitsRecord is one part of a bitmap.
+// BitmapRecord is one part of a bitmap of finished tasks.
 type BitsRecord struct {
 	Bits string `json:"b"`
 }
 
-// EncodeBits and DecodeBits turn a part of a bitmap into its record and back.
+// EncodeBitmap returns the record of a part of a bitmap.
 func EncodeBits(bits []byte) BitsRecord {
 	return BitsRecord{Bits: base64.StdEncoding.EncodeToString(bits)}
 }
 
-// DecodeBits is the reverse of EncodeBits.
+// DecodeBitmap is the inverse of EncodeBitmap.
 func DecodeBits(r BitsRecord) ([]byte, error) { return base64.StdEncoding.DecodeString(r.Bits) }
 
-// PartTasks is how many tasks one part of a bitmap covers, so that its record
-// stays well inside the value limit.
+// TasksPerBitmapPart returns how many tasks one part of a bitmap covers. The record of a part is
+// well below the size limit of a value.
 func PartTasks(valueBytes int) int { return max(valueBytes/2, 1) * 8 }
 
-// Item is one key with its value.
+// Item is a key with its value. ModRevision is the revision of the key's latest change.
 type Item struct {
 	Key     string          `json:"path"`
 	Value   json.RawMessage `json:"data"`
@@ -256,14 +258,14 @@
 	Lease   uint64          `json:"arrendo,omitempty"`
 }
 
-// Page is the answer to a listing.
+// ListResponse is one page of a listing of keys.
 type Page struct {
 	Items     []Item `json:"rows"`
 	Truncated bool   `json:"truncated"`
 	Revision  uint64 `json:"edicao"`
 }
 
-// Event is one change seen by a watch.
+// WatchEvent is one change of a watched key: a put or a delete.
 type Event struct {
 	Set     string          `json:"set"`
 	Drop    string          `json:"drop"`
@@ -271,20 +273,20 @@
 	Version uint64          `json:"versao"`
 }
 
-// Events is the answer of a watch.
+// WatchResponse is the response of a watch.
 type Events struct {
 	Revision uint64  `json:"edicao"`
 	Log      []Event `json:"log"`
 }
 
-// Cond is one condition of a transaction; version 0 means that the key does
-// not exist.
+// Condition is one comparison of a transaction: the key must have the given ModRevision; 0 means that
+// it must not exist.
 type Cond struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"versao"`
 }
 
-// Write is one change of a transaction: a set or a drop.
+// Write is one write of a transaction: a put or a delete.
 type Write struct {
 	Set   string          `json:"set,omitempty"`
 	Value json.RawMessage `json:"data,omitempty"`
@@ -292,37 +294,38 @@
 	Drop  string          `json:"drop,omitempty"`
 }
 
-// bytes is about what the write takes in a transaction, with its condition.
+// estimatedBytes returns the approximate size of the write and its condition in a transaction.
 func (w Write) bytes() int { return len(w.Value) + 2*len(w.Key()) + 64 }
 
-// Key is the key that the write touches.
+// Key returns the key that is put or deleted.
 func (w Write) Key() string { return w.Set + w.Drop }
 
-// Txn is a transaction.
+// Txn is a compare-and-swap transaction: the writes are applied only if all conditions hold.
 type Txn struct {
 	If     []Cond  `json:"if"`
 	Writes []Write `json:"writes"`
 }
 
-// TxnResult is the answer to a transaction.
+// TxnResponse is the response to a transaction: the revision, and the keys of failed conditions.
 type TxnResult struct {
 	Revision uint64   `json:"edicao"`
 	Failed   []string `json:"failed"`
 }
 
-// Hold is the body and the answer of a lease request.
+// Lease is the body of a request to grant or renew a lease, and of the response.
 type Hold struct {
 	TTLMS int64  `json:"ttlMs,omitempty"`
 	Lease uint64 `json:"arrendo,omitempty"`
 }
 
-// Set makes a write of a value.
+// Put returns a write that sets a key to a value.
 func Set(key string, value any) Write { return Write{Set: key, Value: Encode(value)} }
 
-// Drop makes a write that removes a key.
+// Delete returns a write that deletes a key.
 func Drop(key string) Write { return Write{Drop: key} }
 
-// Encode turns one of our own records into JSON; they can't fail to.
+// Encode returns the JSON of a record. It panics on values that have no JSON form; no record of this
+// package is one.
 func Encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -331,7 +334,7 @@
 	return raw
 }
 
-// ListPath is the path of a listing of a prefix.
+// ListPath returns the path that lists the keys with a prefix, beginning after since.
 func ListPath(prefix, since string, limit int) string {
 	path := "/store?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if since != "" {
@@ -340,7 +343,7 @@
 	return path
 }
 
-// FollowPath is the path of a watch on a prefix.
+// WatchPath returns the path that watches a prefix for changes after the given revision.
 func FollowPath(prefix string, since uint64, waitMS int64) string {
 	return fmt.Sprintf("/follow?under=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), since, waitMS)
 }
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -9,21 +9,22 @@
 	"hitchdoor/internal/protocol"
 )
 
-// RecordError says that a record can't be used as it is stored: it can't be decoded, or
-// contradicts its key or itself.
+// RecordError reports a stored record that can't be used: it can't be decoded, or it is
+// inconsistent with its key or in itself.
 type RecordError struct {
 	Key    string
 	Reason string
 }
 
+// Error implements error.
 func (e *RecordError) Error() string { return e.Key + ": " + e.Reason }
 
-// recordError makes a RecordError of an item.
+// newRecordError returns a RecordError for an item.
 func recordError(it Item, format string, args ...any) error {
 	return &RecordError{Key: it.Key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// decode reads an item's value, which has to be a JSON object.
+// decodeObject decodes an item's value, which must be a JSON object.
 func decode(it Item, value any) error {
 	if raw := strings.TrimSpace(string(it.Value)); !strings.HasPrefix(raw, "{") {
 		return recordError(it, "is no JSON object")
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// ReadJob reads the record of an open job. The error is a *RecordError.
+// ReadJob decodes and validates the record of an open job. The error is a *RecordError.
 func ReadJob(it Item) (JobRecord, error) {
 	var rec JobRecord
 	if err := decode(it, &rec); err != nil {
@@ -52,14 +53,14 @@
 	return rec, nil
 }
 
-// MayNeedOthers tells whether the record of a job, which may be damaged, looks like that of
-// one that needs others.
+// MayHaveDependencies reports whether the record of a job, which may be corrupt, seems to be that of
+// a job with dependencies.
 func MayNeedOthers(it Item) bool {
 	raw := string(it.Value)
 	return strings.Contains(raw, `"aguarda"`) || strings.Contains(raw, `"more"`)
 }
 
-// ReadFinal reads the record of a job that is over. The error is a *RecordError.
+// ReadTerminal decodes and validates the record of a terminal job. The error is a *RecordError.
 func ReadFinal(it Item) (FinalRecord, error) {
 	var rec FinalRecord
 	if err := decode(it, &rec); err != nil {
@@ -71,7 +72,8 @@
 	return rec, nil
 }
 
-// ReadNeeds reads one record of the jobs that a job needs. The error is a *RecordError.
+// ReadDependencies decodes and validates one part of a job's dependencies. The error is a
+// *RecordError.
 func ReadNeeds(it Item) ([]string, error) {
 	var needs []string
 	if err := json.Unmarshal(it.Value, &needs); err != nil || needs == nil {
@@ -85,7 +87,8 @@
 	return needs, nil
 }
 
-// ReadBits reads one part of a bitmap of finished tasks. The error is a *RecordError.
+// ReadBitmap decodes and validates one part of a bitmap of finished tasks. The error is a
+// *RecordError.
 func ReadBits(it Item) ([]byte, error) {
 	var rec BitsRecord
 	if err := decode(it, &rec); err != nil {
@@ -101,9 +104,9 @@
 	return bits, nil
 }
 
-// ReadGroup reads a group of machines. Entries that can't be read are named: such a machine
-// is known by its name alone. The error, a *RecordError, is of the record as a whole; then not
-// even the names are known.
+// ReadMachineGroup decodes and validates the record of a machine group. Of entries that can't be
+// decoded it returns the names only. The error, a *RecordError, concerns the record as a whole; then
+// not even the names are known.
 func ReadGroup(it Item) (group GroupRecord, unreadable []string, err error) {
 	var entries map[string]json.RawMessage
 	if err := decode(it, &entries); err != nil {
@@ -121,7 +124,7 @@
 	return group, unreadable, nil
 }
 
-// ReadRental reads a rental under way. The error is a *RecordError.
+// ReadRental decodes and validates the record of a pending rental. The error is a *RecordError.
 func ReadRental(it Item) (protocol.Rental, error) {
 	var rental protocol.Rental
 	if err := decode(it, &rental); err != nil {
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -7,43 +7,43 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Unit is a change that is written as a whole, in one transaction. Build is
-// called when its turn comes, so that it holds the newest values; no writes
-// means that there is nothing left to do.
+// Change is a set of writes that must be applied in one transaction. BuildWrites is called when the
+// change is taken into a transaction, so that it holds the latest values; no writes means that there
+// is nothing left to do.
 type Unit struct {
 	Build func() []Write
-	Taken func() // the last built writes are under way: later changes need another unit
-	Done  func()
-	// Refused is called instead of Done where the state service refused the built
-	// writes for good: alone tells that they were refused by themselves, so that only
-	// smaller ones have a chance. Without it, the unit is built again, or given up.
+	Taken func() // called when the built writes are in flight: later updates need another Change
+	Done  func() // called when the writes are applied, or when there was nothing to write
+	// OnRejected is called instead of OnApplied if the key-value store rejects the writes
+	// permanently. alone means that they were the whole transaction, so that only smaller writes
+	// can succeed. Without OnRejected, the change is built again or, if alone, abandoned.
 	Refused func(alone bool)
 
 	priority Priority
 }
 
-// Priority orders what waits to be written, where there is more than may be written.
+// Priority orders queued changes when the rate of writes is limited.
 type Priority int
 
-// Priorities, the most important first.
+// Priorities, the highest first.
 const (
-	Cancels  Priority = iota // users wait for their answers
-	Releases                 // ends for which other jobs wait
+	Cancels  Priority = iota // cancellations: users wait for the response
+	Releases                 // ends of jobs that have dependents
 	Soon
 	Lazy
 	priorities
 )
 
-// Writer queues the leader's changes and forms transactions of them, one in
-// flight at a time. Every transaction is conditioned on the leader key's
-// version and on the version of each key that it touches, so that one that is
-// applied late, or by a leader that has been replaced, changes nothing.
+// Writer queues the leader's changes and groups them into transactions, one in flight at a time.
+// Every transaction compares the ModRevision of the leader key and of each key that it writes, so
+// that a transaction that is applied late, or sent by a leader that has been replaced, has no
+// effect.
 type Writer struct {
 	MaxOps    int
 	LeaderVer uint64
 
 	versions map[string]uint64
-	last     uint64 // revision of the last transaction
+	last     uint64 // revision of the latest applied transaction
 	queues   [priorities][]Unit
 	maxBytes int
 
@@ -52,30 +52,31 @@
 	unclear bool
 }
 
-// maxTxnBytes leaves room for conditions inside the 64 KiB of a transaction.
+// maxTxnBytes bounds the writes of a transaction, which may have 64 KiB with its conditions.
 const maxTxnBytes = 40 << 10
 
-// NewWriter makes a writer of a leader whose key has the given version.
+// NewWriter returns a Writer for a leader whose key has the given ModRevision.
 func NewWriter(maxOps int, leaderVer uint64) *Writer {
-	return &Writer{MaxOps: maxOps, LeaderVer: leaderVer, versions: map[string]uint64{}, maxBytes: maxTxnBytes}
+	return &Writer{MaxOps: maxOps, LeaderVer: leaderVer,
+		versions: map[string]uint64{}, maxBytes: maxTxnBytes}
 }
 
-// Know records the version of a key that was read.
+// SetModRevision records the ModRevision of a key that was read.
 func (w *Writer) Know(key string, version uint64) { w.versions[key] = version }
 
-// Version tells the last known version of a key.
+// ModRevision returns the last known ModRevision of a key.
 func (w *Writer) Version(key string) uint64 { return w.versions[key] }
 
-// LastRevision is that of the last transaction that was written, as far as it is known.
+// LastRevision returns the highest known revision of an applied transaction.
 func (w *Writer) LastRevision() uint64 { return w.last }
 
-// Add queues a change.
+// Enqueue queues a change.
 func (w *Writer) Add(p Priority, u Unit) {
 	u.priority = p
 	w.queues[p] = append(w.queues[p], u)
 }
 
-// Pending counts the changes that are not yet written.
+// PendingChanges returns the number of changes that are queued or in flight.
 func (w *Writer) Pending() int {
 	all := len(w.flight)
 	for _, q := range w.queues {
@@ -84,13 +85,14 @@
 	return all
 }
 
-// InFlight tells whether a transaction is under way.
+// InFlight reports whether a transaction is in flight.
 func (w *Writer) InFlight() bool { return w.flight != nil }
 
-// Ops is the number of changes of the transaction under way.
+// InFlightWrites returns the number of writes of the transaction in flight.
 func (w *Writer) Ops() int { return len(w.writes) }
 
-// Next forms the next transaction of at most budget changes, or returns nil.
+// NextTxn returns the next transaction, with at most budget writes, and takes it in flight. It
+// returns nil if a transaction is in flight already or there is nothing to write.
 func (w *Writer) Next(budget int) *Txn {
 	if w.flight != nil {
 		return nil
@@ -146,9 +148,10 @@
 	return w.txn()
 }
 
-// Again forms the transaction under way once more, unchanged.
+// RetryTxn returns the transaction in flight again, unchanged.
 func (w *Writer) Again() *Txn { return w.txn() }
 
+// buildTxn returns the writes in flight with their conditions.
 func (w *Writer) txn() *Txn {
 	t := &Txn{If: []Cond{{Key: LeaderKey, Version: w.LeaderVer}}, Writes: w.writes}
 	for _, wr := range w.writes {
@@ -157,15 +160,16 @@
 	return t
 }
 
-// Unclear notes that nobody knows whether the transaction was executed.
+// MarkOutcomeUnknown records that the transaction in flight may or may not have been applied.
 func (w *Writer) Unclear() { w.unclear = true }
 
-// WasUnclear tells whether an earlier try may have been executed.
+// OutcomeUnknown reports whether an earlier attempt of the transaction in flight may have been
+// applied.
 func (w *Writer) WasUnclear() bool { return w.unclear }
 
-// probe is the write by which to tell whether an unclear transaction was
-// executed: as it is atomic, one speaks for all. A set is better than a drop,
-// because reading it gives the revision too.
+// probeWrite returns the write whose key shows whether the transaction in flight was applied. One
+// write is enough, as transactions are atomic. A put is preferred, as reading its key also returns
+// the revision.
 func (w *Writer) probe() Write {
 	for _, wr := range w.writes {
 		if wr.Set != "" {
@@ -175,11 +179,11 @@
 	return w.writes[0]
 }
 
-// Probe names the key to read after an unclear outcome.
+// ProbeKey returns the key to read when the outcome is unknown.
 func (w *Writer) Probe() string { return w.probe().Key() }
 
-// Matches tells whether the probed key (nil: absent) is as the transaction
-// under way would have left it.
+// MatchesProbe reports whether the item of the probe key (nil: absent) is as the transaction in
+// flight would have left it.
 func (w *Writer) Matches(item *Item) bool {
 	wr := w.probe()
 	if wr.Drop != "" {
@@ -188,10 +192,9 @@
 	return item != nil && item.Version > w.versions[wr.Set] && equalJSON(item.Value, wr.Value)
 }
 
-// Refused ends the transaction under way as one that the state service refuses for
-// good, and that no earlier copy has carried out. It is never sent again as it was:
-// what shared it is built anew for smaller transactions. It returns the keys of what
-// was given up.
+// RejectInFlight ends the transaction in flight as permanently rejected by the key-value store; no
+// earlier attempt may have been applied. The same transaction is never sent again: its changes are
+// built anew for smaller transactions. It returns the keys of abandoned writes.
 func (w *Writer) Refused() []string {
 	flight, writes := w.flight, w.writes
 	alone := len(flight) == 1
@@ -219,6 +222,7 @@
 	return lost
 }
 
+// equalJSON reports whether two JSON texts have the same value.
 func equalJSON(a, b []byte) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
@@ -227,8 +231,8 @@
 	return bytes.Equal(Encode(x), Encode(y))
 }
 
-// Applied ends the transaction under way as written at a revision, which does
-// not matter when it held drops alone.
+// CompleteInFlight ends the transaction in flight as applied at a revision. The revision is
+// irrelevant if the transaction only deleted keys.
 func (w *Writer) Applied(revision uint64) {
 	w.last = max(w.last, revision)
 	for _, wr := range w.writes {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -9,12 +9,12 @@
 	"hitchdoor/internal/coordination"
 )
 
-// Client calls one outside service over pooled connections.
+// Client sends requests to one outside service over pooled connections.
 type Client struct {
 	http *fasthttp.HostClient
 }
 
-// ClientOptions bound a client.
+// ClientOptions are the limits of a Client. MaxResponseBytes bounds the body of a response.
 type ClientOptions struct {
 	Connections int
 	Dial        time.Duration
@@ -22,8 +22,8 @@
 	MaxBody     int
 }
 
-// NewClient makes a client of a service. It never repeats a call by itself:
-// whether a call may be repeated is for the owner to decide.
+// NewClient returns a client of the service at an address. The client never retries a call: only
+// the caller knows whether that is safe.
 func NewClient(addr string, opt ClientOptions) *Client {
 	dialer := net.Dialer{Timeout: opt.Dial}
 	return &Client{http: &fasthttp.HostClient{
@@ -40,10 +40,10 @@
 	}}
 }
 
-// neverRetry keeps the library from repeating a call.
+// neverRetry disables the retries of the HTTP library.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// Do carries out a call. Without an answer the status is 0.
+// Do executes a call. The status is 0 if there is no response.
 func (c *Client) Do(call coordination.Call) coordination.Result {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.SetRequestURI("http://" + c.http.Addr + call.Path)
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Pauses between tries to accept a connection, doubling from the first to the longest.
+// Bounds of the exponential backoff between failed attempts to accept a connection.
 const (
 	firstAcceptPause   = 5 * time.Millisecond
 	longestAcceptPause = 500 * time.Millisecond
 )
 
-// steadyListener goes on accepting connections after errors. Where all file descriptors are
-// in use, a server that takes the first error for its end would end the process.
+// retryingListener retries Accept after errors. Without it, a server would end, and with it the
+// process, as soon as all file descriptors are in use.
 type steadyListener struct {
 	net.Listener
 	log *slog.Logger
 }
 
-// Steady wraps a listener so that only its close ends it.
+// NewRetryingListener wraps a listener so that Accept fails only once the listener is closed.
 func Steady(listener net.Listener, log *slog.Logger) net.Listener {
 	return &steadyListener{Listener: listener, log: log}
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection, and retries after errors.
 func (l *steadyListener) Accept() (net.Conn, error) {
 	for pause := firstAcceptPause; ; pause = min(2*pause, longestAcceptPause) {
 		conn, err := l.Listener.Accept()
@@ -33,7 +33,7 @@
 			return conn, err
 		}
 		if pause == firstAcceptPause {
-			l.log.Warn("connections can't be accepted", "address", l.Addr().String(), "error", err)
+			l.log.Warn("accept failed", "address", l.Addr().String(), "error", err)
 		}
 		time.Sleep(pause)
 	}
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -16,23 +16,24 @@
 	"hitchdoor/internal/protocol"
 )
 
-// maxLine bounds one line between controllers: a forwarded body and its frame.
+// maxLineBytes bounds one message between controllers: a forwarded body and the fields around it.
 const maxLine = 256 << 10
 
-// hello is the first line of a connection between controllers. Acks tells that the node that
-// opened it takes acknowledgements; one of an earlier version takes any byte for its end.
+// handshake is the first line of a connection between controllers. AcceptsAcknowledgements is set
+// by nodes that accept acknowledgements; a node of an earlier version takes any byte that it
+// receives for the end of the connection.
 type hello struct {
 	Node string `json:"node"`
 	Acks bool   `json:"acks,omitempty"`
 }
 
-// ack is what the other side says, now and then, of lines that it has read, if it is asked to.
-// So a connection on which bytes leave and nothing returns is found without the operating system.
+// acknowledgement is sent back from time to time while messages are received, if the handshake
+// allows it. The sender so detects a half-open connection, on which writes succeed but nothing
+// arrives, without relying on the operating system.
 const ack = '\n'
 
-// Peers keeps a connection to each other controller and takes theirs. Each
-// connection carries lines one way only, from the node that opened it, and
-// acknowledgements back.
+// PeerLinks keeps a connection to each other controller and accepts theirs. Each connection carries
+// messages in one direction, from the node that opened it, and acknowledgements in the other.
 type Peers struct {
 	self  string
 	out   map[string]chan protocol.PeerMessage
@@ -42,19 +43,22 @@
 	quiet time.Duration
 }
 
-// PeerOptions bound the links between controllers.
+// PeerLinkOptions are the limits of the links between controllers.
 type PeerOptions struct {
-	// Quiet is after what silence a link is closed and made anew.
+	// IdleTimeout is how long a link may be idle before it is closed and opened again.
 	Quiet time.Duration
-	// Queue is how many messages may wait for a link: reports of all workers of a node, and
-	// the answers to them, come at once after an interruption.
+	// QueueLength bounds the messages queued for a link. After an interruption the heartbeats of
+	// all workers of a node, and the responses to them, are queued at once.
 	Queue int
 	Log   *slog.Logger
 }
 
-// NewPeers makes the links to all known peers; in takes what they say.
-func NewPeers(self string, known []config.Peer, opt PeerOptions, in func(coordination.PeerMessage)) *Peers {
-	p := &Peers{self: self, out: map[string]chan protocol.PeerMessage{}, known: map[string]bool{}, in: in, log: opt.Log, quiet: opt.Quiet}
+// NewPeerLinks opens the links to all known peers. It calls deliver with each message that a peer
+// sends.
+func NewPeers(self string, known []config.Peer, opt PeerOptions,
+	in func(coordination.PeerMessage)) *Peers {
+	p := &Peers{self: self, out: map[string]chan protocol.PeerMessage{}, known: map[string]bool{},
+		in: in, log: opt.Log, quiet: opt.Quiet}
 	for _, k := range known {
 		p.known[k.Node] = true
 		ch := make(chan protocol.PeerMessage, opt.Queue)
@@ -64,7 +68,7 @@
 	return p
 }
 
-// Send queues a message; if the link is behind, the message is dropped.
+// Send queues a message. It drops the message if the link's queue is full.
 func (p *Peers) Send(to string, m protocol.PeerMessage) {
 	select {
 	case p.out[to] <- m:
@@ -72,6 +76,7 @@
 	}
 }
 
+// maintainLink keeps the link to a peer open, and writes the queued messages to it.
 func (p *Peers) dial(addr string, ch chan protocol.PeerMessage) {
 	for {
 		conn, err := net.DialTimeout("tcp4", addr, p.quiet)
@@ -79,17 +84,17 @@
 			p.write(conn, ch)
 			conn.Close()
 		}
-		// What waited for the link is old by now.
+		// Messages that were queued while the link was down are outdated.
 		for len(ch) > 0 {
 			<-ch
 		}
-		// Nodes that lost each other at once don't come back at once.
+		// The random delay spreads the reconnections of nodes that were disconnected together.
 		time.Sleep(p.quiet/16 + rand.N(p.quiet/8))
 	}
 }
 
-// watchAcks reads acknowledgements until the connection ends, or none comes for too long. An
-// earlier version sends none, so silence counts only after the first.
+// readAcknowledgements reads acknowledgements until the connection ends or the next one is overdue.
+// Earlier versions send none, so the deadline applies only after the first.
 func (p *Peers) watchAcks(conn net.Conn) {
 	acks := make([]byte, 256)
 	for {
@@ -100,6 +105,7 @@
 	}
 }
 
+// writeMessages sends the handshake and then the queued messages, until the connection fails.
 func (p *Peers) write(conn net.Conn, ch chan protocol.PeerMessage) {
 	closed := make(chan struct{})
 	go func() {
@@ -132,7 +138,7 @@
 	}
 }
 
-// appendLine adds a message and its line break.
+// appendLine appends an encoded message and a line break.
 func appendLine(buf *bytes.Buffer, m protocol.PeerMessage) error {
 	raw, err := protocol.EncodePeer(m)
 	if err != nil {
@@ -142,11 +148,12 @@
 	return buf.WriteByte('\n')
 }
 
-// PeerConnections bounds the connections between one of so many controllers and the
-// others: one to each, and some from each, as old ones may linger.
+// MaxPeerConnections returns the limit of the connections between one controller and the others,
+// given the number of controllers: one to each, and several from each, as connections that the
+// other side has abandoned may still be open.
 func PeerConnections(nodes int) int { return nodes - 1 + 8*nodes }
 
-// Serve takes the peers' connections until the listener fails.
+// Serve accepts the peers' connections until the listener fails.
 func (p *Peers) Serve(ln net.Listener) error {
 	slots := make(chan struct{}, PeerConnections(len(p.known)+1)-len(p.known))
 	for {
@@ -167,6 +174,8 @@
 	}
 }
 
+// readMessages reads the handshake and then delivers messages, until the connection ends, is idle for
+// too long, or carries a malformed message.
 func (p *Peers) read(conn net.Conn) {
 	lines := bufio.NewScanner(conn)
 	lines.Buffer(make([]byte, 0, 4<<10), maxLine)
@@ -191,10 +200,10 @@
 		var unknown *protocol.UnknownPeerTypeError
 		switch {
 		case errors.As(err, &unknown):
-			// A later version may say more; what this one does not know, it ignores.
-			p.log.Debug("peer's message is ignored", "peer", h.Node, "error", err)
+			// Later versions may send messages that this one does not know.
+			p.log.Debug("unknown peer message ignored", "peer", h.Node, "error", err)
 		case err != nil:
-			p.log.Warn("peer's line can't be read", "peer", h.Node, "error", err)
+			p.log.Warn("malformed peer message", "peer", h.Node, "error", err)
 			return
 		default:
 			p.in(coordination.PeerMessage{From: h.Node, Msg: m})
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,6 +1,6 @@
-// Package transport carries the messages: the HTTP server for users and
-// workers, the HTTP clients of the outside services, and the JSON lines between
-// controllers.
+// Package transport carries the messages of all interfaces: the HTTP server for users, workers and
+// operators, the HTTP clients of the outside services, and the connections between controllers. It
+// makes no decision about jobs or machines.
 package transport
 
 import (
@@ -16,34 +16,35 @@
 	"hitchdoor/internal/tracing"
 )
 
-// Asker hands a request to the owner and waits for its answer.
+// RequestHandler passes requests to the owner of the controller's state.
 type Asker interface {
+	// Handle waits for the reply to a request, up to a timeout.
 	Ask(r coordination.Request, patience time.Duration) coordination.Reply
-	// Trace lists the steps of a job that this node keeps.
+	// Trace returns the recorded steps of a job on this node.
 	Trace(job string) []tracing.Step
 }
 
-// ServerOptions bound a server.
+// ServerOptions are the limits of a Server.
 type ServerOptions struct {
 	Connections int
 	Idle        time.Duration
-	Patience    time.Duration // how long an answer of the owner is waited for
+	Patience    time.Duration // how long to wait for the owner's reply
 }
 
-// Server serves users, workers, the load balancer and operators.
+// Server is the HTTP server for users, workers, the load balancer and operators.
 type Server struct {
 	app *fiber.App
 	ask Asker
 	opt ServerOptions
 }
 
-// NewServer makes a server.
+// NewServer returns a server that passes requests to a handler.
 func NewServer(ask Asker, opt ServerOptions) *Server {
 	s := &Server{ask: ask, opt: opt}
 	s.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		// Room above the limit, so that a body somewhat too large is read and
-		// answered rather than reset.
+		// Above the protocol's limit, so that a body slightly too large gets a response
+		// rather than a connection reset.
 		BodyLimit:          8 * protocol.MaxBody,
 		Concurrency:        opt.Connections,
 		IdleTimeout:        opt.Idle,
@@ -78,33 +79,35 @@
 	return s
 }
 
-// turnsShare is the part of the connections, one in so many, that is kept free by closing
-// workers' connections after each answer. Where no other controller has room, more workers
-// than there are connections are served in turns: none waits in silence.
+// workerReserveDivisor sets the share of connections (1/workerReserveDivisor) below which the server
+// closes workers' connections after each response. So more workers than there are connections are
+// served in turn when no other controller has spare connections.
 const turnsShare = 8
 
-// Load tells how many connections are open, of how many.
+// ConnectionLoad returns the number of open connections and their limit.
 func (s *Server) Load() coordination.ServerLoad {
 	return coordination.ServerLoad{Open: int(s.app.Server().GetOpenConnectionsCount()), Limit: s.opt.Connections}
 }
 
-// takeTurns closes a worker's connection after its answer if few are left.
+// rotateWorkerConnection closes a worker's connection after its response if few connections are
+// left.
 func (s *Server) takeTurns(c *fiber.Ctx) {
 	if load := s.Load(); load.Open > load.Limit-max(1, load.Limit/turnsShare) {
 		c.Context().SetConnectionClose()
 	}
 }
 
-// spareShare is the part of the connections, one in so many, that are taken for one
-// question about the node's health only.
+// healthReserveDivisor sets the share of connections (1/healthReserveDivisor) that is reserved for
+// health checks.
 const spareShare = 32
 
-// admit turns away the first request of a connection that is one too many, and says
-// when to come back. Connections that are served go on, and the load balancer hears
-// that the node is well: cut off by a full server, it would reset all of them.
+// admitConnection rejects the first request of a connection above the limit, with Retry-After.
+// Established connections and health checks are always served: if the health checks failed, the load
+// balancer would reset all of the node's connections.
 func (s *Server) admit(c *fiber.Ctx) error {
 	load := s.Load()
-	if c.Context().ConnRequestNum() > 1 || c.Path() == "/healthz" || load.Open <= load.Limit-max(1, load.Limit/spareShare) {
+	if c.Context().ConnRequestNum() > 1 || c.Path() == "/healthz" ||
+		load.Open <= load.Limit-max(1, load.Limit/spareShare) {
 		return c.Next()
 	}
 	c.Context().SetConnectionClose()
@@ -112,13 +115,15 @@
 	return fail(c, fiber.StatusServiceUnavailable, "too many connections")
 }
 
-// Serve answers the listener's connections until it fails.
+// Serve serves the listener's connections until the listener fails.
 func (s *Server) Serve(ln net.Listener) error { return s.app.Listener(ln) }
 
+// errorBody is the body of an error response.
 type failure struct {
 	Error string `json:"error"`
 }
 
+// sendError sends an error response.
 func fail(c *fiber.Ctx, status int, why string) error {
 	raw, err := json.Marshal(failure{why})
 	if err != nil {
@@ -128,6 +133,7 @@
 	return c.Status(status).Send(raw)
 }
 
+// respond passes a request to the handler and sends its reply.
 func (s *Server) answer(c *fiber.Ctx, r coordination.Request) error {
 	reply := s.ask.Ask(r, s.opt.Patience)
 	if reply.RetryAfter > 0 {
@@ -140,9 +146,10 @@
 	return c.Status(reply.Status).Send(reply.Body)
 }
 
-// body copies the request's body, as the server reuses its buffers.
+// copyBody copies the request's body, as the server reuses its buffers.
 func body(c *fiber.Ctx) []byte { return append([]byte(nil), c.Body()...) }
 
+// submitJob serves POST /work.
 func (s *Server) submit(c *fiber.Ctx) error {
 	job, err := protocol.ParseJob(body(c))
 	if err != nil {
@@ -151,16 +158,20 @@
 	return s.answer(c, coordination.Request{Kind: protocol.RequestSubmit, ID: job.UID, Job: job})
 }
 
+// queryJob serves GET /work/{id}.
 func (s *Server) query(c *fiber.Ctx) error {
 	return s.answer(c, coordination.Request{Kind: protocol.RequestQuery, ID: param(c)})
 }
 
+// cancelJob serves POST /work/{id}/cancel.
 func (s *Server) cancel(c *fiber.Ctx) error {
 	return s.answer(c, coordination.Request{Kind: protocol.RequestCancel, ID: param(c)})
 }
 
+// jobIDParam copies the job id of the path, as the server reuses its buffers.
 func param(c *fiber.Ctx) string { return string(append([]byte(nil), c.Params("id")...)) }
 
+// acceptHeartbeat serves POST /v1/report.
 func (s *Server) report(c *fiber.Ctx) error {
 	rep, err := protocol.ParseReport(body(c))
 	if err != nil {
@@ -170,20 +181,24 @@
 	return s.answer(c, coordination.Request{Kind: protocol.RequestReport, Report: rep})
 }
 
+// handleKind returns the handler of a request that has no parameters.
 func (s *Server) plain(kind protocol.RequestKind) fiber.Handler {
 	return func(c *fiber.Ctx) error { return s.answer(c, coordination.Request{Kind: kind}) }
 }
 
+// serveMetrics serves GET /metrics in the Prometheus text format.
 func (s *Server) metrics(c *fiber.Ctx) error {
 	reply := s.ask.Ask(coordination.Request{Kind: protocol.RequestMetrics}, s.opt.Patience)
 	c.Set(fiber.HeaderContentType, "text/plain; version=0.0.4")
 	return c.Status(reply.Status).Send(reply.Body)
 }
 
+// explainAdmission serves GET /admission/{id}.
 func (s *Server) admissionOf(c *fiber.Ctx) error {
 	return s.answer(c, coordination.Request{Kind: protocol.RequestAdmission, ID: param(c)})
 }
 
+// serveTrace serves GET /trace/{id}.
 func (s *Server) trace(c *fiber.Ctx) error {
 	raw, err := json.Marshal(s.ask.Trace(param(c)))
 	if err != nil {
