--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -22,34 +22,36 @@
 	"hitchdoor/internal/standin"
 )
 
-// controller is one controller, as a process of its own.
+// controller is one controller process. It can be killed and started again.
 type controller struct {
 	name, users, peers string
-	file               string // its settings
+	file               string // path of the platform's settings file
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{} // closed once the process has ended
-	last    string        // line of its log
-	killed  bool
+	ended   chan struct{} // closed once the process has exited
+	last    string
+	killed  bool // by signal; its exit is expected
 }
 
-// controllers are all of them.
+// controllerSet is all controllers of an emulation.
 type controllers struct {
 	options *Options
 	all     []*controller
-	folder  string
-	// settings is the operators' settings file of the controllers; empty: none.
+	folder  string // of the settings files
+	// settingsFile is the path of the operators' settings file; empty: none.
 	settings string
 	// reservation keeps the controllers' addresses while none of them listens, before their
 	// start and between a kill and the next start.
 	reservation *standin.AddressReservation
 }
 
-// smallFleets are settings under which small fleets recover as large ones do.
+// smallFleetSettings are operators' settings with which the recovery of a small fleet is paced as
+// that of a large one.
 const smallFleets = "recovery_from: 0\n"
 
-// newControllers writes the settings of the controllers into a folder of their own.
+// newControllerSet reserves the controllers' addresses and writes their settings files into a
+// temporary directory.
 func newControllers(o *Options, state, cloud string) (*controllers, error) {
 	folder, err := os.MkdirTemp("", "hitchdoor-emulate-")
 	if err != nil {
@@ -63,7 +65,8 @@
 	addresses := c.reservation.Addresses()
 	for i := range o.Controllers {
 		name := fmt.Sprintf("n%d", i)
-		c.all = append(c.all, &controller{name: name, users: addresses[2*i], peers: addresses[2*i+1], file: filepath.Join(folder, name+".toml")})
+		c.all = append(c.all, &controller{name: name, users: addresses[2*i],
+			peers: addresses[2*i+1], file: filepath.Join(folder, name+".toml")})
 	}
 	if c.settings = o.Settings; c.settings == "" && o.ownProgram {
 		c.settings = filepath.Join(folder, "operators.yaml")
@@ -81,12 +84,15 @@
 	return c, nil
 }
 
+// writeConfigFile writes the platform's settings file of one controller.
 func (c *controllers) writeSettings(one *controller, state, cloud string) error {
-	p := config.Platform{Node: one.name, Location: "a", ClientListen: one.users, PeerBind: one.peers, Cluster: c.options.cluster()}
+	p := config.Platform{Node: one.name, Location: "a", ClientListen: one.users,
+		PeerBind: one.peers, Cluster: c.options.cluster()}
 	p.Outside.State, p.Outside.Cloud = state, cloud
 	for _, other := range c.all {
 		if other != one {
-			p.Known = append(p.Known, config.Peer{Node: other.name, Location: "a", PeerAddr: other.peers})
+			p.Known = append(p.Known,
+				config.Peer{Node: other.name, Location: "a", PeerAddr: other.peers})
 		}
 	}
 	raw, err := toml.Marshal(p)
@@ -96,7 +102,7 @@
 	return os.WriteFile(one.file, raw, 0o600)
 }
 
-// users are the client addresses, by name.
+// clientAddresses returns the controllers' client addresses, by name.
 func (c *controllers) users() map[string]string {
 	users := map[string]string{}
 	for _, one := range c.all {
@@ -105,7 +111,7 @@
 	return users
 }
 
-// startAll starts all controllers.
+// startAll starts all controller processes.
 func (c *controllers) startAll() error {
 	for _, one := range c.all {
 		if err := one.start(c.options.Program, c.settings); err != nil {
@@ -115,7 +121,7 @@
 	return nil
 }
 
-// killAll ends all controllers at once, without any signal that they could act on.
+// killAll kills all controllers at once with SIGKILL, which they can't handle, and waits for them.
 func (c *controllers) killAll() {
 	for _, one := range c.all {
 		one.signal(os.Kill)
@@ -125,7 +131,7 @@
 	}
 }
 
-// close ends all controllers, gives up their addresses and removes their settings.
+// close kills all controllers, releases their addresses and removes their settings files.
 func (c *controllers) close() {
 	c.killAll()
 	if c.reservation != nil {
@@ -134,7 +140,7 @@
 	os.RemoveAll(c.folder)
 }
 
-// failed is why a controller has ended that nobody has ended, if one has.
+// unexpectedExit returns an error if a controller has exited without being killed.
 func (c *controllers) failed() error {
 	for _, one := range c.all {
 		if why, failed := one.failure(); failed {
@@ -144,13 +150,14 @@
 	return nil
 }
 
+// start starts the process.
 func (one *controller) start(program, settings string) error {
 	args := []string{"--config", one.file}
 	if settings != "" {
 		args = append(args, "--settings", settings)
 	}
 	command := exec.Command(program, args...)
-	// Ends with this process, however that ends, and not by an interrupt at the terminal.
+	// The child dies with this process, however that ends, but not by an interrupt at the terminal.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	log, err := command.StderrPipe()
 	if err != nil {
@@ -171,7 +178,7 @@
 	return nil
 }
 
-// follow keeps the last line that the process logs.
+// recordLog keeps the last line of the process's log.
 func (one *controller) follow(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
@@ -183,6 +190,7 @@
 	io.Copy(io.Discard, log)
 }
 
+// signal sends a signal to the process and marks its exit as expected.
 func (one *controller) signal(signal os.Signal) {
 	one.mu.Lock()
 	defer one.mu.Unlock()
@@ -192,6 +200,7 @@
 	}
 }
 
+// waitForExit waits until the process has exited, if it was ever started.
 func (one *controller) await() {
 	one.mu.Lock()
 	ended := one.ended
@@ -201,6 +210,7 @@
 	}
 }
 
+// unexpectedExit returns whether the process has exited without being killed, and its last log line.
 func (one *controller) failure() (why string, failed bool) {
 	one.mu.Lock()
 	defer one.mu.Unlock()
@@ -218,7 +228,7 @@
 	}
 }
 
-// ready waits until a controller leads that all of them follow.
+// waitForLeader waits until all controllers name the same leader.
 func (c *controllers) ready(ctx context.Context, within time.Duration) error {
 	client := &http.Client{Timeout: time.Second}
 	for end := time.Now().Add(within); time.Now().Before(end); {
@@ -237,7 +247,7 @@
 	return fmt.Errorf("no controller leads within %v", within)
 }
 
-// leaderOf is the leader that all controllers name, empty if they don't name one.
+// commonLeader returns the leader that all controllers name; empty if they don't agree on one.
 func (c *controllers) leaderOf(client *http.Client) string {
 	leader := ""
 	for _, one := range c.all {
@@ -258,7 +268,7 @@
 	return leader
 }
 
-// Usage is what a controller's process uses.
+// ProcessUsage is the resource usage of a controller process.
 type Usage struct {
 	Node        string  `json:"node"`
 	PeakMB      float64 `json:"peak_memory_mb"`
@@ -266,18 +276,20 @@
 	ProcessorS  float64 `json:"processor_s"`
 }
 
-// usages reads what the controllers use, from the kernel.
+// processUsages reads the controllers' resource usage from /proc.
 func (c *controllers) usages() []Usage {
 	var usages []Usage
 	for _, one := range c.all {
 		one.mu.Lock()
 		pid := one.command.Process.Pid
 		one.mu.Unlock()
-		usages = append(usages, Usage{Node: one.name, PeakMB: peakMB(pid), Connections: sockets(pid), ProcessorS: processor(pid)})
+		usages = append(usages, Usage{Node: one.name, PeakMB: peakMB(pid),
+			Connections: sockets(pid), ProcessorS: processor(pid)})
 	}
 	return usages
 }
 
+// peakMemoryMB returns the peak resident memory of a process; 0 if it can't be read.
 func peakMB(pid int) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(raw)) {
@@ -289,21 +301,24 @@
 	return 0
 }
 
+// socketCount returns the number of open sockets of a process.
 func sockets(pid int) int {
 	folder := fmt.Sprintf("/proc/%d/fd", pid)
 	entries, _ := os.ReadDir(folder)
 	count := 0
 	for _, entry := range entries {
-		if to, err := os.Readlink(filepath.Join(folder, entry.Name())); err == nil && strings.HasPrefix(to, "socket:") {
+		if to, err := os.Readlink(filepath.Join(folder, entry.Name())); err == nil &&
+			strings.HasPrefix(to, "socket:") {
 			count++
 		}
 	}
 	return count
 }
 
-// ticksPerSecond is the unit in which the kernel counts processor time.
+// ticksPerSecond is the unit of processor times in /proc/PID/stat (USER_HZ).
 const ticksPerSecond = 100
 
+// cpuSeconds returns the user and system time of a process; 0 if it can't be read.
 func processor(pid int) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, after, _ := strings.Cut(string(raw), ") ")
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -13,19 +13,20 @@
 	"hitchdoor/internal/standin"
 )
 
+// Timing and extent of an emulation.
 const (
-	// startWithin is within what time the controllers have to agree on a leader.
+	// leaderTimeout bounds the time until the controllers agree on a leader.
 	startWithin = 30 * time.Second
-	// disturbedShare: one machine in so many gets a task that nobody commanded, another is cut off
-	// and another is taken away, while the controllers are away.
+	// machinesPerFault: for each so many machines, one gets a task that no controller started,
+	// another is partitioned and a third is preempted while the controllers are down.
 	disturbedShare = 50
 	progressEvery  = 500 * time.Millisecond
 )
 
-// ErrInterrupted is the error of a run that was ended before its time.
+// ErrInterrupted is returned by Run if its context is cancelled.
 var ErrInterrupted = errors.New("interrupted")
 
-// emulation is one run.
+// emulation is the state of one call of Run.
 type emulation struct {
 	options     *Options
 	state       *standin.State
@@ -38,8 +39,9 @@
 	mismatches             recovery.Counts
 }
 
-// Run emulates a cluster as the options say, and reports what came of it. The error says why it
-// could not, or, as a *FailureError, what was not as it should be.
+// Run emulates a cluster as the options say and returns what it measured. A *FailureError says that
+// the run was completed and the controllers broke a guarantee; any other error, that it could not
+// be completed or its report not be written.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -47,11 +49,14 @@
 	e := &emulation{options: &o}
 	e.state = standin.NewState(stateWriteRPS)
 	defer e.state.Server.Close()
-	e.fleet = standin.NewFleet(standin.FleetSettings{Report: o.Report, Lease: o.Lease, Boot: o.Report, Most: o.Machines + o.Machines/4,
-		Machines: o.Machines, Cores: coresPerMachine, Seed: o.Seed})
+	e.fleet = standin.NewFleet(standin.FleetSettings{Report: o.Report,
+		Lease: o.Lease, Boot: o.Report,
+		Most: o.Machines + o.Machines/4, Machines: o.Machines,
+		Cores: coresPerMachine, Seed: o.Seed})
 	defer e.fleet.Close()
 	var err error
-	if e.controllers, err = newControllers(&o, e.state.Server.Address(), e.fleet.Server.Address()); err != nil {
+	if e.controllers, err = newControllers(&o, e.state.Server.Address(),
+		e.fleet.Server.Address()); err != nil {
 		return nil, err
 	}
 	defer e.controllers.close()
@@ -73,6 +78,7 @@
 	return report, report.Failure()
 }
 
+// asInterrupted replaces an error by ErrInterrupted if the context has been cancelled.
 func interrupted(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ErrInterrupted
@@ -80,7 +86,7 @@
 	return err
 }
 
-// begin starts the controllers and the workers.
+// start starts the controllers and the workers and prepares the load.
 func (e *emulation) begin(ctx context.Context) error {
 	if err := e.controllers.startAll(); err != nil {
 		return err
@@ -96,12 +102,14 @@
 	}
 	e.users = newUsers(e.options, e.fleet, addresses)
 	if e.options.Out != nil {
-		fmt.Fprintf(e.options.Out, "running; to look at it: hitchdoor recovery --nodes %s\n", strings.Join(addresses, ","))
+		fmt.Fprintf(e.options.Out, "running; to look at it: hitchdoor recovery --nodes %s\n",
+			strings.Join(addresses, ","))
 	}
 	return nil
 }
 
-// play lets the users submit, and ends the controllers and brings them back meanwhile.
+// runLoad generates load for the duration of the run; meanwhile the controllers are killed and
+// started again, if the options say so.
 func (e *emulation) play(ctx context.Context) error {
 	over := make(chan struct{})
 	defer close(over)
@@ -125,7 +133,7 @@
 	return ctx.Err()
 }
 
-// loseControllers ends all controllers, disturbs some machines and starts the controllers again.
+// loseControllers kills all controllers, injects faults and starts the controllers again.
 func (e *emulation) loseControllers(ctx context.Context) error {
 	if err := e.watch(ctx, e.began.Add(e.options.LoseAt)); err != nil {
 		return err
@@ -155,8 +163,8 @@
 	return e.loseAgain(ctx)
 }
 
-// loseAgain ends all controllers while they recover, as often as the options say, and starts them
-// again at once.
+// loseControllersAgain kills all controllers during their recovery, as often as the options say, and
+// starts them again at once.
 func (e *emulation) loseAgain(ctx context.Context) error {
 	for _, after := range e.options.LoseAgain {
 		if err := e.watch(ctx, time.Now().Add(after)); err != nil {
@@ -170,8 +178,8 @@
 	return nil
 }
 
-// disturb leaves some machines in states that no record explains. It returns those that it has
-// cut off.
+// injectFaults brings some machines into states that differ from the stored records. It returns the
+// names of those that it has partitioned.
 func (e *emulation) disturb() (silent []string) {
 	held := e.fleet.Holdings()
 	for i := range len(held) / disturbedShare {
@@ -184,14 +192,15 @@
 	return silent
 }
 
-// watch waits until some moment, shows the progress, and fails if a controller has ended.
+// watchUntil waits until a deadline and shows the progress. It fails if a controller exits.
 func (e *emulation) watch(ctx context.Context, until time.Time) error {
 	for {
 		if err := e.controllers.failed(); err != nil {
 			return err
 		}
 		jobs := e.users.jobs()
-		e.say(fmt.Sprintf("%3.0f of %.0f s: %d machines, %d tasks run, %d jobs accepted, %d finished", time.Since(e.began).Seconds(), e.options.For.Seconds(),
+		e.say(fmt.Sprintf("%3.0f of %.0f s: %d machines, %d tasks run, %d jobs accepted, %d finished",
+			time.Since(e.began).Seconds(), e.options.For.Seconds(),
 			e.fleet.Machines(), e.fleet.Running(), jobs.Accepted, jobs.Finished))
 		left := time.Until(until)
 		if left <= 0 {
@@ -203,10 +212,10 @@
 	}
 }
 
-// lineWidth is the width of the line of progress.
+// progressLineWidth is the width to which the progress line is padded.
 const lineWidth = 100
 
-// say shows the progress in one line, which is written over.
+// showProgress overwrites the progress line.
 func (e *emulation) say(line string) {
 	if e.options.Progress == nil {
 		return
@@ -217,14 +226,18 @@
 	}
 }
 
-// report gathers what was measured.
+// buildReport collects what was measured.
 func (e *emulation) report() *Report {
 	o := e.options
 	tally := e.fleet.Tally(o.cancelSpan() + o.Report)
-	r := &Report{Machines: o.Machines, Controllers: o.Controllers, Seed: o.Seed, ForS: o.For.Seconds(), LoseAtS: o.LoseAt.Seconds(), AwayS: o.Away.Seconds(), LostAgain: len(o.LoseAgain),
+	r := &Report{Machines: o.Machines, Controllers: o.Controllers, Seed: o.Seed,
+		ForS: o.For.Seconds(), LoseAtS: o.LoseAt.Seconds(),
+		AwayS: o.Away.Seconds(), LostAgain: len(o.LoseAgain),
 		ReportS: o.Report.Seconds(), LeaseS: o.Lease.Seconds(),
-		DuplicateStarts: len(e.fleet.Twice()), StoppedWrongly: len(e.fleet.StoppedWrongly()), RanCancelled: tally.RanCancelled, Jobs: e.users.jobs(),
-		Tasks:      Tasks{Started: tally.Started, Finished: tally.Finished, Stopped: tally.Stopped, LostByLease: tally.LostByLease, LostRunS: tally.LostRun.Seconds()},
+		DuplicateStarts: len(e.fleet.Twice()), StoppedWrongly: len(e.fleet.StoppedWrongly()),
+		RanCancelled: tally.RanCancelled, Jobs: e.users.jobs(),
+		Tasks: Tasks{Started: tally.Started, Finished: tally.Finished, Stopped: tally.Stopped,
+			LostByLease: tally.LostByLease, LostRunS: tally.LostRun.Seconds()},
 		Mismatches: e.mismatches.ByName(), Processes: e.controllers.usages()}
 	if o.LoseAt > 0 {
 		e.reportRecovery(r)
@@ -232,6 +245,7 @@
 	return r
 }
 
+// measureRecovery adds the figures of the recovery after the loss of all controllers.
 func (e *emulation) reportRecovery(r *Report) {
 	orders := e.fleet.OrdersSince(e.restarted)
 	to := time.Now()
@@ -257,13 +271,14 @@
 	}
 }
 
-// orderRates are the limits that the settings set for the fleet.
+// operationRates returns the rate limits that follow from the settings and the size of the fleet.
 func (e *emulation) orderRates() recovery.Rates {
 	set, err := config.LoadSettings(e.options.Settings)
 	if err != nil {
-		return recovery.Rates{} // checked before
+		return recovery.Rates{} // not reached: Validate has loaded the same file
 	}
 	o := e.options
-	settings := recovery.Settings{Report: o.Report, Lease: o.Lease, Limits: recovery.Limits{Refill: set.RecoveryRefill, Replace: set.RecoveryReplace}}
+	settings := recovery.Settings{Report: o.Report, Lease: o.Lease,
+		Limits: recovery.Limits{Refill: set.RecoveryRefill, Replace: set.RecoveryReplace}}
 	return settings.Rates(o.Machines, coresPerMachine*float64(o.Machines), coresPerMachine)
 }
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -19,40 +19,43 @@
 	"hitchdoor/internal/standin"
 )
 
-// Figures of the load.
+// Parameters of the load.
 const (
-	jobsPerSecond = 4.0 // on the mean, at most
-	runReports    = 8   // how many reports a task runs for, on the mean
+	jobsPerSecond = 4.0 // upper bound of the mean rate
+	runReports    = 8   // mean run time of a task, in heartbeat intervals
 	leastRun      = 4 * time.Second
-	cancelOneIn   = 20 // jobs are cancelled, one in so many
+	cancelOneIn   = 20 // one job in so many is cancelled by its user
 	pollEvery     = time.Second
-	// graceForAnswers is how long users ask about a job at the end before it counts as forgotten.
+	// finalQueryTimeout is how long a job is queried at the end before it counts as forgotten.
 	graceForAnswers = 15 * time.Second
 )
 
-// users submit jobs at a steady rate, ask about them, and cancel some.
+// loadGenerator acts as the users: it submits jobs at a steady rate, polls their states and cancels
+// some.
 type users struct {
 	options *Options
 	fleet   *standin.Fleet
 	nodes   []string // client addresses
 	client  *http.Client
 	rng     *rand.Rand
-	wait    sync.WaitGroup
+	wait    sync.WaitGroup // counts the goroutines that follow a job
 
 	mu        sync.Mutex
 	accepted  map[string]bool
-	ended     map[string]string // final states that users were told
-	forgotten map[string]bool
+	ended     map[string]string // terminal states that controllers have answered, by job
+	forgotten map[string]bool   // accepted jobs that a controller has denied, or none answered for
 }
 
+// newLoadGenerator returns a load generator that sends its requests to random controllers.
 func newUsers(o *Options, fleet *standin.Fleet, nodes []string) *users {
-	return &users{options: o, fleet: fleet, nodes: nodes, rng: rand.New(rand.NewPCG(o.Seed, 1)),
+	return &users{options: o, fleet: fleet, nodes: nodes,
+		rng:      rand.New(rand.NewPCG(o.Seed, 1)),
 		client:   &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		accepted: map[string]bool{}, ended: map[string]string{}, forgotten: map[string]bool{}}
 }
 
-// submitAll submits jobs until the time is over. Times between them are exponential, so that the
-// load is the same whatever becomes of the jobs.
+// submitJobs submits jobs until the deadline. It is an open-loop load: the times between jobs are
+// exponentially distributed and don't depend on how the jobs fare.
 func (u *users) submitAll(ctx context.Context, over time.Time) {
 	run := max(leastRun, runReports*u.options.Report)
 	busy := u.options.Load * coresPerMachine * float64(u.options.Machines)
@@ -71,13 +74,16 @@
 	}
 }
 
-// newJob draws a job.
+// newJob returns a random job.
 func (u *users) newJob(i int, tasks float64, run time.Duration) protocol.Job {
 	priority := []string{"urgent", "standard", "standard", "low"}[u.rng.IntN(4)]
-	return protocol.Job{UID: fmt.Sprintf("j-%d-%d", u.options.Seed, i), Class: priority, Team: teamName(u.rng.IntN(teamCount)), Kind: "batch", Priority: priority,
-		Tasks: max(1, int(tasks*(0.5+u.rng.Float64()))), Cores: 1, RAM: 1, Image: "i", Spot: true, EstimateS: run.Seconds() * (0.5 + u.rng.Float64())}
+	return protocol.Job{UID: fmt.Sprintf("j-%d-%d", u.options.Seed, i), Class: priority,
+		Team: teamName(u.rng.IntN(teamCount)), Kind: "batch", Priority: priority,
+		Tasks: max(1, int(tasks*(0.5+u.rng.Float64()))), Cores: 1, RAM: 1, Image: "i", Spot: true,
+		EstimateS: run.Seconds() * (0.5 + u.rng.Float64())}
 }
 
+// sleep waits. It returns false at once if the context is cancelled.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -87,8 +93,9 @@
 	}
 }
 
-// follow is the user of one job.
-func (u *users) follow(ctx context.Context, job protocol.Job, rng *rand.Rand, cancelled bool, cancelAfter time.Duration) {
+// followJob submits one job and polls it until it is terminal; cancels it after a while if asked to.
+func (u *users) follow(ctx context.Context, job protocol.Job, rng *rand.Rand, cancelled bool,
+	cancelAfter time.Duration) {
 	u.fleet.Upload(job)
 	if !u.submit(ctx, job, rng) {
 		return
@@ -108,7 +115,7 @@
 	}
 }
 
-// submit submits a job until it is accepted.
+// submitJob submits a job, with retries, and returns whether it was accepted.
 func (u *users) submit(ctx context.Context, job protocol.Job, rng *rand.Rand) bool {
 	raw, err := json.Marshal(job)
 	if err != nil {
@@ -129,7 +136,8 @@
 	return false
 }
 
-// ask asks about a job, or to cancel it, and tells whether it is over.
+// requestState queries or cancels a job, depending on the method and the path, and returns whether
+// the job is terminal.
 func (u *users) ask(ctx context.Context, rng *rand.Rand, method, path, id string) (over bool) {
 	status, body, _ := u.call(ctx, rng, method, path, nil)
 	var state protocol.JobState
@@ -151,9 +159,10 @@
 	return false
 }
 
-// call sends a request to any controller. It returns status 0 without an answer, and when to come
-// back.
-func (u *users) call(ctx context.Context, rng *rand.Rand, method, path string, body []byte) (status int, answer []byte, pause time.Duration) {
+// sendRequest sends a request to a random controller. It returns status 0 without a response, and
+// the delay before a retry.
+func (u *users) call(ctx context.Context, rng *rand.Rand, method, path string,
+	body []byte) (status int, answer []byte, pause time.Duration) {
 	node := u.nodes[rng.IntN(len(u.nodes))]
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
@@ -173,8 +182,8 @@
 	return resp.StatusCode, raw, time.Duration(max(seconds, 1)) * time.Second
 }
 
-// lastQuestions asks about all jobs that are not known to be over, some at a time. One that is
-// denied, or about which nobody answers, counts as forgotten.
+// queryOpenJobs queries all accepted jobs that are not known to be terminal, with bounded
+// concurrency. A job that is denied, or that no controller answers for, counts as forgotten.
 func (u *users) lastQuestions(ctx context.Context) {
 	u.mu.Lock()
 	var open []string
@@ -198,6 +207,7 @@
 	wait.Wait()
 }
 
+// queryOpenJob queries one job until it is answered or finalQueryTimeout has passed.
 func (u *users) lastQuestion(ctx context.Context, rng *rand.Rand, id string) {
 	for end := time.Now().Add(graceForAnswers); time.Now().Before(end); {
 		if status, _, _ := u.call(ctx, rng, http.MethodGet, "/work/"+id, nil); status == 200 {
@@ -213,7 +223,7 @@
 	u.mu.Unlock()
 }
 
-// Jobs is what became of the jobs, by what users were told.
+// JobCounts counts the jobs by outcome, as the controllers have answered to the users.
 type Jobs struct {
 	Accepted  int `json:"accepted"`
 	Finished  int `json:"finished"`
@@ -221,6 +231,7 @@
 	Forgotten int `json:"forgotten"`
 }
 
+// jobCounts returns the counts so far.
 func (u *users) jobs() Jobs {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// OrderKind is a kind of order, as workers and the cloud receive them.
+// OperationKind is the kind of an Operation.
 type OrderKind string
 
-// The kinds of orders.
+// Kinds of operations.
 const (
 	OrderStart  OrderKind = "start"
 	OrderStop   OrderKind = "stop"
@@ -17,20 +17,21 @@
 	OrderReturn OrderKind = "return"
 )
 
-// Order is an order as it was received.
+// Operation is one command that a worker received, or one machine of a request that the cloud
+// received.
 type Order struct {
 	At        time.Time
 	Kind      OrderKind
-	Cancelled bool // a stop of work that its user has cancelled
+	Cancelled bool // a stop of a task whose job was cancelled by its user
 }
 
-// orderLog collects orders.
+// operationLog collects operations. It is safe for concurrent use.
 type orderLog struct {
 	mu     sync.Mutex
 	orders []Order
 }
 
-// add notes orders that arrived at a moment.
+// record adds operations of one kind that were received at the same time.
 func (l *orderLog) add(at time.Time, kind OrderKind, count int, cancelled bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,11 +40,12 @@
 	}
 }
 
-// since lists the orders from some moment on, in the order of their arrival.
+// since lists the operations received at or after a time, in the order of their receipt.
 func (l *orderLog) since(from time.Time) []Order {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	orders := slices.DeleteFunc(slices.Clone(l.orders), func(o Order) bool { return o.At.Before(from) })
+	orders := slices.DeleteFunc(slices.Clone(l.orders),
+		func(o Order) bool { return o.At.Before(from) })
 	slices.SortStableFunc(orders, func(a, b Order) int { return a.At.Compare(b.At) })
 	return orders
 }
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Relay passes connections on to an address and can stop either direction, as a flaky switch
-// does: bytes that are stopped arrive once it heals, and nobody is told of it.
+// Relay is a TCP proxy that can block either direction, as a faulty switch does: neither end is
+// notified, and the bytes held back arrive once the direction is unblocked.
 type Relay struct {
 	listener net.Listener
 	to       string
 
 	mu      sync.Mutex
 	healed  *sync.Cond
-	there   bool // bytes towards the address are stopped
-	back    bool // bytes from it are stopped
+	there   bool // no bytes pass towards the target
+	back    bool // no bytes pass from the target
 	closed  bool
 	members map[net.Conn]bool
 }
 
-// NewRelay starts a relay to an address.
+// NewRelay starts a relay to a target address.
 func NewRelay(to string) (*Relay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -32,10 +32,10 @@
 	return r, nil
 }
 
-// Address is where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Stop sets which directions are stopped.
+// Block sets which directions are blocked.
 func (r *Relay) Stop(there, back bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,7 @@
 	r.healed.Broadcast()
 }
 
-// Close ends the relay and its connections.
+// Close closes the listener and all connections of the relay.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,6 +55,7 @@
 	r.healed.Broadcast()
 }
 
+// acceptConnections accepts connections until the listener is closed.
 func (r *Relay) accept() {
 	for {
 		conn, err := r.listener.Accept()
@@ -65,7 +66,7 @@
 	}
 }
 
-// join connects a caller with the address.
+// connectToTarget connects a client with the target and forwards bytes both ways.
 func (r *Relay) join(caller net.Conn) {
 	target, err := net.DialTimeout("tcp4", r.to, time.Second)
 	if err != nil {
@@ -79,7 +80,7 @@
 	r.pass(target, caller, &r.back)
 }
 
-// pass copies bytes while their direction is not stopped.
+// forwardBytes copies bytes from one end to the other, and waits while the direction is blocked.
 func (r *Relay) pass(from, to net.Conn, stopped *bool) {
 	defer r.leave(from, to)
 	buffer := make([]byte, 16<<10)
@@ -101,6 +102,7 @@
 	}
 }
 
+// closeConnections closes connections and forgets them.
 func (r *Relay) leave(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/reservation.go
+++ b/internal/standin/reservation.go
@@ -17,7 +17,7 @@
 	addresses []string
 }
 
-// ReserveAddresses reserves so many different addresses on loopback.
+// ReserveAddresses reserves count different addresses on loopback.
 func ReserveAddresses(count int) (*AddressReservation, error) {
 	r := &AddressReservation{}
 	for range count {
@@ -32,7 +32,7 @@
 // Addresses lists the reserved addresses, host:port.
 func (r *AddressReservation) Addresses() []string { return r.addresses }
 
-// Close gives the addresses up. Servers that listen on them go on.
+// Close releases the addresses. Servers that listen on them are not affected.
 func (r *AddressReservation) Close() {
 	for _, socket := range r.sockets {
 		syscall.Close(socket)
--- a/internal/toolbox/admission.go
+++ b/internal/toolbox/admission.go
@@ -13,14 +13,15 @@
 	"hitchdoor/internal/tracing"
 )
 
-// settleTime is how long nodes are given to hear of a new epoch before they are said to
-// disagree.
+// epochPropagationTime is the time that a new admission policy may take to reach all nodes. Only
+// nodes that differ for longer are reported as inconsistent.
 const settleTime = time.Second
 
+// admissionResponse is a node's response about its admission policy.
 type admissionAnswer = answer[admission.NodeStatus]
 
-// Admission prints by which policy the nodes judge submissions, and why a job, if one is
-// named, was refused. It fails if it could not find that out from all of them.
+// PrintAdmission prints the admission policy of each node and, if a job is named, why the job was
+// rejected. It returns an *IncompleteError if a node does not answer or the nodes are inconsistent.
 func Admission(out io.Writer, o Options, job string) error {
 	path := "/admission"
 	if job != "" {
@@ -45,7 +46,7 @@
 	return incomplete.orNil()
 }
 
-// newestOf is the answer that knows the newest policy.
+// newestStatus returns the status with the newest policy; nil without any response.
 func newestOf(answers []admissionAnswer) *admission.NodeStatus {
 	var newest *admission.NodeStatus
 	for i := range answers {
@@ -57,7 +58,7 @@
 	return newest
 }
 
-// disagree tells whether nodes judge by different policies.
+// policiesDiffer returns whether the nodes apply different versions of the policy.
 func disagree(answers []admissionAnswer) bool {
 	newest := newestOf(answers)
 	return newest != nil && slices.ContainsFunc(answers, func(a admissionAnswer) bool {
@@ -65,6 +66,7 @@
 	})
 }
 
+// printAdmissionNodes prints one row per node.
 func printNodes(out io.Writer, answers []admissionAnswer, incomplete *IncompleteError) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NODE\tADDRESS\tROLE\tSWITCHED ON\tPOLICY")
@@ -81,7 +83,8 @@
 			role = "leader"
 			leaders++
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%s\n", a.value.Node, a.address, role, a.value.Enabled, policyName(&a.value))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%s\n",
+			a.value.Node, a.address, role, a.value.Enabled, policyName(&a.value))
 		if a.value.Invalid {
 			incomplete.add("%s: the stored policy can't be read", a.value.Node)
 		}
@@ -95,6 +98,7 @@
 	}
 }
 
+// describePolicy returns a short description of the policy that a node applies.
 func policyName(s *admission.NodeStatus) string {
 	switch {
 	case s.Invalid:
@@ -102,10 +106,12 @@
 	case s.Policy == nil:
 		return "none: all are admitted"
 	default:
-		return fmt.Sprintf("epoch %d, version %d, known for %.1f s", s.Policy.Epoch, s.Version, s.AgeS)
+		return fmt.Sprintf("epoch %d, version %d, known for %.1f s",
+			s.Policy.Epoch, s.Version, s.AgeS)
 	}
 }
 
+// printPolicy prints the share of submissions that each group is admitted.
 func printPolicy(out io.Writer, s *admission.NodeStatus) {
 	if s.Policy == nil {
 		return
@@ -115,26 +121,30 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TEAM\tCLASS\tPRIORITY\tASKING\tADMITTED NOW\tMORE EACH EPOCH\tALL HAD THEIR TURN IN")
 	for _, share := range append(slices.Clone(s.Policy.Shares), s.Policy.Rest) {
-		team, class, priority, asking := share.Team, share.Class, protocol.PriorityOf(share.Rank), fmt.Sprint(share.Demand)
+		team, class, priority, asking := share.Team, share.Class, protocol.PriorityOf(share.Rank),
+			fmt.Sprint(share.Demand)
 		if share.Group == (admission.Group{}) {
 			team, class, priority, asking = "all others", "", "", ""
 		}
 		step := share.Steps[len(share.Steps)-1]
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f%%\t%.1f%%\t%v\n", team, class, priority, asking,
-			percentOfRing(share.Open()), percentOfRing(step), time.Duration(share.EpochsToAll())*length)
+			percentOfRing(share.Open()), percentOfRing(step),
+			time.Duration(share.EpochsToAll())*length)
 	}
 	table.Flush()
 }
 
+// percentAdmitted converts a number of ring positions into a percentage of the ring.
 func percentOfRing(positions uint64) float64 { return 100 * float64(positions) / admission.Ring }
 
-// printWaiting prints what waits by class, as the leader has it.
+// printPendingJobs prints the leader's numbers of pending jobs by team, class and priority.
 func printWaiting(out io.Writer, answers []admissionAnswer, incomplete *IncompleteError) {
 	for _, a := range answers {
 		if a.err != nil || !a.value.Leads {
 			continue
 		}
-		fmt.Fprintf(out, "\nAccepted and not begun, by %s (an epoch takes %.1f jobs):\n", a.value.Node, a.value.Capacity)
+		fmt.Fprintf(out, "\nAccepted and not begun, by %s (an epoch takes %.1f jobs):\n",
+			a.value.Node, a.value.Capacity)
 		if len(a.value.Waiting) == 0 {
 			fmt.Fprintln(out, "none")
 			return
@@ -142,7 +152,8 @@
 		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(table, "TEAM\tCLASS\tPRIORITY\tJOBS")
 		for _, w := range a.value.Waiting {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%d\n", w.Team, w.Class, protocol.PriorityOf(w.Rank), w.Jobs)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%d\n",
+				w.Team, w.Class, protocol.PriorityOf(w.Rank), w.Jobs)
 		}
 		table.Flush()
 		return
@@ -150,7 +161,7 @@
 	incomplete.add("no leader answers, so what waits is not known")
 }
 
-// printJob tells what the nodes know of a job's admission.
+// printJobAdmission prints what the nodes know about the admission of a job.
 func printJob(out io.Writer, job string, answers []admissionAnswer, incomplete *IncompleteError) {
 	fmt.Fprintln(out)
 	known := false
@@ -163,11 +174,14 @@
 			fmt.Fprintf(out, "%s: accepted, as %s knows\n", job, a.value.Node)
 			return
 		case j.Refused != nil && j.Admit:
-			fmt.Fprintf(out, "%s: was refused by %s as one of team %q, class %q; it is admitted now\n", job, a.value.Node, j.Refused.Team, j.Refused.Class)
+			fmt.Fprintf(out, "%s: was refused by %s as one of team %q, class %q; it is admitted now\n",
+				job, a.value.Node, j.Refused.Team, j.Refused.Class)
 			known = true
 		case j.Refused != nil:
-			fmt.Fprintf(out, "%s: refused by %s, as more of team %q, class %q, priority %s is submitted than can be taken; its turn comes in %d s\n",
-				job, a.value.Node, j.Refused.Team, j.Refused.Class, protocol.PriorityOf(j.Refused.Rank), j.TurnInS)
+			fmt.Fprintf(out,
+				"%s: refused by %s, as more of team %q, class %q, priority %s is submitted than can be taken; its turn comes in %d s\n",
+				job, a.value.Node, j.Refused.Team, j.Refused.Class,
+				protocol.PriorityOf(j.Refused.Rank), j.TurnInS)
 			known = true
 		}
 	}
@@ -179,7 +193,7 @@
 	}
 }
 
-// Trace prints the steps of a job that the nodes have kept, in the order of their clocks.
+// PrintTrace prints the trace steps of a job that the nodes have kept, sorted by time.
 func Trace(out io.Writer, o Options, job string) error {
 	incomplete := &IncompleteError{}
 	var steps []tracing.Step
@@ -197,7 +211,8 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TIME\tNODE\tSTEP\tNOTE\tTERM\tEPOCH")
 	for _, s := range steps {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\n", s.At.UTC().Format("15:04:05.000"), s.Node, s.Name, s.Note, s.Term, s.Epoch)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\n",
+			s.At.UTC().Format("15:04:05.000"), s.Node, s.Name, s.Note, s.Term, s.Epoch)
 	}
 	table.Flush()
 	return incomplete.orNil()
--- a/internal/toolbox/links.go
+++ b/internal/toolbox/links.go
@@ -11,9 +11,9 @@
 	"hitchdoor/internal/reachability"
 )
 
-// Links prints which controllers hear each other, by direction, and who leads by whose word.
-// It fails if a node does not answer, the nodes contradict each other, or a link is cut one
-// way only.
+// PrintLinks prints the state of the links between all controllers, by direction, and the role of
+// each. It returns an *IncompleteError if a node does not answer, the nodes name different leaders,
+// or a link is half-open.
 func Links(out io.Writer, o Options) error {
 	answers := askAll[reachability.NodeStatus](o, "/links")
 	incomplete := &IncompleteError{}
@@ -44,8 +44,9 @@
 	return incomplete.orNil()
 }
 
-// printMatrix prints a row for each node that hears, and a column for each that is heard.
-func printMatrix(out io.Writer, nodes []string, said map[string]*reachability.NodeStatus, incomplete *IncompleteError) {
+// printLinkMatrix prints one row per receiving node and one column per sending node.
+func printMatrix(out io.Writer, nodes []string, said map[string]*reachability.NodeStatus,
+	incomplete *IncompleteError) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "HEARS\t"+strings.Join(nodes, "\t")+"\tSTATE SERVICE")
 	for _, to := range nodes {
@@ -58,7 +59,8 @@
 		cells := []string{to}
 		for _, from := range nodes {
 			cells = append(cells, cell(s, from))
-			if from < to && said[from] != nil && s.HearsNode(from) != said[from].HearsNode(to) {
+			if from < to && said[from] != nil &&
+				s.HearsNode(from) != said[from].HearsNode(to) {
 				incomplete.add("half-open: %s and %s hear each other in one direction only", from, to)
 			}
 		}
@@ -67,6 +69,7 @@
 	table.Flush()
 }
 
+// linkCell returns the matrix cell of the link from a node to the one whose status is given.
 func cell(s *reachability.NodeStatus, from string) string {
 	if s.Node == from {
 		return "-"
@@ -74,6 +77,7 @@
 	return linkWord(s.HearsNode(from))
 }
 
+// linkState returns the word for a link that works or is cut.
 func linkWord(works bool) string {
 	if works {
 		return reachability.Works.String()
@@ -81,8 +85,9 @@
 	return reachability.Cut.String()
 }
 
-// printRoles prints who leads, by whose word.
-func printRoles(out io.Writer, nodes []string, said map[string]*reachability.NodeStatus, incomplete *IncompleteError) {
+// printRoles prints which node leads, as each node sees it.
+func printRoles(out io.Writer, nodes []string, said map[string]*reachability.NodeStatus,
+	incomplete *IncompleteError) {
 	fmt.Fprintln(out)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NODE\tROLE\tTERM\tWORKERS\tSTRANDED\tSERVED")
@@ -104,7 +109,8 @@
 		case s.Pausing:
 			role = "has resigned"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%s\n", name, role, s.Term, s.Workers, s.Stranded, served)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%s\n",
+			name, role, s.Term, s.Workers, s.Stranded, served)
 		if s.Stranded > 0 {
 			incomplete.add("%s can't serve %d workers that come to it", name, s.Stranded)
 		}
@@ -115,6 +121,7 @@
 		incomplete.add("nobody leads")
 	case 1:
 	default:
-		incomplete.add("the nodes name different leaders: %s", strings.Join(slices.Sorted(maps.Keys(leaders)), ", "))
+		incomplete.add("the nodes name different leaders: %s",
+			strings.Join(slices.Sorted(maps.Keys(leaders)), ", "))
 	}
 }
--- a/internal/toolbox/recovery.go
+++ b/internal/toolbox/recovery.go
@@ -10,9 +10,10 @@
 	"hitchdoor/internal/recovery"
 )
 
-// Recovery prints how far the leader's recovery is, what it found to differ from the records, what
-// was set aside, and what is left of its budgets. It fails if a node does not answer, nodes
-// disagree on who leads, or records were set aside.
+// PrintRecovery prints the progress of the leader's recovery, the mismatches between the workers and
+// the records, the quarantined records, and the remaining rate budgets. It returns an
+// *IncompleteError if a node does not answer, the nodes name different leaders, or records are
+// quarantined.
 func Recovery(out io.Writer, o Options) error {
 	answers := askAll[recovery.NodeStatus](o, "/recovery")
 	incomplete := &IncompleteError{}
@@ -26,8 +27,10 @@
 	return incomplete.orNil()
 }
 
-// printRecoveryNodes prints a row for each node and returns the leader with the highest term.
-func printRecoveryNodes(out io.Writer, answers []answer[recovery.NodeStatus], incomplete *IncompleteError) *recovery.NodeStatus {
+// printRecoveryNodes prints one row per node and returns the leader with the highest term, nil
+// without one.
+func printRecoveryNodes(out io.Writer, answers []answer[recovery.NodeStatus],
+	incomplete *IncompleteError) *recovery.NodeStatus {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NODE\tADDRESS\tROLE\tTERM\tPHASE\tFOR")
 	var leader *recovery.NodeStatus
@@ -48,13 +51,15 @@
 		switch {
 		case s.Leads && s.Recovery != nil:
 			leaders[s.Node] = true
-			fmt.Fprintf(table, "%s\t%s\tleads\t%d\t%s\t%.1f s\n", s.Node, a.address, s.Term, s.Recovery.Phase, s.Recovery.ForS)
+			fmt.Fprintf(table, "%s\t%s\tleads\t%d\t%s\t%.1f s\n",
+				s.Node, a.address, s.Term, s.Recovery.Phase, s.Recovery.ForS)
 			if leader == nil || s.Term > leader.Term {
 				leader = s
 			}
 		case s.Follows != "":
 			leaders[s.Follows] = true
-			fmt.Fprintf(table, "%s\t%s\tfollows %s\t%d\t\t\n", s.Node, a.address, s.Follows, s.Term)
+			fmt.Fprintf(table, "%s\t%s\tfollows %s\t%d\t\t\n",
+				s.Node, a.address, s.Follows, s.Term)
 		default:
 			fmt.Fprintf(table, "%s\t%s\tfollows nobody\t\t\t\n", s.Node, a.address)
 		}
@@ -66,9 +71,11 @@
 	return leader
 }
 
+// printRecovery prints the recovery status of the leader.
 func printRecovery(out io.Writer, leader *recovery.NodeStatus) {
 	s := leader.Recovery
-	fmt.Fprintf(out, "\n%s leads for %.1f s; phase %s for %.1f s", leader.Node, s.AfterS, s.Phase, s.ForS)
+	fmt.Fprintf(out, "\n%s leads for %.1f s; phase %s for %.1f s",
+		leader.Node, s.AfterS, s.Phase, s.ForS)
 	if s.WaitsFor != "" {
 		fmt.Fprintf(out, ", which waits for %s", s.WaitsFor)
 	}
@@ -82,7 +89,8 @@
 		fmt.Fprintf(table, "%s\t%d\n", kind, s.Mismatches[kind])
 	}
 	for _, sample := range s.Samples {
-		fmt.Fprintf(table, "  %s\t%s\t%s\tafter %.1f s\n", sample.Kind, sample.Machine, sample.Subject, sample.AfterS)
+		fmt.Fprintf(table, "  %s\t%s\t%s\tafter %.1f s\n",
+			sample.Kind, sample.Machine, sample.Subject, sample.AfterS)
 	}
 	table.Flush()
 	if len(s.Budgets) == 0 {
@@ -96,7 +104,7 @@
 	table.Flush()
 }
 
-// printSetAside prints each record that some node has set aside, once.
+// printQuarantined prints the quarantined records of all nodes without duplicates.
 func printSetAside(out io.Writer, answers []answer[recovery.NodeStatus], incomplete *IncompleteError) {
 	records := map[string]recovery.Record{}
 	for _, a := range answers {
--- a/internal/toolbox/toolbox.go
+++ b/internal/toolbox/toolbox.go
@@ -1,5 +1,5 @@
-// Package toolbox asks the controllers on behalf of an operator and prints what they say. It
-// changes nothing.
+// Package adminclient implements the operators' diagnostic commands: it queries all controllers over
+// their client addresses and prints the results. It is read-only.
 package toolbox
 
 import (
@@ -15,16 +15,16 @@
 	"hitchdoor/internal/transport"
 )
 
-// maxAnswer bounds an answer of a controller.
+// maxResponseBytes bounds the body of a controller's response.
 const maxAnswer = 16 << 20
 
-// Options say whom to ask.
+// Options configure the queries.
 type Options struct {
-	Nodes   []string // client addresses, host:port
-	Timeout time.Duration
+	Nodes   []string      // client addresses of all controllers, host:port
+	Timeout time.Duration // of each query
 }
 
-// Check tells whether the options make sense.
+// Validate returns an error for invalid options.
 func (o *Options) Check() error {
 	if len(o.Nodes) == 0 {
 		return fmt.Errorf("--nodes: missing: name the client addresses of all controllers")
@@ -40,14 +40,14 @@
 	return nil
 }
 
-// answer is what a node said, or why it said nothing that can be used.
+// nodeResponse is the decoded response of a node, or the error that replaces it.
 type answer[T any] struct {
 	address string
 	value   T
 	err     error
 }
 
-// askAll asks all nodes at once.
+// queryAll queries all nodes concurrently. The responses are in the order of the addresses.
 func askAll[T any](o Options, path string) []answer[T] {
 	answers := make([]answer[T], len(o.Nodes))
 	var wait sync.WaitGroup
@@ -58,9 +58,11 @@
 	return answers
 }
 
+// queryNode queries one node.
 func ask[T any](node, path string, timeout time.Duration) answer[T] {
 	out := answer[T]{address: node}
-	client := transport.NewClient(node, transport.ClientOptions{Connections: 1, Dial: timeout, Idle: timeout, MaxBody: maxAnswer})
+	client := transport.NewClient(node, transport.ClientOptions{
+		Connections: 1, Dial: timeout, Idle: timeout, MaxBody: maxAnswer})
 	result := client.Do(coordination.Call{Method: "GET", Path: path, Timeout: timeout})
 	switch {
 	case result.Status == 0:
@@ -75,19 +77,20 @@
 	return out
 }
 
-// IncompleteError says why a report is not the whole truth.
+// IncompleteError lists the reasons why a printed result is incomplete or inconsistent.
 type IncompleteError struct{ Reasons []string }
 
+// Error returns the reasons in one line.
 func (e *IncompleteError) Error() string {
 	return "could not find out all: " + strings.Join(e.Reasons, "; ")
 }
 
-// add notes a reason.
+// addReason adds a reason.
 func (e *IncompleteError) add(format string, args ...any) {
 	e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...))
 }
 
-// orNil is the error, if there is any reason for it.
+// errorOrNil returns the error if it has any reasons, nil otherwise.
 func (e *IncompleteError) orNil() error {
 	if len(e.Reasons) == 0 {
 		return nil
