--- a/internal/coordination/spending.go
+++ b/internal/coordination/spending.go
@@ -1,32 +1,32 @@
 package coordination
 
 // costBreakdown is the machine cost of this term by use.
-type spending struct{ booting, idle, fetching, working float64 }
+type costBreakdown struct{ booting, idle, fetching, working float64 }
 
 // accountCosts adds the machine cost since the last call, divided by the use of the cores.
-func (f *fleetControl) account() {
-	now := f.l.n.now
-	hours := (now - f.accountedAt).Hours()
-	f.accountedAt = now
-	for _, m := range f.l.machines {
-		if m.kind == nil {
+func (a *autoscaler) accountCosts() {
+	now := a.leader.node.now
+	hours := (now - a.costsCountedAt).Hours()
+	a.costsCountedAt = now
+	for _, m := range a.leader.machines {
+		if m.machineType == nil {
 			continue
 		}
-		cost := m.kind.Price(m.spot) * hours
+		cost := m.machineType.Price(m.spot) * hours
 		if !m.up {
-			f.spent.booting += cost
+			a.costs.booting += cost
 			continue
 		}
-		fetching, working := 0.0, 0.0
-		for _, r := range m.runs {
-			if r.phase == phaseRunning || r.phase == phaseSaving {
-				working += r.job.spec.Cores
+		fetchingCores, runningCores := 0.0, 0.0
+		for _, r := range m.attempts {
+			if r.phase == attemptRunning || r.phase == attemptSaving {
+				runningCores += r.job.spec.Cores
 			} else {
-				fetching += r.job.spec.Cores
+				fetchingCores += r.job.spec.Cores
 			}
 		}
-		f.spent.fetching += cost * fetching / m.kind.Cores
-		f.spent.working += cost * working / m.kind.Cores
-		f.spent.idle += cost * max(0, 1-(fetching+working)/m.kind.Cores)
+		a.costs.fetching += cost * fetchingCores / m.machineType.Cores
+		a.costs.working += cost * runningCores / m.machineType.Cores
+		a.costs.idle += cost * max(0, 1-(fetchingCores+runningCores)/m.machineType.Cores)
 	}
 }
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -13,63 +13,63 @@
 // onHealth answers the health check of the load balancer. A node is unhealthy while it is
 // draining, or while it reaches neither the key-value store nor another controller and does not
 // lead.
-func (n *Node) onHealth(r Request) {
-	alone := len(n.peers) > 0 && n.peersHeard(n.lease()/4) == 0
-	if n.draining || alone && n.elect.stateDown() && !n.authority() {
-		n.reply(r.Origin, 503, 0, nil)
+func (n *Node) onHealth(request Request) {
+	isolated := len(n.peers) > 0 && n.recentPeerCount(n.workerLease()/4) == 0
+	if n.draining || isolated && n.election.storeFailing() && !n.holdsLeaderLease() {
+		n.reply(request.Origin, 503, 0, nil)
 		return
 	}
-	n.reply(r.Origin, 200, 0, health{OK: true, Build: n.build, Level: level})
+	n.reply(request.Origin, 200, 0, healthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel})
 }
 
 // healthResponse is the response body of a healthy node.
-type health struct {
-	OK    bool   `json:"ok"`
-	Build string `json:"version"`
-	Level int    `json:"level"`
+type healthResponse struct {
+	OK            bool   `json:"ok"`
+	Build         string `json:"version"`
+	ProtocolLevel int    `json:"level"`
 }
 
 // nodeStatus is the status of this node for operators.
-type status struct {
-	Node      string      `json:"node"`
-	Leads     bool        `json:"leads"`
-	Leader    string      `json:"leader,omitempty"`
-	Term      uint64      `json:"term,omitempty"`
-	StateDown bool        `json:"stateDown"`
-	UptimeS   float64     `json:"uptimeS"`
-	Build     string      `json:"version"`
-	Level     int         `json:"level"`
-	AllNew    bool        `json:"levelOfAll"`
-	Peers     []peerState `json:"peers"`
-	Leading   *leadStatus `json:"leading,omitempty"`
+type nodeStatus struct {
+	Node                 string        `json:"node"`
+	IsLeader             bool          `json:"leads"`
+	Leader               string        `json:"leader,omitempty"`
+	Term                 uint64        `json:"term,omitempty"`
+	StoreFailing         bool          `json:"stateDown"`
+	UptimeS              float64       `json:"uptimeS"`
+	Build                string        `json:"version"`
+	ProtocolLevel        int           `json:"level"`
+	ClusterSupportsLevel bool          `json:"levelOfAll"`
+	Peers                []peerStatus  `json:"peers"`
+	LeaderStatus         *leaderStatus `json:"leading,omitempty"`
 }
 
 // peerStatus is what this node knows of another controller. ProtocolLevel is 0 if the peer has
 // not announced one.
-type peerState struct {
-	Node  string `json:"node"`
-	Heard bool   `json:"heard"`
-	Level int    `json:"level"`
+type peerStatus struct {
+	Node          string `json:"node"`
+	Reachable     bool   `json:"heard"`
+	ProtocolLevel int    `json:"level"`
 }
 
 // onStatus answers with the node's status, and the leader's if this node leads.
-func (n *Node) onStatus(r Request) {
-	s := status{Node: n.cfg.Node, Leads: n.authority(), StateDown: n.elect.stateDown(),
-		UptimeS: n.now.Round(time.Millisecond).Seconds(), Build: n.build, Level: level,
-		AllNew: n.allUnderstand(level)}
-	for _, k := range n.cfg.Known {
-		p := n.peers[k.Node]
-		s.Peers = append(s.Peers, peerState{Node: p.name,
-			Heard: n.now-p.heard < n.termSpan(), Level: p.level})
+func (n *Node) onStatus(request Request) {
+	status := nodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreFailing: n.election.storeFailing(),
+		UptimeS: n.now.Round(time.Millisecond).Seconds(), Build: n.build, ProtocolLevel: protocolLevel,
+		ClusterSupportsLevel: n.clusterSupports(protocolLevel)}
+	for _, known := range n.cfg.Peers {
+		p := n.peers[known.Node]
+		status.Peers = append(status.Peers, peerStatus{Node: p.name,
+			Reachable: n.now-p.lastContact < n.leaderLease(), ProtocolLevel: p.protocolLevel})
 	}
 	if p := n.leaderPeer(); p != nil {
-		s.Leader, s.Term = p.name, p.term
+		status.Leader, status.Term = p.name, p.term
 	}
-	if s.Leads {
-		s.Leader, s.Term = n.cfg.Node, n.lead.term
-		s.Leading = n.lead.status()
+	if status.IsLeader {
+		status.Leader, status.Term = n.cfg.Node, n.leader.term
+		status.LeaderStatus = n.leader.status()
 	}
-	n.reply(r.Origin, 200, 0, s)
+	n.reply(request.Origin, 200, 0, status)
 }
 
 // metricsPage builds a page in the Prometheus text format.
@@ -82,7 +82,7 @@
 }
 
 // boolGauge adds a gauge that is 1 for true and 0 for false.
-func (p *metricsPage) flag(name, help string, value bool) {
+func (p *metricsPage) boolGauge(name, help string, value bool) {
 	if value {
 		p.gauge(name, help, 1)
 		return
@@ -91,133 +91,135 @@
 }
 
 // labelledGauge adds a gauge with one sample per value of a label; values emits the samples.
-func (p *metricsPage) labelled(name, help, label string, values func(each func(label string, value float64))) {
+func (p *metricsPage) labelledGauge(name, help, label string, values func(emit func(label string, value float64))) {
 	fmt.Fprintf(p, "# HELP hitchdoor_%s %s\n# TYPE hitchdoor_%s gauge\n", name, help, name)
-	values(func(of string, value float64) { fmt.Fprintf(p, "hitchdoor_%s{%s=%q} %g\n", name, label, of, value) })
+	values(func(labelValue string, value float64) {
+		fmt.Fprintf(p, "hitchdoor_%s{%s=%q} %g\n", name, label, labelValue, value)
+	})
 }
 
 // onMetrics answers with the node's metrics, and the leader's if this node leads.
-func (n *Node) onMetrics(r Request) {
-	p := &metricsPage{}
-	p.flag("leading", "1 on the node that leads.", n.authority())
-	p.gauge("level", "The level of records and messages that this node's version understands.", level)
-	p.flag("level_all", "1 once every node is known to have this level.", n.allUnderstand(level))
-	p.flag("state_slowed", "1 while changes are paced by the lower rate that the settings announce.",
-		n.slowed)
-	p.flag("state_down", "1 while the state service can't be reached.", n.elect.stateDown())
-	p.gauge("connections_open", "Connections of users and workers.", float64(n.connections.open))
-	p.flag("connections_full", "1 while no more workers are taken in.", n.connections.full)
-	p.gauge("workers_stranded", "Workers that came here lately and could not be served.",
-		float64(n.linkReport().Stranded))
-	p.flag("admission_policy", "1 while submissions are admitted by a policy.", n.policy.policy != nil)
-	n.recoveryMetrics(p)
-	if n.authority() {
-		n.lead.metrics(p)
+func (n *Node) onMetrics(request Request) {
+	page := &metricsPage{}
+	page.boolGauge("leading", "1 on the node that leads.", n.holdsLeaderLease())
+	page.gauge("level", "The level of records and messages that this node's version understands.", protocolLevel)
+	page.boolGauge("level_all", "1 once every node is known to have this level.", n.clusterSupports(protocolLevel))
+	page.boolGauge("state_slowed", "1 while changes are paced by the lower rate that the settings announce.",
+		n.writesThrottled)
+	page.boolGauge("state_down", "1 while the state service can't be reached.", n.election.storeFailing())
+	page.gauge("connections_open", "Connections of users and workers.", float64(n.connections.open))
+	page.boolGauge("connections_full", "1 while no more workers are taken in.", n.connections.full)
+	page.gauge("workers_stranded", "Workers that came here lately and could not be served.",
+		float64(n.connectivityReport().StrandedWorkers))
+	page.boolGauge("admission_policy", "1 while submissions are admitted by a policy.", n.admissionPolicy.current != nil)
+	n.recoveryMetrics(page)
+	if n.holdsLeaderLease() {
+		n.leader.writeMetrics(page)
 	}
-	n.reply(r.Origin, 200, 0, []byte(p.String()))
+	n.reply(request.Origin, 200, 0, []byte(page.String()))
 }
 
 // writeMetrics adds the leader's metrics to a page.
-func (l *leadership) metrics(p *metricsPage) {
+func (l *leader) writeMetrics(page *metricsPage) {
 	running, pending := 0, 0
-	for _, j := range l.runnable {
-		running += len(j.runs)
-		pending += j.pending
+	for _, j := range l.runnableJobs {
+		running += len(j.attempts)
+		pending += j.pendingTasks
 	}
-	up, held := 0, 0.0
+	machinesUp, coresHeld := 0, 0.0
 	for _, m := range l.machines {
 		if m.up {
-			up++
+			machinesUp++
 		}
-		if m.kind != nil {
-			held += m.kind.Cores
+		if m.machineType != nil {
+			coresHeld += m.machineType.Cores
 		}
 	}
-	p.gauge("term", "The leader's term.", float64(l.term))
-	p.gauge("jobs_open", "Jobs that are not over.", float64(len(l.jobs)))
-	p.gauge("jobs_waiting", "Those of them that wait for others to be done.",
-		float64(len(l.jobs)-len(l.runnable)))
-	p.gauge("tasks_active", "Tasks on machines.", float64(running))
-	p.gauge("tasks_pending", "Tasks that wait.", float64(pending))
-	p.gauge("machines", "Machines held.", float64(len(l.machines)))
-	p.gauge("machines_up", "Machines that report.", float64(up))
-	p.gauge("cores_held", "Cores of the machines held.", held)
-	p.gauge("cores_target", "Cores that the fleet aims at.", l.fleet.target)
-	p.gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.Pending()))
+	page.gauge("term", "The leader's term.", float64(l.term))
+	page.gauge("jobs_open", "Jobs that are not over.", float64(len(l.jobs)))
+	page.gauge("jobs_waiting", "Those of them that wait for others to be done.",
+		float64(len(l.jobs)-len(l.runnableJobs)))
+	page.gauge("tasks_active", "Tasks on machines.", float64(running))
+	page.gauge("tasks_pending", "Tasks that wait.", float64(pending))
+	page.gauge("machines", "Machines held.", float64(len(l.machines)))
+	page.gauge("machines_up", "Machines that report.", float64(machinesUp))
+	page.gauge("cores_held", "Cores of the machines held.", coresHeld)
+	page.gauge("cores_target", "Cores that the fleet aims at.", l.autoscaler.targetCores)
+	page.gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.PendingChanges()))
 }
 
 // leaderStatus is the part of a node's status that only a leader has.
-type leadStatus struct {
-	Loaded    bool            `json:"loaded"`
-	Accounted bool            `json:"accounted"`
-	Recovery  string          `json:"recovery"`
-	Writes    int             `json:"writesWaiting"`
-	Jobs      []jobStatus     `json:"jobs"`
-	Machines  []machineStatus `json:"machines"`
-	Target    float64         `json:"targetCores"`
+type leaderStatus struct {
+	RecordsLoaded bool            `json:"loaded"`
+	AllReconciled bool            `json:"accounted"`
+	RecoveryPhase string          `json:"recovery"`
+	PendingWrites int             `json:"writesWaiting"`
+	Jobs          []jobStatus     `json:"jobs"`
+	Machines      []machineStatus `json:"machines"`
+	TargetCores   float64         `json:"targetCores"`
 }
 
 // jobStatus is the status of one open job.
 type jobStatus struct {
-	ID      string     `json:"id"`
-	Class   string     `json:"class"`
-	Team    string     `json:"team"`
-	Done    int        `json:"done"`
-	Active  int        `json:"active"`
-	Pending int        `json:"pending"`
-	Waits   waitReason `json:"waitsFor,omitempty"`
-	AgeS    float64    `json:"ageS"`
+	ID        string     `json:"id"`
+	Class     string     `json:"class"`
+	Team      string     `json:"team"`
+	Done      int        `json:"done"`
+	Active    int        `json:"active"`
+	Pending   int        `json:"pending"`
+	BlockedBy waitReason `json:"waitsFor,omitempty"`
+	AgeS      float64    `json:"ageS"`
 }
 
 // machineStatus is the status of one machine.
 type machineStatus struct {
-	Name  string  `json:"name"`
-	Type  string  `json:"type"`
-	Zone  string  `json:"zone"`
-	Spot  bool    `json:"spot"`
-	Up    bool    `json:"up"`
-	Tasks int     `json:"tasks"`
-	Cores float64 `json:"coresUsed"`
-	Why   cause   `json:"leaving,omitempty"`
+	Name        string      `json:"name"`
+	Type        string      `json:"type"`
+	Zone        string      `json:"zone"`
+	Spot        bool        `json:"spot"`
+	Up          bool        `json:"up"`
+	Tasks       int         `json:"tasks"`
+	UsedCores   float64     `json:"coresUsed"`
+	DrainReason drainReason `json:"leaving,omitempty"`
 }
 
 // status returns the leader's status with its jobs and machines, sorted by name.
-func (l *leadership) status() *leadStatus {
-	s := &leadStatus{Loaded: l.loaded, Accounted: l.accountedAll(),
-		Recovery: l.recovery.Phase().String(),
-		Writes:   l.writer.Pending(), Target: l.fleet.target}
+func (l *leader) status() *leaderStatus {
+	status := &leaderStatus{RecordsLoaded: l.recordsLoaded, AllReconciled: l.allReconciled(),
+		RecoveryPhase: l.recovery.Phase().String(),
+		PendingWrites: l.writer.PendingChanges(), TargetCores: l.autoscaler.targetCores}
 	for _, j := range l.jobs {
-		waits := j.waits
-		if j.awaits > 0 {
-			waits = waitNeeds
+		blockedBy := j.blockedBy
+		if j.pendingDependencies > 0 {
+			blockedBy = waitDependencies
 		}
-		s.Jobs = append(s.Jobs, jobStatus{ID: j.spec.UID, Class: j.spec.Class, Team: j.spec.Team,
-			Done: j.done, Active: len(j.runs), Pending: j.pending, Waits: waits,
-			AgeS: (l.n.now - j.at).Round(time.Millisecond).Seconds()})
+		status.Jobs = append(status.Jobs, jobStatus{ID: j.spec.ID, Class: j.spec.Class, Team: j.spec.Team,
+			Done: j.doneTasks, Active: len(j.attempts), Pending: j.pendingTasks, BlockedBy: blockedBy,
+			AgeS: (l.node.now - j.acceptedAt).Round(time.Millisecond).Seconds()})
 	}
-	slices.SortFunc(s.Jobs, func(a, b jobStatus) int { return cmp.Compare(a.ID, b.ID) })
-	for _, m := range l.held() {
-		s.Machines = append(s.Machines, machineStatus{Name: m.name, Type: m.typ, Zone: m.zone,
-			Spot: m.spot, Up: m.up, Tasks: len(m.runs), Cores: m.cores, Why: m.why})
+	slices.SortFunc(status.Jobs, func(a, b jobStatus) int { return cmp.Compare(a.ID, b.ID) })
+	for _, m := range l.machinesByName() {
+		status.Machines = append(status.Machines, machineStatus{Name: m.name, Type: m.typeName, Zone: m.zone,
+			Spot: m.spot, Up: m.up, Tasks: len(m.attempts), UsedCores: m.usedCores, DrainReason: m.drainReason})
 	}
-	return s
+	return status
 }
 
 // onConnectivity answers with the links that this node sees, for the operators' link overview.
-func (n *Node) onLinks(r Request) {
-	report := n.linkReport()
-	s := reachability.NodeStatus{Node: n.cfg.Node, Leads: n.authority(), State: report.State,
-		Hears: report.Hears, Workers: report.Workers, Stranded: report.Stranded,
-		FreshMS: n.termSpan().Milliseconds(), Pausing: n.pausing()}
-	for _, k := range n.cfg.Known {
-		s.Known = append(s.Known, k.Node)
+func (n *Node) onConnectivity(request Request) {
+	report := n.connectivityReport()
+	status := reachability.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), StoreReachable: report.StoreReachable,
+		IncomingLinks: report.IncomingLinks, RecentWorkers: report.RecentWorkers, StrandedWorkers: report.StrandedWorkers,
+		LinkTimeoutMS: n.leaderLease().Milliseconds(), CandidacyPaused: n.candidacyPaused()}
+	for _, known := range n.cfg.Peers {
+		status.Peers = append(status.Peers, known.Node)
 	}
-	if leader := n.leaderPeer(); leader != nil {
-		s.Follows, s.Term = leader.name, leader.term
+	if followed := n.leaderPeer(); followed != nil {
+		status.LeaderName, status.Term = followed.name, followed.term
 	}
-	if n.lead != nil {
-		s.Term, s.Workers = n.lead.term, len(n.lead.machines)
-		s.ServedAgoS = (n.now - n.lead.servedAt).Round(time.Millisecond).Seconds()
+	if n.leader != nil {
+		status.Term, status.RecentWorkers = n.leader.term, len(n.leader.machines)
+		status.SecondsSinceServed = (n.now - n.leader.lastDelivery).Round(time.Millisecond).Seconds()
 	}
-	n.reply(r.Origin, 200, 0, s)
+	n.reply(request.Origin, 200, 0, status)
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -11,260 +11,260 @@
 )
 
 // formatUint formats an unsigned integer in decimal.
-func utoa(v uint64) string { return strconv.FormatUint(v, 10) }
+func formatUint(value uint64) string { return strconv.FormatUint(value, 10) }
 
 // queuedJobState is the state of an open job of which only the stored record is known.
-func queuedState(id string) protocol.JobState {
+func queuedJobState(jobID string) protocol.JobStatus {
 	done, running := 0, 0
-	return protocol.JobState{UID: id, State: protocol.Queued, Done: &done, Running: &running}
+	return protocol.JobStatus{ID: jobID, State: protocol.JobQueued, DoneTasks: &done, RunningTasks: &running}
 }
 
 // pendingForward is a request that was forwarded to the leader and has no response yet.
-type forward struct {
-	req   Request
-	until Instant
+type pendingForward struct {
+	request  Request
+	deadline Instant
 }
 
 // nodeRequestHandlers maps the kinds of requests that have a handler of their own. All other
 // kinds are user requests about a job.
-var ownAnswers = map[protocol.RequestKind]func(*Node, Request){
+var nodeRequestHandlers = map[protocol.RequestKind]func(*Node, Request){
 	protocol.RequestHealth:    (*Node).onHealth,
-	protocol.RequestReport:    (*Node).onReport,
+	protocol.RequestHeartbeat: (*Node).onWorkerHeartbeat,
 	protocol.RequestStatus:    (*Node).onStatus,
 	protocol.RequestMetrics:   (*Node).onMetrics,
-	protocol.RequestAdmission: (*Node).onAdmission,
-	protocol.RequestLinks:     (*Node).onLinks,
-	protocol.RequestRecovery:  (*Node).onRecovery,
+	protocol.RequestAdmission: (*Node).onAdmissionStatus,
+	protocol.RequestLinks:     (*Node).onConnectivity,
+	protocol.RequestRecovery:  (*Node).onRecoveryStatus,
 }
 
 // onRequest dispatches a request that arrived on one of this node's own connections, or that a
 // peer forwarded.
-func (n *Node) onRequest(r Request) {
-	if answer := ownAnswers[r.Kind]; answer != nil {
-		answer(n, r)
+func (n *Node) onRequest(request Request) {
+	if handler := nodeRequestHandlers[request.Kind]; handler != nil {
+		handler(n, request)
 		return
 	}
-	if f, ok := n.finals.byID[r.ID]; ok {
+	if record, ok := n.terminalJobs.byID[request.JobID]; ok {
 		// Terminal states never change, so any node may answer.
-		n.reply(r.Origin, 200, 0, finalState(r.ID, f))
+		n.reply(request.Origin, 200, 0, terminalJobState(request.JobID, record))
 		return
 	}
-	if n.authority() {
-		n.lead.onUser(r)
+	if n.holdsLeaderLease() {
+		n.leader.onUserRequest(request)
 		return
 	}
-	if r.Origin.Peer != "" {
+	if request.Origin.Peer != "" {
 		// The sender believes that this node leads. It falls back to the key-value store by itself.
-		n.unavailable(r.Origin)
+		n.replyUnavailable(request.Origin)
 		return
 	}
-	if r.Kind == protocol.RequestSubmit {
+	if request.Kind == protocol.RequestSubmit {
 		// The leader need not receive it first, because it watches the open jobs.
-		if !n.elect.stateDown() || !n.passOn(r) {
-			n.withoutLeader(r)
+		if !n.election.storeFailing() || !n.forwardSubmissionOnce(request) {
+			n.serveWithoutLeader(request)
 		}
 		return
 	}
-	if !n.askLeader(r) {
-		n.withoutLeader(r)
+	if !n.forwardToLeader(request) {
+		n.serveWithoutLeader(request)
 	}
 }
 
 // maxPendingRequests bounds the requests that are kept waiting. Each holds a connection, here or
 // at a peer.
-func (n *Node) maxWaiting() int { return n.cfg.Cluster.Resources.MaxConnections }
+func (n *Node) maxPendingRequests() int { return n.cfg.Cluster.Resources.MaxConnections }
 
 // forwardToPeer forwards a request to a peer and waits at most for the timeout.
-func (n *Node) forward(p *peer, r Request, patience time.Duration) {
-	n.nextFwd++
-	n.forwards[n.nextFwd] = &forward{req: r, until: n.now + patience}
+func (n *Node) forwardToPeer(target *peer, request Request, timeout time.Duration) {
+	n.nextForwardID++
+	n.pendingForwards[n.nextForwardID] = &pendingForward{request: request, deadline: n.now + timeout}
 	// The body is encoded anew from the parsed value, because the original may contain line
 	// breaks, which would break the framing of messages between peers.
-	m := protocol.ForwardedRequest{ID: n.nextFwd, Kind: r.Kind, Job: r.ID}
-	switch r.Kind {
+	message := protocol.ForwardedRequest{ID: n.nextForwardID, Kind: request.Kind, JobID: request.JobID}
+	switch request.Kind {
 	case protocol.RequestSubmit:
-		m.Body = storage.Encode(r.Job)
-	case protocol.RequestReport:
-		m.Body = storage.Encode(r.Report)
+		message.Body = storage.Encode(request.Job)
+	case protocol.RequestHeartbeat:
+		message.Body = storage.Encode(request.Heartbeat)
 	}
-	n.send(p.name, m)
+	n.send(target.name, message)
 }
 
 // forwardSubmissionOnce forwards a submission to the leader, at most once, if this node can't
 // write it: the key-value store may refuse one node while it serves the others.
-func (n *Node) passOn(r Request) bool {
-	if r.Origin.Peer != "" || r.passed {
+func (n *Node) forwardSubmissionOnce(request Request) bool {
+	if request.Origin.Peer != "" || request.forwarded {
 		return false
 	}
-	r.passed = true
-	return n.askLeader(r)
+	request.forwarded = true
+	return n.forwardToLeader(request)
 }
 
 // forwardToLeader forwards a user's request to the leader, if one is known. It reports whether
 // it did.
-func (n *Node) askLeader(r Request) bool {
-	p := n.leaderPeer()
-	if p == nil || len(n.forwards) >= n.maxWaiting() {
+func (n *Node) forwardToLeader(request Request) bool {
+	leaderPeer := n.leaderPeer()
+	if leaderPeer == nil || len(n.pendingForwards) >= n.maxPendingRequests() {
 		return false
 	}
-	n.forward(p, r, n.lease()/30)
+	n.forwardToPeer(leaderPeer, request, n.workerLease()/30)
 	return true
 }
 
 // expireForwards handles forwarded requests whose response did not arrive in time.
-func (n *Node) tickForwards() {
-	for id, f := range n.forwards {
-		if n.now >= f.until {
-			delete(n.forwards, id)
-			n.withoutLeader(f.req)
+func (n *Node) expireForwards() {
+	for id, pending := range n.pendingForwards {
+		if n.now >= pending.deadline {
+			delete(n.pendingForwards, id)
+			n.serveWithoutLeader(pending.request)
 		}
 	}
 }
 
 // onForwardedRequest handles a request that a peer forwarded.
-func (n *Node) onForwarded(p *peer, m protocol.ForwardedRequest) {
-	r := Request{Origin: Origin{Ticket: m.ID, Peer: p.name}, Kind: m.Kind, ID: m.Job}
+func (n *Node) onForwardedRequest(sender *peer, message protocol.ForwardedRequest) {
+	request := Request{Origin: Origin{RequestID: message.ID, Peer: sender.name}, Kind: message.Kind, JobID: message.JobID}
 	var err error
-	switch m.Kind {
+	switch message.Kind {
 	case protocol.RequestSubmit:
-		r.Job, err = protocol.ParseJob(m.Body)
-	case protocol.RequestReport:
-		r.Report, err = protocol.ParseReport(m.Body)
+		request.Job, err = protocol.ParseJob(message.Body)
+	case protocol.RequestHeartbeat:
+		request.Heartbeat, err = protocol.ParseWorkerHeartbeat(message.Body)
 	}
 	if err != nil {
-		n.unavailable(r.Origin)
+		n.replyUnavailable(request.Origin)
 		return
 	}
-	n.onRequest(r)
+	n.onRequest(request)
 }
 
 // onForwardedAnswer handles the leader's response to a forwarded request.
-func (n *Node) onAnswer(m protocol.ForwardedAnswer) {
-	f := n.forwards[m.ID]
-	if f == nil {
+func (n *Node) onForwardedAnswer(answer protocol.ForwardedResponse) {
+	pending := n.pendingForwards[answer.ID]
+	if pending == nil {
 		return
 	}
-	delete(n.forwards, m.ID)
-	if f.req.Kind == protocol.RequestReport && m.Status == 200 {
-		n.routeOf(f.req.Report.Machine).stranded = never
+	delete(n.pendingForwards, answer.ID)
+	if pending.request.Kind == protocol.RequestHeartbeat && answer.Status == 200 {
+		n.routeOf(pending.request.Heartbeat.Machine).strandedAt = never
 	}
-	if f.req.Kind == protocol.RequestReport && n.now >= f.until {
+	if pending.request.Kind == protocol.RequestHeartbeat && n.now >= pending.deadline {
 		// This process was paused, or the response was delayed on its way. The worker discards
 		// it by now.
-		n.withoutLeader(f.req)
+		n.serveWithoutLeader(pending.request)
 		return
 	}
-	if f.req.Kind != protocol.RequestReport && (m.Status == 200 || m.Status == 201) {
-		n.accepted.put(f.req.ID, true)
+	if pending.request.Kind != protocol.RequestHeartbeat && (answer.Status == 200 || answer.Status == 201) {
+		n.acceptedJobs.put(pending.request.JobID, true)
 	}
-	if m.Status == 503 && f.req.Kind != protocol.RequestReport &&
-		f.req.Kind != protocol.RequestCancel {
+	if answer.Status == 503 && pending.request.Kind != protocol.RequestHeartbeat &&
+		pending.request.Kind != protocol.RequestCancel {
 		// The leader can't answer, but the key-value store may.
-		n.withoutLeader(f.req)
+		n.serveWithoutLeader(pending.request)
 		return
 	}
-	n.reply(f.req.Origin, m.Status, m.RetryAfter, []byte(m.Body))
+	n.reply(pending.request.Origin, answer.Status, answer.RetryAfter, []byte(answer.Body))
 }
 
 // serveWithoutLeader answers what can be answered from the key-value store alone.
-func (n *Node) withoutLeader(r Request) {
-	switch r.Kind {
+func (n *Node) serveWithoutLeader(request Request) {
+	switch request.Kind {
 	case protocol.RequestSubmit:
-		n.submitDirect(r, nil)
+		n.submitToStore(request, nil)
 	case protocol.RequestQuery:
-		n.queryDirect(r, nil)
-	case protocol.RequestReport:
-		n.routeOf(r.Report.Machine).stranded = n.now
-		n.unavailable(r.Origin)
+		n.answerQueryFromStore(request, nil)
+	case protocol.RequestHeartbeat:
+		n.routeOf(request.Heartbeat.Machine).strandedAt = n.now
+		n.replyUnavailable(request.Origin)
 	default:
-		n.unavailable(r.Origin)
+		n.replyUnavailable(request.Origin)
 	}
 }
 
 // readJobRecord reads a job's stored record, open or terminal. The open record is read first,
 // because a job moves from open to terminal and never back. The callback gets ok = false if
 // the key-value store did not answer, and neither record if the job is unknown.
-func (n *Node) readJob(id string,
-	then func(ok bool, open *storage.Item, final *storage.FinalRecord)) {
-	if f, ok := n.finals.byID[id]; ok {
-		then(true, nil, &f)
+func (n *Node) readJobRecord(jobID string,
+	onRead func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord)) {
+	if record, ok := n.terminalJobs.byID[jobID]; ok {
+		onRead(true, nil, &record)
 		return
 	}
-	if n.elect.stateLost() || !n.stateBudget.take(n.now, 2) {
-		then(false, nil, nil)
+	if n.election.storeUnavailable() || !n.userReadBudget.take(n.now, 2) {
+		onRead(false, nil, nil)
 		return
 	}
-	n.stateCall("GET", "/store/"+storage.JobKey(id), nil, func(r Result) {
+	n.storeCall("GET", "/store/"+storage.JobKey(jobID), nil, func(result CallResult) {
 		var item storage.Item
-		if r.Status == 200 && json.Unmarshal(r.Body, &item) == nil {
-			n.accepted.put(id, true)
-			then(true, &item, nil)
+		if result.Status == 200 && json.Unmarshal(result.Body, &item) == nil {
+			n.acceptedJobs.put(jobID, true)
+			onRead(true, &item, nil)
 			return
 		}
-		if r.Status != 404 {
-			then(false, nil, nil)
+		if result.Status != 404 {
+			onRead(false, nil, nil)
 			return
 		}
-		n.readFinal(id, func(ok bool, final *storage.FinalRecord) { then(ok, nil, final) })
+		n.readTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) { onRead(ok, nil, terminal) })
 	})
 }
 
 // readTerminalRecord reads a job's terminal record. The callback gets nil if there is none.
-func (n *Node) readFinal(id string, then func(ok bool, final *storage.FinalRecord)) {
-	n.stateCall("GET", "/store/"+storage.FinalKey(id), nil, func(r Result) {
+func (n *Node) readTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
+	n.storeCall("GET", "/store/"+storage.TerminalKey(jobID), nil, func(result CallResult) {
 		var item storage.Item
-		if r.Status == 200 && json.Unmarshal(r.Body, &item) == nil {
-			n.finalFound(item)
+		if result.Status == 200 && json.Unmarshal(result.Body, &item) == nil {
+			n.onTerminalRecord(item)
 		}
-		final, known := n.finals.byID[id]
+		terminal, known := n.terminalJobs.byID[jobID]
 		switch {
 		case known:
-			then(true, &final)
-		case r.Status == 404:
-			then(true, nil)
+			onRead(true, &terminal)
+		case result.Status == 404:
+			onRead(true, nil)
 		default:
-			then(false, nil)
+			onRead(false, nil)
 		}
 	})
 }
 
 // answerQueryFromStore answers a query from the key-value store. asLeader is the leader on whose
 // behalf it is answered, or nil.
-func (n *Node) queryDirect(r Request, lead *leadership) {
-	if !protocol.ValidJobID(r.ID) {
-		n.reply(r.Origin, 404, 0, nil)
+func (n *Node) answerQueryFromStore(request Request, asLeader *leader) {
+	if !protocol.ValidJobID(request.JobID) {
+		n.reply(request.Origin, 404, 0, nil)
 		return
 	}
-	n.answerKnown(r, lead, noSuchJob)
+	n.answerFromStore(request, asLeader, jobNotFound)
 }
 
 // answerFromStore answers with the stored state of a job, or with ifUnknown if the key-value
 // store has no record of it. An open job is added to the state of asLeader, if that still leads
 // and holds its leader lease when the record arrives.
-func (n *Node) answerKnown(r Request, lead *leadership, otherwise denial) {
-	n.readTruth(r.ID, func(ok bool, open *storage.Item, final *storage.FinalRecord) {
+func (n *Node) answerFromStore(request Request, asLeader *leader, ifUnknown errorResponse) {
+	n.readEffectiveState(request.JobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
-		case !ok && otherwise.retryAfter == 0:
-			n.unavailable(r.Origin)
-		case !ok || (open == nil && final == nil && otherwise.retryAfter > 0):
-			n.reply(r.Origin, 503, otherwise.retryAfter, otherwise)
-		case final != nil:
-			n.reply(r.Origin, 200, 0, finalState(r.ID, *final))
-		case open != nil:
-			if lead != nil && n.lead == lead && n.authority() {
-				if j := lead.adopt(r.ID, *open); j != nil {
-					n.reply(r.Origin, 200, 0, j.state())
+		case !ok && ifUnknown.retryAfterSeconds == 0:
+			n.replyUnavailable(request.Origin)
+		case !ok || (openItem == nil && terminal == nil && ifUnknown.retryAfterSeconds > 0):
+			n.reply(request.Origin, 503, ifUnknown.retryAfterSeconds, ifUnknown)
+		case terminal != nil:
+			n.reply(request.Origin, 200, 0, terminalJobState(request.JobID, *terminal))
+		case openItem != nil:
+			if asLeader != nil && n.leader == asLeader && n.holdsLeaderLease() {
+				if j := asLeader.adoptStoredJob(request.JobID, *openItem); j != nil {
+					n.reply(request.Origin, 200, 0, j.state())
 					return
 				}
 			}
 			// The job may have ended after its record was read. Then its terminal record is cached.
-			if f, over := n.finals.byID[r.ID]; over {
-				n.reply(r.Origin, 200, 0, finalState(r.ID, f))
+			if record, isTerminal := n.terminalJobs.byID[request.JobID]; isTerminal {
+				n.reply(request.Origin, 200, 0, terminalJobState(request.JobID, record))
 				return
 			}
-			n.reply(r.Origin, 200, 0, queuedState(r.ID))
+			n.reply(request.Origin, 200, 0, queuedJobState(request.JobID))
 		default:
-			n.reply(r.Origin, otherwise.status, 0, otherwise)
+			n.reply(request.Origin, ifUnknown.status, 0, ifUnknown)
 		}
 	})
 }
--- a/internal/coordination/versions.go
+++ b/internal/coordination/versions.go
@@ -11,9 +11,9 @@
 // Protocol levels: the formats of records and messages that a version understands. Level 0 is
 // not announced. It has no dependencies between jobs and names the parts of a bitmap by number.
 const (
-	levelPipelines = 1
-	levelAdmission = 2 // admission policies
-	level          = levelAdmission
+	protocolLevelDependencies = 1
+	protocolLevelAdmission    = 2 // admission policies
+	protocolLevel             = protocolLevelAdmission
 )
 
 // protocolLevels is what a node knows of the protocol levels of all controllers. Each node
@@ -21,93 +21,93 @@
 // are used only after every configured node has written a higher level. A node that has been
 // upgraded is never downgraded, so the minimum that was read stays valid regardless of late
 // messages and late writes from earlier processes.
-type versions struct {
-	least   int     // minimum over all configured nodes
-	highest int     // maximum that any node has written
-	busy    bool    // a read or write of levels is in flight
-	at      Instant // last read of the levels
+type protocolLevels struct {
+	clusterLevel    int     // minimum over all configured nodes
+	highestSeen     int     // maximum that any node has written
+	requestInFlight bool    // a read or write of levels is in flight
+	lastRead        Instant // last read of the levels
 }
 
 // clusterSupports reports whether every configured node is known to have at least a level.
-func (n *Node) allUnderstand(level int) bool { return n.versions.least >= level }
+func (n *Node) clusterSupports(level int) bool { return n.protocolLevels.clusterLevel >= level }
 
 // tickProtocolLevels reads the levels until all nodes are known to have this node's level.
-func (n *Node) tickVersions() {
-	v := &n.versions
-	if v.least >= level || v.busy ||
-		n.now < v.at+n.lease()/probesPerLease ||
-		n.elect.stateDown() || n.elect.stateOK == never {
+func (n *Node) tickProtocolLevels() {
+	levels := &n.protocolLevels
+	if levels.clusterLevel >= protocolLevel || levels.requestInFlight ||
+		n.now < levels.lastRead+n.workerLease()/pollsPerLease ||
+		n.election.storeFailing() || n.election.storeOK == never {
 		return
 	}
-	n.readVersions()
+	n.readProtocolLevels()
 }
 
 // readProtocolLevels reads the levels of all nodes from the key-value store.
-func (n *Node) readVersions() {
-	v := &n.versions
-	v.busy, v.at = true, n.now
-	n.stateCall("GET", storage.ListPath(storage.VersionPrefix, "", pageItems), nil, func(r Result) {
-		v.busy = false
-		var page storage.Page
-		if r.Status != 200 || json.Unmarshal(r.Body, &page) != nil {
+func (n *Node) readProtocolLevels() {
+	levels := &n.protocolLevels
+	levels.requestInFlight, levels.lastRead = true, n.now
+	n.storeCall("GET", storage.ListPath(storage.VersionPrefix, "", maxPageItems), nil, func(result CallResult) {
+		levels.requestInFlight = false
+		var page storage.ListResponse
+		if result.Status != 200 || json.Unmarshal(result.Body, &page) != nil {
 			return
 		}
-		n.takeVersions(page.Items)
+		n.applyProtocolLevels(page.Items)
 	})
 }
 
 // applyProtocolLevels updates the known levels from the nodes' records. If this node's own level
 // is not stored yet, it is written first.
-func (n *Node) takeVersions(items []storage.Item) {
-	known := map[string]int{}
-	own := uint64(0)
-	for _, it := range items {
-		var rec storage.VersionRecord
-		name := strings.TrimPrefix(it.Key, storage.VersionPrefix)
-		if json.Unmarshal(it.Value, &rec) == nil {
-			known[name] = rec.Level
-			n.versions.highest = max(n.versions.highest, rec.Level)
+func (n *Node) applyProtocolLevels(items []storage.Item) {
+	levelByNode := map[string]int{}
+	ownRevision := uint64(0)
+	for _, item := range items {
+		var record storage.VersionRecord
+		name := strings.TrimPrefix(item.Key, storage.VersionPrefix)
+		if json.Unmarshal(item.Value, &record) == nil {
+			levelByNode[name] = record.Level
+			n.protocolLevels.highestSeen = max(n.protocolLevels.highestSeen, record.Level)
 		}
 		if name == n.cfg.Node {
-			own = it.Version
+			ownRevision = item.ModRevision
 		}
 	}
-	if n.versions.least >= level {
+	if n.protocolLevels.clusterLevel >= protocolLevel {
 		return
 	}
-	if known[n.cfg.Node] < level {
-		if !n.versions.busy {
-			n.writeVersion(own)
+	if levelByNode[n.cfg.Node] < protocolLevel {
+		if !n.protocolLevels.requestInFlight {
+			n.writeProtocolLevel(ownRevision)
 		}
 		return
 	}
-	least := level
-	for _, k := range n.cfg.Known {
-		least = min(least, known[k.Node])
+	clusterLevel := protocolLevel
+	for _, peer := range n.cfg.Peers {
+		clusterLevel = min(clusterLevel, levelByNode[peer.Node])
 	}
-	was := n.versions.least
-	if least <= was {
+	previousLevel := n.protocolLevels.clusterLevel
+	if clusterLevel <= previousLevel {
 		return
 	}
-	n.versions.least = least
-	n.log.Info("cluster protocol level raised", "level", least)
-	if n.lead != nil && was < levelPipelines {
-		n.lead.levelRaised()
+	n.protocolLevels.clusterLevel = clusterLevel
+	n.log.Info("cluster protocol level raised", "level", clusterLevel)
+	if n.leader != nil && previousLevel < protocolLevelDependencies {
+		n.leader.upgradeBitmapLayouts()
 	}
 }
 
 // writeProtocolLevel writes this node's level, unless its record has changed since revision: a
 // later process of the node has written it then.
-func (n *Node) writeVersion(over uint64) {
+func (n *Node) writeProtocolLevel(revision uint64) {
 	key := storage.VersionPrefix + n.cfg.Node
-	n.versions.busy = true
-	n.stateCall("POST", "/multi", storage.Txn{
-		If:     []storage.Cond{{Key: key, Version: over}},
-		Writes: []storage.Write{storage.Set(key, storage.VersionRecord{Level: level, Build: n.build})},
-	}, func(r Result) {
-		n.versions.busy = false
-		if r.Status == 200 {
-			n.versions.at = never
+	n.protocolLevels.requestInFlight = true
+	n.storeCall("POST", "/multi", storage.Txn{
+		Conditions: []storage.Condition{{Key: key, ModRevision: revision}},
+		Writes:     []storage.Write{storage.Put(key, storage.VersionRecord{Level: protocolLevel, Build: n.build})},
+	}, func(result CallResult) {
+		n.protocolLevels.requestInFlight = false
+		if result.Status == 200 {
+			n.protocolLevels.lastRead = never
 		}
 	})
 }
--- a/internal/coordination/writing.go
+++ b/internal/coordination/writing.go
@@ -10,89 +10,89 @@
 
 // sendNextTransaction sends the writer's next transaction, unless one is in flight or the write
 // budget is exhausted.
-func (l *leadership) pump() {
-	n := l.n
-	if l.probing || l.writer.InFlight() || l.writer.Pending() == 0 {
+func (l *leader) sendNextTransaction() {
+	node := l.node
+	if l.resolvingTransaction || l.writer.InFlight() || l.writer.PendingChanges() == 0 {
 		return
 	}
-	n.writeBudget.refill(n.now)
-	if t := l.writer.Next(int(n.writeBudget.level)); t != nil {
-		l.commit(t)
+	node.leaderWriteBudget.refill(node.now)
+	if txn := l.writer.NextTxn(int(node.leaderWriteBudget.tokens)); txn != nil {
+		l.sendTransaction(txn)
 	}
 }
 
 // sendTransaction sends a transaction and handles its outcome. A refusal for a conflict, or as
 // invalid, may also mean that an earlier copy with an unclear outcome was executed; then the
 // outcome is read first.
-func (l *leadership) commit(t *storage.Txn) {
-	n := l.n
-	n.writeBudget.level -= float64(l.writer.Ops())
-	n.stateCall("POST", "/multi", t, func(r Result) {
-		if n.lead != l {
+func (l *leader) sendTransaction(txn *storage.Txn) {
+	node := l.node
+	node.leaderWriteBudget.tokens -= float64(l.writer.InFlightWrites())
+	node.storeCall("POST", "/multi", txn, func(result CallResult) {
+		if node.leader != l {
 			return
 		}
-		var res storage.TxnResult
+		var txnResult storage.TxnResponse
 		switch {
-		case r.Status == 200 && json.Unmarshal(r.Body, &res) == nil:
-			l.writer.Applied(res.Revision)
-			l.pump()
-		case r.Status == 409 && l.writer.WasUnclear():
-			l.resolve(func() { n.stepDown("transaction conflict") })
-		case r.Status == 400 && l.writer.WasUnclear():
-			l.resolve(l.refused)
-		case r.Status == 400:
-			n.log.Warn("transaction rejected as invalid", "status", r.Status, "body", string(r.Body))
-			l.refused()
-		case r.Status == 409:
+		case result.Status == 200 && json.Unmarshal(result.Body, &txnResult) == nil:
+			l.writer.CompleteInFlight(txnResult.Revision)
+			l.sendNextTransaction()
+		case result.Status == 409 && l.writer.OutcomeUnknown():
+			l.resolveTransaction(func() { node.stepDown("transaction conflict") })
+		case result.Status == 400 && l.writer.OutcomeUnknown():
+			l.resolveTransaction(l.splitRefusedTransaction)
+		case result.Status == 400:
+			node.log.Warn("transaction rejected as invalid", "status", result.Status, "body", string(result.Body))
+			l.splitRefusedTransaction()
+		case result.Status == 409:
 			// Another writer changed a key that only the leader writes: this leader was
 			// replaced, or its state is stale. Either way the records must be loaded again.
-			n.log.Warn("transaction conflict", "status", r.Status, "body", string(r.Body))
-			n.stepDown("transaction conflict")
+			node.log.Warn("transaction conflict", "status", result.Status, "body", string(result.Body))
+			node.stepDown("transaction conflict")
 		default:
-			if r.Status == 0 || r.Status == 504 {
-				l.writer.Unclear()
+			if result.Status == 0 || result.Status == 504 {
+				l.writer.MarkOutcomeUnknown()
 			}
-			l.again()
+			l.retryTransaction()
 		}
 	})
 }
 
 // retryTransaction sends the current transaction again after a delay, byte for byte the same.
 // If an earlier copy was executed, or is executed late, the conditions admit only one of them.
-func (l *leadership) again() {
-	l.later(func() { l.commit(l.writer.Again()) })
+func (l *leader) retryTransaction() {
+	l.scheduleRetry(func() { l.sendTransaction(l.writer.RetryTxn()) })
 }
 
 // splitRefusedTransaction splits a transaction that the key-value store rejects as invalid into
 // smaller ones, as the store's limits may be lower than the settings say. The leader continues.
 // A unit of writes that is rejected on its own is dropped.
-func (l *leadership) refused() {
-	for _, key := range l.writer.Refused() {
-		l.n.log.Error("write rejected permanently", "key", key)
+func (l *leader) splitRefusedTransaction() {
+	for _, key := range l.writer.RejectInFlight() {
+		l.node.log.Error("write rejected permanently", "key", key)
 	}
 }
 
 // resolveTransaction determines whether a transaction with an unclear outcome was executed, by
 // reading one of its keys. It calls onNotApplied if the transaction was not executed.
-func (l *leadership) resolve(otherwise func()) {
-	n := l.n
-	l.probing = true
-	n.stateCall("GET", "/store/"+l.writer.Probe(), nil, func(r Result) {
-		if n.lead != l {
+func (l *leader) resolveTransaction(onNotApplied func()) {
+	node := l.node
+	l.resolvingTransaction = true
+	node.storeCall("GET", "/store/"+l.writer.ProbeKey(), nil, func(result CallResult) {
+		if node.leader != l {
 			return
 		}
-		l.probing = false
+		l.resolvingTransaction = false
 		var item storage.Item
 		switch {
-		case r.Status == 404 && l.writer.Matches(nil):
-			l.writer.Applied(0)
-		case r.Status == 200 && json.Unmarshal(r.Body, &item) == nil && l.writer.Matches(&item):
-			l.writer.Applied(item.Version)
-		case r.Status == 200 || r.Status == 404:
-			otherwise()
+		case result.Status == 404 && l.writer.MatchesProbe(nil):
+			l.writer.CompleteInFlight(0)
+		case result.Status == 200 && json.Unmarshal(result.Body, &item) == nil && l.writer.MatchesProbe(&item):
+			l.writer.CompleteInFlight(item.ModRevision)
+		case result.Status == 200 || result.Status == 404:
+			onNotApplied()
 		default:
-			l.later(func() { l.resolve(otherwise) })
-			l.probing = true
+			l.scheduleRetry(func() { l.resolveTransaction(onNotApplied) })
+			l.resolvingTransaction = true
 		}
 	})
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -16,11 +16,11 @@
 // Timing and extent of an emulation.
 const (
 	// leaderTimeout bounds the time until the controllers agree on a leader.
-	startWithin = 30 * time.Second
+	leaderTimeout = 30 * time.Second
 	// machinesPerFault: for each so many machines, one gets a task that no controller started,
 	// another is partitioned and a third is preempted while the controllers are down.
-	disturbedShare = 50
-	progressEvery  = 500 * time.Millisecond
+	machinesPerFault = 50
+	progressInterval = 500 * time.Millisecond
 )
 
 // ErrInterrupted is returned by Run if its context is cancelled.
@@ -29,57 +29,57 @@
 // emulation is the state of one call of Run.
 type emulation struct {
 	options     *Options
-	state       *standin.State
+	store       *standin.Store
 	fleet       *standin.Fleet
-	controllers *controllers
-	users       *users
+	controllers *controllerSet
+	load        *loadGenerator
 	sampler     sampler
 
-	began, lost, restarted time.Time
-	mismatches             recovery.Counts
+	loadStartedAt, controllersLostAt, controllersRestartedAt time.Time
+	mismatches                                               recovery.MismatchCounts
 }
 
 // Run emulates a cluster as the options say and returns what it measured. A *FailureError says that
 // the run was completed and the controllers broke a guarantee; any other error, that it could not
 // be completed or its report not be written.
-func Run(ctx context.Context, o Options) (*Report, error) {
-	if err := o.Check(); err != nil {
+func Run(ctx context.Context, options Options) (*Report, error) {
+	if err := options.Validate(); err != nil {
 		return nil, err
 	}
-	e := &emulation{options: &o}
-	e.state = standin.NewState(stateWriteRPS)
-	defer e.state.Server.Close()
-	e.fleet = standin.NewFleet(standin.FleetSettings{Report: o.Report,
-		Lease: o.Lease, Boot: o.Report,
-		Most: o.Machines + o.Machines/4, Machines: o.Machines,
-		Cores: coresPerMachine, Seed: o.Seed})
-	defer e.fleet.Close()
+	run := &emulation{options: &options}
+	run.store = standin.NewStore(storeWriteRPS)
+	defer run.store.Server.Close()
+	run.fleet = standin.NewFleet(standin.FleetSettings{HeartbeatInterval: options.HeartbeatInterval,
+		LeaseDuration: options.LeaseDuration, BootTime: options.HeartbeatInterval,
+		MaxMachines: options.Machines + options.Machines/4, InitialMachines: options.Machines,
+		CoresPerMachine: coresPerMachine, Seed: options.Seed})
+	defer run.fleet.Close()
 	var err error
-	if e.controllers, err = newControllers(&o, e.state.Server.Address(),
-		e.fleet.Server.Address()); err != nil {
+	if run.controllers, err = newControllerSet(&options, run.store.Server.Address(),
+		run.fleet.Server.Address()); err != nil {
 		return nil, err
 	}
-	defer e.controllers.close()
-	if err := e.begin(ctx); err != nil {
-		return nil, interrupted(ctx, err)
+	defer run.controllers.close()
+	if err := run.start(ctx); err != nil {
+		return nil, asInterrupted(ctx, err)
 	}
-	if err := e.play(ctx); err != nil {
-		return nil, interrupted(ctx, err)
+	if err := run.runLoad(ctx); err != nil {
+		return nil, asInterrupted(ctx, err)
 	}
-	report := e.report()
-	if o.ReportFile != "" {
-		if err := report.write(o.ReportFile); err != nil {
+	report := run.buildReport()
+	if options.ReportFile != "" {
+		if err := report.writeFile(options.ReportFile); err != nil {
 			return report, fmt.Errorf("--report: %w", err)
 		}
 	}
-	if o.Out != nil {
-		report.Summary(o.Out)
+	if options.SummaryOutput != nil {
+		report.WriteSummary(options.SummaryOutput)
 	}
 	return report, report.Failure()
 }
 
 // asInterrupted replaces an error by ErrInterrupted if the context has been cancelled.
-func interrupted(ctx context.Context, err error) error {
+func asInterrupted(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ErrInterrupted
 	}
@@ -87,22 +87,22 @@
 }
 
 // start starts the controllers and the workers and prepares the load.
-func (e *emulation) begin(ctx context.Context) error {
+func (e *emulation) start(ctx context.Context) error {
 	if err := e.controllers.startAll(); err != nil {
 		return err
 	}
-	if err := e.controllers.ready(ctx, startWithin); err != nil {
+	if err := e.controllers.waitForLeader(ctx, leaderTimeout); err != nil {
 		return err
 	}
-	users := e.controllers.users()
-	e.fleet.SetNodes(users)
-	addresses := make([]string, 0, len(users))
-	for _, one := range e.controllers.all {
-		addresses = append(addresses, one.users)
+	addressesByName := e.controllers.clientAddresses()
+	e.fleet.SetNodes(addressesByName)
+	addresses := make([]string, 0, len(addressesByName))
+	for _, member := range e.controllers.members {
+		addresses = append(addresses, member.clientAddress)
 	}
-	e.users = newUsers(e.options, e.fleet, addresses)
-	if e.options.Out != nil {
-		fmt.Fprintf(e.options.Out, "running; to look at it: hitchdoor recovery --nodes %s\n",
+	e.load = newLoadGenerator(e.options, e.fleet, addresses)
+	if e.options.SummaryOutput != nil {
+		fmt.Fprintf(e.options.SummaryOutput, "running; to look at it: hitchdoor recovery --nodes %s\n",
 			strings.Join(addresses, ","))
 	}
 	return nil
@@ -110,64 +110,64 @@
 
 // runLoad generates load for the duration of the run; meanwhile the controllers are killed and
 // started again, if the options say so.
-func (e *emulation) play(ctx context.Context) error {
-	over := make(chan struct{})
-	defer close(over)
-	go e.sampler.run(e.fleet, over)
+func (e *emulation) runLoad(ctx context.Context) error {
+	done := make(chan struct{})
+	defer close(done)
+	go e.sampler.run(e.fleet, done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	e.began = time.Now()
-	end := e.began.Add(e.options.For)
-	go e.users.submitAll(ctx, end)
-	if e.options.LoseAt > 0 {
+	e.loadStartedAt = time.Now()
+	deadline := e.loadStartedAt.Add(e.options.LoadDuration)
+	go e.load.submitJobs(ctx, deadline)
+	if e.options.LoseControllersAt > 0 {
 		if err := e.loseControllers(ctx); err != nil {
 			return err
 		}
 	}
-	if err := e.watch(ctx, end); err != nil {
+	if err := e.watchUntil(ctx, deadline); err != nil {
 		return err
 	}
-	e.say("asking about all jobs for the last time")
-	e.users.lastQuestions(ctx)
-	e.say("")
+	e.showProgress("asking about all jobs for the last time")
+	e.load.queryOpenJobs(ctx)
+	e.showProgress("")
 	return ctx.Err()
 }
 
 // loseControllers kills all controllers, injects faults and starts the controllers again.
 func (e *emulation) loseControllers(ctx context.Context) error {
-	if err := e.watch(ctx, e.began.Add(e.options.LoseAt)); err != nil {
+	if err := e.watchUntil(ctx, e.loadStartedAt.Add(e.options.LoseControllersAt)); err != nil {
 		return err
 	}
-	e.lost = time.Now()
+	e.controllersLostAt = time.Now()
 	e.controllers.killAll()
-	if !sleep(ctx, e.options.Away/2) {
+	if !sleep(ctx, e.options.ControllersAway/2) {
 		return ctx.Err()
 	}
-	silent := e.disturb()
-	if !sleep(ctx, time.Until(e.lost.Add(e.options.Away))) {
+	partitioned := e.injectFaults()
+	if !sleep(ctx, time.Until(e.controllersLostAt.Add(e.options.ControllersAway))) {
 		return ctx.Err()
 	}
-	cluster := e.options.cluster()
-	e.mismatches = mismatchesOf(e.fleet.Holdings(), readRecords(e.state, cluster.State.ValueBytes()))
-	e.restarted = time.Now()
+	cluster := e.options.clusterConfig()
+	e.mismatches = countMismatches(e.fleet.Inventories(), readStoredRecords(e.store, cluster.Store.MaxValueBytes()))
+	e.controllersRestartedAt = time.Now()
 	if err := e.controllers.startAll(); err != nil {
 		return err
 	}
 	go func() {
-		if sleep(ctx, e.options.Lease*3/2) {
-			for _, name := range silent {
-				e.fleet.Silence(name, false)
+		if sleep(ctx, e.options.LeaseDuration*3/2) {
+			for _, name := range partitioned {
+				e.fleet.SetPartitioned(name, false)
 			}
 		}
 	}()
-	return e.loseAgain(ctx)
+	return e.loseControllersAgain(ctx)
 }
 
 // loseControllersAgain kills all controllers during their recovery, as often as the options say, and
 // starts them again at once.
-func (e *emulation) loseAgain(ctx context.Context) error {
-	for _, after := range e.options.LoseAgain {
-		if err := e.watch(ctx, time.Now().Add(after)); err != nil {
+func (e *emulation) loseControllersAgain(ctx context.Context) error {
+	for _, after := range e.options.LoseAgainAfter {
+		if err := e.watchUntil(ctx, time.Now().Add(after)); err != nil {
 			return err
 		}
 		e.controllers.killAll()
@@ -180,105 +180,105 @@
 
 // injectFaults brings some machines into states that differ from the stored records. It returns the
 // names of those that it has partitioned.
-func (e *emulation) disturb() (silent []string) {
-	held := e.fleet.Holdings()
-	for i := range len(held) / disturbedShare {
-		at := i * disturbedShare
-		e.fleet.Plant(held[at].Machine, fmt.Sprintf("j-never-stored-%d/0", i), 1, time.Hour)
-		e.fleet.Silence(held[at+1].Machine, true)
-		silent = append(silent, held[at+1].Machine)
-		e.fleet.Take(held[at+2].Machine)
+func (e *emulation) injectFaults() (partitioned []string) {
+	inventories := e.fleet.Inventories()
+	for i := range len(inventories) / machinesPerFault {
+		first := i * machinesPerFault
+		e.fleet.InjectTask(inventories[first].Machine, fmt.Sprintf("j-never-stored-%d/0", i), 1, time.Hour)
+		e.fleet.SetPartitioned(inventories[first+1].Machine, true)
+		partitioned = append(partitioned, inventories[first+1].Machine)
+		e.fleet.PreemptMachine(inventories[first+2].Machine)
 	}
-	return silent
+	return partitioned
 }
 
 // watchUntil waits until a deadline and shows the progress. It fails if a controller exits.
-func (e *emulation) watch(ctx context.Context, until time.Time) error {
+func (e *emulation) watchUntil(ctx context.Context, deadline time.Time) error {
 	for {
-		if err := e.controllers.failed(); err != nil {
+		if err := e.controllers.unexpectedExit(); err != nil {
 			return err
 		}
-		jobs := e.users.jobs()
-		e.say(fmt.Sprintf("%3.0f of %.0f s: %d machines, %d tasks run, %d jobs accepted, %d finished",
-			time.Since(e.began).Seconds(), e.options.For.Seconds(),
-			e.fleet.Machines(), e.fleet.Running(), jobs.Accepted, jobs.Finished))
-		left := time.Until(until)
-		if left <= 0 {
+		jobs := e.load.jobCounts()
+		e.showProgress(fmt.Sprintf("%3.0f of %.0f s: %d machines, %d tasks run, %d jobs accepted, %d finished",
+			time.Since(e.loadStartedAt).Seconds(), e.options.LoadDuration.Seconds(),
+			e.fleet.MachineCount(), e.fleet.RunningTasks(), jobs.Accepted, jobs.Finished))
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			return nil
 		}
-		if !sleep(ctx, min(left, progressEvery)) {
+		if !sleep(ctx, min(remaining, progressInterval)) {
 			return ctx.Err()
 		}
 	}
 }
 
 // progressLineWidth is the width to which the progress line is padded.
-const lineWidth = 100
+const progressLineWidth = 100
 
 // showProgress overwrites the progress line.
-func (e *emulation) say(line string) {
-	if e.options.Progress == nil {
+func (e *emulation) showProgress(line string) {
+	if e.options.ProgressOutput == nil {
 		return
 	}
-	io.WriteString(e.options.Progress, "\r"+line+strings.Repeat(" ", max(0, lineWidth-len(line))))
+	io.WriteString(e.options.ProgressOutput, "\r"+line+strings.Repeat(" ", max(0, progressLineWidth-len(line))))
 	if line == "" {
-		io.WriteString(e.options.Progress, "\r")
+		io.WriteString(e.options.ProgressOutput, "\r")
 	}
 }
 
 // buildReport collects what was measured.
-func (e *emulation) report() *Report {
-	o := e.options
-	tally := e.fleet.Tally(o.cancelSpan() + o.Report)
-	r := &Report{Machines: o.Machines, Controllers: o.Controllers, Seed: o.Seed,
-		ForS: o.For.Seconds(), LoseAtS: o.LoseAt.Seconds(),
-		AwayS: o.Away.Seconds(), LostAgain: len(o.LoseAgain),
-		ReportS: o.Report.Seconds(), LeaseS: o.Lease.Seconds(),
-		DuplicateStarts: len(e.fleet.Twice()), StoppedWrongly: len(e.fleet.StoppedWrongly()),
-		RanCancelled: tally.RanCancelled, Jobs: e.users.jobs(),
-		Tasks: Tasks{Started: tally.Started, Finished: tally.Finished, Stopped: tally.Stopped,
-			LostByLease: tally.LostByLease, LostRunS: tally.LostRun.Seconds()},
-		Mismatches: e.mismatches.ByName(), Processes: e.controllers.usages()}
-	if o.LoseAt > 0 {
-		e.reportRecovery(r)
+func (e *emulation) buildReport() *Report {
+	options := e.options
+	totals := e.fleet.TaskTotals(options.cancelTimeout() + options.HeartbeatInterval)
+	report := &Report{Machines: options.Machines, Controllers: options.Controllers, Seed: options.Seed,
+		LoadS: options.LoadDuration.Seconds(), LoseControllersAtS: options.LoseControllersAt.Seconds(),
+		ControllersAwayS: options.ControllersAway.Seconds(), LossesDuringRecovery: len(options.LoseAgainAfter),
+		HeartbeatIntervalS: options.HeartbeatInterval.Seconds(), LeaseS: options.LeaseDuration.Seconds(),
+		DuplicateStarts: len(e.fleet.DuplicatedTasks()), WronglyStopped: len(e.fleet.WronglyStoppedTasks()),
+		CancelledOverdue: totals.CancelledOverdue, Jobs: e.load.jobCounts(),
+		Tasks: TaskCounts{Started: totals.Started, Finished: totals.Finished, Stopped: totals.Stopped,
+			LostByLease: totals.LostByLease, LostRunS: totals.LostRunTime.Seconds()},
+		Mismatches: e.mismatches.ByName(), Processes: e.controllers.processUsages()}
+	if options.LoseControllersAt > 0 {
+		e.measureRecovery(report)
 	}
-	return r
+	return report
 }
 
 // measureRecovery adds the figures of the recovery after the loss of all controllers.
-func (e *emulation) reportRecovery(r *Report) {
-	orders := e.fleet.OrdersSince(e.restarted)
-	to := time.Now()
-	usual := e.sampler.usual(e.lost)
-	if after, is := e.sampler.normalAfter(e.restarted, usual); is {
-		normal := after.Seconds()
-		r.Recovery.Normal = &normal
-		to = e.restarted.Add(max(after, window))
+func (e *emulation) measureRecovery(report *Report) {
+	operations := e.fleet.OperationsSince(e.controllersRestartedAt)
+	end := time.Now()
+	baseline := e.sampler.baseline(e.controllersLostAt)
+	if after, recovered := e.sampler.recoveryTime(e.controllersRestartedAt, baseline); recovered {
+		seconds := after.Seconds()
+		report.Recovery.BackToNormal = &seconds
+		end = e.controllersRestartedAt.Add(max(after, rateWindow))
 	}
-	for _, order := range orders {
-		if order.Kind == standin.OrderStart || order.Kind == standin.OrderStop {
-			first := order.At.Sub(e.restarted).Seconds()
-			r.Recovery.FirstOrder = &first
+	for _, operation := range operations {
+		if operation.Kind == standin.OperationStartTask || operation.Kind == standin.OperationStopTask {
+			seconds := operation.ReceivedAt.Sub(e.controllersRestartedAt).Seconds()
+			report.Recovery.FirstOperation = &seconds
 			break
 		}
 	}
-	r.Orders = ratesOf(orders, e.restarted, to)
-	rates := e.orderRates()
-	r.Orders.Limit = rates[recovery.StartTask].PerWindow() + rates[recovery.StopTask].PerWindow()
-	r.Orders.LimitByKind = map[string]float64{}
-	for order, rate := range rates {
-		r.Orders.LimitByKind[recovery.Order(order).String()] = rate.PerWindow()
+	report.Operations = countRates(operations, e.controllersRestartedAt, end)
+	rates := e.operationRates()
+	report.Operations.Limit = rates[recovery.StartTask].PerWindow() + rates[recovery.StopTask].PerWindow()
+	report.Operations.LimitByKind = map[string]float64{}
+	for operation, rate := range rates {
+		report.Operations.LimitByKind[recovery.Operation(operation).String()] = rate.PerWindow()
 	}
 }
 
 // operationRates returns the rate limits that follow from the settings and the size of the fleet.
-func (e *emulation) orderRates() recovery.Rates {
-	set, err := config.LoadSettings(e.options.Settings)
+func (e *emulation) operationRates() recovery.Rates {
+	loaded, err := config.LoadSettings(e.options.Settings)
 	if err != nil {
 		return recovery.Rates{} // not reached: Validate has loaded the same file
 	}
-	o := e.options
-	settings := recovery.Settings{Report: o.Report, Lease: o.Lease,
-		Limits: recovery.Limits{Refill: set.RecoveryRefill, Replace: set.RecoveryReplace}}
-	return settings.Rates(o.Machines, coresPerMachine*float64(o.Machines), coresPerMachine)
+	options := e.options
+	settings := recovery.Settings{HeartbeatInterval: options.HeartbeatInterval, WorkerLease: options.LeaseDuration,
+		Limits: recovery.Limits{RefillLeases: loaded.RecoveryRefillLeases, ReplaceLeases: loaded.RecoveryReplaceLeases}}
+	return settings.Rates(options.Machines, coresPerMachine*float64(options.Machines), coresPerMachine)
 }
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -21,115 +21,115 @@
 
 // Parameters of the load.
 const (
-	jobsPerSecond = 4.0 // upper bound of the mean rate
-	runReports    = 8   // mean run time of a task, in heartbeat intervals
-	leastRun      = 4 * time.Second
-	cancelOneIn   = 20 // one job in so many is cancelled by its user
-	pollEvery     = time.Second
+	maxJobsPerSecond = 4.0 // upper bound of the mean rate
+	heartbeatsPerRun = 8   // mean run time of a task, in heartbeat intervals
+	minRunTime       = 4 * time.Second
+	cancelOneIn      = 20 // one job in so many is cancelled by its user
+	pollInterval     = time.Second
 	// finalQueryTimeout is how long a job is queried at the end before it counts as forgotten.
-	graceForAnswers = 15 * time.Second
+	finalQueryTimeout = 15 * time.Second
 )
 
 // loadGenerator acts as the users: it submits jobs at a steady rate, polls their states and cancels
 // some.
-type users struct {
-	options *Options
-	fleet   *standin.Fleet
-	nodes   []string // client addresses
-	client  *http.Client
-	rng     *rand.Rand
-	wait    sync.WaitGroup // counts the goroutines that follow a job
-
-	mu        sync.Mutex
-	accepted  map[string]bool
-	ended     map[string]string // terminal states that controllers have answered, by job
-	forgotten map[string]bool   // accepted jobs that a controller has denied, or none answered for
+type loadGenerator struct {
+	options   *Options
+	fleet     *standin.Fleet
+	addresses []string // client addresses
+	client    *http.Client
+	rng       *rand.Rand
+	followers sync.WaitGroup // counts the goroutines that follow a job
+
+	mu          sync.Mutex
+	accepted    map[string]bool
+	finalStates map[string]string // terminal states that controllers have answered, by job
+	forgotten   map[string]bool   // accepted jobs that a controller has denied, or none answered for
 }
 
 // newLoadGenerator returns a load generator that sends its requests to random controllers.
-func newUsers(o *Options, fleet *standin.Fleet, nodes []string) *users {
-	return &users{options: o, fleet: fleet, nodes: nodes,
-		rng:      rand.New(rand.NewPCG(o.Seed, 1)),
+func newLoadGenerator(options *Options, fleet *standin.Fleet, addresses []string) *loadGenerator {
+	return &loadGenerator{options: options, fleet: fleet, addresses: addresses,
+		rng:      rand.New(rand.NewPCG(options.Seed, 1)),
 		client:   &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
-		accepted: map[string]bool{}, ended: map[string]string{}, forgotten: map[string]bool{}}
+		accepted: map[string]bool{}, finalStates: map[string]string{}, forgotten: map[string]bool{}}
 }
 
 // submitJobs submits jobs until the deadline. It is an open-loop load: the times between jobs are
 // exponentially distributed and don't depend on how the jobs fare.
-func (u *users) submitAll(ctx context.Context, over time.Time) {
-	run := max(leastRun, runReports*u.options.Report)
-	busy := u.options.Load * coresPerMachine * float64(u.options.Machines)
-	perSecond := min(jobsPerSecond, busy/run.Seconds()/4)
-	tasks := busy / run.Seconds() / perSecond
-	for i := 0; ; i++ {
-		pause := config.Seconds(u.rng.ExpFloat64() / perSecond)
-		if time.Now().Add(pause).After(over) || !sleep(ctx, pause) {
+func (u *loadGenerator) submitJobs(ctx context.Context, deadline time.Time) {
+	runTime := max(minRunTime, heartbeatsPerRun*u.options.HeartbeatInterval)
+	busyCores := u.options.Load * coresPerMachine * float64(u.options.Machines)
+	jobRate := min(maxJobsPerSecond, busyCores/runTime.Seconds()/4)
+	tasksPerJob := busyCores / runTime.Seconds() / jobRate
+	for number := 0; ; number++ {
+		pause := config.Seconds(u.rng.ExpFloat64() / jobRate)
+		if time.Now().Add(pause).After(deadline) || !sleep(ctx, pause) {
 			return
 		}
-		job := u.newJob(i, tasks, run)
-		cancelled := u.rng.IntN(cancelOneIn) == 0
-		cancelAfter := time.Duration(u.rng.Float64() * float64(run))
-		rng := rand.New(rand.NewPCG(u.options.Seed, uint64(i)+2))
-		u.wait.Go(func() { u.follow(ctx, job, rng, cancelled, cancelAfter) })
+		job := u.newJob(number, tasksPerJob, runTime)
+		cancels := u.rng.IntN(cancelOneIn) == 0
+		cancelAfter := time.Duration(u.rng.Float64() * float64(runTime))
+		rng := rand.New(rand.NewPCG(u.options.Seed, uint64(number)+2))
+		u.followers.Go(func() { u.followJob(ctx, job, rng, cancels, cancelAfter) })
 	}
 }
 
 // newJob returns a random job.
-func (u *users) newJob(i int, tasks float64, run time.Duration) protocol.Job {
+func (u *loadGenerator) newJob(number int, meanTasks float64, runTime time.Duration) protocol.Job {
 	priority := []string{"urgent", "standard", "standard", "low"}[u.rng.IntN(4)]
-	return protocol.Job{UID: fmt.Sprintf("j-%d-%d", u.options.Seed, i), Class: priority,
+	return protocol.Job{ID: fmt.Sprintf("j-%d-%d", u.options.Seed, number), Class: priority,
 		Team: teamName(u.rng.IntN(teamCount)), Kind: "batch", Priority: priority,
-		Tasks: max(1, int(tasks*(0.5+u.rng.Float64()))), Cores: 1, RAM: 1, Image: "i", Spot: true,
-		EstimateS: run.Seconds() * (0.5 + u.rng.Float64())}
+		TaskCount: max(1, int(meanTasks*(0.5+u.rng.Float64()))), Cores: 1, MemoryGB: 1, Image: "i", SpotAllowed: true,
+		EstimatedSeconds: runTime.Seconds() * (0.5 + u.rng.Float64())}
 }
 
 // sleep waits. It returns false at once if the context is cancelled.
-func sleep(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	}
 }
 
 // followJob submits one job and polls it until it is terminal; cancels it after a while if asked to.
-func (u *users) follow(ctx context.Context, job protocol.Job, rng *rand.Rand, cancelled bool,
+func (u *loadGenerator) followJob(ctx context.Context, job protocol.Job, rng *rand.Rand, cancels bool,
 	cancelAfter time.Duration) {
-	u.fleet.Upload(job)
-	if !u.submit(ctx, job, rng) {
+	u.fleet.UploadJob(job)
+	if !u.submitJob(ctx, job, rng) {
 		return
 	}
-	from := time.Now()
-	for sleep(ctx, pollEvery) {
-		if cancelled && time.Since(from) > cancelAfter {
-			u.fleet.CancelAsked(job.UID)
-			if u.ask(ctx, rng, http.MethodPost, "/work/"+job.UID+"/cancel", job.UID) {
+	acceptedAt := time.Now()
+	for sleep(ctx, pollInterval) {
+		if cancels && time.Since(acceptedAt) > cancelAfter {
+			u.fleet.RecordCancelRequest(job.ID)
+			if u.requestState(ctx, rng, http.MethodPost, "/work/"+job.ID+"/cancel", job.ID) {
 				return
 			}
 			continue
 		}
-		if u.ask(ctx, rng, http.MethodGet, "/work/"+job.UID, job.UID) {
+		if u.requestState(ctx, rng, http.MethodGet, "/work/"+job.ID, job.ID) {
 			return
 		}
 	}
 }
 
 // submitJob submits a job, with retries, and returns whether it was accepted.
-func (u *users) submit(ctx context.Context, job protocol.Job, rng *rand.Rand) bool {
+func (u *loadGenerator) submitJob(ctx context.Context, job protocol.Job, rng *rand.Rand) bool {
 	raw, err := json.Marshal(job)
 	if err != nil {
 		return false
 	}
-	for end := time.Now().Add(protocol.RetrySpan); time.Now().Before(end); {
-		status, _, pause := u.call(ctx, rng, http.MethodPost, "/work", raw)
+	for deadline := time.Now().Add(protocol.SubmissionRetryWindow); time.Now().Before(deadline); {
+		status, _, delay := u.sendRequest(ctx, rng, http.MethodPost, "/work", raw)
 		if status == 200 || status == 201 {
 			u.mu.Lock()
-			u.accepted[job.UID] = true
+			u.accepted[job.ID] = true
 			u.mu.Unlock()
 			return true
 		}
-		if !sleep(ctx, pause) {
+		if !sleep(ctx, delay) {
 			return false
 		}
 	}
@@ -138,9 +138,9 @@
 
 // requestState queries or cancels a job, depending on the method and the path, and returns whether
 // the job is terminal.
-func (u *users) ask(ctx context.Context, rng *rand.Rand, method, path, id string) (over bool) {
-	status, body, _ := u.call(ctx, rng, method, path, nil)
-	var state protocol.JobState
+func (u *loadGenerator) requestState(ctx context.Context, rng *rand.Rand, method, path, id string) (terminal bool) {
+	status, body, _ := u.sendRequest(ctx, rng, method, path, nil)
+	var state protocol.JobStatus
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if status == 404 {
@@ -149,11 +149,11 @@
 	if status != 200 || json.Unmarshal(body, &state) != nil {
 		return false
 	}
-	if state.State == protocol.Withdrawn {
-		u.fleet.CancelConfirmed(id)
+	if state.State == protocol.JobCancelled {
+		u.fleet.RecordCancelConfirmation(id)
 	}
-	if state.State == protocol.Done || state.State == protocol.Withdrawn {
-		u.ended[id] = state.State
+	if state.State == protocol.JobDone || state.State == protocol.JobCancelled {
+		u.finalStates[id] = state.State
 		return true
 	}
 	return false
@@ -161,10 +161,10 @@
 
 // sendRequest sends a request to a random controller. It returns status 0 without a response, and
 // the delay before a retry.
-func (u *users) call(ctx context.Context, rng *rand.Rand, method, path string,
-	body []byte) (status int, answer []byte, pause time.Duration) {
-	node := u.nodes[rng.IntN(len(u.nodes))]
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, bytes.NewReader(body))
+func (u *loadGenerator) sendRequest(ctx context.Context, rng *rand.Rand, method, path string,
+	body []byte) (status int, response []byte, retryAfter time.Duration) {
+	address := u.addresses[rng.IntN(len(u.addresses))]
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, time.Second
 	}
@@ -184,37 +184,37 @@
 
 // queryOpenJobs queries all accepted jobs that are not known to be terminal, with bounded
 // concurrency. A job that is denied, or that no controller answers for, counts as forgotten.
-func (u *users) lastQuestions(ctx context.Context) {
+func (u *loadGenerator) queryOpenJobs(ctx context.Context) {
 	u.mu.Lock()
-	var open []string
+	var openJobs []string
 	for id := range u.accepted {
-		if u.ended[id] == "" {
-			open = append(open, id)
+		if u.finalStates[id] == "" {
+			openJobs = append(openJobs, id)
 		}
 	}
 	u.mu.Unlock()
-	slices.Sort(open)
-	var wait sync.WaitGroup
-	slots := make(chan struct{}, 32)
-	for i, id := range open {
+	slices.Sort(openJobs)
+	var queries sync.WaitGroup
+	semaphore := make(chan struct{}, 32)
+	for i, id := range openJobs {
 		rng := rand.New(rand.NewPCG(u.options.Seed, uint64(i)))
-		wait.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			u.lastQuestion(ctx, rng, id)
+		queries.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			u.queryOpenJob(ctx, rng, id)
 		})
 	}
-	wait.Wait()
+	queries.Wait()
 }
 
 // queryOpenJob queries one job until it is answered or finalQueryTimeout has passed.
-func (u *users) lastQuestion(ctx context.Context, rng *rand.Rand, id string) {
-	for end := time.Now().Add(graceForAnswers); time.Now().Before(end); {
-		if status, _, _ := u.call(ctx, rng, http.MethodGet, "/work/"+id, nil); status == 200 {
-			u.ask(ctx, rng, http.MethodGet, "/work/"+id, id)
+func (u *loadGenerator) queryOpenJob(ctx context.Context, rng *rand.Rand, id string) {
+	for deadline := time.Now().Add(finalQueryTimeout); time.Now().Before(deadline); {
+		if status, _, _ := u.sendRequest(ctx, rng, http.MethodGet, "/work/"+id, nil); status == 200 {
+			u.requestState(ctx, rng, http.MethodGet, "/work/"+id, id)
 			return
 		}
-		if !sleep(ctx, pollEvery/2) {
+		if !sleep(ctx, pollInterval/2) {
 			return
 		}
 	}
@@ -224,7 +224,7 @@
 }
 
 // JobCounts counts the jobs by outcome, as the controllers have answered to the users.
-type Jobs struct {
+type JobCounts struct {
 	Accepted  int `json:"accepted"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
@@ -232,12 +232,12 @@
 }
 
 // jobCounts returns the counts so far.
-func (u *users) jobs() Jobs {
+func (u *loadGenerator) jobCounts() JobCounts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	jobs := Jobs{Accepted: len(u.accepted), Forgotten: len(u.forgotten)}
-	for _, state := range u.ended {
-		if state == protocol.Done {
+	jobs := JobCounts{Accepted: len(u.accepted), Forgotten: len(u.forgotten)}
+	for _, state := range u.finalStates {
+		if state == protocol.JobDone {
 			jobs.Finished++
 		} else {
 			jobs.Cancelled++
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -15,29 +15,29 @@
 // Report is what an emulation measured. Apart from Processes it relies on the workers and the users
 // alone, not on what the controllers say of themselves.
 type Report struct {
-	Machines    int     `json:"machines"`
-	Controllers int     `json:"controllers"`
-	Seed        uint64  `json:"seed"`
-	ForS        float64 `json:"for_s"`
-	LoseAtS     float64 `json:"lose_controllers_at_s"`
-	AwayS       float64 `json:"away_s"`
-	LostAgain   int     `json:"lost_again"` // further losses of all controllers during the recovery
-	ReportS     float64 `json:"report_every_s"`
-	LeaseS      float64 `json:"lease_s"`
+	Machines             int     `json:"machines"`
+	Controllers          int     `json:"controllers"`
+	Seed                 uint64  `json:"seed"`
+	LoadS                float64 `json:"for_s"`
+	LoseControllersAtS   float64 `json:"lose_controllers_at_s"`
+	ControllersAwayS     float64 `json:"away_s"`
+	LossesDuringRecovery int     `json:"lost_again"` // further losses of all controllers during the recovery
+	HeartbeatIntervalS   float64 `json:"report_every_s"`
+	LeaseS               float64 `json:"lease_s"`
 
-	DuplicateStarts int            `json:"duplicate_starts"`
-	StoppedWrongly  int            `json:"stopped_wrongly"`
-	RanCancelled    int            `json:"ran_cancelled"`
-	Jobs            Jobs           `json:"jobs"`
-	Tasks           Tasks          `json:"tasks"`
-	Orders          OrderRates     `json:"orders_per_second"`
-	Recovery        RecoveryTimes  `json:"recovery_s"`
-	Mismatches      map[string]int `json:"mismatches"`
-	Processes       []Usage        `json:"processes"`
+	DuplicateStarts  int            `json:"duplicate_starts"`
+	WronglyStopped   int            `json:"stopped_wrongly"`
+	CancelledOverdue int            `json:"ran_cancelled"`
+	Jobs             JobCounts      `json:"jobs"`
+	Tasks            TaskCounts     `json:"tasks"`
+	Operations       OperationRates `json:"orders_per_second"`
+	Recovery         RecoveryTimes  `json:"recovery_s"`
+	Mismatches       map[string]int `json:"mismatches"`
+	Processes        []ProcessUsage `json:"processes"`
 }
 
 // TaskCounts counts the tasks by outcome.
-type Tasks struct {
+type TaskCounts struct {
 	Started     int     `json:"started"`
 	Finished    int     `json:"finished"`
 	Stopped     int     `json:"stopped"`
@@ -48,8 +48,8 @@
 // RecoveryTimes are in seconds from the restart of the controllers; nil means that the event was not
 // observed.
 type RecoveryTimes struct {
-	FirstOrder *float64 `json:"first_order"`
-	Normal     *float64 `json:"normal"`
+	FirstOperation *float64 `json:"first_order"`
+	BackToNormal   *float64 `json:"normal"`
 }
 
 // FailureError lists the guarantees that the controllers broke during a run.
@@ -61,19 +61,19 @@
 // Failure returns a *FailureError if the report shows a broken guarantee, nil otherwise.
 func (r *Report) Failure() error {
 	var reasons []string
-	add := func(is bool, format string, args ...any) {
-		if is {
+	addReasonIf := func(failed bool, format string, args ...any) {
+		if failed {
 			reasons = append(reasons, fmt.Sprintf(format, args...))
 		}
 	}
-	add(r.DuplicateStarts > 0, "%d tasks were started while they ran elsewhere", r.DuplicateStarts)
-	add(r.RanCancelled > 0, "%d cancelled tasks went on for too long", r.RanCancelled)
-	add(r.Jobs.Forgotten > 0, "%d accepted jobs were forgotten", r.Jobs.Forgotten)
-	add(float64(r.Orders.Peak) > r.Orders.Limit && r.Orders.Limit > 0,
-		"%d orders came within a second, the limit is %.0f", r.Orders.Peak, r.Orders.Limit)
-	for _, kind := range slices.Sorted(maps.Keys(r.Orders.LimitByKind)) {
-		peak, limit := r.Orders.PeakByKind[kind], r.Orders.LimitByKind[kind]
-		add(float64(peak) > limit, "%d orders to %s came within a second, the limit is %.0f", peak, kind, limit)
+	addReasonIf(r.DuplicateStarts > 0, "%d tasks were started while they ran elsewhere", r.DuplicateStarts)
+	addReasonIf(r.CancelledOverdue > 0, "%d cancelled tasks went on for too long", r.CancelledOverdue)
+	addReasonIf(r.Jobs.Forgotten > 0, "%d accepted jobs were forgotten", r.Jobs.Forgotten)
+	addReasonIf(float64(r.Operations.Peak) > r.Operations.Limit && r.Operations.Limit > 0,
+		"%d orders came within a second, the limit is %.0f", r.Operations.Peak, r.Operations.Limit)
+	for _, kind := range slices.Sorted(maps.Keys(r.Operations.LimitByKind)) {
+		peak, limit := r.Operations.PeakByKind[kind], r.Operations.LimitByKind[kind]
+		addReasonIf(float64(peak) > limit, "%d orders to %s came within a second, the limit is %.0f", peak, kind, limit)
 	}
 	if reasons == nil {
 		return nil
@@ -82,7 +82,7 @@
 }
 
 // writeFile writes the report to a JSON file.
-func (r *Report) write(path string) error {
+func (r *Report) writeFile(path string) error {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
 		return err
@@ -91,35 +91,35 @@
 }
 
 // WriteSummary prints the report as text.
-func (r *Report) Summary(out io.Writer) {
+func (r *Report) WriteSummary(out io.Writer) {
 	fmt.Fprintf(out, "%d emulated machines, %d controllers, seed %d; users submitted jobs for %.0f s\n",
-		r.Machines, r.Controllers, r.Seed, r.ForS)
+		r.Machines, r.Controllers, r.Seed, r.LoadS)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	row := func(name, format string, args ...any) { fmt.Fprintf(table, "  "+name+"\t"+format+"\n", args...) }
-	row("jobs", "%d accepted, %d finished, %d cancelled, %d forgotten",
+	writeRow := func(name, format string, args ...any) { fmt.Fprintf(table, "  "+name+"\t"+format+"\n", args...) }
+	writeRow("jobs", "%d accepted, %d finished, %d cancelled, %d forgotten",
 		r.Jobs.Accepted, r.Jobs.Finished, r.Jobs.Cancelled, r.Jobs.Forgotten)
-	row("tasks", "%d started, %d finished, %d lost with their machines' leases",
+	writeRow("tasks", "%d started, %d finished, %d lost with their machines' leases",
 		r.Tasks.Started, r.Tasks.Finished, r.Tasks.LostByLease)
-	row("started twice at once", "%d", r.DuplicateStarts)
-	row("stopped wrongly", "%d", r.StoppedWrongly)
-	if r.LoseAtS > 0 {
-		row("all controllers lost", "after %.0f s, for %.1f s; again during the recovery: %d times",
-			r.LoseAtS, r.AwayS, r.LostAgain)
-		row("first order", "%s", seconds(r.Recovery.FirstOrder))
-		row("work back to normal", "%s", seconds(r.Recovery.Normal))
-		row("orders a second", "at most %d, limit %.0f (median %d, 99%% %d)",
-			r.Orders.Peak, r.Orders.Limit, r.Orders.P50, r.Orders.P99)
-		for _, kind := range slices.Sorted(maps.Keys(r.Orders.LimitByKind)) {
-			row("to "+kind, "at most %d, limit %.0f",
-				r.Orders.PeakByKind[kind], r.Orders.LimitByKind[kind])
+	writeRow("started twice at once", "%d", r.DuplicateStarts)
+	writeRow("stopped wrongly", "%d", r.WronglyStopped)
+	if r.LoseControllersAtS > 0 {
+		writeRow("all controllers lost", "after %.0f s, for %.1f s; again during the recovery: %d times",
+			r.LoseControllersAtS, r.ControllersAwayS, r.LossesDuringRecovery)
+		writeRow("first order", "%s", formatSeconds(r.Recovery.FirstOperation))
+		writeRow("work back to normal", "%s", formatSeconds(r.Recovery.BackToNormal))
+		writeRow("orders a second", "at most %d, limit %.0f (median %d, 99%% %d)",
+			r.Operations.Peak, r.Operations.Limit, r.Operations.P50, r.Operations.P99)
+		for _, kind := range slices.Sorted(maps.Keys(r.Operations.LimitByKind)) {
+			writeRow("to "+kind, "at most %d, limit %.0f",
+				r.Operations.PeakByKind[kind], r.Operations.LimitByKind[kind])
 		}
 		for _, kind := range slices.Sorted(maps.Keys(r.Mismatches)) {
-			row("found "+kind, "%d", r.Mismatches[kind])
+			writeRow("found "+kind, "%d", r.Mismatches[kind])
 		}
 	}
-	for _, p := range r.Processes {
-		row("controller "+p.Node, "%.0f MB at its peak, %d connections, %.1f s of processor",
-			p.PeakMB, p.Connections, p.ProcessorS)
+	for _, process := range r.Processes {
+		writeRow("controller "+process.Node, "%.0f MB at its peak, %d connections, %.1f s of processor",
+			process.PeakMemoryMB, process.Connections, process.CPUSeconds)
 	}
 	table.Flush()
 	if err := r.Failure(); err != nil {
@@ -130,9 +130,9 @@
 }
 
 // formatSeconds formats a RecoveryTimes value.
-func seconds(s *float64) string {
-	if s == nil {
+func formatSeconds(value *float64) string {
+	if value == nil {
 		return "not while it was watched"
 	}
-	return fmt.Sprintf("%.1f s after the restart", *s)
+	return fmt.Sprintf("%.1f s after the restart", *value)
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -9,124 +9,126 @@
 // Job is the planner's view of an open job whose dependencies have all finished. Instants are on
 // the caller's monotonic clock; work is in core seconds.
 type Job struct {
-	Cores   float64
-	Each    time.Duration // expected duration of a task, including the pull of its image
-	Work    float64       // of the tasks that have not ended
-	Failing bool          // only one task at a time is tried
-	Due     time.Duration // when the job should be complete
-	From    time.Duration // when its SLOs began to count
-	Reserve time.Duration // part of the SLO on starting that the plan does not count on
-	Begun   bool          // some task has started
-	Share   float64       // share of the jobs of its class that has to be in time
-	Next    []Upcoming    // jobs that depend on this one alone, once its end is near
+	CoresPerTask       float64
+	TaskDuration       time.Duration // expected duration of a task, including the pull of its image
+	RemainingWork      float64       // of the tasks that have not ended
+	FailsEverywhere    bool          // only one task at a time is tried
+	Due                time.Duration // when the job should be complete
+	EligibleAt         time.Duration // when its SLOs began to count
+	SLOReserve         time.Duration // part of the SLO on starting that the plan does not count on
+	Started            bool          // some task has started
+	MinShare           float64       // share of the jobs of its class that has to be in time
+	UpcomingDependents []UpcomingJob // jobs that depend on this one alone, once its end is near
 }
 
 // UpcomingJob is a job that will be released soon and then needs machines.
-type Upcoming struct {
-	Each time.Duration
-	Due  time.Duration // after the present, if the job started now
-	Work float64
+type UpcomingJob struct {
+	TaskDuration time.Duration
+	DueIn        time.Duration // after the present, if the job started now
+	Work         float64
 }
 
 // Demand holds what the demand for cores follows from.
 type Demand struct {
-	Now      time.Duration
-	Boot     time.Duration // of a new machine
-	Begin    time.Duration // time within which every job should start
-	Jobs     []Job
-	Forecast *Forecast // nil: nothing is planned for jobs that have not arrived
+	Now         time.Duration
+	BootTime    time.Duration // of a new machine
+	StartWithin time.Duration // time within which every job should start
+	Jobs        []Job
+	Forecast    *Forecast // nil: nothing is planned for jobs that have not arrived
 }
 
 // dueWork is work that is due after a time.
-type load struct {
-	due  time.Duration
-	work float64
+type dueWork struct {
+	dueIn       time.Duration
+	coreSeconds float64
 }
 
 const (
 	// lateRunTimeFactor is the multiple of its task duration within which the work of a late job
 	// should start.
-	lateSpan = 4
+	lateRunTimeFactor = 4
 	// bootTimeMargin is the multiple of the boot time that must be left before work is due for
 	// machines to be rented for it.
-	bootMargin = 1.25
+	bootTimeMargin = 1.25
 )
 
 // RequiredCores returns how many cores should be at work for the jobs to be in time, given that
 // heldCores are held: all work due by some moment must fit into the time until then. Jobs that are
 // late already add little, as more cores do not help them.
-func (d *Demand) Cores(held float64) float64 {
-	loads, strictShare := d.loads()
-	usable := usableTime(strictShare)
-	boot := d.Boot.Seconds()
-	slices.SortFunc(loads, func(a, b load) int { return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.work, b.work)) })
-	need, due := 0.0, 0.0
-	for _, x := range loads {
-		due += x.work
-		span := x.due.Seconds()
-		sum := due
+func (d *Demand) RequiredCores(heldCores float64) float64 {
+	loads, onTimeShare := d.loads()
+	usableFraction := usableTimeFraction(onTimeShare)
+	bootSeconds := d.BootTime.Seconds()
+	slices.SortFunc(loads, func(a, b dueWork) int {
+		return cmp.Or(cmp.Compare(a.dueIn, b.dueIn), cmp.Compare(a.coreSeconds, b.coreSeconds))
+	})
+	required, cumulativeWork := 0.0, 0.0
+	for _, load := range loads {
+		cumulativeWork += load.coreSeconds
+		spanSeconds := load.dueIn.Seconds()
+		totalWork := cumulativeWork
 		if d.Forecast != nil {
-			sum += d.Forecast.Coming(span)
+			totalWork += d.Forecast.ExpectedWork(spanSeconds)
 		}
-		need = max(need, min(held, sum/(span*usable)))
-		if short := sum - held*span*usable; short > 0 && span > bootMargin*boot {
-			need = max(need, held+short/((span-boot)*usable))
+		required = max(required, min(heldCores, totalWork/(spanSeconds*usableFraction)))
+		if shortfall := totalWork - heldCores*spanSeconds*usableFraction; shortfall > 0 && spanSeconds > bootTimeMargin*bootSeconds {
+			required = max(required, heldCores+shortfall/((spanSeconds-bootSeconds)*usableFraction))
 		}
 	}
-	return need
+	return required
 }
 
 // loads returns the work with the time after which it is due, and the mean share of it that has to
 // be in time.
-func (d *Demand) loads() (loads []load, strictShare float64) {
-	strict, whole := 0.0, 0.0
+func (d *Demand) loads() (loads []dueWork, onTimeShare float64) {
+	onTimeWork, totalWork := 0.0, 0.0
 	for i := range d.Jobs {
-		j := &d.Jobs[i]
-		work := j.Work
-		if j.Failing {
-			work = min(work, j.Each.Seconds()*j.Cores)
+		job := &d.Jobs[i]
+		work := job.RemainingWork
+		if job.FailsEverywhere {
+			work = min(work, job.TaskDuration.Seconds()*job.CoresPerTask)
 		}
-		loads = append(loads, load{due: d.span(j), work: work})
-		strict += work * j.Share
-		whole += work
-		for _, next := range j.Next {
-			loads = append(loads, load{due: max(next.Due, next.Each), work: next.Work})
+		loads = append(loads, dueWork{dueIn: d.completionSpan(job), coreSeconds: work})
+		onTimeWork += work * job.MinShare
+		totalWork += work
+		for _, upcoming := range job.UpcomingDependents {
+			loads = append(loads, dueWork{dueIn: max(upcoming.DueIn, upcoming.TaskDuration), coreSeconds: upcoming.Work})
 		}
 	}
-	return loads, strict / max(whole, 1)
+	return loads, onTimeWork / max(totalWork, 1)
 }
 
 // completionSpan returns the time within which the work of a job should be done.
-func (d *Demand) span(j *Job) time.Duration {
-	due := j.Due - d.Now
-	span := min(due-j.Reserve, j.From+d.Begin+j.Each-d.Now)
+func (d *Demand) completionSpan(job *Job) time.Duration {
+	untilDue := job.Due - d.Now
+	span := min(untilDue-job.SLOReserve, job.EligibleAt+d.StartWithin+job.TaskDuration-d.Now)
 	switch {
-	case span >= j.Each:
+	case span >= job.TaskDuration:
 		return span
-	case !j.Begun:
-		return j.Each
-	case due >= j.Each:
+	case !job.Started:
+		return job.TaskDuration
+	case untilDue >= job.TaskDuration:
 		// The reserve is used up, but the SLO can still be met. Treating the job as late would
 		// plan most of its tasks for after it is due: of a job that was started only because it
 		// had been pending for long, most tasks have yet to run.
-		return due
+		return untilDue
 	default:
-		return lateSpan * j.Each
+		return lateRunTimeFactor * job.TaskDuration
 	}
 }
 
 // Bounds of the margin that the plan adds to the machine time it counts on.
 const (
 	// relaxedShare is the share of work in time up to which there is no margin.
-	looseShare = 0.9
+	relaxedShare = 0.9
 	// maxMargin is the margin if all work has to be in time.
-	marginMost = 0.3
+	maxMargin = 0.3
 )
 
 // usableTimeFraction returns the fraction of machine time that the plan counts on if onTimeShare
 // of the work has to be in time. Tasks can be neither split nor interrupted, so a plan that counts
 // on all of the time is late for some work, and for more of it after an outage or a takeover.
 // Where the SLOs allow next to none of that, the additional machines are worth their price.
-func usableTime(share float64) float64 {
-	return 1 / (1 + max(0, (share-looseShare)/(1-looseShare))*marginMost)
+func usableTimeFraction(onTimeShare float64) float64 {
+	return 1 / (1 + max(0, (onTimeShare-relaxedShare)/(1-relaxedShare))*maxMargin)
 }
--- a/internal/fleet/option.go
+++ b/internal/fleet/option.go
@@ -11,31 +11,31 @@
 
 // Offering is what the cloud can be asked for: a machine type in a zone, spot (preemptible) or on
 // demand.
-type Option struct {
+type Offering struct {
 	Type, Zone string
 	Spot       bool
 }
 
 // FitsType reports whether a task of a job fits on an empty machine of a type.
-func FitsType(j *protocol.Job, t *protocol.MachineType) bool {
-	if len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
+func FitsType(job *protocol.Job, machineType *protocol.MachineType) bool {
+	if len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, machineType.Name) {
 		return false
 	}
-	if j.Zone != "" && len(t.Zones) > 0 && !slices.Contains(t.Zones, j.Zone) {
+	if job.Zone != "" && len(machineType.Zones) > 0 && !slices.Contains(machineType.Zones, job.Zone) {
 		return false
 	}
-	return j.Cores <= t.Cores && j.RAM <= t.RAM && j.Accelerators <= t.Accelerators
+	return job.Cores <= machineType.Cores && job.MemoryGB <= machineType.MemoryGB && job.Accelerators <= machineType.Accelerators
 }
 
 // Fits reports whether tasks of a job may run on a machine of the offering. machineType is its type,
 // or nil if that is not known.
-func (o Option) Fits(j *protocol.Job, t *protocol.MachineType) bool {
-	return t != nil && FitsType(j, t) && (j.Zone == "" || j.Zone == o.Zone) && (j.Spot || !o.Spot)
+func (o Offering) Fits(job *protocol.Job, machineType *protocol.MachineType) bool {
+	return machineType != nil && FitsType(job, machineType) && (job.Zone == "" || job.Zone == o.Zone) && (job.SpotAllowed || !o.Spot)
 }
 
 // MatchesConstraints reports whether the type, zone and spot constraints of a job allow the
 // offering, whatever its size.
-func (o Option) MayServe(j *protocol.Job) bool {
-	return (len(j.Types) == 0 || slices.Contains(j.Types, o.Type)) &&
-		(j.Zone == "" || j.Zone == o.Zone) && (j.Spot || !o.Spot)
+func (o Offering) MatchesConstraints(job *protocol.Job) bool {
+	return (len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, o.Type)) &&
+		(job.Zone == "" || job.Zone == o.Zone) && (job.SpotAllowed || !o.Spot)
 }
