--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -12,44 +12,44 @@
 
 // Machine is the planner's view of a machine that is held.
 type Machine struct {
-	Name     string
-	Option   Option
-	Type     *protocol.MachineType
-	Up       bool    // it sends heartbeats
-	Reserved bool    // capacity on it is reserved for a task
-	IdleTo   float64 // mean seconds for which a core would be idle until the machine is empty
+	Name           string
+	Offering       Offering
+	Type           *protocol.MachineType
+	Up             bool    // it sends heartbeats
+	Reserved       bool    // capacity on it is reserved for a task
+	IdleUntilEmpty float64 // mean seconds for which a core would be idle until the machine is empty
 }
 
 // pricePerCore returns the price of the machine per core.
-func (m *Machine) perCore() float64 { return m.Type.PerCore(m.Option.Spot) }
+func (m *Machine) pricePerCore() float64 { return m.Type.PricePerCore(m.Offering.Spot) }
 
 // PendingJob is a job with pending tasks.
-type Wish struct {
-	Spec    *protocol.Job
-	Pending int
+type PendingJob struct {
+	Spec         *protocol.Job
+	PendingTasks int
 }
 
 // View is the input of a plan.
 type View struct {
-	Now        time.Duration
-	Catalog    map[string]*protocol.MachineType
-	Kept       []*Machine        // held and not draining
-	Leaving    []*Machine        // draining as surplus
-	Rentals    []protocol.Rental // requested, and not answered yet
-	Demand     Demand
-	Usual      float64 // cores that are usually busy
-	UsualImage float64
-	Waiting    []Wish // in scheduling order
-	MayRent    bool
-	MayShrink  bool
+	Now             time.Duration
+	Catalog         map[string]*protocol.MachineType
+	Kept            []*Machine               // held and not draining
+	Draining        []*Machine               // draining as surplus
+	PendingRentals  []protocol.RentalRequest // requested, and not answered yet
+	Demand          Demand
+	UsualLoad       float64 // cores that are usually busy
+	MeanImageGB     float64
+	PendingJobs     []PendingJob // in scheduling order
+	ScaleOutAllowed bool
+	ScaleInAllowed  bool
 }
 
 // Plan is a capacity plan: what to do to hold the cores that are needed.
 type Plan struct {
-	Held, Demand, Target float64    // cores
-	TakeBack             []*Machine // draining machines to keep after all
-	Rent                 []Option   // offerings to rent, one entry for each machine
-	Needed, Surplus      []*Machine // kept machines that are needed, and those to drain
+	HeldCores, DemandCores, TargetCores float64    // cores
+	CancelDrain                         []*Machine // draining machines to keep after all
+	ScaleOut                            []Offering // offerings to rent, one entry for each machine
+	Needed, Surplus                     []*Machine // kept machines that are needed, and those to drain
 }
 
 // Settings are the settings of a planner.
@@ -57,179 +57,179 @@
 	Headroom float64 // spare cores, as a ratio to the usual load
 	// CostSensitivity determines how much less headroom is held on dearer machines: it is scaled
 	// by (lowest price / price) to this power.
-	PriceExponent float64
-	Lease         time.Duration // of the workers
+	CostSensitivity float64
+	Lease           time.Duration // of the workers
 }
 
 // Planner makes capacity plans. It remembers which offerings had no capacity.
 type Planner struct {
 	settings Settings
-	refused  map[Option]*refusal
+	backoffs map[Offering]*capacityBackoff
 }
 
 // capacityBackoff is the time for which an offering without capacity is left out.
-type refusal struct {
-	until time.Duration
-	times int
+type capacityBackoff struct {
+	until    time.Duration
+	refusals int
 }
 
 const (
 	// maxMachinesPerPlan bounds the machines that one plan rents.
-	maxFresh = 50
+	maxMachinesPerPlan = 50
 	// maxBackoffLeases bounds the backoff of an offering, in worker leases.
-	maxRefusals = 3
+	maxBackoffLeases = 3
 	// minMachineFraction is the fraction of a machine that must be needed for a whole one to be
 	// held.
-	wholeMachine = 0.25
+	minMachineFraction = 0.25
 )
 
 // NewPlanner returns a planner to which all offerings are available.
 func NewPlanner(settings Settings) *Planner {
-	return &Planner{settings: settings, refused: map[Option]*refusal{}}
+	return &Planner{settings: settings, backoffs: map[Offering]*capacityBackoff{}}
 }
 
 // MarkUnavailable leaves out an offering for a while, longer after each refusal.
-func (p *Planner) Refuse(o Option, now time.Duration) {
-	r := p.refused[o]
-	if r == nil {
-		r = &refusal{}
-		p.refused[o] = r
+func (p *Planner) MarkUnavailable(offering Offering, now time.Duration) {
+	backoff := p.backoffs[offering]
+	if backoff == nil {
+		backoff = &capacityBackoff{}
+		p.backoffs[offering] = backoff
 	}
-	r.times = min(r.times+1, maxRefusals)
-	r.until = now + p.settings.Lease*time.Duration(r.times)
+	backoff.refusals = min(backoff.refusals+1, maxBackoffLeases)
+	backoff.until = now + p.settings.Lease*time.Duration(backoff.refusals)
 }
 
 // MarkAvailable ends the backoff of an offering that had capacity.
-func (p *Planner) Served(o Option) { delete(p.refused, o) }
+func (p *Planner) MarkAvailable(offering Offering) { delete(p.backoffs, offering) }
 
 // Plan compares the cores held with those needed and returns what to rent, what to keep and what
 // is surplus.
-func (p *Planner) Plan(v *View) *Plan {
-	d := &draft{planner: p, view: v, plan: &Plan{}, kept: slices.Clone(v.Kept), cheapest: math.Inf(1)}
-	for _, t := range v.Catalog {
-		d.cheapest = min(d.cheapest, t.PerCore(true), t.PerCore(false))
+func (p *Planner) Plan(view *View) *Plan {
+	builder := &planBuilder{planner: p, view: view, plan: &Plan{}, kept: slices.Clone(view.Kept), lowestPricePerCore: math.Inf(1)}
+	for _, t := range view.Catalog {
+		builder.lowestPricePerCore = min(builder.lowestPricePerCore, t.PricePerCore(true), t.PricePerCore(false))
 	}
-	d.count()
-	d.plan.Demand = v.Demand.Cores(d.plan.Held)
-	d.plan.Target = max(d.plan.Demand, v.Usual*(1+p.settings.Headroom))
-	d.takeBack()
-	if v.MayRent {
-		d.rentForAll()
-		d.rentForTheUnserved()
+	builder.countHeldCores()
+	builder.plan.DemandCores = view.Demand.RequiredCores(builder.plan.HeldCores)
+	builder.plan.TargetCores = max(builder.plan.DemandCores, view.UsualLoad*(1+p.settings.Headroom))
+	builder.cancelDrains()
+	if view.ScaleOutAllowed {
+		builder.scaleOutToTarget()
+		builder.scaleOutForUnplaceableJobs()
 	}
-	if v.MayShrink {
-		d.shrink()
+	if view.ScaleInAllowed {
+		builder.scaleIn()
 	}
-	return d.plan
+	return builder.plan
 }
 
 // planBuilder is a plan that is being made.
-type draft struct {
-	planner  *Planner
-	view     *View
-	plan     *Plan
-	kept     []*Machine
-	cheapest float64 // of all offerings
+type planBuilder struct {
+	planner            *Planner
+	view               *View
+	plan               *Plan
+	kept               []*Machine
+	lowestPricePerCore float64 // of all offerings
 }
 
 // countHeldCores adds up the cores that are held or requested.
-func (d *draft) count() {
-	for _, m := range d.view.Kept {
-		d.plan.Held += m.Type.Cores
+func (b *planBuilder) countHeldCores() {
+	for _, m := range b.view.Kept {
+		b.plan.HeldCores += m.Type.Cores
 	}
-	for _, r := range d.view.Rentals {
-		if t := d.view.Catalog[r.Type]; t != nil {
-			d.plan.Held += t.Cores * float64(r.Count)
+	for _, r := range b.view.PendingRentals {
+		if t := b.view.Catalog[r.Type]; t != nil {
+			b.plan.HeldCores += t.Cores * float64(r.Count)
 		}
 	}
 }
 
 // coresWorthHolding returns the number of cores up to which machines of a price are worth holding:
 // the dearer they are, the less headroom is held on them.
-func (d *draft) worth(perCore float64) float64 {
-	s := &d.planner.settings
-	return max(d.plan.Demand, d.view.Usual*(1+s.Headroom)*math.Pow(d.cheapest/perCore, s.PriceExponent))
+func (b *planBuilder) coresWorthHolding(pricePerCore float64) float64 {
+	settings := &b.planner.settings
+	return max(b.plan.DemandCores, b.view.UsualLoad*(1+settings.Headroom)*math.Pow(b.lowestPricePerCore/pricePerCore, settings.CostSensitivity))
 }
 
 // cancelDrains keeps draining machines that are needed, before anything is rented, the cheapest
 // first.
-func (d *draft) takeBack() {
-	leaving := slices.Clone(d.view.Leaving)
-	slices.SortStableFunc(leaving, func(a, b *Machine) int { return cmp.Compare(a.perCore(), b.perCore()) })
-	for _, m := range leaving {
-		if d.plan.Held+m.Type.Cores/2 > d.worth(m.perCore()) {
+func (b *planBuilder) cancelDrains() {
+	draining := slices.Clone(b.view.Draining)
+	slices.SortStableFunc(draining, func(a, b *Machine) int { return cmp.Compare(a.pricePerCore(), b.pricePerCore()) })
+	for _, m := range draining {
+		if b.plan.HeldCores+m.Type.Cores/2 > b.coresWorthHolding(m.pricePerCore()) {
 			continue
 		}
-		d.plan.TakeBack = append(d.plan.TakeBack, m)
-		d.plan.Held += m.Type.Cores
-		d.kept = append(d.kept, m)
+		b.plan.CancelDrain = append(b.plan.CancelDrain, m)
+		b.plan.HeldCores += m.Type.Cores
+		b.kept = append(b.kept, m)
 	}
 }
 
 // scaleOutToTarget rents machines up to the target.
-func (d *draft) rentForAll() {
-	for len(d.plan.Rent) < maxFresh && d.plan.Held < d.plan.Target {
-		option, t := d.choose(nil, d.plan.Target-d.plan.Held)
-		if t == nil || d.worth(t.PerCore(option.Spot))-d.plan.Held <= t.Cores*wholeMachine { // as in scaleIn
+func (b *planBuilder) scaleOutToTarget() {
+	for len(b.plan.ScaleOut) < maxMachinesPerPlan && b.plan.HeldCores < b.plan.TargetCores {
+		offering, machineType := b.chooseOffering(nil, b.plan.TargetCores-b.plan.HeldCores)
+		if machineType == nil || b.coresWorthHolding(machineType.PricePerCore(offering.Spot))-b.plan.HeldCores <= machineType.Cores*minMachineFraction { // as in scaleIn
 			return
 		}
-		d.plan.Rent = append(d.plan.Rent, option)
-		d.plan.Held += t.Cores
+		b.plan.ScaleOut = append(b.plan.ScaleOut, offering)
+		b.plan.HeldCores += machineType.Cores
 	}
 }
 
 // scaleOutForUnplaceableJobs rents machines for the jobs that fit on none that is held or
 // requested.
-func (d *draft) rentForTheUnserved() {
-	for _, w := range d.view.Waiting {
-		if len(d.plan.Rent) >= maxFresh {
+func (b *planBuilder) scaleOutForUnplaceableJobs() {
+	for _, pending := range b.view.PendingJobs {
+		if len(b.plan.ScaleOut) >= maxMachinesPerPlan {
 			return
 		}
-		if d.served(w.Spec) {
+		if b.placeable(pending.Spec) {
 			continue
 		}
-		if option, t := d.choose(w.Spec, w.Spec.Cores*float64(w.Pending)); t != nil {
-			d.plan.Rent = append(d.plan.Rent, option)
-			d.plan.Held += t.Cores
+		if offering, machineType := b.chooseOffering(pending.Spec, pending.Spec.Cores*float64(pending.PendingTasks)); machineType != nil {
+			b.plan.ScaleOut = append(b.plan.ScaleOut, offering)
+			b.plan.HeldCores += machineType.Cores
 		}
 	}
 }
 
 // placeable reports whether a job fits on a machine that is held, requested, or about to be.
-func (d *draft) served(j *protocol.Job) bool {
-	for _, m := range d.kept {
-		if m.Option.Fits(j, m.Type) {
+func (b *planBuilder) placeable(job *protocol.Job) bool {
+	for _, m := range b.kept {
+		if m.Offering.Fits(job, m.Type) {
 			return true
 		}
 	}
-	fits := func(o Option) bool { return o.Fits(j, d.view.Catalog[o.Type]) }
-	for _, r := range d.view.Rentals {
-		if fits(Option{r.Type, r.Zone, r.Spot}) {
+	fits := func(offering Offering) bool { return offering.Fits(job, b.view.Catalog[offering.Type]) }
+	for _, rental := range b.view.PendingRentals {
+		if fits(Offering{rental.Type, rental.Zone, rental.Spot}) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(d.plan.Rent, fits)
+	return slices.ContainsFunc(b.plan.ScaleOut, fits)
 }
 
 // chooseOffering returns the offering with the lowest cost per used core, for one job, or for any
 // if the job is nil. The machine type is nil if no offering is available.
-func (d *draft) choose(j *protocol.Job, cores float64) (Option, *protocol.MachineType) {
-	var best Option
+func (b *planBuilder) chooseOffering(job *protocol.Job, cores float64) (Offering, *protocol.MachineType) {
+	var best Offering
 	var bestType *protocol.MachineType
 	bestCost := math.Inf(1)
-	for _, name := range slices.Sorted(maps.Keys(d.view.Catalog)) {
-		t := d.view.Catalog[name]
-		for _, zone := range t.Zones {
+	for _, name := range slices.Sorted(maps.Keys(b.view.Catalog)) {
+		machineType := b.view.Catalog[name]
+		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
-				option := Option{t.Name, zone, spot}
-				if r := d.planner.refused[option]; r != nil && d.view.Now < r.until {
+				offering := Offering{machineType.Name, zone, spot}
+				if backoff := b.planner.backoffs[offering]; backoff != nil && b.view.Now < backoff.until {
 					continue
 				}
-				if j != nil && !option.Fits(j, t) {
+				if job != nil && !offering.Fits(job, machineType) {
 					continue
 				}
-				if cost := d.cost(t, spot, cores); cost < bestCost {
-					best, bestType, bestCost = option, t, cost
+				if cost := b.costPerUsedCore(machineType, spot, cores); cost < bestCost {
+					best, bestType, bestCost = offering, machineType, cost
 				}
 			}
 		}
@@ -239,25 +239,25 @@
 
 // costPerUsedCore returns the price of each core that would be used. It includes the time in which
 // the machine boots and pulls its first image, which costs money while work waits.
-func (d *draft) cost(t *protocol.MachineType, spot bool, cores float64) float64 {
-	idle := t.ReadyS + d.view.UsualImage/t.PullGBPerS
-	span := levelSpan * d.planner.settings.Lease.Seconds()
-	return t.Price(spot) * (1 + idle/span) / min(t.Cores, max(cores, 1))
+func (b *planBuilder) costPerUsedCore(machineType *protocol.MachineType, spot bool, cores float64) float64 {
+	idleSeconds := machineType.BootSeconds + b.view.MeanImageGB/machineType.PullGBPerSecond
+	windowSeconds := windowLeases * b.planner.settings.Lease.Seconds()
+	return machineType.Price(spot) * (1 + idleSeconds/windowSeconds) / min(machineType.Cores, max(cores, 1))
 }
 
 // scaleIn selects surplus machines: the dearest first, and of equal ones those with the least idle
 // time until they are empty.
-func (d *draft) shrink() {
-	slices.SortStableFunc(d.kept, func(a, b *Machine) int {
-		return cmp.Or(cmp.Compare(b.perCore(), a.perCore()), cmp.Compare(a.IdleTo, b.IdleTo))
+func (b *planBuilder) scaleIn() {
+	slices.SortStableFunc(b.kept, func(a, b *Machine) int {
+		return cmp.Or(cmp.Compare(b.pricePerCore(), a.pricePerCore()), cmp.Compare(a.IdleUntilEmpty, b.IdleUntilEmpty))
 	})
-	held := d.plan.Held
-	for _, m := range d.kept {
-		if held-m.Type.Cores < d.worth(m.perCore())-m.Type.Cores*wholeMachine || !m.Up || m.Reserved {
-			d.plan.Needed = append(d.plan.Needed, m)
+	heldCores := b.plan.HeldCores
+	for _, m := range b.kept {
+		if heldCores-m.Type.Cores < b.coresWorthHolding(m.pricePerCore())-m.Type.Cores*minMachineFraction || !m.Up || m.Reserved {
+			b.plan.Needed = append(b.plan.Needed, m)
 			continue
 		}
-		held -= m.Type.Cores
-		d.plan.Surplus = append(d.plan.Surplus, m)
+		heldCores -= m.Type.Cores
+		b.plan.Surplus = append(b.plan.Surplus, m)
 	}
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -9,17 +9,17 @@
 )
 
 // CloudResponseError reports why a response can't come from the cloud.
-type CloudError struct {
+type CloudResponseError struct {
 	Call   string // method and path
 	Reason string
 }
 
 // Error implements error.
-func (e *CloudError) Error() string { return e.Call + ": " + e.Reason }
+func (e *CloudResponseError) Error() string { return e.Call + ": " + e.Reason }
 
 // CheckCloudResponse validates a response of the cloud with status 200. A truncated or
 // inconsistent body returns a *CloudResponseError; the caller must treat the call as unanswered.
-func CheckCloudAnswer(method, path string, status int, body []byte) error {
+func CheckCloudResponse(method, path string, status int, body []byte) error {
 	if status != 200 {
 		return nil
 	}
@@ -28,27 +28,27 @@
 	case path == "/catalog":
 		reason = checkCatalog(body)
 	case path == "/hosts" && method == "POST":
-		reason = checkNames(body)
+		reason = checkMachineNames(body)
 	case strings.HasPrefix(path, "/hosts?"):
-		reason = checkHosts(path, body)
+		reason = checkHostPage(path, body)
 	}
 	if reason == "" {
 		return nil
 	}
-	return &CloudError{Call: method + " " + path, Reason: reason}
+	return &CloudResponseError{Call: method + " " + path, Reason: reason}
 }
 
 // checkCatalog returns what is wrong with a catalogue, or "".
 func checkCatalog(body []byte) string {
 	var catalog Catalog
-	if json.Unmarshal(body, &catalog) != nil || len(catalog.Usable()) == 0 {
+	if json.Unmarshal(body, &catalog) != nil || len(catalog.UsableTypes()) == 0 {
 		return "no machine type that can be used"
 	}
 	return ""
 }
 
 // checkMachineNames returns what is wrong with the response to a rental, or "".
-func checkNames(body []byte) string {
+func checkMachineNames(body []byte) string {
 	var names MachineNames
 	if json.Unmarshal(body, &names) != nil {
 		return "not a list of machines"
@@ -64,9 +64,9 @@
 // checkHostPage returns what is wrong with a page of the machine list, or "". Machines must be
 // in strictly increasing order after the page's start: a page that does not advance would make
 // the caller request it forever.
-func checkHosts(path string, body []byte) string {
-	var list HostList
-	if json.Unmarshal(body, &list) != nil {
+func checkHostPage(path string, body []byte) string {
+	var page HostPage
+	if json.Unmarshal(body, &page) != nil {
 		return "not a list of machines"
 	}
 	_, query, _ := strings.Cut(path, "?")
@@ -74,14 +74,14 @@
 	if err != nil {
 		return err.Error()
 	}
-	last := values.Get("since")
-	for _, host := range list.Machines {
-		if host.UID <= last {
-			return fmt.Sprintf("machine %q after %q", host.UID, last)
+	previous := values.Get("since")
+	for _, host := range page.Machines {
+		if host.Name <= previous {
+			return fmt.Sprintf("machine %q after %q", host.Name, previous)
 		}
-		last = host.UID
+		previous = host.Name
 	}
-	if list.Truncated && len(list.Machines) == 0 {
+	if page.Truncated && len(page.Machines) == 0 {
 		return "cut off before the first machine"
 	}
 	return ""
@@ -90,22 +90,22 @@
 // Lower bounds of what a catalogue states. Prices and fetch rates are used as divisors, so a
 // zero would make every comparison between machine types meaningless.
 const (
-	leastPrice   = 1e-6
-	leastPullGBs = 1e-3
+	minPrice           = 1e-6
+	minPullGBPerSecond = 1e-3
 )
 
 // UsableTypes returns the machine types that can hold a task, with prices, rates and sizes
 // raised to their lower bounds.
-func (c *Catalog) Usable() []MachineType {
+func (c *Catalog) UsableTypes() []MachineType {
 	var usable []MachineType
-	for _, t := range c.Types {
-		if t.Name == "" || !(t.Cores > 0) || !(t.RAM > 0) || t.Accelerators < 0 {
+	for _, machineType := range c.Types {
+		if machineType.Name == "" || !(machineType.Cores > 0) || !(machineType.MemoryGB > 0) || machineType.Accelerators < 0 {
 			continue
 		}
-		t.Rate, t.SpotRate = max(t.Rate, leastPrice), max(t.SpotRate, leastPrice)
-		t.PullGBPerS = max(t.PullGBPerS, leastPullGBs)
-		t.CacheGB, t.ReadyS = max(t.CacheGB, 0), max(t.ReadyS, 0)
-		usable = append(usable, t)
+		machineType.OnDemandPrice, machineType.SpotPrice = max(machineType.OnDemandPrice, minPrice), max(machineType.SpotPrice, minPrice)
+		machineType.PullGBPerSecond = max(machineType.PullGBPerSecond, minPullGBPerSecond)
+		machineType.ImageCacheGB, machineType.BootSeconds = max(machineType.ImageCacheGB, 0), max(machineType.BootSeconds, 0)
+		usable = append(usable, machineType)
 	}
 	return usable
 }
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -13,32 +13,32 @@
 // LeaseGrant, VoteRequest, Vote, ForwardedRequest, ForwardedResponse or AdmissionLoad.
 type PeerMessage interface {
 	// toWire returns the wire form of the message.
-	line() peerLine
+	toWire() wirePeerMessage
 }
 
 // PeerHeartbeat is sent periodically by each controller to each other controller. It carries the
 // sender's role, capacity and connectivity.
-type Heartbeat struct {
-	Term       uint64        // leader term, if the sender leads
-	Leads      bool          // the sender holds the leader lease
-	WantsGrant bool          // the leader can't renew its lease and requests lease grants
-	Sent       time.Duration // by the sender's clock
-	Uptime     time.Duration // of the sender's process
-	Process    uint64        // distinguishes the sender's process from earlier ones of the same node
-	Heard      uint64        // the receiver's process from which the sender last received a heartbeat
-	Level      int           // level of records and messages that the sender understands
-	Slowed     bool          // the sender's rate of writes is throttled
-	Full       bool          // the sender has no connections left for more workers
-	Room       int           // how many more workers the sender accepts; 0: not stated
-	Links      *LinkReport   // the sender's view of the links; nil: not stated
-	Policy     uint64        // revision of the latest admission policy that the sender knows
+type PeerHeartbeat struct {
+	Term              uint64        // leader term, if the sender leads
+	IsLeader          bool          // the sender holds the leader lease
+	WantsLeaseGrant   bool          // the leader can't renew its lease and requests lease grants
+	SentAt            time.Duration // by the sender's clock
+	Uptime            time.Duration // of the sender's process
+	ProcessID         uint64        // distinguishes the sender's process from earlier ones of the same node
+	ReceiverProcessID uint64        // the receiver's process from which the sender last received a heartbeat
+	VersionLevel      int           // level of records and messages that the sender understands
+	WritesThrottled   bool          // the sender's rate of writes is throttled
+	ConnectionsFull   bool          // the sender has no connections left for more workers
+	SpareConnections  int           // how many more workers the sender accepts; 0: not stated
+	Links             *LinkReport   // the sender's view of the links; nil: not stated
+	PolicyRevision    uint64        // revision of the latest admission policy that the sender knows
 }
 
 // LeaseGrant is the response to a heartbeat that requests it: for the duration of a leader lease
 // the sender neither becomes a candidate nor votes.
 type LeaseGrant struct {
-	Term uint64
-	Sent time.Duration // when the heartbeat was sent, by its sender's clock
+	Term            uint64
+	HeartbeatSentAt time.Duration // when the heartbeat was sent, by its sender's clock
 }
 
 // VoteRequest requests a vote for the candidate's term.
@@ -57,13 +57,13 @@
 
 // Kinds of requests. Only the first four are forwarded to the leader.
 const (
-	RequestSubmit  RequestKind = "submit"
-	RequestQuery   RequestKind = "query"
-	RequestCancel  RequestKind = "cancel"
-	RequestReport  RequestKind = "report"
-	RequestStatus  RequestKind = "status"
-	RequestHealth  RequestKind = "health"
-	RequestMetrics RequestKind = "metrics"
+	RequestSubmit    RequestKind = "submit"
+	RequestQuery     RequestKind = "query"
+	RequestCancel    RequestKind = "cancel"
+	RequestHeartbeat RequestKind = "report"
+	RequestStatus    RequestKind = "status"
+	RequestHealth    RequestKind = "health"
+	RequestMetrics   RequestKind = "metrics"
 	// RequestAdmission reads the admission policy that a node applies.
 	RequestAdmission RequestKind = "admission"
 	// RequestLinks reads a node's view of the links between controllers.
@@ -74,14 +74,14 @@
 
 // ForwardedRequest is a request that a follower forwards to the leader.
 type ForwardedRequest struct {
-	ID   uint64
-	Kind RequestKind
-	Job  string          // empty in a worker's heartbeat
-	Body json.RawMessage // the submission or the worker's heartbeat
+	ID    uint64
+	Kind  RequestKind
+	JobID string          // empty in a worker's heartbeat
+	Body  json.RawMessage // the submission or the worker's heartbeat
 }
 
 // ForwardedResponse is the leader's response to the ForwardedRequest with the same ID.
-type ForwardedAnswer struct {
+type ForwardedResponse struct {
 	ID         uint64
 	Status     int
 	RetryAfter int // in seconds; 0: not stated
@@ -93,161 +93,165 @@
 
 // GroupLoad counts the rejected submissions of one group of jobs.
 type GroupLoad struct {
-	Team       string `json:"team"`
-	Class      string `json:"class"`
-	Rank       int    `json:"rank"`
-	TurnedAway int    `json:"away,omitempty"`    // admitted by the policy, rejected for lack of capacity
-	Refused    int    `json:"refused,omitempty"` // attempts rejected by the policy
+	Team                string `json:"team"`
+	Class               string `json:"class"`
+	PriorityRank        int    `json:"rank"`
+	RejectedForCapacity int    `json:"away,omitempty"`    // admitted by the policy, rejected for lack of capacity
+	RejectedByPolicy    int    `json:"refused,omitempty"` // attempts rejected by the policy
 }
 
 // AdmissionLoad reports to the leader the submissions that the sender has rejected since its
 // previous AdmissionLoad, all under the same revision of the admission policy.
 type AdmissionLoad struct {
-	Version uint64 // of the policy's record; 0: no policy was in force
-	Groups  []GroupLoad
+	PolicyRevision uint64 // of the policy's record; 0: no policy was in force
+	Groups         []GroupLoad
 }
 
 // LinkReport is a node's view of the links between controllers and to workers.
 type LinkReport struct {
-	Hears    []reachability.Heard `json:"hears"`
-	State    bool                 `json:"state"`              // the key-value store responds to the sender
-	Workers  int                  `json:"workers,omitempty"`  // sent heartbeats to the sender lately
-	Stranded int                  `json:"stranded,omitempty"` // of these, workers that it could not serve
+	IncomingLinks   []reachability.IncomingLink `json:"hears"`
+	StoreReachable  bool                        `json:"state"`              // the key-value store responds to the sender
+	RecentWorkers   int                         `json:"workers,omitempty"`  // sent heartbeats to the sender lately
+	StrandedWorkers int                         `json:"stranded,omitempty"` // of these, workers that it could not serve
 	// MostStranded is the node with the most stranded workers that the sender knows of.
-	Worst *reachability.Elsewhere `json:"worst,omitempty"`
+	MostStranded *reachability.StrandedCount `json:"worst,omitempty"`
 }
 
 // ReachabilityReport converts the report for a reachability.Matrix.
-func (r *LinkReport) Report() reachability.Report {
-	report := reachability.Report{Hears: r.Hears, State: r.State, Workers: r.Workers, Stranded: r.Stranded}
-	if r.Worst != nil {
-		report.Worst = *r.Worst
+func (r *LinkReport) ReachabilityReport() reachability.NodeReport {
+	report := reachability.NodeReport{IncomingLinks: r.IncomingLinks, StoreReachable: r.StoreReachable, RecentWorkers: r.RecentWorkers, StrandedWorkers: r.StrandedWorkers}
+	if r.MostStranded != nil {
+		report.MostStranded = *r.MostStranded
 	}
 	return report
 }
 
 // wirePeerMessage is the wire form of every PeerMessage. The tags are fixed by earlier versions,
 // as controllers of two versions exchange messages during an upgrade.
-type peerLine struct {
-	Type  peerType        `json:"type"`
-	Term  uint64          `json:"term,omitempty"`
-	Lead  bool            `json:"lead,omitempty"`
-	Want  bool            `json:"want,omitempty"`
-	Sent  int64           `json:"sent,omitempty"`
-	Up    int64           `json:"up,omitempty"`
-	Run   uint64          `json:"run,omitempty"`
-	Heard uint64          `json:"heard,omitempty"`
-	OK    bool            `json:"ok,omitempty"`
-	Level int             `json:"level,omitempty"`
-	Slow  bool            `json:"slow,omitempty"`
-	Full  bool            `json:"full,omitempty"`
-	Room  int             `json:"room,omitempty"`
-	Links *LinkReport     `json:"links,omitempty"`
-	Rev   uint64          `json:"policy,omitempty"`
-	Loads []GroupLoad     `json:"loads,omitempty"`
-	ID    uint64          `json:"id,omitempty"`
-	Kind  RequestKind     `json:"kind,omitempty"`
-	Job   string          `json:"job,omitempty"`
-	Code  int             `json:"code,omitempty"`
-	Retry int             `json:"retry,omitempty"`
-	Body  json.RawMessage `json:"body,omitempty"`
+type wirePeerMessage struct {
+	Type              peerMessageType `json:"type"`
+	Term              uint64          `json:"term,omitempty"`
+	IsLeader          bool            `json:"lead,omitempty"`
+	WantsLeaseGrant   bool            `json:"want,omitempty"`
+	SentAt            int64           `json:"sent,omitempty"`
+	Uptime            int64           `json:"up,omitempty"`
+	ProcessID         uint64          `json:"run,omitempty"`
+	ReceiverProcessID uint64          `json:"heard,omitempty"`
+	Granted           bool            `json:"ok,omitempty"`
+	VersionLevel      int             `json:"level,omitempty"`
+	WritesThrottled   bool            `json:"slow,omitempty"`
+	ConnectionsFull   bool            `json:"full,omitempty"`
+	SpareConnections  int             `json:"room,omitempty"`
+	Links             *LinkReport     `json:"links,omitempty"`
+	PolicyRevision    uint64          `json:"policy,omitempty"`
+	GroupLoads        []GroupLoad     `json:"loads,omitempty"`
+	ID                uint64          `json:"id,omitempty"`
+	RequestKind       RequestKind     `json:"kind,omitempty"`
+	JobID             string          `json:"job,omitempty"`
+	Status            int             `json:"code,omitempty"`
+	RetryAfter        int             `json:"retry,omitempty"`
+	Body              json.RawMessage `json:"body,omitempty"`
 }
 
 // peerMessageType identifies the message in its wire form.
-type peerType string
+type peerMessageType string
 
 // Message types, with the names that earlier versions gave them on the wire.
 const (
-	typeHeartbeat   peerType = "beat"
-	typeLeaseGrant  peerType = "promise"
-	typeVoteRequest peerType = "clear"
-	typeVote        peerType = "cleared"
-	typeRequest     peerType = "ask"
-	typeAnswer      peerType = "answer"
-	typeLoad        peerType = "load"
+	typePeerHeartbeat     peerMessageType = "beat"
+	typeLeaseGrant        peerMessageType = "promise"
+	typeVoteRequest       peerMessageType = "clear"
+	typeVote              peerMessageType = "cleared"
+	typeForwardedRequest  peerMessageType = "ask"
+	typeForwardedResponse peerMessageType = "answer"
+	typeAdmissionLoad     peerMessageType = "load"
 )
 
 // toWire implements PeerMessage.
-func (m Heartbeat) line() peerLine {
-	return peerLine{Type: typeHeartbeat, Term: m.Term, Lead: m.Leads, Want: m.WantsGrant,
-		Sent: int64(m.Sent), Up: int64(m.Uptime),
-		Run: m.Process, Heard: m.Heard, Level: m.Level,
-		Slow: m.Slowed, Full: m.Full, Room: m.Room,
-		Links: m.Links, Rev: m.Policy}
+func (m PeerHeartbeat) toWire() wirePeerMessage {
+	return wirePeerMessage{Type: typePeerHeartbeat, Term: m.Term, IsLeader: m.IsLeader, WantsLeaseGrant: m.WantsLeaseGrant,
+		SentAt: int64(m.SentAt), Uptime: int64(m.Uptime),
+		ProcessID: m.ProcessID, ReceiverProcessID: m.ReceiverProcessID, VersionLevel: m.VersionLevel,
+		WritesThrottled: m.WritesThrottled, ConnectionsFull: m.ConnectionsFull, SpareConnections: m.SpareConnections,
+		Links: m.Links, PolicyRevision: m.PolicyRevision}
 }
 
 // toWire implements PeerMessage.
-func (m LeaseGrant) line() peerLine {
-	return peerLine{Type: typeLeaseGrant, Term: m.Term, Sent: int64(m.Sent)}
+func (m LeaseGrant) toWire() wirePeerMessage {
+	return wirePeerMessage{Type: typeLeaseGrant, Term: m.Term, SentAt: int64(m.HeartbeatSentAt)}
 }
 
 // toWire implements PeerMessage.
-func (m VoteRequest) line() peerLine { return peerLine{Type: typeVoteRequest, Term: m.Term} }
+func (m VoteRequest) toWire() wirePeerMessage {
+	return wirePeerMessage{Type: typeVoteRequest, Term: m.Term}
+}
 
 // toWire implements PeerMessage.
-func (m Vote) line() peerLine { return peerLine{Type: typeVote, Term: m.Term, OK: m.Granted} }
+func (m Vote) toWire() wirePeerMessage {
+	return wirePeerMessage{Type: typeVote, Term: m.Term, Granted: m.Granted}
+}
 
 // toWire implements PeerMessage.
-func (m ForwardedRequest) line() peerLine {
-	return peerLine{Type: typeRequest, ID: m.ID, Kind: m.Kind, Job: m.Job, Body: m.Body}
+func (m ForwardedRequest) toWire() wirePeerMessage {
+	return wirePeerMessage{Type: typeForwardedRequest, ID: m.ID, RequestKind: m.Kind, JobID: m.JobID, Body: m.Body}
 }
 
 // toWire implements PeerMessage.
-func (m ForwardedAnswer) line() peerLine {
-	return peerLine{Type: typeAnswer, ID: m.ID, Code: m.Status, Retry: m.RetryAfter, Body: m.Body}
+func (m ForwardedResponse) toWire() wirePeerMessage {
+	return wirePeerMessage{Type: typeForwardedResponse, ID: m.ID, Status: m.Status, RetryAfter: m.RetryAfter, Body: m.Body}
 }
 
 // toWire implements PeerMessage.
-func (m AdmissionLoad) line() peerLine {
-	return peerLine{Type: typeLoad, Rev: m.Version, Loads: m.Groups}
+func (m AdmissionLoad) toWire() wirePeerMessage {
+	return wirePeerMessage{Type: typeAdmissionLoad, PolicyRevision: m.PolicyRevision, GroupLoads: m.Groups}
 }
 
 // PeerMessageError reports why a message of another controller is malformed.
-type PeerLineError struct{ Reason string }
+type PeerMessageError struct{ Reason string }
 
 // Error implements error.
-func (e *PeerLineError) Error() string { return "line between controllers: " + e.Reason }
+func (e *PeerMessageError) Error() string { return "line between controllers: " + e.Reason }
 
 // UnknownPeerMessageError reports a message type, or a kind of request, that this version does
 // not know. A later version may send it, so receivers ignore the message.
-type UnknownPeerTypeError struct{ Type, Kind string }
+type UnknownPeerMessageError struct{ Type, RequestKind string }
 
 // Error implements error.
-func (e *UnknownPeerTypeError) Error() string {
-	return fmt.Sprintf("line between controllers: unknown type %q, kind %q", e.Type, e.Kind)
+func (e *UnknownPeerMessageError) Error() string {
+	return fmt.Sprintf("line between controllers: unknown type %q, kind %q", e.Type, e.RequestKind)
 }
 
 // EncodePeerMessage encodes a message as JSON, without a line break.
-func EncodePeer(m PeerMessage) ([]byte, error) { return json.Marshal(m.line()) }
+func EncodePeerMessage(message PeerMessage) ([]byte, error) { return json.Marshal(message.toWire()) }
 
 // DecodePeerMessage decodes and validates a message. The error is a *PeerMessageError or an
 // *UnknownPeerMessageError.
-func DecodePeer(raw []byte) (PeerMessage, error) {
-	var l peerLine
-	if err := json.Unmarshal(raw, &l); err != nil {
-		return nil, &PeerLineError{err.Error()}
+func DecodePeerMessage(raw []byte) (PeerMessage, error) {
+	var wire wirePeerMessage
+	if err := json.Unmarshal(raw, &wire); err != nil {
+		return nil, &PeerMessageError{err.Error()}
 	}
-	message, reason := l.message()
+	message, reason := wire.decode()
 	switch {
 	case reason != "":
-		return nil, &PeerLineError{fmt.Sprintf("%s: %s", l.Type, reason)}
+		return nil, &PeerMessageError{fmt.Sprintf("%s: %s", wire.Type, reason)}
 	case message == nil:
-		return nil, &UnknownPeerTypeError{Type: string(l.Type), Kind: string(l.Kind)}
+		return nil, &UnknownPeerMessageError{Type: string(wire.Type), RequestKind: string(wire.RequestKind)}
 	}
 	return message, nil
 }
 
 // decode returns the typed message, or the reason why it is malformed; neither if the type is
 // unknown.
-func (l *peerLine) message() (m PeerMessage, reason string) {
+func (l *wirePeerMessage) decode() (message PeerMessage, reason string) {
 	switch l.Type {
-	case typeHeartbeat:
-		return l.heartbeat()
+	case typePeerHeartbeat:
+		return l.decodePeerHeartbeat()
 	case typeLeaseGrant:
-		if l.Term == 0 || l.Sent < 0 {
+		if l.Term == 0 || l.SentAt < 0 {
 			return nil, "without a term or a time"
 		}
-		return LeaseGrant{Term: l.Term, Sent: time.Duration(l.Sent)}, ""
+		return LeaseGrant{Term: l.Term, HeartbeatSentAt: time.Duration(l.SentAt)}, ""
 	case typeVoteRequest:
 		if l.Term == 0 {
 			return nil, "without a term"
@@ -257,61 +261,61 @@
 		if l.Term == 0 {
 			return nil, "without a term"
 		}
-		return Vote{Term: l.Term, Granted: l.OK}, ""
-	case typeRequest:
-		return l.request()
-	case typeLoad:
-		return l.admissionLoad()
-	case typeAnswer:
-		if l.ID == 0 || l.Code < 100 || l.Code > 599 || l.Retry < 0 {
+		return Vote{Term: l.Term, Granted: l.Granted}, ""
+	case typeForwardedRequest:
+		return l.decodeForwardedRequest()
+	case typeAdmissionLoad:
+		return l.decodeAdmissionLoad()
+	case typeForwardedResponse:
+		if l.ID == 0 || l.Status < 100 || l.Status > 599 || l.RetryAfter < 0 {
 			return nil, "without a number or a status"
 		}
-		return ForwardedAnswer{ID: l.ID, Status: l.Code, RetryAfter: l.Retry, Body: l.Body}, ""
+		return ForwardedResponse{ID: l.ID, Status: l.Status, RetryAfter: l.RetryAfter, Body: l.Body}, ""
 	}
 	return nil, ""
 }
 
 // decodePeerHeartbeat is decode for a PeerHeartbeat.
-func (l *peerLine) heartbeat() (m PeerMessage, reason string) {
-	if l.Sent < 0 || l.Up < 0 || l.Level < 0 || l.Room < 0 || (l.Lead && l.Term == 0) {
+func (l *wirePeerMessage) decodePeerHeartbeat() (message PeerMessage, reason string) {
+	if l.SentAt < 0 || l.Uptime < 0 || l.VersionLevel < 0 || l.SpareConnections < 0 || (l.IsLeader && l.Term == 0) {
 		return nil, "a negative amount, or a leader without a term"
 	}
-	return Heartbeat{Term: l.Term, Leads: l.Lead, WantsGrant: l.Want,
-		Sent: time.Duration(l.Sent), Uptime: time.Duration(l.Up),
-		Process: l.Run, Heard: l.Heard, Level: l.Level,
-		Slowed: l.Slow, Full: l.Full, Room: l.Room,
-		Links: l.Links, Policy: l.Rev}, ""
+	return PeerHeartbeat{Term: l.Term, IsLeader: l.IsLeader, WantsLeaseGrant: l.WantsLeaseGrant,
+		SentAt: time.Duration(l.SentAt), Uptime: time.Duration(l.Uptime),
+		ProcessID: l.ProcessID, ReceiverProcessID: l.ReceiverProcessID, VersionLevel: l.VersionLevel,
+		WritesThrottled: l.WritesThrottled, ConnectionsFull: l.ConnectionsFull, SpareConnections: l.SpareConnections,
+		Links: l.Links, PolicyRevision: l.PolicyRevision}, ""
 }
 
 // decodeForwardedRequest is decode for a ForwardedRequest.
-func (l *peerLine) request() (m PeerMessage, reason string) {
+func (l *wirePeerMessage) decodeForwardedRequest() (message PeerMessage, reason string) {
 	if l.ID == 0 {
 		return nil, "without a number"
 	}
-	switch l.Kind {
+	switch l.RequestKind {
 	case RequestQuery, RequestCancel:
-		if l.Job == "" {
+		if l.JobID == "" {
 			return nil, "without a job"
 		}
-	case RequestSubmit, RequestReport:
+	case RequestSubmit, RequestHeartbeat:
 		if len(l.Body) == 0 {
 			return nil, "without a body"
 		}
 	default:
 		return nil, "" // a kind of a later version
 	}
-	return ForwardedRequest{ID: l.ID, Kind: l.Kind, Job: l.Job, Body: l.Body}, ""
+	return ForwardedRequest{ID: l.ID, Kind: l.RequestKind, JobID: l.JobID, Body: l.Body}, ""
 }
 
 // decodeAdmissionLoad is decode for an AdmissionLoad.
-func (l *peerLine) admissionLoad() (m PeerMessage, reason string) {
-	if len(l.Loads) == 0 || len(l.Loads) > MaxGroupLoads {
+func (l *wirePeerMessage) decodeAdmissionLoad() (message PeerMessage, reason string) {
+	if len(l.GroupLoads) == 0 || len(l.GroupLoads) > MaxGroupLoads {
 		return nil, "no groups, or too many"
 	}
-	for _, g := range l.Loads {
-		if g.TurnedAway < 0 || g.Refused < 0 || g.Rank < 0 {
+	for _, group := range l.GroupLoads {
+		if group.RejectedForCapacity < 0 || group.RejectedByPolicy < 0 || group.PriorityRank < 0 {
 			return nil, "a negative amount"
 		}
 	}
-	return AdmissionLoad{Version: l.Rev, Groups: l.Loads}, ""
+	return AdmissionLoad{PolicyRevision: l.PolicyRevision, Groups: l.GroupLoads}, ""
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -18,91 +18,91 @@
 // Limits and timeouts of the protocol.
 const (
 	// MaxBodyBytes bounds the body of a request.
-	MaxBody = 64 << 10
+	MaxBodyBytes = 64 << 10
 	// MaxTasksPerJob bounds the tasks of a job.
-	MaxTasks = 100_000
+	MaxTasksPerJob = 100_000
 	// HeartbeatTimeout is how long a worker waits for the response to a heartbeat. It drops a
 	// later response.
-	ReportTimeout = 4 * time.Second
+	HeartbeatTimeout = 4 * time.Second
 	// NextNodeDelay is how long a worker that got no response waits before it tries the next node.
-	NextNodePause = time.Second
+	NextNodeDelay = time.Second
 	// SubmissionRetryWindow is how long users retry a submission that was not accepted.
-	RetrySpan = 60 * time.Second
+	SubmissionRetryWindow = 60 * time.Second
 )
 
 // States of a job.
 const (
-	Queued    = "queued"
-	Running   = "running"
-	Done      = "done"
-	Withdrawn = "withdrawn"
+	JobQueued    = "queued"
+	JobRunning   = "running"
+	JobDone      = "done"
+	JobCancelled = "withdrawn"
 )
 
 // States of a task on a machine.
 const (
-	TaskFetching = "fetching"
-	TaskRunning  = "running"
-	TaskSaving   = "saving"
-	TaskExited   = "exited"
+	TaskFetching      = "fetching"
+	TaskRunning       = "running"
+	TaskCheckpointing = "saving"
+	TaskExited        = "exited"
 )
 
 // Exit reasons of a task. The last three mean that the worker refused to start it.
 const (
-	WhyDone    = "done"
-	WhyHalted  = "halted" // stopped by command
-	WhyError   = "error"
-	WhyFull    = "full"    // not enough free resources on the machine
-	WhyInUse   = "in_use"  // the machine has another attempt of the task
-	WhyUnknown = "unknown" // no such job or task, or the job was not submitted
+	ExitDone                  = "done"
+	ExitStopped               = "halted" // stopped by command
+	ExitFailed                = "error"
+	ExitInsufficientResources = "full"    // not enough free resources on the machine
+	ExitDuplicateTask         = "in_use"  // the machine has another attempt of the task
+	ExitUnknownTask           = "unknown" // no such job or task, or the job was not submitted
 )
 
 // Kinds of commands to a worker.
 const (
-	OpStart  = "start"
-	OpStop   = "stop"
-	OpForget = "forget"
+	CommandStart  = "start"
+	CommandStop   = "stop"
+	CommandForget = "forget"
 )
 
 // Job is the specification of a job as its user submits it.
 type Job struct {
-	UID          string   `json:"uid"`
-	Class        string   `json:"lote"`
-	Team         string   `json:"dono"`
-	Kind         string   `json:"feitio"`
-	Priority     string   `json:"vez"`
-	Tasks        int      `json:"pecas"`
-	Cores        float64  `json:"cores"`
-	Accelerators float64  `json:"accelerators"`
-	RAM          float64  `json:"ramGb"`
-	Image        string   `json:"molde"`
-	ImageGB      float64  `json:"pullGb"`
-	Types        []string `json:"portes"`
-	Zone         string   `json:"praca"`
-	SameZone     bool     `json:"samePlace"`
-	Spread       bool     `json:"apart"`
-	Spot         bool     `json:"avulsas"`
-	EstimateS    float64  `json:"previstoS"`
-	CheckpointS  float64  `json:"marcoS"`
-	SaveS        float64  `json:"guardaS"`
-	DeadlineS    *float64 `json:"prazoS"`
+	ID                        string   `json:"uid"`
+	Class                     string   `json:"lote"`
+	Team                      string   `json:"dono"`
+	Kind                      string   `json:"feitio"`
+	Priority                  string   `json:"vez"`
+	TaskCount                 int      `json:"pecas"`
+	Cores                     float64  `json:"cores"`
+	Accelerators              float64  `json:"accelerators"`
+	MemoryGB                  float64  `json:"ramGb"`
+	Image                     string   `json:"molde"`
+	ImageGB                   float64  `json:"pullGb"`
+	MachineTypes              []string `json:"portes"`
+	Zone                      string   `json:"praca"`
+	SameZone                  bool     `json:"samePlace"`
+	Spread                    bool     `json:"apart"`
+	SpotAllowed               bool     `json:"avulsas"`
+	EstimatedSeconds          float64  `json:"previstoS"`
+	CheckpointIntervalSeconds float64  `json:"marcoS"`
+	CheckpointSaveSeconds     float64  `json:"guardaS"`
+	DeadlineSeconds           *float64 `json:"prazoS"`
 	// Dependencies are the ids, without duplicates, of the jobs that must be done before any task
 	// of this job starts.
-	Needs []string `json:"aguarda,omitempty"`
+	Dependencies []string `json:"aguarda,omitempty"`
 }
 
 // jobIDPattern is the form of a job id. Ids are part of keys and paths, so it allows no slash.
-var jobID = regexp.MustCompile(`^j-[0-9A-Za-z][0-9A-Za-z._-]{0,99}$`)
+var jobIDPattern = regexp.MustCompile(`^j-[0-9A-Za-z][0-9A-Za-z._-]{0,99}$`)
 
 // ValidJobID reports whether an id has the form of a job id.
-func ValidJobID(id string) bool { return jobID.MatchString(id) }
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // priorityRanks orders the priorities; the smallest rank is the most urgent.
-var ranks = map[string]int{"prod": 0, "urgent": 1, "standard": 2, "low": 3}
+var priorityRanks = map[string]int{"prod": 0, "urgent": 1, "standard": 2, "low": 3}
 
 // PriorityName returns the priority with the given rank, or "unknown".
-func PriorityOf(rank int) string {
-	for priority, r := range ranks {
-		if r == rank {
+func PriorityName(rank int) string {
+	for priority, priorityRank := range priorityRanks {
+		if priorityRank == rank {
 			return priority
 		}
 	}
@@ -110,48 +110,48 @@
 }
 
 // PriorityRank returns the rank of the job's priority; smaller ranks are scheduled first.
-func (j *Job) Rank() int { return ranks[j.Priority] }
+func (j *Job) PriorityRank() int { return priorityRanks[j.Priority] }
 
 // requiredFields are the fields of a submission that must be present and not null.
-var required = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb", "molde",
+var requiredFields = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb", "molde",
 	"pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
 
 // ParseJob decodes a submission and validates all that does not depend on the settings. Any error
 // means status 400.
 func ParseJob(body []byte) (*Job, error) {
-	if len(body) > MaxBody {
+	if len(body) > MaxBodyBytes {
 		return nil, errors.New("body over 64 KiB")
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return nil, errors.New("not a JSON object")
 	}
-	for _, name := range required {
+	for _, name := range requiredFields {
 		if raw, ok := fields[name]; !ok || string(raw) == "null" {
 			return nil, errors.New(name + ": missing")
 		}
 	}
-	var j Job
-	if err := json.Unmarshal(body, &j); err != nil {
+	var job Job
+	if err := json.Unmarshal(body, &job); err != nil {
 		return nil, errors.New("a field has the wrong type")
 	}
-	if err := j.Check(); err != nil {
+	if err := job.Validate(); err != nil {
 		return nil, err
 	}
-	named := make(map[string]bool, len(j.Needs))
-	j.Needs = slices.DeleteFunc(j.Needs, func(id string) bool {
-		again := named[id]
-		named[id] = true
-		return again
+	seen := make(map[string]bool, len(job.Dependencies))
+	job.Dependencies = slices.DeleteFunc(job.Dependencies, func(id string) bool {
+		duplicate := seen[id]
+		seen[id] = true
+		return duplicate
 	})
-	return &j, nil
+	return &job, nil
 }
 
 // Validate returns an error if no settings would allow the job.
-func (j *Job) Check() error {
-	_, knownRank := ranks[j.Priority]
+func (j *Job) Validate() error {
+	_, knownRank := priorityRanks[j.Priority]
 	switch {
-	case !ValidJobID(j.UID):
+	case !ValidJobID(j.ID):
 		return errors.New("uid: not a job id")
 	case j.Class == "":
 		return errors.New("lote: empty")
@@ -161,113 +161,113 @@
 		return errors.New("feitio: unknown")
 	case !knownRank:
 		return errors.New("vez: unknown")
-	case j.Tasks < 1 || j.Tasks > MaxTasks:
+	case j.TaskCount < 1 || j.TaskCount > MaxTasksPerJob:
 		return errors.New("pecas: must be 1 to 100,000")
-	case !(j.Cores >= 0) || !(j.Accelerators >= 0) || !(j.RAM >= 0) || !(j.ImageGB >= 0) ||
-		!(j.EstimateS >= 0) || !(j.CheckpointS >= 0) || !(j.SaveS >= 0):
+	case !(j.Cores >= 0) || !(j.Accelerators >= 0) || !(j.MemoryGB >= 0) || !(j.ImageGB >= 0) ||
+		!(j.EstimatedSeconds >= 0) || !(j.CheckpointIntervalSeconds >= 0) || !(j.CheckpointSaveSeconds >= 0):
 		return errors.New("an amount is negative")
-	case j.DeadlineS != nil && !(*j.DeadlineS >= 0):
+	case j.DeadlineSeconds != nil && !(*j.DeadlineSeconds >= 0):
 		return errors.New("prazoS: negative")
-	case slices.ContainsFunc(j.Needs, func(id string) bool { return !ValidJobID(id) }):
+	case slices.ContainsFunc(j.Dependencies, func(id string) bool { return !ValidJobID(id) }):
 		return errors.New("aguarda: not a list of job ids")
 	}
 	return nil
 }
 
 // JobStatus is the response to a submission, a query and a cancellation.
-type JobState struct {
-	UID     string `json:"uid"`
-	State   string `json:"situacao"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
+type JobStatus struct {
+	ID           string `json:"uid"`
+	State        string `json:"situacao"`
+	DoneTasks    *int   `json:"done,omitempty"`
+	RunningTasks *int   `json:"running,omitempty"`
 }
 
 // WorkerHeartbeat is the periodic message of a worker: its machine, the newest fencing token it
 // has seen, and all tasks on the machine. The protocol calls it a report. Of two heartbeats of a
 // machine, the one with the larger (epoch, sequence) is newer; a worker begins a new epoch when its
 // lease has expired.
-type Report struct {
-	Machine      string       `json:"maquina"`
-	Address      string       `json:"address"`
-	Type         string       `json:"porte"`
-	Zone         string       `json:"praca"`
-	Spot         bool         `json:"avulsas"`
-	Session      uint64       `json:"turno"`
-	Seq          uint64       `json:"contagem"`
-	FencingToken uint64       `json:"bastao"`
-	NoticeS      *float64     `json:"avisoS"`
-	Tasks        []TaskReport `json:"pecas"`
+type WorkerHeartbeat struct {
+	Machine                 string       `json:"maquina"`
+	Address                 string       `json:"address"`
+	Type                    string       `json:"porte"`
+	Zone                    string       `json:"praca"`
+	Spot                    bool         `json:"avulsas"`
+	Epoch                   uint64       `json:"turno"`
+	Sequence                uint64       `json:"contagem"`
+	FencingToken            uint64       `json:"bastao"`
+	PreemptionNoticeSeconds *float64     `json:"avisoS"`
+	Tasks                   []TaskStatus `json:"pecas"`
 }
 
 // TaskStatus is the status of one task attempt in a worker's heartbeat.
-type TaskReport struct {
-	Task    string `json:"peca"`
-	Attempt uint64 `json:"tentativa"`
-	State   string `json:"situacao"`
-	Why     string `json:"motivo,omitempty"`
-	Saved   bool   `json:"saved,omitempty"`
+type TaskStatus struct {
+	TaskID          string `json:"peca"`
+	Attempt         uint64 `json:"tentativa"`
+	State           string `json:"situacao"`
+	ExitReason      string `json:"motivo,omitempty"`
+	CheckpointSaved bool   `json:"saved,omitempty"`
 }
 
 // ParseWorkerHeartbeat decodes a worker's heartbeat. Machine and epoch are required: without them
 // heartbeats can't be ordered.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
-	if err := json.Unmarshal(body, &r); err != nil {
+func ParseWorkerHeartbeat(body []byte) (*WorkerHeartbeat, error) {
+	var heartbeat WorkerHeartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
 		return nil, err
 	}
-	if r.Machine == "" || r.Session == 0 {
+	if heartbeat.Machine == "" || heartbeat.Epoch == 0 {
 		return nil, errors.New("report without machine or session")
 	}
-	return &r, nil
+	return &heartbeat, nil
 }
 
 // TaskID returns the id of the job's task with the given index.
-func TaskKey(job string, index int) string { return job + "/" + strconv.Itoa(index) }
+func TaskID(jobID string, index int) string { return jobID + "/" + strconv.Itoa(index) }
 
 // Command instructs a worker to start, stop or forget a task attempt.
 type Command struct {
-	Op      string   `json:"ordem"`
-	Task    string   `json:"peca"`
-	Attempt uint64   `json:"tentativa"`
-	GraceS  *float64 `json:"folgaS,omitempty"`
+	Kind         string   `json:"ordem"`
+	TaskID       string   `json:"peca"`
+	Attempt      uint64   `json:"tentativa"`
+	GraceSeconds *float64 `json:"folgaS,omitempty"`
 }
 
 // HeartbeatResponse is the body of status 200 to a worker's heartbeat. A worker drops it if the
 // token is lower than the highest one it has seen.
-type ReportAnswer struct {
+type HeartbeatResponse struct {
 	FencingToken uint64    `json:"bastao"`
 	Commands     []Command `json:"ordens"`
 }
 
 // HeartbeatRedirect is the body of status 421 to a worker's heartbeat; it names the node to use.
-type Redirect struct {
-	ReportTo string `json:"reportaA,omitempty"`
+type HeartbeatRedirect struct {
+	Node string `json:"reportaA,omitempty"`
 }
 
 // MachineType is one entry of the cloud's catalogue. Prices are per hour.
 type MachineType struct {
-	Name         string   `json:"sku"`
-	Cores        float64  `json:"cores"`
-	Accelerators float64  `json:"accelerators"`
-	RAM          float64  `json:"ramGb"`
-	CacheGB      float64  `json:"cacheGb"`
-	PullGBPerS   float64  `json:"pullGbPerS"`
-	Rate         float64  `json:"rate"`
-	SpotRate     float64  `json:"marketPrice"`
-	ReadyS       float64  `json:"readyS"`
-	Zones        []string `json:"pracas"`
+	Name            string   `json:"sku"`
+	Cores           float64  `json:"cores"`
+	Accelerators    float64  `json:"accelerators"`
+	MemoryGB        float64  `json:"ramGb"`
+	ImageCacheGB    float64  `json:"cacheGb"`
+	PullGBPerSecond float64  `json:"pullGbPerS"`
+	OnDemandPrice   float64  `json:"rate"`
+	SpotPrice       float64  `json:"marketPrice"`
+	BootSeconds     float64  `json:"readyS"`
+	Zones           []string `json:"pracas"`
 }
 
 // Price returns the current price per hour.
 func (t *MachineType) Price(spot bool) float64 {
 	if spot {
-		return t.SpotRate
+		return t.SpotPrice
 	}
-	return t.Rate
+	return t.OnDemandPrice
 }
 
 // PricePerCore returns the current price per core and hour.
-func (t *MachineType) PerCore(spot bool) float64 { return t.Price(spot) / t.Cores }
+func (t *MachineType) PricePerCore(spot bool) float64 { return t.Price(spot) / t.Cores }
 
 // Catalog is the response of the cloud's /catalog.
 type Catalog struct {
@@ -276,12 +276,12 @@
 
 // RentalRequest requests machines from the cloud. RequestID makes the call idempotent: the cloud
 // returns the same machines for the same id, so an id must never be reused.
-type Rental struct {
-	Request string `json:"pedido"`
-	Type    string `json:"porte"`
-	Zone    string `json:"praca"`
-	Spot    bool   `json:"avulsas"`
-	Count   int    `json:"count"`
+type RentalRequest struct {
+	RequestID string `json:"pedido"`
+	Type      string `json:"porte"`
+	Zone      string `json:"praca"`
+	Spot      bool   `json:"avulsas"`
+	Count     int    `json:"count"`
 }
 
 // MachineNames is the response to a rental request and the body of a return request.
@@ -290,7 +290,7 @@
 }
 
 // HostPage is one page of the cloud's machine list.
-type HostList struct {
+type HostPage struct {
 	Machines  []Host `json:"maquinas"`
 	Truncated bool   `json:"truncated"`
 }
@@ -300,11 +300,11 @@
 
 // Host is one machine in the cloud's list.
 type Host struct {
-	UID     string  `json:"uid"`
-	Address string  `json:"address"`
-	Type    string  `json:"porte"`
-	Zone    string  `json:"praca"`
-	Spot    bool    `json:"avulsas"`
-	State   string  `json:"situacao"`
-	HeldS   float64 `json:"heldS"`
+	Name          string  `json:"uid"`
+	Address       string  `json:"address"`
+	Type          string  `json:"porte"`
+	Zone          string  `json:"praca"`
+	Spot          bool    `json:"avulsas"`
+	State         string  `json:"situacao"`
+	RentedSeconds float64 `json:"heldS"`
 }
--- a/internal/recovery/pacing.go
+++ b/internal/recovery/pacing.go
@@ -7,22 +7,22 @@
 
 // Operation is a kind of operation that has a budget: a command to a worker, or a request to the
 // cloud.
-type Order int
+type Operation int
 
 // The kinds of operations.
 const (
-	StartTask Order = iota
+	StartTask Operation = iota
 	StopTask
 	RentMachine
 	ReturnMachine
 
-	orderKinds
+	operationKinds
 )
 
-var orderNames = [orderKinds]string{"start", "stop", "rent", "return"}
+var operationNames = [operationKinds]string{"start", "stop", "rent", "return"}
 
 // String is the name of the kind in status responses and metrics.
-func (o Order) String() string { return orderNames[o] }
+func (o Operation) String() string { return operationNames[o] }
 
 // Urgency is the urgency of an operation. More urgent ones may use more of a budget.
 type Urgency int
@@ -30,30 +30,30 @@
 // The urgencies, most urgent first.
 const (
 	// CancelledWork: the operation stops cancelled work and never waits.
-	Cancelled Urgency = iota
+	CancelledWork Urgency = iota
 	// LatencySensitive: the operation is for jobs of priority prod or urgent.
-	Pressing
+	LatencySensitive
 	// OrdinaryWork: all other operations.
-	Ordinary
+	OrdinaryWork
 )
 
 // Limits are the operators' settings for the rates of operations, as ratios to a worker lease.
 type Limits struct {
 	// RefillLeases is the time, in worker leases, within which tasks may be started on all cores.
-	Refill float64
+	RefillLeases float64
 	// ReplaceLeases is the time, in worker leases, within which all machines may be rented or
 	// returned.
-	Replace float64
+	ReplaceLeases float64
 }
 
 // grantedRateShare is the share of the rate that is granted, because responses sent one after the
 // other may arrive together: at the whole rate, a thousand emulated workers received an eighth more
 // than the limit in some second.
-const paceShare = 0.75
+const grantedRateShare = 0.75
 
 // stopRateShare is the rate of stops as a ratio to that of starts. It does not limit stops of
 // cancelled work.
-const stopShare = 0.5
+const stopRateShare = 0.5
 
 // Sizes of bursts.
 const (
@@ -62,13 +62,13 @@
 	// lost. With bursts of one machine's cores, 4,000 machines got half of the rate.
 	taskBurstShare = 1.0 / 24
 	// minTaskBurst is the least burst of starts and stops.
-	leastTaskBurst = 4
+	minTaskBurst = 4
 	// minMachineBurst is the least burst of rentals and returns: one rental may ask for several
 	// machines.
-	leastMachineBurst = 20
+	minMachineBurst = 20
 	// machineBurstDivisor is the divisor of the machine count that gives the burst of rentals and
 	// returns of a larger fleet.
-	machineBurstShare = 16
+	machineBurstDivisor = 16
 )
 
 // Rate is the limit of one kind of operation: a rate, and a burst on top.
@@ -81,132 +81,132 @@
 func (r Rate) PerWindow() float64 { return r.PerSecond + r.Burst }
 
 // Rates are the limits of all kinds of operations.
-type Rates [orderKinds]Rate
+type Rates [operationKinds]Rate
 
 // Rates returns the limits for a fleet with a number of machines and cores. largestCores is the
 // number of cores of its largest machine.
-func (s Settings) Rates(machines int, cores, largest float64) Rates {
-	return s.rates(View{Machines: machines, Cores: cores, LargestCores: largest})
+func (s Settings) Rates(machines int, cores, largestCores float64) Rates {
+	return s.ratesFor(View{Machines: machines, Cores: cores, LargestCores: largestCores})
 }
 
 // ratesFor returns the limits for the fleet in a view.
-func (s Settings) rates(v View) Rates {
-	refill := math.Max(s.Limits.Refill*s.Lease.Seconds(), 1e-3)
-	replace := math.Max(s.Limits.Replace*s.Lease.Seconds(), 1e-3)
-	perSecond := v.Cores / refill
-	starts := Rate{perSecond,
-		max(leastTaskBurst, v.LargestCores, perSecond*s.Report.Seconds()*taskBurstShare)}
-	fleet := Rate{math.Max(leastMachineBurst, float64(v.Machines)) / replace,
-		math.Max(leastMachineBurst, float64(v.Machines)/machineBurstShare)}
+func (s Settings) ratesFor(view View) Rates {
+	refillSeconds := math.Max(s.Limits.RefillLeases*s.WorkerLease.Seconds(), 1e-3)
+	replaceSeconds := math.Max(s.Limits.ReplaceLeases*s.WorkerLease.Seconds(), 1e-3)
+	perSecond := view.Cores / refillSeconds
+	startRate := Rate{perSecond,
+		max(minTaskBurst, view.LargestCores, perSecond*s.HeartbeatInterval.Seconds()*taskBurstShare)}
+	machineRate := Rate{math.Max(minMachineBurst, float64(view.Machines)) / replaceSeconds,
+		math.Max(minMachineBurst, float64(view.Machines)/machineBurstDivisor)}
 	return Rates{
-		StartTask: starts, StopTask: {starts.PerSecond * stopShare, starts.Burst},
-		RentMachine: fleet, ReturnMachine: fleet,
+		StartTask: startRate, StopTask: {startRate.PerSecond * stopRateShare, startRate.Burst},
+		RentMachine: machineRate, ReturnMachine: machineRate,
 	}
 }
 
 // Reserves of a budget, as shares of its burst. Ordinary operations wait below them, so that tokens
 // are left for more urgent ones.
 const (
-	ordinaryReserve = 0.25 // for teams that are not ahead of a waiting team
-	borrowReserve   = 0.5  // for teams that are ahead of a waiting team
+	ordinaryReserve  = 0.25 // for teams that are not ahead of a waiting team
+	aheadTeamReserve = 0.5  // for teams that are ahead of a waiting team
 )
 
 // pacer holds a token bucket for each kind of operation, and the usage of each team.
 type pacer struct {
-	rates  Rates
-	levels [orderKinds]float64
-	at     [orderKinds]time.Duration
-	teams  map[string]*teamShare
+	rates      Rates
+	tokens     [operationKinds]float64
+	refilledAt [operationKinds]time.Duration
+	teams      map[string]*teamUsage
 }
 
 // teamUsage is the number of operations granted to a team, and when one was last refused.
-type teamShare struct {
-	granted float64
-	refused time.Duration
+type teamUsage struct {
+	granted       float64
+	lastRefusedAt time.Duration
 }
 
 // newPacer returns a pacer with empty buckets for tasks and a minimum burst for machines.
 func newPacer(now time.Duration) pacer {
-	p := pacer{teams: map[string]*teamShare{}}
-	for i := range p.at {
-		p.at[i] = now
+	p := pacer{teams: map[string]*teamUsage{}}
+	for i := range p.refilledAt {
+		p.refilledAt[i] = now
 	}
 	// With empty buckets, a small fleet would wait for seconds for its first machine.
-	p.levels[RentMachine], p.levels[ReturnMachine] = leastMachineBurst, leastMachineBurst
+	p.tokens[RentMachine], p.tokens[ReturnMachine] = minMachineBurst, minMachineBurst
 	return p
 }
 
 // setRates sets the rates. The levels stay as they are, so the buckets of tasks start empty: the
 // previous leader may have used its whole burst just before.
-func (p *pacer) limit(rates Rates) { p.rates = rates }
+func (p *pacer) setRates(rates Rates) { p.rates = rates }
 
 // refillBucket adds the tokens of the time since the bucket was last refilled.
-func (p *pacer) refill(now time.Duration, order Order) {
-	rate := p.rates[order]
-	p.levels[order] = math.Min(rate.Burst,
-		p.levels[order]+paceShare*rate.PerSecond*(now-p.at[order]).Seconds())
-	p.at[order] = now
+func (p *pacer) refillBucket(now time.Duration, operation Operation) {
+	rate := p.rates[operation]
+	p.tokens[operation] = math.Min(rate.Burst,
+		p.tokens[operation]+grantedRateShare*rate.PerSecond*(now-p.refilledAt[operation]).Seconds())
+	p.refilledAt[operation] = now
 }
 
 // Allow reports whether an operation is within its budget now, and takes it from the budget. The
 // team is empty for operations that belong to none.
-func (r *Recovery) Allow(now time.Duration, order Order, urgency Urgency, team string) bool {
-	if r.phase == Normal {
+func (r *Recovery) Allow(now time.Duration, operation Operation, urgency Urgency, team string) bool {
+	if r.phase == PhaseNormal {
 		return true
 	}
-	p := &r.pacer
-	p.refill(now, order)
-	share := p.teams[team]
-	if share == nil {
-		share = &teamShare{refused: -r.settings.Lease}
-		p.teams[team] = share
+	pacer := &r.pacer
+	pacer.refillBucket(now, operation)
+	usage := pacer.teams[team]
+	if usage == nil {
+		usage = &teamUsage{lastRefusedAt: -r.settings.WorkerLease}
+		pacer.teams[team] = usage
 	}
-	level, burst := p.levels[order], p.rates[order].Burst
+	tokens, burst := pacer.tokens[operation], pacer.rates[operation].Burst
 	switch urgency {
-	case Cancelled:
-	case Pressing:
-		if level < 1 {
-			return r.refuse(now, order, share)
+	case CancelledWork:
+	case LatencySensitive:
+		if tokens < 1 {
+			return r.deferOperation(now, operation, usage)
 		}
 	default:
 		reserve := ordinaryReserve
-		if p.ahead(now, share, r.settings.Report) {
-			reserve = borrowReserve
+		if pacer.isAheadOfWaitingTeam(now, usage, r.settings.HeartbeatInterval) {
+			reserve = aheadTeamReserve
 		}
-		if level < math.Max(1, reserve*burst) {
-			return r.refuse(now, order, share)
+		if tokens < math.Max(1, reserve*burst) {
+			return r.deferOperation(now, operation, usage)
 		}
 	}
 	// Stops of cancelled work may overdraw the budget by one burst.
-	p.levels[order] = math.Max(p.levels[order]-1, -burst)
-	share.granted++
+	pacer.tokens[operation] = math.Max(pacer.tokens[operation]-1, -burst)
+	usage.granted++
 	return true
 }
 
 // deferOperation records that an operation has to wait, and returns false. Rentals that wait don't
 // prolong the recovery, because there are always some while the cloud has too few machines.
-func (r *Recovery) refuse(now time.Duration, order Order, share *teamShare) bool {
-	if order != RentMachine {
-		r.waited = now
+func (r *Recovery) deferOperation(now time.Duration, operation Operation, usage *teamUsage) bool {
+	if operation != RentMachine {
+		r.lastDeferredAt = now
 	}
-	share.refused = now
+	usage.lastRefusedAt = now
 	return false
 }
 
 // RefundOperations returns to the budget what was taken for operations that were not carried out.
-func (r *Recovery) Refund(now time.Duration, order Order, count int) {
-	if r.phase == Normal || count <= 0 {
+func (r *Recovery) RefundOperations(now time.Duration, operation Operation, count int) {
+	if r.phase == PhaseNormal || count <= 0 {
 		return
 	}
-	r.pacer.refill(now, order)
-	r.pacer.levels[order] = math.Min(r.pacer.rates[order].Burst, r.pacer.levels[order]+float64(count))
+	r.pacer.refillBucket(now, operation)
+	r.pacer.tokens[operation] = math.Min(r.pacer.rates[operation].Burst, r.pacer.tokens[operation]+float64(count))
 }
 
 // isAheadOfWaitingTeam reports whether a team has been granted more operations than another one
 // that had to wait within the window.
-func (p *pacer) ahead(now time.Duration, share *teamShare, while time.Duration) bool {
+func (p *pacer) isAheadOfWaitingTeam(now time.Duration, usage *teamUsage, window time.Duration) bool {
 	for _, other := range p.teams {
-		if other != share && other.granted < share.granted && now-other.refused < while {
+		if other != usage && other.granted < usage.granted && now-other.lastRefusedAt < window {
 			return true
 		}
 	}
@@ -215,21 +215,21 @@
 
 // Budget is the remaining budget of a kind of operation, as operators see it.
 type Budget struct {
-	Order string  `json:"order"`
-	Left  float64 `json:"left"`
+	Operation string  `json:"order"`
+	Remaining float64 `json:"left"`
 	Rate
 }
 
 // Budgets lists the present budgets. There are none once the recovery is completed.
 func (r *Recovery) Budgets(now time.Duration) []Budget {
-	if r.phase == Normal {
+	if r.phase == PhaseNormal {
 		return nil
 	}
 	var budgets []Budget
-	for order := range orderKinds {
-		r.pacer.refill(now, order)
-		budgets = append(budgets, Budget{Order: order.String(),
-			Left: math.Floor(r.pacer.levels[order]*10) / 10, Rate: r.pacer.rates[order]})
+	for operation := range operationKinds {
+		r.pacer.refillBucket(now, operation)
+		budgets = append(budgets, Budget{Operation: operation.String(),
+			Remaining: math.Floor(r.pacer.tokens[operation]*10) / 10, Rate: r.pacer.rates[operation]})
 	}
 	return budgets
 }
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -16,18 +16,18 @@
 // The phases, in their order.
 const (
 	// PhaseReading: the stored records are read. No command or request is sent.
-	Reading Phase = iota
+	PhaseReading Phase = iota
 	// PhaseCollecting: heartbeats of the recorded machines arrive. Work that no earlier leader can
 	// have started is started. Machines are rented only for work that can't be running on machines
 	// that are not reconciled, and no unresponsive machine is returned.
-	Collecting
+	PhaseCollecting
 	// PhaseReconciling: most machines are reconciled, or no further ones send heartbeats.
 	// Unresponsive machines are returned.
-	Reconciling
+	PhaseReconciling
 	// PhasePacing: all machines are reconciled. Tasks are started at a limited rate.
-	Pacing
+	PhasePacing
 	// PhaseNormal: the recovery is completed and nothing is limited.
-	Normal
+	PhaseNormal
 )
 
 var phaseNames = [...]string{"reading", "collecting", "reconciling", "pacing", "normal"}
@@ -43,166 +43,166 @@
 // Conditions and timeouts of the phases.
 const (
 	// fewMissingDivisor: the collecting phase ends when at most one machine in so many is missing.
-	fewUnknown = 10
+	fewMissingDivisor = 10
 	// maxCollectingLeases is the timeout of the collecting phase in leases.
-	collectShare = 0.45
+	maxCollectingLeases = 0.45
 	// fewMissingSilenceLeases is the time in leases after which an unresponsive machine is returned
 	// if few are missing.
-	fewSilence = 0.25
+	fewMissingSilenceLeases = 0.25
 	// quietHeartbeatIntervals is the time in heartbeat intervals without a newly reconciled machine
 	// after which the collecting phase ends: the machines that can reach this leader have done so.
-	newsReports = 1.5
+	quietHeartbeatIntervals = 1.5
 	// maxReadingLeases is the time in leases after which another leader should try to read the
 	// records.
-	readingLeases = 4
+	maxReadingLeases = 4
 	// maxPacingLeases is the timeout of the pacing phase in leases.
-	pacingLeases = 1
+	maxPacingLeases = 1
 )
 
 // Settings are the intervals and limits that the recovery depends on.
 type Settings struct {
-	Report time.Duration // between two heartbeats of a worker
-	Lease  time.Duration // of a worker, with an allowance for clock drift
-	Limits Limits
+	HeartbeatInterval time.Duration // between two heartbeats of a worker
+	WorkerLease       time.Duration // of a worker, with an allowance for clock drift
+	Limits            Limits
 }
 
 // View is a leader's view of its machines at some moment.
 type View struct {
-	RecordsRead  bool
-	NamesMissing bool // there are machines whose records can't be read
-	Machines     int
-	Unaccounted  int // machines that may run tasks unknown to this leader
-	Cores        float64
-	LargestCores float64 // of one machine
+	RecordsRead         bool
+	InventoryIncomplete bool // there are machines whose records can't be read
+	Machines            int
+	Unreconciled        int // machines that may run tasks unknown to this leader
+	Cores               float64
+	LargestCores        float64 // of one machine
 }
 
 // Transition is a change of phase.
 type Transition struct {
 	From, To Phase
-	After    time.Duration // of the phase that ended
-	Bound    bool          // it ended by its timeout, not by its condition
+	Duration time.Duration // of the phase that ended
+	TimedOut bool          // it ended by its timeout, not by its condition
 }
 
 // Recovery is the recovery of one leader.
 type Recovery struct {
-	settings Settings
-	began    time.Duration
-	phase    Phase
-	since    time.Duration
-	view     View
-	news     time.Duration // when a machine was last reconciled
-	waited   time.Duration // when an operation last had to wait for its budget
-	pacer    pacer
-	counts   Counts
-	noted    map[noteKey]bool
-	samples  []Sample
+	settings         Settings
+	startedAt        time.Duration
+	phase            Phase
+	phaseStartedAt   time.Duration
+	view             View
+	lastReconciledAt time.Duration // when a machine was last reconciled
+	lastDeferredAt   time.Duration // when an operation last had to wait for its budget
+	pacer            pacer
+	counts           MismatchCounts
+	notedMismatches  map[mismatchKey]bool
+	samples          []MismatchSample
 }
 
 // New starts a recovery. Times are on the caller's monotonic clock.
 func New(settings Settings, now time.Duration) *Recovery {
-	return &Recovery{settings: settings, began: now, since: now, waited: now,
-		noted: map[noteKey]bool{}, pacer: newPacer(now)}
+	return &Recovery{settings: settings, startedAt: now, phaseStartedAt: now, lastDeferredAt: now,
+		notedMismatches: map[mismatchKey]bool{}, pacer: newPacer(now)}
 }
 
 // Phase is the present phase.
 func (r *Recovery) Phase() Phase { return r.phase }
 
 // Completed reports whether the recovery is completed.
-func (r *Recovery) Over() bool { return r.phase == Normal }
+func (r *Recovery) Completed() bool { return r.phase == PhaseNormal }
 
 // Advance applies a new view and returns the phase transitions that follow from it.
 func (r *Recovery) Advance(now time.Duration, view View) []Transition {
-	if view.Unaccounted < r.view.Unaccounted || r.phase == Reading {
-		r.news = now
+	if view.Unreconciled < r.view.Unreconciled || r.phase == PhaseReading {
+		r.lastReconciledAt = now
 	}
 	r.view = view
-	if r.phase == Normal {
+	if r.phase == PhaseNormal {
 		return nil
 	}
-	r.pacer.limit(r.settings.rates(view))
-	var moved []Transition
-	for r.phase != Normal {
-		done, bound := r.ends(now)
-		if !done && !bound {
+	r.pacer.setRates(r.settings.ratesFor(view))
+	var transitions []Transition
+	for r.phase != PhaseNormal {
+		conditionMet, timedOut := r.phaseEnds(now)
+		if !conditionMet && !timedOut {
 			break
 		}
 		next := r.phase + 1
-		if r.phase == Reading && view.Machines == 0 && !view.NamesMissing {
-			next = Normal // without machines there is nothing to reconcile or to pace
+		if r.phase == PhaseReading && view.Machines == 0 && !view.InventoryIncomplete {
+			next = PhaseNormal // without machines there is nothing to reconcile or to pace
 		}
-		moved = append(moved,
-			Transition{From: r.phase, To: next, After: now - r.since, Bound: !done})
-		r.phase, r.since = next, now
+		transitions = append(transitions,
+			Transition{From: r.phase, To: next, Duration: now - r.phaseStartedAt, TimedOut: !conditionMet})
+		r.phase, r.phaseStartedAt = next, now
 	}
-	if r.phase == Normal {
-		r.noted = nil
+	if r.phase == PhaseNormal {
+		r.notedMismatches = nil
 	}
-	return moved
+	return transitions
 }
 
 // phaseEnds reports whether the present phase's condition to end holds, and whether it has timed
 // out. PhaseReading does not time out here: see ReadingTimedOut.
-func (r *Recovery) ends(now time.Duration) (done, bound bool) {
-	v := &r.view
+func (r *Recovery) phaseEnds(now time.Duration) (conditionMet, timedOut bool) {
+	view := &r.view
 	switch r.phase {
-	case Reading:
-		return v.RecordsRead, false
-	case Collecting:
-		few := v.Unaccounted*fewUnknown <= v.Machines
-		quiet := now-r.news >=
-			time.Duration(newsReports*float64(r.settings.Report))
-		return (few || quiet) && !v.NamesMissing,
-			now-r.since >= r.part(collectShare)
-	case Reconciling:
-		return v.Unaccounted == 0 && !v.NamesMissing, now-r.began > r.settings.Lease
+	case PhaseReading:
+		return view.RecordsRead, false
+	case PhaseCollecting:
+		fewMissing := view.Unreconciled*fewMissingDivisor <= view.Machines
+		noneReconciledLately := now-r.lastReconciledAt >=
+			time.Duration(quietHeartbeatIntervals*float64(r.settings.HeartbeatInterval))
+		return (fewMissing || noneReconciledLately) && !view.InventoryIncomplete,
+			now-r.phaseStartedAt >= r.leaseFraction(maxCollectingLeases)
+	case PhaseReconciling:
+		return view.Unreconciled == 0 && !view.InventoryIncomplete, now-r.startedAt > r.settings.WorkerLease
 	default:
-		return now-max(r.waited, r.since) >= r.settings.Report,
-			now-r.since >= pacingLeases*r.settings.Lease
+		return now-max(r.lastDeferredAt, r.phaseStartedAt) >= r.settings.HeartbeatInterval,
+			now-r.phaseStartedAt >= maxPacingLeases*r.settings.WorkerLease
 	}
 }
 
 // ReadingTimedOut reports whether reading the records takes so long that another leader should try.
-func (r *Recovery) ReadingTooLong(now time.Duration) bool {
-	return r.phase == Reading && now-r.since > readingLeases*r.settings.Lease
+func (r *Recovery) ReadingTimedOut(now time.Duration) bool {
+	return r.phase == PhaseReading && now-r.phaseStartedAt > maxReadingLeases*r.settings.WorkerLease
 }
 
 // leaseFraction is a fraction, or a multiple, of a worker lease.
-func (r *Recovery) part(share float64) time.Duration {
-	return time.Duration(share * float64(r.settings.Lease))
+func (r *Recovery) leaseFraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(r.settings.WorkerLease))
 }
 
 // MayScaleOut reports whether machines may be rented for work that can't be running unreported: as
 // much of it as exceeds the cores of the machines that are not reconciled.
-func (r *Recovery) MayRent() bool { return r.phase >= Collecting }
+func (r *Recovery) MayScaleOut() bool { return r.phase >= PhaseCollecting }
 
 // MayScaleIn reports whether machines may be returned because there are too many. How many are
 // needed is unknown before all are reconciled.
-func (r *Recovery) MayShrink() bool { return r.phase >= Pacing }
+func (r *Recovery) MayScaleIn() bool { return r.phase >= PhasePacing }
 
 // MayReturnUnresponsive reports whether a machine that is not reconciled may be returned after a
 // time without a heartbeat. The time is shorter if few machines are missing: each delays all older
 // jobs, while many missing machines probably just can't reach this leader yet.
-func (r *Recovery) MayReturnSilent(silence time.Duration) bool {
-	if r.phase < Reconciling {
+func (r *Recovery) MayReturnUnresponsive(silence time.Duration) bool {
+	if r.phase < PhaseReconciling {
 		return false
 	}
-	if r.view.Unaccounted*fewUnknown <= r.view.Machines {
-		return silence > r.part(fewSilence)
+	if r.view.Unreconciled*fewMissingDivisor <= r.view.Machines {
+		return silence > r.leaseFraction(fewMissingSilenceLeases)
 	}
-	return silence > r.part(collectShare)
+	return silence > r.leaseFraction(maxCollectingLeases)
 }
 
 // WaitsFor describes what the present phase waits for. Operators see it.
 func (r *Recovery) WaitsFor() string {
 	switch r.phase {
-	case Reading:
+	case PhaseReading:
 		return "the stored records"
-	case Collecting, Reconciling:
-		if r.view.NamesMissing {
+	case PhaseCollecting, PhaseReconciling:
+		if r.view.InventoryIncomplete {
 			return "the leases of machines whose records can't be read"
 		}
-		return fmt.Sprintf("%d of %d machines", r.view.Unaccounted, r.view.Machines)
-	case Pacing:
+		return fmt.Sprintf("%d of %d machines", r.view.Unreconciled, r.view.Machines)
+	case PhasePacing:
 		return "orders that wait for their budget"
 	default:
 		return ""
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -3,43 +3,43 @@
 import "time"
 
 // QuarantinedRecord is a stored record that can't be read, as operators see it.
-type Record struct {
-	Key    string `json:"key"`
-	Reason string `json:"reason"`
-	Newer  bool   `json:"newer,omitempty"` // a newer version of the controller may have written it
+type QuarantinedRecord struct {
+	Key               string `json:"key"`
+	Reason            string `json:"reason"`
+	MaybeNewerVersion bool   `json:"newer,omitempty"` // a newer version of the controller may have written it
 }
 
 // Status is the state of a leader's recovery, as operators see it.
 type Status struct {
-	Term       uint64         `json:"term"`
-	Phase      string         `json:"phase"`
-	Paced      bool           `json:"paced"`
-	ForS       float64        `json:"forS"`   // since the phase began
-	AfterS     float64        `json:"afterS"` // since the recovery began
-	WaitsFor   string         `json:"waitsFor,omitempty"`
-	Machines   int            `json:"machines"`
-	Missing    int            `json:"missing"`
-	Mismatches map[string]int `json:"mismatches"`
-	Samples    []Sample       `json:"samples,omitempty"`
-	Budgets    []Budget       `json:"budgets,omitempty"`
+	Term           uint64           `json:"term"`
+	Phase          string           `json:"phase"`
+	Paced          bool             `json:"paced"`
+	PhaseSeconds   float64          `json:"forS"`   // since the phase began
+	ElapsedSeconds float64          `json:"afterS"` // since the recovery began
+	WaitsFor       string           `json:"waitsFor,omitempty"`
+	Machines       int              `json:"machines"`
+	Unreconciled   int              `json:"missing"`
+	Mismatches     map[string]int   `json:"mismatches"`
+	Samples        []MismatchSample `json:"samples,omitempty"`
+	Budgets        []Budget         `json:"budgets,omitempty"`
 }
 
 // NodeStatus is a controller's state of recovery, as operators see it.
 type NodeStatus struct {
-	Node     string   `json:"node"`
-	Leads    bool     `json:"leads"`
-	Follows  string   `json:"follows,omitempty"`
-	Term     uint64   `json:"term"`
-	Recovery *Status  `json:"recovery,omitempty"`
-	SetAside []Record `json:"setAside,omitempty"`
+	Node        string              `json:"node"`
+	IsLeader    bool                `json:"leads"`
+	LeaderName  string              `json:"follows,omitempty"`
+	Term        uint64              `json:"term"`
+	Recovery    *Status             `json:"recovery,omitempty"`
+	Quarantined []QuarantinedRecord `json:"setAside,omitempty"`
 }
 
 // Status returns the present state of the recovery.
 func (r *Recovery) Status(now time.Duration) *Status {
 	return &Status{
-		Phase: r.phase.String(), ForS: (now - r.since).Seconds(),
-		AfterS: (now - r.began).Seconds(), WaitsFor: r.WaitsFor(),
-		Machines: r.view.Machines, Missing: r.view.Unaccounted,
+		Phase: r.phase.String(), PhaseSeconds: (now - r.phaseStartedAt).Seconds(),
+		ElapsedSeconds: (now - r.startedAt).Seconds(), WaitsFor: r.WaitsFor(),
+		Machines: r.view.Machines, Unreconciled: r.view.Unreconciled,
 		Mismatches: r.counts.ByName(), Samples: r.samples, Budgets: r.Budgets(now),
 	}
 }
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -7,45 +7,45 @@
 )
 
 // OperationKind is the kind of an Operation.
-type OrderKind string
+type OperationKind string
 
 // Kinds of operations.
 const (
-	OrderStart  OrderKind = "start"
-	OrderStop   OrderKind = "stop"
-	OrderRent   OrderKind = "rent"
-	OrderReturn OrderKind = "return"
+	OperationStartTask     OperationKind = "start"
+	OperationStopTask      OperationKind = "stop"
+	OperationRentMachine   OperationKind = "rent"
+	OperationReturnMachine OperationKind = "return"
 )
 
 // Operation is one command that a worker received, or one machine of a request that the cloud
 // received.
-type Order struct {
-	At        time.Time
-	Kind      OrderKind
-	Cancelled bool // a stop of a task whose job was cancelled by its user
+type Operation struct {
+	ReceivedAt     time.Time
+	Kind           OperationKind
+	OfCancelledJob bool // a stop of a task whose job was cancelled by its user
 }
 
 // operationLog collects operations. It is safe for concurrent use.
-type orderLog struct {
-	mu     sync.Mutex
-	orders []Order
+type operationLog struct {
+	mu         sync.Mutex
+	operations []Operation
 }
 
 // record adds operations of one kind that were received at the same time.
-func (l *orderLog) add(at time.Time, kind OrderKind, count int, cancelled bool) {
+func (l *operationLog) record(receivedAt time.Time, kind OperationKind, count int, cancelled bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range count {
-		l.orders = append(l.orders, Order{At: at, Kind: kind, Cancelled: cancelled})
+		l.operations = append(l.operations, Operation{ReceivedAt: receivedAt, Kind: kind, OfCancelledJob: cancelled})
 	}
 }
 
 // since lists the operations received at or after a time, in the order of their receipt.
-func (l *orderLog) since(from time.Time) []Order {
+func (l *operationLog) since(from time.Time) []Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	orders := slices.DeleteFunc(slices.Clone(l.orders),
-		func(o Order) bool { return o.At.Before(from) })
-	slices.SortStableFunc(orders, func(a, b Order) int { return a.At.Compare(b.At) })
-	return orders
+	operations := slices.DeleteFunc(slices.Clone(l.operations),
+		func(operation Operation) bool { return operation.ReceivedAt.Before(from) })
+	slices.SortStableFunc(operations, func(a, b Operation) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
+	return operations
 }
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -20,86 +20,86 @@
 func (e *RecordError) Error() string { return e.Key + ": " + e.Reason }
 
 // newRecordError returns a RecordError for an item.
-func recordError(it Item, format string, args ...any) error {
-	return &RecordError{Key: it.Key, Reason: fmt.Sprintf(format, args...)}
+func newRecordError(item Item, format string, args ...any) error {
+	return &RecordError{Key: item.Key, Reason: fmt.Sprintf(format, args...)}
 }
 
 // decodeObject decodes an item's value, which must be a JSON object.
-func decode(it Item, value any) error {
-	if raw := strings.TrimSpace(string(it.Value)); !strings.HasPrefix(raw, "{") {
-		return recordError(it, "is no JSON object")
+func decodeObject(item Item, value any) error {
+	if raw := strings.TrimSpace(string(item.Value)); !strings.HasPrefix(raw, "{") {
+		return newRecordError(item, "is no JSON object")
 	}
-	if err := json.Unmarshal(it.Value, value); err != nil {
-		return recordError(it, "can't be decoded: %v", err)
+	if err := json.Unmarshal(item.Value, value); err != nil {
+		return newRecordError(item, "can't be decoded: %v", err)
 	}
 	return nil
 }
 
 // ReadJob decodes and validates the record of an open job. The error is a *RecordError.
-func ReadJob(it Item) (JobRecord, error) {
-	var rec JobRecord
-	if err := decode(it, &rec); err != nil {
-		return rec, err
+func ReadJob(item Item) (JobRecord, error) {
+	var record JobRecord
+	if err := decodeObject(item, &record); err != nil {
+		return record, err
 	}
-	if JobKey(rec.Spec.UID) != it.Key {
-		return rec, recordError(it, "holds the job %q", rec.Spec.UID)
+	if JobKey(record.Spec.ID) != item.Key {
+		return record, newRecordError(item, "holds the job %q", record.Spec.ID)
 	}
-	if err := rec.Spec.Check(); err != nil {
-		return rec, recordError(it, "holds no possible job: %v", err)
+	if err := record.Spec.Validate(); err != nil {
+		return record, newRecordError(item, "holds no possible job: %v", err)
 	}
-	if rec.More < 0 {
-		return rec, recordError(it, "names %d records of the jobs that it needs", rec.More)
+	if record.DependencyRecords < 0 {
+		return record, newRecordError(item, "names %d records of the jobs that it needs", record.DependencyRecords)
 	}
-	return rec, nil
+	return record, nil
 }
 
 // MayHaveDependencies reports whether the record of a job, which may be corrupt, seems to be that of
 // a job with dependencies.
-func MayNeedOthers(it Item) bool {
-	raw := string(it.Value)
+func MayHaveDependencies(item Item) bool {
+	raw := string(item.Value)
 	return strings.Contains(raw, `"aguarda"`) || strings.Contains(raw, `"more"`)
 }
 
 // ReadTerminal decodes and validates the record of a terminal job. The error is a *RecordError.
-func ReadFinal(it Item) (FinalRecord, error) {
-	var rec FinalRecord
-	if err := decode(it, &rec); err != nil {
-		return rec, err
+func ReadTerminal(item Item) (TerminalRecord, error) {
+	var record TerminalRecord
+	if err := decodeObject(item, &record); err != nil {
+		return record, err
 	}
-	if rec.State != protocol.Done && rec.State != protocol.Withdrawn {
-		return rec, recordError(it, "holds the state %q", rec.State)
+	if record.State != protocol.JobDone && record.State != protocol.JobCancelled {
+		return record, newRecordError(item, "holds the state %q", record.State)
 	}
-	return rec, nil
+	return record, nil
 }
 
 // ReadDependencies decodes and validates one part of a job's dependencies. The error is a
 // *RecordError.
-func ReadNeeds(it Item) ([]string, error) {
-	var needs []string
-	if err := json.Unmarshal(it.Value, &needs); err != nil || needs == nil {
-		return nil, recordError(it, "is no list of jobs")
+func ReadDependencies(item Item) ([]string, error) {
+	var dependencies []string
+	if err := json.Unmarshal(item.Value, &dependencies); err != nil || dependencies == nil {
+		return nil, newRecordError(item, "is no list of jobs")
 	}
-	for _, id := range needs {
+	for _, id := range dependencies {
 		if !protocol.ValidJobID(id) {
-			return nil, recordError(it, "names %q, which is no job", id)
+			return nil, newRecordError(item, "names %q, which is no job", id)
 		}
 	}
-	return needs, nil
+	return dependencies, nil
 }
 
 // ReadBitmap decodes and validates one part of a bitmap of finished tasks. The error is a
 // *RecordError.
-func ReadBits(it Item) ([]byte, error) {
-	var rec BitsRecord
-	if err := decode(it, &rec); err != nil {
+func ReadBitmap(item Item) ([]byte, error) {
+	var record BitmapRecord
+	if err := decodeObject(item, &record); err != nil {
 		return nil, err
 	}
-	bits, err := DecodeBits(rec)
+	bits, err := DecodeBitmap(record)
 	if err != nil {
-		return nil, recordError(it, "holds no bitmap: %v", err)
+		return nil, newRecordError(item, "holds no bitmap: %v", err)
 	}
 	if len(bits) == 0 {
-		return nil, recordError(it, "holds an empty bitmap")
+		return nil, newRecordError(item, "holds an empty bitmap")
 	}
 	return bits, nil
 }
@@ -107,31 +107,31 @@
 // ReadMachineGroup decodes and validates the record of a machine group. Of entries that can't be
 // decoded it returns the names only. The error, a *RecordError, concerns the record as a whole; then
 // not even the names are known.
-func ReadGroup(it Item) (group GroupRecord, unreadable []string, err error) {
+func ReadMachineGroup(item Item) (group MachineGroupRecord, unreadable []string, err error) {
 	var entries map[string]json.RawMessage
-	if err := decode(it, &entries); err != nil {
+	if err := decodeObject(item, &entries); err != nil {
 		return nil, nil, err
 	}
-	group = make(GroupRecord, len(entries))
+	group = make(MachineGroupRecord, len(entries))
 	for name, raw := range entries {
-		var rec MachineRecord
-		if json.Unmarshal(raw, &rec) != nil || rec.Type == "" {
+		var record MachineRecord
+		if json.Unmarshal(raw, &record) != nil || record.Type == "" {
 			unreadable = append(unreadable, name)
 			continue
 		}
-		group[name] = rec
+		group[name] = record
 	}
 	return group, unreadable, nil
 }
 
 // ReadRental decodes and validates the record of a pending rental. The error is a *RecordError.
-func ReadRental(it Item) (protocol.Rental, error) {
-	var rental protocol.Rental
-	if err := decode(it, &rental); err != nil {
+func ReadRental(item Item) (protocol.RentalRequest, error) {
+	var rental protocol.RentalRequest
+	if err := decodeObject(item, &rental); err != nil {
 		return rental, err
 	}
-	if RentPrefix+rental.Request != it.Key {
-		return rental, recordError(it, "holds the rental %q", rental.Request)
+	if RentalPrefix+rental.RequestID != item.Key {
+		return rental, newRecordError(item, "holds the rental %q", rental.RequestID)
 	}
 	return rental, nil
 }
--- a/internal/toolbox/links.go
+++ b/internal/toolbox/links.go
@@ -14,114 +14,114 @@
 // PrintLinks prints the state of the links between all controllers, by direction, and the role of
 // each. It returns an *IncompleteError if a node does not answer, the nodes name different leaders,
 // or a link is half-open.
-func Links(out io.Writer, o Options) error {
-	answers := askAll[reachability.NodeStatus](o, "/links")
+func PrintLinks(out io.Writer, options Options) error {
+	responses := queryAll[reachability.NodeStatus](options, "/links")
 	incomplete := &IncompleteError{}
-	said := map[string]*reachability.NodeStatus{}
+	statuses := map[string]*reachability.NodeStatus{}
 	names := map[string]bool{}
-	for i := range answers {
-		a := &answers[i]
-		if a.err != nil {
-			incomplete.add("%s: %v", a.address, a.err)
+	for i := range responses {
+		response := &responses[i]
+		if response.err != nil {
+			incomplete.addReason("%s: %v", response.address, response.err)
 			continue
 		}
-		if said[a.value.Node] != nil {
-			incomplete.add("%s: a second node that calls itself %s", a.address, a.value.Node)
+		if statuses[response.value.Node] != nil {
+			incomplete.addReason("%s: a second node that calls itself %s", response.address, response.value.Node)
 		}
-		said[a.value.Node] = &a.value
-		names[a.value.Node] = true
-		for _, other := range a.value.Known {
+		statuses[response.value.Node] = &response.value
+		names[response.value.Node] = true
+		for _, other := range response.value.Peers {
 			names[other] = true
 		}
 	}
-	if len(said) == 0 {
-		incomplete.add("no node answers")
+	if len(statuses) == 0 {
+		incomplete.addReason("no node answers")
 		return incomplete
 	}
 	nodes := slices.Sorted(maps.Keys(names))
-	printMatrix(out, nodes, said, incomplete)
-	printRoles(out, nodes, said, incomplete)
-	return incomplete.orNil()
+	printLinkMatrix(out, nodes, statuses, incomplete)
+	printRoles(out, nodes, statuses, incomplete)
+	return incomplete.errorOrNil()
 }
 
 // printLinkMatrix prints one row per receiving node and one column per sending node.
-func printMatrix(out io.Writer, nodes []string, said map[string]*reachability.NodeStatus,
+func printLinkMatrix(out io.Writer, nodes []string, statuses map[string]*reachability.NodeStatus,
 	incomplete *IncompleteError) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "HEARS\t"+strings.Join(nodes, "\t")+"\tSTATE SERVICE")
-	for _, to := range nodes {
-		s := said[to]
-		if s == nil {
-			fmt.Fprintf(table, "%s\t%sunknown\n", to, strings.Repeat("unknown\t", len(nodes)))
-			incomplete.add("what %s hears is unknown", to)
+	for _, receiver := range nodes {
+		status := statuses[receiver]
+		if status == nil {
+			fmt.Fprintf(table, "%s\t%sunknown\n", receiver, strings.Repeat("unknown\t", len(nodes)))
+			incomplete.addReason("what %s hears is unknown", receiver)
 			continue
 		}
-		cells := []string{to}
-		for _, from := range nodes {
-			cells = append(cells, cell(s, from))
-			if from < to && said[from] != nil &&
-				s.HearsNode(from) != said[from].HearsNode(to) {
-				incomplete.add("half-open: %s and %s hear each other in one direction only", from, to)
+		cells := []string{receiver}
+		for _, sender := range nodes {
+			cells = append(cells, linkCell(status, sender))
+			if sender < receiver && statuses[sender] != nil &&
+				status.ReceivesFrom(sender) != statuses[sender].ReceivesFrom(receiver) {
+				incomplete.addReason("half-open: %s and %s hear each other in one direction only", sender, receiver)
 			}
 		}
-		fmt.Fprintln(table, strings.Join(append(cells, linkWord(s.State)), "\t"))
+		fmt.Fprintln(table, strings.Join(append(cells, linkState(status.StoreReachable)), "\t"))
 	}
 	table.Flush()
 }
 
 // linkCell returns the matrix cell of the link from a node to the one whose status is given.
-func cell(s *reachability.NodeStatus, from string) string {
-	if s.Node == from {
+func linkCell(status *reachability.NodeStatus, sender string) string {
+	if status.Node == sender {
 		return "-"
 	}
-	return linkWord(s.HearsNode(from))
+	return linkState(status.ReceivesFrom(sender))
 }
 
 // linkState returns the word for a link that works or is cut.
-func linkWord(works bool) string {
+func linkState(works bool) string {
 	if works {
-		return reachability.Works.String()
+		return reachability.LinkUp.String()
 	}
-	return reachability.Cut.String()
+	return reachability.LinkDown.String()
 }
 
 // printRoles prints which node leads, as each node sees it.
-func printRoles(out io.Writer, nodes []string, said map[string]*reachability.NodeStatus,
+func printRoles(out io.Writer, nodes []string, statuses map[string]*reachability.NodeStatus,
 	incomplete *IncompleteError) {
 	fmt.Fprintln(out)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NODE\tROLE\tTERM\tWORKERS\tSTRANDED\tSERVED")
 	leaders := map[string]bool{}
 	for _, name := range nodes {
-		s := said[name]
-		if s == nil {
+		status := statuses[name]
+		if status == nil {
 			fmt.Fprintf(table, "%s\tunknown\t\t\t\t\n", name)
 			continue
 		}
-		role, served := "follows nobody", ""
+		role, lastServed := "follows nobody", ""
 		switch {
-		case s.Leads:
-			role, served = "leads", fmt.Sprintf("%.1f s ago", s.ServedAgoS)
+		case status.IsLeader:
+			role, lastServed = "leads", fmt.Sprintf("%.1f s ago", status.SecondsSinceServed)
 			leaders[name] = true
-		case s.Follows != "":
-			role = "follows " + s.Follows
-			leaders[s.Follows] = true
-		case s.Pausing:
+		case status.LeaderName != "":
+			role = "follows " + status.LeaderName
+			leaders[status.LeaderName] = true
+		case status.CandidacyPaused:
 			role = "has resigned"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%s\n",
-			name, role, s.Term, s.Workers, s.Stranded, served)
-		if s.Stranded > 0 {
-			incomplete.add("%s can't serve %d workers that come to it", name, s.Stranded)
+			name, role, status.Term, status.RecentWorkers, status.StrandedWorkers, lastServed)
+		if status.StrandedWorkers > 0 {
+			incomplete.addReason("%s can't serve %d workers that come to it", name, status.StrandedWorkers)
 		}
 	}
 	table.Flush()
 	switch len(leaders) {
 	case 0:
-		incomplete.add("nobody leads")
+		incomplete.addReason("nobody leads")
 	case 1:
 	default:
-		incomplete.add("the nodes name different leaders: %s",
+		incomplete.addReason("the nodes name different leaders: %s",
 			strings.Join(slices.Sorted(maps.Keys(leaders)), ", "))
 	}
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -28,78 +28,78 @@
 
 // Recorder keeps the last steps of one controller. It is safe for concurrent use.
 type Recorder struct {
-	node   string
-	tracer trace.Tracer
-	spans  *ring
+	node        string
+	tracer      trace.Tracer
+	recentSpans *spanRing
 }
 
 // NewRecorder returns a recorder that keeps the last limit steps of a node.
 func NewRecorder(node string, limit int) *Recorder {
-	spans := &ring{spans: make([]sdk.ReadOnlySpan, limit)}
+	recentSpans := &spanRing{spans: make([]sdk.ReadOnlySpan, limit)}
 	provider := sdk.NewTracerProvider(
-		sdk.WithSpanProcessor(spans), sdk.WithIDGenerator(jobIDs{}), sdk.WithSampler(sdk.AlwaysSample()))
-	return &Recorder{node: node, tracer: provider.Tracer("hitchdoor"), spans: spans}
+		sdk.WithSpanProcessor(recentSpans), sdk.WithIDGenerator(jobIDGenerator{}), sdk.WithSampler(sdk.AlwaysSample()))
+	return &Recorder{node: node, tracer: provider.Tracer("hitchdoor"), recentSpans: recentSpans}
 }
 
 // Attribute keys of the spans.
 const (
-	keyJob   = attribute.Key("job")
-	keyNote  = attribute.Key("note")
-	keyTerm  = attribute.Key("term")
-	keyEpoch = attribute.Key("epoch")
+	jobAttribute   = attribute.Key("job")
+	noteAttribute  = attribute.Key("note")
+	termAttribute  = attribute.Key("term")
+	epochAttribute = attribute.Key("epoch")
 )
 
 // Record adds a step and evicts the oldest one if the recorder is full.
-func (r *Recorder) Record(s Step) {
-	ctx := context.WithValue(context.Background(), jobKey{}, s.Job)
-	_, span := r.tracer.Start(ctx, s.Name, trace.WithTimestamp(s.At), trace.WithAttributes(
-		keyJob.String(s.Job), keyNote.String(s.Note),
-		keyTerm.Int64(int64(s.Term)), keyEpoch.Int64(int64(s.Epoch))))
-	span.End(trace.WithTimestamp(s.At))
+func (r *Recorder) Record(step Step) {
+	ctx := context.WithValue(context.Background(), jobContextKey{}, step.Job)
+	_, span := r.tracer.Start(ctx, step.Name, trace.WithTimestamp(step.At), trace.WithAttributes(
+		jobAttribute.String(step.Job), noteAttribute.String(step.Note),
+		termAttribute.Int64(int64(step.Term)), epochAttribute.Int64(int64(step.Epoch))))
+	span.End(trace.WithTimestamp(step.At))
 }
 
 // StepsOf returns the retained steps of a job in the order in which they were recorded.
-func (r *Recorder) Of(job string) []Step {
+func (r *Recorder) StepsOf(job string) []Step {
 	id := TraceID(job)
 	var steps []Step
-	for _, span := range r.spans.all() {
+	for _, span := range r.recentSpans.oldestFirst() {
 		if span.SpanContext().TraceID() == id {
-			steps = append(steps, r.step(span))
+			steps = append(steps, r.stepFromSpan(span))
 		}
 	}
 	return steps
 }
 
 // stepFromSpan converts a span back to the step it was recorded from.
-func (r *Recorder) step(span sdk.ReadOnlySpan) Step {
-	s := Step{Node: r.node, Name: span.Name(), At: span.StartTime()}
-	for _, a := range span.Attributes() {
-		switch a.Key {
-		case keyJob:
-			s.Job = a.Value.AsString()
-		case keyNote:
-			s.Note = a.Value.AsString()
-		case keyTerm:
-			s.Term = uint64(a.Value.AsInt64())
-		case keyEpoch:
-			s.Epoch = uint64(a.Value.AsInt64())
+func (r *Recorder) stepFromSpan(span sdk.ReadOnlySpan) Step {
+	step := Step{Node: r.node, Name: span.Name(), At: span.StartTime()}
+	for _, keyValue := range span.Attributes() {
+		switch keyValue.Key {
+		case jobAttribute:
+			step.Job = keyValue.Value.AsString()
+		case noteAttribute:
+			step.Note = keyValue.Value.AsString()
+		case termAttribute:
+			step.Term = uint64(keyValue.Value.AsInt64())
+		case epochAttribute:
+			step.Epoch = uint64(keyValue.Value.AsInt64())
 		}
 	}
-	return s
+	return step
 }
 
 // spanRing is a span processor that retains the last spans.
-type ring struct {
+type spanRing struct {
 	mu    sync.Mutex
 	spans []sdk.ReadOnlySpan
 	next  int
 }
 
 // OnStart does nothing, as steps have no duration.
-func (*ring) OnStart(context.Context, sdk.ReadWriteSpan) {}
+func (*spanRing) OnStart(context.Context, sdk.ReadWriteSpan) {}
 
 // OnEnd stores a span in place of the oldest.
-func (r *ring) OnEnd(span sdk.ReadOnlySpan) {
+func (r *spanRing) OnEnd(span sdk.ReadOnlySpan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.spans[r.next] = span
@@ -107,44 +107,44 @@
 }
 
 // Shutdown does nothing, as there is nothing to flush.
-func (*ring) Shutdown(context.Context) error { return nil }
+func (*spanRing) Shutdown(context.Context) error { return nil }
 
 // ForceFlush does nothing, as there is nothing to flush.
-func (*ring) ForceFlush(context.Context) error { return nil }
+func (*spanRing) ForceFlush(context.Context) error { return nil }
 
 // oldestFirst returns the retained spans, the oldest first.
-func (r *ring) all() []sdk.ReadOnlySpan {
+func (r *spanRing) oldestFirst() []sdk.ReadOnlySpan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []sdk.ReadOnlySpan
+	var spans []sdk.ReadOnlySpan
 	for i := range r.spans {
 		if span := r.spans[(r.next+i)%len(r.spans)]; span != nil {
-			out = append(out, span)
+			spans = append(spans, span)
 		}
 	}
-	return out
+	return spans
 }
 
 // jobContextKey is the context key of the job id of a span.
-type jobKey struct{}
+type jobContextKey struct{}
 
 // jobIDGenerator is an id generator that derives trace ids from job ids.
-type jobIDs struct{}
+type jobIDGenerator struct{}
 
 // NewIDs returns the trace id of the job in the context, and a new span id.
-func (g jobIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
-	job, _ := ctx.Value(jobKey{}).(string)
+func (g jobIDGenerator) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
+	job, _ := ctx.Value(jobContextKey{}).(string)
 	id := TraceID(job)
 	return id, g.NewSpanID(ctx, id)
 }
 
 // NewSpanID returns a new span id for a trace.
-func (jobIDs) NewSpanID(_ context.Context, id trace.TraceID) trace.SpanID {
-	var span trace.SpanID
+func (jobIDGenerator) NewSpanID(_ context.Context, traceID trace.TraceID) trace.SpanID {
+	var spanID trace.SpanID
 	digest := xxhash.New()
-	digest.Write(id[:])
-	binary.LittleEndian.PutUint64(span[:], digest.Sum64()^uint64(time.Now().UnixNano())|1)
-	return span
+	digest.Write(traceID[:])
+	binary.LittleEndian.PutUint64(spanID[:], digest.Sum64()^uint64(time.Now().UnixNano())|1)
+	return spanID
 }
 
 // TraceID returns the id of a job's trace, which is the same on every controller.
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -16,27 +16,27 @@
 
 // ClientOptions are the limits of a Client. MaxResponseBytes bounds the body of a response.
 type ClientOptions struct {
-	Connections int
-	Dial        time.Duration
-	Idle        time.Duration
-	MaxBody     int
+	MaxConnections   int
+	DialTimeout      time.Duration
+	IdleTimeout      time.Duration
+	MaxResponseBytes int
 }
 
 // NewClient returns a client of the service at an address. The client never retries a call: only
 // the caller knows whether that is safe.
-func NewClient(addr string, opt ClientOptions) *Client {
-	dialer := net.Dialer{Timeout: opt.Dial}
+func NewClient(address string, options ClientOptions) *Client {
+	dialer := net.Dialer{Timeout: options.DialTimeout}
 	return &Client{http: &fasthttp.HostClient{
-		Addr:                          addr,
-		MaxConns:                      opt.Connections,
-		MaxIdleConnDuration:           opt.Idle,
+		Addr:                          address,
+		MaxConns:                      options.MaxConnections,
+		MaxIdleConnDuration:           options.IdleTimeout,
 		MaxIdemponentCallAttempts:     1,
 		RetryIfErr:                    neverRetry,
-		MaxResponseBodySize:           opt.MaxBody,
+		MaxResponseBodySize:           options.MaxResponseBytes,
 		NoDefaultUserAgentHeader:      true,
 		DisablePathNormalizing:        true,
 		DisableHeaderNamesNormalizing: true,
-		Dial:                          func(a string) (net.Conn, error) { return dialer.Dial("tcp4", a) },
+		Dial:                          func(target string) (net.Conn, error) { return dialer.Dial("tcp4", target) },
 	}}
 }
 
@@ -44,21 +44,21 @@
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 // Do executes a call. The status is 0 if there is no response.
-func (c *Client) Do(call coordination.Call) coordination.Result {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	req.SetRequestURI("http://" + c.http.Addr + call.Path)
-	req.Header.SetMethod(call.Method)
+func (c *Client) Do(call coordination.ServiceCall) coordination.CallResult {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	request.SetRequestURI("http://" + c.http.Addr + call.Path)
+	request.Header.SetMethod(call.Method)
 	if call.Body != nil {
-		req.Header.SetContentType("application/json")
-		req.SetBodyRaw(call.Body)
+		request.Header.SetContentType("application/json")
+		request.SetBodyRaw(call.Body)
 	}
-	out := coordination.Result{ID: call.ID}
-	err := c.http.DoTimeout(req, resp, call.Timeout)
+	result := coordination.CallResult{ID: call.ID}
+	err := c.http.DoTimeout(request, response, call.Timeout)
 	if err == nil {
-		out.Status = resp.StatusCode()
-		out.Body = append([]byte(nil), resp.Body()...)
+		result.Status = response.StatusCode()
+		result.Body = append([]byte(nil), response.Body()...)
 	}
-	fasthttp.ReleaseRequest(req)
-	fasthttp.ReleaseResponse(resp)
-	return out
+	fasthttp.ReleaseRequest(request)
+	fasthttp.ReleaseResponse(response)
+	return result
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -9,32 +9,32 @@
 
 // Bounds of the exponential backoff between failed attempts to accept a connection.
 const (
-	firstAcceptPause   = 5 * time.Millisecond
-	longestAcceptPause = 500 * time.Millisecond
+	minAcceptDelay = 5 * time.Millisecond
+	maxAcceptDelay = 500 * time.Millisecond
 )
 
 // retryingListener retries Accept after errors. Without it, a server would end, and with it the
 // process, as soon as all file descriptors are in use.
-type steadyListener struct {
+type retryingListener struct {
 	net.Listener
 	log *slog.Logger
 }
 
 // NewRetryingListener wraps a listener so that Accept fails only once the listener is closed.
-func Steady(listener net.Listener, log *slog.Logger) net.Listener {
-	return &steadyListener{Listener: listener, log: log}
+func NewRetryingListener(listener net.Listener, log *slog.Logger) net.Listener {
+	return &retryingListener{Listener: listener, log: log}
 }
 
 // Accept waits for the next connection, and retries after errors.
-func (l *steadyListener) Accept() (net.Conn, error) {
-	for pause := firstAcceptPause; ; pause = min(2*pause, longestAcceptPause) {
+func (l *retryingListener) Accept() (net.Conn, error) {
+	for delay := minAcceptDelay; ; delay = min(2*delay, maxAcceptDelay) {
 		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		if pause == firstAcceptPause {
+		if delay == minAcceptDelay {
 			l.log.Warn("accept failed", "address", l.Addr().String(), "error", err)
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
