--- a/cmd/hitchdoor/tools.go
+++ b/cmd/hitchdoor/operator_commands.go
@@ -6,12 +6,12 @@
 
 	"github.com/spf13/cobra"
 
-	"hitchdoor/internal/toolbox"
+	"hitchdoor/internal/adminclient"
 )
 
 // newOperatorCommands returns the subcommands that query all controllers and change nothing.
 func newOperatorCommands() []*cobra.Command {
-	var options toolbox.Options
+	var options adminclient.Options
 	var jobID string
 	admissionCommand := &cobra.Command{
 		Use:   "admission --nodes HOST:PORT,... [--job ID]",
@@ -21,7 +21,7 @@
 			if err := options.Validate(); err != nil {
 				return err
 			}
-			return toolbox.PrintAdmission(command.OutOrStdout(), options, jobID)
+			return adminclient.PrintAdmission(command.OutOrStdout(), options, jobID)
 		},
 	}
 	admissionCommand.Flags().StringVar(&jobID, "job", "", "a job to tell about")
@@ -33,11 +33,11 @@
 			if err := options.Validate(); err != nil {
 				return err
 			}
-			return toolbox.PrintTrace(command.OutOrStdout(), options, args[0])
+			return adminclient.PrintTrace(command.OutOrStdout(), options, args[0])
 		},
 	}
 	// newQueryCommand returns a subcommand without arguments of its own.
-	newQueryCommand := func(name, short string, query func(io.Writer, toolbox.Options) error) *cobra.Command {
+	newQueryCommand := func(name, short string, query func(io.Writer, adminclient.Options) error) *cobra.Command {
 		return &cobra.Command{
 			Use:   name + " --nodes HOST:PORT,...",
 			Short: short,
@@ -50,9 +50,9 @@
 			},
 		}
 	}
-	linksCommand := newQueryCommand("links", "Show which controllers hear each other, and who leads by whose word", toolbox.PrintLinks)
+	linksCommand := newQueryCommand("links", "Show which controllers hear each other, and who leads by whose word", adminclient.PrintLinks)
 	recoveryCommand := newQueryCommand("recovery",
-		"Show how far a new leader's recovery is, and what differs from the records", toolbox.PrintRecovery)
+		"Show how far a new leader's recovery is, and what differs from the records", adminclient.PrintRecovery)
 	commands := []*cobra.Command{admissionCommand, traceCommand, linksCommand, recoveryCommand}
 	for _, command := range commands {
 		command.Flags().StringSliceVar(&options.Addresses, "nodes", nil, "the client addresses of all controllers")
--- a/internal/toolbox/toolbox.go
+++ b/internal/adminclient/adminclient.go
@@ -1,6 +1,6 @@
 // Package adminclient implements the operators' diagnostic commands: it queries all controllers over
 // their client addresses and prints the results. It is read-only.
-package toolbox
+package adminclient
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"hitchdoor/internal/coordination"
+	"hitchdoor/internal/controller"
 	"hitchdoor/internal/transport"
 )
 
@@ -63,7 +63,7 @@
 	response := nodeResponse[T]{address: address}
 	client := transport.NewClient(address, transport.ClientOptions{
 		MaxConnections: 1, DialTimeout: timeout, IdleTimeout: timeout, MaxResponseBytes: maxResponseBytes})
-	result := client.Do(coordination.ServiceCall{Method: "GET", Path: path, Timeout: timeout})
+	result := client.Do(controller.ServiceCall{Method: "GET", Path: path, Timeout: timeout})
 	switch {
 	case result.Status == 0:
 		response.err = fmt.Errorf("no answer within %v", timeout)
--- a/internal/toolbox/links.go
+++ b/internal/adminclient/links.go
@@ -1,4 +1,4 @@
-package toolbox
+package adminclient
 
 import (
 	"fmt"
--- a/internal/coordination/bucket.go
+++ b/internal/controller/bucket.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 // tokenBucket is a token bucket rate limiter. rate is in tokens per second.
 type tokenBucket struct {
--- a/internal/coordination/spending.go
+++ b/internal/controller/costs.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 // costBreakdown is the machine cost of this term by use.
 type costBreakdown struct{ booting, idle, fetching, working float64 }
--- a/internal/coordination/halfopen_bench_test.go
+++ b/internal/controller/halfopen_bench_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"maps"
@@ -13,7 +13,7 @@
 // how long nothing begins, how many terms there are, and how many leases with their tasks are
 // lost. By hand only:
 //
-//	go test -run '^$' -bench HalfOpenCuts -benchtime 1x ./internal/coordination
+//	go test -run '^$' -bench HalfOpenCuts -benchtime 1x ./internal/controller
 func BenchmarkHalfOpenCuts(b *testing.B) {
 	const longest = 100 * time.Second
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
--- a/internal/coordination/node.go
+++ b/internal/controller/node.go
@@ -4,7 +4,7 @@
 // It is a pure state machine: Node.Step takes the current time and a batch of
 // commands and returns effects. Clocks, randomness and I/O are supplied by the
 // caller, so a test can reproduce any interleaving of events.
-package coordination
+package controller
 
 import (
 	"fmt"
--- a/internal/coordination/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 // scheduler orders the pending jobs, makes the admission checks in their fixed order, places tasks on
 // machines and preempts tasks in favour of guaranteed work.
--- a/internal/coordination/service_state.go
+++ b/internal/controller/service_state.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 // workerServiceState tracks whether workers receive responses, from this leader and through
 // other nodes.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"hitchdoor/internal/config"
-	"hitchdoor/internal/coordination"
+	"hitchdoor/internal/controller"
 	"hitchdoor/internal/tracing"
 	"hitchdoor/internal/transport"
 )
@@ -41,13 +41,13 @@
 	// queryQueue holds read-only requests. During an overload there are many of them, and
 	// heartbeats, lease renewals, submissions and cancellations must not be queued behind them.
 	queryQueue chan any
-	node       *coordination.Node
-	clients    map[coordination.Target]*transport.Client
+	node       *controller.Node
+	clients    map[controller.Target]*transport.Client
 	peerLinks  *transport.PeerLinks
 	traces     *tracing.Recorder // nil: tracing is disabled
 
 	mu             sync.Mutex
-	pendingReplies map[uint64]chan coordination.Reply
+	pendingReplies map[uint64]chan controller.Reply
 	lastTicket     uint64
 }
 
@@ -63,9 +63,9 @@
 		startedAt:      time.Now(),
 		commandQueue:   make(chan any, commandQueueLength(&platform.Cluster)),
 		queryQueue:     make(chan any, commandQueueLength(&platform.Cluster)/queryDivisor),
-		pendingReplies: map[uint64]chan coordination.Reply{},
+		pendingReplies: map[uint64]chan controller.Reply{},
 	}
-	d.node = coordination.New(coordination.Options{
+	d.node = controller.New(controller.Options{
 		Platform: platform, Settings: settings, Build: build, Log: log, StartTime: d.startedAt,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
@@ -79,9 +79,9 @@
 		options.MaxConnections = connections
 		return transport.NewClient(addr, options)
 	}
-	d.clients = map[coordination.Target]*transport.Client{
-		coordination.TargetStore: newClient(platform.Services.Store, budget.store),
-		coordination.TargetCloud: newClient(platform.Services.Cloud, budget.cloud),
+	d.clients = map[controller.Target]*transport.Client{
+		controller.TargetStore: newClient(platform.Services.Store, budget.store),
+		controller.TargetCloud: newClient(platform.Services.Cloud, budget.cloud),
 	}
 	clientListener, err := net.Listen("tcp4", platform.ClientListen)
 	if err != nil {
@@ -157,7 +157,7 @@
 			batch = append(batch, d.server.ConnectionLoad())
 		case <-shutdownRequested:
 			shutdownRequested, handoverDone = nil, time.After(d.node.DrainDuration())
-			batch = append(batch, coordination.Drain{})
+			batch = append(batch, controller.Drain{})
 		case <-handoverDone:
 			return nil
 		case err := <-serverErrors:
@@ -184,7 +184,7 @@
 
 // receivePeerMessage queues a message of another controller. A forwarded query is rejected at once
 // if the query queue is full.
-func (d *daemon) receivePeerMessage(message coordination.InboundMessage) {
+func (d *daemon) receivePeerMessage(message controller.InboundMessage) {
 	if !message.IsReadOnly() {
 		d.commandQueue <- message
 		return
@@ -200,10 +200,10 @@
 // execute executes one effect of the node.
 func (d *daemon) execute(effect any) {
 	switch effect := effect.(type) {
-	case coordination.ServiceCall:
+	case controller.ServiceCall:
 		client := d.clients[effect.Target]
 		go func() { d.commandQueue <- client.Do(effect) }()
-	case coordination.Reply:
+	case controller.Reply:
 		d.mu.Lock()
 		replies := d.pendingReplies[effect.RequestID]
 		delete(d.pendingReplies, effect.RequestID)
@@ -211,9 +211,9 @@
 		if replies != nil {
 			replies <- effect
 		}
-	case coordination.OutboundMessage:
+	case controller.OutboundMessage:
 		d.peerLinks.Send(effect.To, effect.Message)
-	case coordination.TraceStep:
+	case controller.TraceStep:
 		if d.traces != nil {
 			d.traces.Record(effect.Step)
 		}
@@ -230,15 +230,15 @@
 
 // Handle passes a request to the owner and waits for the reply. If the queue is full or the owner
 // does not reply in time, the reply is status 503 with Retry-After.
-func (d *daemon) Handle(request coordination.Request, timeout time.Duration) coordination.Reply {
-	unavailable := coordination.Reply{Status: 503, RetryAfter: 1}
-	replies := make(chan coordination.Reply, 1)
+func (d *daemon) Handle(request controller.Request, timeout time.Duration) controller.Reply {
+	unavailable := controller.Reply{Status: 503, RetryAfter: 1}
+	replies := make(chan controller.Reply, 1)
 	d.mu.Lock()
 	d.lastTicket++
 	ticket := d.lastTicket
 	d.pendingReplies[ticket] = replies
 	d.mu.Unlock()
-	request.Origin = coordination.Origin{RequestID: ticket}
+	request.Origin = controller.Origin{RequestID: ticket}
 	queue := d.commandQueue
 	if request.IsReadOnly() {
 		queue = d.queryQueue
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -19,7 +19,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/config"
-	"hitchdoor/internal/standin"
+	"hitchdoor/internal/fakes"
 )
 
 // controller is one controller process. It can be killed and started again.
@@ -43,7 +43,7 @@
 	settingsFile string
 	// reservation keeps the controllers' addresses while none of them listens, before their
 	// start and between a kill and the next start.
-	reservation *standin.AddressReservation
+	reservation *fakes.AddressReservation
 }
 
 // smallFleetSettings are operators' settings with which the recovery of a small fleet is paced as
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	set := &controllerSet{options: options, directory: directory}
-	if set.reservation, err = standin.ReserveAddresses(2 * options.Controllers); err != nil {
+	if set.reservation, err = fakes.ReserveAddresses(2 * options.Controllers); err != nil {
 		set.close()
 		return nil, err
 	}
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"hitchdoor/internal/config"
+	"hitchdoor/internal/fakes"
 	"hitchdoor/internal/recovery"
-	"hitchdoor/internal/standin"
 )
 
 // Timing and extent of an emulation.
@@ -29,8 +29,8 @@
 // emulation is the state of one call of Run.
 type emulation struct {
 	options     *Options
-	store       *standin.Store
-	fleet       *standin.Fleet
+	store       *fakes.Store
+	fleet       *fakes.Fleet
 	controllers *controllerSet
 	load        *loadGenerator
 	sampler     sampler
@@ -47,9 +47,9 @@
 		return nil, err
 	}
 	run := &emulation{options: &options}
-	run.store = standin.NewStore(storeWriteRPS)
+	run.store = fakes.NewStore(storeWriteRPS)
 	defer run.store.Server.Close()
-	run.fleet = standin.NewFleet(standin.FleetSettings{HeartbeatInterval: options.HeartbeatInterval,
+	run.fleet = fakes.NewFleet(fakes.FleetSettings{HeartbeatInterval: options.HeartbeatInterval,
 		LeaseDuration: options.LeaseDuration, BootTime: options.HeartbeatInterval,
 		MaxMachines: options.Machines + options.Machines/4, InitialMachines: options.Machines,
 		CoresPerMachine: coresPerMachine, Seed: options.Seed})
@@ -256,7 +256,7 @@
 		end = e.controllersRestartedAt.Add(max(after, rateWindow))
 	}
 	for _, operation := range operations {
-		if operation.Kind == standin.OperationStartTask || operation.Kind == standin.OperationStopTask {
+		if operation.Kind == fakes.OperationStartTask || operation.Kind == fakes.OperationStopTask {
 			seconds := operation.ReceivedAt.Sub(e.controllersRestartedAt).Seconds()
 			report.Recovery.FirstOperation = &seconds
 			break
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -15,8 +15,8 @@
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/config"
+	"hitchdoor/internal/fakes"
 	"hitchdoor/internal/protocol"
-	"hitchdoor/internal/standin"
 )
 
 // Parameters of the load.
@@ -34,7 +34,7 @@
 // some.
 type loadGenerator struct {
 	options   *Options
-	fleet     *standin.Fleet
+	fleet     *fakes.Fleet
 	addresses []string // client addresses
 	client    *http.Client
 	rng       *rand.Rand
@@ -47,7 +47,7 @@
 }
 
 // newLoadGenerator returns a load generator that sends its requests to random controllers.
-func newLoadGenerator(options *Options, fleet *standin.Fleet, addresses []string) *loadGenerator {
+func newLoadGenerator(options *Options, fleet *fakes.Fleet, addresses []string) *loadGenerator {
 	return &loadGenerator{options: options, fleet: fleet, addresses: addresses,
 		rng:      rand.New(rand.NewPCG(options.Seed, 1)),
 		client:   &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
--- a/internal/standin/state.go
+++ b/internal/fakes/store.go
@@ -1,7 +1,7 @@
 // Package fakes provides in-process fakes of the key-value store, the cloud, the workers and the
 // network between them, for tests of whole controllers over real connections on loopback. They are
 // written from the protocol.
-package standin
+package fakes
 
 import (
 	"cmp"
--- a/internal/standin/worker.go
+++ b/internal/fakes/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bytes"
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"hitchdoor/internal/coordination"
+	"hitchdoor/internal/controller"
 )
 
 // Client sends requests to one outside service over pooled connections.
@@ -44,7 +44,7 @@
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 // Do executes a call. The status is 0 if there is no response.
-func (c *Client) Do(call coordination.ServiceCall) coordination.CallResult {
+func (c *Client) Do(call controller.ServiceCall) controller.CallResult {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	request.SetRequestURI("http://" + c.http.Addr + call.Path)
 	request.Header.SetMethod(call.Method)
@@ -52,7 +52,7 @@
 		request.Header.SetContentType("application/json")
 		request.SetBodyRaw(call.Body)
 	}
-	result := coordination.CallResult{ID: call.ID}
+	result := controller.CallResult{ID: call.ID}
 	err := c.http.DoTimeout(request, response, call.Timeout)
 	if err == nil {
 		result.Status = response.StatusCode()
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -12,7 +12,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"hitchdoor/internal/config"
-	"hitchdoor/internal/coordination"
+	"hitchdoor/internal/controller"
 	"hitchdoor/internal/protocol"
 )
 
@@ -38,7 +38,7 @@
 	node        string
 	outgoing    map[string]chan protocol.PeerMessage
 	knownNodes  map[string]bool
-	deliver     func(coordination.InboundMessage)
+	deliver     func(controller.InboundMessage)
 	log         *slog.Logger
 	idleTimeout time.Duration
 }
@@ -56,7 +56,7 @@
 // NewPeerLinks opens the links to all known peers. It calls deliver with each message that a peer
 // sends.
 func NewPeerLinks(node string, peers []config.Peer, options PeerLinkOptions,
-	deliver func(coordination.InboundMessage)) *PeerLinks {
+	deliver func(controller.InboundMessage)) *PeerLinks {
 	links := &PeerLinks{node: node, outgoing: map[string]chan protocol.PeerMessage{}, knownNodes: map[string]bool{},
 		deliver: deliver, log: options.Log, idleTimeout: options.IdleTimeout}
 	for _, peer := range peers {
@@ -206,7 +206,7 @@
 			p.log.Warn("malformed peer message", "peer", peerHandshake.Node, "error", err)
 			return
 		default:
-			p.deliver(coordination.InboundMessage{From: peerHandshake.Node, Message: message})
+			p.deliver(controller.InboundMessage{From: peerHandshake.Node, Message: message})
 		}
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -11,7 +11,7 @@
 	"github.com/gofiber/fiber/v2"
 	"github.com/segmentio/encoding/json"
 
-	"hitchdoor/internal/coordination"
+	"hitchdoor/internal/controller"
 	"hitchdoor/internal/protocol"
 	"hitchdoor/internal/tracing"
 )
@@ -19,7 +19,7 @@
 // RequestHandler passes requests to the owner of the controller's state.
 type RequestHandler interface {
 	// Handle waits for the reply to a request, up to a timeout.
-	Handle(r coordination.Request, patience time.Duration) coordination.Reply
+	Handle(r controller.Request, patience time.Duration) controller.Reply
 	// Trace returns the recorded steps of a job on this node.
 	Trace(job string) []tracing.Step
 }
@@ -85,8 +85,8 @@
 const workerReserveDivisor = 8
 
 // ConnectionLoad returns the number of open connections and their limit.
-func (s *Server) ConnectionLoad() coordination.ServerLoad {
-	return coordination.ServerLoad{Open: int(s.app.Server().GetOpenConnectionsCount()), Limit: s.options.MaxConnections}
+func (s *Server) ConnectionLoad() controller.ServerLoad {
+	return controller.ServerLoad{Open: int(s.app.Server().GetOpenConnectionsCount()), Limit: s.options.MaxConnections}
 }
 
 // rotateWorkerConnection closes a worker's connection after its response if few connections are
@@ -134,7 +134,7 @@
 }
 
 // respond passes a request to the handler and sends its reply.
-func (s *Server) respond(c *fiber.Ctx, request coordination.Request) error {
+func (s *Server) respond(c *fiber.Ctx, request controller.Request) error {
 	reply := s.handler.Handle(request, s.options.RequestTimeout)
 	if reply.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(reply.RetryAfter))
@@ -155,17 +155,17 @@
 	if err != nil {
 		return sendError(c, fiber.StatusBadRequest, err.Error())
 	}
-	return s.respond(c, coordination.Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: job})
+	return s.respond(c, controller.Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: job})
 }
 
 // queryJob serves GET /work/{id}.
 func (s *Server) queryJob(c *fiber.Ctx) error {
-	return s.respond(c, coordination.Request{Kind: protocol.RequestQuery, JobID: jobIDParam(c)})
+	return s.respond(c, controller.Request{Kind: protocol.RequestQuery, JobID: jobIDParam(c)})
 }
 
 // cancelJob serves POST /work/{id}/cancel.
 func (s *Server) cancelJob(c *fiber.Ctx) error {
-	return s.respond(c, coordination.Request{Kind: protocol.RequestCancel, JobID: jobIDParam(c)})
+	return s.respond(c, controller.Request{Kind: protocol.RequestCancel, JobID: jobIDParam(c)})
 }
 
 // jobIDParam copies the job id of the path, as the server reuses its buffers.
@@ -178,24 +178,24 @@
 		return sendError(c, fiber.StatusBadRequest, err.Error())
 	}
 	s.rotateWorkerConnection(c)
-	return s.respond(c, coordination.Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
+	return s.respond(c, controller.Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 }
 
 // handleKind returns the handler of a request that has no parameters.
 func (s *Server) handleKind(kind protocol.RequestKind) fiber.Handler {
-	return func(c *fiber.Ctx) error { return s.respond(c, coordination.Request{Kind: kind}) }
+	return func(c *fiber.Ctx) error { return s.respond(c, controller.Request{Kind: kind}) }
 }
 
 // serveMetrics serves GET /metrics in the Prometheus text format.
 func (s *Server) serveMetrics(c *fiber.Ctx) error {
-	reply := s.handler.Handle(coordination.Request{Kind: protocol.RequestMetrics}, s.options.RequestTimeout)
+	reply := s.handler.Handle(controller.Request{Kind: protocol.RequestMetrics}, s.options.RequestTimeout)
 	c.Set(fiber.HeaderContentType, "text/plain; version=0.0.4")
 	return c.Status(reply.Status).Send(reply.Body)
 }
 
 // explainAdmission serves GET /admission/{id}.
 func (s *Server) explainAdmission(c *fiber.Ctx) error {
-	return s.respond(c, coordination.Request{Kind: protocol.RequestAdmission, JobID: jobIDParam(c)})
+	return s.respond(c, controller.Request{Kind: protocol.RequestAdmission, JobID: jobIDParam(c)})
 }
 
 // serveTrace serves GET /trace/{id}.
