--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -62,6 +62,7 @@
 	response := nodeResponse[T]{address: address}
 	client := transport.NewClient(address, transport.ClientOptions{
 		MaxConnections: 1, DialTimeout: timeout, IdleTimeout: timeout, MaxResponseBytes: maxResponseBytes})
+	defer client.Close()
 	result := client.Do(controller.ServiceCall{Method: "GET", Path: path, Timeout: timeout})
 	switch {
 	case result.Status == 0:
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -231,44 +231,58 @@
 // waitForLeader waits until all controllers name the same leader. It returns a *NoLeaderError if they
 // don't in time.
 func (c *controllerSet) waitForLeader(ctx context.Context, timeout time.Duration) error {
-	client := &http.Client{Timeout: time.Second}
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
 		if err := c.unexpectedExit(); err != nil {
 			return err
 		}
-		if c.commonLeader(client) != "" {
+		if c.commonLeader(ctx, client) != "" {
 			return nil
 		}
-		select {
-		case <-ctx.Done():
+		if !sleep(ctx, leaderPollInterval) {
 			return ctx.Err()
-		case <-time.After(100 * time.Millisecond):
 		}
 	}
 	return &NoLeaderError{Timeout: timeout}
 }
 
+// leaderPollInterval is the time between two queries of who leads.
+const leaderPollInterval = 100 * time.Millisecond
+
 // commonLeader returns the leader that all controllers name; empty if they don't agree on one.
-func (c *controllerSet) commonLeader(client *http.Client) string {
+func (c *controllerSet) commonLeader(ctx context.Context, client *http.Client) string {
 	leader := ""
 	for _, member := range c.members {
-		var status struct {
-			Leader string `json:"leader"`
-		}
-		resp, err := client.Get("http://" + member.clientAddress + "/status")
-		if err != nil {
-			return ""
-		}
-		err = json.NewDecoder(resp.Body).Decode(&status)
-		resp.Body.Close()
-		if err != nil || status.Leader == "" || leader != "" && leader != status.Leader {
+		named := member.knownLeader(ctx, client)
+		if named == "" || leader != "" && leader != named {
 			return ""
 		}
-		leader = status.Leader
+		leader = named
 	}
 	return leader
 }
 
+// knownLeader returns the leader that the controller names; empty if it names none.
+func (one *controller) knownLeader(ctx context.Context, client *http.Client) string {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+one.clientAddress+"/status", nil)
+	if err != nil {
+		return ""
+	}
+	resp, err := client.Do(request)
+	if err != nil {
+		return ""
+	}
+	defer resp.Body.Close()
+	var status struct {
+		Leader string `json:"leader"`
+	}
+	if json.NewDecoder(resp.Body).Decode(&status) != nil {
+		return ""
+	}
+	return status.Leader
+}
+
 // ProcessUsage is the resource usage of a controller process.
 type ProcessUsage struct {
 	Node         string  `json:"node"`
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"strings"
+	"sync"
 	"time"
 
 	"hitchdoor/internal/config"
@@ -30,6 +31,7 @@
 	controllers *controllerSet
 	load        *loadGenerator
 	sampler     sampler
+	background  sync.WaitGroup // counts the goroutines of runLoad
 
 	loadStartedAt, controllersLostAt, controllersRestartedAt time.Time
 	mismatches                                               recovery.MismatchCounts
@@ -112,14 +114,14 @@
 // runLoad generates load for the duration of the run; meanwhile the controllers are killed and
 // started again, if the options say so.
 func (e *emulation) runLoad(ctx context.Context) error {
-	done := make(chan struct{})
-	defer close(done)
-	go e.sampler.run(e.fleet, done)
 	ctx, cancel := context.WithCancel(ctx)
+	defer e.load.client.CloseIdleConnections()
+	defer e.background.Wait()
 	defer cancel()
+	e.background.Go(func() { e.sampler.run(ctx, e.fleet) })
 	e.loadStartedAt = time.Now()
 	deadline := e.loadStartedAt.Add(e.options.LoadDuration)
-	go e.load.submitJobs(ctx, deadline)
+	e.background.Go(func() { e.load.submitJobs(ctx, deadline) })
 	if e.options.LoseControllersAt > 0 {
 		if err := e.loseControllers(ctx); err != nil {
 			return err
@@ -154,16 +156,20 @@
 	if err := e.controllers.startAll(); err != nil {
 		return err
 	}
-	go func() {
-		if sleep(ctx, e.options.LeaseDuration*3/2) {
-			for _, name := range partitioned {
-				e.fleet.SetPartitioned(name, false)
-			}
-		}
-	}()
+	e.background.Go(func() { e.reconnect(ctx, partitioned) })
 	return e.loseControllersAgain(ctx)
 }
 
+// reconnect ends the partition of machines once their leases have expired.
+func (e *emulation) reconnect(ctx context.Context, partitioned []string) {
+	if !sleep(ctx, e.options.LeaseDuration*3/2) {
+		return
+	}
+	for _, name := range partitioned {
+		e.fleet.SetPartitioned(name, false)
+	}
+}
+
 // loseControllersAgain kills all controllers during their recovery, as often as the options say, and
 // starts them again at once.
 func (e *emulation) loseControllersAgain(ctx context.Context) error {
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -55,8 +55,10 @@
 }
 
 // submitJobs submits jobs until the deadline. It is an open-loop load: the times between jobs are
-// exponentially distributed and don't depend on how the jobs fare.
+// exponentially distributed and don't depend on how the jobs fare. It returns once all jobs are
+// terminal or the context is cancelled.
 func (u *loadGenerator) submitJobs(ctx context.Context, deadline time.Time) {
+	defer u.followers.Wait()
 	runTime := max(minRunTime, heartbeatsPerRun*u.options.HeartbeatInterval)
 	busyCores := u.options.Load * coresPerMachine * float64(u.options.Machines)
 	jobRate := min(maxJobsPerSecond, busyCores/runTime.Seconds()/4)
--- a/internal/emulator/measure.go
+++ b/internal/emulator/measure.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"slices"
 	"strings"
 	"sync"
@@ -40,13 +41,13 @@
 	samples []sample
 }
 
-// run takes samples until done is closed.
-func (s *sampler) run(fleet *fakes.Fleet, done <-chan struct{}) {
+// run takes samples until the context is cancelled.
+func (s *sampler) run(ctx context.Context, fleet *fakes.Fleet) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-done:
+		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
 			running := fleet.RunningTasks()
--- /dev/null
+++ b/internal/fakes/close_test.go
@@ -0,0 +1,114 @@
+package fakes
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	"hitchdoor/internal/storage"
+)
+
+// closeTimeout bounds the time that closing a fake may take.
+const closeTimeout = 3 * time.Second
+
+// closesInTime fails the test if a function takes longer than closeTimeout.
+func closesInTime(t *testing.T, name string, closeAll func()) {
+	t.Helper()
+	startedAt := time.Now()
+	closeAll()
+	if took := time.Since(startedAt); took > closeTimeout {
+		t.Errorf("closing the %s took %v", name, took)
+	}
+}
+
+// Close ends the heartbeats in flight, also those to a controller that does not respond, and the
+// watches. TestMain checks that no goroutine is left.
+func TestClose(t *testing.T) {
+	silent, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { silent.Close() })
+	store, err := NewStore(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fleet, err := NewFleet(FleetSettings{InitialMachines: 3, MaxMachines: 3, HeartbeatInterval: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	fleet.SetNodes(map[string]string{"n0": silent.Addr().String()})
+	watched := make(chan error, 1)
+	go func() { watched <- watchOnce(t.Context(), store.Server.URL) }()
+	accepted, err := silent.Accept() // a worker's heartbeat is in flight
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	closesInTime(t, "fleet", fleet.Close)
+	closesInTime(t, "store", store.Server.Close)
+	if err := <-watched; err == nil {
+		t.Error("a watch was answered by a store that was closed")
+	}
+}
+
+// watchOnce sends a request that the store answers after a minute.
+func watchOnce(ctx context.Context, url string) error {
+	client := &http.Client{Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url+storage.WatchPath("", 0, 60_000), nil)
+	if err != nil {
+		return err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return err
+	}
+	return response.Body.Close()
+}
+
+// Close ends the connections of a relay, in whatever state they are.
+func TestRelayClose(t *testing.T) {
+	for _, c := range []struct {
+		name                 string
+		toTarget, fromTarget bool
+	}{{"open", false, false}, {"blocked to the target", true, false}, {"blocked from the target", false, true}} {
+		t.Run(c.name, func(t *testing.T) {
+			target, err := net.Listen("tcp4", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { target.Close() })
+			relay, err := NewRelay(target.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			relay.Block(c.toTarget, c.fromTarget)
+			client, err := net.Dial("tcp4", relay.Address())
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { client.Close() })
+			server, err := target.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { server.Close() })
+			for _, conn := range []net.Conn{client, server} {
+				if _, err := io.WriteString(conn, "x"); err != nil {
+					t.Fatal(err)
+				}
+			}
+			closesInTime(t, "relay", relay.Close)
+			client.SetReadDeadline(time.Now().Add(closeTimeout))
+			if _, err := io.Copy(io.Discard, client); errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Error("the client's connection stays open")
+			}
+		})
+	}
+}
--- a/internal/fakes/fleet.go
+++ b/internal/fakes/fleet.go
@@ -1,6 +1,7 @@
 package fakes
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
@@ -32,8 +33,9 @@
 	// runningTasks is the number of tasks on all machines that have not exited.
 	runningTasks    int
 	completedTasks  map[string]bool // tasks that have completed
-	closed          chan struct{}   // closed by Close
-	workerLoops     sync.WaitGroup  // counts the workers' heartbeat loops
+	running         context.Context // of the workers; cancelled by Close
+	stopWorkers     context.CancelFunc
+	workerLoops     sync.WaitGroup // counts the workers' heartbeat loops
 	totals          TaskTotals
 	duplicatedTasks []string // tasks that ran on two machines at once
 	wronglyStopped  []string // tasks that were stopped without a cancellation or a second copy
@@ -73,9 +75,11 @@
 	f := &Fleet{settings: settings, machinesByRental: map[string][]string{}, workers: map[string]*worker{},
 		startCounts: map[string]int{}, runningCopies: map[string]int{}, completedTasks: map[string]bool{},
 		uploadedJobs: map[string]protocol.Job{}, cancelRequested: map[string]bool{},
-		cancelConfirmedAt: map[string]time.Time{}, closed: make(chan struct{})}
+		cancelConfirmedAt: map[string]time.Time{}}
+	f.running, f.stopWorkers = context.WithCancel(context.Background())
 	var err error
 	if f.Server, err = newServer(f); err != nil {
+		f.stopWorkers()
 		return nil, err
 	}
 	return f, nil
@@ -94,7 +98,7 @@
 
 // Close stops all workers, waits for them and closes the server.
 func (f *Fleet) Close() {
-	close(f.closed)
+	f.stopWorkers()
 	f.workerLoops.Wait()
 	f.Server.Close()
 }
@@ -272,7 +276,8 @@
 	for _, machine := range f.workers {
 		if machine.name > r.URL.Query().Get("since") {
 			list.Machines = append(list.Machines, protocol.Host{Name: machine.name, Type: machineType,
-				Zone: machineZone, Spot: true, State: protocol.HostRunning, RentedSeconds: time.Since(machine.rentedAt).Seconds()})
+				Zone: machineZone, Spot: true, State: protocol.HostRunning,
+				RentedSeconds: time.Since(machine.rentedAt).Seconds()})
 		}
 	}
 	slices.SortFunc(list.Machines, func(a, b protocol.Host) int { return strings.Compare(a.Name, b.Name) })
@@ -305,7 +310,7 @@
 	machine := &worker{fleet: f, name: fmt.Sprintf("m-%06d", f.lastMachineNumber), epoch: 1, rentedAt: time.Now(),
 		removed: make(chan struct{}), rng: rand.New(rand.NewPCG(f.settings.Seed, uint64(f.lastMachineNumber)))}
 	f.workers[machine.name] = machine
-	f.workerLoops.Go(machine.heartbeatLoop)
+	f.workerLoops.Go(func() { machine.heartbeatLoop(f.running) })
 	return machine.name
 }
 
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -1,6 +1,7 @@
 package fakes
 
 import (
+	"context"
 	"net"
 	"sync"
 	"time"
@@ -18,6 +19,10 @@
 	blockedFromTarget bool // no bytes pass from the target
 	closed            bool
 	connections       map[net.Conn]bool
+
+	dialing     context.Context // of connections to the target; cancelled by Close
+	stopDialing context.CancelFunc
+	forwarding  sync.WaitGroup // counts the relay's goroutines
 }
 
 // NewRelay starts a relay to a target address.
@@ -28,7 +33,8 @@
 	}
 	r := &Relay{listener: listener, target: target, connections: map[net.Conn]bool{}}
 	r.unblocked = sync.NewCond(&r.mu)
-	go r.acceptConnections()
+	r.dialing, r.stopDialing = context.WithCancel(context.Background())
+	r.forwarding.Go(r.acceptConnections)
 	return r, nil
 }
 
@@ -43,8 +49,15 @@
 	r.unblocked.Broadcast()
 }
 
-// Close closes the listener and all connections of the relay.
+// Close closes the listener and all connections of the relay, and waits for their ends.
 func (r *Relay) Close() {
+	r.stopDialing()
+	r.closeAll()
+	r.forwarding.Wait()
+}
+
+// closeAll closes the listener and all connections.
+func (r *Relay) closeAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
@@ -62,24 +75,44 @@
 		if err != nil {
 			return
 		}
-		go r.connectToTarget(conn)
+		r.forwarding.Go(func() { r.connectToTarget(conn) })
 	}
 }
 
+// dialTimeout bounds the time to connect to the target.
+const dialTimeout = time.Second
+
 // connectToTarget connects a client with the target and forwards bytes both ways.
 func (r *Relay) connectToTarget(client net.Conn) {
-	server, err := net.DialTimeout("tcp4", r.target, time.Second)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	server, err := dialer.DialContext(r.dialing, "tcp4", r.target)
 	if err != nil {
 		client.Close()
 		return
 	}
-	r.mu.Lock()
-	r.connections[client], r.connections[server] = true, true
-	r.mu.Unlock()
-	go r.forwardBytes(client, server, &r.blockedToTarget)
+	if !r.addConnections(client, server) {
+		client.Close()
+		server.Close()
+		return
+	}
+	r.forwarding.Go(func() { r.forwardBytes(client, server, &r.blockedToTarget) })
 	r.forwardBytes(server, client, &r.blockedFromTarget)
 }
 
+// addConnections records connections, so that Close closes them. It returns false if the relay is
+// closed already.
+func (r *Relay) addConnections(connections ...net.Conn) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
+		return false
+	}
+	for _, conn := range connections {
+		r.connections[conn] = true
+	}
+	return true
+}
+
 // forwardBytes copies bytes from one end to the other, and waits while the direction is blocked.
 func (r *Relay) forwardBytes(from, to net.Conn, blocked *bool) {
 	defer r.closeConnections(from, to)
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -4,13 +4,15 @@
 	"fmt"
 	"net"
 	"net/http"
+	"sync"
 )
 
 // Server serves the HTTP interface of a fake on a port of its own on loopback.
 type Server struct {
 	URL string
 
-	server *http.Server
+	server  *http.Server
+	serving sync.WaitGroup // counts the goroutine that accepts connections
 }
 
 // newServer starts a server.
@@ -20,12 +22,15 @@
 		return nil, fmt.Errorf("fakes: %w", err)
 	}
 	s := &Server{URL: "http://" + listener.Addr().String(), server: &http.Server{Handler: handler}}
-	go s.server.Serve(listener)
+	s.serving.Go(func() { s.server.Serve(listener) })
 	return s, nil
 }
 
 // Address returns the server's host:port.
 func (s *Server) Address() string { return s.URL[len("http://"):] }
 
-// Close closes the server and all its connections.
-func (s *Server) Close() { s.server.Close() }
+// Close closes the server and all its connections. Requests in progress end by themselves.
+func (s *Server) Close() {
+	s.server.Close()
+	s.serving.Wait()
+}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"context"
 	"net"
 	"time"
 
@@ -9,9 +10,11 @@
 	"hitchdoor/internal/controller"
 )
 
-// Client sends requests to one outside service over pooled connections.
+// Client sends requests to one outside service over pooled connections. Close ends it.
 type Client struct {
-	http *fasthttp.HostClient
+	http        *fasthttp.HostClient
+	connections *connectionSet
+	stopDialing context.CancelFunc
 }
 
 // ClientOptions are the limits of a Client. MaxResponseBytes bounds the body of a response.
@@ -25,8 +28,10 @@
 // NewClient returns a client of the service at an address. The client never retries a call: only
 // the caller knows whether that is safe.
 func NewClient(address string, options ClientOptions) *Client {
+	dialContext, stopDialing := context.WithCancel(context.Background())
+	client := &Client{connections: newConnectionSet(), stopDialing: stopDialing}
 	dialer := net.Dialer{Timeout: options.DialTimeout}
-	return &Client{http: &fasthttp.HostClient{
+	client.http = &fasthttp.HostClient{
 		Addr:                          address,
 		MaxConns:                      options.MaxConnections,
 		MaxIdleConnDuration:           options.IdleTimeout,
@@ -36,8 +41,40 @@
 		NoDefaultUserAgentHeader:      true,
 		DisablePathNormalizing:        true,
 		DisableHeaderNamesNormalizing: true,
-		Dial:                          func(target string) (net.Conn, error) { return dialer.Dial("tcp4", target) },
-	}}
+		Dial: func(target string) (net.Conn, error) {
+			conn, err := dialer.DialContext(dialContext, "tcp4", target)
+			if err != nil {
+				return nil, err
+			}
+			return newClientConnection(conn, client.connections), nil
+		},
+	}
+	return client
+}
+
+// Close closes all connections. Calls in flight and later ones return without a response.
+func (c *Client) Close() {
+	c.stopDialing()
+	c.connections.close()
+	c.http.CloseIdleConnections()
+}
+
+// clientConnection is a connection that leaves its set when it is closed.
+type clientConnection struct {
+	net.Conn
+	set *connectionSet
+}
+
+// newClientConnection adds a connection to a set.
+func newClientConnection(conn net.Conn, set *connectionSet) *clientConnection {
+	set.add(conn)
+	return &clientConnection{Conn: conn, set: set}
+}
+
+// Close closes the connection.
+func (c *clientConnection) Close() error {
+	c.set.remove(c.Conn)
+	return c.Conn.Close()
 }
 
 // neverRetry disables the retries of the HTTP library.
@@ -46,6 +83,8 @@
 // Do executes a call. The status is 0 if there is no response.
 func (c *Client) Do(call controller.ServiceCall) controller.CallResult {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://" + c.http.Addr + call.Path)
 	request.Header.SetMethod(call.Method)
 	if call.Body != nil {
@@ -53,12 +92,9 @@
 		request.SetBodyRaw(call.Body)
 	}
 	result := controller.CallResult{ID: call.ID}
-	err := c.http.DoTimeout(request, response, call.Timeout)
-	if err == nil {
+	if err := c.http.DoTimeout(request, response, call.Timeout); err == nil {
 		result.Status = response.StatusCode()
 		result.Body = append([]byte(nil), response.Body()...)
 	}
-	fasthttp.ReleaseRequest(request)
-	fasthttp.ReleaseResponse(response)
 	return result
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -4,6 +4,7 @@
 	"errors"
 	"log/slog"
 	"net"
+	"sync"
 	"time"
 )
 
@@ -17,12 +18,14 @@
 // process, as soon as all file descriptors are in use.
 type retryingListener struct {
 	net.Listener
-	log *slog.Logger
+	log       *slog.Logger
+	closeOnce sync.Once
+	closed    chan struct{} // closed by Close
 }
 
 // NewRetryingListener wraps a listener so that Accept fails only once the listener is closed.
 func NewRetryingListener(listener net.Listener, log *slog.Logger) net.Listener {
-	return &retryingListener{Listener: listener, log: log}
+	return &retryingListener{Listener: listener, log: log, closed: make(chan struct{})}
 }
 
 // Accept waits for the next connection, and retries after errors.
@@ -35,6 +38,16 @@
 		if delay == minAcceptDelay {
 			l.log.Warn("accept failed", "address", l.Addr().String(), "error", err)
 		}
-		time.Sleep(delay)
+		select {
+		case <-l.closed:
+			return nil, net.ErrClosed
+		case <-time.After(delay):
+		}
 	}
 }
+
+// Close closes the listener. An Accept that waits before its next attempt returns.
+func (l *retryingListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return l.Listener.Close()
+}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -4,6 +4,7 @@
 package transport
 
 import (
+	"context"
 	"errors"
 	"net"
 	"strconv"
@@ -11,6 +12,7 @@
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/segmentio/encoding/json"
+	"github.com/valyala/fasthttp"
 
 	"hitchdoor/internal/controller"
 	"hitchdoor/internal/protocol"
@@ -19,8 +21,8 @@
 
 // RequestHandler passes requests to the owner of the controller's state.
 type RequestHandler interface {
-	// Handle waits for the reply to a request, up to a timeout.
-	Handle(r controller.Request, patience time.Duration) controller.Reply
+	// Handle waits for the reply to a request, up to a timeout or until the context is cancelled.
+	Handle(ctx context.Context, request controller.Request, timeout time.Duration) controller.Reply
 	// Trace returns the recorded steps of a job on this node.
 	Trace(job string) []tracing.Step
 }
@@ -34,14 +36,20 @@
 
 // Server is the HTTP server for users, workers, the load balancer and operators.
 type Server struct {
-	app     *fiber.App
-	handler RequestHandler
-	options ServerOptions
+	app         *fiber.App
+	handler     RequestHandler
+	options     ServerOptions
+	connections *connectionSet
+	// requests is the context of all requests. It is cancelled once the connections are closed.
+	requests       context.Context
+	cancelRequests context.CancelFunc
 }
 
 // NewServer returns a server that passes requests to a handler.
 func NewServer(handler RequestHandler, options ServerOptions) *Server {
-	server := &Server{handler: handler, options: options}
+	requests, cancelRequests := context.WithCancel(context.Background())
+	server := &Server{handler: handler, options: options, connections: newConnectionSet(),
+		requests: requests, cancelRequests: cancelRequests}
 	server.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		// Above the protocol's limit, so that a body slightly too large gets a response
@@ -53,34 +61,53 @@
 		ReadBufferSize:     4 << 10,
 		WriteBufferSize:    4 << 10,
 		DisableDefaultDate: true,
-		ErrorHandler: func(c *fiber.Ctx, err error) error {
-			code := fiber.StatusInternalServerError
-			var fiberError *fiber.Error
-			if errors.As(err, &fiberError) {
-				code = fiberError.Code
-			}
-			if code == fiber.StatusRequestEntityTooLarge {
-				code = fiber.StatusBadRequest
-			}
-			return sendError(c, code, err.Error())
-		},
+		ErrorHandler:       handleError,
 	})
-	server.app.Use(server.admitConnection)
-	server.app.Post("/work", server.submitJob)
-	server.app.Get("/work/:id", server.queryJob)
-	server.app.Post("/work/:id/cancel", server.cancelJob)
-	server.app.Post("/v1/report", server.acceptHeartbeat)
-	server.app.Get("/healthz", server.handleKind(protocol.RequestHealth))
-	server.app.Get("/status", server.handleKind(protocol.RequestStatus))
-	server.app.Get("/metrics", server.serveMetrics)
-	server.app.Get("/admission", server.handleKind(protocol.RequestAdmission))
-	server.app.Get("/admission/:id", server.explainAdmission)
-	server.app.Get("/links", server.handleKind(protocol.RequestLinks))
-	server.app.Get("/recovery", server.handleKind(protocol.RequestRecovery))
-	server.app.Get("/trace/:id", server.serveTrace)
+	server.app.Server().ConnState = server.trackConnection
+	server.registerRoutes()
 	return server
 }
 
+// handleError sends the response to a request that no handler has answered.
+func handleError(c *fiber.Ctx, err error) error {
+	code := fiber.StatusInternalServerError
+	var fiberError *fiber.Error
+	if errors.As(err, &fiberError) {
+		code = fiberError.Code
+	}
+	if code == fiber.StatusRequestEntityTooLarge {
+		code = fiber.StatusBadRequest
+	}
+	return sendError(c, code, err.Error())
+}
+
+// registerRoutes registers the handlers of all paths.
+func (s *Server) registerRoutes() {
+	s.app.Use(s.admitConnection)
+	s.app.Post("/work", s.submitJob)
+	s.app.Get("/work/:id", s.queryJob)
+	s.app.Post("/work/:id/cancel", s.cancelJob)
+	s.app.Post("/v1/report", s.acceptHeartbeat)
+	s.app.Get("/healthz", s.handleKind(protocol.RequestHealth))
+	s.app.Get("/status", s.handleKind(protocol.RequestStatus))
+	s.app.Get("/metrics", s.serveMetrics)
+	s.app.Get("/admission", s.handleKind(protocol.RequestAdmission))
+	s.app.Get("/admission/:id", s.explainAdmission)
+	s.app.Get("/links", s.handleKind(protocol.RequestLinks))
+	s.app.Get("/recovery", s.handleKind(protocol.RequestRecovery))
+	s.app.Get("/trace/:id", s.serveTrace)
+}
+
+// trackConnection keeps the set of open connections.
+func (s *Server) trackConnection(conn net.Conn, state fasthttp.ConnState) {
+	switch state {
+	case fasthttp.StateNew:
+		s.connections.add(conn)
+	case fasthttp.StateClosed, fasthttp.StateHijacked:
+		s.connections.remove(conn)
+	}
+}
+
 // workerReserveDivisor sets the share of connections (1/workerReserveDivisor) below which the server
 // closes workers' connections after each response. So more workers than there are connections are
 // served in turn when no other controller has spare connections.
@@ -117,8 +144,20 @@
 	return sendError(c, fiber.StatusServiceUnavailable, "too many connections")
 }
 
-// Serve serves the listener's connections until the listener fails.
-func (s *Server) Serve(listener net.Listener) error { return s.app.Listener(listener) }
+// Serve serves the listener's connections until the context is cancelled or the listener fails. It
+// closes the listener and all connections, and returns once no request is handled any more. A Server
+// serves once.
+func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
+	defer listener.Close()
+	stopClosing := context.AfterFunc(ctx, func() { listener.Close() })
+	defer stopClosing()
+	err := s.app.Listener(listener)
+	s.connections.close()
+	// Only now, so that no client gets the reply of a handler that is interrupted.
+	s.cancelRequests()
+	s.connections.wait()
+	return err
+}
 
 // errorBody is the body of an error response.
 type errorBody struct {
@@ -137,7 +176,7 @@
 
 // respond passes a request to the handler and sends its reply.
 func (s *Server) respond(c *fiber.Ctx, request controller.Request) error {
-	reply := s.handler.Handle(request, s.options.RequestTimeout)
+	reply := s.handler.Handle(s.requests, request, s.options.RequestTimeout)
 	if reply.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(reply.RetryAfter))
 	}
@@ -190,7 +229,7 @@
 
 // serveMetrics serves GET /metrics in the Prometheus text format.
 func (s *Server) serveMetrics(c *fiber.Ctx) error {
-	reply := s.handler.Handle(controller.Request{Kind: protocol.RequestMetrics}, s.options.RequestTimeout)
+	reply := s.handler.Handle(s.requests, controller.Request{Kind: protocol.RequestMetrics}, s.options.RequestTimeout)
 	c.Set(fiber.HeaderContentType, "text/plain; version=0.0.4")
 	return c.Status(reply.Status).Send(reply.Body)
 }
--- /dev/null
+++ b/internal/transport/shutdown_test.go
@@ -0,0 +1,149 @@
+package transport
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"hitchdoor/internal/config"
+	"hitchdoor/internal/controller"
+	"hitchdoor/internal/tracing"
+)
+
+// endTimeout bounds the time that the end of a server or a client may take.
+const endTimeout = 3 * time.Second
+
+// waitForEnd fails the test if a channel is not closed in time.
+func waitForEnd(t *testing.T, name string, ended <-chan struct{}) {
+	t.Helper()
+	select {
+	case <-ended:
+	case <-time.After(endTimeout):
+		t.Fatalf("%s does not end", name)
+	}
+}
+
+// blockingHandler is a RequestHandler that replies only once its context is cancelled.
+type blockingHandler struct{ called chan struct{} }
+
+// Handle waits until the context is cancelled.
+func (h blockingHandler) Handle(ctx context.Context, _ controller.Request, _ time.Duration) controller.Reply {
+	h.called <- struct{}{}
+	<-ctx.Done()
+	return controller.Reply{Status: 503, RetryAfter: 1}
+}
+
+// Trace returns nil.
+func (blockingHandler) Trace(string) []tracing.Step { return nil }
+
+// A server that ends closes its connections before it interrupts the requests, so that no client takes
+// the reply of an interrupted handler for an answer. Serve returns only after that.
+func TestServerEnd(t *testing.T) {
+	handler := blockingHandler{called: make(chan struct{}, 1)}
+	server := NewServer(handler, ServerOptions{MaxConnections: 16, IdleTimeout: time.Minute, RequestTimeout: time.Minute})
+	listener := listenOnLoopback(t)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	served := make(chan struct{})
+	go func() {
+		server.Serve(ctx, listener)
+		close(served)
+	}()
+	conn, err := net.Dial("tcp4", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	if _, err := io.WriteString(conn, "GET /work/j-1 HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
+	<-handler.called
+	cancel()
+	waitForEnd(t, "the server", served)
+	conn.SetReadDeadline(time.Now().Add(endTimeout))
+	if response, _ := io.ReadAll(conn); len(response) > 0 {
+		t.Errorf("an interrupted request was answered: %q", response)
+	}
+}
+
+// Close ends calls in flight, without a response, and refuses later ones.
+func TestClientClose(t *testing.T) {
+	listener := listenOnLoopback(t)
+	received := make(chan struct{}, 1)
+	serveConnections(t, listener, func(conn net.Conn) {
+		conn.Read(make([]byte, 1024))
+		received <- struct{}{} // and no response
+	})
+	client := newTestClient(t, listener.Addr().String(), ClientOptions{MaxConnections: 2, DialTimeout: time.Minute,
+		IdleTimeout: time.Minute, MaxResponseBytes: 1 << 16})
+	call := controller.ServiceCall{ID: 7, Method: "GET", Path: "/follow", Timeout: time.Minute}
+	returned := make(chan struct{})
+	go func() {
+		if result := client.Do(call); result.ID != 7 || result.Status != 0 {
+			t.Errorf("result %+v", result)
+		}
+		close(returned)
+	}()
+	<-received
+	client.Close()
+	waitForEnd(t, "the call", returned)
+	if result := client.Do(call); result.Status != 0 {
+		t.Errorf("a call after Close: %+v", result)
+	}
+}
+
+// The links between controllers end with their context, in whatever state they are.
+func TestPeerLinksEnd(t *testing.T) {
+	log := slog.New(slog.DiscardHandler)
+	for _, c := range []struct {
+		name  string
+		lines string // sent to the links by a peer
+	}{
+		{"without a handshake", ""},
+		{"after the handshake", `{"node":"b"}` + "\n"},
+		{"while a message is delivered", `{"node":"b"}` + "\n" + `{"type":"clear","term":5}` + "\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			incoming, peer := listenOnLoopback(t), listenOnLoopback(t)
+			connected := make(chan struct{}, 1)
+			serveConnections(t, peer, func(net.Conn) { connected <- struct{}{} })
+			blocked := make(chan struct{}, 1)
+			links := NewPeerLinks("a", []config.Peer{{Node: "b", Address: peer.Addr().String()}},
+				PeerLinkOptions{IdleTimeout: time.Minute, QueueLength: 4, Log: log},
+				func(ctx context.Context, _ controller.InboundMessage) {
+					blocked <- struct{}{}
+					<-ctx.Done()
+				})
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			served, maintained := make(chan struct{}), make(chan struct{})
+			go func() {
+				links.Serve(ctx, incoming)
+				close(served)
+			}()
+			go func() {
+				links.Maintain(ctx)
+				close(maintained)
+			}()
+			conn, err := net.Dial("tcp4", incoming.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { conn.Close() })
+			if _, err := io.WriteString(conn, c.lines); err != nil {
+				t.Fatal(err)
+			}
+			<-connected
+			if strings.Contains(c.lines, "clear") {
+				<-blocked
+			}
+			cancel()
+			waitForEnd(t, "Serve", served)
+			waitForEnd(t, "Maintain", maintained)
+		})
+	}
+}
