--- /dev/null
+++ b/internal/transport/server_test.go
@@ -0,0 +1,154 @@
+package transport
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"hitchdoor/internal/controller"
+	"hitchdoor/internal/protocol"
+)
+
+// What is malformed is refused before it reaches the owner; what can't be taken
+// is answered with when to come back.
+func TestServerStatuses(t *testing.T) {
+	var last controller.Request
+	url := startServer(t, func(r controller.Request) controller.Reply {
+		last = r
+		if r.Kind == protocol.RequestSubmit {
+			return controller.Reply{Status: 503, RetryAfter: 2}
+		}
+		return controller.Reply{Status: 200, Body: []byte(`{}`)}
+	})
+	client := newHTTPClient(t)
+	job := `{"uid":"j-1","lote":"c","dono":"t","feitio":"batch","vez":"low","pecas":1,"cores":1,"accelerators":0,"ramGb":1,
+		"molde":"i","pullGb":1,"samePlace":false,"apart":false,"avulsas":true,"previstoS":1,"marcoS":0,"guardaS":0}`
+	for _, c := range []struct {
+		path, body string
+		status     int
+	}{
+		{"/work", "{", 400},
+		{"/work", strings.Repeat(" ", protocol.MaxBodyBytes) + job, 400},
+		{"/work", strings.Repeat("x", 4*protocol.MaxBodyBytes), 400},
+		{"/work", job, 503},
+		{"/work/j-1/cancel", "", 200},
+		{"/v1/report", `{"maquina":"m-1","turno":1,"contagem":1}`, 200},
+		{"/v1/report", `{}`, 400},
+	} {
+		resp, err := client.Post(url+c.path, "application/json", strings.NewReader(c.body))
+		if err != nil {
+			t.Fatal(err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
+		if resp.StatusCode != c.status {
+			t.Errorf("%s %.20q: %d", c.path, c.body, resp.StatusCode)
+		}
+		if c.status == 503 && resp.Header.Get("Retry-After") != "2" {
+			t.Errorf("no Retry-After: %v", resp.Header)
+		}
+	}
+	resp, err := client.Get(url + "/work/j-7")
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp.Body.Close()
+	if last.Kind != protocol.RequestQuery || last.JobID != "j-7" {
+		t.Errorf("query reached the owner as %+v", last)
+	}
+}
+
+// At its limit the server goes on serving the connections it has, tells the load
+// balancer that it is well, and turns others away with when to come back.
+func TestServerAtItsLimit(t *testing.T) {
+	url, server := newTestServer(t, func(controller.Request) controller.Reply {
+		return controller.Reply{Status: 200, Body: []byte(`{}`)}
+	})
+	const served = 15 // of 16
+	// closed waits until the server is done with all other connections: on a busy machine it
+	// takes a moment after the client has its answer, and the next one found no place.
+	closed := func() {
+		t.Helper()
+		for end := time.Now().Add(5 * time.Second); server.ConnectionLoad().Open > served; time.Sleep(time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatalf("%d connections stay open", server.ConnectionLoad().Open)
+			}
+		}
+		time.Sleep(20 * time.Millisecond) // the server's worker is free a little later
+	}
+	ask := func(c *http.Client, path string) *http.Response {
+		resp, err := c.Get(url + path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
+		return resp
+	}
+	var clients []*http.Client
+	for range served {
+		c := newHTTPClient(t)
+		clients = append(clients, c)
+		if resp := ask(c, "/work/j-1"); resp.StatusCode != 200 {
+			t.Fatalf("connection %d: %d", len(clients), resp.StatusCode)
+		}
+	}
+	for range 3 {
+		late := newHTTPClient(t)
+		if resp := ask(late, "/work/j-1"); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" ||
+			!resp.Close {
+			t.Errorf("one too many: %d %v", resp.StatusCode, resp.Header)
+		}
+		closed()
+		balancer := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+		if resp := ask(balancer, "/healthz"); resp.StatusCode != 200 {
+			t.Errorf("health: %d", resp.StatusCode)
+		}
+		closed()
+	}
+	for _, c := range clients {
+		if resp := ask(c, "/work/j-1"); resp.StatusCode != 200 {
+			t.Errorf("a connection that was served: %d", resp.StatusCode)
+		}
+	}
+}
+
+// With few connections left, a worker's connection is closed after its answer, so that more
+// workers than there are connections are served in turns; below that it stays open.
+func TestServerTakesWorkersInTurns(t *testing.T) {
+	url := startServer(t, func(controller.Request) controller.Reply {
+		return controller.Reply{Status: 200, Body: []byte(`{"bastao":1,"ordens":[]}`)}
+	})
+	report := "POST /v1/report HTTP/1.1\r\nHost: x\r\nContent-Length: 29\r\n\r\n" + `{"maquina":"m-1","turno":1  }`
+	ask := func(conn net.Conn) *http.Response {
+		t.Helper()
+		if _, err := io.WriteString(conn, report); err != nil {
+			t.Fatal(err)
+		}
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp.Body.Close()
+		return resp
+	}
+	const connections, kept = 16, 14
+	for i := range 3 * connections {
+		conn, err := net.Dial("tcp4", strings.TrimPrefix(url, "http://"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		if resp := ask(conn); resp.StatusCode != 200 || resp.Close != (i >= kept) {
+			t.Fatalf("worker %d: %d, closed %v", i, resp.StatusCode, resp.Close)
+		}
+		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+		if i >= kept {
+			io.Copy(io.Discard, conn) // until it is closed
+		}
+	}
+}
