--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -62,13 +62,13 @@
 	debug.SetMemoryLimit(int64(platform.Cluster.Resources.MemoryMB * settings.MemoryLimitRatio * (1 << 20)))
 
 	d := newDaemon(platform, settings, build, log)
-	listeners, err := listen(platform, log)
+	open, err := listen(platform, log)
 	if err != nil {
 		return err
 	}
 	log.Info("controller started", "node", platform.Node, "clientAddress", platform.ClientListen,
 		"peerAddress", platform.PeerBind)
-	return d.serve(ctx, listeners, config.Seconds(platform.Cluster.Workers.HeartbeatIntervalS)/ticksPerHeartbeat)
+	return d.serve(ctx, open, config.Seconds(platform.Cluster.Workers.HeartbeatIntervalS)/ticksPerHeartbeat)
 }
 
 // newDaemon returns a daemon that is not connected yet.
--- a/internal/protocol/cloud_responses_test.go
+++ b/internal/protocol/cloud_responses_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"testing"
 )
 
@@ -33,11 +34,13 @@
 		{"GET", page, 200, `{"maquinas":[{"uid":""}]}`, false},
 		{"GET", page, 200, `<html>`, false},
 	} {
-		err := CheckCloudResponse(c.method, c.path, c.status, []byte(c.body))
-		var odd *CloudResponseError
-		if (err == nil) != c.ok || err != nil && !errors.As(err, &odd) {
-			t.Errorf("%s %s: %d %s: %v", c.method, c.path, c.status, c.body, err)
-		}
+		t.Run(fmt.Sprintf("%s %s %d %s", c.method, c.path, c.status, c.body), func(t *testing.T) {
+			err := CheckCloudResponse(c.method, c.path, c.status, []byte(c.body))
+			var odd *CloudResponseError
+			if (err == nil) != c.ok || err != nil && !errors.As(err, &odd) {
+				t.Errorf("%s %s: %d %s: %v", c.method, c.path, c.status, c.body, err)
+			}
+		})
 	}
 }
 
