--- a/internal/recovery/mismatch.go
+++ b/internal/recovery/mismatch.go
@@ -108,10 +108,10 @@
 		return false
 	}
 	key := mismatchKey{kind, machine, subject}
-	if r.notedMismatches[key] {
+	if r.countedMismatches[key] {
 		return false
 	}
-	r.notedMismatches[key] = true
+	r.countedMismatches[key] = true
 	r.counts[kind]++
 	if kind != MatchesRecord && len(r.samples) < maxSamples {
 		r.samples = append(r.samples, MismatchSample{Kind: kind.String(), Machine: machine, Subject: subject,
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -122,8 +122,8 @@
 
 // teamUsage is the number of operations granted to a team, and when one was last refused.
 type teamUsage struct {
-	granted       float64
-	lastRefusedAt time.Duration
+	granted        float64
+	lastDeferredAt time.Duration
 }
 
 // newPacer returns a pacer with empty buckets for tasks and a minimum burst for machines.
@@ -159,7 +159,7 @@
 	pacer.refillBucket(now, operation)
 	usage := pacer.teams[team]
 	if usage == nil {
-		usage = &teamUsage{lastRefusedAt: -r.settings.WorkerLease}
+		usage = &teamUsage{lastDeferredAt: -r.settings.WorkerLease}
 		pacer.teams[team] = usage
 	}
 	tokens, burst := pacer.tokens[operation], pacer.rates[operation].Burst
@@ -190,7 +190,7 @@
 	if operation != RentMachine {
 		r.lastDeferredAt = now
 	}
-	usage.lastRefusedAt = now
+	usage.lastDeferredAt = now
 	return false
 }
 
@@ -207,7 +207,7 @@
 // that had to wait within the window.
 func (p *pacer) isAheadOfWaitingTeam(now time.Duration, usage *teamUsage, window time.Duration) bool {
 	for _, other := range p.teams {
-		if other != usage && other.granted < usage.granted && now-other.lastRefusedAt < window {
+		if other != usage && other.granted < usage.granted && now-other.lastDeferredAt < window {
 			return true
 		}
 	}
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -43,13 +43,13 @@
 
 // Conditions and timeouts of the phases.
 const (
-	// fewMissingDivisor: the collecting phase ends when at most one machine in so many is missing.
-	fewMissingDivisor = 10
+	// fewUnreconciledDivisor: the collecting phase ends when at most one machine in so many is missing.
+	fewUnreconciledDivisor = 10
 	// maxCollectingLeases is the timeout of the collecting phase in leases.
 	maxCollectingLeases = 0.45
-	// fewMissingSilenceLeases is the time in leases after which an unresponsive machine is returned
+	// fewUnreconciledSilenceLeases is the time in leases after which an unresponsive machine is returned
 	// if few are missing.
-	fewMissingSilenceLeases = 0.25
+	fewUnreconciledSilenceLeases = 0.25
 	// quietHeartbeatIntervals is the time in heartbeat intervals without a newly reconciled machine
 	// after which the collecting phase ends: the machines that can reach this leader have done so.
 	quietHeartbeatIntervals = 1.5
@@ -86,23 +86,23 @@
 
 // Recovery is the recovery of one leader.
 type Recovery struct {
-	settings         Settings
-	startedAt        time.Duration
-	phase            Phase
-	phaseStartedAt   time.Duration
-	view             View
-	lastReconciledAt time.Duration // when a machine was last reconciled
-	lastDeferredAt   time.Duration // when an operation last had to wait for its budget
-	pacer            pacer
-	counts           MismatchCounts
-	notedMismatches  map[mismatchKey]bool
-	samples          []MismatchSample
+	settings          Settings
+	startedAt         time.Duration
+	phase             Phase
+	phaseStartedAt    time.Duration
+	view              View
+	lastReconciledAt  time.Duration // when a machine was last reconciled
+	lastDeferredAt    time.Duration // when an operation last had to wait for its budget
+	pacer             pacer
+	counts            MismatchCounts
+	countedMismatches map[mismatchKey]bool
+	samples           []MismatchSample
 }
 
 // New starts a recovery. Times are on the caller's monotonic clock.
 func New(settings Settings, now time.Duration) *Recovery {
 	return &Recovery{settings: settings, startedAt: now, phaseStartedAt: now, lastDeferredAt: now,
-		notedMismatches: map[mismatchKey]bool{}, pacer: newPacer(now)}
+		countedMismatches: map[mismatchKey]bool{}, pacer: newPacer(now)}
 }
 
 // Phase returns the present phase.
@@ -136,7 +136,7 @@
 		r.phase, r.phaseStartedAt = next, now
 	}
 	if r.phase == PhaseNormal {
-		r.notedMismatches = nil
+		r.countedMismatches = nil
 	}
 	return transitions
 }
@@ -149,10 +149,10 @@
 	case PhaseReading:
 		return view.RecordsRead, false
 	case PhaseCollecting:
-		fewMissing := view.Unreconciled*fewMissingDivisor <= view.Machines
-		noneReconciledLately := now-r.lastReconciledAt >=
+		fewUnreconciled := view.Unreconciled*fewUnreconciledDivisor <= view.Machines
+		noneReconciledRecently := now-r.lastReconciledAt >=
 			time.Duration(quietHeartbeatIntervals*float64(r.settings.HeartbeatInterval))
-		return (fewMissing || noneReconciledLately) && !view.InventoryIncomplete,
+		return (fewUnreconciled || noneReconciledRecently) && !view.InventoryIncomplete,
 			now-r.phaseStartedAt >= r.leaseFraction(maxCollectingLeases)
 	case PhaseReconciling:
 		return view.Unreconciled == 0 && !view.InventoryIncomplete, now-r.startedAt > r.settings.WorkerLease
@@ -187,14 +187,14 @@
 	if r.phase < PhaseReconciling {
 		return false
 	}
-	if r.view.Unreconciled*fewMissingDivisor <= r.view.Machines {
-		return silence > r.leaseFraction(fewMissingSilenceLeases)
+	if r.view.Unreconciled*fewUnreconciledDivisor <= r.view.Machines {
+		return silence > r.leaseFraction(fewUnreconciledSilenceLeases)
 	}
 	return silence > r.leaseFraction(maxCollectingLeases)
 }
 
-// waitsFor describes what the present phase waits for. Operators see it.
-func (r *Recovery) waitsFor() string {
+// waitReason describes what the present phase waits for. Operators see it.
+func (r *Recovery) waitReason() string {
 	switch r.phase {
 	case PhaseReading:
 		return "the stored records"
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -38,7 +38,7 @@
 func (r *Recovery) Status(now time.Duration) *Status {
 	return &Status{
 		Phase: r.phase.String(), PhaseSeconds: (now - r.phaseStartedAt).Seconds(),
-		ElapsedSeconds: (now - r.startedAt).Seconds(), WaitsFor: r.waitsFor(),
+		ElapsedSeconds: (now - r.startedAt).Seconds(), WaitsFor: r.waitReason(),
 		Machines: r.view.Machines, Unreconciled: r.view.Unreconciled,
 		Mismatches: r.counts.ByName(), Samples: r.samples, Budgets: r.Budgets(now),
 	}
