--- a/internal/recoverygate/gate_test.go
+++ b/internal/recoverygate/gate_test.go
@@ -25,23 +25,23 @@
 
 // newTestGate returns the gate of a new leader with a number of machines that are not reconciled.
 func newTestGate(machines int) (*Gate, *gateClock, *recovery.MismatchCounts) {
-	now := &gateClock{now: time.Minute}
+	testClock := &gateClock{now: time.Minute}
 	platform := &config.Cluster{}
 	platform.Workers.HeartbeatIntervalS, platform.Workers.LeaseS = 4, 20
 	settings := &config.Settings{PacedRecovery: true, RecoveryMinMachines: gateMinMachines, RecoveryRefillLeases: 0.25, RecoveryReplaceLeases: 1}
-	state := cluster.New(cluster.Options{Clock: now, Config: platform, Settings: settings, Log: slog.New(slog.DiscardHandler),
+	state := cluster.New(cluster.Options{Clock: testClock, Config: platform, Settings: settings, Log: slog.New(slog.DiscardHandler),
 		Catalog: map[string]*protocol.MachineType{"small": {Name: "small", Cores: 8, MemoryGB: 32}}})
 	for i := range machines {
 		state.NewMachine(fmt.Sprintf("m-%d", i), "small", "a", false)
 	}
 	counts := &recovery.MismatchCounts{}
-	return New(state, gateLeaderRevision, counts), now, counts
+	return New(state, gateLeaderRevision, counts), testClock, counts
 }
 
 // reconcileMachines makes machines of the gate's cluster reconciled.
 func reconcileMachines(gate *Gate, count int) {
-	for _, m := range gate.state.MachinesByName()[:count] {
-		m.Reconciled = true
+	for _, machine := range gate.state.MachinesByName()[:count] {
+		machine.Reconciled = true
 	}
 	gate.state.TotalsValid = false
 }
@@ -58,16 +58,16 @@
 		"disabled":    {machines: gateMinMachines, disabled: true},
 		"large fleet": {machines: gateMinMachines, limited: true},
 	} {
-		gate, now, _ := newTestGate(c.machines)
+		gate, testClock, _ := newTestGate(c.machines)
 		gate.state.Settings.PacedRecovery = !c.disabled
 		if gate.Limited() != c.limited || gate.MayScaleOut() == c.limited || gate.MayScaleIn() == c.limited ||
 			gate.Status(3).Paced != c.limited || gate.Status(3).Term != 3 {
 			t.Errorf("%s: limited %v, scale out %v, scale in %v", name, gate.Limited(), gate.MayScaleOut(), gate.MayScaleIn())
 		}
 		reconcileMachines(gate, c.machines)
-		for !gate.Completed() && now.now < 2*time.Minute {
+		for !gate.Completed() && testClock.now < 2*time.Minute {
 			gate.Advance(true)
-			now.now += time.Second
+			testClock.now += time.Second
 		}
 		if gate.Phase() != recovery.PhaseNormal || gate.Limited() || !gate.MayScaleOut() || !gate.MayScaleIn() || gate.Budgets() != nil {
 			t.Errorf("%s: phase %v", name, gate.Phase())
@@ -111,22 +111,22 @@
 	for range 2 {
 		gate.NoteMismatch(recovery.JobTerminal, "m-0", "j-1/0")
 	}
-	ofLeader := gate.Counts()
-	if ofLeader[recovery.JobTerminal] != 1 || counts[recovery.JobTerminal] != 6 {
-		t.Errorf("leader %d, process %d", ofLeader[recovery.JobTerminal], counts[recovery.JobTerminal])
+	leaderCounts := gate.Counts()
+	if leaderCounts[recovery.JobTerminal] != 1 || counts[recovery.JobTerminal] != 6 {
+		t.Errorf("leader %d, process %d", leaderCounts[recovery.JobTerminal], counts[recovery.JobTerminal])
 	}
 }
 
 // Machines that send no heartbeat are counted at the end of the collecting phase, and jobs that no
 // worker reports once all machines are reconciled.
 func TestTransitionsCountMismatches(t *testing.T) {
-	gate, now, counts := newTestGate(gateMinMachines)
+	gate, testClock, counts := newTestGate(gateMinMachines)
 	job := &cluster.Job{Spec: protocol.Job{ID: "j-1"}, RecordVersion: gateLeaderRevision, TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
-	later := &cluster.Job{Spec: protocol.Job{ID: "j-2"}, RecordVersion: gateLeaderRevision + 1, TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
-	gate.state.RunnableJobs["j-1"], gate.state.RunnableJobs["j-2"] = job, later
+	laterJob := &cluster.Job{Spec: protocol.Job{ID: "j-2"}, RecordVersion: gateLeaderRevision + 1, TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
+	gate.state.RunnableJobs["j-1"], gate.state.RunnableJobs["j-2"] = job, laterJob
 	reconcileMachines(gate, gateMinMachines-1)
 	gate.Advance(true)
-	now.now += 10 * time.Second
+	testClock.now += 10 * time.Second
 	gate.Advance(true)
 	if gate.Phase() != recovery.PhaseReconciling || counts[recovery.MachineUnresponsive] != 1 {
 		t.Errorf("phase %v, unresponsive machines %d", gate.Phase(), counts[recovery.MachineUnresponsive])
@@ -140,7 +140,7 @@
 
 // One response starts few tasks while starts are paced, and cancelled work is stopped at once.
 func TestCommandsArePaced(t *testing.T) {
-	gate, now, _ := newTestGate(gateMinMachines)
+	gate, testClock, _ := newTestGate(gateMinMachines)
 	machine := gate.state.MachinesByName()[0]
 	job := &cluster.Job{Spec: protocol.Job{ID: "j-1", Priority: "standard"}, Dependencies: cluster.NewDependencies()}
 	attempt := &cluster.TaskAttempt{Job: job, Machine: machine}
@@ -151,7 +151,7 @@
 	if !gate.MayStopTask(nil) {
 		t.Error("a task whose job is not open has to wait")
 	}
-	now.now += 4 * time.Second
+	testClock.now += 4 * time.Second
 	gate.Advance(true)
 	maxStarts := int(machine.MachineType.Cores) / startsPerResponseDivisor
 	if !gate.MayStartTask(attempt, maxStarts-1) || gate.MayStartTask(attempt, maxStarts) {
