--- a/internal/reconcile/command_delivery.go
+++ b/internal/reconcile/command_delivery.go
@@ -18,7 +18,7 @@
 // a machine that had missed a response while idle got no more commands, and so could never show a
 // sign of delivery.
 func trackCommandDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
-	tokenAcknowledged, sameRoute bool) {
+	tokenAcknowledged, deliveryConfirmed bool) {
 	lastResponse := machine.UnconfirmedResponse
 	machine.UnconfirmedResponse = nil
 	switch {
@@ -31,7 +31,7 @@
 			return
 		}
 		machine.MissedResponses, machine.UnexpectedRestart = 0, false
-	case !machine.TokenAcknowledged || sameRoute:
+	case !machine.TokenAcknowledged || deliveryConfirmed:
 		machine.MissedResponses, machine.UnexpectedRestart = 0, false
 	}
 }
@@ -78,15 +78,15 @@
 // mostMachinesMissResponses reports whether responses of this node do not get through at all, so that
 // the fault is not that of a single machine.
 func (r *Reconciler) mostMachinesMissResponses() bool {
-	undeliveredCount, upCount := 0, 0
+	missingResponsesCount, upCount := 0, 0
 	for _, machine := range r.MachinesByName() {
 		if !machine.Up {
 			continue
 		}
 		upCount++
 		if machine.MissedResponses > 0 {
-			undeliveredCount++
+			missingResponsesCount++
 		}
 	}
-	return upCount > 1 && 2*undeliveredCount > upCount
+	return upCount > 1 && 2*missingResponsesCount > upCount
 }
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -108,7 +108,7 @@
 	trackCommandDelivery(machine, heartbeat, tokenAcknowledged, deliveryConfirmed)
 	if machine.TokenAcknowledged != tokenAcknowledged || !machine.Up {
 		machine.TokenAcknowledged, machine.Up = tokenAcknowledged, true
-		r.capacityChanged()
+		r.markCapacityChanged()
 	}
 	machine.Epoch, machine.HeartbeatSeq = heartbeat.Epoch, heartbeat.Sequence
 	machine.LastHeartbeat = r.Clock.Now()
@@ -120,13 +120,13 @@
 	}
 	if tokenAcknowledged && !machine.Reconciled {
 		machine.Reconciled = true
-		r.capacityChanged()
+		r.markCapacityChanged()
 	}
 	return commands
 }
 
-// capacityChanged has the totals of the machines recomputed and a scheduling pass made.
-func (r *Reconciler) capacityChanged() {
+// markCapacityChanged has the totals of the machines recomputed and a scheduling pass made.
+func (r *Reconciler) markCapacityChanged() {
 	r.SchedulingNeeded = true
 	r.TotalsValid = false
 }
@@ -194,7 +194,7 @@
 func (r *Reconciler) isStaleHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) bool {
 	switch {
 	case machine.Address != "" && heartbeat.Address != "" && heartbeat.Address != machine.Address:
-		r.noteDuplicateName(machine, heartbeat)
+		r.logDuplicateName(machine, heartbeat)
 		return true
 	case heartbeat.Epoch < machine.Epoch:
 		return true
@@ -210,10 +210,10 @@
 	}
 }
 
-// noteDuplicateName logs once that two workers use the name of a machine, or that a copy of a
+// logDuplicateName logs once that two workers use the name of a machine, or that a copy of a
 // heartbeat was altered on the way. The first worker stays accepted until its lease has certainly
 // expired: a new epoch of the other would be mistaken for the end of all tasks of the first.
-func (r *Reconciler) noteDuplicateName(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
+func (r *Reconciler) logDuplicateName(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
 	if machine.DuplicateName {
 		return
 	}
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -21,15 +21,15 @@
 	machine *cluster.Machine
 	job     *cluster.Job
 
-	mismatches     []recovery.Mismatch
-	stopsRefused   bool
-	recorded       []string // machines made durable
-	done           []int    // tasks marked as done
-	closedJobs     map[string]recovery.JobState
-	firstStarts    int
-	firstRunning   int
-	terminalLoaded bool
-	routeConfirms  bool // each heartbeat's route confirms the last response
+	mismatches         []recovery.Mismatch
+	stopsDeferred      bool
+	recordedMachines   []string // machines made durable
+	completedTasks     []int    // tasks marked as done
+	closedJobStates    map[string]recovery.JobState
+	firstStarts        int
+	firstRunning       int
+	terminalJobsLoaded bool
+	deliveryConfirmed  bool // each heartbeat's route confirms the last response
 }
 
 const (
@@ -44,28 +44,28 @@
 	f.mismatches = append(f.mismatches, kind)
 }
 func (f *reconcilerFixture) MayStartTask(*cluster.TaskAttempt, int) bool { return true }
-func (f *reconcilerFixture) MayStopTask(*cluster.Job) bool               { return !f.stopsRefused }
+func (f *reconcilerFixture) MayStopTask(*cluster.Job) bool               { return !f.stopsDeferred }
 
 func (f *reconcilerFixture) RecordMachine(machine *cluster.Machine) {
-	f.recorded = append(f.recorded, machine.Name)
+	f.recordedMachines = append(f.recordedMachines, machine.Name)
 }
 func (f *reconcilerFixture) MarkTaskDone(job *cluster.Job, taskIndex int) {
-	f.done = append(f.done, taskIndex)
+	f.completedTasks = append(f.completedTasks, taskIndex)
 	job.SetTaskBit(taskIndex)
 }
 func (f *reconcilerFixture) ClosedJobState(jobID string) recovery.JobState {
-	return f.closedJobs[jobID]
+	return f.closedJobStates[jobID]
 }
-func (f *reconcilerFixture) TerminalJobsLoaded() bool { return f.terminalLoaded }
+func (f *reconcilerFixture) TerminalJobsLoaded() bool { return f.terminalJobsLoaded }
 func (f *reconcilerFixture) ConfirmDelivery(*cluster.Machine, *protocol.WorkerHeartbeat, string) bool {
-	return f.routeConfirms
+	return f.deliveryConfirmed
 }
 func (f *reconcilerFixture) TraceFirstStart(*cluster.TaskAttempt)   { f.firstStarts++ }
 func (f *reconcilerFixture) TraceFirstRunning(*cluster.TaskAttempt) { f.firstRunning++ }
 
 // newReconcilerFixture returns a fixture whose machine has sent its first heartbeat with the token.
 func newReconcilerFixture() *reconcilerFixture {
-	f := &reconcilerFixture{now: time.Minute, closedJobs: map[string]recovery.JobState{}, terminalLoaded: true, routeConfirms: true}
+	f := &reconcilerFixture{now: time.Minute, closedJobStates: map[string]recovery.JobState{}, terminalJobsLoaded: true, deliveryConfirmed: true}
 	settings := &config.Cluster{}
 	settings.Workers.HeartbeatIntervalS, settings.Workers.LeaseS = 4, 22
 	state := cluster.New(cluster.Options{Clock: f, Config: settings, Settings: &config.Settings{}, Log: slog.New(slog.DiscardHandler),
@@ -90,8 +90,8 @@
 	return job
 }
 
-// place assigns an attempt of the job's task to the machine and brings it to a phase.
-func (f *reconcilerFixture) place(taskIndex int, phase cluster.AttemptPhase) *cluster.TaskAttempt {
+// placeAttempt assigns an attempt of the job's task to the machine and brings it to a phase.
+func (f *reconcilerFixture) placeAttempt(taskIndex int, phase cluster.AttemptPhase) *cluster.TaskAttempt {
 	attempt := &cluster.TaskAttempt{Job: f.job, TaskIndex: taskIndex, Number: uint64(taskIndex + 1), Machine: f.machine, Phase: phase,
 		AssignedAt: f.now, RunningSince: f.now}
 	f.PlaceAttempt(attempt)
@@ -104,8 +104,8 @@
 		Sequence: f.machine.HeartbeatSeq + 1, FencingToken: fixtureTerm, Tasks: tasks}
 }
 
-// report applies the machine's next heartbeat and returns the commands of the response.
-func (f *reconcilerFixture) report(t *testing.T, tasks ...protocol.TaskStatus) []protocol.Command {
+// sendHeartbeat applies the machine's next heartbeat and returns the commands of the response.
+func (f *reconcilerFixture) sendHeartbeat(t *testing.T, tasks ...protocol.TaskStatus) []protocol.Command {
 	t.Helper()
 	result, ok := f.Reconcile(f.heartbeat(tasks...), "")
 	if !ok {
@@ -114,13 +114,13 @@
 	return f.Respond(result).Commands
 }
 
-// status returns the status of the attempt that place assigns to a task.
-func (f *reconcilerFixture) status(taskIndex int, state protocol.TaskState, exitReason protocol.ExitReason) protocol.TaskStatus {
+// taskStatus returns the status of the attempt that placeAttempt assigns to a task.
+func (f *reconcilerFixture) taskStatus(taskIndex int, state protocol.TaskState, exitReason protocol.ExitReason) protocol.TaskStatus {
 	return protocol.TaskStatus{TaskID: cluster.TaskKey(f.job.Spec.ID, taskIndex), Attempt: uint64(taskIndex + 1), State: state, ExitReason: exitReason}
 }
 
-// kinds returns the kinds of commands.
-func kinds(commands []protocol.Command) []protocol.CommandKind {
+// commandKinds returns the kinds of commands.
+func commandKinds(commands []protocol.Command) []protocol.CommandKind {
 	names := []protocol.CommandKind{}
 	for _, command := range commands {
 		names = append(names, command.Kind)
@@ -156,15 +156,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newReconcilerFixture()
-			f.place(0, cluster.AttemptRunning)
+			f.placeAttempt(0, cluster.AttemptRunning)
 			if c.change != nil {
 				c.change(f)
 			}
-			if got := kinds(f.report(t, f.status(0, protocol.TaskExited, c.reason))); !slices.Equal(got, c.commands) {
+			if got := commandKinds(f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskExited, c.reason))); !slices.Equal(got, c.commands) {
 				t.Errorf("commands %v, not %v", got, c.commands)
 			}
-			if done := slices.Equal(f.done, []int{0}); done != c.done {
-				t.Errorf("tasks marked as done: %v", f.done)
+			if done := slices.Equal(f.completedTasks, []int{0}); done != c.done {
+				t.Errorf("tasks marked as done: %v", f.completedTasks)
 			}
 			if released := len(f.job.Attempts) == 0; released != c.released {
 				t.Errorf("attempts left: %d", len(f.job.Attempts))
@@ -192,13 +192,13 @@
 	other := f.NewMachine("m-2", "small", "a", false)
 	attempt := &cluster.TaskAttempt{Job: f.job, TaskIndex: 0, Number: 50, Machine: other, Phase: cluster.AttemptRunning}
 	f.PlaceAttempt(attempt)
-	f.report(t, f.status(0, protocol.TaskExited, protocol.ExitDone))
+	f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskExited, protocol.ExitDone))
 	if attempt.StopGrace == nil || *attempt.StopGrace != 0 {
 		t.Error("the other attempt goes on")
 	}
-	f.place(1, cluster.AttemptRunning)
+	f.placeAttempt(1, cluster.AttemptRunning)
 	f.machine.ConsecutiveFailures, f.machine.FailedJobs["j-9"], f.job.FailedMachines["m-9"] = 1, true, true
-	f.report(t, f.status(1, protocol.TaskExited, protocol.ExitDone))
+	f.sendHeartbeat(t, f.taskStatus(1, protocol.TaskExited, protocol.ExitDone))
 	if f.machine.ConsecutiveFailures+len(f.machine.FailedJobs)+len(f.job.FailedMachines) != 0 {
 		t.Error("failures are remembered after a success")
 	}
@@ -221,7 +221,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newReconcilerFixture()
-			heartbeat := f.heartbeat(f.status(0, protocol.TaskRunning, ""))
+			heartbeat := f.heartbeat(f.taskStatus(0, protocol.TaskRunning, ""))
 			change(f, heartbeat)
 			sequence := f.machine.HeartbeatSeq
 			if _, ok := f.Reconcile(heartbeat, ""); ok {
@@ -243,28 +243,28 @@
 	if !ok || result.Machine != f.Machines["m-unknown"] || !result.Machine.Reconciled {
 		t.Errorf("accepted: %v", ok)
 	}
-	if !slices.Equal(f.recorded, []string{"m-unknown"}) || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MachineNotRecorded}) {
-		t.Errorf("recorded %v, mismatches %v", f.recorded, f.mismatches)
+	if !slices.Equal(f.recordedMachines, []string{"m-unknown"}) || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MachineNotRecorded}) {
+		t.Errorf("recorded %v, mismatches %v", f.recordedMachines, f.mismatches)
 	}
 }
 
 // Attempts that the machine does not report have ended, unless their start was not delivered.
 func TestUnreportedAttempts(t *testing.T) {
 	f := newReconcilerFixture()
-	running := f.place(0, cluster.AttemptRunning)
-	sent := f.place(1, cluster.AttemptSent)
-	stopped := f.place(2, cluster.AttemptSent)
+	running := f.placeAttempt(0, cluster.AttemptRunning)
+	sent := f.placeAttempt(1, cluster.AttemptSent)
+	stopped := f.placeAttempt(2, cluster.AttemptSent)
 	f.RequestStop(stopped, 0)
-	assigned := f.place(3, cluster.AttemptAssigned)
-	commands := f.report(t)
+	assigned := f.placeAttempt(3, cluster.AttemptAssigned)
+	commands := f.sendHeartbeat(t)
 	if f.job.Attempts[0] == running || f.job.Attempts[2] == stopped {
 		t.Error("an attempt that has ended is still tracked")
 	}
 	if f.job.Attempts[1] != sent || f.job.Attempts[3] != assigned {
 		t.Error("an attempt whose start was not delivered is not tracked")
 	}
-	if !slices.Equal(kinds(commands), []protocol.CommandKind{protocol.CommandStart, protocol.CommandStart}) || f.firstStarts != 1 {
-		t.Errorf("commands %v, first starts %d", kinds(commands), f.firstStarts)
+	if !slices.Equal(commandKinds(commands), []protocol.CommandKind{protocol.CommandStart, protocol.CommandStart}) || f.firstStarts != 1 {
+		t.Errorf("commands %v, first starts %d", commandKinds(commands), f.firstStarts)
 	}
 }
 
@@ -272,12 +272,12 @@
 func TestAdoptionWaitsForToken(t *testing.T) {
 	f := newReconcilerFixture()
 	f.machine.Reconciled = false
-	heartbeat := f.heartbeat(f.status(0, protocol.TaskRunning, ""))
+	heartbeat := f.heartbeat(f.taskStatus(0, protocol.TaskRunning, ""))
 	heartbeat.FencingToken--
 	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 0 || f.machine.UnknownTasks != 1 || f.machine.Reconciled {
 		t.Fatalf("attempts %d, unknown tasks %d", len(f.job.Attempts), f.machine.UnknownTasks)
 	}
-	f.report(t, f.status(0, protocol.TaskRunning, ""))
+	f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskRunning, ""))
 	attempt := f.job.Attempts[0]
 	if attempt == nil || attempt.Phase != cluster.AttemptRunning || f.machine.UnknownTasks != 0 || !f.machine.Reconciled {
 		t.Fatalf("attempt %+v, unknown tasks %d", attempt, f.machine.UnknownTasks)
@@ -292,19 +292,19 @@
 func TestUnexpectedTaskIsStopped(t *testing.T) {
 	f := newReconcilerFixture()
 	unknown := protocol.TaskStatus{TaskID: cluster.TaskKey("j-unknown", 0), Attempt: 1, State: protocol.TaskRunning}
-	f.stopsRefused, f.terminalLoaded = true, false
-	if commands := f.report(t, unknown); len(commands) != 0 || f.machine.UnknownTasks != 1 || len(f.mismatches) != 0 {
-		t.Errorf("commands %v, unknown tasks %d, mismatches %v", kinds(commands), f.machine.UnknownTasks, f.mismatches)
+	f.stopsDeferred, f.terminalJobsLoaded = true, false
+	if commands := f.sendHeartbeat(t, unknown); len(commands) != 0 || f.machine.UnknownTasks != 1 || len(f.mismatches) != 0 {
+		t.Errorf("commands %v, unknown tasks %d, mismatches %v", commandKinds(commands), f.machine.UnknownTasks, f.mismatches)
 	}
-	f.stopsRefused, f.terminalLoaded = false, true
-	commands := f.report(t, unknown)
-	if !slices.Equal(kinds(commands), []protocol.CommandKind{protocol.CommandStop}) || *commands[0].GraceSeconds != 0 ||
+	f.stopsDeferred, f.terminalJobsLoaded = false, true
+	commands := f.sendHeartbeat(t, unknown)
+	if !slices.Equal(commandKinds(commands), []protocol.CommandKind{protocol.CommandStop}) || *commands[0].GraceSeconds != 0 ||
 		!slices.Equal(f.mismatches, []recovery.Mismatch{recovery.JobNeverStored}) {
-		t.Errorf("commands %v, mismatches %v", kinds(commands), f.mismatches)
+		t.Errorf("commands %v, mismatches %v", commandKinds(commands), f.mismatches)
 	}
-	f.closedJobs["j-unknown"] = recovery.JobStateQuarantined
-	if commands := f.report(t, unknown); len(commands) != 0 {
-		t.Errorf("a task of a quarantined job is stopped: %v", kinds(commands))
+	f.closedJobStates["j-unknown"] = recovery.JobStateQuarantined
+	if commands := f.sendHeartbeat(t, unknown); len(commands) != 0 {
+		t.Errorf("a task of a quarantined job is stopped: %v", commandKinds(commands))
 	}
 }
 
@@ -313,9 +313,9 @@
 	f := newReconcilerFixture()
 	f.job = f.addJob("j-large", 2*maxCommandsPerResponse)
 	for i := range 2 * maxCommandsPerResponse {
-		f.place(i, cluster.AttemptAssigned)
+		f.placeAttempt(i, cluster.AttemptAssigned)
 	}
-	if commands := f.report(t); len(commands) != maxCommandsPerResponse {
+	if commands := f.sendHeartbeat(t); len(commands) != maxCommandsPerResponse {
 		t.Errorf("%d commands", len(commands))
 	}
 }
@@ -335,7 +335,7 @@
 		accepted := 0
 		for range maxMissedResponses + 2 {
 			if len(f.job.Attempts) == 0 {
-				f.place(0, cluster.AttemptAssigned)
+				f.placeAttempt(0, cluster.AttemptAssigned)
 			}
 			if result, ok := f.Reconcile(f.heartbeat(), ""); ok {
 				accepted++
@@ -355,8 +355,8 @@
 // shows that responses do not reach the worker.
 func TestNewEpochEndsAttempts(t *testing.T) {
 	f := newReconcilerFixture()
-	f.place(0, cluster.AttemptRunning)
-	assigned := f.place(1, cluster.AttemptAssigned)
+	f.placeAttempt(0, cluster.AttemptRunning)
+	assigned := f.placeAttempt(1, cluster.AttemptAssigned)
 	heartbeat := f.heartbeat()
 	heartbeat.Epoch, heartbeat.Sequence = 2, 1
 	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 1 || f.job.Attempts[1] != assigned {
--- a/internal/reconcile/reported_tasks.go
+++ b/internal/reconcile/reported_tasks.go
@@ -96,7 +96,7 @@
 			task.machine.UnknownTasks++
 		}
 	case recovery.StoreResult, recovery.ForgetAttempt:
-		return r.forgetIfSettled(task)
+		return r.reconcileExitedTask(task)
 	case recovery.AwaitToken:
 		task.machine.UnknownTasks++
 	case recovery.AdoptAttempt:
@@ -194,9 +194,9 @@
 	attempt.Machine.TouchImage(job.Spec.Image, job.Spec.ImageGB)
 }
 
-// forgetIfSettled processes a task that has exited. It returns the command to forget the task, or
+// reconcileExitedTask processes a task that has exited. It returns the command to forget the task, or
 // nil while the worker must retain its result.
-func (r *Reconciler) forgetIfSettled(task *reportedTask) *protocol.Command {
+func (r *Reconciler) reconcileExitedTask(task *reportedTask) *protocol.Command {
 	if !r.handleTaskExit(task) {
 		task.machine.RetainedResults++
 		return nil
