--- a/internal/recovery/mismatch.go
+++ b/internal/recovery/mismatch.go
@@ -3,47 +3,55 @@
 import "time"
 
 // Mismatch is a kind of difference between a worker's heartbeat and the stored state. The
-// reconciliation resolves all mismatches of a kind in the same way.
+// reconciliation resolves all mismatches of one kind in the same way.
 type Mismatch int
 
-// The kinds of mismatches, and how each is resolved.
+// These are the kinds of mismatches. Each comment says how the leader resolves the kind.
 const (
-	// MatchesRecord: a running task of an open job. This leader adopts it.
+	// MatchesRecord is a running task of an open job, as the stored state expects. This leader
+	// adopts it. The kind is counted with the others, but is not an error.
 	MatchesRecord Mismatch = iota
-	// JobNeverStored: a task of a job that has no stored record, open or terminal. It is stopped.
+	// JobNeverStored is a running task of a job that has no stored record, neither open nor terminal.
+	// The task is stopped.
 	JobNeverStored
-	// JobTerminal: a task of a terminal or cancelled job. It is stopped before anything else.
+	// JobTerminal is a running task of a terminal or cancelled job. The task is stopped with the
+	// highest urgency.
 	JobTerminal
-	// JobQuarantined: a task of a job whose record can't be read. It is left running and its result
-	// is kept.
+	// JobQuarantined is a task of a job whose record can't be read. The task is left running, and
+	// its worker retains its result.
 	JobQuarantined
-	// DuplicateTask: a task of which this leader tracks another attempt. The reported one is stopped.
+	// DuplicateTask is a reported attempt at a task of which this leader tracks another attempt. The
+	// reported attempt is stopped.
 	DuplicateTask
-	// CompletionNotStored: a completed task that is not stored as completed. Its completion is
-	// stored, and the worker keeps the result until then.
+	// CompletionNotStored is a completed task that is not stored as completed. Its completion is
+	// stored, and the worker retains the result until then.
 	CompletionNotStored
-	// CompletedTaskRunning: a running task that is stored as completed. It is stopped.
+	// CompletedTaskRunning is a running task that is stored as completed. The task is stopped.
 	CompletedTaskRunning
-	// JobNotRunning: an open job of which no worker reports a task. Its tasks are scheduled as usual.
+	// JobNotRunning is an open job of which no worker reports a task. Its tasks are scheduled as
+	// usual.
 	JobNotRunning
-	// MachineNotRecorded: a machine that no record names. It is added if it has no task. With tasks,
-	// its heartbeat is a late copy and not answered, unless some machine records can't be read.
+	// MachineNotRecorded is a machine that reports but has no stored record. It is added if it
+	// reports no tasks. If it reports tasks, its heartbeat is a late copy and gets no response,
+	// unless some machine records can't be read.
 	MachineNotRecorded
-	// MachineUnresponsive: a recorded machine that sends no heartbeat. It is returned, or the
-	// recovery waits for the end of its lease.
+	// MachineUnresponsive is a recorded machine that sends no heartbeat. The machine is returned, or
+	// the recovery waits until its lease has expired.
 	MachineUnresponsive
-	// NewerEpoch: a machine whose lease expired after its last heartbeat. Its tasks are lost.
+	// NewerEpoch is a machine whose worker has begun a new epoch, because its lease expired or it
+	// restarted after its last heartbeat. The tasks of the earlier epoch are lost.
 	NewerEpoch
-	// NewerToken: a worker with the fencing token of a newer leader. This leader steps down.
+	// NewerToken is a worker that reports the fencing token of a newer leader. This leader steps
+	// down.
 	NewerToken
-	// MachineOvercommitted: a machine whose tasks use more than its capacity. No task is stopped for
-	// that, but it gets none until it has capacity again.
+	// MachineOvercommitted is a machine whose tasks use more than its capacity. None of its tasks
+	// is stopped, but no task is placed on it until it has free capacity again.
 	MachineOvercommitted
 
 	mismatchKinds
 )
 
-// mismatchNames are the names of the kinds in status responses and metrics.
+// mismatchNames contains the names of the kinds in status responses and metrics.
 var mismatchNames = [mismatchKinds]string{
 	MatchesRecord:        "as_stored",
 	JobNeverStored:       "job_never_stored",
@@ -63,10 +71,10 @@
 // String returns the name of the kind in status responses and metrics.
 func (m Mismatch) String() string { return mismatchNames[m] }
 
-// MismatchCounts holds a count for each kind of mismatch.
+// MismatchCounts contains the number of mismatches of each kind, indexed by Mismatch.
 type MismatchCounts [mismatchKinds]int
 
-// ByName returns the counts that are not zero, by the name of the kind.
+// ByName returns the counts above zero, keyed by the name of the kind.
 func (c *MismatchCounts) ByName() map[string]int {
 	byName := map[string]int{}
 	for kind, count := range c {
@@ -77,32 +85,32 @@
 	return byName
 }
 
-// ForEach calls visit with every kind and its count, in the order of the kinds.
+// ForEach calls visit for every kind with its count, in ascending order of the kinds.
 func (c *MismatchCounts) ForEach(visit func(kind Mismatch, count int)) {
 	for kind, count := range c {
 		visit(Mismatch(kind), count)
 	}
 }
 
-// MismatchSample is one mismatch, as operators see it.
+// MismatchSample is one mismatch in the recovery status for operators.
 type MismatchSample struct {
 	Kind         string  `json:"kind"`
 	Machine      string  `json:"machine,omitempty"`
-	Subject      string  `json:"subject,omitempty"` // a task or a job
-	AfterSeconds float64 `json:"afterS"`            // since the start of the recovery
+	Subject      string  `json:"subject,omitempty"` // task key or job ID
+	AfterSeconds float64 `json:"afterS"`            // time since the start of the recovery
 }
 
-// maxSamples bounds the samples that are kept.
+// maxSamples is the maximum number of samples that a recovery keeps for its status.
 const maxSamples = 200
 
-// mismatchKey identifies a mismatch, so that it is counted once.
+// mismatchKey identifies a mismatch, so that a mismatch in many heartbeats is counted once.
 type mismatchKey struct {
 	kind             Mismatch
 	machine, subject string
 }
 
-// NoteMismatch counts a mismatch until the recovery is completed: each kind once per machine and
-// subject, however often it is reported. It reports whether the mismatch was counted.
+// NoteMismatch counts a mismatch, once for each kind, machine and subject. It counts nothing after
+// the recovery is completed. It reports whether the mismatch was counted.
 func (r *Recovery) NoteMismatch(now time.Duration, kind Mismatch, machine, subject string) bool {
 	if r.phase == PhaseNormal {
 		return false
@@ -120,5 +128,5 @@
 	return true
 }
 
-// Counts returns the number of mismatches of each kind.
+// Counts returns the mismatches counted so far.
 func (r *Recovery) Counts() MismatchCounts { return r.counts }
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Operation is a kind of operation that has a budget: a command to a worker, or a request to the
-// cloud.
+// Operation is a kind of operation whose rate the recovery limits: a command to a worker, or a
+// request to the cloud.
 type Operation int
 
-// The kinds of operations.
+// These are the kinds of operations that have a budget.
 const (
 	StartTask Operation = iota
 	StopTask
@@ -19,78 +19,80 @@
 	operationKinds
 )
 
-// operationNames are the names of the kinds in status responses and metrics.
+// operationNames contains the names of the kinds in status responses and metrics.
 var operationNames = [operationKinds]string{"start", "stop", "rent", "return"}
 
 // String returns the name of the kind in status responses and metrics.
 func (o Operation) String() string { return operationNames[o] }
 
-// Urgency is the urgency of an operation. More urgent ones may use more of a budget.
+// Urgency is the urgency of an operation. More urgent operations may use a larger part of a budget.
 type Urgency int
 
-// The urgencies, most urgent first.
+// These are the urgencies in descending order.
 const (
-	// CancelledWork: the operation stops cancelled work and never waits.
+	// CancelledWork is the urgency of stopping cancelled work. Such operations never wait.
 	CancelledWork Urgency = iota
-	// LatencySensitive: the operation is for jobs of priority prod or urgent.
+	// LatencySensitive is the urgency of operations for jobs of priority prod or urgent, and of
+	// operations on machines.
 	LatencySensitive
-	// OrdinaryWork: all other operations.
+	// OrdinaryWork is the urgency of all other operations.
 	OrdinaryWork
 )
 
-// Limits are the operators' settings for the rates of operations, as ratios to a worker lease.
+// Limits contains the operators' settings for the rates of operations, in worker leases.
 type Limits struct {
-	// RefillLeases is the time, in worker leases, within which tasks may be started on all cores.
+	// RefillLeases is the time in worker leases within which the leader may start tasks on all
+	// cores.
 	RefillLeases float64
-	// ReplaceLeases is the time, in worker leases, within which all machines may be rented or
-	// returned.
+	// ReplaceLeases is the time in worker leases within which the leader may rent or return all
+	// machines.
 	ReplaceLeases float64
 }
 
 // grantedRateShare is the share of the rate that is granted, because responses sent one after the
-// other may arrive together: at the whole rate, a thousand emulated workers received an eighth more
-// than the limit in some second.
+// other may arrive together. When the whole rate was granted, a thousand emulated workers received
+// an eighth more than the limit in some second.
 const grantedRateShare = 0.75
 
-// stopRateShare is the rate of stops as a ratio to that of starts. It does not limit stops of
-// cancelled work.
+// stopRateShare is the ratio of the rate of stops to the rate of starts. Stops of cancelled work are
+// not limited by it.
 const stopRateShare = 0.5
 
-// Sizes of bursts.
+// These constants determine the bursts, which are the capacities of the token buckets.
 const (
-	// taskBurstShare is the part of a heartbeat interval whose starts may be granted at once. A
+	// taskBurstShare is the fraction of a heartbeat interval whose starts may be granted at once. A
 	// controller responds in batches, and tokens that exceed the burst between two batches are
-	// lost. With bursts of one machine's cores, 4,000 machines got half of the rate.
+	// lost. When the burst was the cores of one machine, 4,000 machines got half of the rate.
 	taskBurstShare = 1.0 / 24
-	// minTaskBurst is the least burst of starts and stops.
+	// minTaskBurst is the minimum burst of starts and stops.
 	minTaskBurst = 4
-	// minMachineBurst is the least burst of rentals and returns: one rental may ask for several
-	// machines.
+	// minMachineBurst is the minimum burst of rentals and returns. It is above 1 because one rental
+	// may request several machines.
 	minMachineBurst = 20
-	// machineBurstDivisor is the divisor of the machine count that gives the burst of rentals and
-	// returns of a larger fleet.
+	// machineBurstDivisor limits the burst of rentals and returns in large fleets to
+	// 1/machineBurstDivisor of the machines.
 	machineBurstDivisor = 16
 )
 
-// Rate is the limit of one kind of operation: a rate, and a burst on top.
+// Rate is the limit of one kind of operation: a sustained rate, and a burst in addition to it.
 type Rate struct {
 	PerSecond float64 `json:"perSecond"`
 	Burst     float64 `json:"burst"`
 }
 
-// PerWindow returns the maximum number of operations of the kind in any window of a second.
+// PerWindow returns the maximum number of operations of the kind in any period of one second.
 func (r Rate) PerWindow() float64 { return r.PerSecond + r.Burst }
 
-// Rates are the limits of all kinds of operations.
+// Rates contains the limits of all kinds of operations, indexed by Operation.
 type Rates [operationKinds]Rate
 
-// Rates returns the limits for a fleet with a number of machines and cores. largestCores is the
+// Rates returns the limits for a fleet of the given machines and total cores. largestCores is the
 // number of cores of its largest machine.
 func (s Settings) Rates(machines int, cores, largestCores float64) Rates {
 	return s.ratesFor(View{Machines: machines, Cores: cores, LargestCores: largestCores})
 }
 
-// ratesFor returns the limits for the fleet in a view.
+// ratesFor returns the limits for the fleet that a view describes.
 func (s Settings) ratesFor(view View) Rates {
 	refillSeconds := math.Max(s.Limits.RefillLeases*s.WorkerLease.Seconds(), 1e-3)
 	replaceSeconds := math.Max(s.Limits.ReplaceLeases*s.WorkerLease.Seconds(), 1e-3)
@@ -105,14 +107,14 @@
 	}
 }
 
-// Reserves of a budget, as shares of its burst. Ordinary operations wait below them, so that tokens
-// are left for more urgent ones.
+// These are the reserves of a budget as shares of its burst. Ordinary operations wait while the
+// tokens are below the reserve, so that tokens are left for more urgent operations.
 const (
-	ordinaryReserve  = 0.25 // for teams that are not ahead of a waiting team
-	aheadTeamReserve = 0.5  // for teams that are ahead of a waiting team
+	ordinaryReserve  = 0.25 // applies to teams that are not ahead of a waiting team
+	aheadTeamReserve = 0.5  // applies to teams that are ahead of a waiting team
 )
 
-// pacer holds a token bucket for each kind of operation, and the usage of each team.
+// pacer contains a token bucket for each kind of operation, and the usage of each team.
 type pacer struct {
 	rates      Rates
 	tokens     [operationKinds]float64
@@ -120,28 +122,30 @@
 	teams      map[string]*teamUsage
 }
 
-// teamUsage is the number of operations granted to a team, and when one was last refused.
+// teamUsage is the number of operations granted to a team, and the time at which one last had to
+// wait.
 type teamUsage struct {
 	granted        float64
 	lastDeferredAt time.Duration
 }
 
-// newPacer returns a pacer with empty buckets for tasks and a minimum burst for machines.
+// newPacer returns a pacer with empty buckets for starts and stops, and with minMachineBurst tokens
+// for rentals and returns.
 func newPacer(now time.Duration) pacer {
 	p := pacer{teams: map[string]*teamUsage{}}
 	for i := range p.refilledAt {
 		p.refilledAt[i] = now
 	}
-	// With empty buckets, a small fleet would wait for seconds for its first machine.
+	// If these buckets were empty too, a small fleet would wait for seconds for its first machine.
 	p.tokens[RentMachine], p.tokens[ReturnMachine] = minMachineBurst, minMachineBurst
 	return p
 }
 
-// setRates sets the rates. The levels stay as they are, so the buckets of tasks start empty: the
-// previous leader may have used its whole burst just before.
+// setRates sets the rates and keeps the tokens in the buckets. The buckets for starts and stops are
+// therefore empty in a new recovery, because the previous leader may just have used its whole burst.
 func (p *pacer) setRates(rates Rates) { p.rates = rates }
 
-// refillBucket adds the tokens of the time since the bucket was last refilled.
+// refillBucket adds the tokens for the time since the last refill, up to the burst.
 func (p *pacer) refillBucket(now time.Duration, operation Operation) {
 	rate := p.rates[operation]
 	p.tokens[operation] = math.Min(rate.Burst,
@@ -149,8 +153,8 @@
 	p.refilledAt[operation] = now
 }
 
-// Allow reports whether an operation is within its budget now, and takes it from the budget. The
-// team is empty for operations that belong to none.
+// Allow reports whether an operation is within its budget now. If so, Allow takes it from the
+// budget. team is empty for operations that belong to no team.
 func (r *Recovery) Allow(now time.Duration, operation Operation, urgency Urgency, team string) bool {
 	if r.phase == PhaseNormal {
 		return true
@@ -184,8 +188,9 @@
 	return true
 }
 
-// deferOperation records that an operation has to wait, and returns false. Rentals that wait don't
-// prolong the recovery, because there are always some while the cloud has too few machines.
+// deferOperation records that an operation of a team has to wait, and returns false for Allow to
+// return. Waiting rentals don't prolong the recovery, because there are always some while the cloud
+// has too few machines.
 func (r *Recovery) deferOperation(now time.Duration, operation Operation, usage *teamUsage) bool {
 	if operation != RentMachine {
 		r.lastDeferredAt = now
@@ -194,7 +199,8 @@
 	return false
 }
 
-// RefundOperations returns to the budget what was taken for operations that were not carried out.
+// RefundOperations puts back into the budget what was taken for count operations that were not
+// carried out.
 func (r *Recovery) RefundOperations(now time.Duration, operation Operation, count int) {
 	if r.phase == PhaseNormal || count <= 0 {
 		return
@@ -203,8 +209,8 @@
 	r.pacer.tokens[operation] = math.Min(r.pacer.rates[operation].Burst, r.pacer.tokens[operation]+float64(count))
 }
 
-// isAheadOfWaitingTeam reports whether a team has been granted more operations than another one
-// that had to wait within the window.
+// isAheadOfWaitingTeam reports whether a team has been granted more operations than another team
+// that had to wait within the last window.
 func (p *pacer) isAheadOfWaitingTeam(now time.Duration, usage *teamUsage, window time.Duration) bool {
 	for _, other := range p.teams {
 		if other != usage && other.granted < usage.granted && now-other.lastDeferredAt < window {
@@ -214,14 +220,14 @@
 	return false
 }
 
-// Budget is the remaining budget of a kind of operation, as operators see it.
+// Budget is the remaining budget of a kind of operation, in the status for operators.
 type Budget struct {
 	Operation string  `json:"order"`
 	Remaining float64 `json:"left"`
 	Rate
 }
 
-// Budgets lists the present budgets. There are none once the recovery is completed.
+// Budgets returns the budgets at now, or nil if the recovery is completed.
 func (r *Recovery) Budgets(now time.Duration) []Budget {
 	if r.phase == PhaseNormal {
 		return nil
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -1,7 +1,8 @@
 // Package recovery decides how a new leader gets from stored records and workers' heartbeats to
-// normal operation: the phases of the recovery, the reconciliation of each task and machine that
-// differs from the stored state, and the rates of commands and cloud requests. It is pure: the
-// caller passes in the time and a view of the cluster, and carries out the decisions.
+// normal operation. It determines the phases of the recovery, the reconciliation of each task and
+// machine that differs from the stored state, and the rates of commands and cloud requests. It has
+// no side effects: the caller passes in the time and a view of the cluster, and carries out the
+// decisions.
 package recovery
 
 import (
@@ -9,28 +10,30 @@
 	"time"
 )
 
-// Phase is the phase of a leader's recovery. Each ends when its condition holds, and at the latest
-// after a timeout that is a ratio to the worker lease.
+// Phase is a phase of a leader's recovery. Each phase ends when its condition is met, or after a
+// timeout that is proportional to the worker lease.
 type Phase int
 
-// The phases, in their order.
+// These are the phases in the order in which a recovery passes through them.
 const (
-	// PhaseReading: the stored records are read. No command or request is sent.
+	// PhaseReading is the phase in which the leader reads the stored records. It sends no commands
+	// or requests.
 	PhaseReading Phase = iota
-	// PhaseCollecting: heartbeats of the recorded machines arrive. Work that no earlier leader can
-	// have started is started. Machines are rented only for work that can't be running on machines
-	// that are not reconciled, and no unresponsive machine is returned.
+	// PhaseCollecting is the phase in which the leader waits for heartbeats of the recorded
+	// machines. It starts work that no earlier leader can have started. It rents machines only for
+	// work that can't be running on unreconciled machines, and returns no unresponsive machine.
 	PhaseCollecting
-	// PhaseReconciling: most machines are reconciled, or no further ones send heartbeats.
-	// Unresponsive machines are returned.
+	// PhaseReconciling is the phase in which most machines are reconciled, or no further machines
+	// send heartbeats. The leader returns unresponsive machines.
 	PhaseReconciling
-	// PhasePacing: all machines are reconciled. Tasks are started at a limited rate.
+	// PhasePacing is the phase in which all machines are reconciled and the leader starts tasks at a
+	// limited rate.
 	PhasePacing
-	// PhaseNormal: the recovery is completed and nothing is limited.
+	// PhaseNormal is the phase after the recovery, in which nothing is limited.
 	PhaseNormal
 )
 
-// phaseNames are the names of the phases in status responses and logs.
+// phaseNames contains the names of the phases in status responses and logs.
 var phaseNames = [...]string{"reading", "collecting", "reconciling", "pacing", "normal"}
 
 // String returns the name of the phase in status responses and logs.
@@ -41,50 +44,52 @@
 	return phaseNames[p]
 }
 
-// Conditions and timeouts of the phases.
+// These are the conditions and timeouts of the phases.
 const (
-	// fewUnreconciledDivisor: the collecting phase ends when at most one machine in so many is missing.
+	// fewUnreconciledDivisor determines how many unreconciled machines are few: at most
+	// 1/fewUnreconciledDivisor of all machines. The collecting phase ends when there are few.
 	fewUnreconciledDivisor = 10
-	// maxCollectingLeases is the timeout of the collecting phase in leases.
+	// maxCollectingLeases is the timeout of the collecting phase in worker leases.
 	maxCollectingLeases = 0.45
-	// fewUnreconciledSilenceLeases is the time in leases after which an unresponsive machine is returned
-	// if few are missing.
+	// fewUnreconciledSilenceLeases is the time in worker leases without a heartbeat after which an
+	// unresponsive machine is returned if few machines are unreconciled.
 	fewUnreconciledSilenceLeases = 0.25
 	// quietHeartbeatIntervals is the time in heartbeat intervals without a newly reconciled machine
-	// after which the collecting phase ends: the machines that can reach this leader have done so.
+	// after which the collecting phase ends. By then, all machines that can reach this leader have
+	// done so.
 	quietHeartbeatIntervals = 1.5
-	// maxReadingLeases is the time in leases after which another leader should try to read the
-	// records.
+	// maxReadingLeases is the time in worker leases after which another leader should try to read
+	// the records.
 	maxReadingLeases = 4
-	// maxPacingLeases is the timeout of the pacing phase in leases.
+	// maxPacingLeases is the timeout of the pacing phase in worker leases.
 	maxPacingLeases = 1
 )
 
-// Settings are the intervals and limits that the recovery depends on.
+// Settings contains the intervals and limits that the recovery depends on.
 type Settings struct {
-	HeartbeatInterval time.Duration // between two heartbeats of a worker
-	WorkerLease       time.Duration // of a worker, with an allowance for clock drift
+	HeartbeatInterval time.Duration // time between two heartbeats of a worker
+	WorkerLease       time.Duration // duration of a worker lease, with an allowance for clock drift
 	Limits            Limits
 }
 
-// View is a leader's view of its machines at some moment.
+// View is a summary of the leader's cluster state at one time.
 type View struct {
-	RecordsRead         bool
-	InventoryIncomplete bool // there are machines whose records can't be read
-	Machines            int
-	Unreconciled        int // machines that may run tasks unknown to this leader
-	Cores               float64
-	LargestCores        float64 // of one machine
+	RecordsRead         bool    // all stored records have been read
+	InventoryIncomplete bool    // tasks may run on machines whose records can't be read
+	Machines            int     // number of machines in the fleet
+	Unreconciled        int     // number of machines that may run tasks unknown to this leader
+	Cores               float64 // cores of all machines
+	LargestCores        float64 // cores of the largest machine
 }
 
 // Transition is a change of phase.
 type Transition struct {
 	From, To Phase
-	Duration time.Duration // of the phase that ended
-	TimedOut bool          // it ended by its timeout, not by its condition
+	Duration time.Duration // duration of the phase that ended
+	TimedOut bool          // the phase ended by its timeout, not by its condition
 }
 
-// Recovery is the recovery of one leader.
+// Recovery is the state of one leader's recovery. Its times are on the caller's monotonic clock.
 type Recovery struct {
 	settings          Settings
 	startedAt         time.Duration
@@ -99,16 +104,16 @@
 	samples           []MismatchSample
 }
 
-// New starts a recovery. Times are on the caller's monotonic clock.
+// New starts a recovery at now, in PhaseReading.
 func New(settings Settings, now time.Duration) *Recovery {
 	return &Recovery{settings: settings, startedAt: now, phaseStartedAt: now, lastDeferredAt: now,
 		countedMismatches: map[mismatchKey]bool{}, pacer: newPacer(now)}
 }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (r *Recovery) Phase() Phase { return r.phase }
 
-// Completed reports whether the recovery is completed.
+// Completed reports whether the recovery has reached PhaseNormal, in which it limits nothing.
 func (r *Recovery) Completed() bool { return r.phase == PhaseNormal }
 
 // Advance applies a new view and returns the phase transitions that follow from it.
@@ -141,8 +146,8 @@
 	return transitions
 }
 
-// phaseEnds reports whether the present phase's condition to end holds, and whether it has timed
-// out. PhaseReading does not time out here: see ReadingTimedOut.
+// phaseEnds reports whether the end condition of the current phase is met, and whether the phase
+// has timed out. It never lets PhaseReading time out: see ReadingTimedOut.
 func (r *Recovery) phaseEnds(now time.Duration) (conditionMet, timedOut bool) {
 	view := &r.view
 	switch r.phase {
@@ -162,27 +167,29 @@
 	}
 }
 
-// ReadingTimedOut reports whether reading the records takes so long that another leader should try.
+// ReadingTimedOut reports whether reading the records has taken so long that this leader should step
+// down and another one should try.
 func (r *Recovery) ReadingTimedOut(now time.Duration) bool {
 	return r.phase == PhaseReading && now-r.phaseStartedAt > maxReadingLeases*r.settings.WorkerLease
 }
 
-// leaseFraction returns a fraction, or a multiple, of a worker lease.
+// leaseFraction returns the worker lease multiplied by a fraction.
 func (r *Recovery) leaseFraction(fraction float64) time.Duration {
 	return time.Duration(fraction * float64(r.settings.WorkerLease))
 }
 
-// MayScaleOut reports whether machines may be rented for work that can't be running unreported: as
-// much of it as exceeds the cores of the machines that are not reconciled.
+// MayScaleOut reports whether machines may be rented for work that can't be running unreported, as
+// far as this work exceeds the cores of the unreconciled machines.
 func (r *Recovery) MayScaleOut() bool { return r.phase >= PhaseCollecting }
 
-// MayScaleIn reports whether machines may be returned because there are too many. How many are
-// needed is unknown before all are reconciled.
+// MayScaleIn reports whether surplus machines may be returned. The number of machines needed is
+// unknown before all machines are reconciled.
 func (r *Recovery) MayScaleIn() bool { return r.phase >= PhasePacing }
 
-// MayReturnUnresponsive reports whether a machine that is not reconciled may be returned after a
-// time without a heartbeat. The time is shorter if few machines are missing: each delays all older
-// jobs, while many missing machines probably just can't reach this leader yet.
+// MayReturnUnresponsive reports whether an unreconciled machine that has sent no heartbeat for the
+// duration of silence may be returned. The required silence is shorter if few machines are
+// unreconciled, because each of them delays all older jobs. If many are, they probably just can't
+// reach this leader yet.
 func (r *Recovery) MayReturnUnresponsive(silence time.Duration) bool {
 	if r.phase < PhaseReconciling {
 		return false
@@ -193,7 +200,7 @@
 	return silence > r.leaseFraction(maxCollectingLeases)
 }
 
-// waitReason describes what the present phase waits for. Operators see it.
+// waitReason describes what the current phase waits for, in the status for operators.
 func (r *Recovery) waitReason() string {
 	switch r.phase {
 	case PhaseReading:
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,11 +12,13 @@
 	workerLease       = 22 * time.Second
 )
 
-var testSettings = Settings{HeartbeatInterval: heartbeatInterval, WorkerLease: workerLease, Limits: Limits{RefillLeases: 0.25, ReplaceLeases: 1}}
+var testSettings = Settings{HeartbeatInterval: heartbeatInterval, WorkerLease: workerLease,
+	Limits: Limits{RefillLeases: 0.25, ReplaceLeases: 1}}
 
 func newTestRecovery(now time.Duration) *Recovery { return New(testSettings, now) }
 
-// Each mismatch has one treatment.
+// TestReconcileTask guards against a reported task that gets another action than its kind of mismatch
+// requires, such as a result that is forgotten before it is stored.
 func TestReconcileTask(t *testing.T) {
 	for name, test := range map[string]struct {
 		task    ReportedTask
@@ -24,33 +26,50 @@
 		kind    Mismatch
 		differs bool
 	}{
-		"goes on":                      {ReportedTask{JobState: JobStateOpen, Tracked: true}, KeepAttempt, MatchesRecord, false},
-		"as stored":                    {ReportedTask{JobState: JobStateOpen, TokenAcknowledged: true}, AdoptAttempt, MatchesRecord, true},
-		"perhaps a copy":               {ReportedTask{JobState: JobStateOpen}, AwaitToken, MatchesRecord, false},
-		"perhaps a copy, elsewhere":    {ReportedTask{JobState: JobStateOpen, TrackedElsewhere: true}, AwaitToken, MatchesRecord, false},
-		"on two machines":              {ReportedTask{JobState: JobStateOpen, TrackedElsewhere: true, TokenAcknowledged: true}, StopAttempt, DuplicateTask, true},
-		"finished, runs again":         {ReportedTask{JobState: JobStateOpen, CompletionKnown: true, TokenAcknowledged: true}, StopAttempt, CompletedTaskRunning, true},
-		"never stored":                 {ReportedTask{}, StopAttempt, JobNeverStored, true},
-		"over":                         {ReportedTask{JobState: JobStateTerminal}, StopAttempt, JobTerminal, true},
-		"over, being stopped":          {ReportedTask{JobState: JobStateTerminal, Tracked: true}, KeepAttempt, MatchesRecord, false},
-		"record unread":                {ReportedTask{JobState: JobStateQuarantined, TokenAcknowledged: true}, IgnoreAttempt, JobQuarantined, true},
-		"record unread, finished":      {ReportedTask{JobState: JobStateQuarantined, Exited: true, Completed: true}, IgnoreAttempt, JobQuarantined, true},
-		"finished, not stored":         {ReportedTask{JobState: JobStateOpen, Exited: true, Completed: true}, StoreResult, CompletionNotStored, true},
-		"finished now":                 {ReportedTask{JobState: JobStateOpen, Exited: true, Completed: true, Tracked: true}, StoreResult, MatchesRecord, false},
-		"finished, stored":             {ReportedTask{JobState: JobStateOpen, Exited: true, Completed: true, CompletionKnown: true}, StoreResult, MatchesRecord, false},
-		"ended without result":         {ReportedTask{JobState: JobStateOpen, Exited: true}, ForgetAttempt, MatchesRecord, false},
-		"ended, job over":              {ReportedTask{JobState: JobStateTerminal, Exited: true, Completed: true}, ForgetAttempt, MatchesRecord, false},
-		"ended, job never stored":      {ReportedTask{Exited: true, Completed: true}, ForgetAttempt, MatchesRecord, false},
-		"never stored, though tracked": {ReportedTask{Tracked: true}, StopAttempt, JobNeverStored, true},
+		"tracked attempt": {ReportedTask{JobState: JobStateOpen, Tracked: true},
+			KeepAttempt, MatchesRecord, false},
+		"untracked attempt with token": {ReportedTask{JobState: JobStateOpen, TokenAcknowledged: true},
+			AdoptAttempt, MatchesRecord, true},
+		"heartbeat without token": {ReportedTask{JobState: JobStateOpen}, AwaitToken, MatchesRecord, false},
+		"without token, tracked elsewhere": {ReportedTask{JobState: JobStateOpen, TrackedElsewhere: true},
+			AwaitToken, MatchesRecord, false},
+		"with token, tracked elsewhere": {ReportedTask{JobState: JobStateOpen, TrackedElsewhere: true, TokenAcknowledged: true},
+			StopAttempt, DuplicateTask, true},
+		"completed task running": {ReportedTask{JobState: JobStateOpen, CompletionKnown: true, TokenAcknowledged: true},
+			StopAttempt, CompletedTaskRunning, true},
+		"job never stored": {ReportedTask{}, StopAttempt, JobNeverStored, true},
+		"job terminal":     {ReportedTask{JobState: JobStateTerminal}, StopAttempt, JobTerminal, true},
+		"job terminal, attempt tracked": {ReportedTask{JobState: JobStateTerminal, Tracked: true},
+			KeepAttempt, MatchesRecord, false},
+		"job quarantined": {ReportedTask{JobState: JobStateQuarantined, TokenAcknowledged: true},
+			IgnoreAttempt, JobQuarantined, true},
+		"job quarantined, task completed": {ReportedTask{JobState: JobStateQuarantined, Exited: true, Completed: true},
+			IgnoreAttempt, JobQuarantined, true},
+		"completion not stored": {ReportedTask{JobState: JobStateOpen, Exited: true, Completed: true},
+			StoreResult, CompletionNotStored, true},
+		"tracked attempt completed": {ReportedTask{JobState: JobStateOpen, Exited: true, Completed: true, Tracked: true},
+			StoreResult, MatchesRecord, false},
+		"completion known": {ReportedTask{JobState: JobStateOpen, Exited: true, Completed: true, CompletionKnown: true},
+			StoreResult, MatchesRecord, false},
+		"exited without completion": {ReportedTask{JobState: JobStateOpen, Exited: true},
+			ForgetAttempt, MatchesRecord, false},
+		"completed, job terminal": {ReportedTask{JobState: JobStateTerminal, Exited: true, Completed: true},
+			ForgetAttempt, MatchesRecord, false},
+		"completed, job never stored": {ReportedTask{Exited: true, Completed: true},
+			ForgetAttempt, MatchesRecord, false},
+		"job never stored, attempt tracked": {ReportedTask{Tracked: true}, StopAttempt, JobNeverStored, true},
 	} {
 		action, kind, differs := ReconcileTask(test.task)
 		if action != test.action || kind != test.kind || differs != test.differs {
-			t.Errorf("%s: action %d, %v, %v", name, action, kind, differs)
+			t.Errorf("%s: got action %d, kind %v, differs %v, expected %d, %v, %v",
+				name, action, kind, differs, test.action, test.kind, test.differs)
 		}
 	}
 }
 
-// Phases end by their conditions, or by their bounds; what they allow follows from them.
+// TestPhaseTransitions guards against a recovery that leaves a phase before its condition or timeout,
+// or that remains in it for longer, and against phases that allow too much. Views of the fleet and the
+// times at which the leader sees them lead to the expected phases.
 func TestPhaseTransitions(t *testing.T) {
 	type phaseStep struct {
 		at   time.Duration
@@ -62,37 +81,48 @@
 	incomplete := allReconciled
 	incomplete.InventoryIncomplete = true
 	for name, steps := range map[string][]phaseStep{
-		"nothing held":      {{0, View{}, PhaseReading}, {time.Second, View{RecordsRead: true}, PhaseNormal}},
-		"takeover":          {{1, unreconciled(100), PhaseCollecting}, {4 * time.Second, unreconciled(11), PhaseCollecting}, {5 * time.Second, unreconciled(10), PhaseReconciling}, {6 * time.Second, allReconciled, PhasePacing}, {10 * time.Second, allReconciled, PhaseNormal}},
-		"one stays away":    {{1, unreconciled(1), PhaseReconciling}, {workerLease, unreconciled(1), PhaseReconciling}, {workerLease + 1, unreconciled(1), PhasePacing}},
-		"many come slowly":  {{1, unreconciled(90), PhaseCollecting}, {5 * time.Second, unreconciled(80), PhaseCollecting}, {9 * time.Second, unreconciled(70), PhaseCollecting}, {10 * time.Second, unreconciled(69), PhaseReconciling}},
-		"most stay away":    {{1, unreconciled(80), PhaseCollecting}, {6 * time.Second, unreconciled(80), PhaseCollecting}, {7 * time.Second, unreconciled(80), PhaseReconciling}, {workerLease + 1, unreconciled(80), PhasePacing}},
-		"names missing":     {{1, incomplete, PhaseCollecting}, {10 * time.Second, incomplete, PhaseReconciling}, {workerLease - 1, incomplete, PhaseReconciling}, {workerLease + 1, incomplete, PhasePacing}},
-		"all there at once": {{1, allReconciled, PhasePacing}},
+		"no machines": {{0, View{}, PhaseReading}, {time.Second, View{RecordsRead: true}, PhaseNormal}},
+		"takeover": {{1, unreconciled(100), PhaseCollecting}, {4 * time.Second, unreconciled(11), PhaseCollecting},
+			{5 * time.Second, unreconciled(10), PhaseReconciling}, {6 * time.Second, allReconciled, PhasePacing},
+			{10 * time.Second, allReconciled, PhaseNormal}},
+		"one machine unresponsive": {{1, unreconciled(1), PhaseReconciling},
+			{workerLease, unreconciled(1), PhaseReconciling}, {workerLease + 1, unreconciled(1), PhasePacing}},
+		"slow arrival of heartbeats": {{1, unreconciled(90), PhaseCollecting},
+			{5 * time.Second, unreconciled(80), PhaseCollecting}, {9 * time.Second, unreconciled(70), PhaseCollecting},
+			{10 * time.Second, unreconciled(69), PhaseReconciling}},
+		"most machines unresponsive": {{1, unreconciled(80), PhaseCollecting},
+			{6 * time.Second, unreconciled(80), PhaseCollecting}, {7 * time.Second, unreconciled(80), PhaseReconciling},
+			{workerLease + 1, unreconciled(80), PhasePacing}},
+		"incomplete inventory": {{1, incomplete, PhaseCollecting}, {10 * time.Second, incomplete, PhaseReconciling},
+			{workerLease - 1, incomplete, PhaseReconciling}, {workerLease + 1, incomplete, PhasePacing}},
+		"all reconciled at once": {{1, allReconciled, PhasePacing}},
 	} {
 		r := newTestRecovery(0)
 		for _, step := range steps {
 			r.Advance(step.at, step.view)
 			if r.Phase() != step.want {
-				t.Errorf("%s: %v at %v, not %v", name, r.Phase(), step.at, step.want)
+				t.Errorf("%s: got phase %v at %v, expected %v", name, r.Phase(), step.at, step.want)
 			}
-			if r.MayScaleOut() != (r.Phase() >= PhaseCollecting) || r.MayScaleIn() != (r.Phase() >= PhasePacing) || r.MayReturnUnresponsive(workerLease) != (r.Phase() >= PhaseReconciling) {
-				t.Errorf("%s at %v: what is allowed does not follow from %v", name, step.at, r.Phase())
+			if r.MayScaleOut() != (r.Phase() >= PhaseCollecting) || r.MayScaleIn() != (r.Phase() >= PhasePacing) ||
+				r.MayReturnUnresponsive(workerLease) != (r.Phase() >= PhaseReconciling) {
+				t.Errorf("%s at %v: got scale out %v, scale in %v, return of unresponsive machines %v in phase %v",
+					name, step.at, r.MayScaleOut(), r.MayScaleIn(), r.MayReturnUnresponsive(workerLease), r.Phase())
 			}
 		}
 	}
 	r := newTestRecovery(0)
 	r.Advance(1, unreconciled(1))
 	if r.MayReturnUnresponsive(5*time.Second) || !r.MayReturnUnresponsive(6*time.Second) {
-		t.Error("a few silent machines are not waited for by a quarter of a lease")
+		t.Error("return of few unresponsive machines must be allowed after a quarter of a lease, and not before")
 	}
 	if r := newTestRecovery(0); r.ReadingTimedOut(4*workerLease) || !r.ReadingTimedOut(4*workerLease+1) {
-		t.Error("reading is not bounded by four leases")
+		t.Error("reading must time out after four worker leases, and not before")
 	}
 }
 
-// However many leaders follow each other, and whatever asks for orders, no second holds more of
-// them than the limit, though each leader begins its budgets anew.
+// TestOperationsStayWithinLimits guards against bursts above the limits after repeated takeovers,
+// because each new leader starts with new budgets. No period of one second may contain more granted
+// operations than the limit, whatever the length of the terms.
 func TestOperationsStayWithinLimits(t *testing.T) {
 	for _, termLength := range []time.Duration{200 * time.Millisecond, 3 * time.Second, workerLease} {
 		rng := rand.New(rand.NewPCG(uint64(termLength), 1))
@@ -119,21 +149,26 @@
 					windowStart++
 				}
 				if n := i - windowStart + 1; float64(n) > rate.PerWindow()+extraInitialTokens(Operation(operation)) {
-					t.Fatalf("%v, leaders of %v: %d orders within a second of %v, limit %v", Operation(operation), termLength, n, times[i], rate)
+					t.Fatalf("%v, terms of %v: got %d operations in the second until %v, expected at most %v",
+						Operation(operation), termLength, n, times[i],
+						rate.PerWindow()+extraInitialTokens(Operation(operation)))
 				}
 			}
-			initialTokens := 0.0 // what five leaders begin with
+			initialTokens := 0.0 // tokens that the five leaders start with
 			if Operation(operation) == RentMachine || Operation(operation) == ReturnMachine {
 				initialTokens = 5 * minMachineBurst
 			}
-			if total := grantedRateShare*rate.PerSecond*now.Seconds() + max(rate.Burst, initialTokens); float64(len(times)) > total {
-				t.Errorf("%v, leaders of %v: %d orders in %v, limit %v", Operation(operation), termLength, len(times), now, rate)
+			if total := grantedRateShare*rate.PerSecond*now.Seconds() +
+				max(rate.Burst, initialTokens); float64(len(times)) > total {
+				t.Errorf("%v, terms of %v: got %d operations in %v, expected at most %v",
+					Operation(operation), termLength, len(times), now, total)
 			}
 		}
 	}
 }
 
-// extraInitialTokens is what leaders that follow each other within a second begin with: machines alone.
+// extraInitialTokens returns the tokens that four further leaders within one second start with. Only the
+// budgets of rentals and returns start with tokens.
 func extraInitialTokens(operation Operation) float64 {
 	if operation == RentMachine || operation == ReturnMachine {
 		return 4 * minMachineBurst
@@ -141,8 +176,10 @@
 	return 0
 }
 
-// While orders are short, cancelled work never waits, pressing work goes before the rest, and
-// teams that ask have the same.
+// TestBudgetsAreSharedByUrgencyAndTeam guards against urgent work that waits behind ordinary work, and
+// against a team that uses up a budget by asking more often. While a budget is short, stops of
+// cancelled work never wait, latency-sensitive starts go before ordinary ones, and teams get about
+// equal shares.
 func TestBudgetsAreSharedByUrgencyAndTeam(t *testing.T) {
 	r := newTestRecovery(0)
 	view := View{RecordsRead: true, Machines: 10, Unreconciled: 1, Cores: 110, LargestCores: 16}
@@ -158,23 +195,25 @@
 		}
 		if now > 0 && now%(500*time.Millisecond) == 0 {
 			if !r.Allow(now, StartTask, LatencySensitive, "urgent") {
-				t.Errorf("pressing work waits at %v", now)
+				t.Errorf("start of latency-sensitive work deferred at %v", now)
 			}
 			if !r.Allow(now, StopTask, CancelledWork, "greedy") {
-				t.Errorf("cancelled work waits at %v", now)
+				t.Errorf("stop of cancelled work deferred at %v", now)
 			}
 		}
 	}
 	if grantedByTeam["modest"] < grantedByTeam["greedy"]*9/10 || grantedByTeam["greedy"] < 50 {
-		t.Errorf("teams got %v", grantedByTeam)
+		t.Errorf("got %v starts by team, expected at least 50 for greedy and 9/10 of that for modest", grantedByTeam)
 	}
-	if budgets := r.Budgets(10 * time.Second); len(budgets) != int(operationKinds) || !slices.ContainsFunc(budgets, func(b Budget) bool { return b.Operation == "start" && b.PerSecond == 20 }) {
-		t.Errorf("budgets %+v", budgets)
+	if budgets := r.Budgets(10 * time.Second); len(budgets) != int(operationKinds) ||
+		!slices.ContainsFunc(budgets, func(b Budget) bool { return b.Operation == "start" && b.PerSecond == 20 }) {
+		t.Errorf("got budgets %+v, expected %d, with 20 starts per second", budgets, operationKinds)
 	}
 }
 
-// What the cloud did not rent can be asked for again, and rentals that wait do not prolong the
-// recovery, while starts that wait do.
+// TestRefundedAndDeferredRentals guards against rentals that use up their budget although the cloud did
+// not rent the machines, and against a recovery that does not end while the cloud has too few machines.
+// Rentals that wait do not prolong the recovery, but starts that wait do.
 func TestRefundedAndDeferredRentals(t *testing.T) {
 	for operation, want := range map[Operation]Phase{RentMachine: PhaseNormal, StartTask: PhasePacing} {
 		r := newTestRecovery(0)
@@ -190,15 +229,16 @@
 			}
 		}
 		if r.Phase() != want {
-			t.Errorf("%v that wait: phase %v, not %v", operation, r.Phase(), want)
+			t.Errorf("deferred operations %v: got phase %v, expected %v", operation, r.Phase(), want)
 		}
 		if operation == RentMachine && allowed < 10 {
-			t.Errorf("only %d machines were asked for", allowed)
+			t.Errorf("got %d allowed rentals, expected at least 10", allowed)
 		}
 	}
 }
 
-// A mismatch is counted once for each machine and task, and no more once the recovery is over.
+// TestMismatchesAreCountedOnce guards against counts that grow with every heartbeat that shows the same
+// mismatch, and against counts that change after the recovery is completed.
 func TestMismatchesAreCountedOnce(t *testing.T) {
 	r := newTestRecovery(0)
 	for range 3 {
@@ -209,8 +249,9 @@
 	r.Advance(time.Minute, View{RecordsRead: true})
 	r.NoteMismatch(time.Minute, MachineUnresponsive, "m-3", "")
 	status := r.Status(time.Minute)
-	if len(status.Mismatches) != 2 || status.Mismatches["on_two_machines"] != 2 || status.Mismatches["as_stored"] != 1 || len(status.Samples) != 2 || status.Phase != "normal" {
-		t.Errorf("status %+v", status)
+	if len(status.Mismatches) != 2 || status.Mismatches["on_two_machines"] != 2 ||
+		status.Mismatches["as_stored"] != 1 || len(status.Samples) != 2 || status.Phase != "normal" {
+		t.Errorf("got status %+v, expected on_two_machines: 2, as_stored: 1, 2 samples and phase normal", status)
 	}
 	for kind := range mismatchKinds {
 		if kind.String() == "" {
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// QuarantinedRecord is a stored record that can't be read, as operators see it.
+// QuarantinedRecord is a stored record that can't be read, in the status for operators.
 type QuarantinedRecord struct {
 	Key               string `json:"key"`
 	Reason            string `json:"reason"`
-	MaybeNewerVersion bool   `json:"newer,omitempty"` // a newer version of the controller may have written it
+	MaybeNewerVersion bool   `json:"newer,omitempty"` // a newer version of the controller may have written the record
 }
 
-// Status is the state of a leader's recovery, as operators see it.
+// Status is the state of a leader's recovery, in the status for operators.
 type Status struct {
 	Term           uint64           `json:"term"`
 	Phase          string           `json:"phase"`
-	Paced          bool             `json:"paced"`
-	PhaseSeconds   float64          `json:"forS"`   // since the phase began
-	ElapsedSeconds float64          `json:"afterS"` // since the recovery began
+	Paced          bool             `json:"paced"`  // the recovery limits operations in this fleet
+	PhaseSeconds   float64          `json:"forS"`   // time since the phase began
+	ElapsedSeconds float64          `json:"afterS"` // time since the recovery began
 	WaitsFor       string           `json:"waitsFor,omitempty"`
 	Machines       int              `json:"machines"`
 	Unreconciled   int              `json:"missing"`
@@ -24,7 +24,8 @@
 	Budgets        []Budget         `json:"budgets,omitempty"`
 }
 
-// NodeStatus is a controller's state of recovery, as operators see it.
+// NodeStatus is what one controller reports to operators about recovery. Recovery is nil unless the
+// controller leads.
 type NodeStatus struct {
 	Node        string              `json:"node"`
 	IsLeader    bool                `json:"leads"`
@@ -34,7 +35,7 @@
 	Quarantined []QuarantinedRecord `json:"setAside,omitempty"`
 }
 
-// Status returns the present state of the recovery.
+// Status returns the current state of the recovery. The caller sets Term and Paced.
 func (r *Recovery) Status(now time.Duration) *Status {
 	return &Status{
 		Phase: r.phase.String(), PhaseSeconds: (now - r.phaseStartedAt).Seconds(),
--- a/internal/recovery/tasks.go
+++ b/internal/recovery/tasks.go
@@ -1,43 +1,45 @@
 package recovery
 
-// JobState is the state of a reported task's job, as the leader knows it.
+// JobState is what the leader knows about the state of a reported task's job.
 type JobState int
 
-// The states of a job that the reconciliation distinguishes.
+// These are the job states that the reconciliation distinguishes.
 const (
-	JobStateUnknown     JobState = iota // neither open nor known to be terminal
-	JobStateTerminal                    // its terminal state is stored or decided
-	JobStateQuarantined                 // its record can't be read
-	JobStateOpen                        // open
+	JobStateUnknown     JobState = iota // the job is neither open nor known to be terminal
+	JobStateTerminal                    // the terminal state of the job is stored or decided
+	JobStateQuarantined                 // the record of the job can't be read
+	JobStateOpen                        // the job is accepted and not terminal
 )
 
-// ReportedTask is a task in a worker's heartbeat, with what the leader knows of it.
+// ReportedTask describes an attempt at a task in a worker's heartbeat, and what the leader knows
+// about the task.
 type ReportedTask struct {
 	JobState          JobState
-	Exited            bool // the task has exited on that machine
-	Completed         bool // the task has exited and completed
-	Tracked           bool // this leader tracks this attempt on that machine
-	TrackedElsewhere  bool // this leader tracks another attempt at it, here or on another machine
-	CompletionKnown   bool // it is known to be completed
-	TokenAcknowledged bool // the heartbeat carries this leader's token, so it is no copy of an earlier one
+	Exited            bool // the attempt has exited
+	Completed         bool // the attempt has exited and has completed the task
+	Tracked           bool // this leader tracks the attempt on the reporting machine
+	TrackedElsewhere  bool // this leader tracks another attempt at the task, on any machine
+	CompletionKnown   bool // this leader knows that the task is completed
+	TokenAcknowledged bool // the heartbeat carries this leader's token, so it is no copy from an earlier term
 }
 
-// Action is what the leader does with a reported task.
+// Action is what the leader does with a reported attempt.
 type Action int
 
-// The actions.
+// These are the actions for reported attempts.
 const (
-	KeepAttempt   Action = iota // keep the attempt, which is tracked already
+	KeepAttempt   Action = iota // update the attempt, which is tracked already
 	AdoptAttempt                // start to track the attempt
 	AwaitToken                  // do nothing until a heartbeat carries this leader's token
-	IgnoreAttempt               // leave the task running and keep its result
-	StopAttempt                 // stop the task at once
-	StoreResult                 // store its result, and then tell the worker to forget it
-	ForgetAttempt               // tell the worker to forget it
+	IgnoreAttempt               // leave the attempt running, or its result on the worker
+	StopAttempt                 // stop the attempt without a grace period
+	StoreResult                 // store the result, and then tell the worker to forget the attempt
+	ForgetAttempt               // tell the worker to forget the attempt
 )
 
-// ReconcileTask decides what to do with a reported task, and how it differs from the stored state.
-// differs is false for what every leader sees in normal operation.
+// ReconcileTask returns the action for a reported task, and the kind of mismatch with the stored
+// state. The kind is to be counted only if differs is true. differs is false in the cases that also
+// occur in normal operation.
 func ReconcileTask(task ReportedTask) (action Action, kind Mismatch, differs bool) {
 	switch {
 	case task.JobState == JobStateQuarantined:
@@ -51,10 +53,10 @@
 	case task.JobState == JobStateTerminal:
 		return StopAttempt, JobTerminal, true
 	case !task.TokenAcknowledged:
-		// The task was started by an earlier leader and goes on, but only a heartbeat with this
-		// leader's token shows where. This one may be a delayed copy from an earlier term, and the
-		// task may have moved since. If it were trusted, the attempt on the machine that does run
-		// the task would be stopped as a duplicate.
+		// An earlier leader started the task and it is still running, but only a heartbeat with
+		// this leader's token shows on which machine. This heartbeat may be a delayed copy from an
+		// earlier term, and the task may have moved since. If the leader trusted the copy, it would
+		// stop the attempt on the machine that does run the task as a duplicate.
 		return AwaitToken, MatchesRecord, false
 	case task.CompletionKnown:
 		return StopAttempt, CompletedTaskRunning, true
@@ -65,8 +67,8 @@
 	}
 }
 
-// reconcileExitedTask is the part of ReconcileTask for exited tasks. The worker has the only copy
-// of a result until it is stored. Everything else may be forgotten.
+// reconcileExitedTask handles the exited tasks for ReconcileTask. The worker has the only copy of a
+// result until the result is stored, and may forget everything else.
 func reconcileExitedTask(task ReportedTask) (action Action, kind Mismatch, differs bool) {
 	switch {
 	case task.JobState != JobStateOpen || !task.Completed:
