--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -1,5 +1,5 @@
-// Package recoverygate applies the limits of a new leader's recovery to its decisions: rentals,
-// returns, commands, and which jobs may be running unreported.
+// Package recoverygate applies the limits of a new leader's recovery to rentals, returns and commands,
+// and decides which jobs may be running on machines that have not reported yet.
 package recoverygate
 
 import (
@@ -11,22 +11,22 @@
 	"hitchdoor/internal/recovery"
 )
 
-// Gate applies the limits of a new leader's recovery to its decisions: whether machines may be
-// rented or returned, how many commands may be sent now, and which jobs may be running on machines
-// that are not reconciled. It owns the leader's recovery.Recovery and feeds it with views of the
-// cluster state.
+// Gate applies the limits of a new leader's recovery to its decisions. It decides whether machines
+// may be rented or returned, how many commands may be sent now, and which jobs may be running on
+// unreconciled machines. It owns the leader's recovery.Recovery and passes it views of the cluster
+// state.
 type Gate struct {
 	state    *cluster.State
 	recovery *recovery.Recovery
 	// leaderRevision is the revision of the key-value store at which this leader wrote the leader
-	// key. Records with a later revision are from its own term.
+	// key. Records with a later revision were written in this leader's term.
 	leaderRevision uint64
-	// processMismatches counts the mismatches of all recoveries in this process.
+	// processMismatches counts the mismatches of all recoveries in this process, for the metrics.
 	processMismatches *recovery.MismatchCounts
 }
 
-// New starts the recovery of a new leader, whose leader key was written at
-// leaderRevision.
+// New starts the recovery of a new leader. leaderRevision is the revision at which the leader key was
+// written. Mismatches are also added to processMismatches.
 func New(state *cluster.State, leaderRevision uint64, processMismatches *recovery.MismatchCounts) *Gate {
 	return &Gate{
 		state: state, recovery: recovery.New(RecoverySettings(state.Config, state.Settings), state.Clock.Now()),
@@ -34,7 +34,7 @@
 	}
 }
 
-// RecoverySettings returns the intervals and limits of a recovery, from a controller's settings.
+// RecoverySettings derives the intervals and limits of a recovery from a controller's settings.
 func RecoverySettings(platform *config.Cluster, settings *config.Settings) recovery.Settings {
 	return recovery.Settings{
 		HeartbeatInterval: config.Seconds(platform.Workers.HeartbeatIntervalS),
@@ -45,30 +45,31 @@
 	}
 }
 
-// ReadingTimedOut reports whether reading the records takes so long that another leader should try.
+// ReadingTimedOut reports whether reading the records has taken so long that this leader should step
+// down and another one should try.
 func (g *Gate) ReadingTimedOut() bool { return g.recovery.ReadingTimedOut(g.state.Clock.Now()) }
 
-// Phase returns the present phase of the recovery.
+// Phase returns the current phase of the recovery.
 func (g *Gate) Phase() recovery.Phase { return g.recovery.Phase() }
 
-// Completed reports whether the recovery is completed.
+// Completed reports whether the recovery has reached recovery.PhaseNormal.
 func (g *Gate) Completed() bool { return g.recovery.Completed() }
 
-// Counts returns the number of mismatches of each kind.
+// Counts returns the mismatches that this leader has counted so far.
 func (g *Gate) Counts() recovery.MismatchCounts { return g.recovery.Counts() }
 
-// Budgets lists the present budgets. There are none once the recovery is completed.
+// Budgets returns the current budgets, or nil if the recovery is completed.
 func (g *Gate) Budgets() []recovery.Budget { return g.recovery.Budgets(g.state.Clock.Now()) }
 
-// Status returns the state of the recovery in a term, as operators see it.
+// Status returns the state of the recovery for operators. term is this leader's term.
 func (g *Gate) Status(term uint64) *recovery.Status {
 	status := g.recovery.Status(g.state.Clock.Now())
 	status.Term, status.Paced = term, g.appliesToFleet()
 	return status
 }
 
-// Advance moves the recovery on to the phase that follows from the cluster state. recordsRead tells
-// whether all stored records have been read.
+// Advance moves the recovery to the phase that the cluster state requires. recordsRead tells whether
+// all stored records have been read.
 func (g *Gate) Advance(recordsRead bool) {
 	if g.recovery.Completed() {
 		return
@@ -78,7 +79,8 @@
 	}
 }
 
-// onTransition logs a change of phase and counts the mismatches that show at that moment.
+// onTransition logs a phase transition, requests a scheduling pass, and counts the mismatches that
+// become known with the transition.
 func (g *Gate) onTransition(transition recovery.Transition) {
 	g.state.Log.Info("recovery phase changed",
 		"phase", transition.To, "after", transition.Duration, "timeout", transition.TimedOut,
@@ -92,7 +94,7 @@
 	}
 }
 
-// view returns the state of the cluster that the recovery depends on.
+// view returns the summary of the cluster state that the recovery depends on.
 func (g *Gate) view(recordsRead bool) recovery.View {
 	totals := g.state.CurrentMachineTotals()
 	return recovery.View{RecordsRead: recordsRead, InventoryIncomplete: g.state.InventoryIncomplete(),
@@ -100,7 +102,7 @@
 		Cores: totals.TotalCores, LargestCores: totals.LargestMachineCores}
 }
 
-// mismatchTotal returns the number of mismatches of all kinds. Tasks that are as stored don't count.
+// mismatchTotal returns the number of mismatches of all kinds except recovery.MatchesRecord.
 func mismatchTotal(counts recovery.MismatchCounts) int {
 	total := 0
 	counts.ForEach(func(kind recovery.Mismatch, count int) {
@@ -111,16 +113,16 @@
 	return total
 }
 
-// NoteMismatch counts a mismatch, for this leader and for this process. The subject is a task or a
-// job.
+// NoteMismatch counts a mismatch for this leader, and for this process if it is new to the leader.
+// subject is a task key, a job ID, or empty.
 func (g *Gate) NoteMismatch(kind recovery.Mismatch, machine, subject string) {
 	if g.recovery.NoteMismatch(g.state.Clock.Now(), kind, machine, subject) {
 		g.processMismatches[kind]++
 	}
 }
 
-// noteUnresponsiveMachines counts, at the end of the collecting phase, the machines that have not
-// sent a heartbeat.
+// noteUnresponsiveMachines counts the machines that have not sent a heartbeat as mismatches. It is
+// called at the end of the collecting phase.
 func (g *Gate) noteUnresponsiveMachines() {
 	for _, machine := range g.state.MachinesByName() {
 		if !machine.Reconciled && machine.LastHeartbeat == clock.Never {
@@ -129,8 +131,8 @@
 	}
 }
 
-// noteJobsNotRunning counts, once all machines are reconciled, the jobs of earlier leaders that no
-// worker reports a task of.
+// noteJobsNotRunning counts the jobs of earlier terms of which no worker reports a task as
+// mismatches. It is called when the reconciling phase has ended.
 func (g *Gate) noteJobsNotRunning() {
 	for _, job := range g.state.JobsByAge() {
 		if job.RecordVersion <= g.leaderRevision && len(job.Attempts) == 0 && job.PendingTasks > 0 {
@@ -139,24 +141,25 @@
 	}
 }
 
-// Limited reports whether the recovery limits what this leader does: it applies to this fleet and is
-// not completed.
+// Limited reports whether the recovery limits the operations of this leader. It does so until it is
+// completed, if it applies to this fleet.
 func (g *Gate) Limited() bool { return !g.recovery.Completed() && g.appliesToFleet() }
 
-// appliesToFleet reports whether a recovery limits the leader of a fleet of this size. Small fleets
-// are exempt: in a simulated day of 40 machines, on which all controllers ended six times while
-// their workers were cut off, delaying rentals reduced the jobs completed in time by a third.
+// appliesToFleet reports whether a recovery limits the leader of a fleet of the current size. Small
+// fleets are exempt: in a simulated day of 40 machines, in which all controllers ended six times
+// while their workers were cut off, delayed rentals reduced the jobs completed in time by a third.
 func (g *Gate) appliesToFleet() bool {
 	return g.state.Settings.PacedRecovery && len(g.state.Machines) >= g.state.Settings.RecoveryMinMachines
 }
 
-// MayScaleOut reports whether machines may be rented.
+// MayScaleOut reports whether the recovery allows machines to be rented.
 func (g *Gate) MayScaleOut() bool { return !g.Limited() || g.recovery.MayScaleOut() }
 
-// MayScaleIn reports whether machines may be returned because there are too many.
+// MayScaleIn reports whether the recovery allows surplus machines to be returned.
 func (g *Gate) MayScaleIn() bool { return !g.Limited() || g.recovery.MayScaleIn() }
 
-// MayReturnUnresponsive reports whether a machine without a heartbeat for so long may be returned.
+// MayReturnUnresponsive reports whether a machine may be returned that has sent no heartbeat for the
+// duration of silence.
 func (g *Gate) MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
 	if machine.Reconciled {
 		return silence > g.state.Config.WorkerLease()*6/10
@@ -164,13 +167,13 @@
 	return g.recovery.MayReturnUnresponsive(silence)
 }
 
-// allowOperation reports whether an operation is within the recovery's budgets now, and takes it
-// from its budget.
+// allowOperation reports whether an operation is within its budget now. If so, it takes the operation
+// from the budget. team is empty for operations that belong to no team.
 func (g *Gate) allowOperation(operation recovery.Operation, urgency recovery.Urgency, team string) bool {
 	return !g.Limited() || g.recovery.Allow(g.state.Clock.Now(), operation, urgency, team)
 }
 
-// AllowedOperations returns how many of count operations on machines are within the budget now. It
+// AllowedOperations returns how many of count operations on machines are within the budget now, and
 // takes them from the budget.
 func (g *Gate) AllowedOperations(operation recovery.Operation, count int) int {
 	for i := range count {
@@ -181,17 +184,19 @@
 	return count
 }
 
-// RefundOperations returns to the budget what was taken for operations that were not carried out.
+// RefundOperations puts back into the budget what was taken for count operations that were not
+// carried out.
 func (g *Gate) RefundOperations(operation recovery.Operation, count int) {
 	g.recovery.RefundOperations(g.state.Clock.Now(), operation, count)
 }
 
-// startsPerResponseDivisor bounds the tasks that one response starts while starts are paced: one per
-// so many cores of the machine. The budget is then spread over more machines, and these send
-// their next heartbeat as soon as the tasks start.
+// startsPerResponseDivisor is the number of machine cores for which one response may start one task
+// while starts are paced. The bound spreads the budget over more machines, and these send their next
+// heartbeat as soon as the tasks start.
 const startsPerResponseDivisor = 4
 
-// MayStartTask reports whether a response that starts some tasks already may start one more.
+// MayStartTask reports whether a response that already starts startedCount tasks may also start
+// attempt. If so, it takes the start from the budget.
 func (g *Gate) MayStartTask(attempt *cluster.TaskAttempt, startedCount int) bool {
 	if !g.Limited() {
 		return true
@@ -202,8 +207,9 @@
 	return g.allowOperation(recovery.StartTask, urgencyOf(attempt.Job), attempt.Job.Spec.Team)
 }
 
-// MayStopTask reports whether a task may be stopped now. The job is nil if it is not open: its task
-// should not be running, and stopping it has the highest urgency.
+// MayStopTask reports whether a task of a job may be stopped now. If so, it takes the stop from the
+// budget. job is nil if the job is not open. Its task should not be running, so stopping it has the
+// highest urgency.
 func (g *Gate) MayStopTask(job *cluster.Job) bool {
 	if job == nil {
 		return g.allowOperation(recovery.StopTask, recovery.CancelledWork, "")
@@ -223,10 +229,10 @@
 	}
 }
 
-// MayRunUnreported reports whether tasks of a job may be running on machines that are not
-// reconciled. An earlier leader can't have started a job that was accepted after the leader key was
-// written, nor one that depends on a job whose end this leader has written. Nor can a job be
-// running there that may use none of those machines.
+// MayRunUnreported reports whether tasks of a job may be running on unreconciled machines. An earlier
+// leader can't have started a job that was accepted after the leader key was written, or one that
+// depends on a job whose terminal record this leader has written. A job can't be running on those
+// machines either if its constraints exclude all of them.
 func (g *Gate) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
 	if totals.AllReconciled || job.RecordVersion > g.leaderRevision || job.ReleasedThisTerm {
 		return false
@@ -235,8 +241,8 @@
 		return true
 	}
 	for option := range totals.UnreconciledOptions {
-		// Only the constraints are checked: the sizes in the catalogue may have been different
-		// when an earlier leader placed the job.
+		// Only the constraints are checked, because the sizes in the catalog may have been
+		// different when an earlier leader placed the job.
 		if option.MatchesConstraints(&job.Spec) {
 			return true
 		}
--- a/internal/recoverygate/gate_test.go
+++ b/internal/recoverygate/gate_test.go
@@ -13,7 +13,7 @@
 	"hitchdoor/internal/recovery"
 )
 
-// gateClock is the time of a recovery gate under test.
+// gateClock is a settable clock for a gate under test.
 type gateClock struct{ now clock.Instant }
 
 func (c *gateClock) Now() clock.Instant { return c.now }
@@ -23,13 +23,16 @@
 	gateMinMachines    = 4
 )
 
-// newTestGate returns the gate of a new leader with a number of machines that are not reconciled.
+// newTestGate returns the gate of a new leader with the given number of unreconciled machines, its
+// clock, and the mismatch counts of the process.
 func newTestGate(machines int) (*Gate, *gateClock, *recovery.MismatchCounts) {
 	testClock := &gateClock{now: time.Minute}
 	platform := &config.Cluster{}
 	platform.Workers.HeartbeatIntervalS, platform.Workers.LeaseS = 4, 20
-	settings := &config.Settings{PacedRecovery: true, RecoveryMinMachines: gateMinMachines, RecoveryRefillLeases: 0.25, RecoveryReplaceLeases: 1}
-	state := cluster.New(cluster.Options{Clock: testClock, Config: platform, Settings: settings, Log: slog.New(slog.DiscardHandler),
+	settings := &config.Settings{PacedRecovery: true, RecoveryMinMachines: gateMinMachines,
+		RecoveryRefillLeases: 0.25, RecoveryReplaceLeases: 1}
+	state := cluster.New(cluster.Options{Clock: testClock, Config: platform, Settings: settings,
+		Log:     slog.New(slog.DiscardHandler),
 		Catalog: map[string]*protocol.MachineType{"small": {Name: "small", Cores: 8, MemoryGB: 32}}})
 	for i := range machines {
 		state.NewMachine(fmt.Sprintf("m-%d", i), "small", "a", false)
@@ -38,7 +41,7 @@
 	return New(state, gateLeaderRevision, counts), testClock, counts
 }
 
-// reconcileMachines makes machines of the gate's cluster reconciled.
+// reconcileMachines marks the first count machines by name as reconciled.
 func reconcileMachines(gate *Gate, count int) {
 	for _, machine := range gate.state.MachinesByName()[:count] {
 		machine.Reconciled = true
@@ -46,8 +49,8 @@
 	gate.state.TotalsValid = false
 }
 
-// Only a recovery of a large enough fleet that is not completed limits the leader, if the settings
-// have it so.
+// TestGateLimitsLargeFleetsUntilCompleted guards against limits on small fleets, with disabled
+// pacing, or after the recovery is completed.
 func TestGateLimitsLargeFleetsUntilCompleted(t *testing.T) {
 	for name, c := range map[string]struct {
 		machines int
@@ -62,34 +65,38 @@
 		gate.state.Settings.PacedRecovery = !c.disabled
 		if gate.Limited() != c.limited || gate.MayScaleOut() == c.limited || gate.MayScaleIn() == c.limited ||
 			gate.Status(3).Paced != c.limited || gate.Status(3).Term != 3 {
-			t.Errorf("%s: limited %v, scale out %v, scale in %v", name, gate.Limited(), gate.MayScaleOut(), gate.MayScaleIn())
+			t.Errorf("%s: got limited %v, scale out allowed %v, scale in allowed %v, expected limited %v",
+				name, gate.Limited(), gate.MayScaleOut(), gate.MayScaleIn(), c.limited)
 		}
 		reconcileMachines(gate, c.machines)
 		for !gate.Completed() && testClock.now < 2*time.Minute {
 			gate.Advance(true)
 			testClock.now += time.Second
 		}
-		if gate.Phase() != recovery.PhaseNormal || gate.Limited() || !gate.MayScaleOut() || !gate.MayScaleIn() || gate.Budgets() != nil {
-			t.Errorf("%s: phase %v", name, gate.Phase())
+		if gate.Phase() != recovery.PhaseNormal || gate.Limited() || !gate.MayScaleOut() || !gate.MayScaleIn() ||
+			gate.Budgets() != nil {
+			t.Errorf("%s: got phase %v, expected %v without limits and budgets",
+				name, gate.Phase(), recovery.PhaseNormal)
 		}
 	}
 }
 
-// Tasks of a job can run unreported only if an earlier leader can have started it on a machine that
-// is not reconciled.
+// TestJobsThatMayRunUnreported guards against jobs that are held back although no earlier leader can
+// have started them, and against jobs that are started a second time on another machine. Tasks can
+// run unreported only if an earlier leader can have started them on an unreconciled machine.
 func TestJobsThatMayRunUnreported(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(gate *Gate, job *cluster.Job)
 		may    bool
 	}{
-		"job of an earlier leader":  {func(*Gate, *cluster.Job) {}, true},
-		"accepted in this term":     {func(_ *Gate, job *cluster.Job) { job.RecordVersion = gateLeaderRevision + 1 }, false},
-		"released in this term":     {func(_ *Gate, job *cluster.Job) { job.ReleasedThisTerm = true }, false},
-		"all machines reconciled":   {func(gate *Gate, _ *cluster.Job) { reconcileMachines(gate, gateMinMachines) }, false},
-		"in another zone":           {func(_ *Gate, job *cluster.Job) { job.Spec.Zone = "b" }, false},
-		"of another type":           {func(_ *Gate, job *cluster.Job) { job.Spec.MachineTypes = []string{"large"} }, false},
-		"too large, by the catalog": {func(_ *Gate, job *cluster.Job) { job.Spec.Cores = 999 }, true},
-		"elsewhere, but types unknown": {func(gate *Gate, job *cluster.Job) {
+		"job of an earlier leader":   {func(*Gate, *cluster.Job) {}, true},
+		"accepted in this term":      {func(_ *Gate, job *cluster.Job) { job.RecordVersion = gateLeaderRevision + 1 }, false},
+		"released in this term":      {func(_ *Gate, job *cluster.Job) { job.ReleasedThisTerm = true }, false},
+		"all machines reconciled":    {func(gate *Gate, _ *cluster.Job) { reconcileMachines(gate, gateMinMachines) }, false},
+		"in another zone":            {func(_ *Gate, job *cluster.Job) { job.Spec.Zone = "b" }, false},
+		"of another machine type":    {func(_ *Gate, job *cluster.Job) { job.Spec.MachineTypes = []string{"large"} }, false},
+		"larger than any in catalog": {func(_ *Gate, job *cluster.Job) { job.Spec.Cores = 999 }, true},
+		"in another zone, type unknown": {func(gate *Gate, job *cluster.Job) {
 			job.Spec.Zone = "b"
 			gate.state.MachinesByName()[0].TypeName = ""
 		}, true},
@@ -99,12 +106,13 @@
 		c.change(gate, job)
 		totals := gate.state.CurrentMachineTotals()
 		if may := gate.MayRunUnreported(job, &totals); may != c.may {
-			t.Errorf("%s: %v", name, may)
+			t.Errorf("%s: got %v, expected %v", name, may, c.may)
 		}
 	}
 }
 
-// A mismatch is counted once per leader, and for the process.
+// TestMismatchesAreCountedForTheProcess guards against a mismatch that is counted with every
+// heartbeat that shows it, and against process counts that start anew with each leader.
 func TestMismatchesAreCountedForTheProcess(t *testing.T) {
 	gate, _, counts := newTestGate(1)
 	counts[recovery.JobTerminal] = 5
@@ -113,32 +121,40 @@
 	}
 	leaderCounts := gate.Counts()
 	if leaderCounts[recovery.JobTerminal] != 1 || counts[recovery.JobTerminal] != 6 {
-		t.Errorf("leader %d, process %d", leaderCounts[recovery.JobTerminal], counts[recovery.JobTerminal])
+		t.Errorf("got %d mismatches of the leader and %d of the process, expected 1 and 6",
+			leaderCounts[recovery.JobTerminal], counts[recovery.JobTerminal])
 	}
 }
 
-// Machines that send no heartbeat are counted at the end of the collecting phase, and jobs that no
-// worker reports once all machines are reconciled.
+// TestTransitionsCountMismatches guards against machines and jobs that are counted as missing before
+// they had time to report. Machines that send no heartbeat are counted at the end of the collecting
+// phase, and jobs that no worker reports are counted once all machines are reconciled.
 func TestTransitionsCountMismatches(t *testing.T) {
 	gate, testClock, counts := newTestGate(gateMinMachines)
-	job := &cluster.Job{Spec: protocol.Job{ID: "j-1"}, RecordVersion: gateLeaderRevision, TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
-	laterJob := &cluster.Job{Spec: protocol.Job{ID: "j-2"}, RecordVersion: gateLeaderRevision + 1, TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
+	job := &cluster.Job{Spec: protocol.Job{ID: "j-1"}, RecordVersion: gateLeaderRevision,
+		TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
+	laterJob := &cluster.Job{Spec: protocol.Job{ID: "j-2"}, RecordVersion: gateLeaderRevision + 1,
+		TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
 	gate.state.RunnableJobs["j-1"], gate.state.RunnableJobs["j-2"] = job, laterJob
 	reconcileMachines(gate, gateMinMachines-1)
 	gate.Advance(true)
 	testClock.now += 10 * time.Second
 	gate.Advance(true)
 	if gate.Phase() != recovery.PhaseReconciling || counts[recovery.MachineUnresponsive] != 1 {
-		t.Errorf("phase %v, unresponsive machines %d", gate.Phase(), counts[recovery.MachineUnresponsive])
+		t.Errorf("got phase %v and %d unresponsive machines, expected %v and 1",
+			gate.Phase(), counts[recovery.MachineUnresponsive], recovery.PhaseReconciling)
 	}
 	reconcileMachines(gate, gateMinMachines)
 	gate.Advance(true)
 	if gate.Phase() != recovery.PhasePacing || counts[recovery.JobNotRunning] != 1 {
-		t.Errorf("phase %v, jobs not running %d", gate.Phase(), counts[recovery.JobNotRunning])
+		t.Errorf("got phase %v and %d jobs not running, expected %v and 1",
+			gate.Phase(), counts[recovery.JobNotRunning], recovery.PhasePacing)
 	}
 }
 
-// One response starts few tasks while starts are paced, and cancelled work is stopped at once.
+// TestCommandsArePaced guards against a new leader that sends commands beyond its budgets: the buckets
+// for tasks start empty, one response starts few tasks, and rentals are limited. Stops of tasks whose
+// job is not open are not delayed.
 func TestCommandsArePaced(t *testing.T) {
 	gate, testClock, _ := newTestGate(gateMinMachines)
 	machine := gate.state.MachinesByName()[0]
@@ -146,37 +162,38 @@
 	attempt := &cluster.TaskAttempt{Job: job, Machine: machine}
 	gate.Advance(true)
 	if gate.MayStartTask(attempt, 0) || gate.MayStopTask(job) {
-		t.Error("a new leader begins with a budget for tasks")
+		t.Error("start or stop allowed at the beginning of the recovery, expected an empty budget")
 	}
 	if !gate.MayStopTask(nil) {
-		t.Error("a task whose job is not open has to wait")
+		t.Error("stop of a task whose job is not open was deferred, expected it to be allowed")
 	}
 	testClock.now += 4 * time.Second
 	gate.Advance(true)
 	maxStarts := int(machine.MachineType.Cores) / startsPerResponseDivisor
 	if !gate.MayStartTask(attempt, maxStarts-1) || gate.MayStartTask(attempt, maxStarts) {
-		t.Errorf("one response does not start %d tasks at most", maxStarts)
+		t.Errorf("one response may not start exactly %d tasks, the limit for its machine", maxStarts)
 	}
 	granted := gate.AllowedOperations(recovery.RentMachine, 1000)
 	if granted == 0 || granted == 1000 || gate.AllowedOperations(recovery.RentMachine, 1) != 0 {
-		t.Errorf("%d rentals granted", granted)
+		t.Errorf("got %d of 1000 rentals, expected some of them and no further rental", granted)
 	}
 	gate.RefundOperations(recovery.RentMachine, 2)
 	if granted := gate.AllowedOperations(recovery.RentMachine, 5); granted != 2 {
-		t.Errorf("%d rentals granted after a refund of 2", granted)
+		t.Errorf("got %d rentals after a refund of 2, expected 2", granted)
 	}
 }
 
-// A reconciled machine is returned after most of a lease without a heartbeat, and another one as the
-// recovery allows.
+// TestUnresponsiveMachinesMayBeReturned guards against returning machines that may just not have
+// reached the new leader yet. A reconciled machine is returned after 0.6 of a lease without a
+// heartbeat, and an unreconciled machine when the recovery allows it.
 func TestUnresponsiveMachinesMayBeReturned(t *testing.T) {
 	gate, _, _ := newTestGate(gateMinMachines)
 	machine := gate.state.MachinesByName()[0]
 	if gate.MayReturnUnresponsive(machine, time.Hour) {
-		t.Error("a machine is returned before the records are read")
+		t.Error("return of an unreconciled machine allowed before the records are read")
 	}
 	machine.Reconciled = true
 	if gate.MayReturnUnresponsive(machine, 12*time.Second) || !gate.MayReturnUnresponsive(machine, 12*time.Second+1) {
-		t.Error("a reconciled machine is not returned after 0.6 of a lease")
+		t.Error("return of a reconciled machine must be allowed after 0.6 of a worker lease, and not before")
 	}
 }
