--- a/internal/reconcile/command_delivery.go
+++ b/internal/reconcile/command_delivery.go
@@ -8,15 +8,16 @@
 )
 
 // maxMissedResponses is the number of consecutive responses without a sign of delivery after which
-// commands count as undelivered. A worker that hung for a moment, or whose response came after its
-// timeout, misses one or two.
+// commands count as undelivered. It is above 2 because a worker that hung for a moment, or whose
+// response came after its timeout, misses one or two responses.
 const maxMissedResponses = 3
 
-// trackCommandDelivery looks in a heartbeat for signs that the last response was delivered: the
-// fencing token, or the effect of its first command, as commands are executed in order. Delivery
-// of a response without commands shows by the worker using the same route again. Without that rule
-// a machine that had missed a response while idle got no more commands, and so could never show a
-// sign of delivery.
+// trackCommandDelivery checks whether a heartbeat shows that the last response was delivered, and
+// counts consecutive responses without such a sign in machine.MissedResponses. The signs are the
+// fencing token and the effect of the first command, because workers execute commands in order. If
+// the response had no commands, deliveryConfirmed is the sign: the worker uses the same route again.
+// Without this rule, a machine that had missed a response while idle got no more commands and could
+// never show a sign of delivery.
 func trackCommandDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
 	tokenAcknowledged, deliveryConfirmed bool) {
 	lastResponse := machine.UnconfirmedResponse
@@ -36,7 +37,9 @@
 	}
 }
 
-// commandExecuted reports whether a heartbeat shows that a command was executed.
+// commandExecuted reports whether a heartbeat shows the effect of a command. An attempt to start must
+// be reported, an attempt to forget must not be reported, and an attempt to stop must be reported as
+// checkpointing or exited, or not at all.
 func commandExecuted(command protocol.Command, heartbeat *protocol.WorkerHeartbeat) bool {
 	taskIndex := slices.IndexFunc(heartbeat.Tasks,
 		func(task protocol.TaskStatus) bool {
@@ -55,11 +58,11 @@
 	}
 }
 
-// drainIfCommandsUndelivered drains a machine whose heartbeats arrive while responses do not reach
-// it, and reports whether that is so. Its heartbeats look healthy: otherwise it would keep its
-// assigned tasks, count as capacity, and block older jobs after a takeover. It gets no more tasks
-// and responses and is returned. Its tasks end by a heartbeat, with the lease, or with the
-// machine.
+// drainIfCommandsUndelivered drains a machine whose heartbeats arrive although responses do not reach
+// it, and reports whether it is drained for this reason. As its heartbeats look healthy, it would
+// otherwise keep its assigned tasks, count as capacity, and block older jobs after a takeover. It
+// gets no more tasks or responses and is returned. Its attempts end when a heartbeat shows that they
+// have ended, when the worker lease expires, or when the machine terminates.
 func (r *Reconciler) drainIfCommandsUndelivered(machine *cluster.Machine) bool {
 	if machine.MissedResponses < maxMissedResponses {
 		return false
@@ -70,13 +73,14 @@
 	if r.mostMachinesMissResponses() {
 		return false
 	}
-	r.Log.Info("commands do not reach machine", "machine", machine.Name, "tasks", len(machine.Attempts))
+	r.Log.Info("draining machine: heartbeat responses do not reach it",
+		"machine", machine.Name, "tasks", len(machine.Attempts))
 	r.BeginDrain(machine, cluster.CommandsUndelivered)
 	return true
 }
 
-// mostMachinesMissResponses reports whether responses of this node do not get through at all, so that
-// the fault is not that of a single machine.
+// mostMachinesMissResponses reports whether more than half of the machines that are up miss responses.
+// The fault is then in this node's connections and not in a single machine.
 func (r *Reconciler) mostMachinesMissResponses() bool {
 	missingResponsesCount, upCount := 0, 0
 	for _, machine := range r.MachinesByName() {
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,5 +1,5 @@
-// Package reconcile compares workers' heartbeats with the cluster state: it brings the state up to
-// date and determines the commands of each response. It stores and sends nothing.
+// Package reconcile compares workers' heartbeats with the cluster state, updates the state and
+// determines the commands of each response. It stores and sends nothing.
 package reconcile
 
 import (
@@ -8,64 +8,66 @@
 	"hitchdoor/internal/recovery"
 )
 
-// Reconciler compares the heartbeats of workers with the cluster state of one term: it brings the
-// state up to date and determines the commands of each response. It changes the state through the
-// transitions of package cluster, and sends and stores nothing itself.
+// Reconciler compares the heartbeats of workers with the cluster state of one term. It changes the
+// state through the transitions of package cluster.
 //
 // A heartbeat is processed in two steps. Reconcile applies it to the state. The leader may then
 // schedule tasks on the machine, and Respond builds the response with all commands.
 type Reconciler struct {
 	*cluster.State
-	fencingToken uint64 // the term, which responses and heartbeats carry
+	fencingToken uint64 // the term, which responses and later heartbeats carry
 	recovery     RecoveryGate
 	host         Host
 }
 
-// RecoveryGate is the recovery of the leader, which limits the commands of a new leader and
-// counts how heartbeats differ from the stored state.
+// RecoveryGate limits the commands of a new leader and counts the differences between heartbeats and
+// the stored state.
 type RecoveryGate interface {
-	// NoteMismatch counts a mismatch of a machine. The subject is a task, or empty.
+	// NoteMismatch counts a mismatch of a machine. subject is a task key, or empty.
 	NoteMismatch(kind recovery.Mismatch, machine, subject string)
-	// MayStartTask reports whether a response that starts some tasks already may start one more.
+	// MayStartTask reports whether a response that already starts startedCount tasks may also
+	// start attempt.
 	MayStartTask(attempt *cluster.TaskAttempt, startedCount int) bool
-	// MayStopTask reports whether a task may be stopped now. The job is nil if it is not open.
+	// MayStopTask reports whether a task of a job may be stopped now. job is nil if the job is not
+	// open.
 	MayStopTask(job *cluster.Job) bool
 }
 
-// Host is what the reconciler needs from the leader.
+// Host provides the leader's functions that the reconciler calls.
 type Host interface {
-	// RecordMachine makes a machine durable as one that may have tasks.
+	// RecordMachine queues a write that stores a machine as one that may have tasks.
 	RecordMachine(machine *cluster.Machine)
-	// MarkTaskDone records that a task is completed and makes that durable.
+	// MarkTaskDone marks a task as completed and queues a write that stores the completion.
 	MarkTaskDone(job *cluster.Job, taskIndex int)
-	// ClosedJobState returns the state of a job that may not be open: terminal or quarantined
-	// according to its records, and otherwise unknown.
+	// ClosedJobState returns the state of a job according to its terminal record or unreadable
+	// record: terminal or quarantined. The state is unknown if there is no such record.
 	ClosedJobState(jobID string) recovery.JobState
 	// TerminalJobsLoaded reports whether the records of all terminal jobs have been read, so that a
 	// job without any record was certainly never stored.
 	TerminalJobsLoaded() bool
 	// ConfirmDelivery reports whether the route of a heartbeat shows that the last response has
-	// reached the worker, and records that. relayPeer is the peer that relayed the heartbeat.
+	// reached the worker. If so, it records the delivery. relayPeer is the peer that relayed the
+	// heartbeat, or empty.
 	ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat, relayPeer string) bool
-	// TraceFirstStart records the first start command of a job in this term.
+	// TraceFirstStart adds the first start command of a job in this term to the job's trace.
 	TraceFirstStart(attempt *cluster.TaskAttempt)
-	// TraceFirstRunning records the first task of a job that is running.
+	// TraceFirstRunning adds the first running attempt of a job to the job's trace.
 	TraceFirstRunning(attempt *cluster.TaskAttempt)
 }
 
-// New returns the reconciler of a term.
+// New returns the reconciler for a term. The term is also the fencing token of its responses.
 func New(state *cluster.State, term uint64, gate RecoveryGate, host Host) *Reconciler {
 	return &Reconciler{State: state, fencingToken: term, recovery: gate, host: host}
 }
 
-// Result is the result of a heartbeat that was applied to the state of its machine.
+// Result is the result of applying a heartbeat to the state of its machine.
 type Result struct {
 	Machine  *cluster.Machine
-	commands []protocol.Command // stop or forget tasks that should not be on the machine
+	commands []protocol.Command // commands that stop or forget tasks that should not be on the machine
 }
 
-// Reconcile applies a heartbeat to the cluster state. relayPeer is the peer that relayed it, or empty.
-// ok is false if the worker must get no commands and no renewal of its lease.
+// Reconcile applies a heartbeat to the cluster state. relayPeer is the peer that relayed the heartbeat,
+// or empty. ok is false if the worker must get neither commands nor a renewal of its lease.
 func (r *Reconciler) Reconcile(heartbeat *protocol.WorkerHeartbeat, relayPeer string) (result Result, ok bool) {
 	machine := r.reportingMachine(heartbeat)
 	if machine == nil || r.isStaleHeartbeat(machine, heartbeat) {
@@ -73,8 +75,8 @@
 	}
 	commands := r.applyHeartbeat(machine, heartbeat, relayPeer)
 	if r.drainIfCommandsUndelivered(machine) {
-		// The response would be lost, and a 200 would only postpone the time from which the
-		// worker's lease has certainly expired.
+		// The response would be lost, and a response with status 200 would only postpone the time
+		// after which the worker's lease has certainly expired.
 		return Result{}, false
 	}
 	r.cancelMissedHeartbeatDrain(machine)
@@ -85,8 +87,8 @@
 	return Result{Machine: machine, commands: commands}, true
 }
 
-// Respond returns the response to the heartbeat of a reconciliation, with the commands that the state
-// requires by now. The response may renew the worker's lease.
+// Respond returns the response to a reconciled heartbeat, with the commands that the current state
+// requires. The response may renew the worker's lease.
 func (r *Reconciler) Respond(result Result) *protocol.HeartbeatResponse {
 	machine := result.Machine
 	commands := r.appendAttemptCommands(machine, result.commands)
@@ -96,8 +98,8 @@
 	return response
 }
 
-// applyHeartbeat updates the state of a machine from its heartbeat. It returns the commands that
-// stop or forget tasks that should not be on the machine.
+// applyHeartbeat updates the state of a machine from its heartbeat. It returns the commands to stop
+// or forget tasks that should not be on the machine.
 func (r *Reconciler) applyHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
 	relayPeer string) []protocol.Command {
 	tokenAcknowledged := r.carriesToken(heartbeat)
@@ -125,21 +127,22 @@
 	return commands
 }
 
-// markCapacityChanged has the totals of the machines recomputed and a scheduling pass made.
+// markCapacityChanged requests a scheduling pass and invalidates the cached totals of the machines.
 func (r *Reconciler) markCapacityChanged() {
 	r.SchedulingNeeded = true
 	r.TotalsValid = false
 }
 
-// carriesToken reports whether a heartbeat carries the fencing token of the current term.
+// carriesToken reports whether a heartbeat carries the fencing token of this term, so that it was sent
+// after the worker received a response of this leader.
 func (r *Reconciler) carriesToken(heartbeat *protocol.WorkerHeartbeat) bool {
 	return heartbeat.FencingToken == r.fencingToken
 }
 
 // cancelMissedHeartbeatDrain cancels the drain of a machine that missed heartbeats and reports
-// again, unless its termination has been requested already. The worker or this leader may only
-// have been partitioned. Without this, a thousand machines were returned after an outage of the
-// cloud API although they had been running tasks again for half a minute.
+// again, unless its termination has already been requested. The worker or this leader may only have
+// been partitioned. Without this rule, a thousand machines were returned after an outage of the cloud
+// API although they had been running tasks again for half a minute.
 func (r *Reconciler) cancelMissedHeartbeatDrain(machine *cluster.Machine) {
 	if machine.DrainReason != cluster.HeartbeatMissed || machine.TerminationRequested {
 		return
@@ -150,8 +153,8 @@
 	}
 }
 
-// reportingMachine returns the machine that sent a heartbeat and adds it if it is unknown. It
-// returns nil for a machine that has been removed, or whose heartbeat is a late copy.
+// reportingMachine returns the machine that sent a heartbeat, and adds the machine if it is unknown.
+// It returns nil if the machine has been removed or the heartbeat is a late copy.
 func (r *Reconciler) reportingMachine(heartbeat *protocol.WorkerHeartbeat) *cluster.Machine {
 	if machine := r.Machines[heartbeat.Machine]; machine != nil {
 		r.adoptReportedType(machine, heartbeat)
@@ -164,21 +167,21 @@
 	inventoryIncomplete := r.InventoryIncomplete()
 	if len(heartbeat.Tasks) > 0 && !inventoryIncomplete {
 		// A machine is stored before its first task starts, and its record is deleted only
-		// after it has certainly ended. An unrecorded machine with tasks is therefore a late
-		// copy of a heartbeat from before its return. It must neither block jobs nor count
-		// against a quota.
+		// after it has certainly ended. A heartbeat with tasks from an unrecorded machine is
+		// therefore a late copy from before the machine's return. Such a machine must neither
+		// block jobs nor count against a quota.
 		return nil
 	}
 	machine := r.NewMachine(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
-	// No leader has stored the machine, so none has started a task on it. It is used only
-	// once its heartbeats carry the token of this term.
+	// If all records could be read, no leader has stored the machine, so none has started a task
+	// on it. It gets tasks only once its heartbeats carry the token of this term.
 	machine.Reconciled = !inventoryIncomplete
 	r.Log.Info("heartbeat from unknown machine", "machine", machine.Name, "type", machine.TypeName)
 	return machine
 }
 
-// adoptReportedType sets the type of a machine from its heartbeat where its record could not be
-// read.
+// adoptReportedType sets the type, zone and spot flag of a machine from its heartbeat if its type is
+// unknown because its record could not be read.
 func (r *Reconciler) adoptReportedType(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
 	if machine.TypeName != "" || heartbeat.Type == "" {
 		return
@@ -189,8 +192,8 @@
 	r.host.RecordMachine(machine)
 }
 
-// isStaleHeartbeat reports whether a heartbeat must be ignored because it comes from another
-// worker, arrives late, or is a copy.
+// isStaleHeartbeat reports whether a heartbeat must be ignored because it comes from another worker
+// with the same machine name, arrives late, or is a copy.
 func (r *Reconciler) isStaleHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) bool {
 	switch {
 	case machine.Address != "" && heartbeat.Address != "" && heartbeat.Address != machine.Address:
@@ -201,29 +204,31 @@
 	case heartbeat.Epoch == machine.Epoch && heartbeat.Sequence <= machine.HeartbeatSeq:
 		return true
 	case heartbeat.Epoch <= machine.FencedEpoch:
-		return true // a fenced epoch never gets a 200 again
+		return true // a fenced epoch never gets a response with status 200 again
 	default:
-		// A reconciled machine runs nothing that an earlier leader started: its record says so, or
-		// its lease has certainly expired without a response. All later starts carry the token of
-		// this term, so a heartbeat with tasks but without the token is an old copy.
+		// A reconciled machine runs no task of an earlier leader that this leader does not know: its
+		// record says so, its lease has certainly expired without a response, or a heartbeat with
+		// this term's token has reported its tasks. All later starts carry this token, so a
+		// heartbeat with tasks but without the token is an old copy.
 		return machine.Reconciled && !r.carriesToken(heartbeat) && len(heartbeat.Tasks) > 0
 	}
 }
 
-// logDuplicateName logs once that two workers use the name of a machine, or that a copy of a
-// heartbeat was altered on the way. The first worker stays accepted until its lease has certainly
-// expired: a new epoch of the other would be mistaken for the end of all tasks of the first.
+// logDuplicateName logs once per machine that two workers use its name, or that a copy of a heartbeat
+// was altered in transit. Only heartbeats of the first worker are accepted until its lease has
+// certainly expired. Otherwise a new epoch of the second worker would be mistaken for the end of all
+// tasks of the first.
 func (r *Reconciler) logDuplicateName(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
 	if machine.DuplicateName {
 		return
 	}
 	machine.DuplicateName = true
-	r.Log.Warn("two workers use one machine name", "machine", machine.Name,
+	r.Log.Warn("heartbeat ignored: another worker uses the same machine name", "machine", machine.Name,
 		"address", machine.Address, "otherAddress", heartbeat.Address)
 }
 
-// beginEpoch handles the first heartbeat of a new worker epoch. The worker has killed all earlier
-// tasks.
+// beginEpoch releases the attempts that were sent to a machine when the first heartbeat of a new
+// worker epoch arrives, because the worker has killed all earlier tasks.
 func (r *Reconciler) beginEpoch(machine *cluster.Machine) {
 	r.recovery.NoteMismatch(recovery.NewerEpoch, machine.Name, "")
 	machine.UnknownTasks = 0
@@ -237,8 +242,9 @@
 		return
 	}
 	// Heartbeats arrived without a gap. Either the worker's lease expired because responses do
-	// not reach it, or the worker restarted at once. The next command that it executes decides,
-	// or a second new epoch without any sign of a delivered response.
+	// not reach it, or the worker restarted at once. If it executes the next command, it restarted.
+	// If it begins another epoch without any sign of a delivered response, responses do not reach
+	// it.
 	machine.MissedResponses++
 	if machine.UnexpectedRestart {
 		machine.MissedResponses = max(machine.MissedResponses, maxMissedResponses)
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -13,8 +13,8 @@
 	"hitchdoor/internal/recovery"
 )
 
-// reconcilerFixture is a reconciler with one machine and one job, in place of a leader and its
-// recovery.
+// reconcilerFixture is a reconciler with one machine and one job. It also implements the clock, the
+// Host and the RecoveryGate of the reconciler.
 type reconcilerFixture struct {
 	*Reconciler
 	now     clock.Instant
@@ -23,13 +23,13 @@
 
 	mismatches         []recovery.Mismatch
 	stopsDeferred      bool
-	recordedMachines   []string // machines made durable
-	completedTasks     []int    // tasks marked as done
+	recordedMachines   []string // names of recorded machines
+	completedTasks     []int    // indices of tasks marked as done
 	closedJobStates    map[string]recovery.JobState
 	firstStarts        int
 	firstRunning       int
 	terminalJobsLoaded bool
-	deliveryConfirmed  bool // each heartbeat's route confirms the last response
+	deliveryConfirmed  bool // the route of each heartbeat confirms that the last response was delivered
 }
 
 const (
@@ -65,22 +65,24 @@
 
 // newReconcilerFixture returns a fixture whose machine has sent its first heartbeat with the token.
 func newReconcilerFixture() *reconcilerFixture {
-	f := &reconcilerFixture{now: time.Minute, closedJobStates: map[string]recovery.JobState{}, terminalJobsLoaded: true, deliveryConfirmed: true}
+	f := &reconcilerFixture{now: time.Minute, closedJobStates: map[string]recovery.JobState{},
+		terminalJobsLoaded: true, deliveryConfirmed: true}
 	settings := &config.Cluster{}
 	settings.Workers.HeartbeatIntervalS, settings.Workers.LeaseS = 4, 22
-	state := cluster.New(cluster.Options{Clock: f, Config: settings, Settings: &config.Settings{}, Log: slog.New(slog.DiscardHandler),
+	state := cluster.New(cluster.Options{Clock: f, Config: settings, Settings: &config.Settings{},
+		Log:     slog.New(slog.DiscardHandler),
 		Catalog: map[string]*protocol.MachineType{"small": {Name: "small", Cores: 8, MemoryGB: 32, ImageCacheGB: 10}}})
 	f.Reconciler = New(state, fixtureTerm, f, f)
 	f.machine = state.NewMachine(fixtureMachine, "small", "a", false)
 	f.machine.Reconciled, f.machine.UseDurable = true, true
 	f.job = f.addJob(fixtureJob, 4)
 	if _, ok := f.Reconcile(f.heartbeat(), ""); !ok {
-		panic("first heartbeat refused")
+		panic("first heartbeat not accepted")
 	}
 	return f
 }
 
-// addJob adds an open job with a number of tasks.
+// addJob adds an open job with the given number of tasks.
 func (f *reconcilerFixture) addJob(id string, tasks int) *cluster.Job {
 	spec := protocol.Job{ID: id, Cores: 1, MemoryGB: 1, TaskCount: tasks, Priority: "standard"}
 	job := cluster.NewJob(spec, 0, 0, 0)
@@ -90,15 +92,15 @@
 	return job
 }
 
-// placeAttempt assigns an attempt of the job's task to the machine and brings it to a phase.
+// placeAttempt places an attempt at a task of the job on the machine, in the given phase.
 func (f *reconcilerFixture) placeAttempt(taskIndex int, phase cluster.AttemptPhase) *cluster.TaskAttempt {
-	attempt := &cluster.TaskAttempt{Job: f.job, TaskIndex: taskIndex, Number: uint64(taskIndex + 1), Machine: f.machine, Phase: phase,
-		AssignedAt: f.now, RunningSince: f.now}
+	attempt := &cluster.TaskAttempt{Job: f.job, TaskIndex: taskIndex, Number: uint64(taskIndex + 1),
+		Machine: f.machine, Phase: phase, AssignedAt: f.now, RunningSince: f.now}
 	f.PlaceAttempt(attempt)
 	return attempt
 }
 
-// heartbeat returns the machine's next heartbeat.
+// heartbeat returns the machine's next heartbeat, which carries the token of the fixture's term.
 func (f *reconcilerFixture) heartbeat(tasks ...protocol.TaskStatus) *protocol.WorkerHeartbeat {
 	return &protocol.WorkerHeartbeat{Machine: fixtureMachine, Address: "10.0.0.1", Type: "small", Zone: "a", Epoch: 1,
 		Sequence: f.machine.HeartbeatSeq + 1, FencingToken: fixtureTerm, Tasks: tasks}
@@ -109,26 +111,30 @@
 	t.Helper()
 	result, ok := f.Reconcile(f.heartbeat(tasks...), "")
 	if !ok {
-		t.Fatal("heartbeat refused")
+		t.Fatal("heartbeat not accepted")
 	}
 	return f.Respond(result).Commands
 }
 
-// taskStatus returns the status of the attempt that placeAttempt assigns to a task.
-func (f *reconcilerFixture) taskStatus(taskIndex int, state protocol.TaskState, exitReason protocol.ExitReason) protocol.TaskStatus {
-	return protocol.TaskStatus{TaskID: cluster.TaskKey(f.job.Spec.ID, taskIndex), Attempt: uint64(taskIndex + 1), State: state, ExitReason: exitReason}
+// taskStatus returns a reported status of the attempt that placeAttempt places for a task.
+func (f *reconcilerFixture) taskStatus(taskIndex int, state protocol.TaskState,
+	exitReason protocol.ExitReason) protocol.TaskStatus {
+	return protocol.TaskStatus{TaskID: cluster.TaskKey(f.job.Spec.ID, taskIndex), Attempt: uint64(taskIndex + 1),
+		State: state, ExitReason: exitReason}
 }
 
-// commandKinds returns the kinds of commands.
+// commandKinds returns the kinds of commands in their order.
 func commandKinds(commands []protocol.Command) []protocol.CommandKind {
-	names := []protocol.CommandKind{}
+	kinds := []protocol.CommandKind{}
 	for _, command := range commands {
-		names = append(names, command.Kind)
+		kinds = append(kinds, command.Kind)
 	}
-	return names
+	return kinds
 }
 
-// A task that has exited is settled by its exit reason. The worker keeps a result until it is durable.
+// TestTaskExitByReason guards against results that the worker is told to forget before they are
+// durable, and against exits that count as failures although the task did not fail. Each exit reason
+// determines the command, the release of the attempt, and the machine's and task's failure history.
 func TestTaskExitByReason(t *testing.T) {
 	forget := []protocol.CommandKind{protocol.CommandForget}
 	for name, c := range map[string]struct {
@@ -137,21 +143,29 @@
 		commands []protocol.CommandKind
 		done     bool
 		released bool
-		failures int           // of the machine
-		retryIn  time.Duration // until the task is tried again; never: its history is not touched
+		failures int           // consecutive failures of the machine
+		retryIn  time.Duration // delay of the next attempt; clock.Never if there is no failure history
 	}{
-		"done, not durable": {reason: protocol.ExitDone, commands: []protocol.CommandKind{}, done: true, released: true, retryIn: clock.Never},
-		"done, durable": {reason: protocol.ExitDone, change: func(f *reconcilerFixture) { f.job.BitmapParts[0].StoredBits = []byte{1} },
+		"done, not durable": {reason: protocol.ExitDone,
+			commands: []protocol.CommandKind{}, done: true, released: true, retryIn: clock.Never},
+		"done, durable": {reason: protocol.ExitDone,
+			change:   func(f *reconcilerFixture) { f.job.BitmapParts[0].StoredBits = []byte{1} },
 			commands: forget, done: true, released: true, retryIn: clock.Never},
-		"done, not tracked": {reason: protocol.ExitDone, change: func(f *reconcilerFixture) { f.ReleaseAttempt(f.job.Attempts[0]) },
+		"done, not tracked": {reason: protocol.ExitDone,
+			change:   func(f *reconcilerFixture) { f.ReleaseAttempt(f.job.Attempts[0]) },
 			commands: []protocol.CommandKind{}, done: true, released: true, retryIn: clock.Never},
-		"stopped":                 {reason: protocol.ExitStopped, commands: forget, released: true, retryIn: clock.Never},
-		"failed":                  {reason: protocol.ExitFailed, commands: forget, released: true, failures: 1},
-		"refused":                 {reason: protocol.ExitInsufficientResources, commands: forget, released: true, retryIn: 4 * time.Second},
-		"failed, job is terminal": {reason: protocol.ExitFailed, change: func(f *reconcilerFixture) { f.job.Terminal = true }, commands: forget, released: true, retryIn: clock.Never},
-		"failed, job is closed": {reason: protocol.ExitFailed, change: func(f *reconcilerFixture) { delete(f.Jobs, fixtureJob) },
+		"stopped": {reason: protocol.ExitStopped, commands: forget, released: true, retryIn: clock.Never},
+		"failed":  {reason: protocol.ExitFailed, commands: forget, released: true, failures: 1},
+		"refused": {reason: protocol.ExitInsufficientResources,
+			commands: forget, released: true, retryIn: 4 * time.Second},
+		"failed, job is terminal": {reason: protocol.ExitFailed,
+			change:   func(f *reconcilerFixture) { f.job.Terminal = true },
+			commands: forget, released: true, retryIn: clock.Never},
+		"failed, job is not open": {reason: protocol.ExitFailed,
+			change:   func(f *reconcilerFixture) { delete(f.Jobs, fixtureJob) },
 			commands: forget, released: true, retryIn: clock.Never},
-		"failed, another attempt is tracked": {reason: protocol.ExitFailed, change: func(f *reconcilerFixture) { f.job.Attempts[0].Number = 99 },
+		"failed, another attempt is tracked": {reason: protocol.ExitFailed,
+			change:   func(f *reconcilerFixture) { f.job.Attempts[0].Number = 99 },
 			commands: forget, released: true, retryIn: clock.Never},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -160,33 +174,37 @@
 			if c.change != nil {
 				c.change(f)
 			}
-			if got := commandKinds(f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskExited, c.reason))); !slices.Equal(got, c.commands) {
-				t.Errorf("commands %v, not %v", got, c.commands)
+			if got := commandKinds(
+				f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskExited, c.reason))); !slices.Equal(got, c.commands) {
+				t.Errorf("got commands %v, expected %v", got, c.commands)
 			}
 			if done := slices.Equal(f.completedTasks, []int{0}); done != c.done {
-				t.Errorf("tasks marked as done: %v", f.completedTasks)
+				t.Errorf("tasks %v marked as done, expected task 0: %v", f.completedTasks, c.done)
 			}
 			if released := len(f.job.Attempts) == 0; released != c.released {
-				t.Errorf("attempts left: %d", len(f.job.Attempts))
+				t.Errorf("got %d tracked attempts, expected a released attempt: %v", len(f.job.Attempts), c.released)
 			}
 			if f.machine.ConsecutiveFailures != c.failures {
-				t.Errorf("failures of the machine: %d, not %d", f.machine.ConsecutiveFailures, c.failures)
+				t.Errorf("got %d consecutive failures of the machine, expected %d",
+					f.machine.ConsecutiveFailures, c.failures)
 			}
 			retryIn := clock.Never
 			if history := f.job.FailureHistories[0]; history != nil {
 				retryIn = history.RetryAfter - f.now
 			}
 			if retryIn != c.retryIn {
-				t.Errorf("retry in %v, not %v", retryIn, c.retryIn)
+				t.Errorf("got a retry after %v, expected %v", retryIn, c.retryIn)
 			}
 			if retained := len(c.commands) == 0; retained != (f.machine.RetainedResults == 1) {
-				t.Errorf("retained results: %d", f.machine.RetainedResults)
+				t.Errorf("got %d retained results, expected 1 without a forget command: %v",
+					f.machine.RetainedResults, retained)
 			}
 		})
 	}
 }
 
-// A completion stops another attempt at the task, and clears machine and job of earlier failures.
+// TestCompletionStopsOtherAttempt guards against a second attempt that keeps running after the task
+// is completed, and against failures that still count against a machine or job after a success.
 func TestCompletionStopsOtherAttempt(t *testing.T) {
 	f := newReconcilerFixture()
 	other := f.NewMachine("m-2", "small", "a", false)
@@ -194,25 +212,28 @@
 	f.PlaceAttempt(attempt)
 	f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskExited, protocol.ExitDone))
 	if attempt.StopGrace == nil || *attempt.StopGrace != 0 {
-		t.Error("the other attempt goes on")
+		t.Error("completion did not request a stop of the other attempt without grace")
 	}
 	f.placeAttempt(1, cluster.AttemptRunning)
 	f.machine.ConsecutiveFailures, f.machine.FailedJobs["j-9"], f.job.FailedMachines["m-9"] = 1, true, true
 	f.sendHeartbeat(t, f.taskStatus(1, protocol.TaskExited, protocol.ExitDone))
 	if f.machine.ConsecutiveFailures+len(f.machine.FailedJobs)+len(f.job.FailedMachines) != 0 {
-		t.Error("failures are remembered after a success")
+		t.Error("failures of the machine or the job still recorded after a completed task, expected none")
 	}
 }
 
-// Heartbeats that are late, are copies, or come from another worker change nothing.
+// TestStaleHeartbeatsAreRefused guards against heartbeats that change the state although they are
+// late, are copies, or come from another worker. The network may delay and duplicate them.
 func TestStaleHeartbeatsAreRefused(t *testing.T) {
 	for name, change := range map[string]func(f *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat){
 		"copy": func(f *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Sequence = f.machine.HeartbeatSeq
 		},
-		"earlier epoch":   func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) { heartbeat.Epoch = 0 },
-		"fenced epoch":    func(f *reconcilerFixture, _ *protocol.WorkerHeartbeat) { f.machine.FencedEpoch = 1 },
-		"another address": func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) { heartbeat.Address = "10.0.0.2" },
+		"earlier epoch": func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) { heartbeat.Epoch = 0 },
+		"fenced epoch":  func(f *reconcilerFixture, _ *protocol.WorkerHeartbeat) { f.machine.FencedEpoch = 1 },
+		"another address": func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.Address = "10.0.0.2"
+		},
 		"earlier term":    func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) { heartbeat.FencingToken-- },
 		"removed machine": func(f *reconcilerFixture, _ *protocol.WorkerHeartbeat) { f.DeleteMachine(f.machine) },
 		"late copy of an unrecorded machine": func(_ *reconcilerFixture, heartbeat *protocol.WorkerHeartbeat) {
@@ -225,30 +246,35 @@
 			change(f, heartbeat)
 			sequence := f.machine.HeartbeatSeq
 			if _, ok := f.Reconcile(heartbeat, ""); ok {
-				t.Error("heartbeat accepted")
+				t.Error("stale heartbeat accepted")
 			}
 			if f.machine.HeartbeatSeq != sequence || len(f.job.Attempts) != 0 || f.Machines["m-unknown"] != nil {
-				t.Error("the heartbeat changed the state")
+				t.Error("stale heartbeat changed the sequence number, the attempts or the machines")
 			}
 		})
 	}
 }
 
-// An unknown machine without tasks is added, and made durable before it may have any.
+// TestUnknownMachineIsAdded guards against tasks on a machine without a stored record: an unknown
+// machine that reports no tasks is added and recorded at its first heartbeat.
 func TestUnknownMachineIsAdded(t *testing.T) {
 	f := newReconcilerFixture()
 	heartbeat := f.heartbeat()
 	heartbeat.Machine = "m-unknown"
 	result, ok := f.Reconcile(heartbeat, "")
 	if !ok || result.Machine != f.Machines["m-unknown"] || !result.Machine.Reconciled {
-		t.Errorf("accepted: %v", ok)
+		t.Errorf("heartbeat accepted: %v, expected an accepted heartbeat and a reconciled machine", ok)
 	}
-	if !slices.Equal(f.recordedMachines, []string{"m-unknown"}) || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MachineNotRecorded}) {
-		t.Errorf("recorded %v, mismatches %v", f.recordedMachines, f.mismatches)
+	if !slices.Equal(f.recordedMachines, []string{"m-unknown"}) ||
+		!slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MachineNotRecorded}) {
+		t.Errorf("got recorded machines %v and mismatches %v, expected m-unknown and one %v",
+			f.recordedMachines, f.mismatches, recovery.MachineNotRecorded)
 	}
 }
 
-// Attempts that the machine does not report have ended, unless their start was not delivered.
+// TestUnreportedAttempts guards against attempts that stay tracked after they have ended, and against
+// starts that get lost with an undelivered response. An unreported attempt has ended, unless its
+// start command was not delivered.
 func TestUnreportedAttempts(t *testing.T) {
 	f := newReconcilerFixture()
 	running := f.placeAttempt(0, cluster.AttemptRunning)
@@ -258,57 +284,69 @@
 	assigned := f.placeAttempt(3, cluster.AttemptAssigned)
 	commands := f.sendHeartbeat(t)
 	if f.job.Attempts[0] == running || f.job.Attempts[2] == stopped {
-		t.Error("an attempt that has ended is still tracked")
+		t.Error("unreported attempt that was running or stopped is still tracked")
 	}
 	if f.job.Attempts[1] != sent || f.job.Attempts[3] != assigned {
-		t.Error("an attempt whose start was not delivered is not tracked")
+		t.Error("attempt whose start was not delivered is no longer tracked")
 	}
-	if !slices.Equal(commandKinds(commands), []protocol.CommandKind{protocol.CommandStart, protocol.CommandStart}) || f.firstStarts != 1 {
-		t.Errorf("commands %v, first starts %d", commandKinds(commands), f.firstStarts)
+	if !slices.Equal(commandKinds(commands), []protocol.CommandKind{protocol.CommandStart, protocol.CommandStart}) ||
+		f.firstStarts != 1 {
+		t.Errorf("got commands %v and %d traced first starts, expected 2 start commands and 1 first start",
+			commandKinds(commands), f.firstStarts)
 	}
 }
 
-// A task of an earlier leader is adopted only when a heartbeat carries this leader's token.
+// TestAdoptionWaitsForToken guards against adopting a task from a late copy of a heartbeat: a task of
+// an earlier leader is adopted only when a heartbeat carries this leader's token.
 func TestAdoptionWaitsForToken(t *testing.T) {
 	f := newReconcilerFixture()
 	f.machine.Reconciled = false
 	heartbeat := f.heartbeat(f.taskStatus(0, protocol.TaskRunning, ""))
 	heartbeat.FencingToken--
-	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 0 || f.machine.UnknownTasks != 1 || f.machine.Reconciled {
-		t.Fatalf("attempts %d, unknown tasks %d", len(f.job.Attempts), f.machine.UnknownTasks)
+	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 0 || f.machine.UnknownTasks != 1 ||
+		f.machine.Reconciled {
+		t.Fatalf("without token: got %d attempts and %d unknown tasks, expected 0 and 1 on an unreconciled machine",
+			len(f.job.Attempts), f.machine.UnknownTasks)
 	}
 	f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskRunning, ""))
 	attempt := f.job.Attempts[0]
-	if attempt == nil || attempt.Phase != cluster.AttemptRunning || f.machine.UnknownTasks != 0 || !f.machine.Reconciled {
-		t.Fatalf("attempt %+v, unknown tasks %d", attempt, f.machine.UnknownTasks)
+	if attempt == nil || attempt.Phase != cluster.AttemptRunning || f.machine.UnknownTasks != 0 ||
+		!f.machine.Reconciled {
+		t.Fatalf("with token: got attempt %+v and %d unknown tasks, expected a running attempt and 0",
+			attempt, f.machine.UnknownTasks)
 	}
 	if f.firstRunning != 1 || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MatchesRecord}) {
-		t.Errorf("first running %d, mismatches %v", f.firstRunning, f.mismatches)
+		t.Errorf("got %d traced first running attempts and mismatches %v, expected 1 and one %v",
+			f.firstRunning, f.mismatches, recovery.MatchesRecord)
 	}
 }
 
-// A task that should not be running is stopped when its budget allows it. It is a mismatch only once
-// all terminal records are known.
+// TestUnexpectedTaskIsStopped guards against stops beyond the budget, against mismatches for jobs
+// whose terminal records have not been read yet, and against stopping tasks of quarantined jobs.
 func TestUnexpectedTaskIsStopped(t *testing.T) {
 	f := newReconcilerFixture()
 	unknown := protocol.TaskStatus{TaskID: cluster.TaskKey("j-unknown", 0), Attempt: 1, State: protocol.TaskRunning}
 	f.stopsDeferred, f.terminalJobsLoaded = true, false
-	if commands := f.sendHeartbeat(t, unknown); len(commands) != 0 || f.machine.UnknownTasks != 1 || len(f.mismatches) != 0 {
-		t.Errorf("commands %v, unknown tasks %d, mismatches %v", commandKinds(commands), f.machine.UnknownTasks, f.mismatches)
+	if commands := f.sendHeartbeat(t, unknown); len(commands) != 0 || f.machine.UnknownTasks != 1 ||
+		len(f.mismatches) != 0 {
+		t.Errorf("without budget: got commands %v, %d unknown tasks and mismatches %v, expected none, 1 and none",
+			commandKinds(commands), f.machine.UnknownTasks, f.mismatches)
 	}
 	f.stopsDeferred, f.terminalJobsLoaded = false, true
 	commands := f.sendHeartbeat(t, unknown)
-	if !slices.Equal(commandKinds(commands), []protocol.CommandKind{protocol.CommandStop}) || *commands[0].GraceSeconds != 0 ||
-		!slices.Equal(f.mismatches, []recovery.Mismatch{recovery.JobNeverStored}) {
-		t.Errorf("commands %v, mismatches %v", commandKinds(commands), f.mismatches)
+	if !slices.Equal(commandKinds(commands), []protocol.CommandKind{protocol.CommandStop}) ||
+		*commands[0].GraceSeconds != 0 || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.JobNeverStored}) {
+		t.Errorf("with budget: got commands %v and mismatches %v, expected a stop without grace and one %v",
+			commandKinds(commands), f.mismatches, recovery.JobNeverStored)
 	}
 	f.closedJobStates["j-unknown"] = recovery.JobStateQuarantined
 	if commands := f.sendHeartbeat(t, unknown); len(commands) != 0 {
-		t.Errorf("a task of a quarantined job is stopped: %v", commandKinds(commands))
+		t.Errorf("got commands %v for a task of a quarantined job, expected none", commandKinds(commands))
 	}
 }
 
-// One response has a limited number of commands.
+// TestCommandsPerResponseAreLimited guards against responses above 64 KiB when a machine is to start
+// a large number of tasks at once.
 func TestCommandsPerResponseAreLimited(t *testing.T) {
 	f := newReconcilerFixture()
 	f.job = f.addJob("j-large", 2*maxCommandsPerResponse)
@@ -316,12 +354,13 @@
 		f.placeAttempt(i, cluster.AttemptAssigned)
 	}
 	if commands := f.sendHeartbeat(t); len(commands) != maxCommandsPerResponse {
-		t.Errorf("%d commands", len(commands))
+		t.Errorf("got %d commands in one response, expected %d", len(commands), maxCommandsPerResponse)
 	}
 }
 
-// A machine that shows no effect of its commands is drained and gets no more responses, unless most
-// machines show none: then the fault is not the machine's.
+// TestMachineThatExecutesNoCommandsIsDrained guards against a machine that keeps its tasks although
+// responses do not reach it. It is drained and gets no more responses, unless most machines miss
+// responses, because the fault is then not in the machine.
 func TestMachineThatExecutesNoCommandsIsDrained(t *testing.T) {
 	for others, drained := range map[int]bool{0: true, 1: false, 3: true} {
 		f := newReconcilerFixture()
@@ -343,16 +382,19 @@
 			}
 		}
 		if (f.machine.DrainReason == cluster.CommandsUndelivered) != drained {
-			t.Errorf("%d others: drain reason %q", others, f.machine.DrainReason)
+			t.Errorf("%d other machines: got drain reason %q, expected %q: %v",
+				others, f.machine.DrainReason, cluster.CommandsUndelivered, drained)
 		}
 		if allAccepted := accepted == maxMissedResponses+2; allAccepted == drained {
-			t.Errorf("%d others: %d heartbeats accepted", others, accepted)
+			t.Errorf("%d other machines: %d of %d heartbeats accepted, expected a drained machine: %v",
+				others, accepted, maxMissedResponses+2, drained)
 		}
 	}
 }
 
-// A new epoch ends all attempts that were sent. A second one without a sign of a delivered response
-// shows that responses do not reach the worker.
+// TestNewEpochEndsAttempts guards against attempts that stay tracked after their worker has killed
+// them: a new epoch ends all attempts that were sent. A second new epoch without a sign of a
+// delivered response shows that responses do not reach the worker, so the machine is drained.
 func TestNewEpochEndsAttempts(t *testing.T) {
 	f := newReconcilerFixture()
 	f.placeAttempt(0, cluster.AttemptRunning)
@@ -360,14 +402,18 @@
 	heartbeat := f.heartbeat()
 	heartbeat.Epoch, heartbeat.Sequence = 2, 1
 	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 1 || f.job.Attempts[1] != assigned {
-		t.Errorf("accepted: %v, attempts %d", ok, len(f.job.Attempts))
+		t.Errorf("heartbeat accepted: %v, got %d attempts, expected only the attempt that was not sent",
+			ok, len(f.job.Attempts))
 	}
-	if !f.machine.UnexpectedRestart || f.machine.MissedResponses != 1 || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.NewerEpoch}) {
-		t.Errorf("missed responses %d, mismatches %v", f.machine.MissedResponses, f.mismatches)
+	if !f.machine.UnexpectedRestart || f.machine.MissedResponses != 1 ||
+		!slices.Equal(f.mismatches, []recovery.Mismatch{recovery.NewerEpoch}) {
+		t.Errorf("got %d missed responses and mismatches %v, expected 1 and one %v",
+			f.machine.MissedResponses, f.mismatches, recovery.NewerEpoch)
 	}
 	heartbeat = f.heartbeat()
 	heartbeat.Epoch = 3
 	if _, ok := f.Reconcile(heartbeat, ""); ok || f.machine.DrainReason != cluster.CommandsUndelivered {
-		t.Errorf("accepted: %v, drain reason %q", ok, f.machine.DrainReason)
+		t.Errorf("second new epoch: heartbeat accepted: %v, got drain reason %q, expected no response and %q",
+			ok, f.machine.DrainReason, cluster.CommandsUndelivered)
 	}
 }
--- a/internal/reconcile/reported_tasks.go
+++ b/internal/reconcile/reported_tasks.go
@@ -8,20 +8,20 @@
 	"hitchdoor/internal/recovery"
 )
 
-// reportedTask is a task in a worker's heartbeat, with this leader's state of it.
+// reportedTask is a task in a worker's heartbeat, with this leader's state of the task.
 type reportedTask struct {
 	protocol.TaskStatus
-	machine *cluster.Machine // the machine that reports it
+	machine *cluster.Machine // the machine that reports the task
 	jobID   string
 	index   int
-	job     *cluster.Job         // nil: the job is not open
-	attempt *cluster.TaskAttempt // the attempt at this task on this machine, whatever its number; nil: none
+	job     *cluster.Job         // nil if the job is not open
+	attempt *cluster.TaskAttempt // the tracked attempt at the task on machine, of any number; nil if none
 }
 
-// isTracked reports whether this leader tracks the reported attempt on the machine.
+// isTracked reports whether this leader tracks the reported attempt on the reporting machine.
 func (t *reportedTask) isTracked() bool { return t.attempt != nil && t.attempt.Number == t.Attempt }
 
-// lookUpReportedTask looks up the state of a task that a machine reports.
+// lookUpReportedTask looks up the job and the attempt of a task that a machine reports.
 func (r *Reconciler) lookUpReportedTask(machine *cluster.Machine, report protocol.TaskStatus) *reportedTask {
 	task := &reportedTask{TaskStatus: report, machine: machine, attempt: machine.Attempts[report.TaskID]}
 	var ok bool
@@ -32,8 +32,8 @@
 	return task
 }
 
-// reconcileTasks compares the tasks in a heartbeat with the recorded state of its machine, and
-// returns the commands that stop or forget tasks that should not be there.
+// reconcileTasks compares the tasks in a heartbeat with the tracked attempts of its machine. It
+// returns the commands to stop or forget tasks that should not be on the machine.
 func (r *Reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) []protocol.Command {
 	var commands []protocol.Command
 	for _, attempt := range machine.AttemptsInOrder {
@@ -56,15 +56,15 @@
 	return commands
 }
 
-// reconcileUnreported processes an attempt that its machine does not report. It has ended, unless
-// its start command was not executed.
+// reconcileUnreported processes an attempt that its machine does not report. The attempt has ended,
+// unless its start command was not executed.
 func (r *Reconciler) reconcileUnreported(attempt *cluster.TaskAttempt) {
 	switch attempt.Phase {
-	case cluster.AttemptAssigned: // its start command has not been sent
+	case cluster.AttemptAssigned: // the start command has not been sent
 	case cluster.AttemptSent:
-		// The heartbeat is newer than the response with the start command, and workers
-		// drop responses that they no longer wait for. The command was not executed and
-		// never will be.
+		// The heartbeat is newer than the response with the start command, and workers drop
+		// responses that they no longer wait for. So the command was not executed and never
+		// will be.
 		if attempt.StopGrace != nil || attempt.Job.Terminal {
 			r.ReleaseAttempt(attempt)
 		} else {
@@ -75,15 +75,15 @@
 	}
 }
 
-// noteOvercommitted counts a machine whose tasks use more cores than it has.
+// noteOvercommitted counts a mismatch if the attempts on a machine use more cores than it has.
 func (r *Reconciler) noteOvercommitted(machine *cluster.Machine) {
 	if machine.MachineType != nil && machine.UsedCores > machine.MachineType.Cores+cluster.ResourceTolerance {
 		r.recovery.NoteMismatch(recovery.MachineOvercommitted, machine.Name, "")
 	}
 }
 
-// reconcileTask compares one reported task with the recorded state of its machine. It returns the
-// command that stops or forgets the task if it should not be there, and nil otherwise.
+// reconcileTask compares one reported task with this leader's state of it. It returns the command to
+// stop or forget the task, or nil if the task needs none.
 func (r *Reconciler) reconcileTask(task *reportedTask, tokenAcknowledged bool) *protocol.Command {
 	if task.isTracked() {
 		task.attempt.Reported = true
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// reportedTaskAction decides what to do with a reported task, and counts a mismatch if there is one.
+// reportedTaskAction returns the action for a reported task, and counts the mismatch if there is one.
+// It counts recovery.JobNeverStored only after all terminal records have been read.
 func (r *Reconciler) reportedTaskAction(task *reportedTask, tokenAcknowledged bool) recovery.Action {
 	facts := recovery.ReportedTask{
 		JobState:          r.jobState(task.jobID, task.job),
@@ -131,8 +132,8 @@
 	return action
 }
 
-// jobState returns the state of a reported task's job, as the reconciliation needs it. The job is
-// nil if it is not open.
+// jobState returns the state of a reported task's job for recovery.ReconcileTask. job is nil if the
+// job is not open.
 func (r *Reconciler) jobState(jobID string, job *cluster.Job) recovery.JobState {
 	if job != nil && job.Terminal || r.EndedJobs[jobID] {
 		return recovery.JobStateTerminal
@@ -144,7 +145,7 @@
 	return state
 }
 
-// adoptAttempt starts to track an attempt that an earlier leader started.
+// adoptAttempt starts to track a reported attempt that an earlier leader started.
 func (r *Reconciler) adoptAttempt(task *reportedTask) {
 	attempt := &cluster.TaskAttempt{Job: task.job, TaskIndex: task.index, Number: task.Attempt, Machine: task.machine,
 		Phase: cluster.AttemptSent, AssignedAt: r.Clock.Now()}
@@ -154,7 +155,7 @@
 }
 
 // stopUnexpectedTask returns the command to stop a task that should not be on the machine, or nil
-// while it has to wait for its budget.
+// while the budget for stops is exhausted.
 func (r *Reconciler) stopUnexpectedTask(task *reportedTask) *protocol.Command {
 	task.machine.UnknownTasks++
 	if !r.recovery.MayStopTask(task.job) {
@@ -166,7 +167,7 @@
 	}
 }
 
-// updateAttempt updates a task attempt from the state that its machine reports.
+// updateAttempt updates the phase of a tracked attempt from the state that its machine reports.
 func (r *Reconciler) updateAttempt(attempt *cluster.TaskAttempt, report protocol.TaskStatus) {
 	switch report.State {
 	case protocol.TaskFetching:
@@ -180,7 +181,7 @@
 	}
 }
 
-// beginRunning processes the first heartbeat that shows an attempt running.
+// beginRunning processes the first heartbeat that shows that an attempt is running.
 func (r *Reconciler) beginRunning(attempt *cluster.TaskAttempt) {
 	job, now := attempt.Job, r.Clock.Now()
 	attempt.Phase, attempt.RunningSince = cluster.AttemptRunning, now
@@ -195,7 +196,7 @@
 }
 
 // reconcileExitedTask processes a task that has exited. It returns the command to forget the task, or
-// nil while the worker must retain its result.
+// nil while the worker must retain the result.
 func (r *Reconciler) reconcileExitedTask(task *reportedTask) *protocol.Command {
 	if !r.handleTaskExit(task) {
 		task.machine.RetainedResults++
@@ -204,12 +205,12 @@
 	return &protocol.Command{Kind: protocol.CommandForget, TaskID: task.TaskID, Attempt: task.Attempt}
 }
 
-// handleTaskExit processes a task that has ended, and reports whether the worker may forget it. A
-// result may be forgotten only once it is durable, as the worker has the only copy.
+// handleTaskExit processes a task that has exited, and reports whether the worker may forget it. The
+// worker must retain a result until it is durable, because the worker has the only copy.
 func (r *Reconciler) handleTaskExit(task *reportedTask) bool {
 	switch {
 	case task.job == nil:
-		// The job has ended, and its terminal record is durable.
+		// The job is terminal, and its terminal record is durable.
 		if task.isTracked() {
 			r.ReleaseAttempt(task.attempt)
 		}
@@ -225,7 +226,7 @@
 	}
 }
 
-// handleCompletion records that a task is completed, and stops another attempt at it.
+// handleCompletion marks a task as completed, and stops any other attempt at it.
 func (r *Reconciler) handleCompletion(task *reportedTask) {
 	if task.isTracked() {
 		r.releaseCompletedAttempt(task)
@@ -236,8 +237,8 @@
 	r.host.MarkTaskDone(task.job, task.index)
 }
 
-// releaseCompletedAttempt releases an attempt that has completed its task. Its success clears its
-// machine and its job of the suspicion of being faulty.
+// releaseCompletedAttempt releases an attempt that has completed its task. The success resets the
+// failures of the machine and of the job that would mark either of them as faulty.
 func (r *Reconciler) releaseCompletedAttempt(task *reportedTask) {
 	job, machine, attempt := task.job, task.machine, task.attempt
 	if attempt.Phase == cluster.AttemptRunning && attempt.RunningSince > attempt.AssignedAt {
@@ -252,8 +253,8 @@
 	r.ReleaseAttempt(attempt)
 }
 
-// handleIncompleteExit releases an attempt that has ended without completing its task: it failed,
-// was stopped or was refused.
+// handleIncompleteExit releases an attempt that has exited without completing its task, because it
+// failed, was stopped or was refused.
 func (r *Reconciler) handleIncompleteExit(task *reportedTask) {
 	runDuration := time.Duration(0)
 	if task.attempt.Phase == cluster.AttemptRunning {
@@ -267,7 +268,7 @@
 	case protocol.ExitFailed:
 		r.RecordTaskFailure(task.machine, task.job, task.index, runDuration)
 	case protocol.ExitStopped:
-	default: // refused: the recorded state of the machine was outdated
+	default: // the worker refused the task, because this leader's state of the machine was outdated
 		r.DelayTask(task.job, task.index, task.machine, r.HeartbeatInterval())
 	}
 }
--- a/internal/reconcile/worker_commands.go
+++ b/internal/reconcile/worker_commands.go
@@ -5,11 +5,11 @@
 	"hitchdoor/internal/protocol"
 )
 
-// maxCommandsPerResponse keeps a response well below 64 KiB.
+// maxCommandsPerResponse keeps the size of a response well below 64 KiB.
 const maxCommandsPerResponse = 300
 
-// appendAttemptCommands adds the commands to stop and start task attempts to those of the
-// reconciliation.
+// appendAttemptCommands appends the commands to stop and start the attempts of a machine to the
+// commands of the reconciliation.
 func (r *Reconciler) appendAttemptCommands(machine *cluster.Machine, commands []protocol.Command) []protocol.Command {
 	if commands == nil {
 		commands = []protocol.Command{} // encoded as an empty list, not as null
@@ -37,7 +37,7 @@
 	return commands
 }
 
-// startCommand returns the command to start an attempt, which counts as sent from now on.
+// startCommand returns the command to start an attempt, and marks the attempt as sent.
 func (r *Reconciler) startCommand(attempt *cluster.TaskAttempt) protocol.Command {
 	attempt.Phase = cluster.AttemptSent
 	if !attempt.Job.StartCommandSent {
