--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -55,7 +55,7 @@
 func (n *Node) evaluateSubmission(submission *userSubmission) {
 	policy := n.admissionPolicy
 	if policy.Invalid {
-		n.answerFromStore(submission.request, submission.leader, retryLater)
+		n.replyFromStore(submission.request, submission.leader, retryLater)
 		return
 	}
 	job := submission.request.Job
@@ -80,7 +80,7 @@
 		n.reply(submission.request.Origin, response.status, response.retryAfterSeconds, response)
 		return
 	}
-	n.answerFromStore(submission.request, submission.leader, response)
+	n.replyFromStore(submission.request, submission.leader, response)
 }
 
 // rejectForCapacity rejects an admitted submission that can't be written in time; the user retries.
--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -9,38 +9,38 @@
 	"hitchdoor/internal/storage"
 )
 
-// nodeCatalogHost gives the machine catalog what it needs from its node.
-type nodeCatalogHost struct{ node *Node }
+// catalogHost gives the machine catalog what it needs from its node.
+type catalogHost struct{ node *Node }
 
 // Now returns the time of the current step.
-func (a nodeCatalogHost) Now() clock.Instant { return a.node.now }
+func (h catalogHost) Now() clock.Instant { return h.node.now }
 
 // Leading reports whether the node is the leader.
-func (a nodeCatalogHost) Leading() bool { return a.node.leader != nil }
+func (h catalogHost) Leading() bool { return h.node.leader != nil }
 
 // TakeCloudRequest reports whether the cloud budget allows a request now, and takes it from the
 // budget.
-func (a nodeCatalogHost) TakeCloudRequest() bool { return a.node.takeCloudRequest() }
+func (h catalogHost) TakeCloudRequest() bool { return h.node.takeCloudRequest() }
 
 // ReadFromCloud reads a resource of the cloud.
-func (a nodeCatalogHost) ReadFromCloud(
+func (h catalogHost) ReadFromCloud(
 	path string, timeout time.Duration, onResponse func(protocol.CloudResponse),
 ) {
-	a.node.callService(TargetCloud, http.MethodGet, path, nil, timeout, func(result CallResult) {
+	h.node.callService(TargetCloud, http.MethodGet, path, nil, timeout, func(result CallResult) {
 		onResponse(protocol.CloudResponse{Status: result.Status, Body: result.Body})
 	})
 }
 
 // ReadFromStore reads a record of the key-value store.
-func (a nodeCatalogHost) ReadFromStore(key string, onResponse func(storage.Response)) {
-	a.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
+func (h catalogHost) ReadFromStore(key string, onResponse func(storage.Response)) {
+	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(storage.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
 // MachineTypesChanged updates the leader's machines.
-func (a nodeCatalogHost) MachineTypesChanged() {
-	if a.node.leader != nil {
-		a.node.leader.applyMachineTypes()
+func (h catalogHost) MachineTypesChanged() {
+	if h.node.leader != nil {
+		h.node.leader.applyMachineTypes()
 	}
 }
--- a/internal/controller/connectivity_host.go
+++ b/internal/controller/connectivity_host.go
@@ -8,10 +8,10 @@
 // connectivityReport returns what this node tells its peers about its links and workers.
 func (n *Node) connectivityReport() *protocol.LinkReport {
 	report := &protocol.LinkReport{StoreReachable: !n.election.StoreFailing()}
-	for _, known := range n.cfg.Peers {
-		if age := n.now - n.peers[known.Node].LastContact; age < n.workerLease() {
+	for _, peerConfig := range n.cfg.Peers {
+		if age := n.now - n.peers[peerConfig.Node].LastContact; age < n.workerLease() {
 			report.IncomingLinks = append(report.IncomingLinks,
-				reachability.IncomingLink{Node: known.Node, AgeMS: age.Milliseconds()})
+				reachability.IncomingLink{Node: peerConfig.Node, AgeMS: age.Milliseconds()})
 		}
 	}
 	report.RecentWorkers, report.StrandedWorkers = n.workerRouter.CountWorkers()
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -9,29 +9,29 @@
 	"hitchdoor/internal/storage"
 )
 
-// leaderDependencyHost connects the dependency graph to its leader.
-type leaderDependencyHost struct{ leader *leader }
+// dependencyHost connects the dependency graph to its leader.
+type dependencyHost struct{ leader *leader }
 
 // TerminalRecord implements dependencyHost.
-func (h leaderDependencyHost) TerminalRecord(jobID string) (storage.TerminalRecord, bool) {
+func (h dependencyHost) TerminalRecord(jobID string) (storage.TerminalRecord, bool) {
 	return h.leader.node.jobReader.TerminalRecord(jobID)
 }
 
 // InstantFromUnixMilli implements dependencyHost.
-func (h leaderDependencyHost) InstantFromUnixMilli(unixMilli int64) clock.Instant {
+func (h dependencyHost) InstantFromUnixMilli(unixMilli int64) clock.Instant {
 	return h.leader.node.instantFromUnixMilli(unixMilli)
 }
 
 // JobReleased implements dependencyHost. The forecast counts the jobs that are released while the
 // records are loading once all of them are loaded.
-func (h leaderDependencyHost) JobReleased(job *cluster.Job) {
+func (h dependencyHost) JobReleased(job *cluster.Job) {
 	if h.leader.recordsLoaded {
 		h.leader.autoscaler.RecordArrival(job)
 	}
 }
 
 // CancelJob implements dependencyHost.
-func (h leaderDependencyHost) CancelJob(job *cluster.Job) {
+func (h dependencyHost) CancelJob(job *cluster.Job) {
 	waiters := h.leader.cancelWaiters
 	for _, origin := range waiters[job.Spec.ID] {
 		h.leader.node.reply(origin, http.StatusOK, 0, job.State())
@@ -43,13 +43,13 @@
 }
 
 // MayLookUp implements dependencyHost.
-func (h leaderDependencyHost) MayLookUp() bool {
+func (h dependencyHost) MayLookUp() bool {
 	node := h.leader.node
 	return !node.election.StoreUnavailable() && h.leader.lookupBudget.Take(node.now, 1)
 }
 
 // ReadTerminalRecord implements dependencyHost.
-func (h leaderDependencyHost) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
+func (h dependencyHost) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
 	node := h.leader.node
 	node.jobReader.ReadTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) {
 		if node.leader == h.leader {
@@ -59,7 +59,7 @@
 }
 
 // LoadOpenJob implements dependencyHost.
-func (h leaderDependencyHost) LoadOpenJob(jobID string) {
+func (h dependencyHost) LoadOpenJob(jobID string) {
 	node := h.leader.node
 	node.jobReader.ReadItem(storage.JobKey(jobID), func(_ int, item *storage.Item) {
 		if item != nil && node.leader == h.leader {
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -9,14 +9,14 @@
 	"hitchdoor/internal/storage"
 )
 
-// startElection creates the election and the records of the peers.
-func (n *Node) startElection() {
+// initElection creates the election and the records of the peers.
+func (n *Node) initElection() {
 	names := make([]string, 0, len(n.cfg.Peers))
-	for _, known := range n.cfg.Peers {
-		names = append(names, known.Node)
+	for _, peerConfig := range n.cfg.Peers {
+		names = append(names, peerConfig.Node)
 	}
 	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Peers: names,
-		Cluster: &n.cfg.Cluster, Rand: n.rng, Host: electionAdapter{n}})
+		Cluster: &n.cfg.Cluster, Rand: n.rng, Host: electionHost{n}})
 	for _, name := range names {
 		n.peers[name] = &peer{Peer: n.election.Peer(name)}
 	}
@@ -31,29 +31,29 @@
 // stepDown ends this node's term as the leader.
 func (n *Node) stepDown(reason string) { n.election.StepDown(reason) }
 
-// electionAdapter gives the election access to its node.
-type electionAdapter struct{ node *Node }
+// electionHost gives the election access to its node.
+type electionHost struct{ node *Node }
 
 // Now returns the time of the current step.
-func (a electionAdapter) Now() clock.Instant { return a.node.now }
+func (h electionHost) Now() clock.Instant { return h.node.now }
 
 // CallStore sends a request to the key-value store.
-func (a electionAdapter) CallStore(method, path string, body any, onResponse func(storage.Response)) {
-	a.node.storeCall(method, path, body, func(result CallResult) {
+func (h electionHost) CallStore(method, path string, body any, onResponse func(storage.Response)) {
+	h.node.storeCall(method, path, body, func(result CallResult) {
 		onResponse(storage.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
 // SendMessage sends a message to a peer.
-func (a electionAdapter) SendMessage(to string, message protocol.PeerMessage) {
-	a.node.send(to, message)
+func (h electionHost) SendMessage(to string, message protocol.PeerMessage) {
+	h.node.send(to, message)
 }
 
 // DescribeController sets what peers need to know of this node apart from the election. A leader
 // that workers can't reach claims to have no spare connections, so that its peers relay for
 // them, except while it probes the direct route.
-func (a electionAdapter) DescribeController(heartbeat *protocol.PeerHeartbeat) {
-	node := a.node
+func (h electionHost) DescribeController(heartbeat *protocol.PeerHeartbeat) {
+	node := h.node
 	heartbeat.VersionLevel = protocolLevel
 	heartbeat.WritesThrottled = node.writesThrottled
 	heartbeat.ConnectionsFull = node.workerRouter.Connections.Full
@@ -70,19 +70,19 @@
 }
 
 // TwoWayPeerCount returns the number of peers with which messages pass in both directions.
-func (a electionAdapter) TwoWayPeerCount() int { return a.node.twoWayPeerCount() }
+func (h electionHost) TwoWayPeerCount() int { return h.node.twoWayPeerCount() }
 
 // BecameLeader creates the leader state of a term and begins to load the records.
-func (a electionAdapter) BecameLeader(term, leaderKeyVersion uint64) {
-	node := a.node
+func (h electionHost) BecameLeader(term, leaderKeyVersion uint64) {
+	node := h.node
 	node.log.Info("became leader", "term", term)
 	node.leader = newLeader(node, term, leaderKeyVersion)
 	node.leader.loadRecords()
 }
 
 // LeaderCondition returns whether this leader should go on to lead.
-func (a electionAdapter) LeaderCondition() election.LeaderCondition {
-	current := a.node.leader
+func (h electionHost) LeaderCondition() election.LeaderCondition {
+	current := h.node.leader
 	condition := election.LeaderCondition{LastWorkerHeartbeat: current.lastWorkerHeartbeat,
 		ResignReason: current.resignReason()}
 	if current.attemptCounter >= maxAttemptCounter {
@@ -92,8 +92,8 @@
 }
 
 // SteppedDown discards the leader state.
-func (a electionAdapter) SteppedDown(reason string) {
-	node := a.node
+func (h electionHost) SteppedDown(reason string) {
+	node := h.node
 	node.log.Info("stepped down", "term", node.leader.term, "reason", reason)
 	node.leader.rejectWaitingRequests()
 	node.leader = nil
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -445,7 +445,7 @@
 // acceptingStore is the host of an election whose key-value store has no leader key and accepts
 // each request of a candidate. It has a clock of its own.
 type acceptingStore struct {
-	electionAdapter
+	electionHost
 	now      clock.Instant
 	lastTerm uint64
 }
@@ -469,7 +469,7 @@
 // forceLeadership makes a node the leader of a term, whoever else leads: it replaces the node's
 // election by one without peers, at a store that accepts everything.
 func forceLeadership(n *Node, term uint64) {
-	host := &acceptingStore{electionAdapter: electionAdapter{n}, now: n.now, lastTerm: term - 1}
+	host := &acceptingStore{electionHost: electionHost{n}, now: n.now, lastTerm: term - 1}
 	alone := n.cfg.Cluster
 	alone.ControllerCount = 1
 	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone,
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -15,7 +15,7 @@
 	n := l.node
 	if !l.recordsLoaded && request.Kind != protocol.RequestSubmit {
 		if request.Kind == protocol.RequestQuery {
-			n.answerQueryFromStore(request, l)
+			n.replyToQueryFromStore(request, l)
 			return
 		}
 		n.replyUnavailable(request.Origin)
@@ -24,31 +24,31 @@
 	switch request.Kind {
 	case protocol.RequestSubmit:
 		if job := l.Jobs[request.Job.ID]; job != nil {
-			l.answerJobState(request, job)
+			l.replyJobState(request, job)
 			return
 		}
 		n.submitToStore(request, l)
 	case protocol.RequestQuery:
 		if job := l.Jobs[request.JobID]; job != nil {
-			l.answerJobState(request, job)
+			l.replyJobState(request, job)
 			return
 		}
-		n.answerQueryFromStore(request, l)
+		n.replyToQueryFromStore(request, l)
 	case protocol.RequestCancel:
 		l.onCancel(request)
 	}
 }
 
-// answerJobState replies with a job's state. Once the transaction of the terminal record has been
+// replyJobState replies with a job's state. Once the transaction of the terminal record has been
 // sent, another controller may have read the record and notified a user although this leader has
 // no response yet. The state is then read from the key-value store, as the state in memory may be
 // stale.
 //
 // The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
 // leader may have reported that.
-func (l *leader) answerJobState(request Request, job *cluster.Job) {
+func (l *leader) replyJobState(request Request, job *cluster.Job) {
 	if !job.DependencyCancelled && (job.CompletionUncertain || l.dependencies.MayBeCancelled(job)) {
-		l.node.answerFromStore(request, l, retryLater)
+		l.node.replyFromStore(request, l, retryLater)
 		return
 	}
 	l.node.reply(request.Origin, http.StatusOK, 0, job.State())
@@ -65,12 +65,12 @@
 		n.reply(request.Origin, http.StatusNotFound, 0, nil)
 		return
 	}
-	n.jobReader.ReadJob(request.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
+	n.jobReader.ReadJob(request.JobID, func(ok bool, open *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
 		case !ok || n.leader != l || !n.holdsLeaderLease():
 			n.replyUnavailable(request.Origin)
-		case final != nil:
-			status := protocol.JobStatus{ID: request.JobID, State: final.State}
+		case terminal != nil:
+			status := protocol.JobStatus{ID: request.JobID, State: terminal.State}
 			n.reply(request.Origin, http.StatusOK, 0, status)
 		case open != nil:
 			if job := l.adoptStoredJob(request.JobID, *open); job != nil {
--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -8,32 +8,32 @@
 	"hitchdoor/internal/storage"
 )
 
-// nodeJobReaderHost connects the job reader to its node.
-type nodeJobReaderHost struct{ node *Node }
+// jobReaderHost connects the job reader to its node.
+type jobReaderHost struct{ node *Node }
 
 // Now implements jobReaderHost.
-func (h nodeJobReaderHost) Now() clock.Instant { return h.node.now }
+func (h jobReaderHost) Now() clock.Instant { return h.node.now }
 
 // Get implements jobReaderHost.
-func (h nodeJobReaderHost) Get(path string, onResponse func(status int, body []byte)) {
+func (h jobReaderHost) Get(path string, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodGet, path, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
 }
 
 // StoreUnavailable implements jobReaderHost.
-func (h nodeJobReaderHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
+func (h jobReaderHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
 // StoreResponding implements jobReaderHost.
-func (h nodeJobReaderHost) StoreResponding() bool {
+func (h jobReaderHost) StoreResponding() bool {
 	return h.node.election.StoreReachable()
 }
 
 // HasOpenJob implements jobReaderHost.
-func (h nodeJobReaderHost) HasOpenJob(jobID string) bool {
+func (h jobReaderHost) HasOpenJob(jobID string) bool {
 	return h.node.leader != nil && h.node.leader.Jobs[jobID] != nil
 }
 
 // TerminalRecordRead implements jobReaderHost.
-func (h nodeJobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
+func (h jobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
 	delete(h.node.unreadableTerminalRecords, jobID)
 	if h.node.holdsLeaderLease() {
 		h.node.leader.jobRecords.QuarantineOpenRecord(jobID, record)
@@ -41,7 +41,7 @@
 }
 
 // TerminalRecordUnreadable implements jobReaderHost.
-func (h nodeJobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
+func (h jobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
 	node := h.node
 	if node.unreadableTerminalRecords[jobID] != nil {
 		return
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -54,8 +54,8 @@
 	l.initRecords(leaderKeyVersion)
 	l.Scheduler = &scheduler.Scheduler{State: state, Host: l,
 		ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}}
-	l.dependencies = dependency.New(state, leaderDependencyHost{l}, node.workerLease()/pollsPerLease)
-	l.reconciler = reconcile.New(state, term, l.recovery, reconcilerAdapter{leader: l})
+	l.dependencies = dependency.New(state, dependencyHost{l}, node.workerLease()/pollsPerWorkerLease)
+	l.reconciler = reconcile.New(state, term, l.recovery, reconcilerHost{leader: l})
 	l.autoscaler = newLeaderAutoscaler(l)
 	l.admission = admissioncontrol.NewPublisher(admissioncontrol.PublisherOptions{Host: admissionHost{node},
 		Follower: node.admissionPolicy, State: state, Writer: l.writer, Log: node.log})
@@ -81,8 +81,8 @@
 // rejectWaitingRequests answers all pending requests that they may be retried.
 func (l *leader) rejectWaitingRequests() {
 	for _, waiters := range l.cancelWaiters {
-		for _, o := range waiters {
-			l.node.replyUnavailable(o)
+		for _, origin := range waiters {
+			l.node.replyUnavailable(origin)
 		}
 	}
 	l.rejectEarlyHeartbeats()
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -67,9 +67,9 @@
 	Build     string    // build version, shown to operators
 }
 
-// pollsPerLease is how often per worker lease a node polls the key-value store, for terminal jobs,
+// pollsPerWorkerLease is how often per worker lease a node polls the key-value store, for terminal jobs,
 // protocol levels and the like.
-const pollsPerLease = 28
+const pollsPerWorkerLease = 28
 
 // New returns a node in follower state.
 func New(options Options) *Node {
@@ -83,22 +83,22 @@
 		unreadableTerminalRecords: map[string]*records.QuarantinedRecord{},
 	}
 	node.outbox = newOutbox(&node.timing, node.log, nodeStoreObserver{node})
-	node.jobReader = jobstore.NewReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare,
-		node.workerLease()/pollsPerLease)
+	node.jobReader = jobstore.NewReader(jobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare,
+		node.workerLease()/pollsPerWorkerLease)
 	budgets, submissionBudget := newServiceBudgets(&node.timing, cluster, node.log)
-	node.submissionQueue = submissions.NewQueue(submissionWriter{node}, cluster, submissionBudget)
+	node.submissionQueue = submissions.NewQueue(submissionHost{node}, cluster, submissionBudget)
 	budgets.submissionWrites = node.submissionQueue
 	node.serviceBudgets = budgets
 	node.protocolLevels = newProtocolLevels(nodeProtocolLevelsHost{node}, options,
-		node.workerLease()/pollsPerLease)
-	node.catalog = catalog.New(nodeCatalogHost{node}, node.log, node.workerLease())
+		node.workerLease()/pollsPerWorkerLease)
+	node.catalog = catalog.New(catalogHost{node}, node.log, node.workerLease())
 	peerNames := make([]string, 0, len(options.Platform.Peers))
-	for _, known := range options.Platform.Peers {
-		peerNames = append(peerNames, known.Node)
+	for _, peerConfig := range options.Platform.Peers {
+		peerNames = append(peerNames, peerConfig.Node)
 	}
 	node.admissionPolicy = admissioncontrol.NewPolicyFollower(admissionHost{node}, cluster, node.log)
 	node.workerRouter = workerrouting.NewRouter(node, cluster, peerNames)
-	node.startElection()
+	node.initElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
 	// A response to a request that an earlier process of this node forwarded may still
 	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -118,9 +118,9 @@
 	o.reply(origin, http.StatusServiceUnavailable, 1, nil)
 }
 
-// replyWithAnswer answers a request with the leader's response to it.
-func (o *outbox) replyWithAnswer(origin Origin, answer protocol.ForwardedResponse) {
-	o.reply(origin, answer.Status, answer.RetryAfter, []byte(answer.Body))
+// replyWithForwardedResponse answers a request with the leader's response to it.
+func (o *outbox) replyWithForwardedResponse(origin Origin, response protocol.ForwardedResponse) {
+	o.reply(origin, response.Status, response.RetryAfter, []byte(response.Body))
 }
 
 // encodeBody encodes a request or response body. A nil body stays empty and bytes are passed
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -29,7 +29,7 @@
 	case protocol.ForwardedRequest:
 		n.onForwardedRequest(sender, message)
 	case protocol.ForwardedResponse:
-		n.onForwardedAnswer(message)
+		n.onForwardedResponse(message)
 	}
 }
 
@@ -48,9 +48,9 @@
 
 // leaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
 func (n *Node) leaderPeer() *peer {
-	leading := n.election.LeaderPeer()
-	if leading == nil {
+	leaderPeer := n.election.LeaderPeer()
+	if leaderPeer == nil {
 		return nil
 	}
-	return n.peers[leading.Name]
+	return n.peers[leaderPeer.Name]
 }
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -81,8 +81,8 @@
 
 // IsTerminal reports whether a job's terminal record is known.
 func (h recordsHost) IsTerminal(jobID string) bool {
-	_, ended := h.leader.node.jobReader.TerminalRecord(jobID)
-	return ended
+	_, isTerminal := h.leader.node.jobReader.TerminalRecord(jobID)
+	return isTerminal
 }
 
 // LegacyLeaderPossible reports whether a controller of version level 0 may become leader.
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -43,8 +43,8 @@
 		StoreFailing: n.election.StoreFailing(), UptimeS: n.now.Round(time.Millisecond).Seconds(),
 		Build: n.build, ProtocolLevel: protocolLevel,
 		ClusterSupportsLevel: n.clusterSupports(protocolLevel)}
-	for _, known := range n.cfg.Peers {
-		peer := n.peers[known.Node]
+	for _, peerConfig := range n.cfg.Peers {
+		peer := n.peers[peerConfig.Node]
 		status.Peers = append(status.Peers, statuspage.PeerStatus{Node: peer.Name,
 			Reachable: n.PeerReachable(peer.Name), ProtocolLevel: peer.protocolLevel})
 	}
@@ -110,11 +110,11 @@
 		StoreReachable: report.StoreReachable, IncomingLinks: report.IncomingLinks,
 		RecentWorkers: report.RecentWorkers, StrandedWorkers: report.StrandedWorkers,
 		LinkTimeoutMS: n.leaderLease().Milliseconds(), CandidacyPaused: n.election.CandidacyPaused()}
-	for _, known := range n.cfg.Peers {
-		status.Peers = append(status.Peers, known.Node)
+	for _, peerConfig := range n.cfg.Peers {
+		status.Peers = append(status.Peers, peerConfig.Node)
 	}
-	if followed := n.leaderPeer(); followed != nil {
-		status.LeaderName, status.Term = followed.Name, followed.Term
+	if leaderPeer := n.leaderPeer(); leaderPeer != nil {
+		status.LeaderName, status.Term = leaderPeer.Name, leaderPeer.Term
 	}
 	if n.leader != nil {
 		status.Term, status.RecentWorkers = n.leader.term, len(n.leader.Machines)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -62,18 +62,18 @@
 	write   *submissions.Write
 }
 
-// submissionWriter is what the submission queue needs from this node. It implements submissionHost.
-type submissionWriter struct{ node *Node }
+// submissionHost is what the submission queue needs from this node. It implements submissionHost.
+type submissionHost struct{ node *Node }
 
 // Now returns the time of the current step.
-func (w submissionWriter) Now() clock.Instant { return w.node.now }
+func (h submissionHost) Now() clock.Instant { return h.node.now }
 
 // StoreUnavailable reports whether the key-value store can't be reached.
-func (w submissionWriter) StoreUnavailable() bool { return w.node.election.StoreUnavailable() }
+func (h submissionHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
 // ExecuteTxn sends a transaction to the key-value store.
-func (w submissionWriter) ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte)) {
-	w.node.storeCall(http.MethodPost, "/multi", txn, func(result CallResult) {
+func (h submissionHost) ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte)) {
+	h.node.storeCall(http.MethodPost, "/multi", txn, func(result CallResult) {
 		onResponse(result.Status, result.Body)
 	})
 }
@@ -90,9 +90,9 @@
 		n.replyUnavailable(request.Origin)
 		return
 	}
-	candidate := n.newSubmission(request, asLeader)
-	if rejection := n.validateSubmission(request.Job, candidate.write.Writes); rejection != nil {
-		n.answerFromStore(request, asLeader, *rejection)
+	submission := n.newSubmission(request, asLeader)
+	if rejection := n.validateSubmission(request.Job, submission.write.Writes); rejection != nil {
+		n.replyFromStore(request, asLeader, *rejection)
 		return
 	}
 	unconfirmed := n.jobReader.WithoutKnownAccepted(request.Job.Dependencies)
@@ -102,11 +102,11 @@
 	n.jobReader.ReadAcceptance(unconfirmed, func(ok, allAccepted bool) {
 		switch {
 		case !ok:
-			n.answerFromStore(request, asLeader, retryLater)
+			n.replyFromStore(request, asLeader, retryLater)
 		case !allAccepted:
-			n.answerFromStore(request, asLeader, unknownDependency)
+			n.replyFromStore(request, asLeader, unknownDependency)
 		default:
-			n.evaluateSubmission(candidate)
+			n.evaluateSubmission(submission)
 		}
 	})
 }
@@ -114,14 +114,14 @@
 // newSubmission returns a submission with the record that is to be written for it.
 func (n *Node) newSubmission(request Request, asLeader *leader) *userSubmission {
 	record := storage.JobRecord{Spec: *request.Job, AcceptedAtMillis: n.nowUnixMilli()}
-	created := &userSubmission{request: request, leader: asLeader}
-	created.write = &submissions.Write{
+	submission := &userSubmission{request: request, leader: asLeader}
+	submission.write = &submissions.Write{
 		Record:   record,
 		Writes:   storage.JobWrites(record, n.cfg.Cluster.Store.MaxValueBytes()),
 		Deadline: n.now + n.workerLease()/10,
-		OnResult: func(result submissions.Result) { n.onSubmissionResult(created, result) },
+		OnResult: func(result submissions.Result) { n.onSubmissionResult(submission, result) },
 	}
-	return created
+	return submission
 }
 
 // validateSubmission returns why a job can't be accepted, or nil if it can. A job that was accepted
@@ -156,9 +156,9 @@
 	case submissions.PolicyChanged:
 		n.admissionPolicy.Read(func() { n.evaluateSubmission(submission) })
 	case submissions.JobKnown:
-		n.answerFromStore(submission.request, submission.leader, retryLater)
+		n.replyFromStore(submission.request, submission.leader, retryLater)
 	case submissions.TooLarge:
-		n.answerFromStore(submission.request, submission.leader, jobTooLarge)
+		n.replyFromStore(submission.request, submission.leader, jobTooLarge)
 	case submissions.OverCapacity:
 		n.rejectForCapacity(submission)
 	case submissions.StoreRefused:
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -22,11 +22,11 @@
 )
 
 // traceStep emits a trace step of a job, if tracing is enabled in the settings.
-func (n *Node) traceStep(job, name, note string) {
+func (n *Node) traceStep(jobID, name, note string) {
 	if n.settings.MaxTraceSteps == 0 {
 		return
 	}
-	step := tracing.Step{Job: job, Node: n.cfg.Node, Name: name, Note: note, At: n.startTime.Add(n.now)}
+	step := tracing.Step{Job: jobID, Node: n.cfg.Node, Name: name, Note: note, At: n.startTime.Add(n.now)}
 	if n.leader != nil {
 		step.Term = n.leader.term
 	}
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -112,23 +112,23 @@
 	n.onRequest(request)
 }
 
-// onForwardedAnswer handles the leader's response to a forwarded request.
-func (n *Node) onForwardedAnswer(answer protocol.ForwardedResponse) {
-	forward, found := n.forwards.Take(answer.ID)
+// onForwardedResponse handles the leader's response to a forwarded request.
+func (n *Node) onForwardedResponse(response protocol.ForwardedResponse) {
+	forward, found := n.forwards.Take(response.ID)
 	if !found {
 		return
 	}
 	if forward.Request.Kind == protocol.RequestHeartbeat {
-		n.onRelayedHeartbeatAnswer(forward, answer)
+		n.onRelayedHeartbeatResponse(forward, response)
 		return
 	}
-	n.onForwardedUserAnswer(forward.Request, answer)
+	n.onForwardedUserResponse(forward.Request, response)
 }
 
-// onRelayedHeartbeatAnswer passes the leader's response to a worker's heartbeat on to the worker.
-func (n *Node) onRelayedHeartbeatAnswer(forward forwarding.Forward[Request], answer protocol.ForwardedResponse) {
+// onRelayedHeartbeatResponse passes the leader's response to a worker's heartbeat on to the worker.
+func (n *Node) onRelayedHeartbeatResponse(forward forwarding.Forward[Request], response protocol.ForwardedResponse) {
 	request := forward.Request
-	if answer.Status == http.StatusOK {
+	if response.Status == http.StatusOK {
 		n.workerRouter.RecordServed(request.Heartbeat.Machine)
 	}
 	if n.now >= forward.Deadline {
@@ -137,20 +137,20 @@
 		n.serveWithoutLeader(request)
 		return
 	}
-	n.replyWithAnswer(request.Origin, answer)
+	n.replyWithForwardedResponse(request.Origin, response)
 }
 
-// onForwardedUserAnswer passes the leader's response to a user's request on to the user.
-func (n *Node) onForwardedUserAnswer(request Request, answer protocol.ForwardedResponse) {
-	if answer.Status == http.StatusOK || answer.Status == http.StatusCreated {
+// onForwardedUserResponse passes the leader's response to a user's request on to the user.
+func (n *Node) onForwardedUserResponse(request Request, response protocol.ForwardedResponse) {
+	if response.Status == http.StatusOK || response.Status == http.StatusCreated {
 		n.jobReader.RecordAccepted(request.JobID)
 	}
-	if answer.Status == http.StatusServiceUnavailable && request.Kind != protocol.RequestCancel {
+	if response.Status == http.StatusServiceUnavailable && request.Kind != protocol.RequestCancel {
 		// The leader can't answer, but the key-value store may.
 		n.serveWithoutLeader(request)
 		return
 	}
-	n.replyWithAnswer(request.Origin, answer)
+	n.replyWithForwardedResponse(request.Origin, response)
 }
 
 // serveWithoutLeader answers what can be answered from the key-value store alone.
@@ -159,7 +159,7 @@
 	case protocol.RequestSubmit:
 		n.submitToStore(request, nil)
 	case protocol.RequestQuery:
-		n.answerQueryFromStore(request, nil)
+		n.replyToQueryFromStore(request, nil)
 	case protocol.RequestHeartbeat:
 		n.workerRouter.RecordStranded(request.Heartbeat.Machine)
 		n.replyUnavailable(request.Origin)
@@ -168,21 +168,21 @@
 	}
 }
 
-// answerQueryFromStore answers a query from the key-value store. asLeader is the leader on whose
+// replyToQueryFromStore answers a query from the key-value store. asLeader is the leader on whose
 // behalf it is answered, or nil.
-func (n *Node) answerQueryFromStore(request Request, asLeader *leader) {
+func (n *Node) replyToQueryFromStore(request Request, asLeader *leader) {
 	if !protocol.ValidJobID(request.JobID) {
 		n.reply(request.Origin, http.StatusNotFound, 0, nil)
 		return
 	}
-	n.answerFromStore(request, asLeader, jobNotFound)
+	n.replyFromStore(request, asLeader, jobNotFound)
 }
 
-// answerFromStore answers with the stored state of a job, or with ifUnknown if the key-value
+// replyFromStore answers with the stored state of a job, or with ifUnknown if the key-value
 // store has no record of it. An open job is added to the state of asLeader, if that still leads
 // and holds its leader lease when the record arrives.
-func (n *Node) answerFromStore(request Request, asLeader *leader, ifUnknown errorResponse) {
-	answer := func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
+func (n *Node) replyFromStore(request Request, asLeader *leader, ifUnknown errorResponse) {
+	onState := func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
 		case !ok && ifUnknown.retryAfterSeconds == 0:
 			n.replyUnavailable(request.Origin)
@@ -207,5 +207,5 @@
 			n.reply(request.Origin, ifUnknown.status, 0, ifUnknown)
 		}
 	}
-	n.jobReader.ReadEffectiveState(request.JobID, answer)
+	n.jobReader.ReadEffectiveState(request.JobID, onState)
 }
--- a/internal/controller/worker_service.go
+++ b/internal/controller/worker_service.go
@@ -62,9 +62,9 @@
 
 // recordDelivery records that a response has reached a machine's worker, through the peer via if
 // that is set.
-func (s *workerService) recordDelivery(machine *cluster.Machine, via string) {
+func (s *workerService) recordDelivery(machine *cluster.Machine, relayPeer string) {
 	s.lastDelivery, machine.LastDelivery = s.timing.now, s.timing.now
-	if via == "" {
+	if relayPeer == "" {
 		s.lastDirectDelivery = s.timing.now
 	}
 }
@@ -110,8 +110,8 @@
 	if successor.Workers <= strandedMajorityFactor*s.recentlyServedWorkers() {
 		s.lastServedMajority = now
 	}
-	patience := s.timing.workerLeases(strandedResignLeases)
-	if now-s.lastDelivery >= patience || now-s.lastServedMajority >= patience {
+	resignDelay := s.timing.workerLeases(strandedResignLeases)
+	if now-s.lastDelivery >= resignDelay || now-s.lastServedMajority >= resignDelay {
 		return "workers stranded at " + successor.Node
 	}
 	return ""
