--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -9,17 +9,17 @@
 	"hitchdoor/internal/storage"
 )
 
-// This file connects a node and a leader with admission: submissions are evaluated by the policy,
-// and the rejected ones are reported to the leader.
+// This file connects a node with admission control: the node evaluates submissions by the admission
+// policy and reports the rejected ones to the leader.
 
-// admissionHost is what admission needs from this node. It implements policyHost and
-// publisherHost.
+// admissionHost gives admission control access to its node. It implements
+// admissioncontrol.PolicyHost and admissioncontrol.PublisherHost.
 type admissionHost struct{ node *Node }
 
 // Now returns the time of the current step.
 func (h admissionHost) Now() clock.Instant { return h.node.now }
 
-// ReadRecord reads a record of the key-value store.
+// ReadRecord reads a record of the key-value store. Status 0 means that no usable response arrived.
 func (h admissionHost) ReadRecord(key string, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(result.Status, result.Body)
@@ -29,8 +29,9 @@
 // SubmissionsPerSecond returns the rate at which the cluster may write submissions.
 func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionQueue.ClusterRate() }
 
-// PoliciesAllowed reports whether the operators enable policies and every node understands them.
-// The heartbeats show a node that was downgraded since it wrote its version.
+// PoliciesAllowed reports whether the settings enable admission policies and every node supports
+// them. The level in a peer's heartbeat reveals a node that was downgraded after it had written its
+// version record.
 func (h admissionHost) PoliciesAllowed() bool {
 	node := h.node
 	if !node.settings.FairAdmission || !node.clusterSupports(protocolLevelAdmission) {
@@ -44,14 +45,15 @@
 	return true
 }
 
-// loadAdmissionPolicy applies the record that an earlier leader left, or its absence.
+// loadAdmissionPolicy loads the admission policy that an earlier leader stored. items is empty if
+// there is none.
 func (l *leader) loadAdmissionPolicy(items []storage.Item) {
 	l.writer.NoteRevisions(items)
 	l.admission.LoadStoredPolicy(items, l.loader.JobsRevision())
 }
 
-// evaluateSubmission queues a submission to be written if the policy admits it, and otherwise
-// answers when the policy will.
+// evaluateSubmission queues a submission to be written if the admission policy admits it. Otherwise
+// it rejects the submission and tells the user when to retry.
 func (n *Node) evaluateSubmission(submission *userSubmission) {
 	policy := n.admissionPolicy
 	if policy.Invalid {
@@ -72,9 +74,9 @@
 	n.rejectByPolicy(submission, admissionDeferred(policy.RetryAfterSeconds(verdict)))
 }
 
-// rejectByPolicy rejects a submission that the policy does not admit yet, unless the job is known
-// already. If too little of the read budget is left to find that out, it is rejected in either
-// case; the user retries.
+// rejectByPolicy rejects a submission that the policy does not admit yet, unless the key-value store
+// has a record of the job already. If too little of the read budget is left to look that up, it
+// rejects the submission without the lookup; the user retries.
 func (n *Node) rejectByPolicy(submission *userSubmission, response errorResponse) {
 	if !n.jobReader.HasSpareReads() {
 		n.reply(submission.request.Origin, response.status, response.retryAfterSeconds, response)
@@ -93,8 +95,8 @@
 	n.replyUnavailable(submission.request.Origin)
 }
 
-// tickAdmission reports the submissions that this node did not accept to the leader, at most once
-// per heartbeat, and reads the policy if a peer knows a newer one.
+// tickAdmission reads the admission policy if a peer knows a newer one, and reports the submissions
+// that this node rejected to the leader, at most once per interval of the peers' heartbeats.
 func (n *Node) tickAdmission() {
 	if n.admissionPolicy.NeedsRead() && !n.election.StoreFailing() {
 		n.admissionPolicy.Read(nil)
--- a/internal/controller/admission_status.go
+++ b/internal/controller/admission_status.go
@@ -8,8 +8,8 @@
 	"hitchdoor/internal/admissioncontrol"
 )
 
-// admissionStatus answers an operator's request for this node's admission policy and, if it
-// names a job, for the job's admission.
+// admissionStatus returns this node's admission policy and, if the request names a job, the state of
+// that job's admission.
 func (p statusPages) admissionStatus(request Request) (int, any) {
 	n := p.node
 	policy := n.admissionPolicy
@@ -28,7 +28,7 @@
 	return http.StatusOK, status
 }
 
-// jobAdmissionStatus is what this node knows of a job's admission.
+// jobAdmissionStatus returns what this node knows about the admission of a job.
 func (p statusPages) jobAdmissionStatus(jobID string) *admission.JobStatus {
 	n := p.node
 	status := &admission.JobStatus{ID: jobID, Accepted: n.jobReader.KnownAccepted(jobID)}
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -9,7 +9,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// autoscalerHost gives the autoscaler what it needs from its leader and node.
+// autoscalerHost gives the autoscaler access to its leader and node.
 type autoscalerHost struct{ leader *leader }
 
 // newLeaderAutoscaler returns the autoscaler of a leader.
@@ -24,11 +24,11 @@
 	return h.leader.node.takeCloudRequest()
 }
 
-// ReturnRequest gives a request that was not sent back to the cloud budget.
+// ReturnRequest refunds the cloud budget for a request that was not sent.
 func (h autoscalerHost) ReturnRequest() { h.leader.node.returnCloudRequest() }
 
-// Send sends a request to the cloud, and passes on the response unless the node has stepped down
-// by then.
+// Send sends a request to the cloud and passes its response to onResponse, unless the node has
+// stepped down by then.
 func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration,
 	onResponse func(protocol.CloudResponse)) {
 	h.leader.node.callService(TargetCloud, method, path, body, timeout, func(result CallResult) {
@@ -48,7 +48,7 @@
 	return h.leader.machineRecords.AddListed(host)
 }
 
-// RemoveMachine removes a machine that is certain to be gone, with all its attempts.
+// RemoveMachine removes a machine that certainly no longer exists, with all its task attempts.
 func (h autoscalerHost) RemoveMachine(machine *cluster.Machine) {
 	h.leader.machineRecords.Remove(machine)
 }
@@ -68,16 +68,16 @@
 	return h.leader.MayRunUnreported(job, totals)
 }
 
-// SoonReleasedDependents returns the jobs that wait only for this one, if it should end within the
-// horizon.
+// SoonReleasedDependents returns the jobs whose last pending dependency is this job, if it is
+// expected to end within the horizon.
 func (h autoscalerHost) SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job {
 	return h.leader.dependencies.SoonReleasedDependents(job, horizon)
 }
 
-// ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
+// ReleaseUndelivered releases the task attempts whose start was not delivered to the machine in time.
 func (h autoscalerHost) ReleaseUndelivered() { h.leader.ReleaseUndelivered() }
 
-// NowUnixMilli returns the current wall clock in Unix milliseconds.
+// NowUnixMilli returns the current wall clock time in Unix milliseconds.
 func (h autoscalerHost) NowUnixMilli() int64 { return h.leader.node.nowUnixMilli() }
 
 // InstantFromUnixMilli converts a stored wall clock time to an instant.
--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -9,7 +9,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// catalogHost gives the machine catalog what it needs from its node.
+// catalogHost gives the machine type catalog access to its node. It implements catalog.Host.
 type catalogHost struct{ node *Node }
 
 // Now returns the time of the current step.
@@ -22,7 +22,7 @@
 // budget.
 func (h catalogHost) TakeCloudRequest() bool { return h.node.takeCloudRequest() }
 
-// ReadFromCloud reads a resource of the cloud.
+// ReadFromCloud reads a resource of the cloud API. Status 0 means that no usable response arrived.
 func (h catalogHost) ReadFromCloud(
 	path string, timeout time.Duration, onResponse func(protocol.CloudResponse),
 ) {
@@ -31,14 +31,14 @@
 	})
 }
 
-// ReadFromStore reads a record of the key-value store.
+// ReadFromStore reads a record of the key-value store. Status 0 means that no usable response arrived.
 func (h catalogHost) ReadFromStore(key string, onResponse func(storage.Response)) {
 	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(storage.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
-// MachineTypesChanged updates the leader's machines.
+// MachineTypesChanged applies the new machine types to the leader's machines, if this node leads.
 func (h catalogHost) MachineTypesChanged() {
 	if h.node.leader != nil {
 		h.node.leader.applyMachineTypes()
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -9,7 +9,7 @@
 // Command is an input of Node.Step. The commands are Request, InboundMessage, CallResult, Drain and
 // ServerLoad.
 type Command interface {
-	// apply processes the command. It is called by Step alone.
+	// apply processes the command. Only Step calls it.
 	apply(n *Node)
 }
 
@@ -20,7 +20,7 @@
 	Peer      string
 }
 
-// Request is a command: an HTTP request of a user or a worker.
+// Request is a command: an HTTP request of a user, a worker, an operator or the load balancer.
 type Request struct {
 	Origin    Origin
 	Kind      protocol.RequestKind
@@ -28,7 +28,7 @@
 	Job       *protocol.Job             // parsed body of a submission
 	Heartbeat *protocol.WorkerHeartbeat // parsed body of a worker's heartbeat
 
-	forwarded bool // a submission that was forwarded to the leader before
+	forwarded bool // this node has already forwarded the submission to the leader
 }
 
 // InboundMessage is a command: a message received from the peer From.
@@ -37,7 +37,7 @@
 	Message protocol.PeerMessage
 }
 
-// IsReadOnly reports whether a request changes nothing, so that it may queue behind all
+// IsReadOnly reports whether the request changes no state, so that it may be queued behind all
 // requests that do.
 func (r Request) IsReadOnly() bool {
 	return r.Kind == protocol.RequestQuery || r.Kind == protocol.RequestStatus || r.Kind == protocol.RequestMetrics ||
@@ -50,8 +50,8 @@
 	return forwarded && request.Kind == protocol.RequestQuery
 }
 
-// UnavailableResponse returns the response to a forwarded read-only request that can't be
-// processed now.
+// UnavailableResponse returns the response 503, with a retry after a second, to a forwarded
+// read-only request that can't be processed now.
 func (m InboundMessage) UnavailableResponse() OutboundMessage {
 	request, _ := m.Message.(protocol.ForwardedRequest)
 	response := protocol.ForwardedResponse{ID: request.ID, Status: http.StatusServiceUnavailable, RetryAfter: 1}
@@ -62,8 +62,8 @@
 // and sends workers and users to other nodes until its process exits.
 type Drain struct{}
 
-// CallResult is a command: the outcome of the ServiceCall with the same ID. Status 0 means
-// that no usable response arrived; the request may have been executed, or may be later.
+// CallResult is a command: the outcome of the ServiceCall with the same ID. Status 0 means that no
+// usable response arrived; the request may have been executed, or may still be executed later.
 type CallResult struct {
 	ID     uint64
 	Status int
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -8,9 +8,8 @@
 	"hitchdoor/internal/reachability"
 )
 
-// connectivity is what a node knows of the links between all controllers, by direction. Package
-// reachability evaluates the reports; this type collects them, so that one-way partitions are
-// noticed.
+// connectivity collects the peers' reports about the links between all controllers, separately for
+// each direction, so that one-way partitions are detected. Package reachability evaluates them.
 type connectivity struct {
 	self                string
 	peers               map[string]*peer
@@ -18,7 +17,7 @@
 	invalidReportLogged map[string]bool // peers whose invalid reports were logged
 }
 
-// newConnectivity returns the state of a node that has heard of no link yet.
+// newConnectivity returns the state of a node that has not received any report yet.
 func newConnectivity(self string, peers map[string]*peer) connectivity {
 	names := []string{self}
 	for name := range peers {
@@ -28,11 +27,11 @@
 		invalidReportLogged: map[string]bool{}}
 }
 
-// recordReport records a peer's connectivity report. An invalid report is ignored; its error is
-// returned once per peer, to be logged.
+// recordReport records a peer's connectivity report. It ignores an invalid report, and returns the
+// error only for the first one of each peer, so that the caller logs it once.
 func (c *connectivity) recordReport(sender string, now clock.Instant, report *protocol.LinkReport) error {
 	if report == nil {
-		return nil // an earlier version, which sends no report
+		return nil // the peer runs an earlier version, which sends no reports
 	}
 	err := c.matrix.RecordReport(sender, now, report.ReachabilityReport())
 	if err == nil || c.invalidReportLogged[sender] {
@@ -51,7 +50,8 @@
 	})
 }
 
-// workersReachPeers reports whether some peer reported workers that connect to it within the window.
+// workersReachPeers reports whether some peer has reported within the window that workers connect to
+// it.
 func (c *connectivity) workersReachPeers(now clock.Instant, window time.Duration) bool {
 	for name := range c.peers {
 		if report, ok := c.matrix.LatestReport(name, now, window); ok && report.RecentWorkers > 0 {
--- a/internal/controller/connectivity_host.go
+++ b/internal/controller/connectivity_host.go
@@ -5,7 +5,8 @@
 	"hitchdoor/internal/reachability"
 )
 
-// connectivityReport returns what this node tells its peers about its links and workers.
+// connectivityReport returns the report about this node's links and workers that its heartbeats
+// carry to the peers.
 func (n *Node) connectivityReport() *protocol.LinkReport {
 	report := &protocol.LinkReport{StoreReachable: !n.election.StoreFailing()}
 	for _, peerConfig := range n.cfg.Peers {
@@ -25,15 +26,15 @@
 // twoWayPeerCount returns the number of peers with which messages pass in both directions.
 func (n *Node) twoWayPeerCount() int { return n.connectivity.twoWayPeerCount(n.now, n.leaderLease()) }
 
-// nodeLinks tells a leader's workerService of the links that its node sees.
+// nodeLinks implements workerServiceLinks with the connectivity reports that its node has received.
 type nodeLinks struct{ node *Node }
 
-// WorkersReachPeers reports whether some peer reports workers that connect to it.
+// WorkersReachPeers reports whether some peer reports that workers connect to it.
 func (l nodeLinks) WorkersReachPeers() bool {
 	return l.node.connectivity.workersReachPeers(l.node.now, l.node.leaderLease())
 }
 
-// Successor returns the other node with the most stranded workers, if there is one.
+// Successor returns the other node with the most stranded workers. The count is 0 if there is none.
 func (l nodeLinks) Successor() reachability.StrandedCount {
 	return l.node.connectivity.matrix.Successor(l.node.cfg.Node, l.node.now, l.node.leaderLease())
 }
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -41,6 +41,7 @@
 }
 
 // Reply is an effect: the response to a request received on one of this node's connections.
+// RetryAfter is in seconds; 0 omits the header.
 type Reply struct {
 	RequestID  uint64
 	Status     int
@@ -54,7 +55,7 @@
 	Message protocol.PeerMessage
 }
 
-// TraceStep is an effect: a step in the processing of a job by this node, to be traced.
+// TraceStep is an effect: a step in the processing of a job by this node, for the trace of the job.
 type TraceStep struct{ tracing.Step }
 
 func (ServiceCall) isEffect()     {}
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -9,7 +9,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// initElection creates the election and the records of the peers.
+// initElection creates the election and the state of each peer.
 func (n *Node) initElection() {
 	names := make([]string, 0, len(n.cfg.Peers))
 	for _, peerConfig := range n.cfg.Peers {
@@ -31,7 +31,7 @@
 // stepDown ends this node's term as the leader.
 func (n *Node) stepDown(reason string) { n.election.StepDown(reason) }
 
-// electionHost gives the election access to its node.
+// electionHost gives the election access to its node. It implements election.Host.
 type electionHost struct{ node *Node }
 
 // Now returns the time of the current step.
@@ -49,9 +49,9 @@
 	h.node.send(to, message)
 }
 
-// DescribeController sets what peers need to know of this node apart from the election. A leader
-// that workers can't reach claims to have no spare connections, so that its peers relay for
-// them, except while it probes the direct route.
+// DescribeController sets the fields of a heartbeat that do not concern the election. A leader that
+// workers can't reach reports that it has no spare connections, so that its peers relay the workers'
+// heartbeats, except while it probes the direct route.
 func (h electionHost) DescribeController(heartbeat *protocol.PeerHeartbeat) {
 	node := h.node
 	heartbeat.VersionLevel = protocolLevel
@@ -80,7 +80,8 @@
 	node.leader.loadRecords()
 }
 
-// LeaderCondition returns whether this leader should go on to lead.
+// LeaderCondition returns the reasons, if any, why this leader should step down or resign, and when a
+// worker last sent a heartbeat.
 func (h electionHost) LeaderCondition() election.LeaderCondition {
 	current := h.node.leader
 	condition := election.LeaderCondition{LastWorkerHeartbeat: current.lastWorkerHeartbeat,
@@ -91,7 +92,7 @@
 	return condition
 }
 
-// SteppedDown discards the leader state.
+// SteppedDown rejects the requests that wait for the leader and discards the leader state.
 func (h electionHost) SteppedDown(reason string) {
 	node := h.node
 	node.log.Info("stepped down", "term", node.leader.term, "reason", reason)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -19,9 +19,9 @@
 	l.lastWorkerHeartbeat = node.now
 	if heartbeat.FencingToken > l.term {
 		l.recovery.NoteMismatch(recovery.NewerToken, heartbeat.Machine, "")
-		// The worker has seen a newer leader and would drop the responses of this one.
+		// The worker has seen the token of a newer leader and would discard the response of this one.
 		node.replyUnavailable(request.Origin)
-		node.stepDown("a worker has seen a higher token")
+		node.stepDown("worker " + heartbeat.Machine + " has seen a newer fencing token")
 		return
 	}
 	result, ok := l.reconciler.Reconcile(heartbeat, request.Origin.Peer)
@@ -38,7 +38,8 @@
 	node.reply(request.Origin, http.StatusOK, 0, l.reconciler.Respond(result))
 }
 
-// queueEarlyHeartbeat holds a heartbeat until all records have been read.
+// queueEarlyHeartbeat queues a heartbeat until all records are loaded. It rejects the heartbeat if
+// the queue is full or the key-value store is unavailable.
 func (l *leader) queueEarlyHeartbeat(request Request) {
 	if len(l.earlyHeartbeats) >= l.node.maxEarlyHeartbeats() || l.node.election.StoreUnavailable() {
 		l.node.replyUnavailable(request.Origin)
@@ -47,31 +48,31 @@
 	l.earlyHeartbeats = append(l.earlyHeartbeats, request)
 }
 
-// arrivedBySameRoute reports whether a worker's heartbeat arrived by the same route as the one
-// before it. If so, the response to the previous one has reached the worker: without a response
-// the worker would have turned to another node. With a single node nothing can be concluded.
+// arrivedBySameRoute reports whether a worker's heartbeat arrived by the same route as the previous
+// one. If so, the response to the previous one has reached the worker, because a worker that gets no
+// response turns to another node. In a cluster of a single node there is no other route, so that
+// nothing can be concluded.
 func (l *leader) arrivedBySameRoute(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
 	relayPeer string) bool {
 	return len(l.node.peers) > 0 && machine.LastHeartbeat != clock.Never && machine.RelayPeer == relayPeer &&
 		heartbeat.Epoch == machine.Epoch && heartbeat.Sequence == machine.HeartbeatSeq+1
 }
 
-// reconcilerHost gives the reconciler what it needs from the leader. It implements its host
-// interface.
+// reconcilerHost gives the reconciler access to its leader. It implements reconcile.Host.
 type reconcilerHost struct{ leader *leader }
 
-// RecordMachine makes a machine durable as one that may have tasks.
+// RecordMachine stores a machine's record, which marks it as one that may have tasks.
 func (h reconcilerHost) RecordMachine(machine *cluster.Machine) {
 	h.leader.machineRecords.Record(machine, true)
 }
 
-// MarkTaskDone records that a task is completed and makes that durable.
+// MarkTaskDone marks a task as completed and stores that.
 func (h reconcilerHost) MarkTaskDone(job *cluster.Job, taskIndex int) {
 	h.leader.jobRecords.MarkTaskDone(job, taskIndex)
 }
 
-// ClosedJobState returns the state of a job according to its terminal record, or to one that can't be
-// read.
+// ClosedJobState returns the state of a job that is not open: terminal if its terminal record is
+// known, quarantined if its record can't be read, and otherwise unknown.
 func (h reconcilerHost) ClosedJobState(jobID string) recovery.JobState {
 	if _, isTerminal := h.leader.node.jobReader.TerminalRecord(jobID); isTerminal {
 		return recovery.JobStateTerminal
@@ -82,13 +83,14 @@
 	return recovery.JobStateUnknown
 }
 
-// TerminalJobsLoaded reports whether the records of all terminal jobs have been read.
+// TerminalJobsLoaded reports whether the records of all terminal jobs have been read, so that a job
+// without any record was certainly never stored.
 func (h reconcilerHost) TerminalJobsLoaded() bool {
 	return h.leader.node.jobReader.TerminalJobsLoaded()
 }
 
 // ConfirmDelivery reports whether the route of a heartbeat shows that the last response has reached
-// the worker, and records that.
+// the worker. If so, it records the delivery.
 func (h reconcilerHost) ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
 	relayPeer string) bool {
 	if !h.leader.arrivedBySameRoute(machine, heartbeat, relayPeer) {
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -8,9 +8,10 @@
 	"hitchdoor/internal/storage"
 )
 
-// Handling of users' requests about jobs by the leader.
+// This file handles the users' requests about jobs on the leader.
 
-// onUserRequest serves a user's request as the leader.
+// onUserRequest handles a user's request on the leader. Until the records are loaded, the leader
+// answers queries from the key-value store, accepts submissions and rejects cancellations.
 func (l *leader) onUserRequest(request Request) {
 	n := l.node
 	if !l.recordsLoaded && request.Kind != protocol.RequestSubmit {
@@ -44,8 +45,8 @@
 // no response yet. The state is then read from the key-value store, as the state in memory may be
 // stale.
 //
-// The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
-// leader may have reported that.
+// The state in memory may also be stale for a job with unresolved dependencies: one of them may have
+// been cancelled, and an earlier leader may have reported the cancellation.
 func (l *leader) replyJobState(request Request, job *cluster.Job) {
 	if !job.DependencyCancelled && (job.CompletionUncertain || l.dependencies.MayBeCancelled(job)) {
 		l.node.replyFromStore(request, l, retryLater)
@@ -54,7 +55,7 @@
 	l.node.reply(request.Origin, http.StatusOK, 0, job.State())
 }
 
-// onCancel serves a cancellation, also of a job that is not in the job table.
+// onCancel handles a cancellation. It reads the record of a job that is not in the job table.
 func (l *leader) onCancel(request Request) {
 	n := l.node
 	if job := l.Jobs[request.JobID]; job != nil {
@@ -85,7 +86,7 @@
 }
 
 // cancelJob stops a job at once and replies when the cancellation is durable. While the key-value
-// store is unavailable the user is told to retry; the cancellation remains in effect.
+// store is unavailable, it tells the user to retry; the cancellation remains in effect.
 func (l *leader) cancelJob(job *cluster.Job, origin Origin) {
 	if job.DependencyCancelled {
 		l.node.reply(origin, http.StatusOK, 0, job.State())
--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -8,31 +8,32 @@
 	"hitchdoor/internal/storage"
 )
 
-// jobReaderHost connects the job reader to its node.
+// jobReaderHost gives the job reader access to its node. It implements jobstore.Host.
 type jobReaderHost struct{ node *Node }
 
-// Now implements jobReaderHost.
+// Now returns the time of the current step.
 func (h jobReaderHost) Now() clock.Instant { return h.node.now }
 
-// Get implements jobReaderHost.
+// Get sends a GET request to the key-value store. Status 0 means that no usable response arrived.
 func (h jobReaderHost) Get(path string, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodGet, path, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
 }
 
-// StoreUnavailable implements jobReaderHost.
+// StoreUnavailable reports whether the key-value store is considered down.
 func (h jobReaderHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
-// StoreResponding implements jobReaderHost.
+// StoreResponding reports whether the last call to the key-value store succeeded.
 func (h jobReaderHost) StoreResponding() bool {
 	return h.node.election.StoreReachable()
 }
 
-// HasOpenJob implements jobReaderHost.
+// HasOpenJob reports whether this node leads and has the job in its job table.
 func (h jobReaderHost) HasOpenJob(jobID string) bool {
 	return h.node.leader != nil && h.node.leader.Jobs[jobID] != nil
 }
 
-// TerminalRecordRead implements jobReaderHost.
+// TerminalRecordRead handles a terminal record that was read. A leader quarantines the job's open
+// record if there still is one.
 func (h jobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
 	delete(h.node.unreadableTerminalRecords, jobID)
 	if h.node.holdsLeaderLease() {
@@ -40,7 +41,7 @@
 	}
 }
 
-// TerminalRecordUnreadable implements jobReaderHost.
+// TerminalRecordUnreadable quarantines a terminal record that can't be decoded, once per job.
 func (h jobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
 	node := h.node
 	if node.unreadableTerminalRecords[jobID] != nil {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -22,7 +22,7 @@
 	*scheduler.Scheduler
 	loadState
 	workerService
-	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job
+	cancelWaiters map[string][]Origin // requests waiting for a durable cancellation, by job ID
 
 	attemptCounter uint64
 	writer         *records.TransactionWriter
@@ -62,14 +62,14 @@
 	return l
 }
 
-// attemptCounterBits is the width of the counter in an attempt number. The term is stored in
-// the bits above it, so that no two attempts share a number. Together they stay under 2^53 for
-// two million terms. With 24 bits, 4,000 machines with short tasks exhausted the counter within
-// hours and overflowed into the numbers of the next term.
+// attemptCounterBits is the width of the counter in an attempt number. The bits above it hold the
+// term, so that no two attempts share a number. Attempt numbers stay under 2^53 for two million
+// terms. With a width of 24 bits, 4,000 machines with short tasks exhausted the counter within
+// hours, and it overflowed into the numbers of the next term.
 const attemptCounterBits = 32
 
-// maxAttemptCounter is where a leader steps down for a new term, some scheduling passes before
-// its counter overflows.
+// maxAttemptCounter is the counter value at which a leader steps down, so that a new term begins. The
+// margin to the overflow of the counter suffices for some scheduling passes.
 const maxAttemptCounter = 1<<attemptCounterBits - 1<<24
 
 // NextAttemptNumber returns a number that no other task attempt has.
@@ -78,7 +78,7 @@
 	return l.term<<attemptCounterBits | l.attemptCounter
 }
 
-// rejectWaitingRequests answers all pending requests that they may be retried.
+// rejectWaitingRequests tells the senders of all requests that wait for the leader to retry.
 func (l *leader) rejectWaitingRequests() {
 	for _, waiters := range l.cancelWaiters {
 		for _, origin := range waiters {
@@ -97,13 +97,14 @@
 	l.earlyHeartbeats = nil
 }
 
-// delayedCall is a function to run at an instant.
+// delayedCall is a function that the first tick at or after dueAt runs.
 type delayedCall struct {
 	dueAt clock.Instant
 	run   func()
 }
 
-// finishLoading starts scheduling once all records are loaded.
+// finishLoading is called once all records are loaded. It starts scheduling and processes the
+// heartbeats that were queued until then.
 func (l *leader) finishLoading() {
 	l.recordsLoaded, l.SchedulingNeeded = true, true
 	l.loader.DropStaleDependencies()
@@ -150,7 +151,7 @@
 	l.admission.Tick(l.loader.JobsRevision())
 	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
 		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
-		// Also without a change: pending jobs may have become due.
+		// A pass is due at times even without a change, because pending jobs may have become due.
 		l.Schedule()
 	}
 	l.writer.SendNext()
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -7,11 +7,11 @@
 	"hitchdoor/internal/storage"
 )
 
-// loadState is the progress of a leader that loads the stored records, and what depends on it.
+// loadState is the state of a leader that concerns the reading of stored records.
 type loadState struct {
 	recordsLoaded   bool                  // all records have been loaded
 	lookupBudget    ratelimit.TokenBucket // limits reads of dependencies and of quarantined records
-	earlyHeartbeats []Request             // workers' heartbeats received while loading
+	earlyHeartbeats []Request             // workers' heartbeats that wait until all records are loaded
 }
 
 // newLoadState returns the state at the start of a term, with nothing loaded.
@@ -20,8 +20,8 @@
 	return loadState{lookupBudget: ratelimit.NewTokenBucket(readRate, readRate)}
 }
 
-// initRecords creates the parts that store the leader's records. leaderKeyVersion is the version of
-// the leader key.
+// initRecords creates the components that load and store the leader's records. Every write is
+// conditioned on leaderKeyVersion, the version of the leader key.
 func (l *leader) initRecords(leaderKeyVersion uint64) {
 	node, host := l.node, recordsHost{l}
 	queue := storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion)
@@ -38,7 +38,7 @@
 func (l *leader) loadRecords() {
 	l.loader.ReadListings([]records.Listing{
 		{Prefix: storage.VersionPrefix, Apply: l.node.protocolLevels.apply},
-		// Before the jobs: later dependencies are read with their job.
+		// Dependencies are listed before the jobs. Those written later are read along with their job.
 		{Prefix: storage.DependenciesPrefix, Apply: l.loader.LoadDependencies},
 		{Prefix: storage.JobPrefix, Apply: l.loader.LoadJobs},
 		{Prefix: storage.BitmapPrefix, Apply: l.loader.LoadBitmaps},
@@ -77,14 +77,16 @@
 	l.storeCatalog()
 }
 
-// storeCatalog stores a confirmed catalog of machine types for the next start.
+// storeCatalog stores the catalog of machine types, once the cloud has confirmed it, for controllers
+// that start while the cloud is unavailable.
 func (l *leader) storeCatalog() {
 	if l.recordsLoaded && l.node.catalog.Confirmed {
 		l.machineRecords.StoreCatalog()
 	}
 }
 
-// adoptStoredJob adds a job that was read from the key-value store to the job table.
+// adoptStoredJob adds a job that was read from the key-value store to the job table and returns it.
+// It returns nil while the records are loading, or if the job could not be loaded.
 func (l *leader) adoptStoredJob(id string, item storage.Item) *cluster.Job {
 	if !l.recordsLoaded {
 		return nil
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -43,12 +43,12 @@
 	connectivity connectivity
 
 	admissionPolicy  *admissioncontrol.PolicyFollower
-	policyRejections jobstore.RecentJobs[admission.Group] // jobs rejected here by an admission policy, by id
+	policyRejections jobstore.RecentJobs[admission.Group] // jobs rejected here by an admission policy, by ID
 
 	catalog *catalog.Catalog
 
 	jobReader *jobstore.Reader
-	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job id.
+	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job ID.
 	unreadableTerminalRecords map[string]*records.QuarantinedRecord
 	mismatches                recovery.MismatchCounts // of all recoveries in this process
 	leader                    *leader
@@ -67,8 +67,8 @@
 	Build     string    // build version, shown to operators
 }
 
-// pollsPerWorkerLease is how often per worker lease a node polls the key-value store, for terminal jobs,
-// protocol levels and the like.
+// pollsPerWorkerLease is how often per worker lease a node polls the key-value store for terminal
+// jobs and protocol levels, and a leader looks up pending dependencies.
 const pollsPerWorkerLease = 28
 
 // New returns a node in follower state.
@@ -100,10 +100,10 @@
 	node.workerRouter = workerrouting.NewRouter(node, cluster, peerNames)
 	node.initElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
-	// A response to a request that an earlier process of this node forwarded may still
-	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
-	// therefore start at a random number per process; if every process counted from one, a
-	// late response would be delivered to an unrelated request.
+	// The response to a request that an earlier process of this node forwarded may still arrive,
+	// because the leader answers a cancellation only once it is durable. Forward IDs therefore
+	// start at a random number per process; if every process counted from one, a late response
+	// would be delivered to an unrelated request.
 	node.forwards = forwarding.NewTable[Request](node.processID)
 	return node
 }
@@ -135,7 +135,8 @@
 	}
 }
 
-// clusterSupports reports whether every configured node is known to have at least a protocol level.
+// clusterSupports reports whether every configured node is known to have at least the given protocol
+// level.
 func (n *Node) clusterSupports(level int) bool { return n.protocolLevels.clusterSupports(level) }
 
 // DrainDuration returns how long a node keeps running after a Drain command: long enough for
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -10,14 +10,14 @@
 	"hitchdoor/internal/storage"
 )
 
-// storeResponseObserver is told of each response of the key-value store before the sender of the
-// call. Status 0 means that no usable response arrived.
+// storeResponseObserver is notified of each response of the key-value store before the caller gets
+// it. Status 0 means that no usable response arrived.
 type storeResponseObserver interface {
 	StoreResponded(path string, status int)
 }
 
-// outbox collects the effects of a step and matches the results of calls with their senders. It
-// is the only part of a controller that emits effects.
+// outbox collects the effects of a step and passes the results of service calls to their callbacks.
+// It is the only part of a controller that emits effects.
 type outbox struct {
 	timing        *timing
 	log           *slog.Logger
@@ -26,7 +26,7 @@
 	effects           []Effect
 	nextCallID        uint64
 	pendingCalls      map[uint64]func(CallResult)
-	invalidResponseAt map[Target]clock.Instant // last response that failed validation
+	invalidResponseAt map[Target]clock.Instant // when the last response that failed validation arrived
 }
 
 // newOutbox returns an outbox without effects and pending calls.
@@ -38,7 +38,7 @@
 // emit adds an effect to those of the current step.
 func (o *outbox) emit(effect Effect) { o.effects = append(o.effects, effect) }
 
-// takeEffects returns the collected effects and forgets them.
+// takeEffects removes the collected effects from the outbox and returns them.
 func (o *outbox) takeEffects() []Effect {
 	effects := o.effects
 	o.effects = nil
@@ -55,8 +55,8 @@
 		Timeout: timeout})
 }
 
-// deliverResult passes a result to the function that waits for it. A result without one is of a
-// call whose sender has been dropped.
+// deliverResult passes a result to the callback of its call. A result is ignored if its caller has
+// been discarded and no callback is left.
 func (o *outbox) deliverResult(result CallResult) {
 	onResult, ok := o.pendingCalls[result.ID]
 	if !ok {
@@ -66,8 +66,8 @@
 	onResult(result)
 }
 
-// validateResult returns the result of a call. If the service can't have sent this response, it
-// returns a result with status 0, as the request may or may not have been executed.
+// validateResult returns the result of a call. If the response is not one that the service can send,
+// it returns status 0 instead, because the request may or may not have been executed.
 func (o *outbox) validateResult(target Target, method, path string, result CallResult) CallResult {
 	check := storage.CheckResponse
 	if target == TargetCloud {
@@ -77,7 +77,7 @@
 	if err == nil {
 		return result
 	}
-	// Rate-limited: during such a fault every response may be invalid.
+	// The log line is rate-limited, because every response may be invalid during such a fault.
 	if last, seen := o.invalidResponseAt[target]; !seen || o.timing.now > last+4*o.timing.workerLease() {
 		o.log.Warn("invalid response from service", "service", target.String(), "error", err)
 	}
@@ -88,8 +88,8 @@
 // storeTimeout returns the timeout of one call to the key-value store.
 func (o *outbox) storeTimeout() time.Duration { return o.timing.workerLease() / 14 }
 
-// storeCall emits a request to the key-value store and tells the observer of the response, which
-// shows whether the store is available.
+// storeCall emits a request to the key-value store. It notifies the observer of the response, which
+// shows whether the store is available, before it passes the response to onResult.
 func (o *outbox) storeCall(method, path string, body any, onResult func(CallResult)) {
 	o.callService(TargetStore, method, path, body, o.storeTimeout(), func(result CallResult) {
 		o.storeObserver.StoreResponded(path, result.Status)
@@ -102,7 +102,8 @@
 	o.emit(OutboundMessage{To: to, Message: message})
 }
 
-// reply answers a request, through the peer that forwarded it if there is one.
+// reply responds to a request, through the peer that forwarded it if there is one. retryAfter is in
+// seconds; 0 means none.
 func (o *outbox) reply(origin Origin, status, retryAfter int, body any) {
 	encodedBody := encodeBody(body)
 	if origin.Peer != "" {
@@ -113,18 +114,19 @@
 	o.emit(Reply{RequestID: origin.RequestID, Status: status, RetryAfter: retryAfter, Body: encodedBody})
 }
 
-// replyUnavailable answers that the request can't be processed now and may be retried.
+// replyUnavailable responds that the request can't be processed now and may be retried after a
+// second.
 func (o *outbox) replyUnavailable(origin Origin) {
 	o.reply(origin, http.StatusServiceUnavailable, 1, nil)
 }
 
-// replyWithForwardedResponse answers a request with the leader's response to it.
+// replyWithForwardedResponse passes the leader's response on to the sender of a forwarded request.
 func (o *outbox) replyWithForwardedResponse(origin Origin, response protocol.ForwardedResponse) {
 	o.reply(origin, response.Status, response.RetryAfter, []byte(response.Body))
 }
 
-// encodeBody encodes a request or response body. A nil body stays empty and bytes are passed
-// through.
+// encodeBody encodes a request or response body. It returns nil for a nil body, and bytes
+// unchanged.
 func encodeBody(body any) []byte {
 	switch value := body.(type) {
 	case nil:
--- a/internal/controller/outbox_host.go
+++ b/internal/controller/outbox_host.go
@@ -2,11 +2,12 @@
 
 import "net/http"
 
-// nodeStoreObserver passes on what the responses of the key-value store say of its availability.
+// nodeStoreObserver updates the election and the write budgets of its node from the responses of the
+// key-value store.
 type nodeStoreObserver struct{ node *Node }
 
-// StoreResponded tells the election whether the store answered, and limits the writes if it
-// rejected one for its rate.
+// StoreResponded tells the election whether the store responded, and throttles writes if the store
+// rejected one for exceeding its rate limit.
 func (o nodeStoreObserver) StoreResponded(path string, status int) {
 	o.node.election.RecordStoreResponse(o.node.now, status)
 	if status == http.StatusTooManyRequests && path == "/multi" {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -5,10 +5,10 @@
 	"hitchdoor/internal/protocol"
 )
 
-// peer is what this node knows of another controller.
+// peer is what this node knows about another controller.
 type peer struct {
 	*election.Peer
-	protocolLevel int // protocol level of its version; 0: not announced
+	protocolLevel int // the level in its last heartbeat; 0: it announces none
 }
 
 // onPeerMessage handles a message of another controller. Unknown senders are ignored.
@@ -33,7 +33,7 @@
 	}
 }
 
-// recordPeerHeartbeat records what a peer reports of itself, apart from the election.
+// recordPeerHeartbeat records the fields of a peer's heartbeat that do not concern the election.
 func (n *Node) recordPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
 	sender.protocolLevel = heartbeat.VersionLevel
 	n.admissionPolicy.RecordPeerRevision(heartbeat.PolicyRevision)
@@ -46,7 +46,8 @@
 	}
 }
 
-// leaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
+// leaderPeer returns the peer that leads, or nil if none is known or no message of it has arrived
+// recently.
 func (n *Node) leaderPeer() *peer {
 	leaderPeer := n.election.LeaderPeer()
 	if leaderPeer == nil {
--- a/internal/controller/process.go
+++ b/internal/controller/process.go
@@ -7,7 +7,7 @@
 )
 
 // process is the configuration and the identity of one process of a controller. It stays the same
-// until the process ends, apart from the state of the random numbers.
+// until the process ends, apart from the state of the random number generator.
 type process struct {
 	cfg      *config.Platform
 	settings config.Settings
@@ -17,9 +17,9 @@
 	build     string
 }
 
-// newProcess returns a process with an id of its own.
+// newProcess returns a process with a random ID.
 func newProcess(options Options) process {
-	id := options.Rand.Uint64() ^ uint64(options.StartTime.UnixNano()) | 1 // never 0, which means unknown
+	id := options.Rand.Uint64() ^ uint64(options.StartTime.UnixNano()) | 1 // never 0, which means an unknown process
 	return process{cfg: options.Platform, settings: options.Settings, rng: options.Rand, processID: id,
 		build: options.Build}
 }
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -14,8 +14,9 @@
 	"hitchdoor/internal/storage"
 )
 
-// Protocol levels: the formats of records and messages that a version understands. Level 0 is
-// not announced. It has no dependencies between jobs and names the parts of a bitmap by number.
+// A protocol level identifies the formats of records and messages that a version understands.
+// Versions of level 0 do not announce it; they do not support dependencies between jobs, and they
+// identify the parts of a stored bitmap by number.
 const (
 	protocolLevelDependencies = 1
 	protocolLevelAdmission    = 2 // admission policies
@@ -34,7 +35,7 @@
 	ClusterLevelRaised(previousLevel int)
 }
 
-// protocolLevels is what a node knows of the protocol levels of all controllers. Each node
+// protocolLevels is what a node knows about the protocol levels of all controllers. Each node
 // writes its own level to the key-value store once. Formats that level 0 does not understand
 // are used only after every configured node has written a higher level. A node that has been
 // upgraded is never downgraded, so the minimum that was read stays valid regardless of late
@@ -44,13 +45,13 @@
 	log          *slog.Logger
 	node         string        // this node's name
 	peers        []config.Peer // the other configured nodes
-	build        string        // this version, written with its level
+	build        string        // this node's build version, written with its level
 	readInterval time.Duration
 
 	clusterLevel    int           // minimum over all configured nodes
 	highestSeen     int           // maximum that any node has written
 	requestInFlight bool          // a read or write of levels is in flight
-	lastRead        clock.Instant // last read of the levels
+	lastRead        clock.Instant // when the levels were last read; clock.Never: read them at the next tick
 }
 
 // newProtocolLevels returns the state of a node that has read no levels yet.
@@ -59,7 +60,7 @@
 		build: options.Build, readInterval: readInterval, lastRead: clock.Never}
 }
 
-// clusterSupports reports whether every configured node is known to have at least a level.
+// clusterSupports reports whether every configured node is known to have at least the given level.
 func (p *protocolLevels) clusterSupports(level int) bool { return p.clusterLevel >= level }
 
 // newerVersionSeen reports whether a controller has written a higher protocol level than this
@@ -133,8 +134,8 @@
 	return levelByNode, ownRevision
 }
 
-// write writes this node's level, unless its record has changed since revision: a later process
-// of the node has written it then.
+// write writes this node's level, unless its record has changed since revision. In that case a later
+// process of the node has written it.
 func (p *protocolLevels) write(revision uint64) {
 	key := storage.VersionPrefix + p.node
 	p.requestInFlight = true
--- a/internal/controller/protocol_levels_host.go
+++ b/internal/controller/protocol_levels_host.go
@@ -5,7 +5,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// nodeProtocolLevelsHost gives the protocol levels what they need from their node.
+// nodeProtocolLevelsHost gives protocolLevels access to its node. It implements protocolLevelsHost.
 type nodeProtocolLevelsHost struct{ node *Node }
 
 // Now returns the time of the current step.
@@ -21,7 +21,8 @@
 	})
 }
 
-// ClusterLevelRaised lets a leader rewrite the records whose format level 0 does not understand.
+// ClusterLevelRaised makes a leader rewrite the stored bitmaps in the layout that controllers of
+// level 0 can't read, once no node has that level any more.
 func (h nodeProtocolLevelsHost) ClusterLevelRaised(previousLevel int) {
 	if h.node.leader != nil && previousLevel < protocolLevelDependencies {
 		h.node.leader.jobRecords.UpgradeBitmapLayouts()
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -11,7 +11,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// recordsHost gives the records of a leader what they need from the leader and its node.
+// recordsHost gives package records access to the leader and its node. It implements the host
+// interfaces of that package.
 type recordsHost struct{ leader *leader }
 
 // Now returns the time of the current step.
@@ -42,7 +43,7 @@
 }
 
 // WatchStore sends a long poll to the key-value store and passes its response to onResponse, unless
-// the term has ended by then. It does not count for the availability of the store.
+// the term has ended by then. The response does not affect whether the store is considered available.
 func (h recordsHost) WatchStore(path string, timeout time.Duration, onResponse func(storage.Response)) {
 	node := h.leader.node
 	node.callService(TargetStore, http.MethodGet, path, nil, timeout, func(result CallResult) {
@@ -52,10 +53,10 @@
 	})
 }
 
-// RecordsLoaded reports whether all records were read that were stored at the start of the term.
+// RecordsLoaded reports whether all records that were stored at the start of the term are loaded.
 func (h recordsHost) RecordsLoaded() bool { return h.leader.recordsLoaded }
 
-// CallAfter calls a function after a delay, if the term lasts until then.
+// CallAfter calls a function after a delay, unless the term ends before.
 func (h recordsHost) CallAfter(delay time.Duration, call func()) {
 	l := h.leader
 	l.delayedCalls = append(l.delayedCalls, delayedCall{l.node.now + delay, call})
@@ -85,12 +86,13 @@
 	return isTerminal
 }
 
-// LegacyLeaderPossible reports whether a controller of version level 0 may become leader.
+// LegacyLeaderPossible reports whether a controller of protocol level 0 may become leader.
 func (h recordsHost) LegacyLeaderPossible() bool {
 	return !h.leader.node.clusterSupports(protocolLevelDependencies)
 }
 
-// JobAdded handles a job that was added to the job table.
+// JobAdded adds a job that is new in the job table to the dependency graph. Jobs that were accepted
+// after the records were loaded are also counted for admission and traced.
 func (h recordsHost) JobAdded(job *cluster.Job) {
 	l := h.leader
 	l.dependencies.AddJob(job)
@@ -115,15 +117,15 @@
 	h.leader.dependencies.ForEachDependent(job, visit)
 }
 
-// JobFinished traces the end of a job and remembers its terminal record.
+// JobFinished traces the end of a job and caches its terminal record.
 func (h recordsHost) JobFinished(job *cluster.Job, terminal storage.TerminalRecord) {
 	l := h.leader
 	l.node.traceStep(job.Spec.ID, stepTerminal, string(terminal.State)+" after "+l.jobAge(job))
 	l.node.jobReader.CacheTerminalRecord(job.Spec.ID, terminal)
 }
 
-// JobEnded releases or cancels the dependents of an ended job and answers the users that wait for
-// its cancellation.
+// JobEnded releases or cancels the dependents of an ended job and responds to the users who wait for
+// its cancellation. writtenHere reports whether this leader has written the terminal record.
 func (h recordsHost) JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
 	l := h.leader
 	l.dependencies.ReleaseDependents(jobID, terminal, writtenHere)
--- a/internal/controller/recovery_status.go
+++ b/internal/controller/recovery_status.go
@@ -9,7 +9,8 @@
 	"hitchdoor/internal/statuspage"
 )
 
-// recovery answers with the state of recovery on this node.
+// recovery returns the state of this node's recovery, and the records that this node has
+// quarantined.
 func (p statusPages) recovery(Request) (int, any) {
 	n := p.node
 	status := recovery.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease()}
@@ -30,7 +31,7 @@
 	return http.StatusOK, status
 }
 
-// recoveryMetrics adds the metrics of recovery to a page.
+// recoveryMetrics adds the metrics of the recovery and of quarantined records to a page.
 func (p statusPages) recoveryMetrics(page *statuspage.MetricsPage) {
 	n := p.node
 	page.LabelledGauge("recovery_mismatches", "Mismatches that this process has found in recoveries, by kind.", "kind",
--- a/internal/controller/service_budgets.go
+++ b/internal/controller/service_budgets.go
@@ -18,7 +18,7 @@
 	cloudRequestShare     = 0.75
 )
 
-// submissionBudgetOwner spends the budget of submissions, in package submissions.
+// submissionBudgetOwner is the submission queue, which spends the budget of submission writes.
 type submissionBudgetOwner interface {
 	SetBudget(budget ratelimit.TokenBucket)
 }
@@ -29,15 +29,15 @@
 	timing           *timing
 	limits           *config.StoreLimits
 	log              *slog.Logger
-	submissionWrites submissionBudgetOwner // set once there is one
+	submissionWrites submissionBudgetOwner // nil until the queue is created
 
 	cloudBudget       ratelimit.TokenBucket
 	leaderWriteBudget ratelimit.TokenBucket // writes of the leader's records
 	writesThrottled   bool                  // writes are limited to the store's lower rate
 }
 
-// newServiceBudgets returns the budgets at the rates from the settings, and that of submissions,
-// which its owner is to be created with.
+// newServiceBudgets returns the budgets at the configured rates. The budget of submissions is returned
+// separately, because the submission queue owns it.
 func newServiceBudgets(timing *timing, cluster *config.Cluster, log *slog.Logger) (
 	budgets serviceBudgets, submissionBudget ratelimit.TokenBucket) {
 	cloudRate := cluster.Cloud.RequestsPerS * cloudRequestShare
@@ -58,12 +58,12 @@
 // budget.
 func (b *serviceBudgets) takeCloudRequest() bool { return b.cloudBudget.Take(b.timing.now, 1) }
 
-// returnCloudRequest gives a request that was not sent back to the cloud budget.
+// returnCloudRequest refunds the cloud budget for a request that was not sent.
 func (b *serviceBudgets) returnCloudRequest() { b.cloudBudget.Tokens++ }
 
-// throttleWrites limits writes to the lower rate from the settings. It is called when the
-// store rejects a write for its rate. Finding the lower rate by repeated rejections would
-// delay urgent writes as much as the others.
+// throttleWrites limits writes to the lower rate from the settings. It is called when the store
+// rejects a write of this node or of a peer for exceeding its rate limit. Finding the lower rate by
+// repeated rejections would delay urgent writes as much as the others.
 func (b *serviceBudgets) throttleWrites() {
 	lowerRate := b.limits.LowerWritesPerS()
 	if b.writesThrottled || lowerRate == b.limits.WritesPerS {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -9,12 +9,12 @@
 	"hitchdoor/internal/statuspage"
 )
 
-// statusPages answers the requests about a controller itself: of the load balancer, of operators
-// and for metrics. It reads the node's state and changes nothing.
+// statusPages serves the requests of the load balancer, of operators and of metrics collectors about
+// the controller itself. It reads the node's state and changes nothing.
 type statusPages struct{ node *Node }
 
-// statusPageByKind maps the kinds of requests about the controller itself to the pages that answer
-// them with a status and a body.
+// statusPageByKind maps each kind of request about the controller itself to the function that returns
+// the status and body of the response.
 var statusPageByKind = map[protocol.RequestKind]func(statusPages, Request) (status int, body any){
 	protocol.RequestHealth:    statusPages.health,
 	protocol.RequestStatus:    statusPages.nodeStatus,
@@ -24,7 +24,7 @@
 	protocol.RequestRecovery:  statusPages.recovery,
 }
 
-// health answers the health check of the load balancer. A node is unhealthy while it is
+// health returns the response to the load balancer's health check. A node is unhealthy while it is
 // draining, or while it reaches neither the key-value store nor another controller and does not
 // lead.
 func (p statusPages) health(Request) (int, any) {
@@ -36,7 +36,7 @@
 	return http.StatusOK, statuspage.HealthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel}
 }
 
-// nodeStatus answers with the node's status, and the leader's if this node leads.
+// nodeStatus returns the node's status, with that of the leader if this node leads.
 func (p statusPages) nodeStatus(Request) (int, any) {
 	n := p.node
 	status := statuspage.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(),
@@ -58,7 +58,7 @@
 	return http.StatusOK, status
 }
 
-// metrics answers with the node's metrics, and the leader's if this node leads.
+// metrics returns the node's metrics, with those of the leader if this node leads.
 func (p statusPages) metrics(Request) (int, any) {
 	n := p.node
 	page := &statuspage.MetricsPage{}
@@ -102,7 +102,7 @@
 	page.Gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.PendingChanges()))
 }
 
-// connectivity answers with the links that this node sees, for the operators' link overview.
+// connectivity returns the state of this node's links for the link overview of the operators.
 func (p statusPages) connectivity(Request) (int, any) {
 	n := p.node
 	report := n.connectivityReport()
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -62,7 +62,7 @@
 	write   *submissions.Write
 }
 
-// submissionHost is what the submission queue needs from this node. It implements submissionHost.
+// submissionHost gives the submission queue access to its node. It implements submissions.Host.
 type submissionHost struct{ node *Node }
 
 // Now returns the time of the current step.
@@ -71,20 +71,21 @@
 // StoreUnavailable reports whether the key-value store can't be reached.
 func (h submissionHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
-// ExecuteTxn sends a transaction to the key-value store.
+// ExecuteTxn sends a transaction to the key-value store. Status 0 means that no usable response
+// arrived.
 func (h submissionHost) ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodPost, "/multi", txn, func(result CallResult) {
 		onResponse(result.Status, result.Body)
 	})
 }
 
-// maxDirectJobReads is the number of jobs whose acceptance a node reads itself instead of asking
-// the leader.
+// maxDirectJobReads is the largest number of dependencies whose acceptance a follower reads from the
+// key-value store itself. It forwards a submission with more of them to the leader.
 const maxDirectJobReads = 4
 
 // submitToStore validates a submission and queues it to be written on condition that the job is
-// unknown. The user is answered after the write. Any node may do so, because the leader watches
-// the open jobs.
+// unknown. The user gets the response after the write. Any node may do so, because the leader
+// watches the open jobs. asLeader is the leader that received the submission, or nil on a follower.
 func (n *Node) submitToStore(request Request, asLeader *leader) {
 	if !n.catalog.Known() || n.election.StoreUnavailable() {
 		n.replyUnavailable(request.Origin)
@@ -97,7 +98,7 @@
 	}
 	unconfirmed := n.jobReader.WithoutKnownAccepted(request.Job.Dependencies)
 	if len(unconfirmed) > maxDirectJobReads && asLeader == nil && n.forwardSubmissionOnce(request) {
-		return // the leader has most of them in memory
+		return // the leader has most of the dependencies in memory
 	}
 	n.jobReader.ReadAcceptance(unconfirmed, func(ok, allAccepted bool) {
 		switch {
@@ -111,7 +112,7 @@
 	})
 }
 
-// newSubmission returns a submission with the record that is to be written for it.
+// newSubmission returns a submission with the record to write for it.
 func (n *Node) newSubmission(request Request, asLeader *leader) *userSubmission {
 	record := storage.JobRecord{Spec: *request.Job, AcceptedAtMillis: n.nowUnixMilli()}
 	submission := &userSubmission{request: request, leader: asLeader}
@@ -126,8 +127,8 @@
 
 // validateSubmission returns why a job can't be accepted, or nil if it can. A job that was accepted
 // once stays accepted, even if the catalog or the limits have shrunk since, or if this node knows
-// less than the one that accepted it. Therefore each error is returned to the user only if the job
-// has no record.
+// less than the one that accepted it. The caller therefore returns each error to the user only if
+// the job has no record.
 func (n *Node) validateSubmission(job *protocol.Job, writes []storage.Write) *errorResponse {
 	limits := &n.cfg.Cluster.Store
 	schedulable := isSchedulable(job, &n.cfg.Cluster, n.catalog.Types)
@@ -141,14 +142,14 @@
 	case slices.Contains(job.Dependencies, job.ID):
 		return &unknownDependency
 	case len(job.Dependencies) > 0 && !n.clusterSupports(protocolLevelDependencies):
-		// A node of an earlier version would ignore the dependencies and start the job at once.
-		// Wait until the version record of each node says that it understands them.
+		// A leader of an earlier version would ignore the dependencies and start the job at once.
+		// The user retries until the version record of every node shows that it supports them.
 		return &retryLater
 	}
 	return nil
 }
 
-// onSubmissionResult answers the user once the write of a submission has ended.
+// onSubmissionResult handles the outcome of the write of a submission and responds to the user.
 func (n *Node) onSubmissionResult(submission *userSubmission, result submissions.Result) {
 	switch result.Outcome {
 	case submissions.Accepted:
@@ -171,7 +172,7 @@
 }
 
 // onSubmissionAccepted adds a job whose record is durable to the state of the leader that received
-// it, if that still leads, and answers the user.
+// it, if that still leads, and responds to the user.
 func (n *Node) onSubmissionAccepted(submission *userSubmission, revision uint64) {
 	jobID := submission.request.Job.ID
 	n.jobReader.RecordAccepted(jobID)
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -7,7 +7,7 @@
 	"hitchdoor/internal/config"
 )
 
-// timing is a controller's clock and the time spans that follow from the cluster's configuration.
+// timing is a controller's clock and the time spans derived from the cluster's configuration.
 type timing struct {
 	now clock.Instant // time of the current step
 	// startTime is the wall clock at instant 0. It is used only in stored records and traces.
@@ -18,7 +18,7 @@
 // Now returns the time of the current step.
 func (t *timing) Now() clock.Instant { return t.now }
 
-// advance moves the clock forward. An earlier instant changes nothing.
+// advance moves the clock forward. It ignores an instant before the current one.
 func (t *timing) advance(now clock.Instant) { t.now = max(t.now, now) }
 
 // workerLease returns the duration of the workers' lease. Most time spans of a controller are
@@ -30,7 +30,7 @@
 	return time.Duration(count * float64(t.workerLease()))
 }
 
-// heartbeatInterval returns the interval of the workers' heartbeats.
+// heartbeatInterval returns the interval at which each worker sends heartbeats.
 func (t *timing) heartbeatInterval() time.Duration {
 	return config.Seconds(t.cluster.Workers.HeartbeatIntervalS)
 }
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -15,7 +15,7 @@
 	stepRejected         = "turned away"     // admitted, but the node had no capacity for it
 	stepStored           = "stored"          // the transaction that accepts it was executed
 	stepLoaded           = "known to leader" // the leader has loaded it as an open job
-	stepBlocked          = "waits"           // blocked by an admission check of the scheduler
+	stepBlocked          = "waits"           // a check of the scheduler blocks it
 	stepFirstStart       = "first start"     // start command sent to a machine
 	stepFirstRunning     = "first task runs" // reported by the machine's heartbeat
 	stepTerminal         = "over"            // its terminal record is durable
@@ -44,14 +44,14 @@
 	return "turn in " + strconv.Itoa(verdict.EpochsToTurn) + " epochs"
 }
 
-// TraceBlocked traces which check blocks a job, when that has changed.
+// TraceBlocked traces which check of the scheduler blocks a job, if it is not the previous one.
 func (l *leader) TraceBlocked(job *cluster.Job, previous cluster.WaitReason) {
 	if job.BlockedBy != previous && job.BlockedBy != "" {
 		l.node.traceStep(job.Spec.ID, stepBlocked, string(job.BlockedBy))
 	}
 }
 
-// jobAge formats the time since a job was accepted.
+// jobAge returns the time since a job was accepted, formatted for a trace.
 func (l *leader) jobAge(job *cluster.Job) string {
 	return (l.node.now - job.AcceptedAt).Round(time.Millisecond).String()
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -14,7 +14,7 @@
 // formatUint formats an unsigned integer in decimal.
 func formatUint(value uint64) string { return strconv.FormatUint(value, 10) }
 
-// queuedJobState is the state of an open job of which only the stored record is known.
+// queuedJobState returns the state of an open job of which only the stored record is known.
 func queuedJobState(jobID string) protocol.JobStatus {
 	done, running := 0, 0
 	return protocol.JobStatus{ID: jobID, State: protocol.JobQueued, DoneTasks: &done, RunningTasks: &running}
@@ -33,7 +33,7 @@
 		return
 	}
 	if record, ok := n.jobReader.TerminalRecord(request.JobID); ok {
-		// Terminal states never change, so any node may answer.
+		// A terminal state never changes, so any node may return it.
 		n.reply(request.Origin, http.StatusOK, 0, jobstore.TerminalState(request.JobID, record))
 		return
 	}
@@ -42,12 +42,12 @@
 		return
 	}
 	if request.Origin.Peer != "" {
-		// The sender believes that this node leads. It falls back to the key-value store by itself.
+		// The peer believes that this node leads. On this response it uses the key-value store itself.
 		n.replyUnavailable(request.Origin)
 		return
 	}
 	if request.Kind == protocol.RequestSubmit {
-		// The leader need not receive it first, because it watches the open jobs.
+		// Any node may write a submission, because the leader watches the open jobs.
 		if !n.election.StoreFailing() || !n.forwardSubmissionOnce(request) {
 			n.serveWithoutLeader(request)
 		}
@@ -58,10 +58,11 @@
 	}
 }
 
-// forwardToPeer forwards a request to a peer and waits at most for the timeout.
+// forwardToPeer forwards a request to a peer. If no response arrives within the timeout, the request
+// is served without the leader.
 func (n *Node) forwardToPeer(target *peer, request Request, timeout time.Duration) {
 	id := n.forwards.Add(request, n.now+timeout)
-	// The body is encoded anew from the parsed value, because the original may contain line
+	// The body is encoded again from the parsed value, because the original may contain line
 	// breaks, which would break the framing of messages between peers.
 	message := protocol.ForwardedRequest{ID: id, Kind: request.Kind, JobID: request.JobID}
 	switch request.Kind {
@@ -73,8 +74,9 @@
 	n.send(target.Name, message)
 }
 
-// forwardSubmissionOnce forwards a submission to the leader, at most once, if this node can't
-// write it: the key-value store may refuse one node while it serves the others.
+// forwardSubmissionOnce forwards a submission that this node can't write to the leader, because the
+// key-value store may refuse one node while it serves the others. It reports false if the submission
+// was forwarded before or can't be forwarded.
 func (n *Node) forwardSubmissionOnce(request Request) bool {
 	if request.Origin.Peer != "" || request.forwarded {
 		return false
@@ -83,8 +85,8 @@
 	return n.forwardToLeader(request)
 }
 
-// forwardToLeader forwards a user's request to the leader, if one is known. It reports whether
-// it did.
+// forwardToLeader forwards a user's request to the leader. It reports false if no leader is known or
+// too many forwarded requests are pending.
 func (n *Node) forwardToLeader(request Request) bool {
 	leaderPeer := n.leaderPeer()
 	if leaderPeer == nil || n.forwards.Count() >= n.maxPendingRequests() {
@@ -132,8 +134,8 @@
 		n.workerRouter.RecordServed(request.Heartbeat.Machine)
 	}
 	if n.now >= forward.Deadline {
-		// This process was paused, or the response was delayed on its way. The worker discards
-		// it by now.
+		// This process was paused, or the response was delayed on its way. The worker would
+		// discard the response by now.
 		n.serveWithoutLeader(request)
 		return
 	}
@@ -146,14 +148,15 @@
 		n.jobReader.RecordAccepted(request.JobID)
 	}
 	if response.Status == http.StatusServiceUnavailable && request.Kind != protocol.RequestCancel {
-		// The leader can't answer, but the key-value store may.
+		// The leader can't serve the request, but the key-value store may be able to.
 		n.serveWithoutLeader(request)
 		return
 	}
 	n.replyWithForwardedResponse(request.Origin, response)
 }
 
-// serveWithoutLeader answers what can be answered from the key-value store alone.
+// serveWithoutLeader serves a submission or a query from the key-value store alone, and rejects any
+// other request.
 func (n *Node) serveWithoutLeader(request Request) {
 	switch request.Kind {
 	case protocol.RequestSubmit:
@@ -168,8 +171,8 @@
 	}
 }
 
-// replyToQueryFromStore answers a query from the key-value store. asLeader is the leader on whose
-// behalf it is answered, or nil.
+// replyToQueryFromStore replies to a query from the key-value store. asLeader is the leader that
+// received the query, or nil on a follower.
 func (n *Node) replyToQueryFromStore(request Request, asLeader *leader) {
 	if !protocol.ValidJobID(request.JobID) {
 		n.reply(request.Origin, http.StatusNotFound, 0, nil)
@@ -178,8 +181,8 @@
 	n.replyFromStore(request, asLeader, jobNotFound)
 }
 
-// replyFromStore answers with the stored state of a job, or with ifUnknown if the key-value
-// store has no record of it. An open job is added to the state of asLeader, if that still leads
+// replyFromStore replies with the stored state of a job, or with ifUnknown if the key-value store
+// has no record of it. An open job is added to the state of asLeader, if that still leads
 // and holds its leader lease when the record arrives.
 func (n *Node) replyFromStore(request Request, asLeader *leader, ifUnknown errorResponse) {
 	onState := func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -7,10 +7,11 @@
 	"hitchdoor/internal/workerrouting"
 )
 
-// This file answers the heartbeats of workers. Where a worker is served is decided by the router.
+// This file handles the heartbeats of workers. Package workerrouting decides which node serves a
+// worker.
 
-// onWorkerHeartbeat answers a worker's heartbeat if this node leads, and otherwise relays it or
-// redirects the worker to the leader.
+// onWorkerHeartbeat processes a worker's heartbeat if this node leads. Otherwise it relays the
+// heartbeat or redirects the worker to the leader.
 func (n *Node) onWorkerHeartbeat(request Request) {
 	if n.holdsLeaderLease() {
 		if request.Origin.Peer == "" && n.redirectNewWorker(request) {
@@ -62,8 +63,8 @@
 	n.reply(request.Origin, http.StatusMisdirectedRequest, 0, protocol.HeartbeatRedirect{Node: node})
 }
 
-// servesDirectly reports whether the worker's last heartbeat arrived within the last lease on a
-// connection of this node's own.
+// servesDirectly reports whether the worker's last heartbeat arrived on one of this node's own
+// connections, within the last worker lease.
 func (l *leader) servesDirectly(worker string) bool {
 	machine := l.Machines[worker]
 	return machine != nil && machine.RelayPeer == "" && l.node.now-machine.LastHeartbeat < l.node.workerLease()
