--- a/internal/controller/worker_service.go
+++ b/internal/controller/worker_service.go
@@ -44,9 +44,9 @@
 	enabled bool // the settings let leaders act on the state of links
 
 	lastWorkerHeartbeat clock.Instant
-	// lastServedMajority is when the workers stranded at another node last did not clearly outnumber
+	// lastNotOutnumbered is when the workers stranded at another node last did not clearly outnumber
 	// the workers served by this leader.
-	lastServedMajority    clock.Instant
+	lastNotOutnumbered    clock.Instant
 	lastDelivery          clock.Instant // when a response was last known to have reached its worker
 	lastDirectDelivery    clock.Instant // when a response was last known to have reached its worker directly
 	workersElsewhereSince clock.Instant // since when workers connect to other nodes; clock.Never: they don't
@@ -57,7 +57,7 @@
 func newWorkerService(timing *timing, links workerServiceLinks, state *cluster.State, enabled bool) workerService {
 	now := timing.now
 	return workerService{timing: timing, links: links, state: state, enabled: enabled,
-		lastWorkerHeartbeat: now, lastServedMajority: now, lastDelivery: now, lastDirectDelivery: now,
+		lastWorkerHeartbeat: now, lastNotOutnumbered: now, lastDelivery: now, lastDirectDelivery: now,
 		workersElsewhereSince: clock.Never}
 }
 
@@ -105,14 +105,14 @@
 	now := s.timing.now
 	successor := s.links.Successor()
 	if !s.enabled || successor.Workers == 0 {
-		s.lastServedMajority = now
+		s.lastNotOutnumbered = now
 		return "" // in this common case, don't iterate over all machines
 	}
 	if successor.Workers <= strandedMajorityFactor*s.recentlyServedWorkers() {
-		s.lastServedMajority = now
+		s.lastNotOutnumbered = now
 	}
 	resignDelay := s.timing.workerLeases(strandedResignLeases)
-	if now-s.lastDelivery >= resignDelay || now-s.lastServedMajority >= resignDelay {
+	if now-s.lastDelivery >= resignDelay || now-s.lastNotOutnumbered >= resignDelay {
 		return "workers stranded at " + successor.Node
 	}
 	return ""
