--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -21,7 +21,7 @@
 		l.recovery.NoteMismatch(recovery.NewerToken, heartbeat.Machine, "")
 		// The worker has seen the token of a newer leader and would discard the response of this one.
 		node.replyUnavailable(request.Origin)
-		node.stepDown("worker " + heartbeat.Machine + " has seen a newer fencing token")
+		node.stepDown("a worker has seen a higher token")
 		return
 	}
 	result, ok := l.reconciler.Reconcile(heartbeat, request.Origin.Peer)
