--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -9,29 +9,30 @@
 	"hitchdoor/internal/storage"
 )
 
-// leaderDependencyHost connects the dependency graph to its leader.
-type leaderDependencyHost struct{ leader *leader }
+// dependencyHost gives the dependency graph access to its leader. It implements dependency.Host.
+type dependencyHost struct{ leader *leader }
 
-// TerminalRecord implements dependencyHost.
-func (h leaderDependencyHost) TerminalRecord(jobID string) (storage.TerminalRecord, bool) {
+// TerminalRecord returns the terminal record of a job, if this node knows it.
+func (h dependencyHost) TerminalRecord(jobID string) (storage.TerminalRecord, bool) {
 	return h.leader.node.jobReader.TerminalRecord(jobID)
 }
 
-// InstantFromUnixMilli implements dependencyHost.
-func (h leaderDependencyHost) InstantFromUnixMilli(unixMilli int64) clock.Instant {
+// InstantFromUnixMilli converts a stored wall clock time to an instant.
+func (h dependencyHost) InstantFromUnixMilli(unixMilli int64) clock.Instant {
 	return h.leader.node.instantFromUnixMilli(unixMilli)
 }
 
-// JobReleased implements dependencyHost. The forecast counts the jobs that are released while the
-// records are loading once all of them are loaded.
-func (h leaderDependencyHost) JobReleased(job *cluster.Job) {
+// JobReleased adds a job that has become available to scheduling to the arrival forecast. The
+// forecast counts jobs that are released while the records are loading once all records are loaded.
+func (h dependencyHost) JobReleased(job *cluster.Job) {
 	if h.leader.recordsLoaded {
 		h.leader.autoscaler.RecordArrival(job)
 	}
 }
 
-// CancelJob implements dependencyHost.
-func (h leaderDependencyHost) CancelJob(job *cluster.Job) {
+// CancelJob responds to the users who wait for the cancellation of a job, and cancels the job unless
+// it is terminal.
+func (h dependencyHost) CancelJob(job *cluster.Job) {
 	waiters := h.leader.cancelWaiters
 	for _, origin := range waiters[job.Spec.ID] {
 		h.leader.node.reply(origin, http.StatusOK, 0, job.State())
@@ -42,14 +43,16 @@
 	}
 }
 
-// MayLookUp implements dependencyHost.
-func (h leaderDependencyHost) MayLookUp() bool {
+// MayLookUp takes one read from the lookup budget. It reports false if none is left or the key-value
+// store is unavailable.
+func (h dependencyHost) MayLookUp() bool {
 	node := h.leader.node
 	return !node.election.StoreUnavailable() && h.leader.lookupBudget.Take(node.now, 1)
 }
 
-// ReadTerminalRecord implements dependencyHost.
-func (h leaderDependencyHost) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
+// ReadTerminalRecord reads a job's terminal record and passes it to onRead, unless the term has ended
+// by then. terminal is nil if there is none.
+func (h dependencyHost) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
 	node := h.leader.node
 	node.jobReader.ReadTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) {
 		if node.leader == h.leader {
@@ -58,8 +61,8 @@
 	})
 }
 
-// LoadOpenJob implements dependencyHost.
-func (h leaderDependencyHost) LoadOpenJob(jobID string) {
+// LoadOpenJob reads the record of an open job, if there is one, and adds the job to the job table.
+func (h dependencyHost) LoadOpenJob(jobID string) {
 	node := h.leader.node
 	node.jobReader.ReadItem(storage.JobKey(jobID), func(_ int, item *storage.Item) {
 		if item != nil && node.leader == h.leader {
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -8,14 +8,15 @@
 	"hitchdoor/internal/storage"
 )
 
-// Handling of users' requests about jobs by the leader.
+// This file handles the users' requests about jobs on the leader.
 
-// onUserRequest serves a user's request as the leader.
+// onUserRequest handles a user's request on the leader. Until the records are loaded, the leader
+// answers queries from the key-value store, accepts submissions and rejects cancellations.
 func (l *leader) onUserRequest(request Request) {
 	n := l.node
 	if !l.recordsLoaded && request.Kind != protocol.RequestSubmit {
 		if request.Kind == protocol.RequestQuery {
-			n.answerQueryFromStore(request, l)
+			n.replyToQueryFromStore(request, l)
 			return
 		}
 		n.replyUnavailable(request.Origin)
@@ -24,37 +25,37 @@
 	switch request.Kind {
 	case protocol.RequestSubmit:
 		if job := l.Jobs[request.Job.ID]; job != nil {
-			l.answerJobState(request, job)
+			l.replyJobState(request, job)
 			return
 		}
 		n.submitToStore(request, l)
 	case protocol.RequestQuery:
 		if job := l.Jobs[request.JobID]; job != nil {
-			l.answerJobState(request, job)
+			l.replyJobState(request, job)
 			return
 		}
-		n.answerQueryFromStore(request, l)
+		n.replyToQueryFromStore(request, l)
 	case protocol.RequestCancel:
 		l.onCancel(request)
 	}
 }
 
-// answerJobState replies with a job's state. Once the transaction of the terminal record has been
+// replyJobState replies with a job's state. Once the transaction of the terminal record has been
 // sent, another controller may have read the record and notified a user although this leader has
 // no response yet. The state is then read from the key-value store, as the state in memory may be
 // stale.
 //
-// The same holds for a job with unresolved dependencies: one may be cancelled, and an earlier
-// leader may have reported that.
-func (l *leader) answerJobState(request Request, job *cluster.Job) {
+// The state in memory may also be stale for a job with unresolved dependencies: one of them may have
+// been cancelled, and an earlier leader may have reported the cancellation.
+func (l *leader) replyJobState(request Request, job *cluster.Job) {
 	if !job.DependencyCancelled && (job.CompletionUncertain || l.dependencies.MayBeCancelled(job)) {
-		l.node.answerFromStore(request, l, retryLater)
+		l.node.replyFromStore(request, l, retryLater)
 		return
 	}
 	l.node.reply(request.Origin, http.StatusOK, 0, job.State())
 }
 
-// onCancel serves a cancellation, also of a job that is not in the job table.
+// onCancel handles a cancellation. It reads the record of a job that is not in the job table.
 func (l *leader) onCancel(request Request) {
 	n := l.node
 	if job := l.Jobs[request.JobID]; job != nil {
@@ -65,12 +66,12 @@
 		n.reply(request.Origin, http.StatusNotFound, 0, nil)
 		return
 	}
-	n.jobReader.ReadJob(request.JobID, func(ok bool, open *storage.Item, final *storage.TerminalRecord) {
+	n.jobReader.ReadJob(request.JobID, func(ok bool, open *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
 		case !ok || n.leader != l || !n.holdsLeaderLease():
 			n.replyUnavailable(request.Origin)
-		case final != nil:
-			status := protocol.JobStatus{ID: request.JobID, State: final.State}
+		case terminal != nil:
+			status := protocol.JobStatus{ID: request.JobID, State: terminal.State}
 			n.reply(request.Origin, http.StatusOK, 0, status)
 		case open != nil:
 			if job := l.adoptStoredJob(request.JobID, *open); job != nil {
@@ -85,7 +86,7 @@
 }
 
 // cancelJob stops a job at once and replies when the cancellation is durable. While the key-value
-// store is unavailable the user is told to retry; the cancellation remains in effect.
+// store is unavailable, it tells the user to retry; the cancellation remains in effect.
 func (l *leader) cancelJob(job *cluster.Job, origin Origin) {
 	if job.DependencyCancelled {
 		l.node.reply(origin, http.StatusOK, 0, job.State())
--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -8,40 +8,41 @@
 	"hitchdoor/internal/storage"
 )
 
-// nodeJobReaderHost connects the job reader to its node.
-type nodeJobReaderHost struct{ node *Node }
+// jobReaderHost gives the job reader access to its node. It implements jobstore.Host.
+type jobReaderHost struct{ node *Node }
 
-// Now implements jobReaderHost.
-func (h nodeJobReaderHost) Now() clock.Instant { return h.node.now }
+// Now returns the time of the current step.
+func (h jobReaderHost) Now() clock.Instant { return h.node.now }
 
-// Get implements jobReaderHost.
-func (h nodeJobReaderHost) Get(path string, onResponse func(status int, body []byte)) {
+// Get sends a GET request to the key-value store. Status 0 means that no usable response arrived.
+func (h jobReaderHost) Get(path string, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodGet, path, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
 }
 
-// StoreUnavailable implements jobReaderHost.
-func (h nodeJobReaderHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
+// StoreUnavailable reports whether the key-value store is considered down.
+func (h jobReaderHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
-// StoreResponding implements jobReaderHost.
-func (h nodeJobReaderHost) StoreResponding() bool {
+// StoreResponding reports whether the last call to the key-value store succeeded.
+func (h jobReaderHost) StoreResponding() bool {
 	return h.node.election.StoreReachable()
 }
 
-// HasOpenJob implements jobReaderHost.
-func (h nodeJobReaderHost) HasOpenJob(jobID string) bool {
+// HasOpenJob reports whether this node leads and has the job in its job table.
+func (h jobReaderHost) HasOpenJob(jobID string) bool {
 	return h.node.leader != nil && h.node.leader.Jobs[jobID] != nil
 }
 
-// TerminalRecordRead implements jobReaderHost.
-func (h nodeJobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
+// TerminalRecordRead handles a terminal record that was read. A leader quarantines the job's open
+// record if there still is one.
+func (h jobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
 	delete(h.node.unreadableTerminalRecords, jobID)
 	if h.node.holdsLeaderLease() {
 		h.node.leader.jobRecords.QuarantineOpenRecord(jobID, record)
 	}
 }
 
-// TerminalRecordUnreadable implements jobReaderHost.
-func (h nodeJobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
+// TerminalRecordUnreadable quarantines a terminal record that can't be decoded, once per job.
+func (h jobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
 	node := h.node
 	if node.unreadableTerminalRecords[jobID] != nil {
 		return
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -43,12 +43,12 @@
 	connectivity connectivity
 
 	admissionPolicy  *admissioncontrol.PolicyFollower
-	policyRejections jobstore.RecentJobs[admission.Group] // jobs rejected here by an admission policy, by id
+	policyRejections jobstore.RecentJobs[admission.Group] // jobs rejected here by an admission policy, by ID
 
 	catalog *catalog.Catalog
 
 	jobReader *jobstore.Reader
-	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job id.
+	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job ID.
 	unreadableTerminalRecords map[string]*records.QuarantinedRecord
 	mismatches                recovery.MismatchCounts // of all recoveries in this process
 	leader                    *leader
@@ -67,9 +67,9 @@
 	Build     string    // build version, shown to operators
 }
 
-// pollsPerLease is how often per worker lease a node polls the key-value store, for terminal jobs,
-// protocol levels and the like.
-const pollsPerLease = 28
+// pollsPerWorkerLease is how often per worker lease a node polls the key-value store for terminal
+// jobs and protocol levels, and a leader looks up pending dependencies.
+const pollsPerWorkerLease = 28
 
 // New returns a node in follower state.
 func New(options Options) *Node {
@@ -83,27 +83,27 @@
 		unreadableTerminalRecords: map[string]*records.QuarantinedRecord{},
 	}
 	node.outbox = newOutbox(&node.timing, node.log, nodeStoreObserver{node})
-	node.jobReader = jobstore.NewReader(nodeJobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare,
-		node.workerLease()/pollsPerLease)
+	node.jobReader = jobstore.NewReader(jobReaderHost{node}, cluster.Store.RequestsPerS*followerReadShare,
+		node.workerLease()/pollsPerWorkerLease)
 	budgets, submissionBudget := newServiceBudgets(&node.timing, cluster, node.log)
-	node.submissionQueue = submissions.NewQueue(submissionWriter{node}, cluster, submissionBudget)
+	node.submissionQueue = submissions.NewQueue(submissionHost{node}, cluster, submissionBudget)
 	budgets.submissionWrites = node.submissionQueue
 	node.serviceBudgets = budgets
 	node.protocolLevels = newProtocolLevels(nodeProtocolLevelsHost{node}, options,
-		node.workerLease()/pollsPerLease)
-	node.catalog = catalog.New(nodeCatalogHost{node}, node.log, node.workerLease())
+		node.workerLease()/pollsPerWorkerLease)
+	node.catalog = catalog.New(catalogHost{node}, node.log, node.workerLease())
 	peerNames := make([]string, 0, len(options.Platform.Peers))
-	for _, known := range options.Platform.Peers {
-		peerNames = append(peerNames, known.Node)
+	for _, peerConfig := range options.Platform.Peers {
+		peerNames = append(peerNames, peerConfig.Node)
 	}
 	node.admissionPolicy = admissioncontrol.NewPolicyFollower(admissionHost{node}, cluster, node.log)
 	node.workerRouter = workerrouting.NewRouter(node, cluster, peerNames)
-	node.startElection()
+	node.initElection()
 	node.connectivity = newConnectivity(node.cfg.Node, node.peers)
-	// A response to a request that an earlier process of this node forwarded may still
-	// arrive, because the leader holds a cancellation until it is durable. Forward IDs
-	// therefore start at a random number per process; if every process counted from one, a
-	// late response would be delivered to an unrelated request.
+	// The response to a request that an earlier process of this node forwarded may still arrive,
+	// because the leader answers a cancellation only once it is durable. Forward IDs therefore
+	// start at a random number per process; if every process counted from one, a late response
+	// would be delivered to an unrelated request.
 	node.forwards = forwarding.NewTable[Request](node.processID)
 	return node
 }
@@ -135,7 +135,8 @@
 	}
 }
 
-// clusterSupports reports whether every configured node is known to have at least a protocol level.
+// clusterSupports reports whether every configured node is known to have at least the given protocol
+// level.
 func (n *Node) clusterSupports(level int) bool { return n.protocolLevels.clusterSupports(level) }
 
 // DrainDuration returns how long a node keeps running after a Drain command: long enough for
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -15,18 +15,18 @@
 	stepRejected         = "turned away"     // admitted, but the node had no capacity for it
 	stepStored           = "stored"          // the transaction that accepts it was executed
 	stepLoaded           = "known to leader" // the leader has loaded it as an open job
-	stepBlocked          = "waits"           // blocked by an admission check of the scheduler
+	stepBlocked          = "waits"           // a check of the scheduler blocks it
 	stepFirstStart       = "first start"     // start command sent to a machine
 	stepFirstRunning     = "first task runs" // reported by the machine's heartbeat
 	stepTerminal         = "over"            // its terminal record is durable
 )
 
 // traceStep emits a trace step of a job, if tracing is enabled in the settings.
-func (n *Node) traceStep(job, name, note string) {
+func (n *Node) traceStep(jobID, name, note string) {
 	if n.settings.MaxTraceSteps == 0 {
 		return
 	}
-	step := tracing.Step{Job: job, Node: n.cfg.Node, Name: name, Note: note, At: n.startTime.Add(n.now)}
+	step := tracing.Step{Job: jobID, Node: n.cfg.Node, Name: name, Note: note, At: n.startTime.Add(n.now)}
 	if n.leader != nil {
 		step.Term = n.leader.term
 	}
@@ -44,14 +44,14 @@
 	return "turn in " + strconv.Itoa(verdict.EpochsToTurn) + " epochs"
 }
 
-// TraceBlocked traces which check blocks a job, when that has changed.
+// TraceBlocked traces which check of the scheduler blocks a job, if it is not the previous one.
 func (l *leader) TraceBlocked(job *cluster.Job, previous cluster.WaitReason) {
 	if job.BlockedBy != previous && job.BlockedBy != "" {
 		l.node.traceStep(job.Spec.ID, stepBlocked, string(job.BlockedBy))
 	}
 }
 
-// jobAge formats the time since a job was accepted.
+// jobAge returns the time since a job was accepted, formatted for a trace.
 func (l *leader) jobAge(job *cluster.Job) string {
 	return (l.node.now - job.AcceptedAt).Round(time.Millisecond).String()
 }
