--- a/internal/cluster/estimates.go
+++ b/internal/cluster/estimates.go
@@ -14,15 +14,15 @@
 type Estimates struct {
 	objectives
 	workerTiming
-	clock   TimeSource
-	classes map[string]*classDurations // by job class
+	clock       TimeSource
+	biasByClass map[string]*estimateBias // by job class
 }
 
 // newEstimates returns the estimates at the start of a term, before any task has finished.
 func newEstimates(timeSource TimeSource, settings *config.Cluster) Estimates {
 	return Estimates{
 		objectives: newObjectives(settings), workerTiming: workerTiming{settings},
-		clock: timeSource, classes: map[string]*classDurations{},
+		clock: timeSource, biasByClass: map[string]*estimateBias{},
 	}
 }
 
@@ -76,35 +76,35 @@
 // ExpectedTaskDuration returns the expected run time of one task: the user's estimate, corrected
 // by the finished tasks of the job's class.
 func (e *Estimates) ExpectedTaskDuration(job *Job) time.Duration {
-	bias := 0.0
-	if durations := e.classes[job.Spec.Class]; durations != nil {
-		bias = durations.logBias
+	logBias := 0.0
+	if bias := e.biasByClass[job.Spec.Class]; bias != nil {
+		logBias = bias.logBias
 	}
-	return config.Seconds(max(job.Spec.EstimatedSeconds*math.Exp(bias), 1))
+	return config.Seconds(max(job.Spec.EstimatedSeconds*math.Exp(logBias), 1))
 }
 
-// classDurations holds the estimation error observed for a job class.
-type classDurations struct {
+// estimateBias holds the estimation error observed for a job class.
+type estimateBias struct {
 	logBias float64 // mean of log(actual / estimated run time)
-	samples float64 // weight of the mean, at most maxClassSamples
+	samples float64 // weight of the mean, at most maxBiasSamples
 }
 
 // RecordTaskDuration updates the correction of the job's class by a finished task.
-func (e *Estimates) RecordTaskDuration(job *Job, took time.Duration) {
-	if took <= 0 || job.Spec.EstimatedSeconds <= 0 {
+func (e *Estimates) RecordTaskDuration(job *Job, duration time.Duration) {
+	if duration <= 0 || job.Spec.EstimatedSeconds <= 0 {
 		return
 	}
-	durations := e.classes[job.Spec.Class]
-	if durations == nil {
-		durations = &classDurations{}
-		e.classes[job.Spec.Class] = durations
+	bias := e.biasByClass[job.Spec.Class]
+	if bias == nil {
+		bias = &estimateBias{}
+		e.biasByClass[job.Spec.Class] = bias
 	}
-	durations.samples = min(durations.samples+1, maxClassSamples)
-	durations.logBias += (math.Log(took.Seconds()/job.Spec.EstimatedSeconds) - durations.logBias) / durations.samples
+	bias.samples = min(bias.samples+1, maxBiasSamples)
+	bias.logBias += (math.Log(duration.Seconds()/job.Spec.EstimatedSeconds) - bias.logBias) / bias.samples
 }
 
-// maxClassSamples is the number of finished tasks over which the correction averages.
-const maxClassSamples = 60
+// maxBiasSamples is the number of finished tasks over which the correction averages.
+const maxBiasSamples = 60
 
 // RemainingDuration returns how long an attempt should still run.
 func (e *Estimates) RemainingDuration(attempt *TaskAttempt) time.Duration {
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -22,11 +22,11 @@
 
 // Thresholds that tell faulty jobs from unhealthy machines.
 const (
-	// jobFaultMachines is the number of machines on which a job without any success must have
+	// failsEverywhereMachines is the number of machines on which a job without any success must have
 	// failed to count as failing everywhere.
-	jobFaultMachines = 3
-	// machineFaultTasks is the number of consecutive failures that make a machine unhealthy.
-	machineFaultTasks = 2
+	failsEverywhereMachines = 3
+	// unhealthyAfterFailures is the number of consecutive failures that make a machine unhealthy.
+	unhealthyAfterFailures = 2
 )
 
 // maxProbeDelay bounds the delay until a job that fails everywhere is tried again. Its fault may
@@ -39,8 +39,8 @@
 func (s *State) RecordTaskFailure(machine *Machine, job *Job, taskIndex int, runDuration time.Duration) {
 	job.FailedMachines[machine.Name] = true
 	job.longestFailedRun = max(job.longestFailedRun, runDuration)
-	if len(job.FailedMachines) >= jobFaultMachines && job.DoneTasks == 0 {
-		s.blameJob(job)
+	if len(job.FailedMachines) >= failsEverywhereMachines && job.DoneTasks == 0 {
+		s.markFailsEverywhere(job)
 	}
 	s.backOffTask(job, taskIndex, machine)
 	if job.FailsEverywhere {
@@ -48,12 +48,12 @@
 		job.FailureHistories[taskIndex].RetryAfter = s.Clock.Now() // NextProbeAt holds instead
 		return
 	}
-	s.blameMachine(machine, job)
+	s.recordMachineFailure(machine, job)
 }
 
-// blameJob marks a job that fails everywhere: the fault is its own and not the machines'. Attempts
+// markFailsEverywhere marks a job that fails everywhere: the fault is its own and not the machines'. Attempts
 // that were not sent yet are released, because from now on one task at a time probes the job.
-func (s *State) blameJob(job *Job) {
+func (s *State) markFailsEverywhere(job *Job) {
 	if job.FailsEverywhere {
 		return
 	}
@@ -87,28 +87,28 @@
 	job.NextProbeAt = s.Clock.Now() + min(s.workerLease()<<min(job.FailedProbes, 10)/2, maxProbeDelay)
 }
 
-// blameMachine counts a failure of a task against its machine, and drains the machine once its
+// recordMachineFailure counts a failure of a task against its machine, and drains the machine once its
 // consecutive failures can't be the fault of one job alone.
-func (s *State) blameMachine(machine *Machine, job *Job) {
+func (s *State) recordMachineFailure(machine *Machine, job *Job) {
 	machine.ConsecutiveFailures++
 	machine.FailedJobs[job.Spec.ID] = true
-	if machine.Unhealthy || machine.ConsecutiveFailures < machineFaultTasks {
+	if machine.Unhealthy || machine.ConsecutiveFailures < unhealthyAfterFailures {
 		return
 	}
-	if len(machine.FailedJobs) > 1 || job.DoneTasks > 0 || machine.ConsecutiveFailures >= 2*machineFaultTasks {
+	if len(machine.FailedJobs) > 1 || job.DoneTasks > 0 || machine.ConsecutiveFailures >= 2*unhealthyAfterFailures {
 		machine.Unhealthy = true
 		s.BeginDrain(machine, Unhealthy)
 	}
 }
 
-// OutlivesFailures reports whether a task of a job that fails everywhere has been running so much
+// RunsPastFailurePoint reports whether a task of a job that fails everywhere has been running so much
 // longer than any failed attempt did that the machines were at fault. Waiting for the task to end
 // would cost a healthy job, whose first tasks all met faulty machines, the duration of a whole
 // task.
-func (s *State) OutlivesFailures(job *Job) bool {
-	faultless := 2 * (job.longestFailedRun + s.HeartbeatInterval())
+func (s *State) RunsPastFailurePoint(job *Job) bool {
+	minHealthyRun := 2 * (job.longestFailedRun + s.HeartbeatInterval())
 	for _, attempt := range job.Attempts {
-		if attempt.Phase == AttemptRunning && s.Clock.Now()-attempt.RunningSince > faultless {
+		if attempt.Phase == AttemptRunning && s.Clock.Now()-attempt.RunningSince > minHealthyRun {
 			return true
 		}
 	}
@@ -117,13 +117,13 @@
 
 // Thresholds of the detection of slow machines.
 const (
-	// maxPaceSamples is the number of recent tasks that are considered.
-	maxPaceSamples = 4
-	// minPaceSamples is the least number of tasks that allow a decision.
-	minPaceSamples = 2
-	// slowPaceFactor is the mean ratio of real to typical duration from which a machine counts
+	// maxSlowdownSamples is the number of recent tasks that are considered.
+	maxSlowdownSamples = 4
+	// minSlowdownSamples is the least number of tasks that allow a decision.
+	minSlowdownSamples = 2
+	// slowMachineFactor is the mean ratio of real to typical duration from which a machine counts
 	// as slow. Durations differ by a factor of two anyway.
-	slowPaceFactor = 2.2
+	slowMachineFactor = 2.2
 	// minSiblingSamples is the number of finished tasks of a job that give its typical duration.
 	minSiblingSamples = 3
 )
@@ -132,7 +132,7 @@
 // job. The estimate can't serve for that: it is wrong for all tasks of a job alike.
 func (s *State) RecordPace(machine *Machine, job *Job, duration time.Duration) {
 	if typical, ok := job.typicalTaskDuration(); ok {
-		if len(machine.logDurationRatios) == maxPaceSamples {
+		if len(machine.logDurationRatios) == maxSlowdownSamples {
 			machine.logDurationRatios = machine.logDurationRatios[1:]
 		}
 		machine.logDurationRatios = append(machine.logDurationRatios, math.Log(float64(duration)/float64(typical)))
@@ -158,14 +158,14 @@
 		return
 	}
 	logSlowdown, samples := s.logSlowdown(machine)
-	if samples < minPaceSamples || logSlowdown < math.Log(slowPaceFactor) {
+	if samples < minSlowdownSamples || logSlowdown < math.Log(slowMachineFactor) {
 		return
 	}
 	slowdown := math.Exp(logSlowdown)
 	s.Log.Info("machine slow", "machine", machine.Name, "slowdown", slowdown, "tasks", samples)
 	s.BeginDrain(machine, SlowExecution)
 	for _, attempt := range machine.AttemptsInOrder {
-		s.leaveSlowMachine(attempt, slowdown)
+		s.moveOffSlowMachine(attempt, slowdown)
 	}
 }
 
@@ -179,7 +179,7 @@
 		samples++
 	}
 	for _, attempt := range machine.AttemptsInOrder {
-		if attempt.Phase != AttemptRunning || attempt.Job.MovedTasks[attempt.TaskIndex] {
+		if attempt.Phase != AttemptRunning || attempt.Job.RescheduledTasks[attempt.TaskIndex] {
 			continue
 		}
 		elapsed := s.Clock.Now() - attempt.RunningSince
@@ -191,9 +191,9 @@
 	return logRatioSum / float64(samples), samples
 }
 
-// leaveSlowMachine stops or reschedules an attempt on a slow machine, unless it will end there
+// moveOffSlowMachine stops or reschedules an attempt on a slow machine, unless it will end there
 // sooner.
-func (s *State) leaveSlowMachine(attempt *TaskAttempt, slowdown float64) {
+func (s *State) moveOffSlowMachine(attempt *TaskAttempt, slowdown float64) {
 	expected := s.ExpectedTaskDuration(attempt.Job)
 	if typical, ok := attempt.Job.typicalTaskDuration(); ok {
 		expected = typical
@@ -204,7 +204,7 @@
 		remaining = elapsed // overdue: the slowdown is only a lower bound
 	}
 	switch {
-	case attempt.StopGrace != nil || attempt.Job.MovedTasks[attempt.TaskIndex]:
+	case attempt.StopGrace != nil || attempt.Job.RescheduledTasks[attempt.TaskIndex]:
 	case attempt.Phase != AttemptRunning:
 		s.RequestStop(attempt, 0)
 	case attempt.Job.Spec.CheckpointIntervalSeconds > 0:
@@ -218,10 +218,10 @@
 // task. A task that simply takes longer than its siblings looks slow on every machine and would be
 // stopped again and again.
 func (s *State) RescheduleAttempt(attempt *TaskAttempt, grace float64) {
-	if attempt.Job.MovedTasks == nil {
-		attempt.Job.MovedTasks = map[int]bool{}
+	if attempt.Job.RescheduledTasks == nil {
+		attempt.Job.RescheduledTasks = map[int]bool{}
 	}
-	attempt.Job.MovedTasks[attempt.TaskIndex] = true
+	attempt.Job.RescheduledTasks[attempt.TaskIndex] = true
 	s.RequestStop(attempt, grace)
 }
 
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -38,7 +38,7 @@
 	DoneTasks        int                  // number of finished tasks
 	BitmapParts      []*BitmapPart        // bitmap of finished tasks
 	TasksPerPart     int                  // tasks covered by each part
-	MovedTasks       map[int]bool         // tasks already moved to another machine once, by index
+	RescheduledTasks map[int]bool         // tasks already moved to another machine once, by index
 }
 
 // JobFailures is the failure history of a job and its tasks.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -193,8 +193,8 @@
 	m.AttemptsInOrder = slices.Insert(slices.Clone(m.AttemptsInOrder), position, attempt)
 }
 
-// dropAttempt removes an attempt from the machine.
-func (m *Machine) dropAttempt(attempt *TaskAttempt) {
+// removeAttempt removes an attempt from the machine.
+func (m *Machine) removeAttempt(attempt *TaskAttempt) {
 	delete(m.Attempts, attempt.Key())
 	m.AttemptsInOrder = slices.DeleteFunc(slices.Clone(m.AttemptsInOrder),
 		func(other *TaskAttempt) bool { return other == attempt })
--- a/internal/cluster/objectives.go
+++ b/internal/cluster/objectives.go
@@ -31,7 +31,7 @@
 		if objective.Kind == "guarantee" {
 			table.GuaranteedStartWithin = within
 		}
-		if least, ok := table.MinShare[class]; class != "" && (!ok || objective.MinShare < least) {
+		if lowestShare, ok := table.MinShare[class]; class != "" && (!ok || objective.MinShare < lowestShare) {
 			table.MinShare[class] = objective.MinShare
 		}
 		if objective.Kind == "finished" || objective.Kind == "wait" {
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -87,18 +87,18 @@
 
 // machineTable holds the machines, and the groups in which they are stored.
 type machineTable struct {
-	Machines          map[string]*Machine
-	RemovedMachines   map[string]clock.Instant // machines returned or preempted, and when
-	sortedMachines    []*Machine               // by name; nil: must be rebuilt
-	machinesCheckedAt clock.Instant            // when all machines were last checked
-	totals            MachineTotals            // cached sums over the machines, if TotalsValid
-	TotalsValid       bool
+	Machines        map[string]*Machine
+	RemovedMachines map[string]clock.Instant // machines returned or preempted, and when
+	sortedMachines  []*Machine               // by name; nil: must be rebuilt
+	leasesCheckedAt clock.Instant            // when all machines were last checked
+	totals          MachineTotals            // cached sums over the machines, if TotalsValid
+	TotalsValid     bool
 }
 
 // newMachineTable returns an empty machine table.
 func newMachineTable() machineTable {
 	return machineTable{
-		Machines: map[string]*Machine{}, RemovedMachines: map[string]clock.Instant{}, machinesCheckedAt: clock.Never,
+		Machines: map[string]*Machine{}, RemovedMachines: map[string]clock.Instant{}, leasesCheckedAt: clock.Never,
 	}
 }
 
@@ -173,7 +173,7 @@
 	if machine.Attempts[attempt.Key()] != attempt {
 		return
 	}
-	machine.dropAttempt(attempt)
+	machine.removeAttempt(attempt)
 	s.countActiveTasks(job, -1)
 	if job.Attempts[attempt.TaskIndex] == attempt {
 		delete(job.Attempts, attempt.TaskIndex)
@@ -253,17 +253,17 @@
 // attempts.
 func (s *State) ExpireMachineLeases() {
 	now := s.Clock.Now()
-	if now < s.machinesCheckedAt+s.HeartbeatInterval()/LeaseChecksPerHeartbeat {
+	if now < s.leasesCheckedAt+s.HeartbeatInterval()/LeaseChecksPerHeartbeat {
 		return // a scan of all machines is too expensive for every heartbeat
 	}
-	s.machinesCheckedAt = now
+	s.leasesCheckedAt = now
 	for _, machine := range s.MachinesByName() {
 		lastRenewal := max(machine.LastResponse, s.StartedAt)
 		if now > lastRenewal+s.WorkerLeaseTimeout() {
 			s.expireWorkerLease(machine)
 		}
 	}
-	s.forgetRemovedMachines()
+	s.pruneRemovedMachines()
 }
 
 // expireWorkerLease fences a machine. Nothing of an earlier leader can run there any more, nor
@@ -287,9 +287,9 @@
 	s.BeginDrain(machine, HeartbeatMissed)
 }
 
-// forgetRemovedMachines discards names of removed machines that no delayed list can name any more,
+// pruneRemovedMachines discards names of removed machines that no delayed list can name any more,
 // once there are many.
-func (s *State) forgetRemovedMachines() {
+func (s *State) pruneRemovedMachines() {
 	if len(s.RemovedMachines) <= maxRemovedMachines {
 		return
 	}
--- a/internal/cluster/transitions_test.go
+++ b/internal/cluster/transitions_test.go
@@ -27,14 +27,14 @@
 
 // newTestState returns a state with the team blue at the start of a term.
 func newTestState() (*State, *fakeClock) {
-	now := &fakeClock{now: testTermStart}
+	timeSource := &fakeClock{now: testTermStart}
 	platform := &config.Cluster{Teams: []config.Team{{Name: "blue"}}}
 	platform.Workers.HeartbeatIntervalS, platform.Workers.LeaseS = testHeartbeat.Seconds(), testLease.Seconds()
 	small := &protocol.MachineType{Name: "small", Cores: 8, MemoryGB: 32, Accelerators: 2, ImageCacheGB: 10}
 	return New(Options{
-		Clock: now, Config: platform, Settings: &config.Settings{SlotsPerCore: 2, BaseSlots: 1},
+		Clock: timeSource, Config: platform, Settings: &config.Settings{SlotsPerCore: 2, BaseSlots: 1},
 		Log: slog.New(slog.DiscardHandler), Catalog: map[string]*protocol.MachineType{"small": small},
-	}), now
+	}), timeSource
 }
 
 // newTestMachine adds a machine that is up.
@@ -55,37 +55,37 @@
 	return job
 }
 
-// place places an attempt in a phase. Its number follows those of the machine's other attempts.
-func place(state *State, job *Job, taskIndex int, machine *Machine, phase AttemptPhase) *TaskAttempt {
+// placeAttempt places an attempt in a phase. Its number follows those of the machine's other attempts.
+func placeAttempt(state *State, job *Job, taskIndex int, machine *Machine, phase AttemptPhase) *TaskAttempt {
 	number := uint64(len(machine.Attempts) + 1)
 	attempt := &TaskAttempt{Job: job, TaskIndex: taskIndex, Number: number, Machine: machine, Phase: phase}
 	state.PlaceAttempt(attempt)
 	return attempt
 }
 
-// usage describes all that PlaceAttempt and ReleaseAttempt count.
-func usage(state *State, job *Job, machine *Machine) string {
+// describeUsage describes all that PlaceAttempt and ReleaseAttempt count.
+func describeUsage(state *State, job *Job, machine *Machine) string {
 	return fmt.Sprint(job.PendingTasks, len(job.Attempts), len(machine.Attempts), len(machine.AttemptsInOrder),
 		machine.FreeCapacity(), *state.TeamUsage["blue"], state.ActiveTasks)
 }
 
-func TestPlacedAttemptIsCountedUntilItIsReleased(t *testing.T) {
+func TestAttemptIsCountedUntilReleased(t *testing.T) {
 	for priority, active := range map[protocol.Priority]string{
 		protocol.PriorityLow: "[1 0]", protocol.PriorityStandard: "[1 0]",
 		protocol.PriorityUrgent: "[0 1]", protocol.PriorityProduction: "[0 1]",
 	} {
-		state, now := newTestState()
+		state, timeSource := newTestState()
 		job, machine := newTestJob(state, "j-1", priority), newTestMachine(state, "m-1")
 		job.FirstPendingTask = 3
-		before := usage(state, job, machine)
-		attempt := place(state, job, 1, machine, AttemptRunning)
-		if got, want := usage(state, job, machine), "3 1 1 1 {6 28 1} {2 1} "+active; got != want || !machine.HasImage("img") {
+		before := describeUsage(state, job, machine)
+		attempt := placeAttempt(state, job, 1, machine, AttemptRunning)
+		if got, want := describeUsage(state, job, machine), "3 1 1 1 {6 28 1} {2 1} "+active; got != want || !machine.HasImage("img") {
 			t.Errorf("%s, placed: %s, not %s", priority, got, want)
 		}
-		now.now += time.Second
+		timeSource.now += time.Second
 		for range 2 { // the second release has no effect
 			state.ReleaseAttempt(attempt)
-			if got := usage(state, job, machine); got != before || job.FirstPendingTask != 1 || !state.SchedulingNeeded {
+			if got := describeUsage(state, job, machine); got != before || job.FirstPendingTask != 1 || !state.SchedulingNeeded {
 				t.Errorf("%s, released: %s, not %s", priority, got, before)
 			}
 		}
@@ -104,14 +104,14 @@
 		"last task placed": {func(*State, *Job) {}, 1, testTermStart},
 		"done":             {func(_ *State, job *Job) { job.SetTaskBit(0) }, 0, 0},
 		"another attempt": {func(state *State, job *Job) {
-			place(state, job, 0, newTestMachine(state, "m-2"), AttemptAssigned)
+			placeAttempt(state, job, 0, newTestMachine(state, "m-2"), AttemptAssigned)
 		}, 0, 0},
 		"other tasks pending": {func(_ *State, job *Job) { job.PendingTasks = 2 }, 3, 0},
 	} {
 		state, _ := newTestState()
 		job, machine := newTestJob(state, "j-1", protocol.PriorityStandard), newTestMachine(state, "m-1")
 		job.PendingTasks = 1
-		attempt := place(state, job, 0, machine, AttemptRunning)
+		attempt := placeAttempt(state, job, 0, machine, AttemptRunning)
 		c.change(state, job)
 		state.ReleaseAttempt(attempt)
 		if job.PendingTasks != c.pending || job.PendingSince != c.since || len(machine.Attempts) != 0 {
@@ -135,7 +135,7 @@
 	} {
 		state, _ := newTestState()
 		machine := newTestMachine(state, "m-1")
-		attempt := place(state, newTestJob(state, "j-1", protocol.PriorityStandard), 0, machine, c.phase)
+		attempt := placeAttempt(state, newTestJob(state, "j-1", protocol.PriorityStandard), 0, machine, c.phase)
 		for _, grace := range c.graces {
 			state.RequestStop(attempt, grace)
 		}
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestMachineIsFencedOnceItsLeaseHasCertainlyExpired(t *testing.T) {
+func TestMachineIsFencedAfterLeaseTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
 		lastResponse, now clock.Instant
 		fenced            bool
@@ -159,12 +159,12 @@
 		"no response, after the timeout": {clock.Never, testTermStart + testLeaseTimeout + 1, true},
 		"response before the term":       {testTermStart - time.Second, testTermStart + testLeaseTimeout, false},
 	} {
-		state, now := newTestState()
+		state, timeSource := newTestState()
 		machine := newTestMachine(state, "m-1")
 		machine.LastResponse, machine.Reconciled, machine.UnknownTasks = c.lastResponse, false, 2
 		job := newTestJob(state, "j-1", protocol.PriorityStandard)
-		place(state, job, 0, machine, AttemptRunning)
-		now.now = c.now
+		placeAttempt(state, job, 0, machine, AttemptRunning)
+		timeSource.now = c.now
 		state.ExpireMachineLeases()
 		got := fmt.Sprintf("up %v, reconciled %v, fenced %d, address %q, unknown %d, pending %d, drain %q", machine.Up,
 			machine.Reconciled, machine.FencedEpoch, machine.Address, machine.UnknownTasks, job.PendingTasks, machine.DrainReason)
@@ -179,21 +179,21 @@
 }
 
 func TestLeasesAreCheckedEightTimesPerHeartbeatInterval(t *testing.T) {
-	state, now := newTestState()
+	state, timeSource := newTestState()
 	machine := newTestMachine(state, "m-1")
-	now.now = testTermStart + testLeaseTimeout
+	timeSource.now = testTermStart + testLeaseTimeout
 	state.ExpireMachineLeases()
-	now.now += testHeartbeat/8 - 1
+	timeSource.now += testHeartbeat/8 - 1
 	if state.ExpireMachineLeases(); !machine.Up {
 		t.Error("fenced by a check that was not due")
 	}
-	now.now++
+	timeSource.now++
 	if state.ExpireMachineLeases(); machine.Up {
 		t.Error("not fenced by the check that was due")
 	}
 }
 
-func TestDrainReasons(t *testing.T) {
+func TestDrainReasonPrecedence(t *testing.T) {
 	for _, c := range []struct {
 		reasons []DrainReason
 		final   DrainReason
@@ -205,8 +205,8 @@
 	} {
 		state, _ := newTestState()
 		job, machine := newTestJob(state, "j-1", protocol.PriorityStandard), newTestMachine(state, "m-1")
-		place(state, job, 0, machine, AttemptAssigned)
-		sent := place(state, job, 1, machine, AttemptSent)
+		placeAttempt(state, job, 0, machine, AttemptAssigned)
+		sent := placeAttempt(state, job, 1, machine, AttemptSent)
 		for _, reason := range c.reasons {
 			state.BeginDrain(machine, reason)
 		}
@@ -224,7 +224,7 @@
 
 // Repeated failures are the fault of the job if it fails on three machines without any success, and
 // else of the machine.
-func TestFaultOfRepeatedFailures(t *testing.T) {
+func TestRepeatedFailuresMarkJobOrMachineFaulty(t *testing.T) {
 	for name, c := range map[string]struct {
 		failures  []string // job and machine of each failure, one digit each
 		doneTasks int
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -38,9 +38,9 @@
 // may take as long as a task.
 func (s *Scheduler) scheduleQueue(pass *schedulingPass) {
 	for queue := s.PendingOrder; len(queue) > 0; {
-		sameRank := queue[:jobsOfFirstRank(queue)]
-		for _, mayFetch := range []bool{false, true} {
-			if !s.scheduleRank(sameRank, pass, mayFetch) {
+		sameRank := queue[:firstRankSize(queue)]
+		for _, mayPull := range []bool{false, true} {
+			if !s.scheduleRank(sameRank, pass, mayPull) {
 				return
 			}
 		}
@@ -48,8 +48,8 @@
 	}
 }
 
-// jobsOfFirstRank returns how many jobs at the head of a queue share a rank.
-func jobsOfFirstRank(queue []QueuedJob) int {
+// firstRankSize returns how many jobs at the head of a queue share a rank.
+func firstRankSize(queue []QueuedJob) int {
 	count := 1
 	for count < len(queue) && queue[count].Rank == queue[0].Rank {
 		count++
@@ -59,7 +59,7 @@
 
 // scheduleRank places tasks of jobs that share a rank, and reports whether the pass may still have
 // room: it has none once its only machine is full.
-func (s *Scheduler) scheduleRank(sameRank []QueuedJob, pass *schedulingPass, mayFetch bool) bool {
+func (s *Scheduler) scheduleRank(sameRank []QueuedJob, pass *schedulingPass, mayPull bool) bool {
 	for _, queued := range sameRank {
 		s.CandidatesExamined++
 		if len(pass.machines) == 1 && !pass.machines[0].HasSpareCapacity() {
@@ -74,7 +74,7 @@
 			maxTasks = job.Spec.TaskCount/cluster.OverdueTaskDivisor + 1 - len(job.Attempts)
 		}
 		previous := job.BlockedBy
-		job.BlockedBy = s.scheduleJob(job, pass, mayFetch, maxTasks)
+		job.BlockedBy = s.scheduleJob(job, pass, mayPull, maxTasks)
 		s.Host.TraceBlocked(job, previous)
 	}
 	return true
@@ -86,14 +86,14 @@
 	pass       *schedulingPass
 	team       *config.Team
 	teamUsage  *cluster.ResourceUsage
-	mayFetch   bool
+	mayPull    bool
 	candidates *candidateHeap // nil until the first task passes the checks
 }
 
 // scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
 // the check that stopped it.
 func (s *Scheduler) scheduleJob(
-	job *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int,
+	job *cluster.Job, pass *schedulingPass, mayPull bool, maxTasks int,
 ) cluster.WaitReason {
 	if reason := s.checkJob(job, pass); reason != cluster.WaitNone {
 		return reason
@@ -101,7 +101,7 @@
 	if job.FailsEverywhere {
 		maxTasks = 1 // one task probes whether the job still fails
 	}
-	placement := jobPlacement{job: job, pass: pass, mayFetch: mayFetch,
+	placement := jobPlacement{job: job, pass: pass, mayPull: mayPull,
 		team: s.Config.Team(job.Spec.Team), teamUsage: s.TeamUsage[job.Spec.Team]}
 	reason := cluster.WaitNone
 	noneSkipped := true // no pending task has been skipped yet
@@ -137,7 +137,7 @@
 	if s.Host.MayRunUnreported(job, &pass.MachineTotals) {
 		return cluster.WaitReconciliation
 	}
-	if job.FailsEverywhere && s.OutlivesFailures(job) {
+	if job.FailsEverywhere && s.RunsPastFailurePoint(job) {
 		job.FailsEverywhere, job.FailedProbes = false, 0
 		s.Log.Info("job no longer fails everywhere", "job", job.Spec.ID)
 	}
@@ -171,7 +171,7 @@
 		avoidedMachine = history.AvoidedMachine
 	}
 	if placement.candidates == nil {
-		placement.candidates = s.FindCandidates(job, placement.pass.machines, placement.mayFetch)
+		placement.candidates = s.FindCandidates(job, placement.pass.machines, placement.mayPull)
 	}
 	machine := placement.candidates.BestMachine(avoidedMachine)
 	switch {
@@ -180,7 +180,7 @@
 		return taskOutcome{}
 	case avoidedMachine != "":
 		return taskOutcome{reason: cluster.WaitCapacity}
-	case placement.candidates.slowFetchExcluded:
+	case placement.candidates.slowPullExcluded:
 		return taskOutcome{reason: cluster.WaitImage, stopsJob: true}
 	default:
 		return taskOutcome{reason: cluster.WaitCapacity, stopsJob: true}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -17,14 +17,14 @@
 	job       *cluster.Job
 	entries   []candidate // in heap order
 
-	slowFetchExcluded bool // machines with a long image fetch are excluded
+	slowPullExcluded bool // machines with a long image fetch are excluded
 }
 
 // candidate is a feasible machine with its score; lower values are better.
 type candidate struct {
 	machine                *cluster.Machine
 	drainPenalty, loadStep int
-	fetchSeconds, load     float64
+	pullSeconds, load      float64
 }
 
 // Len, Swap, Push, Less and Pop implement heap.Interface.
@@ -39,7 +39,7 @@
 	return cmp.Or(
 		cmp.Compare(a.drainPenalty, b.drainPenalty),
 		cmp.Compare(a.loadStep, b.loadStep),
-		cmp.Compare(a.fetchSeconds, b.fetchSeconds),
+		cmp.Compare(a.pullSeconds, b.pullSeconds),
 		cmp.Compare(a.load, b.load),
 		cmp.Compare(a.machine.Name, b.machine.Name),
 	) < 0
@@ -52,14 +52,14 @@
 	return last
 }
 
-// FindCandidates filters and scores the machines for a job. Unless mayFetch is set, only machines
+// FindCandidates filters and scores the machines for a job. Unless mayPull is set, only machines
 // that have the job's image qualify.
-func (s *Scheduler) FindCandidates(job *cluster.Job, machines []*cluster.Machine, mayFetch bool) *candidateHeap {
+func (s *Scheduler) FindCandidates(job *cluster.Job, machines []*cluster.Machine, mayPull bool) *candidateHeap {
 	candidates := &candidateHeap{scheduler: s, job: job}
-	maxFetch := math.Inf(1)
-	if mayFetch {
-		maxFetch = s.maxFetchSeconds(job)
-		candidates.slowFetchExcluded = !math.IsInf(maxFetch, 1)
+	maxPullSeconds := math.Inf(1)
+	if mayPull {
+		maxPullSeconds = s.maxPullSeconds(job)
+		candidates.slowPullExcluded = !math.IsInf(maxPullSeconds, 1)
 	}
 	// Faulty machines are idle, so the score alone would choose them again and again.
 	avoidFailedMachines := job.FailsEverywhere && s.Clock.Now() < job.NextProbeAt+3*s.HeartbeatInterval()
@@ -71,8 +71,8 @@
 		if !s.acceptsTask(machine, job) {
 			continue
 		}
-		fetchSeconds := job.Spec.ImageGB / machine.MachineType.PullGBPerSecond
-		if machine.HasImage(job.Spec.Image) || mayFetch && fetchSeconds <= maxFetch {
+		pullSeconds := job.Spec.ImageGB / machine.MachineType.PullGBPerSecond
+		if machine.HasImage(job.Spec.Image) || mayPull && pullSeconds <= maxPullSeconds {
 			candidates.entries = append(candidates.entries, candidates.score(machine))
 		}
 	}
@@ -86,11 +86,11 @@
 	return available && s.fitsBesideReservation(job, machine) && cluster.Feasible(&job.Spec, machine)
 }
 
-// maxFetchSeconds returns how long a task of the job may fetch its image. A job with a start
+// maxPullSeconds returns how long a task of the job may fetch its image. A job with a start
 // objective of seconds waits for a machine that has the image, if there is one, because a long
 // fetch elsewhere would miss the objective for certain; but it waits only for imageWaitPercent of
 // that objective.
-func (s *Scheduler) maxFetchSeconds(job *cluster.Job) float64 {
+func (s *Scheduler) maxPullSeconds(job *cluster.Job) float64 {
 	limit := s.StartSLO(job)
 	if limit == 0 || !s.TooSoonToScaleOut(limit) || s.Clock.Now() > job.EligibleAt+limit*imageWaitPercent/100 {
 		return math.Inf(1)
@@ -125,7 +125,7 @@
 	}
 	scored.loadStep = int(scored.load * float64(c.scheduler.Settings.LoadSteps))
 	if image := c.job.Spec.Image; !machine.HasImage(image) {
-		scored.fetchSeconds = c.job.Spec.ImageGB / machineType.PullGBPerSecond
+		scored.pullSeconds = c.job.Spec.ImageGB / machineType.PullGBPerSecond
 	}
 	if machine.Draining {
 		scored.drainPenalty = 1 // keep surplus machines empty unless no other has room
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -22,22 +22,22 @@
 		teamUsage.Cores += float64(job.Spec.TaskCount) * job.Spec.Cores
 		teamUsage.Accelerators += float64(job.Spec.TaskCount) * job.Spec.Accelerators
 		usageByTeam[job.Spec.Team] = teamUsage
-		if team := s.Config.Team(job.Spec.Team); team != nil && !exceeds(&teamUsage, team) {
+		if team := s.Config.Team(job.Spec.Team); team != nil && !usageExceedsGuarantee(&teamUsage, team) {
 			withinGuarantee[job] = true
 		}
 	}
 	return withinGuarantee
 }
 
-// exceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
+// teamExceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
 // have a start objective for guaranteed work.
-func (s *Scheduler) exceedsGuarantee(job *cluster.Job) bool {
+func (s *Scheduler) teamExceedsGuarantee(job *cluster.Job) bool {
 	team, teamUsage := s.Config.Team(job.Spec.Team), s.TeamUsage[job.Spec.Team]
-	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil && exceeds(teamUsage, team)
+	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil && usageExceedsGuarantee(teamUsage, team)
 }
 
-// exceeds reports whether a usage exceeds the guarantee of a team.
-func exceeds(usage *cluster.ResourceUsage, team *config.Team) bool {
+// usageExceedsGuarantee reports whether a usage exceeds the guarantee of a team.
+func usageExceedsGuarantee(usage *cluster.ResourceUsage, team *config.Team) bool {
 	return usage.Cores > team.GuaranteedCPUs+cluster.ResourceTolerance ||
 		usage.Accelerators > team.GuaranteedGPUs+cluster.ResourceTolerance
 }
@@ -53,10 +53,10 @@
 // guaranteed work wait for minutes.
 func (s *Scheduler) preemptForGuarantees() {
 	now := s.Clock.Now()
-	if s.GuaranteedStartWithin == 0 || now < s.preemptedAt+s.HeartbeatInterval()/2 || !s.AllReconciled() {
+	if s.GuaranteedStartWithin == 0 || now < s.preemptionTriedAt+s.HeartbeatInterval()/2 || !s.AllReconciled() {
 		return
 	}
-	s.preemptedAt = now
+	s.preemptionTriedAt = now
 	neededCores := s.coresNeededWithinGuarantees()
 	if len(neededCores) == 0 {
 		return
@@ -120,8 +120,8 @@
 	if attempt.Phase != cluster.AttemptRunning || job.Spec.CheckpointIntervalSeconds <= 0 {
 		return false
 	}
-	return s.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun && !job.MovedTasks[attempt.TaskIndex] &&
-		!s.guaranteedJobs[job] && s.exceedsGuarantee(job)
+	return s.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun && !job.RescheduledTasks[attempt.TaskIndex] &&
+		!s.guaranteedJobs[job] && s.teamExceedsGuarantee(job)
 }
 
 // preemptFor preempts victims until the missing cores of a job are covered, on machines with the
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -42,9 +42,9 @@
 // LatencySensitiveWorkDelayed reports whether latency-sensitive work has waited longer than
 // borrowing allows.
 func (s *Scheduler) LatencySensitiveWorkDelayed(queue []QueuedJob) bool {
-	patience := config.Seconds(s.Settings.BorrowWaitS)
+	maxWait := config.Seconds(s.Settings.BorrowWaitS)
 	return slices.ContainsFunc(queue, func(queued QueuedJob) bool {
-		return cluster.IsLatencySensitive(&queued.Job.Spec) && s.Clock.Now()-queued.Job.PendingSince > patience
+		return cluster.IsLatencySensitive(&queued.Job.Spec) && s.Clock.Now()-queued.Job.PendingSince > maxWait
 	})
 }
 
@@ -89,7 +89,7 @@
 	case age > cluster.OverdueAfter && !job.HasStarted():
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, job.EligibleAt, true
 	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive &&
-		!(job.HasStarted() && s.exceedsGuarantee(job)):
+		!(job.HasStarted() && s.teamExceedsGuarantee(job)):
 		// A started job that exceeds its team's guarantee is not moved ahead.
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, job.EligibleAt, true
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -35,7 +35,7 @@
 	PendingOrder            []QueuedJob           // pending jobs in scheduling order
 	guaranteedJobs          map[*cluster.Job]bool // jobs that fit into their team's guarantee
 	latencySensitiveDelayed bool                  // latency-sensitive work has waited for too long
-	preemptedAt             clock.Instant         // when preemption was last tried
+	preemptionTriedAt       clock.Instant         // when preemption was last tried
 	ReconciledOnce          bool                  // all machines were reconciled at some time in this term
 }
 
@@ -83,10 +83,10 @@
 // its heartbeats stopped or its responses are lost. Received heartbeats alone do not prove that
 // the machine will ever start them.
 func (s *Scheduler) ReleaseUndelivered() {
-	patience := 2*s.HeartbeatInterval() + s.HeartbeatInterval()/2
+	maxUndelivered := 2*s.HeartbeatInterval() + s.HeartbeatInterval()/2
 	for _, machine := range s.MachinesByName() {
 		for _, attempt := range machine.AttemptsInOrder {
-			if attempt.Phase == cluster.AttemptAssigned && s.Clock.Now()-attempt.AssignedAt > patience {
+			if attempt.Phase == cluster.AttemptAssigned && s.Clock.Now()-attempt.AssignedAt > maxUndelivered {
 				s.ReleaseAttempt(attempt)
 				s.DelayTask(attempt.Job, attempt.TaskIndex, machine, 0)
 			}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -15,15 +15,17 @@
 
 // testHost is the clock and the host of a scheduler under test.
 type testHost struct {
-	now         clock.Instant
-	attempts    uint64
-	mayRunStill bool
+	now              clock.Instant
+	attempts         uint64
+	mayRunUnreported bool
 }
 
-func (h *testHost) Now() clock.Instant                                         { return h.now }
-func (h *testHost) MayRunUnreported(*cluster.Job, *cluster.MachineTotals) bool { return h.mayRunStill }
-func (h *testHost) NextAttemptNumber() uint64                                  { h.attempts++; return h.attempts }
-func (h *testHost) TraceBlocked(*cluster.Job, cluster.WaitReason)              {}
+func (h *testHost) Now() clock.Instant { return h.now }
+func (h *testHost) MayRunUnreported(*cluster.Job, *cluster.MachineTotals) bool {
+	return h.mayRunUnreported
+}
+func (h *testHost) NextAttemptNumber() uint64                     { h.attempts++; return h.attempts }
+func (h *testHost) TraceBlocked(*cluster.Job, cluster.WaitReason) {}
 
 // testNow is the time of the passes under test.
 const testNow = 10 * time.Minute
@@ -61,11 +63,11 @@
 
 // Slots come before the team quota, and that before the overall quota: a job that several checks
 // would stop is blocked by the first.
-func TestChecksAreMadeInTheirOrder(t *testing.T) {
+func TestAdmissionCheckOrder(t *testing.T) {
 	const batch, urgent = protocol.PriorityStandard, protocol.PriorityUrgent
 	type change = func(job *cluster.Job, host *testHost)
 	free, full := slotUsage{totalSlots: 4}, slotUsage{totalSlots: 4, batchTasks: 4}
-	half, notLent := slotUsage{totalSlots: 4, batchTasks: 2}, slotUsage{totalSlots: 4, batchTasks: 2, latencySensitiveDelayed: true}
+	halfTaken, noBorrowing := slotUsage{totalSlots: 4, batchTasks: 2}, slotUsage{totalSlots: 4, batchTasks: 2, latencySensitiveDelayed: true}
 	cores := func(cores float64) cluster.ResourceUsage { return cluster.ResourceUsage{Cores: cores} }
 	retryAt := func(at clock.Instant) change { return func(job *cluster.Job, _ *testHost) { failTask(job, at) } }
 	ofTeam := func(team string) change { return func(job *cluster.Job, _ *testHost) { job.Spec.Team = team } }
@@ -90,20 +92,20 @@
 		"slots and quota":              {priority: batch, slots: full, teamUsage: cores(7), blockedBy: cluster.WaitSlots},
 		"overall quota":                {priority: batch, slots: overallFull, blockedBy: cluster.WaitOverallQuota},
 		"quota and overall quota":      {priority: batch, slots: overallFull, teamUsage: cores(7), blockedBy: cluster.WaitTeamQuota},
-		"batch, slots lent":            {priority: batch, slots: half},
-		"batch, slots not lent":        {priority: batch, slots: notLent, blockedBy: cluster.WaitSlots},
-		"urgent, slots not lent":       {priority: urgent, slots: notLent},
+		"batch, slots lent":            {priority: batch, slots: halfTaken},
+		"batch, slots not lent":        {priority: batch, slots: noBorrowing, blockedBy: cluster.WaitSlots},
+		"urgent, slots not lent":       {priority: urgent, slots: noBorrowing},
 		"urgent, slots lent to batch":  {priority: urgent, slots: full, blockedBy: cluster.WaitOverallQuota},
 		"urgent, slots":                {priority: urgent, slots: fullOfUrgent, blockedBy: cluster.WaitSlots},
 		"batch, slots taken by urgent": {priority: batch, slots: fullOfUrgent, blockedBy: cluster.WaitOverallQuota},
 		"backoff before slots":         {priority: batch, slots: full, change: retryAt(testNow + 1), blockedBy: cluster.WaitBackoff},
 		"backoff over":                 {priority: batch, slots: free, change: retryAt(testNow)},
 		"reconciliation before backoff": {priority: batch, slots: full, change: func(job *cluster.Job, host *testHost) {
-			host.mayRunStill = true
+			host.mayRunUnreported = true
 			failTask(job, testNow+1)
 		}, blockedBy: cluster.WaitReconciliation},
 		"quarantine before reconciliation": {priority: batch, slots: full, change: func(job *cluster.Job, host *testHost) {
-			host.mayRunStill = true
+			host.mayRunUnreported = true
 			job.Quarantined = true
 		}, blockedBy: cluster.WaitQuarantine},
 		"capacity after the checks": {priority: batch, slots: free, change: func(job *cluster.Job, _ *testHost) { job.Spec.MemoryGB = 41 }, blockedBy: cluster.WaitCapacity},
@@ -130,7 +132,7 @@
 	}
 }
 
-func TestRanks(t *testing.T) {
+func TestJobRank(t *testing.T) {
 	started := func(job *cluster.Job) { job.FirstStartAt = testNow - time.Minute }
 	age := func(job *cluster.Job, age time.Duration) { job.EligibleAt = testNow - age }
 	deadline := func(seconds float64) func(*Scheduler, *cluster.Job) {
@@ -200,7 +202,7 @@
 
 // With ten cores, nine core seconds are done each second. A job stands for its due time in seconds,
 // its work in core seconds and its rank before.
-func TestLargestJobsAreDemotedWhileNotAllAreInTime(t *testing.T) {
+func TestLargestJobsAreDemotedWhenSomeWouldBeLate(t *testing.T) {
 	type jobCase struct {
 		due, work float64
 		rank      int
