--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -5,25 +5,25 @@
 	"hitchdoor/internal/config"
 )
 
-// slotUsage counts the scheduler slots of all machines that are up, and the taken ones by class
-// of work: batch, and latency-sensitive (priorities prod and urgent).
+// slotUsage counts the scheduler slots of all machines that are up, and the tasks that occupy them by
+// class of work: batch, and latency-sensitive (priorities prod and urgent).
 type slotUsage struct {
 	totalSlots                        float64
 	batchTasks, latencySensitiveTasks int
 	latencySensitiveDelayed           bool
 }
 
-// takenSlots returns the number of slots in use by both classes.
+// takenSlots returns the number of slots that tasks of both classes occupy.
 func (u *slotUsage) takenSlots() int { return u.batchTasks + u.latencySensitiveTasks }
 
-// schedulingPass is the state shared by all checks and placements of one pass.
+// schedulingPass holds what all checks and placements of one scheduling pass share.
 type schedulingPass struct {
 	slotUsage
 	cluster.MachineTotals
-	machines []*cluster.Machine // candidates of this pass
+	machines []*cluster.Machine // machines on which the pass may place tasks
 }
 
-// newSchedulingPass returns a pass without machines, from the current machine totals.
+// newSchedulingPass returns a pass with the current machine totals. The caller adds the machines.
 func (s *Scheduler) newSchedulingPass(latencySensitiveDelayed bool) *schedulingPass {
 	pass := &schedulingPass{MachineTotals: s.CurrentMachineTotals()}
 	pass.slotUsage = slotUsage{
@@ -33,9 +33,9 @@
 	return pass
 }
 
-// scheduleQueue places tasks of the queued jobs on the machines of a pass. Within a rank,
-// machines that already have the image come first: a fetch occupies cores without progress and
-// may take as long as a task.
+// scheduleQueue places tasks of the queued jobs on the machines of a pass. For each rank, it tries the
+// machines that already have the job's image first: pulling an image occupies cores without progress
+// and may take as long as a task.
 func (s *Scheduler) scheduleQueue(pass *schedulingPass) {
 	for queue := s.PendingOrder; len(queue) > 0; {
 		sameRank := queue[:firstRankSize(queue)]
@@ -48,7 +48,7 @@
 	}
 }
 
-// firstRankSize returns how many jobs at the head of a queue share a rank.
+// firstRankSize returns the number of jobs at the head of a non-empty queue that share a rank.
 func firstRankSize(queue []QueuedJob) int {
 	count := 1
 	for count < len(queue) && queue[count].Rank == queue[0].Rank {
@@ -57,8 +57,8 @@
 	return count
 }
 
-// scheduleRank places tasks of jobs that share a rank, and reports whether the pass may still have
-// room: it has none once its only machine is full.
+// scheduleRank places tasks of jobs that share a rank. It returns false if the pass has only one
+// machine and that machine is full.
 func (s *Scheduler) scheduleRank(sameRank []QueuedJob, pass *schedulingPass, mayPull bool) bool {
 	for _, queued := range sameRank {
 		s.CandidatesExamined++
@@ -80,7 +80,7 @@
 	return true
 }
 
-// jobPlacement is the placement of one job's tasks in a pass.
+// jobPlacement holds what the placements of one job's tasks in a pass share.
 type jobPlacement struct {
 	job        *cluster.Job
 	pass       *schedulingPass
@@ -90,8 +90,8 @@
 	candidates *candidateHeap // nil until the first task passes the checks
 }
 
-// scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
-// the check that stopped it.
+// scheduleJob places as many pending tasks of a job as the checks allow, at most maxTasks. It returns
+// the last check that failed, or WaitNone.
 func (s *Scheduler) scheduleJob(
 	job *cluster.Job, pass *schedulingPass, mayPull bool, maxTasks int,
 ) cluster.WaitReason {
@@ -99,19 +99,19 @@
 		return reason
 	}
 	if job.FailsEverywhere {
-		maxTasks = 1 // one task probes whether the job still fails
+		maxTasks = 1 // a single task probes whether the job still fails
 	}
 	placement := jobPlacement{job: job, pass: pass, mayPull: mayPull,
 		team: s.Config.Team(job.Spec.Team), teamUsage: s.TeamUsage[job.Spec.Team]}
 	reason := cluster.WaitNone
-	noneSkipped := true // no pending task has been skipped yet
+	noneSkipped := true // all tasks so far were active or done
 	for index := job.FirstPendingTask; index < job.Spec.TaskCount; index++ {
 		if job.PendingTasks == 0 || maxTasks <= 0 {
 			return reason
 		}
 		if job.TaskState(index) != cluster.TaskPending {
 			if noneSkipped {
-				job.FirstPendingTask = index + 1 // avoids scanning up to 100,000 tasks again
+				job.FirstPendingTask = index + 1 // later passes need not scan up to 100,000 tasks again
 			}
 			continue
 		}
@@ -129,7 +129,8 @@
 	return reason
 }
 
-// checkJob makes the checks that hold for all tasks of a job alike, before those of each task.
+// checkJob makes the checks that have the same outcome for all tasks of a job. It returns the first
+// check that fails, or WaitNone.
 func (s *Scheduler) checkJob(job *cluster.Job, pass *schedulingPass) cluster.WaitReason {
 	if job.Quarantined {
 		return cluster.WaitQuarantine
@@ -139,7 +140,7 @@
 	}
 	if job.FailsEverywhere && s.RunsPastFailurePoint(job) {
 		job.FailsEverywhere, job.FailedProbes = false, 0
-		s.Log.Info("job no longer fails everywhere", "job", job.Spec.ID)
+		s.Log.Info("job no longer fails everywhere, retrying all its tasks", "job", job.Spec.ID)
 	}
 	if job.FailsEverywhere && (len(job.Attempts) > 0 || s.Clock.Now() < job.NextProbeAt) {
 		return cluster.WaitBackoff
@@ -150,7 +151,8 @@
 	return cluster.WaitNone
 }
 
-// taskOutcome is what became of one task in a pass: it was placed, or reason says why not.
+// taskOutcome is the result of scheduling one task: reason is WaitNone if the task was placed, and
+// otherwise the check that failed.
 type taskOutcome struct {
 	reason   cluster.WaitReason
 	stopsJob bool // the job's other tasks would fail the same check
@@ -187,7 +189,8 @@
 	}
 }
 
-// placeTask places a task on a machine and counts it in the pass.
+// placeTask places a task on a machine and counts it in the pass. If the machine is draining because it
+// is surplus, the drain is cancelled.
 func (s *Scheduler) placeTask(placement *jobPlacement, index int, machine *cluster.Machine) {
 	if machine.Draining && machine.DrainReason == cluster.SurplusCapacity {
 		s.CancelDrain(machine)
@@ -204,8 +207,8 @@
 	}
 }
 
-// checkLimits makes the three checks for one more task of a job, in order: scheduler slots, team
-// quota, overall quota.
+// checkLimits checks whether the limits allow one more task of a job, in this order: scheduler slots,
+// team quota, overall quota. It returns the first limit that does not, or WaitNone.
 func (s *Scheduler) checkLimits(placement *jobPlacement) cluster.WaitReason {
 	pass := placement.pass
 	switch {
@@ -219,8 +222,8 @@
 	return cluster.WaitNone
 }
 
-// exceedsTeamQuota reports whether one more task of the job would exceed its team's quota, with all
-// that may be in use unknown to this leader. A quota of 0 is none.
+// exceedsTeamQuota reports whether one more task of the job would exceed its team's quota. All resources
+// that attempts unknown to this leader may use count as the team's. A quota of 0 means no limit.
 func exceedsTeamQuota(placement *jobPlacement) bool {
 	team, used, unknown := placement.team, placement.teamUsage, &placement.pass.UnknownUsage
 	spec := &placement.job.Spec
@@ -230,8 +233,8 @@
 		team.MaxGPUs > 0 && accelerators > team.MaxGPUs+cluster.ResourceTolerance
 }
 
-// hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work borrows the
-// slots reserved for latency-sensitive work unless that is delayed.
+// hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work may borrow the
+// slots reserved for latency-sensitive work, unless latency-sensitive work is delayed.
 func (s *Scheduler) hasFreeSlot(job *cluster.Job, pass *schedulingPass) bool {
 	if cluster.IsLatencySensitive(&job.Spec) {
 		return float64(pass.latencySensitiveTasks+1) <= pass.totalSlots
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,18 +9,19 @@
 	"hitchdoor/internal/cluster"
 )
 
-// candidateHeap is a heap of the machines on which tasks of a job may start now, best first: by
-// load in steps, then by fetch time of the image, then by exact load. The machines are scored
-// once for all tasks of the job; scoring them for each task would cost machines x tasks.
+// candidateHeap is a heap of the machines on which tasks of a job may start now, best first. Machines
+// that are not draining come first; machines are then ordered by load in coarse steps, by the time to
+// pull the image and by exact load. They are scored once for all tasks of the job, because scoring
+// them for each task would cost machines x tasks.
 type candidateHeap struct {
 	scheduler *Scheduler
 	job       *cluster.Job
 	entries   []candidate // in heap order
 
-	slowPullExcluded bool // machines with a long image fetch are excluded
+	slowPullExcluded bool // machines on which pulling the image takes too long are left out
 }
 
-// candidate is a feasible machine with its score; lower values are better.
+// candidate is a machine that accepts the job's tasks, with its score. Lower values are better.
 type candidate struct {
 	machine                *cluster.Machine
 	drainPenalty, loadStep int
@@ -52,8 +53,8 @@
 	return last
 }
 
-// FindCandidates filters and scores the machines for a job. Unless mayPull is set, only machines
-// that have the job's image qualify.
+// FindCandidates filters and scores the machines for a job. Unless mayPull is set, only machines that
+// already have the job's image qualify.
 func (s *Scheduler) FindCandidates(job *cluster.Job, machines []*cluster.Machine, mayPull bool) *candidateHeap {
 	candidates := &candidateHeap{scheduler: s, job: job}
 	maxPullSeconds := math.Inf(1)
@@ -61,7 +62,7 @@
 		maxPullSeconds = s.maxPullSeconds(job)
 		candidates.slowPullExcluded = !math.IsInf(maxPullSeconds, 1)
 	}
-	// Faulty machines are idle, so the score alone would choose them again and again.
+	// A machine on which the job's tasks fail is idle, so its score would make it the best candidate again.
 	avoidFailedMachines := job.FailsEverywhere && s.Clock.Now() < job.NextProbeAt+3*s.HeartbeatInterval()
 	for _, machine := range machines {
 		s.CandidatesExamined++
@@ -80,23 +81,24 @@
 	return candidates
 }
 
-// acceptsTask reports whether a machine may run a task of the job now, image aside.
+// acceptsTask reports whether a task of the job may start on a machine now, whether or not the machine
+// has the image.
 func (s *Scheduler) acceptsTask(machine *cluster.Machine, job *cluster.Job) bool {
 	available := machine.Schedulable() || machine.IsLastResort() && s.mayUseLastResort(job)
 	return available && s.fitsBesideReservation(job, machine) && cluster.Feasible(&job.Spec, machine)
 }
 
-// maxPullSeconds returns how long a task of the job may fetch its image. A job with a start
-// objective of seconds waits for a machine that has the image, if there is one, because a long
-// fetch elsewhere would miss the objective for certain; but it waits only for imageWaitPercent of
-// that objective.
+// maxPullSeconds returns how long a task of the job may take to pull its image; infinity means no
+// limit. A job with a start objective of seconds waits for a machine that has the image, if there is
+// one, because a long pull elsewhere would certainly miss the objective. It waits for at most
+// imageWaitPercent of the objective.
 func (s *Scheduler) maxPullSeconds(job *cluster.Job) float64 {
 	limit := s.StartSLO(job)
 	if limit == 0 || !s.TooSoonToScaleOut(limit) || s.Clock.Now() > job.EligibleAt+limit*imageWaitPercent/100 {
 		return math.Inf(1)
 	}
 	if job.ImageCheckedAt != s.LastPass {
-		// Once per full pass: scanning all machines on each heartbeat would cost machines x jobs.
+		// The check is made once per full pass: on each heartbeat it would cost machines x jobs.
 		job.ImageCheckedAt, job.ImageAvailable = s.LastPass, false
 		for _, machine := range s.MachinesByName() {
 			s.CandidatesExamined++
@@ -116,7 +118,7 @@
 // that has its image.
 const imageWaitPercent = 60
 
-// score returns a machine's score for the job.
+// score returns a machine as a candidate with its current score.
 func (c *candidateHeap) score(machine *cluster.Machine) candidate {
 	machineType := machine.MachineType
 	scored := candidate{
@@ -128,7 +130,7 @@
 		scored.pullSeconds = c.job.Spec.ImageGB / machineType.PullGBPerSecond
 	}
 	if machine.Draining {
-		scored.drainPenalty = 1 // keep surplus machines empty unless no other has room
+		scored.drainPenalty = 1 // a surplus machine stays empty unless no other has room
 		if machine.DrainReason == cluster.SlowExecution {
 			scored.drainPenalty = 2
 		}
@@ -136,8 +138,8 @@
 	return scored
 }
 
-// BestMachine returns the best machine for a task, or nil. It skips the machine on which the task
-// failed last.
+// BestMachine returns the best machine for a task other than avoidedMachine, on which the task last
+// failed, or nil if there is none. It removes machines whose zone the job's constraints exclude.
 func (c *candidateHeap) BestMachine(avoidedMachine string) *cluster.Machine {
 	var avoided *candidate
 	defer func() {
@@ -160,8 +162,8 @@
 	return nil
 }
 
-// satisfiesZoneConstraints reports whether the placement of the job's other tasks allows one in
-// the machine's zone.
+// satisfiesZoneConstraints reports whether another task may start in the machine's zone, given the
+// job's constraints (SameZone, Spread) and the zones of its attempts.
 func (c *candidateHeap) satisfiesZoneConstraints(machine *cluster.Machine) bool {
 	spec := &c.job.Spec
 	if !spec.SameZone && !spec.Spread {
@@ -178,7 +180,8 @@
 	return !spec.Spread || tasksInZone < (spec.TaskCount+1)/2
 }
 
-// rescore updates a machine's score after a task was placed on it.
+// rescore updates a machine's score after a task was placed on it, or removes the machine if no further
+// task of the job fits.
 func (c *candidateHeap) rescore(machine *cluster.Machine) {
 	position := slices.IndexFunc(c.entries, func(x candidate) bool { return x.machine == machine })
 	if c.scheduler.fitsBesideReservation(c.job, machine) {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,8 +9,9 @@
 	"hitchdoor/internal/config"
 )
 
-// jobsWithinGuarantee returns the jobs that fit into their team's guaranteed resources together
-// with the team's earlier unfinished jobs (fair share).
+// jobsWithinGuarantee returns the jobs that fit into their team's guaranteed resources together with
+// the team's earlier unfinished jobs (fair share). It returns nil if the settings have no start
+// objective for guaranteed work.
 func (s *Scheduler) jobsWithinGuarantee() map[*cluster.Job]bool {
 	if s.GuaranteedStartWithin == 0 {
 		return nil
@@ -29,28 +30,29 @@
 	return withinGuarantee
 }
 
-// teamExceedsGuarantee reports whether the job's team uses more than its guarantee, if the settings
-// have a start objective for guaranteed work.
+// teamExceedsGuarantee reports whether the job's team uses more than its guarantee. It is false if the
+// settings have no start objective for guaranteed work.
 func (s *Scheduler) teamExceedsGuarantee(job *cluster.Job) bool {
 	team, teamUsage := s.Config.Team(job.Spec.Team), s.TeamUsage[job.Spec.Team]
 	return s.GuaranteedStartWithin > 0 && team != nil && teamUsage != nil && usageExceedsGuarantee(teamUsage, team)
 }
 
-// usageExceedsGuarantee reports whether a usage exceeds the guarantee of a team.
+// usageExceedsGuarantee reports whether a team's usage of cores or accelerators exceeds its guarantee.
 func usageExceedsGuarantee(usage *cluster.ResourceUsage, team *config.Team) bool {
 	return usage.Cores > team.GuaranteedCPUs+cluster.ResourceTolerance ||
 		usage.Accelerators > team.GuaranteedGPUs+cluster.ResourceTolerance
 }
 
-// preemptAfterDivisor sets how long guaranteed work waits before preemption, as a fraction of its
-// start objective. Short tasks end all the time, so most jobs start without it.
+// preemptAfterDivisor sets the part of its start objective, 1/preemptAfterDivisor, that guaranteed work
+// waits before tasks are preempted for it. Short tasks end all the time, so most jobs start without
+// preemption.
 const preemptAfterDivisor = 4
 
-// preemptForGuarantees frees capacity for waiting guaranteed work. It stops tasks that other
-// teams run beyond their guarantee, provided that they checkpoint. A task is preempted at most
-// once and only after running long enough for its start to count, so that borrowed capacity still
-// does useful work. Without preemption, long tasks that borrowed a third of the cores made
-// guaranteed work wait for minutes.
+// preemptForGuarantees frees capacity for waiting guaranteed work. It stops tasks of teams that exceed
+// their guarantee, provided that the tasks checkpoint. A task is preempted at most once, and only after
+// it has run long enough for its start to count, so that borrowed capacity still does useful work.
+// Without preemption, long tasks that borrowed a third of the cores made guaranteed work wait for
+// minutes.
 func (s *Scheduler) preemptForGuarantees() {
 	now := s.Clock.Now()
 	if s.GuaranteedStartWithin == 0 || now < s.preemptionTriedAt+s.HeartbeatInterval()/2 || !s.AllReconciled() {
@@ -74,8 +76,9 @@
 	}
 }
 
-// coresNeededWithinGuarantees returns the cores that jobs within their team's guarantee lack after
-// waiting for a part of their start objective.
+// coresNeededWithinGuarantees returns the cores that the pending tasks of jobs within their team's
+// guarantee need. It includes only jobs that lack capacity and have waited longer than
+// preemptAfterDivisor allows.
 func (s *Scheduler) coresNeededWithinGuarantees() map[*cluster.Job]float64 {
 	needed := map[*cluster.Job]float64{}
 	for _, queued := range s.PendingOrder {
@@ -91,8 +94,9 @@
 	return needed
 }
 
-// preemptibleAttempts returns the attempts that may be preempted, lowest priority first and then by
-// longest remaining duration, and the cores that attempts already being stopped will free.
+// preemptibleAttempts returns the attempts that may be preempted, those with the lowest priority first
+// and among them those with the longest remaining duration. It also returns the number of cores that
+// attempts already being stopped will free.
 func (s *Scheduler) preemptibleAttempts() (victims []*cluster.TaskAttempt, coresBeingFreed float64) {
 	for _, machine := range s.MachinesByName() {
 		if !machine.Schedulable() {
@@ -124,9 +128,9 @@
 		!s.guaranteedJobs[job] && s.teamExceedsGuarantee(job)
 }
 
-// preemptFor preempts victims until the missing cores of a job are covered, on machines with the
-// job's image first. It sets the victims that it preempts to nil and adds up the cores reclaimed
-// from each team.
+// preemptFor preempts victims until they cover the missing cores of a job, starting with those on
+// machines that have the job's image. It sets the elements of preempted victims to nil and adds their
+// cores to reclaimedCores by team.
 func (s *Scheduler) preemptFor(
 	job *cluster.Job, missingCores float64, victims []*cluster.TaskAttempt, reclaimedCores map[string]float64,
 ) {
@@ -151,8 +155,8 @@
 	}
 }
 
-// makesRoom reports whether preempting a victim makes room for a job of another team, and earlier
-// than its own end would.
+// makesRoom reports whether a job of another team can use the capacity of a victim, and whether
+// preemption frees that capacity before the victim is expected to end.
 func (s *Scheduler) makesRoom(victim *cluster.TaskAttempt, job *cluster.Job) bool {
 	if victim.Job.Spec.Team == job.Spec.Team || !cluster.Feasible(&job.Spec, victim.Machine) {
 		return false
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -13,16 +13,16 @@
 // QueuedJob is a job with the values that determine its position in the queue.
 type QueuedJob struct {
 	Job                  *cluster.Job
-	Rank                 int           // see rankOverdue and following
-	LatestStart          clock.Instant // latest start that is still in time
+	Rank                 int           // a Rank constant or a priority rank; lower ranks come first
+	LatestStart          clock.Instant // latest start that still meets Due
 	Due                  clock.Instant
-	RemainingCoreSeconds float64 // remaining work in core seconds
+	RemainingCoreSeconds float64 // remaining work of the job
 
-	mayReserve bool // has waited long enough for a resource reservation
+	mayReserve bool // the job has waited long enough to reserve a machine
 }
 
-// Ranks of the queue order: overdue jobs, latency-sensitive jobs by priority, jobs that can
-// finish in time, and jobs that cannot.
+// Ranks in queue order: overdue jobs, latency-sensitive jobs by priority (up to
+// rankLatencySensitive), jobs that can meet their due time, and jobs that cannot.
 const (
 	rankOverdue          = -1
 	rankLatencySensitive = cluster.RankLatencySensitive
@@ -30,17 +30,17 @@
 	RankLate             = 3
 )
 
-// mayUseLastResort reports whether tasks of the job have waited so long that a slow machine is
-// better than none: no job may wait for 90 s while some machine has room.
+// mayUseLastResort reports whether tasks of the job have waited so long that they may start on a slow
+// machine. No job may wait for 90 s while any machine has room for it.
 func (s *Scheduler) mayUseLastResort(job *cluster.Job) bool {
 	return s.Clock.Now()-job.PendingSince > lastResortAfter
 }
 
-// lastResortAfter is the waiting time after which slow machines are used too.
+// lastResortAfter is the waiting time after which a task may start on a slow machine.
 const lastResortAfter = cluster.MaxStartDelay / 4
 
-// LatencySensitiveWorkDelayed reports whether latency-sensitive work has waited longer than
-// borrowing allows.
+// LatencySensitiveWorkDelayed reports whether a latency-sensitive job has waited longer than
+// BorrowWaitS. If so, batch work may not borrow the slots reserved for latency-sensitive work.
 func (s *Scheduler) LatencySensitiveWorkDelayed(queue []QueuedJob) bool {
 	maxWait := config.Seconds(s.Settings.BorrowWaitS)
 	return slices.ContainsFunc(queue, func(queued QueuedJob) bool {
@@ -48,7 +48,8 @@
 	})
 }
 
-// BuildQueue returns the runnable jobs with pending tasks in queue order.
+// BuildQueue returns the runnable jobs with pending tasks in queue order. It also determines which jobs
+// are within their team's guarantee.
 func (s *Scheduler) BuildQueue() []QueuedJob {
 	var all []*QueuedJob
 	s.guaranteedJobs = s.jobsWithinGuarantee()
@@ -75,8 +76,8 @@
 	return queue
 }
 
-// rankJob returns a job with its rank and its latest start. A job that has waited too long moves
-// ahead by its age.
+// rankJob determines a job's rank and latest start. A job that has waited too long gets a better rank,
+// in which the jobs that became eligible first come first.
 func (s *Scheduler) rankJob(job *cluster.Job, pullRate cluster.ImagePullRate) *QueuedJob {
 	now := s.Clock.Now()
 	queued := &QueuedJob{Job: job, Rank: min(job.EffectiveRank(), RankOnTime), Due: s.Due(job),
@@ -90,21 +91,21 @@
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, job.EligibleAt, true
 	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive &&
 		!(job.HasStarted() && s.teamExceedsGuarantee(job)):
-		// A started job that exceeds its team's guarantee is not moved ahead.
+		// A started job keeps its rank while its team exceeds its guarantee.
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, job.EligibleAt, true
 	}
 	guaranteedStart := job.EligibleAt + s.GuaranteedStartWithin
 	if s.GuaranteedStartWithin > 0 && guaranteedStart > now && s.guaranteedJobs[job] {
-		// Guaranteed work has a start objective of its own.
+		// Jobs within their team's guarantee have an additional start objective.
 		queued.LatestStart = min(queued.LatestStart, guaranteedStart)
 	}
 	return queued
 }
 
-// DemoteLargestJobs ranks jobs as late that cannot all be in time on the current machines.
-// Objectives count jobs regardless of size, so the largest are demoted: going through the jobs by
-// due time, the largest so far is demoted whenever the next would be late (Moore-Hodgson
-// algorithm for the fewest late jobs).
+// DemoteLargestJobs gives jobs RankLate until the current machines can complete all others by their
+// due times. It uses the Moore-Hodgson algorithm, which minimizes the number of late jobs: going
+// through the jobs, which are sorted by due time, it demotes the largest job so far whenever the next
+// one would be late. The largest jobs are demoted because objectives count jobs regardless of size.
 func (s *Scheduler) DemoteLargestJobs(all []*QueuedJob) {
 	cores := s.RetainedCores()
 	if cores == 0 {
@@ -128,8 +129,8 @@
 	}
 }
 
-// workHeap is a max-heap of jobs by remaining work. Scanning all jobs for each demotion would be
-// quadratic in a burst of small jobs.
+// workHeap is a max-heap of jobs by remaining work. Scanning all jobs for each demotion would take
+// quadratic time in a burst of small jobs.
 type workHeap []workHeapItem
 
 // workHeapItem is a job with its position in the order of due times, which breaks ties.
@@ -159,5 +160,5 @@
 	return last
 }
 
-// PackingEfficiency is the share of the machines' time that tasks use under full load.
+// PackingEfficiency is the share of the machines' core time that tasks use under full load.
 const PackingEfficiency = 0.9
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -11,21 +11,21 @@
 )
 
 // Resource reservations keep capacity on a machine for the next task of a job that has waited too
-// long. Small tasks take each core as it becomes free, so on a full cluster a task of many cores
-// would never be placed, whatever its position in the queue.
+// long. Without them, small tasks take each core of a full cluster as it becomes free, and a task that
+// needs many cores never starts, whatever its position in the queue.
 //
-// A job has at most one reservation, which covers exactly what one task needs. The rest of the
-// machine stays available.
+// A job has at most one reservation, which covers exactly what one task needs. The rest of the machine
+// stays available to other jobs.
 
-// firmReservationAfter is the age from which a job's reservation also holds against work within a
-// guarantee: late enough that such work is rarely affected, early enough that tasks of typical
-// length end before the start limit of the job.
+// firmReservationAfter is the age of a job from which its reservation also keeps out work within a
+// guarantee. It is late enough that such work is rarely affected, and early enough that tasks of
+// typical length on the machine end before the job reaches MaxStartDelay.
 const firmReservationAfter = cluster.MaxStartDelay * 5 / 8
 
-// reservedMachineDivisor limits reservations to one in this many schedulable machines.
+// reservedMachineDivisor limits the reserved machines to 1/reservedMachineDivisor of the schedulable ones.
 const reservedMachineDivisor = 2
 
-// renewReservations updates the reservations after a full pass. It releases those no longer
+// renewReservations updates the reservations after a full pass. It releases those that are no longer
 // needed and adds at most one, because the search for a machine examines all attempts.
 func (s *Scheduler) renewReservations() {
 	eligibleJobs := s.jobsEligibleForReservation()
@@ -48,7 +48,7 @@
 	}
 }
 
-// jobsEligibleForReservation returns the jobs that have waited long and lack nothing but capacity.
+// jobsEligibleForReservation returns the jobs that have waited long enough and lack nothing but capacity.
 func (s *Scheduler) jobsEligibleForReservation() map[*cluster.Job]bool {
 	eligibleJobs := map[*cluster.Job]bool{}
 	for _, queued := range s.PendingOrder {
@@ -61,8 +61,8 @@
 	return eligibleJobs
 }
 
-// addReservation reserves a machine for the first eligible job in queue order that has none and has
-// not been tried within the last heartbeat interval.
+// addReservation reserves a machine for the first eligible job in queue order that has no reservation
+// and for which no machine was searched within the last heartbeat interval.
 func (s *Scheduler) addReservation(eligibleJobs map[*cluster.Job]bool) {
 	now := s.Clock.Now()
 	for _, queued := range s.PendingOrder {
@@ -74,15 +74,15 @@
 		job.Reservation.SearchedAt = now
 		if machine := s.machineWithEarliestRoom(job); machine != nil {
 			job.Reservation.Machine, machine.ReservedFor = machine, job
-			s.Log.Debug("resource reservation made",
+			s.Log.Debug("machine reserved for a job that has waited too long",
 				"machine", machine.Name, "job", job.Spec.ID, "age", now-job.EligibleAt)
 		}
 		return
 	}
 }
 
-// machineWithEarliestRoom returns the machine that should be the first to have room for a task of
-// the job and its image, or nil if none is feasible.
+// machineWithEarliestRoom returns the machine that is expected to be the first with both room for a
+// task of the job and the job's image. It returns nil if no machine is feasible.
 func (s *Scheduler) machineWithEarliestRoom(job *cluster.Job) *cluster.Machine {
 	var best *cluster.Machine
 	var soonest time.Duration
@@ -102,8 +102,8 @@
 	return best
 }
 
-// timeToFreeCapacity returns the expected time until enough attempts on a machine have ended for
-// a task of the job.
+// timeToFreeCapacity returns the expected time until enough attempts on a machine have ended for a
+// task of the job to fit.
 func (s *Scheduler) timeToFreeCapacity(machine *cluster.Machine, spec *protocol.Job) time.Duration {
 	free := machine.FreeCapacity()
 	attempts := slices.Clone(machine.AttemptsInOrder)
@@ -121,10 +121,9 @@
 	return wait
 }
 
-// fitsBesideReservation reports whether a task of the job fits on a machine now, in addition to
-// the task for which the machine is reserved. Work within a guarantee does not wait for other
-// teams, so a reservation holds against it only if the reserved job would otherwise start too
-// late.
+// fitsBesideReservation reports whether a task of the job fits on a machine now, in addition to the
+// task for which the machine is reserved. Work within a guarantee does not wait for other teams, so a
+// reservation keeps it out only if the reserved job would otherwise start too late.
 func (s *Scheduler) fitsBesideReservation(job *cluster.Job, machine *cluster.Machine) bool {
 	free := machine.FreeCapacity()
 	if !free.Fits(&job.Spec) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,8 +1,8 @@
-// Package scheduler decides which task starts next and where: it orders the pending jobs, makes the
+// Package scheduler decides which task starts next and where. It orders the pending jobs, makes the
 // admission checks (scheduler slots, team quota, overall quota), places tasks on the least loaded
-// machines, reserves room for jobs that waited too long and preempts tasks in favour of guaranteed
-// work. It changes the cluster state through the transitions of package cluster alone, and sends
-// nothing: the commands go out with the responses to heartbeats.
+// machines, reserves capacity for jobs that have waited too long, and preempts tasks to free capacity
+// for guaranteed work. It changes the cluster state only through the transitions of package cluster.
+// It sends no commands: they are part of the responses to heartbeats.
 package scheduler
 
 import (
@@ -10,40 +10,41 @@
 	"hitchdoor/internal/cluster"
 )
 
-// Scheduler orders the pending jobs, makes the admission checks in their fixed order, places tasks on
-// machines and preempts tasks in favour of guaranteed work.
+// Scheduler runs scheduling passes over a cluster state, either over all machines or for the one
+// whose heartbeat is being processed. The zero ScheduleState is ready to use.
 type Scheduler struct {
 	*cluster.State
 	ScheduleState
 	Host Host
 }
 
-// Host is what the scheduler needs from the leader.
+// Host is the interface to the leader that the scheduler belongs to.
 type Host interface {
 	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
 	MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool
-	// NextAttemptNumber returns a number that no other attempt has.
+	// NextAttemptNumber returns a number for a new attempt, which no other attempt has.
 	NextAttemptNumber() uint64
-	// TraceBlocked records the check that blocks a job, when it changes.
+	// TraceBlocked records in the job's trace the check that now blocks it, if that differs from previous.
 	TraceBlocked(job *cluster.Job, previous cluster.WaitReason)
 }
 
 // ScheduleState holds the results of the last full scheduling pass.
 type ScheduleState struct {
-	LastPass                clock.Instant         // time of the pass
+	LastPass                clock.Instant         // start of the pass
 	PendingOrder            []QueuedJob           // pending jobs in scheduling order
-	guaranteedJobs          map[*cluster.Job]bool // jobs that fit into their team's guarantee
-	latencySensitiveDelayed bool                  // latency-sensitive work has waited for too long
-	preemptionTriedAt       clock.Instant         // when preemption was last tried
+	guaranteedJobs          map[*cluster.Job]bool // see jobsWithinGuarantee
+	latencySensitiveDelayed bool                  // see LatencySensitiveWorkDelayed
+	preemptionTriedAt       clock.Instant         // last search for tasks to preempt
 	ReconciledOnce          bool                  // all machines were reconciled at some time in this term
 }
 
 // PassesPerHeartbeat is the maximum number of full scheduling passes per heartbeat interval.
 const PassesPerHeartbeat = 12
 
-// Schedule runs a full pass. For each job in queue order it checks the scheduler slots, the team
-// quota and the overall quota, and then places the task on the best machine.
+// Schedule runs a full scheduling pass. For each task of the pending jobs, in queue order, it checks
+// the scheduler slots, the team quota and the overall quota, and then places the task on the best
+// machine. Afterwards it renews the reservations and preempts tasks for guaranteed work.
 func (s *Scheduler) Schedule() {
 	s.SchedulingNeeded, s.LastPass = false, s.Clock.Now()
 	s.PendingOrder = s.BuildQueue()
@@ -67,9 +68,9 @@
 	s.preemptForGuarantees()
 }
 
-// ScheduleOnMachine places waiting tasks on a machine that sends a heartbeat, in the queue order
-// of the last full pass, so that the response carries new tasks in place of finished ones. A full
-// pass for each heartbeat would cost machines x tasks.
+// ScheduleOnMachine places pending tasks on a machine whose heartbeat is being processed, so that the
+// response can start new tasks in place of finished ones. It uses the queue order of the last full
+// pass, because a full pass for each heartbeat would cost machines x tasks.
 func (s *Scheduler) ScheduleOnMachine(machine *cluster.Machine) {
 	if len(s.PendingOrder) == 0 || !machine.Schedulable() || machine.Draining || !machine.HasSpareCapacity() {
 		return
@@ -79,9 +80,9 @@
 	s.scheduleQueue(pass)
 }
 
-// ReleaseUndelivered releases attempts that were not delivered to their machine in time, because
-// its heartbeats stopped or its responses are lost. Received heartbeats alone do not prove that
-// the machine will ever start them.
+// ReleaseUndelivered releases attempts whose start command has not reached their machine in time,
+// because the machine's heartbeats have stopped or the responses to them are lost. The time limit
+// also applies to machines whose heartbeats arrive, because those may never receive a response.
 func (s *Scheduler) ReleaseUndelivered() {
 	maxUndelivered := 2*s.HeartbeatInterval() + s.HeartbeatInterval()/2
 	for _, machine := range s.MachinesByName() {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -13,7 +13,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// testHost is the clock and the host of a scheduler under test.
+// testHost implements the time source and the Host of a scheduler under test.
 type testHost struct {
 	now              clock.Instant
 	attempts         uint64
@@ -27,11 +27,11 @@
 func (h *testHost) NextAttemptNumber() uint64                     { h.attempts++; return h.attempts }
 func (h *testHost) TraceBlocked(*cluster.Job, cluster.WaitReason) {}
 
-// testNow is the time of the passes under test.
+// testNow is the time at which the tests run their scheduling passes.
 const testNow = 10 * time.Minute
 
-// newTestScheduler returns a scheduler of a cluster with one machine of 10 cores. The team blue has
-// a guarantee of 4 cores and a quota of 8 cores and 1 accelerator; the team green has neither.
+// newTestScheduler returns a scheduler of a cluster with one machine of 10 cores. Team blue has a
+// guarantee of 4 cores and a quota of 8 cores and 1 accelerator. Team green has neither.
 func newTestScheduler() (*Scheduler, *testHost) {
 	host := &testHost{now: testNow}
 	platform := &config.Cluster{
@@ -49,7 +49,7 @@
 	return &Scheduler{State: state, Host: host}, host
 }
 
-// addTestJob adds a runnable job of the team blue with two tasks of two cores, due in ten minutes.
+// addTestJob adds a runnable job of team blue with two tasks of two cores each, due in ten minutes.
 func addTestJob(s *Scheduler, id string, priority protocol.Priority) *cluster.Job {
 	deadline := 600.0
 	job := cluster.NewJob(protocol.Job{
@@ -61,8 +61,8 @@
 	return job
 }
 
-// Slots come before the team quota, and that before the overall quota: a job that several checks
-// would stop is blocked by the first.
+// Slots are checked before the team quota, and the team quota before the overall quota. A job that
+// fails several checks must report the first one, and a job that fails none must be placed.
 func TestAdmissionCheckOrder(t *testing.T) {
 	const batch, urgent = protocol.PriorityStandard, protocol.PriorityUrgent
 	type change = func(job *cluster.Job, host *testHost)
@@ -92,10 +92,10 @@
 		"slots and quota":              {priority: batch, slots: full, teamUsage: cores(7), blockedBy: cluster.WaitSlots},
 		"overall quota":                {priority: batch, slots: overallFull, blockedBy: cluster.WaitOverallQuota},
 		"quota and overall quota":      {priority: batch, slots: overallFull, teamUsage: cores(7), blockedBy: cluster.WaitTeamQuota},
-		"batch, slots lent":            {priority: batch, slots: halfTaken},
-		"batch, slots not lent":        {priority: batch, slots: noBorrowing, blockedBy: cluster.WaitSlots},
-		"urgent, slots not lent":       {priority: urgent, slots: noBorrowing},
-		"urgent, slots lent to batch":  {priority: urgent, slots: full, blockedBy: cluster.WaitOverallQuota},
+		"batch borrows slots":          {priority: batch, slots: halfTaken},
+		"batch may not borrow slots":   {priority: batch, slots: noBorrowing, blockedBy: cluster.WaitSlots},
+		"urgent, no borrowing":         {priority: urgent, slots: noBorrowing},
+		"urgent, batch borrows slots":  {priority: urgent, slots: full, blockedBy: cluster.WaitOverallQuota},
 		"urgent, slots":                {priority: urgent, slots: fullOfUrgent, blockedBy: cluster.WaitSlots},
 		"batch, slots taken by urgent": {priority: batch, slots: fullOfUrgent, blockedBy: cluster.WaitOverallQuota},
 		"backoff before slots":         {priority: batch, slots: full, change: retryAt(testNow + 1), blockedBy: cluster.WaitBackoff},
@@ -120,18 +120,20 @@
 		pass.UnknownUsage = c.unknown
 		blockedBy, placed := s.scheduleJob(job, pass, true, 1), len(job.Attempts) == 1
 		if blockedBy != c.blockedBy || placed != (c.blockedBy == cluster.WaitNone) {
-			t.Errorf("%s: blocked by %q, not %q; placed %v", name, blockedBy, c.blockedBy, placed)
+			t.Errorf("%s: blocked by %q, want %q; placed %v", name, blockedBy, c.blockedBy, placed)
 		}
 	}
 }
 
-// failTask has all tasks of a job retried after a time.
+// failTask gives all tasks of a job a failure history that forbids retries before retryAfter.
 func failTask(job *cluster.Job, retryAfter clock.Instant) {
 	for i := range job.Spec.TaskCount {
 		job.FailureHistories[i] = &cluster.FailureHistory{RetryAfter: retryAfter}
 	}
 }
 
+// A job with a wrong rank starts too late or takes capacity from work that is due earlier. The cases
+// include the exact ages and deadlines at which the rank changes.
 func TestJobRank(t *testing.T) {
 	started := func(job *cluster.Job) { job.FirstStartAt = testNow - time.Minute }
 	age := func(job *cluster.Job, age time.Duration) { job.EligibleAt = testNow - age }
@@ -173,13 +175,14 @@
 		}
 		queued := s.rankJob(job, s.ImagePullRate())
 		if queued.Rank != c.rank || queued.mayReserve != c.reserves {
-			t.Errorf("%s: rank %d, not %d; may reserve %v", name, queued.Rank, c.rank, queued.mayReserve)
+			t.Errorf("%s: rank %d, want %d; may reserve %v, want %v",
+				name, queued.Rank, c.rank, queued.mayReserve, c.reserves)
 		}
 	}
 }
 
-// The queue is in the order of ranks, then of latest starts, then of ids, without jobs that have
-// nothing pending.
+// The queue must be sorted by rank, then by latest start, then by ID, and must leave out jobs without
+// pending tasks and terminal jobs.
 func TestQueueOrder(t *testing.T) {
 	s, _ := newTestScheduler()
 	addTestJob(s, "j-on-time-b", protocol.PriorityLow)
@@ -196,15 +199,15 @@
 		ids = append(ids, strings.TrimPrefix(queued.Job.Spec.ID, "j-"))
 	}
 	if got, want := strings.Join(ids, " "), "overdue prod urgent sooner on-time-a on-time-b late"; got != want {
-		t.Errorf("order %s, not %s", got, want)
+		t.Errorf("queue order %q, want %q", got, want)
 	}
 }
 
-// With ten cores, nine core seconds are done each second. A job stands for its due time in seconds,
-// its work in core seconds and its rank before.
+// If the machines cannot complete all jobs by their due times, the largest jobs must become late, so
+// that as few jobs as possible are late. Ten cores complete nine core seconds of work per second.
 func TestLargestJobsAreDemotedWhenSomeWouldBeLate(t *testing.T) {
 	type jobCase struct {
-		due, work float64
+		due, work float64 // due time in seconds from now, remaining work in core seconds
 		rank      int
 		demoted   bool
 	}
@@ -213,10 +216,10 @@
 		idle bool // no machine is up
 	}{
 		"all in time":                     {jobs: []jobCase{{10, 90, RankOnTime, false}, {20, 90, RankOnTime, false}}},
-		"the largest goes":                {jobs: []jobCase{{10, 80, RankOnTime, true}, {10, 50, RankOnTime, false}}},
+		"the largest is demoted":          {jobs: []jobCase{{10, 80, RankOnTime, true}, {10, 50, RankOnTime, false}}},
 		"one large instead of two small":  {jobs: []jobCase{{10, 40, RankOnTime, false}, {10, 90, RankOnTime, true}, {10, 40, RankOnTime, false}}},
-		"of equal ones the one due first": {jobs: []jobCase{{10, 90, RankOnTime, true}, {15, 90, RankOnTime, false}}},
-		"not those due later":             {jobs: []jobCase{{10, 91, RankOnTime, true}, {50, 200, RankOnTime, false}}},
+		"of two equal, the one due first": {jobs: []jobCase{{10, 90, RankOnTime, true}, {15, 90, RankOnTime, false}}},
+		"none that is due later":          {jobs: []jobCase{{10, 91, RankOnTime, true}, {50, 200, RankOnTime, false}}},
 		"latency-sensitive work counts":   {jobs: []jobCase{{10, 80, rankLatencySensitive, false}, {10, 20, RankOnTime, true}}},
 		"late work does not":              {jobs: []jobCase{{10, 900, RankLate, false}, {10, 90, RankOnTime, false}}},
 		"no machine":                      {jobs: []jobCase{{10, 900, RankOnTime, false}}, idle: true},
@@ -240,7 +243,7 @@
 				want = RankLate
 			}
 			if all[i].Rank != want {
-				t.Errorf("%s: job %d has rank %d, not %d", name, i, all[i].Rank, want)
+				t.Errorf("%s: job %d has rank %d, want %d", name, i, all[i].Rank, want)
 			}
 		}
 	}
