--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -11,29 +11,29 @@
 type TaskAttempt struct {
 	Job          *Job
 	TaskIndex    int
-	Number       uint64 // unique across terms
+	Number       uint64 // number of the attempt, unique across terms
 	Machine      *Machine
 	Phase        AttemptPhase
 	AssignedAt   clock.Instant // when the attempt was placed
-	RunningSince clock.Instant // first heartbeat that showed it running
-	StopGrace    *float64      // seconds of grace of a requested stop; nil: no stop requested
-	Reported     bool          // contained in the heartbeat being processed
-	cachedKey    string        // see key
+	RunningSince clock.Instant // when a heartbeat first reported the task as running
+	StopGrace    *float64      // grace period of the requested stop, in seconds; nil: no stop requested
+	Reported     bool          // the heartbeat being processed contains it
+	cachedKey    string        // result of Key; empty: not computed yet
 }
 
-// AttemptPhase is how far an attempt has come on its machine.
+// AttemptPhase is the progress of an attempt on its machine.
 type AttemptPhase uint8
 
-// The phases of an attempt, in their order.
+// The phases of an attempt, in the order in which it passes through them.
 const (
 	AttemptAssigned AttemptPhase = iota // not included in any heartbeat response yet
 	AttemptSent                         // included in a response that no heartbeat has confirmed yet
-	AttemptFetching                     // the image is being fetched
+	AttemptFetching                     // the machine is pulling the image
 	AttemptRunning
-	AttemptSaving // the task is saving its state
+	AttemptSaving // the task is saving a checkpoint before it stops
 )
 
-// Key returns the task key of the attempt, computed once.
+// Key returns the task key of the attempt. The key is computed once and cached.
 func (a *TaskAttempt) Key() string {
 	if a.cachedKey == "" {
 		a.cachedKey = TaskKey(a.Job.Spec.ID, a.TaskIndex)
@@ -44,7 +44,7 @@
 // TaskKey returns the key that identifies a task on the wire and in logs.
 func TaskKey(id string, index int) string { return protocol.TaskID(id, index) }
 
-// ParseTaskKey splits a task key into job ID and task index.
+// ParseTaskKey splits a task key into job ID and task index. ok is false if the key is malformed.
 func ParseTaskKey(key string) (id string, index int, ok bool) {
 	for i := len(key) - 1; i > 0; i-- {
 		if key[i] == '/' {
@@ -63,6 +63,6 @@
 	return "", 0, false
 }
 
-// MinCountedRun is how long a task must run uninterrupted for its start to count towards the SLOs,
-// by the worker protocol.
+// MinCountedRun is how long a task must run without interruption for its start to count towards the
+// SLOs, as the worker protocol defines it.
 const MinCountedRun = 30 * time.Second
--- a/internal/cluster/estimates.go
+++ b/internal/cluster/estimates.go
@@ -8,9 +8,9 @@
 	"hitchdoor/internal/config"
 )
 
-// Estimates tells how long tasks should run and when jobs are due: from the users' estimates, the
-// tasks that have finished and the objectives of the settings. It changes no job, attempt or
-// machine: those are the transitions of State.
+// Estimates predicts how long tasks run and determines when jobs are due, from the users' estimates,
+// the run times of finished tasks and the objectives of the settings. It changes no job, attempt or
+// machine; only the transitions of State do.
 type Estimates struct {
 	objectives
 	workerTiming
@@ -18,7 +18,7 @@
 	biasByClass map[string]*estimateBias // by job class
 }
 
-// newEstimates returns the estimates at the start of a term, before any task has finished.
+// newEstimates returns estimates without any record of finished tasks, as at the start of a term.
 func newEstimates(timeSource TimeSource, settings *config.Cluster) Estimates {
 	return Estimates{
 		objectives: newObjectives(settings), workerTiming: workerTiming{settings},
@@ -26,8 +26,8 @@
 	}
 }
 
-// StartSLO returns the tightest start objective of the job's class, or 0 if the class is measured
-// by completion or has no objective.
+// StartSLO returns the tightest start objective of the job's class, or 0 if the class has completion
+// objectives or none at all.
 func (e *Estimates) StartSLO(job *Job) time.Duration {
 	if slos := e.Slos[job.Spec.Class]; len(slos) > 0 && slos[0].OnStart {
 		return slos[0].Limit
@@ -35,23 +35,23 @@
 	return 0
 }
 
-// TooSoonToScaleOut reports whether a start objective leaves no time to rent a machine.
+// TooSoonToScaleOut reports whether a start objective is too short to rent a machine within it.
 func (e *Estimates) TooSoonToScaleOut(limit time.Duration) bool { return limit < 2*e.workerLease() }
 
-// Due returns when the job should be complete: its deadline, or the first objective of its class
-// that can still be met. A start objective applies only to classes without a completion
-// objective; such jobs can wait for capacity on cheap machines.
+// Due returns when the job should be complete: its deadline, or the first objective of its class that
+// can still be met. Start objectives apply only to classes without a completion objective, because
+// jobs with a completion objective can wait for capacity on cheap machines.
 //
-// A job with dependents is due no later than their deadlines allow (LatestEnd).
+// A job with dependents is due early enough for them to meet their deadlines (LatestEnd).
 func (e *Estimates) Due(job *Job) clock.Instant { return e.DueFrom(job, job.EligibleAt) }
 
-// DueFrom returns the due time of a job that becomes eligible at the given time.
+// DueFrom returns the due time that the job would have if it became eligible at the given time.
 func (e *Estimates) DueFrom(job *Job, from clock.Instant) clock.Instant {
 	return min(e.OwnDue(job, from), job.LatestEnd)
 }
 
-// OwnDue returns the due time by the job's own deadline or objectives. Without either, LatestEnd
-// or a bound in proportion to the run time applies.
+// OwnDue returns the due time that follows from the job's own deadline or objectives. If it has
+// neither, it is due at LatestEnd or, without dependents, after a time in proportion to its run time.
 func (e *Estimates) OwnDue(job *Job, from clock.Instant) clock.Instant {
 	if job.Spec.DeadlineSeconds != nil {
 		return job.AcceptedAt + config.Seconds(*job.Spec.DeadlineSeconds)
@@ -69,12 +69,12 @@
 	if job.LatestEnd < clock.Forever {
 		return job.LatestEnd
 	}
-	// Without an objective the wait is still bounded, in proportion to the run time.
+	// The wait of a job without any objective is bounded too, in proportion to its run time.
 	return from + min(4*e.ExpectedTaskDuration(job)+e.workerLease(), PlannedStartWithin+e.ExpectedTaskDuration(job))
 }
 
-// ExpectedTaskDuration returns the expected run time of one task: the user's estimate, corrected
-// by the finished tasks of the job's class.
+// ExpectedTaskDuration returns the expected run time of one task, at least 1 s: the user's estimate,
+// corrected by the estimation error of the finished tasks of the job's class.
 func (e *Estimates) ExpectedTaskDuration(job *Job) time.Duration {
 	logBias := 0.0
 	if bias := e.biasByClass[job.Spec.Class]; bias != nil {
@@ -83,13 +83,13 @@
 	return config.Seconds(max(job.Spec.EstimatedSeconds*math.Exp(logBias), 1))
 }
 
-// estimateBias holds the estimation error observed for a job class.
+// estimateBias is the mean error of the users' estimates, observed on the finished tasks of a job class.
 type estimateBias struct {
 	logBias float64 // mean of log(actual / estimated run time)
 	samples float64 // weight of the mean, at most maxBiasSamples
 }
 
-// RecordTaskDuration updates the correction of the job's class by a finished task.
+// RecordTaskDuration updates the estimate bias of the job's class with the run time of a finished task.
 func (e *Estimates) RecordTaskDuration(job *Job, duration time.Duration) {
 	if duration <= 0 || job.Spec.EstimatedSeconds <= 0 {
 		return
@@ -103,16 +103,16 @@
 	bias.logBias += (math.Log(duration.Seconds()/job.Spec.EstimatedSeconds) - bias.logBias) / bias.samples
 }
 
-// maxBiasSamples is the number of finished tasks over which the correction averages.
+// maxBiasSamples is the number of finished tasks over which the bias is averaged.
 const maxBiasSamples = 60
 
-// RemainingDuration returns how long an attempt should still run.
+// RemainingDuration returns the expected remaining run time of an attempt.
 func (e *Estimates) RemainingDuration(attempt *TaskAttempt) time.Duration {
 	return e.RemainingOfExpected(attempt, e.ExpectedTaskDuration(attempt.Job))
 }
 
-// RemainingOfExpected returns how long an attempt should still run, given its expected total
-// duration.
+// RemainingOfExpected returns the expected remaining run time of an attempt, given its expected total
+// run time. For a running attempt it is at least an eighth of the total.
 func (e *Estimates) RemainingOfExpected(attempt *TaskAttempt, expected time.Duration) time.Duration {
 	if attempt.Phase == AttemptRunning {
 		return max(expected-(e.clock.Now()-attempt.RunningSince), expected/8)
@@ -120,13 +120,13 @@
 	return expected
 }
 
-// CheckpointGraceS returns the grace period, in seconds, for an attempt to save a checkpoint, with
-// a margin for a slow machine.
+// CheckpointGraceS returns the grace period, in seconds, in which an attempt can save a checkpoint. It
+// includes a margin for slow machines.
 func (e *Estimates) CheckpointGraceS(attempt *TaskAttempt) float64 {
 	return 2*attempt.Job.Spec.CheckpointSaveSeconds + e.HeartbeatInterval().Seconds()
 }
 
-// RemainingCoreSeconds returns the work that a job still needs, with image fetches.
+// RemainingCoreSeconds returns the remaining work of a job in core seconds. It includes image pulls.
 func (e *Estimates) RemainingCoreSeconds(job *Job, pullRate ImagePullRate) float64 {
 	expected := e.ExpectedTaskDuration(job)
 	work := float64(job.PendingTasks) * (expected + pullRate.PullDuration(job.Spec.ImageGB)).Seconds()
@@ -136,8 +136,8 @@
 	return work * job.Spec.Cores
 }
 
-// IdleUntilEmpty returns the mean time, in seconds, for which a core of the machine would be idle
-// until the last task on it ends.
+// IdleUntilEmpty returns the time, in seconds, for which a core of the machine would be idle on average
+// until the last task on the machine ends, if no further task were placed there.
 func (e *Estimates) IdleUntilEmpty(machine *Machine) float64 {
 	longestRemaining, work := 0.0, 0.0
 	for _, attempt := range machine.AttemptsInOrder {
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -8,7 +8,8 @@
 	"hitchdoor/internal/config"
 )
 
-// DelayTask delays the next attempt of a task, and lets it avoid a machine for one worker lease.
+// DelayTask delays the next attempt of a task. For one worker lease after the delay, the task is not
+// placed on the given machine.
 func (s *State) DelayTask(job *Job, taskIndex int, machine *Machine, delay time.Duration) {
 	history := job.FailureHistories[taskIndex]
 	if history == nil {
@@ -20,22 +21,22 @@
 	history.AvoidUntil = history.RetryAfter + s.workerLease()
 }
 
-// Thresholds that tell faulty jobs from unhealthy machines.
+// Thresholds that distinguish faulty jobs from unhealthy machines.
 const (
-	// failsEverywhereMachines is the number of machines on which a job without any success must have
-	// failed to count as failing everywhere.
+	// failsEverywhereMachines is the number of machines on which tasks of a job must have failed, and
+	// none succeeded, for the job to count as failing everywhere.
 	failsEverywhereMachines = 3
 	// unhealthyAfterFailures is the number of consecutive failures that make a machine unhealthy.
 	unhealthyAfterFailures = 2
 )
 
-// maxProbeDelay bounds the delay until a job that fails everywhere is tried again. Its fault may
-// lie in its input, and no job may be left without an attempt for 90 s.
+// maxProbeDelay is the longest delay until a job that fails everywhere is tried again. The fault may
+// lie in the job's input, and no job may be left without an attempt for 90 s.
 const maxProbeDelay = MaxStartDelay / 4
 
-// RecordTaskFailure records the failure of a task that ran for runDuration. The task is retried at
-// once on another machine. After the second failure it backs off, as an accepted job has to run in
-// the end.
+// RecordTaskFailure records the failure of a task that ran for runDuration. After the first failure the
+// task is retried at once on another machine. From the second failure on, it is retried after a backoff
+// rather than given up, because an accepted job has to run in the end.
 func (s *State) RecordTaskFailure(machine *Machine, job *Job, taskIndex int, runDuration time.Duration) {
 	job.FailedMachines[machine.Name] = true
 	job.longestFailedRun = max(job.longestFailedRun, runDuration)
@@ -45,19 +46,20 @@
 	s.backOffTask(job, taskIndex, machine)
 	if job.FailsEverywhere {
 		s.delayProbe(job)
-		job.FailureHistories[taskIndex].RetryAfter = s.Clock.Now() // NextProbeAt holds instead
+		job.FailureHistories[taskIndex].RetryAfter = s.Clock.Now() // NextProbeAt delays the retry instead
 		return
 	}
 	s.recordMachineFailure(machine, job)
 }
 
-// markFailsEverywhere marks a job that fails everywhere: the fault is its own and not the machines'. Attempts
-// that were not sent yet are released, because from now on one task at a time probes the job.
+// markFailsEverywhere marks a job as failing everywhere: its failures are not the fault of the machines.
+// It releases the attempts that were not sent yet, because from now on only one task at a time probes
+// the job.
 func (s *State) markFailsEverywhere(job *Job) {
 	if job.FailsEverywhere {
 		return
 	}
-	s.Log.Info("job fails everywhere", "job", job.Spec.ID)
+	s.Log.Info("job fails everywhere, retrying one task at a time", "job", job.Spec.ID)
 	for _, attempt := range job.Attempts {
 		if attempt.Phase == AttemptAssigned {
 			s.ReleaseAttempt(attempt)
@@ -66,7 +68,8 @@
 	job.FailsEverywhere = true
 }
 
-// backOffTask counts a failure of a task and delays its next attempt from the second failure on.
+// backOffTask counts a failure of a task. From the second failure on, it delays the next attempt
+// exponentially, up to four worker leases.
 func (s *State) backOffTask(job *Job, taskIndex int, machine *Machine) {
 	s.DelayTask(job, taskIndex, machine, 0)
 	history := job.FailureHistories[taskIndex]
@@ -77,18 +80,18 @@
 	}
 }
 
-// delayProbe delays the next probe of a job that fails everywhere. Retrying each of hundreds of
-// tasks would take capacity from work that succeeds.
+// delayProbe delays the next probe of a job that fails everywhere. Retrying each of the job's hundreds
+// of tasks would take capacity from work that succeeds.
 func (s *State) delayProbe(job *Job) {
 	if s.Clock.Now() < job.NextProbeAt {
-		return // the attempt started before the job was known to fail
+		return // the failed attempt started before the job was known to fail everywhere
 	}
 	job.FailedProbes++
 	job.NextProbeAt = s.Clock.Now() + min(s.workerLease()<<min(job.FailedProbes, 10)/2, maxProbeDelay)
 }
 
-// recordMachineFailure counts a failure of a task against its machine, and drains the machine once its
-// consecutive failures can't be the fault of one job alone.
+// recordMachineFailure counts a task failure against its machine. It drains the machine once a single
+// faulty job cannot explain the machine's consecutive failures.
 func (s *State) recordMachineFailure(machine *Machine, job *Job) {
 	machine.ConsecutiveFailures++
 	machine.FailedJobs[job.Spec.ID] = true
@@ -102,9 +105,9 @@
 }
 
 // RunsPastFailurePoint reports whether a task of a job that fails everywhere has been running so much
-// longer than any failed attempt did that the machines were at fault. Waiting for the task to end
-// would cost a healthy job, whose first tasks all met faulty machines, the duration of a whole
-// task.
+// longer than any failed attempt that the machines must have been at fault. If the decision waited for
+// the task to end, a healthy job whose first tasks all ran on faulty machines would lose the duration
+// of a whole task.
 func (s *State) RunsPastFailurePoint(job *Job) bool {
 	minHealthyRun := 2 * (job.longestFailedRun + s.HeartbeatInterval())
 	for _, attempt := range job.Attempts {
@@ -115,21 +118,22 @@
 	return false
 }
 
-// Thresholds of the detection of slow machines.
+// Thresholds for the detection of slow machines.
 const (
-	// maxSlowdownSamples is the number of recent tasks that are considered.
+	// maxSlowdownSamples is the number of most recent finished tasks of a machine that are considered.
 	maxSlowdownSamples = 4
-	// minSlowdownSamples is the least number of tasks that allow a decision.
+	// minSlowdownSamples is the minimum number of tasks required for a decision.
 	minSlowdownSamples = 2
-	// slowMachineFactor is the mean ratio of real to typical duration from which a machine counts
-	// as slow. Durations differ by a factor of two anyway.
+	// slowMachineFactor is the mean ratio of actual to typical run time from which a machine counts as
+	// slow. Run times differ by a factor of two even without a slow machine.
 	slowMachineFactor = 2.2
-	// minSiblingSamples is the number of finished tasks of a job that give its typical duration.
+	// minSiblingSamples is the number of finished tasks from which a job has a typical run time.
 	minSiblingSamples = 3
 )
 
-// RecordPace records how long a machine took for a task in comparison with the other tasks of the
-// job. The estimate can't serve for that: it is wrong for all tasks of a job alike.
+// RecordPace records how long a finished task took on a machine, relative to the typical run time of
+// the job's other tasks. The user's estimate is not suitable for the comparison, because its error is
+// the same for all tasks of a job.
 func (s *State) RecordPace(machine *Machine, job *Job, duration time.Duration) {
 	if typical, ok := job.typicalTaskDuration(); ok {
 		if len(machine.logDurationRatios) == maxSlowdownSamples {
@@ -142,8 +146,8 @@
 	job.typicalDuration = time.Duration(math.Exp(job.logDurationSum / job.durationSamples))
 }
 
-// typicalTaskDuration returns the typical duration of the finished tasks of the job, if there are
-// enough of them.
+// typicalTaskDuration returns the typical run time of the finished tasks of the job. It returns false
+// if fewer than minSiblingSamples tasks have finished.
 func (j *Job) typicalTaskDuration() (time.Duration, bool) {
 	if j.durationSamples < minSiblingSamples {
 		return 0, false
@@ -151,8 +155,8 @@
 	return j.typicalDuration, true
 }
 
-// DrainIfSlow drains a machine that runs its tasks far slower than other machines run their
-// siblings. An attempt on it is rescheduled if it would end sooner when started anew.
+// DrainIfSlow drains a machine that runs tasks far slower than other machines run tasks of the same
+// jobs. Attempts on it that would end sooner if they restarted on another machine are rescheduled.
 func (s *State) DrainIfSlow(machine *Machine) {
 	if !machine.Up || machine.DrainReason == SlowExecution {
 		return
@@ -162,16 +166,17 @@
 		return
 	}
 	slowdown := math.Exp(logSlowdown)
-	s.Log.Info("machine slow", "machine", machine.Name, "slowdown", slowdown, "tasks", samples)
+	s.Log.Info("machine runs tasks too slowly, draining it",
+		"machine", machine.Name, "slowdown", slowdown, "tasks", samples)
 	s.BeginDrain(machine, SlowExecution)
 	for _, attempt := range machine.AttemptsInOrder {
 		s.moveOffSlowMachine(attempt, slowdown)
 	}
 }
 
-// logSlowdown returns the mean logarithm of the ratio of actual to typical duration of the last
-// tasks of a machine, and the number of tasks. A running task past its typical duration counts
-// like a finished one.
+// logSlowdown returns the mean of log(actual / typical run time) of the last tasks of a machine, and
+// the number of these tasks. A running task that has clearly exceeded its typical run time counts like
+// a finished one.
 func (s *State) logSlowdown(machine *Machine) (mean float64, samples int) {
 	logRatioSum := 0.0
 	for _, logRatio := range machine.logDurationRatios {
@@ -191,8 +196,9 @@
 	return logRatioSum / float64(samples), samples
 }
 
-// moveOffSlowMachine stops or reschedules an attempt on a slow machine, unless it will end there
-// sooner.
+// moveOffSlowMachine stops an attempt on a slow machine so that its task restarts on another one, unless
+// the attempt is expected to end sooner where it is. An attempt that is not running yet or that can save
+// a checkpoint is always stopped.
 func (s *State) moveOffSlowMachine(attempt *TaskAttempt, slowdown float64) {
 	expected := s.ExpectedTaskDuration(attempt.Job)
 	if typical, ok := attempt.Job.typicalTaskDuration(); ok {
@@ -201,7 +207,7 @@
 	elapsed := s.Clock.Now() - attempt.RunningSince
 	remaining := time.Duration(float64(expected)*slowdown) - elapsed
 	if remaining < elapsed && elapsed > expected {
-		remaining = elapsed // overdue: the slowdown is only a lower bound
+		remaining = elapsed // it should have ended, so slowdown is only a lower bound
 	}
 	switch {
 	case attempt.StopGrace != nil || attempt.Job.RescheduledTasks[attempt.TaskIndex]:
@@ -214,9 +220,10 @@
 	}
 }
 
-// RescheduleAttempt stops an attempt so that its task restarts on another machine, once for each
-// task. A task that simply takes longer than its siblings looks slow on every machine and would be
-// stopped again and again.
+// RescheduleAttempt stops an attempt, with a grace period in seconds, so that its task restarts on
+// another machine. It marks the task, and callers do not reschedule a marked task: one that simply takes
+// longer than the other tasks of its job looks slow on every machine and would be stopped again and
+// again.
 func (s *State) RescheduleAttempt(attempt *TaskAttempt, grace float64) {
 	if attempt.Job.RescheduledTasks == nil {
 		attempt.Job.RescheduledTasks = map[int]bool{}
@@ -225,15 +232,15 @@
 	s.RequestStop(attempt, grace)
 }
 
-// ApplyPreemptionNotice drains a spot machine that the cloud is about to preempt, and stops the
-// attempts that would not end before that.
+// ApplyPreemptionNotice drains a spot machine that the cloud will preempt in secondsLeft, and stops the
+// attempts that are not expected to end before that. A nil secondsLeft means that there is no notice.
 func (s *State) ApplyPreemptionNotice(machine *Machine, secondsLeft *float64) {
 	if secondsLeft == nil {
 		return
 	}
 	timeLeft := config.Seconds(*secondsLeft)
 	if machine.preemptionNotice == clock.Never {
-		s.Log.Info("preemption notice", "machine", machine.Name, "left", timeLeft)
+		s.Log.Info("preemption notice received, draining machine", "machine", machine.Name, "left", timeLeft)
 		s.SchedulingNeeded = true
 	}
 	machine.preemptionNotice = s.Clock.Now() + timeLeft
@@ -253,8 +260,9 @@
 	}
 }
 
-// BeginDrain cordons a machine and has it returned once it is empty. A later reason replaces an
-// earlier one, but surplus capacity replaces none.
+// BeginDrain cordons a machine, so that it is returned to the cloud once it is empty. It releases the
+// attempts that were not sent yet. A later reason replaces an earlier one, except that surplus capacity
+// never replaces another reason.
 func (s *State) BeginDrain(machine *Machine, reason DrainReason) {
 	if machine.DrainReason == "" || reason != SurplusCapacity {
 		machine.DrainReason = reason
@@ -270,7 +278,7 @@
 	}
 }
 
-// CancelDrain uncordons a draining machine.
+// CancelDrain uncordons a draining machine. It counts as surplus again only from now on.
 func (s *State) CancelDrain(machine *Machine) {
 	machine.Draining, machine.DrainReason, machine.SurplusSince, s.SchedulingNeeded = false, "", s.Clock.Now(), true
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -12,10 +12,10 @@
 type Job struct {
 	Spec       protocol.Job
 	AcceptedAt clock.Instant // when the submission was accepted
-	// EligibleAt is the start of all time limits but the deadline: acceptance, or the completion of
-	// the last dependency.
+	// EligibleAt is when the job was accepted or, if it has dependencies, when the last of them was
+	// completed. All time limits except the deadline count from then.
 	EligibleAt    clock.Instant
-	RecordVersion uint64 // key-value store revision of the job record
+	RecordVersion uint64 // revision of the job record in the key-value store
 
 	Dependencies
 	TaskProgress
@@ -25,49 +25,49 @@
 
 	Reservation    Reservation
 	BlockedBy      WaitReason    // the check that stopped the last scheduling attempt
-	PendingSince   clock.Instant // since when the job has had pending tasks
+	PendingSince   clock.Instant // when the job last began to have pending tasks
 	ImageCheckedAt clock.Instant // scheduling pass for which ImageAvailable was determined
 	ImageAvailable bool          // some schedulable machine has the job's image
 }
 
-// TaskProgress is how far the tasks of a job are.
+// TaskProgress is the progress of the tasks of a job.
 type TaskProgress struct {
 	Attempts         map[int]*TaskAttempt // by task index
-	PendingTasks     int                  // number of tasks without an attempt
+	PendingTasks     int                  // number of unfinished tasks without an attempt
 	FirstPendingTask int                  // no task with a lower index is pending
 	DoneTasks        int                  // number of finished tasks
-	BitmapParts      []*BitmapPart        // bitmap of finished tasks
-	TasksPerPart     int                  // tasks covered by each part
-	RescheduledTasks map[int]bool         // tasks already moved to another machine once, by index
+	BitmapParts      []*BitmapPart        // bitmap of finished tasks, in parts
+	TasksPerPart     int                  // number of tasks that each part covers
+	RescheduledTasks map[int]bool         // tasks that were already rescheduled, by index
 }
 
 // JobFailures is the failure history of a job and its tasks.
 type JobFailures struct {
 	FailureHistories map[int]*FailureHistory // by task index
 	FailedMachines   map[string]bool         // machines on which a task failed; cleared by the first success
-	longestFailedRun time.Duration           // longest run of a task before it failed
+	longestFailedRun time.Duration           // longest run time of a failed attempt
 	FailsEverywhere  bool                    // the job itself is at fault, not the machines
 	FailedProbes     int                     // failures since FailsEverywhere was set
-	NextProbeAt      clock.Instant           // when the next single task is tried
+	NextProbeAt      clock.Instant           // earliest time of the next probe
 }
 
-// JobDurations is what the finished tasks of a job have shown of their duration.
+// JobDurations holds statistics on the run times of the finished tasks of a job.
 type JobDurations struct {
-	logDurationSum, durationSamples float64       // sum and number of logarithms of task run times
-	typicalDuration                 time.Duration // geometric mean of task run times
+	logDurationSum, durationSamples float64       // sum and number of the logarithms of the run times
+	typicalDuration                 time.Duration // geometric mean of the run times
 }
 
-// JobLifecycle is how far a job as a whole is.
+// JobLifecycle is the state of a job as a whole.
 type JobLifecycle struct {
-	Terminal                  bool          // cancelled or done: no task starts any more
-	Cancelled                 bool          // terminal because of a cancellation
+	Terminal                  bool          // cancelled or done; no further task starts
+	Cancelled                 bool          // terminal because it was cancelled
 	CompletionUncertain       bool          // the terminal record may be stored, but no response confirms it
 	StartCommandSent          bool          // a start command was sent in this term
-	Quarantined               bool          // one of its records is quarantined: no task starts
-	FirstStartAt, LastStartAt clock.Instant // of its tasks
+	Quarantined               bool          // one of its records is quarantined; no task starts
+	FirstStartAt, LastStartAt clock.Instant // first and last start of its tasks
 }
 
-// NewJob returns a job none of whose tasks has started.
+// NewJob returns a job without dependencies whose tasks are all pending since now.
 func NewJob(spec protocol.Job, acceptedAt clock.Instant, recordVersion uint64, now clock.Instant) *Job {
 	return &Job{
 		Spec: spec, AcceptedAt: acceptedAt, EligibleAt: acceptedAt, RecordVersion: recordVersion,
@@ -78,9 +78,9 @@
 	}
 }
 
-// TaskState is the progress of one task of an open job. It is derived from the job's bitmap of
-// finished tasks and its attempts instead of being stored: one byte per task, for hundreds of
-// jobs of up to 100,000 tasks, exceeded a controller's memory.
+// TaskState is the progress of one task of an open job. It is not kept in memory but derived from the
+// job's attempts and its bitmap of finished tasks: one byte per task, for hundreds of jobs of up to
+// 100,000 tasks, exceeded a controller's memory.
 type TaskState uint8
 
 // The states of a task.
@@ -103,25 +103,26 @@
 	}
 }
 
-// FailureHistory records the failures of one task and its retry limits.
+// FailureHistory records the failures of one task and where and when it may be retried.
 type FailureHistory struct {
 	failures       int
 	RetryAfter     clock.Instant // earliest time of the next attempt
-	AvoidedMachine string        // machine skipped during placement,
-	AvoidUntil     clock.Instant // until this time; afterwards it is used if no other fits
+	AvoidedMachine string        // machine that placement skips until AvoidUntil
+	AvoidUntil     clock.Instant // afterwards AvoidedMachine is a candidate like any other
 }
 
 // BitmapPart is one part of a job's bitmap of finished tasks.
 type BitmapPart struct {
 	Key         string
-	SizeBytes   int    // of bits
+	SizeBytes   int    // length of Bits
 	Bits        []byte // nil until the first bit is set
-	StoredBits  []byte // last value known to be durable
+	StoredBits  []byte // last value of Bits known to be durable
 	WriteQueued bool   // a write is in the writer's queue
-	Superseded  bool   // replaced by another layout
+	Superseded  bool   // a new bitmap layout has replaced this part
 }
 
-// bitmapPosition returns the position of a task's bit: the part, the byte in it and the bit mask.
+// bitmapPosition returns the position of a task's bit: the part, the index of the byte in it and the
+// bit mask.
 func (j *Job) bitmapPosition(index int) (part *BitmapPart, byteIndex int, bit byte) {
 	indexInPart := index % j.TasksPerPart
 	return j.BitmapParts[index/j.TasksPerPart], indexInPart / 8, 1 << (indexInPart % 8)
@@ -143,7 +144,7 @@
 	return byteIndex < len(part.StoredBits) && part.StoredBits[byteIndex]&bit != 0
 }
 
-// State returns the job's state as reported to users.
+// State returns the status of the job that users see while it is open.
 func (j *Job) State() protocol.JobStatus {
 	done, running := j.DoneTasks, 0
 	for _, attempt := range j.Attempts {
@@ -170,31 +171,31 @@
 
 // Dependencies holds a job's position in the DAG of jobs.
 type Dependencies struct {
-	PendingDependencies int  // dependencies whose completion is not durable, or not known to this leader
+	PendingDependencies int  // dependencies not known to be durably completed
 	DependencyCancelled bool // a dependency is durably cancelled
-	// ReleasedThisTerm is set once a dependency completed in this term, so that no earlier leader can
-	// have started the job.
+	// ReleasedThisTerm is set once a dependency has completed in this term. No earlier leader can have
+	// started such a job.
 	ReleasedThisTerm bool
-	LatestEnd        clock.Instant // latest end that keeps all dependents in time
+	LatestEnd        clock.Instant // latest end with which all dependents can meet their deadlines
 	InheritedRank    int           // best priority rank of the dependents
 }
 
-// NewDependencies returns the value of a job without any dependency or dependent.
+// NewDependencies returns the Dependencies of a job that has no dependencies and no dependents.
 func NewDependencies() Dependencies {
 	return Dependencies{LatestEnd: clock.Forever, InheritedRank: math.MaxInt}
 }
 
-// Reservation is the reserved machine of one job.
+// Reservation is the reservation of a machine for one job.
 type Reservation struct {
 	Machine    *Machine      // nil: none
-	SearchedAt clock.Instant // when a machine was last searched
+	SearchedAt clock.Instant // last search for a machine to reserve
 }
 
-// WaitReason is the check that stopped the last attempt to start a task of a job. Operators see it on
-// the status page as waitsFor; users don't.
+// WaitReason is the check that failed when the scheduler last tried to start a task of a job. The status
+// page shows it to operators as waitsFor; users don't see it.
 type WaitReason string
 
-// Values of WaitReason. The order of the checks is that of scheduler.Scheduler.
+// The values of WaitReason. Package scheduler determines the order of the checks.
 const (
 	WaitDependencies   WaitReason = "jobs that it needs"
 	WaitBackoff        WaitReason = "backing off"
@@ -209,7 +210,7 @@
 	WaitNone       WaitReason = ""
 )
 
-// RankLatencySensitive is the lowest priority rank of latency-sensitive work: smaller ranks come first.
+// RankLatencySensitive is the largest priority rank of latency-sensitive work. Smaller ranks come first.
 const RankLatencySensitive = 1
 
 // IsLatencySensitive reports whether a job belongs to the latency-sensitive class (priorities
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -15,7 +15,7 @@
 	Spot                 bool
 	MachineType          *protocol.MachineType // nil while the type is missing from the catalog
 	RentedAt             clock.Instant
-	Reconciled           bool // no attempt runs on it that this leader does not know
+	Reconciled           bool // no attempt unknown to this leader can run on it
 
 	RecordState
 	WorkerLink
@@ -24,59 +24,58 @@
 	DrainState
 }
 
-// RecordState is how a machine is stored.
+// RecordState is the state of a machine's stored record.
 type RecordState struct {
-	UseDurable, MarkedUsed bool // whether it may have tasks: as stored, and as to be stored
-	Group                  *MachineGroup
+	UseDurable, MarkedUsed bool          // marked as used, so it may have tasks: as stored, as to be stored
+	Group                  *MachineGroup // group with which it is stored; nil: none yet
 }
 
-// WorkerLink is what the leader knows of the exchange of heartbeats and responses with a machine's
-// worker.
+// WorkerLink is the state of the exchange of heartbeats and responses with a machine's worker.
 type WorkerLink struct {
-	Up                  bool   // its heartbeats arrive, and its worker lease has not expired
+	Up                  bool   // its heartbeats arrive and its worker lease has not expired
 	Address             string // source address of its heartbeats; empty: unknown
-	RelayPeer           string // the peer that relayed its last heartbeat; empty: none
+	RelayPeer           string // peer that relayed its last heartbeat; empty: none
 	Epoch, HeartbeatSeq uint64
 	FencedEpoch         uint64                      // highest epoch whose worker lease has expired
 	LastHeartbeat       clock.Instant               // last heartbeat in sequence
 	LastResponse        clock.Instant               // last response that may have renewed the worker lease
-	LastDelivery        clock.Instant               // when a response was last known to have arrived
+	LastDelivery        clock.Instant               // last time at which a response was known to have arrived
 	TokenAcknowledged   bool                        // its last heartbeat carried this term's fencing token
 	MissedResponses     int                         // consecutive responses without effect on its heartbeats
 	DuplicateName       bool                        // another worker sends heartbeats under the same name
-	UnexpectedRestart   bool                        // it began a new epoch although its heartbeats never stopped
+	UnexpectedRestart   bool                        // it began a new epoch while its heartbeats still arrived
 	UnconfirmedResponse *protocol.HeartbeatResponse // last response, until the next heartbeat
 }
 
-// Occupancy is what a machine runs, holds and is reserved for.
+// Occupancy holds what occupies a machine: attempts, retained results, cached images and a reservation.
 type Occupancy struct {
 	Attempts           map[string]*TaskAttempt // by task key
-	AttemptsInOrder    []*TaskAttempt          // the same attempts in order of their numbers
+	AttemptsInOrder    []*TaskAttempt          // the same attempts, sorted by number
 	UnknownTasks       int                     // reported tasks without a known attempt
 	RetainedResults    int                     // reported results that the worker must retain
-	UsedCores, UsedRAM float64                 // resources used by its attempts, with accelerators
+	UsedCores, UsedRAM float64                 // resources that its attempts use; RAM in GB
 	usedAccelerators   float64
 	Images             []CachedImage // least recently used first
-	ReservedFor        *Job          // the job that holds a reservation on it
+	ReservedFor        *Job          // job for which it is reserved; nil: none
 }
 
-// MachineHealth is what finished and failed tasks have shown of a machine.
+// MachineHealth holds the signs of a faulty or slow machine: failures and run times of its tasks.
 type MachineHealth struct {
 	ConsecutiveFailures int             // consecutive task failures
 	FailedJobs          map[string]bool // distinct jobs among those failures
-	Unhealthy           bool            // tasks fail on it through no fault of their jobs
-	logDurationRatios   []float64       // log(actual / expected run time) of its last tasks
+	Unhealthy           bool            // tasks fail on it although their jobs are not at fault
+	logDurationRatios   []float64       // log(actual / typical run time) of its last tasks
 }
 
-// DrainState is how far a machine is on its way back to the cloud.
+// DrainState is the progress of returning a machine to the cloud.
 type DrainState struct {
-	Draining             bool          // returned once it is empty
+	Draining             bool          // it is to be returned once it is empty
 	DrainReason          DrainReason   // reason for the drain; empty: none
-	SurplusSince         clock.Instant // since when it has exceeded the required capacity
-	Terminating          bool          // a return request to the cloud is under way
-	TerminationRequested bool          // the cloud may still carry out a return request
-	ListedAsFailed       bool          // the cloud lists it as failed
-	preemptionNotice     clock.Instant // when the cloud preempts it; never: no notice received
+	SurplusSince         clock.Instant // when it began to exceed the required capacity
+	Terminating          bool          // a return request to the cloud is in progress
+	TerminationRequested bool          // the cloud may still act on a return request
+	ListedAsFailed       bool          // the cloud's list shows it as failed
+	preemptionNotice     clock.Instant // when the cloud will preempt it; never: no notice received
 }
 
 // CachedImage is an image in a machine's local cache.
@@ -91,56 +90,56 @@
 
 // The reasons for a drain.
 const (
-	SurplusCapacity     DrainReason = "surplus"       // not needed any more
-	PreemptionNoticed   DrainReason = "notice"        // the cloud announced its preemption
-	SlowExecution       DrainReason = "slow"          // runs its tasks far slower than other machines
-	Unhealthy           DrainReason = "sick"          // tasks fail on it
-	CommandsUndelivered DrainReason = "deaf"          // responses do not reach it
-	HeartbeatMissed     DrainReason = "silent"        // its heartbeats stopped
-	NeverReported       DrainReason = "never came up" // no heartbeat since it was rented
-	InstanceFailed      DrainReason = "failed"        // failed according to the cloud
-	NotListed           DrainReason = "not listed"    // missing from the list of the cloud
+	SurplusCapacity     DrainReason = "surplus"       // no longer needed
+	PreemptionNoticed   DrainReason = "notice"        // the cloud has announced its preemption
+	SlowExecution       DrainReason = "slow"          // it runs tasks far slower than other machines
+	Unhealthy           DrainReason = "sick"          // tasks fail on it although their jobs are not at fault
+	CommandsUndelivered DrainReason = "deaf"          // responses to its heartbeats do not reach it
+	HeartbeatMissed     DrainReason = "silent"        // its heartbeats have stopped
+	NeverReported       DrainReason = "never came up" // it has not sent a heartbeat since it was rented
+	InstanceFailed      DrainReason = "failed"        // the cloud reports it as failed
+	NotListed           DrainReason = "not listed"    // the cloud's list of machines does not contain it
 )
 
-// MachineGroup is a set of machines that share one record. With one record each, a machine needed
-// two writes before its first task, and hundreds of machines that booted together waited for
-// those writes as long as for their boot.
+// MachineGroup is a set of machines that are stored in one record. With one record per machine, each
+// needed two writes before its first task, and hundreds of machines that booted together waited for
+// these writes as long as for their boot.
 type MachineGroup struct {
 	Key               string
 	Machines          map[string]*Machine
 	RecordBytes       int  // size of the record
-	ChangedSinceWrite bool // since the last write was formed
+	ChangedSinceWrite bool // it has changed since the last write was built
 	LazyWriteQueued   bool // a low-priority write is queued and will include later changes
-	SoonWriteQueued   bool // the same with higher priority
+	SoonWriteQueued   bool // a normal-priority write is queued and will include later changes
 }
 
-// Schedulable reports whether a machine accepts tasks of any job. Draining machines are excluded,
-// except surplus ones, whose drain is cancelled when a task is placed on them.
+// Schedulable reports whether a machine accepts tasks of any job. A draining machine does not, unless
+// it is surplus: then placing a task on it cancels the drain.
 func (m *Machine) Schedulable() bool {
 	return m.usable() && (!m.Draining || m.DrainReason == SurplusCapacity)
 }
 
-// IsLastResort reports whether a machine accepts tasks only of jobs that have waited long: it is
-// healthy but slow.
+// IsLastResort reports whether a machine is usable but slow. Such a machine accepts only tasks of jobs
+// that have waited long.
 func (m *Machine) IsLastResort() bool {
 	return m.usable() && m.Draining && m.DrainReason == SlowExecution
 }
 
-// usable reports whether a task placed on the machine reaches it and is tracked: its last
-// heartbeat carried this term's fencing token, so a delayed copy of a heartbeat never adds
-// capacity.
+// usable reports whether a task that is placed on the machine reaches it and is tracked. The machine's
+// last heartbeat must have carried this term's fencing token, so that a delayed copy of a heartbeat
+// never adds capacity.
 func (m *Machine) usable() bool {
 	return m.Up && m.TokenAcknowledged && (m.MissedResponses == 0 || m.UnexpectedRestart) && m.Reconciled &&
 		m.UseDurable && !m.Terminating && m.MachineType != nil
 }
 
-// HasSpareCapacity reports whether a machine could take a task of any size at all.
+// HasSpareCapacity reports whether a machine has any free cores and any free memory.
 func (m *Machine) HasSpareCapacity() bool {
 	return m.UsedCores+ResourceTolerance < m.MachineType.Cores && m.UsedRAM+ResourceTolerance < m.MachineType.MemoryGB
 }
 
-// MayForceReturn reports whether a draining machine may be returned although tasks or results are
-// on it.
+// MayForceReturn reports whether a draining machine may be returned to the cloud although it has tasks
+// or retains results.
 func (m *Machine) MayForceReturn() bool {
 	switch m.DrainReason {
 	case HeartbeatMissed, NeverReported, NotListed:
@@ -156,8 +155,8 @@
 	return fleet.Offering{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// TouchImage marks an image as the most recently used of the machine and evicts the least recently
-// used ones beyond the cache size.
+// TouchImage adds an image to the machine's cache, or marks it as the most recently used one, and
+// evicts the least recently used images that exceed the cache size.
 func (m *Machine) TouchImage(name string, sizeGB float64) {
 	m.Images = slices.DeleteFunc(m.Images, func(i CachedImage) bool { return i.name == name })
 	m.Images = append(m.Images, CachedImage{name, sizeGB})
@@ -174,14 +173,15 @@
 	}
 }
 
-// HasImage reports whether the machine has cached an image. Every machine has the empty image.
+// HasImage reports whether the machine has cached an image. An empty name stands for no image, which
+// every machine has.
 func (m *Machine) HasImage(name string) bool {
 	return name == "" || slices.ContainsFunc(m.Images, func(i CachedImage) bool { return i.name == name })
 }
 
-// addAttempt adds an attempt to the machine. AttemptsInOrder is sorted by attempt number to keep
-// every step deterministic. Callers may release attempts while they iterate, so existing elements
-// are never changed in place.
+// addAttempt adds an attempt to the machine. AttemptsInOrder is sorted by attempt number, so that every
+// step is deterministic. Its existing elements are never changed in place, because callers may release
+// attempts while they iterate over it.
 func (m *Machine) addAttempt(attempt *TaskAttempt) {
 	m.Attempts[attempt.Key()] = attempt
 	if n := len(m.AttemptsInOrder); n == 0 || m.AttemptsInOrder[n-1].Number < attempt.Number {
@@ -200,24 +200,24 @@
 		func(other *TaskAttempt) bool { return other == attempt })
 }
 
-// Capacity is an amount of the resources of a machine.
+// Capacity is an amount of machine resources. RAM is in GB.
 type Capacity struct{ Cores, RAM, Accelerators float64 }
 
-// Add adds the resources of one task of a job.
+// Add adds the resources that one task of a job requires.
 func (c *Capacity) Add(spec *protocol.Job) {
 	c.Cores += spec.Cores
 	c.RAM += spec.MemoryGB
 	c.Accelerators += spec.Accelerators
 }
 
-// Fits reports whether one task of a job fits.
+// Fits reports whether the capacity is sufficient for one task of a job.
 func (c Capacity) Fits(spec *protocol.Job) bool {
 	return spec.Cores <= c.Cores+ResourceTolerance &&
 		spec.MemoryGB <= c.RAM+ResourceTolerance &&
 		spec.Accelerators <= c.Accelerators+ResourceTolerance
 }
 
-// FreeCapacity returns the machine's resources that no attempt uses.
+// FreeCapacity returns the resources of the machine that no attempt uses. Its type must be known.
 func (m *Machine) FreeCapacity() Capacity {
 	return Capacity{
 		Cores:        m.MachineType.Cores - m.UsedCores,
@@ -226,11 +226,11 @@
 	}
 }
 
-// ResourceTolerance absorbs rounding errors in sums of resource amounts.
+// ResourceTolerance is the tolerance for rounding errors in sums of resource amounts.
 const ResourceTolerance = 1e-6
 
-// Feasible is the feasibility filter: it reports whether a machine can run the job's tasks at
-// all.
+// Feasible reports whether a machine could run the job's tasks if it were empty: its type, zone and
+// size must satisfy the job, and the job must allow spot machines if it is one.
 func Feasible(j *protocol.Job, machine *Machine) bool {
 	return machine.Offering().Fits(j, machine.MachineType)
 }
--- a/internal/cluster/objectives.go
+++ b/internal/cluster/objectives.go
@@ -8,22 +8,21 @@
 	"hitchdoor/internal/config"
 )
 
-// Slo is a service-level objective of a job class: jobs are to be complete, or to have started,
-// within a time limit.
+// Slo is a service-level objective of a job class: jobs should complete, or start, within a time limit.
 type Slo struct {
-	Limit   time.Duration // since the job became eligible
-	OnStart bool          // applies to the start instead of the completion
+	Limit   time.Duration // counts from when the job became eligible
+	OnStart bool          // the job must start, rather than complete, within the limit
 }
 
-// objectives holds the service-level objectives of the settings, indexed for the scheduler.
+// objectives holds the service-level objectives of the settings, indexed by job class.
 type objectives struct {
 	Slos                  map[string][]Slo   // by class, tightest first
-	MinShare              map[string]float64 // by class, the lowest share of jobs that an objective demands
-	GuaranteedStartWithin time.Duration      // objective for starting guaranteed work; 0: none
+	MinShare              map[string]float64 // by class, the lowest share of jobs that an objective requires
+	GuaranteedStartWithin time.Duration      // start objective for guaranteed work; 0: none
 }
 
-// newObjectives indexes the objectives of the settings. A class with objectives on completion
-// is scheduled by those alone; its objectives on starting are dropped.
+// newObjectives indexes the objectives of the settings. If a class has completion objectives, its start
+// objectives are ignored.
 func newObjectives(cluster *config.Cluster) objectives {
 	table := objectives{Slos: map[string][]Slo{}, MinShare: map[string]float64{}}
 	for _, objective := range cluster.Objectives {
@@ -48,17 +47,18 @@
 	return table
 }
 
-// Large jobs yield while not all jobs can be in time, and late jobs come last. Still, every job
-// must start within MaxStartDelay, however long a burst of small or latency-sensitive work lasts,
-// and no class or team may starve another. So a job that has not started after OverdueAfter is
-// overdue and starts ahead of all others, with a part of its tasks; and a job older than
-// MaxStartDelay is ordered with the latency-sensitive work, by age.
+// Limits that prevent starvation. Large jobs are demoted while not all jobs can meet their due times,
+// and late jobs come last in the queue. Nevertheless, every job must start within MaxStartDelay,
+// however long a burst of small or latency-sensitive work lasts, and no class or team may starve
+// another. For this reason, a job that has not started after OverdueAfter starts some of its tasks
+// ahead of all other jobs, and a job older than MaxStartDelay is queued with the latency-sensitive
+// work, by age.
 const (
-	MaxStartDelay      = 4 * time.Minute // limit of the protocol
+	MaxStartDelay      = 4 * time.Minute // limit that the protocol sets
 	OverdueAfter       = MaxStartDelay * 3 / 8
 	OverdueTaskDivisor = 8 // an overdue job starts one in this many of its tasks
 )
 
-// PlannedStartWithin is the time within which the plan lets every job start, even one without an
-// SLO or with a longer one. It is well inside MaxStartDelay.
+// PlannedStartWithin is the time within which the capacity plan lets every job start, even if the job
+// has no SLO or a longer one. It is well below MaxStartDelay.
 const PlannedStartWithin = MaxStartDelay * 3 / 5
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -1,6 +1,6 @@
-// Package cluster owns what a leader knows of the jobs, the task attempts and the machines, and each
-// of their transitions. It does no I/O, reads no clock and stores nothing: the controller writes the
-// records, and package scheduler decides which attempt goes where.
+// Package cluster holds a leader's view of the jobs, task attempts and machines, and implements all
+// transitions of that state. It does no I/O, reads no clock and stores nothing: the controller writes
+// the records, and package scheduler decides which attempt is placed on which machine.
 package cluster
 
 import (
@@ -13,8 +13,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// State holds the open jobs, the machines and the task attempts, with all their transitions.
-// It does no I/O and takes the time from its owner.
+// State holds the open jobs, the machines and the task attempts of one leader term. Its methods are the
+// transitions between states. The time comes from Clock.
 type State struct {
 	Clock     TimeSource
 	Config    *config.Cluster
@@ -27,22 +27,22 @@
 	machineTable
 	Estimates
 	SchedulingNeeded bool // the state has changed since the last full scheduling pass
-	// CandidatesExamined counts the machines and jobs examined for placement. Tests check that it does
-	// not grow with each heartbeat.
+	// CandidatesExamined counts the machines and jobs examined for placement. Tests use it to check that
+	// heartbeats do not cause full scans.
 	CandidatesExamined int
 
 	// InventoryIncompleteUntil is the time until which tasks of earlier leaders may be running on
-	// machines that no readable record names; never: all machines are known.
+	// machines that are in no readable record; never: all machines are known.
 	InventoryIncompleteUntil clock.Instant
 }
 
-// TimeSource tells the time.
+// TimeSource is the clock of a State.
 type TimeSource interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 }
 
-// Options are the settings and dependencies of a cluster state.
+// Options holds the settings and dependencies of a State.
 type Options struct {
 	Clock    TimeSource
 	Config   *config.Cluster
@@ -51,7 +51,7 @@
 	Catalog  map[string]*protocol.MachineType
 }
 
-// New returns an empty cluster state at the start of a term.
+// New returns a State without jobs and machines for a term that starts now.
 func New(o Options) *State {
 	return &State{
 		Clock: o.Clock, Config: o.Config, Settings: o.Settings, Log: o.Log, Catalog: o.Catalog,
@@ -61,19 +61,19 @@
 	}
 }
 
-// ResourceUsage is what a team's tasks occupy, from the start command to the confirmed end.
+// ResourceUsage is an amount of resources that attempts use, from their placement to their confirmed end.
 type ResourceUsage struct{ Cores, Accelerators float64 }
 
-// jobTable holds the open jobs and the usage of their tasks.
+// jobTable holds the open jobs and the resources that their tasks use.
 type jobTable struct {
 	Jobs         map[string]*Job
 	RunnableJobs map[string]*Job           // open jobs without pending dependencies
 	EndedJobs    map[string]bool           // jobs that became terminal in this term
 	TeamUsage    map[string]*ResourceUsage // by team
-	ActiveTasks  [2]int                    // tasks on machines: batch, latency-sensitive
+	ActiveTasks  [2]int                    // number of attempts: batch, latency-sensitive
 }
 
-// newJobTable returns an empty job table with the teams of the settings.
+// newJobTable returns a job table without jobs, with zero usage for each team of the settings.
 func newJobTable(c *config.Cluster) jobTable {
 	table := jobTable{
 		Jobs: map[string]*Job{}, RunnableJobs: map[string]*Job{},
@@ -85,13 +85,13 @@
 	return table
 }
 
-// machineTable holds the machines, and the groups in which they are stored.
+// machineTable holds the machines, with an index and sums that are cached between changes.
 type machineTable struct {
 	Machines        map[string]*Machine
-	RemovedMachines map[string]clock.Instant // machines returned or preempted, and when
-	sortedMachines  []*Machine               // by name; nil: must be rebuilt
-	leasesCheckedAt clock.Instant            // when all machines were last checked
-	totals          MachineTotals            // cached sums over the machines, if TotalsValid
+	RemovedMachines map[string]clock.Instant // time of removal of returned or preempted machines, by name
+	sortedMachines  []*Machine               // sorted by name; nil: must be rebuilt
+	leasesCheckedAt clock.Instant            // last check of all worker leases
+	totals          MachineTotals            // cached sums over the machines; see TotalsValid
 	TotalsValid     bool
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-// NewMachine adds a machine to the machine table.
+// NewMachine adds a machine to the machine table. It counts as rented now and is not up yet.
 func (s *State) NewMachine(name, typeName, zone string, spot bool) *Machine {
 	now := s.Clock.Now()
 	machine := &Machine{
@@ -117,7 +117,7 @@
 	return machine
 }
 
-// DeleteMachine takes a machine out of the table, with everything on it.
+// DeleteMachine removes a machine from the machine table and releases its attempts and its reservation.
 func (s *State) DeleteMachine(machine *Machine) {
 	for _, attempt := range machine.AttemptsInOrder {
 		s.ReleaseAttempt(attempt)
@@ -147,8 +147,8 @@
 // InvalidateMachineIndex discards the cached machine list and totals.
 func (s *State) InvalidateMachineIndex() { s.sortedMachines, s.TotalsValid = nil, false }
 
-// PlaceAttempt binds an attempt to its machine and counts its resources for the machine and the
-// team.
+// PlaceAttempt adds an attempt to its job and its machine, and adds its resources to the usage of the
+// machine and the team.
 func (s *State) PlaceAttempt(attempt *TaskAttempt) {
 	job, machine := attempt.Job, attempt.Machine
 	if job.TaskState(attempt.TaskIndex) == TaskPending {
@@ -157,7 +157,7 @@
 	job.Attempts[attempt.TaskIndex] = attempt
 	machine.addAttempt(attempt)
 	s.countActiveTasks(job, 1)
-	machine.TouchImage(job.Spec.Image, job.Spec.ImageGB) // present, or fetched once for all tasks
+	machine.TouchImage(job.Spec.Image, job.Spec.ImageGB) // cached already, or pulled once for all tasks
 	machine.UsedCores += job.Spec.Cores
 	machine.UsedRAM += job.Spec.MemoryGB
 	machine.usedAccelerators += job.Spec.Accelerators
@@ -167,7 +167,8 @@
 	}
 }
 
-// ReleaseAttempt removes an attempt whose end is confirmed and releases its resources.
+// ReleaseAttempt removes an attempt that cannot be running any more and releases its resources. It has
+// no effect if the attempt was already released.
 func (s *State) ReleaseAttempt(attempt *TaskAttempt) {
 	job, machine := attempt.Job, attempt.Machine
 	if machine.Attempts[attempt.Key()] != attempt {
@@ -198,7 +199,8 @@
 	s.SchedulingNeeded = true
 }
 
-// RequestStop requests the end of an attempt. An attempt that was never sent ends at once.
+// RequestStop requests that an attempt stops, with a grace period in seconds. If an earlier request had
+// a shorter grace period, that one stays. An attempt that was not sent to its machine is released at once.
 func (s *State) RequestStop(attempt *TaskAttempt, grace float64) {
 	if attempt.Phase == AttemptAssigned {
 		s.ReleaseAttempt(attempt)
@@ -210,7 +212,7 @@
 	attempt.StopGrace = &grace
 }
 
-// countActiveTasks adjusts the number of tasks on machines of the job's class.
+// countActiveTasks adds delta to the number of active tasks of the job's class.
 func (s *State) countActiveTasks(job *Job, delta int) {
 	class := 0
 	if IsLatencySensitive(&job.Spec) {
@@ -226,7 +228,8 @@
 	}
 }
 
-// JobsByAge returns the runnable jobs by the time at which they became eligible.
+// JobsByAge returns the runnable jobs that are not terminal, sorted by the time at which they became
+// eligible.
 func (s *State) JobsByAge() []*Job {
 	jobs := make([]*Job, 0, len(s.RunnableJobs))
 	for _, job := range s.RunnableJobs {
@@ -240,21 +243,21 @@
 	return jobs
 }
 
-// SilentSince returns the time from which the silence of a machine counts: its last heartbeat, or
-// the start of the term if that is later.
+// SilentSince returns the time since which no heartbeat of a machine has arrived: the time of its last
+// heartbeat, or the start of the term if that is later.
 func (s *State) SilentSince(machine *Machine) clock.Instant {
 	return max(machine.LastHeartbeat, s.StartedAt)
 }
 
-// LeaseChecksPerHeartbeat is how often all worker leases are checked per heartbeat interval.
+// LeaseChecksPerHeartbeat is the maximum number of checks of all worker leases per heartbeat interval.
 const LeaseChecksPerHeartbeat = 8
 
-// ExpireMachineLeases fences the machines whose worker lease has expired and releases their
-// attempts.
+// ExpireMachineLeases fences the machines whose worker lease has certainly expired and releases their
+// attempts. It limits itself to LeaseChecksPerHeartbeat.
 func (s *State) ExpireMachineLeases() {
 	now := s.Clock.Now()
 	if now < s.leasesCheckedAt+s.HeartbeatInterval()/LeaseChecksPerHeartbeat {
-		return // a scan of all machines is too expensive for every heartbeat
+		return // scanning all machines is too expensive for every heartbeat
 	}
 	s.leasesCheckedAt = now
 	for _, machine := range s.MachinesByName() {
@@ -266,8 +269,8 @@
 	s.pruneRemovedMachines()
 }
 
-// expireWorkerLease fences a machine. Nothing of an earlier leader can run there any more, nor
-// anything that this leader started.
+// expireWorkerLease fences a machine whose worker lease has expired. No attempt of this or an earlier
+// leader can be running on it any more.
 func (s *State) expireWorkerLease(machine *Machine) {
 	if !machine.Reconciled {
 		machine.Reconciled, s.SchedulingNeeded, s.TotalsValid = true, true, false
@@ -275,8 +278,8 @@
 	if !machine.Up {
 		return
 	}
-	// The worker's own clock has ended its epoch, so its tasks have stopped, and the epoch never
-	// gets another 200.
+	// By its own clock, the worker has ended its epoch and stopped its tasks. From now on, no heartbeat
+	// of that epoch is answered with status 200.
 	s.Log.Info("worker lease expired", "machine", machine.Name, "tasks", len(machine.Attempts))
 	machine.Up, s.TotalsValid = false, false
 	machine.FencedEpoch, machine.Address = machine.Epoch, ""
@@ -287,8 +290,8 @@
 	s.BeginDrain(machine, HeartbeatMissed)
 }
 
-// pruneRemovedMachines discards names of removed machines that no delayed list can name any more,
-// once there are many.
+// pruneRemovedMachines discards the names of removed machines that no delayed list of machines can
+// contain any more, once there are more than maxRemovedMachines.
 func (s *State) pruneRemovedMachines() {
 	if len(s.RemovedMachines) <= maxRemovedMachines {
 		return
@@ -301,7 +304,7 @@
 	}
 }
 
-// maxRemovedMachines is the number of removed machines above which old names are discarded.
-// Within a term the names prevent a delayed listing or a delayed copy of a heartbeat from adding the
+// maxRemovedMachines is the number of removed machines above which old names are discarded. Within a
+// term, the names prevent a delayed list of machines or a delayed copy of a heartbeat from adding a
 // machine again.
 const maxRemovedMachines = 20_000
--- a/internal/cluster/timing.go
+++ b/internal/cluster/timing.go
@@ -7,18 +7,19 @@
 	"hitchdoor/internal/config"
 )
 
-// workerTiming gives the durations of the worker protocol, as the settings have them.
+// workerTiming provides the durations of the worker protocol from the settings.
 type workerTiming struct{ settings *config.Cluster }
 
-// workerLease returns the duration of the workers' lease.
+// workerLease returns how long a worker's lease lasts after its renewal.
 func (w workerTiming) workerLease() time.Duration { return config.Seconds(w.settings.Workers.LeaseS) }
 
-// HeartbeatInterval returns the interval of the workers' heartbeats.
+// HeartbeatInterval returns the interval at which workers send heartbeats.
 func (w workerTiming) HeartbeatInterval() time.Duration {
 	return config.Seconds(w.settings.Workers.HeartbeatIntervalS)
 }
 
-// WorkerLeaseTimeout returns the silence after which a worker's lease is certain to have expired.
+// WorkerLeaseTimeout returns the time without a response to a worker after which its lease has certainly
+// expired, even if the clocks drift.
 func (w workerTiming) WorkerLeaseTimeout() time.Duration {
 	return clock.WorkerLeaseTimeout(w.workerLease())
 }
--- a/internal/cluster/totals.go
+++ b/internal/cluster/totals.go
@@ -8,22 +8,22 @@
 	"hitchdoor/internal/fleet"
 )
 
-// MachineTotals aggregates what the scheduling checks need to know of all machines.
+// MachineTotals aggregates the data of all machines that the scheduling checks need.
 type MachineTotals struct {
-	Slots         float64       // of the machines that are up
-	AllReconciled bool          // no attempt of an earlier leader runs unknown to this one
-	UnknownUsage  ResourceUsage // upper bound of the resources in use by unknown attempts
+	Slots         float64       // scheduler slots of the machines that are up
+	AllReconciled bool          // no attempt of an earlier leader can be running unknown to this one
+	UnknownUsage  ResourceUsage // upper bound of the resources that unknown attempts use
 
 	TotalCores, LargestMachineCores float64                 // cores of all machines, and of the largest one
-	UnreconciledMachines            int                     // number of machines not reconciled yet
-	UnreconciledOptions             map[fleet.Offering]bool // their options
-	UnreconciledTypeUnknown         bool                    // some of them have an unknown type
+	UnreconciledMachines            int                     // number of machines that are not reconciled yet
+	UnreconciledOptions             map[fleet.Offering]bool // offerings from which these machines were rented
+	UnreconciledTypeUnknown         bool                    // the type of some of these machines is unknown
 }
 
-// unboundedUsage is the usage of machines whose size is unknown.
+// unboundedUsage is the assumed usage of machines whose size is unknown.
 var unboundedUsage = ResourceUsage{Cores: math.Inf(1), Accelerators: math.Inf(1)}
 
-// CurrentMachineTotals returns the totals, recomputed if a machine has changed.
+// CurrentMachineTotals returns the totals of all machines. It recomputes them if TotalsValid is false.
 func (s *State) CurrentMachineTotals() MachineTotals {
 	if s.TotalsValid {
 		return s.totals
@@ -43,7 +43,7 @@
 	return totals
 }
 
-// addReconciliation adds whether a machine is reconciled, and its offering if it is not.
+// addReconciliation counts a machine and its offering if it is not reconciled.
 func (t *MachineTotals) addReconciliation(machine *Machine) {
 	if machine.Reconciled {
 		return
@@ -54,9 +54,9 @@
 	t.UnreconciledOptions[machine.Offering()] = true
 }
 
-// addUnknownUsage adds the whole of a machine on which tasks unknown to this leader may run. The
-// resources in use on a machine of an unknown type have no upper bound, so no quota has room.
-// Counting them as zero let teams exceed their quota through machines of types no longer sold.
+// addUnknownUsage adds all resources of a machine on which tasks unknown to this leader may be running.
+// On a machine of an unknown type these resources have no upper bound, so all quotas count as used up.
+// When they counted as zero, teams exceeded their quota through machines of types no longer sold.
 func (t *MachineTotals) addUnknownUsage(machine *Machine) {
 	if machine.Reconciled && machine.UnknownTasks == 0 {
 		return
@@ -69,8 +69,8 @@
 	t.UnknownUsage.Accelerators += machine.MachineType.Accelerators
 }
 
-// addCapacity adds the cores of a machine, and its slots if it is up. A machine of an unknown type
-// has neither.
+// addCapacity adds the cores of a machine, and its slots if it is up and has acknowledged this term's
+// fencing token. A machine of an unknown type counts for neither.
 func (t *MachineTotals) addCapacity(machine *Machine, settings *config.Settings) {
 	machineType := machine.MachineType
 	if machineType == nil {
@@ -83,20 +83,20 @@
 	}
 }
 
-// AllReconciled reports whether no attempt of an earlier leader can be running unknown to this
-// one.
+// AllReconciled reports whether all machines are known and reconciled, so that no attempt of an earlier
+// leader can be running unknown to this one.
 func (s *State) AllReconciled() bool { return s.CurrentMachineTotals().AllReconciled }
 
-// InventoryIncomplete reports whether tasks of earlier leaders may be running on machines that no
-// readable record names.
+// InventoryIncomplete reports whether tasks of earlier leaders may be running on machines that are in
+// no readable record.
 func (s *State) InventoryIncomplete() bool {
 	return s.Clock.Now() <= s.InventoryIncompleteUntil
 }
 
-// ImagePullRate is the rate at which the machines pull images, as a mean weighted by their cores.
+// ImagePullRate is the mean rate at which the machines pull images, weighted by their cores.
 type ImagePullRate struct{ weightedGBPerS, cores float64 }
 
-// ImagePullRate returns the pull rate of the machines held.
+// ImagePullRate returns the mean pull rate of all machines whose type is known.
 func (s *State) ImagePullRate() ImagePullRate {
 	var pullRate ImagePullRate
 	for _, machine := range s.Machines {
@@ -108,7 +108,8 @@
 	return pullRate
 }
 
-// PullDuration returns how long an image of a size takes to pull; 0 if the rate is unknown.
+// PullDuration returns how long it takes to pull an image of the given size, or 0 if the rate is
+// unknown.
 func (p ImagePullRate) PullDuration(sizeGB float64) time.Duration {
 	if p.weightedGBPerS <= 0 {
 		return 0
@@ -127,7 +128,7 @@
 	return cores
 }
 
-// BootTime returns the shortest boot time of the machine types.
+// BootTime returns the shortest boot time of all machine types in the catalog.
 func (s *State) BootTime() time.Duration {
 	shortest := 0.0
 	for _, t := range s.Catalog {
--- a/internal/cluster/transitions_test.go
+++ b/internal/cluster/transitions_test.go
@@ -12,7 +12,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// fakeClock is a clock that tests set.
+// fakeClock is a TimeSource whose time the test sets.
 type fakeClock struct{ now clock.Instant }
 
 func (f *fakeClock) Now() clock.Instant { return f.now }
@@ -21,11 +21,11 @@
 const (
 	testHeartbeat    = 4 * time.Second
 	testLease        = 20 * time.Second
-	testLeaseTimeout = 20*time.Second + 420*time.Millisecond // with drift and margin
+	testLeaseTimeout = 20*time.Second + 420*time.Millisecond // with the allowance for clock drift and a margin
 	testTermStart    = time.Minute
 )
 
-// newTestState returns a state with the team blue at the start of a term.
+// newTestState returns a State with team blue at the start of a term, and its clock.
 func newTestState() (*State, *fakeClock) {
 	timeSource := &fakeClock{now: testTermStart}
 	platform := &config.Cluster{Teams: []config.Team{{Name: "blue"}}}
@@ -37,7 +37,7 @@
 	}), timeSource
 }
 
-// newTestMachine adds a machine that is up.
+// newTestMachine adds a machine that is up and accepts tasks.
 func newTestMachine(state *State, name string) *Machine {
 	machine := state.NewMachine(name, "small", "a", false)
 	machine.Up, machine.Reconciled, machine.TokenAcknowledged, machine.UseDurable = true, true, true, true
@@ -45,7 +45,7 @@
 	return machine
 }
 
-// newTestJob adds a runnable job of the team blue with four tasks.
+// newTestJob adds a runnable job of team blue with four tasks.
 func newTestJob(state *State, id string, priority protocol.Priority) *Job {
 	spec := protocol.Job{ID: id, Team: "blue", Priority: priority, TaskCount: 4, Image: "img"}
 	spec.Cores, spec.MemoryGB, spec.Accelerators = 2, 4, 1
@@ -55,7 +55,8 @@
 	return job
 }
 
-// placeAttempt places an attempt in a phase. Its number follows those of the machine's other attempts.
+// placeAttempt places an attempt that is in the given phase. Its number is higher than those of the
+// machine's other attempts.
 func placeAttempt(state *State, job *Job, taskIndex int, machine *Machine, phase AttemptPhase) *TaskAttempt {
 	number := uint64(len(machine.Attempts) + 1)
 	attempt := &TaskAttempt{Job: job, TaskIndex: taskIndex, Number: number, Machine: machine, Phase: phase}
@@ -63,12 +64,14 @@
 	return attempt
 }
 
-// describeUsage describes all that PlaceAttempt and ReleaseAttempt count.
+// describeUsage formats everything that PlaceAttempt and ReleaseAttempt count.
 func describeUsage(state *State, job *Job, machine *Machine) string {
 	return fmt.Sprint(job.PendingTasks, len(job.Attempts), len(machine.Attempts), len(machine.AttemptsInOrder),
 		machine.FreeCapacity(), *state.TeamUsage["blue"], state.ActiveTasks)
 }
 
+// Placing an attempt and releasing it must change all counters by the same amounts, even if the attempt
+// is released twice. Otherwise resources leak and quotas and slots seem used up.
 func TestAttemptIsCountedUntilReleased(t *testing.T) {
 	for priority, active := range map[protocol.Priority]string{
 		protocol.PriorityLow: "[1 0]", protocol.PriorityStandard: "[1 0]",
@@ -80,13 +83,14 @@
 		before := describeUsage(state, job, machine)
 		attempt := placeAttempt(state, job, 1, machine, AttemptRunning)
 		if got, want := describeUsage(state, job, machine), "3 1 1 1 {6 28 1} {2 1} "+active; got != want || !machine.HasImage("img") {
-			t.Errorf("%s, placed: %s, not %s", priority, got, want)
+			t.Errorf("%s, after placing: usage %s, want %s; or image not cached", priority, got, want)
 		}
 		timeSource.now += time.Second
 		for range 2 { // the second release has no effect
 			state.ReleaseAttempt(attempt)
 			if got := describeUsage(state, job, machine); got != before || job.FirstPendingTask != 1 || !state.SchedulingNeeded {
-				t.Errorf("%s, released: %s, not %s", priority, got, before)
+				t.Errorf("%s, after releasing: usage %s, want %s; first pending task %d, scheduling needed %v",
+					priority, got, before, job.FirstPendingTask, state.SchedulingNeeded)
 			}
 		}
 		if job.PendingSince != 0 {
@@ -95,6 +99,8 @@
 	}
 }
 
+// A released task that is wrongly counted as pending runs twice; one that is wrongly not counted never
+// runs. PendingSince must change only if no other task of the job was pending.
 func TestReleasedTaskIsPendingUnlessItIsDoneOrHasAnotherAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		change  func(state *State, job *Job)
@@ -115,11 +121,14 @@
 		c.change(state, job)
 		state.ReleaseAttempt(attempt)
 		if job.PendingTasks != c.pending || job.PendingSince != c.since || len(machine.Attempts) != 0 {
-			t.Errorf("%s: %d pending since %v", name, job.PendingTasks, job.PendingSince)
+			t.Errorf("%s: %d tasks pending since %v, want %d since %v; %d attempts on the machine, want 0",
+				name, job.PendingTasks, job.PendingSince, c.pending, c.since, len(machine.Attempts))
 		}
 	}
 }
 
+// A later stop request with a longer grace period must not extend the time that an attempt has left. An
+// attempt that was not sent yet is released without a stop command.
 func TestRequestedStopKeepsTheShortestGrace(t *testing.T) {
 	for _, c := range []struct {
 		phase    AttemptPhase
@@ -141,13 +150,15 @@
 		}
 		switch released := len(machine.Attempts) == 0; {
 		case released != c.released:
-			t.Errorf("phase %d: released %v", c.phase, released)
+			t.Errorf("phase %d: released %v, want %v", c.phase, released, c.released)
 		case !released && (attempt.StopGrace == nil || *attempt.StopGrace != c.grace):
-			t.Errorf("phase %d: grace %v, not %v", c.phase, attempt.StopGrace, c.grace)
+			t.Errorf("phase %d: grace period %v, want %v s", c.phase, attempt.StopGrace, c.grace)
 		}
 	}
 }
 
+// If a machine is fenced before its worker lease has certainly expired, a task may run twice. The lease
+// counts from the last response, or from the start of the term if that is later.
 func TestMachineIsFencedAfterLeaseTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
 		lastResponse, now clock.Instant
@@ -173,11 +184,13 @@
 			want = `up false, reconciled true, fenced 5, address "", unknown 0, pending 4, drain "silent"`
 		}
 		if got != want {
-			t.Errorf("%s: %s, not %s", name, got, want)
+			t.Errorf("%s: machine is %s; want %s", name, got, want)
 		}
 	}
 }
 
+// Checking all leases on every heartbeat would be too expensive, but a late check delays the restart of
+// the tasks of a lost machine.
 func TestLeasesAreCheckedEightTimesPerHeartbeatInterval(t *testing.T) {
 	state, timeSource := newTestState()
 	machine := newTestMachine(state, "m-1")
@@ -185,14 +198,16 @@
 	state.ExpireMachineLeases()
 	timeSource.now += testHeartbeat/8 - 1
 	if state.ExpireMachineLeases(); !machine.Up {
-		t.Error("fenced by a check that was not due")
+		t.Error("machine fenced before the next lease check was due")
 	}
 	timeSource.now++
 	if state.ExpireMachineLeases(); machine.Up {
-		t.Error("not fenced by the check that was due")
+		t.Error("machine not fenced when the next lease check was due")
 	}
 }
 
+// A machine that drains because of a fault must not become surplus, because a surplus machine accepts
+// tasks. A drain releases only the attempts that were not sent yet.
 func TestDrainReasonPrecedence(t *testing.T) {
 	for _, c := range []struct {
 		reasons []DrainReason
@@ -211,24 +226,27 @@
 			state.BeginDrain(machine, reason)
 		}
 		if !machine.Draining || machine.DrainReason != c.final || !state.SchedulingNeeded {
-			t.Errorf("%v: draining %v for %q", c.reasons, machine.Draining, machine.DrainReason)
+			t.Errorf("%v: draining %v for %q, want true for %q",
+				c.reasons, machine.Draining, machine.DrainReason, c.final)
 		}
 		if !slices.Equal(machine.AttemptsInOrder, []*TaskAttempt{sent}) || sent.StopGrace != nil {
-			t.Errorf("%v: %d attempts left, not just the one that was sent", c.reasons, len(machine.AttemptsInOrder))
+			t.Errorf("%v: %d attempts left, want only the one that was sent, without a stop request",
+				c.reasons, len(machine.AttemptsInOrder))
 		}
 		if state.CancelDrain(machine); machine.Draining || machine.DrainReason != "" {
-			t.Errorf("%v: not cancelled", c.reasons)
+			t.Errorf("%v: still draining for %q after CancelDrain", c.reasons, machine.DrainReason)
 		}
 	}
 }
 
-// Repeated failures are the fault of the job if it fails on three machines without any success, and
-// else of the machine.
+// A job that fails on three machines without any success must count as faulty; any other repeated
+// failures count against the machine. Otherwise a faulty job drains healthy machines, or a faulty
+// machine keeps failing the tasks of healthy jobs.
 func TestRepeatedFailuresMarkJobOrMachineFaulty(t *testing.T) {
 	for name, c := range map[string]struct {
-		failures  []string // job and machine of each failure, one digit each
+		failures  []string // number of the job and of the machine of each failure, one digit each
 		doneTasks int
-		fault     string // jobs failing everywhere, machines unhealthy
+		fault     string // jobs that fail everywhere, unhealthy machines
 	}{
 		"one failure":                       {[]string{"11"}, 1, "[] []"},
 		"one job twice on a machine":        {[]string{"11", "11"}, 0, "[] []"},
@@ -238,8 +256,8 @@
 		"a job on two machines":             {[]string{"11", "12"}, 0, "[] []"},
 		"a job on three machines":           {[]string{"11", "12", "13"}, 0, "[j-1] []"},
 		"with successes, on three machines": {[]string{"11", "12", "13"}, 1, "[] []"},
-		"no blame by a job known to fail":   {[]string{"11", "12", "13", "13", "13", "23"}, 0, "[j-1] []"},
-		"blame by two other jobs":           {[]string{"11", "12", "13", "23", "33"}, 0, "[j-1] [m-3]"},
+		"failures of a job known to fail":   {[]string{"11", "12", "13", "13", "13", "23"}, 0, "[j-1] []"},
+		"failures of two other jobs":        {[]string{"11", "12", "13", "23", "33"}, 0, "[j-1] [m-3]"},
 	} {
 		state, _ := newTestState()
 		var jobs, machines []string
@@ -260,11 +278,12 @@
 				machines = append(machines, machine.Name)
 			}
 			if machine.Unhealthy != (machine.DrainReason == Unhealthy) {
-				t.Errorf("%s: %s drains for %q", name, machine.Name, machine.DrainReason)
+				t.Errorf("%s: %s has unhealthy %v, but drains for %q",
+					name, machine.Name, machine.Unhealthy, machine.DrainReason)
 			}
 		}
 		if got := fmt.Sprint(jobs, machines); got != c.fault {
-			t.Errorf("%s: %s, not %s", name, got, c.fault)
+			t.Errorf("%s: faulty jobs and machines %s, want %s", name, got, c.fault)
 		}
 	}
 }
