--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -5,25 +5,25 @@
 	"hitchdoor/internal/config"
 )
 
-// slotUsage counts the scheduler slots of all machines that are up, and the taken ones by class
-// of work: batch, and latency-sensitive (priorities prod and urgent).
+// slotUsage counts the scheduler slots of all machines that are up, and the tasks that occupy them by
+// class of work: batch, and latency-sensitive (priorities prod and urgent).
 type slotUsage struct {
 	totalSlots                        float64
 	batchTasks, latencySensitiveTasks int
 	latencySensitiveDelayed           bool
 }
 
-// takenSlots returns the number of slots in use by both classes.
+// takenSlots returns the number of slots that tasks of both classes occupy.
 func (u *slotUsage) takenSlots() int { return u.batchTasks + u.latencySensitiveTasks }
 
-// schedulingPass is the state shared by all checks and placements of one pass.
+// schedulingPass holds what all checks and placements of one scheduling pass share.
 type schedulingPass struct {
 	slotUsage
 	cluster.MachineTotals
-	machines []*cluster.Machine // candidates of this pass
+	machines []*cluster.Machine // machines on which the pass may place tasks
 }
 
-// newSchedulingPass returns a pass without machines, from the current machine totals.
+// newSchedulingPass returns a pass with the current machine totals. The caller adds the machines.
 func (s *Scheduler) newSchedulingPass(latencySensitiveDelayed bool) *schedulingPass {
 	pass := &schedulingPass{MachineTotals: s.CurrentMachineTotals()}
 	pass.slotUsage = slotUsage{
@@ -33,14 +33,14 @@
 	return pass
 }
 
-// scheduleQueue places tasks of the queued jobs on the machines of a pass. Within a rank,
-// machines that already have the image come first: a fetch occupies cores without progress and
-// may take as long as a task.
+// scheduleQueue places tasks of the queued jobs on the machines of a pass. For each rank, it tries the
+// machines that already have the job's image first: pulling an image occupies cores without progress
+// and may take as long as a task.
 func (s *Scheduler) scheduleQueue(pass *schedulingPass) {
 	for queue := s.PendingOrder; len(queue) > 0; {
-		sameRank := queue[:jobsOfFirstRank(queue)]
-		for _, mayFetch := range []bool{false, true} {
-			if !s.scheduleRank(sameRank, pass, mayFetch) {
+		sameRank := queue[:firstRankSize(queue)]
+		for _, mayPull := range []bool{false, true} {
+			if !s.scheduleRank(sameRank, pass, mayPull) {
 				return
 			}
 		}
@@ -48,8 +48,8 @@
 	}
 }
 
-// jobsOfFirstRank returns how many jobs at the head of a queue share a rank.
-func jobsOfFirstRank(queue []QueuedJob) int {
+// firstRankSize returns the number of jobs at the head of a non-empty queue that share a rank.
+func firstRankSize(queue []QueuedJob) int {
 	count := 1
 	for count < len(queue) && queue[count].Rank == queue[0].Rank {
 		count++
@@ -57,9 +57,9 @@
 	return count
 }
 
-// scheduleRank places tasks of jobs that share a rank, and reports whether the pass may still have
-// room: it has none once its only machine is full.
-func (s *Scheduler) scheduleRank(sameRank []QueuedJob, pass *schedulingPass, mayFetch bool) bool {
+// scheduleRank places tasks of jobs that share a rank. It returns false if the pass has only one
+// machine and that machine is full.
+func (s *Scheduler) scheduleRank(sameRank []QueuedJob, pass *schedulingPass, mayPull bool) bool {
 	for _, queued := range sameRank {
 		s.CandidatesExamined++
 		if len(pass.machines) == 1 && !pass.machines[0].HasSpareCapacity() {
@@ -74,44 +74,44 @@
 			maxTasks = job.Spec.TaskCount/cluster.OverdueTaskDivisor + 1 - len(job.Attempts)
 		}
 		previous := job.BlockedBy
-		job.BlockedBy = s.scheduleJob(job, pass, mayFetch, maxTasks)
+		job.BlockedBy = s.scheduleJob(job, pass, mayPull, maxTasks)
 		s.Host.TraceBlocked(job, previous)
 	}
 	return true
 }
 
-// jobPlacement is the placement of one job's tasks in a pass.
+// jobPlacement holds what the placements of one job's tasks in a pass share.
 type jobPlacement struct {
 	job        *cluster.Job
 	pass       *schedulingPass
 	team       *config.Team
 	teamUsage  *cluster.ResourceUsage
-	mayFetch   bool
+	mayPull    bool
 	candidates *candidateHeap // nil until the first task passes the checks
 }
 
-// scheduleJob starts as many tasks of a job as the checks allow, at most maxTasks, and returns
-// the check that stopped it.
+// scheduleJob places as many pending tasks of a job as the checks allow, at most maxTasks. It returns
+// the last check that failed, or WaitNone.
 func (s *Scheduler) scheduleJob(
-	job *cluster.Job, pass *schedulingPass, mayFetch bool, maxTasks int,
+	job *cluster.Job, pass *schedulingPass, mayPull bool, maxTasks int,
 ) cluster.WaitReason {
 	if reason := s.checkJob(job, pass); reason != cluster.WaitNone {
 		return reason
 	}
 	if job.FailsEverywhere {
-		maxTasks = 1 // one task probes whether the job still fails
+		maxTasks = 1 // a single task probes whether the job still fails
 	}
-	placement := jobPlacement{job: job, pass: pass, mayFetch: mayFetch,
+	placement := jobPlacement{job: job, pass: pass, mayPull: mayPull,
 		team: s.Config.Team(job.Spec.Team), teamUsage: s.TeamUsage[job.Spec.Team]}
 	reason := cluster.WaitNone
-	noneSkipped := true // no pending task has been skipped yet
+	noneSkipped := true // all tasks so far were active or done
 	for index := job.FirstPendingTask; index < job.Spec.TaskCount; index++ {
 		if job.PendingTasks == 0 || maxTasks <= 0 {
 			return reason
 		}
 		if job.TaskState(index) != cluster.TaskPending {
 			if noneSkipped {
-				job.FirstPendingTask = index + 1 // avoids scanning up to 100,000 tasks again
+				job.FirstPendingTask = index + 1 // later passes need not scan up to 100,000 tasks again
 			}
 			continue
 		}
@@ -129,7 +129,8 @@
 	return reason
 }
 
-// checkJob makes the checks that hold for all tasks of a job alike, before those of each task.
+// checkJob makes the checks that have the same outcome for all tasks of a job. It returns the first
+// check that fails, or WaitNone.
 func (s *Scheduler) checkJob(job *cluster.Job, pass *schedulingPass) cluster.WaitReason {
 	if job.Quarantined {
 		return cluster.WaitQuarantine
@@ -137,9 +138,9 @@
 	if s.Host.MayRunUnreported(job, &pass.MachineTotals) {
 		return cluster.WaitReconciliation
 	}
-	if job.FailsEverywhere && s.OutlivesFailures(job) {
+	if job.FailsEverywhere && s.RunsPastFailurePoint(job) {
 		job.FailsEverywhere, job.FailedProbes = false, 0
-		s.Log.Info("job no longer fails everywhere", "job", job.Spec.ID)
+		s.Log.Info("job no longer fails everywhere, retrying all its tasks", "job", job.Spec.ID)
 	}
 	if job.FailsEverywhere && (len(job.Attempts) > 0 || s.Clock.Now() < job.NextProbeAt) {
 		return cluster.WaitBackoff
@@ -150,7 +151,8 @@
 	return cluster.WaitNone
 }
 
-// taskOutcome is what became of one task in a pass: it was placed, or reason says why not.
+// taskOutcome is the result of scheduling one task: reason is WaitNone if the task was placed, and
+// otherwise the check that failed.
 type taskOutcome struct {
 	reason   cluster.WaitReason
 	stopsJob bool // the job's other tasks would fail the same check
@@ -171,7 +173,7 @@
 		avoidedMachine = history.AvoidedMachine
 	}
 	if placement.candidates == nil {
-		placement.candidates = s.FindCandidates(job, placement.pass.machines, placement.mayFetch)
+		placement.candidates = s.FindCandidates(job, placement.pass.machines, placement.mayPull)
 	}
 	machine := placement.candidates.BestMachine(avoidedMachine)
 	switch {
@@ -180,14 +182,15 @@
 		return taskOutcome{}
 	case avoidedMachine != "":
 		return taskOutcome{reason: cluster.WaitCapacity}
-	case placement.candidates.slowFetchExcluded:
+	case placement.candidates.slowPullExcluded:
 		return taskOutcome{reason: cluster.WaitImage, stopsJob: true}
 	default:
 		return taskOutcome{reason: cluster.WaitCapacity, stopsJob: true}
 	}
 }
 
-// placeTask places a task on a machine and counts it in the pass.
+// placeTask places a task on a machine and counts it in the pass. If the machine is draining because it
+// is surplus, the drain is cancelled.
 func (s *Scheduler) placeTask(placement *jobPlacement, index int, machine *cluster.Machine) {
 	if machine.Draining && machine.DrainReason == cluster.SurplusCapacity {
 		s.CancelDrain(machine)
@@ -204,8 +207,8 @@
 	}
 }
 
-// checkLimits makes the three checks for one more task of a job, in order: scheduler slots, team
-// quota, overall quota.
+// checkLimits checks whether the limits allow one more task of a job, in this order: scheduler slots,
+// team quota, overall quota. It returns the first limit that does not, or WaitNone.
 func (s *Scheduler) checkLimits(placement *jobPlacement) cluster.WaitReason {
 	pass := placement.pass
 	switch {
@@ -219,8 +222,8 @@
 	return cluster.WaitNone
 }
 
-// exceedsTeamQuota reports whether one more task of the job would exceed its team's quota, with all
-// that may be in use unknown to this leader. A quota of 0 is none.
+// exceedsTeamQuota reports whether one more task of the job would exceed its team's quota. All resources
+// that attempts unknown to this leader may use count as the team's. A quota of 0 means no limit.
 func exceedsTeamQuota(placement *jobPlacement) bool {
 	team, used, unknown := placement.team, placement.teamUsage, &placement.pass.UnknownUsage
 	spec := &placement.job.Spec
@@ -230,8 +233,8 @@
 		team.MaxGPUs > 0 && accelerators > team.MaxGPUs+cluster.ResourceTolerance
 }
 
-// hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work borrows the
-// slots reserved for latency-sensitive work unless that is delayed.
+// hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work may borrow the
+// slots reserved for latency-sensitive work, unless latency-sensitive work is delayed.
 func (s *Scheduler) hasFreeSlot(job *cluster.Job, pass *schedulingPass) bool {
 	if cluster.IsLatencySensitive(&job.Spec) {
 		return float64(pass.latencySensitiveTasks+1) <= pass.totalSlots
