--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -22,8 +22,8 @@
 	votesReadAt      clock.Instant // last read of votes from the key-value store
 }
 
-// startCandidacyInTurn starts a candidacy once it is this node's turn.
-func (e *Election) startCandidacyInTurn() {
+// startCandidacyAfterDelay starts a candidacy once it is this node's turn.
+func (e *Election) startCandidacyAfterDelay() {
 	if e.CandidacyPaused() {
 		return
 	}
@@ -48,13 +48,13 @@
 // candidates. Nodes that restarted recently go first: in a rolling restart they will not be
 // restarted again.
 func (e *Election) candidacyDelay() time.Duration {
-	turn := e.rng.Float64()
+	intervals := e.rng.Float64()
 	for _, peer := range e.peers {
 		if e.recentlyHeard(peer) && peer.uptime < e.host.Now() && peer.uptime > clock.WithDrift(e.LeaderLease()) {
-			turn++
+			intervals++
 		}
 	}
-	return time.Duration(turn * float64(e.workerLease()) / leaderKeyReadsPerWorkerLease)
+	return time.Duration(intervals * float64(e.workerLease()) / leaderKeyReadsPerWorkerLease)
 }
 
 // startCandidacy raises the term by compare-and-set and then collects votes for it.
@@ -168,13 +168,13 @@
 			e.candidacy = nil
 			return
 		}
-		e.takeLeaderKey(current, lease.ID, requestedAt)
+		e.acquireLeaderKey(current, lease.ID, requestedAt)
 	})
 }
 
-// takeLeaderKey sets the leader key on a lease, provided that there is no leader and the term is
+// acquireLeaderKey sets the leader key on a lease, provided that there is no leader and the term is
 // still this candidate's. On success this node leads.
-func (e *Election) takeLeaderKey(current *candidacy, leaseID uint64, leaseRequestedAt clock.Instant) {
+func (e *Election) acquireLeaderKey(current *candidacy, leaseID uint64, leaseRequestedAt clock.Instant) {
 	leaderWrite := storage.Put(storage.LeaderKey, storage.Leader{Node: e.node, Term: current.term})
 	leaderWrite.LeaseID = leaseID
 	txn := storage.Txn{
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -65,12 +65,12 @@
 
 // New returns the state of a node that has just started.
 func New(options Options) *Election {
-	spans := timing{options.Cluster}
+	durations := timing{options.Cluster}
 	return &Election{
 		node: options.Node, processID: options.ProcessID,
-		timing: spans, rng: options.Rand, host: options.Host,
+		timing: durations, rng: options.Rand, host: options.Host,
 		storeAvailability: newStoreAvailability(),
-		peerTable:         newPeerTable(options.Peers, spans, options.Host),
+		peerTable:         newPeerTable(options.Peers, durations, options.Host),
 		heartbeatSentAt:   clock.Never,
 		leaderKey:         leaderKeyState{readAt: clock.Never, absentSince: clock.Never},
 		pause:             candidacyPause{lastResignation: clock.Never, until: clock.Never},
--- a/internal/election/election_step_test.go
+++ b/internal/election/election_step_test.go
@@ -14,13 +14,13 @@
 // recordingHost is the host of an election that is tested alone. Its key-value store has no leader
 // key, answers every other request at once with storeStatus, and counts terms from 1.
 type recordingHost struct {
-	now         clock.Instant
-	election    *Election
-	storeStatus int
-	condition   LeaderCondition
-	sent        []protocol.PeerMessage
-	ledTerms    []uint64
-	reasons     []string // of the steps down
+	now             clock.Instant
+	election        *Election
+	storeStatus     int
+	condition       LeaderCondition
+	sent            []protocol.PeerMessage
+	ledTerms        []uint64
+	stepDownReasons []string
 }
 
 func (h *recordingHost) Now() clock.Instant { return h.now }
@@ -49,10 +49,12 @@
 	h.condition.LastWorkerHeartbeat = h.now
 	return h.condition
 }
-func (h *recordingHost) SteppedDown(reason string) { h.reasons = append(h.reasons, reason) }
+func (h *recordingHost) SteppedDown(reason string) {
+	h.stepDownReasons = append(h.stepDownReasons, reason)
+}
 
-// newElectionAlone returns the election of one of three nodes, with its host.
-func newElectionAlone() (*Election, *recordingHost) {
+// newTestElection returns the election of one of three nodes, with its host.
+func newTestElection() (*Election, *recordingHost) {
 	settings := &config.Cluster{ControllerCount: 3}
 	settings.Workers.LeaseS = 24
 	host := &recordingHost{storeStatus: 200}
@@ -61,11 +63,11 @@
 	return host.election, host
 }
 
-// run advances the time in steps of 5 ms, for a span or until a condition holds.
-func (h *recordingHost) run(span time.Duration, done func() bool) bool {
-	for end := h.now + span; h.now < end; h.now += 5 * time.Millisecond {
+// runUntil advances the time in steps of 5 ms, for a span or until a condition holds.
+func (h *recordingHost) runUntil(timeout time.Duration, condition func() bool) bool {
+	for end := h.now + timeout; h.now < end; h.now += 5 * time.Millisecond {
 		h.election.Tick()
-		if done() {
+		if condition() {
 			return true
 		}
 	}
@@ -76,13 +78,13 @@
 func (h *recordingHost) becomeCandidate(t *testing.T) {
 	t.Helper()
 	h.now = 2 * h.election.LeaderLease()
-	if !h.run(h.election.workerLease(), func() bool { return h.election.Status().IsCandidate }) {
+	if !h.runUntil(h.election.workerLease(), func() bool { return h.election.Status().IsCandidate }) {
 		t.Fatal("no candidacy without a leader key")
 	}
 }
 
-// lead makes the node the leader by the vote of one peer.
-func (h *recordingHost) lead(t *testing.T) {
+// becomeLeader makes the node the leader by the vote of one peer.
+func (h *recordingHost) becomeLeader(t *testing.T) {
 	t.Helper()
 	h.becomeCandidate(t)
 	h.election.HandleMessage("n1", protocol.Vote{Term: 1, Granted: true})
@@ -92,7 +94,7 @@
 }
 
 func TestElectionNeedsQuorumOfVotesInItsTerm(t *testing.T) {
-	e, host := newElectionAlone()
+	e, host := newTestElection()
 	host.becomeCandidate(t)
 	e.HandleMessage("n1", protocol.Vote{Term: 2, Granted: true})
 	e.HandleMessage("n1", protocol.Vote{Term: 1})
@@ -106,11 +108,11 @@
 }
 
 func TestElectionLeadsByGrantsOfQuorum(t *testing.T) {
-	e, host := newElectionAlone()
-	host.lead(t)
+	e, host := newTestElection()
+	host.becomeLeader(t)
 	host.storeStatus = 503
-	asked := func() bool { return e.Status().LeaseValidUntil-host.now < time.Second }
-	if !host.run(e.LeaderLease(), asked) {
+	leaseNearlyExpired := func() bool { return e.Status().LeaseValidUntil-host.now < time.Second }
+	if !host.runUntil(e.LeaderLease(), leaseNearlyExpired) {
 		t.Fatal("the lease was renewed by a store that is down")
 	}
 	last, isHeartbeat := host.sent[len(host.sent)-1].(protocol.PeerHeartbeat)
@@ -119,25 +121,25 @@
 	}
 	e.HandleMessage("n1", protocol.LeaseGrant{Term: 9, HeartbeatSentAt: host.now})
 	e.HandleMessage("n2", protocol.LeaseGrant{Term: 1, HeartbeatSentAt: clock.Forever / 2})
-	granted := host.now
-	host.run(e.workerLease(), func() bool { return len(host.reasons) > 0 })
-	if end := granted + SafeLeaseSpan(e.LeaderLease()); host.now < end || host.now > end+5*time.Millisecond {
-		t.Errorf("led until %v by a grant requested at %v", host.now, granted)
+	grantedAt := host.now
+	host.runUntil(e.workerLease(), func() bool { return len(host.stepDownReasons) > 0 })
+	if end := grantedAt + SafeLeaseSpan(e.LeaderLease()); host.now < end || host.now > end+5*time.Millisecond {
+		t.Errorf("led until %v by a grant requested at %v", host.now, grantedAt)
 	}
-	if len(host.reasons) != 1 || host.reasons[0] != "leader lease expired" || e.HoldsLeaderLease() {
-		t.Errorf("stepped down for %q", host.reasons)
+	if len(host.stepDownReasons) != 1 || host.stepDownReasons[0] != "leader lease expired" || e.HoldsLeaderLease() {
+		t.Errorf("stepped down for %q", host.stepDownReasons)
 	}
 }
 
-func TestElectionStepsDownForTheHost(t *testing.T) {
+func TestElectionStepsDownAtHostRequest(t *testing.T) {
 	for _, condition := range []LeaderCondition{{StepDownReason: "term exhausted"}, {ResignReason: "workers elsewhere"}} {
-		e, host := newElectionAlone()
-		host.lead(t)
+		e, host := newTestElection()
+		host.becomeLeader(t)
 		host.condition = condition
 		e.Tick()
 		reason := condition.StepDownReason + condition.ResignReason
-		if len(host.reasons) != 1 || host.reasons[0] != reason || e.HoldsLeaderLease() {
-			t.Errorf("%+v: stepped down for %q", condition, host.reasons)
+		if len(host.stepDownReasons) != 1 || host.stepDownReasons[0] != reason || e.HoldsLeaderLease() {
+			t.Errorf("%+v: stepped down for %q", condition, host.stepDownReasons)
 		}
 		if e.CandidacyPaused() != (condition.ResignReason != "") {
 			t.Errorf("%+v: candidacy paused: %v", condition, e.CandidacyPaused())
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -57,14 +57,14 @@
 	}
 	e.candidacyAt, e.leaderKey.absentSince = clock.Never, clock.Never
 	if record.Node == e.node && item.LeaseID != 0 {
-		e.revokeEarlierLease(item.LeaseID)
+		e.revokeStaleLease(item.LeaseID)
 	}
 }
 
-// revokeEarlierLease revokes the lease of a leader key that names this node, although this process
+// revokeStaleLease revokes the lease of a leader key that names this node, although this process
 // does not lead. The key belongs to an earlier process of this node, which has ended, as a node
 // runs one process at a time: there is no need to wait until its lease expires.
-func (e *Election) revokeEarlierLease(leaseID uint64) {
+func (e *Election) revokeStaleLease(leaseID uint64) {
 	e.host.CallStore("DELETE", leasePath(leaseID), nil, func(storage.Response) { e.leaderKey.readAt = clock.Never })
 }
 
@@ -78,5 +78,5 @@
 		e.voteThroughStore()
 		return
 	}
-	e.startCandidacyInTurn()
+	e.startCandidacyAfterDelay()
 }
--- a/internal/election/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -44,9 +44,9 @@
 // Divisors of a lease that give the spans by which a leader acts.
 const (
 	renewalsPerLeaderLease = 4
-	// isolationPerWorkerLease is the divisor of a worker lease that gives the span after which a leader that hears
+	// isolationTimeoutsPerWorkerLease is the divisor of a worker lease that gives the span after which a leader that hears
 	// neither peers nor workers steps down.
-	isolationPerWorkerLease = 4
+	isolationTimeoutsPerWorkerLease = 4
 )
 
 // HoldsLeaderLease reports whether this node may act as the leader: by its own lease in the
@@ -110,9 +110,9 @@
 // everything but the key-value store. As long as it renewed its lease, no other node could take
 // over.
 func (e *Election) leaderIsolated(lastWorkerHeartbeat clock.Instant) bool {
-	now, span := e.host.Now(), e.workerLease()/isolationPerWorkerLease
-	return len(e.peers) > 0 && now-e.leadership.startedAt > span &&
-		e.RecentPeerCount(span) == 0 && now-lastWorkerHeartbeat > span
+	now, isolationTimeout := e.host.Now(), e.workerLease()/isolationTimeoutsPerWorkerLease
+	return len(e.peers) > 0 && now-e.leadership.startedAt > isolationTimeout &&
+		e.RecentPeerCount(isolationTimeout) == 0 && now-lastWorkerHeartbeat > isolationTimeout
 }
 
 // renewLease renews the lease of the leader key. The leader lease counts from when the renewal is
--- a/internal/election/lease_grants.go
+++ b/internal/election/lease_grants.go
@@ -14,8 +14,8 @@
 	if peersInQuorum == 0 {
 		return clock.Never
 	}
-	grants := slices.Sorted(maps.Values(l.grantedUntil))
-	return grants[len(grants)-peersInQuorum]
+	expiries := slices.Sorted(maps.Values(l.grantedUntil))
+	return expiries[len(expiries)-peersInQuorum]
 }
 
 // onLeaseGrant records a lease grant for the current term.
@@ -63,11 +63,11 @@
 		e.StoreFailing() &&
 		term >= e.votedTerm &&
 		term >= e.grantedTerm &&
-		e.upForGrantSpan()
+		e.earlierCommitmentsExpired()
 }
 
-// upForGrantSpan reports whether this process has been up for so long that every grant, and every
+// earlierCommitmentsExpired reports whether this process has been up for so long that every grant, and every
 // candidacy, that relies on an earlier process of this node is over.
-func (e *Election) upForGrantSpan() bool {
+func (e *Election) earlierCommitmentsExpired() bool {
 	return e.host.Now() >= clock.WithDrift(e.LeaderLease())
 }
--- a/internal/election/peer_table.go
+++ b/internal/election/peer_table.go
@@ -40,8 +40,8 @@
 }
 
 // newPeerTable returns a table of peers of which none has been heard.
-func newPeerTable(names []string, spans timing, source timeSource) peerTable {
-	table := peerTable{peers: make(map[string]*Peer, len(names)), peerNames: names, timing: spans, clock: source}
+func newPeerTable(names []string, durations timing, source timeSource) peerTable {
+	table := peerTable{peers: make(map[string]*Peer, len(names)), peerNames: names, timing: durations, clock: source}
 	for _, name := range names {
 		table.peers[name] = &Peer{Name: name, LastContact: clock.Never}
 	}
@@ -53,13 +53,13 @@
 
 // LeaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
 func (t *peerTable) LeaderPeer() *Peer {
-	var leading *Peer
+	var leader *Peer
 	for _, peer := range t.peers {
-		if peer.leading && t.recentlyHeard(peer) && (leading == nil || peer.Term > leading.Term) {
-			leading = peer
+		if peer.leading && t.recentlyHeard(peer) && (leader == nil || peer.Term > leader.Term) {
+			leader = peer
 		}
 	}
-	return leading
+	return leader
 }
 
 // recentlyHeard reports whether a peer was heard within the span of a leader lease.
@@ -97,8 +97,8 @@
 	return true
 }
 
-// isTermTaken reports whether some peer is known to have led in a term or in a later one.
-func (t *peerTable) isTermTaken(term uint64) bool {
+// hasLeaderSince reports whether some peer is known to have led in a term or in a later one.
+func (t *peerTable) hasLeaderSince(term uint64) bool {
 	for _, peer := range t.peers {
 		if term <= peer.Term {
 			return true
--- a/internal/election/timing.go
+++ b/internal/election/timing.go
@@ -38,4 +38,4 @@
 
 // SafeLeaseSpan returns how long a lease of the key-value store, or a lease grant of a peer, is
 // guaranteed to hold by this node's clock.
-func SafeLeaseSpan(span time.Duration) time.Duration { return span - span/500 - time.Millisecond }
+func SafeLeaseSpan(lease time.Duration) time.Duration { return lease - lease/500 - time.Millisecond }
--- a/internal/election/votes.go
+++ b/internal/election/votes.go
@@ -13,7 +13,7 @@
 // node does not remember its grants, so it waits for the span of one. The wait is skipped if
 // no leader can depend on such a grant, see noPeerLeads.
 func (e *Election) freeToVote() bool {
-	return (e.upForGrantSpan() || e.noPeerLeads()) && e.host.Now() >= e.grantedUntil
+	return (e.earlierCommitmentsExpired() || e.noPeerLeads()) && e.host.Now() >= e.grantedUntil
 }
 
 // mayVoteInTerm reports whether this node may vote for a candidate of a term.
@@ -54,7 +54,7 @@
 		}
 		lastTerm := last.term
 		if !e.isOpenCandidacy(lastTerm) || !e.mayVoteInTerm(lastTerm.Term) {
-			e.startCandidacyInTurn()
+			e.startCandidacyAfterDelay()
 			return
 		}
 		e.votedTerm = lastTerm.Term
@@ -67,7 +67,7 @@
 // isOpenCandidacy reports whether a term belongs to another node's candidacy that has not ended by
 // the election of a leader, in this term or in a later one.
 func (e *Election) isOpenCandidacy(term storage.Term) bool {
-	return !e.isTermTaken(term.Term) && term.Node != "" && term.Node != e.node
+	return !e.hasLeaderSince(term.Term) && term.Node != "" && term.Node != e.node
 }
 
 // readStoredVotes counts the votes that other nodes wrote to the key-value store.
