--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -18,7 +18,7 @@
 
 // WithDrift lengthens a span by the clock drift allowance: twice the bound on how far two
 // monotonic clocks drift apart.
-func WithDrift(span time.Duration) time.Duration { return span + span/1000 }
+func WithDrift(duration time.Duration) time.Duration { return duration + duration/1000 }
 
 // WorkerLeaseTimeout returns the silence after which a worker's lease is certain to have expired,
 // with clock drift.
