--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -1,5 +1,5 @@
-// Package clock has the instants of the monotonic clock and the margins that allow for clock drift.
-// It reads no clock: every instant comes from the caller.
+// Package clock defines instants of the monotonic clock and the margins that allow for clock drift.
+// It does not read a clock: callers supply every instant.
 package clock
 
 import (
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// Instant is a reading of the monotonic clock, counted from the process's start.
+// Instant is a reading of the monotonic clock: the time since the process started.
 type Instant = time.Duration
 
-// Never is an instant before all others: the event has not happened.
+// Never marks an event that has not happened. It is earlier than every clock reading, and
+// subtracting it from one does not overflow.
 const Never Instant = -1 << 60
 
-// Forever is later than any other instant.
+// Forever is later than any other instant and means that there is no time limit.
 const Forever Instant = math.MaxInt64
 
-// WithDrift lengthens a span by the clock drift allowance: twice the bound on how far two
-// monotonic clocks drift apart.
+// WithDrift adds the allowance for clock drift to a duration. The allowance is twice the maximum
+// relative drift between two monotonic clocks.
 func WithDrift(duration time.Duration) time.Duration { return duration + duration/1000 }
 
-// WorkerLeaseTimeout returns the silence after which a worker's lease is certain to have expired,
-// with clock drift.
+// WorkerLeaseTimeout returns the time without a heartbeat after which a worker's lease has certainly
+// expired, even with clock drift.
 func WorkerLeaseTimeout(lease time.Duration) time.Duration { return WithDrift(lease) + lease/50 }
