--- a/internal/dependency/deadlines.go
+++ b/internal/dependency/deadlines.go
@@ -11,7 +11,7 @@
 
 // tightenDeadlines propagates deadlines and ranks from the given jobs to their direct and
 // indirect dependencies. A job is due when the longest path from it to a deadline (the critical
-// path) leaves no more time, so the slack of a pipeline is counted only once.
+// path) leaves no slack, so the slack of a pipeline is counted only once.
 func (g *Graph) tightenDeadlines(jobs ...*cluster.Job) {
 	if len(jobs) == 0 {
 		return
@@ -37,8 +37,8 @@
 	}
 }
 
-// latestStart returns the time by which the dependencies of a job must be complete, so that the job
-// meets its own deadline and those of its dependents.
+// latestStart returns the time by which the dependencies of a job must be complete for the job to
+// meet its own deadline and those of its dependents. It is clock.Forever if there is no deadline.
 func (g *Graph) latestStart(job *cluster.Job, pullRate cluster.ImagePullRate) clock.Instant {
 	latestEnd := job.LatestEnd
 	if job.Spec.DeadlineSeconds != nil {
@@ -50,8 +50,8 @@
 	return latestEnd - g.ExpectedJobDuration(job, pullRate)
 }
 
-// RelaxDeadlines recomputes LatestEnd and InheritedRank of the jobs on which cancelled jobs
-// depended.
+// RelaxDeadlines recomputes LatestEnd and InheritedRank of the jobs on which the cancelled jobs
+// depended directly or indirectly.
 func (g *Graph) RelaxDeadlines(cancelledJobs ...*cluster.Job) {
 	var relaxed []*cluster.Job
 	for queue := slices.Clone(cancelledJobs); len(queue) > 0; queue = queue[1:] {
@@ -74,14 +74,14 @@
 }
 
 // ExpectedJobDuration returns the expected time from the completion of a job's last dependency to
-// its own: its longest task, the image fetch, and the two heartbeats that carry the start and the
-// end.
+// the completion of the job itself: the run time of its longest task, the image pull, and two
+// heartbeats, one that carries the start command and one that reports the end.
 func (g *Graph) ExpectedJobDuration(job *cluster.Job, pullRate cluster.ImagePullRate) time.Duration {
 	longestTaskFactor := math.Exp(taskDurationLogDeviation * math.Sqrt(2*math.Log(float64(job.Spec.TaskCount))))
 	longestTask := time.Duration(longestTaskFactor * float64(g.state.ExpectedTaskDuration(job)))
 	return longestTask + pullRate.PullDuration(job.Spec.ImageGB) + 2*g.state.HeartbeatInterval()
 }
 
-// taskDurationLogDeviation is the standard deviation of the logarithms of the run times of a
-// job's tasks.
+// taskDurationLogDeviation is the standard deviation of the logarithm of a task's run time within
+// one job.
 const taskDurationLogDeviation = 0.25
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -1,5 +1,6 @@
-// Package dependency owns the DAG of the open jobs and the jobs on which they depend: which jobs are
-// released or cancelled, and the deadlines and ranks along it. It does no I/O and stores nothing.
+// Package dependency maintains the DAG of the open jobs and the jobs on which they depend. It releases
+// or cancels dependent jobs, and propagates deadlines and priority ranks from jobs to their
+// dependencies. It performs no I/O and stores nothing.
 package dependency
 
 import (
@@ -14,41 +15,42 @@
 
 // Graph is the DAG of the open jobs and the jobs on which they depend.
 //
-// A job with dependencies takes no part in scheduling until the completion of each is durable,
-// because the next leader may not know what only this leader has observed. The stored records
-// alone decide: a job is cancelled once the terminal record of any job that it depends on says
-// so. Nothing more has to be written, and a new leader continues from the same records.
+// A job is not scheduled until the completion of each of its dependencies is durable, because the
+// next leader may not know what only this leader has observed. Only stored records decide: a job
+// is cancelled once the terminal record of one of its dependencies states a cancellation. Nothing
+// more has to be written, and a new leader continues from the same records.
 type Graph struct {
 	state      *cluster.State
 	host       Host
-	Dependents map[string][]*cluster.Job // jobs with a pending dependency, by the dependency's id
+	Dependents map[string][]*cluster.Job // jobs that wait for a dependency, by the dependency's id
 
-	Lookups        map[string]clock.Instant // dependencies that are not open here: when to read their outcome
-	lookupInterval time.Duration            // pause between two lookups of one dependency
+	Lookups        map[string]clock.Instant // when to read the outcome of a dependency that is not an open job, by id
+	lookupInterval time.Duration            // minimum time between two lookups of one dependency
 }
 
-// Host is what the dependency graph needs from the leader.
+// Host provides what the dependency graph needs from the leader.
 type Host interface {
 	// TerminalRecord returns the terminal record of a job, if it is known.
 	TerminalRecord(jobID string) (storage.TerminalRecord, bool)
 	// InstantFromUnixMilli converts a stored wall clock time to an instant.
 	InstantFromUnixMilli(unixMilli int64) clock.Instant
-	// JobReleased handles a job that has become available to scheduling.
+	// JobReleased notifies the leader that a job has become available for scheduling.
 	JobReleased(job *cluster.Job)
-	// CancelJob answers the users who wait for the cancellation of a job, and finishes the job as
-	// cancelled unless it is terminal.
+	// CancelJob responds to the users who wait for the cancellation of a job, and ends the job as
+	// cancelled unless it is already terminal.
 	CancelJob(job *cluster.Job)
-	// MayLookUp takes one read from the budget of lookups. It reports false if none is left or the
-	// key-value store is unavailable.
+	// MayLookUp takes one read from the budget for lookups. It reports false if the budget is used up
+	// or the key-value store is unavailable.
 	MayLookUp() bool
-	// ReadTerminalRecord reads a job's terminal record. The callback gets nil if there is none. It is
-	// not called if the term of the leader has ended.
+	// ReadTerminalRecord reads a job's terminal record and passes it to onRead, or nil if there is
+	// none. If the read fails, ok is false. onRead is not called once the leader's term has ended.
 	ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord))
-	// LoadOpenJob reads the record of an open job, if there is one, and adds it to the open jobs.
+	// LoadOpenJob reads the record of an open job and adds the job to the open jobs, if the record
+	// exists.
 	LoadOpenJob(jobID string)
 }
 
-// New returns an empty graph of a cluster state.
+// New returns a graph for the jobs of a cluster state. The graph is empty until AddJob is called.
 func New(state *cluster.State, host Host, lookupInterval time.Duration) *Graph {
 	return &Graph{
 		state: state, host: host, Dependents: map[string][]*cluster.Job{},
@@ -56,7 +58,8 @@
 	}
 }
 
-// AddJob registers a new job with its dependencies and updates their deadlines and ranks.
+// AddJob registers an open job with its dependencies and updates their deadlines and ranks. The job
+// is cancelled if a dependency is known to be cancelled, and released if no dependency is pending.
 func (g *Graph) AddJob(job *cluster.Job) {
 	id, cancelled := job.Spec.ID, false
 	for _, dependencyID := range job.Spec.Dependencies {
@@ -80,29 +83,30 @@
 }
 
 // addPendingDependency registers a job with a dependency whose terminal record is not known. It
-// reports whether the dependency is known to be cancelled all the same.
+// reports whether the dependency is nevertheless known to be cancelled.
 func (g *Graph) addPendingDependency(job *cluster.Job, dependencyID string) (cancelled bool) {
 	job.PendingDependencies++
 	g.Dependents[dependencyID] = append(g.Dependents[dependencyID], job)
 	dependency := g.state.Jobs[dependencyID]
 	if dependency == nil {
-		// The record may follow with the next page or the watch, or the job may be terminal.
+		// The dependency's record may arrive with the next page of records or through the watch,
+		// or the dependency may be terminal.
 		g.Lookups[dependencyID] = g.state.Clock.Now()
 		return false
 	}
-	// The cancellation of the dependency, or of one before it, may have been read by another
-	// controller.
+	// Another controller may already have read that this dependency, or one on which it depends in
+	// turn, is cancelled.
 	job.CompletionUncertain = job.CompletionUncertain ||
 		(dependency.CompletionUncertain && (dependency.Cancelled || !dependency.Terminal))
 	return dependency.DependencyCancelled
 }
 
-// endedAt returns when a job with this terminal record ended, but no later than now.
+// endedAt returns when the job of a terminal record ended, but at most the current time.
 func (g *Graph) endedAt(terminal storage.TerminalRecord) clock.Instant {
 	return min(g.host.InstantFromUnixMilli(terminal.EndedAtMillis), g.state.Clock.Now())
 }
 
-// releaseJob makes a job without pending dependencies available to scheduling.
+// releaseJob makes a job without pending dependencies available for scheduling.
 func (g *Graph) releaseJob(job *cluster.Job) {
 	g.state.RunnableJobs[job.Spec.ID] = job
 	job.PendingSince = g.state.Clock.Now()
@@ -110,8 +114,9 @@
 	g.host.JobReleased(job)
 }
 
-// ReleaseDependents processes the durable terminal record of a job: its dependents are cancelled
-// or released. writtenHere reports whether this leader has written the record.
+// ReleaseDependents processes the durable terminal record of a job. Its dependents are cancelled if
+// the job was cancelled; otherwise those without another pending dependency are released.
+// writtenHere states whether this leader has written the record.
 func (g *Graph) ReleaseDependents(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
 	dependents := g.Dependents[jobID]
 	delete(g.Dependents, jobID)
@@ -127,8 +132,8 @@
 	}
 }
 
-// completeDependency processes the completion of one dependency of a job, which is released if it
-// was the last.
+// completeDependency records the completion of one dependency of a job, and releases the job if that
+// was its last pending dependency.
 func (g *Graph) completeDependency(job *cluster.Job, terminal storage.TerminalRecord, writtenHere bool) {
 	job.EligibleAt = max(job.EligibleAt, g.endedAt(terminal))
 	job.ReleasedThisTerm = job.ReleasedThisTerm || writtenHere
@@ -138,9 +143,9 @@
 	}
 }
 
-// cancelWithDependents cancels a job and all its dependents because a dependency is cancelled.
-// That cancellation is already durable, so users are notified at once; the terminal records of
-// the jobs are written with low priority.
+// cancelWithDependents cancels a job and all its direct and indirect dependents because one of the
+// job's dependencies is cancelled. That cancellation is already durable, so users are notified at
+// once, and the terminal records of the cancelled jobs are written with low priority.
 func (g *Graph) cancelWithDependents(job *cluster.Job) {
 	var cancelled []*cluster.Job
 	for queue := []*cluster.Job{job}; len(queue) > 0; queue = queue[1:] {
@@ -156,7 +161,7 @@
 	g.RelaxDeadlines(cancelled...)
 }
 
-// ForEachDependent visits all direct and indirect dependents of a job once.
+// ForEachDependent calls visit once for each direct and indirect dependent of a job.
 func (g *Graph) ForEachDependent(job *cluster.Job, visit func(*cluster.Job)) {
 	seen := map[*cluster.Job]bool{}
 	for queue := slices.Clone(g.Dependents[job.Spec.ID]); len(queue) > 0; queue = queue[1:] {
@@ -170,9 +175,9 @@
 	}
 }
 
-// SoonReleasedDependents returns the jobs for which this is the last pending dependency, if it
-// should end within the horizon (the boot time of a machine), so that capacity and images can be
-// prepared.
+// SoonReleasedDependents returns the jobs whose last pending dependency is the given job, if that
+// job is expected to end within the horizon (the boot time of a machine). Machines and images can
+// then be prepared for them in advance.
 func (g *Graph) SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job {
 	dependents := g.Dependents[job.Spec.ID]
 	if len(dependents) == 0 || job.PendingTasks > 0 {
@@ -180,7 +185,8 @@
 	}
 	expected := g.state.ExpectedTaskDuration(job)
 	for _, attempt := range job.Attempts {
-		// An overdue attempt may end at any time.
+		// An attempt that exceeds its expected duration may end at any time; the estimate of its
+		// remaining duration never falls below expected/8.
 		if g.state.RemainingOfExpected(attempt, expected) > max(horizon, expected/8) {
 			return nil
 		}
@@ -190,12 +196,12 @@
 	})
 }
 
-// CompletionPriority returns the write priority of a job's terminal record, which matters when
-// writes are throttled.
+// CompletionPriority returns the priority with which a job's terminal record is written. It matters
+// only while writes are throttled.
 func (g *Graph) CompletionPriority(job *cluster.Job) storage.Priority {
 	switch {
 	case job.DependencyCancelled:
-		return storage.PriorityLow // it follows from records already stored
+		return storage.PriorityLow // the cancellation follows from records already stored
 	case job.Cancelled:
 		return storage.PriorityCancellation
 	case len(g.Dependents[job.Spec.ID]) > 0:
--- a/internal/dependency/lookups.go
+++ b/internal/dependency/lookups.go
@@ -8,10 +8,11 @@
 	"hitchdoor/internal/storage"
 )
 
-// TickLookups reads the state of dependencies that are not among the open jobs.
+// TickLookups reads the outcome of dependencies that are not open jobs, within the budget for
+// lookups. It is called in each step of the leader.
 func (g *Graph) TickLookups() {
 	if len(g.Lookups) == 0 {
-		return // the common case, at each step
+		return // the usual case, without the cost of sorting
 	}
 	for _, id := range slices.Sorted(maps.Keys(g.Lookups)) {
 		now := g.state.Clock.Now()
@@ -26,7 +27,8 @@
 }
 
 // lookUp reads the terminal record of a dependency, or its open record if there is none. If neither
-// is found, the job moved from one to the other between the reads, and a later lookup finds it.
+// is found, the dependency became terminal between the two reads, and a later lookup finds its
+// terminal record.
 func (g *Graph) lookUp(jobID string) {
 	g.host.ReadTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) {
 		switch {
@@ -38,8 +40,9 @@
 	})
 }
 
-// MayBeCancelled reports whether a dependency of an open job may be cancelled, and an earlier leader
-// may have reported that, as long as the outcome of some dependency has not been read.
+// MayBeCancelled reports whether an open job may be cancelled without this leader's knowledge. As
+// long as the outcome of some dependency has not been read, a dependency of the job may be
+// cancelled, and an earlier leader may have reported that to users.
 func (g *Graph) MayBeCancelled(job *cluster.Job) bool {
 	return job.PendingDependencies > 0 && len(g.Lookups) > 0
 }
