--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -14,15 +14,16 @@
 // candidacy is one attempt of this node to become the leader in a new term.
 type candidacy struct {
 	term             uint64
-	termVersion      uint64 // version of the term key that this candidate wrote
-	votes            map[string]bool
-	requestingVotes  bool // the term is raised and votes are being collected
+	termVersion      uint64          // version of the term key that this candidate wrote
+	votes            map[string]bool // peers that voted for this candidate, by name
+	requestingVotes  bool            // the term has been raised and votes are being collected
 	startedAt        clock.Instant
-	votesRequestedAt clock.Instant // last vote requests sent
-	votesReadAt      clock.Instant // last read of votes from the key-value store
+	votesRequestedAt clock.Instant // when vote requests were last sent
+	votesReadAt      clock.Instant // when votes were last read from the key-value store
 }
 
-// startCandidacyAfterDelay starts a candidacy once it is this node's turn.
+// startCandidacyAfterDelay schedules a candidacy, and starts it once its delay has passed. It does
+// nothing while candidacies are paused, or while an isolated node receives no message from a peer.
 func (e *Election) startCandidacyAfterDelay() {
 	if e.CandidacyPaused() {
 		return
@@ -44,11 +45,11 @@
 	}
 }
 
-// candidacyDelay returns the delay of this node's next candidacy. A random part separates the
-// candidates. Nodes that restarted recently go first: in a rolling restart they will not be
-// restarted again.
+// candidacyDelay returns the delay of this node's next candidacy. Its random part makes it unlikely
+// that several nodes become candidates at the same time. A node that restarted recently has a
+// shorter delay, because in a rolling restart it will not be restarted again.
 func (e *Election) candidacyDelay() time.Duration {
-	intervals := e.rng.Float64()
+	intervals := e.rng.Float64() // in leader key read intervals
 	for _, peer := range e.peers {
 		if e.recentlyHeard(peer) && peer.uptime < e.host.Now() && peer.uptime > clock.WithDrift(e.LeaderLease()) {
 			intervals++
@@ -75,13 +76,13 @@
 	})
 }
 
-// storedTerm is the last term in the key-value store. It is zero if there is none yet.
+// storedTerm is the last term in the key-value store, or the zero value if no term exists yet.
 type storedTerm struct {
 	term    storage.Term
-	version uint64 // of its key
+	version uint64 // of the term key
 }
 
-// readTerm reads the last term. The callback gets nil if it could not be read.
+// readTerm reads the last term from the key-value store. onTerm receives nil if the read failed.
 func (e *Election) readTerm(onTerm func(last *storedTerm)) {
 	e.host.CallStore("GET", "/store/"+storage.TermKey, nil, func(response storage.Response) {
 		if response.Status == http.StatusNotFound {
@@ -98,8 +99,8 @@
 	})
 }
 
-// raiseTerm writes the candidate's term over the last one, of the given version. The transaction
-// also requires that there is no leader key.
+// raiseTerm replaces the last term by the candidate's term. The transaction requires that the term
+// key still has version lastVersion and that there is no leader key.
 func (e *Election) raiseTerm(current *candidacy, lastVersion uint64) {
 	txn := storage.Txn{
 		Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: lastVersion}, {Key: storage.LeaderKey}},
@@ -111,8 +112,8 @@
 			return
 		}
 		if !response.Decode(&result) {
-			// Lost, or the outcome is unclear. A term is never used unless it is known to
-			// be this node's; a later candidacy raises it again.
+			// The transaction failed, or its outcome is unknown. A node never uses a term
+			// unless it knows that it raised the term itself; a later candidacy raises it again.
 			e.candidacy = nil
 			return
 		}
@@ -121,8 +122,8 @@
 	})
 }
 
-// tickCandidate sends vote requests and takes the leader key once a quorum has voted. The
-// candidacy ends after the span of one leader lease.
+// tickCandidate sends vote requests, and acquires the leader key once a quorum has voted. The
+// candidacy ends after the duration of one leader lease.
 func (e *Election) tickCandidate() {
 	current, now := e.candidacy, e.host.Now()
 	if now > current.startedAt+e.LeaderLease() {
@@ -132,7 +133,7 @@
 	if !current.requestingVotes {
 		return
 	}
-	// This node's own vote counts as well, so a lease grant binds it like any voter.
+	// The quorum includes this node's own vote, so a lease grant binds it like any other voter.
 	if e.freeToVote() && len(current.votes) >= e.peersInQuorum() {
 		current.requestingVotes = false
 		e.votedTerm = max(e.votedTerm, current.term)
@@ -155,7 +156,7 @@
 	}
 }
 
-// requestLeaderLease creates the lease of the leader key and then takes the key.
+// requestLeaderLease creates a lease for the leader key and then acquires the key.
 func (e *Election) requestLeaderLease(current *candidacy) {
 	requestedAt := e.host.Now()
 	request := storage.Lease{TTLMillis: e.LeaderLease().Milliseconds()}
@@ -172,8 +173,9 @@
 	})
 }
 
-// acquireLeaderKey sets the leader key on a lease, provided that there is no leader and the term is
-// still this candidate's. On success this node leads.
+// acquireLeaderKey writes the leader key and attaches it to a lease, if there is no leader key and the
+// stored term is still this candidate's. On success this node leads, unless the response arrives so
+// late that the lease may have expired.
 func (e *Election) acquireLeaderKey(current *candidacy, leaseID uint64, leaseRequestedAt clock.Instant) {
 	leaderWrite := storage.Put(storage.LeaderKey, storage.Leader{Node: e.node, Term: current.term})
 	leaderWrite.LeaseID = leaseID
@@ -191,8 +193,8 @@
 		}
 		e.candidacy = nil
 		if !response.Decode(&result) {
-			// If it was executed nevertheless, the key names this node, and
-			// revokeEarlierLease revokes its lease.
+			// If the store executed the transaction nevertheless, the leader key names this
+			// node, and revokeStaleLease revokes its lease.
 			return
 		}
 		if e.host.Now() >= leaseRequestedAt+SafeLeaseSpan(e.LeaderLease()) {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,6 +1,6 @@
-// Package election decides which controller leads: candidacy, votes, the leader lease and the lease
-// grants of a quorum. It does no I/O and reads no clock: its owner drives it, and it acts through its
-// Host.
+// Package election elects the leader among the controllers by means of candidacies, votes, the leader
+// lease and the lease grants of a quorum. It performs no I/O and reads no clock: its owner calls it in
+// each step, and it acts through its Host.
 package election
 
 import (
@@ -11,21 +11,22 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Election is the state of leader election on one node. It is a pure step on the time, on the
-// messages of peers and on the responses of the key-value store: its owner drives it with them, and
-// it acts through its host.
+// Election is the state machine of leader election on one node. Its inputs are the time, the
+// messages of peers and the responses of the key-value store. Its owner passes them in, and it
+// acts through its host.
 //
-// The leader holds the leader key, which is attached to a lease of the key-value store. The
-// leader lease counts from when its last renewal was sent. While the store is down, leases do
-// not expire there but the leader lease would expire here; the leader then relies on short
-// lease grants from a quorum of controllers. Each grant binds a peer not to become a candidate.
-// Both mechanisms exclude each other: besides the keys, a candidate needs votes from a quorum
-// that is bound by no grant, and a peer that has voted for a candidate grants nothing to leaders
-// of lower terms.
+// The leader holds the leader key, which is attached to a lease of the key-value store. The leader
+// counts its lease from the time at which it sent the last renewal. A store that is down expires no
+// leases, but the leader, which can't renew its lease, must regard it as expired. The leader then
+// relies on short lease grants from a quorum of controllers. A peer that grants a lease votes for
+// no candidate, itself included, until the grant expires. Votes and grants exclude each other: a
+// candidate needs, besides the keys, votes from a quorum of nodes that are bound by no grant, and
+// a peer that has voted for a candidate grants no lease to leaders of lower terms.
 //
-// A controller may be stopped between any two steps, and between a decision and its effect, while
-// its clocks run on. Therefore each step takes the time anew and checks the leader lease before it
-// answers or commands, and a renewal, a grant or a vote counts from when it was requested.
+// A controller may be suspended between any two steps, or between a decision and its effect, while
+// its clocks continue to run. Therefore each step reads the time again and checks the leader lease
+// before it sends a response or a command, and a renewal, a grant or a vote counts from the time at
+// which it was requested.
 type Election struct {
 	node      string // name of this node
 	processID uint64 // distinguishes this process from earlier ones of the same node
@@ -35,20 +36,20 @@
 
 	storeAvailability
 	peerTable
-	heartbeatSentAt clock.Instant // last heartbeat to the peers
+	heartbeatSentAt clock.Instant // last heartbeat to the peers; clock.Never: send one in the next step
 
-	// as a follower or a candidate
+	// State of a follower or candidate.
 	leaderKey   leaderKeyState
-	draining    bool // this node starts no more candidacies
-	isolated    bool // no candidacy until a peer is heard: this node was isolated
+	draining    bool // this node is shutting down and starts no more candidacies
+	isolated    bool // stepped down as an isolated leader; no candidacy until a peer's message arrives
 	pause       candidacyPause
-	candidacyAt clock.Instant // start of the next candidacy; never: not scheduled
-	candidacy   *candidacy    // nil: not a candidate
+	candidacyAt clock.Instant // start of the next candidacy; clock.Never: not scheduled
+	candidacy   *candidacy    // nil: this node is not a candidate
 
-	// as a peer
-	grantedTerm  uint64
-	grantedUntil clock.Instant // end of the last lease grant of this node
-	votedTerm    uint64
+	// Commitments of this node to leaders and candidates.
+	grantedTerm  uint64        // highest term to whose leader this node granted a lease; 0: none
+	grantedUntil clock.Instant // expiry of the last lease grant by this node
+	votedTerm    uint64        // highest term in which this node voted; 0: none
 
 	leadership *leadership // nil: this node does not lead
 }
@@ -56,14 +57,14 @@
 // Options are the settings and dependencies of an election.
 type Options struct {
 	Node      string
-	ProcessID uint64   // not 0, which means unknown
+	ProcessID uint64   // must not be 0, which means unknown
 	Peers     []string // names of the other controllers
 	Cluster   *config.Cluster
 	Rand      *rand.Rand
 	Host      Host
 }
 
-// New returns the state of a node that has just started.
+// New returns the election of a node whose process has just started.
 func New(options Options) *Election {
 	durations := timing{options.Cluster}
 	return &Election{
@@ -79,8 +80,8 @@
 	}
 }
 
-// Tick sends the periodic heartbeat to the peers and advances the role of this node: leader,
-// candidate or follower.
+// Tick sends the periodic heartbeat to the peers and does what is due in this node's role as leader,
+// candidate or follower. The owner calls it in each step.
 func (e *Election) Tick() {
 	now := e.host.Now()
 	if e.heartbeatSentAt == clock.Never || now >= e.heartbeatSentAt+e.peerHeartbeatInterval() {
@@ -96,8 +97,8 @@
 	}
 }
 
-// HandleMessage records that a peer was heard, and handles the message if it belongs to the
-// election. The peer must be one of the configured ones.
+// HandleMessage records when the last message from a peer arrived, and handles the message if it
+// concerns the election. The peer must be one of the configured peers.
 func (e *Election) HandleMessage(from string, message protocol.PeerMessage) {
 	sender := e.peers[from]
 	sender.LastContact = e.host.Now()
@@ -113,7 +114,8 @@
 	}
 }
 
-// Drain ends this node's candidacy and its term as the leader. It starts no more candidacies.
+// Drain prepares for shutdown: it ends this node's candidacy and its term as the leader, and prevents
+// further candidacies.
 func (e *Election) Drain() {
 	e.draining = true
 	e.candidacy = nil
@@ -123,9 +125,9 @@
 // Status is the state of an election for diagnostics.
 type Status struct {
 	IsCandidate     bool
-	Votes           []string // peers that voted for this candidate, in no order
-	Isolated        bool     // no candidacy until a peer is heard
-	LeaseValidUntil clock.Instant
+	Votes           []string      // peers that voted for this candidate, in no particular order
+	Isolated        bool          // no candidacy until a peer's message arrives
+	LeaseValidUntil clock.Instant // end of the leader lease, without grants; clock.Never: not the leader
 }
 
 // Status returns the state of the election for diagnostics.
--- a/internal/election/election_step_test.go
+++ b/internal/election/election_step_test.go
@@ -11,15 +11,16 @@
 	"hitchdoor/internal/storage"
 )
 
-// recordingHost is the host of an election that is tested alone. Its key-value store has no leader
-// key, answers every other request at once with storeStatus, and counts terms from 1.
+// recordingHost is the host of an election under test and records what the election does. Its
+// key-value store has no leader key and no term key, so the first candidacy is in term 1. The store
+// responds to every other request at once with storeStatus.
 type recordingHost struct {
 	now             clock.Instant
 	election        *Election
 	storeStatus     int
 	condition       LeaderCondition
 	sent            []protocol.PeerMessage
-	ledTerms        []uint64
+	ledTerms        []uint64 // terms in which the node became the leader
 	stepDownReasons []string
 }
 
@@ -53,7 +54,7 @@
 	h.stepDownReasons = append(h.stepDownReasons, reason)
 }
 
-// newTestElection returns the election of one of three nodes, with its host.
+// newTestElection returns the election of node n0 in a cluster of three nodes, and its host.
 func newTestElection() (*Election, *recordingHost) {
 	settings := &config.Cluster{ControllerCount: 3}
 	settings.Workers.LeaseS = 24
@@ -63,7 +64,8 @@
 	return host.election, host
 }
 
-// runUntil advances the time in steps of 5 ms, for a span or until a condition holds.
+// runUntil calls Tick every 5 ms until the condition is true or the timeout has passed. It reports
+// whether the condition became true.
 func (h *recordingHost) runUntil(timeout time.Duration, condition func() bool) bool {
 	for end := h.now + timeout; h.now < end; h.now += 5 * time.Millisecond {
 		h.election.Tick()
@@ -74,63 +76,70 @@
 	return false
 }
 
-// becomeCandidate lets the time pass until the node is a candidate.
+// becomeCandidate advances the time until the node is a candidate.
 func (h *recordingHost) becomeCandidate(t *testing.T) {
 	t.Helper()
 	h.now = 2 * h.election.LeaderLease()
 	if !h.runUntil(h.election.workerLease(), func() bool { return h.election.Status().IsCandidate }) {
-		t.Fatal("no candidacy without a leader key")
+		t.Fatal("no candidacy within a worker lease although there is no leader key")
 	}
 }
 
-// becomeLeader makes the node the leader by the vote of one peer.
+// becomeLeader makes the node the leader in term 1 by the vote of one peer.
 func (h *recordingHost) becomeLeader(t *testing.T) {
 	t.Helper()
 	h.becomeCandidate(t)
 	h.election.HandleMessage("n1", protocol.Vote{Term: 1, Granted: true})
 	if !h.election.HoldsLeaderLease() {
-		t.Fatal("a quorum of votes made no leader")
+		t.Fatal("node does not hold the leader lease after a quorum of votes")
 	}
 }
 
+// A candidate that counted votes of another term, or votes that were not granted, could lead beside
+// another leader.
 func TestElectionNeedsQuorumOfVotesInItsTerm(t *testing.T) {
 	e, host := newTestElection()
 	host.becomeCandidate(t)
 	e.HandleMessage("n1", protocol.Vote{Term: 2, Granted: true})
 	e.HandleMessage("n1", protocol.Vote{Term: 1})
 	if e.HoldsLeaderLease() || len(host.ledTerms) != 0 {
-		t.Error("leads without a vote in its term")
+		t.Error("node leads without a granted vote in its term")
 	}
 	e.HandleMessage("n1", protocol.Vote{Term: 1, Granted: true})
 	if !e.HoldsLeaderLease() || len(host.ledTerms) != 1 || host.ledTerms[0] != 1 {
-		t.Errorf("terms led after a quorum of votes: %v", host.ledTerms)
+		t.Errorf("terms led after a quorum of votes: %v, want [1]", host.ledTerms)
 	}
 }
 
+// While the key-value store is down, a leader continues to lead by the lease grants of a quorum. If a
+// grant of another term, or one with a timestamp in the future, extended its lease, it could lead
+// beside another leader.
 func TestElectionLeadsByGrantsOfQuorum(t *testing.T) {
 	e, host := newTestElection()
 	host.becomeLeader(t)
 	host.storeStatus = 503
 	leaseNearlyExpired := func() bool { return e.Status().LeaseValidUntil-host.now < time.Second }
 	if !host.runUntil(e.LeaderLease(), leaseNearlyExpired) {
-		t.Fatal("the lease was renewed by a store that is down")
+		t.Fatal("leader lease does not run out although the store responds with 503")
 	}
 	last, isHeartbeat := host.sent[len(host.sent)-1].(protocol.PeerHeartbeat)
 	if !isHeartbeat || !last.IsLeader || !last.WantsLeaseGrant {
-		t.Fatalf("asks for no lease grant: %+v", last)
+		t.Fatalf("last message is not a leader's heartbeat that requests a lease grant: %+v", last)
 	}
 	e.HandleMessage("n1", protocol.LeaseGrant{Term: 9, HeartbeatSentAt: host.now})
 	e.HandleMessage("n2", protocol.LeaseGrant{Term: 1, HeartbeatSentAt: clock.Forever / 2})
 	grantedAt := host.now
 	host.runUntil(e.workerLease(), func() bool { return len(host.stepDownReasons) > 0 })
 	if end := grantedAt + SafeLeaseSpan(e.LeaderLease()); host.now < end || host.now > end+5*time.Millisecond {
-		t.Errorf("led until %v by a grant requested at %v", host.now, grantedAt)
+		t.Errorf("led until %v by a grant received at %v, want until %v", host.now, grantedAt, end)
 	}
 	if len(host.stepDownReasons) != 1 || host.stepDownReasons[0] != "leader lease expired" || e.HoldsLeaderLease() {
-		t.Errorf("stepped down for %q", host.stepDownReasons)
+		t.Errorf("step-down reasons: %q, want only \"leader lease expired\"", host.stepDownReasons)
 	}
 }
 
+// A leader steps down for a reason that only its host knows. If it resigns, it must also pause its
+// candidacies: otherwise it could be elected again at once, before another node.
 func TestElectionStepsDownAtHostRequest(t *testing.T) {
 	for _, condition := range []LeaderCondition{{StepDownReason: "term exhausted"}, {ResignReason: "workers elsewhere"}} {
 		e, host := newTestElection()
@@ -139,10 +148,10 @@
 		e.Tick()
 		reason := condition.StepDownReason + condition.ResignReason
 		if len(host.stepDownReasons) != 1 || host.stepDownReasons[0] != reason || e.HoldsLeaderLease() {
-			t.Errorf("%+v: stepped down for %q", condition, host.stepDownReasons)
+			t.Errorf("%+v: step-down reasons: %q, want only %q", condition, host.stepDownReasons, reason)
 		}
 		if e.CandidacyPaused() != (condition.ResignReason != "") {
-			t.Errorf("%+v: candidacy paused: %v", condition, e.CandidacyPaused())
+			t.Errorf("%+v: candidacy paused: %v, want the opposite", condition, e.CandidacyPaused())
 		}
 	}
 }
--- a/internal/election/host.go
+++ b/internal/election/host.go
@@ -6,42 +6,42 @@
 	"hitchdoor/internal/storage"
 )
 
-// timeSource tells the time.
+// timeSource provides the time of the current step.
 type timeSource interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 }
 
-// Host is what an election needs from the controller that owns it.
+// Host provides what an election needs from the controller that owns it.
 type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// CallStore sends a request to the key-value store and passes the response to onResponse in a
-	// later step. Before that, the host records the response as it does with all others of the
-	// store, so that the election knows whether the store answers this node.
+	// later step. Before that, the host passes its status to RecordStoreResponse, as for every other
+	// response of the store, so that the election knows whether the store responds to this node.
 	CallStore(method, path string, body any, onResponse func(storage.Response))
-	// SendMessage sends a message to a peer.
+	// SendMessage sends a message to the peer of the given name.
 	SendMessage(to string, message protocol.PeerMessage)
-	// DescribeController sets the fields of a heartbeat that are not the election's.
+	// DescribeController sets the fields of a heartbeat that do not concern the election.
 	DescribeController(heartbeat *protocol.PeerHeartbeat)
-	// TwoWayPeerCount returns the number of peers with which messages pass in both directions.
+	// TwoWayPeerCount returns the number of peers with which messages are exchanged in both directions.
 	TwoWayPeerCount() int
-	// BecameLeader tells that this node leads a term. Every write of the term must be conditioned
-	// on the version of the leader key.
+	// BecameLeader notifies the host that this node leads a term. Every write in that term must be
+	// conditional on the given version of the leader key.
 	BecameLeader(term, leaderKeyVersion uint64)
-	// LeaderCondition returns the state of the controller as the leader. It is called while this
-	// node leads.
+	// LeaderCondition returns whether this node should continue to lead. It is called only while
+	// this node leads.
 	LeaderCondition() LeaderCondition
-	// SteppedDown tells that this node does not lead any longer, and why.
+	// SteppedDown notifies the host that this node no longer leads, and why.
 	SteppedDown(reason string)
 }
 
-// ignoreResponse handles the response to a request on whose outcome nothing depends.
+// ignoreResponse is the callback of a request whose outcome does not matter.
 func ignoreResponse(storage.Response) {}
 
-// LeaderCondition is the state of a leader that decides whether it should go on to lead.
+// LeaderCondition states whether a leader should continue to lead.
 type LeaderCondition struct {
-	StepDownReason      string        // why the term can't go on; empty: it can
-	LastWorkerHeartbeat clock.Instant // last heartbeat of any worker
-	ResignReason        string        // why another node should lead for some time; empty: none should
+	StepDownReason      string        // why the term must end; empty: it can continue
+	LastWorkerHeartbeat clock.Instant // when the last heartbeat of any worker arrived
+	ResignReason        string        // why another node should lead for some time; empty: no reason
 }
--- a/internal/election/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -13,16 +13,16 @@
 type leadership struct {
 	term            uint64
 	startedAt       clock.Instant
-	leaseID         uint64                   // lease of the leader key in the store
-	leaseValidUntil clock.Instant            // end of the leader lease, without grants
-	grantedUntil    map[string]clock.Instant // end of each peer's lease grant
-	renewalSentAt   clock.Instant            // last renewal sent
+	leaseID         uint64                   // lease of the leader key in the key-value store
+	leaseValidUntil clock.Instant            // end of the leader lease, without lease grants
+	grantedUntil    map[string]clock.Instant // end of each peer's lease grant, by peer name
+	renewalSentAt   clock.Instant            // when the last renewal was sent
 	renewalInFlight bool
-	renewalFailed   bool // the last renewal failed: ask for grants
+	renewalFailed   bool // the last renewal failed, so heartbeats request lease grants
 }
 
-// newLeadership returns the state of a term that begins now, with a lease that was requested at an
-// earlier instant.
+// newLeadership returns the state of a term that begins now, with a lease that was requested at
+// requestedAt.
 func (e *Election) newLeadership(term, leaseID uint64, requestedAt clock.Instant) *leadership {
 	started := &leadership{
 		term: term, startedAt: e.host.Now(), leaseID: leaseID,
@@ -36,21 +36,21 @@
 	return started
 }
 
-// renewalDue reports whether it is time to renew the leader lease.
+// renewalDue reports whether the leader lease is due for renewal and no renewal is in flight.
 func (l *leadership) renewalDue(now clock.Instant, leaderLease time.Duration) bool {
 	return !l.renewalInFlight && now >= l.renewalSentAt+leaderLease/renewalsPerLeaderLease
 }
 
-// Divisors of a lease that give the spans by which a leader acts.
+// Durations of a leader's actions as fractions of a lease.
 const (
 	renewalsPerLeaderLease = 4
-	// isolationTimeoutsPerWorkerLease is the divisor of a worker lease that gives the span after which a leader that hears
-	// neither peers nor workers steps down.
+	// A leader that has received no message from any peer or worker for the isolation timeout
+	// steps down.
 	isolationTimeoutsPerWorkerLease = 4
 )
 
-// HoldsLeaderLease reports whether this node may act as the leader: by its own lease in the
-// store, or by the lease grants of a quorum.
+// HoldsLeaderLease reports whether this node may act as the leader, either by its own lease in the
+// key-value store or by the lease grants of a quorum.
 func (e *Election) HoldsLeaderLease() bool {
 	if e.leadership == nil {
 		return false
@@ -59,11 +59,11 @@
 	return now < e.leadership.leaseValidUntil || now < e.leadership.quorumLeaseUntil(e.peersInQuorum())
 }
 
-// leasePath returns the path of a lease in the key-value store.
+// leasePath returns the request path of a lease in the key-value store.
 func leasePath(id uint64) string { return "/holds/" + strconv.FormatUint(id, 10) }
 
-// becomeLeader starts a term as the leader. The leader lease counts from when it was requested:
-// counted from the response, a delayed response would extend it beyond its end in the store.
+// becomeLeader starts a term as the leader. The leader lease counts from the time of its request. If
+// it counted from the response, a delayed response would extend it beyond its expiry in the store.
 func (e *Election) becomeLeader(term, leaderKeyVersion, leaseID uint64, requestedAt clock.Instant) {
 	e.leadership = e.newLeadership(term, leaseID, requestedAt)
 	e.leaderKey.absentSince = clock.Never
@@ -71,7 +71,8 @@
 	e.heartbeatSentAt = clock.Never
 }
 
-// StepDown ends this node's term as the leader and revokes its lease.
+// StepDown ends this node's term as the leader and revokes its lease. The host gets the reason. It does
+// nothing if this node does not lead.
 func (e *Election) StepDown(reason string) {
 	ended := e.leadership
 	if ended == nil {
@@ -86,7 +87,7 @@
 	e.heartbeatSentAt = clock.Never
 }
 
-// tickLeader steps down if this node should not lead any longer, and renews its lease.
+// tickLeader steps down if this node should no longer lead, and otherwise renews its lease when due.
 func (e *Election) tickLeader() {
 	if !e.HoldsLeaderLease() {
 		e.StepDown("leader lease expired")
@@ -106,17 +107,17 @@
 	}
 }
 
-// leaderIsolated reports whether this leader hears neither peers nor workers: it is isolated from
-// everything but the key-value store. As long as it renewed its lease, no other node could take
-// over.
+// leaderIsolated reports whether this leader receives messages neither from peers nor from workers: it
+// is isolated from everything but the key-value store. As long as it renewed its lease there, no other
+// node could become the leader.
 func (e *Election) leaderIsolated(lastWorkerHeartbeat clock.Instant) bool {
 	now, isolationTimeout := e.host.Now(), e.workerLease()/isolationTimeoutsPerWorkerLease
 	return len(e.peers) > 0 && now-e.leadership.startedAt > isolationTimeout &&
 		e.RecentPeerCount(isolationTimeout) == 0 && now-lastWorkerHeartbeat > isolationTimeout
 }
 
-// renewLease renews the lease of the leader key. The leader lease counts from when the renewal is
-// sent, see becomeLeader.
+// renewLease renews the lease of the leader key. The renewed lease counts from the time at which the
+// renewal is sent; becomeLeader states the reason.
 func (e *Election) renewLease() {
 	current, sentAt := e.leadership, e.host.Now()
 	current.renewalInFlight, current.renewalSentAt = true, sentAt
@@ -130,10 +131,10 @@
 			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+SafeLeaseSpan(e.LeaderLease()))
 			current.renewalFailed = false
 		case http.StatusNotFound:
-			e.StepDown("leader lease lost")
+			e.StepDown("leader lease no longer exists in the key-value store")
 		default:
 			current.renewalFailed = true
-			e.heartbeatSentAt = clock.Never // ask for lease grants at once
+			e.heartbeatSentAt = clock.Never // request lease grants in the next step
 		}
 	})
 }
--- a/internal/election/peer_heartbeats.go
+++ b/internal/election/peer_heartbeats.go
@@ -4,8 +4,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// sendHeartbeats sends a heartbeat to every peer. A leader whose renewal failed asks for lease
-// grants in it.
+// sendHeartbeats sends a heartbeat to every peer. A leader whose last lease renewal failed requests
+// lease grants in it.
 func (e *Election) sendHeartbeats() {
 	now := e.host.Now()
 	e.heartbeatSentAt = now
@@ -22,14 +22,14 @@
 	}
 }
 
-// onPeerHeartbeat records what a peer reports of itself, and grants it a lease if it asks for
-// one. A leader steps down if a peer leads in a higher term.
+// onPeerHeartbeat records the state that a peer reports, and grants the peer a lease if it requests
+// one and may get it. This node steps down as the leader if the peer leads in a higher term.
 func (e *Election) onPeerHeartbeat(sender *Peer, heartbeat protocol.PeerHeartbeat) {
 	sender.recordHeartbeat(heartbeat, e.processID)
 	if heartbeat.IsLeader && heartbeat.WantsLeaseGrant {
 		e.grantLease(sender, heartbeat)
 	}
 	if heartbeat.IsLeader && e.leadership != nil && heartbeat.Term > e.leadership.term {
-		e.StepDown("peer leads in a higher term")
+		e.StepDown("peer " + sender.Name + " leads in a higher term")
 	}
 }
--- a/internal/election/peer_table.go
+++ b/internal/election/peer_table.go
@@ -7,31 +7,32 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Peer is what the election knows of another controller.
+// Peer is the last known state of another controller.
 type Peer struct {
 	Name            string
-	LastContact     clock.Instant // last message of any kind
-	processID       uint64        // processID in its last heartbeat
-	knownNotLeading bool          // it has heard from this process and reported that it does not lead
-	uptime          time.Duration // its uptime in its last heartbeat
-	Term            uint64
-	leading         bool
+	LastContact     clock.Instant // when its last message of any kind arrived
+	processID       uint64        // from its last heartbeat; 0: unknown
+	knownNotLeading bool          // it reported, after a heartbeat from this process, that it does not lead
+	uptime          time.Duration // from its last heartbeat
+	Term            uint64        // from its last heartbeat; 0: it did not lead
+	leading         bool          // its last heartbeat stated that it holds the leader lease
 }
 
-// recordHeartbeat records what the peer reports of itself to the process of the receiver.
+// recordHeartbeat records the state that the peer reports in a heartbeat. receiverProcessID identifies
+// the process of this node.
 func (p *Peer) recordHeartbeat(heartbeat protocol.PeerHeartbeat, receiverProcessID uint64) {
 	p.leading = heartbeat.IsLeader
 	p.Term = heartbeat.Term
 	p.uptime = heartbeat.Uptime
 	p.processID = heartbeat.ProcessID
-	// A heartbeat that names an earlier process of this node as its receiver may have been sent
-	// while a grant of that process was in use. It proves nothing, see noPeerLeads.
+	// The sender of a heartbeat that names an earlier process of this node as its receiver may still
+	// have relied on a grant of that process. Such a heartbeat does not count, see noPeerLeads.
 	if heartbeat.ReceiverProcessID == receiverProcessID && !heartbeat.IsLeader {
 		p.knownNotLeading = true
 	}
 }
 
-// peerTable holds the other controllers of the cluster.
+// peerTable is the last known state of the other controllers of the cluster.
 type peerTable struct {
 	peers     map[string]*Peer
 	peerNames []string // in the order of the configuration
@@ -39,7 +40,7 @@
 	clock     timeSource
 }
 
-// newPeerTable returns a table of peers of which none has been heard.
+// newPeerTable returns a table of peers from which no message has arrived yet.
 func newPeerTable(names []string, durations timing, source timeSource) peerTable {
 	table := peerTable{peers: make(map[string]*Peer, len(names)), peerNames: names, timing: durations, clock: source}
 	for _, name := range names {
@@ -48,10 +49,11 @@
 	return table
 }
 
-// Peer returns what the election knows of a peer, or nil if it is not configured.
+// Peer returns the last known state of a peer, or nil if no peer of that name is configured.
 func (t *peerTable) Peer(name string) *Peer { return t.peers[name] }
 
-// LeaderPeer returns the peer that leads, or nil if none is known or it was not heard recently.
+// LeaderPeer returns the peer that leads in the highest term, among the peers that sent a message
+// recently, or nil if none of them leads.
 func (t *peerTable) LeaderPeer() *Peer {
 	var leader *Peer
 	for _, peer := range t.peers {
@@ -62,12 +64,12 @@
 	return leader
 }
 
-// recentlyHeard reports whether a peer was heard within the span of a leader lease.
+// recentlyHeard reports whether the peer's last message arrived within the duration of a leader lease.
 func (t *peerTable) recentlyHeard(peer *Peer) bool {
 	return t.clock.Now()-peer.LastContact < t.timing.LeaderLease()
 }
 
-// RecentPeerCount returns the number of peers heard within a span.
+// RecentPeerCount returns the number of peers whose last message arrived within the given duration.
 func (t *peerTable) RecentPeerCount(within time.Duration) int {
 	count := 0
 	for _, peer := range t.peers {
@@ -78,15 +80,15 @@
 	return count
 }
 
-// noPeerLeads reports whether no leader can depend on a lease grant of an earlier process of this
-// node. This holds once every peer has reported that it does not lead, in a heartbeat that names
-// this very process as its receiver.
+// noPeerLeads reports whether no leader can rely on a lease grant of an earlier process of this node.
+// This is the case once every peer has reported that it does not lead, in a heartbeat that names
+// this process as its receiver.
 //
-// Proof: a grant binds in favour of one node in one term. The heartbeat was sent after the peer
-// had heard from this process, so after the earlier process, with all its grants, had ended. At
-// that moment the peer did not lead (a leader whose lease expired steps down in the step that
-// notices it), and a leader that stepped down never resumes its term: to lead again it needs a new
-// term and a new quorum. A quorum of such heartbeats is not enough, as the missing peer may be the
+// Proof: a grant is given to one node in one term. The peer sent the heartbeat after it had received
+// a message from this process, so the earlier process had ended and gave no more grants. At that
+// time the peer did not lead (a leader whose lease has expired steps down in the step that detects
+// it), and a leader that has stepped down never resumes its term: to lead again it needs a new term
+// and a new quorum. A quorum of such heartbeats is not enough, because the missing peer may be the
 // one that leads by the grant.
 func (t *peerTable) noPeerLeads() bool {
 	for _, peer := range t.peers {
@@ -97,7 +99,8 @@
 	return true
 }
 
-// hasLeaderSince reports whether some peer is known to have led in a term or in a later one.
+// hasLeaderSince reports whether some peer stated in its last heartbeat that it leads in the given term
+// or in a later one.
 func (t *peerTable) hasLeaderSince(term uint64) bool {
 	for _, peer := range t.peers {
 		if term <= peer.Term {
--- a/internal/election/resignation.go
+++ b/internal/election/resignation.go
@@ -6,26 +6,27 @@
 	"hitchdoor/internal/clock"
 )
 
-// candidacyPause is the record of this node's resignations, after which it starts no candidacies
-// for some time, so that another node can lead.
+// candidacyPause records this node's resignations. After a resignation the node starts no candidacy
+// for some time, so that another node can become the leader.
 type candidacyPause struct {
-	consecutiveResignations int           // consecutive ones, each within resignationMemoryLeases of the previous
-	lastResignation         clock.Instant // last resignation
-	until                   clock.Instant // this node starts no candidacy before
+	consecutiveResignations int           // each within resignationMemoryLeases of the previous one
+	lastResignation         clock.Instant // when this node last resigned
+	until                   clock.Instant // when the pause ends
 }
 
 const (
 	// After a resignation a node starts no candidacy for firstPauseLeases. The pause doubles
-	// with each further resignation up to maxPauseLeases, and is reset if the last one is more
-	// than resignationMemoryLeases ago. All are in worker leases.
+	// with each further resignation up to maxPauseLeases. It starts again at firstPauseLeases if
+	// the previous resignation is more than resignationMemoryLeases ago. All three constants
+	// count worker leases.
 	firstPauseLeases        = 1
 	maxPauseLeases          = 8
 	resignationMemoryLeases = 32
-	// maxPauseDoublings keeps the doubled pause within the range of a duration.
+	// maxPauseDoublings prevents the doubled pause from overflowing time.Duration.
 	maxPauseDoublings = 8
 )
 
-// extend records a resignation, and pauses the candidacies for longer with each further one.
+// extend records a resignation and starts a pause, which is longer after each consecutive resignation.
 func (p *candidacyPause) extend(now clock.Instant, workerLease time.Duration) {
 	if now-p.lastResignation > resignationMemoryLeases*workerLease {
 		p.consecutiveResignations = 0
@@ -36,15 +37,16 @@
 	p.consecutiveResignations++
 }
 
-// resign steps down and pauses this node's candidacies, longer with each resignation.
+// resign ends this node's term as the leader and pauses its candidacies, so that another node can
+// become the leader.
 func (e *Election) resign(reason string) {
 	e.pause.extend(e.host.Now(), e.workerLease())
 	e.leaderKey.absentSince = clock.Never
 	e.StepDown(reason)
 }
 
-// CandidacyPaused reports whether this node must not become a candidate after a resignation. The
-// pause ends early if there has been no leader for one worker lease.
+// CandidacyPaused reports whether this node must not become a candidate because it resigned recently.
+// The pause ends early if the leader key has been absent for one worker lease.
 func (e *Election) CandidacyPaused() bool {
 	now := e.host.Now()
 	return now < e.pause.until && e.leaderKey.absentFor(now) < e.workerLease()
--- a/internal/election/store_availability.go
+++ b/internal/election/store_availability.go
@@ -6,19 +6,20 @@
 	"hitchdoor/internal/clock"
 )
 
-// storeAvailability tracks whether the key-value store answers this node.
+// storeAvailability tracks whether the key-value store responds to this node.
 type storeAvailability struct {
-	lastSuccess         clock.Instant // last response other than an error
-	lastFailure         clock.Instant // last 429, 5xx or missing response
+	lastSuccess         clock.Instant // when the last response other than a failure arrived
+	lastFailure         clock.Instant // when a request last failed: status 429, 5xx or no response
 	consecutiveFailures int
 }
 
-// newStoreAvailability returns the state before the first call.
+// newStoreAvailability returns the state before the first response.
 func newStoreAvailability() storeAvailability {
 	return storeAvailability{lastSuccess: clock.Never, lastFailure: clock.Never}
 }
 
-// RecordStoreResponse records whether the key-value store answered a call with the status.
+// RecordStoreResponse records the status of a response of the key-value store; 0 means that no
+// response arrived.
 func (a *storeAvailability) RecordStoreResponse(now clock.Instant, status int) {
 	if status == 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError {
 		a.lastFailure = now
@@ -29,16 +30,17 @@
 	a.consecutiveFailures = 0
 }
 
-// StoreFailing reports whether the last call to the store failed.
+// StoreFailing reports whether the last request to the store failed.
 func (a *storeAvailability) StoreFailing() bool { return a.lastFailure > a.lastSuccess }
 
-// StoreReachable reports whether the store has answered at all, and its last response was no error.
+// StoreReachable reports whether the last request to the store succeeded. It is false before the first
+// response.
 func (a *storeAvailability) StoreReachable() bool {
 	return a.lastSuccess != clock.Never && !a.StoreFailing()
 }
 
-// maxToleratedStoreFailures is how many failed calls in a row, as caused by a lost packet, do not
-// yet count as an outage of the store.
+// maxToleratedStoreFailures is the number of consecutive failed requests that do not yet count as an
+// outage of the store. A single lost packet makes one request fail.
 const maxToleratedStoreFailures = 1
 
 // StoreUnavailable reports whether the store is considered down, so that requests which need it
--- a/internal/election/timing.go
+++ b/internal/election/timing.go
@@ -6,17 +6,17 @@
 	"hitchdoor/internal/config"
 )
 
-// timing derives the time spans and the quorum of elections from the cluster's settings.
+// timing derives the durations and the quorum of elections from the cluster settings.
 type timing struct{ cluster *config.Cluster }
 
-// Time spans as fractions of a worker lease.
+// Durations of the election as fractions of a worker lease.
 const (
 	LeaderLeasesPerWorkerLease   = 6 // a leader lease, or a lease grant, lasts 1/6 of a worker lease
 	leaderKeyReadsPerWorkerLease = 28
 	HeartbeatsPerWorkerLease     = 32
 )
 
-// workerLease returns the duration of the workers' lease.
+// workerLease returns the duration of a worker's lease.
 func (t timing) workerLease() time.Duration { return t.cluster.WorkerLease() }
 
 // LeaderLease returns the duration of the leader lease and of a peer's lease grant.
@@ -33,9 +33,9 @@
 	return t.workerLease() / HeartbeatsPerWorkerLease
 }
 
-// peersInQuorum returns how many peers make up a quorum together with this node.
+// peersInQuorum returns how many peers form a quorum (a majority) together with this node.
 func (t timing) peersInQuorum() int { return t.cluster.ControllerCount / 2 }
 
 // SafeLeaseSpan returns how long a lease of the key-value store, or a lease grant of a peer, is
-// guaranteed to hold by this node's clock.
+// guaranteed to last by this node's clock.
 func SafeLeaseSpan(lease time.Duration) time.Duration { return lease - lease/500 - time.Millisecond }
