--- a/internal/election/peer_heartbeats.go
+++ b/internal/election/peer_heartbeats.go
@@ -30,6 +30,6 @@
 		e.grantLease(sender, heartbeat)
 	}
 	if heartbeat.IsLeader && e.leadership != nil && heartbeat.Term > e.leadership.term {
-		e.StepDown("peer " + sender.Name + " leads in a higher term")
+		e.StepDown("peer leads in a higher term")
 	}
 }
