--- a/internal/admission/allotment.go
+++ b/internal/admission/allotment.go
@@ -13,38 +13,38 @@
 	Weight float64 // of its team; a guarantee raises it
 }
 
-// floorShare is the part of the capacity that is allotted evenly among teams, and within each
-// team among its groups, whatever their priority. The rest is allotted by priority.
+// floorShare is the part of the capacity that is allocated evenly among teams, and within each
+// team among its groups, whatever their priority. The rest is allocated by priority.
 const floorShare = 0.25
 
-// allotCapacity divides a capacity in jobs among groups: first the minimum that each needs for all
+// allocateCapacity divides a capacity in jobs among groups: first the minimum that each needs for all
 // its jobs to be admitted in time, if there is enough for all; then floorShare of what is left
 // evenly among teams and among the groups of each; then the rest by priority, and among equal
 // priorities by weight. No group gets more than its demand. The result is in the order of the
 // demands.
-func allotCapacity(capacity float64, demands []groupDemand, epochsToTurn int) []float64 {
-	allotted := make([]float64, len(demands))
-	if minimum := minimumAllotments(demands, epochsToTurn); sum(minimum) <= capacity {
-		copy(allotted, minimum)
+func allocateCapacity(capacity float64, demands []groupDemand, maxEpochs int) []float64 {
+	allocated := make([]float64, len(demands))
+	if minimum := minimumAllocations(demands, maxEpochs); sum(minimum) <= capacity {
+		copy(allocated, minimum)
 	}
-	floor := (capacity - sum(allotted)) * floorShare
-	allotFloor(floor, demands, allotted)
-	allotByRank(capacity-sum(allotted), demands, allotted)
-	return allotted
+	floor := (capacity - sum(allocated)) * floorShare
+	allocateFloor(floor, demands, allocated)
+	allocateByPriority(capacity-sum(allocated), demands, allocated)
+	return allocated
 }
 
-// minimumAllotments returns, for each group, the number of jobs per epoch by which all of it is
-// admitted within epochsToTurn epochs.
-func minimumAllotments(demands []groupDemand, epochsToTurn int) []float64 {
+// minimumAllocations returns, for each group, the number of jobs per epoch by which all of it is
+// admitted within maxEpochs epochs.
+func minimumAllocations(demands []groupDemand, maxEpochs int) []float64 {
 	minimum := make([]float64, len(demands))
 	for i, demand := range demands {
-		minimum[i] = demand.Jobs / float64(max(1, epochsToTurn))
+		minimum[i] = demand.Jobs / float64(max(1, maxEpochs))
 	}
 	return minimum
 }
 
-// allotFloor adds an even portion of the amount for each team and group to the allotments.
-func allotFloor(amount float64, demands []groupDemand, allotted []float64) {
+// allocateFloor adds an even portion of the amount for each team and group to the allotments.
+func allocateFloor(amount float64, demands []groupDemand, allocated []float64) {
 	members := map[string][]int{}
 	for i, demand := range demands {
 		members[demand.Team] = append(members[demand.Team], i)
@@ -54,37 +54,37 @@
 	for teamIndex, team := range teams {
 		claims[teamIndex].weight = 1
 		for _, i := range members[team] {
-			claims[teamIndex].demand += demands[i].Jobs - allotted[i]
+			claims[teamIndex].demand += demands[i].Jobs - allocated[i]
 		}
 	}
 	for teamIndex, portion := range divideMaxMin(amount, claims) {
-		allotToMembers(portion, members[teams[teamIndex]], demands, allotted, func(groupDemand) float64 { return 1 })
+		allocateAmong(portion, members[teams[teamIndex]], demands, allocated, func(groupDemand) float64 { return 1 })
 	}
 }
 
-// allotByRank adds portions of the amount to the allotments by priority, most urgent first.
-func allotByRank(amount float64, demands []groupDemand, allotted []float64) {
+// allocateByPriority adds portions of the amount to the allotments by priority, most urgent first.
+func allocateByPriority(amount float64, demands []groupDemand, allocated []float64) {
 	byRank := map[int][]int{}
 	for i, demand := range demands {
 		byRank[demand.PriorityRank] = append(byRank[demand.PriorityRank], i)
 	}
 	for _, rank := range slices.Sorted(maps.Keys(byRank)) {
-		before := sum(allotted)
+		before := sum(allocated)
 		byWeight := func(demand groupDemand) float64 { return demand.Weight }
-		allotToMembers(amount, byRank[rank], demands, allotted, byWeight)
-		amount -= sum(allotted) - before
+		allocateAmong(amount, byRank[rank], demands, allocated, byWeight)
+		amount -= sum(allocated) - before
 	}
 }
 
-// allotToMembers divides an amount among some of the groups.
-func allotToMembers(amount float64, members []int, demands []groupDemand, allotted []float64,
+// allocateAmong divides an amount among some of the groups.
+func allocateAmong(amount float64, members []int, demands []groupDemand, allocated []float64,
 	weight func(groupDemand) float64) {
 	claims := make([]claim, len(members))
 	for k, i := range members {
-		claims[k] = claim{demand: demands[i].Jobs - allotted[i], weight: weight(demands[i])}
+		claims[k] = claim{demand: demands[i].Jobs - allocated[i], weight: weight(demands[i])}
 	}
 	for k, portion := range divideMaxMin(amount, claims) {
-		allotted[members[k]] += portion
+		allocated[members[k]] += portion
 	}
 }
 
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -23,9 +23,9 @@
 
 // Settings are the bounds of the policies that a Planner makes.
 type Settings struct {
-	EpochLengthMS   int64 // of an epoch
-	MaxEpochsToTurn int   // within how many epochs a job should be admitted
-	MaxShares       int   // groups that a policy may name
+	EpochLengthMS          int64 // of an epoch
+	MaxEpochsUntilAdmitted int   // within how many epochs a job should be admitted
+	MaxShares              int   // groups that a policy may name
 }
 
 // Planner computes the policy of each epoch. A leader has one for the whole of its term.
@@ -43,7 +43,7 @@
 	// demand exceeds all of the capacity.
 	underloadShare       = 0.7
 	underloadEpochsToEnd = 3
-	// targetUtilization is the share of the capacity that is allotted. The rest is a margin for
+	// targetUtilization is the share of the capacity that is allocated. The rest is a margin for
 	// users who retry late, and for new jobs at positions that the arc has passed.
 	targetUtilization = 0.9
 	// maxStepGrowth is the most by which a step grows from one epoch to the next, because the
@@ -94,7 +94,7 @@
 	if p.policy != nil {
 		next.Epoch = p.policy.Epoch + 1
 	}
-	p.assignShares(next, demands, allotCapacity(targetUtilization*capacity.Jobs, demands, p.settings.MaxEpochsToTurn))
+	p.assignShares(next, demands, allocateCapacity(targetUtilization*capacity.Jobs, demands, p.settings.MaxEpochsUntilAdmitted))
 	p.policy = next
 	return next
 }
@@ -145,7 +145,7 @@
 func (p *Planner) addSample(group Group, jobs float64) {
 	newestShare := 1.0
 	if p.policy != nil {
-		newestShare = float64(p.policy.shareOf(group).lastStep()) / Ring
+		newestShare = float64(p.policy.shareOf(group).newestStep()) / Ring
 	}
 	estimate := p.estimates[group]
 	if estimate == nil || p.policy == nil {
@@ -188,37 +188,37 @@
 // assignShares sets a share for each group whose demand can't be met as a whole. If the policy
 // can't name them all, the groups with the least demand have one share in common, together with
 // groups that are still unknown.
-func (p *Planner) assignShares(next *Policy, demands []groupDemand, allotted []float64) {
+func (p *Planner) assignShares(next *Policy, demands []groupDemand, allocated []float64) {
 	order := make([]int, len(demands))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(demands[b].Jobs, demands[a].Jobs) })
-	var restDemand, restAllotted float64
+	var restDemand, restAllocated float64
 	for _, i := range order {
-		share := p.nextShare(next.Epoch, demands[i], allotted[i])
+		share := p.nextShare(next.Epoch, demands[i], allocated[i])
 		switch {
 		case share.OpenPositions() >= Ring:
 		case len(next.Shares) < p.settings.MaxShares:
 			next.Shares = append(next.Shares, share)
 		default:
 			restDemand += demands[i].Jobs
-			restAllotted += allotted[i]
+			restAllocated += allocated[i]
 		}
 	}
 	if restDemand > 0 {
-		next.DefaultShare = p.nextShare(next.Epoch, groupDemand{Jobs: restDemand}, restAllotted)
+		next.DefaultShare = p.nextShare(next.Epoch, groupDemand{Jobs: restDemand}, restAllocated)
 	}
 }
 
-// nextShare advances a group's arc by the fraction of its demand that it is allotted.
-func (p *Planner) nextShare(epoch uint64, demand groupDemand, allotted float64) Share {
+// nextShare advances a group's arc by the fraction of its demand that it is allocated.
+func (p *Planner) nextShare(epoch uint64, demand groupDemand, allocated float64) Share {
 	fraction := 1.0
 	if demand.Jobs > 0 {
-		fraction = min(1, allotted/demand.Jobs)
+		fraction = min(1, allocated/demand.Jobs)
 	}
-	share := p.lastShare(epoch, demand.Group)
-	if step := share.lastStep(); step > 0 {
+	share := p.currentShare(epoch, demand.Group)
+	if step := share.newestStep(); step > 0 {
 		fraction = min(fraction, maxStepGrowth*float64(step)/Ring)
 	}
 	if fraction = max(fraction, minStepShare); fraction >= 1 {
@@ -229,9 +229,9 @@
 	return share
 }
 
-// lastShare returns a group's share of the last epoch, or a new one. A new arc begins at a position
+// currentShare returns a group's share of the last epoch, or a new one. A new arc begins at a position
 // that depends on the epoch, so that no job is always among the last.
-func (p *Planner) lastShare(epoch uint64, group Group) Share {
+func (p *Planner) currentShare(epoch uint64, group Group) Share {
 	if p.policy != nil {
 		if last := p.policy.shareOf(group); last.Group == group && last.OpenPositions() < Ring {
 			return *last
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -54,9 +54,9 @@
 	return min(open, Ring)
 }
 
-// lastStep returns by how much the end of the arc advanced in the last epoch, and will again if
+// newestStep returns by how much the end of the arc advanced in the last epoch, and will again if
 // nothing changes.
-func (s *Share) lastStep() uint64 {
+func (s *Share) newestStep() uint64 {
 	if len(s.Steps) == 0 {
 		return 0
 	}
@@ -103,7 +103,7 @@
 	if offset < open {
 		return Verdict{Admit: true}
 	}
-	return Verdict{EpochsToTurn: 1 + int((offset-open)/s.lastStep())}
+	return Verdict{EpochsToTurn: 1 + int((offset-open)/s.newestStep())}
 }
 
 // EpochsToAdmitAll returns the number of epochs after which every job of the share has been
@@ -113,7 +113,7 @@
 	if open >= Ring {
 		return 0
 	}
-	return int((Ring - open + s.lastStep() - 1) / s.lastStep())
+	return int((Ring - open + s.newestStep() - 1) / s.newestStep())
 }
 
 // advanceArc advances the arc by one epoch, with a new step.
--- a/internal/admissioncontrol/follower.go
+++ b/internal/admissioncontrol/follower.go
@@ -78,18 +78,20 @@
 func (f *PolicyFollower) RetryAfterSeconds(verdict admission.Verdict) int {
 	epochs := time.Duration(min(verdict.EpochsToTurn, maxEpochsAhead))
 	epochLength := time.Duration(min(f.Current.EpochLengthMS, maxEpochMS)) * time.Millisecond
-	turn := f.KnownSince + epochs*epochLength
-	return max(1, int((turn-f.host.Now()+time.Second-1)/time.Second))
+	admittedAt := f.KnownSince + epochs*epochLength
+	return max(1, int((admittedAt-f.host.Now()+time.Second-1)/time.Second))
 }
 
 // CountByPolicy counts a submission that the policy does not admit yet.
-func (f *PolicyFollower) CountByPolicy(group admission.Group) { f.rejections.countByPolicy(group) }
+func (f *PolicyFollower) CountByPolicy(group admission.Group) {
+	f.rejections.countPolicyRejection(group)
+}
 
 // CountForCapacity counts an admitted job that this node can't write in time. Jobs that another
 // policy admitted say nothing about this epoch.
 func (f *PolicyFollower) CountForCapacity(spec *protocol.Job, admittedByVersion uint64) {
 	if admittedByVersion == f.Version {
-		f.rejections.countForCapacity(GroupOf(spec), spec.ID)
+		f.rejections.countCapacityRejection(GroupOf(spec), spec.ID)
 	}
 }
 
@@ -98,7 +100,7 @@
 func (f *PolicyFollower) StartEpochWithoutPolicy() {
 	now := f.host.Now()
 	if f.Version == 0 && now >= f.rejections.epochStartedAt+f.EpochLength() {
-		f.rejections.forgetJobs(now)
+		f.rejections.startEpoch(now)
 	}
 }
 
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -59,9 +59,9 @@
 
 // Constants of the policies that a leader publishes.
 const (
-	// turnDeadlineShare is the part of the time for which users retry a submission within which
+	// admissionDeadlineShare is the part of the time for which users retry a submission within which
 	// each job should be admitted. The rest is a margin for users who retry late.
-	turnDeadlineShare = 2.0 / 3
+	admissionDeadlineShare = 2.0 / 3
 	// maxShareBytes is an upper bound of the encoded size of a share in the policy's record.
 	maxShareBytes = 256
 	// OpenJobsMemoryShare is the part of the memory that open jobs may use.
@@ -83,9 +83,9 @@
 // plannerSettings returns the bounds of the policies.
 func (p *Publisher) plannerSettings() admission.Settings {
 	epochLength := p.follower.EpochLength()
-	turnDeadline := turnDeadlineShare * float64(protocol.SubmissionRetryWindow)
+	admissionDeadline := admissionDeadlineShare * float64(protocol.SubmissionRetryWindow)
 	return admission.Settings{EpochLengthMS: epochLength.Milliseconds(), MaxShares: p.maxShares,
-		MaxEpochsToTurn: max(1, int(turnDeadline/float64(epochLength)))}
+		MaxEpochsUntilAdmitted: max(1, int(admissionDeadline/float64(epochLength)))}
 }
 
 // LoadStoredPolicy applies the record that an earlier leader left, or its absence at a revision of
@@ -136,15 +136,15 @@
 // teamWeight returns a team's weight among all teams. It grows with the team's guarantee, from 1 to
 // 2.
 func (p *Publisher) teamWeight(teamName string) float64 {
-	largest := 0.0
+	largestGuarantee := 0.0
 	for _, other := range p.state.Config.Teams {
-		largest = max(largest, other.GuaranteedCPUs)
+		largestGuarantee = max(largestGuarantee, other.GuaranteedCPUs)
 	}
 	team := p.state.Config.Team(teamName)
-	if team == nil || largest == 0 {
+	if team == nil || largestGuarantee == 0 {
 		return 1
 	}
-	return 1 + team.GuaranteedCPUs/largest
+	return 1 + team.GuaranteedCPUs/largestGuarantee
 }
 
 // EpochCapacity returns the number of jobs that can be accepted in an epoch. It is limited by the
@@ -153,7 +153,7 @@
 func (p *Publisher) EpochCapacity() admission.Capacity {
 	byRate := p.host.SubmissionsPerSecond() * p.follower.EpochLength().Seconds()
 	maxOpenJobs := OpenJobsMemoryShare * p.state.Config.Resources.MemoryMB * (1 << 20) / OpenJobBytes
-	byMemory := max(1, (maxOpenJobs-float64(len(p.state.Jobs)))/float64(p.plannerSettings().MaxEpochsToTurn))
+	byMemory := max(1, (maxOpenJobs-float64(len(p.state.Jobs)))/float64(p.plannerSettings().MaxEpochsUntilAdmitted))
 	return admission.Capacity{Jobs: min(byRate, byMemory), MemoryLimited: byMemory < byRate}
 }
 
--- a/internal/admissioncontrol/rejection_counts.go
+++ b/internal/admissioncontrol/rejection_counts.go
@@ -30,25 +30,25 @@
 // reset starts the counts of another epoch.
 func (c *rejectionCounts) reset(now clock.Instant) {
 	clear(c.unreported)
-	c.forgetJobs(now)
+	c.startEpoch(now)
 }
 
-// forgetJobs starts another epoch but keeps the counts that are not reported yet.
-func (c *rejectionCounts) forgetJobs(now clock.Instant) {
+// startEpoch starts another epoch but keeps the counts that are not reported yet.
+func (c *rejectionCounts) startEpoch(now clock.Instant) {
 	clear(c.rejectedJobs)
 	c.epochStartedAt = now
 }
 
-// countByPolicy counts a submission that the policy does not admit yet.
-func (c *rejectionCounts) countByPolicy(group admission.Group) {
+// countPolicyRejection counts a submission that the policy does not admit yet.
+func (c *rejectionCounts) countPolicyRejection(group admission.Group) {
 	if load := c.groupLoad(group); load != nil {
 		load.RejectedByPolicy++
 	}
 }
 
-// countForCapacity counts an admitted job that this node can't write in time. A job counts once
+// countCapacityRejection counts an admitted job that this node can't write in time. A job counts once
 // per epoch, however often its user retries.
-func (c *rejectionCounts) countForCapacity(group admission.Group, jobID string) {
+func (c *rejectionCounts) countCapacityRejection(group admission.Group, jobID string) {
 	if c.rejectedJobs[jobID] {
 		return
 	}
--- a/internal/admissioncontrol/rejection_counts_test.go
+++ b/internal/admissioncontrol/rejection_counts_test.go
@@ -17,10 +17,10 @@
 	urgent := admission.Group{Team: "b", Class: "c", PriorityRank: 1}
 	low := admission.Group{Team: "a", Class: "c", PriorityRank: 3}
 	for range 3 {
-		counts.countForCapacity(urgent, "j-1")
-		counts.countByPolicy(low)
+		counts.countCapacityRejection(urgent, "j-1")
+		counts.countPolicyRejection(low)
 	}
-	counts.countForCapacity(urgent, "j-2")
+	counts.countCapacityRejection(urgent, "j-2")
 	want := []protocol.GroupLoad{
 		{Team: "a", Class: "c", PriorityRank: 3, RejectedByPolicy: 3},
 		{Team: "b", Class: "c", PriorityRank: 1, RejectedForCapacity: 2},
@@ -28,11 +28,11 @@
 	if got := counts.takeReport(time.Minute, time.Second); !slices.Equal(got, want) {
 		t.Errorf("reported %+v, not %+v", got, want)
 	}
-	if counts.countForCapacity(urgent, "j-1"); counts.takeReport(2*time.Minute, time.Second) != nil {
+	if counts.countCapacityRejection(urgent, "j-1"); counts.takeReport(2*time.Minute, time.Second) != nil {
 		t.Error("a job counts twice in an epoch")
 	}
 	counts.reset(2 * time.Minute)
-	counts.countForCapacity(urgent, "j-1")
+	counts.countCapacityRejection(urgent, "j-1")
 	if counts.takeReport(time.Minute+time.Second-1, time.Second) != nil {
 		t.Error("reported before the interval was over")
 	}
@@ -45,7 +45,7 @@
 func TestReportedGroupsAreBounded(t *testing.T) {
 	counts := newRejectionCounts()
 	for i := range protocol.MaxGroupLoads + 10 {
-		counts.countByPolicy(admission.Group{Team: fmt.Sprint("t", i)})
+		counts.countPolicyRejection(admission.Group{Team: fmt.Sprint("t", i)})
 	}
 	if got := len(counts.takeReport(time.Minute, time.Second)); got != protocol.MaxGroupLoads {
 		t.Errorf("%d groups are reported", got)
--- a/internal/submissions/queue.go
+++ b/internal/submissions/queue.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// noteContention records that the key-value store refused a submission because of its rate limit.
-func (q *Queue) noteContention() {
+// onRateLimited records that the key-value store refused a submission because of its rate limit.
+func (q *Queue) onRateLimited() {
 	q.contendedUntil = q.host.Now() + q.cluster.WorkerLease()
 	q.budget.Tokens = 0
 }
@@ -162,7 +162,7 @@
 		// one copy succeed, so a retry is safe.
 		write.retries++
 		if rateLimited {
-			q.noteContention()
+			q.onRateLimited()
 		}
 		q.Add(write)
 		return
--- a/internal/submissions/queue_test.go
+++ b/internal/submissions/queue_test.go
@@ -118,7 +118,7 @@
 	if queue.WritePending(); len(host.sent) != 15 {
 		t.Errorf("%d sent after half a second", len(host.sent))
 	}
-	queue.noteContention()
+	queue.onRateLimited()
 	queue.WritePending()
 	host.now += time.Second
 	if queue.WritePending(); len(host.sent) != 20 {
