--- a/internal/admission/allotment.go
+++ b/internal/admission/allotment.go
@@ -6,22 +6,26 @@
 	"slices"
 )
 
-// groupDemand is the number of jobs of a group that wait to be admitted.
+// groupDemand is the estimated demand of a group of jobs.
 type groupDemand struct {
 	Group
-	Jobs   float64
-	Weight float64 // of its team; a guarantee raises it
+	Jobs   float64 // number of jobs that wait to be admitted
+	Weight float64 // weight of the group's team, above 0; it grows with the team's guarantee
 }
 
-// floorShare is the part of the capacity that is allocated evenly among teams, and within each
-// team among its groups, whatever their priority. The rest is allocated by priority.
+// floorShare is the fraction of the capacity left after the minimum allocations that is divided
+// evenly among teams, and within each team among its groups, regardless of priority. The rest is
+// allocated by priority.
 const floorShare = 0.25
 
-// allocateCapacity divides a capacity in jobs among groups: first the minimum that each needs for all
-// its jobs to be admitted in time, if there is enough for all; then floorShare of what is left
-// evenly among teams and among the groups of each; then the rest by priority, and among equal
-// priorities by weight. No group gets more than its demand. The result is in the order of the
-// demands.
+// allocateCapacity divides the capacity of an epoch, in jobs, among groups in three steps:
+//  1. Each group gets the minimum that admits all its jobs within maxEpochs, if the capacity
+//     suffices for the minimum of every group. Otherwise this step is skipped.
+//  2. floorShare of the remaining capacity is divided evenly among teams, and within each team
+//     among its groups.
+//  3. The rest is allocated by priority, and among groups of equal priority by weight.
+//
+// No group gets more than its demand. The result is in the order of demands.
 func allocateCapacity(capacity float64, demands []groupDemand, maxEpochs int) []float64 {
 	allocated := make([]float64, len(demands))
 	if minimum := minimumAllocations(demands, maxEpochs); sum(minimum) <= capacity {
@@ -33,8 +37,8 @@
 	return allocated
 }
 
-// minimumAllocations returns, for each group, the number of jobs per epoch by which all of it is
-// admitted within maxEpochs epochs.
+// minimumAllocations returns the number of jobs per epoch that each group needs for all its waiting
+// jobs to be admitted within maxEpochs.
 func minimumAllocations(demands []groupDemand, maxEpochs int) []float64 {
 	minimum := make([]float64, len(demands))
 	for i, demand := range demands {
@@ -43,7 +47,8 @@
 	return minimum
 }
 
-// allocateFloor adds an even portion of the amount for each team and group to the allotments.
+// allocateFloor divides amount evenly among teams and within each team among its groups, and adds
+// the portions to allocated.
 func allocateFloor(amount float64, demands []groupDemand, allocated []float64) {
 	members := map[string][]int{}
 	for i, demand := range demands {
@@ -62,7 +67,8 @@
 	}
 }
 
-// allocateByPriority adds portions of the amount to the allotments by priority, most urgent first.
+// allocateByPriority divides amount among groups, serving the most urgent priority first and equal
+// priorities by weight, and adds the portions to allocated.
 func allocateByPriority(amount float64, demands []groupDemand, allocated []float64) {
 	byRank := map[int][]int{}
 	for i, demand := range demands {
@@ -76,7 +82,8 @@
 	}
 }
 
-// allocateAmong divides an amount among some of the groups.
+// allocateAmong divides amount among the groups with the indices in members by max-min fairness with
+// the given weights, and adds the portions to allocated.
 func allocateAmong(amount float64, members []int, demands []groupDemand, allocated []float64,
 	weight func(groupDemand) float64) {
 	claims := make([]claim, len(members))
@@ -88,11 +95,12 @@
 	}
 }
 
-// claim is a demand on an amount that is to be divided, and its weight.
+// claim is a demand on the amount that divideMaxMin divides. Its weight must be above 0.
 type claim struct{ demand, weight float64 }
 
-// divideMaxMin divides an amount by weighted max-min fairness: no claim gets more than its demand,
-// and one that gets less gets no less, relative to its weight, than any other claim.
+// divideMaxMin divides amount among claims by weighted max-min fairness: no claim gets more than its
+// demand, and a claim that gets less than its demand gets at least as much, relative to its weight,
+// as any other claim. The result is in the order of claims.
 func divideMaxMin(amount float64, claims []claim) []float64 {
 	portions := make([]float64, len(claims))
 	order := make([]int, len(claims))
@@ -113,7 +121,6 @@
 	return portions
 }
 
-// sum adds up the values.
 func sum(values []float64) float64 {
 	total := 0.0
 	for _, value := range values {
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -9,23 +9,25 @@
 // Load counts the outcomes of a group's submissions during an epoch, on all controllers.
 type Load struct {
 	Group
-	Weight              float64
-	Accepted            int // jobs
-	RejectedForCapacity int // jobs that the policy admits, rejected for lack of capacity
-	RejectedByPolicy    int // attempts that the policy does not admit yet
+	Weight              float64 // weight of the group's team
+	Accepted            int     // jobs
+	RejectedForCapacity int     // jobs that the policy admits but that were rejected for lack of capacity
+	RejectedByPolicy    int     // submission attempts that the policy does not admit yet
 }
 
 // Capacity is the number of jobs that can be accepted in an epoch.
 type Capacity struct {
-	Jobs          float64
-	MemoryLimited bool // memory is the limit: nobody needs to be rejected yet, but no more may be accepted
+	Jobs float64
+	// MemoryLimited means that memory limits the capacity. A policy can then be needed before any
+	// submission has been rejected, because no more than Jobs may be accepted.
+	MemoryLimited bool
 }
 
-// Settings are the bounds of the policies that a Planner makes.
+// Settings are the bounds of the policies that a Planner computes.
 type Settings struct {
-	EpochLengthMS          int64 // of an epoch
-	MaxEpochsUntilAdmitted int   // within how many epochs a job should be admitted
-	MaxShares              int   // groups that a policy may name
+	EpochLengthMS          int64 // length of an epoch in milliseconds
+	MaxEpochsUntilAdmitted int   // number of epochs within which each job should be admitted
+	MaxShares              int   // number of groups that may have a share of their own
 }
 
 // Planner computes the policy of each epoch. A leader has one for the whole of its term.
@@ -33,34 +35,36 @@
 	settings        Settings
 	policy          *Policy
 	estimates       map[Group]*demandEstimate
-	underloadEpochs int // consecutive epochs in which all could have been admitted
+	underloadEpochs int // number of consecutive epochs with demand well below the capacity
 }
 
-// Constants of the control loop.
+// These constants parametrize the control loop of the Planner.
 const (
-	// underloadShare is the share of the capacity that the demand must not exceed in each of
+	// underloadShare is the fraction of the capacity that the demand must not exceed in each of
 	// underloadEpochsToEnd consecutive epochs before a policy ends. A policy starts only when the
-	// demand exceeds all of the capacity.
+	// demand exceeds the whole capacity. The hysteresis keeps the policy from being switched on and
+	// off while the load is close to the capacity.
 	underloadShare       = 0.7
 	underloadEpochsToEnd = 3
-	// targetUtilization is the share of the capacity that is allocated. The rest is a margin for
-	// users who retry late, and for new jobs at positions that the arc has passed.
+	// targetUtilization is the fraction of the capacity that is allocated. The rest is a margin for
+	// users who retry late, and for new jobs at positions that the arc already covers.
 	targetUtilization = 0.9
-	// maxStepGrowth is the most by which a step grows from one epoch to the next, because the
-	// demand is only estimated from the jobs that the arc has admitted lately.
+	// maxStepGrowth is the largest factor by which a step grows from one epoch to the next. The
+	// growth is limited because the demand is only estimated from recently admitted jobs.
 	maxStepGrowth = 2.0
-	// sampleRetention is the factor by which the weight of older samples in that estimate decays
+	// sampleRetention is the factor by which the weight of older samples in a demandEstimate decays
 	// per epoch.
 	sampleRetention = 0.6
-	// minStepShare is the least step, as a share of the ring. It bounds the number of epochs until
-	// a job is admitted, whatever the estimates are.
+	// minStepShare is the smallest step, as a fraction of the ring. It bounds the number of epochs
+	// until a job is admitted, however wrong the estimates are.
 	minStepShare = 1.0 / 4096
-	// negligibleDemand is the demand in jobs below which a group that no policy names is dropped.
+	// negligibleDemand is the demand, in jobs, below which the estimate of a group without a share
+	// of its own is dropped.
 	negligibleDemand = 0.01
 )
 
-// NewPlanner returns a Planner that continues from the policy of an earlier leader, if there is
-// one.
+// NewPlanner returns a Planner that continues from policy, which an earlier leader published. A nil
+// policy means that there is none.
 func NewPlanner(settings Settings, policy *Policy) *Planner {
 	planner := &Planner{settings: settings, policy: policy, estimates: map[Group]*demandEstimate{}}
 	if policy != nil {
@@ -71,12 +75,12 @@
 	return planner
 }
 
-// Policy returns the policy in force, or nil.
+// Policy returns the policy of the current epoch, or nil if there is none.
 func (p *Planner) Policy() *Policy { return p.policy }
 
-// NextPolicy computes the policy of the next epoch from the loads of the one that ends and the
-// capacity of the next. It is nil while there is no overload. A new series of epochs is numbered
-// from firstEpoch.
+// NextPolicy computes the policy of the next epoch from the loads of the epoch that ends and the
+// capacity of the next one. It returns nil while there is no overload. The first policy after an
+// interval without one gets the epoch number firstEpoch.
 func (p *Planner) NextPolicy(loads []Load, capacity Capacity, firstEpoch uint64) *Policy {
 	p.updateEstimates(loads)
 	if p.policy == nil && !overloaded(loads, capacity) {
@@ -94,12 +98,14 @@
 	if p.policy != nil {
 		next.Epoch = p.policy.Epoch + 1
 	}
-	p.assignShares(next, demands, allocateCapacity(targetUtilization*capacity.Jobs, demands, p.settings.MaxEpochsUntilAdmitted))
+	p.assignShares(next, demands,
+		allocateCapacity(targetUtilization*capacity.Jobs, demands, p.settings.MaxEpochsUntilAdmitted))
 	p.policy = next
 	return next
 }
 
-// overloaded reports whether more was submitted than an epoch has capacity for.
+// overloaded reports whether an epoch's submissions exceeded the capacity and a policy is needed:
+// some of them were rejected, or the capacity is limited by memory.
 func overloaded(loads []Load, capacity Capacity) bool {
 	accepted, rejected := 0, 0
 	for _, load := range loads {
@@ -109,20 +115,21 @@
 	return (rejected > 0 || capacity.MemoryLimited) && float64(accepted+rejected) > capacity.Jobs
 }
 
-// demandEstimate estimates a group's demand. An arc samples the ring: the jobs that its newest step
-// admitted, divided by the step's share of the ring, estimate the jobs that wait on all of it.
-// Both sums decay over the epochs and only then are divided, so that an epoch with few jobs, or
-// none, changes little.
+// demandEstimate estimates a group's demand by sampling the ring. The number of jobs that the newest
+// step of the arc admitted, divided by the step's fraction of the ring, estimates the number of jobs
+// that wait on the whole ring. Both values are summed over the epochs with exponential decay before
+// the division, so that an epoch with few or no jobs changes the estimate only a little.
 type demandEstimate struct {
-	admittedJobs float64 // jobs, decaying
-	sampledShare float64 // shares of the ring, decaying
-	weight       float64
+	admittedJobs float64 // decayed sum of the jobs that the newest steps admitted
+	sampledShare float64 // decayed sum of the fractions of the ring that those steps cover
+	weight       float64 // weight of the group's team; 0 if it is not known yet
 }
 
-// demand returns the estimated number of jobs that wait.
+// demand returns the estimated number of jobs that wait to be admitted.
 func (e *demandEstimate) demand() float64 { return e.admittedJobs / e.sampledShare }
 
-// updateEstimates updates the estimates from the loads of an epoch and drops negligible ones.
+// updateEstimates updates the estimates from the loads of an epoch. It drops estimates of negligible
+// demand, except those of groups with a share of their own.
 func (p *Planner) updateEstimates(loads []Load) {
 	seen := map[Group]bool{}
 	for _, load := range loads {
@@ -141,7 +148,8 @@
 	}
 }
 
-// addSample adds the jobs of a group that the newest step of its arc admitted in an epoch.
+// addSample adds to a group's estimate the number of jobs that the newest step of its arc admitted in
+// an epoch. Without a policy all jobs were admitted, and the sample replaces the estimate.
 func (p *Planner) addSample(group Group, jobs float64) {
 	newestShare := 1.0
 	if p.policy != nil {
@@ -156,13 +164,13 @@
 	estimate.sampledShare = sampleRetention*estimate.sampledShare + newestShare
 }
 
-// demands lists the demands of all groups by team, class and rank.
+// demands returns the demands of all groups, sorted by team, class and priority.
 func (p *Planner) demands() []groupDemand {
 	demands := make([]groupDemand, 0, len(p.estimates))
 	for group, estimate := range p.estimates {
 		weight := estimate.weight
 		if weight <= 0 {
-			weight = 1 // no submission since the group was read from a policy
+			weight = 1 // the group was read from a stored policy and has had no submission since
 		}
 		demands = append(demands, groupDemand{Group: group, Jobs: estimate.demand(), Weight: weight})
 	}
@@ -172,7 +180,8 @@
 	return demands
 }
 
-// countUnderload counts the consecutive epochs in which the demand is well below the capacity.
+// countUnderload counts the consecutive epochs in which the demand is at most underloadShare of the
+// capacity.
 func (p *Planner) countUnderload(demands []groupDemand, capacity float64) {
 	demandedJobs := 0.0
 	for _, demand := range demands {
@@ -185,9 +194,9 @@
 	}
 }
 
-// assignShares sets a share for each group whose demand can't be met as a whole. If the policy
-// can't name them all, the groups with the least demand have one share in common, together with
-// groups that are still unknown.
+// assignShares gives next a share for each group whose demand can't be met in full. If there are more
+// than MaxShares of them, those with the lowest demand use the default share, together with groups
+// that have not submitted a job yet.
 func (p *Planner) assignShares(next *Policy, demands []groupDemand, allocated []float64) {
 	order := make([]int, len(demands))
 	for i := range order {
@@ -198,7 +207,7 @@
 	for _, i := range order {
 		share := p.nextShare(next.Epoch, demands[i], allocated[i])
 		switch {
-		case share.OpenPositions() >= Ring:
+		case share.OpenPositions() >= Ring: // the default share admits the group as a whole
 		case len(next.Shares) < p.settings.MaxShares:
 			next.Shares = append(next.Shares, share)
 		default:
@@ -211,7 +220,9 @@
 	}
 }
 
-// nextShare advances a group's arc by the fraction of its demand that it is allocated.
+// nextShare returns a group's share for the next epoch. The arc advances by the fraction of the
+// group's demand for which capacity is allocated, within the bounds of maxStepGrowth and
+// minStepShare.
 func (p *Planner) nextShare(epoch uint64, demand groupDemand, allocated float64) Share {
 	fraction := 1.0
 	if demand.Jobs > 0 {
@@ -229,8 +240,9 @@
 	return share
 }
 
-// currentShare returns a group's share of the last epoch, or a new one. A new arc begins at a position
-// that depends on the epoch, so that no job is always among the last.
+// currentShare returns a group's share in the current policy, or a new one if the group has no
+// share of its own or is admitted as a whole. A new arc begins at a position that depends on the
+// epoch, so that no job is always among the last to be admitted.
 func (p *Planner) currentShare(epoch uint64, group Group) Share {
 	if p.policy != nil {
 		if last := p.policy.shareOf(group); last.Group == group && last.OpenPositions() < Ring {
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -1,8 +1,8 @@
 // Package admission decides which submissions are accepted while more arrive than the cluster
 // has capacity for. It is pure: it has no clock and does no I/O.
 //
-// The leader publishes a Policy, numbered by epoch. The decision about a job depends on the
-// policy and the job alone, so every controller makes the same one. A hash of the job's id is its
+// The leader publishes a Policy for each epoch. The decision about a job depends only on the policy
+// and the job, so every controller makes the same decision. A hash of the job's id determines its
 // position on a ring. For each group of jobs the policy admits an arc of that ring, and each epoch
 // advances the arc, so that every job is admitted after a number of epochs that is known in
 // advance.
@@ -15,37 +15,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ring is the number of positions on the ring: an arc of this length holds every job.
+// Ring is the number of positions on the ring. An arc of this length admits every job.
 const Ring = 1 << 32
 
-// graceEpochs is for how many more epochs a position stays admitted while the arc advances evenly,
-// because a user may retry some seconds late.
+// graceEpochs is the number of epochs for which a position stays admitted after the epoch in which the
+// arc reached it, because a user may retry some seconds late.
 const graceEpochs = 2
 
-// Position returns a job's place on the ring: the upper half of the 64-bit xxHash (XXH64, seed 0)
-// of its id. Versions must agree on it, so it never changes.
+// Position returns a job's position on the ring, which is the upper half of the 64-bit xxHash (XXH64,
+// seed 0) of its id. The function must never change, because controllers of different versions must
+// compute the same position.
 func Position(jobID string) uint32 { return uint32(xxhash.Sum64String(jobID) >> 32) }
 
-// Group is a group of jobs that may have a share of its own.
+// Group identifies the jobs of a team with the same class and priority. A policy can give each group
+// a share of its own.
 type Group struct {
 	Team         string `json:"team"`
 	Class        string `json:"class"`
-	PriorityRank int    `json:"rank"` // of their priority; smaller is more urgent
+	PriorityRank int    `json:"rank"` // smaller is more urgent
 }
 
-// Share is the part of a group that a policy admits: an arc of the ring that begins at Tail and
-// whose length is the sum of the last steps of its end.
+// Share is the part of a group that a policy admits. It is an arc of the ring that begins at Tail.
+// The sum of Steps is its length.
 type Share struct {
 	Group
-	Tail   uint32   `json:"tail"`
-	Steps  []uint64 `json:"steps"`  // of the last epochs, the newest last; a single step of Ring admits all
+	Tail uint32 `json:"tail"`
+	// Steps are the advances of the end of the arc in the last epochs, newest last. A single step of
+	// Ring admits every job.
+	Steps  []uint64 `json:"steps"`
 	Demand float64  `json:"demand"` // estimated number of jobs that wait to be admitted
 }
 
-// FullShare returns the share of a group that is admitted as a whole.
+// FullShare returns a share that admits every job of a group.
 func FullShare(group Group) Share { return Share{Group: group, Steps: []uint64{Ring}} }
 
-// OpenPositions returns the number of positions that are admitted.
+// OpenPositions returns the number of positions that the share admits, at most Ring.
 func (s *Share) OpenPositions() uint64 {
 	open := uint64(0)
 	for _, step := range s.Steps {
@@ -54,8 +58,8 @@
 	return min(open, Ring)
 }
 
-// newestStep returns by how much the end of the arc advanced in the last epoch, and will again if
-// nothing changes.
+// newestStep returns the number of positions by which the end of the arc advanced in the latest epoch,
+// or 0 for a share without steps. Predictions assume that each later epoch advances the arc as much.
 func (s *Share) newestStep() uint64 {
 	if len(s.Steps) == 0 {
 		return 0
@@ -66,19 +70,20 @@
 // Policy determines which submissions every controller admits during an epoch.
 type Policy struct {
 	Epoch         uint64  `json:"epoch"`
-	EpochLengthMS int64   `json:"lengthMs"` // of an epoch
+	EpochLengthMS int64   `json:"lengthMs"` // length of an epoch in milliseconds
 	Shares        []Share `json:"shares"`
-	DefaultShare  Share   `json:"rest"` // of all groups that Shares does not name
+	DefaultShare  Share   `json:"rest"` // share of each group without a share of its own
 }
 
-// Verdict is the decision of a policy about a submission.
+// Verdict is the decision of a policy on a submission.
 type Verdict struct {
 	Admit bool
-	// EpochsToTurn is the number of epochs until the job will be admitted, if it is not yet.
+	// EpochsToTurn is the number of epochs until the job will be admitted if the arc does not slow
+	// down, or 0 if Admit is true.
 	EpochsToTurn int
 }
 
-// Evaluate decides about a submission. A nil Policy admits every job.
+// Evaluate decides whether a job is admitted. A nil Policy admits every job.
 func (p *Policy) Evaluate(group Group, jobID string) Verdict {
 	if p == nil {
 		return Verdict{Admit: true}
@@ -86,7 +91,7 @@
 	return p.shareOf(group).evaluate(Position(jobID))
 }
 
-// shareOf returns the share of a group.
+// shareOf returns the share of a group, which is DefaultShare if the policy does not name the group.
 func (p *Policy) shareOf(group Group) *Share {
 	for i := range p.Shares {
 		if p.Shares[i].Group == group {
@@ -96,9 +101,9 @@
 	return &p.DefaultShare
 }
 
-// evaluate decides about the job at a position.
+// evaluate decides whether the share admits the job at a position.
 func (s *Share) evaluate(position uint32) Verdict {
-	offset := uint64(position - s.Tail) // modulo the ring
+	offset := uint64(position - s.Tail) // the uint32 difference wraps around at the size of the ring
 	open := s.OpenPositions()
 	if offset < open {
 		return Verdict{Admit: true}
@@ -106,8 +111,8 @@
 	return Verdict{EpochsToTurn: 1 + int((offset-open)/s.newestStep())}
 }
 
-// EpochsToAdmitAll returns the number of epochs after which every job of the share has been
-// admitted once.
+// EpochsToAdmitAll returns the number of epochs after which every job of the share has been admitted
+// at least once. It is 0 if the share admits every job now.
 func (s *Share) EpochsToAdmitAll() int {
 	open := s.OpenPositions()
 	if open >= Ring {
@@ -116,7 +121,8 @@
 	return int((Ring - open + s.newestStep() - 1) / s.newestStep())
 }
 
-// advanceArc advances the arc by one epoch, with a new step.
+// advanceArc advances the end of the arc by step for the next epoch. The beginning of the arc advances
+// past the oldest step once there are more than graceEpochs steps.
 func (s *Share) advanceArc(step uint64) {
 	steps := s.Steps
 	if len(steps) > graceEpochs {
@@ -129,18 +135,20 @@
 // InvalidPolicyError reports that a stored policy is invalid.
 type InvalidPolicyError struct{ Reason string }
 
-// Error describes what is invalid.
+// Error returns the reason why the policy is invalid.
 func (e *InvalidPolicyError) Error() string { return "admission policy: " + e.Reason }
 
-// Validate returns an InvalidPolicyError if a stored policy can't be used.
+// Validate returns an InvalidPolicyError if the values of a stored policy are out of range.
 func (p *Policy) Validate() error {
 	if p.Epoch == 0 || p.EpochLengthMS <= 0 {
-		return &InvalidPolicyError{"epoch or its length missing"}
+		return &InvalidPolicyError{fmt.Sprintf("epoch %d with a length of %d ms: both must be above 0",
+			p.Epoch, p.EpochLengthMS)}
 	}
 	for _, share := range append([]Share{p.DefaultShare}, p.Shares...) {
 		invalidStep := slices.ContainsFunc(share.Steps, func(step uint64) bool { return step == 0 || step > Ring })
 		if invalidStep || len(share.Steps) == 0 || len(share.Steps) > graceEpochs+1 || !(share.Demand >= 0) {
-			return &InvalidPolicyError{fmt.Sprintf("invalid share of team %q, class %q", share.Team, share.Class)}
+			return &InvalidPolicyError{fmt.Sprintf("invalid share of team %q, class %q: steps or demand out of range",
+				share.Team, share.Class)}
 		}
 	}
 	return nil
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -1,32 +1,32 @@
 package admission
 
-// NodeStatus is a controller's state of admission, as operators see it in JSON.
+// NodeStatus is the admission state of a controller. It is encoded as JSON for operators.
 type NodeStatus struct {
 	Node             string         `json:"node"`
 	IsLeader         bool           `json:"leads"`
-	Enabled          bool           `json:"enabled"` // by the node's settings
-	Version          uint64         `json:"version"` // of the policy's record; 0 if there is none
-	Invalid          bool           `json:"invalid,omitempty"`
-	PolicyAgeSeconds float64        `json:"ageS"` // since the node learnt of the policy
-	Policy           *Policy        `json:"policy"`
-	EpochCapacity    float64        `json:"capacity,omitempty"` // jobs per epoch, on the leader
-	WaitingGroups    []WaitingGroup `json:"waiting,omitempty"`  // accepted jobs without a started task, on the leader
-	Job              *JobStatus     `json:"job,omitempty"`      // the job that the request named
+	Enabled          bool           `json:"enabled"`            // the node's settings allow policies
+	Version          uint64         `json:"version"`            // version of the policy's record; 0 if there is none
+	Invalid          bool           `json:"invalid,omitempty"`  // the record is invalid, so the node admits no submission
+	PolicyAgeSeconds float64        `json:"ageS"`               // time since the node learnt of the policy
+	Policy           *Policy        `json:"policy"`             // nil if there is no record or it is invalid
+	EpochCapacity    float64        `json:"capacity,omitempty"` // jobs per epoch; only on the leader
+	WaitingGroups    []WaitingGroup `json:"waiting,omitempty"`  // accepted jobs without a started task; only on the leader
+	Job              *JobStatus     `json:"job,omitempty"`      // nil if the request names no job
 }
 
-// WaitingGroup is the number of accepted jobs of a group of which no task has started.
+// WaitingGroup is the number of accepted jobs of a group that have no started task.
 type WaitingGroup struct {
 	Group
 	Jobs int `json:"jobs"`
 }
 
-// JobStatus is a controller's state of one job's admission.
+// JobStatus is the admission state of one job on a controller.
 type JobStatus struct {
 	ID       string `json:"id"`
-	Accepted bool   `json:"accepted"`
+	Accepted bool   `json:"accepted"` // this node knows that the job was accepted
 	// RejectedGroup is the job's group if the policy rejected the job on this node and the job has
 	// not been accepted since.
 	RejectedGroup *Group `json:"refused,omitempty"`
 	AdmittedNow   bool   `json:"admit,omitempty"`   // the policy admits the job now
-	TurnInSeconds int    `json:"turnInS,omitempty"` // seconds until the policy admits it, otherwise
+	TurnInSeconds int    `json:"turnInS,omitempty"` // seconds until the policy admits the job, if it does not now
 }
