--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -1,20 +1,21 @@
-// Package ratelimit has a token bucket whose time comes from its caller.
+// Package ratelimit implements a token bucket that gets the time from its caller.
 package ratelimit
 
 import "hitchdoor/internal/clock"
 
-// TokenBucket is a token bucket rate limiter. rate is in tokens per second.
+// TokenBucket is a token bucket rate limiter. The zero value never has tokens.
 type TokenBucket struct {
-	Rate, Burst, Tokens float64
-	RefilledAt          clock.Instant
+	Rate, Burst, Tokens float64       // tokens per second, largest and current number of tokens
+	RefilledAt          clock.Instant // time of the last refill
 }
 
-// NewTokenBucket returns a full bucket.
+// NewTokenBucket returns a full bucket. rate is in tokens per second, and burst is the largest number
+// of tokens.
 func NewTokenBucket(rate, burst float64) TokenBucket {
 	return TokenBucket{Rate: rate, Burst: burst, Tokens: burst}
 }
 
-// Refill adds the tokens of the time since the last refill.
+// Refill adds the tokens for the time since the last refill, up to the burst.
 func (b *TokenBucket) Refill(now clock.Instant) {
 	if now > b.RefilledAt {
 		b.Tokens = min(b.Burst, b.Tokens+b.Rate*(now-b.RefilledAt).Seconds())
@@ -22,7 +23,7 @@
 	}
 }
 
-// Take removes count tokens if there are that many, and reports whether it did.
+// Take refills the bucket, removes count tokens if there are that many, and reports whether it did.
 func (b *TokenBucket) Take(now clock.Instant, count float64) bool {
 	b.Refill(now)
 	if b.Tokens < count {
