--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -7,27 +7,31 @@
 	"testing"
 )
 
-// The place of a job on the ring is part of what versions agree on.
+// Controllers of different versions must compute the same position for a job. Otherwise they would
+// admit different jobs under the same policy.
 func TestPositionNeverChanges(t *testing.T) {
 	for id, want := range map[string]uint32{"": 0xef46db37, "j-1": 0xb9efbf34, "j-000412": 0xf9efe040} {
 		if got := Position(id); got != want {
-			t.Errorf("%q: %#x", id, got)
+			t.Errorf("position of job %q is %#x, want %#x", id, got, want)
 		}
 	}
 }
 
+// randomDemands returns the demands of up to 40 groups of up to 8 teams, with random priorities.
 func randomDemands(rng *rand.Rand) []groupDemand {
 	demands := make([]groupDemand, 1+rng.IntN(40))
 	for i := range demands {
-		demands[i] = groupDemand{Group: Group{Team: fmt.Sprint("t", rng.IntN(8)), Class: fmt.Sprint("c", i), PriorityRank: rng.IntN(4)},
-			Jobs: math.Exp(rng.Float64() * 9), Weight: 1 + 3*rng.Float64()}
+		demands[i] = groupDemand{
+			Group: Group{Team: fmt.Sprint("t", rng.IntN(8)), Class: fmt.Sprint("c", i), PriorityRank: rng.IntN(4)},
+			Jobs:  math.Exp(rng.Float64() * 9), Weight: 1 + 3*rng.Float64(),
+		}
 	}
 	return demands
 }
 
-// No group gets more than it asks for, nothing is left over that somebody asks for, each
-// team has its even part of the floor, and more than that goes to less urgent work only
-// once the more urgent has all it asks for.
+// No group may get more than its demand, no capacity may be left over while a demand is not met, and
+// each team must get its even part of the floor. Less urgent groups may get more than the floor only
+// if the demand of all more urgent groups is met.
 func TestAllocationProperties(t *testing.T) {
 	const tolerance = 1e-6
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -40,11 +44,11 @@
 			teamDemand[demand.Team] += demand.Jobs
 			teamAllocated[demand.Team] += allocated[i]
 			if allocated[i] < -tolerance || allocated[i] > demand.Jobs+tolerance {
-				t.Fatalf("round %d: %v of %v", round, allocated[i], demand.Jobs)
+				t.Fatalf("round %d: %v jobs allocated, want 0 to the demand of %v", round, allocated[i], demand.Jobs)
 			}
 		}
 		if total := sum(allocated); math.Abs(total-min(totalDemand, capacity)) > tolerance*capacity {
-			t.Fatalf("round %d: %v given of %v, %v wanted", round, total, capacity, totalDemand)
+			t.Fatalf("round %d: %v jobs allocated of a capacity of %v, the demand is %v", round, total, capacity, totalDemand)
 		}
 		minimum := minimumAllocations(demands, maxEpochs)
 		minimumFits := sum(minimum) <= capacity
@@ -53,21 +57,24 @@
 			if minimumFits {
 				reserved += minimum[i]
 				if allocated[i] < minimum[i]-tolerance {
-					t.Fatalf("round %d: too little for a turn in time", round)
+					t.Fatalf("round %d: group %d is allocated %v jobs, want at least %v to be admitted in time",
+						round, i, allocated[i], minimum[i])
 				}
 			}
 		}
 		floor := (capacity - reserved) * floorShare / float64(len(teamDemand))
 		for team, demand := range teamDemand {
 			if teamAllocated[team] < min(demand, floor)-tolerance {
-				t.Fatalf("round %d: team %s has %v, the floor is %v", round, team, teamAllocated[team], floor)
+				t.Fatalf("round %d: team %s is allocated %v jobs, want its demand of %v or the floor of %v",
+					round, team, teamAllocated[team], demand, floor)
 			}
 		}
 		checkPriority(t, demands, allocated, capacity, maxEpochs)
 	}
 }
 
-// checkPriority looks for urgent work that goes short while other work has more than its floor.
+// checkPriority fails if the demand of a group is not met while a less urgent group gets more than its
+// floor.
 func checkPriority(t *testing.T, demands []groupDemand, allocated []float64, capacity float64, maxEpochs int) {
 	t.Helper()
 	floors := make([]float64, len(demands))
@@ -77,17 +84,18 @@
 	allocateFloor((capacity-sum(floors))*floorShare, demands, floors)
 	for i, urgent := range demands {
 		for j, other := range demands {
-			if urgent.PriorityRank < other.PriorityRank && allocated[i] < urgent.Jobs-1e-6 && allocated[j] > floors[j]+1e-6 {
-				t.Fatalf("rank %d has %v of %v while rank %d has %v, its floor is %v",
+			if urgent.PriorityRank < other.PriorityRank && allocated[i] < urgent.Jobs-1e-6 &&
+				allocated[j] > floors[j]+1e-6 {
+				t.Fatalf("rank %d is allocated %v of %v jobs while rank %d is allocated %v, above its floor of %v",
 					urgent.PriorityRank, allocated[i], urgent.Jobs, other.PriorityRank, allocated[j], floors[j])
 			}
 		}
 	}
 }
 
-// A job that is told after how many epochs its turn comes is admitted then, if the arc does
-// not slow down, and still in the epoch after.
-func TestJobIsAdmittedAfterPredictedEpochs(t *testing.T) {
+// If the arc does not slow down, a job must be admitted no later than after the predicted number of
+// epochs, and must stay admitted in the following epoch for users who retry late.
+func TestJobIsAdmittedWithinPredictedEpochs(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for range 500 {
 		share := Share{Tail: rng.Uint32()}
@@ -96,11 +104,12 @@
 		position := rng.Uint32()
 		verdict := share.evaluate(position)
 		if verdict.EpochsToTurn > share.EpochsToAdmitAll() {
-			t.Fatalf("turn after %d epochs, all have had theirs after %d", verdict.EpochsToTurn, share.EpochsToAdmitAll())
+			t.Fatalf("the job is admitted after %d epochs, but all jobs are after %d",
+				verdict.EpochsToTurn, share.EpochsToAdmitAll())
 		}
 		for range verdict.EpochsToTurn {
 			if share.evaluate(position).Admit {
-				t.Fatal("its turn comes before it was told")
+				t.Fatal("the job is admitted before the arc has reached its position")
 			}
 			step = min(Ring, uint64(float64(step)*(1+rng.Float64()/float64(1+verdict.EpochsToTurn))))
 			share.advanceArc(max(step, share.newestStep()))
@@ -110,47 +119,53 @@
 		}
 		for late := range 2 {
 			if !share.evaluate(position).Admit {
-				t.Fatalf("not admitted %d epochs after its turn began", late)
+				t.Fatalf("the job is not admitted %d epochs after the one that admitted it first", late)
 			}
 			share.advanceArc(share.newestStep())
 		}
 	}
 }
 
-// crowd is users who submit and come back when they are told to.
+// submitterSimulation simulates users who submit jobs and retry rejected ones when the policy will
+// admit them.
 type submitterSimulation struct {
 	rng            *rand.Rand
 	planner        *Planner
-	capacity       int
-	epoch          int
+	capacity       int // jobs per epoch
+	epoch          int // number of the current epoch
 	waiting        []*pendingJob
-	maxWaitEpochs  map[Group]int // epochs until a job was admitted, at most
-	accepted       map[Group]int
-	gaveUp         map[Group]int
-	retryEpochs    int // epochs until a user gives up
-	policySwitches int // of the policy, on and off
-	maxAccepted    int // jobs accepted in an epoch
+	maxWaitEpochs  map[Group]int // longest wait of an accepted job, in epochs
+	accepted       map[Group]int // number of accepted jobs
+	gaveUp         map[Group]int // number of jobs whose users gave up
+	retryEpochs    int           // number of epochs after which a user gives up
+	policySwitches int           // how often a policy started or ended
+	maxAccepted    int           // largest number of jobs accepted in one epoch
 }
 
+// pendingJob is a job that has not been accepted yet. Times are numbers of epochs.
 type pendingJob struct {
 	id                         string
 	group                      Group
 	submittedAt, nextAttemptAt int
 }
 
+// newSubmitterSimulation returns a simulation without jobs. capacity is in jobs per epoch.
 func newSubmitterSimulation(seed uint64, capacity int) *submitterSimulation {
 	return &submitterSimulation{rng: rand.New(rand.NewPCG(seed, 3)), capacity: capacity, retryEpochs: 17,
 		planner:       NewPlanner(Settings{EpochLengthMS: 3500, MaxEpochsUntilAdmitted: 11, MaxShares: 64}, nil),
 		maxWaitEpochs: map[Group]int{}, accepted: map[Group]int{}, gaveUp: map[Group]int{}}
 }
 
+// submit adds jobs of a group, which are submitted in the current epoch.
 func (s *submitterSimulation) submit(group Group, jobs int) {
 	for range jobs {
-		s.waiting = append(s.waiting, &pendingJob{id: fmt.Sprintf("j-%x", s.rng.Uint64()), group: group, submittedAt: s.epoch, nextAttemptAt: s.epoch})
+		s.waiting = append(s.waiting, &pendingJob{id: fmt.Sprintf("j-%x", s.rng.Uint64()), group: group,
+			submittedAt: s.epoch, nextAttemptAt: s.epoch})
 	}
 }
 
-// pass lets an epoch go by. Users come in any order; late ones come an epoch late.
+// runEpoch simulates an epoch and computes the policy of the next one. Jobs are submitted in random
+// order. Some users retry one epoch late.
 func (s *submitterSimulation) runEpoch() {
 	loads := map[Group]*Load{}
 	freeCapacity := s.capacity
@@ -178,7 +193,7 @@
 			job.nextAttemptAt = s.epoch + 1
 			load.RejectedForCapacity++
 		default:
-			job.nextAttemptAt = s.epoch + verdict.EpochsToTurn + s.rng.IntN(2) // in time, or late by one
+			job.nextAttemptAt = s.epoch + verdict.EpochsToTurn + s.rng.IntN(2) // on time, or one epoch late
 			load.RejectedByPolicy++
 		}
 		if s.epoch-job.submittedAt >= s.retryEpochs {
@@ -201,8 +216,8 @@
 	s.epoch++
 }
 
-// A burst of several times what can be taken at once: urgent work waits least, every job is
-// admitted before its user gives up, and the policy ends afterwards.
+// After a burst of several times the capacity, urgent jobs must wait least, every job must be admitted
+// before its user gives up, and the policy must end.
 func TestBurstIsAdmittedInTime(t *testing.T) {
 	urgent, low := Group{"shop", "prices", 1}, Group{"shop", "reports", 3}
 	for seed := range uint64(20) {
@@ -215,19 +230,22 @@
 			sim.runEpoch()
 		}
 		if sim.gaveUp[low]+sim.gaveUp[urgent] > 0 || len(sim.waiting) > 20 {
-			t.Errorf("seed %d: %d gave up, %d wait", seed, sim.gaveUp[low]+sim.gaveUp[urgent], len(sim.waiting))
+			t.Errorf("seed %d: %d users gave up, want 0; %d jobs wait, want at most 20",
+				seed, sim.gaveUp[low]+sim.gaveUp[urgent], len(sim.waiting))
 		}
 		if sim.maxWaitEpochs[urgent] > 6 || sim.maxWaitEpochs[low] > 13 {
-			t.Errorf("seed %d: urgent work waited for up to %d epochs, other for %d", seed, sim.maxWaitEpochs[urgent], sim.maxWaitEpochs[low])
+			t.Errorf("seed %d: urgent jobs waited up to %d epochs, want at most 6; others up to %d, want at most 13",
+				seed, sim.maxWaitEpochs[urgent], sim.maxWaitEpochs[low])
 		}
 		if sim.planner.Policy() != nil || sim.policySwitches != 2 {
-			t.Errorf("seed %d: %d switches, policy %v", seed, sim.policySwitches, sim.planner.Policy())
+			t.Errorf("seed %d: policies started or ended %d times, want 2; the last policy is %v, want none",
+				seed, sim.policySwitches, sim.planner.Policy())
 		}
 	}
 }
 
-// Urgent work presses for an hour with twice what can be taken. The low class keeps a share,
-// and a steady part of it is admitted in each stretch of that hour.
+// While urgent jobs are submitted at twice the capacity for an hour, a part of the low-priority jobs
+// must be admitted in every interval. Strict priority would starve them.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	urgent, low := Group{"shop", "prices", 1}, Group{"shop", "reports", 3}
 	sim := newSubmitterSimulation(1, 100)
@@ -238,18 +256,19 @@
 		sim.runEpoch()
 		if epoch%50 == 49 {
 			if sim.accepted[low]-acceptedBefore < 125 {
-				t.Errorf("epoch %d: %d of 250 of the low class were admitted", epoch, sim.accepted[low]-acceptedBefore)
+				t.Errorf("epoch %d: %d of the last 250 low-priority jobs were accepted, want at least 125",
+					epoch, sim.accepted[low]-acceptedBefore)
 			}
 			acceptedBefore = sim.accepted[low]
 		}
 	}
 	if total := sim.accepted[urgent] + sim.accepted[low]; total < 85*1000 {
-		t.Errorf("%d of 100,000 places were used", total)
+		t.Errorf("%d jobs were accepted of a capacity of 100,000, want at least 85,000", total)
 	}
 }
 
-// One of a hundred teams offers nearly all, of the same priority as the others or of a higher
-// one: the others are admitted within a few epochs, most of them at once.
+// One of a hundred teams submits nearly all jobs, with the same priority as the others or a higher
+// one. The jobs of the other teams must still be admitted within a few epochs.
 func TestDominantTeamDoesNotStarveOthers(t *testing.T) {
 	for _, test := range []struct{ rank, interval int }{{2, 1}, {1, 4}} {
 		dominant := Group{"flood", "c", test.rank}
@@ -265,22 +284,23 @@
 		}
 		for group, epochs := range sim.maxWaitEpochs {
 			if group != dominant && epochs > 10 {
-				t.Errorf("rank %d: a job of %s waited for %d epochs", test.rank, group.Team, epochs)
+				t.Errorf("rank %d: a job of team %s waited for %d epochs, want at most 10", test.rank, group.Team, epochs)
 			}
 		}
 		for group, jobs := range sim.gaveUp {
 			if group != dominant {
-				t.Errorf("rank %d: %d users of %s gave up", test.rank, jobs, group.Team)
+				t.Errorf("rank %d: %d users of team %s gave up, want 0", test.rank, jobs, group.Team)
 			}
 		}
 		if sim.accepted[dominant] < 5000 {
-			t.Errorf("rank %d: %d of the flood's jobs were accepted", test.rank, sim.accepted[dominant])
+			t.Errorf("rank %d: %d jobs of the dominant team were accepted, want at least 5000",
+				test.rank, sim.accepted[dominant])
 		}
 	}
 }
 
-// Load that hovers around what can be taken does not switch the policy to and fro, and one
-// that changes its mix within an epoch is followed.
+// A load that fluctuates around the capacity must not start and end policies all the time. If the load
+// moves from one group to another every three epochs, the allocation must follow it.
 func TestPolicyUnderFluctuatingLoad(t *testing.T) {
 	a, b := Group{"a", "c", 2}, Group{"b", "c", 2}
 	sim := newSubmitterSimulation(4, 100)
@@ -292,7 +312,7 @@
 		sim.runEpoch()
 	}
 	if sim.policySwitches > 4 {
-		t.Errorf("%d switches in 400 epochs", sim.policySwitches)
+		t.Errorf("policies started or ended %d times in 400 epochs, want at most 4", sim.policySwitches)
 	}
 	sim = newSubmitterSimulation(5, 100)
 	for epoch := range 200 {
@@ -300,11 +320,13 @@
 		sim.runEpoch()
 	}
 	if sim.accepted[a] < 4000 || sim.accepted[b] < 4000 || sim.accepted[a]+sim.accepted[b] < 13000 {
-		t.Errorf("%d and %d of 20,000 places", sim.accepted[a], sim.accepted[b])
+		t.Errorf("%d and %d jobs were accepted of a capacity of 20,000, want at least 4000 each and 13,000 in total",
+			sim.accepted[a], sim.accepted[b])
 	}
 }
 
-// A policy goes on under another leader where it stood, and never names more than it may.
+// A new leader must continue the epochs and arcs of the last policy, because users retry at the times
+// that the policy predicted. No policy may name more than MaxShares groups.
 func TestPlannerContinuesFromPolicy(t *testing.T) {
 	sim := newSubmitterSimulation(6, 50)
 	sim.planner.settings.MaxShares = 3
@@ -314,39 +336,42 @@
 		}
 		sim.runEpoch()
 		if policy := sim.planner.Policy(); policy != nil && (len(policy.Shares) > 3 || policy.Validate() != nil) {
-			t.Fatalf("%+v: %v", policy, policy.Validate())
+			t.Fatalf("want a valid policy with at most 3 shares, got %+v: %v", policy, policy.Validate())
 		}
 	}
 	last := *sim.planner.Policy()
 	next := NewPlanner(sim.planner.settings, &last).NextPolicy(nil, Capacity{Jobs: 50}, 1)
 	if next == nil || next.Epoch != last.Epoch+1 {
-		t.Fatalf("after %+v: %+v", last, next)
+		t.Fatalf("the policy after %+v is %+v, want the next epoch", last, next)
 	}
 	for _, share := range last.Shares {
-		if nextShare := next.shareOf(share.Group); nextShare.Group == share.Group && nextShare.Tail-share.Tail > uint32(share.OpenPositions()) {
-			t.Errorf("%s begins at %d after %d", share.Team, nextShare.Tail, share.Tail)
+		if nextShare := next.shareOf(share.Group); nextShare.Group == share.Group &&
+			nextShare.Tail-share.Tail > uint32(share.OpenPositions()) {
+			t.Errorf("the arc of team %s begins at %d after %d, want a position in the last arc",
+				share.Team, nextShare.Tail, share.Tail)
 		}
 	}
 }
 
-// What can't be a policy is told from one.
+// Validate must reject every policy that can't be evaluated or continued. A share without positive
+// steps, for example, causes a division by zero.
 func TestValidateRejectsInvalidPolicies(t *testing.T) {
 	valid := Policy{Epoch: 1, EpochLengthMS: 1, DefaultShare: FullShare(Group{})}
 	if valid.Validate() != nil {
 		t.Fatal(valid.Validate())
 	}
 	for name, invalidate := range map[string]func(p *Policy){
-		"no epoch":    func(p *Policy) { p.Epoch = 0 },
-		"no length":   func(p *Policy) { p.EpochLengthMS = 0 },
-		"stands":      func(p *Policy) { p.Shares = []Share{{Steps: []uint64{5, 0}}} },
-		"too long":    func(p *Policy) { p.DefaultShare.Steps = []uint64{1, 1, 1, 1} },
-		"no number":   func(p *Policy) { p.DefaultShare.Demand = math.NaN() },
-		"no rest":     func(p *Policy) { p.DefaultShare = Share{} },
-		"huge stride": func(p *Policy) { p.DefaultShare.Steps = []uint64{Ring + 1} },
+		"no epoch":         func(p *Policy) { p.Epoch = 0 },
+		"no epoch length":  func(p *Policy) { p.EpochLengthMS = 0 },
+		"zero step":        func(p *Policy) { p.Shares = []Share{{Steps: []uint64{5, 0}}} },
+		"too many steps":   func(p *Policy) { p.DefaultShare.Steps = []uint64{1, 1, 1, 1} },
+		"demand is NaN":    func(p *Policy) { p.DefaultShare.Demand = math.NaN() },
+		"no default share": func(p *Policy) { p.DefaultShare = Share{} },
+		"step above Ring":  func(p *Policy) { p.DefaultShare.Steps = []uint64{Ring + 1} },
 	} {
 		policy := valid
 		if invalidate(&policy); policy.Validate() == nil {
-			t.Errorf("%s: passes", name)
+			t.Errorf("%s: the policy passes validation", name)
 		}
 	}
 }
