--- a/internal/admissioncontrol/follower.go
+++ b/internal/admissioncontrol/follower.go
@@ -1,6 +1,6 @@
-// Package admissioncontrol holds a controller's view of the admission policy record and its counts
-// of rejected submissions, and publishes the policy of each epoch as the leader. The policies
-// themselves are made by package admission. It does no I/O.
+// Package admissioncontrol holds a controller's copy of the admission policy record and its counts of
+// rejected submissions. On the leader it also publishes the policy of each epoch, which package
+// admission computes. The package does no I/O.
 package admissioncontrol
 
 import (
@@ -17,8 +17,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// PolicyFollower is the part of admission that every node has: it follows the policy's record in
-// the key-value store and counts the submissions that are rejected in each epoch.
+// PolicyFollower tracks the policy's record in the key-value store and counts the submissions that
+// this node rejects in each epoch. Every node has one.
 type PolicyFollower struct {
 	PolicyRecord
 	rejections rejectionCounts
@@ -26,31 +26,31 @@
 	host                 PolicyHost
 	cluster              *config.Cluster
 	log                  *slog.Logger
-	latestPeerRevision   uint64 // latest change of the record that a peer knows
-	reading              bool
-	readCallbacks        []func() // called once the record is read
+	latestPeerRevision   uint64   // revision of the latest change of the record that a peer knows
+	reading              bool     // a read of the record is in flight
+	readCallbacks        []func() // called once the read in flight has ended, even if it failed
 	loggedInvalidVersion uint64   // the invalid version that was logged last
 }
 
 // PolicyRecord is the admission policy's record as this node knows it.
 type PolicyRecord struct {
-	Current    *admission.Policy // nil: there is no record, or it is invalid
-	Version    uint64            // of the record; 0: there is none
-	Revision   uint64            // of the last known change of the record, its removal included
-	KnownSince clock.Instant     // when this node learnt of it; the epoch began no later
-	Invalid    bool              // the record can't be decoded, so no submission is admitted
+	Current    *admission.Policy // nil if there is no record or it is invalid
+	Version    uint64            // revision of the record's last write; 0 if there is no record
+	Revision   uint64            // revision of the last known change of the record, including its removal
+	KnownSince clock.Instant     // when this node learnt of the record; the epoch began no later
+	Invalid    bool              // the record can't be decoded or validated, so no submission is admitted
 }
 
-// PolicyHost is what following the policy needs from the controller.
+// PolicyHost is the interface through which a PolicyFollower uses its controller.
 type PolicyHost interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
-	// ReadRecord reads a record of the key-value store and passes on the status and body of the
-	// response. Status 0 means that there was none.
+	// ReadRecord reads a record of the key-value store and passes the HTTP status and the body of the
+	// response to onResponse. Status 0 means that there was no response.
 	ReadRecord(key string, onResponse func(status int, body []byte))
 }
 
-// NewPolicyFollower returns the state of a node that has not read the record yet.
+// NewPolicyFollower returns the PolicyFollower of a node that has not read the record yet.
 func NewPolicyFollower(host PolicyHost, cluster *config.Cluster, log *slog.Logger) *PolicyFollower {
 	return &PolicyFollower{rejections: newRejectionCounts(), host: host, cluster: cluster, log: log}
 }
@@ -60,21 +60,23 @@
 	return admission.Group{Team: spec.Team, Class: spec.Class, PriorityRank: spec.PriorityRank()}
 }
 
-// epochsPerLease is the number of epochs in a worker lease.
+// epochsPerLease is the number of epochs per worker lease.
 const epochsPerLease = 4
 
-// EpochLength returns how long a policy is in force.
+// EpochLength returns the length of an epoch, for which a policy is in force. It is a whole number of
+// milliseconds.
 func (f *PolicyFollower) EpochLength() time.Duration {
 	return (f.cluster.WorkerLease() / epochsPerLease).Truncate(time.Millisecond)
 }
 
-// Bounds of the waiting time that follows from a policy, so that no record overflows a duration.
+// These limits keep RetryAfterSeconds from overflowing a duration, whatever values a record holds.
 const (
 	maxEpochsAhead = 1 << 16
-	maxEpochMS     = 3_600_000
+	maxEpochMS     = 3_600_000 // an hour
 )
 
-// RetryAfterSeconds returns the number of seconds until the policy admits a job.
+// RetryAfterSeconds returns the number of seconds until the policy admits the job that got verdict, at
+// least 1. There must be a current policy.
 func (f *PolicyFollower) RetryAfterSeconds(verdict admission.Verdict) int {
 	epochs := time.Duration(min(verdict.EpochsToTurn, maxEpochsAhead))
 	epochLength := time.Duration(min(f.Current.EpochLengthMS, maxEpochMS)) * time.Millisecond
@@ -82,21 +84,22 @@
 	return max(1, int((admittedAt-f.host.Now()+time.Second-1)/time.Second))
 }
 
-// CountByPolicy counts a submission that the policy does not admit yet.
+// CountByPolicy counts a submission that this node rejects because the policy does not admit it yet.
 func (f *PolicyFollower) CountByPolicy(group admission.Group) {
 	f.rejections.countPolicyRejection(group)
 }
 
-// CountForCapacity counts an admitted job that this node can't write in time. Jobs that another
-// policy admitted say nothing about this epoch.
+// CountForCapacity counts a job that the policy admits but that this node can't write in time.
+// admittedByVersion is the version of the policy's record that admitted the job. Jobs that another
+// version admitted are not counted, because they say nothing about the load of this epoch.
 func (f *PolicyFollower) CountForCapacity(spec *protocol.Job, admittedByVersion uint64) {
 	if admittedByVersion == f.Version {
 		f.rejections.countCapacityRejection(GroupOf(spec), spec.ID)
 	}
 }
 
-// StartEpochWithoutPolicy starts another epoch of the rejected jobs when one is over. While there
-// is a policy, each of its versions starts an epoch.
+// StartEpochWithoutPolicy starts another epoch of the rejection counts if there is no policy and the
+// length of an epoch has passed. While there is a policy, each new version starts an epoch instead.
 func (f *PolicyFollower) StartEpochWithoutPolicy() {
 	now := f.host.Now()
 	if f.Version == 0 && now >= f.rejections.epochStartedAt+f.EpochLength() {
@@ -104,25 +107,27 @@
 	}
 }
 
-// TakeLoadReport returns the report of the submissions rejected since the last one, or false if
-// none is due.
+// TakeLoadReport returns a report of the submissions rejected since the last report. due is false if
+// there were none, or if the last report is more recent than interval.
 func (f *PolicyFollower) TakeLoadReport(interval time.Duration) (report protocol.AdmissionLoad, due bool) {
 	groups := f.rejections.takeReport(f.host.Now(), interval)
 	return protocol.AdmissionLoad{PolicyRevision: f.Version, Groups: groups}, groups != nil
 }
 
-// RecordPeerRevision records the latest change of the record that a peer knows.
+// RecordPeerRevision records the revision of the latest change of the policy's record that a peer
+// announces.
 func (f *PolicyFollower) RecordPeerRevision(revision uint64) {
 	f.latestPeerRevision = max(f.latestPeerRevision, revision)
 }
 
-// NeedsRead reports whether some peer knows a newer change of the record and no read is in flight.
+// NeedsRead reports whether a peer knows a newer change of the record than this node and no read is in
+// flight.
 func (f *PolicyFollower) NeedsRead() bool {
 	return f.latestPeerRevision > f.Revision && !f.reading
 }
 
-// Read reads the record and then calls onRead, which may be nil, and all other callbacks that wait
-// for it.
+// Read starts a read of the record unless one is in flight. onRead, which may be nil, is called after
+// the response, even if the read failed.
 func (f *PolicyFollower) Read(onRead func()) {
 	if onRead != nil {
 		f.readCallbacks = append(f.readCallbacks, onRead)
@@ -134,7 +139,7 @@
 	f.host.ReadRecord(storage.AdmissionPolicyKey, f.onReadResponse)
 }
 
-// onReadResponse applies the response to a read of the record.
+// onReadResponse applies the response to a read of the record and calls all waiting callbacks.
 func (f *PolicyFollower) onReadResponse(status int, body []byte) {
 	f.reading = false
 	var item storage.Item
@@ -152,7 +157,8 @@
 	}
 }
 
-// ApplyRecord applies the record as it was read or written, unless it is older than the one known.
+// ApplyRecord applies the policy's record after a read or a write, unless this node knows the same or
+// a newer version.
 func (f *PolicyFollower) ApplyRecord(item storage.Item) {
 	if item.ModRevision < f.Revision {
 		return // a delayed response with an older version
@@ -176,7 +182,7 @@
 	f.Current = policy
 }
 
-// logInvalid logs an invalid version of the record once.
+// logInvalid logs an error about the current version of the record, once per version.
 func (f *PolicyFollower) logInvalid(err error) {
 	if f.loggedInvalidVersion == f.Version {
 		return
@@ -185,7 +191,8 @@
 	f.log.Error("admission policy invalid, rejecting submissions", "version", f.Version, "error", err)
 }
 
-// NoteRemoved records that there was no policy at a revision of the key-value store.
+// NoteRemoved records that there was no policy at a revision of the key-value store, unless this node
+// knows of a newer change.
 func (f *PolicyFollower) NoteRemoved(revision uint64) {
 	if revision < f.Revision {
 		return
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -13,36 +13,36 @@
 	"hitchdoor/internal/storage"
 )
 
-// Publisher is the leader's part of admission: it adds up the submissions that all nodes
-// report and publishes the policy of each epoch.
+// Publisher adds up the submissions that all nodes report and publishes the policy of each epoch. Only
+// the leader has one.
 type Publisher struct {
 	host           PublisherHost
-	follower       *PolicyFollower // of the node that leads
+	follower       *PolicyFollower // follower of the leader's own node
 	state          *cluster.State
 	writer         PolicyWriter
 	log            *slog.Logger
-	planner        *admission.Planner
-	EpochLoads     map[admission.Group]*admission.Load // of the current epoch
+	planner        *admission.Planner                  // nil if it must be created from the current policy
+	EpochLoads     map[admission.Group]*admission.Load // loads of the current epoch
 	EpochStartedAt clock.Instant                       // when the current epoch began
-	publishing     bool                                // the last policy is not durable yet
-	maxShares      int                                 // of a policy, so that its record can be stored
+	publishing     bool                                // the last policy, or its removal, is not durable yet
+	maxShares      int                                 // limits the shares of a policy so that its record can be stored
 }
 
-// PublisherHost is what publishing policies needs from the controller that leads.
+// PublisherHost is the interface through which a Publisher uses the controller that leads.
 type PublisherHost interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// PoliciesAllowed reports whether the operators enable policies and every node understands them.
 	PoliciesAllowed() bool
-	// SubmissionsPerSecond returns the rate at which the cluster may write submissions.
+	// SubmissionsPerSecond returns the rate at which the whole cluster may write submissions.
 	SubmissionsPerSecond() float64
 }
 
 // PolicyWriter writes the leader's records. It is implemented by storage.Writer.
 type PolicyWriter interface {
-	// Enqueue queues a change to be written.
+	// Enqueue adds a change to the queue of writes.
 	Enqueue(priority storage.Priority, change storage.Change)
-	// ModRevision returns the known revision of a record, or 0 if there is none.
+	// ModRevision returns the last known revision of a record, or 0 if there is no record.
 	ModRevision(key string) uint64
 	// LastRevision returns the revision of the last transaction that was applied.
 	LastRevision() uint64
@@ -57,16 +57,16 @@
 	Log      *slog.Logger
 }
 
-// Constants of the policies that a leader publishes.
+// These constants bound the policies that a leader publishes.
 const (
-	// admissionDeadlineShare is the part of the time for which users retry a submission within which
-	// each job should be admitted. The rest is a margin for users who retry late.
+	// admissionDeadlineShare is the fraction of the users' retry window within which each job should
+	// be admitted. The rest of the window is a margin for users who retry late.
 	admissionDeadlineShare = 2.0 / 3
-	// maxShareBytes is an upper bound of the encoded size of a share in the policy's record.
+	// maxShareBytes is an upper bound on the encoded size of a share in the policy's record.
 	maxShareBytes = 256
-	// OpenJobsMemoryShare is the part of the memory that open jobs may use.
+	// OpenJobsMemoryShare is the fraction of a controller's memory that open jobs may use.
 	OpenJobsMemoryShare = 0.25
-	// OpenJobBytes is the memory of an open job, as estimated.
+	// OpenJobBytes is the estimated memory of an open job in bytes.
 	OpenJobBytes = 8 << 10
 )
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// plannerSettings returns the bounds of the policies.
+// plannerSettings returns the bounds of the policies that the planner computes.
 func (p *Publisher) plannerSettings() admission.Settings {
 	epochLength := p.follower.EpochLength()
 	admissionDeadline := admissionDeadlineShare * float64(protocol.SubmissionRetryWindow)
@@ -88,8 +88,8 @@
 		MaxEpochsUntilAdmitted: max(1, int(admissionDeadline/float64(epochLength)))}
 }
 
-// LoadStoredPolicy applies the record that an earlier leader left, or its absence at a revision of
-// the key-value store.
+// LoadStoredPolicy applies the policy's record if items contain it. Empty items mean that there was no
+// record at the given revision of the key-value store.
 func (p *Publisher) LoadStoredPolicy(items []storage.Item, revision uint64) {
 	if len(items) == 0 {
 		p.follower.NoteRemoved(revision)
@@ -101,7 +101,8 @@
 	}
 }
 
-// AddNodeLoad adds the rejected submissions that a node reports.
+// AddNodeLoad adds the rejected submissions that a node reports to the loads of the current epoch. A
+// report that was counted under another policy is ignored.
 func (p *Publisher) AddNodeLoad(message protocol.AdmissionLoad) {
 	if p.publishing || message.PolicyRevision != p.follower.Version {
 		return // counted under another policy
@@ -116,14 +117,15 @@
 	}
 }
 
-// CountAccepted counts a job that some node has accepted.
+// CountAccepted counts a job that any node has accepted in the current epoch.
 func (p *Publisher) CountAccepted(spec *protocol.Job) {
 	if load := p.groupLoad(GroupOf(spec)); load != nil {
 		load.Accepted++
 	}
 }
 
-// groupLoad returns the load of a group in this epoch, or nil if there are too many groups.
+// groupLoad returns the load of a group in the current epoch, or nil if there are MaxGroupLoads other
+// groups already.
 func (p *Publisher) groupLoad(group admission.Group) *admission.Load {
 	load := p.EpochLoads[group]
 	if load == nil && len(p.EpochLoads) < protocol.MaxGroupLoads {
@@ -133,8 +135,8 @@
 	return load
 }
 
-// teamWeight returns a team's weight among all teams. It grows with the team's guarantee, from 1 to
-// 2.
+// teamWeight returns a team's weight for the allocation of capacity. It grows with the team's
+// guarantee from 1, also for an unknown team, to 2 for the largest guarantee.
 func (p *Publisher) teamWeight(teamName string) float64 {
 	largestGuarantee := 0.0
 	for _, other := range p.state.Config.Teams {
@@ -147,9 +149,9 @@
 	return 1 + team.GuaranteedCPUs/largestGuarantee
 }
 
-// EpochCapacity returns the number of jobs that can be accepted in an epoch. It is limited by the
-// rate of writes, and by the memory left for open jobs, spread over the epochs within which every
-// waiting job is to be admitted.
+// EpochCapacity returns the number of jobs that can be accepted in an epoch. It is limited by the rate
+// of writes and by the memory that is left for open jobs. That memory is spread over the number of
+// epochs within which every waiting job should be admitted.
 func (p *Publisher) EpochCapacity() admission.Capacity {
 	byRate := p.host.SubmissionsPerSecond() * p.follower.EpochLength().Seconds()
 	maxOpenJobs := OpenJobsMemoryShare * p.state.Config.Resources.MemoryMB * (1 << 20) / OpenJobBytes
@@ -157,8 +159,8 @@
 	return admission.Capacity{Jobs: min(byRate, byMemory), MemoryLimited: byMemory < byRate}
 }
 
-// Tick starts the next epoch once the current one is over. revision is the latest revision of the
-// key-value store that the leader knows.
+// Tick starts the next epoch and publishes its policy once the current epoch has ended. revision is the
+// latest revision of the key-value store that the leader knows.
 func (p *Publisher) Tick(revision uint64) {
 	now := p.host.Now()
 	if now < p.EpochStartedAt+p.follower.EpochLength() || p.publishing {
@@ -169,33 +171,33 @@
 	if !p.host.PoliciesAllowed() || p.follower.Invalid {
 		p.planner = nil
 		if p.writer.ModRevision(storage.AdmissionPolicyKey) != 0 {
-			p.publishPolicy(nil) // remove the policy of an earlier leader, or an invalid one
+			p.publishPolicy(nil) // removes a policy that is no longer allowed, or an invalid one
 		}
 		return
 	}
 	p.publishNextPolicy(loads, revision)
 }
 
-// publishNextPolicy publishes the policy that follows from the loads of the last epoch, or removes
-// the present one if none is needed.
+// publishNextPolicy publishes the policy that the planner computes from the loads of the last epoch. If
+// no policy is needed, it removes the current one.
 func (p *Publisher) publishNextPolicy(loads []admission.Load, revision uint64) {
 	if p.planner == nil {
 		p.planner = admission.NewPlanner(p.plannerSettings(), p.follower.Current)
 	}
 	hadPolicy := p.planner.Policy() != nil
-	// Each policy that is written raises the revision, so a series of epochs that starts at the
-	// next revision is numbered above all earlier ones.
+	// Each write of a policy increases the revision. Epochs that are numbered from the next revision
+	// therefore get higher numbers than all earlier ones.
 	next := p.planner.NextPolicy(loads, p.EpochCapacity(), max(revision, p.follower.Revision)+1)
 	if next == nil && !hadPolicy {
 		return
 	}
 	if (next != nil) != hadPolicy {
-		p.log.Info("admission policy switched", "active", next != nil, "capacity", p.EpochCapacity().Jobs)
+		p.log.Info("admission policy activation changed", "active", next != nil, "capacity", p.EpochCapacity().Jobs)
 	}
 	p.publishPolicy(next)
 }
 
-// takeEpochLoads returns the loads of the epoch that ends and resets them.
+// takeEpochLoads returns and resets the loads of the epoch that ends.
 func (p *Publisher) takeEpochLoads() []admission.Load {
 	loads := make([]admission.Load, 0, len(p.EpochLoads))
 	for _, load := range p.EpochLoads {
@@ -205,8 +207,8 @@
 	return loads
 }
 
-// publishPolicy writes a policy, or removes the record if it is nil. Like all writes of a leader
-// it is conditioned on the leader key, so a leader that has been replaced publishes nothing.
+// publishPolicy writes a policy, or removes the record if policy is nil. The write is conditional on the
+// leader key, like all writes of a leader, so a leader that has been replaced publishes nothing.
 func (p *Publisher) publishPolicy(policy *admission.Policy) {
 	p.publishing = true
 	write := storage.Delete(storage.AdmissionPolicyKey)
@@ -220,29 +222,30 @@
 	})
 }
 
-// onPublished applies a policy that has become durable, or its removal. The epoch begins now.
+// onPublished starts the epoch of a policy that has become durable, or the epoch after its removal.
 func (p *Publisher) onPublished(hasPolicy bool, write storage.Write) {
 	p.publishing = false
 	p.EpochStartedAt = p.host.Now()
 	clear(p.EpochLoads)
 	if !hasPolicy {
 		p.follower.NoteRemoved(max(p.follower.Revision, p.writer.LastRevision()))
-		p.follower.Read(nil) // for the revision of the removal, which peers are told
+		p.follower.Read(nil) // returns the revision of the removal, which is announced to peers
 		return
 	}
 	p.follower.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: write.Value,
 		ModRevision: p.writer.ModRevision(storage.AdmissionPolicyKey)})
 }
 
-// onRejected handles a policy that the key-value store refuses: its limit of a value's size has
-// shrunk, so the next policy names fewer groups.
+// onRejected handles a policy that the key-value store refuses because its limit on the size of a value
+// has become smaller. The next policy names fewer groups.
 func (p *Publisher) onRejected() {
 	p.publishing = false
 	p.maxShares = max(1, p.maxShares/2)
 	p.planner = nil
 }
 
-// WaitingGroups counts, by group, the accepted jobs of which no task has started.
+// WaitingGroups returns the number of accepted jobs without a started task by group, sorted by priority,
+// team and class.
 func WaitingGroups(state *cluster.State) []admission.WaitingGroup {
 	counts := map[admission.Group]int{}
 	for _, job := range state.RunnableJobs {
--- a/internal/admissioncontrol/rejection_counts.go
+++ b/internal/admissioncontrol/rejection_counts.go
@@ -10,44 +10,45 @@
 	"hitchdoor/internal/protocol"
 )
 
-// maxRejectedJobs bounds the jobs that are remembered as rejected in an epoch.
+// maxRejectedJobs limits the number of rejected jobs whose ids are kept in an epoch. Jobs above the limit
+// are counted at each retry.
 const maxRejectedJobs = 20_000
 
-// rejectionCounts counts the submissions that this node rejects in an epoch, until they are
+// rejectionCounts counts the submissions that this node rejects in an epoch until the counts are
 // reported to the leader.
 type rejectionCounts struct {
-	unreported     map[admission.Group]*protocol.GroupLoad
-	reportedAt     clock.Instant   // last report
-	rejectedJobs   map[string]bool // jobs rejected for capacity in this epoch
-	epochStartedAt clock.Instant   // start of that epoch
+	unreported     map[admission.Group]*protocol.GroupLoad // counts since the last report
+	reportedAt     clock.Instant                           // time of the last report
+	rejectedJobs   map[string]bool                         // ids of the jobs rejected for capacity in this epoch
+	epochStartedAt clock.Instant                           // start of the current epoch
 }
 
-// newRejectionCounts returns counts without any rejection.
+// newRejectionCounts returns empty counts.
 func newRejectionCounts() rejectionCounts {
 	return rejectionCounts{unreported: map[admission.Group]*protocol.GroupLoad{}, rejectedJobs: map[string]bool{}}
 }
 
-// reset starts the counts of another epoch.
+// reset starts another epoch and drops the counts that have not been reported yet.
 func (c *rejectionCounts) reset(now clock.Instant) {
 	clear(c.unreported)
 	c.startEpoch(now)
 }
 
-// startEpoch starts another epoch but keeps the counts that are not reported yet.
+// startEpoch starts another epoch but keeps the counts that have not been reported yet.
 func (c *rejectionCounts) startEpoch(now clock.Instant) {
 	clear(c.rejectedJobs)
 	c.epochStartedAt = now
 }
 
-// countPolicyRejection counts a submission that the policy does not admit yet.
+// countPolicyRejection counts a submission attempt that the policy does not admit yet.
 func (c *rejectionCounts) countPolicyRejection(group admission.Group) {
 	if load := c.groupLoad(group); load != nil {
 		load.RejectedByPolicy++
 	}
 }
 
-// countCapacityRejection counts an admitted job that this node can't write in time. A job counts once
-// per epoch, however often its user retries.
+// countCapacityRejection counts a job that the policy admits but that this node can't write in time. A
+// job is counted once per epoch, however often its user retries.
 func (c *rejectionCounts) countCapacityRejection(group admission.Group, jobID string) {
 	if c.rejectedJobs[jobID] {
 		return
@@ -60,8 +61,9 @@
 	}
 }
 
-// groupLoad returns the counts of a group, or nil if there are too many groups: submissions under
-// very many names. The groups counted so far show the overload.
+// groupLoad returns the counts of a group, or nil if MaxGroupLoads other groups have counts already,
+// which happens if submissions use very many team or class names. The counts of these groups suffice
+// to detect the overload.
 func (c *rejectionCounts) groupLoad(group admission.Group) *protocol.GroupLoad {
 	load := c.unreported[group]
 	if load == nil {
@@ -74,8 +76,8 @@
 	return load
 }
 
-// takeReport returns the counts that are due to be reported, and resets them. It returns nil if
-// there are none, or if the last report is more recent than the interval.
+// takeReport returns and resets the counts that have not been reported yet. It returns nil if there are
+// none, or if the last report is more recent than interval.
 func (c *rejectionCounts) takeReport(now clock.Instant, interval time.Duration) []protocol.GroupLoad {
 	if len(c.unreported) == 0 || now < c.reportedAt+interval {
 		return nil
@@ -86,7 +88,7 @@
 	return loads
 }
 
-// sortedLoads lists the loads by team, class and rank.
+// sortedLoads returns the loads sorted by team, class and priority.
 func sortedLoads(loads map[admission.Group]*protocol.GroupLoad) []protocol.GroupLoad {
 	sorted := make([]protocol.GroupLoad, 0, len(loads))
 	for _, load := range loads {
