--- a/internal/admissioncontrol/follower_test.go
+++ b/internal/admissioncontrol/follower_test.go
@@ -14,8 +14,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// policyTestHost is a controller that keeps the reads of the policy's record until the test answers
-// them.
+// policyTestHost simulates a controller. It keeps the reads of the policy's record until the test
+// responds to them.
 type policyTestHost struct {
 	now        clock.Instant
 	allowed    bool
@@ -32,7 +32,7 @@
 
 func (h *policyTestHost) SubmissionsPerSecond() float64 { return 10 }
 
-// newTestFollower returns the policy follower of a node.
+// newTestFollower returns the policy follower of a node with epochs of 3.5 s, and the node's host.
 func newTestFollower() (*PolicyFollower, *policyTestHost) {
 	host := &policyTestHost{now: time.Hour, allowed: true}
 	cluster := &config.Cluster{}
@@ -41,86 +41,93 @@
 	return NewPolicyFollower(host, cluster, slog.New(slog.DiscardHandler)), host
 }
 
-// fullPolicy is a record of a policy that admits every job.
+// fullPolicy returns the record of a policy that admits every job.
 func fullPolicy(revision uint64) storage.Item {
 	policy := admission.Policy{Epoch: revision, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
 	return storage.Item{Key: storage.AdmissionPolicyKey, Value: storage.Encode(policy), ModRevision: revision}
 }
 
-// The record is read once for all that wait for it, and only while a peer knows a newer one.
+// A node must read the record only if a peer knows a newer one, and only once for all callbacks.
+// Otherwise a change of the policy causes a read per waiting submission.
 func TestPolicyIsReadOnceForAll(t *testing.T) {
 	follower, host := newTestFollower()
 	if follower.NeedsRead() {
-		t.Error("reads a record that no peer knows")
+		t.Error("a read is needed although no peer knows a record")
 	}
 	follower.RecordPeerRevision(5)
 	if !follower.NeedsRead() {
-		t.Error("a newer record is not read")
+		t.Error("no read is needed although a peer knows a newer record")
 	}
 	called := 0
 	for range 3 {
 		follower.Read(func() { called++ })
 	}
 	if len(host.onResponse) != 1 || follower.NeedsRead() {
-		t.Fatalf("%d reads", len(host.onResponse))
+		t.Fatalf("%d reads were sent, want 1 and no need for another", len(host.onResponse))
 	}
 	host.onResponse[0](http.StatusOK, storage.Encode(fullPolicy(5)))
 	if called != 3 || follower.Version != 5 || follower.Current == nil || follower.NeedsRead() {
-		t.Errorf("%d callbacks, %+v", called, follower.PolicyRecord)
+		t.Errorf("%d callbacks were called, want 3; the record is %+v, want version 5", called, follower.PolicyRecord)
 	}
 }
 
-// An older record changes nothing, an invalid one stops admission, and a removal ends both.
+// Responses can arrive out of order. A node must ignore an older record or removal, must mark an invalid
+// record as such, and must drop the record after a newer removal.
 func TestPolicyRecordsAreAppliedInOrder(t *testing.T) {
 	follower, _ := newTestFollower()
 	follower.ApplyRecord(fullPolicy(5))
 	if follower.ApplyRecord(fullPolicy(4)); follower.Version != 5 {
-		t.Errorf("version %d", follower.Version)
+		t.Errorf("the version is %d after an older record, want 5", follower.Version)
 	}
 	invalid := storage.Item{Key: storage.AdmissionPolicyKey, Value: []byte(`{}`), ModRevision: 6}
 	if follower.ApplyRecord(invalid); !follower.Invalid || follower.Current != nil || follower.Version != 6 {
-		t.Errorf("invalid: %+v", follower.PolicyRecord)
+		t.Errorf("after an invalid record at revision 6: %+v", follower.PolicyRecord)
 	}
 	if follower.NoteRemoved(5); !follower.Invalid {
-		t.Error("an older removal is applied")
+		t.Error("a removal that is older than the record was applied")
 	}
 	if follower.NoteRemoved(7); follower.PolicyRecord != (PolicyRecord{Revision: 7}) {
-		t.Errorf("removed: %+v", follower.PolicyRecord)
+		t.Errorf("after the removal at revision 7: %+v, want only this revision", follower.PolicyRecord)
 	}
 }
 
-// A leader publishes a policy after an epoch with more submissions than capacity, and removes it
-// once policies are no longer allowed.
+// A leader must publish a policy after an epoch with more submissions than capacity, must ignore counts
+// of another policy, and must remove the policy once policies are no longer allowed.
 func TestPublisherFollowsTheLoad(t *testing.T) {
 	follower, host := newTestFollower()
-	state := cluster.New(cluster.Options{Clock: host, Config: follower.cluster, Settings: &config.Settings{}, Log: follower.log})
+	state := cluster.New(cluster.Options{Clock: host, Config: follower.cluster, Settings: &config.Settings{},
+		Log: follower.log})
 	writer := storage.NewWriter(100, 1)
-	publisher := NewPublisher(PublisherOptions{Host: host, Follower: follower, State: state, Writer: writer, Log: follower.log})
+	publisher := NewPublisher(PublisherOptions{Host: host, Follower: follower, State: state, Writer: writer,
+		Log: follower.log})
 	if publisher.Tick(1); writer.PendingChanges() != 0 {
-		t.Error("published before the epoch was over")
+		t.Error("a policy was published before the first epoch had ended")
 	}
-	publisher.AddNodeLoad(protocol.AdmissionLoad{Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9000}}})
-	publisher.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: 3, Groups: []protocol.GroupLoad{{Team: "late", RejectedForCapacity: 1}}})
+	publisher.AddNodeLoad(protocol.AdmissionLoad{
+		Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9000}}})
+	publisher.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: 3,
+		Groups: []protocol.GroupLoad{{Team: "late", RejectedForCapacity: 1}}})
 	if len(publisher.EpochLoads) != 1 {
-		t.Errorf("%d groups count, one of them under another policy", len(publisher.EpochLoads))
+		t.Errorf("%d groups have loads, want 1: the other was counted under another policy", len(publisher.EpochLoads))
 	}
 	host.now += follower.EpochLength()
 	publisher.Tick(1)
 	if txn := writer.NextTxn(100); txn == nil {
-		t.Fatal("no policy is published")
+		t.Fatal("no policy was published after an epoch of overload")
 	}
 	writer.CompleteInFlight(8)
 	if follower.Version != 8 || follower.Current == nil {
-		t.Errorf("the leader's own node follows %+v", follower.PolicyRecord)
+		t.Errorf("the leader's own node has %+v, want the policy with version 8", follower.PolicyRecord)
 	}
 	host.allowed = false
 	host.now += follower.EpochLength()
 	publisher.Tick(8)
 	if txn := writer.NextTxn(100); txn == nil {
-		t.Fatal("the policy is not removed")
+		t.Fatal("the policy was not removed although policies are no longer allowed")
 	}
 	writer.CompleteInFlight(9)
 	if follower.Version != 0 || follower.Revision != 9 || len(host.onResponse) != 1 {
-		t.Errorf("after the removal: %+v, %d reads", follower.PolicyRecord, len(host.onResponse))
+		t.Errorf("after the removal: %+v, want revision 9 without a record; %d reads, want 1",
+			follower.PolicyRecord, len(host.onResponse))
 	}
 }
--- a/internal/admissioncontrol/rejection_counts_test.go
+++ b/internal/admissioncontrol/rejection_counts_test.go
@@ -10,8 +10,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A job that is rejected for capacity counts once per epoch, and an attempt that the policy
-// rejects counts each time.
+// A job that is rejected for lack of capacity must be counted once per epoch, because retries would
+// inflate the estimated demand. An attempt that the policy rejects must be counted each time.
 func TestRejectionsAreCounted(t *testing.T) {
 	counts := newRejectionCounts()
 	urgent := admission.Group{Team: "b", Class: "c", PriorityRank: 1}
@@ -26,28 +26,28 @@
 		{Team: "b", Class: "c", PriorityRank: 1, RejectedForCapacity: 2},
 	}
 	if got := counts.takeReport(time.Minute, time.Second); !slices.Equal(got, want) {
-		t.Errorf("reported %+v, not %+v", got, want)
+		t.Errorf("reported %+v, want %+v", got, want)
 	}
 	if counts.countCapacityRejection(urgent, "j-1"); counts.takeReport(2*time.Minute, time.Second) != nil {
-		t.Error("a job counts twice in an epoch")
+		t.Error("a job was counted twice in an epoch")
 	}
 	counts.reset(2 * time.Minute)
 	counts.countCapacityRejection(urgent, "j-1")
 	if counts.takeReport(time.Minute+time.Second-1, time.Second) != nil {
-		t.Error("reported before the interval was over")
+		t.Error("counts were reported before the interval had passed")
 	}
 	if got := counts.takeReport(time.Minute+time.Second, time.Second); len(got) != 1 || got[0].RejectedForCapacity != 1 {
-		t.Errorf("in the next epoch: %+v", got)
+		t.Errorf("reported %+v in the next epoch, want one job rejected for capacity", got)
 	}
 }
 
-// Submissions under very many names don't grow a report without bound.
+// Submissions with very many team or class names must not let a report grow without bound.
 func TestReportedGroupsAreBounded(t *testing.T) {
 	counts := newRejectionCounts()
 	for i := range protocol.MaxGroupLoads + 10 {
 		counts.countPolicyRejection(admission.Group{Team: fmt.Sprint("t", i)})
 	}
 	if got := len(counts.takeReport(time.Minute, time.Second)); got != protocol.MaxGroupLoads {
-		t.Errorf("%d groups are reported", got)
+		t.Errorf("%d groups were reported, want %d", got, protocol.MaxGroupLoads)
 	}
 }
