--- a/internal/submissions/queue_test.go
+++ b/internal/submissions/queue_test.go
@@ -54,7 +54,7 @@
 
 // Each response that ends a write is passed on as its outcome.
 func TestOutcomesOfSubmissionWrites(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		status int
 		body   string
@@ -71,11 +71,11 @@
 		var results []Result
 		newTestQueue(host).Add(newTestWrite("j-1", &results))
 		if len(host.sent) != 1 || len(host.sent[0].Conditions) != 3 || host.sent[0].Conditions[2].ModRevision != 7 {
-			t.Fatalf("%s: sent %+v", x.name, host.sent)
+			t.Fatalf("%s: sent %+v", test.name, host.sent)
 		}
-		host.answerNext(x.status, x.body)
-		if len(results) != 1 || results[0] != x.want {
-			t.Errorf("%s: %+v, not %+v", x.name, results, x.want)
+		host.answerNext(test.status, test.body)
+		if len(results) != 1 || results[0] != test.want {
+			t.Errorf("%s: %+v, not %+v", test.name, results, test.want)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 
 // Writes beyond the budget wait, those beyond the queue's limit are rejected, and so are all whose
 // deadline passes. After a refusal by the rate limit the rate is shared with the other node.
-func TestSubmissionQueueKeepsToItsBudget(t *testing.T) {
+func TestSubmissionQueueLimitsItsRate(t *testing.T) {
 	host := &queueHost{now: time.Second}
 	queue := newTestQueue(host)
 	var results []Result
