--- a/internal/submissions/queue.go
+++ b/internal/submissions/queue.go
@@ -1,5 +1,5 @@
-// Package submissions queues the writes of accepted submissions, limits their rate and retries them.
-// It does no I/O: transactions go out through its Host.
+// Package submissions queues the writes of admitted submissions, limits their rate and retries them. It
+// does no I/O: its Host sends the transactions.
 package submissions
 
 import (
@@ -14,57 +14,57 @@
 	"hitchdoor/internal/storage"
 )
 
-// Queue writes the submissions that a node has admitted to the key-value store. It keeps
-// them queued while the rate limit of writes is reached, because users submit in bursts.
+// Queue writes the submissions that a node has admitted to the key-value store. Writes above the rate
+// limit wait in the queue, because users submit in bursts.
 type Queue struct {
 	host           Host
 	cluster        *config.Cluster
-	budget         ratelimit.TokenBucket // writes; its burst is the rate of the whole cluster
-	contendedUntil clock.Instant         // until then the rate is shared with other nodes
+	budget         ratelimit.TokenBucket // limits the writes; its burst is the rate of the whole cluster
+	contendedUntil clock.Instant         // time until which this node takes only its part of that rate
 	pending        []*Write
 }
 
-// Host is what the queue needs from the controller.
+// Host is the interface through which the queue uses its controller.
 type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// StoreUnavailable reports whether the key-value store can't be reached.
 	StoreUnavailable() bool
-	// ExecuteTxn sends a transaction to the key-value store and passes on the status and body of the
-	// response. Status 0 means that there was none.
+	// ExecuteTxn sends a transaction to the key-value store and passes the HTTP status and the body of
+	// the response to onResponse. Status 0 means that there was no response.
 	ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte))
 }
 
-// Write is the write of a submission, in one transaction.
+// Write is the write of a submission in one transaction.
 type Write struct {
 	Record        storage.JobRecord
-	Writes        []storage.Write // of the record; encoded once, because they may be sent again
-	Deadline      clock.Instant   // when it is rejected if it has not been written
-	PolicyVersion uint64          // of the admission policy record that admitted it
+	Writes        []storage.Write // encoded Record; encoded once, because it may be sent again
+	Deadline      clock.Instant   // time at which the write is rejected if it is still queued
+	PolicyVersion uint64          // version of the policy's record that admitted the submission; 0 without a record
 	OnResult      func(Result)    // called when the write has ended
-	retries       int
+	retries       int             // number of times that the write was sent again or its submission evaluated again
 }
 
 // Result is the result of the write of a submission.
 type Result struct {
 	Outcome  Outcome
-	Revision uint64 // of the record, if it was accepted
+	Revision uint64 // revision of the job's record if Outcome is Accepted
 }
 
-// Outcome says how the write of a submission ended.
+// Outcome is the way in which the write of a submission ended.
 type Outcome int
 
-// The outcomes of a write.
+// These are the outcomes of a write.
 const (
 	// Accepted means that the record is durable.
 	Accepted Outcome = iota
-	// PolicyChanged means that the policy of another epoch admitted the submission, and that the
-	// job is unknown. The submission is to be evaluated again.
+	// PolicyChanged means that the policy has changed since it admitted the submission, and that the
+	// job has no record. The submission must be evaluated again.
 	PolicyChanged
 	// JobKnown means that the job may have a record already.
 	JobKnown
-	// TooLarge means that the limits have become smaller than the record. An earlier copy of the
-	// submission may have been accepted all the same.
+	// TooLarge means that the limits of the key-value store have become smaller than the record. An
+	// earlier copy of the submission may nevertheless have been accepted.
 	TooLarge
 	// OverCapacity means that the submission could not be written in time.
 	OverCapacity
@@ -74,22 +74,22 @@
 	Failed
 )
 
-// maxRetries is how often the write of a submission is retried.
+// maxRetries is the number of times that the write of a submission is retried.
 const maxRetries = 3
 
-// NewQueue returns an empty queue. The burst of the budget is the rate of the whole
-// cluster.
+// NewQueue returns an empty queue. The burst of budget must be the rate at which the whole cluster may
+// write submissions.
 func NewQueue(host Host, cluster *config.Cluster, budget ratelimit.TokenBucket) *Queue {
 	return &Queue{host: host, cluster: cluster, budget: budget, contendedUntil: clock.Never}
 }
 
-// SetBudget replaces the budget of writes.
+// SetBudget replaces the rate limit of writes. The burst of budget has the same meaning as in NewQueue.
 func (q *Queue) SetBudget(budget ratelimit.TokenBucket) { q.budget = budget }
 
 // ClusterRate returns the rate at which the whole cluster may write submissions, per second.
 func (q *Queue) ClusterRate() float64 { return q.budget.Burst }
 
-// Add queues a write, unless too many are waiting.
+// Add queues a write. If MaxConnections writes are waiting, the result is OverCapacity.
 func (q *Queue) Add(write *Write) {
 	if len(q.pending) >= q.cluster.Resources.MaxConnections {
 		write.OnResult(Result{Outcome: OverCapacity})
@@ -99,8 +99,8 @@
 	q.WritePending()
 }
 
-// WritePending sends as many queued writes as the budget allows, and rejects those whose deadline
-// has passed.
+// WritePending sends as many queued writes as the budget allows. It rejects writes whose deadline has
+// passed, and all writes while the key-value store is unavailable.
 func (q *Queue) WritePending() {
 	if len(q.pending) == 0 {
 		return
@@ -121,9 +121,9 @@
 	}
 }
 
-// updateRate sets the rate at which this node writes submissions. It is the rate of the whole
-// cluster, because a burst mostly reaches one node. For one lease after a refusal by the rate
-// limit, which shows that other nodes are writing too, it is an equal part of it.
+// updateRate sets the rate at which this node writes submissions. This is normally the rate of the whole
+// cluster, because a burst mostly reaches one node. A refusal by the store's rate limit shows that other
+// nodes are writing too, so the rate is an equal part of the cluster's rate for one worker lease after it.
 func (q *Queue) updateRate() {
 	now := q.host.Now()
 	q.budget.Refill(now)
@@ -133,14 +133,15 @@
 	}
 }
 
-// onRateLimited records that the key-value store refused a submission because of its rate limit.
+// onRateLimited reduces the rate after the key-value store has refused a submission because of its rate
+// limit.
 func (q *Queue) onRateLimited() {
 	q.contendedUntil = q.host.Now() + q.cluster.WorkerLease()
 	q.budget.Tokens = 0
 }
 
-// send sends a write in one transaction, on condition that the job is unknown and the admission
-// policy is the one that admitted it.
+// send sends a write in one transaction. Its conditions are that the job has no record and that the
+// admission policy is the one that admitted the submission.
 func (q *Queue) send(write *Write) {
 	jobID := write.Record.Spec.ID
 	txn := storage.Txn{
@@ -154,12 +155,12 @@
 	q.host.ExecuteTxn(txn, func(status int, body []byte) { q.onResponse(write, status, body) })
 }
 
-// onResponse handles the response to a write: it is sent again, or its result is passed on.
+// onResponse handles the response to a write. It sends the write again or passes its result on.
 func (q *Queue) onResponse(write *Write, status int, body []byte) {
 	rateLimited := status == http.StatusTooManyRequests
 	if (status == 0 || rateLimited) && write.retries < maxRetries {
-		// The rate limit was reached, or the response was lost. The transaction's conditions let only
-		// one copy succeed, so a retry is safe.
+		// The rate limit was reached, or the response was lost. A retry is safe because the conditions
+		// of the transaction let only one copy succeed.
 		write.retries++
 		if rateLimited {
 			q.onRateLimited()
@@ -174,7 +175,7 @@
 	write.OnResult(result)
 }
 
-// resultOf returns the result that a response to the write stands for.
+// resultOf returns the result of the write that follows from the last response.
 func (w *Write) resultOf(status int, body []byte) Result {
 	var response storage.TxnResponse
 	switch status {
@@ -198,8 +199,8 @@
 	return Result{Outcome: Failed}
 }
 
-// onlyPolicyChanged reports whether a transaction failed only because the policy has changed. Then
-// the job is still unknown and its submission is evaluated again.
+// onlyPolicyChanged reports whether a transaction failed only because the policy has changed. In this
+// case the job still has no record, and its submission must be evaluated again.
 func onlyPolicyChanged(failedKeys []string, jobID string) bool {
 	return slices.Contains(failedKeys, storage.AdmissionPolicyKey) &&
 		!slices.Contains(failedKeys, storage.JobKey(jobID)) && !slices.Contains(failedKeys, storage.TerminalKey(jobID))
--- a/internal/submissions/queue_test.go
+++ b/internal/submissions/queue_test.go
@@ -12,8 +12,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// queueHost is a key-value store that keeps the transactions of a submission queue until the test
-// answers them.
+// queueHost simulates a controller. It keeps the transactions of a submission queue until the test
+// responds to them.
 type queueHost struct {
 	now         clock.Instant
 	unavailable bool
@@ -30,14 +30,15 @@
 	h.responses = append(h.responses, onResponse)
 }
 
-// answerNext answers the oldest transaction without a response.
+// answerNext responds to the oldest transaction that has had no response.
 func (h *queueHost) answerNext(status int, body string) {
 	onResponse := h.responses[0]
 	h.responses = h.responses[1:]
 	onResponse(status, []byte(body))
 }
 
-// newTestQueue returns a queue that writes 10 records per second, and up to 10 at once.
+// newTestQueue returns a queue that writes 10 records per second in bursts of up to 10. At most 20 writes
+// can wait.
 func newTestQueue(host Host) *Queue {
 	cluster := &config.Cluster{ControllerCount: 2}
 	cluster.Workers.LeaseS = 14
@@ -45,14 +46,15 @@
 	return NewQueue(host, cluster, ratelimit.NewTokenBucket(10, 10))
 }
 
-// newTestWrite returns the write of a job, whose results are appended to the list.
+// newTestWrite returns the write of a job. The write appends its results to results.
 func newTestWrite(jobID string, results *[]Result) *Write {
 	record := storage.JobRecord{Spec: protocol.Job{ID: jobID}}
 	return &Write{Record: record, Writes: []storage.Write{storage.Put(storage.JobKey(jobID), record)},
 		Deadline: time.Minute, PolicyVersion: 7, OnResult: func(result Result) { *results = append(*results, result) }}
 }
 
-// Each response that ends a write is passed on as its outcome.
+// Each response that ends a write must lead to the right outcome, because the outcome determines whether
+// the user is told that the job was accepted.
 func TestOutcomesOfSubmissionWrites(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -61,26 +63,27 @@
 		want   Result
 	}{
 		{"written", http.StatusOK, `{"edicao":12}`, Result{Accepted, 12}},
-		{"not readable", http.StatusOK, `{`, Result{Outcome: Failed}},
+		{"unreadable response", http.StatusOK, `{`, Result{Outcome: Failed}},
 		{"too large", http.StatusBadRequest, "", Result{Outcome: TooLarge}},
-		{"refused", http.StatusServiceUnavailable, "", Result{Outcome: StoreRefused}},
+		{"refused by the store", http.StatusServiceUnavailable, "", Result{Outcome: StoreRefused}},
 		{"conflict of unknown cause", http.StatusConflict, `{}`, Result{Outcome: JobKnown}},
-		{"unexpected", http.StatusTeapot, "", Result{Outcome: Failed}},
+		{"unexpected status", http.StatusTeapot, "", Result{Outcome: Failed}},
 	} {
 		host := &queueHost{}
 		var results []Result
 		newTestQueue(host).Add(newTestWrite("j-1", &results))
 		if len(host.sent) != 1 || len(host.sent[0].Conditions) != 3 || host.sent[0].Conditions[2].ModRevision != 7 {
-			t.Fatalf("%s: sent %+v", test.name, host.sent)
+			t.Fatalf("%s: sent %+v, want one transaction on condition of the policy at revision 7", test.name, host.sent)
 		}
 		host.answerNext(test.status, test.body)
 		if len(results) != 1 || results[0] != test.want {
-			t.Errorf("%s: %+v, not %+v", test.name, results, test.want)
+			t.Errorf("%s: results %+v, want one %+v", test.name, results, test.want)
 		}
 	}
 }
 
-// A write without a response, or over the rate limit, is sent again a few times.
+// A write must be sent again up to maxRetries times if there was no response or the store's rate limit
+// was reached. Without a bound, a store that is down would be sent the same writes forever.
 func TestSubmissionWritesAreRetried(t *testing.T) {
 	for status, want := range map[int]Outcome{0: Failed, http.StatusTooManyRequests: OverCapacity} {
 		host := &queueHost{}
@@ -93,17 +96,18 @@
 			queue.WritePending()
 		}
 		if len(results) > 0 || len(host.sent) != 1+maxRetries {
-			t.Errorf("status %d: sent %d times, results %+v", status, len(host.sent), results)
+			t.Errorf("status %d: sent %d times, want %d; results %+v, want none", status, len(host.sent), 1+maxRetries, results)
 		}
 		host.answerNext(status, "")
 		if len(results) != 1 || results[0].Outcome != want {
-			t.Errorf("status %d: %+v", status, results)
+			t.Errorf("status %d: results %+v after the last retry, want outcome %d", status, results, want)
 		}
 	}
 }
 
-// Writes beyond the budget wait, those beyond the queue's limit are rejected, and so are all whose
-// deadline passes. After a refusal by the rate limit the rate is shared with the other node.
+// Writes above the rate must wait in the queue, and must be rejected if the queue is full or their
+// deadline has passed. After a refusal by the store's rate limit the node must halve its rate, because the
+// other of the two nodes is writing too.
 func TestSubmissionQueueLimitsItsRate(t *testing.T) {
 	host := &queueHost{now: time.Second}
 	queue := newTestQueue(host)
@@ -112,20 +116,20 @@
 		queue.Add(newTestWrite("j-1", &results))
 	}
 	if len(host.sent) != 10 || len(results) != 1 || results[0].Outcome != OverCapacity {
-		t.Fatalf("%d sent, results %+v", len(host.sent), results)
+		t.Fatalf("%d writes were sent, want 10; results %+v, want one rejection for capacity", len(host.sent), results)
 	}
 	host.now += time.Second / 2
 	if queue.WritePending(); len(host.sent) != 15 {
-		t.Errorf("%d sent after half a second", len(host.sent))
+		t.Errorf("%d writes were sent after half a second, want 15", len(host.sent))
 	}
 	queue.onRateLimited()
 	queue.WritePending()
 	host.now += time.Second
 	if queue.WritePending(); len(host.sent) != 20 {
-		t.Errorf("%d sent in the second after a refusal", len(host.sent))
+		t.Errorf("%d writes were sent one second after a refusal, want 20", len(host.sent))
 	}
 	host.now = time.Minute
 	if queue.WritePending(); len(host.sent) != 20 || len(results) != 11 {
-		t.Errorf("%d sent and %d rejected at the deadline", len(host.sent), len(results))
+		t.Errorf("%d writes were sent and %d rejected at the deadline, want 20 and 11", len(host.sent), len(results))
 	}
 }
