--- a/internal/admissioncontrol/follower_test.go
+++ b/internal/admissioncontrol/follower_test.go
@@ -17,15 +17,15 @@
 // policyTestHost simulates a controller. It keeps the reads of the policy's record until the test
 // responds to them.
 type policyTestHost struct {
-	now        clock.Instant
-	allowed    bool
-	onResponse []func(status int, body []byte)
+	now       clock.Instant
+	allowed   bool
+	responses []func(status int, body []byte)
 }
 
 func (h *policyTestHost) Now() clock.Instant { return h.now }
 
 func (h *policyTestHost) ReadRecord(_ string, onResponse func(status int, body []byte)) {
-	h.onResponse = append(h.onResponse, onResponse)
+	h.responses = append(h.responses, onResponse)
 }
 
 func (h *policyTestHost) PoliciesAllowed() bool { return h.allowed }
@@ -62,10 +62,10 @@
 	for range 3 {
 		follower.Read(func() { called++ })
 	}
-	if len(host.onResponse) != 1 || follower.NeedsRead() {
-		t.Fatalf("%d reads were sent, want 1 and no need for another", len(host.onResponse))
+	if len(host.responses) != 1 || follower.NeedsRead() {
+		t.Fatalf("%d reads were sent, want 1 and no need for another", len(host.responses))
 	}
-	host.onResponse[0](http.StatusOK, storage.Encode(fullPolicy(5)))
+	host.responses[0](http.StatusOK, storage.Encode(fullPolicy(5)))
 	if called != 3 || follower.Version != 5 || follower.Current == nil || follower.NeedsRead() {
 		t.Errorf("%d callbacks were called, want 3; the record is %+v, want version 5", called, follower.PolicyRecord)
 	}
@@ -126,8 +126,8 @@
 		t.Fatal("the policy was not removed although policies are no longer allowed")
 	}
 	writer.CompleteInFlight(9)
-	if follower.Version != 0 || follower.Revision != 9 || len(host.onResponse) != 1 {
+	if follower.Version != 0 || follower.Revision != 9 || len(host.responses) != 1 {
 		t.Errorf("after the removal: %+v, want revision 9 without a record; %d reads, want 1",
-			follower.PolicyRecord, len(host.onResponse))
+			follower.PolicyRecord, len(host.responses))
 	}
 }
