--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -30,7 +30,8 @@
 	MaxShares              int   // number of groups that may have a share of their own
 }
 
-// Planner computes the policy of each epoch. A leader has one for the whole of its term.
+// Planner computes the policy of each epoch on the leader. It keeps estimates of the demand from one epoch
+// to the next.
 type Planner struct {
 	settings        Settings
 	policy          *Policy
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -6,11 +6,11 @@
 	IsLeader         bool           `json:"leads"`
 	Enabled          bool           `json:"enabled"`            // the node's settings allow policies
 	Version          uint64         `json:"version"`            // version of the policy's record; 0 if there is none
-	Invalid          bool           `json:"invalid,omitempty"`  // the record is invalid, so the node admits no submission
+	Invalid          bool           `json:"invalid,omitempty"`  // the record is invalid and no submission is admitted
 	PolicyAgeSeconds float64        `json:"ageS"`               // time since the node learnt of the policy
 	Policy           *Policy        `json:"policy"`             // nil if there is no record or it is invalid
 	EpochCapacity    float64        `json:"capacity,omitempty"` // jobs per epoch; only on the leader
-	WaitingGroups    []WaitingGroup `json:"waiting,omitempty"`  // accepted jobs without a started task; only on the leader
+	WaitingGroups    []WaitingGroup `json:"waiting,omitempty"`  // accepted, not yet started jobs; only on the leader
 	Job              *JobStatus     `json:"job,omitempty"`      // nil if the request names no job
 }
 
--- a/internal/admissioncontrol/follower.go
+++ b/internal/admissioncontrol/follower.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// ApplyRecord applies the policy's record after a read or a write, unless this node knows the same or
-// a newer version.
+// ApplyRecord applies the policy's record after a read or a write, unless this node knows the same
+// version or a newer change.
 func (f *PolicyFollower) ApplyRecord(item storage.Item) {
 	if item.ModRevision < f.Revision {
 		return // a delayed response with an older version
