--- a/internal/records/bitmap_layout.go
+++ b/internal/records/bitmap_layout.go
@@ -16,10 +16,10 @@
 }
 
 // newBitmapLayout derives the layout from the limits of the key-value store.
-func newBitmapLayout(cluster *config.Cluster) bitmapLayout {
+func newBitmapLayout(clusterConfig *config.Cluster) bitmapLayout {
 	return bitmapLayout{
-		tasksPerPart:       storage.TasksPerBitmapPart(cluster.Store.MaxValueBytes()),
-		legacyTasksPerPart: storage.TasksPerBitmapPart(int(cluster.Store.ValueKB * 1024)),
+		tasksPerPart:       storage.TasksPerBitmapPart(clusterConfig.Store.MaxValueBytes()),
+		legacyTasksPerPart: storage.TasksPerBitmapPart(int(clusterConfig.Store.ValueKB * 1024)),
 	}
 }
 
--- a/internal/records/job_watch.go
+++ b/internal/records/job_watch.go
@@ -48,11 +48,11 @@
 }
 
 // onResponse handles the response to a long poll.
-func (w *JobWatch) onResponse(response storage.Response, early bool) {
+func (w *JobWatch) onResponse(response storage.Response, answeredEarly bool) {
 	var events storage.WatchResponse
 	switch {
 	case response.Decode(&events):
-		w.applyEvents(events, early)
+		w.applyEvents(events, answeredEarly)
 	case response.Status == http.StatusGone:
 		// The revision was compacted: list the open jobs again. Loaded jobs stay.
 		w.rereadJobs()
@@ -71,13 +71,13 @@
 
 // applyEvents loads the jobs from the events of a watch. After a watch that returned early without
 // anything new, the next one is delayed: otherwise the watch would become a busy loop.
-func (w *JobWatch) applyEvents(events storage.WatchResponse, early bool) {
+func (w *JobWatch) applyEvents(events storage.WatchResponse, answeredEarly bool) {
 	for _, event := range events.Events {
 		if event.PutKey != "" {
 			w.loader.LoadJob(storage.Item{Key: event.PutKey, Value: event.Value, ModRevision: event.ModRevision})
 		}
 	}
-	if early && (len(events.Events) == 0 || events.Revision <= w.loader.revision) {
+	if answeredEarly && (len(events.Events) == 0 || events.Revision <= w.loader.revision) {
 		w.countFailure()
 		w.scheduleWatch()
 		return
--- a/internal/records/job_watch_test.go
+++ b/internal/records/job_watch_test.go
@@ -29,8 +29,8 @@
 	if len(host.requests) != 1 {
 		t.Fatalf("%d long polls at a time", len(host.requests))
 	}
-	removed := storage.WatchEvent{DeletedKey: storage.JobKey("j-1")}
-	host.respond(200, storage.WatchResponse{Revision: 12, Events: []storage.WatchEvent{removed}})
+	deletion := storage.WatchEvent{DeletedKey: storage.JobKey("j-1")}
+	host.respond(200, storage.WatchResponse{Revision: 12, Events: []storage.WatchEvent{deletion}})
 	watch.Tick()
 	if want := storage.WatchPath(storage.JobPrefix, 12, (host.WorkerLease() / 2).Milliseconds()); host.last().path != want {
 		t.Fatalf("watched %s, want %s", host.last().path, want)
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -51,7 +51,7 @@
 
 // Add adds an open job to the job table and returns it. It returns the known job if there is
 // one, and nil if the job is terminal.
-func (r *Jobs) Add(record storage.JobRecord, version uint64) *cluster.Job {
+func (r *Jobs) Add(record storage.JobRecord, modRevision uint64) *cluster.Job {
 	id := record.Spec.ID
 	if job := r.state.Jobs[id]; job != nil {
 		return job
@@ -61,10 +61,10 @@
 	}
 	now := r.clock.Now()
 	acceptedAt := min(r.clock.InstantFromUnixMilli(record.AcceptedAtMillis), now)
-	job := cluster.NewJob(record.Spec, acceptedAt, version, now)
+	job := cluster.NewJob(record.Spec, acceptedAt, modRevision, now)
 	r.layOutBitmap(job)
 	r.state.Jobs[id] = job
-	r.writer.SetModRevision(storage.JobKey(id), version)
+	r.writer.SetModRevision(storage.JobKey(id), modRevision)
 	r.host.JobAdded(job)
 	return job
 }
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -15,7 +15,7 @@
 // catalog of machine types.
 type Machines struct {
 	*Access
-	storedCatalogShape string // machine types last stored, without prices
+	storedTypes string // machine types last stored, without prices
 
 	groups         []*cluster.MachineGroup
 	maxGroupBytes  int // size limit of a group's record
@@ -56,11 +56,11 @@
 		machineType.OnDemandPrice, machineType.SpotPrice = 0, 0
 		typesWithoutPrices = append(typesWithoutPrices, machineType)
 	}
-	shape := string(storage.Encode(typesWithoutPrices))
-	if shape == r.storedCatalogShape || len(storage.Encode(catalog)) > r.state.Config.Store.MaxValueBytes() {
+	encodedTypes := string(storage.Encode(typesWithoutPrices))
+	if encodedTypes == r.storedTypes || len(storage.Encode(catalog)) > r.state.Config.Store.MaxValueBytes() {
 		return
 	}
-	r.storedCatalogShape = shape
+	r.storedTypes = encodedTypes
 	r.writer.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: func() []storage.Write {
 		return []storage.Write{storage.Put(storage.CatalogKey, catalog)}
 	}})
--- a/internal/records/machines_test.go
+++ b/internal/records/machines_test.go
@@ -72,26 +72,26 @@
 	if len(records.groups) != 1 {
 		t.Fatalf("%d groups", len(records.groups))
 	}
-	stored := records.groups[0]
-	records.writer.SetModRevision(stored.Key, 3)
+	rejected := records.groups[0]
+	records.writer.SetModRevision(rejected.Key, 3)
 	records.writer.SendNext()
 	host.respond(400, nil)
-	if len(records.groups) != 2 || stored.Machines != nil {
-		t.Fatalf("%d groups, %d machines left in the rejected one", len(records.groups), len(stored.Machines))
+	if len(records.groups) != 2 || rejected.Machines != nil {
+		t.Fatalf("%d groups, %d machines left in the rejected one", len(records.groups), len(rejected.Machines))
 	}
 	for _, group := range records.groups {
-		if group.RecordBytes > records.maxGroupBytes || group.Key <= stored.Key {
+		if group.RecordBytes > records.maxGroupBytes || group.Key <= rejected.Key {
 			t.Fatalf("group %s has %d bytes of at most %d", group.Key, group.RecordBytes, records.maxGroupBytes)
 		}
 	}
 	records.writer.SendNext()
-	if body := host.last().body; bytes.Contains(body, storage.Encode(storage.Delete(stored.Key))) &&
+	if body := host.last().body; bytes.Contains(body, storage.Encode(storage.Delete(rejected.Key))) &&
 		!bytes.Contains(body, []byte(records.groups[1].Key)) {
 		t.Fatalf("deleted the old record before the new groups: %s", body)
 	}
 	host.respond(200, storage.TxnResponse{Revision: 8})
-	if records.writer.ModRevision(stored.Key) != 0 || records.writer.ModRevision(records.groups[0].Key) != 8 {
-		t.Fatalf("old record at %d, new group at %d", records.writer.ModRevision(stored.Key),
+	if records.writer.ModRevision(rejected.Key) != 0 || records.writer.ModRevision(records.groups[0].Key) != 8 {
+		t.Fatalf("old record at %d, new group at %d", records.writer.ModRevision(rejected.Key),
 			records.writer.ModRevision(records.groups[0].Key))
 	}
 }
--- a/internal/records/quarantine.go
+++ b/internal/records/quarantine.go
@@ -47,10 +47,10 @@
 
 // QuarantinedRecord is one quarantined record.
 type QuarantinedRecord struct {
-	key              string
-	revision         uint64 // revision at which it was read
-	reason           string
-	fromNewerVersion bool // some node has written a higher protocol level than this one's
+	key               string
+	revision          uint64 // revision at which it was read
+	reason            string
+	maybeNewerVersion bool // some node has written a higher protocol level than this one's
 }
 
 // NewQuarantine returns the empty quarantine of a new leader. lookupBudget limits its reads.
@@ -69,12 +69,12 @@
 // NewQuarantinedRecord logs a record that can't be used and returns its description.
 func NewQuarantinedRecord(log *slog.Logger, item storage.Item, err error, newerVersionSeen bool) *QuarantinedRecord {
 	record := &QuarantinedRecord{key: item.Key, revision: item.ModRevision, reason: err.Error(),
-		fromNewerVersion: newerVersionSeen}
+		maybeNewerVersion: newerVersionSeen}
 	var recordError *storage.RecordError
 	if errors.As(err, &recordError) {
 		record.reason = recordError.Reason
 	}
-	if record.fromNewerVersion {
+	if record.maybeNewerVersion {
 		log.Info("record quarantined: a newer version may have written it", "key", item.Key, "reason", record.reason)
 	} else {
 		log.Error("record quarantined", "key", item.Key, "reason", record.reason)
@@ -84,7 +84,7 @@
 
 // Status describes a quarantined record to operators.
 func (r *QuarantinedRecord) Status() recovery.QuarantinedRecord {
-	return recovery.QuarantinedRecord{Key: r.key, Reason: r.reason, MaybeNewerVersion: r.fromNewerVersion}
+	return recovery.QuarantinedRecord{Key: r.key, Reason: r.reason, MaybeNewerVersion: r.maybeNewerVersion}
 }
 
 // contains reports whether the record with a key is quarantined.
--- a/internal/records/transactions.go
+++ b/internal/records/transactions.go
@@ -63,10 +63,10 @@
 	case response.Status == http.StatusConflict && w.OutcomeUnknown():
 		w.resolveOutcome(w.stepDownOnConflict)
 	case response.Status == http.StatusBadRequest && w.OutcomeUnknown():
-		w.resolveOutcome(w.splitRefusedTransaction)
+		w.resolveOutcome(w.splitRejectedTransaction)
 	case response.Status == http.StatusBadRequest:
 		w.log.Warn("transaction rejected as invalid", "status", response.Status, "body", string(response.Body))
-		w.splitRefusedTransaction()
+		w.splitRejectedTransaction()
 	case response.Status == http.StatusConflict:
 		w.log.Warn("transaction conflict", "status", response.Status, "body", string(response.Body))
 		w.stepDownOnConflict()
@@ -91,10 +91,10 @@
 	w.host.CallAfter(retryDelay(w.clock), retry)
 }
 
-// splitRefusedTransaction splits a transaction that the key-value store rejects as invalid into
+// splitRejectedTransaction splits a transaction that the key-value store rejects as invalid into
 // smaller ones, as the store's limits may be lower than the settings say. The leader continues.
 // A unit of writes that is rejected on its own is dropped.
-func (w *TransactionWriter) splitRefusedTransaction() {
+func (w *TransactionWriter) splitRejectedTransaction() {
 	for _, key := range w.RejectInFlight() {
 		w.log.Error("write rejected permanently", "key", key)
 	}
