--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -90,9 +90,9 @@
 // have tasksPerPart tasks.
 func ParseBitmapKey(key string, tasksPerPart int) (id string, firstTask int, ok bool) {
 	id, part, _ := strings.Cut(strings.TrimPrefix(key, BitmapPrefix), "/")
-	number, namesTask := strings.CutPrefix(part, firstTaskMarker)
+	number, isFirstTask := strings.CutPrefix(part, firstTaskMarker)
 	firstTask, err := strconv.Atoi(number)
-	if !namesTask {
+	if !isFirstTask {
 		firstTask *= tasksPerPart
 	}
 	return id, firstTask, err == nil && firstTask >= 0
@@ -175,15 +175,15 @@
 	if len(records) != r.DependencyRecords {
 		return false
 	}
-	var all []string
+	var restored []string
 	for _, item := range records {
 		var dependencies []string
 		if json.Unmarshal(item.Value, &dependencies) != nil {
 			return false
 		}
-		all = append(all, dependencies...)
+		restored = append(restored, dependencies...)
 	}
-	r.Spec.Dependencies, r.DependencyRecords = append(r.Spec.Dependencies, all...), 0
+	r.Spec.Dependencies, r.DependencyRecords = append(r.Spec.Dependencies, restored...), 0
 	return true
 }
 
@@ -357,15 +357,15 @@
 }
 
 // ListPath returns the path that lists the keys with a prefix, beginning after since.
-func ListPath(prefix, since string, limit int) string {
+func ListPath(prefix, afterKey string, limit int) string {
 	path := "/store?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
-	if since != "" {
-		path += "&since=" + url.QueryEscape(since)
+	if afterKey != "" {
+		path += "&since=" + url.QueryEscape(afterKey)
 	}
 	return path
 }
 
 // WatchPath returns the path that watches a prefix for changes after the given revision.
-func WatchPath(prefix string, since uint64, waitMillis int64) string {
-	return fmt.Sprintf("/follow?under=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), since, waitMillis)
+func WatchPath(prefix string, afterRevision uint64, waitMillis int64) string {
+	return fmt.Sprintf("/follow?under=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), afterRevision, waitMillis)
 }
--- a/internal/storage/responses_test.go
+++ b/internal/storage/responses_test.go
@@ -8,7 +8,7 @@
 
 // What the state service can't have answered is told from what it can: each row was once
 // taken at its word, or would be if its check were left out.
-func TestCheckAnswer(t *testing.T) {
+func TestCheckResponse(t *testing.T) {
 	const (
 		job   = "/store/job/j-1"
 		list  = "/store?under=job%2F&limit=200&since=job%2Fj-4"
@@ -18,7 +18,7 @@
 		method, path string
 		status       int
 		body         string
-		ok           bool
+		valid        bool
 	}{
 		{"GET", job, 200, `{"path":"job/j-1","data":{"spec":{}},"versao":4}`, true},
 		{"GET", job, 200, `{"path":"job/j-2","data":{"spec":{}},"versao":4}`, false},
@@ -69,8 +69,8 @@
 	} {
 		t.Run(fmt.Sprintf("%s %s %d %s", c.method, c.path, c.status, c.body), func(t *testing.T) {
 			err := CheckResponse(c.method, c.path, c.status, []byte(c.body))
-			var odd *ResponseError
-			if (err == nil) != c.ok || err != nil && (!errors.As(err, &odd) || odd.Status != c.status) {
+			var respErr *ResponseError
+			if (err == nil) != c.valid || err != nil && (!errors.As(err, &respErr) || respErr.Status != c.status) {
 				t.Errorf("%s %s: %d %s: %v", c.method, c.path, c.status, c.body, err)
 			}
 		})
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -13,10 +13,10 @@
 // RecordError that names its key, and what can be is a record that reads the same once it is
 // written again.
 func FuzzReadRecords(f *testing.F) {
-	job := JobRecord{Spec: protocol.Job{ID: "j-1", Class: "c", Team: "t", Kind: protocol.JobKindBatch,
+	validJob := JobRecord{Spec: protocol.Job{ID: "j-1", Class: "c", Team: "t", Kind: protocol.JobKindBatch,
 		Priority: protocol.PriorityLow, TaskCount: 3, Cores: 0.5}}
 	for _, seed := range [][]byte{
-		Encode(job), Encode(TerminalRecord{State: protocol.JobDone, TaskCount: 3}), Encode([]string{"j-2", "j-3"}),
+		Encode(validJob), Encode(TerminalRecord{State: protocol.JobDone, TaskCount: 3}), Encode([]string{"j-2", "j-3"}),
 		Encode(EncodeBitmap([]byte{5})), Encode(MachineGroupRecord{"m-1": {Type: "c4"}}),
 		Encode(protocol.RentalRequest{RequestID: "r-1-1", Count: 2}),
 		nil, []byte(`null`), []byte(`{}`), []byte(`[]`), []byte(`"x"`), []byte(`{"b":"%"}`), []byte(`{"m-1":7}`),
@@ -25,38 +25,38 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
-		check := func(it Item, record any, err error) {
-			var of *RecordError
+		check := func(item Item, record any, err error) {
+			var recordError *RecordError
 			switch {
-			case err != nil && (!errors.As(err, &of) || of.Key != it.Key):
-				t.Fatalf("%s: %v", it.Key, err)
+			case err != nil && (!errors.As(err, &recordError) || recordError.Key != item.Key):
+				t.Fatalf("%s: %v", item.Key, err)
 			case err == nil && !json.Valid(value):
-				t.Fatalf("%s: %q is read as %+v", it.Key, value, record)
+				t.Fatalf("%s: %q is read as %+v", item.Key, value, record)
 			}
 		}
-		item := func(key string) Item { return Item{Key: key, Value: value} }
-		rec, err := ReadJob(item(JobKey("j-1")))
-		check(item(JobKey("j-1")), rec, err)
+		newItem := func(key string) Item { return Item{Key: key, Value: value} }
+		job, err := ReadJob(newItem(JobKey("j-1")))
+		check(newItem(JobKey("j-1")), job, err)
 		if err == nil {
-			again, err := ReadJob(Item{Key: JobKey("j-1"), Value: Encode(rec)})
-			if err != nil || again.Spec.ID != "j-1" || again.Spec.TaskCount != rec.Spec.TaskCount {
-				t.Fatalf("%+v is read again as %+v, %v", rec, again, err)
+			reread, err := ReadJob(Item{Key: JobKey("j-1"), Value: Encode(job)})
+			if err != nil || reread.Spec.ID != "j-1" || reread.Spec.TaskCount != job.Spec.TaskCount {
+				t.Fatalf("%+v is read again as %+v, %v", job, reread, err)
 			}
 		}
-		final, err := ReadTerminal(item(TerminalKey("j-1")))
-		check(item(TerminalKey("j-1")), final, err)
-		needs, err := ReadDependencies(item(DependenciesKey("j-1", 0)))
-		check(item(DependenciesKey("j-1", 0)), needs, err)
-		bits, err := ReadBitmap(item(BitmapKey("j-1", 0)))
-		check(item(BitmapKey("j-1", 0)), bits, err)
-		group, unreadable, err := ReadMachineGroup(item(MachineGroupKey(0)))
-		check(item(MachineGroupKey(0)), group, err)
+		terminal, err := ReadTerminal(newItem(TerminalKey("j-1")))
+		check(newItem(TerminalKey("j-1")), terminal, err)
+		dependencies, err := ReadDependencies(newItem(DependenciesKey("j-1", 0)))
+		check(newItem(DependenciesKey("j-1", 0)), dependencies, err)
+		bits, err := ReadBitmap(newItem(BitmapKey("j-1", 0)))
+		check(newItem(BitmapKey("j-1", 0)), bits, err)
+		group, unreadable, err := ReadMachineGroup(newItem(MachineGroupKey(0)))
+		check(newItem(MachineGroupKey(0)), group, err)
 		for _, name := range unreadable {
-			if _, read := group[name]; read {
+			if _, readable := group[name]; readable {
 				t.Fatalf("%s is both readable and not", name)
 			}
 		}
-		rental, err := ReadRental(item(RentalPrefix + "r-1-1"))
-		check(item(RentalPrefix+"r-1-1"), rental, err)
+		rental, err := ReadRental(newItem(RentalPrefix + "r-1-1"))
+		check(newItem(RentalPrefix+"r-1-1"), rental, err)
 	})
 }
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -129,7 +129,7 @@
 		case len(writes) == 0:
 			b.empty = append(b.empty, queue[0])
 		case b.fits(writes):
-			b.take(queue[0], writes)
+			b.add(queue[0], writes)
 		default:
 			return queue
 		}
@@ -162,8 +162,8 @@
 	return taken == 0 || b.bytes+estimatedBytes(writes) <= b.writer.maxBytes
 }
 
-// take takes a change in flight.
-func (b *txnBatch) take(change Change, writes []Write) {
+// add takes a change in flight.
+func (b *txnBatch) add(change Change, writes []Write) {
 	for _, write := range writes {
 		b.keys[write.Key()] = true
 	}
