--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -1,6 +1,6 @@
-// Package storage defines what the controllers keep in the key-value store: the layout of keys and
-// records, the messages of the store's API, and the Writer that groups the leader's changes into
-// compare-and-swap transactions. It does no I/O.
+// Package storage defines the keys and records that the controllers keep in the key-value store, the
+// messages of the store's API, and the Writer that groups the leader's changes into compare-and-swap
+// transactions. The package does no I/O.
 package storage
 
 import (
@@ -16,7 +16,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Keys and key prefixes. Their names are fixed, as the next version reads the same store.
+// Keys and key prefixes. Their values are fixed, because the next version reads the same store.
 const (
 	TermKey             = "term"
 	LeaderKey           = "leader"
@@ -24,7 +24,7 @@
 	TerminalPrefix      = "final/"
 	BitmapPrefix        = "bits/"
 	MachineGroupPrefix  = "machines/"
-	SingleMachinePrefix = "mach/" // records of single machines, written by earlier versions only
+	SingleMachinePrefix = "mach/" // records of one machine each, which only earlier versions write
 	RentalPrefix        = "rent/"
 	VotePrefix          = "clear/"
 	ArrivalForecastKey  = "flow"
@@ -34,10 +34,10 @@
 	AdmissionPolicyKey  = "admission"
 )
 
-// JobKey returns the key of an open job.
+// JobKey returns the key of a job's open record.
 func JobKey(id string) string { return JobPrefix + id }
 
-// TerminalKey returns the key of a terminal job.
+// TerminalKey returns the key of a job's terminal record.
 func TerminalKey(id string) string { return TerminalPrefix + id }
 
 // MachineGroupKey returns the key of the machine group with the given number.
@@ -48,14 +48,14 @@
 	return fmt.Sprintf("%s%s/%03d", DependenciesPrefix, id, part)
 }
 
-// JobIDOfDependenciesKey returns the job of a key that DependenciesKey returned.
+// JobIDOfDependenciesKey returns the job id in a key of the form that DependenciesKey returns.
 func JobIDOfDependenciesKey(key string) string {
 	id, _, _ := strings.Cut(strings.TrimPrefix(key, DependenciesPrefix), "/")
 	return id
 }
 
-// JobIDOfKey returns the job whose open record, or part of whose dependencies, has the key; empty for
-// other keys.
+// JobIDOfKey returns the job id in the key of an open record or of a part of a job's dependencies. It
+// returns an empty string for other keys.
 func JobIDOfKey(key string) string {
 	if strings.HasPrefix(key, DependenciesPrefix) {
 		return JobIDOfDependenciesKey(key)
@@ -67,27 +67,27 @@
 	return id
 }
 
-// MachineGroupNumber is the inverse of MachineGroupKey.
+// MachineGroupNumber is the inverse of MachineGroupKey. It returns 0 for a key without a number.
 func MachineGroupNumber(key string) int {
 	number, _ := strconv.Atoi(strings.TrimPrefix(key, MachineGroupPrefix))
 	return number
 }
 
 // BitmapKey returns the key of one part of a job's bitmap of finished tasks, by the part's number.
-// It names the only part of a small bitmap, and every part at version level 0.
+// Such keys are used for the only part of a small bitmap, and for every part at version level 0.
 func BitmapKey(id string, part int) string { return fmt.Sprintf("%s%s/%03d", BitmapPrefix, id, part) }
 
-// firstTaskMarker precedes the first task in the name of a part that is identified by it.
+// firstTaskMarker precedes the task index in the key of a part that is identified by its first task.
 const firstTaskMarker = "from-"
 
 // BitmapKeyFromTask returns the key of the part that begins with the given task. Unlike the number
-// of a part, the first task keeps its meaning when the size of the parts changes.
+// of a part, the index of its first task keeps its meaning when the size of the parts changes.
 func BitmapKeyFromTask(id string, firstTask int) string {
 	return fmt.Sprintf("%s%s/%s%06d", BitmapPrefix, id, firstTaskMarker, firstTask)
 }
 
-// ParseBitmapKey is the inverse of BitmapKey and BitmapKeyFromTask. A numbered part is taken to
-// have tasksPerPart tasks.
+// ParseBitmapKey is the inverse of BitmapKey and BitmapKeyFromTask. It assumes tasksPerPart tasks in
+// each numbered part. ok is false if the part is neither a number nor a first task.
 func ParseBitmapKey(key string, tasksPerPart int) (id string, firstTask int, ok bool) {
 	id, part, _ := strings.Cut(strings.TrimPrefix(key, BitmapPrefix), "/")
 	number, isFirstTask := strings.CutPrefix(part, firstTaskMarker)
@@ -98,7 +98,7 @@
 	return id, firstTask, err == nil && firstTask >= 0
 }
 
-// Term is the value of the term key: the latest term, and the node that raised it.
+// Term is the value of the term key: the latest term, and the node that increased it.
 type Term struct {
 	Term uint64 `json:"term"`
 	Node string `json:"node,omitempty"`
@@ -110,24 +110,24 @@
 	Term uint64 `json:"term"`
 }
 
-// Leader is the value of the leader key.
+// Leader is the value of the leader key: the leading node and its term.
 type Leader struct {
 	Node string `json:"node"`
 	Term uint64 `json:"term"`
 }
 
-// JobRecord is the record of an open job. AcceptedAtMillis is the time of day of its acceptance; it
-// only orders jobs, as the clocks of nodes differ.
+// JobRecord is the record of an open job. AcceptedAtMillis is the wall-clock time of its acceptance in
+// Unix milliseconds, by the clock of the node that accepted it; the clocks of nodes differ.
 type JobRecord struct {
 	Spec             protocol.Job `json:"spec"`
 	AcceptedAtMillis int64        `json:"at"`
-	// DependencyRecords is the number of separate records that hold the dependencies, if they do
-	// not fit into this record; 0 if they do.
+	// DependencyRecords is the number of separate records that contain the dependencies, or 0 if
+	// this record contains them.
 	DependencyRecords int `json:"more,omitempty"`
 }
 
-// JobWrites returns the writes that store a job: one, or several if its dependencies exceed the size
-// limit of a value.
+// JobWrites returns the writes that store a job: one, or several if the record with its dependencies
+// exceeds the size limit of a value.
 func JobWrites(record JobRecord, maxValueBytes int) []Write {
 	single := Put(JobKey(record.Spec.ID), record)
 	if len(single.Value) <= maxValueBytes || len(record.Spec.Dependencies) == 0 {
@@ -150,7 +150,7 @@
 	return writes
 }
 
-// countThatFit returns how many of the ids fit into a value as a JSON list; at least one.
+// countThatFit returns how many of the ids fit into a value as a JSON list, but at least 1.
 func countThatFit(ids []string, maxValueBytes int) int {
 	const brackets, quotesAndComma = 2, 3
 	size := brackets
@@ -163,14 +163,14 @@
 	return len(ids)
 }
 
-// FitsTxn reports whether a transaction of the writes is within the store's limits.
+// FitsTxn reports whether one transaction with all the writes is within the store's limits.
 func FitsTxn(writes []Write, maxValueBytes, maxWrites int) bool {
 	tooLarge := func(write Write) bool { return len(write.Value) > maxValueBytes }
 	return !slices.ContainsFunc(writes, tooLarge) && len(writes) <= maxWrites && estimatedBytes(writes) <= maxTxnBytes
 }
 
 // RestoreDependencies moves the dependencies from their separate records, given in order, back into
-// the job's record. It reports whether all of them are there.
+// the job's record. It returns false, without a change, if a record is missing or can't be decoded.
 func (r *JobRecord) RestoreDependencies(records []Item) bool {
 	if len(records) != r.DependencyRecords {
 		return false
@@ -187,8 +187,8 @@
 	return true
 }
 
-// TerminalRecord is the record of a terminal job. EndedAtMillis is the time of day of its end, from
-// which the deadlines of its dependents count; version level 0 does not write it.
+// TerminalRecord is the record of a terminal job. EndedAtMillis is the wall-clock time of its end in
+// Unix milliseconds, from which its dependents' deadlines count; version level 0 does not write it.
 type TerminalRecord struct {
 	State         protocol.JobState `json:"state"`
 	TaskCount     int               `json:"tasks"`
@@ -196,14 +196,14 @@
 	EndedAtMillis int64             `json:"at,omitempty"`
 }
 
-// VersionRecord is a node's version: the level of records and messages that it understands.
+// VersionRecord is a node's version: the level of records and messages that it understands, and its build.
 type VersionRecord struct {
 	Level int    `json:"level"`
 	Build string `json:"build,omitempty"`
 }
 
-// MachineRecord is the record of a rented machine. Used is durable before the machine's first task
-// starts, so that a new leader need only reconcile machines that have it set.
+// MachineRecord is the record of a rented machine. Used is stored before the machine's first task
+// starts, so that a new leader need only reconcile machines on which it is set.
 type MachineRecord struct {
 	Type           string `json:"type"`
 	Zone           string `json:"zone"`
@@ -212,7 +212,7 @@
 	Used           bool   `json:"used"`
 }
 
-// MachineGroupRecord holds the records of several machines, by name, in one value, so that changes
+// MachineGroupRecord contains the records of several machines, by name, in one value, so that changes
 // of many machines share one write.
 type MachineGroupRecord map[string]MachineRecord
 
@@ -227,16 +227,17 @@
 // machine writes its whole group.
 func MaxMachineGroupBytes(maxValueBytes int) int { return min(maxValueBytes*7/8, maxTxnBytes/4) }
 
-// ArrivalForecastRecord is a leader's forecast of arriving work by class of jobs, from the arrivals
-// within WindowSeconds. The next leader starts from it.
+// ArrivalForecastRecord is a leader's forecast of arriving work by job class, computed from the
+// arrivals within WindowSeconds. The next leader starts from it.
 type ArrivalForecastRecord struct {
 	RecordedAtMillis int64                    `json:"at"`
 	WindowSeconds    float64                  `json:"over"`
 	Classes          map[string]ClassArrivals `json:"classes"`
 }
 
-// ClassArrivals is the arriving work of one class: sums of core seconds that decay quickly and
-// slowly, the decayed number of jobs, and how long after its arrival the latest job was due.
+// ClassArrivals is the arriving work of one job class. RecentWork and LongTermWork are sums of core
+// seconds that decay quickly and slowly, JobCount is the decayed number of jobs, and DueSeconds is
+// how long after its arrival the latest job was due.
 type ClassArrivals struct {
 	RecentWork   float64 `json:"work"`
 	LongTermWork float64 `json:"slow"`
@@ -244,7 +245,7 @@
 	DueSeconds   float64 `json:"due"`
 }
 
-// BitmapRecord is one part of a bitmap of finished tasks.
+// BitmapRecord is one part of a bitmap of finished tasks, encoded as base64.
 type BitmapRecord struct {
 	Bits string `json:"b"`
 }
@@ -259,11 +260,11 @@
 	return base64.StdEncoding.DecodeString(record.Bits)
 }
 
-// TasksPerBitmapPart returns how many tasks one part of a bitmap covers. The record of a part is
+// TasksPerBitmapPart returns how many tasks one part of a bitmap covers. It keeps the record of a part
 // well below the size limit of a value.
 func TasksPerBitmapPart(maxValueBytes int) int { return max(maxValueBytes/2, 1) * 8 }
 
-// Item is a key with its value. ModRevision is the revision of the key's latest change.
+// Item is a stored key with its value. ModRevision is the store's revision of the key's latest change.
 type Item struct {
 	Key         string          `json:"path"`
 	Value       json.RawMessage `json:"data"`
@@ -271,14 +272,14 @@
 	LeaseID     uint64          `json:"arrendo,omitempty"`
 }
 
-// ListResponse is one page of a listing of keys.
+// ListResponse is one page of a listing of keys. Truncated means that more keys follow.
 type ListResponse struct {
 	Items     []Item `json:"rows"`
 	Truncated bool   `json:"truncated"`
 	Revision  uint64 `json:"edicao"`
 }
 
-// WatchEvent is one change of a watched key: a put or a delete.
+// WatchEvent is one change of a watched key: a put of PutKey or a delete of DeletedKey.
 type WatchEvent struct {
 	PutKey      string          `json:"set"`
 	DeletedKey  string          `json:"drop"`
@@ -286,14 +287,14 @@
 	ModRevision uint64          `json:"versao"`
 }
 
-// WatchResponse is the response of a watch.
+// WatchResponse is the response to a watch: the changes, and the revision at which the next watch begins.
 type WatchResponse struct {
 	Revision uint64       `json:"edicao"`
 	Events   []WatchEvent `json:"log"`
 }
 
-// Condition is one comparison of a transaction: the key must have the given ModRevision; 0 means that
-// it must not exist.
+// Condition is one comparison of a transaction: the key must have the given ModRevision, or must not
+// exist if ModRevision is 0.
 type Condition struct {
 	Key         string `json:"path"`
 	ModRevision uint64 `json:"versao"`
@@ -319,16 +320,16 @@
 	return size
 }
 
-// Key returns the key that is put or deleted.
+// Key returns the key that the write puts or deletes.
 func (w Write) Key() string { return w.PutKey + w.DeleteKey }
 
-// Txn is a compare-and-swap transaction: the writes are applied only if all conditions hold.
+// Txn is a compare-and-swap transaction: the store applies the writes only if all conditions are met.
 type Txn struct {
 	Conditions []Condition `json:"if"`
 	Writes     []Write     `json:"writes"`
 }
 
-// TxnResponse is the response to a transaction: the revision, and the keys of failed conditions.
+// TxnResponse is the response to a transaction: the revision, and the keys of failed conditions, if any.
 type TxnResponse struct {
 	Revision   uint64   `json:"edicao"`
 	FailedKeys []string `json:"failed"`
@@ -346,8 +347,8 @@
 // Delete returns a write that deletes a key.
 func Delete(key string) Write { return Write{DeleteKey: key} }
 
-// Encode returns the JSON of a record. It panics on values that have no JSON form; no record of this
-// package is one.
+// Encode returns the JSON of a record. It panics on a value that can't be encoded as JSON, which no
+// record of this package is.
 func Encode(record any) []byte {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -356,7 +357,7 @@
 	return raw
 }
 
-// ListPath returns the path that lists the keys with a prefix, beginning after since.
+// ListPath returns the path that lists up to limit keys with a prefix, beginning after afterKey.
 func ListPath(prefix, afterKey string, limit int) string {
 	path := "/store?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if afterKey != "" {
@@ -365,7 +366,7 @@
 	return path
 }
 
-// WatchPath returns the path that watches a prefix for changes after the given revision.
+// WatchPath returns the path that watches a prefix for changes after afterRevision, for up to waitMillis.
 func WatchPath(prefix string, afterRevision uint64, waitMillis int64) string {
 	return fmt.Sprintf("/follow?under=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), afterRevision, waitMillis)
 }
--- a/internal/storage/responses_test.go
+++ b/internal/storage/responses_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What the state service can't have answered is told from what it can: each row was once
-// taken at its word, or would be if its check were left out.
+// Guards against trusting a response that the key-value store can't have sent, such as a truncated
+// body or a proxy's error page. Each invalid row was once accepted, or would be without its check.
 func TestCheckResponse(t *testing.T) {
 	const (
 		job   = "/store/job/j-1"
@@ -71,7 +71,7 @@
 			err := CheckResponse(c.method, c.path, c.status, []byte(c.body))
 			var respErr *ResponseError
 			if (err == nil) != c.valid || err != nil && (!errors.As(err, &respErr) || respErr.Status != c.status) {
-				t.Errorf("%s %s: %d %s: %v", c.method, c.path, c.status, c.body, err)
+				t.Errorf("%s %s: status %d, body %s: got error %v", c.method, c.path, c.status, c.body, err)
 			}
 		})
 	}
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -10,12 +10,12 @@
 	"hitchdoor/internal/protocol"
 )
 
-// RecordError reports a stored record that can't be used: it can't be decoded, or it is
-// inconsistent with its key or in itself.
+// RecordError reports a stored record that can't be used, because it can't be decoded, contradicts its
+// key or has invalid values.
 type RecordError struct {
 	Key    string
 	Reason string
-	Err    error // the cause; nil: none
+	Err    error // error of a decoder or of a validation, or nil
 }
 
 // Error implements error.
@@ -24,13 +24,13 @@
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// newRecordError returns a RecordError for an item. The format may wrap the cause with %w.
+// newRecordError returns a RecordError for an item. The format may wrap an underlying error with %w.
 func newRecordError(item Item, format string, args ...any) error {
 	reason := fmt.Errorf(format, args...)
 	return &RecordError{Key: item.Key, Reason: reason.Error(), Err: errors.Unwrap(reason)}
 }
 
-// decodeObject decodes an item's value, which must be a JSON object.
+// decodeObject decodes an item's value, which must be a JSON object. The error is a *RecordError.
 func decodeObject(item Item, value any) error {
 	if raw := strings.TrimSpace(string(item.Value)); !strings.HasPrefix(raw, "{") {
 		return newRecordError(item, "is no JSON object")
@@ -59,8 +59,8 @@
 	return record, nil
 }
 
-// MayHaveDependencies reports whether the record of a job, which may be corrupt, seems to be that of
-// a job with dependencies.
+// MayHaveDependencies reports whether the record of an open job, which may be corrupt, looks like
+// that of a job with dependencies.
 func MayHaveDependencies(item Item) bool {
 	raw := string(item.Value)
 	return strings.Contains(raw, `"aguarda"`) || strings.Contains(raw, `"more"`)
@@ -102,7 +102,7 @@
 	}
 	bits, err := DecodeBitmap(record)
 	if err != nil {
-		return nil, newRecordError(item, "holds no bitmap: %w", err)
+		return nil, newRecordError(item, "holds a bitmap that is not valid base64: %w", err)
 	}
 	if len(bits) == 0 {
 		return nil, newRecordError(item, "holds an empty bitmap")
@@ -110,9 +110,9 @@
 	return bits, nil
 }
 
-// ReadMachineGroup decodes and validates the record of a machine group. Of entries that can't be
-// decoded it returns the names only. The error, a *RecordError, concerns the record as a whole; then
-// not even the names are known.
+// ReadMachineGroup decodes and validates the record of a machine group. It returns the names of the
+// machines whose entries are invalid in unreadable, unsorted. The error, a *RecordError, means that
+// the whole record is invalid, so that not even the names are known.
 func ReadMachineGroup(item Item) (group MachineGroupRecord, unreadable []string, err error) {
 	var entries map[string]json.RawMessage
 	if err := decodeObject(item, &entries); err != nil {
--- a/internal/storage/validate_test.go
+++ b/internal/storage/validate_test.go
@@ -9,9 +9,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// FuzzReadRecords reads any value as each kind of record. None panics; what can't be used is a
-// RecordError that names its key, and what can be is a record that reads the same once it is
-// written again.
+// FuzzReadRecords reads arbitrary values as each kind of record. It guards against a panic on a
+// corrupt record, an error that is no RecordError with the record's key, a record read from invalid
+// JSON, and a job whose id or task count changes when it is encoded and read again.
 func FuzzReadRecords(f *testing.F) {
 	validJob := JobRecord{Spec: protocol.Job{ID: "j-1", Class: "c", Team: "t", Kind: protocol.JobKindBatch,
 		Priority: protocol.PriorityLow, TaskCount: 3, Cores: 0.5}}
@@ -29,9 +29,9 @@
 			var recordError *RecordError
 			switch {
 			case err != nil && (!errors.As(err, &recordError) || recordError.Key != item.Key):
-				t.Fatalf("%s: %v", item.Key, err)
+				t.Fatalf("%s: got error %v, want a RecordError with this key", item.Key, err)
 			case err == nil && !json.Valid(value):
-				t.Fatalf("%s: %q is read as %+v", item.Key, value, record)
+				t.Fatalf("%s: invalid JSON %q was read as %+v without an error", item.Key, value, record)
 			}
 		}
 		newItem := func(key string) Item { return Item{Key: key, Value: value} }
@@ -40,7 +40,7 @@
 		if err == nil {
 			reread, err := ReadJob(Item{Key: JobKey("j-1"), Value: Encode(job)})
 			if err != nil || reread.Spec.ID != "j-1" || reread.Spec.TaskCount != job.Spec.TaskCount {
-				t.Fatalf("%+v is read again as %+v, %v", job, reread, err)
+				t.Fatalf("%+v was encoded and read again as %+v, error %v", job, reread, err)
 			}
 		}
 		terminal, err := ReadTerminal(newItem(TerminalKey("j-1")))
@@ -53,7 +53,7 @@
 		check(newItem(MachineGroupKey(0)), group, err)
 		for _, name := range unreadable {
 			if _, readable := group[name]; readable {
-				t.Fatalf("%s is both readable and not", name)
+				t.Fatalf("entry of machine %s is reported as both readable and unreadable", name)
 			}
 		}
 		rental, err := ReadRental(newItem(RentalPrefix + "r-1-1"))
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -7,28 +7,28 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Change is a set of writes that must be applied in one transaction. BuildWrites is called when the
-// change is taken into a transaction, so that it holds the latest values; no writes means that there
-// is nothing left to do.
+// Change is a set of writes that must be applied in one transaction. BuildWrites is called when a
+// transaction is assembled, so that the writes contain the latest values. It returns no writes if
+// there is nothing left to do.
 type Change struct {
 	BuildWrites func() []Write
-	OnSent      func() // called when the built writes are in flight: later updates need another Change
-	OnApplied   func() // called when the writes are applied, or when there was nothing to write
+	OnSent      func() // called once the built writes are in flight: later updates need another Change
+	OnApplied   func() // called once the writes are applied, or if there was nothing to write
 	// OnRejected is called instead of OnApplied if the key-value store rejects the writes
 	// permanently. alone means that they were the whole transaction, so that only smaller writes
-	// can succeed. Without OnRejected, the change is built again or, if alone, abandoned.
+	// can succeed. If OnRejected is nil, the change is queued again or, if it was alone, abandoned.
 	OnRejected func(alone bool)
 
 	priority Priority
 }
 
-// Priority orders queued changes when the rate of writes is limited.
+// Priority orders the queued changes, as the rate of writes is limited.
 type Priority int
 
-// Priorities, the highest first.
+// Priorities of changes, from the highest to the lowest.
 const (
-	PriorityCancellation Priority = iota // cancellations: users wait for the response
-	PriorityDependency                   // ends of jobs that have dependents
+	PriorityCancellation Priority = iota // terminal records of jobs that users cancel: users wait for the response
+	PriorityDependency                   // terminal records of jobs that have dependents, and the admission policy
 	PriorityNormal
 	PriorityLow
 	priorityCount
@@ -36,14 +36,13 @@
 
 // Writer queues the leader's changes and groups them into transactions, one in flight at a time.
 // Every transaction compares the ModRevision of the leader key and of each key that it writes, so
-// that a transaction that is applied late, or sent by a leader that has been replaced, has no
-// effect.
+// that a transaction that arrives late, or from a leader that has been replaced, has no effect.
 type Writer struct {
-	MaxWrites      int
-	LeaderRevision uint64
+	MaxWrites      int    // limit of writes in a transaction; lowered when the store rejects a transaction
+	LeaderRevision uint64 // ModRevision of the leader key
 
 	modRevisions map[string]uint64
-	lastRevision uint64 // revision of the latest applied transaction
+	lastRevision uint64 // highest known revision of an applied transaction
 	queues       [priorityCount][]Change
 	maxBytes     int
 
@@ -52,7 +51,7 @@
 	outcomeUnknown bool
 }
 
-// maxTxnBytes bounds the writes of a transaction, which may have 64 KiB with its conditions.
+// maxTxnBytes limits the estimated size of a transaction. The store accepts 64 KiB with all conditions.
 const maxTxnBytes = 40 << 10
 
 // NewWriter returns a Writer for a leader whose key has the given ModRevision.
@@ -61,16 +60,16 @@
 		modRevisions: map[string]uint64{}, maxBytes: maxTxnBytes}
 }
 
-// SetModRevision records the ModRevision of a key that was read.
+// SetModRevision records the ModRevision with which a key was read.
 func (w *Writer) SetModRevision(key string, revision uint64) { w.modRevisions[key] = revision }
 
-// ModRevision returns the last known ModRevision of a key.
+// ModRevision returns the last known ModRevision of a key, or 0 if the key is not known to be stored.
 func (w *Writer) ModRevision(key string) uint64 { return w.modRevisions[key] }
 
 // LastRevision returns the highest known revision of an applied transaction.
 func (w *Writer) LastRevision() uint64 { return w.lastRevision }
 
-// Enqueue queues a change.
+// Enqueue adds a change to the queue of its priority.
 func (w *Writer) Enqueue(priority Priority, change Change) {
 	change.priority = priority
 	w.queues[priority] = append(w.queues[priority], change)
@@ -91,8 +90,9 @@
 // InFlightWrites returns the number of writes of the transaction in flight.
 func (w *Writer) InFlightWrites() int { return len(w.inFlightWrites) }
 
-// NextTxn returns the next transaction, with at most budget writes, and takes it in flight. It
-// returns nil if a transaction is in flight already or there is nothing to write.
+// NextTxn returns the next transaction, with at most budget writes, and marks it as in flight. It
+// returns nil if a transaction is in flight already, there is nothing to write or the first change
+// exceeds the budget.
 func (w *Writer) NextTxn(budget int) *Txn {
 	if w.inFlight != nil {
 		return nil
@@ -112,16 +112,16 @@
 	return w.buildTxn()
 }
 
-// txnBatch fills the next transaction of a writer.
+// txnBatch collects the changes of a writer's next transaction.
 type txnBatch struct {
 	writer    *Writer
 	maxWrites int
-	keys      map[string]bool // written by the transaction
+	keys      map[string]bool // keys that the transaction writes
 	bytes     int             // estimated size of the transaction
 	empty     []Change        // changes of the current queue that have nothing left to write
 }
 
-// takeChanges takes changes from the head of a queue while they fit, and returns the others.
+// takeChanges adds changes from the head of a queue while they fit, and returns the remaining queue.
 func (b *txnBatch) takeChanges(queue []Change) []Change {
 	for len(queue) > 0 {
 		writes := queue[0].BuildWrites()
@@ -148,7 +148,8 @@
 	b.empty = nil
 }
 
-// fits reports whether the transaction can take the writes of one more change.
+// fits reports whether the transaction has room for the writes of one more change. A key is written
+// only once in a transaction. The size limit does not apply to the first change.
 func (b *txnBatch) fits(writes []Write) bool {
 	taken := len(b.writer.inFlightWrites)
 	if taken+len(writes) > b.maxWrites {
@@ -162,7 +163,7 @@
 	return taken == 0 || b.bytes+estimatedBytes(writes) <= b.writer.maxBytes
 }
 
-// add takes a change in flight.
+// add adds a change and its writes to the transaction, which puts them in flight.
 func (b *txnBatch) add(change Change, writes []Write) {
 	for _, write := range writes {
 		b.keys[write.Key()] = true
@@ -175,10 +176,10 @@
 	}
 }
 
-// RetryTxn returns the transaction in flight again, unchanged.
+// RetryTxn returns the unchanged transaction in flight, to be sent again.
 func (w *Writer) RetryTxn() *Txn { return w.buildTxn() }
 
-// buildTxn returns the writes in flight with their conditions.
+// buildTxn returns a transaction of the writes in flight and their conditions.
 func (w *Writer) buildTxn() *Txn {
 	txn := &Txn{Conditions: []Condition{{Key: LeaderKey, ModRevision: w.LeaderRevision}}, Writes: w.inFlightWrites}
 	for _, write := range w.inFlightWrites {
@@ -194,9 +195,9 @@
 // applied.
 func (w *Writer) OutcomeUnknown() bool { return w.outcomeUnknown }
 
-// probeWrite returns the write whose key shows whether the transaction in flight was applied. One
-// write is enough, as transactions are atomic. A put is preferred, as reading its key also returns
-// the revision.
+// probeWrite returns a write whose key shows whether the transaction in flight was applied. One write
+// is enough, as transactions are atomic. A put is preferred, as reading its key also returns the
+// revision.
 func (w *Writer) probeWrite() Write {
 	for _, write := range w.inFlightWrites {
 		if write.PutKey != "" {
@@ -206,11 +207,11 @@
 	return w.inFlightWrites[0]
 }
 
-// ProbeKey returns the key to read when the outcome is unknown.
+// ProbeKey returns the key to read when the outcome of the transaction in flight is unknown.
 func (w *Writer) ProbeKey() string { return w.probeWrite().Key() }
 
-// MatchesProbe reports whether the item of the probe key (nil: absent) is as the transaction in
-// flight would have left it.
+// MatchesProbe reports whether the item that was read for the probe key shows that the transaction in
+// flight was applied. The item is nil if the key does not exist.
 func (w *Writer) MatchesProbe(item *Item) bool {
 	write := w.probeWrite()
 	if write.DeleteKey != "" {
@@ -219,9 +220,9 @@
 	return item != nil && item.ModRevision > w.modRevisions[write.PutKey] && equalJSON(item.Value, write.Value)
 }
 
-// RejectInFlight ends the transaction in flight as permanently rejected by the key-value store; no
-// earlier attempt may have been applied. The same transaction is never sent again: its changes are
-// built anew for smaller transactions. It returns the keys of abandoned writes.
+// RejectInFlight ends the transaction in flight as permanently rejected by the key-value store. The
+// caller must know that no earlier attempt was applied. The same transaction is never sent again: its
+// changes are built again for smaller transactions. It returns the keys of abandoned writes.
 func (w *Writer) RejectInFlight() []string {
 	changes, writes := w.inFlight, w.inFlightWrites
 	single := len(changes) == 1
@@ -249,7 +250,7 @@
 	return abandonedKeys
 }
 
-// equalJSON reports whether two JSON texts have the same value.
+// equalJSON reports whether two JSON texts encode the same value. It returns false for invalid JSON.
 func equalJSON(a, b []byte) bool {
 	var left, right any
 	if json.Unmarshal(a, &left) != nil || json.Unmarshal(b, &right) != nil {
@@ -258,8 +259,8 @@
 	return bytes.Equal(Encode(left), Encode(right))
 }
 
-// CompleteInFlight ends the transaction in flight as applied at a revision. The revision is
-// irrelevant if the transaction only deleted keys.
+// CompleteInFlight ends the transaction in flight as applied at a revision, which may be 0 if the
+// transaction only deleted keys.
 func (w *Writer) CompleteInFlight(revision uint64) {
 	w.lastRevision = max(w.lastRevision, revision)
 	for _, write := range w.inFlightWrites {
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
+// countedChange returns a change with the given writes that increments applied once it is applied.
 func countedChange(applied *int, writes ...Write) Change {
 	return Change{BuildWrites: func() []Write { return writes }, OnApplied: func() { *applied++ }}
 }
 
-// Transactions keep within the limit of changes and are conditioned on the
-// leader key and on every key that they touch.
+// Guards against transactions above the write limit, and against transactions without a condition on
+// the leader key and on each written key: a replaced leader could then overwrite newer records.
 func TestWriterLimitsAndConditionsTransactions(t *testing.T) {
 	writer := NewWriter(4, 77)
 	writer.SetModRevision("a", 5)
@@ -21,59 +22,61 @@
 	}
 	txn := writer.NextTxn(100)
 	if len(txn.Writes) != 4 || len(txn.Conditions) != 5 {
-		t.Fatalf("%d writes, %d conditions", len(txn.Writes), len(txn.Conditions))
+		t.Fatalf("%d writes, %d conditions; want 4 and 5", len(txn.Writes), len(txn.Conditions))
 	}
 	want := []Condition{{LeaderKey, 77}, {"a", 5}, {"b", 0}}
 	if !slices.Equal(txn.Conditions[:3], want) {
-		t.Fatalf("conditions %v", txn.Conditions)
+		t.Fatalf("conditions begin with %v, want the leader key, a and b", txn.Conditions)
 	}
 	if writer.NextTxn(100) != nil {
-		t.Fatal("a second transaction beside the first")
+		t.Fatal("got a second transaction while the first is in flight")
 	}
 	writer.CompleteInFlight(90)
 	if applied != 4 || writer.ModRevision("a") != 90 {
-		t.Fatalf("%d done, version %d", applied, writer.ModRevision("a"))
+		t.Fatalf("%d changes applied, revision %d of key a; want 4 and 90", applied, writer.ModRevision("a"))
 	}
 	if txn = writer.NextTxn(100); len(txn.Writes) != 1 {
-		t.Fatalf("%d writes", len(txn.Writes))
+		t.Fatalf("the second transaction has %d writes, want 1", len(txn.Writes))
 	}
 }
 
-// Two changes of one key never share a transaction, and the second is
-// conditioned on what the first left.
+// Two changes of one key never share a transaction, and the second one is conditioned on the revision
+// that the first one produced. Otherwise the store would reject the second one as a conflict.
 func TestWriterSeparatesChangesOfOneKey(t *testing.T) {
 	writer := NewWriter(10, 1)
 	applied := 0
 	writer.Enqueue(PriorityNormal, countedChange(&applied, Put("a", 1)))
 	writer.Enqueue(PriorityNormal, countedChange(&applied, Delete("a")))
 	if txn := writer.NextTxn(100); len(txn.Writes) != 1 {
-		t.Fatalf("%d writes", len(txn.Writes))
+		t.Fatalf("the first transaction has %d writes, want 1", len(txn.Writes))
 	}
 	writer.CompleteInFlight(8)
 	if txn := writer.NextTxn(100); txn.Conditions[1] != (Condition{"a", 8}) {
-		t.Fatalf("conditions %v", txn.Conditions)
+		t.Fatalf("conditions %v, want key a at revision 8", txn.Conditions)
 	}
 	writer.CompleteInFlight(9)
 	if writer.ModRevision("a") != 0 {
-		t.Fatal("a dropped key has a version")
+		t.Fatal("a deleted key still has a revision")
 	}
 }
 
-// The budget of changes holds a unit back whole; lazy units give way.
+// A change that exceeds the write budget is not sent in part, and changes of a higher priority are sent
+// first, even if they were queued later.
 func TestWriterBudgetAndPriority(t *testing.T) {
 	writer := NewWriter(10, 1)
 	applied := 0
-	writer.Enqueue(PriorityLow, countedChange(&applied, Put("lazy", 1)))
+	writer.Enqueue(PriorityLow, countedChange(&applied, Put("low", 1)))
 	writer.Enqueue(PriorityNormal, countedChange(&applied, Put("x", 1), Put("y", 1)))
 	if writer.NextTxn(1) != nil {
-		t.Fatal("half a unit")
+		t.Fatal("got a transaction with a budget below the writes of the first change")
 	}
 	if txn := writer.NextTxn(2); len(txn.Writes) != 2 || txn.Writes[0].PutKey != "x" {
-		t.Fatalf("writes %v", txn.Writes)
+		t.Fatalf("got writes %v, want x and y", txn.Writes)
 	}
 }
 
-// After an unclear outcome the stored value tells whether it was executed.
+// If the outcome of a transaction is unknown, the stored value shows whether it was applied. The value
+// is compared as JSON, as the store may return it with other spaces and another order of fields.
 func TestWriterMatchesProbe(t *testing.T) {
 	writer := NewWriter(10, 1)
 	writer.SetModRevision("a", 3)
@@ -82,43 +85,44 @@
 		countedChange(&applied, Delete("z"), Put("a", TerminalRecord{State: "done", TaskCount: 2})))
 	writer.NextTxn(10)
 	if writer.ProbeKey() != "a" {
-		t.Fatalf("probe %q", writer.ProbeKey())
+		t.Fatalf("probe key %q, want a", writer.ProbeKey())
 	}
 	appliedItem := Item{Key: "a", Value: []byte(`{"tasks": 2, "state": "done", "done": 0}`), ModRevision: 9}
 	if !writer.MatchesProbe(&appliedItem) {
-		t.Fatal("an executed transaction does not match")
+		t.Fatal("the item of an applied transaction does not match")
 	}
 	oldItem := appliedItem
 	oldItem.ModRevision = 3
 	if writer.MatchesProbe(&oldItem) || writer.MatchesProbe(nil) {
-		t.Fatal("a transaction that was not executed matches")
+		t.Fatal("an item that the transaction has not written matches")
 	}
 }
 
-// The bitmap of the largest job is split to fit the value limit.
+// A part of a bitmap stays within the value limit, as the store would reject a larger one permanently.
+// Bitmaps and their keys can be decoded again.
 func TestBitmapPartsFitValueLimit(t *testing.T) {
 	for _, limit := range []int{512, 8 << 10, 32 << 10} {
 		t.Run(fmt.Sprintf("%d bytes", limit), func(t *testing.T) {
 			bits := make([]byte, TasksPerBitmapPart(limit)/8)
 			if size := len(Encode(EncodeBitmap(bits))); size > limit {
-				t.Fatalf("%d bytes: a part takes %d", limit, size)
+				t.Fatalf("value limit %d bytes: the record of a part has %d", limit, size)
 			}
 		})
 	}
 	bits := []byte{1, 0, 255}
 	decoded, err := DecodeBitmap(EncodeBitmap(bits))
 	if err != nil || string(decoded) != string(bits) {
-		t.Fatalf("%v, %v", decoded, err)
+		t.Fatalf("decoded bitmap is %v, error %v; want 1, 0, 255", decoded, err)
 	}
 	for _, key := range []string{BitmapKey("j-1", 12), BitmapKeyFromTask("j-1", 1200)} {
 		if id, firstTask, ok := ParseBitmapKey(key, 100); id != "j-1" || firstTask != 1200 || !ok {
-			t.Fatalf("%s: %q %d %v", key, id, firstTask, ok)
+			t.Fatalf("key %s: job %q, first task %d, ok %v; want j-1, 1200, true", key, id, firstTask, ok)
 		}
 	}
 }
 
-// Changes that have nothing left to write are completed once their queue has been gone through, the
-// last one first; a change that does not fit stays queued with all behind it.
+// Changes that have nothing left to write are completed after their queue was processed, the last one
+// first. A change that does not fit stays queued, with all changes behind it.
 func TestWriterCompletesEmptyChanges(t *testing.T) {
 	writer := NewWriter(2, 1)
 	var events []string
@@ -136,14 +140,14 @@
 	writer.Enqueue(PriorityNormal, change("too large", Put("b", 1), Put("c", 1)))
 	writer.Enqueue(PriorityLow, change("behind", Put("d", 1)))
 	if txn := writer.NextTxn(100); len(txn.Writes) != 1 {
-		t.Fatalf("%d writes", len(txn.Writes))
+		t.Fatalf("the transaction has %d writes, want 1", len(txn.Writes))
 	}
 	want := []string{"build empty 1", "build full 1", "sent full 1", "build empty 2", "applied empty 2",
 		"applied empty 1", "build empty 3", "build too large", "applied empty 3"}
 	if !slices.Equal(events, want) {
-		t.Errorf("events %q, not %q", events, want)
+		t.Errorf("got events %q, want %q", events, want)
 	}
 	if pending := writer.PendingChanges(); pending != 3 {
-		t.Errorf("%d changes are pending, not 3", pending)
+		t.Errorf("%d changes are pending, want 3", pending)
 	}
 }
