--- a/internal/records/access.go
+++ b/internal/records/access.go
@@ -5,7 +5,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// Access is what all parts that load and store records need.
+// Access holds the dependencies that Loader, Machines and Jobs share.
 type Access struct {
 	state      *cluster.State
 	writer     *TransactionWriter
@@ -13,13 +13,13 @@
 	clock      Clock
 }
 
-// NewAccess returns the access to the records of a new leader.
+// NewAccess returns the shared dependencies for the term of a new leader.
 func NewAccess(state *cluster.State, writer *TransactionWriter, quarantine *Quarantine, clock Clock) *Access {
 	return &Access{state: state, writer: writer, quarantine: quarantine, clock: clock}
 }
 
-// dropStoredKey queues the deletion of a key, with low priority, if it is stored when the write
-// is formed.
+// dropStoredKey queues the deletion of a key, with low priority. Nothing is deleted if, when the
+// transaction is built, the key is not stored or its record is quarantined.
 func (a *Access) dropStoredKey(key string) {
 	a.writer.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: func() []storage.Write {
 		if a.writer.ModRevision(key) == 0 || a.quarantine.contains(key) {
--- a/internal/records/bitmap_layout.go
+++ b/internal/records/bitmap_layout.go
@@ -9,10 +9,10 @@
 	"hitchdoor/internal/storage"
 )
 
-// bitmapLayout is the number of tasks that one part of a stored bitmap covers.
+// bitmapLayout holds the number of tasks that one part of a stored bitmap covers.
 type bitmapLayout struct {
 	tasksPerPart       int
-	legacyTasksPerPart int // the same at version level 0
+	legacyTasksPerPart int // number of tasks in a part at version level 0
 }
 
 // newBitmapLayout derives the layout from the limits of the key-value store.
@@ -23,8 +23,8 @@
 	}
 }
 
-// layOutBitmap divides the job's bitmap into parts that fit the value size limit. Controllers of
-// version level 0 use larger parts and identify them by number, so a job of several parts keeps
+// layOutBitmap divides the job's bitmap into empty parts that fit the value size limit. Controllers of
+// version level 0 use larger parts and identify them by number, so a job with several parts keeps
 // that layout as long as such a controller may become leader.
 func (r *Jobs) layOutBitmap(job *cluster.Job) {
 	id := job.Spec.ID
@@ -45,7 +45,8 @@
 	}
 }
 
-// UpgradeBitmapLayouts switches jobs to the layout that level 0 cannot read.
+// UpgradeBitmapLayouts stores the bitmaps of open jobs that need several parts in the layout that
+// version level 0 can't read. The leader calls it once no controller of that level may become leader.
 func (r *Jobs) UpgradeBitmapLayouts() {
 	for _, id := range slices.Sorted(maps.Keys(r.state.Jobs)) {
 		job := r.state.Jobs[id]
@@ -55,8 +56,8 @@
 	}
 }
 
-// upgradeBitmapLayout stores a job's bitmap in the current layout. Bits are only ever set, so a
-// reader that finds both layouts merges them; the old parts are deleted last.
+// upgradeBitmapLayout stores a job's bitmap in the current layout, and then deletes the old parts.
+// Bits are only ever set and never cleared, so a leader that finds parts of both layouts merges them.
 func (r *Jobs) upgradeBitmapLayout(job *cluster.Job) {
 	oldParts := job.BitmapParts
 	doneTasks := doneTasksOf(job)
--- a/internal/records/job_completion.go
+++ b/internal/records/job_completion.go
@@ -6,14 +6,15 @@
 	"hitchdoor/internal/storage"
 )
 
-// jobCompletion is the queued transaction that replaces a job's open record by its terminal record.
+// jobCompletion is the queued change that replaces a job's open record with its terminal record.
 type jobCompletion struct {
 	records  *Jobs
 	job      *cluster.Job
 	terminal storage.TerminalRecord
 }
 
-// Finish makes a job terminal. Users are notified only after the terminal record is durable.
+// Finish makes a job terminal, stops its attempts and queues its terminal record. Users are notified
+// only after that record is durable.
 func (r *Jobs) Finish(job *cluster.Job, state protocol.JobState) {
 	job.Terminal, job.Cancelled = true, state == protocol.JobCancelled
 	terminal := storage.TerminalRecord{State: state, TaskCount: job.Spec.TaskCount, DoneTasks: job.DoneTasks}
@@ -29,15 +30,16 @@
 	})
 }
 
-// buildWrites returns the transaction, with the current time as the end of the job.
+// buildWrites returns the deletion of the open record and the write of the terminal record, with the
+// current time as the end of the job.
 func (c *jobCompletion) buildWrites() []storage.Write {
 	id := c.job.Spec.ID
 	c.terminal.EndedAtMillis = c.records.clock.UnixMilli(c.records.clock.Now())
 	return []storage.Write{storage.Delete(storage.JobKey(id)), storage.Put(storage.TerminalKey(id), c.terminal)}
 }
 
-// onSent marks the job, and the dependents that are cancelled with it, as uncertain: from now on
-// another controller may read the terminal record.
+// onSent marks the completion of the job as uncertain, as well as that of its dependents if they are
+// cancelled with it: from now on, another controller may read the terminal record.
 func (c *jobCompletion) onSent() {
 	c.job.CompletionUncertain = true
 	if c.job.Cancelled {
@@ -45,7 +47,8 @@
 	}
 }
 
-// onApplied removes the job, whose end is durable now.
+// onApplied removes the job from the job table, now that its terminal record is durable, notifies the
+// host and queues the deletion of the job's other records.
 func (c *jobCompletion) onApplied() {
 	r, id := c.records, c.job.Spec.ID
 	c.log()
@@ -56,7 +59,7 @@
 	c.dropOtherRecords()
 }
 
-// log writes the times of the finished job to the log.
+// log logs how long the finished job waited and ran, counted from its acceptance.
 func (c *jobCompletion) log() {
 	job, state := c.job, c.records.state
 	state.Log.Debug("job finished", "job", job.Spec.ID, "state", c.terminal.State,
@@ -77,8 +80,9 @@
 	}
 }
 
-// QuarantineOpenRecord handles a job with both an open and a terminal record. The terminal record
-// takes precedence, as a user may have been notified of it. The open record is quarantined.
+// QuarantineOpenRecord handles an open job for which a terminal record was read, although this leader
+// has not finished the job. The terminal record takes precedence, as a user may have been notified of
+// it: the job is removed from the job table, and its open record is quarantined.
 func (r *Jobs) QuarantineOpenRecord(id string, terminal storage.TerminalRecord) {
 	job := r.state.Jobs[id]
 	if job == nil || job.Terminal || job.CompletionUncertain || r.state.EndedJobs[id] {
@@ -92,14 +96,14 @@
 	r.host.JobEnded(id, terminal, false)
 }
 
-// stopAttempts requests the end of all attempts of a terminal job.
+// stopAttempts requests that all attempts of a terminal job stop without a grace period.
 func (r *Jobs) stopAttempts(job *cluster.Job) {
 	for _, attempt := range job.Attempts {
 		r.state.RequestStop(attempt, 0)
 	}
 }
 
-// removeOpenJob removes a job from the open jobs.
+// removeOpenJob removes a job from the job table and from the runnable jobs.
 func (r *Jobs) removeOpenJob(id string) {
 	delete(r.state.Jobs, id)
 	delete(r.state.RunnableJobs, id)
--- a/internal/records/job_watch.go
+++ b/internal/records/job_watch.go
@@ -7,17 +7,17 @@
 	"hitchdoor/internal/storage"
 )
 
-// JobWatch watches the open jobs in the key-value store with long polls, as any node may write a
-// submission.
+// JobWatch watches the key-value store for new open jobs with long polls, because any node may accept
+// a submission and store its job.
 type JobWatch struct {
 	loader   *Loader
 	host     JobWatchHost
 	clock    Clock
-	active   bool // a watch is in flight or scheduled
-	failures int  // consecutive watches that failed or returned nothing new
+	active   bool // whether a long poll is in flight or a pause before the next one is running
+	failures int  // number of consecutive long polls that failed or were answered early without anything new
 }
 
-// JobWatchHost is what the watch needs from the leader.
+// JobWatchHost is the part of the leader that JobWatch calls.
 type JobWatchHost interface {
 	Delayer
 	// WatchStore sends a long poll to the key-value store and passes its response to onResponse,
@@ -25,15 +25,17 @@
 	WatchStore(path string, timeout time.Duration, onResponse func(storage.Response))
 }
 
-// NewJobWatch returns the watch of a new leader, which continues where the loader ends.
+// NewJobWatch returns the watch of a new leader. It continues at the revision up to which the loader
+// has read the open jobs.
 func NewJobWatch(loader *Loader, host JobWatchHost, clock Clock) *JobWatch {
 	return &JobWatch{loader: loader, host: host, clock: clock}
 }
 
-// maxWatchFailures limits the pause between two watches, which doubles with each failure.
+// maxWatchFailures limits the number of counted failures, and thus the pause between two long polls,
+// which doubles with each failure.
 const maxWatchFailures = 4
 
-// Tick sends the next long poll unless one is in flight or scheduled.
+// Tick sends the next long poll, unless one is in flight or the pause before it is not over.
 func (w *JobWatch) Tick() {
 	if w.active {
 		return
@@ -54,23 +56,24 @@
 	case response.Decode(&events):
 		w.applyEvents(events, answeredEarly)
 	case response.Status == http.StatusGone:
-		// The revision was compacted: list the open jobs again. Loaded jobs stay.
+		// The store has compacted the revision, so the open jobs are listed again. Jobs that are
+		// loaded already are kept.
 		w.rereadJobs()
 	case response.Status == http.StatusServiceUnavailable:
-		w.failures = 1 // an outage, perhaps a short one: keep the pause short
+		w.failures = 1 // the outage may be short, so the pause stays short
 		w.scheduleWatch()
 	case w.failures == 0:
 		w.failures = 1
 		w.scheduleWatch()
 	default:
-		// The second failure in a row. The events may be too large for one response, while
-		// a paged listing succeeds.
+		// This is the second failure in a row. The events may be too large for one response,
+		// whereas a paged listing succeeds.
 		w.rereadJobs()
 	}
 }
 
-// applyEvents loads the jobs from the events of a watch. After a watch that returned early without
-// anything new, the next one is delayed: otherwise the watch would become a busy loop.
+// applyEvents loads the jobs from the events of a long poll. After a long poll that was answered early
+// without anything new, the next one is delayed: otherwise the watch would become a busy loop.
 func (w *JobWatch) applyEvents(events storage.WatchResponse, answeredEarly bool) {
 	for _, event := range events.Events {
 		if event.PutKey != "" {
@@ -86,16 +89,16 @@
 	w.active, w.failures = false, 0
 }
 
-// rereadJobs lists the open jobs again and then resumes watching.
+// rereadJobs lists the open jobs again and then schedules the next long poll.
 func (w *JobWatch) rereadJobs() {
 	w.countFailure()
 	w.loader.rereadJobs(w.scheduleWatch)
 }
 
-// countFailure counts a watch that failed or returned nothing new.
+// countFailure counts a long poll that failed or was answered early without anything new.
 func (w *JobWatch) countFailure() { w.failures = min(w.failures+1, maxWatchFailures) }
 
-// scheduleWatch resumes watching after a pause that doubles with each consecutive failure.
+// scheduleWatch lets Tick send the next long poll after a pause that doubles with each consecutive failure.
 func (w *JobWatch) scheduleWatch() {
 	w.host.CallAfter(w.clock.WorkerLease()/100<<w.failures, func() { w.active = false })
 }
--- a/internal/records/job_watch_test.go
+++ b/internal/records/job_watch_test.go
@@ -8,7 +8,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// newTestWatch returns a watch that has sent its first long poll.
+// newTestWatch returns a watch that has sent its first long poll, and its host.
 func newTestWatch() (*JobWatch, *testHost) {
 	host := &testHost{}
 	jobs := &Jobs{Access: NewAccess(nil, nil, nil, host)}
@@ -17,27 +17,29 @@
 	return watch, host
 }
 
-// isJobListing reports whether a request lists the open jobs from the first one.
+// isJobListing reports whether a request is for the first page of the open jobs.
 func isJobListing(request storeRequest) bool {
 	return request.method == "GET" && request.path == storage.ListPath(storage.JobPrefix, "", MaxPageItems)
 }
 
-// A watch continues at the revision of the last events, with one long poll at a time.
+// Guards against several concurrent long polls, and against a watch that repeats or misses events: the
+// next long poll must start at the revision of the last events, even if they contained no job.
 func TestJobWatchContinuesAtRevision(t *testing.T) {
 	watch, host := newTestWatch()
 	watch.Tick()
 	if len(host.requests) != 1 {
-		t.Fatalf("%d long polls at a time", len(host.requests))
+		t.Fatalf("%d long polls were sent, want 1 in flight", len(host.requests))
 	}
 	deletion := storage.WatchEvent{DeletedKey: storage.JobKey("j-1")}
 	host.respond(200, storage.WatchResponse{Revision: 12, Events: []storage.WatchEvent{deletion}})
 	watch.Tick()
 	if want := storage.WatchPath(storage.JobPrefix, 12, (host.WorkerLease() / 2).Milliseconds()); host.last().path != want {
-		t.Fatalf("watched %s, want %s", host.last().path, want)
+		t.Fatalf("watch path %s, want %s", host.last().path, want)
 	}
 }
 
-// The pause after a watch that returned early without anything new doubles, up to a limit.
+// Guards against a busy loop of long polls that are answered early without anything new: the pause
+// after each one doubles, up to a limit.
 func TestJobWatchPausesWithoutEvents(t *testing.T) {
 	watch, host := newTestWatch()
 	base := host.WorkerLease() / 100
@@ -45,18 +47,21 @@
 		host.respond(200, storage.WatchResponse{})
 		watch.Tick()
 		if len(host.requests) != i+1 || len(host.delayedCalls) != i+1 || host.delayedCalls[i].delay != want {
-			t.Fatalf("%d requests, delayed calls %v; want the pause %v", len(host.requests), host.delayedCalls, want)
+			t.Fatalf("%d requests, delayed calls %v; want a last delay of %v",
+				len(host.requests), host.delayedCalls, want)
 		}
 		host.delayedCalls[i].run()
 		watch.Tick()
 	}
 }
 
-// The open jobs are listed again after a compaction, and after the second failure in a row.
+// Guards against a watch that never loads jobs accepted meanwhile, because its revision was compacted
+// or its events are too large for one response: the open jobs are listed again after a compaction and
+// after the second failure in a row, but not in an outage.
 func TestJobWatchListsJobsAgain(t *testing.T) {
 	cases := []struct {
 		name        string
-		statuses    []int // of the long polls
+		statuses    []int // status of each long poll's response
 		wantListing bool
 	}{
 		{"compacted", []int{410}, true},
@@ -75,14 +80,14 @@
 				}
 			}
 			if got := isJobListing(host.last()); got != c.wantListing {
-				t.Fatalf("last request %s: listing %v, want %v", host.last().path, got, c.wantListing)
+				t.Fatalf("last request %s is a listing: %v, want %v", host.last().path, got, c.wantListing)
 			}
 			if c.wantListing {
 				host.respond(200, storage.ListResponse{Revision: 40})
 				host.delayedCalls[len(host.delayedCalls)-1].run()
 				watch.Tick()
 				if !strings.Contains(host.last().path, "40") || watch.loader.JobsRevision() != 40 {
-					t.Fatalf("watched %s after a listing at revision 40", host.last().path)
+					t.Fatalf("watch path %s; want it and the loader's revision at 40, like the listing", host.last().path)
 				}
 			}
 		})
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -8,33 +8,33 @@
 	"hitchdoor/internal/storage"
 )
 
-// Jobs stores the progress of the open jobs, as bitmaps of their finished tasks, and their
-// ends.
+// Jobs adds and removes jobs in the job table. It stores the progress of open jobs, as bitmaps of their
+// finished tasks, and their terminal records.
 type Jobs struct {
 	*Access
 	host   JobHost
 	layout bitmapLayout
 }
 
-// JobHost is what the job records need from the leader.
+// JobHost is the part of the leader that Jobs calls.
 type JobHost interface {
 	JobDependencies
 	// IsTerminal reports whether a job's terminal record is known.
 	IsTerminal(jobID string) bool
 	// LegacyLeaderPossible reports whether a controller of version level 0 may become leader.
 	LegacyLeaderPossible() bool
-	// JobAdded handles a job that was added to the job table.
+	// JobAdded is called after a job was added to the job table.
 	JobAdded(job *cluster.Job)
-	// JobFinished handles a job whose terminal record this leader has written, before it is removed
-	// from the job table.
+	// JobFinished is called when the terminal record that this leader has written for a job is
+	// durable, before the job is removed from the job table.
 	JobFinished(job *cluster.Job, terminal storage.TerminalRecord)
-	// JobEnded handles the durable end of a job that was removed from the job table: it releases or
-	// cancels the job's dependents and answers the users that wait for its cancellation. writtenHere
-	// reports whether this leader has written the terminal record.
+	// JobEnded is called after a job with a durable terminal record was removed from the job table.
+	// It releases or cancels the job's dependents and answers the users that wait for its
+	// cancellation. writtenHere tells whether this leader has written the terminal record.
 	JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool)
 }
 
-// JobDependencies is what the job records need to know of the DAG of jobs.
+// JobDependencies is the part of the jobs' dependency graph, a DAG, that Jobs calls.
 type JobDependencies interface {
 	// CompletionPriority returns the write priority of a job's terminal record.
 	CompletionPriority(job *cluster.Job) storage.Priority
@@ -49,8 +49,8 @@
 	return &Jobs{Access: access, host: host, layout: newBitmapLayout(access.state.Config)}
 }
 
-// Add adds an open job to the job table and returns it. It returns the known job if there is
-// one, and nil if the job is terminal.
+// Add adds an open job to the job table and returns it. modRevision is the revision of its record. Add
+// returns the existing job if the table contains it already, and nil if the job is terminal.
 func (r *Jobs) Add(record storage.JobRecord, modRevision uint64) *cluster.Job {
 	id := record.Spec.ID
 	if job := r.state.Jobs[id]; job != nil {
@@ -69,7 +69,8 @@
 	return job
 }
 
-// MarkTaskDone counts a task as finished and finishes the job after its last task.
+// MarkTaskDone marks a task as done and finishes the job after its last task. It does nothing if the
+// task is done already.
 func (r *Jobs) MarkTaskDone(job *cluster.Job, index int) {
 	switch job.TaskState(index) {
 	case cluster.TaskDone:
@@ -92,16 +93,16 @@
 	r.storeBitmapPart(job, part)
 }
 
-// bitmapWrite is a queued write of one part of a job's bitmap.
+// bitmapWrite is a queued change that stores one part of a job's bitmap.
 type bitmapWrite struct {
 	records *Jobs
 	job     *cluster.Job
 	part    *cluster.BitmapPart
-	written []byte // bits when the write was built
+	written []byte // copy of the bits from which the write was built
 }
 
-// storeBitmapPart queues the write of one bitmap part. The value is taken when the write is
-// formed, so tasks that finish meanwhile share the write.
+// storeBitmapPart queues the write of one bitmap part, unless one is queued. The value is read when the
+// transaction is built, so tasks that finish until then share the write.
 func (r *Jobs) storeBitmapPart(job *cluster.Job, part *cluster.BitmapPart) {
 	if part.WriteQueued {
 		return
@@ -111,10 +112,12 @@
 	r.writer.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: write.buildWrites, OnApplied: write.onApplied})
 }
 
-// isObsolete reports whether the part need not be stored any more.
+// isObsolete reports whether the part need not be stored any more, because the job is terminal or its
+// bitmap has a new layout.
 func (w *bitmapWrite) isObsolete() bool { return w.job.Terminal || w.part.Superseded }
 
-// buildWrites returns the write of the part, or none if it is stored already or may not be written.
+// buildWrites returns the write of the part. It returns none if the part is obsolete, its bits are
+// stored already or its record is quarantined.
 func (w *bitmapWrite) buildWrites() []storage.Write {
 	w.written = append([]byte(nil), w.part.Bits...)
 	if w.isObsolete() || bytes.Equal(w.written, w.part.StoredBits) || w.records.quarantine.contains(w.part.Key) {
@@ -123,14 +126,14 @@
 	return []storage.Write{storage.Put(w.part.Key, storage.EncodeBitmap(w.written))}
 }
 
-// onApplied records the durable bits, and queues another write if tasks have finished since.
+// onApplied records which bits are durable, and queues another write if further tasks have finished.
 func (w *bitmapWrite) onApplied() {
 	w.part.WriteQueued = false
 	if w.isObsolete() {
 		return
 	}
 	if w.records.quarantine.contains(w.part.Key) {
-		return // nothing was written, so workers must retain the results
+		return // the bits are not durable, so workers must retain the tasks' results
 	}
 	w.part.StoredBits = w.written
 	if !bytes.Equal(w.part.StoredBits, w.part.Bits) {
--- a/internal/records/loading.go
+++ b/internal/records/loading.go
@@ -10,30 +10,30 @@
 	"hitchdoor/internal/storage"
 )
 
-// Loader reads the stored records of earlier leaders into the cluster state, and those of jobs that
-// are accepted later.
+// Loader reads stored records into the cluster state: those of earlier leaders at the start of the
+// term, and those of jobs that are accepted later.
 type Loader struct {
 	*Access
 	host     LoaderHost
 	machines *Machines
 	jobs     *Jobs
 
-	revision            uint64                    // revision up to which the open jobs were read
+	revision            uint64                    // store revision up to which the open jobs were read
 	dependencyRecords   map[string][]storage.Item // dependency records read before their jobs, by job id
-	loadingDependencies map[string]bool           // jobs whose dependency records are being read
-	dependencyReadCount map[string]int            // reads of a job's dependency records
-	deferredBitmaps     map[string][]storage.Item // bitmap parts of jobs that are not loaded yet
+	loadingDependencies map[string]bool           // ids of jobs whose dependency records are being read
+	dependencyReadCount map[string]int            // number of reads of a job's dependency records, by job id
+	deferredBitmaps     map[string][]storage.Item // bitmap parts of jobs that are not loaded yet, by job id
 }
 
-// LoaderHost is what the loader needs from the leader.
+// LoaderHost is the part of the leader that Loader calls.
 type LoaderHost interface {
 	Store
 	Delayer
-	// RecordsLoaded reports whether all records were read that were stored at the start of the term.
+	// RecordsLoaded reports whether all records that were stored at the start of the term are loaded.
 	RecordsLoaded() bool
 }
 
-// NewLoader returns the loader of a new leader, with nothing loaded.
+// NewLoader returns the loader of a new leader. Nothing is loaded yet.
 func NewLoader(host LoaderHost, machines *Machines, jobs *Jobs) *Loader {
 	return &Loader{
 		Access: jobs.Access, host: host, machines: machines, jobs: jobs,
@@ -45,10 +45,10 @@
 // JobsRevision returns the revision of the key-value store up to which the open jobs were read.
 func (l *Loader) JobsRevision() uint64 { return l.revision }
 
-// Listing is a set of records to read: those whose keys have a prefix.
+// Listing describes a set of records to read: those whose keys have a prefix.
 type Listing struct {
 	Prefix string
-	Apply  func([]storage.Item) // called with each page
+	Apply  func([]storage.Item) // called with the items of each page
 }
 
 // ReadListings reads listings one after the other and then calls onDone.
@@ -60,10 +60,10 @@
 	l.readPages(listings[0], "", func() { l.ReadListings(listings[1:], onDone) })
 }
 
-// MaxPageItems limits one page of a listing, to bound memory use.
+// MaxPageItems is the maximum number of items in one page of a listing, which limits memory use.
 const MaxPageItems = 200
 
-// readPages reads the records of a listing whose keys are after a key, page by page, and then calls
+// readPages reads the records of a listing whose keys are after afterKey, page by page, and then calls
 // onDone. A failed read is retried until this leader's term ends.
 func (l *Loader) readPages(listing Listing, afterKey string, onDone func()) {
 	path := storage.ListPath(listing.Prefix, afterKey, MaxPageItems)
@@ -93,20 +93,20 @@
 	l.readPages(Listing{Prefix: storage.JobPrefix, Apply: l.LoadJobs}, "", onDone)
 }
 
-// LoadJobs adds the jobs of a page of records to the open jobs.
+// LoadJobs adds the jobs of a page of open records to the job table.
 func (l *Loader) LoadJobs(items []storage.Item) {
 	for _, item := range items {
 		l.LoadJob(item)
 	}
 }
 
-// LoadJob adds a job to the open jobs, once all its dependency records are read.
+// LoadJob adds a job to the job table, once all its dependency records have been read.
 func (l *Loader) LoadJob(item storage.Item) {
 	id := strings.TrimPrefix(item.Key, storage.JobPrefix)
 	if l.quarantine.IsUnreadableJob(id) {
-		// The quarantined record was repaired, or is read again. The revision of a repaired
-		// one would imply that no earlier leader has started the job, so only the next leader
-		// loads it.
+		// The record is quarantined and was either repaired or only read again. The new revision
+		// of a repaired record would imply that no earlier leader has started the job, so only
+		// the next leader loads it.
 		l.quarantine.checkSoon()
 		return
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-// LoadDependencies keeps the records of dependencies that do not fit into the records of their
-// jobs, until those jobs are loaded.
+// LoadDependencies validates and keeps a page of dependency records, which exist for dependencies that
+// do not fit into the records of their jobs. They are kept until those jobs are loaded.
 func (l *Loader) LoadDependencies(items []storage.Item) {
 	l.writer.NoteRevisions(items)
 	for _, item := range items {
@@ -144,8 +144,8 @@
 	}
 }
 
-// readDependencies reads the dependency records of one job that was accepted since, and loads the
-// job after that. A job loaded without its dependencies would start at once.
+// readDependencies reads the dependency records of one job, for example one that was accepted after
+// the initial load, and then loads the job. A job loaded without its dependencies would start at once.
 func (l *Loader) readDependencies(job storage.Item, recordCount int) {
 	id := strings.TrimPrefix(job.Key, storage.JobPrefix)
 	if l.state.Jobs[id] != nil || l.isLoadDeferred(id) {
@@ -169,19 +169,20 @@
 }
 
 // maxDependencyReads limits the reads of a job's dependency records. They are written in one
-// transaction with the job, so all of them exist unless a page was read before that.
+// transaction with the job, so all of them exist unless a page was read before that transaction.
 const maxDependencyReads = 3
 
 // errDependenciesMissing is the reason to quarantine a job whose dependency records are incomplete.
-var errDependenciesMissing = errors.New("names more records of the jobs that it needs than there are")
+var errDependenciesMissing = errors.New("names a different number of dependency records than are stored")
 
-// isLoadDeferred reports whether an open job is not in the job table yet, because its dependency
-// records are being read or one of its records is unreadable.
+// isLoadDeferred reports whether an open job is not in the job table because its dependency records
+// are being read, or because its record or one of its dependency records is unreadable.
 func (l *Loader) isLoadDeferred(jobID string) bool {
 	return l.loadingDependencies[jobID] || l.quarantine.IsUnreadableJob(jobID)
 }
 
-// DropStaleDependencies deletes the dependency records of jobs that are no longer open.
+// DropStaleDependencies deletes the dependency records of jobs that are no longer open. The leader calls
+// it at the end of the initial load.
 func (l *Loader) DropStaleDependencies() {
 	for _, id := range slices.Sorted(maps.Keys(l.dependencyRecords)) {
 		for _, item := range l.dependencyRecords[id] {
@@ -193,7 +194,7 @@
 	}
 }
 
-// LoadBitmaps marks the tasks done that the bitmap parts list.
+// LoadBitmaps marks the tasks as done whose bits are set in a page of bitmap parts.
 func (l *Loader) LoadBitmaps(items []storage.Item) {
 	for _, item := range items {
 		l.writer.SetModRevision(item.Key, item.ModRevision)
@@ -201,12 +202,12 @@
 	}
 }
 
-// loadBitmap marks the tasks done that a bitmap part lists. The part of a job that is not loaded yet
-// is kept until it is; a part of an unknown job is deleted.
+// loadBitmap marks the tasks as done whose bits are set in one bitmap part. If loading the job is
+// deferred, the part is kept until the job is loaded. A part of an unknown job is deleted.
 func (l *Loader) loadBitmap(item storage.Item) {
 	id, firstTask, ok := storage.ParseBitmapKey(item.Key, l.jobs.layout.legacyTasksPerPart)
 	if !ok {
-		return // unknown key format, perhaps of a newer version
+		return // the key has an unknown format, perhaps that of a newer version
 	}
 	if l.isLoadDeferred(id) {
 		l.deferredBitmaps[id] = append(l.deferredBitmaps[id], item)
@@ -229,8 +230,8 @@
 	l.applyBitmap(job, item.Key, firstTask, bits)
 }
 
-// applyBitmap marks the tasks done that a readable bitmap part lists. A part of another layout is
-// deleted after that; its bits are written to the new parts first.
+// applyBitmap marks the tasks as done whose bits are set in a valid bitmap part. A part of another
+// layout is deleted after its bits were written to the parts of the job's layout.
 func (l *Loader) applyBitmap(job *cluster.Job, key string, firstTask int, bits []byte) {
 	partIndex := slices.IndexFunc(job.BitmapParts, func(part *cluster.BitmapPart) bool { return part.Key == key })
 	if partIndex >= 0 {
@@ -242,7 +243,7 @@
 	}
 }
 
-// markTasksDone marks the tasks done whose bits are set. The first bit is the one of firstTask.
+// markTasksDone marks the tasks as done whose bits are set. The first bit belongs to firstTask.
 func (l *Loader) markTasksDone(job *cluster.Job, firstTask int, bits []byte) {
 	for i := range bits {
 		for bit := range 8 {
--- a/internal/records/machine_group_write.go
+++ b/internal/records/machine_group_write.go
@@ -5,17 +5,16 @@
 	"hitchdoor/internal/storage"
 )
 
-// groupWriteUrgency is how soon a changed machine group must be written.
+// groupWriteUrgency says how soon a changed machine group must be written.
 type groupWriteUrgency int
 
-// The urgencies of a group's write.
+// Urgencies of the write of a machine group.
 const (
-	groupWriteLazy groupWriteUrgency = iota // machines were removed
-	groupWriteSoon                          // machines are new, or about to get their first task
+	groupWriteLazy groupWriteUrgency = iota // for removed machines
+	groupWriteSoon                          // for new machines, and for machines before their first task
 )
 
-// groupWrite is a queued write of a machine group, with the contents that the group has when the
-// write is built.
+// groupWrite is a queued change that stores a machine group as it is when the transaction is built.
 type groupWrite struct {
 	records      *Machines
 	group        *cluster.MachineGroup
@@ -23,8 +22,8 @@
 	usedMachines []*cluster.Machine // machines that the built record marks as used
 }
 
-// storeGroup queues the write of a changed group, unless a queued write will include the change in
-// time.
+// storeGroup queues the write of a changed group, unless a queued write of at least this urgency will
+// include the change.
 func (r *Machines) storeGroup(group *cluster.MachineGroup, urgency groupWriteUrgency) {
 	group.ChangedSinceWrite = true
 	if group.SoonWriteQueued || (group.LazyWriteQueued && urgency == groupWriteLazy) {
@@ -40,7 +39,7 @@
 	})
 }
 
-// setQueued records in the group whether this write is queued.
+// setQueued records in the group whether a write of this urgency is queued.
 func (w *groupWrite) setQueued(queued bool) {
 	if w.urgency == groupWriteSoon {
 		w.group.SoonWriteQueued = queued
@@ -49,7 +48,7 @@
 	}
 }
 
-// priority returns the priority of the write in the writer's queue.
+// priority returns the priority with which the write is queued.
 func (w *groupWrite) priority() storage.Priority {
 	if w.urgency == groupWriteSoon {
 		return storage.PriorityNormal
@@ -58,7 +57,7 @@
 }
 
 // buildWrites returns the write of the group's record, or its deletion if the group is empty. It
-// returns none if another write has included all changes, or an empty group was never stored.
+// returns none if another write has included all changes, or if the group is empty and not stored.
 func (w *groupWrite) buildWrites() []storage.Write {
 	w.usedMachines = w.usedMachines[:0]
 	isEmpty := len(w.group.Machines) == 0
@@ -84,14 +83,15 @@
 	return record
 }
 
-// onSent handles the sending of the write: later changes of the group need another one.
+// onSent records that the write is no longer queued, so that later changes of the group need another.
 func (w *groupWrite) onSent() {
 	w.setQueued(false)
 	w.group.ChangedSinceWrite = false
 }
 
-// onRejected handles the permanent rejection of the write. If the key-value store rejects it even
-// alone, its value limit is lower than the settings say, and the group is split.
+// onRejected handles the permanent rejection of the write, and queues it again if it was not alone in
+// its transaction. If the key-value store rejects it even alone, the store's value limit is lower than
+// the settings say, so the group is split.
 func (w *groupWrite) onRejected(alone bool) {
 	r := w.records
 	if !alone {
@@ -101,11 +101,12 @@
 	r.maxGroupBytes = max(1, min(r.maxGroupBytes, w.group.RecordBytes)/2)
 	r.SplitOversizedGroups()
 	if len(w.group.Machines) > 0 {
-		r.state.Log.Error("machine record rejected by key-value store", "group", w.group.Key)
+		r.state.Log.Error("record of machine group rejected by key-value store, group can't be split",
+			"group", w.group.Key)
 	}
 }
 
-// onApplied marks the machines whose use has become durable, so that they may get tasks.
+// onApplied marks the machines whose used mark has become durable, so that they may get tasks.
 func (w *groupWrite) onApplied() {
 	for _, machine := range w.usedMachines {
 		if !machine.UseDurable {
--- a/internal/records/machine_loading.go
+++ b/internal/records/machine_loading.go
@@ -32,13 +32,13 @@
 	}
 }
 
-// loadGroupEntry adds a machine with the entry that the record of its group has of it.
+// loadGroupEntry adds a machine to a group, as described by its entry in the record of the group.
 func (l *Loader) loadGroupEntry(group *cluster.MachineGroup, name string, entry storage.MachineRecord) {
 	machine := l.state.Machines[name]
 	if machine == nil {
 		machine = l.addStoredMachine(name, entry)
 	} else if machine.Group != nil {
-		// An earlier leader stopped while moving it between groups.
+		// An earlier leader stopped while moving the machine between groups, so both records contain it.
 		l.machines.removeFromGroup(machine.Group, machine)
 		l.machines.storeGroup(machine.Group, groupWriteLazy)
 	}
@@ -46,13 +46,15 @@
 	machine.MarkedUsed, machine.Reconciled = machine.UseDurable, !machine.UseDurable
 	l.machines.addToGroup(group, machine)
 	if !entry.Used && machine.UseDurable {
-		l.machines.storeGroup(group, groupWriteSoon) // before the other group's record, which has the mark, is deleted
+		// Only the other group's record has the mark, so this group is stored before that record is
+		// deleted.
+		l.machines.storeGroup(group, groupWriteSoon)
 	}
 }
 
-// loadDamagedMachineGroup loads the machines of a group with unreadable entries. The group's
-// record is quarantined and its machines are stored in other groups. Of a machine with an
-// unreadable entry only the name is known, so it is treated as if it may be running any task.
+// loadDamagedMachineGroup loads the machines of a group with unreadable entries. The group's record is
+// quarantined, and its machines with readable entries are stored in other groups. Of a machine with an
+// unreadable entry only the name is known, so the machine is treated as if it may be running any task.
 func (l *Loader) loadDamagedMachineGroup(item storage.Item, record storage.MachineGroupRecord, unreadable []string) {
 	slices.Sort(unreadable)
 	l.quarantine.AddRecord(item, fmt.Errorf("the entries of these machines can't be read: %s",
@@ -73,8 +75,8 @@
 	}
 }
 
-// LoadSingleMachines adds the machines of single-machine records, as written by earlier versions,
-// and moves them into groups.
+// LoadSingleMachines adds the machines of a page of single-machine records, which earlier versions
+// write, and moves them into groups.
 func (l *Loader) LoadSingleMachines(items []storage.Item) {
 	for _, item := range items {
 		var record storage.MachineRecord
@@ -97,14 +99,14 @@
 	}
 }
 
-// unreadableMachine returns what is assumed of a machine whose entry can't be read: it may be
-// running any task.
+// unreadableMachine returns the entry that is assumed for a machine whose stored entry can't be read.
+// The machine is marked as used, because it may be running any task.
 func (l *Loader) unreadableMachine() storage.MachineRecord {
 	return storage.MachineRecord{Used: true, RentedAtMillis: l.clock.UnixMilli(l.clock.Now())}
 }
 
-// addStoredMachine adds a machine from its stored record. A machine that was used by an earlier
-// leader is not reconciled yet.
+// addStoredMachine adds a machine to the cluster state from its stored record. A machine that an
+// earlier leader has used is not reconciled yet.
 func (l *Loader) addStoredMachine(name string, record storage.MachineRecord) *cluster.Machine {
 	machine := l.state.NewMachine(name, record.Type, record.Zone, record.Spot)
 	machine.Reconciled = !record.Used
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -11,18 +11,18 @@
 	"hitchdoor/internal/storage"
 )
 
-// Machines stores the machines: in groups, with one record for each group. It also stores the
-// catalog of machine types.
+// Machines stores the rented machines in groups, with one record for each group, and the catalog of
+// machine types.
 type Machines struct {
 	*Access
-	storedTypes string // machine types last stored, without prices
+	storedTypes string // JSON of the machine types last stored, without prices
 
 	groups         []*cluster.MachineGroup
-	maxGroupBytes  int // size limit of a group's record
+	maxGroupBytes  int // size limit of a group's record, in bytes
 	minGroupNumber int // lowest number for a new group
 }
 
-// NewMachines returns the state before any machine is recorded.
+// NewMachines returns the machine records of a new leader, without any machine.
 func NewMachines(access *Access) *Machines {
 	maxValueBytes := access.state.Config.Store.MaxValueBytes()
 	return &Machines{Access: access, maxGroupBytes: storage.MaxMachineGroupBytes(maxValueBytes)}
@@ -37,8 +37,8 @@
 	return machine
 }
 
-// AddListed adds a machine that the cloud lists and no record names. No leader placed
-// tasks on it, unless machine records are unreadable and the inventory is therefore incomplete.
+// AddListed adds a machine that is in the cloud's list but in no record. No leader placed tasks on it,
+// unless machine records are unreadable and the inventory is therefore incomplete.
 func (r *Machines) AddListed(host protocol.Host) *cluster.Machine {
 	rentedAt := r.clock.Now() - config.Seconds(max(host.RentedSeconds, 0))
 	machine := r.AddRented(host.Name, host.Type, host.Zone, host.Spot, rentedAt)
@@ -46,8 +46,8 @@
 	return machine
 }
 
-// StoreCatalog stores the machine types for the next start if they have changed. Price changes
-// are frequent and do not cause a write.
+// StoreCatalog stores the machine types for the next start if they have changed and fit into a value.
+// Price changes are frequent and do not cause a write.
 func (r *Machines) StoreCatalog() {
 	catalog, typesWithoutPrices := protocol.Catalog{}, []protocol.MachineType{}
 	for _, name := range slices.Sorted(maps.Keys(r.state.Catalog)) {
@@ -66,7 +66,8 @@
 	}})
 }
 
-// Record makes the machine durable by name, and as used before its first task.
+// Record queues the write of a machine's name and entry, unless they are stored or queued already. used
+// marks the machine as used; the mark must be durable before the machine gets its first task.
 func (r *Machines) Record(machine *cluster.Machine, used bool) {
 	if machine.Group != nil && (machine.MarkedUsed || !used) {
 		return
@@ -78,7 +79,7 @@
 	r.storeGroup(machine.Group, groupWriteSoon)
 }
 
-// Remove removes a machine that is certain to be gone, with all its attempts.
+// Remove removes a machine that certainly no longer exists, with all its attempts.
 func (r *Machines) Remove(machine *cluster.Machine) {
 	r.state.DeleteMachine(machine)
 	if group := machine.Group; group != nil {
@@ -95,25 +96,25 @@
 	}
 }
 
-// entryBytes returns the encoded size of the machine's entry.
+// entryBytes returns the encoded size of the machine's name and entry, in bytes.
 func (r *Machines) entryBytes(machine *cluster.Machine) int {
 	return storage.MachineEntryBytes(machine.Name, r.entry(machine))
 }
 
-// addToGroup adds a machine to a group.
+// addToGroup adds a machine to a group and to the size of the group's record.
 func (r *Machines) addToGroup(group *cluster.MachineGroup, machine *cluster.Machine) {
 	machine.Group = group
 	group.Machines[machine.Name] = machine
 	group.RecordBytes += r.entryBytes(machine)
 }
 
-// removeFromGroup removes a machine from a group.
+// removeFromGroup removes a machine from a group and from the size of the group's record.
 func (r *Machines) removeFromGroup(group *cluster.MachineGroup, machine *cluster.Machine) {
 	delete(group.Machines, machine.Name)
 	group.RecordBytes -= r.entryBytes(machine)
 }
 
-// groupWithRoom returns a group that has room for an entry of the given size, or a new group.
+// groupWithRoom returns the first group with room for an entry of the given size, or else a new group.
 func (r *Machines) groupWithRoom(entryBytes int) *cluster.MachineGroup {
 	for _, group := range r.groups {
 		if group.RecordBytes+entryBytes <= r.maxGroupBytes {
@@ -123,7 +124,8 @@
 	return r.newGroup(r.unusedGroupKey())
 }
 
-// unusedGroupKey returns the first key that neither a group nor a quarantined record has.
+// unusedGroupKey returns the first key, from minGroupNumber on, that neither a group nor a quarantined
+// record has.
 func (r *Machines) unusedGroupKey() string {
 	usedKeys := map[string]bool{}
 	for _, group := range r.groups {
@@ -136,17 +138,17 @@
 	}
 }
 
-// newGroup adds an empty group with the given key.
+// newGroup adds an empty group with the given key and returns it.
 func (r *Machines) newGroup(key string) *cluster.MachineGroup {
 	group := &cluster.MachineGroup{Key: key, Machines: map[string]*cluster.Machine{}}
 	r.groups = append(r.groups, group)
 	return group
 }
 
-// SplitOversizedGroups divides groups whose record is too large to be written again: version
-// level 0 wrote larger ones, and the value limit of the key-value store may have been lowered.
-// The machines are written into new groups before the old record is deleted. In between both
-// records hold a machine; level 0 uses the entry that it reads last, so the new groups get later
+// SplitOversizedGroups splits the groups whose record is too large to be written again, because
+// version level 0 wrote larger ones or the value limit of the key-value store was lowered. The
+// machines are written into new groups before the old record is deleted. Until then, two records
+// contain each machine. Version level 0 uses the entry that it reads last, so the new groups get later
 // keys.
 func (r *Machines) SplitOversizedGroups() {
 	oversized, kept := r.partitionGroups()
@@ -156,7 +158,7 @@
 	for _, group := range r.groups {
 		r.minGroupNumber = max(r.minGroupNumber, storage.MachineGroupNumber(group.Key)+1)
 	}
-	r.groups = nil // so that the machines are assigned to new groups
+	r.groups = nil // the oversized groups' machines are assigned to new groups only
 	for _, group := range oversized {
 		r.moveToOtherGroups(group)
 	}
@@ -170,7 +172,8 @@
 	r.groups = append(kept, r.groups...)
 }
 
-// partitionGroups returns the groups of several machines whose record is too large, and the others.
+// partitionGroups returns the groups that have several machines and whose record is too large, and the
+// other groups.
 func (r *Machines) partitionGroups() (oversized, kept []*cluster.MachineGroup) {
 	for _, group := range r.groups {
 		if group.RecordBytes > r.maxGroupBytes && len(group.Machines) > 1 {
@@ -182,7 +185,7 @@
 	return oversized, kept
 }
 
-// moveToOtherGroups assigns the machines of a group to other groups, in the order of their names.
+// moveToOtherGroups adds the machines of a group to other groups, in the order of their names.
 func (r *Machines) moveToOtherGroups(group *cluster.MachineGroup) {
 	for _, name := range slices.Sorted(maps.Keys(group.Machines)) {
 		machine := group.Machines[name]
--- a/internal/records/machines_test.go
+++ b/internal/records/machines_test.go
@@ -12,8 +12,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// newTestMachineRecords returns the records of an empty cluster whose groups have at most the given
-// size, and their host.
+// newTestMachineRecords returns the machine records of an empty cluster, with the given size limit of a
+// group's record, and their host.
 func newTestMachineRecords(maxGroupBytes int) (*Machines, *testHost) {
 	host := &testHost{}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -26,7 +26,8 @@
 	return records, host
 }
 
-// A machine's use is durable only once the write that marks it is applied.
+// Guards against a task on a machine that the store does not mark as used, which a new leader would not
+// reconcile: the mark counts as durable only once its write is applied.
 func TestMachineRecordsMarkUseDurable(t *testing.T) {
 	records, host := newTestMachineRecords(1000)
 	machine := records.AddRented("m-1", "small", "zone", false, 0)
@@ -34,22 +35,23 @@
 	records.writer.SendNext()
 	host.expectRequests(t, 1, "POST", "/multi")
 	if machine.UseDurable {
-		t.Fatal("use durable before the write is applied")
+		t.Fatal("the used mark counts as durable before its write is applied")
 	}
 	host.respond(200, storage.TxnResponse{Revision: 5})
 	if !machine.UseDurable || records.writer.PendingChanges() != 0 {
-		t.Fatalf("use durable: %v; %d changes pending", machine.UseDurable, records.writer.PendingChanges())
+		t.Fatalf("used mark durable: %v, %d changes pending; want true and 0",
+			machine.UseDurable, records.writer.PendingChanges())
 	}
 }
 
-// The record of a group is deleted with its last machine; a group that was never stored needs no
-// write.
+// The record of a group is deleted with its last machine. Otherwise the next leader would load machines
+// that no longer exist. A group that was never stored needs no write.
 func TestMachineRecordsDeleteEmptyGroup(t *testing.T) {
 	records, host := newTestMachineRecords(1000)
 	records.Remove(records.AddRented("m-1", "small", "zone", false, 0))
 	records.writer.SendNext()
 	if len(host.requests) != 0 {
-		t.Fatalf("wrote a group that was never stored: %s", host.last().body)
+		t.Fatalf("got a write for an empty group that was never stored: %s", host.last().body)
 	}
 	machine := records.AddRented("m-2", "small", "zone", false, 0)
 	records.writer.SendNext()
@@ -58,40 +60,42 @@
 	records.Remove(machine)
 	records.writer.SendNext()
 	if want := storage.Encode(storage.Delete(key)); !bytes.Contains(host.last().body, want) {
-		t.Fatalf("sent %s, want %s in it", host.last().body, want)
+		t.Fatalf("sent %s, want it to contain %s", host.last().body, want)
 	}
 }
 
-// Groups stay within the size limit, and a group that the key-value store rejects is split: the
-// new groups are written before the old record is deleted.
+// Guards against machines that are in no record after a split: a group that the key-value store rejects
+// is split into groups within the size limit, which are written before the old record is deleted.
 func TestMachineRecordsSplitRejectedGroup(t *testing.T) {
 	records, host := newTestMachineRecords(1000)
 	for _, name := range []string{"m-1", "m-2", "m-3", "m-4"} {
 		records.AddRented(name, "small", "zone", false, 0)
 	}
 	if len(records.groups) != 1 {
-		t.Fatalf("%d groups", len(records.groups))
+		t.Fatalf("%d groups for the machines, want 1", len(records.groups))
 	}
 	rejected := records.groups[0]
 	records.writer.SetModRevision(rejected.Key, 3)
 	records.writer.SendNext()
 	host.respond(400, nil)
 	if len(records.groups) != 2 || rejected.Machines != nil {
-		t.Fatalf("%d groups, %d machines left in the rejected one", len(records.groups), len(rejected.Machines))
+		t.Fatalf("%d groups, %d machines left in the rejected one; want 2 and none",
+			len(records.groups), len(rejected.Machines))
 	}
 	for _, group := range records.groups {
 		if group.RecordBytes > records.maxGroupBytes || group.Key <= rejected.Key {
-			t.Fatalf("group %s has %d bytes of at most %d", group.Key, group.RecordBytes, records.maxGroupBytes)
+			t.Fatalf("group %s has %d bytes, want a later key than the rejected group and at most %d bytes",
+				group.Key, group.RecordBytes, records.maxGroupBytes)
 		}
 	}
 	records.writer.SendNext()
 	if body := host.last().body; bytes.Contains(body, storage.Encode(storage.Delete(rejected.Key))) &&
 		!bytes.Contains(body, []byte(records.groups[1].Key)) {
-		t.Fatalf("deleted the old record before the new groups: %s", body)
+		t.Fatalf("deleted the old record before the new groups were written: %s", body)
 	}
 	host.respond(200, storage.TxnResponse{Revision: 8})
 	if records.writer.ModRevision(rejected.Key) != 0 || records.writer.ModRevision(records.groups[0].Key) != 8 {
-		t.Fatalf("old record at %d, new group at %d", records.writer.ModRevision(rejected.Key),
-			records.writer.ModRevision(records.groups[0].Key))
+		t.Fatalf("old record at revision %d, new group at revision %d; want 0 and 8",
+			records.writer.ModRevision(rejected.Key), records.writer.ModRevision(records.groups[0].Key))
 	}
 }
--- a/internal/records/quarantine.go
+++ b/internal/records/quarantine.go
@@ -15,29 +15,28 @@
 	"hitchdoor/internal/storage"
 )
 
-// Quarantine holds the records that a leader has quarantined because they can't be decoded or
-// contradict each other. Such a record is never written or deleted. What it describes is assumed
-// to exist: its job is accepted and none of its tasks is started, and its machines may be running
-// any task.
+// Quarantine tracks the records that a leader can't use, because they can't be decoded or contradict
+// each other. Such a record is never written or deleted. What it describes is assumed to exist: its job
+// counts as accepted, but none of its tasks is started, and its machines may be running any task.
 type Quarantine struct {
 	state          *cluster.State
 	host           QuarantineHost
 	clock          Clock
 	lookupBudget   *ratelimit.TokenBucket        // limits the reads of quarantined records
-	records        map[string]*QuarantinedRecord // by key
-	unreadableJobs map[string]bool               // jobs with too little known to add them to the open jobs
-	nextCheck      clock.Instant                 // next check whether the records have changed
+	records        map[string]*QuarantinedRecord // quarantined records, by key
+	unreadableJobs map[string]bool               // ids of open jobs that can't be added to the job table
+	nextCheck      clock.Instant                 // when to check next whether the records have changed
 }
 
-// QuarantineHost is what the quarantine needs from the leader.
+// QuarantineHost is the part of the leader that Quarantine calls.
 type QuarantineHost interface {
 	Store
 	// StoreUnavailable reports whether the key-value store is considered down.
 	StoreUnavailable() bool
 	// StepDown ends the leader's term.
 	StepDown(reason string)
-	// NewerVersionSeen reports whether a controller has written a higher protocol level than the
-	// one of this version.
+	// NewerVersionSeen reports whether a controller has written a higher protocol level than that of
+	// this version.
 	NewerVersionSeen() bool
 	// MarkJobAccepted records that a job is known to have been accepted.
 	MarkJobAccepted(jobID string)
@@ -45,15 +44,15 @@
 	ReadTerminalRecord(jobID string)
 }
 
-// QuarantinedRecord is one quarantined record.
+// QuarantinedRecord is a stored record that can't be used, with the reason.
 type QuarantinedRecord struct {
 	key               string
-	revision          uint64 // revision at which it was read
+	revision          uint64 // ModRevision with which the record was read
 	reason            string
-	maybeNewerVersion bool // some node has written a higher protocol level than this one's
+	maybeNewerVersion bool // whether a controller has written a higher protocol level than this one's
 }
 
-// NewQuarantine returns the empty quarantine of a new leader. lookupBudget limits its reads.
+// NewQuarantine returns the empty quarantine of a new leader. lookupBudget limits its reads of records.
 func NewQuarantine(state *cluster.State, host QuarantineHost, clock Clock,
 	lookupBudget *ratelimit.TokenBucket) *Quarantine {
 	return &Quarantine{
@@ -62,11 +61,11 @@
 	}
 }
 
-// errOpenAndTerminal is the reason to quarantine the open record of a job that has a terminal record
-// too.
-var errOpenAndTerminal = errors.New("is of a job that is over")
+// errOpenAndTerminal is the reason to quarantine the open record of a job that also has a terminal
+// record.
+var errOpenAndTerminal = errors.New("belongs to a job that also has a terminal record")
 
-// NewQuarantinedRecord logs a record that can't be used and returns its description.
+// NewQuarantinedRecord logs a record that can't be used and returns it, with err as the reason.
 func NewQuarantinedRecord(log *slog.Logger, item storage.Item, err error, newerVersionSeen bool) *QuarantinedRecord {
 	record := &QuarantinedRecord{key: item.Key, revision: item.ModRevision, reason: err.Error(),
 		maybeNewerVersion: newerVersionSeen}
@@ -75,22 +74,23 @@
 		record.reason = recordError.Reason
 	}
 	if record.maybeNewerVersion {
-		log.Info("record quarantined: a newer version may have written it", "key", item.Key, "reason", record.reason)
+		log.Info("record quarantined, a newer version may have written it", "key", item.Key, "reason", record.reason)
 	} else {
 		log.Error("record quarantined", "key", item.Key, "reason", record.reason)
 	}
 	return record
 }
 
-// Status describes a quarantined record to operators.
+// Status returns the description of a quarantined record for operators.
 func (r *QuarantinedRecord) Status() recovery.QuarantinedRecord {
 	return recovery.QuarantinedRecord{Key: r.key, Reason: r.reason, MaybeNewerVersion: r.maybeNewerVersion}
 }
 
-// contains reports whether the record with a key is quarantined.
+// contains reports whether the record with the given key is quarantined.
 func (q *Quarantine) contains(key string) bool { return q.records[key] != nil }
 
-// IsUnreadableJob reports whether too little of an open job can be read to add it to the open jobs.
+// IsUnreadableJob reports whether an open job can't be added to the job table, because its record or
+// one of its dependency records is unreadable.
 func (q *Quarantine) IsUnreadableJob(jobID string) bool { return q.unreadableJobs[jobID] }
 
 // RecordCount returns the number of quarantined records.
@@ -102,19 +102,19 @@
 		func(a, b *QuarantinedRecord) int { return cmp.Compare(a.key, b.key) })
 }
 
-// AddRecord quarantines a record and logs it once.
+// AddRecord quarantines a record and logs it, unless it is quarantined already.
 func (q *Quarantine) AddRecord(item storage.Item, err error) {
 	if q.contains(item.Key) {
 		return
 	}
 	q.records[item.Key] = NewQuarantinedRecord(q.state.Log, item, err, q.host.NewerVersionSeen())
-	q.checkSoon() // its job may be terminal
+	q.checkSoon() // the check also reads whether an unreadable job is terminal
 }
 
 // checkSoon makes the next tick check whether the quarantined records have changed.
 func (q *Quarantine) checkSoon() { q.nextCheck = q.clock.Now() }
 
-// addUnreadableJob quarantines a record without which the specification of an open job is unknown.
+// addUnreadableJob quarantines a record without which the specification of an open job is not known.
 // The job counts as accepted.
 func (q *Quarantine) addUnreadableJob(id string, item storage.Item, err error) {
 	q.AddRecord(item, err)
@@ -122,25 +122,25 @@
 	q.host.MarkJobAccepted(id)
 }
 
-// addJob quarantines a record that belongs to an open job. The job's running tasks continue, and no
-// others are started.
+// addJob quarantines a record that belongs to a job in the job table. The job's running tasks continue,
+// but no others are started.
 func (q *Quarantine) addJob(job *cluster.Job, item storage.Item, err error) {
 	q.AddRecord(item, err)
 	job.Quarantined = true
 }
 
-// addMachineGroup quarantines a machine group in which not even the names can be decoded. Until the
-// leases of its machines have expired, tasks of earlier leaders may run on machines that no readable
-// record names.
+// addMachineGroup quarantines a machine group of which not even the machines' names can be decoded.
+// Until the leases of these machines have expired, tasks of earlier leaders may run on machines that no
+// readable record names, so the inventory counts as incomplete.
 func (q *Quarantine) addMachineGroup(item storage.Item, err error) {
 	q.AddRecord(item, err)
 	q.state.InventoryIncompleteUntil = q.state.StartedAt + q.state.WorkerLeaseTimeout()
 	q.state.TotalsValid = false
 }
 
-// Tick ends the time in which the inventory is incomplete, and periodically checks the quarantined
-// records. Once one has changed because an operator repaired or deleted it, the leader steps down
-// and the next one loads all records.
+// Tick ends the period in which the inventory is incomplete, and periodically checks the quarantined
+// records. Once an operator has repaired or deleted one of them, the leader steps down and the next
+// leader loads all records.
 func (q *Quarantine) Tick() {
 	q.expireIncompleteInventory()
 	if len(q.records) == 0 || q.clock.Now() < q.nextCheck || q.host.StoreUnavailable() {
@@ -155,7 +155,8 @@
 	}
 }
 
-// expireIncompleteInventory treats all machines as known once the leases of the others have expired.
+// expireIncompleteInventory treats the inventory as complete once the leases of machines that no
+// readable record names have expired.
 func (q *Quarantine) expireIncompleteInventory() {
 	state := q.state
 	if state.InventoryIncompleteUntil == clock.Never || q.clock.Now() <= state.InventoryIncompleteUntil {
@@ -166,8 +167,8 @@
 	state.SchedulingNeeded = true
 }
 
-// recheckRecord reads a quarantined record, and steps down if it has changed. It also reads whether
-// the record's job is terminal.
+// recheckRecord reads a quarantined record, and steps down if it has changed. If the record belongs to
+// an unreadable job, recheckRecord also reads whether the job is terminal.
 func (q *Quarantine) recheckRecord(record *QuarantinedRecord) {
 	if id := storage.JobIDOfKey(record.key); q.IsUnreadableJob(id) {
 		q.host.ReadTerminalRecord(id)
--- a/internal/records/store.go
+++ b/internal/records/store.go
@@ -1,7 +1,7 @@
-// Package records stores what a leader knows: it loads the records of earlier leaders, watches for
-// jobs that other controllers accept, queues the changes of machines and jobs, and writes them in one
-// compare-and-swap transaction at a time. Records that can't be read are quarantined. It does no I/O:
-// requests go out through Store.
+// Package records keeps a leader's state in the key-value store. It loads the records of earlier
+// leaders, watches for jobs that other controllers accept, queues the changes of machines and jobs, and
+// writes them in one compare-and-swap transaction at a time. Records that can't be used are
+// quarantined. The package does no I/O: it sends requests through Store.
 package records
 
 import (
@@ -11,29 +11,29 @@
 	"hitchdoor/internal/storage"
 )
 
-// Store is the key-value store as the records of one term use it.
+// Store sends requests to the key-value store during one term of a leader.
 type Store interface {
-	// CallStore sends a request. It passes the response to onResponse, unless the term has ended by
+	// CallStore sends a request and passes the response to onResponse, unless the term has ended by
 	// then.
 	CallStore(method, path string, body any, onResponse func(storage.Response))
 }
 
-// Clock tells the time, and converts it to the wall clock time of stored records.
+// Clock returns the time, and converts it to the wall-clock time of stored records.
 type Clock interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
-	// UnixMilli returns the wall clock time of an instant in Unix milliseconds.
+	// UnixMilli returns the wall-clock time of an instant in Unix milliseconds.
 	UnixMilli(at clock.Instant) int64
-	// InstantFromUnixMilli converts a stored wall clock time to an instant.
+	// InstantFromUnixMilli converts a stored wall-clock time to an instant.
 	InstantFromUnixMilli(milliseconds int64) clock.Instant
 	// WorkerLease returns the duration of the workers' lease, of which other time spans are
 	// fractions.
 	WorkerLease() time.Duration
 }
 
-// Delayer calls functions later, while the term lasts.
+// Delayer schedules calls within one term of a leader.
 type Delayer interface {
-	// CallAfter calls a function after a delay, if the term lasts until then.
+	// CallAfter calls a function after a delay, unless the term has ended by then.
 	CallAfter(delay time.Duration, call func())
 }
 
--- a/internal/records/store_test.go
+++ b/internal/records/store_test.go
@@ -8,20 +8,21 @@
 	"hitchdoor/internal/storage"
 )
 
-// storeRequest is a request that a part under test has sent to the key-value store.
+// storeRequest is a request that the code under test has sent to the key-value store.
 type storeRequest struct {
 	method, path string
 	body         []byte
 	onResponse   func(storage.Response)
 }
 
-// delayedTestCall is a call that a part under test has delayed.
+// delayedTestCall is a call that the code under test has scheduled.
 type delayedTestCall struct {
 	delay time.Duration
 	run   func()
 }
 
-// testHost records what a part under test asks for. Its clock stands still.
+// testHost records the requests, the delayed calls and the reasons for stepping down of the code under
+// test. Its clock does not advance.
 type testHost struct {
 	requests     []storeRequest
 	delayedCalls []delayedTestCall
@@ -44,7 +45,7 @@
 	h.delayedCalls = append(h.delayedCalls, delayedTestCall{delay, call})
 }
 
-// respond answers the last request.
+// respond passes a response to the last request.
 func (h *testHost) respond(status int, body any) {
 	h.requests[len(h.requests)-1].onResponse(storage.Response{Status: status, Body: storage.Encode(body)})
 }
--- a/internal/records/transactions.go
+++ b/internal/records/transactions.go
@@ -8,18 +8,18 @@
 	"hitchdoor/internal/storage"
 )
 
-// TransactionWriter writes the queued changes of a leader to the key-value store: within its write
-// budget, one compare-and-swap transaction at a time. It retries a transaction without a usable
-// response, and reads whether a transaction with an unclear outcome was executed.
+// TransactionWriter writes the queued changes of a leader to the key-value store, within its write
+// budget, in one compare-and-swap transaction at a time. It retries a transaction without a usable
+// response, and reads whether a transaction with an unknown outcome was applied.
 type TransactionWriter struct {
 	*storage.Writer
 	host   TransactionHost
 	clock  Clock
 	log    *slog.Logger
-	budget *ratelimit.TokenBucket // limits the writes
+	budget *ratelimit.TokenBucket // limits the rate of writes
 }
 
-// TransactionHost is what the transaction writer needs from the leader.
+// TransactionHost is the part of the leader that TransactionWriter calls.
 type TransactionHost interface {
 	Store
 	Delayer
@@ -27,7 +27,7 @@
 	StepDown(reason string)
 }
 
-// NewTransactionWriter returns a writer that sends the changes of a queue.
+// NewTransactionWriter returns a writer that sends the changes in queue.
 func NewTransactionWriter(queue *storage.Writer, host TransactionHost, clock Clock, log *slog.Logger,
 	budget *ratelimit.TokenBucket) *TransactionWriter {
 	return &TransactionWriter{Writer: queue, host: host, clock: clock, log: log, budget: budget}
@@ -51,8 +51,8 @@
 	w.host.CallStore("POST", "/multi", transaction, w.onResponse)
 }
 
-// onResponse handles the response to the transaction in flight. A refusal for a conflict, or as
-// invalid, may also mean that an earlier copy with an unclear outcome was executed; then the
+// onResponse handles the response to the transaction in flight. If an earlier attempt had an unknown
+// outcome, a rejection as a conflict or as invalid may also mean that this attempt was applied, so the
 // outcome is read first.
 func (w *TransactionWriter) onResponse(response storage.Response) {
 	var result storage.TxnResponse
@@ -65,10 +65,12 @@
 	case response.Status == http.StatusBadRequest && w.OutcomeUnknown():
 		w.resolveOutcome(w.splitRejectedTransaction)
 	case response.Status == http.StatusBadRequest:
-		w.log.Warn("transaction rejected as invalid", "status", response.Status, "body", string(response.Body))
+		w.log.Warn("transaction rejected by key-value store as invalid",
+			"status", response.Status, "body", string(response.Body))
 		w.splitRejectedTransaction()
 	case response.Status == http.StatusConflict:
-		w.log.Warn("transaction conflict", "status", response.Status, "body", string(response.Body))
+		w.log.Warn("transaction rejected by key-value store because of a conflict",
+			"status", response.Status, "body", string(response.Body))
 		w.stepDownOnConflict()
 	default:
 		if response.Status == 0 || response.Status == http.StatusGatewayTimeout {
@@ -82,8 +84,8 @@
 // this leader was replaced, or its state is stale. Either way the records must be loaded again.
 func (w *TransactionWriter) stepDownOnConflict() { w.host.StepDown("transaction conflict") }
 
-// sendAgain sends the transaction in flight again, byte for byte the same. If an earlier copy was
-// executed, or is executed late, the conditions admit only one of them.
+// sendAgain sends the transaction in flight again, byte for byte the same. If an earlier attempt was
+// applied, or arrives late, the conditions let only one of them succeed.
 func (w *TransactionWriter) sendAgain() { w.send(w.RetryTxn()) }
 
 // scheduleRetry calls retry after a short delay.
@@ -91,18 +93,18 @@
 	w.host.CallAfter(retryDelay(w.clock), retry)
 }
 
-// splitRejectedTransaction splits a transaction that the key-value store rejects as invalid into
-// smaller ones, as the store's limits may be lower than the settings say. The leader continues.
-// A unit of writes that is rejected on its own is dropped.
+// splitRejectedTransaction splits a transaction that the key-value store has rejected as invalid into
+// smaller ones, as the store's limits may be lower than the settings say. The leader continues. A
+// change that is rejected on its own is abandoned or handled by its OnRejected.
 func (w *TransactionWriter) splitRejectedTransaction() {
 	for _, key := range w.RejectInFlight() {
-		w.log.Error("write rejected permanently", "key", key)
+		w.log.Error("write rejected permanently by key-value store", "key", key)
 	}
 }
 
-// resolveOutcome determines whether a transaction with an unclear outcome was executed, by reading
-// one of its keys. It calls onNotApplied if the transaction was not executed. Meanwhile the
-// transaction stays in flight, so no other one is sent.
+// resolveOutcome determines whether the transaction in flight, whose outcome is unknown, was applied, by
+// reading one of its keys. It calls onNotApplied if the transaction was not applied. Meanwhile the
+// transaction stays in flight, so that no other one is sent.
 func (w *TransactionWriter) resolveOutcome(onNotApplied func()) {
 	w.host.CallStore("GET", "/store/"+w.ProbeKey(), nil, func(response storage.Response) {
 		var item storage.Item
@@ -119,7 +121,7 @@
 	})
 }
 
-// NoteRevisions records the revisions of stored records that were read.
+// NoteRevisions records the ModRevisions with which records were read, for the conditions of later writes.
 func (w *TransactionWriter) NoteRevisions(items []storage.Item) {
 	for _, item := range items {
 		w.SetModRevision(item.Key, item.ModRevision)
--- a/internal/records/transactions_test.go
+++ b/internal/records/transactions_test.go
@@ -10,7 +10,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// newTestWriter returns a transaction writer with a budget of tokens and a queued write of each key.
+// newTestWriter returns a transaction writer with a budget of tokens and a queued write of each key, its
+// host and the keys whose writes were applied.
 func newTestWriter(tokens float64, keys ...string) (*TransactionWriter, *testHost, *[]string) {
 	host, applied := &testHost{}, &[]string{}
 	budget := ratelimit.NewTokenBucket(0, tokens)
@@ -25,57 +26,60 @@
 	return writer, host, applied
 }
 
-// Only one transaction is in flight, and none exceeds the write budget.
+// Guards against several transactions in flight, and against a transaction above the write budget.
 func TestTransactionWriterOneInFlightWithinBudget(t *testing.T) {
 	writer, host, applied := newTestWriter(3, "a", "b", "c", "d")
 	writer.SendNext()
 	writer.SendNext()
 	host.expectRequests(t, 1, "POST", "/multi")
 	if writer.InFlightWrites() != 3 || writer.budget.Tokens != 0 {
-		t.Fatalf("%d writes in flight, %v tokens left", writer.InFlightWrites(), writer.budget.Tokens)
+		t.Fatalf("%d writes in flight, %v tokens left; want 3 and 0", writer.InFlightWrites(), writer.budget.Tokens)
 	}
 	host.respond(200, storage.TxnResponse{Revision: 7})
 	host.expectRequests(t, 1, "POST", "/multi")
 	if !slices.Equal(*applied, []string{"a", "b", "c"}) || writer.ModRevision("a") != 7 {
-		t.Fatalf("applied %v, revision %d", *applied, writer.ModRevision("a"))
+		t.Fatalf("applied %v, key a at revision %d; want a, b, c and 7", *applied, writer.ModRevision("a"))
 	}
 	writer.budget.Tokens = 1
 	writer.SendNext()
 	host.expectRequests(t, 2, "POST", "/multi")
 }
 
-// A transaction without a usable response is sent again after a delay, byte for byte the same.
+// A transaction without a usable response is sent again after a delay, byte for byte the same, so that
+// the conditions let only one of the attempts succeed.
 func TestTransactionWriterRetriesUnchanged(t *testing.T) {
 	writer, host, applied := newTestWriter(5, "a")
 	writer.SendNext()
 	first := host.last().body
 	host.respond(503, nil)
 	if len(host.delayedCalls) != 1 || host.delayedCalls[0].delay != retryDelay(host) || writer.OutcomeUnknown() {
-		t.Fatalf("delayed calls %v, outcome unknown %v", host.delayedCalls, writer.OutcomeUnknown())
+		t.Fatalf("delayed calls %v, outcome unknown: %v; want one retry and false",
+			host.delayedCalls, writer.OutcomeUnknown())
 	}
 	host.delayedCalls[0].run()
 	host.expectRequests(t, 2, "POST", "/multi")
 	if string(host.last().body) != string(first) {
-		t.Fatalf("sent again as %s, first %s", host.last().body, first)
+		t.Fatalf("transaction sent again as %s, want the first attempt %s", host.last().body, first)
 	}
 	host.respond(200, storage.TxnResponse{Revision: 3})
 	if !slices.Equal(*applied, []string{"a"}) {
-		t.Fatalf("applied %v", *applied)
+		t.Fatalf("applied %v, want a", *applied)
 	}
 }
 
-// A conflict ends the term, unless an earlier copy of the transaction was executed.
+// Guards against stepping down because of the leader's own write: a conflict ends the term, unless an
+// earlier attempt with an unknown outcome was applied.
 func TestTransactionWriterResolvesConflict(t *testing.T) {
 	cases := []struct {
 		name          string
-		firstStatus   int // of the first attempt; 0: no response, so that the outcome is unclear
-		storedAt      uint64
+		firstStatus   int    // of the first attempt; 0 is no response, so that the outcome is unknown
+		storedAt      uint64 // revision of the stored key; 0 if it does not exist
 		wantStepDowns int
 		wantApplied   int
 	}{
 		{"conflict at once", 409, 0, 1, 0},
-		{"earlier copy executed", 0, 9, 0, 1},
-		{"earlier copy not executed", 0, 0, 1, 0},
+		{"earlier attempt applied", 0, 9, 0, 1},
+		{"earlier attempt not applied", 0, 0, 1, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -91,13 +95,14 @@
 				respondWithStored(host, c.storedAt)
 			}
 			if len(host.stepDowns) != c.wantStepDowns || len(*applied) != c.wantApplied {
-				t.Fatalf("step downs %v, applied %v", host.stepDowns, *applied)
+				t.Fatalf("stepped down for %v, applied %v; not as often as wanted", host.stepDowns, *applied)
 			}
 		})
 	}
 }
 
-// respondWithStored answers the read of key a: the value 1 stored at a revision, or 0 for its absence.
+// respondWithStored responds to the read of key a with the value 1 at a revision. With revision 0, the
+// key does not exist.
 func respondWithStored(host *testHost, revision uint64) {
 	if revision == 0 {
 		host.respond(404, nil)
@@ -106,7 +111,8 @@
 	host.respond(200, storage.Item{Key: "a", Value: []byte("1"), ModRevision: revision})
 }
 
-// A read of the outcome that fails is repeated, and no other transaction is sent meanwhile.
+// A failed read of the outcome is repeated. No other transaction is sent meanwhile, as its conditions
+// could contain outdated revisions.
 func TestTransactionWriterRepeatsFailedOutcomeRead(t *testing.T) {
 	writer, host, applied := newTestWriter(5, "a")
 	writer.SendNext()
@@ -121,24 +127,26 @@
 	host.expectRequests(t, 4, "GET", "/store/a")
 	respondWithStored(host, 4)
 	if !slices.Equal(*applied, []string{"a"}) || len(host.stepDowns) != 0 {
-		t.Fatalf("applied %v, step downs %v", *applied, host.stepDowns)
+		t.Fatalf("applied %v, stepped down for %v; want a and none", *applied, host.stepDowns)
 	}
 }
 
-// A transaction that the key-value store rejects as invalid is split; a single write is abandoned.
+// Guards against a leader that repeats a transaction above the store's limits forever, or steps down for
+// it: a transaction rejected as invalid is split, and a single rejected write is abandoned.
 func TestTransactionWriterSplitsRejectedTransaction(t *testing.T) {
 	writer, host, applied := newTestWriter(20, "a", "b", "c", "d")
 	writer.SendNext()
 	host.respond(400, nil)
 	writer.SendNext()
 	if writer.InFlightWrites() >= 4 {
-		t.Fatalf("%d writes in flight after a rejection of 4", writer.InFlightWrites())
+		t.Fatalf("%d writes in flight after a rejection of 4, want fewer", writer.InFlightWrites())
 	}
 	for writer.InFlight() {
 		host.respond(400, nil)
 		writer.SendNext()
 	}
 	if writer.PendingChanges() != 0 || len(*applied) != 0 || len(host.stepDowns) != 0 {
-		t.Fatalf("%d changes pending, applied %v, step downs %v", writer.PendingChanges(), *applied, host.stepDowns)
+		t.Fatalf("%d changes pending, applied %v, stepped down for %v; want none",
+			writer.PendingChanges(), *applied, host.stepDowns)
 	}
 }
