--- a/internal/jobstore/accepted_jobs.go
+++ b/internal/jobstore/accepted_jobs.go
@@ -10,7 +10,7 @@
 func (r *Reader) RecordAccepted(jobID string) { r.acceptedJobs.Put(jobID, true) }
 
 // KnownAccepted reports whether this node knows that a job was accepted. Acceptance is never
-// withdrawn, so a known one needs no further check.
+// withdrawn, so it needs no further check.
 func (r *Reader) KnownAccepted(jobID string) bool {
 	if _, isTerminal := r.TerminalRecord(jobID); isTerminal {
 		return true
@@ -19,13 +19,15 @@
 	return accepted || r.host.HasOpenJob(jobID)
 }
 
-// WithoutKnownAccepted returns the IDs of the jobs that this node does not know to be accepted.
+// WithoutKnownAccepted returns the ids of the jobs of which this node does not know that they were
+// accepted.
 func (r *Reader) WithoutKnownAccepted(ids []string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), r.KnownAccepted)
 }
 
-// ReadAcceptance reads whether all of some jobs were accepted by any node. Only the key-value
-// store counts: another node may have accepted one a moment ago.
+// ReadAcceptance reads whether all of the given jobs were accepted, by any node. It asks the key-value
+// store, because another node may have accepted a job a moment ago. ok is false if a job could not be
+// read.
 func (r *Reader) ReadAcceptance(ids []string, onRead func(ok, allAccepted bool)) {
 	pendingReads, readable, allAccepted := len(ids), true, true
 	if pendingReads == 0 {
--- a/internal/jobstore/effective_state.go
+++ b/internal/jobstore/effective_state.go
@@ -10,9 +10,9 @@
 	"hitchdoor/internal/storage"
 )
 
-// ReadEffectiveState reads a job's state from the records: an open job is cancelled if any of its
-// direct or indirect dependencies is. All controllers answer by this rule, so none contradicts
-// what another has told a user.
+// ReadEffectiveState reads a job's state from the stored records: an open job counts as cancelled if
+// any of its direct or indirect dependencies is cancelled. All controllers answer users by this rule,
+// so none contradicts an earlier answer of another.
 func (r *Reader) ReadEffectiveState(jobID string, onRead Callback) {
 	r.ReadJob(jobID, func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		if openItem == nil {
@@ -34,25 +34,25 @@
 	})
 }
 
-// searchResult is the result of a cancellationSearch.
+// searchResult is the outcome of a cancellationSearch.
 type searchResult int
 
-// The results of a search.
+// Results of a cancellationSearch.
 const (
-	searchFailed searchResult = iota // some record could not be read
+	searchFailed searchResult = iota // a record could not be read
 	noCancellation
 	cancellationFound
 )
 
-// cancellationSearch reads whether any of some jobs, or of their direct and indirect dependencies,
-// is cancelled. It reads each job once, one after the other.
+// cancellationSearch determines whether any direct or indirect dependency of a job is cancelled. It
+// reads each of these jobs once, one after the other.
 type cancellationSearch struct {
 	reader   *Reader
 	visited  map[string]bool // ids of jobs that were read
 	onResult func(searchResult)
 }
 
-// checkDependencies checks the jobs with the given ids and the dependencies of an open job.
+// checkDependencies checks the jobs otherIDs, and then the dependencies of an open job.
 func (s *cancellationSearch) checkDependencies(openItem *storage.Item, otherIDs []string) {
 	s.reader.readDependencies(openItem, func(ok bool, ids []string) {
 		if !ok {
@@ -63,8 +63,8 @@
 	})
 }
 
-// checkJobs checks some jobs, in order. A completed job needs no further check, as all its
-// dependencies were completed before.
+// checkJobs checks the given jobs in order, with their dependencies. The dependencies of a completed job
+// need no check, as all of them were completed before.
 func (s *cancellationSearch) checkJobs(ids []string) {
 	next := slices.IndexFunc(ids, func(id string) bool { return !s.visited[id] })
 	if next < 0 {
@@ -87,11 +87,11 @@
 	})
 }
 
-// readDependencies reads the IDs of the jobs on which an open job depends.
+// readDependencies reads the ids of the jobs on which an open job directly depends.
 func (r *Reader) readDependencies(openItem *storage.Item, onRead func(ok bool, ids []string)) {
 	record, err := storage.ReadJob(*openItem)
 	if err != nil {
-		// If the job may have dependencies, one may be cancelled, which cancels this job too.
+		// If this job may have dependencies, one of them may be cancelled, and this job with it.
 		onRead(!storage.MayHaveDependencies(*openItem), nil)
 		return
 	}
--- a/internal/jobstore/reader.go
+++ b/internal/jobstore/reader.go
@@ -1,6 +1,6 @@
-// Package jobstore reads what the key-value store holds of jobs, within a rate budget, and caches
-// what never changes: the records of terminal jobs and which jobs were accepted. It does no I/O of its
-// own.
+// Package jobstore reads the records of jobs from the key-value store, within a rate budget, and caches
+// what never changes: the records of terminal jobs and which jobs were accepted. It does no I/O: the
+// host sends its requests.
 package jobstore
 
 import (
@@ -14,38 +14,38 @@
 	"hitchdoor/internal/storage"
 )
 
-// Reader reads what the key-value store holds of jobs, on behalf of users and of the leader. It
+// Reader reads the records of jobs from the key-value store, on behalf of users and of the leader. It
 // caches what never changes: the records of terminal jobs, and which jobs were accepted.
 type Reader struct {
 	host         Host
-	readBudget   ratelimit.TokenBucket // reads on behalf of users
+	readBudget   ratelimit.TokenBucket // limits the reads on behalf of users
 	pollInterval time.Duration         // pause between two pages of the initial load
 	terminalJobs terminalJobCache
 	acceptedJobs RecentJobs[bool] // ids of jobs known to have been accepted
 }
 
-// Host is what the reader needs from the node.
+// Host is the part of the node that Reader calls.
 type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
-	// Get sends a GET request to the key-value store. A response with status 0 means that no usable
-	// one arrived.
+	// Get sends a GET request to the key-value store. Status 0 means that no usable response
+	// arrived.
 	Get(path string, onResponse func(status int, body []byte))
-	// StoreUnavailable reports whether the key-value store is considered down, so that requests
-	// which need it are rejected at once.
+	// StoreUnavailable reports whether the key-value store is considered down, so that requests that
+	// need it are rejected at once.
 	StoreUnavailable() bool
 	// StoreResponding reports whether the last call to the key-value store succeeded.
 	StoreResponding() bool
-	// HasOpenJob reports whether this node leads and has the job among its open jobs.
+	// HasOpenJob reports whether this node is the leader and has the job among its open jobs.
 	HasOpenJob(jobID string) bool
-	// TerminalRecordRead handles a job's terminal record that was read from the key-value store.
+	// TerminalRecordRead is called with a job's terminal record that was read from the key-value store.
 	TerminalRecordRead(jobID string, record storage.TerminalRecord)
-	// TerminalRecordUnreadable handles a terminal record that can't be decoded.
+	// TerminalRecordUnreadable is called with a terminal record that can't be decoded or is invalid.
 	TerminalRecordUnreadable(jobID string, item storage.Item, err error)
 }
 
-// Callback receives what the key-value store holds of a job: its open record or its terminal
-// record, or neither if the job is unknown. ok is false if the key-value store did not answer.
+// Callback receives the stored record of a job: its open record or its terminal record, or neither if
+// the job is unknown. ok is false if the record could not be read.
 type Callback func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord)
 
 // NewReader returns a reader with empty caches. It makes at most readsPerSecond reads on behalf
@@ -60,13 +60,13 @@
 	}
 }
 
-// HasSpareReads reports whether at least half of the read budget is left.
+// HasSpareReads reports whether at least half of the budget for reads on behalf of users is left.
 func (r *Reader) HasSpareReads() bool {
 	r.readBudget.Refill(r.host.Now())
 	return r.readBudget.Tokens >= r.readBudget.Burst/2
 }
 
-// ReadItem reads one record. The callback gets nil unless the response has a record.
+// ReadItem reads the record with the given key. The callback gets nil unless the response contains the record.
 func (r *Reader) ReadItem(key string, onRead func(status int, item *storage.Item)) {
 	r.host.Get("/store/"+key, func(status int, body []byte) {
 		var item storage.Item
@@ -78,8 +78,8 @@
 	})
 }
 
-// ReadJob reads a job's record, open or terminal. The open record is read first, because a job
-// moves from open to terminal and never back.
+// ReadJob reads a job's open or terminal record. It reads the open record first: a job changes from open
+// to terminal and never back, so a job can't be missed between the two reads.
 func (r *Reader) ReadJob(jobID string, onRead Callback) {
 	if record, ok := r.TerminalRecord(jobID); ok {
 		onRead(true, nil, &record)
@@ -102,7 +102,8 @@
 	})
 }
 
-// ReadTerminalRecord reads a job's terminal record. The callback gets nil if there is none.
+// ReadTerminalRecord reads and caches a job's terminal record. The callback gets nil if there is none,
+// or, with ok false, if it could not be read.
 func (r *Reader) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
 	r.ReadItem(storage.TerminalKey(jobID), func(status int, item *storage.Item) {
 		if item != nil {
--- a/internal/jobstore/recent_jobs.go
+++ b/internal/jobstore/recent_jobs.go
@@ -1,17 +1,18 @@
 package jobstore
 
-// RecentJobsLimit bounds the jobs in each cache of immutable facts. Older ones are read from the
-// key-value store again.
+// RecentJobsLimit is the maximum number of jobs in each cache of facts that never change. The facts of
+// evicted jobs are read from the key-value store again.
 const RecentJobsLimit = 20_000
 
-// RecentJobs caches a value per job id and evicts the oldest entries beyond its limit.
+// RecentJobs caches a value for each job id. Beyond its limit, it evicts the entries that were added
+// first.
 type RecentJobs[T any] struct {
 	limit          int
 	byID           map[string]T
 	insertionOrder []string
 }
 
-// NewRecentJobs returns an empty cache.
+// NewRecentJobs returns an empty cache for up to limit jobs.
 func NewRecentJobs[T any](limit int) RecentJobs[T] {
 	return RecentJobs[T]{limit: limit, byID: map[string]T{}}
 }
@@ -22,7 +23,7 @@
 	return value, ok
 }
 
-// Put stores the value of a job and evicts the oldest entry if the cache is full.
+// Put caches the value of a job. If the job is new and the cache is full, Put evicts the oldest entry.
 func (c *RecentJobs[T]) Put(jobID string, value T) {
 	if _, ok := c.byID[jobID]; !ok {
 		c.insertionOrder = append(c.insertionOrder, jobID)
@@ -34,5 +35,5 @@
 	c.byID[jobID] = value
 }
 
-// full reports whether the next new job evicts another.
+// full reports whether adding another job evicts an entry.
 func (c *RecentJobs[T]) full() bool { return len(c.byID) >= c.limit }
--- a/internal/jobstore/terminal_jobs.go
+++ b/internal/jobstore/terminal_jobs.go
@@ -15,8 +15,8 @@
 type terminalJobCache struct {
 	RecentJobs[storage.TerminalRecord]
 
-	// State of the initial load: whether it is complete, whether a request is under way, the last
-	// key that was read, and when the next request is due.
+	// State of the initial load: whether it is complete, whether a request is in flight, the last
+	// key that was read, and when the next request may be sent.
 	loaded, loading bool
 	lastKey         string
 	nextReadAt      clock.Instant
@@ -27,12 +27,13 @@
 	return r.terminalJobs.Get(jobID)
 }
 
-// CacheTerminalRecord caches the terminal record of a job, which this node has read or written.
+// CacheTerminalRecord caches the terminal record of a job that this node has read or written.
 func (r *Reader) CacheTerminalRecord(jobID string, record storage.TerminalRecord) {
 	r.terminalJobs.Put(jobID, record)
 }
 
-// cacheTerminalItem decodes and caches a terminal record that was read from the key-value store.
+// cacheTerminalItem decodes and caches a terminal record that was read from the key-value store, and
+// reports it to the host.
 func (r *Reader) cacheTerminalItem(item storage.Item) {
 	jobID := strings.TrimPrefix(item.Key, storage.TerminalPrefix)
 	record, err := storage.ReadTerminal(item)
@@ -44,11 +45,13 @@
 	r.host.TerminalRecordRead(jobID, record)
 }
 
-// TerminalJobsLoaded reports whether the initial load of the terminal records is complete.
+// TerminalJobsLoaded reports whether the initial load of the terminal records is complete or has filled
+// the cache.
 func (r *Reader) TerminalJobsLoaded() bool { return r.terminalJobs.loaded }
 
-// LoadTerminalJobs loads the terminal records page by page after a start. If they were read one by
-// one as users poll, thousands of reads would take longer than users may be left without an answer.
+// LoadTerminalJobs loads the next page of the terminal records after a start of the node. If they were
+// read one by one when users poll, thousands of reads would take longer than users may wait for an
+// answer.
 func (r *Reader) LoadTerminalJobs() {
 	cache := &r.terminalJobs
 	if cache.loaded || cache.loading || r.host.Now() < cache.nextReadAt || !r.host.StoreResponding() {
@@ -70,11 +73,11 @@
 	})
 }
 
-// terminalPageSize is the number of records in one page of the initial load. It bounds the memory
-// and processor time of a step.
+// terminalPageSize is the number of records in one page of the initial load. It limits the memory and
+// processor time that a step takes.
 const terminalPageSize = 500
 
-// TerminalState returns the state of a terminal job as users see it.
+// TerminalState returns the state of a terminal job as users get it.
 func TerminalState(jobID string, record storage.TerminalRecord) protocol.JobStatus {
 	noneRunning := 0
 	return protocol.JobStatus{ID: jobID, State: record.State, DoneTasks: &record.DoneTasks, RunningTasks: &noneRunning}
