--- a/internal/records/job_completion.go
+++ b/internal/records/job_completion.go
@@ -59,7 +59,7 @@
 	c.dropOtherRecords()
 }
 
-// log logs how long the finished job waited and ran, counted from its acceptance.
+// log writes a debug line with the times of the finished job, counted from its acceptance.
 func (c *jobCompletion) log() {
 	job, state := c.job, c.records.state
 	state.Log.Debug("job finished", "job", job.Spec.ID, "state", c.terminal.State,
--- a/internal/records/job_watch.go
+++ b/internal/records/job_watch.go
@@ -41,10 +41,10 @@
 		return
 	}
 	w.active = true
-	sentAt, longPoll := w.clock.Now(), w.clock.WorkerLease()/2
-	path := storage.WatchPath(storage.JobPrefix, w.loader.revision, longPoll.Milliseconds())
+	sentAt, maxWait := w.clock.Now(), w.clock.WorkerLease()/2
+	path := storage.WatchPath(storage.JobPrefix, w.loader.revision, maxWait.Milliseconds())
 	w.host.WatchStore(path, 4*w.clock.WorkerLease(), func(response storage.Response) {
-		answeredEarly := w.clock.Now() < sentAt+longPoll/2
+		answeredEarly := w.clock.Now() < sentAt+maxWait/2
 		w.onResponse(response, answeredEarly)
 	})
 }
--- a/internal/records/job_watch_test.go
+++ b/internal/records/job_watch_test.go
@@ -87,7 +87,8 @@
 				host.delayedCalls[len(host.delayedCalls)-1].run()
 				watch.Tick()
 				if !strings.Contains(host.last().path, "40") || watch.loader.JobsRevision() != 40 {
-					t.Fatalf("watch path %s; want it and the loader's revision at 40, like the listing", host.last().path)
+					t.Fatalf("watch path %s, loader revision %d; want both at the listing's revision 40",
+						host.last().path, watch.loader.JobsRevision())
 				}
 			}
 		})
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -102,7 +102,7 @@
 }
 
 // storeBitmapPart queues the write of one bitmap part, unless one is queued. The value is read when the
-// transaction is built, so tasks that finish until then share the write.
+// transaction is built, so tasks that finish before then share the write.
 func (r *Jobs) storeBitmapPart(job *cluster.Job, part *cluster.BitmapPart) {
 	if part.WriteQueued {
 		return
--- a/internal/records/machine_loading.go
+++ b/internal/records/machine_loading.go
@@ -46,8 +46,7 @@
 	machine.MarkedUsed, machine.Reconciled = machine.UseDurable, !machine.UseDurable
 	l.machines.addToGroup(group, machine)
 	if !entry.Used && machine.UseDurable {
-		// Only the other group's record has the mark, so this group is stored before that record is
-		// deleted.
+		// Store this group before the other group's record, which alone has the mark, is deleted.
 		l.machines.storeGroup(group, groupWriteSoon)
 	}
 }
--- a/internal/records/transactions.go
+++ b/internal/records/transactions.go
@@ -52,8 +52,8 @@
 }
 
 // onResponse handles the response to the transaction in flight. If an earlier attempt had an unknown
-// outcome, a rejection as a conflict or as invalid may also mean that this attempt was applied, so the
-// outcome is read first.
+// outcome, a rejection as a conflict or as invalid may also mean that the earlier attempt was applied, so
+// the outcome is read first.
 func (w *TransactionWriter) onResponse(response storage.Response) {
 	var result storage.TxnResponse
 	switch {
--- a/internal/records/transactions_test.go
+++ b/internal/records/transactions_test.go
@@ -95,7 +95,8 @@
 				respondWithStored(host, c.storedAt)
 			}
 			if len(host.stepDowns) != c.wantStepDowns || len(*applied) != c.wantApplied {
-				t.Fatalf("stepped down for %v, applied %v; not as often as wanted", host.stepDowns, *applied)
+				t.Fatalf("stepped down for %v, applied %v; want %d step-downs, %d applied",
+					host.stepDowns, *applied, c.wantStepDowns, c.wantApplied)
 			}
 		})
 	}
