--- a/internal/storage/responses.go
+++ b/internal/storage/responses.go
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%s: unusable response with status %d: %s", e.Call, e.Status, e.Reason)
 }
 
-// Unwrap returns the error of the decoder.
+// Unwrap returns the error of the JSON decoder, or nil.
 func (e *ResponseError) Unwrap() error { return e.Err }
 
 // CheckResponse validates a response of the key-value store. If it returns an error, which is a
--- a/internal/storage/responses_test.go
+++ b/internal/storage/responses_test.go
@@ -71,7 +71,8 @@
 			err := CheckResponse(c.method, c.path, c.status, []byte(c.body))
 			var respErr *ResponseError
 			if (err == nil) != c.valid || err != nil && (!errors.As(err, &respErr) || respErr.Status != c.status) {
-				t.Errorf("%s %s: status %d, body %s: got error %v", c.method, c.path, c.status, c.body, err)
+				t.Errorf("%s %s: status %d, body %s: got error %v, want a valid response: %v",
+					c.method, c.path, c.status, c.body, err, c.valid)
 			}
 		})
 	}
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -21,7 +21,7 @@
 // Error implements error.
 func (e *RecordError) Error() string { return e.Key + ": " + e.Reason }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error, or nil.
 func (e *RecordError) Unwrap() error { return e.Err }
 
 // newRecordError returns a RecordError for an item. The format may wrap an underlying error with %w.
@@ -110,9 +110,9 @@
 	return bits, nil
 }
 
-// ReadMachineGroup decodes and validates the record of a machine group. It returns the names of the
-// machines whose entries are invalid in unreadable, unsorted. The error, a *RecordError, means that
-// the whole record is invalid, so that not even the names are known.
+// ReadMachineGroup decodes and validates the record of a machine group. unreadable contains the names
+// of the machines whose entries are invalid, in no particular order. The error, a *RecordError, means
+// that the whole record is invalid, so that not even the names are known.
 func ReadMachineGroup(item Item) (group MachineGroupRecord, unreadable []string, err error) {
 	var entries map[string]json.RawMessage
 	if err := decodeObject(item, &entries); err != nil {
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -7,9 +7,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Change is a set of writes that must be applied in one transaction. BuildWrites is called when a
-// transaction is assembled, so that the writes contain the latest values. It returns no writes if
-// there is nothing left to do.
+// Change is a set of writes that must be applied in one transaction. BuildWrites is called each time
+// the change may join a transaction, so that the writes contain the latest values. It returns no writes
+// if there is nothing left to do.
 type Change struct {
 	BuildWrites func() []Write
 	OnSent      func() // called once the built writes are in flight: later updates need another Change
@@ -44,11 +44,11 @@
 	modRevisions map[string]uint64
 	lastRevision uint64 // highest known revision of an applied transaction
 	queues       [priorityCount][]Change
-	maxBytes     int
+	maxBytes     int // limit of a transaction's estimated size; lowered when the store rejects a transaction
 
-	inFlight       []Change
+	inFlight       []Change // nil if no transaction is in flight
 	inFlightWrites []Write
-	outcomeUnknown bool
+	outcomeUnknown bool // whether an earlier attempt of the transaction in flight may have been applied
 }
 
 // maxTxnBytes limits the estimated size of a transaction. The store accepts 64 KiB with all conditions.
@@ -225,9 +225,9 @@
 // changes are built again for smaller transactions. It returns the keys of abandoned writes.
 func (w *Writer) RejectInFlight() []string {
 	changes, writes := w.inFlight, w.inFlightWrites
-	single := len(changes) == 1
+	alone := len(changes) == 1
 	w.inFlight, w.inFlightWrites, w.outcomeUnknown = nil, nil, false
-	if !single {
+	if !alone {
 		size := 0
 		for _, write := range writes {
 			size += len(write.Value)
@@ -238,8 +238,8 @@
 	for i := len(changes) - 1; i >= 0; i-- {
 		switch change := changes[i]; {
 		case change.OnRejected != nil:
-			change.OnRejected(single)
-		case single:
+			change.OnRejected(alone)
+		case alone:
 			for _, write := range writes {
 				abandonedKeys = append(abandonedKeys, write.Key())
 			}
