--- a/internal/autoscaler/listing_test.go
+++ b/internal/autoscaler/listing_test.go
@@ -10,7 +10,7 @@
 
 // The list is read page by page. Unknown machines in it are added, and old, silent ones that it
 // lacks are drained.
-func TestListIsReadPageByPage(t *testing.T) {
+func TestMachineListIsReadPageByPage(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	forgotten := host.addMachine("m-4")
 	host.now = time.Hour
@@ -55,7 +55,7 @@
 }
 
 // A machine that is listed as failed is drained, unless it reports; one that was removed stays so.
-func TestListedAsFailed(t *testing.T) {
+func TestMachineListedAsFailedIsDrained(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	silent, removed := host.addMachine("m-1"), host.addMachine("m-3")
 	host.now = time.Hour
--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -84,25 +84,25 @@
 	}
 	pullRate := i.state.ImagePullRate()
 	totals := i.state.CurrentMachineTotals()
-	surelyPending := i.surelyPendingShare(&totals)
+	pendingShare := i.minPendingShare(&totals)
 	for _, job := range i.state.RunnableJobs {
 		if job.Terminal {
 			continue
 		}
 		planned := i.plannedJob(job, pullRate)
 		if i.jobs.MayRunUnreported(job, &totals) {
-			planned.RemainingWork *= surelyPending
+			planned.RemainingWork *= pendingShare
 		}
 		demand.Jobs = append(demand.Jobs, planned)
 	}
 	return demand
 }
 
-// surelyPendingShare returns the share of the work that may be running on unreconciled machines
+// minPendingShare returns the share of the work that may be running on unreconciled machines
 // which is certainly still pending, as those machines can't run more than their cores allow.
 // Without it, a fleet that was short of machines did not scale out until the leases of machines
 // that hung had expired.
-func (i *planInput) surelyPendingShare(totals *cluster.MachineTotals) float64 {
+func (i *planInput) minPendingShare(totals *cluster.MachineTotals) float64 {
 	if !i.recovery.Limited() {
 		return 1
 	}
--- a/internal/autoscaler/rentals_test.go
+++ b/internal/autoscaler/rentals_test.go
@@ -43,7 +43,7 @@
 }
 
 // A rental whose outcome is unknown is sent again under the same name, after a backoff.
-func TestRentalOfUnknownOutcomeIsSentAgain(t *testing.T) {
+func TestRentalWithUnknownOutcomeIsSentAgain(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	beginDurableRental(t, a, host)
 	a.rentals.sendPending()
@@ -80,7 +80,7 @@
 }
 
 // A rental is limited to what the recovery allows, and its number is not used again.
-func TestRentalIsLimitedByTheRecovery(t *testing.T) {
+func TestRentalIsLimitedByRecovery(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.allowed = 0
 	a.rentals.begin([]fleet.Offering{spotC4})
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -120,7 +120,7 @@
 		r.cloud.returnRequest()
 		return true
 	}
-	r.requestReturn(names[:allowedCount])
+	r.sendReturnRequest(names[:allowedCount])
 	return true
 }
 
@@ -159,8 +159,8 @@
 	return len(machine.Attempts) == 0 && machine.RetainedResults == 0 && machine.UnknownTasks == 0
 }
 
-// requestReturn requests the return of machines.
-func (r *machineReturns) requestReturn(names []string) {
+// sendReturnRequest requests the return of machines.
+func (r *machineReturns) sendReturnRequest(names []string) {
 	for _, name := range names {
 		machine := r.state.Machines[name]
 		machine.Terminating, machine.TerminationRequested = true, true
--- a/internal/autoscaler/returns_test.go
+++ b/internal/autoscaler/returns_test.go
@@ -48,7 +48,7 @@
 
 // Without budget nothing is sent, and other requests have to wait. What the recovery does not allow
 // costs no request.
-func TestReturnsWithinTheBudgets(t *testing.T) {
+func TestReturnsRespectBudgets(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
 	host.state.BeginDrain(host.addMachine("m-1"), cluster.Unhealthy)
@@ -63,7 +63,7 @@
 }
 
 // A surplus machine is kept while it is billed anyway, and while work may return.
-func TestSurplusMachineIsKeptForAWhile(t *testing.T) {
+func TestSurplusMachineIsKeptUntilRetentionEnds(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
 	m := host.addMachine("m-1")
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -21,29 +21,29 @@
 func (offlineCatalogHost) MachineTypesChanged()                                                    {}
 
 // A type that one catalogue lacks is believed to be there until the next one lacks it too.
-func TestTypeMissingOnce(t *testing.T) {
-	known := New(offlineCatalogHost{}, slog.New(slog.DiscardHandler), time.Minute)
-	catalog := func(names ...string) protocol.Catalog {
+func TestMissingTypeIsRemovedAfterTwoCatalogs(t *testing.T) {
+	catalog := New(offlineCatalogHost{}, slog.New(slog.DiscardHandler), time.Minute)
+	cloudCatalog := func(names ...string) protocol.Catalog {
 		var c protocol.Catalog
 		for _, name := range names {
 			c.Types = append(c.Types, protocol.MachineType{Name: name, Cores: 4, MemoryGB: 16})
 		}
 		return c
 	}
-	known.merge(catalog("c4", "g8"))
+	catalog.merge(cloudCatalog("c4", "g8"))
 	for i, step := range []struct {
-		names  []string
-		known  bool
-		secure bool
+		names     []string
+		known     bool
+		confirmed bool
 	}{
 		{[]string{"c4"}, true, false},
 		{[]string{"c4", "g8"}, true, true},
 		{[]string{"c4"}, true, false},
 		{[]string{"c4"}, false, true},
 	} {
-		known.merge(catalog(step.names...))
-		if (known.Types["g8"] != nil) != step.known || known.Confirmed != step.secure {
-			t.Errorf("step %d: known %v, sure %v", i, known.Types["g8"] != nil, known.Confirmed)
+		catalog.merge(cloudCatalog(step.names...))
+		if (catalog.Types["g8"] != nil) != step.known || catalog.Confirmed != step.confirmed {
+			t.Errorf("step %d: known %v, sure %v", i, catalog.Types["g8"] != nil, catalog.Confirmed)
 		}
 	}
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -37,8 +37,8 @@
 	Forecast    *Forecast // nil: nothing is planned for jobs that have not arrived
 }
 
-// dueWork is work that is due after a time.
-type dueWork struct {
+// workItem is work that is due after a time.
+type workItem struct {
 	dueIn       time.Duration
 	coreSeconds float64
 }
@@ -56,16 +56,16 @@
 // heldCores are held: all work due by some moment must fit into the time until then. Jobs that are
 // late already add little, as more cores do not help them.
 func (d *Demand) RequiredCores(heldCores float64) float64 {
-	loads, onTimeShare := d.loads()
+	items, onTimeShare := d.workItems()
 	usableFraction := usableTimeFraction(onTimeShare)
 	bootSeconds := d.BootTime.Seconds()
-	slices.SortFunc(loads, func(a, b dueWork) int {
+	slices.SortFunc(items, func(a, b workItem) int {
 		return cmp.Or(cmp.Compare(a.dueIn, b.dueIn), cmp.Compare(a.coreSeconds, b.coreSeconds))
 	})
 	required, cumulativeWork := 0.0, 0.0
-	for _, load := range loads {
-		cumulativeWork += load.coreSeconds
-		spanSeconds := load.dueIn.Seconds()
+	for _, item := range items {
+		cumulativeWork += item.coreSeconds
+		spanSeconds := item.dueIn.Seconds()
 		totalWork := cumulativeWork
 		if d.Forecast != nil {
 			totalWork += d.Forecast.ExpectedWork(spanSeconds)
@@ -79,9 +79,9 @@
 	return required
 }
 
-// loads returns the work with the time after which it is due, and the mean share of it that has to
+// workItems returns the work with the time after which it is due, and the mean share of it that has to
 // be in time.
-func (d *Demand) loads() (loads []dueWork, onTimeShare float64) {
+func (d *Demand) workItems() (items []workItem, onTimeShare float64) {
 	onTimeWork, totalWork := 0.0, 0.0
 	for i := range d.Jobs {
 		job := &d.Jobs[i]
@@ -89,15 +89,15 @@
 		if job.FailsEverywhere {
 			work = min(work, job.TaskDuration.Seconds()*job.CoresPerTask)
 		}
-		loads = append(loads, dueWork{dueIn: d.completionSpan(job), coreSeconds: work})
+		items = append(items, workItem{dueIn: d.completionSpan(job), coreSeconds: work})
 		onTimeWork += work * job.MinShare
 		totalWork += work
 		for _, upcoming := range job.UpcomingDependents {
 			dueIn := max(upcoming.DueIn, upcoming.TaskDuration)
-			loads = append(loads, dueWork{dueIn: dueIn, coreSeconds: upcoming.Work})
+			items = append(items, workItem{dueIn: dueIn, coreSeconds: upcoming.Work})
 		}
 	}
-	return loads, onTimeWork / max(totalWork, 1)
+	return items, onTimeWork / max(totalWork, 1)
 }
 
 // completionSpan returns the time within which the work of a job should be done.
@@ -121,8 +121,8 @@
 
 // Bounds of the margin that the plan adds to the machine time it counts on.
 const (
-	// relaxedShare is the share of work in time up to which there is no margin.
-	relaxedShare = 0.9
+	// maxShareWithoutMargin is the share of work in time up to which there is no margin.
+	maxShareWithoutMargin = 0.9
 	// maxMargin is the margin if all work has to be in time.
 	maxMargin = 0.3
 )
@@ -132,5 +132,5 @@
 // on all of the time is late for some work, and for more of it after an outage or a takeover.
 // Where the SLOs allow next to none of that, the additional machines are worth their price.
 func usableTimeFraction(onTimeShare float64) float64 {
-	return 1 / (1 + max(0, (onTimeShare-relaxedShare)/(1-relaxedShare))*maxMargin)
+	return 1 / (1 + max(0, (onTimeShare-maxShareWithoutMargin)/(1-maxShareWithoutMargin))*maxMargin)
 }
--- a/internal/fleet/demand_test.go
+++ b/internal/fleet/demand_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// heldInTests is a number of cores that suffices for all demands of the tests.
-const heldInTests = 1000
+// ampleHeldCores is a number of cores that suffices for all demands of the tests.
+const ampleHeldCores = 1000
 
 // demandFor returns the demand of jobs at the instant now.
 func demandFor(now time.Duration, jobs ...Job) Demand {
@@ -16,7 +16,7 @@
 // requiredFor returns the cores that jobs require at the instant now.
 func requiredFor(now time.Duration, jobs ...Job) float64 {
 	demand := demandFor(now, jobs...)
-	return demand.RequiredCores(heldInTests)
+	return demand.RequiredCores(ampleHeldCores)
 }
 
 func TestNoCoresRequiredWithoutJobs(t *testing.T) {
@@ -39,7 +39,7 @@
 
 // What exceeds the held cores is divided by the time that remains after a boot, and no machines are
 // rented for work that is due before they would be up.
-func TestRentedMachinesLoseTheirBootTime(t *testing.T) {
+func TestRequiredCoresAllowForBootTime(t *testing.T) {
 	job := Job{CoresPerTask: 1, TaskDuration: 5 * time.Second, RemainingWork: 1000, Due: 25 * time.Second, Started: true}
 	demand := demandFor(0, job)
 	if got, want := demand.RequiredCores(20), 20+(1000-20*25)/20.0; got != want {
@@ -67,7 +67,7 @@
 }
 
 // A late job adds little: more cores do not help it.
-func TestLateJobIsSpreadOverSeveralRunTimes(t *testing.T) {
+func TestLateJobIsSpreadOverSeveralTaskDurations(t *testing.T) {
 	job := Job{CoresPerTask: 1, TaskDuration: 50 * time.Second, RemainingWork: 1000, Due: 10 * time.Second, Started: true}
 	if got := requiredFor(0, job); got != 1000/(4*50.0) {
 		t.Errorf("%v cores for a late job", got)
@@ -83,7 +83,7 @@
 }
 
 // Where the SLOs allow next to no late jobs, the plan counts on less of the machines' time.
-func TestMarginWhereSLOsAreStrict(t *testing.T) {
+func TestStrictSLOsAddMargin(t *testing.T) {
 	required := func(minShare float64) float64 {
 		return requiredFor(0, Job{CoresPerTask: 1, TaskDuration: 20 * time.Second, RemainingWork: 200 * 20, Due: 100 * time.Second, MinShare: minShare})
 	}
@@ -104,7 +104,7 @@
 }
 
 // Work that should still arrive and is due earlier leaves less room for the present work.
-func TestForecastAddsToTheDemand(t *testing.T) {
+func TestForecastAddsToDemand(t *testing.T) {
 	forecast := NewForecast(testLease)
 	for second := range 120 {
 		forecast.DecayTo(time.Duration(second)*time.Second, true)
@@ -112,9 +112,9 @@
 	}
 	now := 119 * time.Second
 	demand := demandFor(now, Job{CoresPerTask: 1, TaskDuration: 10 * time.Second, RemainingWork: 1000, EligibleAt: now, Due: now + 100*time.Second, Started: true})
-	without := demand.RequiredCores(heldInTests)
+	without := demand.RequiredCores(ampleHeldCores)
 	demand.Forecast = forecast
-	if got, want := demand.RequiredCores(heldInTests), without+forecast.ExpectedWork(100)/100; got != want || got <= without {
+	if got, want := demand.RequiredCores(ampleHeldCores), without+forecast.ExpectedWork(100)/100; got != want || got <= without {
 		t.Errorf("%v cores with the forecast, not %v", got, want)
 	}
 }
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -31,8 +31,8 @@
 }
 
 const (
-	// windowLeases is the short window, over which the usual load is taken, in worker leases.
-	windowLeases = 2
+	// shortWindowLeases is the short window, over which the usual load is taken, in worker leases.
+	shortWindowLeases = 2
 	// longWindowFactor is the ratio of the long window, over which the forecast is taken, to the
 	// short one.
 	longWindowFactor = 6
@@ -52,8 +52,8 @@
 	return &Forecast{lease: lease, classes: map[string]*classArrivals{}}
 }
 
-// window returns the short window, over which the usual load is taken.
-func (f *Forecast) window() time.Duration { return windowLeases * f.lease }
+// shortWindow returns the short shortWindow, over which the usual load is taken.
+func (f *Forecast) shortWindow() time.Duration { return shortWindowLeases * f.lease }
 
 // RecordArrival adds the work, in core seconds, of a new job of a class. The job is due dueAfter
 // its arrival.
@@ -73,7 +73,7 @@
 // DecayTo decays the sums up to now. writable tells whether jobs could be stored since the last
 // call; if not, that time does not count as one without arrivals.
 func (f *Forecast) DecayTo(now time.Duration, writable bool) {
-	decayFactor := math.Exp(-(now - f.decayedAt).Seconds() / f.window().Seconds())
+	decayFactor := math.Exp(-(now - f.decayedAt).Seconds() / f.shortWindow().Seconds())
 	longDecayFactor := math.Pow(decayFactor, 1.0/longWindowFactor)
 	for class, arrivals := range f.classes {
 		arrivals.recentWork *= decayFactor
@@ -92,8 +92,8 @@
 // longWindowSeconds returns the time that the sums of the long window cover: less than the full
 // window until they have been kept for that long.
 func (f *Forecast) longWindowSeconds() float64 {
-	fullWindow := longWindowFactor * f.window().Seconds()
-	observed := f.window().Seconds() + (f.decayedAt - f.countingSince).Seconds()
+	fullWindow := longWindowFactor * f.shortWindow().Seconds()
+	observed := f.shortWindow().Seconds() + (f.decayedAt - f.countingSince).Seconds()
 	return fullWindow * (1 - math.Exp(-observed/fullWindow))
 }
 
@@ -124,7 +124,7 @@
 	for _, arrivals := range f.classes {
 		work += arrivals.recentWork
 	}
-	return f.Confidence() * work / f.window().Seconds()
+	return f.Confidence() * work / f.shortWindow().Seconds()
 }
 
 // ExpectedWork returns the work, in core seconds, that should arrive early enough to be due within
@@ -146,9 +146,9 @@
 // Snapshot returns what is stored for the next leader, in at most maxBytes. Users choose the names
 // of classes, so their number and length have to be bounded: the classes with the least work are
 // left out. A value over the limit would be refused, and the leader would step down.
-func (f *Forecast) Snapshot(wallClockMS int64, maxBytes int) storage.ArrivalForecastRecord {
+func (f *Forecast) Snapshot(unixMilli int64, maxBytes int) storage.ArrivalForecastRecord {
 	record := storage.ArrivalForecastRecord{
-		RecordedAtMillis: wallClockMS,
+		RecordedAtMillis: unixMilli,
 		WindowSeconds:    (f.decayedAt - f.countingSince).Seconds(),
 		Classes:          map[string]storage.ClassArrivals{},
 	}
@@ -191,5 +191,5 @@
 // unknown.
 func (f *Forecast) InheritLoad(cores float64) {
 	f.sinceLastArrival = 0
-	f.inheritedWork = max(0, cores-f.UsualLoad()) * f.window().Seconds()
+	f.inheritedWork = max(0, cores-f.UsualLoad()) * f.shortWindow().Seconds()
 }
--- a/internal/fleet/forecast_test.go
+++ b/internal/fleet/forecast_test.go
@@ -29,11 +29,11 @@
 // The sums of the forecast decay over minutes. Once far more jobs in a row fail to arrive than
 // chance explains, less is expected; but a gap while no job could be stored, or for the time in
 // which clients retry, has no meaning.
-func TestConfidenceDropsWhenJobsStayAway(t *testing.T) {
+func TestConfidenceDropsWhenArrivalsStop(t *testing.T) {
 	forecast, now := steadyForecast()
-	steady, coming := forecast.UsualLoad(), forecast.ExpectedWork(100)
-	if forecast.Confidence() != 1 || steady == 0 || coming == 0 {
-		t.Fatalf("jobs arrive: confidence %v, usual load %v, expected work %v", forecast.Confidence(), steady, coming)
+	steady, expected := forecast.UsualLoad(), forecast.ExpectedWork(100)
+	if forecast.Confidence() != 1 || steady == 0 || expected == 0 {
+		t.Fatalf("jobs arrive: confidence %v, usual load %v, expected work %v", forecast.Confidence(), steady, expected)
 	}
 	now += 2 * testLease
 	if forecast.DecayTo(now, false); forecast.Confidence() != 1 {
@@ -44,8 +44,8 @@
 		t.Error("clients have had no time to retry")
 	}
 	now += testLease
-	if forecast.DecayTo(now, true); forecast.Confidence() > 0.4 || forecast.ExpectedWork(100) > coming/3 {
-		t.Errorf("two leases without a job: confidence %v, expected work %v of %v", forecast.Confidence(), forecast.ExpectedWork(100), coming)
+	if forecast.DecayTo(now, true); forecast.Confidence() > 0.4 || forecast.ExpectedWork(100) > expected/3 {
+		t.Errorf("two leases without a job: confidence %v, expected work %v of %v", forecast.Confidence(), forecast.ExpectedWork(100), expected)
 	}
 	forecast.RecordArrival("c", 10, 30*time.Second)
 	if forecast.Confidence() != 1 {
@@ -85,7 +85,7 @@
 }
 
 // The next leader starts from the forecast of its predecessor.
-func TestRestoredForecastIsThatOfThePredecessor(t *testing.T) {
+func TestRestoredForecastMatchesPredecessor(t *testing.T) {
 	forecast, now := steadyForecast()
 	record := forecast.Snapshot(0, math.MaxInt)
 	restored := NewForecast(testLease)
@@ -127,7 +127,7 @@
 }
 
 // A class without arrivals is forgotten in the end.
-func TestForecastForgetsClasses(t *testing.T) {
+func TestClassWithoutArrivalsIsDeleted(t *testing.T) {
 	forecast, now := steadyForecast()
 	if forecast.Empty() {
 		t.Error("empty after 120 jobs")
@@ -145,7 +145,7 @@
 	if got := forecast.UsualLoad(); got != 50 {
 		t.Errorf("usual load %v after a takeover with 50 cores", got)
 	}
-	forecast.DecayTo(time.Minute+forecast.window(), true)
+	forecast.DecayTo(time.Minute+forecast.shortWindow(), true)
 	if got, want := forecast.UsualLoad(), 50/math.E; math.Abs(got-want) > 1e-9 {
 		t.Errorf("usual load %v a window later, not %v", got, want)
 	}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// coresWorthHolding returns the number of cores up to which machines of a price are worth holding:
+// targetCoresAtPrice returns the number of cores up to which machines of a price are worth holding:
 // the more expensive they are, the less headroom is held on them.
-func (b *planBuilder) coresWorthHolding(pricePerCore float64) float64 {
+func (b *planBuilder) targetCoresAtPrice(pricePerCore float64) float64 {
 	settings := &b.planner.settings
 	headroomShare := math.Pow(b.lowestPricePerCore/pricePerCore, settings.CostSensitivity)
 	return max(b.plan.DemandCores, b.view.UsualLoad*(1+settings.Headroom)*headroomShare)
@@ -162,7 +162,7 @@
 	draining := slices.Clone(b.view.Draining)
 	slices.SortStableFunc(draining, func(a, b *Machine) int { return cmp.Compare(a.pricePerCore(), b.pricePerCore()) })
 	for _, machine := range draining {
-		if b.plan.HeldCores+machine.Type.Cores/2 > b.coresWorthHolding(machine.pricePerCore()) {
+		if b.plan.HeldCores+machine.Type.Cores/2 > b.targetCoresAtPrice(machine.pricePerCore()) {
 			continue
 		}
 		b.plan.CancelDrain = append(b.plan.CancelDrain, machine)
@@ -178,7 +178,7 @@
 		if machineType == nil {
 			return
 		}
-		missingCores := b.coresWorthHolding(machineType.PricePerCore(offering.Spot)) - b.plan.HeldCores
+		missingCores := b.targetCoresAtPrice(machineType.PricePerCore(offering.Spot)) - b.plan.HeldCores
 		if missingCores <= machineType.Cores*minMachineFraction { // as in scaleIn
 			return
 		}
@@ -250,9 +250,9 @@
 // costPerUsedCore returns the price of each core that would be used. It includes the time in which
 // the machine boots and pulls its first image, which costs money while work waits.
 func (b *planBuilder) costPerUsedCore(machineType *protocol.MachineType, spot bool, cores float64) float64 {
-	idleSeconds := machineType.BootSeconds + b.view.MeanImageGB/machineType.PullGBPerSecond
-	windowSeconds := windowLeases * b.planner.settings.Lease.Seconds()
-	return machineType.Price(spot) * (1 + idleSeconds/windowSeconds) / min(machineType.Cores, max(cores, 1))
+	startupSeconds := machineType.BootSeconds + b.view.MeanImageGB/machineType.PullGBPerSecond
+	windowSeconds := shortWindowLeases * b.planner.settings.Lease.Seconds()
+	return machineType.Price(spot) * (1 + startupSeconds/windowSeconds) / min(machineType.Cores, max(cores, 1))
 }
 
 // scaleIn selects surplus machines: the most expensive first, and of equal ones those with the
@@ -263,7 +263,7 @@
 	})
 	heldCores := b.plan.HeldCores
 	for _, machine := range b.kept {
-		minCores := b.coresWorthHolding(machine.pricePerCore()) - machine.Type.Cores*minMachineFraction
+		minCores := b.targetCoresAtPrice(machine.pricePerCore()) - machine.Type.Cores*minMachineFraction
 		if heldCores-machine.Type.Cores < minCores || !machine.Up || machine.Reserved {
 			b.plan.Needed = append(b.plan.Needed, machine)
 			continue
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -55,7 +55,7 @@
 }
 
 // Machines are rented up to the usual load with its headroom, of the cheapest offering.
-func TestScaleOutToTheUsualLoad(t *testing.T) {
+func TestScaleOutToUsualLoadWithHeadroom(t *testing.T) {
 	plan := newTestPlanner().Plan(testView(16))
 	if plan.TargetCores != 20 || !slices.Equal(plan.ScaleOut, slices.Repeat([]Offering{spotSmall}, 5)) {
 		t.Errorf("target %v cores, rented %v", plan.TargetCores, plan.ScaleOut)
@@ -63,7 +63,7 @@
 }
 
 // Requested machines count as held, and draining ones are kept before others are rented.
-func TestRequestedAndDrainingMachinesComeFirst(t *testing.T) {
+func TestPendingAndDrainingMachinesAreUsedBeforeRenting(t *testing.T) {
 	view := testView(16, smallMachines("m-1")...)
 	view.PendingRentals = []protocol.RentalRequest{{Type: "c4", Zone: "a", Spot: true, Count: 2}}
 	view.Draining = smallMachines("m-2")
@@ -74,14 +74,14 @@
 }
 
 // One plan rents a bounded number of machines.
-func TestPlanRentsABoundedNumber(t *testing.T) {
+func TestMachinesPerPlanAreBounded(t *testing.T) {
 	if plan := newTestPlanner().Plan(testView(4000)); len(plan.ScaleOut) != maxMachinesPerPlan {
 		t.Errorf("%d machines rented", len(plan.ScaleOut))
 	}
 }
 
 // An offering without capacity is left out, for longer after each refusal, until it had capacity.
-func TestOfferingWithoutCapacityIsLeftOut(t *testing.T) {
+func TestOfferingWithoutCapacityIsBackedOff(t *testing.T) {
 	planner := newTestPlanner()
 	rentedAt := func(now time.Duration) Offering {
 		view := testView(3)
@@ -107,7 +107,7 @@
 }
 
 // Less headroom is held on dearer machines: at four times the lowest price, a sixteenth of it.
-func TestHeadroomDependsOnThePrice(t *testing.T) {
+func TestHeadroomShrinksWithPrice(t *testing.T) {
 	planner := newTestPlanner()
 	for _, zone := range smallType.Zones {
 		planner.MarkUnavailable(Offering{Type: "c4", Zone: zone, Spot: true}, 0)
@@ -120,7 +120,7 @@
 }
 
 // Nothing is rented or returned where it is not allowed.
-func TestPlanObeysWhatIsAllowed(t *testing.T) {
+func TestPlanRespectsScalingPermissions(t *testing.T) {
 	view := testView(16)
 	view.ScaleOutAllowed = false
 	if plan := newTestPlanner().Plan(view); len(plan.ScaleOut) != 0 {
@@ -134,7 +134,7 @@
 }
 
 // The dearest machines are returned first. Machines that boot or are reserved are not returned.
-func TestDearestMachinesAreSurplus(t *testing.T) {
+func TestMostExpensiveMachinesAreSurplus(t *testing.T) {
 	booting, reserved := upMachine("booting", smallType, false), upMachine("reserved", smallType, false)
 	booting.Up, reserved.Reserved = false, true
 	kept := append(smallMachines("m-1", "m-2"), upMachine("dear", smallType, false), booting, reserved)
@@ -148,7 +148,7 @@
 }
 
 // Of equal machines, those that will be empty with the least idle time are returned.
-func TestMachineThatIsSoonEmptyIsSurplus(t *testing.T) {
+func TestMachineWithLeastIdleTimeIsSurplus(t *testing.T) {
 	machines := smallMachines("late", "soon")
 	machines[0].IdleUntilEmpty, machines[1].IdleUntilEmpty = 100, 10
 	plan := newTestPlanner().Plan(testView(3.2, machines...))
@@ -159,7 +159,7 @@
 
 // A machine is rented for a job that fits on none, however many cores are held; once it is
 // requested, no other one is.
-func TestMachineForJobThatFitsOnNone(t *testing.T) {
+func TestMachineIsRentedForUnplaceableJob(t *testing.T) {
 	view := testView(0, smallMachines("m-1")...)
 	view.PendingJobs = []PendingJob{{Spec: &protocol.Job{Cores: 1, Accelerators: 1}, PendingTasks: 3}}
 	onDemand := Offering{Type: "g8", Zone: "a"}
