--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -44,12 +44,12 @@
 }
 
 const (
-	// lateRunTimeFactor is the multiple of its task duration within which the work of a late job
+	// lateTaskDurations is the multiple of its task duration within which the work of a late job
 	// should start.
-	lateRunTimeFactor = 4
-	// bootTimeMargin is the multiple of the boot time that must be left before work is due for
+	lateTaskDurations = 4
+	// minDueBootTimes is the multiple of the boot time that must be left before work is due for
 	// machines to be rented for it.
-	bootTimeMargin = 1.25
+	minDueBootTimes = 1.25
 )
 
 // RequiredCores returns how many cores should be at work for the jobs to be in time, given that
@@ -72,7 +72,7 @@
 		}
 		required = max(required, min(heldCores, totalWork/(spanSeconds*usableFraction)))
 		shortfall := totalWork - heldCores*spanSeconds*usableFraction
-		if shortfall > 0 && spanSeconds > bootTimeMargin*bootSeconds {
+		if shortfall > 0 && spanSeconds > minDueBootTimes*bootSeconds {
 			required = max(required, heldCores+shortfall/((spanSeconds-bootSeconds)*usableFraction))
 		}
 	}
@@ -115,7 +115,7 @@
 		// had been pending for long, most tasks have yet to run.
 		return untilDue
 	default:
-		return lateRunTimeFactor * job.TaskDuration
+		return lateTaskDurations * job.TaskDuration
 	}
 }
 
