--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -6,55 +6,56 @@
 	"time"
 )
 
-// Job is the planner's view of an open job whose dependencies have all finished. Instants are on
-// the caller's monotonic clock; work is in core seconds.
+// Job is the planner's view of an open job whose dependencies have all finished. Instants are
+// readings of the caller's monotonic clock; work is in core seconds.
 type Job struct {
 	CoresPerTask       float64
 	TaskDuration       time.Duration // expected duration of a task, including the pull of its image
-	RemainingWork      float64       // of the tasks that have not ended
-	FailsEverywhere    bool          // only one task at a time is tried
+	RemainingWork      float64       // work of the tasks that have not ended
+	FailsEverywhere    bool          // its tasks failed on several machines, so only one at a time is tried
 	Due                time.Duration // when the job should be complete
-	EligibleAt         time.Duration // when its SLOs began to count
-	SLOReserve         time.Duration // part of the SLO on starting that the plan does not count on
+	EligibleAt         time.Duration // start of its SLO limits
+	SLOReserve         time.Duration // slack that the plan keeps before Due; 0 without an SLO on starting
 	Started            bool          // some task has started
-	MinShare           float64       // share of the jobs of its class that has to be in time
-	UpcomingDependents []UpcomingJob // jobs that depend on this one alone, once its end is near
+	MinShare           float64       // share of the jobs of its class that must be in time
+	UpcomingDependents []UpcomingJob // jobs that wait only for this one, if it is about to end
 }
 
-// UpcomingJob is a job that will be released soon and then needs machines.
+// UpcomingJob is a job whose last pending dependency is about to finish. It needs machines from
+// then on.
 type UpcomingJob struct {
-	TaskDuration time.Duration
-	DueIn        time.Duration // after the present, if the job started now
-	Work         float64
+	TaskDuration time.Duration // expected duration of a task, including the pull of its image
+	DueIn        time.Duration // time from now until the job would be due if it became eligible now
+	Work         float64       // core seconds
 }
 
-// Demand holds what the demand for cores follows from.
+// Demand is the input from which RequiredCores computes the demand for cores.
 type Demand struct {
 	Now         time.Duration
-	BootTime    time.Duration // of a new machine
-	StartWithin time.Duration // time within which every job should start
+	BootTime    time.Duration // time that a new machine takes to boot
+	StartWithin time.Duration // time from EligibleAt within which every job should start
 	Jobs        []Job
-	Forecast    *Forecast // nil: nothing is planned for jobs that have not arrived
+	Forecast    *Forecast // work of jobs that have not arrived yet; nil: no capacity is planned for it
 }
 
-// workItem is work that is due after a time.
+// workItem is an amount of work and the time left until it is due.
 type workItem struct {
 	dueIn       time.Duration
 	coreSeconds float64
 }
 
 const (
-	// lateTaskDurations is the multiple of its task duration within which the work of a late job
-	// should start.
+	// lateTaskDurations is the number of its task durations over which the work of a late job is
+	// spread.
 	lateTaskDurations = 4
-	// minDueBootTimes is the multiple of the boot time that must be left before work is due for
-	// machines to be rented for it.
+	// minDueBootTimes is the number of boot times that must be left before work is due for machines
+	// to be rented for it.
 	minDueBootTimes = 1.25
 )
 
-// RequiredCores returns how many cores should be at work for the jobs to be in time, given that
-// heldCores are held: all work due by some moment must fit into the time until then. Jobs that are
-// late already add little, as more cores do not help them.
+// RequiredCores returns how many cores the jobs need to be in time, given that heldCores are held:
+// all work due by some moment must fit into the time until then. Cores beyond heldCores are usable
+// only after a boot. Jobs that are already late add little, because more cores do not help them.
 func (d *Demand) RequiredCores(heldCores float64) float64 {
 	items, onTimeShare := d.workItems()
 	usableFraction := usableTimeFraction(onTimeShare)
@@ -79,8 +80,8 @@
 	return required
 }
 
-// workItems returns the work with the time after which it is due, and the mean share of it that has to
-// be in time.
+// workItems returns the work of all jobs and upcoming dependents by the time left until it is due,
+// and the mean share of the jobs' work that must be in time.
 func (d *Demand) workItems() (items []workItem, onTimeShare float64) {
 	onTimeWork, totalWork := 0.0, 0.0
 	for i := range d.Jobs {
@@ -100,7 +101,7 @@
 	return items, onTimeWork / max(totalWork, 1)
 }
 
-// completionSpan returns the time within which the work of a job should be done.
+// completionSpan returns the time from now within which the remaining work of a job should be done.
 func (d *Demand) completionSpan(job *Job) time.Duration {
 	untilDue := job.Due - d.Now
 	span := min(untilDue-job.SLOReserve, job.EligibleAt+d.StartWithin+job.TaskDuration-d.Now)
@@ -110,27 +111,27 @@
 	case !job.Started:
 		return job.TaskDuration
 	case untilDue >= job.TaskDuration:
-		// The reserve is used up, but the SLO can still be met. Treating the job as late would
-		// plan most of its tasks for after it is due: of a job that was started only because it
-		// had been pending for long, most tasks have yet to run.
+		// The reserve is used up, but the SLO can still be met. If the job were treated as late,
+		// most of its tasks would be planned for after the due time: a job that was started only
+		// because it had been pending for long still has most of its tasks to run.
 		return untilDue
 	default:
 		return lateTaskDurations * job.TaskDuration
 	}
 }
 
-// Bounds of the margin that the plan adds to the machine time it counts on.
+// Bounds of the margin of machine time that the plan adds to the time that the work needs.
 const (
-	// maxShareWithoutMargin is the share of work in time up to which there is no margin.
+	// maxShareWithoutMargin is the share of work that must be in time up to which there is no margin.
 	maxShareWithoutMargin = 0.9
-	// maxMargin is the margin if all work has to be in time.
+	// maxMargin is the margin if all work must be in time, as a ratio to the time needed.
 	maxMargin = 0.3
 )
 
 // usableTimeFraction returns the fraction of machine time that the plan counts on if onTimeShare
-// of the work has to be in time. Tasks can be neither split nor interrupted, so a plan that counts
-// on all of the time is late for some work, and for more of it after an outage or a takeover.
-// Where the SLOs allow next to none of that, the additional machines are worth their price.
+// of the work must be in time. Tasks can be neither split nor interrupted, so a plan that counts
+// on all machine time completes some work late, and more of it after an outage or a takeover.
+// Where the SLOs allow almost no late work, the additional machines are worth their price.
 func usableTimeFraction(onTimeShare float64) float64 {
 	return 1 / (1 + max(0, (onTimeShare-maxShareWithoutMargin)/(1-maxShareWithoutMargin))*maxMargin)
 }
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -11,52 +11,53 @@
 	"hitchdoor/internal/storage"
 )
 
-// Forecast estimates the work that will arrive from past arrivals, by class of jobs. Instants are
-// on the caller's monotonic clock.
+// Forecast estimates from past arrivals how much work will arrive, by job class. It keeps sums that
+// decay exponentially over a short and a long window. Instants are readings of the caller's
+// monotonic clock.
 type Forecast struct {
-	lease            time.Duration // of the workers
-	classes          map[string]*classArrivals
-	inheritedWork    float64       // work that arrived under earlier leaders, in core seconds, decaying like recentWork
-	decayedAt        time.Duration // time up to which the sums are decayed
-	sinceLastArrival time.Duration // not counting times in which no job could be stored
-	countingSince    time.Duration // when the counting of arrivals began
+	lease            time.Duration             // worker lease
+	classes          map[string]*classArrivals // by job class
+	inheritedWork    float64                   // core seconds that arrived under earlier leaders; decays like recentWork
+	decayedAt        time.Duration             // instant up to which the sums are decayed
+	sinceLastArrival time.Duration             // without the time in which no job could be stored
+	countingSince    time.Duration             // when the counting of arrivals began
 }
 
-// classArrivals is the work that arrives of one class of jobs.
+// classArrivals holds the decaying sums of the jobs that arrived in one class.
 type classArrivals struct {
-	recentWork   float64       // in core seconds, decaying over the short window
-	longTermWork float64       // in core seconds, decaying over the long window
+	recentWork   float64       // core seconds, decaying over the short window
+	longTermWork float64       // core seconds, decaying over the long window
 	jobCount     float64       // number of jobs, decaying over the long window
-	dueAfter     time.Duration // time from arrival to due time, of the last job
+	dueAfter     time.Duration // time from the arrival of the last job until it was due
 }
 
 const (
-	// shortWindowLeases is the short window, over which the usual load is taken, in worker leases.
+	// shortWindowLeases is the short window, which determines the usual load, in worker leases.
 	shortWindowLeases = 2
-	// longWindowFactor is the ratio of the long window, over which the forecast is taken, to the
+	// longWindowFactor is the ratio of the long window, which determines the expected work, to the
 	// short one.
 	longWindowFactor = 6
-	// toleratedMissingJobs is how many expected jobs may fail to arrive by chance at a steady
-	// rate. Clients that found no node retry within about a lease, so a gap of that length has no
-	// meaning.
+	// toleratedMissingJobs is how many jobs in a row may fail to arrive by chance although the
+	// arrival rate has not changed.
 	toleratedMissingJobs = 3
-	// halfTrustJobs is the number of jobs at which half of the forecast is trusted. The arrivals
-	// of few jobs are mostly random, and machines rented for them cost more than they help.
+	// halfTrustJobs is the number of jobs at which ExpectedWork returns half of the extrapolated
+	// work. The arrivals of few jobs are mostly random, and machines rented for them cost more than
+	// they help.
 	halfTrustJobs = 35
-	// minTrackedJobs is the decayed number of jobs below which a class is forgotten.
+	// minTrackedJobs is the decayed number of jobs below which a class is deleted.
 	minTrackedJobs = 0.01
 )
 
-// NewForecast returns an empty forecast. lease is the worker lease.
+// NewForecast returns a forecast without arrivals. lease is the worker lease.
 func NewForecast(lease time.Duration) *Forecast {
 	return &Forecast{lease: lease, classes: map[string]*classArrivals{}}
 }
 
-// shortWindow returns the short shortWindow, over which the usual load is taken.
+// shortWindow returns the short window, which determines the usual load.
 func (f *Forecast) shortWindow() time.Duration { return shortWindowLeases * f.lease }
 
-// RecordArrival adds the work, in core seconds, of a new job of a class. The job is due dueAfter
-// its arrival.
+// RecordArrival adds the work, in core seconds, of a job that has become eligible. dueAfter is the
+// time from then until the job is due.
 func (f *Forecast) RecordArrival(class string, work float64, dueAfter time.Duration) {
 	arrivals := f.classes[class]
 	if arrivals == nil {
@@ -70,8 +71,8 @@
 	arrivals.dueAfter = max(0, dueAfter) // a job may be late already when its dependencies finish
 }
 
-// DecayTo decays the sums up to now. writable tells whether jobs could be stored since the last
-// call; if not, that time does not count as one without arrivals.
+// DecayTo decays the sums up to now. writable reports whether jobs could be stored since the last
+// call. If not, that time does not count towards the time without arrivals.
 func (f *Forecast) DecayTo(now time.Duration, writable bool) {
 	decayFactor := math.Exp(-(now - f.decayedAt).Seconds() / f.shortWindow().Seconds())
 	longDecayFactor := math.Pow(decayFactor, 1.0/longWindowFactor)
@@ -89,15 +90,15 @@
 	f.decayedAt = now
 }
 
-// longWindowSeconds returns the time that the sums of the long window cover: less than the full
-// window until they have been kept for that long.
+// longWindowSeconds returns the time, in seconds, that the sums over the long window cover. It is
+// shorter than the window until arrivals have been counted for long enough.
 func (f *Forecast) longWindowSeconds() float64 {
 	fullWindow := longWindowFactor * f.shortWindow().Seconds()
 	observed := f.shortWindow().Seconds() + (f.decayedAt - f.countingSince).Seconds()
 	return fullWindow * (1 - math.Exp(-observed/fullWindow))
 }
 
-// JobsSeen returns the number of jobs in the sums of the long window.
+// JobsSeen returns the number of jobs of all classes, decayed over the long window.
 func (f *Forecast) JobsSeen() float64 {
 	jobs := 0.0
 	for _, arrivals := range f.classes {
@@ -106,9 +107,11 @@
 	return jobs
 }
 
-// Confidence returns the share of the usual arrivals that is still expected. Decaying sums outlast
-// the last job by minutes, in which machines were held and even rented for work that did not come.
-// More jobs missing in a row than chance explains lower the confidence.
+// Confidence returns the share of the usual arrivals that is still expected. It is 1 while jobs
+// arrive, and falls once more jobs in a row are missing than chance explains. The sums decay only
+// over minutes after the last job; without this factor, machines were held and even rented in that
+// time for work that never arrived. The first worker lease of a gap does not count, because clients
+// that found no node retry within about a lease.
 func (f *Forecast) Confidence() float64 {
 	missingJobs := f.JobsSeen() / f.longWindowSeconds() * (f.sinceLastArrival - f.lease).Seconds()
 	if missingJobs <= toleratedMissingJobs {
@@ -117,8 +120,8 @@
 	return toleratedMissingJobs / missingJobs
 }
 
-// UsualLoad returns the number of cores that recent arrivals keep busy. The forecast of a new
-// leader begins with what its predecessor held.
+// UsualLoad returns the number of cores that recent arrivals keep busy. For a new leader, it starts
+// from the cores that the predecessor held (InheritLoad).
 func (f *Forecast) UsualLoad() float64 {
 	work := f.inheritedWork
 	for _, arrivals := range f.classes {
@@ -127,9 +130,9 @@
 	return f.Confidence() * work / f.shortWindow().Seconds()
 }
 
-// ExpectedWork returns the work, in core seconds, that should arrive early enough to be due within
-// withinSeconds. It takes precedence over the work that is due then, so capacity has to be left
-// for it.
+// ExpectedWork returns the work, in core seconds, that is expected to arrive early enough to be due
+// within withinSeconds. It takes precedence over work that is due at the end of that time, so the
+// plan must leave capacity for it.
 func (f *Forecast) ExpectedWork(withinSeconds float64) float64 {
 	work := 0.0
 	for _, arrivals := range f.classes {
@@ -140,12 +143,12 @@
 	return f.Confidence() * trust * work / f.longWindowSeconds()
 }
 
-// Empty reports whether no arrivals are known.
+// Empty reports whether no class has arrivals.
 func (f *Forecast) Empty() bool { return len(f.classes) == 0 }
 
-// Snapshot returns what is stored for the next leader, in at most maxBytes. Users choose the names
-// of classes, so their number and length have to be bounded: the classes with the least work are
-// left out. A value over the limit would be refused, and the leader would step down.
+// Snapshot returns the record for the next leader. Users choose the names of classes, so the record
+// would be unbounded: the classes with the least work are left out if it would exceed maxBytes. The
+// store rejects a value over its limit, and the leader would then step down.
 func (f *Forecast) Snapshot(unixMilli int64, maxBytes int) storage.ArrivalForecastRecord {
 	record := storage.ArrivalForecastRecord{
 		RecordedAtMillis: unixMilli,
@@ -171,7 +174,7 @@
 	return record
 }
 
-// Restore replaces the forecast by a stored one, which was made at storedAt.
+// Restore loads the forecast that an earlier leader recorded at storedAt.
 func (f *Forecast) Restore(record storage.ArrivalForecastRecord, storedAt time.Duration) {
 	f.decayedAt = storedAt
 	f.countingSince = storedAt - config.Seconds(record.WindowSeconds)
@@ -183,12 +186,12 @@
 	}
 }
 
-// StartCounting starts the counting of arrivals where no forecast was stored.
+// StartCounting starts the counting of arrivals at now, for a leader that found no stored forecast.
 func (f *Forecast) StartCounting(now time.Duration) { f.decayedAt, f.countingSince = now, now }
 
-// InheritLoad takes the cores that are held at a takeover as the usual load, unless the restored
-// forecast and the arrivals since then amount to more. Arrivals while there was no leader are
-// unknown.
+// InheritLoad raises the usual load at a takeover to the given number of cores, which follows from
+// the machines held, unless the restored forecast and the arrivals since then amount to more.
+// Arrivals while there was no leader are unknown, so the time since the last arrival restarts at 0.
 func (f *Forecast) InheritLoad(cores float64) {
 	f.sinceLastArrival = 0
 	f.inheritedWork = max(0, cores-f.UsualLoad()) * f.shortWindow().Seconds()
--- a/internal/fleet/offering.go
+++ b/internal/fleet/offering.go
@@ -1,6 +1,6 @@
 // Package fleet makes the capacity plan: how many machines to hold, which to rent (scale out) and
-// which to return (scale in), from the open jobs and a demand forecast. It does no I/O and has no
-// clock: the caller passes the time and a view of jobs and machines, and carries out the plan.
+// which to return (scale in), from the open jobs and a forecast of arrivals. It does no I/O and reads
+// no clock: the caller passes the time and a view of jobs and machines, and carries out the plan.
 package fleet
 
 import (
@@ -9,14 +9,15 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Offering is what the cloud can be asked for: a machine type in a zone, spot (preemptible) or on
-// demand.
+// Offering is a kind of machine that the cloud rents out: a machine type in a zone, either spot
+// (preemptible) or on demand.
 type Offering struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// FitsType reports whether a task of a job fits on an empty machine of a type.
+// FitsType reports whether a task of a job fits on an empty machine of a type, in a zone where the
+// type is offered. A type without zones is taken to be offered in all of them.
 func FitsType(job *protocol.Job, machineType *protocol.MachineType) bool {
 	if len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, machineType.Name) {
 		return false
@@ -28,15 +29,15 @@
 		job.Accelerators <= machineType.Accelerators
 }
 
-// Fits reports whether tasks of a job may run on a machine of the offering. machineType is its type,
-// or nil if that is not known.
+// Fits reports whether a task of a job may run on an empty machine of the offering. machineType is
+// the offering's type; if it is nil (not in the catalog), no job fits.
 func (o Offering) Fits(job *protocol.Job, machineType *protocol.MachineType) bool {
 	return machineType != nil && FitsType(job, machineType) &&
 		(job.Zone == "" || job.Zone == o.Zone) && (job.SpotAllowed || !o.Spot)
 }
 
 // MatchesConstraints reports whether the type, zone and spot constraints of a job allow the
-// offering, whatever its size.
+// offering, regardless of the machine's size.
 func (o Offering) MatchesConstraints(job *protocol.Job) bool {
 	return (len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, o.Type)) &&
 		(job.Zone == "" || job.Zone == o.Zone) && (job.SpotAllowed || !o.Spot)
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -10,20 +10,20 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Machine is the planner's view of a machine that is held.
+// Machine is the planner's view of a rented machine.
 type Machine struct {
 	Name           string
 	Offering       Offering
 	Type           *protocol.MachineType
-	Up             bool    // it sends heartbeats
-	Reserved       bool    // capacity on it is reserved for a task
-	IdleUntilEmpty float64 // mean seconds for which a core would be idle until the machine is empty
+	Up             bool    // the machine sends heartbeats and its worker lease has not expired
+	Reserved       bool    // the machine is reserved for a job
+	IdleUntilEmpty float64 // mean seconds for which a core would be idle until the last task ends
 }
 
-// pricePerCore returns the price of the machine per core.
+// pricePerCore returns the current price of the machine per core and hour.
 func (m *Machine) pricePerCore() float64 { return m.Type.PricePerCore(m.Offering.Spot) }
 
-// PendingJob is a job with pending tasks.
+// PendingJob is a job with tasks that are not assigned to a machine.
 type PendingJob struct {
 	Spec         *protocol.Job
 	PendingTasks int
@@ -32,45 +32,49 @@
 // View is the input of a plan.
 type View struct {
 	Now             time.Duration
-	Catalog         map[string]*protocol.MachineType
-	Kept            []*Machine               // held and not draining
-	Draining        []*Machine               // draining as surplus
-	PendingRentals  []protocol.RentalRequest // requested, and not answered yet
+	Catalog         map[string]*protocol.MachineType // by name
+	Kept            []*Machine                       // machines that are not draining
+	Draining        []*Machine                       // machines that are draining as surplus
+	PendingRentals  []protocol.RentalRequest         // rentals that the cloud has not answered
 	Demand          Demand
-	UsualLoad       float64 // cores that are usually busy
-	MeanImageGB     float64
+	UsualLoad       float64      // cores that recent arrivals keep busy
+	MeanImageGB     float64      // mean image size of the runnable jobs
 	PendingJobs     []PendingJob // in scheduling order
-	ScaleOutAllowed bool
-	ScaleInAllowed  bool
+	ScaleOutAllowed bool         // machines may be rented
+	ScaleInAllowed  bool         // surplus machines may be returned
 }
 
-// Plan is a capacity plan: what to do to hold the cores that are needed.
+// Plan is a capacity plan: the cores to hold, and the machines to rent, keep and drain for that.
 type Plan struct {
-	HeldCores, DemandCores, TargetCores float64    // cores
-	CancelDrain                         []*Machine // draining machines to keep after all
+	// HeldCores are the cores of the kept machines, the pending rentals, CancelDrain and ScaleOut.
+	// DemandCores are those that the jobs require. TargetCores are the larger of DemandCores and the
+	// usual load with headroom.
+	HeldCores, DemandCores, TargetCores float64
+	CancelDrain                         []*Machine // draining machines that are needed again
 	ScaleOut                            []Offering // offerings to rent, one entry for each machine
-	Needed, Surplus                     []*Machine // kept machines that are needed, and those to drain
+	Needed, Surplus                     []*Machine // machines to keep, and those to drain
 }
 
 // Settings are the settings of a planner.
 type Settings struct {
 	Headroom float64 // spare cores, as a ratio to the usual load
-	// CostSensitivity determines how much less headroom is held on more expensive machines: it is scaled
-	// by (lowest price / price) to this power.
+	// CostSensitivity determines how much less is held on more expensive machines: the usual load
+	// with its headroom is scaled by (lowest price / price) to this power.
 	CostSensitivity float64
-	Lease           time.Duration // of the workers
+	Lease           time.Duration // worker lease
 }
 
-// Planner makes capacity plans. It remembers which offerings had no capacity.
+// Planner makes capacity plans. Between plans, it keeps only the backoffs of offerings that had no
+// capacity.
 type Planner struct {
 	settings Settings
 	backoffs map[Offering]*capacityBackoff
 }
 
-// capacityBackoff is the time for which an offering without capacity is left out.
+// capacityBackoff excludes an offering that had no capacity from new rentals for some time.
 type capacityBackoff struct {
-	until    time.Duration
-	refusals int
+	until    time.Duration // end of the backoff
+	refusals int           // consecutive refusals, at most maxBackoffLeases
 }
 
 const (
@@ -78,17 +82,18 @@
 	maxMachinesPerPlan = 50
 	// maxBackoffLeases bounds the backoff of an offering, in worker leases.
 	maxBackoffLeases = 3
-	// minMachineFraction is the fraction of a machine that must be needed for a whole one to be
-	// held.
+	// minMachineFraction is the fraction of a machine's cores that must be needed for the machine
+	// to be rented or kept.
 	minMachineFraction = 0.25
 )
 
-// NewPlanner returns a planner to which all offerings are available.
+// NewPlanner returns a planner without backoffs.
 func NewPlanner(settings Settings) *Planner {
 	return &Planner{settings: settings, backoffs: map[Offering]*capacityBackoff{}}
 }
 
-// MarkUnavailable leaves out an offering for a while, longer after each refusal.
+// MarkUnavailable excludes an offering from new rentals after the cloud had no capacity for it: for
+// one worker lease, and for one more after each further refusal, up to maxBackoffLeases.
 func (p *Planner) MarkUnavailable(offering Offering, now time.Duration) {
 	backoff := p.backoffs[offering]
 	if backoff == nil {
@@ -99,11 +104,11 @@
 	backoff.until = now + p.settings.Lease*time.Duration(backoff.refusals)
 }
 
-// MarkAvailable ends the backoff of an offering that had capacity.
+// MarkAvailable ends the backoff of an offering for which the cloud had capacity.
 func (p *Planner) MarkAvailable(offering Offering) { delete(p.backoffs, offering) }
 
-// Plan compares the cores held with those needed and returns what to rent, what to keep and what
-// is surplus.
+// Plan compares the cores held with those needed and returns which machines to rent, to keep and to
+// drain.
 func (p *Planner) Plan(view *View) *Plan {
 	builder := &planBuilder{
 		planner: p, view: view, plan: &Plan{},
@@ -127,16 +132,16 @@
 	return builder.plan
 }
 
-// planBuilder is a plan that is being made.
+// planBuilder holds the state of one call of Planner.Plan.
 type planBuilder struct {
 	planner            *Planner
 	view               *View
 	plan               *Plan
-	kept               []*Machine
-	lowestPricePerCore float64 // of all offerings
+	kept               []*Machine // machines to keep, until scaleIn selects the surplus
+	lowestPricePerCore float64    // lowest price per core and hour in the catalog
 }
 
-// countHeldCores adds up the cores that are held or requested.
+// countHeldCores adds up the cores of the kept machines and of the pending rentals.
 func (b *planBuilder) countHeldCores() {
 	for _, machine := range b.view.Kept {
 		b.plan.HeldCores += machine.Type.Cores
@@ -148,16 +153,17 @@
 	}
 }
 
-// targetCoresAtPrice returns the number of cores up to which machines of a price are worth holding:
-// the more expensive they are, the less headroom is held on them.
+// targetCoresAtPrice returns the number of cores up to which machines at a price per core are held.
+// The usual load with its headroom is scaled down for more expensive machines; the cores that the
+// jobs require are held at any price.
 func (b *planBuilder) targetCoresAtPrice(pricePerCore float64) float64 {
 	settings := &b.planner.settings
 	headroomShare := math.Pow(b.lowestPricePerCore/pricePerCore, settings.CostSensitivity)
 	return max(b.plan.DemandCores, b.view.UsualLoad*(1+settings.Headroom)*headroomShare)
 }
 
-// cancelDrains keeps draining machines that are needed, before anything is rented, the cheapest
-// first.
+// cancelDrains cancels the drain of machines that are needed, the cheapest first. It runs before
+// machines are rented, so that none is rented while a draining one can serve.
 func (b *planBuilder) cancelDrains() {
 	draining := slices.Clone(b.view.Draining)
 	slices.SortStableFunc(draining, func(a, b *Machine) int { return cmp.Compare(a.pricePerCore(), b.pricePerCore()) })
@@ -171,7 +177,8 @@
 	}
 }
 
-// scaleOutToTarget rents machines up to the target.
+// scaleOutToTarget adds rentals until the target is reached, no offering is available, or the best
+// available one is too expensive to hold more of it.
 func (b *planBuilder) scaleOutToTarget() {
 	for len(b.plan.ScaleOut) < maxMachinesPerPlan && b.plan.HeldCores < b.plan.TargetCores {
 		offering, machineType := b.chooseOffering(nil, b.plan.TargetCores-b.plan.HeldCores)
@@ -179,7 +186,7 @@
 			return
 		}
 		missingCores := b.targetCoresAtPrice(machineType.PricePerCore(offering.Spot)) - b.plan.HeldCores
-		if missingCores <= machineType.Cores*minMachineFraction { // as in scaleIn
+		if missingCores <= machineType.Cores*minMachineFraction { // the same threshold as in scaleIn
 			return
 		}
 		b.plan.ScaleOut = append(b.plan.ScaleOut, offering)
@@ -187,8 +194,8 @@
 	}
 }
 
-// scaleOutForUnplaceableJobs rents machines for the jobs that fit on none that is held or
-// requested.
+// scaleOutForUnplaceableJobs adds a rental for each pending job that fits on no machine that is held,
+// requested or already in the plan.
 func (b *planBuilder) scaleOutForUnplaceableJobs() {
 	for _, pending := range b.view.PendingJobs {
 		if len(b.plan.ScaleOut) >= maxMachinesPerPlan {
@@ -205,7 +212,8 @@
 	}
 }
 
-// placeable reports whether a job fits on a machine that is held, requested, or about to be.
+// placeable reports whether a task of a job would fit on a machine that is kept, requested or in the
+// plan if that machine were empty.
 func (b *planBuilder) placeable(job *protocol.Job) bool {
 	for _, machine := range b.kept {
 		if machine.Offering.Fits(job, machine.Type) {
@@ -221,8 +229,9 @@
 	return slices.ContainsFunc(b.plan.ScaleOut, fits)
 }
 
-// chooseOffering returns the offering with the lowest cost per used core, for one job, or for any
-// if the job is nil. The machine type is nil if no offering is available.
+// chooseOffering returns the available offering with the lowest cost per used core on which the job
+// fits; a nil job fits on all. cores is the number of cores needed. The machine type is nil if there
+// is no such offering.
 func (b *planBuilder) chooseOffering(job *protocol.Job, cores float64) (Offering, *protocol.MachineType) {
 	var best Offering
 	var bestType *protocol.MachineType
@@ -247,16 +256,17 @@
 	return best, bestType
 }
 
-// costPerUsedCore returns the price of each core that would be used. It includes the time in which
-// the machine boots and pulls its first image, which costs money while work waits.
+// costPerUsedCore returns the price per hour of each core that would be used if cores are needed. It
+// includes the time in which the machine boots and pulls its first image, because that time is paid
+// for while work waits.
 func (b *planBuilder) costPerUsedCore(machineType *protocol.MachineType, spot bool, cores float64) float64 {
 	startupSeconds := machineType.BootSeconds + b.view.MeanImageGB/machineType.PullGBPerSecond
 	windowSeconds := shortWindowLeases * b.planner.settings.Lease.Seconds()
 	return machineType.Price(spot) * (1 + startupSeconds/windowSeconds) / min(machineType.Cores, max(cores, 1))
 }
 
-// scaleIn selects surplus machines: the most expensive first, and of equal ones those with the
-// least idle time until they are empty.
+// scaleIn selects surplus machines: the most expensive first, and at the same price those with the
+// least idle time until they are empty. Booting and reserved machines are never surplus.
 func (b *planBuilder) scaleIn() {
 	slices.SortStableFunc(b.kept, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(b.pricePerCore(), a.pricePerCore()), cmp.Compare(a.IdleUntilEmpty, b.IdleUntilEmpty))
