--- a/internal/fleet/forecast_test.go
+++ b/internal/fleet/forecast_test.go
@@ -10,11 +10,11 @@
 	"hitchdoor/internal/storage"
 )
 
-// testLease is the worker lease of the tests.
+// testLease is the worker lease in the tests.
 const testLease = 20 * time.Second
 
-// steadyForecast returns a forecast that has seen one job a second until the instant that is
-// returned with it.
+// steadyForecast returns a forecast after 120 s with one job a second, and the instant of the last
+// arrival.
 func steadyForecast() (*Forecast, time.Duration) {
 	forecast := NewForecast(testLease)
 	now := time.Duration(0)
@@ -26,34 +26,37 @@
 	return forecast, now
 }
 
-// The sums of the forecast decay over minutes. Once far more jobs in a row fail to arrive than
-// chance explains, less is expected; but a gap while no job could be stored, or for the time in
-// which clients retry, has no meaning.
+// The sums of the forecast decay only over minutes, so machines were held for work that never came.
+// Once more jobs in a row are missing than chance explains, less work is expected. A gap while no job
+// could be stored, or within the time in which clients retry, does not count.
 func TestConfidenceDropsWhenArrivalsStop(t *testing.T) {
 	forecast, now := steadyForecast()
 	steady, expected := forecast.UsualLoad(), forecast.ExpectedWork(100)
 	if forecast.Confidence() != 1 || steady == 0 || expected == 0 {
-		t.Fatalf("jobs arrive: confidence %v, usual load %v, expected work %v", forecast.Confidence(), steady, expected)
+		t.Fatalf("while jobs arrive: confidence %v, expected 1; usual load %v and expected work %v, neither may be 0",
+			forecast.Confidence(), steady, expected)
 	}
 	now += 2 * testLease
 	if forecast.DecayTo(now, false); forecast.Confidence() != 1 {
-		t.Error("a gap in an outage of the store counts")
+		t.Error("the confidence dropped after a gap during a store outage, expected 1")
 	}
 	now += testLease
 	if forecast.DecayTo(now, true); forecast.Confidence() != 1 {
-		t.Error("clients have had no time to retry")
+		t.Error("the confidence dropped within the time in which clients retry, expected 1")
 	}
 	now += testLease
 	if forecast.DecayTo(now, true); forecast.Confidence() > 0.4 || forecast.ExpectedWork(100) > expected/3 {
-		t.Errorf("two leases without a job: confidence %v, expected work %v of %v", forecast.Confidence(), forecast.ExpectedWork(100), expected)
+		t.Errorf("after two leases without a job: confidence %v, may be at most 0.4; "+
+			"expected work %v, may be at most a third of %v", forecast.Confidence(), forecast.ExpectedWork(100), expected)
 	}
 	forecast.RecordArrival("c", 10, 30*time.Second)
 	if forecast.Confidence() != 1 {
-		t.Error("no confidence after the next job")
+		t.Error("the confidence is below 1 after the next job")
 	}
 }
 
-// Only work that arrives early enough to be due within the time is expected in it.
+// Work counts towards a time only if it arrives early enough to be due within it. Otherwise capacity
+// would be held for work that may run later.
 func TestExpectedWorkIsDueInTime(t *testing.T) {
 	forecast := NewForecast(testLease)
 	for second := range 60 {
@@ -65,14 +68,15 @@
 		}
 	}
 	if got := forecast.ExpectedWork(200); got <= 0 {
-		t.Errorf("expected within 200 s: %v", got)
+		t.Errorf("expected work due within 200 s is %v, must be above 0", got)
 	}
 	if got := forecast.ExpectedWork(50); got != 0 {
-		t.Errorf("expected within 50 s: %v", got)
+		t.Errorf("expected work due within 50 s is %v, must be 0", got)
 	}
 }
 
-// The arrivals of few jobs are mostly random, so little is expected from them.
+// The arrivals of few jobs are mostly random. If they were extrapolated like those of many, machines
+// would be rented for work that may never arrive.
 func TestFewJobsAreNotTrusted(t *testing.T) {
 	few, many := NewForecast(testLease), NewForecast(testLease)
 	few.RecordArrival("c", 100, 0)
@@ -80,11 +84,13 @@
 		many.RecordArrival("c", 1, 0)
 	}
 	if few.ExpectedWork(100) > many.ExpectedWork(100)/1000 {
-		t.Errorf("expected after one job %v, after a hundred of the same work %v", few.ExpectedWork(100), many.ExpectedWork(100))
+		t.Errorf("expected work %v after one job, may be at most a thousandth of the %v after 100 jobs "+
+			"with the same total work", few.ExpectedWork(100), many.ExpectedWork(100))
 	}
 }
 
-// The next leader starts from the forecast of its predecessor.
+// The next leader starts from the forecast of its predecessor, although its clock shows another time.
+// Without the record, each leader would have to learn the arrivals again.
 func TestRestoredForecastMatchesPredecessor(t *testing.T) {
 	forecast, now := steadyForecast()
 	record := forecast.Snapshot(0, math.MaxInt)
@@ -92,20 +98,20 @@
 	restoredAt := 7 * time.Second // on the clock of the next leader
 	restored.Restore(record, restoredAt)
 	if got, want := restored.ExpectedWork(100), forecast.ExpectedWork(100); math.Abs(got-want) > want/1e6 {
-		t.Errorf("expected work %v, of the predecessor %v", got, want)
+		t.Errorf("restored expected work %v, predecessor's %v", got, want)
 	}
 	if got, want := restored.JobsSeen(), forecast.JobsSeen(); got != want {
-		t.Errorf("%v jobs seen, by the predecessor %v", got, want)
+		t.Errorf("restored number of jobs %v, predecessor's %v", got, want)
 	}
 	forecast.DecayTo(now+testLease, true)
 	restored.DecayTo(restoredAt+testLease, true)
 	if got, want := restored.UsualLoad(), forecast.UsualLoad(); math.Abs(got-want) > want/1e6 {
-		t.Errorf("usual load a lease later %v, of the predecessor %v", got, want)
+		t.Errorf("restored usual load after one more lease %v, predecessor's %v", got, want)
 	}
 }
 
-// However many classes there are and long their names, the stored forecast fits its limit, and the
-// classes with the most work are kept.
+// Users choose the names of classes. However many and long they are, the record stays within its
+// limit, because the store would reject a larger value. The classes with the most work are kept.
 func TestSnapshotFitsItsLimit(t *testing.T) {
 	forecast := NewForecast(testLease)
 	for i := range 300 {
@@ -114,44 +120,47 @@
 	const maxBytes = 8 << 10
 	record := forecast.Snapshot(1_000, maxBytes)
 	if size := len(storage.Encode(record)); size > maxBytes || size < maxBytes/2 {
-		t.Errorf("%d bytes of at most %d", size, maxBytes)
+		t.Errorf("record of %d bytes, expected at most %d and at least half of that", size, maxBytes)
 	}
 	if record.RecordedAtMillis != 1_000 {
-		t.Errorf("recorded at %d", record.RecordedAtMillis)
+		t.Errorf("recorded at %d ms, expected 1000", record.RecordedAtMillis)
 	}
 	for i := range len(record.Classes) {
 		if _, kept := record.Classes[strings.Repeat("x", 100)+fmt.Sprint(299-i)]; !kept {
-			t.Errorf("%d classes are stored, without number %d by work", len(record.Classes), i)
+			t.Errorf("%d classes are stored, but not the one at index %d in descending order of work", len(record.Classes), i)
 		}
 	}
 }
 
-// A class without arrivals is forgotten in the end.
+// A class without arrivals is deleted once its sums have decayed. Otherwise every class name ever
+// used would stay in memory and in the record.
 func TestClassWithoutArrivalsIsDeleted(t *testing.T) {
 	forecast, now := steadyForecast()
 	if forecast.Empty() {
-		t.Error("empty after 120 jobs")
+		t.Error("the forecast is empty after 120 jobs")
 	}
 	if forecast.DecayTo(now+time.Hour, true); !forecast.Empty() || forecast.UsualLoad() != 0 {
-		t.Errorf("an hour later: %v jobs seen, usual load %v", forecast.JobsSeen(), forecast.UsualLoad())
+		t.Errorf("an hour after the last job: %v jobs seen, usual load %v, expected none and 0",
+			forecast.JobsSeen(), forecast.UsualLoad())
 	}
 }
 
-// The cores held at a takeover are the usual load, unless the arrivals amount to more.
+// The cores held at a takeover are taken as the usual load, unless the arrivals amount to more. A new
+// leader without a record would otherwise return the machines of its predecessor.
 func TestInheritedLoad(t *testing.T) {
 	forecast := NewForecast(testLease)
 	forecast.StartCounting(time.Minute)
 	forecast.InheritLoad(50)
 	if got := forecast.UsualLoad(); got != 50 {
-		t.Errorf("usual load %v after a takeover with 50 cores", got)
+		t.Errorf("usual load %v after a takeover with 50 cores, expected 50", got)
 	}
 	forecast.DecayTo(time.Minute+forecast.shortWindow(), true)
 	if got, want := forecast.UsualLoad(), 50/math.E; math.Abs(got-want) > 1e-9 {
-		t.Errorf("usual load %v a window later, not %v", got, want)
+		t.Errorf("usual load %v one short window after the takeover, expected %v", got, want)
 	}
 	busy, _ := steadyForecast()
 	load := busy.UsualLoad()
 	if busy.InheritLoad(load / 2); busy.UsualLoad() != load {
-		t.Errorf("usual load %v, and %v once half of it is inherited", load, busy.UsualLoad())
+		t.Errorf("usual load %v became %v after half of it was inherited, expected no change", load, busy.UsualLoad())
 	}
 }
