--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the machine types that the cloud offers, and decides when to read them again.
-// It does no I/O.
+// Package catalog keeps the machine types that the cloud offers, and decides when to request them
+// again. It does no I/O: its host sends the requests.
 package catalog
 
 import (
@@ -15,26 +15,26 @@
 	"hitchdoor/internal/storage"
 )
 
-// Catalog holds the machine types that the cloud offers, and reads them from the cloud at
-// intervals. Every node has one, as every node decides whether a submitted job fits some type.
+// Catalog holds the machine types that the cloud offers, and requests them from the cloud
+// repeatedly. Every node has a catalog, as every node decides whether a submitted job fits some type.
 type Catalog struct {
 	host        Host
 	log         *slog.Logger
-	workerLease time.Duration // the intervals are multiples of it
+	workerLease time.Duration // unit of the read intervals
 
 	Types map[string]*protocol.MachineType // by name; nil: not known yet
-	// Confirmed tells that the types were read from the cloud with none missing, and are not those
-	// of an earlier leader's record.
+	// Confirmed is true if the types are exactly those of the last catalog from the cloud. It is false
+	// while they come from the record of an earlier leader or include missingTypes.
 	Confirmed bool
-	// missingTypes are the known types that the last catalog lacked. A type is removed only
-	// when two catalogs in a row lack it.
+	// missingTypes are the types that are kept although the last catalog from the cloud lacked them.
+	// A type is removed only when two catalogs in a row lack it.
 	missingTypes map[string]bool
 
-	RequestedAt     clock.Instant
+	RequestedAt     clock.Instant // when the cloud's catalog was last requested; never: not yet
 	requestInFlight bool
 }
 
-// Host is what the catalog needs from its node.
+// Host is the node of a catalog. It provides the time and the access to the cloud and the store.
 type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
@@ -43,24 +43,27 @@
 	// TakeCloudRequest reports whether the budget allows a request to the cloud now, and takes it
 	// from the budget.
 	TakeCloudRequest() bool
-	// ReadFromCloud reads a resource of the cloud.
+	// ReadFromCloud requests a resource of the cloud, and calls onResponse with the response. Its
+	// status is 0 if no usable response arrives within the timeout.
 	ReadFromCloud(path string, timeout time.Duration, onResponse func(protocol.CloudResponse))
-	// ReadFromStore reads a record of the key-value store.
+	// ReadFromStore requests a record of the key-value store, and calls onResponse with the response.
+	// Its status is 0 if no usable response arrives.
 	ReadFromStore(key string, onResponse func(storage.Response))
-	// MachineTypesChanged is called after the machine types were replaced.
+	// MachineTypesChanged updates what the node derives from the machine types. It is called after
+	// each replacement of the types.
 	MachineTypesChanged()
 }
 
-// Intervals at which the catalog is read, as multiples or parts of a worker lease.
+// Intervals between reads of the cloud's catalog, in worker leases or as a number per worker lease.
 const (
 	unconfirmedReadsPerLease  = 10 // until a catalog is confirmed
 	missingTypesReadLeases    = 1  // after a catalog that lacked known types
 	leaderCatalogReadLeases   = 4  // on the leader, whose plans depend on prices
-	followerCatalogReadLeases = 16
-	catalogTimeoutsPerLease   = 4
+	followerCatalogReadLeases = 16 // on all other nodes
+	catalogTimeoutsPerLease   = 4  // read timeouts that fit into a worker lease
 )
 
-// New returns a catalog of which nothing is known yet.
+// New returns a catalog without machine types. Tick requests them.
 func New(host Host, log *slog.Logger, workerLease time.Duration) *Catalog {
 	return &Catalog{
 		host: host, log: log, workerLease: workerLease,
@@ -68,11 +71,12 @@
 	}
 }
 
-// Known reports whether any machine types are known.
+// Known reports whether machine types have been read, from the cloud or from the store.
 func (c *Catalog) Known() bool { return c.Types != nil }
 
-// Tick reads the cloud's catalog when the last one is too old. Until a catalog is known, it also
-// reads the one that an earlier leader stored.
+// Tick requests the cloud's catalog once the read interval has passed since the last request, within
+// the request budget. While no types are known, it also reads the catalog that an earlier leader
+// stored.
 func (c *Catalog) Tick() {
 	if c.requestInFlight {
 		return
@@ -90,7 +94,7 @@
 	}
 }
 
-// readInterval returns how long after a read the next one follows.
+// readInterval returns the time between two requests of the cloud's catalog.
 func (c *Catalog) readInterval() time.Duration {
 	switch {
 	case len(c.missingTypes) > 0:
@@ -104,20 +108,21 @@
 	}
 }
 
-// onCloudResponse applies a catalog read from the cloud.
+// onCloudResponse processes the cloud's response to a catalog request. A failed read changes nothing
+// and is repeated after the read interval.
 func (c *Catalog) onCloudResponse(response protocol.CloudResponse) {
 	c.requestInFlight = false
 	var catalog protocol.Catalog
 	if !response.Decode(&catalog) || len(catalog.Types) == 0 {
-		c.log.Debug("catalog read failed", "status", response.Status)
+		c.log.Debug("reading the machine types from the cloud failed", "status", response.Status)
 		return
 	}
 	c.merge(catalog)
 }
 
-// merge applies a catalog read from the cloud. A known type that is missing from one catalog is
-// kept until the next one lacks it too, because a job that fits only that type would be rejected
-// permanently.
+// merge replaces the known types by those of a catalog from the cloud, but keeps a known type that is
+// missing for the first time: a job that fits only that type would be rejected permanently. The type
+// is removed if the next catalog lacks it too.
 func (c *Catalog) merge(catalog protocol.Catalog) {
 	missing := map[string]bool{}
 	if c.Confirmed || len(c.missingTypes) > 0 {
@@ -137,7 +142,8 @@
 	c.replaceTypes(catalog)
 }
 
-// replaceTypes replaces the known machine types.
+// replaceTypes replaces the known machine types by the usable ones of a catalog, and notifies the
+// host.
 func (c *Catalog) replaceTypes(catalog protocol.Catalog) {
 	usable := catalog.UsableTypes()
 	c.Types = make(map[string]*protocol.MachineType, len(usable))
@@ -147,8 +153,9 @@
 	c.host.MachineTypesChanged()
 }
 
-// readStored loads the machine types that an earlier leader stored. Without them, a cluster that
-// restarts during an outage of the cloud could neither accept jobs nor use its machines.
+// readStored loads the machine types that an earlier leader stored, unless others are known by the
+// time that they arrive. Without them, a cluster that restarts during an outage of the cloud could
+// neither accept jobs nor use its machines.
 func (c *Catalog) readStored() {
 	c.host.ReadFromStore(storage.CatalogKey, func(response storage.Response) {
 		var item storage.Item
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -20,7 +20,8 @@
 func (offlineCatalogHost) ReadFromStore(_ string, _ func(storage.Response))                        {}
 func (offlineCatalogHost) MachineTypesChanged()                                                    {}
 
-// A type that one catalogue lacks is believed to be there until the next one lacks it too.
+// A known type is removed only when two catalogs in a row lack it. If one incomplete catalog removed
+// it, jobs that fit only that type would be rejected permanently.
 func TestMissingTypeIsRemovedAfterTwoCatalogs(t *testing.T) {
 	catalog := New(offlineCatalogHost{}, slog.New(slog.DiscardHandler), time.Minute)
 	cloudCatalog := func(names ...string) protocol.Catalog {
@@ -43,7 +44,8 @@
 	} {
 		catalog.merge(cloudCatalog(step.names...))
 		if (catalog.Types["g8"] != nil) != step.known || catalog.Confirmed != step.confirmed {
-			t.Errorf("step %d: known %v, sure %v", i, catalog.Types["g8"] != nil, catalog.Confirmed)
+			t.Errorf("step %d: type g8 is known: %v, expected %v; catalog is confirmed: %v, expected %v",
+				i, catalog.Types["g8"] != nil, step.known, catalog.Confirmed, step.confirmed)
 		}
 	}
 }
