--- a/internal/autoscaler/cloud_calls.go
+++ b/internal/autoscaler/cloud_calls.go
@@ -17,8 +17,8 @@
 const (
 	// cloudTimeoutsPerLease is how many timeouts of a cloud call fit into a worker lease.
 	cloudTimeoutsPerLease = 4
-	// minCloudBackoffsPerLease is how many of the shortest backoffs fit into a worker lease.
-	minCloudBackoffsPerLease = 16
+	// baseBackoffsPerLease is how many of the shortest backoffs fit into a worker lease.
+	baseBackoffsPerLease = 16
 	// maxCountedFailures bounds the number of times that the backoff is doubled.
 	maxCountedFailures = 4
 )
@@ -49,7 +49,7 @@
 // recordFailure backs off after a call that the cloud did not answer or refused.
 func (c *cloudCalls) recordFailure(status int) {
 	c.consecutiveFailures = min(c.consecutiveFailures+1, maxCountedFailures)
-	backoff := (c.state.Config.WorkerLease() / minCloudBackoffsPerLease) << c.consecutiveFailures
+	backoff := (c.state.Config.WorkerLease() / baseBackoffsPerLease) << c.consecutiveFailures
 	c.retryAt = c.state.Clock.Now() + backoff
 	c.state.Log.Debug("cloud request failed", "status", status)
 }
--- a/internal/autoscaler/consolidation.go
+++ b/internal/autoscaler/consolidation.go
@@ -6,9 +6,9 @@
 	"hitchdoor/internal/cluster"
 )
 
-// minIdleToMoveRatio is how many times as long as its move a task, and the idle cores of its
+// minGainToMoveCostRatio is how many times as long as its move a task, and the idle cores of its
 // machine, would have to go on for the move to be worth it.
-const minIdleToMoveRatio = 2
+const minGainToMoveCostRatio = 2
 
 // Consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
 // if all of them write checkpoints, other machines have room for them, and both the tasks and the
@@ -67,7 +67,7 @@
 		longestMove = max(longestMove, moveSeconds)
 	}
 	idleCoreSeconds := a.state.IdleUntilEmpty(machine) * machine.MachineType.Cores
-	return longestRemaining >= minIdleToMoveRatio*longestMove && idleCoreSeconds >= minIdleToMoveRatio*moveCost
+	return longestRemaining >= minGainToMoveCostRatio*longestMove && idleCoreSeconds >= minGainToMoveCostRatio*moveCost
 }
 
 // isMovable reports whether an attempt writes checkpoints, and has run for long enough that its
