--- a/internal/autoscaler/arrival_forecast.go
+++ b/internal/autoscaler/arrival_forecast.go
@@ -9,8 +9,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// ArrivalForecast keeps the forecast of arriving work up to date, and stores it for the next
-// leader.
+// ArrivalForecast connects fleet.Forecast to the leader: it records the arrivals of jobs, and stores
+// the forecast for the next leader.
 type ArrivalForecast struct {
 	*fleet.Forecast
 	state     *cluster.State
@@ -19,18 +19,18 @@
 	store     StoreHealth
 
 	savedAt    clock.Instant // when the forecast was last stored
-	restoredAt clock.Instant // time of the stored forecast that was restored; never: there was none
+	restoredAt clock.Instant // when the restored forecast was recorded; never: none was restored
 }
 
 const (
 	// forecastSaveIntervalLeases is the interval at which the forecast is stored, in worker leases.
 	forecastSaveIntervalLeases = 2
-	// forecastValueDivisor limits the stored forecast to this fraction, one in so many, of the
-	// largest value.
+	// forecastValueDivisor is the ratio of the maximum size of a value in the store to the maximum
+	// size of the stored forecast.
 	forecastValueDivisor = 2
 )
 
-// newArrivalForecast returns an empty forecast.
+// newArrivalForecast returns a forecast without arrivals.
 func newArrivalForecast(options Options) *ArrivalForecast {
 	state := options.State
 	return &ArrivalForecast{
@@ -39,17 +39,19 @@
 	}
 }
 
-// recordArrival adds the work of a new job.
+// recordArrival adds the work of a job that has become eligible.
 func (f *ArrivalForecast) recordArrival(job *cluster.Job) {
 	f.Decay()
 	work := float64(job.Spec.TaskCount) * job.Spec.Cores * f.state.ExpectedTaskDuration(job).Seconds()
 	f.RecordArrival(job.Spec.Class, work, f.state.Due(job)-job.EligibleAt)
 }
 
-// Decay decays the forecast up to the present.
+// Decay decays the forecast up to the present time. Time in which the store fails does not count as
+// time without arrivals, because no job can be accepted then.
 func (f *ArrivalForecast) Decay() { f.DecayTo(f.state.Clock.Now(), !f.store.StoreFailing()) }
 
-// save stores the forecast for the next leader at regular intervals.
+// save queues a write of the forecast for the next leader, at regular intervals. The record is built
+// when it is written.
 func (f *ArrivalForecast) save() {
 	now := f.state.Clock.Now()
 	if now < f.savedAt+forecastSaveIntervalLeases*f.state.Config.WorkerLease() || f.Empty() {
@@ -69,11 +71,11 @@
 		if item.Key != storage.ArrivalForecastKey {
 			continue
 		}
-		// The version is needed in any case, as a record that can't be read is overwritten.
+		// The revision is needed in any case, because a record that can't be decoded is overwritten.
 		f.records.SetModRevision(item.Key, item.ModRevision)
 		var record storage.ArrivalForecastRecord
 		if err := json.Unmarshal(item.Value, &record); err != nil {
-			f.state.Log.Warn("stored forecast unreadable", "error", err)
+			f.state.Log.Warn("stored arrival forecast can't be decoded, starting without it", "error", err)
 			continue
 		}
 		f.restoredAt = min(f.wallClock.InstantFromUnixMilli(record.RecordedAtMillis), f.state.Clock.Now())
@@ -82,8 +84,9 @@
 	}
 }
 
-// inheritUsualLoad takes the cores held at a takeover as the usual load, unless the restored
-// forecast and the arrivals since then amount to more.
+// inheritUsualLoad completes the forecast at a takeover. It adds the jobs that became eligible after
+// the restored forecast was recorded, and then takes the cores held, without headroom, as the usual
+// load, unless the forecast amounts to more.
 func (f *ArrivalForecast) inheritUsualLoad() {
 	heldCores := 0.0
 	for _, machine := range f.state.Machines {
@@ -94,8 +97,8 @@
 	if f.Empty() {
 		f.StartCounting(f.state.Clock.Now())
 	}
-	// Jobs accepted after the forecast was stored count as arrivals too, as do those submitted
-	// before there was a first leader.
+	// Jobs that became eligible after the forecast was stored are arrivals too, and so are those
+	// that were submitted before there was a first leader.
 	for _, job := range f.state.JobsByAge() {
 		if job.EligibleAt > f.restoredAt {
 			f.recordArrival(job)
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,5 +1,6 @@
-// Package autoscaler rents machines from the cloud and returns them: it has package fleet make a
-// capacity plan at regular intervals and carries it out. It does no I/O and has no clock.
+// Package autoscaler rents machines from the cloud and returns them. At regular intervals, it has
+// package fleet make a capacity plan, and carries out the plan. It does no I/O and reads no clock
+// itself: its owner provides both.
 package autoscaler
 
 import (
@@ -11,8 +12,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// Autoscaler rents machines from the cloud and returns them: it has a capacity plan made at
-// regular intervals and carries it out. It belongs to one term of one leader.
+// Autoscaler rents machines from the cloud and returns them, by capacity plans that it makes at
+// regular intervals. It belongs to one term of one leader.
 type Autoscaler struct {
 	state    *cluster.State
 	records  RecordWriter
@@ -27,13 +28,13 @@
 	listing      *machineListing
 	Forecast     *ArrivalForecast
 	costs        costAccount
-	planLoggedAt clock.Instant
+	planLoggedAt clock.Instant // when a plan was last logged; never: not yet
 }
 
 // Options are the dependencies of an autoscaler.
 type Options struct {
 	State     *cluster.State
-	Term      uint64 // of the leader
+	Term      uint64 // term of the leader; part of the request IDs of rentals
 	Cloud     CloudClient
 	Records   RecordWriter
 	Recovery  RecoveryLimits
@@ -43,11 +44,11 @@
 	Store     StoreHealth
 }
 
-// capacityPlanning holds the planner, and what is kept of the last plan.
+// capacityPlanning holds the planner, and the time and target of the last plan.
 type capacityPlanning struct {
 	planner     *fleet.Planner
-	plannedAt   clock.Instant // when the last plan was made; never: a new plan is due
-	targetCores float64       // cores to hold
+	plannedAt   clock.Instant // when the last plan was made; never: a new plan is due at once
+	targetCores float64       // number of cores that the last plan aims to hold
 }
 
 // Defaults of fleet.Settings.CostSensitivity.
@@ -55,18 +56,18 @@
 	// startSLOCostSensitivity applies if some SLO on starting is so short that only machines that
 	// are up already can meet it.
 	startSLOCostSensitivity = 0.3
-	// defaultCostSensitivity applies otherwise.
+	// defaultCostSensitivity applies if all SLOs on starting leave the time to boot a machine.
 	defaultCostSensitivity = 2
 )
 
 const (
-	// plansPerHeartbeat is how many capacity plans are made per heartbeat interval.
+	// plansPerHeartbeat is the number of capacity plans per heartbeat interval.
 	plansPerHeartbeat = 2
-	// planLogsPerLease limits the log lines on capacity plans per worker lease.
+	// planLogsPerLease is the maximum number of log lines on capacity plans per worker lease.
 	planLogsPerLease = 4
 )
 
-// New returns the autoscaler of a new leader.
+// New returns the autoscaler of a new leader. The first call of Tick makes a plan.
 func New(options Options) *Autoscaler {
 	state := options.State
 	slosAllowQueueing := startSLOsAllowQueueing(state)
@@ -99,8 +100,8 @@
 	return true
 }
 
-// newPlanner returns a planner with the cost sensitivity from the settings, or else the default
-// that suits the SLOs.
+// newPlanner returns a planner with the cost sensitivity from the settings. If they have none, the
+// default depends on whether the SLOs on starting allow queueing.
 func newPlanner(state *cluster.State, slosAllowQueueing bool) *fleet.Planner {
 	costSensitivity := float64(defaultCostSensitivity)
 	if !slosAllowQueueing {
@@ -113,7 +114,8 @@
 		Lease: state.Config.WorkerLease()})
 }
 
-// Tick makes a new plan if one is due and sends the requests to the cloud that may be sent now.
+// Tick makes and applies a new plan if one is due, and sends the requests to the cloud that the
+// budgets allow now. It is called in every step of the leader once all records are loaded.
 func (a *Autoscaler) Tick() {
 	now := a.state.Clock.Now()
 	if now >= a.planning.plannedAt+a.state.HeartbeatInterval()/plansPerHeartbeat {
@@ -128,8 +130,8 @@
 	if a.cloud.backingOff() {
 		return
 	}
-	// Returns go first: they end costs, and they unblock jobs after a takeover. Rentals are
-	// repeated for as long as the cloud lacks capacity and must not use up the request budget.
+	// Returns are sent first: they end costs, and they unblock jobs after a takeover. Rentals are
+	// repeated for as long as the cloud lacks capacity, and must not use up the request budget.
 	if !a.returns.requestReturns() {
 		return
 	}
@@ -139,7 +141,8 @@
 	a.listing.startIfDue()
 }
 
-// ApplyPlan has a capacity plan made and carries it out.
+// ApplyPlan makes a capacity plan and applies it: it starts rentals, starts or cancels drains, and
+// consolidates tasks where that empties surplus machines.
 func (a *Autoscaler) ApplyPlan() {
 	a.costs.update()
 	a.Forecast.Decay()
@@ -188,20 +191,21 @@
 // TargetCores returns the number of cores that the last plan aims to hold.
 func (a *Autoscaler) TargetCores() float64 { return a.planning.targetCores }
 
-// Demand returns the input from which the planner derives the demand for cores.
+// Demand returns the input from which the planner computes the demand for cores.
 func (a *Autoscaler) Demand() fleet.Demand { return a.input.demand() }
 
-// RecordArrival adds the work of a new job to the forecast.
+// RecordArrival adds the work of a job that has become eligible to the forecast.
 func (a *Autoscaler) RecordArrival(job *cluster.Job) { a.Forecast.recordArrival(job) }
 
 // LoadForecast restores the forecast that an earlier leader stored.
 func (a *Autoscaler) LoadForecast(items []storage.Item) { a.Forecast.load(items) }
 
-// AddStoredRental adds a rental that an earlier leader stored and did not complete.
+// AddStoredRental adds a rental that an earlier leader stored and did not complete, so that its
+// request is repeated.
 func (a *Autoscaler) AddStoredRental(request protocol.RentalRequest) { a.rentals.addStored(request) }
 
-// InheritUsualLoad completes the takeover once all records are loaded: it starts the account of
-// costs, and takes the cores held as the usual load.
+// InheritUsualLoad completes the takeover once all records are loaded: costs are counted from now on,
+// and the cores held are taken as the usual load.
 func (a *Autoscaler) InheritUsualLoad() {
 	a.costs.updatedAt = a.state.Clock.Now()
 	a.Forecast.inheritUsualLoad()
--- a/internal/autoscaler/cloud_calls.go
+++ b/internal/autoscaler/cloud_calls.go
@@ -6,20 +6,23 @@
 	"hitchdoor/internal/protocol"
 )
 
-// cloudCalls sends the autoscaler's requests to the cloud, and backs off after failed ones.
+// cloudCalls sends the autoscaler's requests to the cloud. After a failed request, it backs off for a
+// time that doubles with each further failure.
 type cloudCalls struct {
 	state               *cluster.State
 	client              CloudClient
-	retryAt             clock.Instant // end of the backoff after a failed call
-	consecutiveFailures int
+	retryAt             clock.Instant // end of the backoff after the last failed call
+	consecutiveFailures int           // at most maxCountedFailures
 }
 
 const (
-	// cloudTimeoutsPerLease is how many timeouts of a cloud call fit into a worker lease.
+	// cloudTimeoutsPerLease is the ratio of a worker lease to the timeout of a cloud call.
 	cloudTimeoutsPerLease = 4
-	// baseBackoffsPerLease is how many of the shortest backoffs fit into a worker lease.
+	// baseBackoffsPerLease is the ratio of a worker lease to the base of the backoff. The backoff
+	// after the first failure is twice the base.
 	baseBackoffsPerLease = 16
-	// maxCountedFailures bounds the number of times that the backoff is doubled.
+	// maxCountedFailures bounds the doublings of the base backoff, and so the backoff to one worker
+	// lease.
 	maxCountedFailures = 4
 )
 
@@ -28,28 +31,29 @@
 	return &cloudCalls{state: state, client: client, retryAt: clock.Never}
 }
 
-// backingOff reports whether no request is to be sent yet.
+// backingOff reports whether no request may be sent yet because of an earlier failure.
 func (c *cloudCalls) backingOff() bool { return c.state.Clock.Now() < c.retryAt }
 
 // takeRequest reports whether the budget allows a request now, and takes it from the budget.
 func (c *cloudCalls) takeRequest() bool { return c.client.TakeRequest() }
 
-// returnRequest gives a taken request back to the budget, if it was not sent after all.
+// returnRequest refunds a request that was taken from the budget but not sent.
 func (c *cloudCalls) returnRequest() { c.client.ReturnRequest() }
 
-// send sends a request, for which the caller has taken a request from the budget. Only the
-// following pages of a list go without.
+// send sends a request. The caller must have taken it from the budget, except for the second and
+// later pages of the machine list, which cost no budget.
 func (c *cloudCalls) send(method, path string, body any, onResponse func(protocol.CloudResponse)) {
 	c.client.Send(method, path, body, c.state.Config.WorkerLease()/cloudTimeoutsPerLease, onResponse)
 }
 
-// recordSuccess ends the doubling of the backoff after a call that the cloud answered.
+// recordSuccess resets the backoff after a call that the cloud answered.
 func (c *cloudCalls) recordSuccess() { c.consecutiveFailures = 0 }
 
-// recordFailure backs off after a call that the cloud did not answer or refused.
+// recordFailure starts a backoff after a call that the cloud rejected or did not answer. status is 0
+// if no usable response arrived.
 func (c *cloudCalls) recordFailure(status int) {
 	c.consecutiveFailures = min(c.consecutiveFailures+1, maxCountedFailures)
 	backoff := (c.state.Config.WorkerLease() / baseBackoffsPerLease) << c.consecutiveFailures
 	c.retryAt = c.state.Clock.Now() + backoff
-	c.state.Log.Debug("cloud request failed", "status", status)
+	c.state.Log.Debug("cloud request failed, backing off", "status", status)
 }
--- a/internal/autoscaler/consolidation.go
+++ b/internal/autoscaler/consolidation.go
@@ -6,14 +6,15 @@
 	"hitchdoor/internal/cluster"
 )
 
-// minGainToMoveCostRatio is how many times as long as its move a task, and the idle cores of its
-// machine, would have to go on for the move to be worth it.
+// minGainToMoveCostRatio is the minimum ratio of what a move of tasks gains to what it costs: of the
+// longest remaining run time to the longest move, and of the core seconds that would be idle on the
+// machine to those that the moves take.
 const minGainToMoveCostRatio = 2
 
-// Consolidate moves the few tasks that keep a surplus machine from being returned. It does so only
-// if all of them write checkpoints, other machines have room for them, and both the tasks and the
-// idle cores of the machine would go on for at least twice as long as the move takes. kept are the
-// machines that the plan keeps.
+// Consolidate empties surplus machines by moving the few tasks that keep them from being returned. It
+// moves the tasks of a machine only if all of them write checkpoints, other machines have room for
+// them, and the move gains at least minGainToMoveCostRatio times what it costs. Machines
+// rented less than minBilledTime ago are left alone. kept are the machines that the plan keeps.
 func (a *Autoscaler) Consolidate(kept []*cluster.Machine) {
 	freeCores := a.freeCores(kept)
 	for _, machine := range a.state.MachinesByName() {
@@ -31,12 +32,13 @@
 	}
 }
 
-// isSurplus reports whether a machine is drained because there are too many.
+// isSurplus reports whether a machine is draining as surplus capacity.
 func isSurplus(machine *cluster.Machine) bool {
 	return machine.Draining && machine.DrainReason == cluster.SurplusCapacity
 }
 
-// freeCores returns the cores of the kept machines that neither tasks use nor pending tasks need.
+// freeCores returns the cores of the kept machines that no task uses, minus the cores that pending
+// tasks need. It is negative if they need more.
 func (a *Autoscaler) freeCores(kept []*cluster.Machine) float64 {
 	freeCores := 0.0
 	for _, machine := range kept {
@@ -52,8 +54,8 @@
 	return freeCores
 }
 
-// worthMovingTasks reports whether the tasks of a machine can be moved, and would use it for long
-// enough for that to pay.
+// worthMovingTasks reports whether all tasks of a machine can be moved, and the move gains at least
+// minGainToMoveCostRatio times what it costs.
 func (a *Autoscaler) worthMovingTasks(machine *cluster.Machine) bool {
 	moveCost, longestRemaining, longestMove := 0.0, 0.0, 0.0
 	for _, attempt := range machine.AttemptsInOrder {
@@ -70,15 +72,16 @@
 	return longestRemaining >= minGainToMoveCostRatio*longestMove && idleCoreSeconds >= minGainToMoveCostRatio*moveCost
 }
 
-// isMovable reports whether an attempt writes checkpoints, and has run for long enough that its
-// start counts.
+// isMovable reports whether an attempt writes checkpoints, is not being stopped, and has run for long
+// enough that its start counts towards the SLOs.
 func (a *Autoscaler) isMovable(attempt *cluster.TaskAttempt) bool {
 	return attempt.Job.Spec.CheckpointIntervalSeconds > 0 &&
 		attempt.Phase == cluster.AttemptRunning && attempt.StopGrace == nil &&
 		a.state.Clock.Now()-attempt.RunningSince >= cluster.MinCountedRun
 }
 
-// moveSeconds returns how long the move of an attempt to another machine takes.
+// moveSeconds returns how many seconds the move of an attempt to another machine takes: the save of a
+// checkpoint, the pull of the image at the rate of the present machine, and two heartbeat intervals.
 func (a *Autoscaler) moveSeconds(attempt *cluster.TaskAttempt) float64 {
 	spec := &attempt.Job.Spec
 	pullSeconds := spec.ImageGB / attempt.Machine.MachineType.PullGBPerSecond
--- a/internal/autoscaler/costs.go
+++ b/internal/autoscaler/costs.go
@@ -5,17 +5,18 @@
 	"hitchdoor/internal/cluster"
 )
 
-// costBreakdown is the machine cost of this term by use.
+// costBreakdown is the machine cost of this term, by what the machines were used for. The names of
+// the fields appear in the log line of a capacity plan.
 type costBreakdown struct{ booting, idle, fetching, working float64 }
 
 // costAccount adds up the machine cost of a term.
 type costAccount struct {
 	costBreakdown
 	state     *cluster.State
-	updatedAt clock.Instant // time up to which the cost is counted
+	updatedAt clock.Instant // instant up to which the cost is counted
 }
 
-// update adds the machine cost since the last call, divided by the use of the cores.
+// update adds the cost of all machines since the last call, at the current prices per hour.
 func (c *costAccount) update() {
 	now := c.state.Clock.Now()
 	hours := (now - c.updatedAt).Hours()
@@ -27,7 +28,8 @@
 	}
 }
 
-// addMachine adds the cost of one machine, divided by the use of its cores.
+// addMachine divides the cost of one machine by the present use of its cores. A machine that is not
+// up counts as booting.
 func (c *costAccount) addMachine(machine *cluster.Machine, cost float64) {
 	if !machine.Up {
 		c.booting += cost
--- a/internal/autoscaler/interfaces.go
+++ b/internal/autoscaler/interfaces.go
@@ -10,23 +10,25 @@
 	"hitchdoor/internal/storage"
 )
 
-// CloudClient sends requests to the cloud within a budget.
+// CloudClient sends requests to the cloud within a rate budget.
 type CloudClient interface {
 	// TakeRequest reports whether the budget allows a request now, and takes it from the budget.
 	TakeRequest() bool
-	// ReturnRequest gives a taken request back to the budget, if it was not sent after all.
+	// ReturnRequest refunds a request that was taken from the budget but not sent.
 	ReturnRequest()
-	// Send sends a request. onResponse is called unless the leader has stepped down by then.
+	// Send sends a request, and calls onResponse with the response unless the leader has stepped down
+	// by then. The status is 0 if no usable response arrives within the timeout.
 	Send(method, path string, body any, timeout time.Duration, onResponse func(protocol.CloudResponse))
 }
 
 // RecordWriter writes records to the key-value store in transactions.
 type RecordWriter interface {
-	// Enqueue adds a change to those that wait to be written.
+	// Enqueue queues a change to be written.
 	Enqueue(priority storage.Priority, change storage.Change)
-	// SetModRevision records the revision of a key that was read.
+	// SetModRevision records the revision of a key that was read. Writes of the key are conditioned on
+	// it.
 	SetModRevision(key string, revision uint64)
-	// PendingChanges returns the number of changes not written yet.
+	// PendingChanges returns the number of changes that are queued or in flight.
 	PendingChanges() int
 }
 
@@ -36,15 +38,15 @@
 	Limited() bool
 	// MayScaleOut reports whether machines may be rented.
 	MayScaleOut() bool
-	// MayScaleIn reports whether machines may be returned because there are too many.
+	// MayScaleIn reports whether surplus machines may be returned.
 	MayScaleIn() bool
-	// MayReturnUnresponsive reports whether a machine may be returned that has been silent for a
-	// time.
+	// MayReturnUnresponsive reports whether a machine may be returned after a time without
+	// heartbeats.
 	MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool
 	// AllowedOperations returns how many of count operations the budget allows now, and takes them
 	// from the budget.
 	AllowedOperations(operation recovery.Operation, count int) int
-	// RefundOperations gives operations without effect back to the budget.
+	// RefundOperations refunds operations that were taken from the budget but not carried out.
 	RefundOperations(operation recovery.Operation, count int)
 }
 
@@ -58,21 +60,23 @@
 	RemoveMachine(machine *cluster.Machine)
 }
 
-// JobQueue is what the autoscaler needs to know of the jobs, besides the cluster state.
+// JobQueue provides what the autoscaler needs to know of the jobs beyond the cluster state, and
+// releases undelivered attempts.
 type JobQueue interface {
 	// PendingJobs returns the pending jobs in the order of the last scheduling pass.
 	PendingJobs() []*cluster.Job
 	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
 	MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool
-	// SoonReleasedDependents returns the jobs that wait only for this one, if it should end within
-	// the horizon.
+	// SoonReleasedDependents returns the jobs for which this one is the last pending dependency, if it
+	// should end within the horizon.
 	SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job
 	// ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
 	ReleaseUndelivered()
 }
 
-// WallClock converts between instants and the wall clock, which stored records use.
+// WallClock converts between instants of the monotonic clock and wall clock times, which are used in
+// stored records.
 type WallClock interface {
 	// NowUnixMilli returns the current wall clock in Unix milliseconds.
 	NowUnixMilli() int64
@@ -80,7 +84,7 @@
 	InstantFromUnixMilli(milliseconds int64) clock.Instant
 }
 
-// StoreHealth tells whether the key-value store works, without which no job can arrive.
+// StoreHealth reports whether the key-value store responds. Without the store, no job can be accepted.
 type StoreHealth interface {
 	// StoreFailing reports whether the last call to the key-value store failed.
 	StoreFailing() bool
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -17,15 +17,16 @@
 	cloud    *cloudCalls
 	machines MachineRegistry
 
-	startedAt   clock.Instant // when the first page of the last list was requested
-	inProgress  bool
-	listedNames map[string]bool // machines in the pages read so far
+	startedAt   clock.Instant   // when the last listing started; never: none has
+	inProgress  bool            // a page is requested and not all pages are read
+	listedNames map[string]bool // names of the machines in the pages read so far
 }
 
-// machinesPerPage is the number of machines that a page of the list may have.
+// machinesPerPage is the maximum number of machines in a page of the list.
 const machinesPerPage = 500
 
-// startIfDue requests the first page of the list if the last one is old enough.
+// startIfDue requests the first page of the list if no listing is in progress, the last one started at
+// least listLag ago, and the budget allows.
 func (l *machineListing) startIfDue() {
 	now := l.state.Clock.Now()
 	if l.inProgress || now < l.startedAt+l.listLag() || !l.cloud.takeRequest() {
@@ -35,14 +36,14 @@
 	l.requestPage("")
 }
 
-// requestPage requests the page that follows the machine named, or the first page.
+// requestPage requests the page that starts after the machine afterName; empty: the first page.
 func (l *machineListing) requestPage(afterName string) {
 	path := fmt.Sprintf("/hosts?limit=%d&since=%s", machinesPerPage, afterName)
 	l.cloud.send("GET", path, nil, l.onPage)
 }
 
-// onPage processes a page of the list and requests the next one. After the last page, it drains
-// the machines that the list lacks.
+// onPage processes a page of the list and requests the next one. After the last page, it drains the
+// machines that the list lacks. A failed request ends the listing without that.
 func (l *machineListing) onPage(response protocol.CloudResponse) {
 	var page protocol.HostPage
 	if !response.Decode(&page) {
@@ -62,7 +63,8 @@
 	l.drainUnlisted()
 }
 
-// recordHost adds a listed machine that is unknown, and drains one that is listed as failed.
+// recordHost adds a listed machine that the cluster state lacks, and drains one that is listed as
+// failed. Machines removed in this term are ignored.
 func (l *machineListing) recordHost(host protocol.Host) {
 	l.listedNames[host.Name] = true
 	if _, removed := l.state.RemovedMachines[host.Name]; removed {
@@ -71,19 +73,20 @@
 	machine := l.state.Machines[host.Name]
 	if machine == nil {
 		machine = l.machines.AddListedMachine(host)
-		l.state.Log.Info("cloud lists unknown machine", "machine", machine.Name, "state", host.State)
+		l.state.Log.Info("cloud lists a machine without a record, adding it", "machine", machine.Name, "state", host.State)
 	}
 	silence := l.state.Clock.Now() - machine.LastHeartbeat
 	if host.State == protocol.HostFailed && !machine.ListedAsFailed && silence > 2*l.state.HeartbeatInterval() {
-		// A machine that sends heartbeats has not failed, whatever the list says. Its return
-		// would kill all tasks on it.
+		// A machine that sends heartbeats has not failed, whatever the list says, and its return
+		// would kill all tasks on it. So only a silent machine is drained.
 		machine.ListedAsFailed = true
 		l.state.BeginDrain(machine, cluster.InstanceFailed)
 	}
 }
 
 // drainUnlisted drains the machines that are missing from the complete list. Lists lag, so only
-// machines that are old enough and silent count, and the call that returns them settles it.
+// machines that are old enough and silent are drained. The return request that follows ends a machine
+// that still exists.
 func (l *machineListing) drainUnlisted() {
 	for _, machine := range l.state.MachinesByName() {
 		oldEnough := l.startedAt-machine.RentedAt > 4*l.listLag()
@@ -94,7 +97,8 @@
 	}
 }
 
-// listLag returns the time by which the machine list of the cloud may be outdated.
+// listLag returns the time by which the machine list of the cloud may be outdated. It is also the
+// interval between two listings.
 func (l *machineListing) listLag() time.Duration {
 	return config.Seconds(l.state.Config.Cloud.ListLagS)
 }
--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -18,13 +18,13 @@
 	slosAllowQueueing bool // all SLOs on starting leave the time to boot a machine
 }
 
-// planView is the input of the planner, with the machines that its entries stand for.
+// planView is the input of the planner, with the cluster machine of each of its machines.
 type planView struct {
 	*fleet.View
 	machineOf map[*fleet.Machine]*cluster.Machine
 }
 
-// machinesOf returns the machines that entries of a plan stand for.
+// machinesOf returns the cluster machines of machines in a plan.
 func (v *planView) machinesOf(planned []*fleet.Machine) []*cluster.Machine {
 	machines := make([]*cluster.Machine, 0, len(planned))
 	for _, entry := range planned {
@@ -33,7 +33,7 @@
 	return machines
 }
 
-// addMachine adds a machine that is held.
+// addMachine adds a machine to the kept or the draining machines of the view.
 func (v *planView) addMachine(machine *cluster.Machine, planned *fleet.Machine) {
 	v.machineOf[planned] = machine
 	if machine.Draining {
@@ -43,7 +43,8 @@
 	}
 }
 
-// view returns the input of the planner.
+// view returns the input of the planner. Machines of an unknown type, terminating ones, and those
+// that are draining for any reason but surplus capacity are left out.
 func (i *planInput) view() *planView {
 	now := i.state.Clock.Now()
 	view := &planView{machineOf: map[*fleet.Machine]*cluster.Machine{}, View: &fleet.View{
@@ -73,13 +74,13 @@
 	return view
 }
 
-// demand returns the input from which the planner derives the demand for cores.
+// demand returns the input from which the planner computes the demand for cores.
 func (i *planInput) demand() fleet.Demand {
 	demand := fleet.Demand{
 		Now: i.state.Clock.Now(), BootTime: i.state.BootTime(), StartWithin: cluster.PlannedStartWithin,
 	}
 	if i.slosAllowQueueing {
-		// Otherwise headroom is held for work that has to start soon anyway.
+		// If an SLO allows no queueing, headroom is held anyway for work that must start soon.
 		demand.Forecast = i.forecast.Forecast
 	}
 	pullRate := i.state.ImagePullRate()
@@ -98,10 +99,10 @@
 	return demand
 }
 
-// minPendingShare returns the share of the work that may be running on unreconciled machines
-// which is certainly still pending, as those machines can't run more than their cores allow.
-// Without it, a fleet that was short of machines did not scale out until the leases of machines
-// that hung had expired.
+// minPendingShare returns the share that is certainly still pending, of the work that may be running
+// on unreconciled machines: those machines can't run more than their cores allow. When none of that
+// work was counted, a fleet that was short of machines did not scale out until the leases of hung
+// machines had expired.
 func (i *planInput) minPendingShare(totals *cluster.MachineTotals) float64 {
 	if !i.recovery.Limited() {
 		return 1
@@ -154,12 +155,11 @@
 	return sum / max(1, float64(len(i.state.RunnableJobs)))
 }
 
-// startSLOReservePercent is the part of an SLO on starting, in percent, that the plan does not
-// count on.
+// startSLOReservePercent is the part of an SLO on starting, in percent, that the plan keeps as slack.
 const startSLOReservePercent = 40
 
-// startSLOReserve returns the part of a job's SLO on starting that the plan does not count on, as
-// slack for takeovers, outages and lost machines.
+// startSLOReserve returns the part of a job's SLO on starting that the plan keeps as slack for
+// takeovers, outages and lost machines. It is 0 for a job with a deadline or without such an SLO.
 func (i *planInput) startSLOReserve(job *cluster.Job) time.Duration {
 	if job.Spec.DeadlineSeconds != nil {
 		return 0
--- a/internal/autoscaler/rentals.go
+++ b/internal/autoscaler/rentals.go
@@ -14,7 +14,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// machineRentals stores the rentals that a plan asks for, and then requests them from the cloud.
+// machineRentals stores the rentals that a plan contains, and then requests them from the cloud.
 type machineRentals struct {
 	state    *cluster.State
 	cloud    *cloudCalls
@@ -23,35 +23,36 @@
 	machines MachineRegistry
 	planning *capacityPlanning
 
-	term           uint64
-	requestCounter uint64
-	pending        []*pendingRental
+	term           uint64           // term of the leader
+	requestCounter uint64           // number in the last request ID of this term
+	pending        []*pendingRental // in the order in which they were added
 }
 
-// pendingRental is a rental that the cloud has not answered. Its request name is stored before the
-// request is sent: no other node can use the name for another request, and the next leader can
-// repeat the request and gets the same answer.
+// pendingRental is a rental that the cloud has not answered. Its request ID is stored before the
+// request is sent, so that no other node uses the ID for another request, and the next leader can
+// repeat the request and gets the same response.
 type pendingRental struct {
 	protocol.RentalRequest
-	durable         bool // its record is written
-	inFlight        bool
-	chargedMachines int // machines charged to the recovery budget
+	durable         bool // the record of the rental is written
+	inFlight        bool // the request is sent and not answered yet
+	chargedMachines int  // number of machines charged to the recovery budget
 }
 
 const (
-	// maxPendingRentals bounds the pending rentals.
+	// maxPendingRentals is the number of pending rentals at which plans add no further ones.
 	maxPendingRentals = 8
-	// maxMachinesPerRental bounds the machines of one request.
+	// maxMachinesPerRental is the maximum number of machines in one request.
 	maxMachinesPerRental = 50
 )
 
-// addStored adds a rental that an earlier leader stored and did not complete.
+// addStored adds a rental that an earlier leader stored and did not complete. Its request is sent
+// again.
 func (r *machineRentals) addStored(request protocol.RentalRequest) {
 	r.pending = append(r.pending, &pendingRental{RentalRequest: request, durable: true})
 }
 
-// begin stores a rental for each offering that the plan scales out. They are sent once they are
-// durable.
+// begin stores a rental for each offering that the plan scales out, within maxPendingRentals and the
+// recovery budget. A rental is sent once its record is durable.
 func (r *machineRentals) begin(offerings []fleet.Offering) {
 	counts := map[fleet.Offering]int{}
 	var order []fleet.Offering
@@ -78,8 +79,8 @@
 	}
 }
 
-// currentRequestID returns the request name that belongs to the counter. It is unique across
-// terms.
+// currentRequestID returns the request ID for the present value of the counter. The ID contains the
+// term, so it is unique across terms.
 func (r *machineRentals) currentRequestID() string {
 	return "r-" + strconv.FormatUint(r.term, 10) + "-" + strconv.FormatUint(r.requestCounter, 10)
 }
@@ -111,8 +112,8 @@
 	}
 }
 
-// onResponse processes the response to a rental. A rental whose outcome is unknown stays pending
-// and is sent again.
+// onResponse processes the cloud's response to a rental. A rental whose outcome is unknown stays
+// pending and is sent again.
 func (r *machineRentals) onResponse(rental *pendingRental, response protocol.CloudResponse) {
 	var rented protocol.MachineNames
 	switch {
@@ -124,14 +125,16 @@
 		r.state.Log.Debug("cloud has no capacity", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot)
 		r.closeUnfilled(rental)
 	case response.Status == http.StatusBadRequest:
-		r.state.Log.Error("rental rejected as malformed", "request", rental.RequestID, "error", string(response.Body))
+		r.state.Log.Error("cloud rejected rental request as invalid",
+			"request", rental.RequestID, "error", string(response.Body))
 		r.closeUnfilled(rental)
 	default:
 		r.cloud.recordFailure(response.Status)
 	}
 }
 
-// addRented adds the machines that the cloud provided, and closes the rental.
+// addRented adds the machines that the cloud provided and that are not known yet, and closes the
+// rental. If there are fewer than requested, the offering is marked as unavailable.
 func (r *machineRentals) addRented(rental *pendingRental, names []string) {
 	r.state.Log.Info("machines rented", "request", rental.RequestID,
 		"type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
@@ -151,28 +154,31 @@
 	r.close(rental)
 }
 
-// closeUnfilled closes a rental for which the cloud provided no machine.
+// closeUnfilled closes a rental for which the cloud provided no machine, and marks its offering as
+// unavailable.
 func (r *machineRentals) closeUnfilled(rental *pendingRental) {
 	r.refundUnrented(rental, 0)
 	r.markUnavailable(rental.offering())
 	r.close(rental)
 }
 
-// refundUnrented gives back to the recovery budget what was charged for machines that the cloud
-// did not provide. Where capacity is scarce, the whole budget of a small fleet went to requests
-// without effect.
+// refundUnrented gives back to the recovery budget what was charged for machines that the cloud did
+// not provide. Without the refund, requests without effect used up the whole budget of a small fleet
+// where capacity was scarce.
 func (r *machineRentals) refundUnrented(rental *pendingRental, rentedCount int) {
 	r.recovery.RefundOperations(recovery.RentMachine, rental.chargedMachines-rentedCount)
 	rental.chargedMachines = 0
 }
 
-// markUnavailable has an offering left out for a while, and makes a new plan due.
+// markUnavailable excludes an offering from new rentals for some time, and makes a new plan due at
+// once, which can use another offering.
 func (r *machineRentals) markUnavailable(offering fleet.Offering) {
 	r.planning.planner.MarkUnavailable(offering, r.state.Clock.Now())
 	r.planning.plannedAt = clock.Never
 }
 
-// close removes a rental and deletes its record. Its machines are stored before that.
+// close removes a rental and queues the deletion of its record. The records of its machines are
+// written before that.
 func (r *machineRentals) close(rental *pendingRental) {
 	r.pending = slices.DeleteFunc(r.pending, func(other *pendingRental) bool { return other == rental })
 	key := storage.RentalPrefix + rental.RequestID
@@ -181,7 +187,7 @@
 	})
 }
 
-// offering returns the offering that the rental asks for.
+// offering returns the offering that the rental requests.
 func (r *pendingRental) offering() fleet.Offering {
 	return fleet.Offering{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 }
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -11,40 +11,39 @@
 	"hitchdoor/internal/recovery"
 )
 
-// machineReturns drains the machines that no longer serve, and returns drained machines to the
-// cloud.
+// machineReturns drains unresponsive and slow machines, and returns drained machines to the cloud.
 type machineReturns struct {
 	state    *cluster.State
 	cloud    *cloudCalls
 	recovery RecoveryLimits
 	machines MachineRegistry
 
-	nextRequestAt clock.Instant
+	nextRequestAt clock.Instant // when returnable machines are looked for again; never: at once
 }
 
 const (
-	// minBilledTime is the shortest time that the cloud bills.
+	// minBilledTime is the shortest time for which the cloud bills a machine.
 	minBilledTime = 60 * time.Second
-	// maxMachinesPerReturn bounds the machines of one request.
+	// maxMachinesPerReturn is the maximum number of machines in one request.
 	maxMachinesPerReturn = 100
 	// returnRequestsPerHeartbeat is the maximum number of return requests per heartbeat interval.
 	returnRequestsPerHeartbeat = 4
-	// bootTimesUntilOverdue is how many times its boot time a machine may take, in addition to a
-	// worker lease, until it is taken for one that never reports.
+	// bootTimesUntilOverdue is the number of its boot times, in addition to a worker lease, after
+	// which a machine without any heartbeat is drained as one that never reported.
 	bootTimesUntilOverdue = 3
-	// missedHeartbeatsUntilCounted is the number of missed heartbeats from which a machine counts
-	// among those that are missing.
+	// missedHeartbeatsUntilCounted is the number of heartbeat intervals without a heartbeat after
+	// which mostRespond counts a machine as missing.
 	missedHeartbeatsUntilCounted = 2
 )
 
-// drainUnresponsive drains machines that miss heartbeats, never reported, or run slowly.
+// drainUnresponsive drains machines that miss heartbeats, never reported, or run their tasks slowly.
 func (r *machineReturns) drainUnresponsive() {
 	mostRespond := r.mostRespond()
 	for _, machine := range r.state.MachinesByName() {
 		r.state.DrainIfSlow(machine)
 		switch {
 		case r.expectedToReport(machine) && r.heartbeatOverdue(machine) && mostRespond:
-			// Its return ends its tasks for certain, and sooner than its lease does.
+			// Returning the machine ends its tasks for certain, and before its worker lease expires.
 			r.state.BeginDrain(machine, cluster.HeartbeatMissed)
 		case !machine.Up && machine.LastHeartbeat == clock.Never && r.bootOverdue(machine):
 			r.state.BeginDrain(machine, cluster.NeverReported)
@@ -52,8 +51,8 @@
 	}
 }
 
-// mostRespond reports whether at least half of the machines that are expected to report do so. If
-// not, the leader itself is probably partitioned from its workers.
+// mostRespond reports whether at least half of the machines that are expected to send heartbeats do
+// so. If not, the leader itself is probably partitioned from its workers.
 func (r *machineReturns) mostRespond() bool {
 	expectedCount, missedCount := 0, 0
 	for _, machine := range r.state.Machines {
@@ -61,9 +60,9 @@
 			continue
 		}
 		expectedCount++
-		// Two missed heartbeats count here although they do not cause a drain yet. When
-		// the leader itself is partitioned from its workers, the machines that reported
-		// first would otherwise be returned before it shows that most are missing.
+		// Two missed heartbeats count here although they do not cause a drain yet. Otherwise, when
+		// the leader itself is partitioned from its workers, the machines that have been silent
+		// longest would be returned before most machines are counted as missing.
 		missed := r.silence(machine) > missedHeartbeatsUntilCounted*r.state.HeartbeatInterval()
 		if r.heartbeatOverdue(machine) || missed {
 			missedCount++
@@ -72,13 +71,14 @@
 	return 2*missedCount <= expectedCount
 }
 
-// expectedToReport reports whether a machine should send heartbeats. After a takeover, machines
-// that were used before are expected to report too.
+// expectedToReport reports whether a machine should send heartbeats: it is up or, after a takeover,
+// it may have tasks according to its record and has not sent a heartbeat to this leader yet.
 func (r *machineReturns) expectedToReport(machine *cluster.Machine) bool {
 	return machine.Up || (machine.UseDurable && machine.LastHeartbeat == clock.Never)
 }
 
-// silence returns for how long a machine has been silent in this term.
+// silence returns the time since the last heartbeat of a machine, or since the start of the term if
+// that is later.
 func (r *machineReturns) silence(machine *cluster.Machine) time.Duration {
 	return r.state.Clock.Now() - r.state.SilentSince(machine)
 }
@@ -88,7 +88,8 @@
 	return r.recovery.MayReturnUnresponsive(machine, r.silence(machine))
 }
 
-// bootOverdue reports whether a machine should have sent its first heartbeat long ago.
+// bootOverdue reports whether a machine should have booted and sent its first heartbeat by now. It
+// is false during the first worker lease of a term.
 func (r *machineReturns) bootOverdue(machine *cluster.Machine) bool {
 	now := r.state.Clock.Now()
 	bootLimit := r.state.Config.WorkerLease()
@@ -98,8 +99,8 @@
 	return now-machine.RentedAt > bootLimit && now-r.state.StartedAt > r.state.Config.WorkerLease()
 }
 
-// requestReturns returns the machines whose drain is complete. It reports whether the request
-// budget sufficed, so that other requests may follow.
+// requestReturns requests the return of machines whose drain is complete, at limited rates. It
+// returns false if the request budget is used up, so that no other request should follow.
 func (r *machineReturns) requestReturns() bool {
 	now := r.state.Clock.Now()
 	if now < r.nextRequestAt {
@@ -124,8 +125,8 @@
 	return true
 }
 
-// returnableMachines returns the names of machines that may be returned now, as many as fit into
-// one request.
+// returnableMachines returns the names of machines that may be returned now, at most as many as fit
+// into one request.
 func (r *machineReturns) returnableMachines() []string {
 	var names []string
 	for _, machine := range r.state.MachinesByName() {
@@ -140,8 +141,9 @@
 	return names
 }
 
-// worthKeeping reports whether a surplus machine is kept for now: it is already billed, or work
-// may return sooner than a new machine would boot.
+// worthKeeping reports whether a surplus machine is kept for now. Its first minBilledTime is billed
+// in any case, and for some time after it became surplus, work may arrive sooner than a new machine
+// would boot.
 func (r *machineReturns) worthKeeping(machine *cluster.Machine) bool {
 	if machine.DrainReason != cluster.SurplusCapacity {
 		return false
@@ -154,12 +156,12 @@
 	return now-machine.SurplusSince < idleRetention
 }
 
-// isEmpty reports whether neither tasks nor results are on a machine.
+// isEmpty reports whether a machine has neither tasks nor results that its worker must retain.
 func isEmpty(machine *cluster.Machine) bool {
 	return len(machine.Attempts) == 0 && machine.RetainedResults == 0 && machine.UnknownTasks == 0
 }
 
-// sendReturnRequest requests the return of machines.
+// sendReturnRequest marks machines as terminating and requests their return from the cloud.
 func (r *machineReturns) sendReturnRequest(names []string) {
 	for _, name := range names {
 		machine := r.state.Machines[name]
@@ -171,7 +173,8 @@
 	})
 }
 
-// onResponse removes the machines that the cloud has taken back.
+// onResponse removes the machines if the cloud has confirmed their return. Otherwise, their return
+// can be requested again.
 func (r *machineReturns) onResponse(names []string, response protocol.CloudResponse) {
 	returned := response.Status == http.StatusOK
 	for _, name := range names {
@@ -180,7 +183,7 @@
 			continue
 		}
 		if !returned {
-			machine.Terminating = false // it goes on draining, as a late copy of the request may return it
+			machine.Terminating = false // the drain continues, because the request may still take effect
 			continue
 		}
 		r.state.Log.Info("machine returned", "machine", name, "reason", machine.DrainReason,
