--- a/internal/autoscaler/fakes_test.go
+++ b/internal/autoscaler/fakes_test.go
@@ -16,27 +16,28 @@
 	"hitchdoor/internal/storage"
 )
 
-// fakeCloudRequest is a request to the cloud that is not answered yet.
+// fakeCloudRequest is a request to the cloud that has no response yet.
 type fakeCloudRequest struct {
 	method, path string
 	body         any
 	onResponse   func(protocol.CloudResponse)
 }
 
-// fakeAutoscalerHost stands for the leader of an autoscaler. It records what the autoscaler asks
-// for.
+// fakeAutoscalerHost implements all dependencies of an autoscaler. It records the requests and changes
+// of the autoscaler.
 type fakeAutoscalerHost struct {
 	now   clock.Instant
 	state *cluster.State
 
-	requestBudget int // requests to the cloud that are left
-	requests      []fakeCloudRequest
-	changes       []storage.Change
-	allowed       int // operations that the recovery allows
-	refunded      int // operations given back to the recovery
+	requestBudget int                // number of requests to the cloud that are left
+	requests      []fakeCloudRequest // requests that wait for a response
+	changes       []storage.Change   // changes that wait to be written
+	allowed       int                // number of operations that each call of AllowedOperations allows
+	refunded      int                // number of operations given back to the recovery budget
 }
 
-// newFakeAutoscaler returns an autoscaler with a fake host that allows everything.
+// newFakeAutoscaler returns an autoscaler with a fake host whose budgets allow 100 requests and
+// operations.
 func newFakeAutoscaler(t *testing.T) (*Autoscaler, *fakeAutoscalerHost) {
 	t.Helper()
 	host := &fakeAutoscalerHost{requestBudget: 100, allowed: 100}
@@ -66,11 +67,11 @@
 	return writes
 }
 
-// answer responds to the only request that waits.
+// answer responds to the only request that waits, and returns the request.
 func (h *fakeAutoscalerHost) answer(t *testing.T, status int, body any) fakeCloudRequest {
 	t.Helper()
 	if len(h.requests) != 1 {
-		t.Fatalf("%d requests wait", len(h.requests))
+		t.Fatalf("%d requests wait for a response, expected 1", len(h.requests))
 	}
 	request := h.requests[0]
 	h.requests = nil
@@ -152,12 +153,12 @@
 
 func (h *fakeAutoscalerHost) StoreFailing() bool { return false }
 
-// addMachine adds a machine that is up.
+// addMachine adds a spot machine that is up and has just sent a heartbeat.
 func (h *fakeAutoscalerHost) addMachine(name string) *cluster.Machine {
 	m := h.state.NewMachine(name, "c4", "a", true)
 	m.Up, m.LastHeartbeat = true, h.now
 	return m
 }
 
-// spotC4 is an offering that the fake catalog has.
+// spotC4 is an offering in the catalog of newFakeAutoscaler.
 var spotC4 = fleet.Offering{Type: "c4", Zone: "a", Spot: true}
--- a/internal/autoscaler/listing_test.go
+++ b/internal/autoscaler/listing_test.go
@@ -8,40 +8,43 @@
 	"hitchdoor/internal/protocol"
 )
 
-// The list is read page by page. Unknown machines in it are added, and old, silent ones that it
-// lacks are drained.
+// The list is read page by page. Unknown machines in the list are added, and old, silent machines that
+// it lacks are drained. If one page were taken for the whole list, the machines of the others would be
+// drained.
 func TestMachineListIsReadPageByPage(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
-	forgotten := host.addMachine("m-4")
+	unlisted := host.addMachine("m-4")
 	host.now = time.Hour
 	reporting := host.addMachine("m-5")
 	reporting.RentedAt = 0
 	a.listing.startIfDue()
-	a.listing.startIfDue() // one at a time
+	a.listing.startIfDue() // has no effect while a listing is in progress
 	first := host.answer(t, 200, protocol.HostPage{Machines: []protocol.Host{{Name: "m-1", Type: "c4"}}, Truncated: true})
 	if first.path != "/hosts?limit=500&since=" {
-		t.Errorf("first page: %s", first.path)
+		t.Errorf("request of the first page: %s, expected one without a start", first.path)
 	}
 	second := host.answer(t, 200, protocol.HostPage{Machines: []protocol.Host{{Name: "m-2", Type: "c4"}}})
 	if second.path != "/hosts?limit=500&since=m-1" {
-		t.Errorf("second page: %s", second.path)
+		t.Errorf("request of the second page: %s, expected one that starts after m-1", second.path)
 	}
 	if host.state.Machines["m-1"] == nil || host.state.Machines["m-2"] == nil {
-		t.Errorf("machines: %v", host.state.Machines)
+		t.Errorf("machines: %v, expected m-1 and m-2 among them", host.state.Machines)
 	}
-	if forgotten.DrainReason != cluster.NotListed || reporting.Draining {
-		t.Errorf("drained for %q, and one that reports: %v", forgotten.DrainReason, reporting.Draining)
+	if unlisted.DrainReason != cluster.NotListed || reporting.Draining {
+		t.Errorf("unlisted machine: drain reason %q, expected %q; unlisted machine with heartbeats: draining is %v, "+
+			"expected false", unlisted.DrainReason, cluster.NotListed, reporting.Draining)
 	}
 	if a.listing.startIfDue(); len(host.requests) != 0 {
-		t.Error("read again at once")
+		t.Error("the list was requested again at once")
 	}
 	host.now += a.listing.listLag()
 	if a.listing.startIfDue(); len(host.requests) != 1 {
-		t.Error("not read again")
+		t.Error("the list was not requested again after the listing interval")
 	}
 }
 
-// A page that can't be read ends the list: no machine is drained for not being in it.
+// A failed request of a page ends the listing. The list is then incomplete, so no machine may be
+// drained for being missing from it.
 func TestIncompleteListDrainsNothing(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	m := host.addMachine("m-2")
@@ -50,11 +53,13 @@
 	host.answer(t, 200, protocol.HostPage{Machines: []protocol.Host{{Name: "m-1", Type: "c4"}}, Truncated: true})
 	host.answer(t, 500, nil)
 	if m.Draining || a.listing.inProgress || !a.cloud.backingOff() {
-		t.Errorf("drained: %v, still read: %v, backs off: %v", m.Draining, a.listing.inProgress, a.cloud.backingOff())
+		t.Errorf("after a failed page: draining %v, listing in progress %v, backing off %v; expected false, false, true",
+			m.Draining, a.listing.inProgress, a.cloud.backingOff())
 	}
 }
 
-// A machine that is listed as failed is drained, unless it reports; one that was removed stays so.
+// A machine that is listed as failed is drained, unless it sends heartbeats: its return would kill its
+// tasks. A removed machine that an outdated list still contains is not added again.
 func TestMachineListedAsFailedIsDrained(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	silent, removed := host.addMachine("m-1"), host.addMachine("m-3")
@@ -65,9 +70,10 @@
 	host.answer(t, 200, protocol.HostPage{Machines: []protocol.Host{
 		{Name: "m-1", State: protocol.HostFailed}, {Name: "m-2", State: protocol.HostFailed}, {Name: "m-3", State: protocol.HostFailed}}})
 	if silent.DrainReason != cluster.InstanceFailed || !silent.ListedAsFailed || reporting.Draining {
-		t.Errorf("drained for %q, and one that reports: %v", silent.DrainReason, reporting.Draining)
+		t.Errorf("silent machine: drain reason %q, expected %q; machine with heartbeats: draining is %v, expected false",
+			silent.DrainReason, cluster.InstanceFailed, reporting.Draining)
 	}
 	if host.state.Machines["m-3"] != nil {
-		t.Error("a removed machine is back")
+		t.Error("the removed machine m-3 was added again")
 	}
 }
--- a/internal/autoscaler/rentals_test.go
+++ b/internal/autoscaler/rentals_test.go
@@ -10,20 +10,22 @@
 	"hitchdoor/internal/storage"
 )
 
-// beginDurableRental begins a rental of three machines and makes its record durable.
+// beginDurableRental begins a rental of three machines and makes its record durable. It checks that
+// the rental is not sent before.
 func beginDurableRental(t *testing.T, a *Autoscaler, host *fakeAutoscalerHost) {
 	t.Helper()
 	a.rentals.begin([]fleet.Offering{spotC4, spotC4, spotC4})
 	a.rentals.sendPending()
 	if len(host.requests) != 0 {
-		t.Fatal("sent before its record is durable")
+		t.Fatal("the rental was sent before its record was durable")
 	}
 	if writes := host.applyChanges(); len(writes) != 1 || writes[0].Key() != storage.RentalPrefix+"r-7-1" {
-		t.Fatalf("written: %v", writes)
+		t.Fatalf("writes: %v, expected only the record of rental r-7-1", writes)
 	}
 }
 
-// A rental is requested once its record is durable, adds its machines, and is then deleted.
+// A rental is requested once its record is durable, and only once while a response is pending. After
+// the response, its machines are added and its record is deleted.
 func TestRentalAddsItsMachines(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	beginDurableRental(t, a, host)
@@ -32,41 +34,44 @@
 	request := host.answer(t, 200, protocol.MachineNames{Machines: []string{"m-1", "m-2", "m-3"}})
 	want := protocol.RentalRequest{RequestID: "r-7-1", Type: "c4", Zone: "a", Spot: true, Count: 3}
 	if request.method != "POST" || request.path != "/hosts" || request.body != want {
-		t.Errorf("requested %v %v %v", request.method, request.path, request.body)
+		t.Errorf("request: %v %v %v, expected POST /hosts %v", request.method, request.path, request.body, want)
 	}
 	if len(host.state.Machines) != 3 || len(a.rentals.pending) != 0 || host.refunded != 0 {
-		t.Errorf("%d machines, %d rentals pending, %d refunded", len(host.state.Machines), len(a.rentals.pending), host.refunded)
+		t.Errorf("%d machines, %d rentals pending, %d operations refunded; expected 3, 0, 0",
+			len(host.state.Machines), len(a.rentals.pending), host.refunded)
 	}
 	if writes := host.applyChanges(); len(writes) != 1 || writes[0].Key() != storage.RentalPrefix+"r-7-1" {
-		t.Errorf("written at the end: %v", writes)
+		t.Errorf("writes after the response: %v, expected only the deletion of rental r-7-1", writes)
 	}
 }
 
-// A rental whose outcome is unknown is sent again under the same name, after a backoff.
+// A rental whose outcome is unknown is sent again with the same request ID, and a backoff starts. With
+// another ID, the cloud might rent the machines twice.
 func TestRentalWithUnknownOutcomeIsSentAgain(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	beginDurableRental(t, a, host)
 	a.rentals.sendPending()
 	first := host.answer(t, 0, nil)
 	if !a.cloud.backingOff() || len(a.rentals.pending) != 1 {
-		t.Errorf("backs off: %v, pending: %d", a.cloud.backingOff(), len(a.rentals.pending))
+		t.Errorf("backing off: %v, expected true; %d rentals pending, expected 1",
+			a.cloud.backingOff(), len(a.rentals.pending))
 	}
 	a.rentals.sendPending()
 	if second := host.answer(t, 200, protocol.MachineNames{Machines: []string{"m-1", "m-2", "m-3"}}); second.body != first.body {
-		t.Errorf("sent first %v, then %v", first.body, second.body)
+		t.Errorf("second request %v, expected the same as the first one %v", second.body, first.body)
 	}
 }
 
-// Machines that the cloud did not provide go back to the recovery budget, and a new plan without
-// the offering is due.
+// Machines that the cloud did not provide are refunded to the recovery budget, and a new plan is due
+// at once. Otherwise requests without effect would use up the budget where capacity is scarce.
 func TestUnfilledRentalIsRefunded(t *testing.T) {
 	for name, test := range map[string]struct {
 		status, refunded int
 		body             any
 	}{
-		"one machine":  {200, 2, protocol.MachineNames{Machines: []string{"m-1"}}},
-		"no capacity":  {503, 3, "no capacity"},
-		"not accepted": {400, 3, "unknown zone"},
+		"one machine":     {200, 2, protocol.MachineNames{Machines: []string{"m-1"}}},
+		"no capacity":     {503, 3, "no capacity"},
+		"invalid request": {400, 3, "unknown zone"},
 	} {
 		a, host := newFakeAutoscaler(t)
 		beginDurableRental(t, a, host)
@@ -74,36 +79,39 @@
 		a.planning.plannedAt = host.now
 		host.answer(t, test.status, test.body)
 		if host.refunded != test.refunded || len(a.rentals.pending) != 0 || a.planning.plannedAt != clock.Never {
-			t.Errorf("%s: %d refunded, %d pending, planned at %v", name, host.refunded, len(a.rentals.pending), a.planning.plannedAt)
+			t.Errorf("%s: %d operations refunded, expected %d; %d rentals pending, expected 0; planned at %v, expected never",
+				name, host.refunded, test.refunded, len(a.rentals.pending), a.planning.plannedAt)
 		}
 	}
 }
 
-// A rental is limited to what the recovery allows, and its number is not used again.
+// A rental is limited to the machines that the recovery allows. The request ID of one that it does not
+// allow at all is not used again.
 func TestRentalIsLimitedByRecovery(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.allowed = 0
 	a.rentals.begin([]fleet.Offering{spotC4})
 	if len(a.rentals.pending) != 0 || len(host.changes) != 0 {
-		t.Error("a rental began that the recovery does not allow")
+		t.Error("a rental was started although the recovery allows none")
 	}
 	host.allowed = 2
 	a.rentals.begin([]fleet.Offering{spotC4, spotC4, spotC4})
 	if len(a.rentals.pending) != 1 || a.rentals.pending[0].Count != 2 || a.rentals.pending[0].RequestID != "r-7-2" {
-		t.Errorf("pending: %v", a.rentals.pending)
+		t.Errorf("pending rentals: %v, expected one of 2 machines with request ID r-7-2", a.rentals.pending)
 	}
 }
 
-// The backoff doubles with each failed call up to a lease, and begins anew after a success.
+// The backoff doubles with each failed call up to one worker lease, and starts from the shortest one
+// again after a success. Without the reset, one later failure would stop all requests for a lease.
 func TestCloudBackoff(t *testing.T) {
 	a, _ := newFakeAutoscaler(t)
 	for i, want := range []time.Duration{2, 4, 8, 16, 16} {
 		if a.cloud.recordFailure(500); a.cloud.retryAt != want*time.Second {
-			t.Errorf("failure %d: retry at %v", i, a.cloud.retryAt)
+			t.Errorf("failure %d: retry at %v, expected %v", i, a.cloud.retryAt, want*time.Second)
 		}
 	}
 	a.cloud.recordSuccess()
 	if a.cloud.recordFailure(500); a.cloud.retryAt != 2*time.Second {
-		t.Errorf("retry at %v after a success", a.cloud.retryAt)
+		t.Errorf("first failure after a success: retry at %v, expected 2s", a.cloud.retryAt)
 	}
 }
--- a/internal/autoscaler/returns_test.go
+++ b/internal/autoscaler/returns_test.go
@@ -9,7 +9,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A machine is returned once its drain is complete, and removed when the cloud confirms that.
+// A draining machine is returned once neither tasks nor results are on it, and removed once the cloud
+// has confirmed the return. Results would be lost if it were returned earlier.
 func TestDrainedMachineIsReturned(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
@@ -18,18 +19,19 @@
 	host.state.BeginDrain(idle, cluster.Unhealthy)
 	host.state.BeginDrain(busy, cluster.Unhealthy)
 	if !a.returns.requestReturns() || !idle.Terminating || !idle.TerminationRequested {
-		t.Fatal("not requested")
+		t.Fatal("no return of the idle machine was requested")
 	}
 	request := host.answer(t, 200, nil)
 	if names := request.body.(protocol.MachineNames).Machines; request.path != "/hosts/return" || !slices.Equal(names, []string{"idle"}) {
-		t.Errorf("requested %s of %v", request.path, names)
+		t.Errorf("request: %s of %v, expected /hosts/return of the idle machine", request.path, names)
 	}
 	if host.state.Machines["idle"] != nil || host.state.Machines["busy"] == nil {
-		t.Errorf("machines left: %v", host.state.Machines)
+		t.Errorf("machines after the return: %v, expected only the busy one", host.state.Machines)
 	}
 }
 
-// After a return that was not confirmed, the machine goes on draining and is returned again.
+// After a return that the cloud has not confirmed, the machine stays draining, because the request may
+// still take effect, and its return is requested again.
 func TestUnconfirmedReturnIsRepeated(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
@@ -38,31 +40,34 @@
 	a.returns.requestReturns()
 	host.answer(t, 500, nil)
 	if m.Terminating || !m.TerminationRequested || !m.Draining || !a.cloud.backingOff() {
-		t.Errorf("terminating %v, requested %v, draining %v, backs off %v", m.Terminating, m.TerminationRequested, m.Draining, a.cloud.backingOff())
+		t.Errorf("terminating %v, termination requested %v, draining %v, backing off %v; expected false, then all true",
+			m.Terminating, m.TerminationRequested, m.Draining, a.cloud.backingOff())
 	}
 	host.now += time.Second
 	if a.returns.requestReturns(); len(host.requests) != 1 {
-		t.Error("not requested again")
+		t.Error("the return was not requested again after a failed request")
 	}
 }
 
-// Without budget nothing is sent, and other requests have to wait. What the recovery does not allow
-// costs no request.
+// Without a request budget, no return is sent and other requests must wait. A return that the recovery
+// does not allow costs no request budget.
 func TestReturnsRespectBudgets(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
 	host.state.BeginDrain(host.addMachine("m-1"), cluster.Unhealthy)
 	host.requestBudget = 0
 	if a.returns.requestReturns() || len(host.requests) != 0 {
-		t.Error("returned without a request budget")
+		t.Error("a return was sent, or other requests were allowed, without a request budget")
 	}
 	host.requestBudget, host.allowed = 1, 0
 	if !a.returns.requestReturns() || len(host.requests) != 0 || host.requestBudget != 1 {
-		t.Errorf("%d requests are sent, %d left", len(host.requests), host.requestBudget)
+		t.Errorf("return not allowed by the recovery: %d requests sent, expected 0; %d left in the budget, expected 1",
+			len(host.requests), host.requestBudget)
 	}
 }
 
-// A surplus machine is kept while it is billed anyway, and while work may return.
+// A surplus machine is kept within its first minute, which is billed anyway, and until its idle
+// retention ends, because work may arrive sooner than a new machine would boot.
 func TestSurplusMachineIsKeptUntilRetentionEnds(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
@@ -70,20 +75,21 @@
 	host.state.BeginDrain(m, cluster.SurplusCapacity)
 	m.SurplusSince = 0
 	if a.returns.requestReturns(); len(host.requests) != 0 {
-		t.Error("returned within its first minute")
+		t.Error("the return was requested within the first minute of the machine")
 	}
 	host.now += 2 * time.Minute
 	m.SurplusSince = host.now
 	if a.returns.requestReturns(); len(host.requests) != 0 {
-		t.Error("returned at once")
+		t.Error("the return was requested as soon as the machine became surplus")
 	}
 	host.now += time.Hour
 	if a.returns.requestReturns(); len(host.requests) != 1 {
-		t.Error("never returned")
+		t.Error("no return was requested an hour after the machine became surplus")
 	}
 }
 
-// Silent machines are drained, unless most are silent: then the leader itself is cut off.
+// Silent machines are drained, unless most machines are silent. In that case the leader itself is
+// probably partitioned from its workers, and would return machines that work.
 func TestSilentMachinesAreDrainedUnlessMostAre(t *testing.T) {
 	for name, test := range map[string]struct {
 		silent, reporting int
@@ -104,7 +110,7 @@
 		a.returns.drainUnresponsive()
 		for _, m := range host.state.MachinesByName() {
 			if want := test.drained && m.LastHeartbeat == 0; m.Draining != want {
-				t.Errorf("%s: %s is drained: %v", name, m.Name, m.Draining)
+				t.Errorf("%s: draining of %s is %v, expected %v", name, m.Name, m.Draining, want)
 			}
 		}
 	}
