--- a/internal/autoscaler/consolidation.go
+++ b/internal/autoscaler/consolidation.go
@@ -13,8 +13,8 @@
 
 // Consolidate empties surplus machines by moving the few tasks that keep them from being returned. It
 // moves the tasks of a machine only if all of them write checkpoints, other machines have room for
-// them, and the move gains at least minGainToMoveCostRatio times what it costs. Machines
-// rented less than minBilledTime ago are left alone. kept are the machines that the plan keeps.
+// them, and the move gains at least minGainToMoveCostRatio times what it costs. Machines rented less
+// than minBilledTime ago are left alone. kept are the machines that the plan keeps.
 func (a *Autoscaler) Consolidate(kept []*cluster.Machine) {
 	freeCores := a.freeCores(kept)
 	for _, machine := range a.state.MachinesByName() {
--- a/internal/autoscaler/rentals_test.go
+++ b/internal/autoscaler/rentals_test.go
@@ -58,7 +58,7 @@
 	}
 	a.rentals.sendPending()
 	if second := host.answer(t, 200, protocol.MachineNames{Machines: []string{"m-1", "m-2", "m-3"}}); second.body != first.body {
-		t.Errorf("second request %v, expected the same as the first one %v", second.body, first.body)
+		t.Errorf("first request %v, second request %v, expected the same body", first.body, second.body)
 	}
 }
 
