--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -73,7 +73,8 @@
 	machine := l.state.Machines[host.Name]
 	if machine == nil {
 		machine = l.machines.AddListedMachine(host)
-		l.state.Log.Info("cloud lists a machine without a record, adding it", "machine", machine.Name, "state", host.State)
+		l.state.Log.Info("cloud lists a machine without a record, adding it",
+			"machine", machine.Name, "state", host.State)
 	}
 	silence := l.state.Clock.Now() - machine.LastHeartbeat
 	if host.State == protocol.HostFailed && !machine.ListedAsFailed && silence > 2*l.state.HeartbeatInterval() {
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -17,7 +17,7 @@
 type Forecast struct {
 	lease            time.Duration             // worker lease
 	classes          map[string]*classArrivals // by job class
-	inheritedWork    float64                   // core seconds that arrived under earlier leaders; decays like recentWork
+	inheritedWork    float64                   // core seconds of earlier leaders, decaying like recentWork
 	decayedAt        time.Duration             // instant up to which the sums are decayed
 	sinceLastArrival time.Duration             // without the time in which no job could be stored
 	countingSince    time.Duration             // when the counting of arrivals began
