--- a/internal/workerrouting/connection_capacity.go
+++ b/internal/workerrouting/connection_capacity.go
@@ -2,21 +2,21 @@
 
 import "hitchdoor/internal/protocol"
 
-// Thresholds as shares of a server's connections. A node becomes full at fullThreshold and stays
-// so until it is below spareThreshold. The hysteresis keeps workers from being redirected back
-// and forth.
+// These thresholds are shares of a server's connection limit. A node becomes full at fullThreshold and
+// stays full until its load is below spareThreshold. The hysteresis prevents workers from being
+// redirected back and forth.
 const (
 	fullThreshold  = 13.0 / 16
 	spareThreshold = 11.0 / 16
 )
 
-// ServerConnections is the load of this node's own server.
+// ServerConnections tracks the connections of users and workers to this node's own server.
 type ServerConnections struct {
-	Open, limit int // limit is 0 while it is unknown
-	Full        bool
+	Open, limit int  // limit is 0 until the first update
+	Full        bool // if this node leads, it redirects new workers while it is full
 }
 
-// Update records the present load and applies the thresholds.
+// Update records the numbers of open and allowed connections and updates Full.
 func (c *ServerConnections) Update(open, limit int) {
 	c.Open, c.limit = open, limit
 	switch count := float64(open); {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Spare returns how many more workers the node accepts before it is full.
+// Spare returns how many more workers may connect before the node is full.
 func (c *ServerConnections) Spare() int {
 	if c.Full {
 		return 0
@@ -37,23 +37,24 @@
 	return max(0, int(fullThreshold*float64(c.limit))-c.Open)
 }
 
-// peerCapacity is the number of spare connections in a peer's last heartbeat. A peer of an earlier
-// version doesn't report it and is assumed to have enough.
+// peerCapacity tracks the spare connections of a peer, from its last heartbeat and the redirects since.
+// A peer of an earlier version does not report any and is assumed to have enough.
 type peerCapacity struct {
-	known     bool
+	known     bool // whether the last heartbeat reported the capacity
 	full      bool
-	remaining int // workers that this node may still redirect to it
+	remaining int // number of workers that this node may still redirect to the peer
 }
 
-// recordHeartbeat records the capacity in a peer's heartbeat. It is divided evenly by sharers, the
-// number of nodes that may redirect workers to the peer.
+// recordHeartbeat records the capacity that a peer's heartbeat reports. The spare connections are
+// divided evenly among the nodes that may redirect workers to the peer, whose number is sharers.
 func (c *peerCapacity) recordHeartbeat(heartbeat protocol.PeerHeartbeat, sharers int) {
 	c.known = heartbeat.ConnectionsFull || heartbeat.SpareConnections > 0
 	c.full = heartbeat.ConnectionsFull
 	c.remaining = heartbeat.SpareConnections / max(1, sharers)
 }
 
-// reserveConnection reserves one of the remaining connections and reports whether there was one.
+// reserveConnection reserves one of the remaining connections and reports whether there was one. It
+// always returns true if the capacity is unknown.
 func (c *peerCapacity) reserveConnection() bool {
 	if !c.known {
 		return true
@@ -65,5 +66,5 @@
 	return true
 }
 
-// hasSpare reports whether the peer has reported connections that this node may still use.
+// hasSpare reports whether the peer reported spare connections that this node has not used up.
 func (c *peerCapacity) hasSpare() bool { return c.known && !c.full && c.remaining > 0 }
--- a/internal/workerrouting/connection_capacity_test.go
+++ b/internal/workerrouting/connection_capacity_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Below the mark nothing changes, and a node is full until clearly fewer are open.
+// A node must become full at 13/16 of its connections and stay full until fewer than 11/16 are open.
+// Without this hysteresis, workers would be redirected back and forth.
 func TestFullnessHysteresis(t *testing.T) {
 	connections := ServerConnections{}
 	for _, step := range []struct {
@@ -12,7 +13,8 @@
 	}{{0, false, 81}, {80, false, 1}, {82, true, 0}, {70, true, 0}, {68, false, 13}, {81, false, 0}, {200, true, 0}} {
 		connections.Update(step.open, 100)
 		if connections.Full != step.full || connections.Spare() != step.spare {
-			t.Errorf("%d open: full %v, room %d", step.open, connections.Full, connections.Spare())
+			t.Errorf("%d open: got full %v, %d spare, want %v, %d",
+				step.open, connections.Full, connections.Spare(), step.full, step.spare)
 		}
 	}
 }
--- a/internal/workerrouting/router.go
+++ b/internal/workerrouting/router.go
@@ -1,5 +1,6 @@
-// Package workerrouting decides which controller serves a worker: where a follower redirects or
-// relays a heartbeat to, and when a full leader hands workers to its peers. It sends nothing.
+// Package workerrouting decides which controller a worker connects to: whether a follower redirects a
+// worker to the leader or relays its heartbeat, and when a full leader redirects workers to its peers.
+// It sends no messages.
 package workerrouting
 
 import (
@@ -10,29 +11,29 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Router decides which controller serves a worker. Workers send their heartbeats directly to
-// the leader while it has spare connections. Beyond that the leader redirects new workers to the
-// controller with the most spare connections, and the followers relay heartbeats and responses over
-// their link to the leader. The router sends nothing: its owner carries out what it decides.
+// Router decides which controller a worker connects to. Workers send their heartbeats directly to the
+// leader while it has spare connections. A full leader redirects new workers to the controller with the
+// most spare connections, and the followers relay heartbeats and responses over their links to the
+// leader. The router sends no messages: the controller that owns it carries out its decisions.
 type Router struct {
 	host           Host
 	cluster        *config.Cluster
-	peerNames      []string // in the order in which they are preferred
+	peerNames      []string // in order of preference among peers with equal capacity
 	Connections    ServerConnections
 	peerCapacities map[string]*peerCapacity // by peer name
 	Routes         map[string]*Route        // by worker name
-	prunedAt       clock.Instant            // when expired routes were last removed
+	prunedAt       clock.Instant            // when ExpireRoutes last searched for expired routes
 }
 
-// Host is what the router needs to know of the controller that owns it.
+// Host provides the state of the controller that owns the router.
 type Host interface {
-	// Now returns the time of the current step.
+	// Now returns the time of the controller's current step.
 	Now() clock.Instant
 	// PeerReachable reports whether a message of the peer arrived within the last leader lease.
 	PeerReachable(name string) bool
 }
 
-// NewRouter returns a router that knows of no worker yet.
+// NewRouter returns a router without routes. peerNames are the names of the other controllers.
 func NewRouter(host Host, cluster *config.Cluster, peerNames []string) *Router {
 	router := &Router{host: host, cluster: cluster, peerNames: peerNames,
 		peerCapacities: map[string]*peerCapacity{}, Routes: map[string]*Route{}}
@@ -45,23 +46,24 @@
 // Decision is what a follower does with a worker's heartbeat.
 type Decision int
 
-// The decisions of a follower.
+// These are the decisions that a follower can make.
 const (
-	RejectHeartbeat  Decision = iota // no leader is known; the worker is answered that it may retry
+	RejectHeartbeat  Decision = iota // no leader is known, and the worker is told to retry
 	RedirectToLeader                 // the worker is told to connect to the leader
 	RelayToLeader                    // the heartbeat is forwarded to the leader
 )
 
-// Route is the routing state of a worker that this node doesn't serve as the leader.
+// Route is the routing state of a worker that this node has handled as a follower, or has redirected as
+// a full leader.
 type Route struct {
 	redirectedAt  clock.Instant // when the worker was last redirected to another node
-	RelayUntil    clock.Instant // its heartbeats are relayed until then
-	redirectedTo  string        // the node that it was last redirected to
-	lastHeartbeat clock.Instant // when it last sent a heartbeat to this node
-	strandedAt    clock.Instant // when this node last could neither serve nor relay it
+	RelayUntil    clock.Instant // the time until which the worker's heartbeats are relayed
+	redirectedTo  string        // the node that the worker was last redirected to
+	lastHeartbeat clock.Instant // when this node, as a follower, last received a heartbeat of the worker
+	strandedAt    clock.Instant // when this node last could neither serve nor relay a heartbeat of the worker
 }
 
-// RouteOf returns the routing state of a worker and creates it if there is none.
+// RouteOf returns the route of a worker and creates it if there is none.
 func (r *Router) RouteOf(worker string) *Route {
 	route := r.Routes[worker]
 	if route == nil {
@@ -74,32 +76,33 @@
 	return route
 }
 
-// nodeSearchDuration returns the longest time that a worker needs to try all nodes until one
-// answers.
+// nodeSearchDuration returns the longest time that a worker needs to try all nodes until one responds.
 func (r *Router) nodeSearchDuration() time.Duration {
 	return time.Duration(r.cluster.ControllerCount) * (protocol.HeartbeatTimeout + protocol.NextNodeDelay)
 }
 
-// RelayTimeout returns how long this node waits for the leader's response to a relayed heartbeat.
-// It is well within the time after which the worker discards the response.
+// RelayTimeout returns how long this node waits for the leader's response to a relayed heartbeat. It is
+// well below protocol.HeartbeatTimeout, after which the worker discards the response.
 func (r *Router) RelayTimeout() time.Duration {
 	return min(r.cluster.WorkerLease()/6, protocol.HeartbeatTimeout*7/8)
 }
 
-// recentlyRedirectedTo reports whether the worker was redirected to a node so lately that its
-// return shows that it can't reach that node. It may have tried all other nodes before it returned.
+// recentlyRedirectedTo reports whether the worker was redirected to the node so recently that its
+// return shows that it can't reach that node. The limit is nodeSearchDuration, because the worker may
+// have tried all other nodes before it came back.
 func (r *Router) recentlyRedirectedTo(route *Route, node string) bool {
 	return route.redirectedTo == node && r.host.Now()-route.redirectedAt < r.nodeSearchDuration()
 }
 
-// recordRedirect records that a worker is redirected to a node.
+// recordRedirect records in the route that its worker is now redirected to the node.
 func (r *Router) recordRedirect(route *Route, node string) {
 	route.redirectedAt = r.host.Now()
 	route.redirectedTo = node
 }
 
-// RecordPeerHeartbeat records the spare connections in a peer's heartbeat. All other nodes redirect
-// workers to a leader, and the leader alone to a follower.
+// RecordPeerHeartbeat records the spare connections that a peer's heartbeat reports. A leader's spare
+// connections are divided among all other nodes, because each of them redirects workers to the leader.
+// Only the leader redirects workers to a follower.
 func (r *Router) RecordPeerHeartbeat(peerName string, heartbeat protocol.PeerHeartbeat) {
 	sharers := 1
 	if heartbeat.IsLeader {
@@ -108,9 +111,10 @@
 	r.peerCapacities[peerName].recordHeartbeat(heartbeat, sharers)
 }
 
-// DecideOnFollower decides what a follower does with the heartbeat of a worker. leaderName is empty
-// if no leader is known. A follower relays for a worker that can't reach the leader, or if the
-// leader has no spare connection, and redirects all others.
+// DecideOnFollower decides what a follower does with a worker's heartbeat. leaderName is empty if no
+// leader is known. A follower relays the heartbeat if the leader has no spare connection, or if the
+// worker can't reach the leader; then it also relays for the next two worker leases. Otherwise it
+// redirects the worker.
 func (r *Router) DecideOnFollower(worker, leaderName string) Decision {
 	now := r.host.Now()
 	route := r.RouteOf(worker)
@@ -129,10 +133,10 @@
 	return RelayToLeader
 }
 
-// RedirectFromLeader picks the controller that a worker which this full leader doesn't serve yet is
-// redirected to. A worker that returns is served here, because it can't reach the other node. If
-// no controller has a spare connection, the worker is served here and the server serves its workers
-// in turns.
+// RedirectFromLeader picks the controller to which this full leader redirects a worker that it doesn't
+// serve yet. It returns false if the leader should serve the worker itself: either the worker came back
+// from a redirect, because it can't reach the other node, or no reachable controller has a spare
+// connection. In the latter case the server closes connections so that its workers take turns.
 func (r *Router) RedirectFromLeader(worker string) (node string, redirect bool) {
 	route := r.RouteOf(worker)
 	target := r.leastLoadedPeer()
@@ -140,13 +144,13 @@
 		return "", false
 	}
 	r.peerCapacities[target].reserveConnection()
-	r.Connections.Open-- // the worker closes its connection, but the next count may be late
+	r.Connections.Open-- // The worker closes its connection, but the next Update may come later.
 	r.recordRedirect(route, target)
 	return target, true
 }
 
-// leastLoadedPeer returns the reachable peer with the most spare connections, or empty if none
-// reports any.
+// leastLoadedPeer returns the reachable peer with the most spare connections, or "" if no reachable
+// peer has any.
 func (r *Router) leastLoadedPeer() string {
 	best, bestRemaining := "", 0
 	for _, name := range r.peerNames {
@@ -158,16 +162,18 @@
 	return best
 }
 
-// RecordServed records that the leader answered a relayed heartbeat of a worker.
+// RecordServed records that the leader responded to a relayed heartbeat of the worker, which is
+// therefore not stranded.
 func (r *Router) RecordServed(worker string) { r.RouteOf(worker).strandedAt = clock.Never }
 
-// RecordStranded records that a worker's heartbeat could neither be served nor relayed.
+// RecordStranded records that a heartbeat of the worker could neither be served nor relayed.
 func (r *Router) RecordStranded(worker string) {
 	r.RouteOf(worker).strandedAt = r.host.Now()
 }
 
-// CountWorkers counts the workers that came to this node within the time that a worker needs to try
-// all nodes, and those among the known ones that could neither be served nor relayed within it.
+// CountWorkers counts the workers that sent a heartbeat to this node as a follower within the last
+// nodeSearchDuration, and the known workers whose heartbeat could neither be served nor relayed in that
+// time.
 func (r *Router) CountWorkers() (recent, stranded int) {
 	now, window := r.host.Now(), r.nodeSearchDuration()
 	for _, route := range r.Routes {
@@ -181,9 +187,10 @@
 	return recent, stranded
 }
 
-// ExpireRoutes removes the workers that have not returned. The table is bounded by age and not by
-// size: with a bound below the number of machines it would be cleared again and again, no worker
-// would ever be relayed for, and a leader that workers can't reach would lose them all.
+// ExpireRoutes removes the routes of workers that have not come back, at most once per worker lease.
+// Routes are limited by age and not by number: a limit below the number of machines would clear them
+// again and again, so that no worker would ever be relayed, and a leader that workers can't reach would
+// lose all of them.
 func (r *Router) ExpireRoutes() {
 	now := r.host.Now()
 	if now < r.prunedAt+r.cluster.WorkerLease() {
--- a/internal/workerrouting/router_test.go
+++ b/internal/workerrouting/router_test.go
@@ -9,7 +9,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// fakeHost tells a router the time and which peers are unreachable.
+// fakeHost is a Host with a settable time and settable unreachable peers.
 type fakeHost struct {
 	now         clock.Instant
 	unreachable map[string]bool
@@ -19,7 +19,7 @@
 
 func (h *fakeHost) PeerReachable(name string) bool { return !h.unreachable[name] }
 
-// newTestRouter returns a router of a cluster of three.
+// newTestRouter returns a router of a cluster of three controllers with a worker lease of 14 s.
 func newTestRouter() (*Router, *fakeHost) {
 	host := &fakeHost{now: time.Hour, unreachable: map[string]bool{}}
 	cluster := &config.Cluster{ControllerCount: 3}
@@ -27,8 +27,8 @@
 	return NewRouter(host, cluster, []string{"n1", "n2"}), host
 }
 
-// A follower redirects a worker once. One that comes back at once can't reach the leader, and is
-// relayed for during two leases; then the direct route is tried again.
+// A worker that comes back soon after its redirect can't reach the leader. The follower must relay its
+// heartbeats instead of redirecting it again and again, and retry the redirect after two worker leases.
 func TestReturningWorkerIsRelayed(t *testing.T) {
 	router, host := newTestRouter()
 	for _, step := range []struct {
@@ -43,36 +43,36 @@
 	} {
 		host.now += step.after
 		if got := router.DecideOnFollower("m-1", "n1"); got != step.want {
-			t.Errorf("at %v: decision %d, not %d", host.now, got, step.want)
+			t.Errorf("at %v: got decision %d, want %d", host.now, got, step.want)
 		}
 	}
 }
 
-// Without a leader a worker is stranded until a relayed heartbeat is answered, and its route is
-// forgotten once it does not come back.
+// A worker that a follower can't pass to any leader must be counted as stranded until the leader responds
+// to a relayed heartbeat. The route of a worker that does not come back must be removed.
 func TestStrandedWorkersAreCounted(t *testing.T) {
 	router, host := newTestRouter()
 	if got := router.DecideOnFollower("m-1", ""); got != RejectHeartbeat {
-		t.Errorf("without a leader: decision %d", got)
+		t.Errorf("without a leader: got decision %d, want RejectHeartbeat", got)
 	}
 	if recent, stranded := router.CountWorkers(); recent != 1 || stranded != 1 {
-		t.Errorf("%d came, %d are stranded", recent, stranded)
+		t.Errorf("without a leader: got %d recent and %d stranded workers, want 1 and 1", recent, stranded)
 	}
 	router.RecordServed("m-1")
 	if recent, stranded := router.CountWorkers(); recent != 1 || stranded != 0 {
-		t.Errorf("once served, %d came, %d are stranded", recent, stranded)
+		t.Errorf("after the leader responded: got %d recent and %d stranded workers, want 1 and 0", recent, stranded)
 	}
 	host.now += router.nodeSearchDuration()
 	if recent, _ := router.CountWorkers(); recent != 0 {
-		t.Errorf("%d still count as recent", recent)
+		t.Errorf("after the search duration: got %d recent workers, want 0", recent)
 	}
 	if router.ExpireRoutes(); len(router.Routes) > 0 {
-		t.Errorf("%d routes are kept", len(router.Routes))
+		t.Errorf("after the search duration: got %d routes, want 0", len(router.Routes))
 	}
 }
 
-// A full leader redirects to the reachable peer with the most spare connections, and uses up what
-// that peer has reported.
+// A full leader must redirect to the reachable peer with the most spare connections, but to no more
+// connections than that peer reported, and must serve a worker that comes back itself.
 func TestLeaderRedirectsToSpareConnections(t *testing.T) {
 	router, host := newTestRouter()
 	router.Connections.Update(90, 100)
@@ -80,19 +80,19 @@
 	router.RecordPeerHeartbeat("n2", protocol.PeerHeartbeat{SpareConnections: 2})
 	host.unreachable["n2"] = true
 	if target, _ := router.RedirectFromLeader("m-1"); target != "n1" {
-		t.Errorf("redirected to %q", target)
+		t.Errorf("m-1: redirected to %q, want the only reachable peer n1", target)
 	}
 	if target, redirect := router.RedirectFromLeader("m-2"); redirect {
-		t.Errorf("redirected to %q, which is full or unreachable", target)
+		t.Errorf("m-2: redirected to %q, want no redirect: n1 has no spare connection left, n2 is unreachable", target)
 	}
 	host.unreachable["n2"] = false
 	if target, redirect := router.RedirectFromLeader("m-1"); redirect {
-		t.Errorf("one that came back is redirected to %q", target)
+		t.Errorf("m-1 after it came back: redirected to %q, want no redirect", target)
 	}
 	if target, _ := router.RedirectFromLeader("m-3"); target != "n2" {
-		t.Errorf("redirected to %q", target)
+		t.Errorf("m-3: redirected to %q, want n2", target)
 	}
 	if router.Connections.Open != 88 {
-		t.Errorf("%d connections count as open after two redirects", router.Connections.Open)
+		t.Errorf("got %d open connections after two redirects, want 88", router.Connections.Open)
 	}
 }
