--- a/internal/reachability/matrix.go
+++ b/internal/reachability/matrix.go
@@ -1,6 +1,6 @@
-// Package reachability tracks the state of the links between controllers, by direction, and finds
-// the node that should replace a leader behind a one-way partition. It is pure: the caller passes
-// in the time.
+// Package reachability tracks the state of each direction of the links between controllers, and finds
+// the node that should replace a leader behind a one-way partition. It reads no clock: callers pass in
+// the time.
 package reachability
 
 import (
@@ -10,60 +10,59 @@
 	"time"
 )
 
-// NodeReport is a node's report, in its heartbeats, of what it can reach.
+// NodeReport is what a node reports in its heartbeats about its links, the key-value store and workers.
 type NodeReport struct {
-	IncomingLinks   []IncomingLink // the other nodes whose heartbeats it receives
-	StoreReachable  bool           // the key-value store responds to it
-	RecentWorkers   int            // workers that contacted it lately
-	StrandedWorkers int            // of these, the workers that it could neither serve nor relay
-	// MostStranded is the other node that reported the most stranded workers. It is passed on
-	// because that node's heartbeats may not reach the leader.
+	IncomingLinks   []IncomingLink // the links on which the node receives heartbeats
+	StoreReachable  bool           // whether the key-value store responds to the node
+	RecentWorkers   int            // number of workers that recently contacted the node
+	StrandedWorkers int            // number of those that the node could neither serve nor relay
+	// MostStranded is the other node that reported the most stranded workers to this node. It is
+	// forwarded because that node's own heartbeats may not reach the leader.
 	MostStranded StrandedCount
 }
 
-// StrandedCount is the number of workers that contacted a node and that it can't serve.
+// StrandedCount is the number of workers that contacted a node but could not be served through it.
 type StrandedCount struct {
 	Node    string `json:"node"`
 	Workers int    `json:"stranded"`
 }
 
-// IncomingLink is the link from a node whose heartbeat was received, and how long ago that was.
+// IncomingLink is the link from another node, with the time since a heartbeat last arrived on it.
 type IncomingLink struct {
 	Node  string `json:"node"`
 	AgeMS int64  `json:"ageMs"`
 }
 
-// Age is the time since the last heartbeat arrived.
+// Age returns the time since the last heartbeat arrived.
 func (l IncomingLink) Age() time.Duration { return time.Duration(l.AgeMS) * time.Millisecond }
 
-// Link is the state of one direction of the link between two nodes.
+// Link is the state of the link from one node to another. The opposite direction has its own state.
 type Link int
 
-// States of a link. A link that nobody has reported lately is unknown, which is different from
-// down.
+// These are the states of a link, as the receiving node reports them.
 const (
-	LinkUnknown Link = iota
-	LinkUp
-	LinkDown
+	LinkUnknown Link = iota // the receiving node has not reported recently
+	LinkUp                  // the receiving node reported a recent heartbeat from the sender
+	LinkDown                // the receiving node reported, but no recent heartbeat from the sender
 )
 
-// String is the name of the link's state.
+// String returns the name of the state as operators see it.
 func (l Link) String() string { return [...]string{"unknown", "works", "cut"}[l] }
 
-// receivedReport is the last report of a node, and when it arrived.
+// receivedReport is the latest report of a node and the time at which it arrived.
 type receivedReport struct {
 	receivedAt time.Duration
 	report     NodeReport
 }
 
-// Matrix is one node's knowledge of all links.
+// Matrix is one node's view of the links between all nodes, from the latest report of each node.
 type Matrix struct {
 	nodes       map[string]bool
-	sortedNodes []string // the nodes by name, which never change
+	sortedNodes []string // the keys of nodes; the set of nodes is fixed
 	reports     map[string]receivedReport
 }
 
-// NewMatrix returns an empty matrix of the nodes.
+// NewMatrix returns a matrix of the given nodes without any reports.
 func NewMatrix(nodes []string) *Matrix {
 	m := &Matrix{nodes: map[string]bool{}, reports: map[string]receivedReport{}}
 	for _, node := range nodes {
@@ -73,21 +72,21 @@
 	return m
 }
 
-// InvalidReportError reports that a node's report is invalid.
+// InvalidReportError is the error of RecordReport for an invalid report.
 type InvalidReportError struct{ Reason string }
 
 // Error describes what is invalid.
 func (e *InvalidReportError) Error() string { return "reachability report: " + e.Reason }
 
-// RecordReport records a node's report. An invalid one changes nothing and returns an
-// InvalidReportError.
+// RecordReport records a node's report in place of its previous one. It ignores an invalid report and
+// returns an *InvalidReportError.
 func (m *Matrix) RecordReport(from string, receivedAt time.Duration, report NodeReport) error {
 	if !m.nodes[from] {
-		return &InvalidReportError{fmt.Sprintf("from unknown node %q", from)}
+		return &InvalidReportError{fmt.Sprintf("sent by unknown node %q", from)}
 	}
 	if report.RecentWorkers < 0 || report.StrandedWorkers < 0 || report.MostStranded.Workers < 0 ||
 		len(report.IncomingLinks) > len(m.nodes) {
-		return &InvalidReportError{"counts out of range"}
+		return &InvalidReportError{fmt.Sprintf("%q reports a negative count or more than %d links", from, len(m.nodes))}
 	}
 	for _, link := range report.IncomingLinks {
 		switch {
@@ -96,14 +95,16 @@
 		case !m.nodes[link.Node]:
 			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from unknown node %q", from, link.Node)}
 		case link.AgeMS < 0:
-			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from %q in the future", from, link.Node)}
+			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from %q with the negative age %d ms",
+				from, link.Node, link.AgeMS)}
 		}
 	}
 	m.reports[from] = receivedReport{receivedAt: receivedAt, report: report}
 	return nil
 }
 
-// Link is the state of the link from one node to another, as the latter reported within the window.
+// Link returns the state of the link from one node to another, as the receiving node reported it within
+// the window before now.
 func (m *Matrix) Link(from, to string, now, window time.Duration) Link {
 	latest, ok := m.reports[to]
 	if !ok || now-latest.receivedAt >= window {
@@ -117,15 +118,15 @@
 	return LinkDown
 }
 
-// LatestReport returns a node's last report, and whether it is within the window.
+// LatestReport returns a node's latest report and whether it arrived within the window before now.
 func (m *Matrix) LatestReport(node string, now, window time.Duration) (NodeReport, bool) {
 	latest, ok := m.reports[node]
 	return latest.report, ok && now-latest.receivedAt < window
 }
 
-// Successor is the other node with the most stranded workers, which would serve more of them as the
-// leader, and their number. The name is empty if there is none. Reports older than the window are
-// ignored.
+// Successor returns the other node with the most stranded workers and their number. That node could
+// serve more of them if it were the leader. The name is empty if there is none. Reports older than the
+// window are ignored.
 func (m *Matrix) Successor(self string, now, window time.Duration) StrandedCount {
 	successor, most := "", 0
 	for _, node := range m.sortedNodes {
@@ -143,7 +144,8 @@
 	return StrandedCount{successor, most}
 }
 
-// MostStrandedElsewhere is the other node that reported the most stranded workers within the window.
+// MostStrandedElsewhere returns the other node that itself reported the most stranded workers within the
+// window while the key-value store was reachable for it. The result is zero if there is none.
 func (m *Matrix) MostStrandedElsewhere(self string, now, window time.Duration) StrandedCount {
 	mostStranded := StrandedCount{}
 	for _, node := range m.sortedNodes {
@@ -155,8 +157,9 @@
 	return mostStranded
 }
 
-// CountBidirectional counts the other nodes with which heartbeats pass in both directions. A node
-// of an earlier version doesn't report what it receives; it counts if its heartbeats are received.
+// CountBidirectional counts the other nodes with which heartbeats are exchanged in both directions.
+// receivesFrom reports whether heartbeats from a node arrive here. They suffice for a node of an
+// earlier version, which doesn't report what it receives.
 func (m *Matrix) CountBidirectional(self string, now, window time.Duration, receivesFrom func(node string) bool) int {
 	count := 0
 	for node := range m.nodes {
--- a/internal/reachability/matrix_test.go
+++ b/internal/reachability/matrix_test.go
@@ -7,7 +7,8 @@
 
 const window = 10 * time.Second
 
-// Each direction is known by itself; what is old, or was never said, is unknown.
+// Each direction of a link must have its own state. A direction whose receiving node has not reported, or
+// only too long ago, must be unknown rather than down.
 func TestLinkByDirection(t *testing.T) {
 	m := NewMatrix([]string{"a", "b", "c"})
 	m.RecordReport("b", 0, NodeReport{IncomingLinks: []IncomingLink{{"a", 2000}}})
@@ -20,12 +21,12 @@
 		{"a", "b", 7 * time.Second, LinkUp}, {"a", "b", 8 * time.Second, LinkDown}, {"a", "b", window, LinkUnknown},
 	} {
 		if got := m.Link(test.from, test.to, test.now, window); got != test.want {
-			t.Errorf("%s to %s at %v: %v, not %v", test.from, test.to, test.now, got, test.want)
+			t.Errorf("%s to %s at %v: got %v, want %v", test.from, test.to, test.now, got, test.want)
 		}
 	}
 }
 
-// Reports that can't be true are refused and change nothing.
+// RecordReport must reject a report that can't be true, and leave the matrix unchanged.
 func TestRecordReportRejectsInvalidReports(t *testing.T) {
 	m := NewMatrix([]string{"a", "b"})
 	validReport := NodeReport{IncomingLinks: []IncomingLink{{"a", 5}}}
@@ -44,16 +45,17 @@
 		"too many":        {"b", NodeReport{IncomingLinks: []IncomingLink{{"a", 5}, {"a", 5}, {"a", 5}}}},
 	} {
 		if m.RecordReport(test.from, time.Second, test.report) == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: the report was accepted, want an error", name)
 		}
 	}
 	if m.Link("a", "b", 0, window) != LinkUp {
-		t.Error("a refused report changed what is known")
+		t.Error("a rejected report changed the link from a to b, which was up")
 	}
 }
 
-// The successor is the node with the most workers that nobody serves, as it says itself or as
-// a third node has heard; there is none without the state service, or long ago.
+// The successor must be the node with the most stranded workers, by its own report or, because its
+// heartbeats may not arrive, by the report of a third node. A node without access to the key-value store,
+// the leader itself and a node with an outdated report must not be chosen.
 func TestSuccessor(t *testing.T) {
 	stranded := func(workers int, storeReachable bool) NodeReport {
 		return NodeReport{StoreReachable: storeReachable, StrandedWorkers: workers}
@@ -65,13 +67,13 @@
 		reports map[string]NodeReport
 		want    string
 	}{
-		"nothing known":          {nil, ""},
-		"none stranded":          {map[string]NodeReport{"a": {StoreReachable: true}, "b": {StoreReachable: true}}, ""},
-		"workers elsewhere":      {map[string]NodeReport{"a": {StoreReachable: true}, "b": stranded(3, true)}, "b"},
-		"more workers elsewhere": {map[string]NodeReport{"a": stranded(4, true), "b": stranded(3, true)}, "a"},
-		"without the state":      {map[string]NodeReport{"a": {StoreReachable: true}, "b": stranded(3, false)}, ""},
-		"heard by a third":       {map[string]NodeReport{"a": relayed("b", 2)}, "b"},
-		"the leader's own":       {map[string]NodeReport{"a": relayed("l", 2)}, ""},
+		"no reports":            {nil, ""},
+		"none stranded":         {map[string]NodeReport{"a": {StoreReachable: true}, "b": {StoreReachable: true}}, ""},
+		"stranded at one node":  {map[string]NodeReport{"a": {StoreReachable: true}, "b": stranded(3, true)}, "b"},
+		"stranded at two nodes": {map[string]NodeReport{"a": stranded(4, true), "b": stranded(3, true)}, "a"},
+		"store unreachable":     {map[string]NodeReport{"a": {StoreReachable: true}, "b": stranded(3, false)}, ""},
+		"reported by a third":   {map[string]NodeReport{"a": relayed("b", 2)}, "b"},
+		"the leader itself":     {map[string]NodeReport{"a": relayed("l", 2)}, ""},
 	} {
 		m := NewMatrix([]string{"l", "a", "b"})
 		for node, report := range test.reports {
@@ -81,25 +83,26 @@
 		}
 		if got := m.Successor("l", time.Second, window); got.Node != test.want ||
 			(got.Workers > 0) != (test.want != "") {
-			t.Errorf("%s: %+v, not %q", name, got, test.want)
+			t.Errorf("%s: got %+v, want node %q", name, got, test.want)
 		}
 		if got := m.Successor("l", window, window); got != (StrandedCount{}) {
-			t.Errorf("%s, long ago: %+v", name, got)
+			t.Errorf("%s, outdated reports: got %+v, want none", name, got)
 		}
 	}
 }
 
-// Links that work both ways are counted; an earlier version says nothing, and counts.
+// Only links on which heartbeats pass in both directions must be counted. A node of an earlier version
+// does not report what it receives, and must count if its heartbeats arrive.
 func TestCountBidirectional(t *testing.T) {
 	m := NewMatrix([]string{"a", "b", "c", "d"})
 	m.RecordReport("b", 0, NodeReport{IncomingLinks: []IncomingLink{{"a", 0}}})
 	m.RecordReport("c", 0, NodeReport{})
 	receivesFrom := func(node string) bool { return node != "d" }
 	if got := m.CountBidirectional("a", 0, window, receivesFrom); got != 1 {
-		t.Errorf("%d", got)
+		t.Errorf("links of a: got %d, want 1", got)
 	}
-	// a says nothing; c says that it hears nobody
+	// Node a sends no report and counts. Node c reports that it receives no heartbeats and does not count.
 	if got := m.CountBidirectional("b", 0, window, receivesFrom); got != 1 {
-		t.Errorf("%d", got)
+		t.Errorf("links of b: got %d, want 1", got)
 	}
 }
