--- a/internal/reachability/matrix.go
+++ b/internal/reachability/matrix.go
@@ -158,8 +158,8 @@
 }
 
 // CountBidirectional counts the other nodes with which heartbeats are exchanged in both directions.
-// receivesFrom reports whether heartbeats from a node arrive here. They suffice for a node of an
-// earlier version, which doesn't report what it receives.
+// receivesFrom reports whether heartbeats from a node arrive here. This suffices for a node without a
+// recent report, because nodes of earlier versions don't report what they receive.
 func (m *Matrix) CountBidirectional(self string, now, window time.Duration, receivesFrom func(node string) bool) int {
 	count := 0
 	for node := range m.nodes {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -14,8 +14,8 @@
 	maxAcceptDelay = 500 * time.Millisecond
 )
 
-// retryingListener retries Accept after errors. Without the retries, a server would return, and the process would
-// exit, as soon as all file descriptors are in use.
+// retryingListener retries Accept after errors. Without the retries, a server would return, and the
+// process would exit, as soon as all file descriptors are in use.
 type retryingListener struct {
 	net.Listener
 	log       *slog.Logger
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -15,8 +15,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A message must reach the other controller, although Send drops messages until the link is open. The
-// receiver must close a connection whose handshake names an unknown node.
+// A message must reach the other controller; a message that is sent before the link is open may be lost.
+// The receiver must close a connection whose handshake names an unknown node.
 func TestPeerMessageDelivery(t *testing.T) {
 	listener := listenOnLoopback(t)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -57,8 +57,8 @@
 }
 
 // On a half-open connection writes succeed but no acknowledgement returns. The sender must close it
-// after the idle timeout and open a new one. It must not do so with a node of an earlier version, which
-// never sends acknowledgements.
+// after the idle timeout and open a new one. It must keep the connection to a node of an earlier
+// version, which never sends acknowledgements.
 func TestHalfOpenLinkIsReopened(t *testing.T) {
 	for _, test := range []struct {
 		name            string
