--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const platform = `node = "n0"
+const validPlatform = `node = "n0"
 client_listen = "127.0.0.1:1"
 peer_bind = "127.0.0.1:2"
 later = 1
@@ -52,7 +52,7 @@
 max_connections = 900
 `
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -76,11 +76,11 @@
 }
 
 func TestLoad(t *testing.T) {
-	p, err := LoadPlatform(write(t, platform))
-	if err != nil || p.Cluster.Workers.LeaseS != 14 || p.Peers[0].Node != "n1" {
-		t.Fatalf("%+v, %v", p, err)
+	platform, err := LoadPlatform(writeFile(t, validPlatform))
+	if err != nil || platform.Cluster.Workers.LeaseS != 14 || platform.Peers[0].Node != "n1" {
+		t.Fatalf("%+v, %v", platform, err)
 	}
-	checkStoreLimits(t, p, 8<<10)
+	checkStoreLimits(t, platform, 8<<10)
 	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("a missing file: %v", err)
 	}
@@ -89,17 +89,17 @@
 // Lower limits that will apply later count at once.
 func TestUpcomingLimits(t *testing.T) {
 	const limits = "txn_ops = 20\n[cluster.state.next]\nwrite_rps = 30.0\nvalue_kb = 2.0"
-	p, err := LoadPlatform(write(t, strings.Replace(platform, "txn_ops = 20", limits, 1)))
+	platform, err := LoadPlatform(writeFile(t, strings.Replace(validPlatform, "txn_ops = 20", limits, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkStoreLimits(t, p, 2<<10)
+	checkStoreLimits(t, platform, 2<<10)
 }
 
 // checkStoreLimits checks the limits of the key-value store.
-func checkStoreLimits(t *testing.T, p *Platform, valueBytes int) {
+func checkStoreLimits(t *testing.T, platform *Platform, valueBytes int) {
 	t.Helper()
-	store := p.Cluster.Store
+	store := platform.Cluster.Store
 	if store.MaxValueBytes() != valueBytes || store.MaxTxnOps() != 20 || store.LowerWritesPerS() != 25 {
 		t.Errorf("%d bytes, %d changes, %v a second", store.MaxValueBytes(), store.MaxTxnOps(), store.LowerWritesPerS())
 	}
@@ -123,18 +123,18 @@
 		{`txn_ops = 20`, "txn_ops = 20\nnext = { write_rps = \"x\" }", "next"},
 	} {
 		t.Run(c.old+" to "+c.new, func(t *testing.T) {
-			_, err := LoadPlatform(write(t, strings.Replace(platform, c.old, c.new, 1)))
+			_, err := LoadPlatform(writeFile(t, strings.Replace(validPlatform, c.old, c.new, 1)))
 			checkError(t, err, c.want)
 		})
 	}
 }
 
 func TestSettings(t *testing.T) {
-	s, err := LoadSettings(write(t, "slots_per_core: 3\nthrift: 0.5\n"))
-	if err != nil || s.SlotsPerCore != 3 || s.BaseSlots != 6 || *s.CostSensitivity != 0.5 {
-		t.Fatalf("%+v, %v", s, err)
+	settings, err := LoadSettings(writeFile(t, "slots_per_core: 3\nthrift: 0.5\n"))
+	if err != nil || settings.SlotsPerCore != 3 || settings.BaseSlots != 6 || *settings.CostSensitivity != 0.5 {
+		t.Fatalf("%+v, %v", settings, err)
 	}
-	if _, err := LoadSettings(write(t, "")); err != nil {
+	if _, err := LoadSettings(writeFile(t, "")); err != nil {
 		t.Errorf("an empty file: %v", err)
 	}
 }
@@ -151,7 +151,7 @@
 		"trace_steps: -3":     "trace_steps",
 	} {
 		t.Run(text, func(t *testing.T) {
-			_, err := LoadSettings(write(t, text))
+			_, err := LoadSettings(writeFile(t, text))
 			checkError(t, err, want)
 		})
 	}
@@ -159,11 +159,11 @@
 
 // Amounts that users and other services write become durations whose sums don't overflow.
 func TestSecondsAreBounded(t *testing.T) {
-	for _, s := range []float64{0, 1.5, 1e9, 1e18, 1e300, -1e300} {
-		t.Run(fmt.Sprint(s), func(t *testing.T) {
-			d := Seconds(s)
-			if (s >= 0) != (d >= 0) || (s >= 0) != (4*d+time.Hour >= 0) {
-				t.Errorf("%v s: %v", s, d)
+	for _, seconds := range []float64{0, 1.5, 1e9, 1e18, 1e300, -1e300} {
+		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
+			duration := Seconds(seconds)
+			if (seconds >= 0) != (duration >= 0) || (seconds >= 0) != (4*duration+time.Hour >= 0) {
+				t.Errorf("%v s: %v", seconds, duration)
 			}
 		})
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -106,8 +106,8 @@
 		return invalidSetting("thrift", "must be within 0..10, is %v", *s.CostSensitivity)
 	}
 	for _, setting := range []struct {
-		name           string
-		value, lo, top float64
+		name                   string
+		value, lowest, highest float64
 	}{
 		{"slots_per_core", s.SlotsPerCore, 0.01, 1000},
 		{"slots_base", s.BaseSlots, 0, 1000},
@@ -122,8 +122,8 @@
 		{"recovery_replace", s.RecoveryReplaceLeases, 0.01, 10},
 		{"trace_steps", float64(s.MaxTraceSteps), 0, 100_000},
 	} {
-		if !(setting.value >= setting.lo && setting.value <= setting.top) {
-			return invalidSetting(setting.name, "must be within %v..%v, is %v", setting.lo, setting.top, setting.value)
+		if !(setting.value >= setting.lowest && setting.value <= setting.highest) {
+			return invalidSetting(setting.name, "must be within %v..%v, is %v", setting.lowest, setting.highest, setting.value)
 		}
 	}
 	return nil
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -27,16 +27,16 @@
 	return nil
 }
 
-// textSetting is a setting that is a text, with its name in the file.
-type textSetting struct{ name, value string }
+// stringSetting is a setting that is a text, with its name in the file.
+type stringSetting struct{ name, value string }
 
 // validateAddresses checks the names of the nodes and all addresses.
 func (p *Platform) validateAddresses() error {
-	addresses := []textSetting{
+	addresses := []stringSetting{
 		{"client_listen", p.ClientListen}, {"peer_bind", p.PeerBind},
 		{"outside.cloud", p.Services.Cloud}, {"outside.state", p.Services.Store},
 	}
-	for _, setting := range append([]textSetting{{"node", p.Node}}, addresses...) {
+	for _, setting := range append([]stringSetting{{"node", p.Node}}, addresses...) {
 		if setting.value == "" {
 			return invalidSetting(setting.name, "missing")
 		}
@@ -45,7 +45,7 @@
 		if peer.Node == "" || peer.Node == p.Node {
 			return invalidSetting(fmt.Sprintf("known[%d].node", i), "missing, or this node's own")
 		}
-		addresses = append(addresses, textSetting{fmt.Sprintf("known[%d].peer_addr", i), peer.Address})
+		addresses = append(addresses, stringSetting{fmt.Sprintf("known[%d].peer_addr", i), peer.Address})
 	}
 	for _, setting := range addresses {
 		if _, _, err := net.SplitHostPort(setting.value); err != nil {
@@ -95,11 +95,11 @@
 	if s.TxnOps < minTxnOps {
 		return invalidSetting("cluster.state.txn_ops", "must be at least %d, is %d", minTxnOps, s.TxnOps)
 	}
-	if next := s.Upcoming.ValueKB; next != nil && !(*next >= minUpcomingValueKB) {
-		return invalidSetting("cluster.state.next.value_kb", "must be at least %v, is %v", minUpcomingValueKB, *next)
+	if upcoming := s.Upcoming.ValueKB; upcoming != nil && !(*upcoming >= minUpcomingValueKB) {
+		return invalidSetting("cluster.state.next.value_kb", "must be at least %v, is %v", minUpcomingValueKB, *upcoming)
 	}
-	if ops := s.MaxTxnOps(); ops < minTxnOps {
-		return invalidSetting("cluster.state.next.txn_ops", "must be at least %d, is %d", minTxnOps, ops)
+	if maxOps := s.MaxTxnOps(); maxOps < minTxnOps {
+		return invalidSetting("cluster.state.next.txn_ops", "must be at least %d, is %d", minTxnOps, maxOps)
 	}
 	return nil
 }
--- a/internal/protocol/cloud_responses_test.go
+++ b/internal/protocol/cloud_responses_test.go
@@ -7,13 +7,13 @@
 )
 
 // What the cloud can't have answered is told from what it can.
-func TestCheckCloudAnswer(t *testing.T) {
+func TestCheckCloudResponse(t *testing.T) {
 	const page = "/hosts?limit=500&since=m-000004"
 	for _, c := range []struct {
 		method, path string
 		status       int
 		body         string
-		ok           bool
+		valid        bool
 	}{
 		{"GET", "/catalog", 200, `{"portes":[{"sku":"c4","cores":4,"ramGb":16}]}`, true},
 		{"GET", "/catalog", 200, `{"portes":[{"sku":"c4","cores":0,"ramGb":16}]}`, false},
@@ -36,8 +36,8 @@
 	} {
 		t.Run(fmt.Sprintf("%s %s %d %s", c.method, c.path, c.status, c.body), func(t *testing.T) {
 			err := CheckCloudResponse(c.method, c.path, c.status, []byte(c.body))
-			var odd *CloudResponseError
-			if (err == nil) != c.ok || err != nil && !errors.As(err, &odd) {
+			var invalid *CloudResponseError
+			if (err == nil) != c.valid || err != nil && !errors.As(err, &invalid) {
 				t.Errorf("%s %s: %d %s: %v", c.method, c.path, c.status, c.body, err)
 			}
 		})
@@ -47,20 +47,21 @@
 // A type that is given away, or that never fetches an image, stays, with figures that can
 // be divided by; one that holds no task does not.
 func TestUsableTypes(t *testing.T) {
-	good := MachineType{Name: "c4", Cores: 4, MemoryGB: 16, PullGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5}
-	free, slow, none, nameless := good, good, good, good
+	valid := MachineType{Name: "c4", Cores: 4, MemoryGB: 16, PullGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5}
+	free, withoutPullRate, withoutCores, nameless := valid, valid, valid, valid
 	free.OnDemandPrice, free.SpotPrice = -1, 0
-	slow.PullGBPerSecond = 0
-	none.Cores = 0
+	withoutPullRate.PullGBPerSecond = 0
+	withoutCores.Cores = 0
 	nameless.Name = ""
-	catalog := Catalog{Types: []MachineType{good, free, slow, none, nameless}}
+	catalog := Catalog{Types: []MachineType{valid, free, withoutPullRate, withoutCores, nameless}}
 	usable := catalog.UsableTypes()
 	if len(usable) != 3 {
 		t.Fatalf("%d types can be used, not 3", len(usable))
 	}
-	for _, u := range usable {
-		if !(u.PricePerCore(true) > 0) || !(u.PricePerCore(false) > 0) || !(u.PullGBPerSecond > 0) {
-			t.Errorf("%+v", u)
+	for _, machineType := range usable {
+		if !(machineType.PricePerCore(true) > 0) || !(machineType.PricePerCore(false) > 0) ||
+			!(machineType.PullGBPerSecond > 0) {
+			t.Errorf("%+v", machineType)
 		}
 	}
 }
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -138,7 +138,7 @@
 	ProcessID         uint64          `json:"run,omitempty"`
 	ReceiverProcessID uint64          `json:"heard,omitempty"`
 	Granted           bool            `json:"ok,omitempty"`
-	VersionLevel      int             `json:"level,omitempty"`
+	ProtocolLevel     int             `json:"level,omitempty"`
 	WritesThrottled   bool            `json:"slow,omitempty"`
 	ConnectionsFull   bool            `json:"full,omitempty"`
 	SpareConnections  int             `json:"room,omitempty"`
@@ -177,7 +177,7 @@
 	return wirePeerMessage{Type: typePeerHeartbeat,
 		Term: m.Term, IsLeader: m.IsLeader, WantsLeaseGrant: m.WantsLeaseGrant,
 		SentAt: int64(m.SentAt), Uptime: int64(m.Uptime),
-		ProcessID: m.ProcessID, ReceiverProcessID: m.ReceiverProcessID, VersionLevel: m.VersionLevel,
+		ProcessID: m.ProcessID, ReceiverProcessID: m.ReceiverProcessID, ProtocolLevel: m.VersionLevel,
 		WritesThrottled: m.WritesThrottled, ConnectionsFull: m.ConnectionsFull, SpareConnections: m.SpareConnections,
 		Links: m.Links, PolicyRevision: m.PolicyRevision}
 }
@@ -236,87 +236,87 @@
 
 // decode returns the typed message, or the reason why it is malformed; neither if the type is
 // unknown.
-func (l *wirePeerMessage) decode() (message PeerMessage, reason string) {
-	switch l.Type {
+func (w *wirePeerMessage) decode() (message PeerMessage, reason string) {
+	switch w.Type {
 	case typePeerHeartbeat:
-		return l.decodePeerHeartbeat()
+		return w.decodePeerHeartbeat()
 	case typeLeaseGrant, typeVoteRequest, typeVote:
-		return l.decodeElection()
+		return w.decodeElection()
 	case typeForwardedRequest:
-		return l.decodeForwardedRequest()
+		return w.decodeForwardedRequest()
 	case typeForwardedResponse:
-		return l.decodeForwardedResponse()
+		return w.decodeForwardedResponse()
 	case typeAdmissionLoad:
-		return l.decodeAdmissionLoad()
+		return w.decodeAdmissionLoad()
 	}
 	return nil, ""
 }
 
 // decodeElection is decode for a LeaseGrant, a VoteRequest and a Vote.
-func (l *wirePeerMessage) decodeElection() (message PeerMessage, reason string) {
+func (w *wirePeerMessage) decodeElection() (message PeerMessage, reason string) {
 	switch {
-	case l.Type == typeLeaseGrant && (l.Term == 0 || l.SentAt < 0):
+	case w.Type == typeLeaseGrant && (w.Term == 0 || w.SentAt < 0):
 		return nil, "without a term or a time"
-	case l.Term == 0:
+	case w.Term == 0:
 		return nil, "without a term"
-	case l.Type == typeLeaseGrant:
-		return LeaseGrant{Term: l.Term, HeartbeatSentAt: time.Duration(l.SentAt)}, ""
-	case l.Type == typeVoteRequest:
-		return VoteRequest{Term: l.Term}, ""
+	case w.Type == typeLeaseGrant:
+		return LeaseGrant{Term: w.Term, HeartbeatSentAt: time.Duration(w.SentAt)}, ""
+	case w.Type == typeVoteRequest:
+		return VoteRequest{Term: w.Term}, ""
 	default:
-		return Vote{Term: l.Term, Granted: l.Granted}, ""
+		return Vote{Term: w.Term, Granted: w.Granted}, ""
 	}
 }
 
 // decodePeerHeartbeat is decode for a PeerHeartbeat.
-func (l *wirePeerMessage) decodePeerHeartbeat() (message PeerMessage, reason string) {
-	if l.SentAt < 0 || l.Uptime < 0 || l.VersionLevel < 0 || l.SpareConnections < 0 || (l.IsLeader && l.Term == 0) {
+func (w *wirePeerMessage) decodePeerHeartbeat() (message PeerMessage, reason string) {
+	if w.SentAt < 0 || w.Uptime < 0 || w.ProtocolLevel < 0 || w.SpareConnections < 0 || (w.IsLeader && w.Term == 0) {
 		return nil, "a negative amount, or a leader without a term"
 	}
-	return PeerHeartbeat{Term: l.Term, IsLeader: l.IsLeader, WantsLeaseGrant: l.WantsLeaseGrant,
-		SentAt: time.Duration(l.SentAt), Uptime: time.Duration(l.Uptime),
-		ProcessID: l.ProcessID, ReceiverProcessID: l.ReceiverProcessID, VersionLevel: l.VersionLevel,
-		WritesThrottled: l.WritesThrottled, ConnectionsFull: l.ConnectionsFull, SpareConnections: l.SpareConnections,
-		Links: l.Links, PolicyRevision: l.PolicyRevision}, ""
+	return PeerHeartbeat{Term: w.Term, IsLeader: w.IsLeader, WantsLeaseGrant: w.WantsLeaseGrant,
+		SentAt: time.Duration(w.SentAt), Uptime: time.Duration(w.Uptime),
+		ProcessID: w.ProcessID, ReceiverProcessID: w.ReceiverProcessID, VersionLevel: w.ProtocolLevel,
+		WritesThrottled: w.WritesThrottled, ConnectionsFull: w.ConnectionsFull, SpareConnections: w.SpareConnections,
+		Links: w.Links, PolicyRevision: w.PolicyRevision}, ""
 }
 
 // decodeForwardedRequest is decode for a ForwardedRequest.
-func (l *wirePeerMessage) decodeForwardedRequest() (message PeerMessage, reason string) {
-	if l.ID == 0 {
+func (w *wirePeerMessage) decodeForwardedRequest() (message PeerMessage, reason string) {
+	if w.ID == 0 {
 		return nil, "without a number"
 	}
-	switch l.RequestKind {
+	switch w.RequestKind {
 	case RequestQuery, RequestCancel:
-		if l.JobID == "" {
+		if w.JobID == "" {
 			return nil, "without a job"
 		}
 	case RequestSubmit, RequestHeartbeat:
-		if len(l.Body) == 0 {
+		if len(w.Body) == 0 {
 			return nil, "without a body"
 		}
 	default:
 		return nil, "" // a kind of a later version
 	}
-	return ForwardedRequest{ID: l.ID, Kind: l.RequestKind, JobID: l.JobID, Body: l.Body}, ""
+	return ForwardedRequest{ID: w.ID, Kind: w.RequestKind, JobID: w.JobID, Body: w.Body}, ""
 }
 
 // decodeForwardedResponse is decode for a ForwardedResponse.
-func (l *wirePeerMessage) decodeForwardedResponse() (message PeerMessage, reason string) {
-	if l.ID == 0 || l.Status < 100 || l.Status > 599 || l.RetryAfter < 0 {
+func (w *wirePeerMessage) decodeForwardedResponse() (message PeerMessage, reason string) {
+	if w.ID == 0 || w.Status < 100 || w.Status > 599 || w.RetryAfter < 0 {
 		return nil, "without a number or a status"
 	}
-	return ForwardedResponse{ID: l.ID, Status: l.Status, RetryAfter: l.RetryAfter, Body: l.Body}, ""
+	return ForwardedResponse{ID: w.ID, Status: w.Status, RetryAfter: w.RetryAfter, Body: w.Body}, ""
 }
 
 // decodeAdmissionLoad is decode for an AdmissionLoad.
-func (l *wirePeerMessage) decodeAdmissionLoad() (message PeerMessage, reason string) {
-	if len(l.GroupLoads) == 0 || len(l.GroupLoads) > MaxGroupLoads {
+func (w *wirePeerMessage) decodeAdmissionLoad() (message PeerMessage, reason string) {
+	if len(w.GroupLoads) == 0 || len(w.GroupLoads) > MaxGroupLoads {
 		return nil, "no groups, or too many"
 	}
-	for _, group := range l.GroupLoads {
+	for _, group := range w.GroupLoads {
 		if group.RejectedForCapacity < 0 || group.RejectedByPolicy < 0 || group.PriorityRank < 0 {
 			return nil, "a negative amount"
 		}
 	}
-	return AdmissionLoad{PolicyRevision: l.PolicyRevision, Groups: l.GroupLoads}, ""
+	return AdmissionLoad{PolicyRevision: w.PolicyRevision, Groups: w.GroupLoads}, ""
 }
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// goldenLines were recorded from the version before messages had types of their own.
-var goldenLines = map[string]PeerMessage{
+// goldenMessages were recorded from the version before messages had types of their own.
+var goldenMessages = map[string]PeerMessage{
 	`{"type":"beat","term":4,"lead":true,"want":true,"sent":12,"up":13,"run":5,"heard":7,` +
 		`"level":1,"slow":true}`: PeerHeartbeat{Term: 4, IsLeader: true, WantsLeaseGrant: true, SentAt: 12, Uptime: 13,
 		ProcessID: 5, ReceiverProcessID: 7, VersionLevel: 1, WritesThrottled: true},
@@ -31,8 +31,8 @@
 }
 
 // Nodes of the version before read what this one writes, and the other way round.
-func TestPeerLinesAreThoseOfTheVersionBefore(t *testing.T) {
-	for line, message := range goldenLines {
+func TestPeerMessagesKeepTheirEarlierWireForm(t *testing.T) {
+	for line, message := range goldenMessages {
 		t.Run(line, func(t *testing.T) {
 			raw, err := EncodePeerMessage(message)
 			if err != nil || string(raw) != line {
@@ -47,7 +47,7 @@
 }
 
 // What this version adds comes back as it was sent.
-func TestAddedPeerLines(t *testing.T) {
+func TestAddedPeerMessagesRoundTrip(t *testing.T) {
 	for _, message := range []PeerMessage{
 		PeerHeartbeat{SentAt: 1, Uptime: 1, ProcessID: 5, ConnectionsFull: true, PolicyRevision: 77},
 		PeerHeartbeat{SentAt: 1, Uptime: 1, ProcessID: 5, SpareConnections: 31},
@@ -66,7 +66,7 @@
 }
 
 // Bad lines are refused with an error that says what is wrong.
-func TestBadPeerLines(t *testing.T) {
+func TestMalformedPeerMessagesAreRejected(t *testing.T) {
 	for _, line := range []string{
 		``, `{`, `[]`, `"beat"`, `{"type":7}`, `{"type":"beat","term":-1}`, `{"type":"beat","sent":-1}`,
 		`{"type":"beat","lead":true}`, `{"type":"promise","sent":1}`, `{"type":"promise","term":1,"sent":-1}`,
@@ -78,8 +78,8 @@
 		`{"type":"answer","id":1}`, `{"type":"answer","code":200}`, `{"type":"answer","id":1,"code":200,"retry":-1}`,
 	} {
 		t.Run(line, func(t *testing.T) {
-			var bad *PeerMessageError
-			if m, err := DecodePeerMessage([]byte(line)); !errors.As(err, &bad) || m != nil {
+			var malformed *PeerMessageError
+			if m, err := DecodePeerMessage([]byte(line)); !errors.As(err, &malformed) || m != nil {
 				t.Errorf("%s: %+v, %v", line, m, err)
 			}
 		})
@@ -87,7 +87,7 @@
 }
 
 // A later version may send types, kinds of requests and fields that this one does not know.
-func TestLaterPeerLines(t *testing.T) {
+func TestPeerMessagesOfLaterVersions(t *testing.T) {
 	t.Run("type", func(t *testing.T) {
 		var unknown *UnknownPeerMessageError
 		_, err := DecodePeerMessage([]byte(`{"type":"later","term":3}`))
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const good = `{"uid":"j-000412","lote":"train","dono":"vision","feitio":"batch","vez":"urgent","pecas":16,
+const validSubmission = `{"uid":"j-000412","lote":"train","dono":"vision","feitio":"batch","vez":"urgent","pecas":16,
  "cores":8.0,"accelerators":1.0,"ramGb":64.0,"molde":"img-07","pullGb":6.2,
  "portes":["g8"],"praca":null,"samePlace":true,"apart":false,"avulsas":true,
  "previstoS":240.0,"marcoS":30.0,"guardaS":4.0,"prazoS":900.0,"later":{"x":1}}`
@@ -14,16 +14,16 @@
 // changeSubmission returns the example with a part replaced.
 func changeSubmission(t *testing.T, old, replacement string) string {
 	t.Helper()
-	if !strings.Contains(good, old) {
+	if !strings.Contains(validSubmission, old) {
 		t.Fatalf("%q is not in the example", old)
 	}
-	return strings.Replace(good, old, replacement, 1)
+	return strings.Replace(validSubmission, old, replacement, 1)
 }
 
 func TestParseJob(t *testing.T) {
-	j, err := ParseJob([]byte(good))
-	if err != nil || j.ID != "j-000412" || *j.DeadlineSeconds != 900 || !j.SpotAllowed || j.PriorityRank() != 1 {
-		t.Fatalf("%+v, %v", j, err)
+	job, err := ParseJob([]byte(validSubmission))
+	if err != nil || job.ID != "j-000412" || *job.DeadlineSeconds != 900 || !job.SpotAllowed || job.PriorityRank() != 1 {
+		t.Fatalf("%+v, %v", job, err)
 	}
 	if _, err := ParseJob([]byte(changeSubmission(t, `"praca":null,`, ""))); err != nil {
 		t.Errorf("a field that may be null is omitted: %v", err)
@@ -70,9 +70,9 @@
 		{"a job named twice counts once", `["j-2","j-1","j-2"]`, "j-2 j-1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j, err := ParseJob([]byte(changeSubmission(t, `"prazoS"`, `"aguarda":`+c.list+`,"prazoS"`)))
-			if err != nil || strings.Join(j.Dependencies, " ") != c.want {
-				t.Errorf("aguarda %s: %v, %v", c.list, j, err)
+			job, err := ParseJob([]byte(changeSubmission(t, `"prazoS"`, `"aguarda":`+c.list+`,"prazoS"`)))
+			if err != nil || strings.Join(job.Dependencies, " ") != c.want {
+				t.Errorf("aguarda %s: %v, %v", c.list, job, err)
 			}
 		})
 	}
--- a/internal/statuspage/metrics_page.go
+++ b/internal/statuspage/metrics_page.go
@@ -26,9 +26,10 @@
 }
 
 // LabelledGauge adds a gauge with one sample per value of a label; values emits the samples.
-func (p *MetricsPage) LabelledGauge(name, help, label string, values func(emit func(label string, value float64))) {
+func (p *MetricsPage) LabelledGauge(name, help, label string,
+	samples func(emit func(labelValue string, value float64))) {
 	fmt.Fprintf(p, "# HELP hitchdoor_%s %s\n# TYPE hitchdoor_%s gauge\n", name, help, name)
-	values(func(labelValue string, value float64) {
+	samples(func(labelValue string, value float64) {
 		fmt.Fprintf(p, "hitchdoor_%s{%s=%q} %g\n", name, label, labelValue, value)
 	})
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -37,7 +37,7 @@
 func NewRecorder(node string, limit int) *Recorder {
 	recentSpans := &spanRing{spans: make([]sdk.ReadOnlySpan, limit)}
 	provider := sdk.NewTracerProvider(
-		sdk.WithSpanProcessor(recentSpans), sdk.WithIDGenerator(jobIDGenerator{}), sdk.WithSampler(sdk.AlwaysSample()))
+		sdk.WithSpanProcessor(recentSpans), sdk.WithIDGenerator(traceIDGenerator{}), sdk.WithSampler(sdk.AlwaysSample()))
 	return &Recorder{node: node, tracer: provider.Tracer("hitchdoor"), recentSpans: recentSpans}
 }
 
@@ -128,18 +128,18 @@
 // jobContextKey is the context key of the job id of a span.
 type jobContextKey struct{}
 
-// jobIDGenerator is an id generator that derives trace ids from job ids.
-type jobIDGenerator struct{}
+// traceIDGenerator is an id generator that derives trace ids from job ids.
+type traceIDGenerator struct{}
 
 // NewIDs returns the trace id of the job in the context, and a new span id.
-func (g jobIDGenerator) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
+func (g traceIDGenerator) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
 	job, _ := ctx.Value(jobContextKey{}).(string)
 	id := TraceID(job)
 	return id, g.NewSpanID(ctx, id)
 }
 
 // NewSpanID returns a new span id for a trace.
-func (jobIDGenerator) NewSpanID(_ context.Context, traceID trace.TraceID) trace.SpanID {
+func (traceIDGenerator) NewSpanID(_ context.Context, traceID trace.TraceID) trace.SpanID {
 	var spanID trace.SpanID
 	digest := xxhash.New()
 	digest.Write(traceID[:])
