--- a/internal/protocol/cloud_response.go
+++ b/internal/protocol/cloud_response.go
@@ -7,13 +7,14 @@
 )
 
 // CloudResponse is the response of the cloud to a request. Status 0 means that no usable response
-// arrived; the request may have been executed, or may be later.
+// arrived: the request may have been executed, or may still be executed later.
 type CloudResponse struct {
 	Status int
 	Body   []byte
 }
 
-// Decode decodes the body of a successful response into value. It reports whether there was one.
+// Decode decodes the body into value. It reports whether the status is 200 and the body could be
+// decoded.
 func (r CloudResponse) Decode(value any) bool {
 	return r.Status == http.StatusOK && json.Unmarshal(r.Body, value) == nil
 }
--- a/internal/protocol/cloud_responses.go
+++ b/internal/protocol/cloud_responses.go
@@ -10,8 +10,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// CheckCloudResponse validates a response of the cloud with status 200. A truncated or
-// inconsistent body returns a *CloudResponseError; the caller must treat the call as unanswered.
+// CheckCloudResponse validates the body of a response of the cloud with status 200. It returns a
+// *CloudResponseError if the body is truncated or inconsistent; the caller must then treat the call as
+// unanswered, because the request may or may not have been executed.
 func CheckCloudResponse(method, path string, status int, body []byte) error {
 	if status != http.StatusOK {
 		return nil
@@ -32,7 +33,7 @@
 	return problem
 }
 
-// checkCatalog returns what is wrong with a catalogue; nil: nothing.
+// checkCatalog returns an error unless the body is a catalogue with a usable machine type.
 func checkCatalog(body []byte) *CloudResponseError {
 	var catalog Catalog
 	if err := json.Unmarshal(body, &catalog); err != nil || len(catalog.UsableTypes()) == 0 {
@@ -41,7 +42,8 @@
 	return nil
 }
 
-// checkMachineNames returns what is wrong with the response to a rental; nil: nothing.
+// checkMachineNames returns an error unless the body, the response to a rental, is a list of machine
+// names. The list may be empty, the names may not.
 func checkMachineNames(body []byte) *CloudResponseError {
 	var names MachineNames
 	if err := json.Unmarshal(body, &names); err != nil {
@@ -53,9 +55,9 @@
 	return nil
 }
 
-// checkHostPage returns what is wrong with a page of the machine list; nil: nothing. Machines must be
-// in strictly increasing order after the page's start: a page that does not advance would make
-// the caller request it forever.
+// checkHostPage returns an error unless the body is a valid page of the machine list. The names must be
+// in strictly increasing order, and after the name where the request starts. Otherwise a page that
+// does not advance would make the caller request it forever.
 func checkHostPage(path string, body []byte) *CloudResponseError {
 	var page HostPage
 	if err := json.Unmarshal(body, &page); err != nil {
@@ -79,20 +81,21 @@
 	return nil
 }
 
-// Lower bounds of what a catalogue states. Prices and fetch rates are used as divisors, so a
-// zero would make every comparison between machine types meaningless.
+// Lower bounds to which the amounts in a catalogue are raised. Prices and pull rates are used as
+// divisors, so a zero would make every comparison between machine types meaningless.
 const (
-	minPrice           = 1e-6
+	minPrice           = 1e-6 // per hour
 	minPullGBPerSecond = 1e-3
 )
 
-// canHoldTasks reports whether a machine of the type can be rented and holds a task.
+// canHoldTasks reports whether a machine of the type can be rented, which needs a name, and can hold
+// a task.
 func (t *MachineType) canHoldTasks() bool {
 	return t.Name != "" && t.Cores > 0 && t.MemoryGB > 0 && !(t.Accelerators < 0)
 }
 
-// UsableTypes returns the machine types that can hold a task, with prices, rates and sizes
-// raised to their lower bounds.
+// UsableTypes returns the machine types that can hold a task, with prices, pull rates, cache sizes and
+// boot times raised to their lower bounds.
 func (c *Catalog) UsableTypes() []MachineType {
 	var usable []MachineType
 	for _, machineType := range c.Types {
--- a/internal/protocol/cloud_responses_test.go
+++ b/internal/protocol/cloud_responses_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// What the cloud can't have answered is told from what it can.
+// A truncated or inconsistent response must be told from a valid one. Otherwise, for example, a page of
+// the machine list that does not advance would make the caller request it forever.
 func TestCheckCloudResponse(t *testing.T) {
 	const page = "/hosts?limit=500&since=m-000004"
 	for _, c := range []struct {
@@ -38,14 +39,14 @@
 			err := CheckCloudResponse(c.method, c.path, c.status, []byte(c.body))
 			var invalid *CloudResponseError
 			if (err == nil) != c.valid || err != nil && !errors.As(err, &invalid) {
-				t.Errorf("%s %s: %d %s: %v", c.method, c.path, c.status, c.body, err)
+				t.Errorf("%s %s: %d %s: error %v, expected valid: %v", c.method, c.path, c.status, c.body, err, c.valid)
 			}
 		})
 	}
 }
 
-// A type that is given away, or that never fetches an image, stays, with figures that can
-// be divided by; one that holds no task does not.
+// A machine type without a price or a pull rate stays usable, with positive amounts, because they are
+// used as divisors. A type that can't hold a task, or has no name, is left out.
 func TestUsableTypes(t *testing.T) {
 	valid := MachineType{Name: "c4", Cores: 4, MemoryGB: 16, PullGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5}
 	free, withoutPullRate, withoutCores, nameless := valid, valid, valid, valid
@@ -56,12 +57,12 @@
 	catalog := Catalog{Types: []MachineType{valid, free, withoutPullRate, withoutCores, nameless}}
 	usable := catalog.UsableTypes()
 	if len(usable) != 3 {
-		t.Fatalf("%d types can be used, not 3", len(usable))
+		t.Fatalf("%d usable types, expected 3", len(usable))
 	}
 	for _, machineType := range usable {
 		if !(machineType.PricePerCore(true) > 0) || !(machineType.PricePerCore(false) > 0) ||
 			!(machineType.PullGBPerSecond > 0) {
-			t.Errorf("%+v", machineType)
+			t.Errorf("price or pull rate is not above 0: %+v", machineType)
 		}
 	}
 }
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -2,41 +2,43 @@
 
 import "fmt"
 
-// InvalidBodyError reports a body that can't be decoded, or that lacks what identifies its sender.
-// Its text is part of the response to the sender.
+// InvalidBodyError reports a request body that is too large, can't be decoded, or doesn't identify its
+// sender. Its text is part of the response to the sender.
 type InvalidBodyError struct {
 	Reason string
-	Err    error // of the decoder; nil: none
+	Err    error // error of the decoder; nil if the body could be decoded or was not tried
 }
 
 // Error implements error.
 func (e *InvalidBodyError) Error() string { return e.Reason }
 
-// Unwrap returns the error of the decoder.
+// Unwrap returns the error of the decoder, or nil.
 func (e *InvalidBodyError) Unwrap() error { return e.Err }
 
-// InvalidFieldError reports a field of a submission, by its name on the wire, with a value that is
-// missing or not allowed. Its text is part of the response to the user.
+// InvalidFieldError reports a field of a submission that is missing or has a value that is not
+// allowed. Its text is part of the response to the user.
 type InvalidFieldError struct {
-	Field  string
+	Field  string // name on the wire
 	Reason string
 }
 
 // Error implements error.
 func (e *InvalidFieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// NegativeAmountError reports a field of a submission, by its name on the wire, that must not be
-// negative. Its text does not name the field, as earlier versions do not either.
-type NegativeAmountError struct{ Field string }
+// NegativeAmountError reports an amount in a submission that is negative or not a number. Its text
+// does not name the field, so that it stays the same as in earlier versions.
+type NegativeAmountError struct {
+	Field string // name on the wire
+}
 
 // Error implements error.
 func (e *NegativeAmountError) Error() string { return "an amount is negative" }
 
 // PeerMessageError reports why a message of another controller is malformed.
 type PeerMessageError struct {
-	Type   string // of the message; empty if it can't be decoded
+	Type   string // message type; empty if the message can't be decoded
 	Reason string
-	Err    error // of the decoder; nil: none
+	Err    error // error of the decoder; nil if the message could be decoded
 }
 
 // Error implements error.
@@ -47,11 +49,11 @@
 	return fmt.Sprintf("line between controllers: %s: %s", e.Type, e.Reason)
 }
 
-// Unwrap returns the error of the decoder.
+// Unwrap returns the error of the decoder, or nil.
 func (e *PeerMessageError) Unwrap() error { return e.Err }
 
-// UnknownPeerMessageError reports a message type, or a kind of request, that this version does
-// not know. A later version may send it, so receivers ignore the message.
+// UnknownPeerMessageError reports a message type, or a kind of forwarded request, that this version
+// does not know. A later version may have sent the message, so receivers ignore it.
 type UnknownPeerMessageError struct{ Type, RequestKind string }
 
 // Error implements error.
@@ -59,15 +61,15 @@
 	return fmt.Sprintf("line between controllers: unknown type %q, kind %q", e.Type, e.RequestKind)
 }
 
-// CloudResponseError reports why a response can't come from the cloud.
+// CloudResponseError reports how the body of a response of the cloud is truncated or inconsistent.
 type CloudResponseError struct {
-	Call   string // method and path
+	Call   string // method and path of the request
 	Reason string
-	Err    error // of the decoder; nil: none
+	Err    error // error of the decoder; nil if the body could be decoded
 }
 
 // Error implements error.
 func (e *CloudResponseError) Error() string { return e.Call + ": " + e.Reason }
 
-// Unwrap returns the error of the decoder.
+// Unwrap returns the error of the decoder, or nil.
 func (e *CloudResponseError) Unwrap() error { return e.Err }
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -18,29 +18,30 @@
 // PeerHeartbeat is sent periodically by each controller to each other controller. It carries the
 // sender's role, capacity and connectivity.
 type PeerHeartbeat struct {
-	Term              uint64        // leader term, if the sender leads
+	Term              uint64        // term of the sender as the leader; 0: it does not lead
 	IsLeader          bool          // the sender holds the leader lease
-	WantsLeaseGrant   bool          // the leader can't renew its lease and requests lease grants
-	SentAt            time.Duration // by the sender's clock
-	Uptime            time.Duration // of the sender's process
+	WantsLeaseGrant   bool          // the leader failed to renew its lease and requests lease grants
+	SentAt            time.Duration // time of sending by the sender's clock
+	Uptime            time.Duration // time since the sender's process started
 	ProcessID         uint64        // distinguishes the sender's process from earlier ones of the same node
-	ReceiverProcessID uint64        // the receiver's process from which the sender last received a heartbeat
-	VersionLevel      int           // level of records and messages that the sender understands
-	WritesThrottled   bool          // the sender's rate of writes is throttled
+	ReceiverProcessID uint64        // ProcessID in the last heartbeat that the sender got from the receiver; 0: none
+	VersionLevel      int           // protocol level of the sender: records and messages that it understands
+	WritesThrottled   bool          // the sender limits its writes to the lower rate of the settings
 	ConnectionsFull   bool          // the sender has no connections left for more workers
-	SpareConnections  int           // how many more workers the sender accepts; 0: not stated
+	SpareConnections  int           // number of further workers that the sender accepts; 0: unknown, or it is full
 	Links             *LinkReport   // the sender's view of the links; nil: not stated
 	PolicyRevision    uint64        // revision of the latest admission policy that the sender knows
 }
 
-// LeaseGrant is the response to a heartbeat that requests it: for the duration of a leader lease
-// the sender neither becomes a candidate nor votes.
+// LeaseGrant is the response to a PeerHeartbeat that requests it. For the duration of a leader lease,
+// the sender casts no new vote, neither for another node nor for itself. It may still begin a
+// candidacy, but it does not take the leader key before the grant ends.
 type LeaseGrant struct {
-	Term            uint64
-	HeartbeatSentAt time.Duration // when the heartbeat was sent, by its sender's clock
+	Term            uint64        // term of the leader that gets the grant
+	HeartbeatSentAt time.Duration // SentAt of the heartbeat; the leader counts the grant from this time
 }
 
-// VoteRequest requests a vote for the candidate's term.
+// VoteRequest is sent by a candidate, which requests a vote for its term.
 type VoteRequest struct {
 	Term uint64
 }
@@ -51,72 +52,76 @@
 	Granted bool
 }
 
-// RequestKind is the kind of a request of a user, a worker, the load balancer or an operator.
+// RequestKind is the kind of a request that a user, a worker, the load balancer or an operator sends.
 type RequestKind string
 
-// Kinds of requests. Only the first four are forwarded to the leader.
+// Kinds of requests. Followers forward only the first four to the leader.
 const (
 	RequestSubmit    RequestKind = "submit"
 	RequestQuery     RequestKind = "query"
 	RequestCancel    RequestKind = "cancel"
-	RequestHeartbeat RequestKind = "report"
+	RequestHeartbeat RequestKind = "report" // a worker's heartbeat
 	RequestStatus    RequestKind = "status"
 	RequestHealth    RequestKind = "health"
 	RequestMetrics   RequestKind = "metrics"
-	// RequestAdmission reads the admission policy that a node applies.
+	// RequestAdmission requests the admission policy that a node applies.
 	RequestAdmission RequestKind = "admission"
-	// RequestLinks reads a node's view of the links between controllers.
+	// RequestLinks requests a node's view of the links between controllers.
 	RequestLinks RequestKind = "links"
-	// RequestRecovery reads the progress of a new leader's recovery.
+	// RequestRecovery requests the progress of a new leader's recovery.
 	RequestRecovery RequestKind = "recovery"
 )
 
 // ForwardedRequest is a request that a follower forwards to the leader.
 type ForwardedRequest struct {
-	ID    uint64
+	ID    uint64 // chosen by the follower, not 0; the response carries the same ID
 	Kind  RequestKind
-	JobID string          // empty in a worker's heartbeat
-	Body  json.RawMessage // the submission or the worker's heartbeat
+	JobID string          // empty if Kind is RequestHeartbeat
+	Body  json.RawMessage // submission or worker's heartbeat; empty for the other kinds
 }
 
 // ForwardedResponse is the leader's response to the ForwardedRequest with the same ID.
 type ForwardedResponse struct {
 	ID         uint64
-	Status     int
-	RetryAfter int // in seconds; 0: not stated
+	Status     int // HTTP status
+	RetryAfter int // seconds after which the client should retry; 0: not stated
 	Body       json.RawMessage
 }
 
-// MaxGroupLoads bounds the number of job groups in an AdmissionLoad, and in a node's counters.
+// MaxGroupLoads is the largest number of job groups in an AdmissionLoad, and in a node's counters.
 const MaxGroupLoads = 512
 
-// GroupLoad counts the rejected submissions of one group of jobs.
+// GroupLoad counts the rejected submissions of one group of jobs, those of the same team, class and
+// priority.
 type GroupLoad struct {
 	Team                string `json:"team"`
 	Class               string `json:"class"`
 	PriorityRank        int    `json:"rank"`
-	RejectedForCapacity int    `json:"away,omitempty"`    // admitted by the policy, rejected for lack of capacity
-	RejectedByPolicy    int    `json:"refused,omitempty"` // attempts rejected by the policy
+	RejectedForCapacity int    `json:"away,omitempty"`    // admitted jobs that the sender can't store in time
+	RejectedByPolicy    int    `json:"refused,omitempty"` // attempts that the policy rejects
 }
 
 // AdmissionLoad reports to the leader the submissions that the sender has rejected since its
 // previous AdmissionLoad, all under the same revision of the admission policy.
 type AdmissionLoad struct {
-	PolicyRevision uint64 // of the policy's record; 0: no policy was in force
-	Groups         []GroupLoad
+	PolicyRevision uint64      // revision of the policy's record; 0: no policy was in force
+	Groups         []GroupLoad // 1 to MaxGroupLoads groups
 }
 
 // LinkReport is a node's view of the links between controllers and to workers.
 type LinkReport struct {
-	IncomingLinks   []reachability.IncomingLink `json:"hears"`
-	StoreReachable  bool                        `json:"state"`              // the store responds to the sender
-	RecentWorkers   int                         `json:"workers,omitempty"`  // sent heartbeats to the sender lately
-	StrandedWorkers int                         `json:"stranded,omitempty"` // of these, workers that it could not serve
-	// MostStranded is the node with the most stranded workers that the sender knows of.
+	IncomingLinks  []reachability.IncomingLink `json:"hears"` // from the peers that the sender heard lately
+	StoreReachable bool                        `json:"state"` // the key-value store responds to the sender
+	// RecentWorkers is the number of workers that sent heartbeats to the sender lately. StrandedWorkers
+	// is how many of these the sender could neither serve nor relay to the leader.
+	RecentWorkers   int `json:"workers,omitempty"`
+	StrandedWorkers int `json:"stranded,omitempty"`
+	// MostStranded is the other node that reported the most stranded workers to the sender; nil: none
+	// did.
 	MostStranded *reachability.StrandedCount `json:"worst,omitempty"`
 }
 
-// ReachabilityReport converts the report for a reachability.Matrix.
+// ReachabilityReport converts the report to the form that a reachability.Matrix records.
 func (r *LinkReport) ReachabilityReport() reachability.NodeReport {
 	report := reachability.NodeReport{IncomingLinks: r.IncomingLinks, StoreReachable: r.StoreReachable,
 		RecentWorkers: r.RecentWorkers, StrandedWorkers: r.StrandedWorkers}
@@ -127,7 +132,8 @@
 }
 
 // wirePeerMessage is the wire form of every PeerMessage. The tags are fixed by earlier versions,
-// as controllers of two versions exchange messages during an upgrade.
+// as controllers of two versions exchange messages during an upgrade. Each message type uses some of
+// the fields, in the meaning of its own fields; times are in nanoseconds.
 type wirePeerMessage struct {
 	Type              peerMessageType `json:"type"`
 	Term              uint64          `json:"term,omitempty"`
@@ -148,7 +154,7 @@
 	wireForwarding
 }
 
-// wireForwarding are the fields of forwarded requests and their responses.
+// wireForwarding holds the fields of forwarded requests and their responses.
 type wireForwarding struct {
 	ID          uint64          `json:"id,omitempty"`
 	RequestKind RequestKind     `json:"kind,omitempty"`
@@ -158,7 +164,7 @@
 	Body        json.RawMessage `json:"body,omitempty"`
 }
 
-// peerMessageType identifies the message in its wire form.
+// peerMessageType identifies the type of a message in its wire form.
 type peerMessageType string
 
 // Message types, with the names that earlier versions gave them on the wire.
@@ -214,7 +220,7 @@
 	return wirePeerMessage{Type: typeAdmissionLoad, PolicyRevision: m.PolicyRevision, GroupLoads: m.Groups}
 }
 
-// EncodePeerMessage encodes a message as JSON, without a line break.
+// EncodePeerMessage encodes a message as one line of JSON, without the line break.
 func EncodePeerMessage(message PeerMessage) ([]byte, error) { return json.Marshal(message.toWire()) }
 
 // DecodePeerMessage decodes and validates a message. The error is a *PeerMessageError or an
@@ -234,8 +240,8 @@
 	return message, nil
 }
 
-// decode returns the typed message, or the reason why it is malformed; neither if the type is
-// unknown.
+// decode returns the typed message, or the reason why it is malformed. Both results are zero if this
+// version does not know the type of the message or the kind of a forwarded request.
 func (w *wirePeerMessage) decode() (message PeerMessage, reason string) {
 	switch w.Type {
 	case typePeerHeartbeat:
@@ -252,7 +258,7 @@
 	return nil, ""
 }
 
-// decodeElection is decode for a LeaseGrant, a VoteRequest and a Vote.
+// decodeElection decodes a LeaseGrant, a VoteRequest or a Vote.
 func (w *wirePeerMessage) decodeElection() (message PeerMessage, reason string) {
 	switch {
 	case w.Type == typeLeaseGrant && (w.Term == 0 || w.SentAt < 0):
@@ -268,7 +274,7 @@
 	}
 }
 
-// decodePeerHeartbeat is decode for a PeerHeartbeat.
+// decodePeerHeartbeat decodes a PeerHeartbeat.
 func (w *wirePeerMessage) decodePeerHeartbeat() (message PeerMessage, reason string) {
 	if w.SentAt < 0 || w.Uptime < 0 || w.ProtocolLevel < 0 || w.SpareConnections < 0 || (w.IsLeader && w.Term == 0) {
 		return nil, "a negative amount, or a leader without a term"
@@ -280,7 +286,7 @@
 		Links: w.Links, PolicyRevision: w.PolicyRevision}, ""
 }
 
-// decodeForwardedRequest is decode for a ForwardedRequest.
+// decodeForwardedRequest decodes a ForwardedRequest. Both results are zero if its kind is unknown.
 func (w *wirePeerMessage) decodeForwardedRequest() (message PeerMessage, reason string) {
 	if w.ID == 0 {
 		return nil, "without a number"
@@ -295,12 +301,12 @@
 			return nil, "without a body"
 		}
 	default:
-		return nil, "" // a kind of a later version
+		return nil, "" // a later version may know the kind
 	}
 	return ForwardedRequest{ID: w.ID, Kind: w.RequestKind, JobID: w.JobID, Body: w.Body}, ""
 }
 
-// decodeForwardedResponse is decode for a ForwardedResponse.
+// decodeForwardedResponse decodes a ForwardedResponse.
 func (w *wirePeerMessage) decodeForwardedResponse() (message PeerMessage, reason string) {
 	if w.ID == 0 || w.Status < 100 || w.Status > 599 || w.RetryAfter < 0 {
 		return nil, "without a number or a status"
@@ -308,7 +314,7 @@
 	return ForwardedResponse{ID: w.ID, Status: w.Status, RetryAfter: w.RetryAfter, Body: w.Body}, ""
 }
 
-// decodeAdmissionLoad is decode for an AdmissionLoad.
+// decodeAdmissionLoad decodes an AdmissionLoad.
 func (w *wirePeerMessage) decodeAdmissionLoad() (message PeerMessage, reason string) {
 	if len(w.GroupLoads) == 0 || len(w.GroupLoads) > MaxGroupLoads {
 		return nil, "no groups, or too many"
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// goldenMessages were recorded from the version before messages had types of their own.
+// goldenMessages are messages by their wire form, which was recorded from the last version that had no
+// Go type for each message.
 var goldenMessages = map[string]PeerMessage{
 	`{"type":"beat","term":4,"lead":true,"want":true,"sent":12,"up":13,"run":5,"heard":7,` +
 		`"level":1,"slow":true}`: PeerHeartbeat{Term: 4, IsLeader: true, WantsLeaseGrant: true, SentAt: 12, Uptime: 13,
@@ -30,23 +31,25 @@
 		ID: 9, Status: 200, Body: json.RawMessage(`{"uid":"j-1"}`)},
 }
 
-// Nodes of the version before read what this one writes, and the other way round.
+// A changed tag or type would cut off the controllers of the earlier version during an upgrade: they
+// must decode what this version encodes, and this version what they encode.
 func TestPeerMessagesKeepTheirEarlierWireForm(t *testing.T) {
 	for line, message := range goldenMessages {
 		t.Run(line, func(t *testing.T) {
 			raw, err := EncodePeerMessage(message)
 			if err != nil || string(raw) != line {
-				t.Errorf("written as %s, not %s: %v", raw, line, err)
+				t.Errorf("encoded as %s, expected %s: %v", raw, line, err)
 			}
 			read, err := DecodePeerMessage([]byte(line))
 			if err != nil || !reflect.DeepEqual(read, message) {
-				t.Errorf("%s: read as %+v: %v", line, read, err)
+				t.Errorf("%s: decoded as %+v, expected %+v: %v", line, read, message, err)
 			}
 		})
 	}
 }
 
-// What this version adds comes back as it was sent.
+// Fields and types added since goldenMessages was recorded must be decoded as they were encoded. A
+// field that is missing in one of the two directions would be lost without an error.
 func TestAddedPeerMessagesRoundTrip(t *testing.T) {
 	for _, message := range []PeerMessage{
 		PeerHeartbeat{SentAt: 1, Uptime: 1, ProcessID: 5, ConnectionsFull: true, PolicyRevision: 77},
@@ -60,12 +63,13 @@
 			t.Fatal(err)
 		}
 		if read, err := DecodePeerMessage(raw); err != nil || !reflect.DeepEqual(read, message) {
-			t.Errorf("%s: read as %+v: %v", raw, read, err)
+			t.Errorf("%s: decoded as %+v, expected %+v: %v", raw, read, message, err)
 		}
 	}
 }
 
-// Bad lines are refused with an error that says what is wrong.
+// A malformed message, for example one without a term or with a negative time, must be rejected with
+// a *PeerMessageError, so that no part of the controller sees it.
 func TestMalformedPeerMessagesAreRejected(t *testing.T) {
 	for _, line := range []string{
 		``, `{`, `[]`, `"beat"`, `{"type":7}`, `{"type":"beat","term":-1}`, `{"type":"beat","sent":-1}`,
@@ -80,32 +84,34 @@
 		t.Run(line, func(t *testing.T) {
 			var malformed *PeerMessageError
 			if m, err := DecodePeerMessage([]byte(line)); !errors.As(err, &malformed) || m != nil {
-				t.Errorf("%s: %+v, %v", line, m, err)
+				t.Errorf("%s: decoded as %+v with error %v, expected a PeerMessageError", line, m, err)
 			}
 		})
 	}
 }
 
-// A later version may send types, kinds of requests and fields that this one does not know.
+// A later version may send message types, kinds of requests and fields that this one does not know.
+// The first two must be told from malformed messages, and an unknown field must be ignored. Otherwise
+// an upgrade would disturb the controllers of this version.
 func TestPeerMessagesOfLaterVersions(t *testing.T) {
 	t.Run("type", func(t *testing.T) {
 		var unknown *UnknownPeerMessageError
 		_, err := DecodePeerMessage([]byte(`{"type":"later","term":3}`))
 		if !errors.As(err, &unknown) || unknown.Type != "later" {
-			t.Errorf("a later type: %v", err)
+			t.Errorf("unknown type: %v, expected an UnknownPeerMessageError", err)
 		}
 	})
 	t.Run("kind of request", func(t *testing.T) {
 		var unknown *UnknownPeerMessageError
 		_, err := DecodePeerMessage([]byte(`{"type":"ask","id":1,"kind":"later"}`))
 		if !errors.As(err, &unknown) || unknown.RequestKind != "later" {
-			t.Errorf("a later kind of request: %v", err)
+			t.Errorf("unknown kind of request: %v, expected an UnknownPeerMessageError", err)
 		}
 	})
 	t.Run("field", func(t *testing.T) {
 		m, err := DecodePeerMessage([]byte(`{"type":"clear","term":5,"new":"x"}`))
 		if err != nil || m != (VoteRequest{Term: 5}) {
-			t.Errorf("a later field: %+v, %v", m, err)
+			t.Errorf("unknown field: decoded as %+v with error %v, expected a vote request for term 5", m, err)
 		}
 	})
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,7 +1,7 @@
 // Package protocol defines the messages of every interface: users, workers, the cloud and the
 // other controllers. It encodes, decodes and validates them, and does no I/O.
 //
-// The names on the wire are fixed by the protocol. The Go identifiers use the terms of the field;
+// The names on the wire are fixed by the protocol. The Go identifiers use the usual English terms;
 // the struct tags are the only mapping between the two.
 package protocol
 
@@ -16,58 +16,62 @@
 
 // Limits and timeouts of the protocol.
 const (
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes is the largest body of a submission that is accepted.
 	MaxBodyBytes = 64 << 10
-	// MaxTasksPerJob bounds the tasks of a job.
+	// MaxTasksPerJob is the largest number of tasks that a job may have.
 	MaxTasksPerJob = 100_000
-	// HeartbeatTimeout is how long a worker waits for the response to a heartbeat. It drops a
-	// later response.
+	// HeartbeatTimeout is how long a worker waits for the response to a heartbeat. The worker drops
+	// a response that arrives later.
 	HeartbeatTimeout = 4 * time.Second
-	// NextNodeDelay is how long a worker that got no response waits before it tries the next node.
+	// NextNodeDelay is how long a worker waits after a heartbeat without a response before it tries
+	// the next node.
 	NextNodeDelay = time.Second
-	// SubmissionRetryWindow is how long users retry a submission that was not accepted.
+	// SubmissionRetryWindow is how long users keep retrying a submission that is not accepted.
 	SubmissionRetryWindow = 60 * time.Second
 )
 
-// Job is the specification of a job as its user submits it.
+// Job is the specification of a job as its user submits it. All tasks of a job have the same
+// requirements.
 type Job struct {
-	ID                        string   `json:"uid"`
-	Class                     string   `json:"lote"`
-	Team                      string   `json:"dono"`
-	Kind                      string   `json:"feitio"`
-	Priority                  Priority `json:"vez"`
-	TaskCount                 int      `json:"pecas"`
-	Cores                     float64  `json:"cores"`
-	Accelerators              float64  `json:"accelerators"`
-	MemoryGB                  float64  `json:"ramGb"`
-	Image                     string   `json:"molde"`
-	ImageGB                   float64  `json:"pullGb"`
-	MachineTypes              []string `json:"portes"`
-	Zone                      string   `json:"praca"`
-	SameZone                  bool     `json:"samePlace"`
-	Spread                    bool     `json:"apart"`
-	SpotAllowed               bool     `json:"avulsas"`
-	EstimatedSeconds          float64  `json:"previstoS"`
-	CheckpointIntervalSeconds float64  `json:"marcoS"`
-	CheckpointSaveSeconds     float64  `json:"guardaS"`
-	DeadlineSeconds           *float64 `json:"prazoS"`
+	ID                        string   `json:"uid"`          // unique id of the form that ValidJobID checks
+	Class                     string   `json:"lote"`         // class of jobs for which objectives can be set
+	Team                      string   `json:"dono"`         // team whose guarantee and quota the job uses
+	Kind                      string   `json:"feitio"`       // JobKindBatch, as there is no other kind
+	Priority                  Priority `json:"vez"`          // one of the Priority constants
+	TaskCount                 int      `json:"pecas"`        // number of tasks, 1 to MaxTasksPerJob
+	Cores                     float64  `json:"cores"`        // CPU cores per task
+	Accelerators              float64  `json:"accelerators"` // accelerators per task
+	MemoryGB                  float64  `json:"ramGb"`        // memory per task
+	Image                     string   `json:"molde"`        // name of the image that a task needs; empty: none
+	ImageGB                   float64  `json:"pullGb"`       // size of the image
+	MachineTypes              []string `json:"portes"`       // names of the allowed machine types; empty: all
+	Zone                      string   `json:"praca"`        // the only allowed zone; empty: any
+	SameZone                  bool     `json:"samePlace"`    // all tasks must run in one zone
+	Spread                    bool     `json:"apart"`        // no zone may run more than half of the tasks, rounded up
+	SpotAllowed               bool     `json:"avulsas"`      // tasks may run on spot machines
+	EstimatedSeconds          float64  `json:"previstoS"`    // the user's estimate of a task's run time
+	CheckpointIntervalSeconds float64  `json:"marcoS"`       // time between a task's checkpoints; 0: it saves none
+	CheckpointSaveSeconds     float64  `json:"guardaS"`      // time that a task needs to save a checkpoint
+	DeadlineSeconds           *float64 `json:"prazoS"`       // time from acceptance to completion; nil: no deadline
 	// Dependencies are the ids, without duplicates, of the jobs that must be done before any task
 	// of this job starts.
 	Dependencies []string `json:"aguarda,omitempty"`
 }
 
-// jobIDPattern is the form of a job id. Ids are part of keys and paths, so it allows no slash.
+// jobIDPattern is the form of a job id. It allows no slash, as ids are part of keys and paths.
 var jobIDPattern = regexp.MustCompile(`^j-[0-9A-Za-z][0-9A-Za-z._-]{0,99}$`)
 
 // ValidJobID reports whether an id has the form of a job id.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// requiredFields are the fields of a submission that must be present and not null.
+// requiredFields are the names on the wire of the fields that a submission must have and that must
+// not be null.
 var requiredFields = []string{"uid", "lote", "dono", "feitio", "vez", "pecas", "cores", "accelerators", "ramGb",
 	"molde", "pullGb", "samePlace", "apart", "avulsas", "previstoS", "marcoS", "guardaS"}
 
-// ParseJob decodes a submission and validates all that does not depend on the settings. Any error
-// means status 400; it is an *InvalidBodyError, an *InvalidFieldError or a *NegativeAmountError.
+// ParseJob decodes a submission and validates all that does not depend on the settings. The caller
+// responds to any error with status 400. The error is an *InvalidBodyError, an *InvalidFieldError or a
+// *NegativeAmountError.
 func ParseJob(body []byte) (*Job, error) {
 	if len(body) > MaxBodyBytes {
 		return nil, &InvalidBodyError{Reason: "body over 64 KiB"}
@@ -92,7 +96,7 @@
 	return &job, nil
 }
 
-// withoutDuplicates removes repeated ids and keeps the order of the first ones.
+// withoutDuplicates removes repeated ids. It keeps the first occurrence of each id, and their order.
 func withoutDuplicates(ids []string) []string {
 	seen := make(map[string]bool, len(ids))
 	return slices.DeleteFunc(ids, func(id string) bool {
@@ -102,8 +106,8 @@
 	})
 }
 
-// Validate returns an error if no settings would allow the job: an *InvalidFieldError or a
-// *NegativeAmountError.
+// Validate returns an error if the job is invalid whatever the settings are. The error is an
+// *InvalidFieldError or a *NegativeAmountError.
 func (j *Job) Validate() error {
 	_, knownPriority := priorityRanks[j.Priority]
 	switch {
@@ -129,7 +133,7 @@
 	return nil
 }
 
-// validateAmounts returns an error if an amount is negative or not a number.
+// validateAmounts returns an error if an amount or the deadline is negative or not a number.
 func (j *Job) validateAmounts() error {
 	for _, amount := range []struct {
 		field string
@@ -153,38 +157,38 @@
 type JobStatus struct {
 	ID           string   `json:"uid"`
 	State        JobState `json:"situacao"`
-	DoneTasks    *int     `json:"done,omitempty"`
-	RunningTasks *int     `json:"running,omitempty"`
+	DoneTasks    *int     `json:"done,omitempty"`    // number of finished tasks; nil: not stated
+	RunningTasks *int     `json:"running,omitempty"` // tasks that run or save a checkpoint; nil: not stated
 }
 
-// WorkerHeartbeat is the periodic message of a worker: its machine, the newest fencing token it
-// has seen, and all tasks on the machine. The protocol calls it a report. Of two heartbeats of a
-// machine, the one with the larger (epoch, sequence) is newer; a worker begins a new epoch when its
-// lease has expired.
+// WorkerHeartbeat is the periodic message of a worker, which the protocol calls a report. It names
+// the worker's machine, the newest fencing token that the worker has seen, and all tasks on the
+// machine. Of two heartbeats of a machine, the one with the larger (epoch, sequence) is newer. A
+// worker begins a new epoch when its lease has expired.
 type WorkerHeartbeat struct {
-	Machine                 string       `json:"maquina"`
-	Address                 string       `json:"address"`
-	Type                    string       `json:"porte"`
-	Zone                    string       `json:"praca"`
-	Spot                    bool         `json:"avulsas"`
-	Epoch                   uint64       `json:"turno"`
-	Sequence                uint64       `json:"contagem"`
-	FencingToken            uint64       `json:"bastao"`
-	PreemptionNoticeSeconds *float64     `json:"avisoS"`
-	Tasks                   []TaskStatus `json:"pecas"`
+	Machine                 string       `json:"maquina"`  // name of the machine, as the cloud names it
+	Address                 string       `json:"address"`  // source address; tells apart workers of the same name
+	Type                    string       `json:"porte"`    // name of the machine type
+	Zone                    string       `json:"praca"`    // zone of the machine
+	Spot                    bool         `json:"avulsas"`  // the cloud may preempt the machine
+	Epoch                   uint64       `json:"turno"`    // from 1; larger after each expiry of the worker's lease
+	Sequence                uint64       `json:"contagem"` // number of the heartbeat within the epoch
+	FencingToken            uint64       `json:"bastao"`   // highest token that the worker has seen
+	PreemptionNoticeSeconds *float64     `json:"avisoS"`   // time until the machine is preempted; nil: no notice
+	Tasks                   []TaskStatus `json:"pecas"`    // all task attempts on the machine
 }
 
 // TaskStatus is the status of one task attempt in a worker's heartbeat.
 type TaskStatus struct {
-	TaskID          string     `json:"peca"`
+	TaskID          string     `json:"peca"` // as the function TaskID builds it
 	Attempt         uint64     `json:"tentativa"`
 	State           TaskState  `json:"situacao"`
-	ExitReason      ExitReason `json:"motivo,omitempty"`
-	CheckpointSaved bool       `json:"saved,omitempty"`
+	ExitReason      ExitReason `json:"motivo,omitempty"` // empty unless the state is TaskExited
+	CheckpointSaved bool       `json:"saved,omitempty"`  // the attempt saved a checkpoint before it exited
 }
 
-// ParseWorkerHeartbeat decodes a worker's heartbeat. Machine and epoch are required: without them
-// heartbeats can't be ordered. The error is an *InvalidBodyError.
+// ParseWorkerHeartbeat decodes a worker's heartbeat. The machine and the epoch are required, because
+// heartbeats can't be ordered without them. The error is an *InvalidBodyError.
 func ParseWorkerHeartbeat(body []byte) (*WorkerHeartbeat, error) {
 	var heartbeat WorkerHeartbeat
 	if err := json.Unmarshal(body, &heartbeat); err != nil {
@@ -204,19 +208,19 @@
 	Kind         CommandKind `json:"ordem"`
 	TaskID       string      `json:"peca"`
 	Attempt      uint64      `json:"tentativa"`
-	GraceSeconds *float64    `json:"folgaS,omitempty"`
+	GraceSeconds *float64    `json:"folgaS,omitempty"` // in a stop command, the time to save a checkpoint; else nil
 }
 
-// HeartbeatResponse is the body of status 200 to a worker's heartbeat. A worker drops it if the
-// token is lower than the highest one it has seen.
+// HeartbeatResponse is the body of status 200 to a worker's heartbeat. A worker drops the response
+// if its token is lower than the highest one that the worker has seen.
 type HeartbeatResponse struct {
-	FencingToken uint64    `json:"bastao"`
+	FencingToken uint64    `json:"bastao"` // of the leader that sends the commands
 	Commands     []Command `json:"ordens"`
 }
 
-// HeartbeatRedirect is the body of status 421 to a worker's heartbeat; it names the node to use.
+// HeartbeatRedirect is the body of status 421 to a worker's heartbeat.
 type HeartbeatRedirect struct {
-	Node string `json:"reportaA,omitempty"`
+	Node string `json:"reportaA,omitempty"` // node to which the worker is to send its heartbeats
 }
 
 // MachineType is one entry of the cloud's catalogue. Prices are per hour.
@@ -225,15 +229,15 @@
 	Cores           float64  `json:"cores"`
 	Accelerators    float64  `json:"accelerators"`
 	MemoryGB        float64  `json:"ramGb"`
-	ImageCacheGB    float64  `json:"cacheGb"`
-	PullGBPerSecond float64  `json:"pullGbPerS"`
-	OnDemandPrice   float64  `json:"rate"`
-	SpotPrice       float64  `json:"marketPrice"`
-	BootSeconds     float64  `json:"readyS"`
-	Zones           []string `json:"pracas"`
+	ImageCacheGB    float64  `json:"cacheGb"`     // total size of the images that a machine keeps
+	PullGBPerSecond float64  `json:"pullGbPerS"`  // rate at which a machine pulls images
+	OnDemandPrice   float64  `json:"rate"`        // price of a machine that the cloud does not preempt
+	SpotPrice       float64  `json:"marketPrice"` // current price of a machine that the cloud may preempt
+	BootSeconds     float64  `json:"readyS"`      // time from the rental until a machine is ready
+	Zones           []string `json:"pracas"`      // zones in which the type is offered
 }
 
-// Price returns the current price per hour.
+// Price returns the current price per hour, of a spot machine or of one on demand.
 func (t *MachineType) Price(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -241,22 +245,22 @@
 	return t.OnDemandPrice
 }
 
-// PricePerCore returns the current price per core and hour.
+// PricePerCore returns the current price per core and hour, of a spot machine or of one on demand.
 func (t *MachineType) PricePerCore(spot bool) float64 { return t.Price(spot) / t.Cores }
 
-// Catalog is the response of the cloud's /catalog.
+// Catalog is the body of the cloud's response to GET /catalog.
 type Catalog struct {
 	Types []MachineType `json:"portes"`
 }
 
 // RentalRequest requests machines from the cloud. RequestID makes the call idempotent: the cloud
-// returns the same machines for the same id, so an id must never be reused.
+// returns the same machines for the same id, so another rental must never use the id again.
 type RentalRequest struct {
 	RequestID string `json:"pedido"`
-	Type      string `json:"porte"`
+	Type      string `json:"porte"` // name of the machine type
 	Zone      string `json:"praca"`
-	Spot      bool   `json:"avulsas"`
-	Count     int    `json:"count"`
+	Spot      bool   `json:"avulsas"` // the cloud may preempt the machines
+	Count     int    `json:"count"`   // number of machines
 }
 
 // MachineNames is the response to a rental request and the body of a return request.
@@ -264,19 +268,19 @@
 	Machines []string `json:"maquinas"`
 }
 
-// HostPage is one page of the cloud's machine list.
+// HostPage is one page of the cloud's list of machines, in order of their names.
 type HostPage struct {
 	Machines  []Host `json:"maquinas"`
-	Truncated bool   `json:"truncated"`
+	Truncated bool   `json:"truncated"` // further machines follow on the next page
 }
 
 // Host is one machine in the cloud's list.
 type Host struct {
 	Name          string    `json:"uid"`
 	Address       string    `json:"address"`
-	Type          string    `json:"porte"`
+	Type          string    `json:"porte"` // name of the machine type
 	Zone          string    `json:"praca"`
-	Spot          bool      `json:"avulsas"`
+	Spot          bool      `json:"avulsas"` // the cloud may preempt the machine
 	State         HostState `json:"situacao"`
-	RentedSeconds float64   `json:"heldS"`
+	RentedSeconds float64   `json:"heldS"` // time since the machine was rented
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -6,63 +6,70 @@
 	"testing"
 )
 
+// validSubmission is a submission with an unknown field ("later"), which is ignored.
 const validSubmission = `{"uid":"j-000412","lote":"train","dono":"vision","feitio":"batch","vez":"urgent","pecas":16,
  "cores":8.0,"accelerators":1.0,"ramGb":64.0,"molde":"img-07","pullGb":6.2,
  "portes":["g8"],"praca":null,"samePlace":true,"apart":false,"avulsas":true,
  "previstoS":240.0,"marcoS":30.0,"guardaS":4.0,"prazoS":900.0,"later":{"x":1}}`
 
-// changeSubmission returns the example with a part replaced.
+// changeSubmission returns validSubmission with a part replaced.
 func changeSubmission(t *testing.T, old, replacement string) string {
 	t.Helper()
 	if !strings.Contains(validSubmission, old) {
-		t.Fatalf("%q is not in the example", old)
+		t.Fatalf("%q is not in validSubmission", old)
 	}
 	return strings.Replace(validSubmission, old, replacement, 1)
 }
 
+// A valid submission must be accepted, also with a field of a later version and without a field that
+// may be null.
 func TestParseJob(t *testing.T) {
 	job, err := ParseJob([]byte(validSubmission))
 	if err != nil || job.ID != "j-000412" || *job.DeadlineSeconds != 900 || !job.SpotAllowed || job.PriorityRank() != 1 {
-		t.Fatalf("%+v, %v", job, err)
+		t.Fatalf("valid submission parsed as %+v with error %v", job, err)
 	}
 	if _, err := ParseJob([]byte(changeSubmission(t, `"praca":null,`, ""))); err != nil {
-		t.Errorf("a field that may be null is omitted: %v", err)
+		t.Errorf("submission without a field that may be null: %v, expected it to be accepted", err)
 	}
 }
 
+// Each kind of invalid submission must be rejected. Once accepted, it would be stored, and its values
+// would be used as keys, sizes and durations.
 func TestParseJobRejects(t *testing.T) {
 	change := func(old, replacement string) string { return changeSubmission(t, old, replacement) }
 	for name, body := range map[string]string{
-		"not JSON":         "{",
-		"not an object":    "[1]",
-		"null":             "null",
-		"missing field":    change(`"pecas":16,`, ""),
-		"missing cores":    change(`"cores":8.0,`, ""),
-		"null field":       change(`"dono":"vision"`, `"dono":null`),
-		"wrong type":       change(`"pecas":16`, `"pecas":"16"`),
-		"fraction":         change(`"pecas":16`, `"pecas":1.5`),
-		"no tasks":         change(`"pecas":16`, `"pecas":0`),
-		"too many tasks":   change(`"pecas":16`, `"pecas":100001`),
-		"unknown kind":     change(`"batch"`, `"other"`),
-		"unknown priority": change(`"urgent"`, `"high"`),
-		"bad id":           change(`"j-000412"`, `"412"`),
-		"id with a slash":  change(`"j-000412"`, `"j-1/2"`),
-		"negative":         change(`"cores":8.0`, `"cores":-1`),
-		"negative wait":    change(`"prazoS":900.0`, `"prazoS":-1`),
-		"needs no list":    change(`"prazoS"`, `"aguarda":"j-1","prazoS"`),
-		"needs a number":   change(`"prazoS"`, `"aguarda":[1],"prazoS"`),
-		"needs null":       change(`"prazoS"`, `"aguarda":["j-1",null],"prazoS"`),
-		"needs no id":      change(`"prazoS"`, `"aguarda":["1"],"prazoS"`),
-		"too large":        change(`"x":1`, `"x":"`+strings.Repeat("a", MaxBodyBytes)+`"`),
+		"not JSON":                 "{",
+		"not an object":            "[1]",
+		"null":                     "null",
+		"missing field":            change(`"pecas":16,`, ""),
+		"missing cores":            change(`"cores":8.0,`, ""),
+		"null field":               change(`"dono":"vision"`, `"dono":null`),
+		"wrong type":               change(`"pecas":16`, `"pecas":"16"`),
+		"fraction":                 change(`"pecas":16`, `"pecas":1.5`),
+		"no tasks":                 change(`"pecas":16`, `"pecas":0`),
+		"too many tasks":           change(`"pecas":16`, `"pecas":100001`),
+		"unknown kind":             change(`"batch"`, `"other"`),
+		"unknown priority":         change(`"urgent"`, `"high"`),
+		"bad id":                   change(`"j-000412"`, `"412"`),
+		"id with a slash":          change(`"j-000412"`, `"j-1/2"`),
+		"negative":                 change(`"cores":8.0`, `"cores":-1`),
+		"negative deadline":        change(`"prazoS":900.0`, `"prazoS":-1`),
+		"dependencies are no list": change(`"prazoS"`, `"aguarda":"j-1","prazoS"`),
+		"dependency is a number":   change(`"prazoS"`, `"aguarda":[1],"prazoS"`),
+		"dependency is null":       change(`"prazoS"`, `"aguarda":["j-1",null],"prazoS"`),
+		"dependency is no job id":  change(`"prazoS"`, `"aguarda":["1"],"prazoS"`),
+		"too large":                change(`"x":1`, `"x":"`+strings.Repeat("a", MaxBodyBytes)+`"`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParseJob([]byte(body)); err == nil {
-				t.Error("accepted")
+				t.Error("invalid submission accepted")
 			}
 		})
 	}
 }
 
+// A job without dependencies may send null or an empty list. A job that the list names twice must count
+// as one dependency.
 func TestParseJobDependencies(t *testing.T) {
 	for _, c := range []struct{ name, list, want string }{
 		{"null", "null", ""},
@@ -72,13 +79,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			job, err := ParseJob([]byte(changeSubmission(t, `"prazoS"`, `"aguarda":`+c.list+`,"prazoS"`)))
 			if err != nil || strings.Join(job.Dependencies, " ") != c.want {
-				t.Errorf("aguarda %s: %v, %v", c.list, job, err)
+				t.Errorf("aguarda %s: parsed as %v with error %v, expected dependencies %q", c.list, job, err, c.want)
 			}
 		})
 	}
 }
 
-// An error names the field that it is about, also where the text for the user does not.
+// An error must carry the name of the invalid field, also where its text for the user does not. The
+// texts must stay as they are, as users get them in responses.
 func TestParseJobErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, field, text string }{
 		{`"pecas":16,`, ``, "pecas", "pecas: missing"},
@@ -92,7 +100,7 @@
 		t.Run(c.new, func(t *testing.T) {
 			_, err := ParseJob([]byte(changeSubmission(t, c.old, c.new)))
 			if err == nil || err.Error() != c.text {
-				t.Fatalf("error %v, not %s", err, c.text)
+				t.Fatalf("error %v, expected %s", err, c.text)
 			}
 			field := ""
 			var invalid *InvalidFieldError
@@ -104,10 +112,10 @@
 			case errors.As(err, &negative):
 				field = negative.Field
 			case !errors.As(err, &body) || body.Err == nil:
-				t.Errorf("%T without its cause", err)
+				t.Errorf("%T, expected an InvalidBodyError with the error of the decoder", err)
 			}
 			if field != c.field {
-				t.Errorf("field %q, not %q", field, c.field)
+				t.Errorf("field %q, expected %q", field, c.field)
 			}
 		})
 	}
--- a/internal/protocol/states.go
+++ b/internal/protocol/states.go
@@ -11,10 +11,10 @@
 	JobCancelled JobState = "withdrawn"
 )
 
-// IsTerminal reports whether a job in this state never leaves it.
+// IsTerminal reports whether a job that is in this state never leaves it.
 func (s JobState) IsTerminal() bool { return s == JobDone || s == JobCancelled }
 
-// JobKindBatch is the only kind of jobs.
+// JobKindBatch is the only kind of job that is accepted.
 const JobKindBatch = "batch"
 
 // TaskState is the state of a task on a machine, by its name on the wire.
@@ -22,48 +22,49 @@
 
 // States of a task on a machine.
 const (
-	TaskFetching      TaskState = "fetching"
+	TaskFetching      TaskState = "fetching" // its image is being pulled
 	TaskRunning       TaskState = "running"
-	TaskCheckpointing TaskState = "saving"
-	TaskExited        TaskState = "exited"
+	TaskCheckpointing TaskState = "saving" // it saves a checkpoint before it stops
+	TaskExited        TaskState = "exited" // its result is kept until CommandForget
 )
 
 // ExitReason is why a task has exited, by its name on the wire.
 type ExitReason string
 
-// Exit reasons of a task. The last three mean that the worker refused to start it.
+// Exit reasons of a task. The last three mean that the worker refused to start the task.
 const (
 	ExitDone                  ExitReason = "done"
-	ExitStopped               ExitReason = "halted" // stopped by command
+	ExitStopped               ExitReason = "halted" // stopped by a command
 	ExitFailed                ExitReason = "error"
-	ExitInsufficientResources ExitReason = "full"    // not enough free resources on the machine
+	ExitInsufficientResources ExitReason = "full"    // the machine lacks free resources
 	ExitDuplicateTask         ExitReason = "in_use"  // the machine has another attempt of the task
 	ExitUnknownTask           ExitReason = "unknown" // no such job or task, or the job was not submitted
 )
 
-// CommandKind is the kind of a command to a worker, by its name on the wire.
+// CommandKind is what a command tells a worker to do, by its name on the wire.
 type CommandKind string
 
 // Kinds of commands to a worker.
 const (
 	CommandStart  CommandKind = "start"
 	CommandStop   CommandKind = "stop"
-	CommandForget CommandKind = "forget"
+	CommandForget CommandKind = "forget" // discard the result of an exited attempt
 )
 
 // HostState is the state of a machine in the cloud's list, by its name on the wire.
 type HostState string
 
-// States of a machine in the cloud's list. Others are left as the cloud names them.
+// States of a machine in the cloud's list that this program names. Other states keep the name that the
+// cloud gives them.
 const (
 	HostRunning HostState = "running"
-	HostFailed  HostState = "failed" // it has stopped by itself
+	HostFailed  HostState = "failed" // the machine stopped without having been returned
 )
 
 // Priority is the priority of a job, by its name on the wire.
 type Priority string
 
-// Priorities, the most urgent first.
+// Priorities of jobs, from the most to the least urgent.
 const (
 	PriorityProduction Priority = "prod"
 	PriorityUrgent     Priority = "urgent"
@@ -71,13 +72,13 @@
 	PriorityLow        Priority = "low"
 )
 
-// unknownPriority is the name of a rank that no priority has.
+// unknownPriority is what PriorityName returns for a rank that no priority has.
 const unknownPriority Priority = "unknown"
 
-// priorityRanks orders the priorities; the smallest rank is the most urgent.
+// priorityRanks maps each priority to its rank. The smallest rank is the most urgent.
 var priorityRanks = map[Priority]int{PriorityProduction: 0, PriorityUrgent: 1, PriorityStandard: 2, PriorityLow: 3}
 
-// PriorityName returns the priority with the given rank, or "unknown".
+// PriorityName returns the priority that has a rank, or "unknown" if none has.
 func PriorityName(rank int) Priority {
 	for priority, priorityRank := range priorityRanks {
 		if priorityRank == rank {
@@ -87,5 +88,6 @@
 	return unknownPriority
 }
 
-// PriorityRank returns the rank of the job's priority; smaller ranks are scheduled first.
+// PriorityRank returns the rank of the job's priority. Smaller ranks are scheduled first. An unknown
+// priority has rank 0, but Validate rejects it.
 func (j *Job) PriorityRank() int { return priorityRanks[j.Priority] }
