--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,16 +12,16 @@
 )
 
 // Platform is the settings file that the platform provides to each controller. Unknown fields are
-// ignored.
+// ignored. All addresses have the form host:port.
 type Platform struct {
-	Node         string `toml:"node"`
-	Location     string `toml:"location"`
-	ClientListen string `toml:"client_listen"`
-	PeerBind     string `toml:"peer_bind"`
-	Peers        []Peer `toml:"known"`
+	Node         string `toml:"node"`          // name of this node
+	Location     string `toml:"location"`      // location of this node; not used
+	ClientListen string `toml:"client_listen"` // address at which users, workers and operators connect
+	PeerBind     string `toml:"peer_bind"`     // address at which other controllers connect
+	Peers        []Peer `toml:"known"`         // all other controllers of the cluster
 	Services     struct {
-		Cloud string `toml:"cloud"`
-		Store string `toml:"state"`
+		Cloud string `toml:"cloud"` // address of the cloud
+		Store string `toml:"state"` // address of the key-value store
 	} `toml:"outside"`
 	Cluster Cluster `toml:"cluster"`
 }
@@ -29,35 +29,36 @@
 // Peer is another controller of the cluster.
 type Peer struct {
 	Node     string `toml:"node"`
-	Location string `toml:"location"`
-	Address  string `toml:"peer_addr"`
+	Location string `toml:"location"`  // location of the node; not used
+	Address  string `toml:"peer_addr"` // host:port
 }
 
-// Cluster holds the settings that all controllers of a deployment share.
+// Cluster holds the settings that all controllers of a deployment share. In the names of fields, S
+// stands for seconds, MS for milliseconds, and PerS for a rate per second.
 type Cluster struct {
-	ControllerCount int         `toml:"count"`
-	Zones           []string    `toml:"zones"`
-	TimeBoundMS     float64     `toml:"time_bound_ms"`
+	ControllerCount int         `toml:"count"`         // number of controllers, with this one
+	Zones           []string    `toml:"zones"`         // not used: the zones are those of the cloud's catalogue
+	TimeBoundMS     float64     `toml:"time_bound_ms"` // not used
 	Teams           []Team      `toml:"teams"`
 	Objectives      []Objective `toml:"objectives"`
 	Workers         struct {
-		HeartbeatIntervalS float64 `toml:"report_s"`
-		LeaseS             float64 `toml:"lease_s"`
-		CancelS            float64 `toml:"cancel_s"`
+		HeartbeatIntervalS float64 `toml:"report_s"` // interval at which a worker sends heartbeats
+		LeaseS             float64 `toml:"lease_s"`  // without a response, a worker kills its tasks after this time
+		CancelS            float64 `toml:"cancel_s"` // limit for stopping cancelled tasks; validated but not used
 	} `toml:"workers"`
 	Store StoreLimits `toml:"state"`
 	Cloud struct {
-		RequestsPerS float64 `toml:"rps"`
-		ListLagS     float64 `toml:"list_lag_s"`
+		RequestsPerS float64 `toml:"rps"`        // limit of the rate of requests
+		ListLagS     float64 `toml:"list_lag_s"` // how far the cloud's list of machines may be outdated
 	} `toml:"cloud"`
 	Resources Resources `toml:"resources"`
 }
 
-// WorkerLease returns the duration of the workers' lease, of which many other time spans are
-// fractions or multiples.
+// WorkerLease returns the duration of a worker's lease. Many other time spans are fractions or
+// multiples of it.
 func (c *Cluster) WorkerLease() time.Duration { return Seconds(c.Workers.LeaseS) }
 
-// Team returns the team of a name, or nil if there is none.
+// Team returns the team with a name, or nil if the settings have none.
 func (c *Cluster) Team(name string) *Team {
 	for i := range c.Teams {
 		if c.Teams[i].Name == name {
@@ -67,14 +68,14 @@
 	return nil
 }
 
-// StoreLimits are the limits of the key-value store.
+// StoreLimits are the limits of the key-value store, for all controllers together.
 type StoreLimits struct {
 	RequestsPerS float64 `toml:"rps"`
 	WritesPerS   float64 `toml:"write_rps"`
-	ValueKB      float64 `toml:"value_kb"`
-	TxnOps       int     `toml:"txn_ops"`
-	// Upcoming are the limits that will apply from some moment on, without notice. Limits that are
-	// not named stay as they are.
+	ValueKB      float64 `toml:"value_kb"` // size of one value, in units of 1024 bytes
+	TxnOps       int     `toml:"txn_ops"`  // number of writes in one transaction
+	// Upcoming are the limits that will replace the present ones at some later time, without notice.
+	// A limit that is nil stays as it is.
 	Upcoming struct {
 		WritesPerS *float64 `toml:"write_rps"`
 		ValueKB    *float64 `toml:"value_kb"`
@@ -82,13 +83,13 @@
 	} `toml:"next"`
 }
 
-// MaxValueBytes returns the largest size of a value that is allowed both now and later.
+// MaxValueBytes returns the largest size of a value that both the present and the upcoming limit allow.
 func (s *StoreLimits) MaxValueBytes() int {
 	return int(min(s.ValueKB, valueOr(s.Upcoming.ValueKB, s.ValueKB)) * 1024)
 }
 
-// MaxTxnOps returns the largest number of operations in a transaction that is allowed both now and
-// later.
+// MaxTxnOps returns the largest number of operations in a transaction that both the present and the
+// upcoming limit allow.
 func (s *StoreLimits) MaxTxnOps() int { return min(s.TxnOps, valueOr(s.Upcoming.TxnOps, s.TxnOps)) }
 
 // LowerWritesPerS returns the lower of the present and the upcoming rate of writes.
@@ -106,29 +107,33 @@
 
 // Resources is the share of its host that the controller may use.
 type Resources struct {
-	CoreShare      float64 `toml:"core_share"`
-	MemoryMB       float64 `toml:"mem_mb"`
-	MaxConnections int     `toml:"max_connections"`
+	CoreShare      float64 `toml:"core_share"`      // processor share; validated but not used
+	MemoryMB       float64 `toml:"mem_mb"`          // in units of 1024 * 1024 bytes
+	MaxConnections int     `toml:"max_connections"` // open connections, both accepted and dialled
 }
 
-// Team holds the guarantee and the quota of a team. A guarantee of 0 is none, a quota of 0 is unlimited.
+// Team holds the guarantee and the quota of a team. A guarantee of 0 means that nothing is guaranteed,
+// a quota of 0 that the team is not limited.
 type Team struct {
 	Name           string  `toml:"name"`
-	GuaranteedCPUs float64 `toml:"cpus"`
-	MaxCPUs        float64 `toml:"cpus_max"`
-	GuaranteedGPUs float64 `toml:"gpus"`
-	MaxGPUs        float64 `toml:"gpus_max"`
+	GuaranteedCPUs float64 `toml:"cpus"`     // guarantee, in CPU cores
+	MaxCPUs        float64 `toml:"cpus_max"` // quota, in CPU cores
+	GuaranteedGPUs float64 `toml:"gpus"`     // guarantee, in accelerators
+	MaxGPUs        float64 `toml:"gpus_max"` // quota, in accelerators
 }
 
 // Objective is a service-level objective for a class of jobs.
 type Objective struct {
+	// Kind is "finished" for an objective on the completion of jobs, "wait" for one on their start,
+	// and "guarantee" for one on the start of work within the guarantees of teams.
 	Kind     string  `toml:"kind"`
-	Class    string  `toml:"class"`
-	WithinS  float64 `toml:"within_s"`
-	MinShare float64 `toml:"share"`
+	Class    string  `toml:"class"`    // class of the jobs, unless Kind is "guarantee"
+	WithinS  float64 `toml:"within_s"` // time limit in seconds
+	MinShare float64 `toml:"share"`    // share of the jobs, 0 to 1, that must meet the time limit
 }
 
-// LoadPlatform reads and validates the settings file of the platform.
+// LoadPlatform reads and validates the settings file of the platform. The error wraps an
+// *InvalidSettingError for an invalid setting, and a *SyntaxError for a file that can't be decoded.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -148,11 +153,12 @@
 	return &platform, nil
 }
 
-// maxDuration bounds the durations that Seconds returns, so that sums of several do not overflow
-// whatever a user or another service sends.
+// maxDuration bounds the durations that Seconds returns, so that sums of several do not overflow,
+// whatever numbers a user or another service sends.
 const maxDuration = 10 * 365 * 24 * time.Hour
 
-// Seconds converts a number of seconds to a duration, limited to maxDuration either way.
+// Seconds converts a number of seconds to a duration, limited to the range from -maxDuration to
+// maxDuration.
 func Seconds(seconds float64) time.Duration {
 	switch nanoseconds := seconds * float64(time.Second); {
 	case nanoseconds >= float64(maxDuration):
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// validPlatform is a platform's settings file with an unknown field ("later"), which is ignored.
 const validPlatform = `node = "n0"
 client_listen = "127.0.0.1:1"
 peer_bind = "127.0.0.1:2"
@@ -52,6 +53,7 @@
 max_connections = 900
 `
 
+// writeFile writes a temporary file and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
@@ -61,32 +63,34 @@
 	return path
 }
 
-// checkError checks that an error has one line, names what is wrong, and is either an invalid setting
-// or a syntax error.
+// checkError checks that an error is one line that contains a text, and that it is either an invalid
+// setting or a syntax error.
 func checkError(t *testing.T, err error, want string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, expected one line with %q", err, want)
 	}
 	var invalid *InvalidSettingError
 	var syntax *SyntaxError
 	if errors.As(err, &invalid) == errors.As(err, &syntax) {
-		t.Errorf("%T is neither an invalid setting nor a syntax error, or both", err)
+		t.Errorf("%T, expected either an InvalidSettingError or a SyntaxError", err)
 	}
 }
 
+// A valid file must be loaded, also with an unknown field. A missing file is reported as such.
 func TestLoad(t *testing.T) {
 	platform, err := LoadPlatform(writeFile(t, validPlatform))
 	if err != nil || platform.Cluster.Workers.LeaseS != 14 || platform.Peers[0].Node != "n1" {
-		t.Fatalf("%+v, %v", platform, err)
+		t.Fatalf("valid file loaded as %+v with error %v", platform, err)
 	}
 	checkStoreLimits(t, platform, 8<<10)
 	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: %v, expected %v", err, fs.ErrNotExist)
 	}
 }
 
-// Lower limits that will apply later count at once.
+// An upcoming limit that is lower than the present one must apply from the start, because the store
+// changes its limits without notice. A higher one must not.
 func TestUpcomingLimits(t *testing.T) {
 	const limits = "txn_ops = 20\n[cluster.state.next]\nwrite_rps = 30.0\nvalue_kb = 2.0"
 	platform, err := LoadPlatform(writeFile(t, strings.Replace(validPlatform, "txn_ops = 20", limits, 1)))
@@ -96,16 +100,19 @@
 	checkStoreLimits(t, platform, 2<<10)
 }
 
-// checkStoreLimits checks the limits of the key-value store.
+// checkStoreLimits checks the limits that hold now and later: the given size of a value, 20 operations in
+// a transaction and 25 writes per second.
 func checkStoreLimits(t *testing.T, platform *Platform, valueBytes int) {
 	t.Helper()
 	store := platform.Cluster.Store
 	if store.MaxValueBytes() != valueBytes || store.MaxTxnOps() != 20 || store.LowerWritesPerS() != 25 {
-		t.Errorf("%d bytes, %d changes, %v a second", store.MaxValueBytes(), store.MaxTxnOps(), store.LowerWritesPerS())
+		t.Errorf("%d bytes, %d operations, %v writes per second, expected %d, 20 and 25",
+			store.MaxValueBytes(), store.MaxTxnOps(), store.LowerWritesPerS(), valueBytes)
 	}
 }
 
-// A bad file ends with one line that names the field.
+// An invalid file must be rejected with one line that names the field, or the line of a syntax error. A
+// wrong value would otherwise show only in the operation of the cluster.
 func TestBadPlatform(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`node = "n0"`, ``, "node: missing"},
@@ -129,16 +136,20 @@
 	}
 }
 
+// Keys of the file must override the defaults and leave all others. A file without any key must not
+// clear the defaults.
 func TestSettings(t *testing.T) {
 	settings, err := LoadSettings(writeFile(t, "slots_per_core: 3\nthrift: 0.5\n"))
 	if err != nil || settings.SlotsPerCore != 3 || settings.BaseSlots != 6 || *settings.CostSensitivity != 0.5 {
-		t.Fatalf("%+v, %v", settings, err)
+		t.Fatalf("valid file loaded as %+v with error %v", settings, err)
 	}
 	if _, err := LoadSettings(writeFile(t, "")); err != nil {
-		t.Errorf("an empty file: %v", err)
+		t.Errorf("empty file: %v, expected it to be accepted", err)
 	}
 }
 
+// An unknown key, a value out of range or of the wrong type, and malformed YAML must be rejected with one
+// line. It names the key, unless the YAML is malformed.
 func TestBadSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		"slot_per_core: 3":    "slot_per_core",
@@ -157,17 +168,18 @@
 	}
 }
 
-// Amounts that users and other services write become durations whose sums don't overflow.
+// Numbers that users and other services send may be huge. They must become durations whose sums do not
+// overflow to the other sign.
 func TestSecondsAreBounded(t *testing.T) {
 	for _, seconds := range []float64{0, 1.5, 1e9, 1e18, 1e300, -1e300} {
 		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
 			duration := Seconds(seconds)
 			if (seconds >= 0) != (duration >= 0) || (seconds >= 0) != (4*duration+time.Hour >= 0) {
-				t.Errorf("%v s: %v", seconds, duration)
+				t.Errorf("%v s: %v, expected the same sign, also for four times as long", seconds, duration)
 			}
 		})
 	}
 	if Seconds(1.5) != 1500*time.Millisecond {
-		t.Errorf("1.5 s: %v", Seconds(1.5))
+		t.Errorf("1.5 s: %v, expected 1.5s", Seconds(1.5))
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,10 +7,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// InvalidSettingError reports a setting, by its name in the file, with a value that is missing or not
-// allowed.
+// InvalidSettingError reports a setting that is missing or has a value that is not allowed.
 type InvalidSettingError struct {
-	Setting string
+	Setting string // name in the file, with the tables that contain it
 	Reason  string
 }
 
@@ -26,7 +25,7 @@
 // of the file.
 type SyntaxError struct {
 	Message string
-	Err     error // of the decoder
+	Err     error // error of the decoder
 }
 
 // Error implements error.
@@ -35,7 +34,7 @@
 // Unwrap returns the error of the decoder.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// newTOMLSyntaxError returns a SyntaxError that names the position and the key.
+// newTOMLSyntaxError returns a SyntaxError that names the line, the column and the key.
 func newTOMLSyntaxError(err *toml.DecodeError) error {
 	row, column := err.Position()
 	key := strings.Join(err.Key(), ".")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,43 +12,47 @@
 // Settings are the operators' settings. Most are ratios to values of the platform's file, so that
 // one file can serve several deployments.
 type Settings struct {
-	// SlotsPerCore and BaseSlots give the slots of a machine: slots per core * cores + base.
+	// SlotsPerCore and BaseSlots determine the scheduler slots of a machine, each of which allows one
+	// task: SlotsPerCore * cores + BaseSlots.
 	SlotsPerCore float64 `yaml:"slots_per_core"`
 	BaseSlots    float64 `yaml:"slots_base"`
-	// BatchShare is the share of all slots that belongs to batch work. The rest belongs to
-	// latency-sensitive work and is lent to batch work while that does not need it.
+	// BatchShare is the share of all slots, 0 to 1, that belongs to batch work. The rest belongs to
+	// latency-sensitive work, and batch work borrows it while latency-sensitive work is not delayed.
 	BatchShare float64 `yaml:"class_share"`
-	// BorrowWaitS is how long a latency-sensitive job has to be pending for lending to end.
+	// BorrowWaitS is the time in seconds for which a latency-sensitive job may be pending before batch
+	// work stops borrowing slots.
 	BorrowWaitS float64 `yaml:"borrow_wait_s"`
-	// Headroom is the spare capacity, as a ratio to the usual load.
+	// Headroom is the spare capacity of the fleet, as a ratio to the usual load.
 	Headroom float64 `yaml:"headroom"`
-	// IdleRetention is how long an idle machine is kept, as a ratio to its boot time.
+	// IdleRetention is how long a machine that is no longer needed is kept, as a ratio to its boot time.
 	IdleRetention float64 `yaml:"idle_keep"`
-	// CostSensitivity determines how much less headroom is held on more expensive machines: it is scaled
-	// by (lowest price / price) to this power. The default is 0.3 if there are SLOs on starting
-	// soon, and 2 otherwise.
+	// CostSensitivity determines how much less headroom is held on more expensive machines: the headroom
+	// is scaled by (lowest price / price) to the power of CostSensitivity. The default, for nil, is 0.3
+	// if some SLO on starting leaves no time to boot a machine, and 2 otherwise.
 	CostSensitivity *float64 `yaml:"thrift"`
-	// LoadSteps is the number of levels by which placement tells machine loads apart.
+	// LoadSteps is the number of steps into which placement divides the load of a machine. It prefers
+	// a lower step, and within a step a shorter pull of the job's image and then a lower load.
 	LoadSteps int `yaml:"load_steps"`
 	// FairAdmission lets the leader publish admission policies under overload.
 	FairAdmission bool `yaml:"fair_admission"`
-	// LinkDecisions lets a leader resign, or ask peers to relay heartbeats, according to what is
-	// known of half-open links.
+	// LinkDecisions lets a leader resign, or ask peers to relay heartbeats, according to the half-open
+	// links that it knows of.
 	LinkDecisions bool `yaml:"link_decisions"`
-	// PacedRecovery holds back rentals and returns of a new leader until its machines are
-	// reconciled, and limits the rate of its commands.
+	// PacedRecovery makes a new leader hold back rentals and returns of machines until its machines
+	// are reconciled, and limits the rate of its commands.
 	PacedRecovery bool `yaml:"recovery"`
-	// RecoveryMinMachines is the number of machines from which PacedRecovery applies: fewer can't
-	// cause a storm of requests.
+	// RecoveryMinMachines is the smallest number of machines for which PacedRecovery applies: fewer
+	// machines can't cause a storm of requests.
 	RecoveryMinMachines int `yaml:"recovery_from"`
-	// RecoveryRefillLeases is the part of a worker lease within which tasks may be started on all
-	// cores while commands are paced. RecoveryReplaceLeases is the same for renting and returning
-	// all machines.
+	// RecoveryRefillLeases and RecoveryReplaceLeases limit the rates of operations in a paced recovery.
+	// They are times as ratios to a worker lease: within the first, tasks may be started on all
+	// cores; within the second, all machines may be rented or returned.
 	RecoveryRefillLeases  float64 `yaml:"recovery_refill"`
 	RecoveryReplaceLeases float64 `yaml:"recovery_replace"`
-	// MaxTraceSteps is how many processing steps of submissions a node retains; 0 means none.
+	// MaxTraceSteps is the number of steps in the processing of jobs that a node retains; 0 disables
+	// tracing.
 	MaxTraceSteps int `yaml:"trace_steps"`
-	// MemoryLimitRatio is the soft memory limit of the garbage collector, as a ratio to mem_mb.
+	// MemoryLimitRatio is the soft memory limit of the Go runtime, as a ratio to mem_mb.
 	MemoryLimitRatio float64 `yaml:"memory_ratio"`
 }
 
@@ -61,8 +65,9 @@
 	}
 }
 
-// LoadSettings reads the operators' YAML over the defaults. Unknown keys are errors: otherwise a
-// misspelt key would silently have no effect.
+// LoadSettings returns the defaults, overridden by the keys in the operators' YAML file. An empty path
+// means that there is no file. Unknown keys are errors: otherwise a misspelt key would silently have
+// no effect.
 func LoadSettings(path string) (Settings, error) {
 	settings := Defaults()
 	if path == "" {
@@ -72,7 +77,7 @@
 	if err != nil {
 		return settings, fmt.Errorf("settings: %w", err)
 	}
-	// The decoder would clear the defaults for a file without any key.
+	// A file without any key is not decoded into settings, because the decoder would clear the defaults.
 	var keys map[string]any
 	if err := yaml.Unmarshal(raw, &keys); err != nil {
 		return settings, fmt.Errorf("settings: %s: %w", path, newYAMLSyntaxError(err))
@@ -88,8 +93,8 @@
 	return settings, nil
 }
 
-// singleLineError returns the message of a YAML error without the excerpt of the file, and with
-// the key as the operator writes it in place of the name of the Go field.
+// singleLineError returns the message of a YAML error in one line, without the excerpt of the file. It
+// replaces the name of a Go field by the key in the file.
 func singleLineError(err error) string {
 	message, _, _ := strings.Cut(yaml.FormatError(err, false, false), "\n")
 	fields := reflect.TypeFor[Settings]()
@@ -106,8 +111,8 @@
 		return invalidSetting("thrift", "must be within 0..10, is %v", *s.CostSensitivity)
 	}
 	for _, setting := range []struct {
-		name                   string
-		value, lowest, highest float64
+		name            string
+		value, min, max float64
 	}{
 		{"slots_per_core", s.SlotsPerCore, 0.01, 1000},
 		{"slots_base", s.BaseSlots, 0, 1000},
@@ -122,8 +127,8 @@
 		{"recovery_replace", s.RecoveryReplaceLeases, 0.01, 10},
 		{"trace_steps", float64(s.MaxTraceSteps), 0, 100_000},
 	} {
-		if !(setting.value >= setting.lowest && setting.value <= setting.highest) {
-			return invalidSetting(setting.name, "must be within %v..%v, is %v", setting.lowest, setting.highest, setting.value)
+		if !(setting.value >= setting.min && setting.value <= setting.max) {
+			return invalidSetting(setting.name, "must be within %v..%v, is %v", setting.min, setting.max, setting.value)
 		}
 	}
 	return nil
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,10 +7,10 @@
 
 // Lower bounds of the limits of the key-value store.
 const (
-	// minTxnOps is the least number of operations for which transactions are formed.
+	// minTxnOps is the smallest limit of operations with which the controllers can form transactions.
 	minTxnOps = 4
-	// minUpcomingValueKB is the lowest upcoming limit of the size of a value, and so of a job
-	// record.
+	// minUpcomingValueKB is the lowest upcoming limit that is allowed for the size of a value, and so
+	// of a job record.
 	minUpcomingValueKB = 1.0
 )
 
@@ -27,10 +27,11 @@
 	return nil
 }
 
-// stringSetting is a setting that is a text, with its name in the file.
+// stringSetting is a string and its name in the settings file.
 type stringSetting struct{ name, value string }
 
-// validateAddresses checks the names of the nodes and all addresses.
+// validateAddresses checks that the names of the nodes and all addresses are there, that no other node
+// has the name of this one, and that the addresses have the form host:port.
 func (p *Platform) validateAddresses() error {
 	addresses := []stringSetting{
 		{"client_listen", p.ClientListen}, {"peer_bind", p.PeerBind},
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// validateControllerCount checks that the number of controllers is that of the known ones.
+// validateControllerCount checks that the number of controllers is that of the peers and this node.
 func (p *Platform) validateControllerCount() error {
 	if p.Cluster.ControllerCount != len(p.Peers)+1 {
 		return invalidSetting("cluster.count", "%d, but known names %d other nodes",
@@ -90,13 +91,13 @@
 	return nil
 }
 
-// validateLimits checks the lower bounds of the limits of the key-value store.
+// validateLimits checks that the limits of the key-value store are not below their lower bounds.
 func (s *StoreLimits) validateLimits() error {
 	if s.TxnOps < minTxnOps {
 		return invalidSetting("cluster.state.txn_ops", "must be at least %d, is %d", minTxnOps, s.TxnOps)
 	}
-	if upcoming := s.Upcoming.ValueKB; upcoming != nil && !(*upcoming >= minUpcomingValueKB) {
-		return invalidSetting("cluster.state.next.value_kb", "must be at least %v, is %v", minUpcomingValueKB, *upcoming)
+	if limit := s.Upcoming.ValueKB; limit != nil && !(*limit >= minUpcomingValueKB) {
+		return invalidSetting("cluster.state.next.value_kb", "must be at least %v, is %v", minUpcomingValueKB, *limit)
 	}
 	if maxOps := s.MaxTxnOps(); maxOps < minTxnOps {
 		return invalidSetting("cluster.state.next.txn_ops", "must be at least %d, is %d", minTxnOps, maxOps)
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// validateLease checks that a worker sends several heartbeats within its lease.
+// validateLease checks that the lease of a worker is longer than its heartbeat interval, so that
+// heartbeats can renew the lease in time.
 func (c *Cluster) validateLease() error {
 	if c.Workers.LeaseS <= c.Workers.HeartbeatIntervalS {
 		return invalidSetting("cluster.workers.lease_s", "must be above report_s (%v), is %v",
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// validateTeams checks that each team has a name of its own, and that no amount is negative.
+// validateTeams checks that each team has a unique name, and that no guarantee or quota is negative.
 func (c *Cluster) validateTeams() error {
 	seen := map[string]bool{}
 	for i, team := range c.Teams {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// validateObjectives checks that shares are within 0..1 and no time is negative.
+// validateObjectives checks that shares are within 0..1 and that no time limit is negative.
 func (c *Cluster) validateObjectives() error {
 	for i, objective := range c.Objectives {
 		if objective.MinShare < 0 || objective.MinShare > 1 || objective.WithinS < 0 {
