--- a/internal/statuspage/metrics_page.go
+++ b/internal/statuspage/metrics_page.go
@@ -10,7 +10,7 @@
 // MetricsPage builds a page in the Prometheus text format.
 type MetricsPage struct{ strings.Builder }
 
-// Gauge adds a gauge.
+// Gauge adds a gauge with one sample. The prefix hitchdoor_ is put before the name.
 func (p *MetricsPage) Gauge(name, help string, value float64) {
 	fmt.Fprintf(p, "# HELP hitchdoor_%s %s\n# TYPE hitchdoor_%s gauge\nhitchdoor_%s %g\n",
 		name, help, name, name, value)
@@ -25,7 +25,8 @@
 	p.Gauge(name, help, 0)
 }
 
-// LabelledGauge adds a gauge with one sample per value of a label; values emits the samples.
+// LabelledGauge adds a gauge with one sample for each value of a label. The function samples calls emit
+// for each of them.
 func (p *MetricsPage) LabelledGauge(name, help, label string,
 	samples func(emit func(labelValue string, value float64))) {
 	fmt.Fprintf(p, "# HELP hitchdoor_%s %s\n# TYPE hitchdoor_%s gauge\n", name, help, name)
@@ -34,7 +35,8 @@
 	})
 }
 
-// ClusterGauges adds the gauges of a leader's jobs, tasks and machines.
+// ClusterGauges adds the gauges of a leader's jobs, tasks and machines. Machines of a type that is not
+// in the catalogue count without cores.
 func (p *MetricsPage) ClusterGauges(state *cluster.State) {
 	runningTasks, pendingTasks := 0, 0
 	for _, job := range state.RunnableJobs {
--- a/internal/statuspage/status_types.go
+++ b/internal/statuspage/status_types.go
@@ -1,4 +1,5 @@
-// Package statuspage has the JSON types of the operators' status page and the text of the metrics page.
+// Package statuspage defines the JSON types of the operators' status page and builds the text of the
+// metrics page.
 package statuspage
 
 import (
@@ -12,22 +13,22 @@
 // HealthResponse is the response body of a healthy node.
 type HealthResponse struct {
 	OK            bool   `json:"ok"`
-	Build         string `json:"version"`
-	ProtocolLevel int    `json:"level"`
+	Build         string `json:"version"` // version of the program
+	ProtocolLevel int    `json:"level"`   // records and messages that this version understands
 }
 
 // NodeStatus is the status of this node for operators.
 type NodeStatus struct {
 	Node                 string        `json:"node"`
 	IsLeader             bool          `json:"leads"`
-	Leader               string        `json:"leader,omitempty"`
-	Term                 uint64        `json:"term,omitempty"`
-	StoreFailing         bool          `json:"stateDown"`
-	UptimeS              float64       `json:"uptimeS"`
-	Build                string        `json:"version"`
-	ProtocolLevel        int           `json:"level"`
-	ClusterSupportsLevel bool          `json:"levelOfAll"`
-	Peers                []PeerStatus  `json:"peers"`
+	Leader               string        `json:"leader,omitempty"` // name of the node that leads; empty: not known
+	Term                 uint64        `json:"term,omitempty"`   // term of that leader
+	StoreFailing         bool          `json:"stateDown"`        // the last call to the key-value store failed
+	UptimeS              float64       `json:"uptimeS"`          // seconds since the process started
+	Build                string        `json:"version"`          // version of the program
+	ProtocolLevel        int           `json:"level"`            // records and messages that this version understands
+	ClusterSupportsLevel bool          `json:"levelOfAll"`       // all nodes are known to have at least this level
+	Peers                []PeerStatus  `json:"peers"`            // in the order of the configuration
 	LeaderStatus         *LeaderStatus `json:"leading,omitempty"`
 }
 
@@ -35,31 +36,31 @@
 // not announced one.
 type PeerStatus struct {
 	Node          string `json:"node"`
-	Reachable     bool   `json:"heard"`
+	Reachable     bool   `json:"heard"` // a message of the peer arrived within the last leader lease
 	ProtocolLevel int    `json:"level"`
 }
 
 // LeaderStatus is the part of a node's status that only a leader has.
 type LeaderStatus struct {
-	RecordsLoaded bool            `json:"loaded"`
-	AllReconciled bool            `json:"accounted"`
-	RecoveryPhase string          `json:"recovery"`
-	PendingWrites int             `json:"writesWaiting"`
-	Jobs          []JobStatus     `json:"jobs"`
-	Machines      []MachineStatus `json:"machines"`
-	TargetCores   float64         `json:"targetCores"`
+	RecordsLoaded bool            `json:"loaded"`        // the stored records are read
+	AllReconciled bool            `json:"accounted"`     // no unknown attempt of an earlier leader can be running
+	RecoveryPhase string          `json:"recovery"`      // name of a recovery.Phase
+	PendingWrites int             `json:"writesWaiting"` // changes that are not yet in the key-value store
+	Jobs          []JobStatus     `json:"jobs"`          // open jobs, sorted by id
+	Machines      []MachineStatus `json:"machines"`      // sorted by name
+	TargetCores   float64         `json:"targetCores"`   // cores that the last capacity plan aims to hold
 }
 
-// JobStatus is the status of one open job.
+// JobStatus is the status of one open job. Done, Active and Pending are numbers of tasks.
 type JobStatus struct {
 	ID        string             `json:"id"`
 	Class     string             `json:"class"`
 	Team      string             `json:"team"`
 	Done      int                `json:"done"`
-	Active    int                `json:"active"`
-	Pending   int                `json:"pending"`
-	BlockedBy cluster.WaitReason `json:"waitsFor,omitempty"`
-	AgeS      float64            `json:"ageS"`
+	Active    int                `json:"active"`             // tasks with an attempt on a machine
+	Pending   int                `json:"pending"`            // tasks without an attempt
+	BlockedBy cluster.WaitReason `json:"waitsFor,omitempty"` // empty: nothing blocks the job
+	AgeS      float64            `json:"ageS"`               // seconds since the job was accepted
 }
 
 // MachineStatus is the status of one machine.
@@ -67,14 +68,14 @@
 	Name        string              `json:"name"`
 	Type        string              `json:"type"`
 	Zone        string              `json:"zone"`
-	Spot        bool                `json:"spot"`
-	Up          bool                `json:"up"`
-	Tasks       int                 `json:"tasks"`
+	Spot        bool                `json:"spot"`  // the cloud may preempt the machine
+	Up          bool                `json:"up"`    // heartbeats arrive, and the worker lease has not expired
+	Tasks       int                 `json:"tasks"` // number of task attempts on the machine
 	UsedCores   float64             `json:"coresUsed"`
-	DrainReason cluster.DrainReason `json:"leaving,omitempty"`
+	DrainReason cluster.DrainReason `json:"leaving,omitempty"` // empty: the machine is not drained
 }
 
-// JobStatuses returns the status of the open jobs, sorted by ID.
+// JobStatuses returns the status of the open jobs, sorted by id.
 func JobStatuses(state *cluster.State) []JobStatus {
 	var statuses []JobStatus
 	for _, job := range state.Jobs {
