--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,6 +1,6 @@
-// Package tracing keeps a bounded record of how a controller processed submissions, as
-// OpenTelemetry spans. All spans of a job belong to one trace, whichever controller recorded
-// them: the trace id is derived from the job id.
+// Package tracing keeps a bounded record of how a controller processed jobs, as OpenTelemetry spans.
+// All spans of a job belong to one trace, whichever controller recorded them, because the trace id is
+// derived from the job id.
 package tracing
 
 import (
@@ -17,13 +17,13 @@
 
 // Step is one event in the processing of a job by a controller.
 type Step struct {
-	Job   string    `json:"job"`
-	Node  string    `json:"node"`
-	Name  string    `json:"name"`
+	Job   string    `json:"job"`  // job id
+	Node  string    `json:"node"` // name of the controller
+	Name  string    `json:"name"` // name of the step
 	At    time.Time `json:"at"`
-	Note  string    `json:"note,omitempty"`
-	Term  uint64    `json:"term,omitempty"`  // on the leader only
-	Epoch uint64    `json:"epoch,omitempty"` // of the admission policy in force
+	Note  string    `json:"note,omitempty"`  // details of the step
+	Term  uint64    `json:"term,omitempty"`  // term of the leader; 0: recorded by a follower
+	Epoch uint64    `json:"epoch,omitempty"` // epoch of the admission policy in force; 0: none
 }
 
 // Recorder keeps the last steps of one controller. It is safe for concurrent use.
@@ -33,11 +33,11 @@
 	recentSpans *spanRing
 }
 
-// NewRecorder returns a recorder that keeps the last limit steps of a node.
+// NewRecorder returns a recorder that keeps the last limit steps of a node. The limit must be positive.
 func NewRecorder(node string, limit int) *Recorder {
 	recentSpans := &spanRing{spans: make([]sdk.ReadOnlySpan, limit)}
-	provider := sdk.NewTracerProvider(
-		sdk.WithSpanProcessor(recentSpans), sdk.WithIDGenerator(traceIDGenerator{}), sdk.WithSampler(sdk.AlwaysSample()))
+	provider := sdk.NewTracerProvider(sdk.WithSpanProcessor(recentSpans),
+		sdk.WithIDGenerator(traceIDGenerator{}), sdk.WithSampler(sdk.AlwaysSample()))
 	return &Recorder{node: node, tracer: provider.Tracer("hitchdoor"), recentSpans: recentSpans}
 }
 
@@ -70,7 +70,7 @@
 	return steps
 }
 
-// stepFromSpan converts a span back to the step it was recorded from.
+// stepFromSpan converts a span back to the step from which Record made it.
 func (r *Recorder) stepFromSpan(span sdk.ReadOnlySpan) Step {
 	step := Step{Node: r.node, Name: span.Name(), At: span.StartTime()}
 	for _, keyValue := range span.Attributes() {
@@ -91,14 +91,14 @@
 // spanRing is a span processor that retains the last spans.
 type spanRing struct {
 	mu    sync.Mutex
-	spans []sdk.ReadOnlySpan
-	next  int
+	spans []sdk.ReadOnlySpan // nil where none is stored yet
+	next  int                // index of the oldest span, which the next one replaces
 }
 
 // OnStart does nothing, as steps have no duration.
 func (*spanRing) OnStart(context.Context, sdk.ReadWriteSpan) {}
 
-// OnEnd stores a span in place of the oldest.
+// OnEnd stores a span in place of the oldest one.
 func (r *spanRing) OnEnd(span sdk.ReadOnlySpan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +125,7 @@
 	return spans
 }
 
-// jobContextKey is the context key of the job id of a span.
+// jobContextKey is the context key of a span's job id, from which the trace id is derived.
 type jobContextKey struct{}
 
 // traceIDGenerator is an id generator that derives trace ids from job ids.
@@ -138,7 +138,8 @@
 	return id, g.NewSpanID(ctx, id)
 }
 
-// NewSpanID returns a new span id for a trace.
+// NewSpanID returns a new span id for a trace, derived from the trace id and the time. The id is odd, so
+// that it is never the invalid id 0.
 func (traceIDGenerator) NewSpanID(_ context.Context, traceID trace.TraceID) trace.SpanID {
 	var spanID trace.SpanID
 	digest := xxhash.New()
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Steps come back as they were recorded, by job, and only the last ones are kept.
+// The recorder must return the steps of a job as they were recorded, without those of other jobs. When
+// it is full, it must evict the oldest steps: here 10 of 25 are kept, half of them of each job.
 func TestRecorderKeepsTheLastSteps(t *testing.T) {
 	recorder := NewRecorder("n1", 10)
 	firstAt := time.Unix(1_000_000, 0)
@@ -16,15 +17,15 @@
 	}
 	steps := recorder.StepsOf("j-0")
 	if len(steps) != 5 {
-		t.Fatalf("%d steps are kept", len(steps))
+		t.Fatalf("%d steps of j-0 are kept, expected 5", len(steps))
 	}
 	want := Step{Job: "j-0", Node: "n1", Name: "verdict", At: firstAt.Add(16 * time.Second),
 		Note: "admitted", Term: 3, Epoch: 7}
 	if got := steps[0]; !got.At.Equal(want.At) || got.Job != want.Job || got.Node != want.Node ||
 		got.Name != want.Name || got.Note != want.Note || got.Term != want.Term || got.Epoch != want.Epoch {
-		t.Errorf("%+v, not %+v", got, want)
+		t.Errorf("oldest step of j-0 is %+v, expected %+v", got, want)
 	}
 	if len(recorder.StepsOf("j-2")) != 0 || TraceID("j-0") == TraceID("j-1") || !TraceID("j-0").IsValid() {
-		t.Error("traces are not told apart")
+		t.Error("steps of an unknown job, equal trace ids of two jobs, or an invalid trace id")
 	}
 }
