--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -108,7 +108,7 @@
 // Resources is the share of its host that the controller may use.
 type Resources struct {
 	CoreShare      float64 `toml:"core_share"`      // processor share; validated but not used
-	MemoryMB       float64 `toml:"mem_mb"`          // in units of 1024 * 1024 bytes
+	MemoryMB       float64 `toml:"mem_mb"`          // memory, in units of 1024 * 1024 bytes
 	MaxConnections int     `toml:"max_connections"` // open connections, both accepted and dialled
 }
 
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -155,8 +155,8 @@
 
 // JobStatus is the response to a submission, a query and a cancellation.
 type JobStatus struct {
-	ID           string   `json:"uid"`
-	State        JobState `json:"situacao"`
+	ID           string   `json:"uid"`               // job id
+	State        JobState `json:"situacao"`          // state of the job
 	DoneTasks    *int     `json:"done,omitempty"`    // number of finished tasks; nil: not stated
 	RunningTasks *int     `json:"running,omitempty"` // tasks that run or save a checkpoint; nil: not stated
 }
@@ -180,9 +180,9 @@
 
 // TaskStatus is the status of one task attempt in a worker's heartbeat.
 type TaskStatus struct {
-	TaskID          string     `json:"peca"` // as the function TaskID builds it
-	Attempt         uint64     `json:"tentativa"`
-	State           TaskState  `json:"situacao"`
+	TaskID          string     `json:"peca"`             // id that the function TaskID builds
+	Attempt         uint64     `json:"tentativa"`        // number of the attempt
+	State           TaskState  `json:"situacao"`         // state of the attempt
 	ExitReason      ExitReason `json:"motivo,omitempty"` // empty unless the state is TaskExited
 	CheckpointSaved bool       `json:"saved,omitempty"`  // the attempt saved a checkpoint before it exited
 }
@@ -205,36 +205,36 @@
 
 // Command instructs a worker to start, stop or forget a task attempt.
 type Command struct {
-	Kind         CommandKind `json:"ordem"`
-	TaskID       string      `json:"peca"`
-	Attempt      uint64      `json:"tentativa"`
+	Kind         CommandKind `json:"ordem"`            // what to do
+	TaskID       string      `json:"peca"`             // id that the function TaskID builds
+	Attempt      uint64      `json:"tentativa"`        // number of the attempt
 	GraceSeconds *float64    `json:"folgaS,omitempty"` // in a stop command, the time to save a checkpoint; else nil
 }
 
 // HeartbeatResponse is the body of status 200 to a worker's heartbeat. A worker drops the response
 // if its token is lower than the highest one that the worker has seen.
 type HeartbeatResponse struct {
-	FencingToken uint64    `json:"bastao"` // of the leader that sends the commands
-	Commands     []Command `json:"ordens"`
+	FencingToken uint64    `json:"bastao"` // token of the leader that sends the commands
+	Commands     []Command `json:"ordens"` // commands for the worker; may be empty
 }
 
 // HeartbeatRedirect is the body of status 421 to a worker's heartbeat.
 type HeartbeatRedirect struct {
-	Node string `json:"reportaA,omitempty"` // node to which the worker is to send its heartbeats
+	Node string `json:"reportaA,omitempty"` // name of the node to which the worker is to send its heartbeats
 }
 
-// MachineType is one entry of the cloud's catalogue. Prices are per hour.
+// MachineType is one entry of the cloud's catalogue. Prices are per hour and change over time.
 type MachineType struct {
-	Name            string   `json:"sku"`
-	Cores           float64  `json:"cores"`
-	Accelerators    float64  `json:"accelerators"`
-	MemoryGB        float64  `json:"ramGb"`
-	ImageCacheGB    float64  `json:"cacheGb"`     // total size of the images that a machine keeps
-	PullGBPerSecond float64  `json:"pullGbPerS"`  // rate at which a machine pulls images
-	OnDemandPrice   float64  `json:"rate"`        // price of a machine that the cloud does not preempt
-	SpotPrice       float64  `json:"marketPrice"` // current price of a machine that the cloud may preempt
-	BootSeconds     float64  `json:"readyS"`      // time from the rental until a machine is ready
-	Zones           []string `json:"pracas"`      // zones in which the type is offered
+	Name            string   `json:"sku"`          // unique in the catalogue
+	Cores           float64  `json:"cores"`        // CPU cores of a machine
+	Accelerators    float64  `json:"accelerators"` // accelerators of a machine
+	MemoryGB        float64  `json:"ramGb"`        // memory of a machine
+	ImageCacheGB    float64  `json:"cacheGb"`      // total size of the images that a machine keeps
+	PullGBPerSecond float64  `json:"pullGbPerS"`   // rate at which a machine pulls images
+	OnDemandPrice   float64  `json:"rate"`         // price of a machine that the cloud does not preempt
+	SpotPrice       float64  `json:"marketPrice"`  // price of a machine that the cloud may preempt
+	BootSeconds     float64  `json:"readyS"`       // time from the rental until a machine is ready
+	Zones           []string `json:"pracas"`       // zones in which the type is offered
 }
 
 // Price returns the current price per hour, of a spot machine or of one on demand.
@@ -250,37 +250,37 @@
 
 // Catalog is the body of the cloud's response to GET /catalog.
 type Catalog struct {
-	Types []MachineType `json:"portes"`
+	Types []MachineType `json:"portes"` // machine types that the cloud offers
 }
 
 // RentalRequest requests machines from the cloud. RequestID makes the call idempotent: the cloud
 // returns the same machines for the same id, so another rental must never use the id again.
 type RentalRequest struct {
-	RequestID string `json:"pedido"`
-	Type      string `json:"porte"` // name of the machine type
-	Zone      string `json:"praca"`
+	RequestID string `json:"pedido"`  // unique id of the rental
+	Type      string `json:"porte"`   // name of the machine type
+	Zone      string `json:"praca"`   // zone of the machines
 	Spot      bool   `json:"avulsas"` // the cloud may preempt the machines
 	Count     int    `json:"count"`   // number of machines
 }
 
 // MachineNames is the response to a rental request and the body of a return request.
 type MachineNames struct {
-	Machines []string `json:"maquinas"`
+	Machines []string `json:"maquinas"` // names of the machines
 }
 
 // HostPage is one page of the cloud's list of machines, in order of their names.
 type HostPage struct {
-	Machines  []Host `json:"maquinas"`
+	Machines  []Host `json:"maquinas"`  // machines on this page
 	Truncated bool   `json:"truncated"` // further machines follow on the next page
 }
 
 // Host is one machine in the cloud's list.
 type Host struct {
-	Name          string    `json:"uid"`
-	Address       string    `json:"address"`
-	Type          string    `json:"porte"` // name of the machine type
-	Zone          string    `json:"praca"`
-	Spot          bool      `json:"avulsas"` // the cloud may preempt the machine
-	State         HostState `json:"situacao"`
-	RentedSeconds float64   `json:"heldS"` // time since the machine was rented
+	Name          string    `json:"uid"`      // unique name of the machine
+	Address       string    `json:"address"`  // not used
+	Type          string    `json:"porte"`    // name of the machine type
+	Zone          string    `json:"praca"`    // zone of the machine
+	Spot          bool      `json:"avulsas"`  // the cloud may preempt the machine
+	State         HostState `json:"situacao"` // state of the machine according to the cloud
+	RentedSeconds float64   `json:"heldS"`    // time since the machine was rented
 }
--- a/internal/statuspage/status_types.go
+++ b/internal/statuspage/status_types.go
@@ -10,26 +10,28 @@
 	"hitchdoor/internal/cluster"
 )
 
-// HealthResponse is the response body of a healthy node.
+// HealthResponse is the response body of a healthy node. ProtocolLevel is the level of records and
+// messages that this version of the program understands.
 type HealthResponse struct {
 	OK            bool   `json:"ok"`
 	Build         string `json:"version"` // version of the program
-	ProtocolLevel int    `json:"level"`   // records and messages that this version understands
+	ProtocolLevel int    `json:"level"`
 }
 
-// NodeStatus is the status of this node for operators.
+// NodeStatus is the status of this node for operators. ProtocolLevel is the level of records and
+// messages that this version of the program understands.
 type NodeStatus struct {
-	Node                 string        `json:"node"`
-	IsLeader             bool          `json:"leads"`
+	Node                 string        `json:"node"`             // name of this node
+	IsLeader             bool          `json:"leads"`            // this node holds the leader lease
 	Leader               string        `json:"leader,omitempty"` // name of the node that leads; empty: not known
 	Term                 uint64        `json:"term,omitempty"`   // term of that leader
 	StoreFailing         bool          `json:"stateDown"`        // the last call to the key-value store failed
 	UptimeS              float64       `json:"uptimeS"`          // seconds since the process started
 	Build                string        `json:"version"`          // version of the program
-	ProtocolLevel        int           `json:"level"`            // records and messages that this version understands
-	ClusterSupportsLevel bool          `json:"levelOfAll"`       // all nodes are known to have at least this level
-	Peers                []PeerStatus  `json:"peers"`            // in the order of the configuration
-	LeaderStatus         *LeaderStatus `json:"leading,omitempty"`
+	ProtocolLevel        int           `json:"level"`
+	ClusterSupportsLevel bool          `json:"levelOfAll"`        // all nodes are known to have at least this level
+	Peers                []PeerStatus  `json:"peers"`             // in the order of the configuration
+	LeaderStatus         *LeaderStatus `json:"leading,omitempty"` // nil: this node does not lead
 }
 
 // PeerStatus is what this node knows of another controller. ProtocolLevel is 0 if the peer has
@@ -68,10 +70,10 @@
 	Name        string              `json:"name"`
 	Type        string              `json:"type"`
 	Zone        string              `json:"zone"`
-	Spot        bool                `json:"spot"`  // the cloud may preempt the machine
-	Up          bool                `json:"up"`    // heartbeats arrive, and the worker lease has not expired
-	Tasks       int                 `json:"tasks"` // number of task attempts on the machine
-	UsedCores   float64             `json:"coresUsed"`
+	Spot        bool                `json:"spot"`              // the cloud may preempt the machine
+	Up          bool                `json:"up"`                // heartbeats arrive, and the lease has not expired
+	Tasks       int                 `json:"tasks"`             // number of task attempts on the machine
+	UsedCores   float64             `json:"coresUsed"`         // cores that these attempts use
 	DrainReason cluster.DrainReason `json:"leaving,omitempty"` // empty: the machine is not drained
 }
 
