--- a/internal/compatibility/golden_test.go
+++ b/internal/compatibility/golden_test.go
@@ -21,22 +21,22 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// line is one named value of a golden file.
-type line struct{ name, value string }
+// goldenLine is one named value of a golden file.
+type goldenLine struct{ name, value string }
 
 // checkGolden compares named values, in their order, with a golden file.
-func checkGolden(t *testing.T, file string, got []line) {
+func checkGolden(t *testing.T, file string, got []goldenLine) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
 	if *update {
-		var text strings.Builder
+		var content strings.Builder
 		for _, l := range got {
 			if strings.ContainsAny(l.name+l.value, "\n") || strings.Contains(l.name, "\t") {
 				t.Fatalf("%s: %q does not fit a line", l.name, l.value)
 			}
-			text.WriteString(l.name + "\t" + l.value + "\n")
+			content.WriteString(l.name + "\t" + l.value + "\n")
 		}
-		if err := os.WriteFile(path, []byte(text.String()), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(content.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -54,84 +54,84 @@
 }
 
 // readGolden reads the named values of a golden file.
-func readGolden(t *testing.T, file string) []line {
+func readGolden(t *testing.T, file string) []goldenLine {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lines []line
-	for text := range strings.Lines(string(raw)) {
-		name, value, ok := strings.Cut(strings.TrimSuffix(text, "\n"), "\t")
+	var lines []goldenLine
+	for row := range strings.Lines(string(raw)) {
+		name, value, ok := strings.Cut(strings.TrimSuffix(row, "\n"), "\t")
 		if !ok {
-			t.Fatalf("%s: %q has no name", file, text)
+			t.Fatalf("%s: %q has no name", file, row)
 		}
-		lines = append(lines, line{name, value})
+		lines = append(lines, goldenLine{name, value})
 	}
 	return lines
 }
 
-// message is a value with its form as JSON.
-type message struct {
+// jsonCase is a value with its form as JSON.
+type jsonCase struct {
 	name  string
 	value any
-	// full: no field has its zero value, so that every name is pinned.
-	full bool
-	read func(raw []byte) (any, error)
+	// allFieldsSet: no field has its zero value, so that every name is pinned.
+	allFieldsSet bool
+	decode       func(raw []byte) (any, error)
 }
 
-// full is a message with a value in each field.
-func full[T any](name string, value T) message {
-	m := part(name, value)
-	m.full = true
-	return m
+// fullCase is a message with a value in each field.
+func fullCase[T any](name string, value T) jsonCase {
+	c := partialCase(name, value)
+	c.allFieldsSet = true
+	return c
 }
 
-// part is a message without some of the fields.
-func part[T any](name string, value T) message {
-	return message{name: name, value: value, read: func(raw []byte) (any, error) {
+// partialCase is a message without some of the fields.
+func partialCase[T any](name string, value T) jsonCase {
+	return jsonCase{name: name, value: value, decode: func(raw []byte) (any, error) {
 		var v T
 		err := json.Unmarshal(raw, &v)
 		return v, err
 	}}
 }
 
-// checkMessages compares the encoded messages with a golden file, and decodes and encodes the
+// checkJSONCases compares the encoded messages with a golden file, and decodes and encodes the
 // file's lines again.
-func checkMessages(t *testing.T, file string, messages []message) {
+func checkJSONCases(t *testing.T, file string, cases []jsonCase) {
 	t.Helper()
-	var got []line
-	for _, m := range messages {
-		got = append(got, line{m.name, string(storage.Encode(m.value))})
-		if m.full {
-			checkAllSet(t, m.name, reflect.ValueOf(m.value))
+	var got []goldenLine
+	for _, c := range cases {
+		got = append(got, goldenLine{c.name, string(storage.Encode(c.value))})
+		if c.allFieldsSet {
+			checkAllFieldsSet(t, c.name, reflect.ValueOf(c.value))
 		}
 	}
 	checkGolden(t, file, got)
 	want := readGolden(t, file)
-	if len(want) != len(messages) {
+	if len(want) != len(cases) {
 		return
 	}
-	for i, m := range messages {
-		read, err := m.read([]byte(want[i].value))
-		if err != nil || !reflect.DeepEqual(read, m.value) {
-			t.Errorf("%s: %s is read as %+v, not %+v: %v", m.name, want[i].value, read, m.value, err)
+	for i, c := range cases {
+		decoded, err := c.decode([]byte(want[i].value))
+		if err != nil || !reflect.DeepEqual(decoded, c.value) {
+			t.Errorf("%s: %s is read as %+v, not %+v: %v", c.name, want[i].value, decoded, c.value, err)
 			continue
 		}
-		if again := string(storage.Encode(read)); again != want[i].value {
-			t.Errorf("%s: read and written again:\n got %s\nwant %s", m.name, again, want[i].value)
+		if reencoded := string(storage.Encode(decoded)); reencoded != want[i].value {
+			t.Errorf("%s: read and written again:\n got %s\nwant %s", c.name, reencoded, want[i].value)
 		}
 	}
 }
 
-// checkAllSet fails for a field with its zero value.
-func checkAllSet(t *testing.T, name string, v reflect.Value) {
+// checkAllFieldsSet fails for a field with its zero value.
+func checkAllFieldsSet(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() {
-				checkAllSet(t, name+"."+field.Name, v.Field(i))
+				checkAllFieldsSet(t, name+"."+field.Name, v.Field(i))
 			}
 		}
 	case reflect.Pointer:
@@ -139,14 +139,14 @@
 			t.Errorf("%s has no value", name)
 			return
 		}
-		checkAllSet(t, name, v.Elem())
+		checkAllFieldsSet(t, name, v.Elem())
 	case reflect.Slice, reflect.Map:
 		if v.Len() == 0 {
 			t.Errorf("%s is empty", name)
 		}
 		if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct {
 			for i := range v.Len() {
-				checkAllSet(t, name, v.Index(i))
+				checkAllFieldsSet(t, name, v.Index(i))
 			}
 		}
 	default:
@@ -156,5 +156,5 @@
 	}
 }
 
-// of is a pointer to a value.
-func of[T any](v T) *T { return &v }
+// pointerTo is a pointer to a value.
+func pointerTo[T any](v T) *T { return &v }
--- a/internal/compatibility/records_test.go
+++ b/internal/compatibility/records_test.go
@@ -13,8 +13,8 @@
 	"hitchdoor/internal/storage"
 )
 
-func TestKeys(t *testing.T) {
-	checkGolden(t, "keys.txt", []line{
+func TestStorageKeys(t *testing.T) {
+	checkGolden(t, "keys.txt", []goldenLine{
 		{"term", storage.TermKey},
 		{"leader", storage.LeaderKey},
 		{"flow", storage.ArrivalForecastKey},
@@ -47,148 +47,148 @@
 }
 
 // What is read from keys, also from those of earlier versions.
-func TestKeysRead(t *testing.T) {
-	var got []line
+func TestStorageKeyParsing(t *testing.T) {
+	var got []goldenLine
 	for _, key := range []string{"job/j-1", "needs/j-1/003", "final/j-1", "leader", "jobs/j-1"} {
-		got = append(got, line{key, "job " + storage.JobIDOfKey(key)})
+		got = append(got, goldenLine{key, "job " + storage.JobIDOfKey(key)})
 	}
 	for _, key := range []string{"needs/j-1/000", "needs/j-1/012"} {
-		got = append(got, line{key, "needs of " + storage.JobIDOfDependenciesKey(key)})
+		got = append(got, goldenLine{key, "needs of " + storage.JobIDOfDependenciesKey(key)})
 	}
 	for _, key := range []string{"machines/000", "machines/012", "machines/1234"} {
-		got = append(got, line{key, fmt.Sprintf("group %d", storage.MachineGroupNumber(key))})
+		got = append(got, goldenLine{key, fmt.Sprintf("group %d", storage.MachineGroupNumber(key))})
 	}
 	for _, key := range []string{"bits/j-1/000", "bits/j-1/002", "bits/j-1/from-000000", "bits/j-1/from-004096", "bits/j-1/from-x", "bits/j-1/-01", "bits/j-1"} {
-		id, from, ok := storage.ParseBitmapKey(key, 4000)
-		got = append(got, line{key, fmt.Sprintf("job %q from task %d, %v", id, from, ok)})
+		id, firstTask, ok := storage.ParseBitmapKey(key, 4000)
+		got = append(got, goldenLine{key, fmt.Sprintf("job %q from task %d, %v", id, firstTask, ok)})
 	}
 	for _, limit := range []int{1, 1000, 8 << 10, 32 << 10} {
-		got = append(got, line{fmt.Sprintf("values of %d bytes", limit), fmt.Sprintf("parts of %d tasks, groups of %d bytes", storage.TasksPerBitmapPart(limit), storage.MaxMachineGroupBytes(limit))})
+		got = append(got, goldenLine{fmt.Sprintf("values of %d bytes", limit), fmt.Sprintf("parts of %d tasks, groups of %d bytes", storage.TasksPerBitmapPart(limit), storage.MaxMachineGroupBytes(limit))})
 	}
 	checkGolden(t, "keys_read.txt", got)
 }
 
-// record is a stored record with the function that reads it.
-func record[T any](name, key string, value T, read func(storage.Item) (T, error)) message {
-	m := full(name, value)
-	m.read = func(raw []byte) (any, error) { return read(storage.Item{Key: key, Value: raw}) }
-	return m
+// fullRecordCase is a stored record with the function that reads it.
+func fullRecordCase[T any](name, key string, value T, read func(storage.Item) (T, error)) jsonCase {
+	c := fullCase(name, value)
+	c.decode = func(raw []byte) (any, error) { return read(storage.Item{Key: key, Value: raw}) }
+	return c
 }
 
-// level0 is the same of a record that lacks fields.
-func level0[T any](name, key string, value T, read func(storage.Item) (T, error)) message {
-	m := record(name, key, value, read)
-	m.full = false
-	return m
+// partialRecordCase is the same of a record that lacks fields.
+func partialRecordCase[T any](name, key string, value T, read func(storage.Item) (T, error)) jsonCase {
+	c := fullRecordCase(name, key, value, read)
+	c.allFieldsSet = false
+	return c
 }
 
-// bits reads a part of a bitmap and encodes it again.
-func bits(it storage.Item) (storage.BitmapRecord, error) {
-	raw, err := storage.ReadBitmap(it)
+// reencodeBitmap reads a part of a bitmap and encodes it again.
+func reencodeBitmap(item storage.Item) (storage.BitmapRecord, error) {
+	raw, err := storage.ReadBitmap(item)
 	return storage.EncodeBitmap(raw), err
 }
 
-// group reads a group of machines that are all readable.
-func group(it storage.Item) (storage.MachineGroupRecord, error) {
-	rec, unreadable, err := storage.ReadMachineGroup(it)
+// readMachineGroup reads a group of machines that are all readable.
+func readMachineGroup(item storage.Item) (storage.MachineGroupRecord, error) {
+	record, unreadable, err := storage.ReadMachineGroup(item)
 	if err == nil && len(unreadable) > 0 {
 		err = fmt.Errorf("unreadable: %v", unreadable)
 	}
-	return rec, err
+	return record, err
 }
 
-func TestRecords(t *testing.T) {
+func TestStoredRecords(t *testing.T) {
 	machine := storage.MachineRecord{Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000_123, Used: true}
 	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Tail: 5, Steps: []uint64{6, 7}, Demand: 8.5}
-	least := leastJob()
-	least.ID = "j-77"
-	checkMessages(t, "records.txt", []message{
-		full("term", storage.Term{Term: 9, Node: "n1"}),
-		part("term/level 0", storage.Term{Term: 9}),
-		full("leader", storage.Leader{Node: "n1", Term: 9}),
-		full("vote", storage.VoteRecord{Term: 9}),
-		full("version", storage.VersionRecord{Level: 1, Build: "v1"}),
-		part("version/no build", storage.VersionRecord{Level: 1}),
-		record("job", storage.JobKey("j-77"), storage.JobRecord{Spec: fullJob(), AcceptedAtMillis: 1_000_000_000_123, DependencyRecords: 2}, storage.ReadJob),
-		level0("job/level 0", storage.JobKey("j-77"), storage.JobRecord{Spec: least, AcceptedAtMillis: 5}, storage.ReadJob),
-		record("final", storage.TerminalKey("j-77"), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 5, DoneTasks: 4, EndedAtMillis: 1_000_000_000_123}, storage.ReadTerminal),
-		level0("final/level 0", storage.TerminalKey("j-77"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 5}, storage.ReadTerminal),
-		record("needs", storage.DependenciesKey("j-77", 0), []string{"j-78", "j-79"}, storage.ReadDependencies),
-		record("bits", storage.BitmapKeyFromTask("j-77", 0), storage.EncodeBitmap([]byte{1, 0, 255, 16}), bits),
-		record("bits/by number", storage.BitmapKey("j-77", 0), storage.EncodeBitmap([]byte{7}), bits),
-		record("rental", storage.RentalPrefix+"r-4-17", protocol.RentalRequest{RequestID: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}, storage.ReadRental),
-		full("machine of earlier versions", machine),
-		part("machine/ordinary, unused", storage.MachineRecord{Type: "t1", Zone: "a", RentedAtMillis: 1}),
-		record("group", storage.MachineGroupKey(3), storage.MachineGroupRecord{"m-000002": machine, "m-000001": {Type: "t2", Zone: "b", RentedAtMillis: 2}}, group),
-		full("flow", storage.ArrivalForecastRecord{RecordedAtMillis: 1, WindowSeconds: 2.5, Classes: map[string]storage.ClassArrivals{"b": {RecentWork: 3.5, LongTermWork: 4.5, JobCount: 5.5, DueSeconds: 6.5}, "a": {}}}),
-		full("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, MemoryGB: 16.5, ImageCacheGB: 40.5,
+	job := minimalJob()
+	job.ID = "j-77"
+	checkJSONCases(t, "records.txt", []jsonCase{
+		fullCase("term", storage.Term{Term: 9, Node: "n1"}),
+		partialCase("term/level 0", storage.Term{Term: 9}),
+		fullCase("leader", storage.Leader{Node: "n1", Term: 9}),
+		fullCase("vote", storage.VoteRecord{Term: 9}),
+		fullCase("version", storage.VersionRecord{Level: 1, Build: "v1"}),
+		partialCase("version/no build", storage.VersionRecord{Level: 1}),
+		fullRecordCase("job", storage.JobKey("j-77"), storage.JobRecord{Spec: fullJob(), AcceptedAtMillis: 1_000_000_000_123, DependencyRecords: 2}, storage.ReadJob),
+		partialRecordCase("job/level 0", storage.JobKey("j-77"), storage.JobRecord{Spec: job, AcceptedAtMillis: 5}, storage.ReadJob),
+		fullRecordCase("final", storage.TerminalKey("j-77"), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 5, DoneTasks: 4, EndedAtMillis: 1_000_000_000_123}, storage.ReadTerminal),
+		partialRecordCase("final/level 0", storage.TerminalKey("j-77"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 5}, storage.ReadTerminal),
+		fullRecordCase("needs", storage.DependenciesKey("j-77", 0), []string{"j-78", "j-79"}, storage.ReadDependencies),
+		fullRecordCase("bits", storage.BitmapKeyFromTask("j-77", 0), storage.EncodeBitmap([]byte{1, 0, 255, 16}), reencodeBitmap),
+		fullRecordCase("bits/by number", storage.BitmapKey("j-77", 0), storage.EncodeBitmap([]byte{7}), reencodeBitmap),
+		fullRecordCase("rental", storage.RentalPrefix+"r-4-17", protocol.RentalRequest{RequestID: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}, storage.ReadRental),
+		fullCase("machine of earlier versions", machine),
+		partialCase("machine/ordinary, unused", storage.MachineRecord{Type: "t1", Zone: "a", RentedAtMillis: 1}),
+		fullRecordCase("group", storage.MachineGroupKey(3), storage.MachineGroupRecord{"m-000002": machine, "m-000001": {Type: "t2", Zone: "b", RentedAtMillis: 2}}, readMachineGroup),
+		fullCase("flow", storage.ArrivalForecastRecord{RecordedAtMillis: 1, WindowSeconds: 2.5, Classes: map[string]storage.ClassArrivals{"b": {RecentWork: 3.5, LongTermWork: 4.5, JobCount: 5.5, DueSeconds: 6.5}, "a": {}}}),
+		fullCase("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, MemoryGB: 16.5, ImageCacheGB: 40.5,
 			PullGBPerSecond: 0.75, OnDemandPrice: 0.375, SpotPrice: 0.125, BootSeconds: 45.5, Zones: []string{"a"}}}}),
-		full("policy", admission.Policy{Epoch: 3, EpochLengthMS: 4000, Shares: []admission.Share{share}, DefaultShare: share}),
-		part("policy/no shares", admission.Policy{Epoch: 3, EpochLengthMS: 4000, DefaultShare: admission.FullShare(admission.Group{})}),
+		fullCase("policy", admission.Policy{Epoch: 3, EpochLengthMS: 4000, Shares: []admission.Share{share}, DefaultShare: share}),
+		partialCase("policy/no shares", admission.Policy{Epoch: 3, EpochLengthMS: 4000, DefaultShare: admission.FullShare(admission.Group{})}),
 	})
 }
 
 // The texts that say what is wrong with a record; operators see them in /recovery.
 func TestRecordErrors(t *testing.T) {
-	var got []line
-	note := func(name string, err error) {
+	var got []goldenLine
+	addError := func(name string, err error) {
 		if err == nil {
 			t.Errorf("%s: read", name)
 			return
 		}
-		got = append(got, line{name, err.Error()})
+		got = append(got, goldenLine{name, err.Error()})
 	}
 	item := func(key, raw string) storage.Item { return storage.Item{Key: key, Value: json.RawMessage(raw)} }
-	whole := string(storage.Encode(storage.JobRecord{Spec: fullJob()}))
+	encodedJob := string(storage.Encode(storage.JobRecord{Spec: fullJob()}))
 	_, err := storage.ReadJob(item("job/j-77", `[]`))
-	note("job, a list", err)
-	_, err = storage.ReadJob(item("job/j-78", whole))
-	note("job, other key", err)
+	addError("job, a list", err)
+	_, err = storage.ReadJob(item("job/j-78", encodedJob))
+	addError("job, other key", err)
 	_, err = storage.ReadJob(item("job/j-77", `{"spec":{"uid":"j-77"}}`))
-	note("job, impossible", err)
-	_, err = storage.ReadJob(item("job/j-77", whole[:len(whole)-1]+`,"more":-1}`))
-	note("job, negative count", err)
+	addError("job, impossible", err)
+	_, err = storage.ReadJob(item("job/j-77", encodedJob[:len(encodedJob)-1]+`,"more":-1}`))
+	addError("job, negative count", err)
 	_, err = storage.ReadTerminal(item("final/j-1", `{"state":"queued"}`))
-	note("final", err)
+	addError("final", err)
 	_, err = storage.ReadDependencies(item("needs/j-1/000", `{}`))
-	note("needs, no list", err)
+	addError("needs, no list", err)
 	_, err = storage.ReadDependencies(item("needs/j-1/000", `["x"]`))
-	note("needs, no job", err)
+	addError("needs, no job", err)
 	_, err = storage.ReadBitmap(item("bits/j-1/000", `{"b":""}`))
-	note("bits, empty", err)
+	addError("bits, empty", err)
 	_, err = storage.ReadRental(item("rent/r-1", `{"pedido":"r-2"}`))
-	note("rental, other key", err)
+	addError("rental, other key", err)
 	_, _, err = storage.ReadMachineGroup(item("machines/000", `[]`))
-	note("group, a list", err)
+	addError("group, a list", err)
 	checkGolden(t, "records_errors.txt", got)
 
-	rec, unreadable, err := storage.ReadMachineGroup(item("machines/000", `{"m-1":{"type":"t1","zone":"a","spot":true,"at":5,"used":true,"later":1},"m-2":7,"m-3":{"zone":"a"}}`))
+	record, unreadable, err := storage.ReadMachineGroup(item("machines/000", `{"m-1":{"type":"t1","zone":"a","spot":true,"at":5,"used":true,"later":1},"m-2":7,"m-3":{"zone":"a"}}`))
 	slices.Sort(unreadable)
 	want := storage.MachineGroupRecord{"m-1": {Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 5, Used: true}}
-	if err != nil || !reflect.DeepEqual(rec, want) || !reflect.DeepEqual(unreadable, []string{"m-2", "m-3"}) {
-		t.Errorf("group read as %v, unreadable %v: %v", rec, unreadable, err)
+	if err != nil || !reflect.DeepEqual(record, want) || !reflect.DeepEqual(unreadable, []string{"m-2", "m-3"}) {
+		t.Errorf("group read as %v, unreadable %v: %v", record, unreadable, err)
 	}
 }
 
 // A job that needs more others than its record can hold is written as several records.
-func TestJobOfManyNeeds(t *testing.T) {
-	job := leastJob()
+func TestJobWithManyDependencies(t *testing.T) {
+	job := minimalJob()
 	for i := range 60 {
 		job.Dependencies = append(job.Dependencies, fmt.Sprintf("j-needed-%04d", i))
 	}
 	writes := storage.JobWrites(storage.JobRecord{Spec: job, AcceptedAtMillis: 5}, 400)
-	var got []line
-	for _, w := range writes {
-		got = append(got, line{w.PutKey, string(w.Value)})
+	var got []goldenLine
+	for _, write := range writes {
+		got = append(got, goldenLine{write.PutKey, string(write.Value)})
 	}
 	checkGolden(t, "records_many_needs.txt", got)
-	var more []storage.Item
+	var dependencyItems []storage.Item
 	lines := readGolden(t, "records_many_needs.txt")
 	for _, l := range lines[1:] {
-		more = append(more, storage.Item{Key: l.name, Value: json.RawMessage(l.value)})
+		dependencyItems = append(dependencyItems, storage.Item{Key: l.name, Value: json.RawMessage(l.value)})
 	}
-	rec, err := storage.ReadJob(storage.Item{Key: lines[0].name, Value: json.RawMessage(lines[0].value)})
-	if err != nil || !rec.RestoreDependencies(more) || !reflect.DeepEqual(rec, storage.JobRecord{Spec: job, AcceptedAtMillis: 5}) {
-		t.Errorf("read as %+v: %v", rec, err)
+	record, err := storage.ReadJob(storage.Item{Key: lines[0].name, Value: json.RawMessage(lines[0].value)})
+	if err != nil || !record.RestoreDependencies(dependencyItems) || !reflect.DeepEqual(record, storage.JobRecord{Spec: job, AcceptedAtMillis: 5}) {
+		t.Errorf("read as %+v: %v", record, err)
 	}
 }
--- a/internal/compatibility/settings_test.go
+++ b/internal/compatibility/settings_test.go
@@ -12,31 +12,31 @@
 	"hitchdoor/internal/config"
 )
 
-// keysOf lists the keys of a settings file with the kinds of their values, by the tags of a struct.
-func keysOf(prefix, tag string, t reflect.Type) []line {
-	var keys []line
+// fieldKeys lists the keys of a settings file with the kinds of their values, by the tags of a struct.
+func fieldKeys(prefix, tag string, t reflect.Type) []goldenLine {
+	var keys []goldenLine
 	for i := range t.NumField() {
 		field := t.Field(i)
-		key, of := prefix+field.Tag.Get(tag), field.Type
-		for of.Kind() == reflect.Pointer || of.Kind() == reflect.Slice {
-			if of.Kind() == reflect.Slice {
+		key, fieldType := prefix+field.Tag.Get(tag), field.Type
+		for fieldType.Kind() == reflect.Pointer || fieldType.Kind() == reflect.Slice {
+			if fieldType.Kind() == reflect.Slice {
 				key += "[]"
 			}
-			of = of.Elem()
+			fieldType = fieldType.Elem()
 		}
-		if of.Kind() == reflect.Struct {
-			keys = append(keys, keysOf(key+".", tag, of)...)
+		if fieldType.Kind() == reflect.Struct {
+			keys = append(keys, fieldKeys(key+".", tag, fieldType)...)
 			continue
 		}
-		keys = append(keys, line{key, of.Kind().String()})
+		keys = append(keys, goldenLine{key, fieldType.Kind().String()})
 	}
-	slices.SortFunc(keys, func(a, b line) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(keys, func(a, b goldenLine) int { return strings.Compare(a.name, b.name) })
 	return keys
 }
 
 func TestSettingsKeys(t *testing.T) {
-	checkGolden(t, "platform_keys.txt", keysOf("", "toml", reflect.TypeFor[config.Platform]()))
-	checkGolden(t, "settings_keys.txt", keysOf("", "yaml", reflect.TypeFor[config.Settings]()))
+	checkGolden(t, "platform_keys.txt", fieldKeys("", "toml", reflect.TypeFor[config.Platform]()))
+	checkGolden(t, "settings_keys.txt", fieldKeys("", "yaml", reflect.TypeFor[config.Settings]()))
 }
 
 // Each key of the platform's file arrives in its own field.
@@ -48,73 +48,73 @@
 	want := &config.Platform{Node: "n0", Location: "loc-0", ClientListen: "10.9.0.1:8001", PeerBind: "10.9.0.1:8002",
 		Peers: []config.Peer{{Node: "n1", Location: "loc-1", Address: "10.9.0.2:8003"}, {Node: "n2", Location: "loc-2", Address: "10.9.0.3:8004"}}}
 	want.Services.Cloud, want.Services.Store = "10.9.1.1:8005", "10.9.1.2:8006"
-	c := &want.Cluster
-	c.ControllerCount, c.Zones, c.TimeBoundMS = 3, []string{"zone-a", "zone-b"}, 750.5
-	c.Teams = []config.Team{{Name: "team-a", GuaranteedCPUs: 1.5, MaxCPUs: 2.5, GuaranteedGPUs: 3.5, MaxGPUs: 4.5}, {Name: "team-b"}}
-	c.Objectives = []config.Objective{{Kind: "finished", Class: "class-a", WithinS: 60.5, MinShare: 0.85}}
-	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS = 3.25, 18.25, 38.25
-	c.Store.RequestsPerS, c.Store.WritesPerS, c.Store.ValueKB, c.Store.TxnOps = 250.5, 100.5, 32.5, 48
-	c.Store.Upcoming.WritesPerS, c.Store.Upcoming.ValueKB, c.Store.Upcoming.TxnOps = of(50.5), of(16.5), of(24)
-	c.Cloud.RequestsPerS, c.Cloud.ListLagS = 4.25, 10.25
-	c.Resources = config.Resources{CoreShare: 0.18, MemoryMB: 179.5, MaxConnections: 1200}
+	cluster := &want.Cluster
+	cluster.ControllerCount, cluster.Zones, cluster.TimeBoundMS = 3, []string{"zone-a", "zone-b"}, 750.5
+	cluster.Teams = []config.Team{{Name: "team-a", GuaranteedCPUs: 1.5, MaxCPUs: 2.5, GuaranteedGPUs: 3.5, MaxGPUs: 4.5}, {Name: "team-b"}}
+	cluster.Objectives = []config.Objective{{Kind: "finished", Class: "class-a", WithinS: 60.5, MinShare: 0.85}}
+	cluster.Workers.HeartbeatIntervalS, cluster.Workers.LeaseS, cluster.Workers.CancelS = 3.25, 18.25, 38.25
+	cluster.Store.RequestsPerS, cluster.Store.WritesPerS, cluster.Store.ValueKB, cluster.Store.TxnOps = 250.5, 100.5, 32.5, 48
+	cluster.Store.Upcoming.WritesPerS, cluster.Store.Upcoming.ValueKB, cluster.Store.Upcoming.TxnOps = pointerTo(50.5), pointerTo(16.5), pointerTo(24)
+	cluster.Cloud.RequestsPerS, cluster.Cloud.ListLagS = 4.25, 10.25
+	cluster.Resources = config.Resources{CoreShare: 0.18, MemoryMB: 179.5, MaxConnections: 1200}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, not %+v", got, want)
 	}
-	if c.Store.MaxValueBytes() != 16896 || c.Store.MaxTxnOps() != 24 || c.Store.LowerWritesPerS() != 50.5 {
-		t.Errorf("lower limits: %d bytes, %d changes, %v a second", c.Store.MaxValueBytes(), c.Store.MaxTxnOps(), c.Store.LowerWritesPerS())
+	if cluster.Store.MaxValueBytes() != 16896 || cluster.Store.MaxTxnOps() != 24 || cluster.Store.LowerWritesPerS() != 50.5 {
+		t.Errorf("lower limits: %d bytes, %d changes, %v a second", cluster.Store.MaxValueBytes(), cluster.Store.MaxTxnOps(), cluster.Store.LowerWritesPerS())
 	}
 }
 
-// change is an edit of a settings file.
-type change struct{ old, new string }
+// edit is an edit of a settings file.
+type edit struct{ old, new string }
 
-// goField is where the TOML library's texts name a field by its name in the code, which may change.
-var goField = regexp.MustCompile(`struct field .* of type`)
+// goFieldName is where the TOML library's texts name a field by its name in the code, which may change.
+var goFieldName = regexp.MustCompile(`struct field .* of type`)
 
-// errorsOf loads a file with each of some changes and lists the error texts.
-func errorsOf(t *testing.T, file string, changes []change, load func(path string) error) []line {
+// loadErrors loads a file with each of some changes and lists the error texts.
+func loadErrors(t *testing.T, file string, edits []edit, load func(path string) error) []goldenLine {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), file)
-	var got []line
-	for _, c := range changes {
-		if strings.Count(string(raw), c.old) != 1 {
-			t.Fatalf("%s: %q is not there once", file, c.old)
+	var got []goldenLine
+	for _, e := range edits {
+		if strings.Count(string(raw), e.old) != 1 {
+			t.Fatalf("%s: %q is not there once", file, e.old)
 		}
-		if err := os.WriteFile(path, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(string(raw), e.old, e.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		text := "accepted"
 		if err := load(path); err != nil {
-			text = goField.ReplaceAllString(strings.ReplaceAll(err.Error(), path, "FILE"), "a field of type")
+			text = goFieldName.ReplaceAllString(strings.ReplaceAll(err.Error(), path, "FILE"), "a field of type")
 		}
-		name := strings.ReplaceAll(c.old+" -> "+c.new, "\n", " ")
-		got = append(got, line{name, strings.ReplaceAll(text, "\n", " ")})
+		name := strings.ReplaceAll(e.old+" -> "+e.new, "\n", " ")
+		got = append(got, goldenLine{name, strings.ReplaceAll(text, "\n", " ")})
 	}
 	return got
 }
 
 func TestPlatformErrors(t *testing.T) {
-	changes := []change{
+	edits := []edit{
 		{`node = "n0"`, ""}, {`client_listen = "10.9.0.1:8001"`, ""}, {`peer_bind = "10.9.0.1:8002"`, ""},
 		{`cloud = "10.9.1.1:8005"`, ""}, {`state = "10.9.1.2:8006"`, ""},
 		{`"10.9.0.1:8001"`, `"nowhere"`}, {`"10.9.0.1:8002"`, `"nowhere"`}, {`"10.9.1.1:8005"`, `"nowhere"`}, {`"10.9.1.2:8006"`, `"nowhere"`},
 		{`"10.9.0.3:8004"`, `"nowhere"`}, {`node = "n2"`, ""}, {`node = "n1"`, `node = "n0"`}, {`count = 3`, `count = 2`},
 	}
-	for _, key := range []string{"report_s = 3.25", "lease_s = 18.25", "cancel_s = 38.25", "\nrps = 250.5", "\nwrite_rps = 100.5", "value_kb = 32.5",
+	for _, setting := range []string{"report_s = 3.25", "lease_s = 18.25", "cancel_s = 38.25", "\nrps = 250.5", "\nwrite_rps = 100.5", "value_kb = 32.5",
 		"write_rps = 50.5", "\nrps = 4.25", "list_lag_s = 10.25", "core_share = 0.18", "mem_mb = 179.5", "\nmax_connections = 1200",
 		"txn_ops = 48", "value_kb = 16.5", "txn_ops = 24"} {
-		name, _, _ := strings.Cut(key, " =")
-		changes = append(changes, change{key, name + " = 0"}, change{key, name + ` = "x"`})
+		key, _, _ := strings.Cut(setting, " =")
+		edits = append(edits, edit{setting, key + " = 0"}, edit{setting, key + ` = "x"`})
 	}
-	changes = append(changes, change{"lease_s = 18.25", "lease_s = 3.0"}, change{`name = "team-b"`, ""}, change{`name = "team-b"`, `name = "team-a"`},
-		change{"cpus = 1.5", "cpus = -1.5"}, change{"cpus_max = 2.5", "cpus_max = -2.5"}, change{"gpus = 3.5", "gpus = -3.5"},
-		change{"gpus_max = 4.5", "gpus_max = -4.5"}, change{"share = 0.85", "share = 1.5"}, change{"within_s = 60.5", "within_s = -1.0"},
-		change{"[cluster]\n", "[cluster\n"}, change{"txn_ops = 48", "txn_ops = 1.5"}, change{"value_kb = 16.5\n", ""}, change{"unknown = \"ignored\"\n", ""})
-	checkGolden(t, "platform_errors.txt", errorsOf(t, "platform.toml", changes, func(path string) error {
+	edits = append(edits, edit{"lease_s = 18.25", "lease_s = 3.0"}, edit{`name = "team-b"`, ""}, edit{`name = "team-b"`, `name = "team-a"`},
+		edit{"cpus = 1.5", "cpus = -1.5"}, edit{"cpus_max = 2.5", "cpus_max = -2.5"}, edit{"gpus = 3.5", "gpus = -3.5"},
+		edit{"gpus_max = 4.5", "gpus_max = -4.5"}, edit{"share = 0.85", "share = 1.5"}, edit{"within_s = 60.5", "within_s = -1.0"},
+		edit{"[cluster]\n", "[cluster\n"}, edit{"txn_ops = 48", "txn_ops = 1.5"}, edit{"value_kb = 16.5\n", ""}, edit{"unknown = \"ignored\"\n", ""})
+	checkGolden(t, "platform_errors.txt", loadErrors(t, "platform.toml", edits, func(path string) error {
 		_, err := config.LoadPlatform(path)
 		return err
 	}))
@@ -123,7 +123,7 @@
 // Each key of the operators' file arrives in its own field.
 func TestSettingsFile(t *testing.T) {
 	got, err := config.LoadSettings(filepath.Join("testdata", "settings.yaml"))
-	want := config.Settings{SlotsPerCore: 3.5, BaseSlots: 7.5, BatchShare: 0.25, BorrowWaitS: 31.5, Headroom: 0.75, IdleRetention: 0.125, CostSensitivity: of(1.5),
+	want := config.Settings{SlotsPerCore: 3.5, BaseSlots: 7.5, BatchShare: 0.25, BorrowWaitS: 31.5, Headroom: 0.75, IdleRetention: 0.125, CostSensitivity: pointerTo(1.5),
 		LoadSteps: 2, FairAdmission: true, RecoveryMinMachines: 200, RecoveryRefillLeases: 0.5, RecoveryReplaceLeases: 2.5, MaxTraceSteps: 300, MemoryLimitRatio: 0.625}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, not %+v: %v", got, want, err)
@@ -134,9 +134,9 @@
 func TestDeployedSettings(t *testing.T) {
 	defaults := config.Settings{SlotsPerCore: 2, BaseSlots: 6, BatchShare: 0.5, BorrowWaitS: 30, Headroom: 0.8, IdleRetention: 0.2, LoadSteps: 1, LinkDecisions: true,
 		PacedRecovery: true, RecoveryMinMachines: 100, RecoveryRefillLeases: 0.4, RecoveryReplaceLeases: 1, MemoryLimitRatio: 0.6}
-	fair := defaults
-	fair.FairAdmission, fair.MaxTraceSteps = true, 2000
-	want := map[string]config.Settings{"": defaults, "fair-admission.yaml": fair, "half-open.yaml": defaults, "recovery.yaml": defaults}
+	fairAdmission := defaults
+	fairAdmission.FairAdmission, fairAdmission.MaxTraceSteps = true, 2000
+	want := map[string]config.Settings{"": defaults, "fair-admission.yaml": fairAdmission, "half-open.yaml": defaults, "recovery.yaml": defaults}
 	files, err := filepath.Glob("../../deploy/*.yaml")
 	if err != nil || len(files) != len(want)-1 {
 		t.Errorf("%d files, not %d: %v", len(files), len(want)-1, err)
@@ -153,17 +153,17 @@
 }
 
 func TestSettingsErrors(t *testing.T) {
-	changes := []change{{"slots_base", "slot_base"}, {"thrift: 1.5", "thrift: 11"}, {"fair_admission: true", "fair_admission: 3"}, {"slots_base: 7.5", "slots_base: [1"}}
-	for _, key := range []string{"slots_per_core: 3.5", "slots_base: 7.5", "class_share: 0.25", "borrow_wait_s: 31.5", "headroom: 0.75", "idle_keep: 0.125",
+	edits := []edit{{"slots_base", "slot_base"}, {"thrift: 1.5", "thrift: 11"}, {"fair_admission: true", "fair_admission: 3"}, {"slots_base: 7.5", "slots_base: [1"}}
+	for _, setting := range []string{"slots_per_core: 3.5", "slots_base: 7.5", "class_share: 0.25", "borrow_wait_s: 31.5", "headroom: 0.75", "idle_keep: 0.125",
 		"thrift: 1.5", "load_steps: 2", "recovery_from: 200", "recovery_refill: 0.5", "recovery_replace: 2.5", "trace_steps: 300", "memory_ratio: 0.625"} {
-		name, _, _ := strings.Cut(key, ":")
-		changes = append(changes, change{key, name + ": -1"}, change{key, name + ": 10000000"}, change{key, name + ": many"})
+		key, _, _ := strings.Cut(setting, ":")
+		edits = append(edits, edit{setting, key + ": -1"}, edit{setting, key + ": 10000000"}, edit{setting, key + ": many"})
 	}
-	for _, key := range []string{"fair_admission: true", "link_decisions: false", "recovery: false"} {
-		name, _, _ := strings.Cut(key, ":")
-		changes = append(changes, change{key, name + ": many"})
+	for _, setting := range []string{"fair_admission: true", "link_decisions: false", "recovery: false"} {
+		key, _, _ := strings.Cut(setting, ":")
+		edits = append(edits, edit{setting, key + ": many"})
 	}
-	checkGolden(t, "settings_errors.txt", errorsOf(t, "settings.yaml", changes, func(path string) error {
+	checkGolden(t, "settings_errors.txt", loadErrors(t, "settings.yaml", edits, func(path string) error {
 		_, err := config.LoadSettings(path)
 		return err
 	}))
@@ -175,10 +175,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []line
-	for text := range strings.Lines(string(raw)) {
-		if name, value, _ := strings.Cut(strings.TrimSpace(text), " = "); name == "build" || name == "run" {
-			got = append(got, line{name, value})
+	var got []goldenLine
+	for row := range strings.Lines(string(raw)) {
+		if name, value, _ := strings.Cut(strings.TrimSpace(row), " = "); name == "build" || name == "run" {
+			got = append(got, goldenLine{name, value})
 		}
 	}
 	checkGolden(t, "service.txt", got)
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestTableIsChecked(t *testing.T) {
+func TestLayerTableErrorsAreFound(t *testing.T) {
 	graph := importGraph{"low": nil}
 	tests := []struct {
 		name   string
@@ -209,15 +209,15 @@
 		}
 		for _, imported := range graph[importer] {
 			importedRank, listed := ranks[imported]
-			switch only := restricted[imported]; {
+			switch allowed := restricted[imported]; {
 			case !listed:
 				violations = append(violations, fmt.Sprintf("%s imports %s, which is in no layer", importer, imported))
 			case importedRank >= importerRank:
 				violations = append(violations, fmt.Sprintf("%s (layer %q) imports %s (layer %q), which is no lower layer",
 					importer, layers[importerRank].name, imported, layers[importedRank].name))
-			case only != nil && !slices.Contains(only, importer):
+			case allowed != nil && !slices.Contains(allowed, importer):
 				violations = append(violations, fmt.Sprintf("%s imports %s, which only %s may import",
-					importer, imported, strings.Join(only, ", ")))
+					importer, imported, strings.Join(allowed, ", ")))
 			}
 		}
 	}
