--- a/internal/compatibility/golden_test.go
+++ b/internal/compatibility/golden_test.go
@@ -1,9 +1,9 @@
-// Package compatibility pins what must stay as it is between versions: the bytes of messages
-// and stored records, the keys, and the settings files with their error texts. It has tests only,
-// and they use the exported API of the other packages.
+// Package compatibility tests what must not change between versions: the bytes of messages and
+// stored records, the keys of the key-value store, and the settings files with their error texts. It
+// contains only tests, which use the exported API of the other packages.
 //
-// The golden files in testdata were written by the code of commit 5adb309. The flag -update writes
-// them anew; that is a change of the wire or of the stored data and needs a reason of its own.
+// The golden files in testdata were written by the code of commit 5adb309. The flag -update rewrites
+// them; that changes the wire format or the stored data and needs a reason of its own.
 package compatibility
 
 import (
@@ -19,12 +19,13 @@
 	"hitchdoor/internal/storage"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenLine is one named value of a golden file.
+// goldenLine is one line of a golden file: a name, a tab and a value.
 type goldenLine struct{ name, value string }
 
-// checkGolden compares named values, in their order, with a golden file.
+// checkGolden compares lines, including their order, with a golden file. With -update it first
+// rewrites the file.
 func checkGolden(t *testing.T, file string, got []goldenLine) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -32,7 +33,7 @@
 		var content strings.Builder
 		for _, l := range got {
 			if strings.ContainsAny(l.name+l.value, "\n") || strings.Contains(l.name, "\t") {
-				t.Fatalf("%s: %q does not fit a line", l.name, l.value)
+				t.Fatalf("line %q with value %q: want no newline, and no tab in the name", l.name, l.value)
 			}
 			content.WriteString(l.name + "\t" + l.value + "\n")
 		}
@@ -44,16 +45,16 @@
 	for i := range max(len(want), len(got)) {
 		switch {
 		case i >= len(want):
-			t.Errorf("%s: %s is not in the file", file, got[i].name)
+			t.Errorf("%s: got line %s, want the end of the file", file, got[i].name)
 		case i >= len(got):
-			t.Errorf("%s: %s is in the file only", file, want[i].name)
+			t.Errorf("%s: got no more lines, want line %s", file, want[i].name)
 		case got[i] != want[i]:
 			t.Errorf("%s: %s:\n got %s\nwant %s: %s", file, got[i].name, got[i].value, want[i].name, want[i].value)
 		}
 	}
 }
 
-// readGolden reads the named values of a golden file.
+// readGolden returns the lines of a golden file.
 func readGolden(t *testing.T, file string) []goldenLine {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", file))
@@ -64,30 +65,31 @@
 	for row := range strings.Lines(string(raw)) {
 		name, value, ok := strings.Cut(strings.TrimSuffix(row, "\n"), "\t")
 		if !ok {
-			t.Fatalf("%s: %q has no name", file, row)
+			t.Fatalf("%s: line %q: want a tab between name and value", file, row)
 		}
 		lines = append(lines, goldenLine{name, value})
 	}
 	return lines
 }
 
-// jsonCase is a value with its form as JSON.
+// jsonCase is a value whose JSON encoding is compared with a line of a golden file.
 type jsonCase struct {
 	name  string
 	value any
-	// allFieldsSet: no field has its zero value, so that every name is pinned.
+	// allFieldsSet requires that no field has its zero value, so that the golden file contains the
+	// name of every field.
 	allFieldsSet bool
 	decode       func(raw []byte) (any, error)
 }
 
-// fullCase is a message with a value in each field.
+// fullCase returns the case of a value in which every field is set.
 func fullCase[T any](name string, value T) jsonCase {
 	c := partialCase(name, value)
 	c.allFieldsSet = true
 	return c
 }
 
-// partialCase is a message without some of the fields.
+// partialCase returns the case of a value in which some fields may have their zero value.
 func partialCase[T any](name string, value T) jsonCase {
 	return jsonCase{name: name, value: value, decode: func(raw []byte) (any, error) {
 		var v T
@@ -96,8 +98,8 @@
 	}}
 }
 
-// checkJSONCases compares the encoded messages with a golden file, and decodes and encodes the
-// file's lines again.
+// checkJSONCases compares the encoded values with a golden file. It also checks that each line of
+// the file is decoded to its value, and that this is encoded to the same bytes again.
 func checkJSONCases(t *testing.T, file string, cases []jsonCase) {
 	t.Helper()
 	var got []goldenLine
@@ -110,21 +112,22 @@
 	checkGolden(t, file, got)
 	want := readGolden(t, file)
 	if len(want) != len(cases) {
-		return
+		return // checkGolden has reported the difference
 	}
 	for i, c := range cases {
 		decoded, err := c.decode([]byte(want[i].value))
 		if err != nil || !reflect.DeepEqual(decoded, c.value) {
-			t.Errorf("%s: %s is read as %+v, not %+v: %v", c.name, want[i].value, decoded, c.value, err)
+			t.Errorf("%s: decoding %s: got %+v, want %+v; error: %v", c.name, want[i].value, decoded, c.value, err)
 			continue
 		}
 		if reencoded := string(storage.Encode(decoded)); reencoded != want[i].value {
-			t.Errorf("%s: read and written again:\n got %s\nwant %s", c.name, reencoded, want[i].value)
+			t.Errorf("%s: decoded and encoded again:\n got %s\nwant %s", c.name, reencoded, want[i].value)
 		}
 	}
 }
 
-// checkAllFieldsSet fails for a field with its zero value.
+// checkAllFieldsSet reports the exported fields that have their zero value, and empty slices and
+// maps. It includes the fields of nested structs, but not of the values of maps.
 func checkAllFieldsSet(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -136,13 +139,13 @@
 		}
 	case reflect.Pointer:
 		if v.IsNil() {
-			t.Errorf("%s has no value", name)
+			t.Errorf("%s: got a nil pointer, want a value", name)
 			return
 		}
 		checkAllFieldsSet(t, name, v.Elem())
 	case reflect.Slice, reflect.Map:
 		if v.Len() == 0 {
-			t.Errorf("%s is empty", name)
+			t.Errorf("%s: got an empty slice or map, want elements", name)
 		}
 		if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct {
 			for i := range v.Len() {
@@ -151,10 +154,10 @@
 		}
 	default:
 		if v.IsZero() {
-			t.Errorf("%s is not set", name)
+			t.Errorf("%s: got the zero value, want a value", name)
 		}
 	}
 }
 
-// pointerTo is a pointer to a value.
+// pointerTo returns a pointer to a copy of v.
 func pointerTo[T any](v T) *T { return &v }
--- a/internal/compatibility/records_test.go
+++ b/internal/compatibility/records_test.go
@@ -13,6 +13,8 @@
 	"hitchdoor/internal/storage"
 )
 
+// TestStorageKeys guards against changed keys and request paths of the key-value store: a version
+// with other keys would not find the records of the versions before it.
 func TestStorageKeys(t *testing.T) {
 	checkGolden(t, "keys.txt", []goldenLine{
 		{"term", storage.TermKey},
@@ -46,7 +48,9 @@
 	})
 }
 
-// What is read from keys, also from those of earlier versions.
+// TestStorageKeyParsing guards against a job, group or task that is parsed wrongly from a key,
+// including the keys of earlier versions, and against changed sizes of bitmap parts and machine
+// groups.
 func TestStorageKeyParsing(t *testing.T) {
 	var got []goldenLine
 	for _, key := range []string{"job/j-1", "needs/j-1/003", "final/j-1", "leader", "jobs/j-1"} {
@@ -68,35 +72,41 @@
 	checkGolden(t, "keys_read.txt", got)
 }
 
-// fullRecordCase is a stored record with the function that reads it.
+// fullRecordCase returns the case of a stored record in which every field is set. Its line in the
+// golden file is decoded by read, as the value of key.
 func fullRecordCase[T any](name, key string, value T, read func(storage.Item) (T, error)) jsonCase {
 	c := fullCase(name, value)
 	c.decode = func(raw []byte) (any, error) { return read(storage.Item{Key: key, Value: raw}) }
 	return c
 }
 
-// partialRecordCase is the same of a record that lacks fields.
+// partialRecordCase returns the case of a stored record in which some fields may have their zero
+// value, as in records of version level 0.
 func partialRecordCase[T any](name, key string, value T, read func(storage.Item) (T, error)) jsonCase {
 	c := fullRecordCase(name, key, value, read)
 	c.allFieldsSet = false
 	return c
 }
 
-// reencodeBitmap reads a part of a bitmap and encodes it again.
+// reencodeBitmap reads one part of a bitmap and encodes it again, so that the result can be compared
+// with the record.
 func reencodeBitmap(item storage.Item) (storage.BitmapRecord, error) {
 	raw, err := storage.ReadBitmap(item)
 	return storage.EncodeBitmap(raw), err
 }
 
-// readMachineGroup reads a group of machines that are all readable.
+// readMachineGroup reads the record of a machine group. It returns an error if any entry is
+// unreadable.
 func readMachineGroup(item storage.Item) (storage.MachineGroupRecord, error) {
 	record, unreadable, err := storage.ReadMachineGroup(item)
 	if err == nil && len(unreadable) > 0 {
-		err = fmt.Errorf("unreadable: %v", unreadable)
+		err = fmt.Errorf("unreadable machines: %v, want none", unreadable)
 	}
 	return record, err
 }
 
+// TestStoredRecords guards against a changed format of stored records: a version that doesn't know
+// the name of a field ignores the field's value.
 func TestStoredRecords(t *testing.T) {
 	machine := storage.MachineRecord{Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000_123, Used: true}
 	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Tail: 5, Steps: []uint64{6, 7}, Demand: 8.5}
@@ -128,12 +138,13 @@
 	})
 }
 
-// The texts that say what is wrong with a record; operators see them in /recovery.
+// TestRecordErrors guards against an invalid record that is accepted, and against changed error
+// texts, which operators see at /recovery. In a machine group, only the invalid entries are rejected.
 func TestRecordErrors(t *testing.T) {
 	var got []goldenLine
 	addError := func(name string, err error) {
 		if err == nil {
-			t.Errorf("%s: read", name)
+			t.Errorf("%s: got no error", name)
 			return
 		}
 		got = append(got, goldenLine{name, err.Error()})
@@ -166,11 +177,12 @@
 	slices.Sort(unreadable)
 	want := storage.MachineGroupRecord{"m-1": {Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 5, Used: true}}
 	if err != nil || !reflect.DeepEqual(record, want) || !reflect.DeepEqual(unreadable, []string{"m-2", "m-3"}) {
-		t.Errorf("group read as %v, unreadable %v: %v", record, unreadable, err)
+		t.Errorf("machine group: got %v, unreadable %v, error %v; want %v, unreadable [m-2 m-3]", record, unreadable, err, want)
 	}
 }
 
-// A job that needs more others than its record can hold is written as several records.
+// TestJobWithManyDependencies guards against changed or unreadable records of a job whose
+// dependencies exceed the size limit of a value. Such a job is stored as several records.
 func TestJobWithManyDependencies(t *testing.T) {
 	job := minimalJob()
 	for i := range 60 {
@@ -189,6 +201,6 @@
 	}
 	record, err := storage.ReadJob(storage.Item{Key: lines[0].name, Value: json.RawMessage(lines[0].value)})
 	if err != nil || !record.RestoreDependencies(dependencyItems) || !reflect.DeepEqual(record, storage.JobRecord{Spec: job, AcceptedAtMillis: 5}) {
-		t.Errorf("read as %+v: %v", record, err)
+		t.Errorf("got record %+v, error %v; want the job with all its dependencies", record, err)
 	}
 }
--- a/internal/compatibility/settings_test.go
+++ b/internal/compatibility/settings_test.go
@@ -12,7 +12,8 @@
 	"hitchdoor/internal/config"
 )
 
-// fieldKeys lists the keys of a settings file with the kinds of their values, by the tags of a struct.
+// fieldKeys returns the keys of a settings file, sorted, with the kinds of their values. The keys are
+// the tags of the fields of t and of nested structs; "[]" marks a list.
 func fieldKeys(prefix, tag string, t reflect.Type) []goldenLine {
 	var keys []goldenLine
 	for i := range t.NumField() {
@@ -34,12 +35,15 @@
 	return keys
 }
 
+// TestSettingsKeys guards against a renamed, removed or retyped key: settings files in use would be
+// rejected or lose a value.
 func TestSettingsKeys(t *testing.T) {
 	checkGolden(t, "platform_keys.txt", fieldKeys("", "toml", reflect.TypeFor[config.Platform]()))
 	checkGolden(t, "settings_keys.txt", fieldKeys("", "yaml", reflect.TypeFor[config.Settings]()))
 }
 
-// Each key of the platform's file arrives in its own field.
+// TestPlatformFile guards against a key of the platform's file that is read into the wrong field or
+// not at all.
 func TestPlatformFile(t *testing.T) {
 	got, err := config.LoadPlatform(filepath.Join("testdata", "platform.toml"))
 	if err != nil {
@@ -58,20 +62,22 @@
 	cluster.Cloud.RequestsPerS, cluster.Cloud.ListLagS = 4.25, 10.25
 	cluster.Resources = config.Resources{CoreShare: 0.18, MemoryMB: 179.5, MaxConnections: 1200}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, not %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if cluster.Store.MaxValueBytes() != 16896 || cluster.Store.MaxTxnOps() != 24 || cluster.Store.LowerWritesPerS() != 50.5 {
-		t.Errorf("lower limits: %d bytes, %d changes, %v a second", cluster.Store.MaxValueBytes(), cluster.Store.MaxTxnOps(), cluster.Store.LowerWritesPerS())
+		t.Errorf("lower limits: got %d bytes, %d changes, %v writes/s; want 16896, 24, 50.5", cluster.Store.MaxValueBytes(), cluster.Store.MaxTxnOps(), cluster.Store.LowerWritesPerS())
 	}
 }
 
-// edit is an edit of a settings file.
+// edit replaces a text that occurs once in a settings file.
 type edit struct{ old, new string }
 
-// goFieldName is where the TOML library's texts name a field by its name in the code, which may change.
+// goFieldName matches the part of the TOML library's errors that contains the Go name of a field,
+// which may change.
 var goFieldName = regexp.MustCompile(`struct field .* of type`)
 
-// loadErrors loads a file with each of some changes and lists the error texts.
+// loadErrors loads a file of testdata once for each edit, with only that edit applied. It returns the
+// error texts, or "accepted" where there is no error.
 func loadErrors(t *testing.T, file string, edits []edit, load func(path string) error) []goldenLine {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", file))
@@ -82,7 +88,7 @@
 	var got []goldenLine
 	for _, e := range edits {
 		if strings.Count(string(raw), e.old) != 1 {
-			t.Fatalf("%s: %q is not there once", file, e.old)
+			t.Fatalf("%s: want exactly one occurrence of %q", file, e.old)
 		}
 		if err := os.WriteFile(path, []byte(strings.Replace(string(raw), e.old, e.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
@@ -97,6 +103,8 @@
 	return got
 }
 
+// TestPlatformErrors guards against an invalid or missing value in the platform's file that is
+// accepted, and against changed error texts.
 func TestPlatformErrors(t *testing.T) {
 	edits := []edit{
 		{`node = "n0"`, ""}, {`client_listen = "10.9.0.1:8001"`, ""}, {`peer_bind = "10.9.0.1:8002"`, ""},
@@ -120,17 +128,19 @@
 	}))
 }
 
-// Each key of the operators' file arrives in its own field.
+// TestSettingsFile guards against a key of the operators' file that is read into the wrong field or
+// not at all.
 func TestSettingsFile(t *testing.T) {
 	got, err := config.LoadSettings(filepath.Join("testdata", "settings.yaml"))
 	want := config.Settings{SlotsPerCore: 3.5, BaseSlots: 7.5, BatchShare: 0.25, BorrowWaitS: 31.5, Headroom: 0.75, IdleRetention: 0.125, CostSensitivity: pointerTo(1.5),
 		LoadSteps: 2, FairAdmission: true, RecoveryMinMachines: 200, RecoveryRefillLeases: 0.5, RecoveryReplaceLeases: 2.5, MaxTraceSteps: 300, MemoryLimitRatio: 0.625}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, not %+v: %v", got, want, err)
+		t.Errorf("got %+v, want %+v; error: %v", got, want, err)
 	}
 }
 
-// The defaults, and the files that are deployed with the repository.
+// TestDeployedSettings guards against changed defaults, and against a settings file in deploy that is
+// invalid or has other values than intended. An empty path means the defaults.
 func TestDeployedSettings(t *testing.T) {
 	defaults := config.Settings{SlotsPerCore: 2, BaseSlots: 6, BatchShare: 0.5, BorrowWaitS: 30, Headroom: 0.8, IdleRetention: 0.2, LoadSteps: 1, LinkDecisions: true,
 		PacedRecovery: true, RecoveryMinMachines: 100, RecoveryRefillLeases: 0.4, RecoveryReplaceLeases: 1, MemoryLimitRatio: 0.6}
@@ -139,7 +149,7 @@
 	want := map[string]config.Settings{"": defaults, "fair-admission.yaml": fairAdmission, "half-open.yaml": defaults, "recovery.yaml": defaults}
 	files, err := filepath.Glob("../../deploy/*.yaml")
 	if err != nil || len(files) != len(want)-1 {
-		t.Errorf("%d files, not %d: %v", len(files), len(want)-1, err)
+		t.Errorf("deploy: got %d settings files, want %d; error: %v", len(files), len(want)-1, err)
 	}
 	for name, settings := range want {
 		path := name
@@ -147,11 +157,13 @@
 			path = filepath.Join("..", "..", "deploy", name)
 		}
 		if got, err := config.LoadSettings(path); err != nil || !reflect.DeepEqual(got, settings) {
-			t.Errorf("%q is read as %+v, not %+v: %v", name, got, settings, err)
+			t.Errorf("settings file %q: got %+v, want %+v; error: %v", name, got, settings, err)
 		}
 	}
 }
 
+// TestSettingsErrors guards against an invalid value or unknown key in the operators' file that is
+// accepted, and against changed error texts.
 func TestSettingsErrors(t *testing.T) {
 	edits := []edit{{"slots_base", "slot_base"}, {"thrift: 1.5", "thrift: 11"}, {"fair_admission: true", "fair_admission: 3"}, {"slots_base: 7.5", "slots_base: [1"}}
 	for _, setting := range []string{"slots_per_core: 3.5", "slots_base: 7.5", "class_share: 0.25", "borrow_wait_s: 31.5", "headroom: 0.75", "idle_keep: 0.125",
@@ -169,7 +181,8 @@
 	}))
 }
 
-// How a deployment builds and starts the program.
+// TestServiceFile guards against changes of the commands in deploy/service.toml, with which a
+// deployment builds and starts the program.
 func TestServiceFile(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/service.toml")
 	if err != nil {
--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -29,18 +29,20 @@
 	"hitchdoor/internal/transport"
 )
 
-// fullJob is a submission with a value in each field.
+// fullJob returns a submission in which every field is set.
 func fullJob() protocol.Job {
 	return protocol.Job{ID: "j-77", Class: "class-a", Team: "team-b", Kind: "batch", Priority: "prod", TaskCount: 5, Cores: 1.25,
 		Accelerators: 2.5, MemoryGB: 3.75, Image: "image-c", ImageGB: 4.5, MachineTypes: []string{"t1", "t2"}, Zone: "zone-d", SameZone: true,
 		Spread: true, SpotAllowed: true, EstimatedSeconds: 6.5, CheckpointIntervalSeconds: 7.5, CheckpointSaveSeconds: 8.5, DeadlineSeconds: pointerTo(9.5), Dependencies: []string{"j-78", "j-79"}}
 }
 
-// minimalJob is one with required fields only.
+// minimalJob returns a submission in which every field that may have its zero value has it.
 func minimalJob() protocol.Job {
 	return protocol.Job{ID: "j-1", Class: "c", Team: "t", Kind: "batch", Priority: "low", TaskCount: 1}
 }
 
+// TestUserMessages guards against a changed format of submissions and job states, on which users'
+// programs depend.
 func TestUserMessages(t *testing.T) {
 	checkJSONCases(t, "wire_users.txt", []jsonCase{
 		fullCase("submission/full", fullJob()),
@@ -53,7 +55,9 @@
 	})
 }
 
-// A submission in another order, with null and unknown fields, means the same.
+// TestSubmissionFieldOrderAndNulls guards against a decoder that depends on the way in which this
+// program encodes submissions. Users' programs may order the fields differently, write null for an
+// absent value, repeat a dependency and add unknown fields.
 func TestSubmissionFieldOrderAndNulls(t *testing.T) {
 	for _, c := range []struct {
 		body string
@@ -68,19 +72,20 @@
 	} {
 		job, err := protocol.ParseJob([]byte(c.body))
 		if err != nil || job.ID != c.want.ID || !reflect.DeepEqual(storage.Encode(job), storage.Encode(c.want)) {
-			t.Errorf("%s: %+v, %v", c.body, job, err)
+			t.Errorf("submission %s: got %+v, error %v; want %+v", c.body, job, err, c.want)
 		}
 	}
 }
 
-// The texts of refusals of submissions.
+// TestSubmissionErrors guards against an invalid submission that is accepted, and against changed
+// error texts, which users get.
 func TestSubmissionErrors(t *testing.T) {
 	encodedJob := string(storage.Encode(fullJob()))
 	var got []goldenLine
 	addError := func(name, body string) {
 		_, err := protocol.ParseJob([]byte(body))
 		if err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("submission %s: got no error", name)
 			return
 		}
 		got = append(got, goldenLine{name, err.Error()})
@@ -116,6 +121,8 @@
 	checkGolden(t, "wire_users_errors.txt", got)
 }
 
+// TestWorkerMessages guards against a changed format of heartbeats and the replies to them, on which
+// workers depend. The messages contain every task state, exit reason and command.
 func TestWorkerMessages(t *testing.T) {
 	heartbeat := protocol.WorkerHeartbeat{Machine: "m-000007", Address: "10.9.8.7:6", Type: "t1", Zone: "zone-d", Spot: true, Epoch: 2, Sequence: 3,
 		FencingToken: 1<<64 - 1, PreemptionNoticeSeconds: pointerTo(4.5), Tasks: []protocol.TaskStatus{
@@ -143,12 +150,14 @@
 	for _, l := range readGolden(t, "wire_workers.txt") {
 		if strings.HasPrefix(l.name, "report/") {
 			if parsed, err := protocol.ParseWorkerHeartbeat([]byte(l.value)); err != nil || string(storage.Encode(parsed)) != l.value {
-				t.Errorf("%s: parsed as %+v: %v", l.name, parsed, err)
+				t.Errorf("%s: got %+v, error %v; want the heartbeat %s", l.name, parsed, err, l.value)
 			}
 		}
 	}
 }
 
+// TestCloudMessages guards against a changed format of the messages that the cloud's service sends
+// and receives.
 func TestCloudMessages(t *testing.T) {
 	checkJSONCases(t, "wire_cloud.txt", []jsonCase{
 		fullCase("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, MemoryGB: 16.5, ImageCacheGB: 40.5,
@@ -163,7 +172,9 @@
 	})
 }
 
-func TestStateServiceMessages(t *testing.T) {
+// TestStoreMessages guards against a changed format of the messages that the key-value store sends
+// and receives, and against a decoder of events that rejects unknown fields or another order.
+func TestStoreMessages(t *testing.T) {
 	checkJSONCases(t, "wire_state.txt", []jsonCase{
 		fullCase("item", storage.Item{Key: "a/b", Value: json.RawMessage(`{"x":1}`), ModRevision: 412, LeaseID: 7}),
 		partialCase("item/no lease", storage.Item{Key: "a/b", Value: json.RawMessage(`[]`), ModRevision: 412}),
@@ -182,11 +193,11 @@
 	want := storage.WatchResponse{Revision: 9, Events: []storage.WatchEvent{{PutKey: "c/9", Value: json.RawMessage(`{"y":2}`), ModRevision: 8}, {DeletedKey: "c/d", ModRevision: 9}}}
 	raw := `{"log":[{"versao":8,"data":{"y":2},"set":"c/9"},{"drop":"c/d","versao":9,"novo":0}],"edicao":9}`
 	if err := json.Unmarshal([]byte(raw), &events); err != nil || !reflect.DeepEqual(events, want) {
-		t.Errorf("%s: %+v, %v", raw, events, err)
+		t.Errorf("events %s: got %+v, error %v; want %+v", raw, events, err, want)
 	}
 }
 
-// peerMessages are all kinds of messages between controllers.
+// peerMessages returns messages of every type that controllers send to each other.
 func peerMessages() []struct {
 	name         string
 	message      protocol.PeerMessage
@@ -219,6 +230,8 @@
 	}
 }
 
+// TestPeerMessages guards against a changed format of messages between controllers, which may run
+// different versions.
 func TestPeerMessages(t *testing.T) {
 	var got []goldenLine
 	for _, m := range peerMessages() {
@@ -235,16 +248,18 @@
 	for i, l := range readGolden(t, "wire_peers.txt") {
 		decoded, err := protocol.DecodePeerMessage([]byte(l.value))
 		if err != nil || !reflect.DeepEqual(decoded, peerMessages()[i].message) {
-			t.Errorf("%s is read as %+v: %v", l.value, decoded, err)
+			t.Errorf("decoding %s: got %+v, error %v; want the encoded message", l.value, decoded, err)
 			continue
 		}
 		if reencoded, err := protocol.EncodePeerMessage(decoded); err != nil || string(reencoded) != l.value {
-			t.Errorf("%s is written again as %s: %v", l.value, reencoded, err)
+			t.Errorf("%s decoded and encoded again: got %s, error %v; want the same bytes", l.value, reencoded, err)
 		}
 	}
 }
 
-// The error texts of lines that can't be read, and of what a later version may send.
+// TestPeerMessageErrors guards against an invalid message that is accepted, against changed error
+// texts, and against an unknown type of message or request that is not reported as unknown. A later
+// version may send it, so the receiver ignores it.
 func TestPeerMessageErrors(t *testing.T) {
 	var got []goldenLine
 	for _, raw := range []string{`{`, `{"type":"beat","sent":-1}`, `{"type":"beat","lead":true}`, `{"type":"promise","sent":1}`, `{"type":"clear"}`,
@@ -253,20 +268,22 @@
 		`{"type":"later","term":3}`, `{"type":"ask","id":1,"kind":"later"}`} {
 		_, err := protocol.DecodePeerMessage([]byte(raw))
 		var unknown *protocol.UnknownPeerMessageError
-		kind := "error: "
+		outcome := "error: "
 		if errors.As(err, &unknown) {
-			kind = "ignored: "
+			outcome = "ignored: "
 		}
 		if err == nil {
-			t.Errorf("%s is read", raw)
+			t.Errorf("message %s: got no error", raw)
 			continue
 		}
-		got = append(got, goldenLine{raw, kind + strings.ReplaceAll(err.Error(), "\n", " ")})
+		got = append(got, goldenLine{raw, outcome + strings.ReplaceAll(err.Error(), "\n", " ")})
 	}
 	checkGolden(t, "wire_peers_errors.txt", got)
 }
 
-// The first line of a connection between controllers, one message, and the acknowledgement.
+// TestPeerConnection guards against a changed framing of connections between controllers: the first
+// line, the lines of messages, and the newline that acknowledges a message. It records what a sender
+// writes, and then sends the golden lines to a receiver.
 func TestPeerConnection(t *testing.T) {
 	targetListener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -315,19 +332,20 @@
 	}
 	ack := make([]byte, 1)
 	if _, err := io.ReadFull(toReceiver, ack); err != nil || ack[0] != '\n' {
-		t.Errorf("acknowledged by %q: %v", ack, err)
+		t.Errorf("acknowledgement: got %q, error %v; want a newline", ack, err)
 	}
 	select {
 	case m := <-received:
 		if m != (controller.InboundMessage{From: "n0", Message: protocol.VoteRequest{Term: 5}}) {
-			t.Errorf("read as %+v", m)
+			t.Errorf("got message %+v, want the vote request for term 5 from n0", m)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("no message arrived")
+		t.Error("got no message within 10 s")
 	}
 }
 
-// echoHandler answers each request with what reached it.
+// echoHandler replies to each request with a description of it, and to requests for the jobs j-empty
+// and j-later with an error status without a body.
 type echoHandler struct{}
 
 func (echoHandler) Handle(_ context.Context, request controller.Request, _ time.Duration) controller.Reply {
@@ -351,7 +369,8 @@
 	return []tracing.Step{{Job: job, Node: "n0", Name: "stored", At: time.Unix(1_000_000, 5).UTC(), Note: "x", Term: 4, Epoch: 5}}
 }
 
-// The paths that users, workers, the load balancer and operators ask, and the frame of the answers.
+// TestServerPaths guards against changed paths, status codes, headers and error bodies of the HTTP
+// server, on which users, workers, the load balancer and operators depend.
 func TestServerPaths(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -387,7 +406,8 @@
 	checkGolden(t, "wire_paths.txt", got)
 }
 
-// What the status pages say in full, with every optional field.
+// TestStatusPages guards against changed fields of the status pages, including the optional ones, and
+// against changed names of mismatches, recovery phases, operations and priorities.
 func TestStatusPages(t *testing.T) {
 	group := admission.Group{Team: "team-b", Class: "class-a", PriorityRank: 2}
 	share := admission.Share{Group: group, Tail: 11, Steps: []uint64{12, admission.Ring}, Demand: 1.5}
@@ -419,7 +439,8 @@
 	checkGolden(t, "words.txt", names)
 }
 
-// The place of a job on the ring of the admission policy: all versions must agree.
+// TestAdmissionPositions guards against a changed position of a job on the ring of the admission
+// policy, because all versions must agree on it.
 func TestAdmissionPositions(t *testing.T) {
 	var got []goldenLine
 	for _, id := range []string{"j-1", "j-000412", "j-a.b_c-d", "j-Z9"} {
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -23,7 +23,7 @@
 // To add a package, put it into the lowest layer that lies above everything that it imports.
 // If there is none, add a layer: nothing refers to a layer by its number.
 var layers = []layer{
-	{"leaves, which import nothing of the module", []string{
+	{"base packages, which import no other package of the module", []string{
 		"internal/admission",
 		"internal/clock",
 		"internal/config",
@@ -31,7 +31,7 @@
 		"internal/recovery",
 		"internal/tracing",
 	}},
-	{"wire messages and rates", []string{
+	{"wire messages and rate limits", []string{
 		"internal/protocol",
 		"internal/ratelimit",
 	}},
@@ -44,7 +44,7 @@
 	{"cluster state", []string{
 		"internal/cluster",
 	}},
-	{"parts of the control plane, which don't know each other", []string{
+	{"components of the control plane, which don't import each other", []string{
 		"internal/admissioncontrol",
 		"internal/autoscaler",
 		"internal/catalog",
@@ -63,7 +63,7 @@
 	{"controller", []string{
 		"internal/controller",
 	}},
-	{"connections", []string{
+	{"network transport", []string{
 		"internal/transport",
 	}},
 	{"processes and their clients", []string{
@@ -77,22 +77,22 @@
 	{"commands", []string{
 		"cmd/hitchdoor",
 	}},
-	{"packages of tests alone", []string{
+	{"test-only packages", []string{
 		"internal/compatibility",
 		"internal/layering",
 	}},
 }
 
-// restrictedImporters names the only packages that may import a package, for those that are
-// not for everyone above them.
+// restrictedImporters lists, for packages that not every higher layer may import, the packages that
+// may import them.
 var restrictedImporters = map[string][]string{
 	"internal/fakes": {"internal/emulator"},
 }
 
-// modulePath is the path of the module, which begins the import paths of its packages.
+// modulePath is the path of the module. The import paths of its packages begin with it.
 const modulePath = "hitchdoor"
 
-// moduleRoot is the module's directory, as seen from this package.
+// moduleRoot is the module's directory, relative to the directory of this package.
 const moduleRoot = "../.."
 
 // layer is a set of packages that don't import each other.
@@ -101,10 +101,12 @@
 	packages []string
 }
 
-// importGraph holds for each package of the module, by its directory, the packages of the
-// module that it imports outside its tests.
+// importGraph maps each package of the module to the packages of the module that its files import,
+// except for test files. A package is named by its directory relative to the module's root.
 type importGraph map[string][]string
 
+// TestImportsPointDownwards guards against an import that the layers don't allow, and against a
+// package that is missing from the table.
 func TestImportsPointDownwards(t *testing.T) {
 	graph, err := readImports(moduleRoot)
 	if err != nil {
@@ -115,6 +117,8 @@
 	}
 }
 
+// TestViolationsAreFound guards against a kind of violation that findViolations overlooks. The module
+// itself has no violations, so TestImportsPointDownwards would pass all the same.
 func TestViolationsAreFound(t *testing.T) {
 	layers := []layer{
 		{"low", []string{"low", "beside"}},
@@ -149,6 +153,8 @@
 	}
 }
 
+// TestLayerTableErrorsAreFound guards against duplicate and outdated entries of the table that
+// findViolations overlooks.
 func TestLayerTableErrorsAreFound(t *testing.T) {
 	graph := importGraph{"low": nil}
 	tests := []struct {
@@ -163,12 +169,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			got := strings.Join(findViolations(test.layers, nil, graph), "\n")
 			if !strings.Contains(got, test.want) {
-				t.Errorf("got %q, want %q", got, test.want)
+				t.Errorf("got %q, want a text that contains %q", got, test.want)
 			}
 		})
 	}
 }
 
+// TestImportsOfTestsAreExempt guards against imports of test files that are counted, against packages
+// of tests only that are missing, and against files in testdata that are parsed.
 func TestImportsOfTestsAreExempt(t *testing.T) {
 	root := t.TempDir()
 	files := map[string]string{
@@ -197,14 +205,14 @@
 	}
 }
 
-// findViolations returns a sentence for each import that the layers don't allow, and for each
-// package that is not listed exactly once.
+// findViolations describes each import that the layers or restricted don't allow, and each package
+// that is not listed exactly once in the layers.
 func findViolations(layers []layer, restricted map[string][]string, graph importGraph) []string {
 	ranks, violations := rankPackages(layers, graph)
 	for _, importer := range slices.Sorted(maps.Keys(graph)) {
 		importerRank, listed := ranks[importer]
 		if !listed {
-			violations = append(violations, importer+" is in no layer: add it to the table of layering_test.go")
+			violations = append(violations, importer+" is in no layer: add it to layers in layering_test.go")
 			continue
 		}
 		for _, imported := range graph[importer] {
@@ -213,7 +221,7 @@
 			case !listed:
 				violations = append(violations, fmt.Sprintf("%s imports %s, which is in no layer", importer, imported))
 			case importedRank >= importerRank:
-				violations = append(violations, fmt.Sprintf("%s (layer %q) imports %s (layer %q), which is no lower layer",
+				violations = append(violations, fmt.Sprintf("%s (layer %q) imports %s (layer %q), which is not a lower layer",
 					importer, layers[importerRank].name, imported, layers[importedRank].name))
 			case allowed != nil && !slices.Contains(allowed, importer):
 				violations = append(violations, fmt.Sprintf("%s imports %s, which only %s may import",
@@ -224,8 +232,8 @@
 	return violations
 }
 
-// rankPackages returns the number of each listed package's layer, and a sentence for each
-// package that is listed twice or does not exist.
+// rankPackages returns the index of each listed package's layer, and describes each package that is
+// listed twice or does not exist.
 func rankPackages(layers []layer, graph importGraph) (ranks map[string]int, violations []string) {
 	ranks = map[string]int{}
 	for rank, layer := range layers {
@@ -234,7 +242,7 @@
 				violations = append(violations, name+" is listed twice")
 			}
 			if _, exists := graph[name]; !exists {
-				violations = append(violations, name+" is listed, but there is no such package: remove it from the table")
+				violations = append(violations, name+" is listed, but there is no such package: remove it from layers in layering_test.go")
 			}
 			ranks[name] = rank
 		}
@@ -242,9 +250,9 @@
 	return ranks, violations
 }
 
-// readImports reads the imports of all packages below root. It reads the files itself: go test
-// reruns a test whose result is cached when a file that the test has read changes, but not
-// when a program that the test started would read it differently.
+// readImports reads the imports of all packages below root. It parses the files itself rather than
+// starting a program: go test reruns a test with a cached result if a file that the test has read
+// changes, but not if a file changes that a started program has read.
 func readImports(root string) (importGraph, error) {
 	graph := importGraph{}
 	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
@@ -265,13 +273,13 @@
 	return graph, err
 }
 
-// isIgnoredDirectory says whether the go command ignores directories of this name.
+// isIgnoredDirectory reports whether the go command ignores directories of this name.
 func isIgnoredDirectory(name string) bool {
 	return name == "testdata" || strings.HasPrefix(name, ".") || strings.HasPrefix(name, "_")
 }
 
-// addFile adds the file's package to the graph and, unless the file is one of its tests, what
-// the file imports of the module.
+// addFile adds the file's package to the graph and, unless the file is a test file, the packages of
+// the module that it imports.
 func (graph importGraph) addFile(root, file string) error {
 	directory, err := filepath.Rel(root, filepath.Dir(file))
 	if err != nil {
