--- a/internal/compatibility/records_test.go
+++ b/internal/compatibility/records_test.go
@@ -62,12 +62,15 @@
 	for _, key := range []string{"machines/000", "machines/012", "machines/1234"} {
 		got = append(got, goldenLine{key, fmt.Sprintf("group %d", storage.MachineGroupNumber(key))})
 	}
-	for _, key := range []string{"bits/j-1/000", "bits/j-1/002", "bits/j-1/from-000000", "bits/j-1/from-004096", "bits/j-1/from-x", "bits/j-1/-01", "bits/j-1"} {
+	for _, key := range []string{"bits/j-1/000", "bits/j-1/002", "bits/j-1/from-000000", "bits/j-1/from-004096",
+		"bits/j-1/from-x", "bits/j-1/-01", "bits/j-1"} {
 		id, firstTask, ok := storage.ParseBitmapKey(key, 4000)
 		got = append(got, goldenLine{key, fmt.Sprintf("job %q from task %d, %v", id, firstTask, ok)})
 	}
 	for _, limit := range []int{1, 1000, 8 << 10, 32 << 10} {
-		got = append(got, goldenLine{fmt.Sprintf("values of %d bytes", limit), fmt.Sprintf("parts of %d tasks, groups of %d bytes", storage.TasksPerBitmapPart(limit), storage.MaxMachineGroupBytes(limit))})
+		got = append(got, goldenLine{fmt.Sprintf("values of %d bytes", limit),
+			fmt.Sprintf("parts of %d tasks, groups of %d bytes", storage.TasksPerBitmapPart(limit),
+				storage.MaxMachineGroupBytes(limit))})
 	}
 	checkGolden(t, "keys_read.txt", got)
 }
@@ -109,7 +112,8 @@
 // the name of a field ignores the field's value.
 func TestStoredRecords(t *testing.T) {
 	machine := storage.MachineRecord{Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000_123, Used: true}
-	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Tail: 5, Steps: []uint64{6, 7}, Demand: 8.5}
+	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Tail: 5,
+		Steps: []uint64{6, 7}, Demand: 8.5}
 	job := minimalJob()
 	job.ID = "j-77"
 	checkJSONCases(t, "records.txt", []jsonCase{
@@ -119,22 +123,36 @@
 		fullCase("vote", storage.VoteRecord{Term: 9}),
 		fullCase("version", storage.VersionRecord{Level: 1, Build: "v1"}),
 		partialCase("version/no build", storage.VersionRecord{Level: 1}),
-		fullRecordCase("job", storage.JobKey("j-77"), storage.JobRecord{Spec: fullJob(), AcceptedAtMillis: 1_000_000_000_123, DependencyRecords: 2}, storage.ReadJob),
-		partialRecordCase("job/level 0", storage.JobKey("j-77"), storage.JobRecord{Spec: job, AcceptedAtMillis: 5}, storage.ReadJob),
-		fullRecordCase("final", storage.TerminalKey("j-77"), storage.TerminalRecord{State: protocol.JobDone, TaskCount: 5, DoneTasks: 4, EndedAtMillis: 1_000_000_000_123}, storage.ReadTerminal),
-		partialRecordCase("final/level 0", storage.TerminalKey("j-77"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 5}, storage.ReadTerminal),
+		fullRecordCase("job", storage.JobKey("j-77"),
+			storage.JobRecord{Spec: fullJob(), AcceptedAtMillis: 1_000_000_000_123, DependencyRecords: 2}, storage.ReadJob),
+		partialRecordCase("job/level 0", storage.JobKey("j-77"),
+			storage.JobRecord{Spec: job, AcceptedAtMillis: 5}, storage.ReadJob),
+		fullRecordCase("final", storage.TerminalKey("j-77"),
+			storage.TerminalRecord{State: protocol.JobDone, TaskCount: 5, DoneTasks: 4, EndedAtMillis: 1_000_000_000_123},
+			storage.ReadTerminal),
+		partialRecordCase("final/level 0", storage.TerminalKey("j-77"),
+			storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 5}, storage.ReadTerminal),
 		fullRecordCase("needs", storage.DependenciesKey("j-77", 0), []string{"j-78", "j-79"}, storage.ReadDependencies),
-		fullRecordCase("bits", storage.BitmapKeyFromTask("j-77", 0), storage.EncodeBitmap([]byte{1, 0, 255, 16}), reencodeBitmap),
+		fullRecordCase("bits", storage.BitmapKeyFromTask("j-77", 0), storage.EncodeBitmap([]byte{1, 0, 255, 16}),
+			reencodeBitmap),
 		fullRecordCase("bits/by number", storage.BitmapKey("j-77", 0), storage.EncodeBitmap([]byte{7}), reencodeBitmap),
-		fullRecordCase("rental", storage.RentalPrefix+"r-4-17", protocol.RentalRequest{RequestID: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}, storage.ReadRental),
+		fullRecordCase("rental", storage.RentalPrefix+"r-4-17",
+			protocol.RentalRequest{RequestID: "r-4-17", Type: "t1", Zone: "a", Spot: true, Count: 12}, storage.ReadRental),
 		fullCase("machine of earlier versions", machine),
 		partialCase("machine/ordinary, unused", storage.MachineRecord{Type: "t1", Zone: "a", RentedAtMillis: 1}),
-		fullRecordCase("group", storage.MachineGroupKey(3), storage.MachineGroupRecord{"m-000002": machine, "m-000001": {Type: "t2", Zone: "b", RentedAtMillis: 2}}, readMachineGroup),
-		fullCase("flow", storage.ArrivalForecastRecord{RecordedAtMillis: 1, WindowSeconds: 2.5, Classes: map[string]storage.ClassArrivals{"b": {RecentWork: 3.5, LongTermWork: 4.5, JobCount: 5.5, DueSeconds: 6.5}, "a": {}}}),
-		fullCase("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5, MemoryGB: 16.5, ImageCacheGB: 40.5,
-			PullGBPerSecond: 0.75, OnDemandPrice: 0.375, SpotPrice: 0.125, BootSeconds: 45.5, Zones: []string{"a"}}}}),
-		fullCase("policy", admission.Policy{Epoch: 3, EpochLengthMS: 4000, Shares: []admission.Share{share}, DefaultShare: share}),
-		partialCase("policy/no shares", admission.Policy{Epoch: 3, EpochLengthMS: 4000, DefaultShare: admission.FullShare(admission.Group{})}),
+		fullRecordCase("group", storage.MachineGroupKey(3),
+			storage.MachineGroupRecord{"m-000002": machine, "m-000001": {Type: "t2", Zone: "b", RentedAtMillis: 2}},
+			readMachineGroup),
+		fullCase("flow", storage.ArrivalForecastRecord{RecordedAtMillis: 1, WindowSeconds: 2.5,
+			Classes: map[string]storage.ClassArrivals{
+				"b": {RecentWork: 3.5, LongTermWork: 4.5, JobCount: 5.5, DueSeconds: 6.5}, "a": {}}}),
+		fullCase("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5,
+			MemoryGB: 16.5, ImageCacheGB: 40.5, PullGBPerSecond: 0.75, OnDemandPrice: 0.375, SpotPrice: 0.125,
+			BootSeconds: 45.5, Zones: []string{"a"}}}}),
+		fullCase("policy", admission.Policy{Epoch: 3, EpochLengthMS: 4000, Shares: []admission.Share{share},
+			DefaultShare: share}),
+		partialCase("policy/no shares", admission.Policy{Epoch: 3, EpochLengthMS: 4000,
+			DefaultShare: admission.FullShare(admission.Group{})}),
 	})
 }
 
@@ -173,11 +191,13 @@
 	addError("group, a list", err)
 	checkGolden(t, "records_errors.txt", got)
 
-	record, unreadable, err := storage.ReadMachineGroup(item("machines/000", `{"m-1":{"type":"t1","zone":"a","spot":true,"at":5,"used":true,"later":1},"m-2":7,"m-3":{"zone":"a"}}`))
+	record, unreadable, err := storage.ReadMachineGroup(item("machines/000",
+		`{"m-1":{"type":"t1","zone":"a","spot":true,"at":5,"used":true,"later":1},"m-2":7,"m-3":{"zone":"a"}}`))
 	slices.Sort(unreadable)
 	want := storage.MachineGroupRecord{"m-1": {Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 5, Used: true}}
 	if err != nil || !reflect.DeepEqual(record, want) || !reflect.DeepEqual(unreadable, []string{"m-2", "m-3"}) {
-		t.Errorf("machine group: got %v, unreadable %v, error %v; want %v, unreadable [m-2 m-3]", record, unreadable, err, want)
+		t.Errorf("machine group: got %v, unreadable %v, error %v; want %v, unreadable [m-2 m-3]",
+			record, unreadable, err, want)
 	}
 }
 
@@ -200,7 +220,8 @@
 		dependencyItems = append(dependencyItems, storage.Item{Key: l.name, Value: json.RawMessage(l.value)})
 	}
 	record, err := storage.ReadJob(storage.Item{Key: lines[0].name, Value: json.RawMessage(lines[0].value)})
-	if err != nil || !record.RestoreDependencies(dependencyItems) || !reflect.DeepEqual(record, storage.JobRecord{Spec: job, AcceptedAtMillis: 5}) {
+	if err != nil || !record.RestoreDependencies(dependencyItems) ||
+		!reflect.DeepEqual(record, storage.JobRecord{Spec: job, AcceptedAtMillis: 5}) {
 		t.Errorf("got record %+v, error %v; want the job with all its dependencies", record, err)
 	}
 }
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -242,7 +242,8 @@
 				violations = append(violations, name+" is listed twice")
 			}
 			if _, exists := graph[name]; !exists {
-				violations = append(violations, name+" is listed, but there is no such package: remove it from layers in layering_test.go")
+				violations = append(violations, name+" is listed, but there is no such package: "+
+					"remove it from layers in layering_test.go")
 			}
 			ranks[name] = rank
 		}
