--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -166,8 +166,7 @@
 	}
 }
 
-// TestCloudMessages guards against a changed format of the messages that the cloud's service sends
-// and receives.
+// TestCloudMessages guards against a changed format of the messages exchanged with the cloud.
 func TestCloudMessages(t *testing.T) {
 	checkJSONCases(t, "wire_cloud.txt", []jsonCase{
 		fullCase("catalog", protocol.Catalog{Types: []protocol.MachineType{{Name: "t1", Cores: 4.5, Accelerators: 1.5,
@@ -254,8 +253,8 @@
 	}
 }
 
-// TestPeerMessages guards against a changed format of messages between controllers, which may run
-// different versions.
+// TestPeerMessages guards against a changed format of messages between controllers, because
+// controllers of different versions exchange them.
 func TestPeerMessages(t *testing.T) {
 	var got []goldenLine
 	for _, m := range peerMessages() {
@@ -282,8 +281,8 @@
 }
 
 // TestPeerMessageErrors guards against an invalid message that is accepted, against changed error
-// texts, and against an unknown type of message or request that is not reported as unknown. A later
-// version may send it, so the receiver ignores it.
+// texts, and against an unknown type of message or request that is not reported as unknown. Receivers
+// ignore these messages, because a later version may send them.
 func TestPeerMessageErrors(t *testing.T) {
 	var got []goldenLine
 	for _, raw := range []string{`{`, `{"type":"beat","sent":-1}`, `{"type":"beat","lead":true}`,
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestImportsOfTestsAreExempt guards against imports of test files that are counted, against packages
-// of tests only that are missing, and against files in testdata that are parsed.
+// TestImportsOfTestsAreExempt guards against a graph that includes the imports of test files, lacks a
+// package that has only test files, or includes files in testdata.
 func TestImportsOfTestsAreExempt(t *testing.T) {
 	root := t.TempDir()
 	files := map[string]string{
