--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -85,11 +85,11 @@
 }
 
 // writeConfigFile writes the platform's settings file of one controller.
-func (c *controllerSet) writeConfigFile(member *controller, storeAddress, cloudAddress string) error {
+func (s *controllerSet) writeConfigFile(member *controller, storeAddress, cloudAddress string) error {
 	platform := config.Platform{Node: member.name, Location: "a", ClientListen: member.clientAddress,
-		PeerBind: member.peerAddress, Cluster: c.options.clusterConfig()}
+		PeerBind: member.peerAddress, Cluster: s.options.clusterConfig()}
 	platform.Services.Store, platform.Services.Cloud = storeAddress, cloudAddress
-	for _, other := range c.members {
+	for _, other := range s.members {
 		if other != member {
 			platform.Peers = append(platform.Peers,
 				config.Peer{Node: other.name, Location: "a", Address: other.peerAddress})
@@ -103,18 +103,18 @@
 }
 
 // clientAddresses returns the controllers' client addresses, by name.
-func (c *controllerSet) clientAddresses() map[string]string {
-	users := map[string]string{}
-	for _, member := range c.members {
-		users[member.name] = member.clientAddress
+func (s *controllerSet) clientAddresses() map[string]string {
+	addresses := map[string]string{}
+	for _, member := range s.members {
+		addresses[member.name] = member.clientAddress
 	}
-	return users
+	return addresses
 }
 
 // startAll starts all controller processes.
-func (c *controllerSet) startAll() error {
-	for _, member := range c.members {
-		if err := member.start(c.options.Program, c.settingsFile); err != nil {
+func (s *controllerSet) startAll() error {
+	for _, member := range s.members {
+		if err := member.start(s.options.Program, s.settingsFile); err != nil {
 			return fmt.Errorf("controller %s does not start: %w", member.name, err)
 		}
 	}
@@ -122,28 +122,28 @@
 }
 
 // killAll kills all controllers at once with SIGKILL, which they can't handle, and waits for them.
-func (c *controllerSet) killAll() {
-	for _, member := range c.members {
+func (s *controllerSet) killAll() {
+	for _, member := range s.members {
 		member.signal(os.Kill)
 	}
-	for _, member := range c.members {
+	for _, member := range s.members {
 		member.waitForExit()
 	}
 }
 
 // close kills all controllers, releases their addresses and removes their settings files.
-func (c *controllerSet) close() {
-	c.killAll()
-	if c.reservation != nil {
-		c.reservation.Close()
+func (s *controllerSet) close() {
+	s.killAll()
+	if s.reservation != nil {
+		s.reservation.Close()
 	}
-	os.RemoveAll(c.directory)
+	os.RemoveAll(s.directory)
 }
 
 // unexpectedExit returns a *ControllerExitedError if a controller has exited without being killed.
-func (c *controllerSet) unexpectedExit() error {
-	for _, member := range c.members {
-		if reason, failed := member.unexpectedExit(); failed {
+func (s *controllerSet) unexpectedExit() error {
+	for _, member := range s.members {
+		if reason, exited := member.unexpectedExit(); exited {
 			return &ControllerExitedError{Controller: member.name, Reason: reason}
 		}
 	}
@@ -151,8 +151,8 @@
 }
 
 // start starts the process.
-func (one *controller) start(program, settings string) error {
-	args := []string{"--config", one.configFile}
+func (c *controller) start(program, settings string) error {
+	args := []string{"--config", c.configFile}
 	if settings != "" {
 		args = append(args, "--settings", settings)
 	}
@@ -167,11 +167,11 @@
 		return err
 	}
 	exited := make(chan struct{})
-	one.mu.Lock()
-	one.command, one.exited, one.killed = command, exited, false
-	one.mu.Unlock()
+	c.mu.Lock()
+	c.command, c.exited, c.killed = command, exited, false
+	c.mu.Unlock()
 	go func() {
-		one.recordLog(log)
+		c.recordLog(log)
 		command.Wait()
 		close(exited)
 	}()
@@ -179,50 +179,50 @@
 }
 
 // recordLog keeps the last line of the process's log.
-func (one *controller) recordLog(log io.Reader) {
+func (c *controller) recordLog(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		one.mu.Lock()
-		one.lastLogLine = lines.Text()
-		one.mu.Unlock()
+		c.mu.Lock()
+		c.lastLogLine = lines.Text()
+		c.mu.Unlock()
 	}
 	io.Copy(io.Discard, log)
 }
 
 // signal sends a signal to the process and marks its exit as expected.
-func (one *controller) signal(signal os.Signal) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.command != nil {
-		one.killed = true
-		one.command.Process.Signal(signal)
+func (c *controller) signal(signal os.Signal) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.command != nil {
+		c.killed = true
+		c.command.Process.Signal(signal)
 	}
 }
 
 // waitForExit waits until the process has exited, if it was ever started.
-func (one *controller) waitForExit() {
-	one.mu.Lock()
-	exited := one.exited
-	one.mu.Unlock()
+func (c *controller) waitForExit() {
+	c.mu.Lock()
+	exited := c.exited
+	c.mu.Unlock()
 	if exited != nil {
 		<-exited
 	}
 }
 
 // unexpectedExit returns whether the process has exited without being killed, and its last log line.
-func (one *controller) unexpectedExit() (reason string, exited bool) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.exited == nil || one.killed {
+func (c *controller) unexpectedExit() (reason string, exited bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.exited == nil || c.killed {
 		return "", false
 	}
 	select {
-	case <-one.exited:
-		if one.lastLogLine == "" {
-			return one.command.ProcessState.String(), true
+	case <-c.exited:
+		if c.lastLogLine == "" {
+			return c.command.ProcessState.String(), true
 		}
-		return one.lastLogLine, true
+		return c.lastLogLine, true
 	default:
 		return "", false
 	}
@@ -230,14 +230,14 @@
 
 // waitForLeader waits until all controllers name the same leader. It returns a *NoLeaderError if they
 // don't in time.
-func (c *controllerSet) waitForLeader(ctx context.Context, timeout time.Duration) error {
+func (s *controllerSet) waitForLeader(ctx context.Context, timeout time.Duration) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
-		if err := c.unexpectedExit(); err != nil {
+		if err := s.unexpectedExit(); err != nil {
 			return err
 		}
-		if c.commonLeader(ctx, client) != "" {
+		if s.commonLeader(ctx, client) != "" {
 			return nil
 		}
 		if !sleep(ctx, leaderPollInterval) {
@@ -251,21 +251,21 @@
 const leaderPollInterval = 100 * time.Millisecond
 
 // commonLeader returns the leader that all controllers name; empty if they don't agree on one.
-func (c *controllerSet) commonLeader(ctx context.Context, client *http.Client) string {
+func (s *controllerSet) commonLeader(ctx context.Context, client *http.Client) string {
 	leader := ""
-	for _, member := range c.members {
-		named := member.knownLeader(ctx, client)
-		if named == "" || leader != "" && leader != named {
+	for _, member := range s.members {
+		reportedLeader := member.knownLeader(ctx, client)
+		if reportedLeader == "" || leader != "" && leader != reportedLeader {
 			return ""
 		}
-		leader = named
+		leader = reportedLeader
 	}
 	return leader
 }
 
 // knownLeader returns the leader that the controller names; empty if it names none.
-func (one *controller) knownLeader(ctx context.Context, client *http.Client) string {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+one.clientAddress+"/status", nil)
+func (c *controller) knownLeader(ctx context.Context, client *http.Client) string {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.clientAddress+"/status", nil)
 	if err != nil {
 		return ""
 	}
@@ -292,9 +292,9 @@
 }
 
 // processUsages reads the controllers' resource usage from /proc.
-func (c *controllerSet) processUsages() []ProcessUsage {
+func (s *controllerSet) processUsages() []ProcessUsage {
 	var usages []ProcessUsage
-	for _, member := range c.members {
+	for _, member := range s.members {
 		member.mu.Lock()
 		pid := member.command.Process.Pid
 		member.mu.Unlock()
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -156,12 +156,12 @@
 	if err := e.controllers.startAll(); err != nil {
 		return err
 	}
-	e.background.Go(func() { e.reconnect(ctx, partitioned) })
+	e.background.Go(func() { e.reconnectMachines(ctx, partitioned) })
 	return e.loseControllersAgain(ctx)
 }
 
-// reconnect ends the partition of machines once their leases have expired.
-func (e *emulation) reconnect(ctx context.Context, partitioned []string) {
+// reconnectMachines ends the partition of machines once their leases have expired.
+func (e *emulation) reconnectMachines(ctx context.Context, partitioned []string) {
 	if !sleep(ctx, e.options.LeaseDuration*3/2) {
 		return
 	}
@@ -239,7 +239,7 @@
 	totals := e.fleet.TaskTotals(options.cancelTimeout() + options.HeartbeatInterval)
 	report := &Report{Machines: options.Machines, Controllers: options.Controllers, Seed: options.Seed,
 		LoadS: options.LoadDuration.Seconds(), LoseControllersAtS: options.LoseControllersAt.Seconds(),
-		ControllersAwayS: options.ControllersAway.Seconds(), LossesDuringRecovery: len(options.LoseAgainAfter),
+		ControllerDowntimeS: options.ControllersAway.Seconds(), LossesDuringRecovery: len(options.LoseAgainAfter),
 		HeartbeatIntervalS: options.HeartbeatInterval.Seconds(), LeaseS: options.LeaseDuration.Seconds(),
 		DuplicateStarts: len(e.fleet.DuplicatedTasks()), WronglyStopped: len(e.fleet.WronglyStoppedTasks()),
 		CancelledOverdue: totals.CancelledOverdue, Jobs: e.load.jobCounts(),
@@ -257,10 +257,10 @@
 	operations := e.fleet.OperationsSince(e.controllersRestartedAt)
 	end := time.Now()
 	baseline := e.sampler.baseline(e.controllersLostAt)
-	if after, recovered := e.sampler.recoveryTime(e.controllersRestartedAt, baseline); recovered {
-		seconds := after.Seconds()
+	if elapsed, recovered := e.sampler.recoveryTime(e.controllersRestartedAt, baseline); recovered {
+		seconds := elapsed.Seconds()
 		report.Recovery.BackToNormal = &seconds
-		end = e.controllersRestartedAt.Add(max(after, rateWindow))
+		end = e.controllersRestartedAt.Add(max(elapsed, rateWindow))
 	}
 	for _, operation := range operations {
 		if operation.Kind == fakes.OperationStartTask || operation.Kind == fakes.OperationStopTask {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -49,7 +49,7 @@
 // Three controller processes are killed at once and started again, within the workers' lease and
 // after it. No task runs on two machines at once, none is stopped without a reason, the rates of
 // operations stay within their limits, and no accepted job is forgotten.
-func TestControllersLostAndBack(t *testing.T) {
+func TestRecoveryAfterLossOfAllControllers(t *testing.T) {
 	withinLease := []recovery.Mismatch{recovery.MachineUnresponsive, recovery.JobNeverStored, recovery.MatchesRecord}
 	afterLease := []recovery.Mismatch{recovery.MachineUnresponsive, recovery.JobNotRunning}
 	for _, c := range []struct {
@@ -109,7 +109,7 @@
 
 // A run that can't be completed returns an error of one line and leaves no files behind; neither does
 // an interrupted one.
-func TestRunsThatFail(t *testing.T) {
+func TestFailedRunsReturnErrorAndLeaveNoFiles(t *testing.T) {
 	for name, failure := range map[string]struct {
 		change        func(options *Options)
 		want          string
@@ -163,7 +163,7 @@
 }
 
 // A report with a broken guarantee returns an error that names it.
-func TestFailures(t *testing.T) {
+func TestReportFailureNamesBrokenGuarantee(t *testing.T) {
 	for want, report := range map[string]Report{
 		"1 tasks were started": {DuplicateStarts: 1}, "1 accepted jobs": {Jobs: JobCounts{Forgotten: 1}},
 		"12 orders":         {Operations: OperationRates{Peak: 12, Limit: 11.5}},
@@ -177,7 +177,7 @@
 }
 
 // Operations are counted in each window of a second; those of cancelled jobs are not counted.
-func TestRates(t *testing.T) {
+func TestCountRates(t *testing.T) {
 	from := time.Unix(1000, 0)
 	var operations []fakes.Operation
 	for _, ms := range []int{100, 900, 1050, 1099, 1100, 2500, 9000} {
@@ -191,7 +191,7 @@
 }
 
 // Mismatches of the workers' inventories are classified as the leader's reconciliation does.
-func TestMismatches(t *testing.T) {
+func TestCountMismatches(t *testing.T) {
 	task := func(key string, state protocol.TaskState, reason protocol.ExitReason) protocol.TaskStatus {
 		return protocol.TaskStatus{TaskID: key, Attempt: 1, State: state, ExitReason: reason}
 	}
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -88,7 +88,7 @@
 
 // validateSizes checks the numbers and durations.
 func (o *Options) validateSizes() error {
-	backAt, err := o.controllersBackAt()
+	lastRestart, err := o.lastRestartAt()
 	if err != nil {
 		return err
 	}
@@ -101,8 +101,8 @@
 		return invalidOption("--for", "must be above 0, is %v", o.LoadDuration)
 	case o.LoseControllersAt < 0 || o.ControllersAway < 0:
 		return invalidOption("--lose-controllers-at, --away", "can't be negative")
-	case o.LoseControllersAt > 0 && backAt >= o.LoadDuration:
-		return invalidOption("--for", "ends after %v, before the controllers are back at %v", o.LoadDuration, backAt)
+	case o.LoseControllersAt > 0 && lastRestart >= o.LoadDuration:
+		return invalidOption("--for", "ends after %v, before the controllers are back at %v", o.LoadDuration, lastRestart)
 	case o.HeartbeatInterval < 100*time.Millisecond || o.LeaseDuration <= o.HeartbeatInterval:
 		return invalidOption("--report-every, --lease",
 			"must be 100ms or more, and the lease longer than that, are %v and %v",
@@ -113,28 +113,28 @@
 	return nil
 }
 
-// controllersBackAt returns when the controllers are started for the last time.
-func (o *Options) controllersBackAt() (time.Duration, error) {
-	backAt := o.LoseControllersAt + o.ControllersAway
+// lastRestartAt returns when the controllers are started for the last time.
+func (o *Options) lastRestartAt() (time.Duration, error) {
+	lastRestart := o.LoseControllersAt + o.ControllersAway
 	for _, after := range o.LoseAgainAfter {
 		if after <= 0 || o.LoseControllersAt == 0 {
 			return 0, invalidOption("--lose-again-after",
 				"must be above 0, and controllers lost before, is %v", after)
 		}
-		backAt += after
+		lastRestart += after
 	}
-	return backAt, nil
+	return lastRestart, nil
 }
 
 // Parameters of the emulated deployment.
 const (
-	coresPerMachine = 4
-	leasesPerCancel = 2 // cancelled tasks may run for so many leases
-	storeRPS        = 5000
-	storeWriteRPS   = 500
-	cloudRPS        = 20
-	memoryMB        = 1024
-	teamCount       = 3
+	coresPerMachine     = 4
+	cancelTimeoutLeases = 2 // cancelled tasks may run for so many leases
+	storeRPS            = 5000
+	storeWriteRPS       = 500
+	cloudRPS            = 20
+	memoryMB            = 1024
+	teamCount           = 3
 )
 
 // clusterConfig returns the part of the settings that all controllers share.
@@ -154,7 +154,7 @@
 }
 
 // cancelTimeout returns the time within which a cancelled task must have stopped.
-func (o *Options) cancelTimeout() time.Duration { return leasesPerCancel * o.LeaseDuration }
+func (o *Options) cancelTimeout() time.Duration { return cancelTimeoutLeases * o.LeaseDuration }
 
 // teamName returns the name of the i-th team.
 func teamName(i int) string { return fmt.Sprintf("team-%d", i) }
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -19,7 +19,7 @@
 	Seed                 uint64  `json:"seed"`
 	LoadS                float64 `json:"for_s"`
 	LoseControllersAtS   float64 `json:"lose_controllers_at_s"`
-	ControllersAwayS     float64 `json:"away_s"`
+	ControllerDowntimeS  float64 `json:"away_s"`
 	LossesDuringRecovery int     `json:"lost_again"` // further losses of all controllers during the recovery
 	HeartbeatIntervalS   float64 `json:"report_every_s"`
 	LeaseS               float64 `json:"lease_s"`
@@ -97,7 +97,7 @@
 	writeRow("stopped wrongly", "%d", r.WronglyStopped)
 	if r.LoseControllersAtS > 0 {
 		writeRow("all controllers lost", "after %.0f s, for %.1f s; again during the recovery: %d times",
-			r.LoseControllersAtS, r.ControllersAwayS, r.LossesDuringRecovery)
+			r.LoseControllersAtS, r.ControllerDowntimeS, r.LossesDuringRecovery)
 		writeRow("first order", "%s", formatSeconds(r.Recovery.FirstOperation))
 		writeRow("work back to normal", "%s", formatSeconds(r.Recovery.BackToNormal))
 		writeRow("orders a second", "at most %d, limit %.0f (median %d, 99%% %d)",
