--- a/internal/fakes/close_test.go
+++ b/internal/fakes/close_test.go
@@ -16,8 +16,8 @@
 // closeTimeout bounds the time that closing a fake may take.
 const closeTimeout = 3 * time.Second
 
-// closesInTime fails the test if a function takes longer than closeTimeout.
-func closesInTime(t *testing.T, name string, closeAll func()) {
+// checkCloseTime fails the test if a function takes longer than closeTimeout.
+func checkCloseTime(t *testing.T, name string, closeAll func()) {
 	t.Helper()
 	startedAt := time.Now()
 	closeAll()
@@ -28,12 +28,12 @@
 
 // Close ends the heartbeats in flight, also those to a controller that does not respond, and the
 // watches. TestMain checks that no goroutine is left.
-func TestClose(t *testing.T) {
-	silent, err := net.Listen("tcp4", "127.0.0.1:0")
+func TestCloseEndsHeartbeatsAndWatches(t *testing.T) {
+	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { silent.Close() })
+	t.Cleanup(func() { unresponsive.Close() })
 	store, err := NewStore(0)
 	if err != nil {
 		t.Fatal(err)
@@ -42,17 +42,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet.SetNodes(map[string]string{"n0": silent.Addr().String()})
-	watched := make(chan error, 1)
-	go func() { watched <- watchOnce(t.Context(), store.Server.URL) }()
-	accepted, err := silent.Accept() // a worker's heartbeat is in flight
+	fleet.SetNodes(map[string]string{"n0": unresponsive.Addr().String()})
+	watchResult := make(chan error, 1)
+	go func() { watchResult <- watchOnce(t.Context(), store.Server.URL) }()
+	heartbeatConn, err := unresponsive.Accept() // a worker's heartbeat is in flight
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { accepted.Close() })
-	closesInTime(t, "fleet", fleet.Close)
-	closesInTime(t, "store", store.Server.Close)
-	if err := <-watched; err == nil {
+	t.Cleanup(func() { heartbeatConn.Close() })
+	checkCloseTime(t, "fleet", fleet.Close)
+	checkCloseTime(t, "store", store.Server.Close)
+	if err := <-watchResult; err == nil {
 		t.Error("a watch was answered by a store that was closed")
 	}
 }
@@ -73,7 +73,7 @@
 }
 
 // Close ends the connections of a relay, in whatever state they are.
-func TestRelayClose(t *testing.T) {
+func TestRelayCloseEndsConnections(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		toTarget, fromTarget bool
@@ -104,7 +104,7 @@
 					t.Fatal(err)
 				}
 			}
-			closesInTime(t, "relay", relay.Close)
+			checkCloseTime(t, "relay", relay.Close)
 			client.SetReadDeadline(time.Now().Add(closeTimeout))
 			if _, err := io.Copy(io.Discard, client); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Error("the client's connection stays open")
--- a/internal/fakes/fleet.go
+++ b/internal/fakes/fleet.go
@@ -33,7 +33,7 @@
 	// runningTasks is the number of tasks on all machines that have not exited.
 	runningTasks    int
 	completedTasks  map[string]bool // tasks that have completed
-	running         context.Context // of the workers; cancelled by Close
+	workerContext   context.Context // of the workers; cancelled by Close
 	stopWorkers     context.CancelFunc
 	workerLoops     sync.WaitGroup // counts the workers' heartbeat loops
 	totals          TaskTotals
@@ -76,7 +76,7 @@
 		startCounts: map[string]int{}, runningCopies: map[string]int{}, completedTasks: map[string]bool{},
 		uploadedJobs: map[string]protocol.Job{}, cancelRequested: map[string]bool{},
 		cancelConfirmedAt: map[string]time.Time{}}
-	f.running, f.stopWorkers = context.WithCancel(context.Background())
+	f.workerContext, f.stopWorkers = context.WithCancel(context.Background())
 	var err error
 	if f.Server, err = newServer(f); err != nil {
 		f.stopWorkers()
@@ -198,7 +198,7 @@
 	defer f.mu.Unlock()
 	var inventories []MachineInventory
 	for _, machine := range f.workers {
-		machine.catchUp()
+		machine.advanceToNow()
 		inventory := MachineInventory{Machine: machine.name, Partitioned: machine.partitioned}
 		for _, machineTask := range machine.tasks {
 			inventory.Tasks = append(inventory.Tasks, machineTask.TaskStatus)
@@ -310,7 +310,7 @@
 	machine := &worker{fleet: f, name: fmt.Sprintf("m-%06d", f.lastMachineNumber), epoch: 1, rentedAt: time.Now(),
 		removed: make(chan struct{}), rng: rand.New(rand.NewPCG(f.settings.Seed, uint64(f.lastMachineNumber)))}
 	f.workers[machine.name] = machine
-	f.workerLoops.Go(func() { machine.heartbeatLoop(f.running) })
+	f.workerLoops.Go(func() { machine.heartbeatLoop(f.workerContext) })
 	return machine.name
 }
 
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -20,9 +20,9 @@
 	closed            bool
 	connections       map[net.Conn]bool
 
-	dialing     context.Context // of connections to the target; cancelled by Close
-	stopDialing context.CancelFunc
-	forwarding  sync.WaitGroup // counts the relay's goroutines
+	dialContext context.Context // of connections to the target; cancelled by Close
+	cancelDials context.CancelFunc
+	goroutines  sync.WaitGroup // counts the relay's goroutines
 }
 
 // NewRelay starts a relay to a target address.
@@ -33,8 +33,8 @@
 	}
 	r := &Relay{listener: listener, target: target, connections: map[net.Conn]bool{}}
 	r.unblocked = sync.NewCond(&r.mu)
-	r.dialing, r.stopDialing = context.WithCancel(context.Background())
-	r.forwarding.Go(r.acceptConnections)
+	r.dialContext, r.cancelDials = context.WithCancel(context.Background())
+	r.goroutines.Go(r.acceptConnections)
 	return r, nil
 }
 
@@ -51,9 +51,9 @@
 
 // Close closes the listener and all connections of the relay, and waits for their ends.
 func (r *Relay) Close() {
-	r.stopDialing()
+	r.cancelDials()
 	r.closeAll()
-	r.forwarding.Wait()
+	r.goroutines.Wait()
 }
 
 // closeAll closes the listener and all connections.
@@ -75,7 +75,7 @@
 		if err != nil {
 			return
 		}
-		r.forwarding.Go(func() { r.connectToTarget(conn) })
+		r.goroutines.Go(func() { r.connectToTarget(conn) })
 	}
 }
 
@@ -85,7 +85,7 @@
 // connectToTarget connects a client with the target and forwards bytes both ways.
 func (r *Relay) connectToTarget(client net.Conn) {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	server, err := dialer.DialContext(r.dialing, "tcp4", r.target)
+	server, err := dialer.DialContext(r.dialContext, "tcp4", r.target)
 	if err != nil {
 		client.Close()
 		return
@@ -95,7 +95,7 @@
 		server.Close()
 		return
 	}
-	r.forwarding.Go(func() { r.forwardBytes(client, server, &r.blockedToTarget) })
+	r.goroutines.Go(func() { r.forwardBytes(client, server, &r.blockedToTarget) })
 	r.forwardBytes(server, client, &r.blockedFromTarget)
 }
 
--- a/internal/fakes/reservation_test.go
+++ b/internal/fakes/reservation_test.go
@@ -10,7 +10,7 @@
 
 // A reserved address can be listened on again and again, and nobody gets it who did not ask
 // for it: neither another reservation nor a socket that does not share addresses.
-func TestReservedAddressesAreKept(t *testing.T) {
+func TestReservedAddressesAreExclusive(t *testing.T) {
 	reservation, err := ReserveAddresses(20)
 	if err != nil {
 		t.Fatal(err)
@@ -24,13 +24,13 @@
 		reserved[address] = true
 	}
 	for _, address := range reservation.Addresses() {
-		if err := listenUnshared(address); !errors.Is(err, syscall.EADDRINUSE) {
+		if err := listenWithoutReuseAddr(address); !errors.Is(err, syscall.EADDRINUSE) {
 			t.Errorf("%s without SO_REUSEADDR: error %v, not EADDRINUSE", address, err)
 		}
 		for range 3 {
-			useAddress(t, address)
+			serveOneConnection(t, address)
 		}
-		if err := listenUnshared(address); !errors.Is(err, syscall.EADDRINUSE) {
+		if err := listenWithoutReuseAddr(address); !errors.Is(err, syscall.EADDRINUSE) {
 			t.Errorf("%s without SO_REUSEADDR, after its server: error %v, not EADDRINUSE", address, err)
 		}
 	}
@@ -46,30 +46,30 @@
 	}
 }
 
-// useAddress runs a server at an address, with one connection that the server closes first, so
+// serveOneConnection runs a server at an address, with one connection that the server closes first, so
 // that the connection stays behind in TIME_WAIT at the server's port.
-func useAddress(t *testing.T, address string) {
+func serveOneConnection(t *testing.T, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	caller, err := net.Dial("tcp4", address)
+	client, err := net.Dial("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer caller.Close()
-	served, err := listener.Accept()
+	defer client.Close()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	served.Close()
+	conn.Close()
 }
 
-// listenUnshared listens at an address without SO_REUSEADDR, under the rules by which the kernel
+// listenWithoutReuseAddr listens at an address without SO_REUSEADDR, under the rules by which the kernel
 // also chooses ports.
-func listenUnshared(address string) error {
+func listenWithoutReuseAddr(address string) error {
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 		var err error
 		if controlErr := conn.Control(func(socket uintptr) {
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -172,10 +172,10 @@
 		}
 		s.writeTokens -= float64(len(txn.Writes))
 	}
-	var failed []string
+	var failedKeys []string
 	for _, condition := range txn.Conditions {
 		if s.items[condition.Key].ModRevision != condition.ModRevision {
-			failed = append(failed, condition.Key)
+			failedKeys = append(failedKeys, condition.Key)
 		}
 	}
 	for _, write := range txn.Writes {
@@ -183,8 +183,8 @@
 			return 400, map[string]string{"error": "no such lease"}
 		}
 	}
-	if failed != nil {
-		return 409, storage.TxnResponse{FailedKeys: failed, Revision: s.revision}
+	if failedKeys != nil {
+		return 409, storage.TxnResponse{FailedKeys: failedKeys, Revision: s.revision}
 	}
 	s.revision++
 	for _, write := range txn.Writes {
@@ -263,12 +263,12 @@
 // serveLease grants, renews or revokes a lease.
 func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/holds" {
-		var hold storage.Lease
-		if !readJSON(w, r, &hold) {
+		var request storage.Lease
+		if !readJSON(w, r, &request) {
 			return
 		}
 		s.lastLeaseID++
-		ttl := time.Duration(hold.TTLMillis) * time.Millisecond
+		ttl := time.Duration(request.TTLMillis) * time.Millisecond
 		s.leases[s.lastLeaseID] = &lease{ttl, time.Now().Add(ttl)}
 		writeJSON(w, 200, storage.Lease{ID: s.lastLeaseID})
 		return
@@ -296,16 +296,16 @@
 	deadline := time.After(time.Duration(waitMS) * time.Millisecond)
 	for beforeDeadline := true; ; {
 		s.mu.Lock()
-		events := storage.WatchResponse{Revision: s.revision}
-		events.Events = s.eventsSince(since, query.Get("under"))
+		response := storage.WatchResponse{Revision: s.revision}
+		response.Events = s.eventsSince(since, query.Get("under"))
 		changed, unavailable, compacted := s.changed, s.unavailable, since < s.compactedRevision
 		s.mu.Unlock()
 		if compacted && !unavailable {
 			writeJSON(w, 410, nil)
 			return
 		}
-		if !unavailable && (len(events.Events) > 0 || !beforeDeadline) {
-			writeJSON(w, 200, events)
+		if !unavailable && (len(response.Events) > 0 || !beforeDeadline) {
+			writeJSON(w, 200, response)
 			return
 		}
 		select {
