--- a/internal/fakes/close_test.go
+++ b/internal/fakes/close_test.go
@@ -22,12 +22,13 @@
 	startedAt := time.Now()
 	closeAll()
 	if took := time.Since(startedAt); took > closeTimeout {
-		t.Errorf("closing the %s took %v", name, took)
+		t.Errorf("closing the %s took %v, longer than closeTimeout", name, took)
 	}
 }
 
-// Close ends the heartbeats in flight, also those to a controller that does not respond, and the
-// watches. TestMain checks that no goroutine is left.
+// Guards against fakes whose Close hangs or leaves goroutines behind while a worker waits for the
+// response of an unresponsive controller and while a watch is open. TestMain checks that no goroutine
+// remains.
 func TestCloseEndsHeartbeatsAndWatches(t *testing.T) {
 	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -53,11 +54,11 @@
 	checkCloseTime(t, "fleet", fleet.Close)
 	checkCloseTime(t, "store", store.Server.Close)
 	if err := <-watchResult; err == nil {
-		t.Error("a watch was answered by a store that was closed")
+		t.Error("the watch got a response from a closed store, expected an error")
 	}
 }
 
-// watchOnce sends a request that the store answers after a minute.
+// watchOnce sends a watch request, which the store answers after a minute if no key changes.
 func watchOnce(ctx context.Context, url string) error {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -72,7 +73,8 @@
 	return response.Body.Close()
 }
 
-// Close ends the connections of a relay, in whatever state they are.
+// Guards against a Close of a relay that hangs or leaves connections open, in particular while a
+// direction is blocked and bytes are held back.
 func TestRelayCloseEndsConnections(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
@@ -107,7 +109,7 @@
 			checkCloseTime(t, "relay", relay.Close)
 			client.SetReadDeadline(time.Now().Add(closeTimeout))
 			if _, err := io.Copy(io.Discard, client); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Error("the client's connection stays open")
+				t.Error("the client's connection is still open after Close")
 			}
 		})
 	}
--- a/internal/fakes/fleet.go
+++ b/internal/fakes/fleet.go
@@ -25,15 +25,15 @@
 	operations        operationLog
 	mu                sync.Mutex
 	lastMachineNumber int
-	machinesByRental  map[string][]string     // names of the rented machines, by request ID
+	machinesByRental  map[string][]string     // names of the rented machines, by ID of the rental request
 	workers           map[string]*worker      // by machine name
 	uploadedJobs      map[string]protocol.Job // job specifications that the workers know, by job ID
-	startCounts       map[string]int          // number of starts, by task
-	runningCopies     map[string]int          // number of machines that run a task, by task
+	startCounts       map[string]int          // number of starts, by task ID
+	runningCopies     map[string]int          // number of machines that run a task, by task ID
 	// runningTasks is the number of tasks on all machines that have not exited.
 	runningTasks    int
-	completedTasks  map[string]bool // tasks that have completed
-	workerContext   context.Context // of the workers; cancelled by Close
+	completedTasks  map[string]bool // IDs of the tasks that have completed
+	workerContext   context.Context // context of the heartbeat loops, cancelled by Close
 	stopWorkers     context.CancelFunc
 	workerLoops     sync.WaitGroup // counts the workers' heartbeat loops
 	totals          TaskTotals
@@ -48,9 +48,9 @@
 type FleetSettings struct {
 	Nodes             map[string]string // the controllers' client addresses, by name
 	HeartbeatInterval time.Duration
-	LeaseDuration     time.Duration // of a worker: without a response for so long it kills its tasks
-	BootTime          time.Duration // between the rental of a machine and its first heartbeat
-	TaskRunTime       time.Duration // of each task; 0: near its job's estimate
+	LeaseDuration     time.Duration // time without a response after which a worker kills its tasks
+	BootTime          time.Duration // time between the rental of a machine and its first heartbeat
+	TaskRunTime       time.Duration // run time of each task; 0: within a tenth of its job's estimate
 	MaxMachines       int           // upper bound of the machines up at the same time
 	InitialMachines   int           // number of machines that SetNodes starts
 	CoresPerMachine   float64       // 0: defaultCores
@@ -59,15 +59,17 @@
 
 // TaskTotals counts the tasks that the workers ran, by outcome.
 type TaskTotals struct {
+	// LostByLease includes the tasks of machines that were removed.
 	Started, Finished, Stopped, LostByLease int
 	LostRunTime                             time.Duration // run time of tasks that exited without completing
-	CancelledOverdue                        int           // tasks that run longer after a cancellation than allowed
+	CancelledOverdue                        int           // tasks that run longer after their cancellation than allowed
 }
 
-// defaultCores is the number of cores of a machine if the settings name none.
+// defaultCores is the number of cores of a machine if FleetSettings.CoresPerMachine is 0.
 const defaultCores = 4
 
-// NewFleet starts a fake cloud. The workers of its machines send heartbeats until it is closed.
+// NewFleet starts a fake cloud without machines. Machines are added by SetNodes and by rentals, and
+// their workers send heartbeats until the fleet is closed.
 func NewFleet(settings FleetSettings) (*Fleet, error) {
 	if settings.CoresPerMachine == 0 {
 		settings.CoresPerMachine = defaultCores
@@ -86,7 +88,7 @@
 }
 
 // SetNodes sets the controllers' client addresses, by name, and starts the initial machines. It is
-// for controllers whose addresses are not known yet when the fleet is made.
+// for controllers whose addresses are not known when the fleet is created.
 func (f *Fleet) SetNodes(nodes map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,7 +105,7 @@
 	f.Server.Close()
 }
 
-// UploadJob makes a job's specification known to the workers, as its user does.
+// UploadJob makes a job's specification known to the workers, as users do before the submission.
 func (f *Fleet) UploadJob(job protocol.Job) {
 	f.mu.Lock()
 	f.uploadedJobs[job.ID] = job
@@ -185,7 +187,7 @@
 	return len(f.workers)
 }
 
-// MachineInventory lists the tasks that a machine holds.
+// MachineInventory lists the tasks that a machine's worker knows, including exited ones.
 type MachineInventory struct {
 	Machine     string
 	Partitioned bool
@@ -209,7 +211,7 @@
 	return inventories
 }
 
-// InjectTask puts a running task on a machine that no controller has started there.
+// InjectTask adds a running task to a machine without a command from a controller.
 func (f *Fleet) InjectTask(machine, task string, attempt uint64, runTime time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -226,7 +228,7 @@
 	}
 }
 
-// PreemptMachine takes a machine away, as the cloud does with spot machines.
+// PreemptMachine removes a machine, as the cloud does when it reclaims a spot machine.
 func (f *Fleet) PreemptMachine(machine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -270,7 +272,7 @@
 	machinesPerPage = 500
 )
 
-// listMachines returns one page of the machine list, by name.
+// listMachines returns one page of the machines, sorted by name, that follow the name in the query.
 func (f *Fleet) listMachines(r *http.Request) protocol.HostPage {
 	list := protocol.HostPage{Machines: []protocol.Host{}}
 	for _, machine := range f.workers {
@@ -287,7 +289,7 @@
 	return list
 }
 
-// rentMachines answers a rental. A repeated request ID gets the machines of the first request.
+// rentMachines answers a rental request. A repeated request ID gets the machines of the first request.
 func (f *Fleet) rentMachines(w http.ResponseWriter, rental protocol.RentalRequest) {
 	names, repeated := f.machinesByRental[rental.RequestID]
 	if !repeated {
@@ -304,7 +306,7 @@
 	writeJSON(w, 200, protocol.MachineNames{Machines: names})
 }
 
-// addMachine adds a machine and starts its worker.
+// addMachine adds a machine, starts its worker and returns the machine's name.
 func (f *Fleet) addMachine() string {
 	f.lastMachineNumber++
 	machine := &worker{fleet: f, name: fmt.Sprintf("m-%06d", f.lastMachineNumber), epoch: 1, rentedAt: time.Now(),
@@ -314,7 +316,7 @@
 	return machine.name
 }
 
-// removeMachine removes a machine and kills its tasks.
+// removeMachine removes a machine, if it exists, and kills its tasks.
 func (f *Fleet) removeMachine(name string) {
 	if machine := f.workers[name]; machine != nil {
 		delete(f.workers, name)
@@ -333,5 +335,5 @@
 	return config.Seconds(f.uploadedJobs[jobOfTask(task)].EstimatedSeconds * (1 + deviation/5))
 }
 
-// jobOfTask returns the job ID of a task key.
+// jobOfTask returns the job ID in a task ID.
 func jobOfTask(task string) string { id, _, _ := strings.Cut(task, "/"); return id }
--- a/internal/fakes/operations.go
+++ b/internal/fakes/operations.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// OperationKind is the kind of an Operation.
+// OperationKind is the kind of an Operation. Its values are the names of recovery.Operation.
 type OperationKind string
 
 // Kinds of operations.
@@ -40,7 +40,7 @@
 	}
 }
 
-// since lists the operations received at or after a time, in the order of their receipt.
+// since lists the operations that were received at or after a time, sorted by time of receipt.
 func (l *operationLog) since(from time.Time) []Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -20,7 +20,7 @@
 	closed            bool
 	connections       map[net.Conn]bool
 
-	dialContext context.Context // of connections to the target; cancelled by Close
+	dialContext context.Context // context of dials to the target, cancelled by Close
 	cancelDials context.CancelFunc
 	goroutines  sync.WaitGroup // counts the relay's goroutines
 }
@@ -49,7 +49,7 @@
 	r.unblocked.Broadcast()
 }
 
-// Close closes the listener and all connections of the relay, and waits for their ends.
+// Close closes the listener and all connections of the relay, and waits for its goroutines.
 func (r *Relay) Close() {
 	r.cancelDials()
 	r.closeAll()
@@ -82,7 +82,7 @@
 // dialTimeout bounds the time to connect to the target.
 const dialTimeout = time.Second
 
-// connectToTarget connects a client with the target and forwards bytes both ways.
+// connectToTarget connects a client to the target and forwards bytes in both directions.
 func (r *Relay) connectToTarget(client net.Conn) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	server, err := dialer.DialContext(r.dialContext, "tcp4", r.target)
@@ -100,7 +100,7 @@
 }
 
 // addConnections records connections, so that Close closes them. It returns false if the relay is
-// closed already.
+// already closed.
 func (r *Relay) addConnections(connections ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,7 +113,8 @@
 	return true
 }
 
-// forwardBytes copies bytes from one end to the other, and waits while the direction is blocked.
+// forwardBytes copies bytes from one end to the other until either closes. It waits while the
+// direction is blocked.
 func (r *Relay) forwardBytes(from, to net.Conn, blocked *bool) {
 	defer r.closeConnections(from, to)
 	buffer := make([]byte, 16<<10)
@@ -135,7 +136,7 @@
 	}
 }
 
-// closeConnections closes connections and forgets them.
+// closeConnections closes connections and removes them from the relay.
 func (r *Relay) closeConnections(connections ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fakes/reservation.go
+++ b/internal/fakes/reservation.go
@@ -6,12 +6,13 @@
 	"syscall"
 )
 
-// AddressReservation holds TCP addresses on loopback for servers that are told their addresses
-// before they listen, in this process or in a child, once or again after a restart.
+// AddressReservation reserves TCP addresses on loopback for servers whose addresses must be known
+// before they listen. The servers may run in this process or in a child, and may listen again after
+// a restart.
 //
-// It keeps a socket with SO_REUSEADDR bound to each address and never listens on it. While it
-// does, the kernel gives the port neither to a bind to port 0 nor to an outgoing connection; only
-// a server that asks for the very address with SO_REUSEADDR, as net.Listen does, gets it.
+// The reservation keeps a socket with SO_REUSEADDR bound to each address and never listens on it.
+// Meanwhile the kernel assigns the port neither to a bind to port 0 nor to an outgoing connection.
+// Only a server that binds to exactly this address with SO_REUSEADDR, as net.Listen does, gets it.
 type AddressReservation struct {
 	sockets   []int
 	addresses []string
@@ -21,9 +22,11 @@
 type addressFamilyError struct{ bound syscall.Sockaddr }
 
 // Error implements error.
-func (e *addressFamilyError) Error() string { return fmt.Sprintf("bound to a %T", e.bound) }
+func (e *addressFamilyError) Error() string {
+	return fmt.Sprintf("socket is bound to a %T, not to an IPv4 address", e.bound)
+}
 
-// ReserveAddresses reserves count different addresses on loopback.
+// ReserveAddresses reserves the given number of different addresses on loopback.
 func ReserveAddresses(count int) (*AddressReservation, error) {
 	r := &AddressReservation{}
 	for range count {
@@ -35,7 +38,7 @@
 	return r, nil
 }
 
-// Addresses lists the reserved addresses, host:port.
+// Addresses lists the reserved addresses in the form host:port.
 func (r *AddressReservation) Addresses() []string { return r.addresses }
 
 // Close releases the addresses. Servers that listen on them are not affected.
@@ -46,9 +49,10 @@
 	r.sockets = nil
 }
 
-// reserve binds one more socket, to a port of the kernel's choice.
+// reserve binds one more socket to a port that the kernel chooses.
 func (r *AddressReservation) reserve() error {
-	// Without SOCK_CLOEXEC a child would hold the reservation beyond Close.
+	// Without SOCK_CLOEXEC a child process would inherit the socket and keep the address reserved
+	// after Close.
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, syscall.IPPROTO_TCP)
 	if err != nil {
 		return err
@@ -58,7 +62,8 @@
 	if err := syscall.Bind(socket, &syscall.SockaddrInet4{Addr: loopback}); err != nil {
 		return err
 	}
-	// Set after the bind, so that the kernel chooses a port that no other socket is bound to.
+	// SO_REUSEADDR is set after the bind, so that the kernel chooses a port that no other socket is
+	// bound to.
 	if err := syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return err
 	}
--- a/internal/fakes/reservation_test.go
+++ b/internal/fakes/reservation_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A reserved address can be listened on again and again, and nobody gets it who did not ask
-// for it: neither another reservation nor a socket that does not share addresses.
+// Guards against a reserved address that another socket takes while no server listens on it, so that
+// a restarted server can't listen: servers can listen on the address repeatedly, but neither another
+// reservation nor a socket without SO_REUSEADDR gets it.
 func TestReservedAddressesAreExclusive(t *testing.T) {
 	reservation, err := ReserveAddresses(20)
 	if err != nil {
@@ -25,13 +26,13 @@
 	}
 	for _, address := range reservation.Addresses() {
 		if err := listenWithoutReuseAddr(address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("%s without SO_REUSEADDR: error %v, not EADDRINUSE", address, err)
+			t.Errorf("listening on %s without SO_REUSEADDR: error %v, expected EADDRINUSE", address, err)
 		}
 		for range 3 {
 			serveOneConnection(t, address)
 		}
 		if err := listenWithoutReuseAddr(address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("%s without SO_REUSEADDR, after its server: error %v, not EADDRINUSE", address, err)
+			t.Errorf("listening on %s without SO_REUSEADDR after its server: error %v, expected EADDRINUSE", address, err)
 		}
 	}
 	other, err := ReserveAddresses(200)
@@ -41,13 +42,13 @@
 	defer other.Close()
 	for _, address := range other.Addresses() {
 		if reserved[address] {
-			t.Errorf("%s is reserved by two", address)
+			t.Errorf("%s is reserved by two reservations", address)
 		}
 	}
 }
 
-// serveOneConnection runs a server at an address, with one connection that the server closes first, so
-// that the connection stays behind in TIME_WAIT at the server's port.
+// serveOneConnection runs a server on an address with one connection. The server closes it first, so
+// that the connection remains in TIME_WAIT at the server's port.
 func serveOneConnection(t *testing.T, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", address)
@@ -67,8 +68,8 @@
 	conn.Close()
 }
 
-// listenWithoutReuseAddr listens at an address without SO_REUSEADDR, under the rules by which the kernel
-// also chooses ports.
+// listenWithoutReuseAddr listens on an address without SO_REUSEADDR. The kernel applies the same rules
+// when it chooses ports itself.
 func listenWithoutReuseAddr(address string) error {
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 		var err error
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -1,6 +1,6 @@
 // Package fakes provides in-process fakes of the key-value store, the cloud, the workers and the
-// network between them, for tests of whole controllers over real connections on loopback. They are
-// written from the protocol.
+// network between them, for tests of whole controllers over real connections on loopback. They follow
+// the specification of the protocol.
 package fakes
 
 import (
@@ -23,11 +23,11 @@
 
 	mu          sync.Mutex
 	unavailable bool
-	writeRPS    float64 // limit of writes per second; 0: none
-	writeTokens float64 // writes that the limit allows now
-	refilledAt  time.Time
+	writeRPS    float64   // maximum number of writes per second; 0: no limit
+	writeTokens float64   // writes that the limit allows now
+	refilledAt  time.Time // when writeTokens was last updated
 	items       map[string]storage.Item
-	events      []storage.WatchEvent // changes that a watch can still read, by revision
+	events      []storage.WatchEvent // changes that a watch can still read, sorted by revision
 	// compactedRevision is the last revision whose changes are no longer kept.
 	compactedRevision uint64
 	revision          uint64
@@ -37,7 +37,7 @@
 	onCommit          func(storage.Txn) // called with each committed transaction; nil: none
 }
 
-// lease deletes the keys bound to it when it expires.
+// lease is a lease of the store. The keys bound to it are deleted when it expires.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
@@ -61,7 +61,7 @@
 	s.mu.Unlock()
 }
 
-// SetUnavailable begins or ends an outage. Both give every lease its full TTL again.
+// SetUnavailable begins or ends an outage. Both renew every lease for its full TTL.
 func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +139,8 @@
 	}
 }
 
-// listPage returns one page of the items with a prefix, after a key.
+// listPage returns one page of the items, sorted by key, that have the prefix and follow the key in
+// the query.
 func (s *Store) listPage(r *http.Request) storage.ListResponse {
 	query := r.URL.Query()
 	var keys []string
@@ -203,16 +204,16 @@
 	return 200, storage.TxnResponse{Revision: s.revision}
 }
 
-// deleteKey deletes a key at the current revision.
+// deleteKey deletes a key and records the deletion at the current revision.
 func (s *Store) deleteKey(key string) {
 	delete(s.items, key)
 	s.recordEvent(storage.WatchEvent{DeletedKey: key, ModRevision: s.revision})
 }
 
-// maxRetainedEvents is the number of past changes that a watch can always read.
+// maxRetainedEvents is the number of latest changes that a watch can always read.
 const maxRetainedEvents = 10_000
 
-// recordEvent keeps a change for watches. Older ones are compacted in batches.
+// recordEvent keeps a change for watches. Older changes are compacted in batches.
 func (s *Store) recordEvent(event storage.WatchEvent) {
 	if s.events = append(s.events, event); len(s.events) > 2*maxRetainedEvents {
 		s.compactedRevision = s.events[maxRetainedEvents-1].ModRevision
@@ -220,7 +221,7 @@
 	}
 }
 
-// eventsSince lists the changes after a revision of keys with a prefix.
+// eventsSince lists the changes, after a revision, of keys with a prefix.
 func (s *Store) eventsSince(revision uint64, prefix string) []storage.WatchEvent {
 	first, _ := slices.BinarySearchFunc(s.events, revision+1,
 		func(e storage.WatchEvent, revision uint64) int { return cmp.Compare(e.ModRevision, revision) })
@@ -239,7 +240,7 @@
 	s.changed = make(chan struct{})
 }
 
-// expireLeases revokes the leases whose TTL has passed. None expires during an outage.
+// expireLeases revokes the leases whose TTL has passed. No lease expires during an outage.
 func (s *Store) expireLeases() {
 	for id, existing := range s.leases {
 		if !s.unavailable && time.Now().After(existing.expiresAt) {
@@ -288,7 +289,8 @@
 	}
 }
 
-// watch answers once a key with the prefix has changed, or at the deadline of the request.
+// watch answers once a key with the prefix has changed, or at the deadline of the request. It answers
+// 410 if changes after the requested revision have been compacted.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
@@ -312,7 +314,8 @@
 		case <-changed:
 		case <-deadline:
 			beforeDeadline = false
-			deadline = time.After(50 * time.Millisecond) // a watch stays open during an outage
+			// A watch stays open during an outage and polls for its end.
+			deadline = time.After(50 * time.Millisecond)
 		case <-r.Context().Done():
 			return
 		}
@@ -328,7 +331,7 @@
 	return true
 }
 
-// writeJSON writes a response; a nil body stays empty.
+// writeJSON writes a response. The body is empty if it is nil.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -18,29 +18,29 @@
 // worker is the fake worker of one machine. Its fields are guarded by the mutex of its fleet.
 type worker struct {
 	fleet               *Fleet
-	name                string // of the machine
-	node                string // the controller that gets the next heartbeat
+	name                string // name of the machine
+	node                string // name of the controller that gets the next heartbeat
 	epoch, heartbeatSeq uint64
 	fencingToken        uint64 // the highest fencing token received
 	tasks               []*task
 	leaseRenewedAt      time.Time // when the last answered heartbeat was sent
 	rentedAt            time.Time
 	partitioned         bool          // cut off from all controllers
-	stateChanged        bool          // since the last heartbeat
+	stateChanged        bool          // whether to send the next heartbeat early because of a change
 	removed             chan struct{} // closed when the machine is removed
 	rng                 *rand.Rand
 }
 
-// task is a task on a machine, with the state that heartbeats report.
+// task is an attempt of a task on a machine, with the state that heartbeats report.
 type task struct {
 	protocol.TaskStatus
 	startedAt, endsAt time.Time
 }
 
-// minHeartbeatDelay is the minimum time between two heartbeats, whatever changes.
+// minHeartbeatDelay is the minimum delay of a heartbeat that is sent early because of a change.
 const minHeartbeatDelay = 500 * time.Millisecond
 
-// killTasks kills all tasks. The fleet must be locked.
+// killTasks kills all tasks and removes them. The caller must hold the fleet's mutex.
 func (w *worker) killTasks() {
 	for _, machineTask := range w.tasks {
 		if machineTask.State != protocol.TaskExited {
@@ -51,7 +51,7 @@
 	w.tasks = nil
 }
 
-// exitTask marks a task as exited and updates the fleet's totals.
+// exitTask marks a task as exited, unless it has exited before, and updates the fleet's counts.
 func (w *worker) exitTask(exiting *task, reason protocol.ExitReason) {
 	if exiting.State == protocol.TaskExited {
 		return
@@ -70,7 +70,7 @@
 	w.fleet.totals.LostRunTime += time.Since(exiting.startedAt)
 }
 
-// addTask adds a task to the machine.
+// addTask adds a running task to the machine. It records the task as duplicated if another copy runs.
 func (w *worker) addTask(initial protocol.TaskStatus, runTime time.Duration) {
 	fleet := w.fleet
 	fleet.runningTasks++
@@ -82,7 +82,7 @@
 	w.stateChanged = true
 }
 
-// advanceToNow applies what has happened by now: the expiry of the lease and the ends of tasks.
+// advanceToNow applies the events that are due: the expiry of the lease and the completion of tasks.
 func (w *worker) advanceToNow() {
 	now := time.Now()
 	if !w.leaseRenewedAt.IsZero() && now.Sub(w.leaseRenewedAt) > w.fleet.settings.LeaseDuration {
@@ -120,7 +120,8 @@
 	}
 }
 
-// heartbeatDelay returns the time to wait before the next heartbeat.
+// heartbeatDelay returns the time to wait before the next heartbeat. It is shorter than usual if the
+// last one was not delivered, if something has changed, or if a task completes earlier.
 func (w *worker) heartbeatDelay(delivered bool) time.Duration {
 	w.fleet.mu.Lock()
 	defer w.fleet.mu.Unlock()
@@ -139,7 +140,8 @@
 	return delay
 }
 
-// sleep waits. It returns false at once if the machine is removed or the context is cancelled.
+// sleep waits for the duration and returns true. It returns false as soon as the machine is removed or
+// the context is cancelled.
 func (w *worker) sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -151,7 +153,7 @@
 	}
 }
 
-// nextHeartbeat encodes the next heartbeat; nil while the machine is partitioned.
+// nextHeartbeat returns the next heartbeat in JSON, or nil while the machine is partitioned.
 func (w *worker) nextHeartbeat() []byte {
 	fleet := w.fleet
 	fleet.mu.Lock()
@@ -170,7 +172,8 @@
 	return storage.Encode(heartbeat)
 }
 
-// sendHeartbeat posts a heartbeat to the worker's controller. It returns status 0 without a response.
+// sendHeartbeat posts a heartbeat to the worker's controller and returns the status and the body of the
+// response. The status is 0 if there is no response.
 func (w *worker) sendHeartbeat(ctx context.Context, client *http.Client, body []byte) (int, []byte) {
 	w.fleet.mu.Lock()
 	nodes := w.fleet.settings.Nodes
@@ -197,8 +200,8 @@
 	return resp.StatusCode, raw
 }
 
-// nextNode returns the controller that follows the worker's current one in order of name; a random
-// one if it has none yet.
+// nextNode returns the name of the controller that follows the worker's current one in sorted order, or
+// of a random one if the current one is unknown.
 func (w *worker) nextNode() string {
 	names := make([]string, 0, len(w.fleet.settings.Nodes))
 	for name := range w.fleet.settings.Nodes {
@@ -213,8 +216,8 @@
 }
 
 // handleResponse executes the commands of a response, or switches to another controller. It returns
-// false if the heartbeat was not delivered. Responses that are late or carry an older fencing token
-// are dropped, as the protocol demands.
+// false if the heartbeat was not delivered. It drops responses that are late or carry an older fencing
+// token, as the protocol requires.
 func (w *worker) handleResponse(status int, body []byte, sentAt time.Time) bool {
 	fleet := w.fleet
 	receivedAt := time.Now()
@@ -273,7 +276,8 @@
 		runTime)
 }
 
-// stopTask stops a task, and records whether there was a reason for that.
+// stopTask stops a task. It records a running task as wrongly stopped if its job was uploaded and not
+// cancelled and no other machine runs the task.
 func (w *worker) stopTask(stopping *task, receivedAt time.Time) {
 	fleet := w.fleet
 	cancelled := fleet.cancelRequested[jobOfTask(stopping.TaskID)]
