--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -31,23 +31,23 @@
 	command     *exec.Cmd
 	exited      chan struct{} // closed once the process has exited
 	lastLogLine string
-	killed      bool // by signal; its exit is expected
+	killed      bool // whether a signal was sent, after which an exit is expected
 }
 
-// controllerSet is all controllers of an emulation.
+// controllerSet manages all controller processes of an emulation.
 type controllerSet struct {
 	options   *Options
 	members   []*controller
-	directory string // of the settings files
-	// settingsFile is the path of the operators' settings file; empty: none.
+	directory string // temporary directory of the settings files
+	// settingsFile is the path of the operators' settings file, empty if there is none.
 	settingsFile string
-	// reservation keeps the controllers' addresses while none of them listens, before their
-	// start and between a kill and the next start.
+	// reservation reserves the controllers' addresses while no controller listens on them: before
+	// the first start and between a kill and the next start.
 	reservation *fakes.AddressReservation
 }
 
-// smallFleetSettings are operators' settings with which the recovery of a small fleet is paced as
-// that of a large one.
+// smallFleetSettings are operators' settings that pace the recovery of a small fleet like that of
+// a large one. By default the recovery of a small fleet is not paced.
 const smallFleetSettings = "recovery_from: 0\n"
 
 // newControllerSet reserves the controllers' addresses and writes their settings files into a
@@ -85,11 +85,11 @@
 }
 
 // writeConfigFile writes the platform's settings file of one controller.
-func (c *controllerSet) writeConfigFile(member *controller, storeAddress, cloudAddress string) error {
+func (s *controllerSet) writeConfigFile(member *controller, storeAddress, cloudAddress string) error {
 	platform := config.Platform{Node: member.name, Location: "a", ClientListen: member.clientAddress,
-		PeerBind: member.peerAddress, Cluster: c.options.clusterConfig()}
+		PeerBind: member.peerAddress, Cluster: s.options.clusterConfig()}
 	platform.Services.Store, platform.Services.Cloud = storeAddress, cloudAddress
-	for _, other := range c.members {
+	for _, other := range s.members {
 		if other != member {
 			platform.Peers = append(platform.Peers,
 				config.Peer{Node: other.name, Location: "a", Address: other.peerAddress})
@@ -102,62 +102,64 @@
 	return os.WriteFile(member.configFile, raw, 0o600)
 }
 
-// clientAddresses returns the controllers' client addresses, by name.
-func (c *controllerSet) clientAddresses() map[string]string {
-	users := map[string]string{}
-	for _, member := range c.members {
-		users[member.name] = member.clientAddress
+// clientAddresses returns the controllers' client addresses by controller name.
+func (s *controllerSet) clientAddresses() map[string]string {
+	addresses := map[string]string{}
+	for _, member := range s.members {
+		addresses[member.name] = member.clientAddress
 	}
-	return users
+	return addresses
 }
 
-// startAll starts all controller processes.
-func (c *controllerSet) startAll() error {
-	for _, member := range c.members {
-		if err := member.start(c.options.Program, c.settingsFile); err != nil {
+// startAll starts all controller processes. It stops at the first that can't be started.
+func (s *controllerSet) startAll() error {
+	for _, member := range s.members {
+		if err := member.start(s.options.Program, s.settingsFile); err != nil {
 			return fmt.Errorf("controller %s does not start: %w", member.name, err)
 		}
 	}
 	return nil
 }
 
-// killAll kills all controllers at once with SIGKILL, which they can't handle, and waits for them.
-func (c *controllerSet) killAll() {
-	for _, member := range c.members {
+// killAll kills all controllers at once with SIGKILL, which they can't handle, and waits until
+// they have exited.
+func (s *controllerSet) killAll() {
+	for _, member := range s.members {
 		member.signal(os.Kill)
 	}
-	for _, member := range c.members {
+	for _, member := range s.members {
 		member.waitForExit()
 	}
 }
 
 // close kills all controllers, releases their addresses and removes their settings files.
-func (c *controllerSet) close() {
-	c.killAll()
-	if c.reservation != nil {
-		c.reservation.Close()
+func (s *controllerSet) close() {
+	s.killAll()
+	if s.reservation != nil {
+		s.reservation.Close()
 	}
-	os.RemoveAll(c.directory)
+	os.RemoveAll(s.directory)
 }
 
 // unexpectedExit returns a *ControllerExitedError if a controller has exited without being killed.
-func (c *controllerSet) unexpectedExit() error {
-	for _, member := range c.members {
-		if reason, failed := member.unexpectedExit(); failed {
+func (s *controllerSet) unexpectedExit() error {
+	for _, member := range s.members {
+		if reason, exited := member.unexpectedExit(); exited {
 			return &ControllerExitedError{Controller: member.name, Reason: reason}
 		}
 	}
 	return nil
 }
 
-// start starts the process.
-func (one *controller) start(program, settings string) error {
-	args := []string{"--config", one.configFile}
+// start starts the process with an operators' settings file, if the path is not empty.
+func (c *controller) start(program, settings string) error {
+	args := []string{"--config", c.configFile}
 	if settings != "" {
 		args = append(args, "--settings", settings)
 	}
 	command := exec.Command(program, args...)
-	// The child dies with this process, however that ends, but not by an interrupt at the terminal.
+	// The kernel kills the child when this process ends for any reason. The child has a process
+	// group of its own, so that an interrupt at the terminal does not reach it.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	log, err := command.StderrPipe()
 	if err != nil {
@@ -167,77 +169,78 @@
 		return err
 	}
 	exited := make(chan struct{})
-	one.mu.Lock()
-	one.command, one.exited, one.killed = command, exited, false
-	one.mu.Unlock()
+	c.mu.Lock()
+	c.command, c.exited, c.killed = command, exited, false
+	c.mu.Unlock()
 	go func() {
-		one.recordLog(log)
+		c.recordLog(log)
 		command.Wait()
 		close(exited)
 	}()
 	return nil
 }
 
-// recordLog keeps the last line of the process's log.
-func (one *controller) recordLog(log io.Reader) {
+// recordLog reads the process's log until its end and keeps the last line.
+func (c *controller) recordLog(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		one.mu.Lock()
-		one.lastLogLine = lines.Text()
-		one.mu.Unlock()
+		c.mu.Lock()
+		c.lastLogLine = lines.Text()
+		c.mu.Unlock()
 	}
 	io.Copy(io.Discard, log)
 }
 
 // signal sends a signal to the process and marks its exit as expected.
-func (one *controller) signal(signal os.Signal) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.command != nil {
-		one.killed = true
-		one.command.Process.Signal(signal)
+func (c *controller) signal(signal os.Signal) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.command != nil {
+		c.killed = true
+		c.command.Process.Signal(signal)
 	}
 }
 
-// waitForExit waits until the process has exited, if it was ever started.
-func (one *controller) waitForExit() {
-	one.mu.Lock()
-	exited := one.exited
-	one.mu.Unlock()
+// waitForExit waits until the process has exited. It returns at once if it was never started.
+func (c *controller) waitForExit() {
+	c.mu.Lock()
+	exited := c.exited
+	c.mu.Unlock()
 	if exited != nil {
 		<-exited
 	}
 }
 
-// unexpectedExit returns whether the process has exited without being killed, and its last log line.
-func (one *controller) unexpectedExit() (reason string, exited bool) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.exited == nil || one.killed {
+// unexpectedExit returns whether the process has exited without being killed. The reason is its
+// last log line, or its exit status if it has logged nothing.
+func (c *controller) unexpectedExit() (reason string, exited bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.exited == nil || c.killed {
 		return "", false
 	}
 	select {
-	case <-one.exited:
-		if one.lastLogLine == "" {
-			return one.command.ProcessState.String(), true
+	case <-c.exited:
+		if c.lastLogLine == "" {
+			return c.command.ProcessState.String(), true
 		}
-		return one.lastLogLine, true
+		return c.lastLogLine, true
 	default:
 		return "", false
 	}
 }
 
-// waitForLeader waits until all controllers name the same leader. It returns a *NoLeaderError if they
-// don't in time.
-func (c *controllerSet) waitForLeader(ctx context.Context, timeout time.Duration) error {
+// waitForLeader waits until all controllers name the same leader. It returns a *NoLeaderError after
+// the timeout, and a *ControllerExitedError if a controller exits.
+func (s *controllerSet) waitForLeader(ctx context.Context, timeout time.Duration) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
-		if err := c.unexpectedExit(); err != nil {
+		if err := s.unexpectedExit(); err != nil {
 			return err
 		}
-		if c.commonLeader(ctx, client) != "" {
+		if s.commonLeader(ctx, client) != "" {
 			return nil
 		}
 		if !sleep(ctx, leaderPollInterval) {
@@ -247,25 +250,26 @@
 	return &NoLeaderError{Timeout: timeout}
 }
 
-// leaderPollInterval is the time between two queries of who leads.
+// leaderPollInterval is the time between two rounds of queries for the leader.
 const leaderPollInterval = 100 * time.Millisecond
 
-// commonLeader returns the leader that all controllers name; empty if they don't agree on one.
-func (c *controllerSet) commonLeader(ctx context.Context, client *http.Client) string {
+// commonLeader returns the leader that all controllers name, or "" if they don't agree on one.
+func (s *controllerSet) commonLeader(ctx context.Context, client *http.Client) string {
 	leader := ""
-	for _, member := range c.members {
-		named := member.knownLeader(ctx, client)
-		if named == "" || leader != "" && leader != named {
+	for _, member := range s.members {
+		reportedLeader := member.knownLeader(ctx, client)
+		if reportedLeader == "" || leader != "" && leader != reportedLeader {
 			return ""
 		}
-		leader = named
+		leader = reportedLeader
 	}
 	return leader
 }
 
-// knownLeader returns the leader that the controller names; empty if it names none.
-func (one *controller) knownLeader(ctx context.Context, client *http.Client) string {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+one.clientAddress+"/status", nil)
+// knownLeader returns the leader that the controller's status names, or "" if it names none or
+// there is no valid response.
+func (c *controller) knownLeader(ctx context.Context, client *http.Client) string {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.clientAddress+"/status", nil)
 	if err != nil {
 		return ""
 	}
@@ -292,9 +296,9 @@
 }
 
 // processUsages reads the controllers' resource usage from /proc.
-func (c *controllerSet) processUsages() []ProcessUsage {
+func (s *controllerSet) processUsages() []ProcessUsage {
 	var usages []ProcessUsage
-	for _, member := range c.members {
+	for _, member := range s.members {
 		member.mu.Lock()
 		pid := member.command.Process.Pid
 		member.mu.Unlock()
@@ -304,7 +308,7 @@
 	return usages
 }
 
-// peakMemoryMB returns the peak resident memory of a process; 0 if it can't be read.
+// peakMemoryMB returns the peak resident memory of a process in MiB, or 0 if it can't be read.
 func peakMemoryMB(pid int) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(raw)) {
@@ -316,7 +320,7 @@
 	return 0
 }
 
-// socketCount returns the number of open sockets of a process.
+// socketCount returns the number of open sockets of a process, or 0 if they can't be read.
 func socketCount(pid int) int {
 	directory := fmt.Sprintf("/proc/%d/fd", pid)
 	entries, _ := os.ReadDir(directory)
@@ -333,7 +337,7 @@
 // ticksPerSecond is the unit of processor times in /proc/PID/stat (USER_HZ).
 const ticksPerSecond = 100
 
-// cpuSeconds returns the user and system time of a process; 0 if it can't be read.
+// cpuSeconds returns the user and system time of a process, or 0 if it can't be read.
 func cpuSeconds(pid int) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, after, _ := strings.Cut(string(raw), ") ")
--- a/internal/fakes/close_test.go
+++ b/internal/fakes/close_test.go
@@ -16,24 +16,25 @@
 // closeTimeout bounds the time that closing a fake may take.
 const closeTimeout = 3 * time.Second
 
-// closesInTime fails the test if a function takes longer than closeTimeout.
-func closesInTime(t *testing.T, name string, closeAll func()) {
+// checkCloseTime fails the test if a function takes longer than closeTimeout.
+func checkCloseTime(t *testing.T, name string, closeAll func()) {
 	t.Helper()
 	startedAt := time.Now()
 	closeAll()
 	if took := time.Since(startedAt); took > closeTimeout {
-		t.Errorf("closing the %s took %v", name, took)
+		t.Errorf("closing the %s took %v, longer than closeTimeout", name, took)
 	}
 }
 
-// Close ends the heartbeats in flight, also those to a controller that does not respond, and the
-// watches. TestMain checks that no goroutine is left.
-func TestClose(t *testing.T) {
-	silent, err := net.Listen("tcp4", "127.0.0.1:0")
+// Guards against fakes whose Close hangs or leaves goroutines behind while a worker waits for the
+// response of an unresponsive controller and while a watch is open. TestMain checks that no goroutine
+// remains.
+func TestCloseEndsHeartbeatsAndWatches(t *testing.T) {
+	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { silent.Close() })
+	t.Cleanup(func() { unresponsive.Close() })
 	store, err := NewStore(0)
 	if err != nil {
 		t.Fatal(err)
@@ -42,22 +43,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet.SetNodes(map[string]string{"n0": silent.Addr().String()})
-	watched := make(chan error, 1)
-	go func() { watched <- watchOnce(t.Context(), store.Server.URL) }()
-	accepted, err := silent.Accept() // a worker's heartbeat is in flight
+	fleet.SetNodes(map[string]string{"n0": unresponsive.Addr().String()})
+	watchResult := make(chan error, 1)
+	go func() { watchResult <- watchOnce(t.Context(), store.Server.URL) }()
+	heartbeatConn, err := unresponsive.Accept() // a worker's heartbeat is in flight
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { accepted.Close() })
-	closesInTime(t, "fleet", fleet.Close)
-	closesInTime(t, "store", store.Server.Close)
-	if err := <-watched; err == nil {
-		t.Error("a watch was answered by a store that was closed")
+	t.Cleanup(func() { heartbeatConn.Close() })
+	checkCloseTime(t, "fleet", fleet.Close)
+	checkCloseTime(t, "store", store.Server.Close)
+	if err := <-watchResult; err == nil {
+		t.Error("the watch got a response from a closed store, expected an error")
 	}
 }
 
-// watchOnce sends a request that the store answers after a minute.
+// watchOnce sends a watch request, which the store answers after a minute if no key changes.
 func watchOnce(ctx context.Context, url string) error {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -72,8 +73,9 @@
 	return response.Body.Close()
 }
 
-// Close ends the connections of a relay, in whatever state they are.
-func TestRelayClose(t *testing.T) {
+// Guards against a Close of a relay that hangs or leaves connections open, in particular while a
+// direction is blocked and bytes are held back.
+func TestRelayCloseEndsConnections(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		toTarget, fromTarget bool
@@ -104,10 +106,10 @@
 					t.Fatal(err)
 				}
 			}
-			closesInTime(t, "relay", relay.Close)
+			checkCloseTime(t, "relay", relay.Close)
 			client.SetReadDeadline(time.Now().Add(closeTimeout))
 			if _, err := io.Copy(io.Discard, client); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Error("the client's connection stays open")
+				t.Error("the client's connection is still open after Close")
 			}
 		})
 	}
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -20,9 +20,9 @@
 	closed            bool
 	connections       map[net.Conn]bool
 
-	dialing     context.Context // of connections to the target; cancelled by Close
-	stopDialing context.CancelFunc
-	forwarding  sync.WaitGroup // counts the relay's goroutines
+	dialContext context.Context // context of dials to the target, cancelled by Close
+	cancelDials context.CancelFunc
+	goroutines  sync.WaitGroup // counts the relay's goroutines
 }
 
 // NewRelay starts a relay to a target address.
@@ -33,8 +33,8 @@
 	}
 	r := &Relay{listener: listener, target: target, connections: map[net.Conn]bool{}}
 	r.unblocked = sync.NewCond(&r.mu)
-	r.dialing, r.stopDialing = context.WithCancel(context.Background())
-	r.forwarding.Go(r.acceptConnections)
+	r.dialContext, r.cancelDials = context.WithCancel(context.Background())
+	r.goroutines.Go(r.acceptConnections)
 	return r, nil
 }
 
@@ -49,11 +49,11 @@
 	r.unblocked.Broadcast()
 }
 
-// Close closes the listener and all connections of the relay, and waits for their ends.
+// Close closes the listener and all connections of the relay, and waits for its goroutines.
 func (r *Relay) Close() {
-	r.stopDialing()
+	r.cancelDials()
 	r.closeAll()
-	r.forwarding.Wait()
+	r.goroutines.Wait()
 }
 
 // closeAll closes the listener and all connections.
@@ -75,17 +75,17 @@
 		if err != nil {
 			return
 		}
-		r.forwarding.Go(func() { r.connectToTarget(conn) })
+		r.goroutines.Go(func() { r.connectToTarget(conn) })
 	}
 }
 
 // dialTimeout bounds the time to connect to the target.
 const dialTimeout = time.Second
 
-// connectToTarget connects a client with the target and forwards bytes both ways.
+// connectToTarget connects a client to the target and forwards bytes in both directions.
 func (r *Relay) connectToTarget(client net.Conn) {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	server, err := dialer.DialContext(r.dialing, "tcp4", r.target)
+	server, err := dialer.DialContext(r.dialContext, "tcp4", r.target)
 	if err != nil {
 		client.Close()
 		return
@@ -95,12 +95,12 @@
 		server.Close()
 		return
 	}
-	r.forwarding.Go(func() { r.forwardBytes(client, server, &r.blockedToTarget) })
+	r.goroutines.Go(func() { r.forwardBytes(client, server, &r.blockedToTarget) })
 	r.forwardBytes(server, client, &r.blockedFromTarget)
 }
 
 // addConnections records connections, so that Close closes them. It returns false if the relay is
-// closed already.
+// already closed.
 func (r *Relay) addConnections(connections ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,7 +113,8 @@
 	return true
 }
 
-// forwardBytes copies bytes from one end to the other, and waits while the direction is blocked.
+// forwardBytes copies bytes from one end to the other until either closes. It waits while the
+// direction is blocked.
 func (r *Relay) forwardBytes(from, to net.Conn, blocked *bool) {
 	defer r.closeConnections(from, to)
 	buffer := make([]byte, 16<<10)
@@ -135,7 +136,7 @@
 	}
 }
 
-// closeConnections closes connections and forgets them.
+// closeConnections closes connections and removes them from the relay.
 func (r *Relay) closeConnections(connections ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fakes/reservation_test.go
+++ b/internal/fakes/reservation_test.go
@@ -8,9 +8,10 @@
 	"testing"
 )
 
-// A reserved address can be listened on again and again, and nobody gets it who did not ask
-// for it: neither another reservation nor a socket that does not share addresses.
-func TestReservedAddressesAreKept(t *testing.T) {
+// Guards against a reserved address that another socket takes while no server listens on it, so that
+// a restarted server can't listen: servers can listen on the address repeatedly, but neither another
+// reservation nor a socket without SO_REUSEADDR gets it.
+func TestReservedAddressesAreExclusive(t *testing.T) {
 	reservation, err := ReserveAddresses(20)
 	if err != nil {
 		t.Fatal(err)
@@ -24,14 +25,14 @@
 		reserved[address] = true
 	}
 	for _, address := range reservation.Addresses() {
-		if err := listenUnshared(address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("%s without SO_REUSEADDR: error %v, not EADDRINUSE", address, err)
+		if err := listenWithoutReuseAddr(address); !errors.Is(err, syscall.EADDRINUSE) {
+			t.Errorf("listening on %s without SO_REUSEADDR: error %v, expected EADDRINUSE", address, err)
 		}
 		for range 3 {
-			useAddress(t, address)
+			serveOneConnection(t, address)
 		}
-		if err := listenUnshared(address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("%s without SO_REUSEADDR, after its server: error %v, not EADDRINUSE", address, err)
+		if err := listenWithoutReuseAddr(address); !errors.Is(err, syscall.EADDRINUSE) {
+			t.Errorf("listening on %s without SO_REUSEADDR after its server: error %v, expected EADDRINUSE", address, err)
 		}
 	}
 	other, err := ReserveAddresses(200)
@@ -41,35 +42,35 @@
 	defer other.Close()
 	for _, address := range other.Addresses() {
 		if reserved[address] {
-			t.Errorf("%s is reserved by two", address)
+			t.Errorf("%s is reserved by two reservations", address)
 		}
 	}
 }
 
-// useAddress runs a server at an address, with one connection that the server closes first, so
-// that the connection stays behind in TIME_WAIT at the server's port.
-func useAddress(t *testing.T, address string) {
+// serveOneConnection runs a server on an address with one connection. The server closes it first, so
+// that the connection remains in TIME_WAIT at the server's port.
+func serveOneConnection(t *testing.T, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	caller, err := net.Dial("tcp4", address)
+	client, err := net.Dial("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer caller.Close()
-	served, err := listener.Accept()
+	defer client.Close()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	served.Close()
+	conn.Close()
 }
 
-// listenUnshared listens at an address without SO_REUSEADDR, under the rules by which the kernel
-// also chooses ports.
-func listenUnshared(address string) error {
+// listenWithoutReuseAddr listens on an address without SO_REUSEADDR. The kernel applies the same rules
+// when it chooses ports itself.
+func listenWithoutReuseAddr(address string) error {
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 		var err error
 		if controlErr := conn.Control(func(socket uintptr) {
