--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -18,11 +18,11 @@
 func sweepAll() bool { return os.Getenv("HITCHDOOR_SWEEP") != "" }
 
 // forEachSeed runs a parallel sub-test for each of the usual number of seeds, or of the sweep's.
-func forEachSeed(t *testing.T, usual, sweep uint64, run func(t *testing.T, seed uint64)) {
+func forEachSeed(t *testing.T, sampleSeeds, sweepSeeds uint64, run func(t *testing.T, seed uint64)) {
 	t.Helper()
-	seeds := usual
+	seeds := sampleSeeds
 	if sweepAll() {
-		seeds = sweep
+		seeds = sweepSeeds
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -34,9 +34,10 @@
 
 // newFaultCombination returns a simulation with the given worker timings, users, a leader, machines
 // and jobs whose tasks run for an hour.
-func newFaultCombination(t *testing.T, nodes int, p workerTimings, seed uint64, jobs, tasks int) (*userSimulation, *simNode) {
+func newFaultCombination(t *testing.T, nodes int, timings workerTimings, seed uint64, jobs, tasks int) (
+	*userSimulation, *simNode) {
 	t.Helper()
-	c := newUserSimulation(newSimulationWithTimings(t, nodes, p), seed)
+	c := newUserSimulation(newSimulationWithTimings(t, nodes, timings), seed)
 	c.taskDuration = func(string, int) time.Duration { return time.Hour }
 	c.driftClocks()
 	c.waitForLeader()
@@ -47,11 +48,11 @@
 		c.submit(c.randomNode(), job)
 	}
 	if !c.advanceUntil(time.Minute, func() bool {
-		on := 0
+		active := 0
 		for i := range jobs {
-			on += c.activeTaskCount(fmt.Sprintf("j-%d", i))
+			active += c.activeTaskCount(fmt.Sprintf("j-%d", i))
 		}
-		return on == jobs*tasks
+		return active == jobs*tasks
 	}) {
 		t.Fatal("not all tasks are on machines")
 	}
@@ -104,10 +105,10 @@
 }
 
 // cancelSomeJobs cancels one in oneIn of the open jobs, all within a moment.
-func (c *userSimulation) cancelSomeJobs(oneIn int, moment time.Duration) {
+func (c *userSimulation) cancelSomeJobs(oneIn int, span time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
 		if c.terminalStates[id] == "" && c.rng.IntN(oneIn) == 0 {
-			c.schedule(c.randomDuration(moment), func() { c.cancelWithRetries(id) })
+			c.schedule(c.randomDuration(span), func() { c.cancelWithRetries(id) })
 		}
 	}
 }
@@ -133,33 +134,33 @@
 	var copies []*protocol.WorkerHeartbeat
 	c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 		if c.rng.IntN(6) == 0 {
-			again := *heartbeat
-			copies = append(copies, &again)
+			copied := *heartbeat
+			copies = append(copies, &copied)
 		}
 	}
-	seen := c.leaderName()
-	var look func()
-	look = func() {
+	lastLeader := c.leaderName()
+	var poll func()
+	poll = func() {
 		name := c.leaderName()
-		if name == "" || name == seen {
-			c.schedule(step, look)
+		if name == "" || name == lastLeader {
+			c.schedule(step, poll)
 			return
 		}
-		seen = name
+		lastLeader = name
 		for _, heartbeat := range copies {
 			for _, node := range c.names {
 				for range 2 {
 					c.schedule(c.randomDuration(c.machineLease()/10), func() {
-						again := *heartbeat
-						c.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &again}, func(Reply) {})
+						replayed := *heartbeat
+						c.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &replayed}, func(Reply) {})
 					})
 				}
 			}
 		}
 		copies = nil
-		c.schedule(step, look)
+		c.schedule(step, poll)
 	}
-	look()
+	poll()
 }
 
 // faultCombinations are the combinations of two faults that users asked for, by what coincides.
@@ -176,9 +177,9 @@
 		return 50 * time.Second
 	},
 	"cancelled as soon as accepted, under close looks": func(c *userSimulation) time.Duration {
-		look := c.onJobState
+		onJobState := c.onJobState
 		c.onJobState = func(id string, state protocol.JobState) {
-			look(id, state)
+			onJobState(id, state)
 			if state == "accepted" && c.rng.IntN(2) == 0 {
 				c.schedule(c.randomDuration(200*time.Millisecond), func() { c.cancelWithRetries(id) })
 			}
@@ -222,13 +223,13 @@
 			c.schedule(at, c.replaceLeader)
 			c.schedule(at+c.randomDuration(time.Second), c.replaceLeader)
 			c.schedule(at+8*time.Second+c.randomDuration(4*time.Second), func() {
-				first := c.randomNode()
+				firstBack := c.randomNode()
 				for _, name := range c.names {
-					d := c.machineLease() / 2
-					if name == first {
-						d = c.randomDuration(time.Second)
+					downtime := c.machineLease() / 2
+					if name == firstBack {
+						downtime = c.randomDuration(time.Second)
 					}
-					c.restartAfter(name, d)
+					c.restartAfter(name, downtime)
 				}
 				c.cancelSomeJobs(4, 3*time.Second)
 			})
@@ -258,17 +259,17 @@
 		return 2 * c.machineLease()
 	},
 	"a zone is cut off for longer than a lease": func(c *userSimulation) time.Duration {
-		inside := c.randomNode()
-		c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == inside) }
-		c.store.requestsDropped[inside] = true
+		isolated := c.randomNode()
+		c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == isolated) }
+		c.store.requestsDropped[isolated] = true
 		c.holdMessages = c.rng.IntN(2) == 0
-		c.isolateNode(inside)
+		c.isolateNode(isolated)
 		c.submitMoreJobs(10, 30*time.Second, nil)
 		c.cancelSomeJobs(3, 8*time.Second)
 		c.schedule(c.randomDuration(c.machineLease()), c.replaceLeader)
 		c.schedule(c.machineLease()*5/4+c.randomDuration(c.machineLease()/2), func() {
 			c.workerReaches = nil
-			delete(c.store.requestsDropped, inside)
+			delete(c.store.requestsDropped, isolated)
 			c.healCuts()
 		})
 		return 2 * c.machineLease()
@@ -297,18 +298,18 @@
 		return 2 * c.machineLease()
 	},
 	"a half-cut leader, and cancellations through the new one": func(c *userSimulation) time.Duration {
-		old := c.leaderName()
-		c.workerReaches = func(worker *fakeWorker, node string) bool { return node == old || worker.zone == "a" }
-		c.store.requestsDropped[old] = true
+		oldLeader := c.leaderName()
+		c.workerReaches = func(worker *fakeWorker, node string) bool { return node == oldLeader || worker.zone == "a" }
+		c.store.requestsDropped[oldLeader] = true
 		c.holdMessages = c.rng.IntN(2) == 0
-		c.isolateNode(old)
+		c.isolateNode(oldLeader)
 		for range 3 {
 			c.schedule(c.randomDuration(c.machineLease()), func() { c.cancelSomeJobs(4, time.Second) })
 		}
 		c.submitMoreJobs(8, 20*time.Second, nil)
 		c.schedule(c.cancelLimit()+c.randomDuration(c.machineLease()), func() {
 			c.workerReaches = nil
-			delete(c.store.requestsDropped, old)
+			delete(c.store.requestsDropped, oldLeader)
 			c.healCuts()
 		})
 		return c.cancelLimit() + c.machineLease()
@@ -355,22 +356,22 @@
 		return 45 * time.Second
 	},
 	"questions and cancellations meet the end of the last task": func(c *userSimulation) time.Duration {
-		run := c.taskDuration
+		taskDuration := c.taskDuration
 		c.taskDuration = func(task string, n int) time.Duration {
-			d := run(task, n)
+			duration := taskDuration(task, n)
 			id := jobIDOf(task)
-			c.schedule(d+c.randomDuration(400*time.Millisecond), func() {
-				j := c.jobSpecs[id]
+			c.schedule(duration+c.randomDuration(400*time.Millisecond), func() {
+				job := c.jobSpecs[id]
 				switch c.rng.IntN(3) {
 				case 0:
 					c.cancelWithRetries(id)
 				case 1:
-					c.submitWithRetries(j)
+					c.submitWithRetries(job)
 				default:
 					c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
 				}
 			})
-			return d
+			return duration
 		}
 		c.submitMoreJobs(30, 30*time.Second, func(_ int, j *protocol.Job) { j.TaskCount = 1 + c.rng.IntN(2) })
 		return 45 * time.Second
@@ -378,10 +379,10 @@
 	"old reports after newer ones": func(c *userSimulation) time.Duration {
 		c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 			if c.rng.IntN(2) == 0 {
-				again := *heartbeat
+				copied := *heartbeat
 				c.schedule(time.Duration(c.rng.ExpFloat64()*float64(c.machineLease())), func() {
 					c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat,
-						Heartbeat: &again}, func(Reply) {})
+						Heartbeat: &copied}, func(Reply) {})
 				})
 			}
 		}
@@ -570,9 +571,9 @@
 	id := ids[c.rng.IntN(len(ids))]
 	switch c.rng.IntN(3) {
 	case 0:
-		again := c.jobSpecs[id]
-		again.Cores, again.TaskCount, again.Team = 400, 77, "nobody"
-		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: id, Job: &again}, func(Reply) {})
+		changed := c.jobSpecs[id]
+		changed.Cores, changed.TaskCount, changed.Team = 400, 77, "nobody"
+		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: id, Job: &changed}, func(Reply) {})
 	case 1:
 		if c.terminalStates[id] != "" {
 			c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: id}, func(Reply) {})
@@ -592,7 +593,7 @@
 // deployment, at random offsets, under frequent queries. In the end every job is done or cancelled,
 // no job is pending beside free capacity, and no job is forgotten.
 func TestFaultCombinations(t *testing.T) {
-	for name, meet := range faultCombinations {
+	for name, inject := range faultCombinations {
 		t.Run(name, func(t *testing.T) {
 			forEachSeed(t, 8, 60, func(t *testing.T, seed uint64) {
 				sim := newSimulationWithTimings(t, []int{3, 7}[seed%2], deployments[seed/2%uint64(len(deployments))])
@@ -602,19 +603,19 @@
 					c.startNode(node)
 				}
 				c.driftClocks()
-				times := map[string]time.Duration{}
+				durations := map[string]time.Duration{}
 				c.taskDuration = func(task string, _ int) time.Duration {
-					if times[task] == 0 {
-						times[task] = time.Second + c.randomDuration(40*time.Second)
+					if durations[task] == 0 {
+						durations[task] = time.Second + c.randomDuration(40*time.Second)
 					}
-					return times[task]
+					return durations[task]
 				}
 				c.waitForLeader()
 				c.startMachines(8)
 				c.queryAfterEachChange()
 				c.submitMoreJobs(8, 100*time.Millisecond, nil)
 				c.advance(8 * time.Second)
-				c.advance(meet(c))
+				c.advance(inject(c))
 				c.store.lateExecution, c.store.requestDelay, c.onHeartbeat = nil, nil, nil
 				c.advance(12 * time.Second) // delayed calls arrive
 				c.waitForCompletion(5 * time.Minute)
@@ -626,29 +627,29 @@
 // One-task jobs arrive four a second for minutes, a quarter of them is cancelled, while the store
 // limits its write rate and the leader changes: no backlog of writes grows, and cancellations are
 // confirmed without additional delay.
-func TestSmallJobsByTheHundred(t *testing.T) {
-	for k, p := range deployments {
-		t.Run(fmt.Sprintf("lease %v", p.machineLease), func(t *testing.T) {
+func TestManySmallJobs(t *testing.T) {
+	for i, timings := range deployments {
+		t.Run(fmt.Sprintf("lease %v", timings.machineLease), func(t *testing.T) {
 			t.Parallel()
-			c := newUserSimulation(newSimulationWithTimings(t, 3, p), uint64(k))
+			c := newUserSimulation(newSimulationWithTimings(t, 3, timings), uint64(i))
 			c.store.limitWriteRate = true
 			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(6*time.Second) }
 			c.waitForLeader()
 			c.startMachines(12)
-			const minutes, rate = 3, 4
-			slowest, most := time.Duration(0), 0
-			for i := range minutes * 60 * rate {
+			const minutes, jobsPerSecond = 3, 4
+			slowestCancellation, mostPendingChanges := time.Duration(0), 0
+			for i := range minutes * 60 * jobsPerSecond {
 				job := jobSpec(fmt.Sprintf("j-%d", i), 1)
-				c.schedule(time.Duration(i)*time.Second/rate, func() { c.submitWithRetries(job) })
+				c.schedule(time.Duration(i)*time.Second/jobsPerSecond, func() { c.submitWithRetries(job) })
 				if i%4 == 0 {
-					c.schedule(time.Duration(i)*time.Second/rate+time.Second+c.randomDuration(5*time.Second), func() {
+					c.schedule(time.Duration(i)*time.Second/jobsPerSecond+time.Second+c.randomDuration(5*time.Second), func() {
 						if !c.knowsAccepted(job.ID) {
 							return // not accepted yet, as the leader changes
 						}
-						asked := c.now
+						requestedAt := c.now
 						c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: job.ID}, func(r Reply) {
 							if r.Status == 200 {
-								slowest = max(slowest, c.now-asked)
+								slowestCancellation = max(slowestCancellation, c.now-requestedAt)
 							} else {
 								c.cancelWithRetries(job.ID)
 							}
@@ -659,14 +660,14 @@
 			c.schedule(minutes*30*time.Second, c.replaceLeader)
 			for end := c.now + minutes*time.Minute; c.now < end; c.advance(time.Second) {
 				if name := c.leaderName(); name != "" {
-					most = max(most, c.nodes[name].leader.writer.PendingChanges())
+					mostPendingChanges = max(mostPendingChanges, c.nodes[name].leader.writer.PendingChanges())
 				}
 			}
-			if slowest > 2*time.Second {
-				t.Errorf("a cancellation was confirmed after %v", slowest)
+			if slowestCancellation > 2*time.Second {
+				t.Errorf("a cancellation was confirmed after %v", slowestCancellation)
 			}
-			if most > 60 {
-				t.Errorf("%d changes waited", most)
+			if mostPendingChanges > 60 {
+				t.Errorf("%d changes waited", mostPendingChanges)
 			}
 			c.waitForCompletion(time.Minute)
 		})
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -29,7 +29,7 @@
 	terminalStates     map[string]protocol.JobState // terminal states in replies, by job
 	terminalAt         map[string]clock.Instant     // of the first such reply, by job
 	cancelRequested    map[string]bool              // jobs for which a user has sent a cancellation
-	answeredAt         map[string]clock.Instant     // of the last reply about a job
+	lastReplyAt        map[string]clock.Instant     // of the last reply about a job
 	completedTasks     map[string]bool              // tasks that have completed
 	firstStartAt       map[string]clock.Instant     // when the first task of a job started
 	faultsEndedAt      clock.Instant                // clock.Never while there are faults
@@ -72,7 +72,7 @@
 	return invariantChecker{submitted: map[string]bool{}, acceptedAt: map[string]clock.Instant{},
 		terminalStates: map[string]protocol.JobState{},
 		terminalAt:     map[string]clock.Instant{}, cancelRequested: map[string]bool{},
-		answeredAt:     map[string]clock.Instant{},
+		lastReplyAt:    map[string]clock.Instant{},
 		completedTasks: map[string]bool{}, firstStartAt: map[string]clock.Instant{}, load: newMachineLoad(), acceptancesByEpoch: map[uint64]int{}, faultsEndedAt: clock.Never, waitingSince: map[string]clock.Instant{}}
 }
 
@@ -92,14 +92,14 @@
 }
 
 // checkReply checks the reply to a user's request that was sent at some moment.
-func (sim *simulation) checkReply(r Request, node string, sent clock.Instant, reply Reply) {
+func (sim *simulation) checkReply(r Request, node string, sentAt clock.Instant, reply Reply) {
 	sim.t.Helper()
 	id := r.JobID
-	accepted, known := sim.acceptedAt[id]
+	acceptedAt, known := sim.acceptedAt[id]
 	if reply.Status == 503 && reply.RetryAfter == 0 {
 		sim.reportViolation("silent wait", "%s of %s at %s: 503 without Retry-After", r.Kind, id, node)
 	}
-	if known && sent >= accepted &&
+	if known && sentAt >= acceptedAt &&
 		(reply.Status == 404 || r.Kind == protocol.RequestSubmit && (reply.Status == 400 || reply.Status == 422)) {
 		sim.reportViolation("forgotten", "%s of %s at %s: %d", r.Kind, id, node, reply.Status)
 	}
@@ -113,7 +113,7 @@
 	if !sim.submitted[id] {
 		sim.reportViolation("invented", "%s of %s at %s: %s", r.Kind, id, node, status.State)
 	}
-	sim.answeredAt[id] = sim.now
+	sim.lastReplyAt[id] = sim.now
 	if !known {
 		sim.acceptedAt[id] = sim.now
 		sim.notifyJobState(id, "accepted")
@@ -121,9 +121,9 @@
 	terminalState, terminal := sim.terminalStates[id]
 	endsJob := status.State == protocol.JobDone || status.State == protocol.JobCancelled
 	switch {
-	case terminal && status.State != terminalState && (endsJob || sent >= sim.terminalAt[id]):
+	case terminal && status.State != terminalState && (endsJob || sentAt >= sim.terminalAt[id]):
 		sim.reportViolation("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id,
-			node, status.State, terminalState, sent, sim.terminalAt[id])
+			node, status.State, terminalState, sentAt, sim.terminalAt[id])
 	case status.State == protocol.JobCancelled && !sim.mayBeCancelled(id):
 		sim.reportViolation("went_back", "%s is cancelled, and nobody asked for it", id)
 	case status.State == protocol.JobDone:
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	if since, orphan := sim.cancelledAt(id); orphan && !terminal && sent > since+sim.cancelLimit() &&
+	if since, cancelled := sim.cancelledAt(id); cancelled && !terminal && sentAt > since+sim.cancelLimit() &&
 		status.State != protocol.JobCancelled {
 		sim.reportViolation("orphaned", "%s is %s", id, status.State)
 	}
@@ -162,10 +162,10 @@
 	if sim.terminalStates[id] == protocol.JobCancelled {
 		at, ok = sim.terminalAt[id], true
 	}
-	for _, need := range sim.jobSpecs[id].Dependencies {
-		since, is := sim.cancelledAt(need)
-		accepted, known := sim.acceptedAt[id]
-		if since = max(since, accepted); is && known && (!ok || since < at) {
+	for _, dependency := range sim.jobSpecs[id].Dependencies {
+		since, cancelled := sim.cancelledAt(dependency)
+		acceptedAt, known := sim.acceptedAt[id]
+		if since = max(since, acceptedAt); cancelled && known && (!ok || since < at) {
 			at, ok = since, true
 		}
 	}
@@ -203,28 +203,28 @@
 // checked at each step, but once for each job.
 func (sim *simulation) checkRunningTasks() {
 	load := &sim.load
-	same := sim.runningTasksUnchanged()
-	if !same {
+	unchanged := sim.runningTasksUnchanged()
+	if !unchanged {
 		sim.collectRunningTasks()
 	}
 	for i := range load.jobs {
-		running := &load.jobs[i]
-		job := sim.jobSpecs[running.id]
-		if running.team != job.Team || running.cores != job.Cores || running.gpus != job.Accelerators {
-			running.team, running.cores, running.gpus = job.Team, job.Cores, job.Accelerators
-			same = false
+		usage := &load.jobs[i]
+		job := sim.jobSpecs[usage.id]
+		if usage.team != job.Team || usage.cores != job.Cores || usage.gpus != job.Accelerators {
+			usage.team, usage.cores, usage.gpus = job.Team, job.Cores, job.Accelerators
+			unchanged = false
 		}
-		if since, cancelled := sim.cancelledAt(running.id); cancelled && sim.now > since+sim.cancelLimit() {
-			for _, t := range load.running {
-				if jobIDOf(t.taskKey) == running.id {
+		if since, cancelled := sim.cancelledAt(usage.id); cancelled && sim.now > since+sim.cancelLimit() {
+			for _, task := range load.running {
+				if jobIDOf(task.taskKey) == usage.id {
 					sim.t.Helper()
-					sim.reportViolation("ran_cancelled", "%s is on %s, cancelled at %v (%s)", t.taskKey,
-						t.worker.name, since, t.worker.describe())
+					sim.reportViolation("ran_cancelled", "%s is on %s, cancelled at %v (%s)", task.taskKey,
+						task.worker.name, since, task.worker.describe())
 				}
 			}
 		}
 	}
-	if !same {
+	if !unchanged {
 		load.sumByTeam()
 	}
 	for _, team := range sim.cfg.Teams {
@@ -254,19 +254,19 @@
 	if !sim.load.valid {
 		return false
 	}
-	rest := sim.load.running
+	remaining := sim.load.running
 	for _, worker := range sim.sortedWorkers() {
 		for _, task := range worker.tasks {
 			if task.state == protocol.TaskExited {
 				continue
 			}
-			if len(rest) == 0 || rest[0].worker != worker || rest[0].taskKey != task.taskKey {
+			if len(remaining) == 0 || remaining[0].worker != worker || remaining[0].taskKey != task.taskKey {
 				return false
 			}
-			rest = rest[1:]
+			remaining = remaining[1:]
 		}
 	}
-	return len(rest) == 0
+	return len(remaining) == 0
 }
 
 // collectRunningTasks lists the running tasks and checks that none runs twice. While one does, the
@@ -283,7 +283,7 @@
 				continue
 			}
 			load.running = append(load.running, runningTask{worker, task.taskKey})
-			if other, twice := load.machineByTask[task.taskKey]; twice {
+			if other, duplicate := load.machineByTask[task.taskKey]; duplicate {
 				load.valid = false
 				sim.t.Helper()
 				sim.reportViolation("ran_twice", "%s is on %s and %s", task.taskKey, other, worker.name)
@@ -304,7 +304,7 @@
 // checkWaitingJobs checks, after the faults have ended, that no job is pending for 90 s although a
 // machine that fits has room and the team is within its quota, and that every job starts within
 // four minutes.
-func (sim *simulation) checkWaitingJobs(where map[string]string, cores map[string]float64) {
+func (sim *simulation) checkWaitingJobs(machineByTask map[string]string, coresByTeam map[string]float64) {
 	sim.t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(sim.acceptedAt)) {
 		if _, cancelled := sim.cancelledAt(id); cancelled || sim.terminalStates[id] != "" ||
@@ -312,7 +312,7 @@
 			delete(sim.waitingSince, id)
 			continue
 		}
-		if !sim.hasRoomFor(id, where, cores) {
+		if !sim.hasRoomFor(id, machineByTask, coresByTeam) {
 			delete(sim.waitingSince, id)
 			continue
 		}
@@ -322,44 +322,44 @@
 		if sim.now > sim.waitingSince[id]+90*time.Second {
 			sim.reportViolation("waits", "%s waits for 90 s beside a machine with room: %s", id, sim.explainPending(id))
 		}
-		from := max(sim.faultsEndedAt, sim.acceptedAt[id])
-		for _, need := range sim.jobSpecs[id].Dependencies {
-			from = max(from, sim.terminalAt[need]) // the time counts from the completion of all dependencies
+		eligibleAt := max(sim.faultsEndedAt, sim.acceptedAt[id])
+		for _, dependency := range sim.jobSpecs[id].Dependencies {
+			eligibleAt = max(eligibleAt, sim.terminalAt[dependency]) // the time counts from the completion of all dependencies
 		}
-		if sim.firstStartAt[id] == 0 && sim.now > from+4*time.Minute {
+		if sim.firstStartAt[id] == 0 && sim.now > eligibleAt+4*time.Minute {
 			sim.reportViolation("waits", "%s has not begun after four minutes: %s", id, sim.explainPending(id))
 		}
 	}
 }
 
 // hasRoomFor tells whether a job has a pending task that some machine and the quota have room for.
-func (sim *simulation) hasRoomFor(id string, where map[string]string, cores map[string]float64) bool {
+func (sim *simulation) hasRoomFor(id string, machineByTask map[string]string, coresByTeam map[string]float64) bool {
 	job := sim.jobSpecs[id]
 	if slices.ContainsFunc(job.Dependencies,
-		func(need string) bool { return sim.terminalStates[need] != protocol.JobDone }) {
+		func(dependency string) bool { return sim.terminalStates[dependency] != protocol.JobDone }) {
 		return false
 	}
-	waiting := false
+	hasPendingTask := false
 	for i := range job.TaskCount {
 		key := cluster.TaskKey(id, i)
-		waiting = waiting || !sim.completedTasks[key] && where[key] == ""
+		hasPendingTask = hasPendingTask || !sim.completedTasks[key] && machineByTask[key] == ""
 	}
 	for _, team := range sim.cfg.Teams {
-		if team.Name == job.Team && team.MaxCPUs > 0 && cores[team.Name]+job.Cores > team.MaxCPUs {
+		if team.Name == job.Team && team.MaxCPUs > 0 && coresByTeam[team.Name]+job.Cores > team.MaxCPUs {
 			return false
 		}
 	}
-	if !waiting {
+	if !hasPendingTask {
 		return false
 	}
 	for _, worker := range sim.workers {
-		used := 0.0
+		usedCores := 0.0
 		for _, task := range worker.tasks {
 			if task.state != protocol.TaskExited {
-				used += sim.jobSpecs[jobIDOf(task.taskKey)].Cores
+				usedCores += sim.jobSpecs[jobIDOf(task.taskKey)].Cores
 			}
 		}
-		if worker.preemptionNotice == nil && !worker.faulty && used+job.Cores <= 4 &&
+		if worker.preemptionNotice == nil && !worker.faulty && usedCores+job.Cores <= 4 &&
 			sim.placementViolation(&job, worker) == "" {
 			return true
 		}
@@ -380,22 +380,22 @@
 	if !job.SameZone && !job.Spread {
 		return ""
 	}
-	same, other := 0, 0
-	for _, y := range sim.workers {
-		for _, task := range y.tasks {
+	inSameZone, inOtherZones := 0, 0
+	for _, other := range sim.workers {
+		for _, task := range other.tasks {
 			if jobIDOf(task.taskKey) == job.ID && task.state != protocol.TaskExited {
-				if y.zone == worker.zone {
-					same++
+				if other.zone == worker.zone {
+					inSameZone++
 				} else {
-					other++
+					inOtherZones++
 				}
 			}
 		}
 	}
 	switch {
-	case job.SameZone && other > 0:
+	case job.SameZone && inOtherZones > 0:
 		return "not where the other tasks are"
-	case job.Spread && same+1 > (job.TaskCount+1)/2:
+	case job.Spread && inSameZone+1 > (job.TaskCount+1)/2:
 		return "more than half in one zone"
 	}
 	return ""
@@ -408,13 +408,14 @@
 	sim.t.Helper()
 	id := jobIDOf(key)
 	job := sim.jobSpecs[id]
-	for _, need := range job.Dependencies {
-		if sim.terminalState(need) != protocol.JobDone {
-			sim.reportViolation("too_early", "%s, while the end of %s is %q", key, need, sim.terminalState(need))
+	for _, dependency := range job.Dependencies {
+		if sim.terminalState(dependency) != protocol.JobDone {
+			sim.reportViolation("too_early", "%s, while the end of %s is %q", key, dependency,
+				sim.terminalState(dependency))
 		}
 	}
-	if why := sim.placementViolation(&job, worker); why != "" {
-		sim.reportViolation("wrong_place", "%s starts on %s: %s", key, worker.name, why)
+	if reason := sim.placementViolation(&job, worker); reason != "" {
+		sim.reportViolation("wrong_place", "%s starts on %s: %s", key, worker.name, reason)
 	}
 	if since, cancelled := sim.cancelledAt(id); cancelled && sim.now > since+4*time.Second {
 		sim.reportViolation("started after its cancellation", "%s, cancelled at %v", key, since)
@@ -432,30 +433,30 @@
 // TestInvariantCheckerFindsEachViolation checks that the invariant checker can fail: each rule is
 // violated here by a reply that no node sends, or by a task that no leader started.
 func TestInvariantCheckerFindsEachViolation(t *testing.T) {
-	state := func(s protocol.JobState) Reply {
+	replyWith := func(s protocol.JobState) Reply {
 		return Reply{Status: 200, Body: []byte(`{"uid":"j-1","situacao":"` + s + `"}`)}
 	}
 	query, submit := Request{Kind: protocol.RequestQuery, JobID: "j-1"}, Request{Kind: protocol.RequestSubmit,
 		JobID: "j-1"}
-	put := func(sim *simulation, name, key string, attempt uint64) {
+	addTask := func(sim *simulation, name, key string, attempt uint64) {
 		sim.workers[name].tasks = append(sim.workers[name].tasks,
 			&fakeTask{taskKey: key, attempt: attempt, state: protocol.TaskRunning, endsAt: sim.now + time.Hour})
 	}
-	start := func(sim *simulation, name, key string) {
+	startTask := func(sim *simulation, name, key string) {
 		sim.workers[name].executeCommand(protocol.Command{Kind: protocol.CommandStart, TaskID: key, Attempt: 99})
 	}
-	for rule, breaks := range map[string]func(sim *simulation){
+	for rule, violate := range map[string]func(sim *simulation){
 		"forgotten":  func(sim *simulation) { sim.checkReply(query, "n0", sim.now, Reply{Status: 404}) },
 		"forgotten ": func(sim *simulation) { sim.checkReply(submit, "n0", sim.now, Reply{Status: 422}) },
 		"invented": func(sim *simulation) {
-			sim.checkReply(Request{Kind: protocol.RequestQuery, JobID: "j-x"}, "n0", sim.now, state(protocol.JobQueued))
+			sim.checkReply(Request{Kind: protocol.RequestQuery, JobID: "j-x"}, "n0", sim.now, replyWith(protocol.JobQueued))
 		},
 		"went_back": func(sim *simulation) {
 			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now
-			sim.checkReply(query, "n0", sim.now, state(protocol.JobRunning))
+			sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobRunning))
 		},
-		"went_back ":  func(sim *simulation) { sim.checkReply(query, "n0", sim.now, state(protocol.JobCancelled)) },
-		"not_done":    func(sim *simulation) { sim.checkReply(query, "n0", sim.now, state(protocol.JobDone)) },
+		"went_back ":  func(sim *simulation) { sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobCancelled)) },
+		"not_done":    func(sim *simulation) { sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobDone)) },
 		"silent wait": func(sim *simulation) { sim.checkReply(query, "n0", sim.now, Reply{Status: 503}) },
 		"orphaned": func(sim *simulation) {
 			job := sim.jobSpecs["j-1"]
@@ -463,11 +464,11 @@
 			sim.jobSpecs["j-1"] = job
 			sim.terminalStates["j-0"], sim.terminalAt["j-0"] = protocol.JobCancelled, sim.now-time.Minute
 			sim.acceptedAt["j-1"] -= time.Minute
-			sim.checkReply(query, "n0", sim.now, state(protocol.JobQueued))
+			sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobQueued))
 		},
 		"ran_twice": func(sim *simulation) {
-			put(sim, "m-000001", "j-1/0", 1)
-			put(sim, "m-000002", "j-1/0", 2)
+			addTask(sim, "m-000001", "j-1/0", 1)
+			addTask(sim, "m-000002", "j-1/0", 2)
 			sim.checkInvariants()
 		},
 		"quota": func(sim *simulation) {
@@ -475,36 +476,36 @@
 			job.Team = "team"
 			sim.jobSpecs["j-2"] = job
 			for i := range 17 {
-				put(sim, "m-000001", cluster.TaskKey("j-2", i), 1)
+				addTask(sim, "m-000001", cluster.TaskKey("j-2", i), 1)
 			}
 			sim.checkInvariants()
 		},
 		"ran_cancelled": func(sim *simulation) {
 			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now-sim.cancelLimit()-time.Second
-			put(sim, "m-000001", "j-1/0", 1)
+			addTask(sim, "m-000001", "j-1/0", 1)
 			sim.checkInvariants()
 		},
 		"started after its cancellation": func(sim *simulation) {
 			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now-5*time.Second
-			start(sim, "m-000001", "j-1/0")
+			startTask(sim, "m-000001", "j-1/0")
 		},
 		"too_early": func(sim *simulation) {
 			job := dependentSpec("j-2", 1, "j-1")
 			sim.jobSpecs["j-2"] = job
-			start(sim, "m-000001", "j-2/0")
+			startTask(sim, "m-000001", "j-2/0")
 		},
 		"wrong_place": func(sim *simulation) {
 			job := jobSpec("j-2", 1)
 			job.SpotAllowed = false
 			sim.jobSpecs["j-2"] = job
-			start(sim, "m-000001", "j-2/0")
+			startTask(sim, "m-000001", "j-2/0")
 		},
 		"wrong_place ": func(sim *simulation) {
 			job := jobSpec("j-2", 2)
 			job.SameZone = true
 			sim.jobSpecs["j-2"] = job
-			start(sim, "m-000001", "j-2/0")
-			start(sim, "m-000002", "j-2/1")
+			startTask(sim, "m-000001", "j-2/0")
+			startTask(sim, "m-000002", "j-2/1")
 		},
 		"two leaders": func(sim *simulation) {
 			for _, n := range sim.nodes {
@@ -526,7 +527,7 @@
 			sim.cloud.noSpot = true
 			sim.acceptedAt["j-2"], sim.jobSpecs["j-2"], sim.faultsEndedAt = sim.now, dependentSpec("j-2", 1), sim.now
 			for i := range 8 {
-				put(sim, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room is left
+				addTask(sim, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room is left
 			}
 			sim.advance(4*time.Minute + 2*time.Second)
 		},
@@ -545,7 +546,7 @@
 			sim.startMachines(2)
 			sim.submit(leaderNode.name, jobSpec("j-1", 1))
 			sim.caughtViolations = map[string]int{}
-			breaks(sim)
+			violate(sim)
 			if rule = strings.TrimSpace(rule); sim.caughtViolations[rule] == 0 {
 				t.Fatalf("not caught: %v", sim.caughtViolations)
 			}
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -65,16 +65,16 @@
 	if seed%5 == 0 {
 		c.replayHeartbeats()
 	}
-	kept := c.onHeartbeat
+	previousHook := c.onHeartbeat
 	c.onHeartbeat = func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
-		if kept != nil {
-			kept(worker, heartbeat)
+		if previousHook != nil {
+			previousHook(worker, heartbeat)
 		}
 		if c.rng.IntN(4) == 0 {
 			copied := *heartbeat
 			copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
-			late := time.Duration(c.rng.ExpFloat64() * float64(config.Seconds(c.cfg.Workers.LeaseS)))
-			c.schedule(late, func() {
+			delay := time.Duration(c.rng.ExpFloat64() * float64(config.Seconds(c.cfg.Workers.LeaseS)))
+			c.schedule(delay, func() {
 				c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat,
 					Heartbeat: &copied}, func(Reply) {})
 			})
@@ -184,8 +184,8 @@
 func (c *mixedFaults) pauseControllers() {
 	for range 1 + c.rng.IntN(2) {
 		name := c.randomNode()
-		if l := c.leaderName(); l != "" && c.rng.IntN(2) == 0 {
-			name = l
+		if leader := c.leaderName(); leader != "" && c.rng.IntN(2) == 0 {
+			name = leader
 		}
 		c.pauseController(name, time.Duration(c.rng.ExpFloat64()*float64(c.machineLease())/3))
 	}
@@ -234,8 +234,8 @@
 	c.schedule(time.Duration(c.rng.IntN(60))*time.Second, func() {
 		held := store.heldTransactions
 		store.heldTransactions = nil
-		for _, f := range held {
-			f()
+		for _, execute := range held {
+			execute()
 		}
 	})
 }
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -45,32 +45,32 @@
 		}
 		respond(200, protocol.Catalog{Types: types})
 	case call.Path == "/hosts":
-		var r protocol.RentalRequest
-		if err := json.Unmarshal(call.Body, &r); err != nil {
+		var request protocol.RentalRequest
+		if err := json.Unmarshal(call.Body, &request); err != nil {
 			c.simulation.t.Fatal(err)
 		}
-		if _, stored := c.simulation.store.keys[storage.RentalPrefix+r.RequestID]; !stored &&
-			c.rentals[r.RequestID] == nil {
-			c.simulation.t.Fatalf("rental %s is not stored", r.RequestID) // nor has it been answered before
+		if _, stored := c.simulation.store.keys[storage.RentalPrefix+request.RequestID]; !stored &&
+			c.rentals[request.RequestID] == nil {
+			c.simulation.t.Fatalf("rental %s is not stored", request.RequestID) // nor has it been answered before
 		}
-		if (c.noSpot && r.Spot) || (c.capacity > 0 && len(c.hosts)+r.Count > c.capacity) {
+		if (c.noSpot && request.Spot) || (c.capacity > 0 && len(c.hosts)+request.Count > c.capacity) {
 			respond(503, map[string]string{"error": "no capacity"})
 			return
 		}
-		names, repeated := c.rentals[r.RequestID]
-		if !repeated {
-			for range r.Count {
-				names = append(names, c.rentMachine(r.Type, r.Zone, r.Spot).name)
+		names, known := c.rentals[request.RequestID]
+		if !known {
+			for range request.Count {
+				names = append(names, c.rentMachine(request.Type, request.Zone, request.Spot).name)
 			}
-			c.rentals[r.RequestID] = names
+			c.rentals[request.RequestID] = names
 		}
 		respond(200, protocol.MachineNames{Machines: names})
 	case call.Path == "/hosts/return" && c.rejectReturns:
 		respond(503, map[string]string{"error": "trouble"})
 	case call.Path == "/hosts/return":
-		var m protocol.MachineNames
-		json.Unmarshal(call.Body, &m)
-		for _, name := range m.Machines {
+		var returned protocol.MachineNames
+		json.Unmarshal(call.Body, &returned)
+		for _, name := range returned.Machines {
 			if worker := c.simulation.workers[name]; worker != nil {
 				c.removeMachine(worker)
 			}
@@ -78,17 +78,17 @@
 		}
 		respond(200, nil)
 	case strings.HasPrefix(call.Path, "/hosts?"):
-		var list protocol.HostPage
+		var page protocol.HostPage
 		for _, worker := range c.hosts {
 			if c.listsEmpty {
 				break
 			}
-			list.Machines = append(list.Machines,
+			page.Machines = append(page.Machines,
 				protocol.Host{Name: worker.name, Type: worker.machineType, Zone: worker.zone,
 					Spot: worker.spot, State: "running"})
 		}
-		sort.Slice(list.Machines, func(i, j int) bool { return list.Machines[i].Name < list.Machines[j].Name })
-		respond(200, list)
+		sort.Slice(page.Machines, func(i, j int) bool { return page.Machines[i].Name < page.Machines[j].Name })
+		respond(200, page)
 	default:
 		c.simulation.t.Fatalf("cloud: %s", call.Path)
 	}
@@ -160,14 +160,14 @@
 
 func (worker *fakeWorker) heartbeat() *protocol.WorkerHeartbeat {
 	worker.sequence++
-	r := &protocol.WorkerHeartbeat{Machine: worker.name, Address: worker.name + ":9000",
+	heartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Address: worker.name + ":9000",
 		Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, Epoch: worker.epoch, Sequence: worker.sequence,
 		FencingToken: worker.fencingToken, PreemptionNoticeSeconds: worker.preemptionNotice}
 	for _, task := range worker.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{TaskID: task.taskKey, Attempt: task.attempt,
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{TaskID: task.taskKey, Attempt: task.attempt,
 			State: task.state, ExitReason: task.exitReason, CheckpointSaved: task.checkpointSaved})
 	}
-	return r
+	return heartbeat
 }
 
 // restartMachine restarts the machine at once, with a new epoch and without tasks.
@@ -293,13 +293,13 @@
 			worker.executeCommand(c)
 		}
 	case 421:
-		var to protocol.HeartbeatRedirect
-		json.Unmarshal(r.Body, &to)
-		if to.Node == "" || to.Node == worker.node {
+		var redirect protocol.HeartbeatRedirect
+		json.Unmarshal(r.Body, &redirect)
+		if redirect.Node == "" || redirect.Node == worker.node {
 			switchNode()
 			return
 		}
-		worker.node, worker.nextHeartbeatAt = to.Node, sim.now
+		worker.node, worker.nextHeartbeatAt = redirect.Node, sim.now
 	default:
 		worker.refusalCount++
 		switchNode()
@@ -317,16 +317,16 @@
 		}
 		worker.simulation.startCounts[command.TaskID]++
 		worker.simulation.checkTaskStart(worker, command.TaskID)
-		end := worker.simulation.now
+		endsAt := worker.simulation.now
 		if !worker.simulation.completedTasks[command.TaskID] { // or its result was kept
 			duration := worker.simulation.taskDuration(command.TaskID, worker.simulation.startCounts[command.TaskID])
 			if worker.faulty && worker.failureDelay > 0 {
 				duration = worker.failureDelay
 			}
-			end += duration
+			endsAt += duration
 		}
 		worker.tasks = append(worker.tasks,
-			&fakeTask{taskKey: command.TaskID, attempt: command.Attempt, state: protocol.TaskRunning, endsAt: end})
+			&fakeTask{taskKey: command.TaskID, attempt: command.Attempt, state: protocol.TaskRunning, endsAt: endsAt})
 	case protocol.CommandStop:
 		if i >= 0 && worker.tasks[i].state != protocol.TaskExited {
 			worker.stopGraces = append(worker.stopGraces, *command.GraceSeconds)
--- a/internal/controller/simulated_store_test.go
+++ b/internal/controller/simulated_store_test.go
@@ -37,8 +37,8 @@
 	responsesToLose       int                                   // responses of executed transactions to drop
 	holdTransaction       func(node string, t storage.Txn) bool // transactions to hold back without a response
 	heldTransactions      []func()
-	lateExecution         func() (d time.Duration, is bool) // calls to execute after a delay, without a response
-	requestDelay          func() time.Duration              // delay of each call on its way
+	lateExecution         func() (delay time.Duration, late bool) // calls to execute after a delay, without a response
+	requestDelay          func() time.Duration                    // delay of each call on its way
 	watchers              []func() bool
 }
 
@@ -48,8 +48,8 @@
 	if s.down {
 		return
 	}
-	for id, l := range s.leases {
-		if l.remaining -= step; l.remaining <= 0 {
+	for id, lease := range s.leases {
+		if lease.remaining -= step; lease.remaining <= 0 {
 			s.endLease(id)
 		}
 	}
@@ -57,10 +57,10 @@
 
 func (s *fakeStore) endLease(id uint64) {
 	delete(s.leases, id)
-	for k, it := range s.keys {
-		if it.LeaseID == id {
+	for key, item := range s.keys {
+		if item.LeaseID == id {
 			s.revision++
-			s.deleteKey(k)
+			s.deleteKey(key)
 		}
 	}
 }
@@ -72,13 +72,13 @@
 }
 
 func (s *fakeStore) notifyWatchers() {
-	s.watchers = slices.DeleteFunc(s.watchers, func(f func() bool) bool { return f() })
+	s.watchers = slices.DeleteFunc(s.watchers, func(poll func() bool) bool { return poll() })
 }
 
 func (s *fakeStore) setDown(down bool) {
 	s.down = down
-	for _, l := range s.leases {
-		l.remaining = l.ttl
+	for _, lease := range s.leases {
+		lease.remaining = lease.ttl
 	}
 	if !down {
 		s.notifyWatchers()
@@ -90,9 +90,9 @@
 		return
 	}
 	if s.lateExecution != nil && call.Method != "GET" && !s.down && !s.refusedNodes[node] {
-		if d, is := s.lateExecution(); is {
+		if delay, late := s.lateExecution(); late {
 			// A late call is subject to an outage or a refusal of its own node, too.
-			s.simulation.schedule(d, func() { s.executeCall(node, call, func(int, any) {}) })
+			s.simulation.schedule(delay, func() { s.executeCall(node, call, func(int, any) {}) })
 			return
 		}
 	}
@@ -116,27 +116,27 @@
 	parameters := requestURL.Query()
 	switch {
 	case call.Method == "GET" && strings.HasPrefix(requestURL.Path, "/store/"):
-		if it, ok := s.keys[strings.TrimPrefix(requestURL.Path, "/store/")]; ok {
-			respond(200, it)
+		if item, ok := s.keys[strings.TrimPrefix(requestURL.Path, "/store/")]; ok {
+			respond(200, item)
 		} else {
 			respond(404, storage.TxnResponse{Revision: s.revision})
 		}
 	case call.Method == "GET" && requestURL.Path == "/store":
 		page := storage.ListResponse{Revision: s.revision}
 		var keys []string
-		for k := range s.keys {
-			if strings.HasPrefix(k, parameters.Get("under")) && k > parameters.Get("since") {
-				keys = append(keys, k)
+		for key := range s.keys {
+			if strings.HasPrefix(key, parameters.Get("under")) && key > parameters.Get("since") {
+				keys = append(keys, key)
 			}
 		}
 		sort.Strings(keys)
 		limit, _ := strconv.Atoi(parameters.Get("limit"))
-		for i, k := range keys {
+		for i, key := range keys {
 			if i == limit {
 				page.Truncated = true
 				break
 			}
-			page.Items = append(page.Items, s.keys[k])
+			page.Items = append(page.Items, s.keys[key])
 		}
 		respond(200, page)
 	case requestURL.Path == "/multi":
@@ -169,50 +169,50 @@
 			s.heldTransactions = append(s.heldTransactions, func() { s.executeTransaction(t) })
 			return // no response: it may be executed later
 		}
-		status, res := s.executeTransaction(t)
+		status, response := s.executeTransaction(t)
 		if status == 200 && s.responsesToLose > 0 {
 			s.responsesToLose--
 			s.simulation.schedule(time.Second, func() { respond(0, nil) })
 			return
 		}
-		respond(status, res)
+		respond(status, response)
 	case requestURL.Path == "/holds":
-		var h storage.Lease
-		json.Unmarshal(call.Body, &h)
+		var requested storage.Lease
+		json.Unmarshal(call.Body, &requested)
 		s.lastLeaseID++
-		ttl := time.Duration(h.TTLMillis) * time.Millisecond
+		ttl := time.Duration(requested.TTLMillis) * time.Millisecond
 		s.leases[s.lastLeaseID] = &fakeLease{ttl, ttl}
 		respond(200, storage.Lease{ID: s.lastLeaseID})
 	case strings.HasPrefix(requestURL.Path, "/holds/"):
 		leaseID, keepAlive := strings.CutSuffix(strings.TrimPrefix(requestURL.Path, "/holds/"), "/touch")
 		id, _ := strconv.ParseUint(leaseID, 10, 64)
-		l := s.leases[id]
+		lease := s.leases[id]
 		switch {
-		case l == nil:
+		case lease == nil:
 			respond(404, nil)
 		case keepAlive:
-			l.remaining = l.ttl
+			lease.remaining = lease.ttl
 			respond(200, storage.Lease{ID: id})
 		default:
 			s.endLease(id)
 			respond(200, nil)
 		}
 	case requestURL.Path == "/follow":
-		since, _ := strconv.ParseUint(parameters.Get("since"), 10, 64)
-		wait, _ := strconv.Atoi(parameters.Get("waitMs"))
-		under := parameters.Get("under")
-		end := s.simulation.now + time.Duration(wait)*time.Millisecond
+		sinceRevision, _ := strconv.ParseUint(parameters.Get("since"), 10, 64)
+		waitMillis, _ := strconv.Atoi(parameters.Get("waitMs"))
+		prefix := parameters.Get("under")
+		deadline := s.simulation.now + time.Duration(waitMillis)*time.Millisecond
 		poll := func() bool {
 			if s.down {
 				return false
 			}
 			response := storage.WatchResponse{Revision: s.revision}
-			for _, e := range s.eventsAfter(since) {
-				if strings.HasPrefix(cmp.Or(e.PutKey, e.DeletedKey), under) {
+			for _, e := range s.eventsAfter(sinceRevision) {
+				if strings.HasPrefix(cmp.Or(e.PutKey, e.DeletedKey), prefix) {
 					response.Events = append(response.Events, e)
 				}
 			}
-			if len(response.Events) == 0 && s.simulation.now < end {
+			if len(response.Events) == 0 && s.simulation.now < deadline {
 				return false
 			}
 			respond(200, response)
@@ -220,7 +220,7 @@
 		}
 		if !poll() {
 			s.watchers = append(s.watchers, poll)
-			s.simulation.schedule(end-s.simulation.now, s.notifyWatchers)
+			s.simulation.schedule(deadline-s.simulation.now, s.notifyWatchers)
 		}
 	default:
 		s.simulation.t.Fatalf("state service: %s %s", call.Method, call.Path)
@@ -230,8 +230,8 @@
 // eventsAfter returns the events of the log that are newer than a revision. The log is ordered by
 // revision, so a binary search finds them.
 func (s *fakeStore) eventsAfter(revision uint64) []storage.WatchEvent {
-	from := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].ModRevision > revision })
-	return s.eventLog[from:]
+	first := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].ModRevision > revision })
+	return s.eventLog[first:]
 }
 
 // oversizedKey returns a key of a transaction that exceeds the announced limits, or "".
@@ -247,12 +247,12 @@
 
 // putValue stores a value as an earlier leader would have.
 func (s *fakeStore) putValue(key string, value any) {
-	switch rec := value.(type) {
+	switch record := value.(type) {
 	case storage.JobRecord:
-		s.simulation.submitted[rec.Spec.ID], s.simulation.jobSpecs[rec.Spec.ID] = true, rec.Spec
+		s.simulation.submitted[record.Spec.ID], s.simulation.jobSpecs[record.Spec.ID] = true, record.Spec
 	case storage.TerminalRecord:
 		id := strings.TrimPrefix(key, storage.TerminalPrefix)
-		s.simulation.submitted[id], s.simulation.cancelRequested[id] = true, rec.State == protocol.JobCancelled
+		s.simulation.submitted[id], s.simulation.cancelRequested[id] = true, record.State == protocol.JobCancelled
 	}
 	s.revision++
 	s.keys[key] = storage.Item{Key: key, Value: storage.Encode(value), ModRevision: s.revision}
@@ -272,14 +272,14 @@
 			return 400, map[string]string{"error": "no such lease"}
 		}
 	}
-	var failed []string
+	var failedKeys []string
 	for _, c := range t.Conditions {
 		if s.keys[c.Key].ModRevision != c.ModRevision {
-			failed = append(failed, c.Key)
+			failedKeys = append(failedKeys, c.Key)
 		}
 	}
-	if failed != nil {
-		return 409, storage.TxnResponse{FailedKeys: failed, Revision: s.revision}
+	if failedKeys != nil {
+		return 409, storage.TxnResponse{FailedKeys: failedKeys, Revision: s.revision}
 	}
 	if len(t.Writes) > s.simulation.cfg.Store.TxnOps {
 		s.simulation.t.Fatalf("transaction of %d writes", len(t.Writes))
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -36,33 +36,33 @@
 func (c *userSimulation) knowsAccepted(id string) bool { _, ok := c.acceptedAt[id]; return ok }
 
 // sendUserRequest sends a request to a random node, and gives up after 5 s as users do.
-func (c *userSimulation) sendUserRequest(r Request, f func(Reply)) {
+func (c *userSimulation) sendUserRequest(r Request, onReply func(Reply)) {
 	done := false
-	once := func(r Reply) {
+	replyOnce := func(r Reply) {
 		if !done {
 			done = true
-			f(r)
+			onReply(r)
 		}
 	}
-	c.sendRequest(c.randomNode(), r, once)
-	c.schedule(5*time.Second, func() { once(Reply{}) })
+	c.sendRequest(c.randomNode(), r, replyOnce)
+	c.schedule(5*time.Second, func() { replyOnce(Reply{}) })
 }
 
 // submitWithRetries submits a job until some node has accepted it, 40 times at most.
 func (c *userSimulation) submitWithRetries(job protocol.Job) {
-	var try func(int)
-	try = func(tries int) {
+	var attempt func(int)
+	attempt = func(retries int) {
 		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			switch {
 			case r.Status == 201 || r.Status == 200:
 			case r.Status != 503 && r.Status != 0:
 				c.t.Errorf("%s: submission answered %d", job.ID, r.Status)
-			case tries < 40:
-				c.schedule(time.Second, func() { try(tries + 1) })
+			case retries < 40:
+				c.schedule(time.Second, func() { attempt(retries + 1) })
 			}
 		})
 	}
-	try(0)
+	attempt(0)
 }
 
 // cancelWithRetries cancels a job until some node has confirmed it or reports it as done.
@@ -108,14 +108,14 @@
 // capacity, and each job is queried every 5 s and has to be answered within 75 s.
 func (c *userSimulation) markFaultsEnded() {
 	c.faultsEndedAt = c.now
-	var again func()
-	again = func() {
+	var queryRepeatedly func()
+	queryRepeatedly = func() {
 		c.queryAllJobs()
-		c.schedule(5*time.Second, again)
+		c.schedule(5*time.Second, queryRepeatedly)
 	}
-	again()
+	queryRepeatedly()
 	c.schedule(75*time.Second, func() {
-		for id, at := range c.answeredAt {
+		for id, at := range c.lastReplyAt {
 			if at < c.faultsEndedAt && c.now >= c.faultsEndedAt {
 				c.reportViolation("forgotten", "no question about %s is answered for 75 s", id)
 			}
@@ -128,7 +128,7 @@
 func (c *userSimulation) waitForCompletion(d time.Duration) {
 	c.t.Helper()
 	c.markFaultsEnded()
-	isSettled := func(id string) bool {
+	hasExpectedEnd := func(id string) bool {
 		switch state := c.terminalState(id); {
 		case state == protocol.JobCancelled:
 			return c.mayBeCancelled(id)
@@ -137,25 +137,25 @@
 			return state == protocol.JobDone && !cancelled
 		}
 	}
-	open := func() []string {
-		return slices.DeleteFunc(slices.Sorted(maps.Keys(c.acceptedAt)), isSettled)
+	openJobs := func() []string {
+		return slices.DeleteFunc(slices.Sorted(maps.Keys(c.acceptedAt)), hasExpectedEnd)
 	}
 	lastOpen := "" // a job that was open at the last check: while it is, the others need no check
-	allSettled := func() bool {
-		if lastOpen != "" && !isSettled(lastOpen) {
+	allEnded := func() bool {
+		if lastOpen != "" && !hasExpectedEnd(lastOpen) {
 			return false
 		}
 		for id := range c.acceptedAt {
-			if !isSettled(id) {
+			if !hasExpectedEnd(id) {
 				lastOpen = id
 				return false
 			}
 		}
 		return true
 	}
-	if !c.advanceUntil(d, allSettled) {
-		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(open(), ", "),
-			c.explainPending(open()[0]))
+	if !c.advanceUntil(d, allEnded) {
+		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(openJobs(), ", "),
+			c.explainPending(openJobs()[0]))
 	}
 	c.queryAllJobs()
 	c.advance(2 * time.Second)
@@ -167,36 +167,36 @@
 	if name == "" {
 		return "nobody leads: " + sim.explainNoLeader()
 	}
-	l := sim.nodes[name].leader
-	job := l.Jobs[id]
+	leader := sim.nodes[name].leader
+	job := leader.Jobs[id]
 	if job == nil {
 		return "the leader does not know it"
 	}
-	out := fmt.Sprintf("%d pending, waits for %q", job.PendingTasks, job.BlockedBy)
-	for _, r := range job.Attempts {
-		out += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", r.Key(), r.Phase, r.Machine.Name,
-			r.Machine.Up, r.Machine.TokenAcknowledged, r.Machine.DrainReason)
+	description := fmt.Sprintf("%d pending, waits for %q", job.PendingTasks, job.BlockedBy)
+	for _, attempt := range job.Attempts {
+		description += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", attempt.Key(), attempt.Phase,
+			attempt.Machine.Name, attempt.Machine.Up, attempt.Machine.TokenAcknowledged, attempt.Machine.DrainReason)
 	}
 	for name, worker := range sim.workers {
 		for _, task := range worker.tasks {
 			if strings.HasPrefix(task.taskKey, id+"/") {
-				out += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name,
+				description += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name,
 					*task, worker.node, worker.hung, worker.dropResponses, worker.unreachable, worker.epoch)
 			}
 		}
 	}
-	return out
+	return description
 }
 
 // explainNoLeader describes the state of each node's election.
 func (sim *simulation) explainNoLeader() string {
-	out := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", sim.store.down,
+	description := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", sim.store.down,
 		sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
 	for _, name := range sim.names {
 		n := sim.nodes[name]
 		status := n.election.Status()
-		out += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.paused, n.draining,
+		description += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.paused, n.draining,
 			n.leader != nil, status.IsCandidate, n.election.StoreFailing(), status.Isolated, n.election.RecentPeerCount(n.leaderLease()))
 	}
-	return out
+	return description
 }
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -149,7 +149,7 @@
 	return newSimulationWithTimings(t, nodes, deployments[0])
 }
 
-func newSimulationWithTimings(t *testing.T, nodes int, p workerTimings) *simulation {
+func newSimulationWithTimings(t *testing.T, nodes int, timings workerTimings) *simulation {
 	sim := &simulation{t: t, nodes: map[string]*simNode{}, workers: map[string]*fakeWorker{},
 		jobSpecs: map[string]protocol.Job{},
 		linkCuts: map[[2]string]bool{}, oneWayCuts: map[[2]string]bool{},
@@ -160,7 +160,8 @@
 	c := &sim.cfg
 	c.ControllerCount = nodes
 	c.Zones = []string{"a", "b"}
-	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS = p.heartbeatInterval, p.machineLease, p.cancelLimit
+	c.Workers.HeartbeatIntervalS, c.Workers.LeaseS, c.Workers.CancelS =
+		timings.heartbeatInterval, timings.machineLease, timings.cancelLimit
 	c.Store.RequestsPerS, c.Store.WritesPerS, c.Store.ValueKB, c.Store.TxnOps = 200, 100, 8, 20
 	c.Cloud.RequestsPerS, c.Cloud.ListLagS = 4, 10
 	c.Resources.CoreShare, c.Resources.MemoryMB, c.Resources.MaxConnections = 0.1, 100, 1000
@@ -197,8 +198,8 @@
 		}
 	}
 	epoch := 1
-	if old := sim.nodes[name]; old != nil {
-		epoch = old.epoch + 1
+	if previous := sim.nodes[name]; previous != nil {
+		epoch = previous.epoch + 1
 	}
 	settings := config.Defaults()
 	settings.IdleRetention = 4 // so that machines are kept for the races
@@ -226,9 +227,9 @@
 func (sim *simulation) restartNode(name string) { sim.startNode(name) }
 
 // restartAfter crashes a node and restarts it after some time.
-func (sim *simulation) restartAfter(name string, after time.Duration) {
+func (sim *simulation) restartAfter(name string, downtime time.Duration) {
 	sim.crashNode(name)
-	sim.schedule(after, func() {
+	sim.schedule(downtime, func() {
 		if sim.nodes[name].down {
 			rate := sim.nodes[name].clockRate
 			sim.restartNode(name)
@@ -310,13 +311,13 @@
 }
 
 // pauseNode suspends a node's steps for a duration, and calls then when it resumes.
-func (sim *simulation) pauseNode(n *simNode, d time.Duration, then func()) {
+func (sim *simulation) pauseNode(n *simNode, d time.Duration, onResume func()) {
 	n.paused = true
 	epoch := n.epoch
 	sim.schedule(d, func() {
 		n.paused = false
 		if !n.down && n.epoch == epoch {
-			then()
+			onResume()
 		}
 	})
 }
@@ -332,21 +333,21 @@
 			}
 		case OutboundMessage:
 			if n.oldVersion {
-				if beat, is := e.Message.(protocol.PeerHeartbeat); is {
-					beat.VersionLevel, beat.WritesThrottled = 0, false
-					e.Message = beat
+				if heartbeat, ok := e.Message.(protocol.PeerHeartbeat); ok {
+					heartbeat.VersionLevel, heartbeat.WritesThrottled = 0, false
+					e.Message = heartbeat
 				}
 			}
 			to, message := e.To, roundTripMessage(sim.t, e.Message)
-			arrive := func() {
+			deliver := func() {
 				if peer := sim.nodes[to]; !peer.down {
 					peer.inbox = append(peer.inbox, InboundMessage{From: n.name, Message: message})
 				}
 			}
 			if !sim.linkBlocked(n.name, to) {
-				sim.schedule(step, arrive)
+				sim.schedule(step, deliver)
 			} else if sim.holdMessages {
-				sim.heldMessages = append(sim.heldMessages, event{action: arrive})
+				sim.heldMessages = append(sim.heldMessages, event{action: deliver})
 			}
 		case ServiceCall:
 			answered := false
@@ -398,11 +399,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := protocol.DecodePeerMessage(raw)
+	decoded, err := protocol.DecodePeerMessage(raw)
 	if err != nil {
 		t.Fatalf("%s: %v", raw, err)
 	}
-	return read
+	return decoded
 }
 
 // levelZeroTransaction returns a transaction as protocol level 0 writes it: without the fields that
@@ -442,9 +443,12 @@
 // waitForNewVersion waits until every running node knows that all nodes run this version.
 func (sim *simulation) waitForNewVersion() {
 	sim.t.Helper()
-	known := func(name string) bool { n := sim.nodes[name]; return n.down || n.clusterSupports(protocolLevel) }
+	downOrInformed := func(name string) bool {
+		n := sim.nodes[name]
+		return n.down || n.clusterSupports(protocolLevel)
+	}
 	if !sim.advanceUntil(30*time.Second,
-		func() bool { return !slices.ContainsFunc(sim.names, func(s string) bool { return !known(s) }) }) {
+		func() bool { return !slices.ContainsFunc(sim.names, func(s string) bool { return !downOrInformed(s) }) }) {
 		sim.t.Fatal("not all nodes are known to be new")
 	}
 }
@@ -452,8 +456,8 @@
 // terminalState returns the state in the terminal record of a job, or "".
 func (sim *simulation) terminalState(id string) protocol.JobState {
 	var record storage.TerminalRecord
-	if it, ok := sim.store.keys[storage.TerminalKey(id)]; ok {
-		json.Unmarshal(it.Value, &record)
+	if item, ok := sim.store.keys[storage.TerminalKey(id)]; ok {
+		json.Unmarshal(item.Value, &record)
 	}
 	return record.State
 }
@@ -489,9 +493,9 @@
 // healCuts ends all cuts between nodes and delivers the messages that they delayed.
 func (sim *simulation) healCuts() {
 	sim.linkCuts = map[[2]string]bool{}
-	kept := sim.heldMessages
+	held := sim.heldMessages
 	sim.heldMessages = nil
-	for _, e := range kept {
+	for _, e := range held {
 		sim.schedule(step, e.action)
 	}
 }
@@ -523,9 +527,9 @@
 	default:
 		return onReply
 	}
-	sent := sim.now
+	sentAt := sim.now
 	return func(reply Reply) {
-		sim.checkReply(r, name, sent, reply)
+		sim.checkReply(r, name, sentAt, reply)
 		onReply(reply)
 	}
 }
@@ -533,12 +537,12 @@
 // requestAndWait sends a request to a node and waits for the reply, 5 s at most.
 func (sim *simulation) requestAndWait(name string, r Request) Reply {
 	sim.t.Helper()
-	var got *Reply
-	sim.sendRequest(name, r, func(x Reply) { got = &x })
-	if !sim.advanceUntil(5*time.Second, func() bool { return got != nil }) {
+	var received *Reply
+	sim.sendRequest(name, r, func(reply Reply) { received = &reply })
+	if !sim.advanceUntil(5*time.Second, func() bool { return received != nil }) {
 		sim.t.Fatalf("%s: no answer to a %s", name, r.Kind)
 	}
-	return *got
+	return *received
 }
 
 // startMachines brings up machines in addition to those that are rented for the work.
@@ -570,10 +574,10 @@
 
 // newRunningSimulation returns a simulation whose leader runs one job, j-1, with all its tasks on
 // machines, each for the given duration.
-func newRunningSimulation(t *testing.T, nodes int, takes time.Duration, machines, tasks int) (*simulation, *simNode) {
+func newRunningSimulation(t *testing.T, nodes int, duration time.Duration, machines, tasks int) (*simulation, *simNode) {
 	t.Helper()
 	sim := newSimulation(t, nodes)
-	sim.taskDuration = func(string, int) time.Duration { return takes }
+	sim.taskDuration = func(string, int) time.Duration { return duration }
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(machines)
 	sim.submitAndStart(leaderNode.name, jobSpec("j-1", tasks), tasks)
@@ -583,13 +587,13 @@
 func (sim *simulation) queryJob(node, id string) (int, protocol.JobStatus) {
 	sim.t.Helper()
 	r := sim.requestAndWait(node, Request{Kind: protocol.RequestQuery, JobID: id})
-	var s protocol.JobStatus
+	var status protocol.JobStatus
 	if r.Status == 200 {
-		if err := json.Unmarshal(r.Body, &s); err != nil {
+		if err := json.Unmarshal(r.Body, &status); err != nil {
 			sim.t.Fatal(err)
 		}
 	}
-	return r.Status, s
+	return r.Status, status
 }
 
 func (sim *simulation) cancelJob(node, id string) Reply {
@@ -640,11 +644,11 @@
 
 // totalStarts returns the number of task starts in all.
 func (sim *simulation) totalStarts() int {
-	all := 0
+	total := 0
 	for _, n := range sim.startCounts {
-		all += n
+		total += n
 	}
-	return all
+	return total
 }
 
 // checkStartedOnce checks that no task was started a second time.
