--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -18,22 +18,23 @@
 // fakeCloud is an in-process fake of the cloud's HTTP interface.
 type fakeCloud struct {
 	simulation        *simulation
-	rentals           map[string][]string
-	hosts             map[string]*fakeWorker
+	rentals           map[string][]string    // names of rented machines, by request id
+	hosts             map[string]*fakeWorker // rented machines, by name
 	lastMachineNumber int
-	unavailable       bool
-	noSpot            bool
-	capacity          int // limit of machines in all; 0: none
-	rejectReturns     bool
-	listsEmpty        bool // machine lists are empty
-	bootTime          time.Duration
-	nextBootTime      func() time.Duration // of the next machine; nil: bootTime
-	machineTypes      []protocol.MachineType
+	unavailable       bool                   // every call gets status 503
+	noSpot            bool                   // there is no capacity for spot machines
+	capacity          int                    // limit of rented machines; 0: none
+	rejectReturns     bool                   // calls that return machines get status 503
+	listsEmpty        bool                   // machine lists are empty
+	bootTime          time.Duration          // 0: 2 s
+	nextBootTime      func() time.Duration   // boot time of the next machine; nil: bootTime
+	machineTypes      []protocol.MachineType // nil: c4 only
 }
 
+// serve responds to a call of a node.
 func (c *fakeCloud) serve(call ServiceCall, respond func(int, any)) {
 	if c.unavailable {
-		respond(503, map[string]string{"error": "trouble"})
+		respond(503, map[string]string{"error": "unavailable"})
 		return
 	}
 	switch {
@@ -49,9 +50,10 @@
 		if err := json.Unmarshal(call.Body, &request); err != nil {
 			c.simulation.t.Fatal(err)
 		}
+		// A rental must be stored before its first request.
 		if _, stored := c.simulation.store.keys[storage.RentalPrefix+request.RequestID]; !stored &&
 			c.rentals[request.RequestID] == nil {
-			c.simulation.t.Fatalf("rental %s is not stored", request.RequestID) // nor has it been answered before
+			c.simulation.t.Fatalf("rental %s is requested before it is stored", request.RequestID)
 		}
 		if (c.noSpot && request.Spot) || (c.capacity > 0 && len(c.hosts)+request.Count > c.capacity) {
 			respond(503, map[string]string{"error": "no capacity"})
@@ -66,7 +68,7 @@
 		}
 		respond(200, protocol.MachineNames{Machines: names})
 	case call.Path == "/hosts/return" && c.rejectReturns:
-		respond(503, map[string]string{"error": "trouble"})
+		respond(503, map[string]string{"error": "unavailable"})
 	case call.Path == "/hosts/return":
 		var returned protocol.MachineNames
 		json.Unmarshal(call.Body, &returned)
@@ -90,17 +92,19 @@
 		sort.Slice(page.Machines, func(i, j int) bool { return page.Machines[i].Name < page.Machines[j].Name })
 		respond(200, page)
 	default:
-		c.simulation.t.Fatalf("cloud: %s", call.Path)
+		c.simulation.t.Fatalf("cloud: unexpected call of %s", call.Path)
 	}
 }
 
-// removeMachine takes a machine away without notice, as a preemption may.
+// removeMachine removes a machine without notice, as a preemption may.
 func (c *fakeCloud) removeMachine(worker *fakeWorker) {
 	worker.disconnect()
 	delete(c.simulation.workers, worker.name)
 	delete(c.hosts, worker.name)
 }
 
+// rentMachine adds a machine, whose worker starts after the boot time unless the machine is removed
+// before.
 func (c *fakeCloud) rentMachine(machineType, zone string, spot bool) *fakeWorker {
 	c.lastMachineNumber++
 	worker := &fakeWorker{simulation: c.simulation, name: fmt.Sprintf("m-%06d", c.lastMachineNumber),
@@ -130,25 +134,26 @@
 	spot                        bool
 	epoch, sequence             uint64
 	fencingToken                uint64
-	node                        string
-	connectedNode               string // set where connections are counted
+	node                        string // receives its heartbeats
+	connectedNode               string // has a connection to it; "" without a connectionLimit
 	tasks                       []*fakeTask
-	leaseRenewedAt              clock.Instant // when the last answered heartbeat was sent
+	leaseRenewedAt              clock.Instant // send time of the last answered heartbeat
 	nextHeartbeatAt             clock.Instant
 	awaitingResponse            bool
-	stateChanged                bool
-	preemptionNotice            *float64
-	unreachable                 bool // no heartbeat leaves, no response arrives
-	hung                        bool
-	faulty                      bool
-	failureDelay                time.Duration // after which tasks of a faulty machine fail; 0: at their end
-	dropResponses               bool
+	stateChanged                bool          // the next heartbeat is sent early
+	preemptionNotice            *float64      // seconds until the preemption; nil: none
+	unreachable                 bool          // its heartbeats and the responses to it are lost
+	hung                        bool          // it sends nothing, and its tasks do not end
+	faulty                      bool          // its tasks fail
+	failureDelay                time.Duration // time after which tasks of a faulty machine fail; 0: at their end
+	dropResponses               bool          // responses to it are lost
 	responseDelay               time.Duration // delay of the responses to it
-	stopGraces                  []float64     // of the stop commands it received
-	forgottenTasks              []string
+	stopGraces                  []float64     // grace periods of executed stop commands, in seconds
+	forgottenTasks              []string      // tasks removed by forget commands
 	responseCount, refusalCount int
 }
 
+// fakeTask is one attempt of a task on a machine.
 type fakeTask struct {
 	taskKey         string
 	attempt         uint64
@@ -158,6 +163,7 @@
 	endsAt          clock.Instant
 }
 
+// heartbeat returns the worker's next heartbeat.
 func (worker *fakeWorker) heartbeat() *protocol.WorkerHeartbeat {
 	worker.sequence++
 	heartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Address: worker.name + ":9000",
@@ -176,12 +182,12 @@
 	worker.tasks, worker.leaseRenewedAt, worker.stateChanged, worker.awaitingResponse = nil, worker.simulation.now, true, false
 }
 
-// tick advances the worker by one step: it ends its epoch if its lease has expired, ends tasks, and
-// sends a heartbeat that is due.
+// tick advances the worker by one step. It starts a new epoch without tasks if the lease has expired,
+// completes tasks whose time is up, and sends a heartbeat if one is due.
 func (worker *fakeWorker) tick(leaseDuration time.Duration) {
 	sim := worker.simulation
 	if sim.now-worker.leaseRenewedAt > leaseDuration {
-		// A hung machine resumes within its lease or loses its tasks.
+		// A machine that hangs for longer than its lease loses its tasks, too.
 		worker.epoch++
 		worker.tasks, worker.leaseRenewedAt, worker.stateChanged = nil, sim.now, true
 	}
@@ -239,7 +245,8 @@
 	})
 }
 
-// connect opens a connection to the worker's node, and reports false if that has no free one.
+// connect opens a connection to the worker's node. It returns false if the node has reached its limit
+// of connections.
 func (worker *fakeWorker) connect() bool {
 	sim := worker.simulation
 	if sim.connectionLimit == 0 || worker.connectedNode == worker.node {
@@ -247,7 +254,7 @@
 	}
 	worker.disconnect()
 	if sim.nodes[worker.node].down {
-		return true // refused at once, which the request finds out
+		return true // the request itself fails
 	}
 	if sim.openConnections[worker.node] >= sim.connectionLimit {
 		return false
@@ -257,6 +264,7 @@
 	return true
 }
 
+// disconnect closes the worker's connection, if there is one.
 func (worker *fakeWorker) disconnect() {
 	if worker.connectedNode != "" {
 		worker.simulation.openConnections[worker.connectedNode]--
@@ -264,11 +272,14 @@
 	}
 }
 
+// handleResponse handles the response to a heartbeat, of which it gets the send time and the epoch.
 func (worker *fakeWorker) handleResponse(r Reply, sentAt clock.Instant, epoch uint64) {
 	sim := worker.simulation
+	// The worker closes its connection before it switches nodes. A server that is short of connections
+	// closes them after each response, so that workers take turns.
 	if sim.connectionLimit > 0 && (r.Status != 200 ||
 		sim.openConnections[worker.connectedNode] > sim.connectionLimit-sim.connectionLimit/8) {
-		worker.disconnect() // it switches nodes, or its server closes connections to serve others in turn
+		worker.disconnect()
 	}
 	switchNode := func() {
 		i := slices.Index(sim.names, worker.node)
@@ -306,6 +317,7 @@
 	}
 }
 
+// executeCommand starts, stops or forgets a task attempt.
 func (worker *fakeWorker) executeCommand(command protocol.Command) {
 	i := slices.IndexFunc(worker.tasks,
 		func(task *fakeTask) bool { return task.taskKey == command.TaskID && task.attempt == command.Attempt })
@@ -318,7 +330,7 @@
 		worker.simulation.startCounts[command.TaskID]++
 		worker.simulation.checkTaskStart(worker, command.TaskID)
 		endsAt := worker.simulation.now
-		if !worker.simulation.completedTasks[command.TaskID] { // or its result was kept
+		if !worker.simulation.completedTasks[command.TaskID] { // otherwise it ends at once: its result was kept
 			duration := worker.simulation.taskDuration(command.TaskID, worker.simulation.startCounts[command.TaskID])
 			if worker.faulty && worker.failureDelay > 0 {
 				duration = worker.failureDelay
--- a/internal/controller/simulated_store_test.go
+++ b/internal/controller/simulated_store_test.go
@@ -21,29 +21,32 @@
 	simulation            *simulation
 	keys                  map[string]storage.Item
 	revision              uint64
-	eventLog              []storage.WatchEvent
+	eventLog              []storage.WatchEvent // all changes, in order of their revisions
 	leases                map[uint64]*fakeLease
 	lastLeaseID           uint64
 	down                  bool
-	refusedNodes          map[string]bool
+	refusedNodes          map[string]bool        // nodes whose requests are refused
 	requestsDropped       map[string]bool        // nodes whose requests are lost
 	responsesDropped      map[string]bool        // nodes whose requests are executed, but whose responses are lost
 	limitWriteRate        bool                   // enforce the configured write rate
 	enforceUpcomingLimits bool                   // enforce the limits that the settings announce
 	oversizedKeys         []string               // keys of transactions rejected as too large for the upcoming limits
-	throttledTransactions int                    // transactions rejected for the rate
+	throttledTransactions int                    // number of transactions rejected for the write rate
 	rejectTransaction     func(storage.Txn) bool // transactions to reject permanently
 	writeBucket           ratelimit.TokenBucket
-	responsesToLose       int                                   // responses of executed transactions to drop
-	holdTransaction       func(node string, t storage.Txn) bool // transactions to hold back without a response
-	heldTransactions      []func()
+	responsesToLose       int                                     // responses of executed transactions to drop
+	holdTransaction       func(node string, t storage.Txn) bool   // transactions to hold back without a response
+	heldTransactions      []func()                                // execute the transactions that were held back
 	lateExecution         func() (delay time.Duration, late bool) // calls to execute after a delay, without a response
-	requestDelay          func() time.Duration                    // delay of each call on its way
-	watchers              []func() bool
+	requestDelay          func() time.Duration                    // delay of each call before it reaches the store
+	watchers              []func() bool                           // open watch calls; true: a response was sent
 }
 
+// fakeLease is a lease of the store. Its keys are deleted when no time remains.
 type fakeLease struct{ ttl, remaining time.Duration }
 
+// expireLeases lets one step of time pass for all leases, except in an outage, and ends those whose
+// time is up.
 func (s *fakeStore) expireLeases() {
 	if s.down {
 		return
@@ -55,6 +58,7 @@
 	}
 }
 
+// endLease removes a lease and deletes its keys.
 func (s *fakeStore) endLease(id uint64) {
 	delete(s.leases, id)
 	for key, item := range s.keys {
@@ -65,16 +69,19 @@
 	}
 }
 
+// deleteKey deletes a key at the current revision.
 func (s *fakeStore) deleteKey(key string) {
 	delete(s.keys, key)
 	s.eventLog = append(s.eventLog, storage.WatchEvent{DeletedKey: key, ModRevision: s.revision})
 	s.notifyWatchers()
 }
 
+// notifyWatchers responds to the watch calls that have events or have timed out.
 func (s *fakeStore) notifyWatchers() {
 	s.watchers = slices.DeleteFunc(s.watchers, func(poll func() bool) bool { return poll() })
 }
 
+// setDown begins or ends an outage. Either renews all leases.
 func (s *fakeStore) setDown(down bool) {
 	s.down = down
 	for _, lease := range s.leases {
@@ -85,13 +92,14 @@
 	}
 }
 
+// serve handles a call of a node, subject to lost requests, lost responses and late execution.
 func (s *fakeStore) serve(node string, call ServiceCall, respond func(int, any)) {
 	if s.requestsDropped[node] {
 		return
 	}
 	if s.lateExecution != nil && call.Method != "GET" && !s.down && !s.refusedNodes[node] {
 		if delay, late := s.lateExecution(); late {
-			// A late call is subject to an outage or a refusal of its own node, too.
+			// A late call, too, fails in an outage or if its node is refused at that time.
 			s.simulation.schedule(delay, func() { s.executeCall(node, call, func(int, any) {}) })
 			return
 		}
@@ -102,6 +110,7 @@
 	s.executeCall(node, call, respond)
 }
 
+// executeCall executes a call that has reached the store, and responds to it.
 func (s *fakeStore) executeCall(node string, call ServiceCall, respond func(int, any)) {
 	if s.down || s.refusedNodes[node] {
 		if !strings.HasPrefix(call.Path, "/follow") {
@@ -167,7 +176,7 @@
 		}
 		if s.holdTransaction != nil && s.holdTransaction(node, t) {
 			s.heldTransactions = append(s.heldTransactions, func() { s.executeTransaction(t) })
-			return // no response: it may be executed later
+			return // without a response; the test may execute it later
 		}
 		status, response := s.executeTransaction(t)
 		if status == 200 && s.responsesToLose > 0 {
@@ -223,12 +232,12 @@
 			s.simulation.schedule(deadline-s.simulation.now, s.notifyWatchers)
 		}
 	default:
-		s.simulation.t.Fatalf("state service: %s %s", call.Method, call.Path)
+		s.simulation.t.Fatalf("key-value store: unexpected call %s %s", call.Method, call.Path)
 	}
 }
 
-// eventsAfter returns the events of the log that are newer than a revision. The log is ordered by
-// revision, so a binary search finds them.
+// eventsAfter returns the events of the log that are newer than a revision. It uses a binary search,
+// since the log is ordered by revision.
 func (s *fakeStore) eventsAfter(revision uint64) []storage.WatchEvent {
 	first := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].ModRevision > revision })
 	return s.eventLog[first:]
@@ -245,7 +254,7 @@
 	return ""
 }
 
-// putValue stores a value as an earlier leader would have.
+// putValue stores a value as an earlier leader would have stored it.
 func (s *fakeStore) putValue(key string, value any) {
 	switch record := value.(type) {
 	case storage.JobRecord:
@@ -258,7 +267,7 @@
 	s.keys[key] = storage.Item{Key: key, Value: storage.Encode(value), ModRevision: s.revision}
 }
 
-// holdNextTransaction returns a holdTransaction that holds back the next transaction only.
+// holdNextTransaction returns a holdTransaction function that holds back the next transaction only.
 func holdNextTransaction(s *fakeStore) func(string, storage.Txn) bool {
 	return func(string, storage.Txn) bool {
 		s.holdTransaction = nil
@@ -266,6 +275,7 @@
 	}
 }
 
+// executeTransaction executes a transaction and returns the HTTP status and the body of the response.
 func (s *fakeStore) executeTransaction(t storage.Txn) (int, any) {
 	for _, write := range t.Writes {
 		if write.LeaseID != 0 && s.leases[write.LeaseID] == nil {
@@ -282,7 +292,7 @@
 		return 409, storage.TxnResponse{FailedKeys: failedKeys, Revision: s.revision}
 	}
 	if len(t.Writes) > s.simulation.cfg.Store.TxnOps {
-		s.simulation.t.Fatalf("transaction of %d writes", len(t.Writes))
+		s.simulation.t.Fatalf("transaction of %d writes exceeds the store's limit", len(t.Writes))
 	}
 	s.simulation.checkAdmissionPolicy(t)
 	s.revision++
@@ -292,7 +302,8 @@
 			continue
 		}
 		if len(write.Value) > int(s.simulation.cfg.Store.ValueKB*1024) {
-			s.simulation.t.Fatalf("value of %d bytes at %s", len(write.Value), write.PutKey)
+			s.simulation.t.Fatalf("value of %d bytes at key %s exceeds the store's limit", len(write.Value),
+				write.PutKey)
 		}
 		s.keys[write.PutKey] = storage.Item{Key: write.PutKey, Value: write.Value, ModRevision: s.revision,
 			LeaseID: write.LeaseID}
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -12,13 +12,14 @@
 	"hitchdoor/internal/storage"
 )
 
-// userSimulation is a simulation with users who send requests to random nodes, repeat unanswered
-// ones, and query often. The invariant checker checks their replies.
+// userSimulation is a simulation with users who send requests to random nodes, repeat those that get no
+// reply, and query often. The invariant checker checks their replies.
 type userSimulation struct {
 	*simulation
 	rng *rand.Rand
 }
 
+// newUserSimulation adds users to a simulation. The seed determines all random choices.
 func newUserSimulation(sim *simulation, seed uint64) *userSimulation {
 	return &userSimulation{simulation: sim, rng: rand.New(rand.NewPCG(seed, 7))}
 }
@@ -35,7 +36,8 @@
 // knowsAccepted tells whether some user was told that a job is accepted.
 func (c *userSimulation) knowsAccepted(id string) bool { _, ok := c.acceptedAt[id]; return ok }
 
-// sendUserRequest sends a request to a random node, and gives up after 5 s as users do.
+// sendUserRequest sends a request to a random node and calls onReply once: with the reply, or with
+// status 0 after 5 s, when users give up.
 func (c *userSimulation) sendUserRequest(r Request, onReply func(Reply)) {
 	done := false
 	replyOnce := func(r Reply) {
@@ -48,7 +50,7 @@
 	c.schedule(5*time.Second, func() { replyOnce(Reply{}) })
 }
 
-// submitWithRetries submits a job until some node has accepted it, 40 times at most.
+// submitWithRetries submits a job until some node has accepted it, and gives up after 40 retries.
 func (c *userSimulation) submitWithRetries(job protocol.Job) {
 	var attempt func(int)
 	attempt = func(retries int) {
@@ -56,7 +58,7 @@
 			switch {
 			case r.Status == 201 || r.Status == 200:
 			case r.Status != 503 && r.Status != 0:
-				c.t.Errorf("%s: submission answered %d", job.ID, r.Status)
+				c.t.Errorf("submission of %s: status %d, expected 200, 201, 503 or no reply", job.ID, r.Status)
 			case retries < 40:
 				c.schedule(time.Second, func() { attempt(retries + 1) })
 			}
@@ -65,20 +67,20 @@
 	attempt(0)
 }
 
-// cancelWithRetries cancels a job until some node has confirmed it or reports it as done.
+// cancelWithRetries cancels a job until some node responds with status 200.
 func (c *userSimulation) cancelWithRetries(id string) {
 	c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: id}, func(r Reply) {
 		switch {
 		case r.Status == 200:
 		case r.Status == 404 || r.Status == 400:
-			c.t.Errorf("%s: cancellation answered %d", id, r.Status)
+			c.t.Errorf("cancellation of %s: status %d, expected neither 404 nor 400", id, r.Status)
 		default:
 			c.schedule(time.Second, func() { c.cancelWithRetries(id) })
 		}
 	})
 }
 
-// queryAllJobs queries all accepted jobs at random nodes, and one that nobody submitted.
+// queryAllJobs queries all accepted jobs at random nodes, and one job that was never submitted.
 func (c *userSimulation) queryAllJobs() {
 	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
 		c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: id}, func(Reply) {})
@@ -87,7 +89,7 @@
 }
 
 // queryAfterEachChange lets users query all nodes repeatedly within milliseconds, and repeat the
-// submission, as soon as any user was told that a job is accepted, done or cancelled.
+// submission, as soon as a reply tells any user that a job is accepted, done or cancelled.
 func (c *userSimulation) queryAfterEachChange() {
 	c.onJobState = func(id string, _ protocol.JobState) {
 		job := c.jobSpecs[id]
@@ -104,8 +106,9 @@
 	}
 }
 
-// markFaultsEnded declares all faults ended: from here on no job may be pending beside free
-// capacity, and each job is queried every 5 s and has to be answered within 75 s.
+// markFaultsEnded tells the invariant checker that all faults have ended. From then on no job may stay
+// pending while there is free capacity for it. All accepted jobs are queried every 5 s, and within 75 s
+// each of them must have got an answer.
 func (c *userSimulation) markFaultsEnded() {
 	c.faultsEndedAt = c.now
 	var queryRepeatedly func()
@@ -117,14 +120,14 @@
 	c.schedule(75*time.Second, func() {
 		for id, at := range c.lastReplyAt {
 			if at < c.faultsEndedAt && c.now >= c.faultsEndedAt {
-				c.reportViolation("forgotten", "no question about %s is answered for 75 s", id)
+				c.reportViolation("forgotten", "no query of %s was answered within 75 s of the last fault", id)
 			}
 		}
 	})
 }
 
-// waitForCompletion waits until every accepted job that was not cancelled is done, and the terminal
-// records of the others are written.
+// waitForCompletion marks the faults as ended. It then waits until every accepted job that was not
+// cancelled is done, and the terminal records of the others are written.
 func (c *userSimulation) waitForCompletion(d time.Duration) {
 	c.t.Helper()
 	c.markFaultsEnded()
@@ -140,7 +143,7 @@
 	openJobs := func() []string {
 		return slices.DeleteFunc(slices.Sorted(maps.Keys(c.acceptedAt)), hasExpectedEnd)
 	}
-	lastOpen := "" // a job that was open at the last check: while it is, the others need no check
+	lastOpen := "" // a job that was open at the last check; while it stays open, the others need no check
 	allEnded := func() bool {
 		if lastOpen != "" && !hasExpectedEnd(lastOpen) {
 			return false
@@ -154,49 +157,52 @@
 		return true
 	}
 	if !c.advanceUntil(d, allEnded) {
-		c.t.Fatalf("at %v: not over as they should be: %s: %s", c.now, strings.Join(openJobs(), ", "),
+		c.t.Fatalf("at %v: jobs without the expected terminal record: %s: %s", c.now, strings.Join(openJobs(), ", "),
 			c.explainPending(openJobs()[0]))
 	}
 	c.queryAllJobs()
 	c.advance(2 * time.Second)
 }
 
-// explainPending describes why a job that is not done is pending.
+// explainPending describes for messages why a job is not done.
 func (sim *simulation) explainPending(id string) string {
 	name := sim.leaderName()
 	if name == "" {
-		return "nobody leads: " + sim.explainNoLeader()
+		return "no node leads: " + sim.explainNoLeader()
 	}
 	leader := sim.nodes[name].leader
 	job := leader.Jobs[id]
 	if job == nil {
-		return "the leader does not know it"
+		return "the leader does not know the job"
 	}
-	description := fmt.Sprintf("%d pending, waits for %q", job.PendingTasks, job.BlockedBy)
+	description := fmt.Sprintf("%d tasks pending, blocked by %q", job.PendingTasks, job.BlockedBy)
 	for _, attempt := range job.Attempts {
-		description += fmt.Sprintf("; %s in phase %d on %s (up %v, shown %v, %s)", attempt.Key(), attempt.Phase,
-			attempt.Machine.Name, attempt.Machine.Up, attempt.Machine.TokenAcknowledged, attempt.Machine.DrainReason)
+		description += fmt.Sprintf("; %s in phase %d on %s (up %v, token acknowledged %v, drain reason %q)",
+			attempt.Key(), attempt.Phase, attempt.Machine.Name, attempt.Machine.Up, attempt.Machine.TokenAcknowledged,
+			attempt.Machine.DrainReason)
 	}
 	for name, worker := range sim.workers {
 		for _, task := range worker.tasks {
 			if strings.HasPrefix(task.taskKey, id+"/") {
-				description += fmt.Sprintf("; %s reports %+v to %s, hanging %v, deaf %v, silent %v, session %d", name,
-					*task, worker.node, worker.hung, worker.dropResponses, worker.unreachable, worker.epoch)
+				description += fmt.Sprintf("; worker %s reports %+v to %s, hung %v, drops responses %v, "+
+					"unreachable %v, epoch %d", name, *task, worker.node, worker.hung, worker.dropResponses,
+					worker.unreachable, worker.epoch)
 			}
 		}
 	}
 	return description
 }
 
-// explainNoLeader describes the state of each node's election.
+// explainNoLeader describes for messages the faults of the store and the election state of each node.
 func (sim *simulation) explainNoLeader() string {
-	description := fmt.Sprintf("state down %v, refuses %v, lost %v, leader key %q", sim.store.down,
-		sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
+	description := fmt.Sprintf("store down %v, refused nodes %v, nodes with lost requests %v, leader key %q",
+		sim.store.down, sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
 	for _, name := range sim.names {
 		n := sim.nodes[name]
 		status := n.election.Status()
-		description += fmt.Sprintf("; %s: down %v, frozen %v, draining %v, leads %v, stands %v, state down %v, abstains %v, heard %d", name, n.down, n.paused, n.draining,
-			n.leader != nil, status.IsCandidate, n.election.StoreFailing(), status.Isolated, n.election.RecentPeerCount(n.leaderLease()))
+		description += fmt.Sprintf("; %s: down %v, paused %v, draining %v, leader %v, candidate %v, store failing %v, "+
+			"isolated %v, recent peers %d", name, n.down, n.paused, n.draining, n.leader != nil, status.IsCandidate,
+			n.election.StoreFailing(), status.Isolated, n.election.RecentPeerCount(n.leaderLease()))
 	}
 	return description
 }
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -21,57 +21,65 @@
 )
 
 // The simulation runs controller nodes step by step on a fake clock, with in-process fakes of the
-// key-value store, the cloud and the workers that are written from the protocol. Every test also
-// runs the invariant checker of invariants_test.go, which checks each step and each reply.
+// key-value store, the cloud and the workers. The fakes are written from the protocol. Every test
+// also runs the invariant checker of invariants_test.go, which checks each step and each reply.
 
+// step is the simulated time between two steps of a node. Messages, calls and replies arrive one step
+// later, unless a fault delays them.
 const step = 5 * time.Millisecond
 
+// simulation is a simulated cluster with its nodes, machines, faults and checks.
 type simulation struct {
-	t                 *testing.T
-	now               clock.Instant
-	cfg               config.Cluster
-	nodes             map[string]*simNode
-	names             []string
-	store             *fakeStore
-	cloud             *fakeCloud
-	workers           map[string]*fakeWorker
-	workersByName     []*fakeWorker
-	jobSpecs          map[string]protocol.Job
-	events            events
-	lastEventSeq      int
-	linkCuts          map[[2]string]bool // between nodes, in both directions
-	oneWayCuts        map[[2]string]bool // between nodes, from the first to the second
-	holdMessages      bool               // cuts delay messages until they heal instead of dropping them
-	heldMessages      []event
-	unreachableNodes  map[string]bool                            // nodes that no worker reaches
-	workerReaches     func(worker *fakeWorker, node string) bool // nil: every worker reaches all other nodes
-	heartbeatsBlocked map[string]bool                            // nodes that workers' heartbeats don't reach
-	responsesBlocked  map[string]bool                            // nodes whose responses don't reach workers
-	taskDuration      func(task string, attempt int) time.Duration
-	onHeartbeat       func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) // called for each heartbeat that is sent
-	alterResult       func(node string, call ServiceCall, r CallResult) CallResult  // alters results of the store and the cloud
-	interceptCall     func(call ServiceCall) (r CallResult, ok bool)                // answers calls at once, in place of the fakes
-	onEffects         func(n *simNode, effects []Effect)                            // called with the effects of each step
-	startCounts       map[string]int                                                // by task
-	stoppedTasks      []string                                                      // by stop command
-	failingJobs       map[string]bool                                               // jobs that fail on every machine
-	oldVersionNodes   map[string]bool                                               // nodes that start with protocol level 0
-	wallClockOffsets  map[string]time.Duration                                      // errors of the nodes' wall clocks
-	fairAdmission     bool                                                          // admission by policy is enabled
-	connectionLimit   int                                                           // workers' connections to each node; 0: not limited
-	openConnections   map[string]int                                                // workers' connections, by node
+	t             *testing.T
+	now           clock.Instant
+	cfg           config.Cluster
+	nodes         map[string]*simNode
+	names         []string // names of the nodes
+	store         *fakeStore
+	cloud         *fakeCloud
+	workers       map[string]*fakeWorker // workers of booted machines, by machine name
+	workersByName []*fakeWorker          // cache of sortedWorkers
+	jobSpecs      map[string]protocol.Job
+	events        events
+	lastEventSeq  int
+
+	linkCuts     map[[2]string]bool // cut links between nodes, in both directions
+	oneWayCuts   map[[2]string]bool // cut links between nodes, from the first to the second
+	holdMessages bool               // cut links delay messages until they heal instead of dropping them
+	heldMessages []event
+
+	unreachableNodes  map[string]bool                            // nodes that no worker can reach
+	workerReaches     func(worker *fakeWorker, node string) bool // nil: all nodes but unreachableNodes are reached
+	heartbeatsBlocked map[string]bool                            // nodes that no heartbeat of a worker reaches
+	responsesBlocked  map[string]bool                            // nodes whose responses reach no worker
+
+	taskDuration  func(task string, attempt int) time.Duration                  // attempts count from 1
+	onHeartbeat   func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) // called before a heartbeat is sent
+	alterResult   func(node string, call ServiceCall, r CallResult) CallResult  // alters results of store and cloud
+	interceptCall func(call ServiceCall) (r CallResult, ok bool)                // responds in place of the fakes
+	onEffects     func(n *simNode, effects []Effect)                            // called with the effects of each step
+
+	startCounts      map[string]int           // number of starts, by task
+	stoppedTasks     []string                 // tasks that stop commands ended, in this order
+	failingJobs      map[string]bool          // jobs whose tasks fail on every machine
+	oldVersionNodes  map[string]bool          // nodes that start with protocol level 0
+	wallClockOffsets map[string]time.Duration // offsets of the wall clocks from simulated time, by node
+	fairAdmission    bool                     // enables admission by policy
+	connectionLimit  int                      // limit of workers' connections to each node; 0: none
+	openConnections  map[string]int           // workers' connections, by node
 	invariantChecker
 }
 
+// event is an action that is scheduled for a time.
 type event struct {
 	dueAt  clock.Instant
-	seq    int
+	seq    int // orders events that are due at the same time
 	action func()
 }
 
-// events are scheduled actions, as a binary heap ordered by time and sequence number. No two have
-// the same number, so the order is total. The heap is typed, since container/heap allocates for
-// each event.
+// events is a binary heap of scheduled actions, ordered by time and sequence number. Sequence numbers
+// are unique, so the order is total. The heap does not use container/heap, which allocates for each
+// event.
 type events []event
 
 func (e event) before(other event) bool {
@@ -92,7 +100,7 @@
 func (e *events) pop() event {
 	h := *e
 	first, last := h[0], h[len(h)-1]
-	h[len(h)-1] = event{} // releases its function
+	h[len(h)-1] = event{} // lets the action be garbage collected
 	h = h[:len(h)-1]
 	*e = h
 	if len(h) == 0 {
@@ -113,23 +121,24 @@
 	return first
 }
 
+// simNode is a node with its simulated process, clock and network.
 type simNode struct {
 	*Node
 	name               string
 	bootedAt           clock.Instant
-	epoch              int
-	inbox              []Command
-	pendingRequests    map[uint64]func(Reply)
+	epoch              int                    // incremented by each start and each crash
+	inbox              []Command              // commands for the next step
+	pendingRequests    map[uint64]func(Reply) // reply handlers, by request id
 	lastRequestID      uint64
 	down               bool
-	clockRate          float64       // of its monotonic clock; 0: exact
-	paused             bool          // its steps are suspended, while its clocks advance
+	clockRate          float64       // rate of its monotonic clock relative to simulated time; 0: no drift
+	paused             bool          // its steps are suspended, but its clocks advance
 	oldVersion         bool          // it sends and writes as protocol level 0 does
-	pauseBeforeEffects time.Duration // how long it pauses between its next decision and the effects
-	loadReportedAt     clock.Instant // when it was last given the number of open connections
+	pauseBeforeEffects time.Duration // pause between its next step that has effects and these effects
+	loadReportedAt     clock.Instant // monotonic time of its last ServerLoad command
 }
 
-// loadReportInterval is how often a node is given its number of open connections.
+// loadReportInterval is the interval at which a node is told its number of open connections.
 const loadReportInterval = 20 * step
 
 // monotonicNow returns the node's monotonic time.
@@ -140,9 +149,10 @@
 	return clock.Instant(float64(now-n.bootedAt) * n.clockRate)
 }
 
-// workerTimings are the settings of workers in a deployment, in seconds.
+// workerTimings are the worker settings of a deployment, in seconds.
 type workerTimings struct{ heartbeatInterval, machineLease, cancelLimit float64 }
 
+// deployments lists the worker timings that the tests cover.
 var deployments = []workerTimings{{1.5, 14, 34}, {3, 18, 38}, {4, 22, 42}, {5, 26.5, 46.5}}
 
 func newSimulation(t *testing.T, nodes int) *simulation {
@@ -178,8 +188,8 @@
 	return sim
 }
 
-// testLog returns a logger to standard error if LOG_LEVEL is debug. Otherwise no record is
-// formatted.
+// testLog returns a logger that writes to standard error if LOG_LEVEL is debug. Otherwise the logger
+// discards all records without formatting them.
 func testLog() *slog.Logger {
 	if os.Getenv("LOG_LEVEL") == "debug" {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -187,10 +197,11 @@
 	return slog.New(slog.DiscardHandler)
 }
 
+// startNode starts a node with empty memory, in place of an earlier one of the same name.
 func (sim *simulation) startNode(name string) {
 	platform := &config.Platform{Node: name, Cluster: sim.cfg}
 	if sim.oldVersionNodes[name] {
-		platform.Cluster.Store.Upcoming = config.StoreLimits{}.Upcoming // level 0 does not know them
+		platform.Cluster.Store.Upcoming = config.StoreLimits{}.Upcoming // unknown to protocol level 0
 	}
 	for _, other := range sim.names {
 		if other != name {
@@ -202,7 +213,7 @@
 		epoch = previous.epoch + 1
 	}
 	settings := config.Defaults()
-	settings.IdleRetention = 4 // so that machines are kept for the races
+	settings.IdleRetention = 4 // keeps idle machines, so that races with them occur
 	settings.FairAdmission = sim.fairAdmission
 	settings.RecoveryMinMachines = 0 // the simulated fleets are small
 	sim.nodes[name] = &simNode{
@@ -214,6 +225,7 @@
 	}
 }
 
+// crashNode ends a node at once, which closes its workers' connections.
 func (sim *simulation) crashNode(name string) {
 	sim.nodes[name].down = true
 	sim.nodes[name].epoch++
@@ -226,7 +238,8 @@
 
 func (sim *simulation) restartNode(name string) { sim.startNode(name) }
 
-// restartAfter crashes a node and restarts it after some time.
+// restartAfter crashes a node and restarts it after a downtime with the same clock rate, unless it was
+// restarted before.
 func (sim *simulation) restartAfter(name string, downtime time.Duration) {
 	sim.crashNode(name)
 	sim.schedule(downtime, func() {
@@ -238,6 +251,7 @@
 	})
 }
 
+// schedule calls f after a duration of simulated time.
 func (sim *simulation) schedule(d time.Duration, f func()) {
 	sim.lastEventSeq++
 	sim.events.push(event{sim.now + d, sim.lastEventSeq, f})
@@ -271,9 +285,9 @@
 	return condition()
 }
 
-// sortedWorkers returns the workers by name. The list is cached: sorting at each step took half of
-// the tests' time. Workers join by addWorker only, which drops the cache, so if it is as long as
-// the map, no worker has left since either.
+// sortedWorkers returns the workers in order of their names. The list is cached, since sorting at
+// each step took half of the tests' time. Workers are added by addWorker only, which drops the
+// cache; if the cache is as long as the map, no worker has been removed since either.
 func (sim *simulation) sortedWorkers() []*fakeWorker {
 	if len(sim.workersByName) != len(sim.workers) {
 		sim.workersByName = slices.SortedFunc(maps.Values(sim.workers),
@@ -282,12 +296,13 @@
 	return sim.workersByName
 }
 
-// addWorker adds a worker, whose machine is up.
+// addWorker adds a worker whose machine has booted.
 func (sim *simulation) addWorker(worker *fakeWorker) {
 	sim.workers[worker.name] = worker
 	sim.workersByName = nil
 }
 
+// stepNode runs one step of a node on its inbox and applies the effects.
 func (sim *simulation) stepNode(n *simNode) {
 	if n.down || n.paused {
 		return
@@ -310,7 +325,8 @@
 	sim.applyEffects(n, effects)
 }
 
-// pauseNode suspends a node's steps for a duration, and calls then when it resumes.
+// pauseNode suspends a node's steps for a duration. It then calls onResume unless the node has crashed
+// or restarted in the meantime.
 func (sim *simulation) pauseNode(n *simNode, d time.Duration, onResume func()) {
 	n.paused = true
 	epoch := n.epoch
@@ -322,6 +338,8 @@
 	})
 }
 
+// applyEffects carries out the effects of a step: it delivers replies and messages, and calls the
+// store and the cloud.
 func (sim *simulation) applyEffects(n *simNode, effects []Effect) {
 	epoch := n.epoch
 	for _, e := range effects {
@@ -358,7 +376,7 @@
 					switch body := body.(type) {
 					case nil:
 					case json.RawMessage:
-						r.Body = body // unchanged: it need not be JSON
+						r.Body = body // passed on unchanged, since it may not be JSON
 					default:
 						r.Body = storage.Encode(body)
 					}
@@ -401,13 +419,13 @@
 	}
 	decoded, err := protocol.DecodePeerMessage(raw)
 	if err != nil {
-		t.Fatalf("%s: %v", raw, err)
+		t.Fatalf("decode peer message %s: %v", raw, err)
 	}
 	return decoded
 }
 
 // levelZeroTransaction returns a transaction as protocol level 0 writes it: without the fields that
-// it does not know and without a version record.
+// this level does not know and without a version record.
 func levelZeroTransaction(t *testing.T, body []byte) []byte {
 	var txn storage.Txn
 	if err := json.Unmarshal(body, &txn); err != nil {
@@ -433,14 +451,14 @@
 	return storage.Encode(txn)
 }
 
-// upgradeNode crashes a node and restarts it with this version.
+// upgradeNode crashes a node and restarts it one second later with the current version.
 func (sim *simulation) upgradeNode(name string) {
 	sim.crashNode(name)
 	delete(sim.oldVersionNodes, name)
 	sim.schedule(time.Second, func() { sim.restartNode(name) })
 }
 
-// waitForNewVersion waits until every running node knows that all nodes run this version.
+// waitForNewVersion waits until every running node knows that all nodes run the current version.
 func (sim *simulation) waitForNewVersion() {
 	sim.t.Helper()
 	downOrInformed := func(name string) bool {
@@ -449,11 +467,11 @@
 	}
 	if !sim.advanceUntil(30*time.Second,
 		func() bool { return !slices.ContainsFunc(sim.names, func(s string) bool { return !downOrInformed(s) }) }) {
-		sim.t.Fatal("not all nodes are known to be new")
+		sim.t.Fatal("not every running node knows after 30 s that all nodes run the current version")
 	}
 }
 
-// terminalState returns the state in the terminal record of a job, or "".
+// terminalState returns the state in the terminal record of a job, or "" if there is no record.
 func (sim *simulation) terminalState(id string) protocol.JobState {
 	var record storage.TerminalRecord
 	if item, ok := sim.store.keys[storage.TerminalKey(id)]; ok {
@@ -467,7 +485,8 @@
 	return sim.linkCuts[[2]string{from, to}] || sim.linkCuts[[2]string{to, from}] || sim.oneWayCuts[[2]string{from, to}]
 }
 
-// cutOneWayFor cuts the link from one node to another, in this direction only, for a duration.
+// cutOneWayFor cuts the link from one node to another, in this direction only, for a duration, and
+// then also heals all two-way cuts.
 func (sim *simulation) cutOneWayFor(from, to string, d time.Duration) {
 	sim.oneWayCuts[[2]string{from, to}] = true
 	sim.schedule(d, func() {
@@ -490,7 +509,7 @@
 	}
 }
 
-// healCuts ends all cuts between nodes and delivers the messages that they delayed.
+// healCuts ends all two-way cuts between nodes and delivers all delayed messages.
 func (sim *simulation) healCuts() {
 	sim.linkCuts = map[[2]string]bool{}
 	held := sim.heldMessages
@@ -500,7 +519,8 @@
 	}
 }
 
-// sendRequest sends a request to a node; the reply of a node that is down has status 0.
+// sendRequest sends a request to a node and calls onReply with the reply. A node that is down yields a
+// reply of status 0.
 func (sim *simulation) sendRequest(name string, r Request, onReply func(Reply)) {
 	n := sim.nodes[name]
 	if n.down {
@@ -513,7 +533,8 @@
 	n.inbox = append(n.inbox, r)
 }
 
-// observeReply passes the replies to users on to the invariant checker first.
+// observeReply returns a reply handler that passes replies to users to the invariant checker and then
+// calls onReply. It also records which jobs users have submitted and cancelled.
 func (sim *simulation) observeReply(name string, r Request, onReply func(Reply)) func(Reply) {
 	switch r.Kind {
 	case protocol.RequestSubmit:
@@ -540,23 +561,24 @@
 	var received *Reply
 	sim.sendRequest(name, r, func(reply Reply) { received = &reply })
 	if !sim.advanceUntil(5*time.Second, func() bool { return received != nil }) {
-		sim.t.Fatalf("%s: no answer to a %s", name, r.Kind)
+		sim.t.Fatalf("%s: no reply to a request of kind %s within 5 s", name, r.Kind)
 	}
 	return *received
 }
 
-// startMachines brings up machines in addition to those that are rented for the work.
+// startMachines brings up n machines in addition to those that the leader rents.
 func (sim *simulation) startMachines(n int) {
 	sim.t.Helper()
 	for i := range n {
 		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
 	if !sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) >= n }) {
-		sim.t.Fatal("machines did not come up")
+		sim.t.Fatal("not all machines came up within 10 s")
 	}
 	sim.advance(2 * time.Second)
 }
 
+// submit submits a job to a node and returns the reply.
 func (sim *simulation) submit(node string, job protocol.Job) Reply {
 	sim.t.Helper()
 	sim.jobSpecs[job.ID] = job
@@ -568,13 +590,14 @@
 	sim.t.Helper()
 	sim.submit(node, job)
 	if !sim.advanceUntil(time.Minute, func() bool { return sim.activeTaskCount(job.ID) >= tasks }) {
-		sim.t.Fatalf("%d tasks of %s started, not %d", sim.activeTaskCount(job.ID), job.ID, tasks)
+		sim.t.Fatalf("%d tasks of %s run after a minute, expected %d", sim.activeTaskCount(job.ID), job.ID, tasks)
 	}
 }
 
-// newRunningSimulation returns a simulation whose leader runs one job, j-1, with all its tasks on
+// newRunningSimulation returns a simulation and its leader, with one job, j-1, whose tasks all run on
 // machines, each for the given duration.
-func newRunningSimulation(t *testing.T, nodes int, duration time.Duration, machines, tasks int) (*simulation, *simNode) {
+func newRunningSimulation(t *testing.T, nodes int, duration time.Duration, machines, tasks int) (
+	*simulation, *simNode) {
 	t.Helper()
 	sim := newSimulation(t, nodes)
 	sim.taskDuration = func(string, int) time.Duration { return duration }
@@ -584,6 +607,8 @@
 	return sim, leaderNode
 }
 
+// queryJob queries a job at a node and returns the HTTP status of the reply and, if it is 200, the
+// job's status.
 func (sim *simulation) queryJob(node, id string) (int, protocol.JobStatus) {
 	sim.t.Helper()
 	r := sim.requestAndWait(node, Request{Kind: protocol.RequestQuery, JobID: id})
@@ -596,11 +621,13 @@
 	return r.Status, status
 }
 
+// cancelJob cancels a job at a node and returns the reply.
 func (sim *simulation) cancelJob(node, id string) Reply {
 	sim.t.Helper()
 	return sim.requestAndWait(node, Request{Kind: protocol.RequestCancel, JobID: id})
 }
 
+// leaderName returns the name of the running node that holds the leader lease, or "" if none does.
 func (sim *simulation) leaderName() string {
 	for _, name := range sim.names {
 		if n := sim.nodes[name]; !n.down && !n.paused && n.holdsLeaderLease() {
@@ -610,22 +637,23 @@
 	return ""
 }
 
-// waitForLeader waits until some node leads and has read the records.
+// waitForLeader waits until a leader has loaded the stored records, and returns it.
 func (sim *simulation) waitForLeader() *simNode {
 	sim.t.Helper()
 	if !sim.advanceUntil(30*time.Second,
 		func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.recordsLoaded }) {
-		sim.t.Fatal("nobody leads")
+		sim.t.Fatal("no leader has loaded the stored records within 30 s")
 	}
 	return sim.nodes[sim.leaderName()]
 }
 
+// followers returns the names of the nodes that are up, without the leader.
 func (sim *simulation) followers() []string {
 	return slices.DeleteFunc(slices.Clone(sim.names),
 		func(s string) bool { return s == sim.leaderName() || sim.nodes[s].down })
 }
 
-// waitForJobState waits until the leader reports a state of a job.
+// waitForJobState waits until the leader reports the given state of a job, for d at most.
 func (sim *simulation) waitForJobState(id string, state protocol.JobState, d time.Duration) {
 	sim.t.Helper()
 	end := sim.now + d
@@ -639,10 +667,10 @@
 		}
 		sim.advance(200 * time.Millisecond)
 	}
-	sim.t.Fatalf("job %s is %q, not %q, after %v", id, last.State, state, d)
+	sim.t.Fatalf("job %s is %q, expected %q, after %v", id, last.State, state, d)
 }
 
-// totalStarts returns the number of task starts in all.
+// totalStarts returns the number of task starts of all jobs.
 func (sim *simulation) totalStarts() int {
 	total := 0
 	for _, n := range sim.startCounts {
@@ -656,12 +684,12 @@
 	sim.t.Helper()
 	for task, n := range sim.startCounts {
 		if n != 1 {
-			sim.t.Errorf("%s was started %d times", task, n)
+			sim.t.Errorf("%s was started %d times, expected once", task, n)
 		}
 	}
 }
 
-// activeTaskCount returns the number of a job's tasks that run on machines.
+// activeTaskCount returns the number of a job's tasks on machines that have not exited.
 func (sim *simulation) activeTaskCount(id string) int {
 	count := 0
 	prefix := id + "/"
@@ -675,9 +703,10 @@
 	return count
 }
 
+// jobIDOf returns the job id in a task key.
 func jobIDOf(key string) string { id, _, _ := strings.Cut(key, "/"); return id }
 
-// jobSpec returns a job of the given number of one-core tasks.
+// jobSpec returns a batch job of the given number of one-core tasks, each estimated at 5 s.
 func jobSpec(id string, tasks int) protocol.Job {
 	return protocol.Job{ID: id, Class: "c", Team: "free", Kind: "batch", Priority: "standard", TaskCount: tasks,
 		Cores: 1, MemoryGB: 1, Image: "i", SpotAllowed: true, EstimatedSeconds: 5}
