--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -21,38 +21,38 @@
 
 // invariantChecker is the part of the simulation that checks the invariants. It observes every
 // reply that a user gets, from any node and by any route, and every task on every machine. Replies
-// are ordered by real time: a query that was sent after a reply had arrived must not get an older
-// state, also milliseconds later at another node.
+// must follow the real-time order: a query that is sent after a reply has arrived must not get an
+// older state, not even milliseconds later from another node.
 type invariantChecker struct {
 	submitted          map[string]bool
-	acceptedAt         map[string]clock.Instant     // of the first reply that says so, by job
+	acceptedAt         map[string]clock.Instant     // time of the first reply that reports acceptance, by job
 	terminalStates     map[string]protocol.JobState // terminal states in replies, by job
-	terminalAt         map[string]clock.Instant     // of the first such reply, by job
+	terminalAt         map[string]clock.Instant     // time of the first reply with a terminal state, by job
 	cancelRequested    map[string]bool              // jobs for which a user has sent a cancellation
-	lastReplyAt        map[string]clock.Instant     // of the last reply about a job
-	completedTasks     map[string]bool              // tasks that have completed
-	firstStartAt       map[string]clock.Instant     // when the first task of a job started
+	lastReplyAt        map[string]clock.Instant     // time of the last successful reply, by job
+	completedTasks     map[string]bool              // keys of tasks that have completed on some machine
+	firstStartAt       map[string]clock.Instant     // time of the first task start, by job
 	faultsEndedAt      clock.Instant                // clock.Never while there are faults
 	waitingSince       map[string]clock.Instant     // since when a job is pending although there is room for it
 	lastWaitingCheck   clock.Instant
-	onJobState         func(id string, state protocol.JobState) // called for the first reply with "accepted" or a terminal state
-	acceptancesByEpoch map[uint64]int                           // jobs accepted under a policy, by epoch
+	onJobState         func(id string, state protocol.JobState) // called at acceptance and at the terminal state
+	acceptancesByEpoch map[uint64]int                           // jobs accepted under a policy, by policy epoch
 	scenario           string                                   // the test case, for messages
-	caughtViolations   map[string]int                           // by rule; not nil: count instead of failing, to test the checker itself
-	load               machineLoad                              // what runs, as of the last check
+	caughtViolations   map[string]int                           // counts by rule, to test the checker; nil: the test fails
+	load               machineLoad                              // running tasks as of the last check
 	helperMarked       bool                                     // checkInvariants has called t.Helper
 }
 
-// machineLoad is what runs on the machines. It is rebuilt when a task starts or ends, and not at
-// each step.
+// machineLoad lists the tasks that run on the machines, and what they use. It is rebuilt when a task
+// starts or ends, and not at each step.
 type machineLoad struct {
 	valid         bool
-	running       []runningTask     // by machine, in order of name
-	machineByTask map[string]string // by task: the name of its machine
+	running       []runningTask     // in order of machine names
+	machineByTask map[string]string // machine names, by task key
 	jobs          []jobLoad
 	jobIndices    map[string]int     // index into jobs, by job id
-	coresByTeam   map[string]float64 // by team
-	gpusByTeam    map[string]float64 // accelerators, by team
+	coresByTeam   map[string]float64 // cores in use
+	gpusByTeam    map[string]float64 // accelerators in use
 }
 
 type runningTask struct {
@@ -73,7 +73,8 @@
 		terminalStates: map[string]protocol.JobState{},
 		terminalAt:     map[string]clock.Instant{}, cancelRequested: map[string]bool{},
 		lastReplyAt:    map[string]clock.Instant{},
-		completedTasks: map[string]bool{}, firstStartAt: map[string]clock.Instant{}, load: newMachineLoad(), acceptancesByEpoch: map[uint64]int{}, faultsEndedAt: clock.Never, waitingSince: map[string]clock.Instant{}}
+		completedTasks: map[string]bool{}, firstStartAt: map[string]clock.Instant{}, load: newMachineLoad(),
+		acceptancesByEpoch: map[uint64]int{}, faultsEndedAt: clock.Never, waitingSince: map[string]clock.Instant{}}
 }
 
 func newMachineLoad() machineLoad {
@@ -81,7 +82,20 @@
 		coresByTeam: map[string]float64{}, gpusByTeam: map[string]float64{}}
 }
 
-// reportViolation fails the test, or counts the violation if the checker itself is tested.
+// reportViolation fails the test, or counts the violation if the checker itself is tested. Rules
+// whose names need an explanation are:
+//
+//   - forgotten: an accepted job is answered as unknown or rejected, or its queries get no answer
+//   - invented: a job that was never submitted has a state
+//   - went_back: a terminal state changes, or a job is cancelled without a request
+//   - not_done: a job is reported as done before all its tasks have completed
+//   - orphaned: a job is still open when the limit after the cancellation of a dependency has passed
+//   - ran_twice: a task runs on two machines
+//   - ran_cancelled: a task of a cancelled job still runs when the limit has passed
+//   - too_early: a task starts before the dependencies of its job are done
+//   - wrong_place: a task starts on a machine that its job does not allow
+//   - quota: a team uses more than its quota
+//   - waits: a job is not started although there is room for it
 func (sim *simulation) reportViolation(rule, format string, args ...any) {
 	sim.t.Helper()
 	if sim.caughtViolations != nil {
@@ -91,27 +105,29 @@
 	sim.t.Fatalf("%s at %v: %s: %s", sim.scenario, sim.now, rule, fmt.Sprintf(format, args...))
 }
 
-// checkReply checks the reply to a user's request that was sent at some moment.
+// checkReply checks the reply to a user's request that was sent at the given time.
 func (sim *simulation) checkReply(r Request, node string, sentAt clock.Instant, reply Reply) {
 	sim.t.Helper()
 	id := r.JobID
 	acceptedAt, known := sim.acceptedAt[id]
 	if reply.Status == 503 && reply.RetryAfter == 0 {
-		sim.reportViolation("silent wait", "%s of %s at %s: 503 without Retry-After", r.Kind, id, node)
+		sim.reportViolation("no Retry-After", "%s of %s at %s: 503 without Retry-After", r.Kind, id, node)
 	}
 	if known && sentAt >= acceptedAt &&
 		(reply.Status == 404 || r.Kind == protocol.RequestSubmit && (reply.Status == 400 || reply.Status == 422)) {
-		sim.reportViolation("forgotten", "%s of %s at %s: %d", r.Kind, id, node, reply.Status)
+		sim.reportViolation("forgotten", "%s of %s at %s: status %d for an accepted job", r.Kind, id, node,
+			reply.Status)
 	}
 	if reply.Status != 200 && reply.Status != 201 {
 		return
 	}
 	var status protocol.JobStatus
 	if json.Unmarshal(reply.Body, &status) != nil {
-		sim.t.Fatalf("%s of %s: %s", r.Kind, id, reply.Body)
+		sim.t.Fatalf("%s of %s: the reply %q is not a job status", r.Kind, id, reply.Body)
 	}
 	if !sim.submitted[id] {
-		sim.reportViolation("invented", "%s of %s at %s: %s", r.Kind, id, node, status.State)
+		sim.reportViolation("invented", "%s of %s at %s: state %q of a job that was not submitted", r.Kind, id, node,
+			status.State)
 	}
 	sim.lastReplyAt[id] = sim.now
 	if !known {
@@ -122,21 +138,22 @@
 	endsJob := status.State == protocol.JobDone || status.State == protocol.JobCancelled
 	switch {
 	case terminal && status.State != terminalState && (endsJob || sentAt >= sim.terminalAt[id]):
-		sim.reportViolation("went_back", "%s of %s at %s: %s after %s (asked at %v, told at %v)", r.Kind, id,
-			node, status.State, terminalState, sentAt, sim.terminalAt[id])
+		sim.reportViolation("went_back", "%s of %s at %s: state %q after %q (request sent at %v, earlier reply at %v)",
+			r.Kind, id, node, status.State, terminalState, sentAt, sim.terminalAt[id])
 	case status.State == protocol.JobCancelled && !sim.mayBeCancelled(id):
-		sim.reportViolation("went_back", "%s is cancelled, and nobody asked for it", id)
+		sim.reportViolation("went_back", "%s is cancelled, but no user has cancelled it or a dependency", id)
 	case status.State == protocol.JobDone:
 		for i := range sim.jobSpecs[id].TaskCount {
 			if !sim.completedTasks[cluster.TaskKey(id, i)] {
-				sim.reportViolation("not_done", "%s is done, but %s is not", id, cluster.TaskKey(id, i))
+				sim.reportViolation("not_done", "%s is reported as done, but task %s has not completed", id,
+					cluster.TaskKey(id, i))
 				break
 			}
 		}
 	}
 	if since, cancelled := sim.cancelledAt(id); cancelled && !terminal && sentAt > since+sim.cancelLimit() &&
 		status.State != protocol.JobCancelled {
-		sim.reportViolation("orphaned", "%s is %s", id, status.State)
+		sim.reportViolation("orphaned", "%s is still %q after a dependency was cancelled", id, status.State)
 	}
 	if endsJob && !terminal {
 		sim.terminalStates[id], sim.terminalAt[id] = status.State, sim.now
@@ -144,6 +161,7 @@
 	}
 }
 
+// notifyJobState calls the test's onJobState function, if there is one.
 func (sim *simulation) notifyJobState(id string, state protocol.JobState) {
 	if sim.onJobState != nil {
 		sim.onJobState(id, state)
@@ -156,8 +174,9 @@
 	return sim.cancelRequested[id] || slices.ContainsFunc(sim.jobSpecs[id].Dependencies, sim.mayBeCancelled)
 }
 
-// cancelledAt returns when users were first told that a job, or one of its dependencies, is
-// cancelled. A cancellation of a dependency counts from the acceptance of the job at the earliest.
+// cancelledAt returns the time of the first reply which reports that a job, or one of its
+// dependencies, is cancelled. A cancellation of a dependency counts from the acceptance of the job at
+// the earliest.
 func (sim *simulation) cancelledAt(id string) (at clock.Instant, ok bool) {
 	if sim.terminalStates[id] == protocol.JobCancelled {
 		at, ok = sim.terminalAt[id], true
@@ -172,10 +191,11 @@
 	return at, ok
 }
 
+// cancelLimit returns the time within which the tasks of a cancelled job must end.
 func (sim *simulation) cancelLimit() time.Duration { return config.Seconds(sim.cfg.Workers.CancelS) }
 
-// checkInvariants checks the invariants that hold at each moment: one leader, and those of running
-// and pending tasks.
+// checkInvariants checks the invariants that must hold at each moment: at most one leader, and those
+// of running and pending tasks.
 func (sim *simulation) checkInvariants() {
 	if !sim.helperMarked {
 		sim.helperMarked = true // once is enough for a test, and the call is slow
@@ -188,7 +208,7 @@
 		}
 	}
 	if leaders > 1 {
-		sim.reportViolation("two leaders", "%d nodes have authority", leaders)
+		sim.reportViolation("two leaders", "%d nodes hold the leader lease", leaders)
 	}
 	sim.checkRunningTasks()
 	if sim.faultsEndedAt != clock.Never && sim.now >= sim.lastWaitingCheck+time.Second {
@@ -197,10 +217,10 @@
 	}
 }
 
-// checkRunningTasks checks the invariants of running tasks. Where each task runs changes only with
-// the list of running tasks, and what teams use only with that list and the specifications of its
-// jobs: both are compared at each step. The rest depends on the time and on replies as well and is
-// checked at each step, but once for each job.
+// checkRunningTasks checks the invariants of running tasks. The machine of each task changes only with
+// the list of running tasks, and the usage of teams only with that list and the specifications of its
+// jobs, so that both are recomputed only after such a change. The other checks depend on the time and
+// on replies as well; they are made at each step, once for each job.
 func (sim *simulation) checkRunningTasks() {
 	load := &sim.load
 	unchanged := sim.runningTasksUnchanged()
@@ -218,7 +238,7 @@
 			for _, task := range load.running {
 				if jobIDOf(task.taskKey) == usage.id {
 					sim.t.Helper()
-					sim.reportViolation("ran_cancelled", "%s is on %s, cancelled at %v (%s)", task.taskKey,
+					sim.reportViolation("ran_cancelled", "%s still runs on %s, cancelled at %v (%s)", task.taskKey,
 						task.worker.name, since, task.worker.describe())
 				}
 			}
@@ -231,13 +251,13 @@
 		if team.MaxCPUs > 0 && load.coresByTeam[team.Name] > team.MaxCPUs ||
 			team.MaxGPUs > 0 && load.gpusByTeam[team.Name] > team.MaxGPUs {
 			sim.t.Helper()
-			sim.reportViolation("quota", "%s uses %v cores, %v accelerators", team.Name,
+			sim.reportViolation("quota", "team %s exceeds its quota with %v cores and %v accelerators", team.Name,
 				load.coresByTeam[team.Name], load.gpusByTeam[team.Name])
 		}
 	}
 }
 
-// sumByTeam adds up what the tasks of each team use.
+// sumByTeam computes the cores and accelerators that the tasks of each team use.
 func (l *machineLoad) sumByTeam() {
 	clear(l.coresByTeam)
 	clear(l.gpusByTeam)
@@ -286,7 +306,7 @@
 			if other, duplicate := load.machineByTask[task.taskKey]; duplicate {
 				load.valid = false
 				sim.t.Helper()
-				sim.reportViolation("ran_twice", "%s is on %s and %s", task.taskKey, other, worker.name)
+				sim.reportViolation("ran_twice", "%s runs on %s and on %s", task.taskKey, other, worker.name)
 			}
 			load.machineByTask[task.taskKey] = worker.name
 			id := jobIDOf(task.taskKey)
@@ -320,14 +340,16 @@
 			sim.waitingSince[id] = sim.now
 		}
 		if sim.now > sim.waitingSince[id]+90*time.Second {
-			sim.reportViolation("waits", "%s waits for 90 s beside a machine with room: %s", id, sim.explainPending(id))
+			sim.reportViolation("waits", "%s is pending for 90 s although a machine has room: %s", id,
+				sim.explainPending(id))
 		}
+		// The time counts from the completion of all dependencies.
 		eligibleAt := max(sim.faultsEndedAt, sim.acceptedAt[id])
 		for _, dependency := range sim.jobSpecs[id].Dependencies {
-			eligibleAt = max(eligibleAt, sim.terminalAt[dependency]) // the time counts from the completion of all dependencies
+			eligibleAt = max(eligibleAt, sim.terminalAt[dependency])
 		}
 		if sim.firstStartAt[id] == 0 && sim.now > eligibleAt+4*time.Minute {
-			sim.reportViolation("waits", "%s has not begun after four minutes: %s", id, sim.explainPending(id))
+			sim.reportViolation("waits", "%s has not started after four minutes: %s", id, sim.explainPending(id))
 		}
 	}
 }
@@ -371,11 +393,11 @@
 func (sim *simulation) placementViolation(job *protocol.Job, worker *fakeWorker) string {
 	switch {
 	case len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, worker.machineType):
-		return "type " + worker.machineType
+		return "machine type " + worker.machineType
 	case job.Zone != "" && job.Zone != worker.zone:
 		return "zone " + worker.zone
 	case !job.SpotAllowed && worker.spot:
-		return "a spot machine"
+		return "spot machine"
 	}
 	if !job.SameZone && !job.Spread {
 		return ""
@@ -394,44 +416,46 @@
 	}
 	switch {
 	case job.SameZone && inOtherZones > 0:
-		return "not where the other tasks are"
+		return "other tasks run in another zone"
 	case job.Spread && inSameZone+1 > (job.TaskCount+1)/2:
-		return "more than half in one zone"
+		return "more than half of the tasks in one zone"
 	}
 	return ""
 }
 
 // checkTaskStart checks the start of a task on a machine. A response to a heartbeat takes at most
-// four seconds, so a start later than that after the confirmation of a cancellation was sent after
-// it.
+// four seconds. If a task starts later than that after the confirmation of a cancellation, its start
+// command was therefore sent after the confirmation.
 func (sim *simulation) checkTaskStart(worker *fakeWorker, key string) {
 	sim.t.Helper()
 	id := jobIDOf(key)
 	job := sim.jobSpecs[id]
 	for _, dependency := range job.Dependencies {
 		if sim.terminalState(dependency) != protocol.JobDone {
-			sim.reportViolation("too_early", "%s, while the end of %s is %q", key, dependency,
-				sim.terminalState(dependency))
+			sim.reportViolation("too_early", "%s starts while its dependency %s has the terminal state %q", key,
+				dependency, sim.terminalState(dependency))
 		}
 	}
 	if reason := sim.placementViolation(&job, worker); reason != "" {
 		sim.reportViolation("wrong_place", "%s starts on %s: %s", key, worker.name, reason)
 	}
 	if since, cancelled := sim.cancelledAt(id); cancelled && sim.now > since+4*time.Second {
-		sim.reportViolation("started after its cancellation", "%s, cancelled at %v", key, since)
+		sim.reportViolation("started after its cancellation", "%s starts, cancelled at %v", key, since)
 	}
 	if sim.firstStartAt[id] == 0 {
 		sim.firstStartAt[id] = sim.now
 	}
 }
 
+// describe describes the worker's state and faults for messages.
 func (worker *fakeWorker) describe() string {
-	return fmt.Sprintf("session %d, token %d, reports to %s, hanging %v, silent %v, deaf %v", worker.epoch,
-		worker.fencingToken, worker.node, worker.hung, worker.unreachable, worker.dropResponses)
+	return fmt.Sprintf("epoch %d, fencing token %d, node %s, hung %v, unreachable %v, drops responses %v",
+		worker.epoch, worker.fencingToken, worker.node, worker.hung, worker.unreachable, worker.dropResponses)
 }
 
-// TestInvariantCheckerFindsEachViolation checks that the invariant checker can fail: each rule is
-// violated here by a reply that no node sends, or by a task that no leader started.
+// TestInvariantCheckerFindsEachViolation checks that the invariant checker can fail. Each rule is
+// violated by a reply that no node sends, or by a task that no leader started. Trailing blanks
+// distinguish the cases of one rule.
 func TestInvariantCheckerFindsEachViolation(t *testing.T) {
 	replyWith := func(s protocol.JobState) Reply {
 		return Reply{Status: 200, Body: []byte(`{"uid":"j-1","situacao":"` + s + `"}`)}
@@ -455,9 +479,9 @@
 			sim.terminalStates["j-1"], sim.terminalAt["j-1"] = protocol.JobCancelled, sim.now
 			sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobRunning))
 		},
-		"went_back ":  func(sim *simulation) { sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobCancelled)) },
-		"not_done":    func(sim *simulation) { sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobDone)) },
-		"silent wait": func(sim *simulation) { sim.checkReply(query, "n0", sim.now, Reply{Status: 503}) },
+		"went_back ":     func(sim *simulation) { sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobCancelled)) },
+		"not_done":       func(sim *simulation) { sim.checkReply(query, "n0", sim.now, replyWith(protocol.JobDone)) },
+		"no Retry-After": func(sim *simulation) { sim.checkReply(query, "n0", sim.now, Reply{Status: 503}) },
 		"orphaned": func(sim *simulation) {
 			job := sim.jobSpecs["j-1"]
 			job.Dependencies = []string{"j-0"}
@@ -527,7 +551,7 @@
 			sim.cloud.noSpot = true
 			sim.acceptedAt["j-2"], sim.jobSpecs["j-2"], sim.faultsEndedAt = sim.now, dependentSpec("j-2", 1), sim.now
 			for i := range 8 {
-				addTask(sim, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // no room is left
+				addTask(sim, fmt.Sprintf("m-%06d", i%2+1), fmt.Sprintf("j-1/%d", i+1), 1) // fills both machines
 			}
 			sim.advance(4*time.Minute + 2*time.Second)
 		},
@@ -548,14 +572,15 @@
 			sim.caughtViolations = map[string]int{}
 			violate(sim)
 			if rule = strings.TrimSpace(rule); sim.caughtViolations[rule] == 0 {
-				t.Fatalf("not caught: %v", sim.caughtViolations)
+				t.Fatalf("the violation was not reported; reported rules: %v", sim.caughtViolations)
 			}
 		})
 	}
 }
 
-// checkAdmissionPolicy checks a transaction before it is executed: it accepts no job that the
-// policy in force does not admit, unless its writer does not support policies.
+// checkAdmissionPolicy checks before a transaction is executed that it accepts no job that the stored
+// admission policy does not admit. Writers that do not support policies make no condition on the
+// policy's key, and their transactions are not checked.
 func (sim *simulation) checkAdmissionPolicy(t storage.Txn) {
 	sim.t.Helper()
 	record, exists := sim.store.keys[storage.AdmissionPolicyKey]
@@ -574,7 +599,8 @@
 		}
 		sim.acceptancesByEpoch[policy.Epoch]++
 		if !policy.Evaluate(admissioncontrol.GroupOf(&job.Spec), job.Spec.ID).Admit {
-			sim.reportViolation("policy", "%s is accepted in epoch %d", job.Spec.ID, policy.Epoch)
+			sim.reportViolation("policy", "%s is accepted in epoch %d, whose policy does not admit it", job.Spec.ID,
+				policy.Epoch)
 		}
 	}
 }
