--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -12,12 +12,12 @@
 	"hitchdoor/internal/protocol"
 )
 
-// sweepAll tells whether HITCHDOOR_SWEEP asks for a sweep of all combinations of two faults instead
-// of a sample. Each combination is run with many offsets and seeds, since a single timing may pass
-// by chance.
+// sweepAll tells whether the environment variable HITCHDOOR_SWEEP asks for a sweep of all combinations
+// of faults instead of a sample. Each combination is run with many offsets and seeds, since a single
+// timing may pass by chance.
 func sweepAll() bool { return os.Getenv("HITCHDOOR_SWEEP") != "" }
 
-// forEachSeed runs a parallel sub-test for each of the usual number of seeds, or of the sweep's.
+// forEachSeed runs a parallel subtest for each seed below sampleSeeds, or below sweepSeeds in a sweep.
 func forEachSeed(t *testing.T, sampleSeeds, sweepSeeds uint64, run func(t *testing.T, seed uint64)) {
 	t.Helper()
 	seeds := sampleSeeds
@@ -32,8 +32,8 @@
 	}
 }
 
-// newFaultCombination returns a simulation with the given worker timings, users, a leader, machines
-// and jobs whose tasks run for an hour.
+// newFaultCombination returns a simulation with the given worker timings, users, machines, and jobs
+// whose tasks all run, for an hour each. It also returns the leader.
 func newFaultCombination(t *testing.T, nodes int, timings workerTimings, seed uint64, jobs, tasks int) (
 	*userSimulation, *simNode) {
 	t.Helper()
@@ -54,16 +54,17 @@
 		}
 		return active == jobs*tasks
 	}) {
-		t.Fatal("not all tasks are on machines")
+		t.Fatal("not all tasks run on machines after a minute")
 	}
 	leaderNode := c.waitForLeader()
 	c.queryAfterEachChange()
 	return c, leaderNode
 }
 
+// machineLease returns the duration of the leases of machines.
 func (c *userSimulation) machineLease() time.Duration { return config.Seconds(c.cfg.Workers.LeaseS) }
 
-// onNextLeader calls f, once, when a node other than except leads.
+// onNextLeader calls f once, as soon as a node other than except leads.
 func (c *userSimulation) onNextLeader(except string, f func(name string)) {
 	var poll func()
 	poll = func() {
@@ -81,7 +82,7 @@
 	return time.Duration(c.rng.Int64N(int64(d)))
 }
 
-// forSomeWorkers calls f for a random sample of the workers, one in oneIn.
+// forSomeWorkers calls f for each worker with a probability of one in oneIn.
 func (c *userSimulation) forSomeWorkers(oneIn int, f func(*fakeWorker)) {
 	for _, worker := range c.sortedWorkers() {
 		if c.rng.IntN(oneIn) == 0 {
@@ -104,7 +105,8 @@
 	c.restartAfter(name, c.randomDuration(c.machineLease()/[]time.Duration{1, 40}[c.rng.IntN(2)]))
 }
 
-// cancelSomeJobs cancels one in oneIn of the open jobs, all within a moment.
+// cancelSomeJobs cancels each open job with a probability of one in oneIn, at a random time within a
+// span.
 func (c *userSimulation) cancelSomeJobs(oneIn int, span time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.acceptedAt)) {
 		if c.terminalStates[id] == "" && c.rng.IntN(oneIn) == 0 {
@@ -113,7 +115,8 @@
 	}
 }
 
-// submitMoreJobs submits jobs at random times within a span.
+// submitMoreJobs submits random jobs at random times within a span. A change that is not nil alters
+// each job first.
 func (c *userSimulation) submitMoreJobs(jobs int, span time.Duration, change func(i int, job *protocol.Job)) {
 	first := len(c.submitted)
 	for i := range jobs {
@@ -128,8 +131,8 @@
 	}
 }
 
-// replayHeartbeats keeps copies of heartbeats and sends them to all nodes once there is another
-// leader, and repeatedly for some time after.
+// replayHeartbeats keeps copies of some heartbeats. Whenever another node leads, it sends each copy to
+// all nodes, twice within a tenth of a lease.
 func (c *userSimulation) replayHeartbeats() {
 	var copies []*protocol.WorkerHeartbeat
 	c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
@@ -151,8 +154,8 @@
 			for _, node := range c.names {
 				for range 2 {
 					c.schedule(c.randomDuration(c.machineLease()/10), func() {
-						replayed := *heartbeat
-						c.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &replayed}, func(Reply) {})
+						copied := *heartbeat
+						c.sendRequest(node, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied}, func(Reply) {})
 					})
 				}
 			}
@@ -163,10 +166,11 @@
 	poll()
 }
 
-// faultCombinations are the combinations of two faults that users asked for, by what coincides.
-// Each gets a leader, eight machines and some jobs, and returns how long its faults last.
+// faultCombinations are the combinations of faults that users asked for, by name. Each function gets a
+// simulation with a leader, eight machines and some jobs. It schedules its faults and returns how
+// long they last.
 var faultCombinations = map[string]func(c *userSimulation) time.Duration{
-	"ends far apart, and a change of leader": func(c *userSimulation) time.Duration {
+	"long and short tasks, leaders replaced": func(c *userSimulation) time.Duration {
 		c.taskDuration = func(task string, _ int) time.Duration {
 			return 2*time.Second + time.Duration(task[len(task)-1]-'0')*20*time.Second
 		}
@@ -176,7 +180,7 @@
 		}
 		return 50 * time.Second
 	},
-	"cancelled as soon as accepted, under close looks": func(c *userSimulation) time.Duration {
+	"cancellation at acceptance, and frequent queries": func(c *userSimulation) time.Duration {
 		onJobState := c.onJobState
 		c.onJobState = func(id string, state protocol.JobState) {
 			onJobState(id, state)
@@ -188,7 +192,7 @@
 		c.schedule(c.randomDuration(20*time.Second), c.replaceLeader)
 		return 30 * time.Second
 	},
-	"only the answer of a transaction is lost": func(c *userSimulation) time.Duration {
+	"executed transactions without a response": func(c *userSimulation) time.Duration {
 		c.store.lateExecution = func() (time.Duration, bool) { return 0, c.rng.IntN(5) < 2 }
 		c.submitMoreJobs(20, 40*time.Second, nil)
 		for i := range 4 {
@@ -197,7 +201,7 @@
 		c.schedule(c.randomDuration(40*time.Second), c.replaceLeader)
 		return 45 * time.Second
 	},
-	"transactions and lease calls are carried out late": func(c *userSimulation) time.Duration {
+	"late execution of transactions and of lease calls": func(c *userSimulation) time.Duration {
 		c.store.lateExecution = func() (time.Duration, bool) {
 			return 2*time.Second + c.randomDuration(10*time.Second), c.rng.IntN(4) == 0
 		}
@@ -208,7 +212,7 @@
 		}
 		return 70 * time.Second
 	},
-	"more work than room, over slow links": func(c *userSimulation) time.Duration {
+	"too little capacity and a slow store": func(c *userSimulation) time.Duration {
 		c.cloud.capacity = 9
 		c.store.requestDelay = func() time.Duration { return c.randomDuration(600 * time.Millisecond) }
 		c.submitMoreJobs(40, 40*time.Second, func(_ int, j *protocol.Job) { j.Team = "free" })
@@ -216,7 +220,7 @@
 		c.schedule(20*time.Second, func() { c.cancelSomeJobs(4, time.Second) })
 		return 60 * time.Second
 	},
-	"controllers hand over and back, all end, one returns": func(c *userSimulation) time.Duration {
+	"leader replaced twice, all nodes restart, one sooner": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(15, 60*time.Second, nil)
 		for i := range 3 {
 			at := time.Duration(i) * 20 * time.Second
@@ -246,7 +250,7 @@
 		c.schedule(c.machineLease()/2+c.randomDuration(c.machineLease()), func() { c.workerReaches = nil })
 		return 2 * c.machineLease()
 	},
-	"a leader ends while machines can't be reached or hear nothing": func(c *userSimulation) time.Duration {
+	"leader replaced, workers are unreachable or without responses": func(c *userSimulation) time.Duration {
 		c.forSomeWorkers(3, func(worker *fakeWorker) { worker.unreachable = true })
 		c.forSomeWorkers(3, func(worker *fakeWorker) { worker.dropResponses = true })
 		c.submitMoreJobs(10, 30*time.Second, nil)
@@ -258,9 +262,11 @@
 		}
 		return 2 * c.machineLease()
 	},
-	"a zone is cut off for longer than a lease": func(c *userSimulation) time.Duration {
+	"one zone isolated for longer than a lease": func(c *userSimulation) time.Duration {
 		isolated := c.randomNode()
-		c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == isolated) }
+		c.workerReaches = func(worker *fakeWorker, node string) bool {
+			return (worker.zone == "a") == (node == isolated)
+		}
 		c.store.requestsDropped[isolated] = true
 		c.holdMessages = c.rng.IntN(2) == 0
 		c.isolateNode(isolated)
@@ -274,7 +280,7 @@
 		})
 		return 2 * c.machineLease()
 	},
-	"cancelled as a controller's work changes hands": func(c *userSimulation) time.Duration {
+	"cancellations around the changes of the leader": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(20, 40*time.Second, nil)
 		for i := range 5 {
 			at := 2*time.Second + time.Duration(i)*10*time.Second
@@ -283,7 +289,7 @@
 		}
 		return 55 * time.Second
 	},
-	"all controllers are away for longer than a lease": func(c *userSimulation) time.Duration {
+	"all nodes are down or paused longer than a lease": func(c *userSimulation) time.Duration {
 		c.cancelSomeJobs(3, 2*time.Second)
 		c.submitMoreJobs(10, 2*time.Second, nil)
 		c.schedule(c.randomDuration(2*time.Second), func() {
@@ -297,7 +303,7 @@
 		})
 		return 2 * c.machineLease()
 	},
-	"a half-cut leader, and cancellations through the new one": func(c *userSimulation) time.Duration {
+	"a half-isolated leader, and cancellations at the new one": func(c *userSimulation) time.Duration {
 		oldLeader := c.leaderName()
 		c.workerReaches = func(worker *fakeWorker, node string) bool { return node == oldLeader || worker.zone == "a" }
 		c.store.requestsDropped[oldLeader] = true
@@ -314,7 +320,7 @@
 		})
 		return c.cancelLimit() + c.machineLease()
 	},
-	"ten leaders in two minutes, inside an outage too": func(c *userSimulation) time.Duration {
+	"ten leaders in two minutes, and one store outage": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(20, 100*time.Second, nil)
 		for i := range 10 {
 			c.schedule(time.Duration(i)*12*time.Second+c.randomDuration(3*time.Second), c.replaceLeader)
@@ -326,7 +332,7 @@
 		c.schedule(at+5*time.Second+c.randomDuration(25*time.Second), func() { c.store.setDown(false) })
 		return 2 * time.Minute
 	},
-	"machines up at once while writes lag, and the leader ends": func(c *userSimulation) time.Duration {
+	"machines boot at once, writes delayed, leader is replaced": func(c *userSimulation) time.Duration {
 		c.cloud.bootTime = 300 * time.Millisecond
 		c.store.requestDelay = func() time.Duration { return c.randomDuration(c.machineLease() / 16) }
 		c.submitMoreJobs(30, 30*time.Second, nil)
@@ -335,7 +341,7 @@
 		}
 		return 40 * time.Second
 	},
-	"jobs bound to one zone lose machines": func(c *userSimulation) time.Duration {
+	"jobs with zone options lose machines": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(15, 30*time.Second, func(i int, j *protocol.Job) {
 			j.SameZone, j.Spread = i%3 == 0, i%3 == 1
 			if i%3 == 2 {
@@ -355,7 +361,7 @@
 		c.schedule(c.randomDuration(30*time.Second), func() { c.cancelSomeJobs(5, time.Second) })
 		return 45 * time.Second
 	},
-	"questions and cancellations meet the end of the last task": func(c *userSimulation) time.Duration {
+	"queries and cancellations around the end of the last task": func(c *userSimulation) time.Duration {
 		taskDuration := c.taskDuration
 		c.taskDuration = func(task string, n int) time.Duration {
 			duration := taskDuration(task, n)
@@ -376,7 +382,7 @@
 		c.submitMoreJobs(30, 30*time.Second, func(_ int, j *protocol.Job) { j.TaskCount = 1 + c.rng.IntN(2) })
 		return 45 * time.Second
 	},
-	"old reports after newer ones": func(c *userSimulation) time.Duration {
+	"delayed copies of heartbeats": func(c *userSimulation) time.Duration {
 		c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 			if c.rng.IntN(2) == 0 {
 				copied := *heartbeat
@@ -396,7 +402,7 @@
 		c.cancelSomeJobs(4, 20*time.Second)
 		return 45 * time.Second
 	},
-	"reports held back until a new leader acts, at all nodes": func(c *userSimulation) time.Duration {
+	"heartbeats replayed to all nodes once a new leader acts": func(c *userSimulation) time.Duration {
 		c.replayHeartbeats()
 		c.submitMoreJobs(15, 40*time.Second, nil)
 		for i := range 3 {
@@ -405,7 +411,7 @@
 		c.schedule(c.randomDuration(40*time.Second), func() { c.cancelSomeJobs(4, time.Second) })
 		return 50 * time.Second
 	},
-	"teams at their limits, machines cut off or hanging, cancellations, a takeover": func(c *userSimulation) time.Duration {
+	"teams at quota, machines unreachable or hung, cancellations, leaders replaced": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(16, 5*time.Second,
 			func(i int, j *protocol.Job) { j.Team, j.TaskCount = []string{"team", "small"}[i%2], 4 })
 		at := 8*time.Second + c.randomDuration(4*time.Second)
@@ -424,7 +430,7 @@
 		c.schedule(at+c.randomDuration(3*time.Second)-time.Second, c.replaceLeader)
 		return at + 2*c.machineLease()
 	},
-	"answers are held up for seconds": func(c *userSimulation) time.Duration {
+	"long delays of worker responses": func(c *userSimulation) time.Duration {
 		c.forSomeWorkers(2, func(worker *fakeWorker) { worker.responseDelay = c.randomDuration(6 * time.Second) })
 		c.submitMoreJobs(15, 30*time.Second, nil)
 		c.cancelSomeJobs(3, 20*time.Second)
@@ -434,7 +440,7 @@
 		}
 		return 45 * time.Second
 	},
-	"a slow state service refuses the leader, then everybody": func(c *userSimulation) time.Duration {
+	"a slow store refuses the leader and later has an outage": func(c *userSimulation) time.Duration {
 		c.store.requestDelay = func() time.Duration { return c.randomDuration(c.machineLease() / 20) }
 		name := c.leaderName()
 		c.store.refusedNodes[name] = true
@@ -449,7 +455,7 @@
 		})
 		return at + c.cancelLimit()*5/4 + 2*time.Second
 	},
-	"cancelled jobs' machines hang, and the leader changes": func(c *userSimulation) time.Duration {
+	"machines of cancelled jobs hang, a leader is replaced": func(c *userSimulation) time.Duration {
 		at := c.randomDuration(4 * time.Second)
 		c.schedule(at, func() { c.cancelSomeJobs(2, 200*time.Millisecond) })
 		c.schedule(at+c.randomDuration(400*time.Millisecond), func() {
@@ -462,7 +468,7 @@
 		c.submitMoreJobs(6, 10*time.Second, nil)
 		return 2 * c.machineLease()
 	},
-	"controllers go silent for a minute or more": func(c *userSimulation) time.Duration {
+	"controllers pause for more than one minute": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(15, 40*time.Second, nil)
 		at := c.randomDuration(10 * time.Second)
 		c.schedule(at, func() {
@@ -480,7 +486,7 @@
 		}
 		return at + 95*time.Second
 	},
-	"silent in an election, at a confirmation, in a write": func(c *userSimulation) time.Duration {
+	"paused in an election, in a confirmation, in a write": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(20, 60*time.Second, nil)
 		for i := range 4 {
 			at := time.Duration(i) * 20 * time.Second
@@ -499,7 +505,7 @@
 		}
 		return 110 * time.Second
 	},
-	"a flood of questions, and a controller stands still": func(c *userSimulation) time.Duration {
+	"a flood of queries, and some controllers are paused": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(15, 30*time.Second, nil)
 		for i := range 600 {
 			c.schedule(time.Duration(i)*50*time.Millisecond, c.queryAllJobs)
@@ -511,7 +517,7 @@
 		}
 		return 40 * time.Second
 	},
-	"jobs with a mistake beside a faulty machine, and a change of leader": func(c *userSimulation) time.Duration {
+	"jobs that fail everywhere, a faulty machine, and a change of leader": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(12, 20*time.Second, func(i int, j *protocol.Job) {
 			if i%4 == 0 {
 				c.failingJobs[j.ID] = true
@@ -526,7 +532,7 @@
 		})
 		return 85 * time.Second
 	},
-	"machines come up late or never": func(c *userSimulation) time.Duration {
+	"slow and failing machine boots": func(c *userSimulation) time.Duration {
 		c.cloud.nextBootTime = func() time.Duration {
 			if c.rng.IntN(4) == 0 {
 				return time.Hour
@@ -538,7 +544,7 @@
 		c.schedule(60*time.Second, func() { c.cloud.nextBootTime = nil })
 		return 70 * time.Second
 	},
-	"odd requests": func(c *userSimulation) time.Duration {
+	"bad requests": func(c *userSimulation) time.Duration {
 		c.submitMoreJobs(10, 20*time.Second, nil)
 		for range 40 {
 			c.schedule(c.randomDuration(40*time.Second), func() { c.sendInvalidRequest() })
@@ -548,8 +554,8 @@
 	},
 }
 
-// pauseController pauses a controller, which then resumes as if no time had passed; half of the
-// pauses are between a decision and its effects.
+// pauseController pauses a controller, which then resumes as if no time had passed. Half of the pauses
+// are between a step and its effects.
 func (c *userSimulation) pauseController(name string, d time.Duration) {
 	n := c.nodes[name]
 	switch {
@@ -583,21 +589,25 @@
 		job.Cores = 400
 		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			if r.Status != 422 && r.Status != 503 && r.Status != 0 {
-				c.t.Errorf("a job that fits no machine: %d", r.Status)
+				c.t.Errorf("submission of a job that fits no machine: status %d, expected 422, 503 or no reply",
+					r.Status)
 			}
 		})
 	}
 }
 
-// TestFaultCombinations runs each combination with 3 and 7 nodes, with the worker timings of each
-// deployment, at random offsets, under frequent queries. In the end every job is done or cancelled,
-// no job is pending beside free capacity, and no job is forgotten.
+// TestFaultCombinations guards against violations that need several faults at once. It runs each
+// combination with 3 and 7 nodes, with the worker timings of each deployment, at random offsets,
+// under frequent queries. In the end every job is done or cancelled, no job is pending while there is
+// free capacity for it, and no accepted job is forgotten.
 func TestFaultCombinations(t *testing.T) {
 	for name, inject := range faultCombinations {
 		t.Run(name, func(t *testing.T) {
 			forEachSeed(t, 8, 60, func(t *testing.T, seed uint64) {
 				sim := newSimulationWithTimings(t, []int{3, 7}[seed%2], deployments[seed/2%uint64(len(deployments))])
 				sim.cfg.Teams = append(sim.cfg.Teams, config.Team{Name: "small", MaxCPUs: 8})
+				// The random choices depend on the length of the name: a combination that is renamed
+				// repeats them only if its new name is as long as the old one.
 				c := newUserSimulation(sim, seed*31+uint64(len(name)))
 				for _, node := range c.names {
 					c.startNode(node)
@@ -617,16 +627,16 @@
 				c.advance(8 * time.Second)
 				c.advance(inject(c))
 				c.store.lateExecution, c.store.requestDelay, c.onHeartbeat = nil, nil, nil
-				c.advance(12 * time.Second) // delayed calls arrive
+				c.advance(12 * time.Second) // lets delayed calls arrive
 				c.waitForCompletion(5 * time.Minute)
 			})
 		})
 	}
 }
 
-// One-task jobs arrive four a second for minutes, a quarter of them is cancelled, while the store
-// limits its write rate and the leader changes: no backlog of writes grows, and cancellations are
-// confirmed without additional delay.
+// TestManySmallJobs guards against a growing backlog of writes and against delayed confirmations of
+// cancellations. One-task jobs arrive at four a second for minutes and a quarter of them is cancelled,
+// while the store limits its write rate and the leader changes.
 func TestManySmallJobs(t *testing.T) {
 	for i, timings := range deployments {
 		t.Run(fmt.Sprintf("lease %v", timings.machineLease), func(t *testing.T) {
@@ -644,7 +654,7 @@
 				if i%4 == 0 {
 					c.schedule(time.Duration(i)*time.Second/jobsPerSecond+time.Second+c.randomDuration(5*time.Second), func() {
 						if !c.knowsAccepted(job.ID) {
-							return // not accepted yet, as the leader changes
+							return // not accepted yet, because the leader changes
 						}
 						requestedAt := c.now
 						c.sendUserRequest(Request{Kind: protocol.RequestCancel, JobID: job.ID}, func(r Reply) {
@@ -664,10 +674,10 @@
 				}
 			}
 			if slowestCancellation > 2*time.Second {
-				t.Errorf("a cancellation was confirmed after %v", slowestCancellation)
+				t.Errorf("the slowest cancellation was confirmed after %v, expected 2 s at most", slowestCancellation)
 			}
 			if mostPendingChanges > 60 {
-				t.Errorf("%d changes waited", mostPendingChanges)
+				t.Errorf("%d changes were pending at once, expected 60 at most", mostPendingChanges)
 			}
 			c.waitForCompletion(time.Minute)
 		})
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -11,20 +11,20 @@
 	"hitchdoor/internal/protocol"
 )
 
-// mixedFaults is one short run of mixed faults, reproducible by its seed.
+// mixedFaults is one short run of mixed faults. Its seed makes it reproducible.
 type mixedFaults struct {
 	*userSimulation
 	mayLowerLimits bool // the store may begin to enforce its upcoming limits
 }
 
-// TestMixedFaults mixes faults in many short runs: crashes, quick restarts and pauses of
+// TestMixedFaults mixes random faults in many short runs: crashes, quick restarts and pauses of
 // controllers; cuts that delay messages, isolated zones, and controllers isolated from peers and
 // store; store outages, lost responses and late transactions; machines that hang, restart at once,
 // get no responses or are unreachable; cancellations combined with hangs or completions; late
 // copies of heartbeats, also for the next leader; rolling upgrades from the previous version; and a
-// store that lowers its limits. Jobs have dependencies. The simulation checks at each step that one
-// node leads, no task runs twice and no team exceeds its quota; the invariant checker also checks
-// the replies to users, and every accepted job completes in the end.
+// store that lowers its limits. Jobs have dependencies. The invariant checker checks at each step that
+// at most one node leads, no task runs twice and no team exceeds its quota. It also checks the replies
+// to users, and every accepted job completes in the end.
 func TestMixedFaults(t *testing.T) {
 	forEachSeed(t, 96, 6000, runMixedFaults)
 }
@@ -46,7 +46,7 @@
 		c.announceUpcomingLimits(1, 4, 30)
 	}
 	if seed%3 > 0 {
-		// During the upgrade, a node that crashes before its turn restarts with the old version.
+		// During the rolling upgrade, a node that crashes before its turn restarts with the old version.
 		for i, name := range c.names {
 			c.oldVersionNodes[name] = true
 			c.startNode(name)
@@ -97,7 +97,7 @@
 		c.queryAllJobs()
 		c.advance(time.Duration(c.rng.IntN(8000)) * time.Millisecond)
 	}
-	c.advance(c.cancelLimit()*5/4 + c.machineLease()) // every fault ends by itself
+	c.advance(c.cancelLimit()*5/4 + c.machineLease()) // lets every fault end by itself
 	c.waitForCompletion(5 * time.Minute)
 }
 
@@ -128,6 +128,7 @@
 	}
 }
 
+// forRandomWorkers calls f for each worker with a probability of one third.
 func (c *mixedFaults) forRandomWorkers(f func(*fakeWorker)) {
 	for i := range c.cloud.lastMachineNumber {
 		if worker := c.workers[fmt.Sprintf("m-%06d", i+1)]; worker != nil && c.rng.IntN(3) == 0 {
@@ -136,6 +137,7 @@
 	}
 }
 
+// randomDelay returns a random duration of 0.2 s to 25.2 s, after which a fault ends.
 func (c *mixedFaults) randomDelay() time.Duration {
 	return time.Duration(200+c.rng.IntN(25_000)) * time.Millisecond
 }
@@ -180,7 +182,7 @@
 }
 
 // pauseControllers pauses controllers for a moment or for longer than every lease, some of them
-// between a decision and its effects.
+// between a step and its effects.
 func (c *mixedFaults) pauseControllers() {
 	for range 1 + c.rng.IntN(2) {
 		name := c.randomNode()
@@ -201,7 +203,7 @@
 	}
 }
 
-// cutZone isolates one node and the workers of a zone from everything else.
+// cutZone isolates one node and the workers of zone a from everything else.
 func (c *mixedFaults) cutZone() {
 	name := c.randomNode()
 	c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == name) }
@@ -314,7 +316,7 @@
 	}
 }
 
-// refuseAndIsolateController makes the store and the other nodes refuse a controller at once.
+// refuseAndIsolateController lets the store refuse a controller that is also isolated from the others.
 func (c *mixedFaults) refuseAndIsolateController() {
 	name := c.randomNode()
 	c.store.refusedNodes[name] = true
@@ -331,8 +333,8 @@
 	})
 }
 
-// refuseLeaderThenStopStore is the first of the users' combinations: the store refuses the leader
-// alone, and then has an outage for all nodes.
+// refuseLeaderThenStopStore lets the store refuse the leader alone and then have an outage for all
+// nodes. It is the first combination that users asked for.
 func (c *mixedFaults) refuseLeaderThenStopStore() {
 	name := c.leaderName()
 	if name == "" {
