--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -638,10 +638,10 @@
 // cancellations. One-task jobs arrive at four a second for minutes and a quarter of them is cancelled,
 // while the store limits its write rate and the leader changes.
 func TestManySmallJobs(t *testing.T) {
-	for i, timings := range deployments {
+	for seed, timings := range deployments {
 		t.Run(fmt.Sprintf("lease %v", timings.machineLease), func(t *testing.T) {
 			t.Parallel()
-			c := newUserSimulation(newSimulationWithTimings(t, 3, timings), uint64(i))
+			c := newUserSimulation(newSimulationWithTimings(t, 3, timings), uint64(seed))
 			c.store.limitWriteRate = true
 			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(6*time.Second) }
 			c.waitForLeader()
@@ -653,7 +653,7 @@
 				c.schedule(time.Duration(i)*time.Second/jobsPerSecond, func() { c.submitWithRetries(job) })
 				if i%4 == 0 {
 					c.schedule(time.Duration(i)*time.Second/jobsPerSecond+time.Second+c.randomDuration(5*time.Second), func() {
-						if !c.knowsAccepted(job.ID) {
+						if !c.acceptanceReported(job.ID) {
 							return // not accepted yet, because the leader changes
 						}
 						requestedAt := c.now
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -198,7 +198,7 @@
 // of running and pending tasks.
 func (sim *simulation) checkInvariants() {
 	if !sim.helperMarked {
-		sim.helperMarked = true // once is enough for a test, and the call is slow
+		sim.helperMarked = true // one call is enough for a test, and calls are slow
 		sim.t.Helper()
 	}
 	leaders := 0
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -101,7 +101,8 @@
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// submitUserWork submits a job, and sometimes cancels one.
+// submitUserWork submits a job. It may also cancel an earlier job, or let the store begin to enforce its
+// upcoming limits.
 func (c *mixedFaults) submitUserWork(i int) {
 	job := jobSpec(fmt.Sprintf("j-%d", i), 1+c.rng.IntN(9))
 	if c.rng.IntN(2) == 0 {
@@ -111,7 +112,7 @@
 		job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = 10, 1
 	}
 	for range c.rng.IntN(4) {
-		if id := fmt.Sprintf("j-%d", c.rng.IntN(i+1)); c.knowsAccepted(id) && len(c.oldVersionNodes) == 0 {
+		if id := fmt.Sprintf("j-%d", c.rng.IntN(i+1)); c.acceptanceReported(id) && len(c.oldVersionNodes) == 0 {
 			job.Dependencies = append(job.Dependencies, id)
 		}
 	}
@@ -122,7 +123,7 @@
 	c.submitWithRetries(job)
 	if i > 2 && c.rng.IntN(3) == 0 {
 		id := fmt.Sprintf("j-%d", i-2)
-		if c.knowsAccepted(id) {
+		if c.acceptanceReported(id) {
 			c.cancelWithRetries(id)
 		}
 	}
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -134,8 +134,8 @@
 	spot                        bool
 	epoch, sequence             uint64
 	fencingToken                uint64
-	node                        string // receives its heartbeats
-	connectedNode               string // has a connection to it; "" without a connectionLimit
+	node                        string // node that it sends heartbeats to
+	connectedNode               string // node of its open connection; "" without a connectionLimit
 	tasks                       []*fakeTask
 	leaseRenewedAt              clock.Instant // send time of the last answered heartbeat
 	nextHeartbeatAt             clock.Instant
@@ -254,7 +254,7 @@
 	}
 	worker.disconnect()
 	if sim.nodes[worker.node].down {
-		return true // the request itself fails
+		return true // the request fails at once
 	}
 	if sim.openConnections[worker.node] >= sim.connectionLimit {
 		return false
@@ -330,7 +330,8 @@
 		worker.simulation.startCounts[command.TaskID]++
 		worker.simulation.checkTaskStart(worker, command.TaskID)
 		endsAt := worker.simulation.now
-		if !worker.simulation.completedTasks[command.TaskID] { // otherwise it ends at once: its result was kept
+		// A task that has completed before ends at once, since its result was kept.
+		if !worker.simulation.completedTasks[command.TaskID] {
 			duration := worker.simulation.taskDuration(command.TaskID, worker.simulation.startCounts[command.TaskID])
 			if worker.faulty && worker.failureDelay > 0 {
 				duration = worker.failureDelay
--- a/internal/controller/simulated_store_test.go
+++ b/internal/controller/simulated_store_test.go
@@ -25,7 +25,7 @@
 	leases                map[uint64]*fakeLease
 	lastLeaseID           uint64
 	down                  bool
-	refusedNodes          map[string]bool        // nodes whose requests are refused
+	refusedNodes          map[string]bool        // nodes whose calls get status 503
 	requestsDropped       map[string]bool        // nodes whose requests are lost
 	responsesDropped      map[string]bool        // nodes whose requests are executed, but whose responses are lost
 	limitWriteRate        bool                   // enforce the configured write rate
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -33,8 +33,8 @@
 
 func (c *userSimulation) randomNode() string { return c.names[c.rng.IntN(len(c.names))] }
 
-// knowsAccepted tells whether some user was told that a job is accepted.
-func (c *userSimulation) knowsAccepted(id string) bool { _, ok := c.acceptedAt[id]; return ok }
+// acceptanceReported tells whether some user was told that a job is accepted.
+func (c *userSimulation) acceptanceReported(id string) bool { _, ok := c.acceptedAt[id]; return ok }
 
 // sendUserRequest sends a request to a random node and calls onReply once: with the reply, or with
 // status 0 after 5 s, when users give up.
