--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -11,20 +11,20 @@
 	"hitchdoor/internal/protocol"
 )
 
-// mixedFaults is one short run of mixed faults, reproducible by its seed.
+// mixedFaults is one short run of mixed faults. Its seed makes it reproducible.
 type mixedFaults struct {
 	*userSimulation
 	mayLowerLimits bool // the store may begin to enforce its upcoming limits
 }
 
-// TestMixedFaults mixes faults in many short runs: crashes, quick restarts and pauses of
+// TestMixedFaults mixes random faults in many short runs: crashes, quick restarts and pauses of
 // controllers; cuts that delay messages, isolated zones, and controllers isolated from peers and
 // store; store outages, lost responses and late transactions; machines that hang, restart at once,
 // get no responses or are unreachable; cancellations combined with hangs or completions; late
 // copies of heartbeats, also for the next leader; rolling upgrades from the previous version; and a
-// store that lowers its limits. Jobs have dependencies. The simulation checks at each step that one
-// node leads, no task runs twice and no team exceeds its quota; the invariant checker also checks
-// the replies to users, and every accepted job completes in the end.
+// store that lowers its limits. Jobs have dependencies. The invariant checker checks at each step that
+// at most one node leads, no task runs twice and no team exceeds its quota. It also checks the replies
+// to users, and every accepted job completes in the end.
 func TestMixedFaults(t *testing.T) {
 	forEachSeed(t, 96, 6000, runMixedFaults)
 }
@@ -46,7 +46,7 @@
 		c.announceUpcomingLimits(1, 4, 30)
 	}
 	if seed%3 > 0 {
-		// During the upgrade, a node that crashes before its turn restarts with the old version.
+		// During the rolling upgrade, a node that crashes before its turn restarts with the old version.
 		for i, name := range c.names {
 			c.oldVersionNodes[name] = true
 			c.startNode(name)
@@ -65,16 +65,16 @@
 	if seed%5 == 0 {
 		c.replayHeartbeats()
 	}
-	kept := c.onHeartbeat
+	previousHook := c.onHeartbeat
 	c.onHeartbeat = func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
-		if kept != nil {
-			kept(worker, heartbeat)
+		if previousHook != nil {
+			previousHook(worker, heartbeat)
 		}
 		if c.rng.IntN(4) == 0 {
 			copied := *heartbeat
 			copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
-			late := time.Duration(c.rng.ExpFloat64() * float64(config.Seconds(c.cfg.Workers.LeaseS)))
-			c.schedule(late, func() {
+			delay := time.Duration(c.rng.ExpFloat64() * float64(config.Seconds(c.cfg.Workers.LeaseS)))
+			c.schedule(delay, func() {
 				c.sendRequest(c.randomNode(), Request{Kind: protocol.RequestHeartbeat,
 					Heartbeat: &copied}, func(Reply) {})
 			})
@@ -97,11 +97,12 @@
 		c.queryAllJobs()
 		c.advance(time.Duration(c.rng.IntN(8000)) * time.Millisecond)
 	}
-	c.advance(c.cancelLimit()*5/4 + c.machineLease()) // every fault ends by itself
+	c.advance(c.cancelLimit()*5/4 + c.machineLease()) // lets every fault end by itself
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// submitUserWork submits a job, and sometimes cancels one.
+// submitUserWork submits a job. It may also cancel an earlier job, or let the store begin to enforce its
+// upcoming limits.
 func (c *mixedFaults) submitUserWork(i int) {
 	job := jobSpec(fmt.Sprintf("j-%d", i), 1+c.rng.IntN(9))
 	if c.rng.IntN(2) == 0 {
@@ -111,7 +112,7 @@
 		job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = 10, 1
 	}
 	for range c.rng.IntN(4) {
-		if id := fmt.Sprintf("j-%d", c.rng.IntN(i+1)); c.knowsAccepted(id) && len(c.oldVersionNodes) == 0 {
+		if id := fmt.Sprintf("j-%d", c.rng.IntN(i+1)); c.acceptanceReported(id) && len(c.oldVersionNodes) == 0 {
 			job.Dependencies = append(job.Dependencies, id)
 		}
 	}
@@ -122,12 +123,13 @@
 	c.submitWithRetries(job)
 	if i > 2 && c.rng.IntN(3) == 0 {
 		id := fmt.Sprintf("j-%d", i-2)
-		if c.knowsAccepted(id) {
+		if c.acceptanceReported(id) {
 			c.cancelWithRetries(id)
 		}
 	}
 }
 
+// forRandomWorkers calls f for each worker with a probability of one third.
 func (c *mixedFaults) forRandomWorkers(f func(*fakeWorker)) {
 	for i := range c.cloud.lastMachineNumber {
 		if worker := c.workers[fmt.Sprintf("m-%06d", i+1)]; worker != nil && c.rng.IntN(3) == 0 {
@@ -136,6 +138,7 @@
 	}
 }
 
+// randomDelay returns a random duration of 0.2 s to 25.2 s, after which a fault ends.
 func (c *mixedFaults) randomDelay() time.Duration {
 	return time.Duration(200+c.rng.IntN(25_000)) * time.Millisecond
 }
@@ -180,12 +183,12 @@
 }
 
 // pauseControllers pauses controllers for a moment or for longer than every lease, some of them
-// between a decision and its effects.
+// between a step and its effects.
 func (c *mixedFaults) pauseControllers() {
 	for range 1 + c.rng.IntN(2) {
 		name := c.randomNode()
-		if l := c.leaderName(); l != "" && c.rng.IntN(2) == 0 {
-			name = l
+		if leader := c.leaderName(); leader != "" && c.rng.IntN(2) == 0 {
+			name = leader
 		}
 		c.pauseController(name, time.Duration(c.rng.ExpFloat64()*float64(c.machineLease())/3))
 	}
@@ -201,7 +204,7 @@
 	}
 }
 
-// cutZone isolates one node and the workers of a zone from everything else.
+// cutZone isolates one node and the workers of zone a from everything else.
 func (c *mixedFaults) cutZone() {
 	name := c.randomNode()
 	c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == name) }
@@ -234,8 +237,8 @@
 	c.schedule(time.Duration(c.rng.IntN(60))*time.Second, func() {
 		held := store.heldTransactions
 		store.heldTransactions = nil
-		for _, f := range held {
-			f()
+		for _, execute := range held {
+			execute()
 		}
 	})
 }
@@ -314,7 +317,7 @@
 	}
 }
 
-// refuseAndIsolateController makes the store and the other nodes refuse a controller at once.
+// refuseAndIsolateController lets the store refuse a controller that is also isolated from the others.
 func (c *mixedFaults) refuseAndIsolateController() {
 	name := c.randomNode()
 	c.store.refusedNodes[name] = true
@@ -331,8 +334,8 @@
 	})
 }
 
-// refuseLeaderThenStopStore is the first of the users' combinations: the store refuses the leader
-// alone, and then has an outage for all nodes.
+// refuseLeaderThenStopStore lets the store refuse the leader alone and then have an outage for all
+// nodes. It is the first combination that users asked for.
 func (c *mixedFaults) refuseLeaderThenStopStore() {
 	name := c.leaderName()
 	if name == "" {
--- a/internal/controller/simulated_store_test.go
+++ b/internal/controller/simulated_store_test.go
@@ -21,78 +21,86 @@
 	simulation            *simulation
 	keys                  map[string]storage.Item
 	revision              uint64
-	eventLog              []storage.WatchEvent
+	eventLog              []storage.WatchEvent // all changes, in order of their revisions
 	leases                map[uint64]*fakeLease
 	lastLeaseID           uint64
 	down                  bool
-	refusedNodes          map[string]bool
+	refusedNodes          map[string]bool        // nodes whose calls get status 503
 	requestsDropped       map[string]bool        // nodes whose requests are lost
 	responsesDropped      map[string]bool        // nodes whose requests are executed, but whose responses are lost
 	limitWriteRate        bool                   // enforce the configured write rate
 	enforceUpcomingLimits bool                   // enforce the limits that the settings announce
 	oversizedKeys         []string               // keys of transactions rejected as too large for the upcoming limits
-	throttledTransactions int                    // transactions rejected for the rate
+	throttledTransactions int                    // number of transactions rejected for the write rate
 	rejectTransaction     func(storage.Txn) bool // transactions to reject permanently
 	writeBucket           ratelimit.TokenBucket
-	responsesToLose       int                                   // responses of executed transactions to drop
-	holdTransaction       func(node string, t storage.Txn) bool // transactions to hold back without a response
-	heldTransactions      []func()
-	lateExecution         func() (d time.Duration, is bool) // calls to execute after a delay, without a response
-	requestDelay          func() time.Duration              // delay of each call on its way
-	watchers              []func() bool
+	responsesToLose       int                                     // responses of executed transactions to drop
+	holdTransaction       func(node string, t storage.Txn) bool   // transactions to hold back without a response
+	heldTransactions      []func()                                // execute the transactions that were held back
+	lateExecution         func() (delay time.Duration, late bool) // calls to execute after a delay, without a response
+	requestDelay          func() time.Duration                    // delay of each call before it reaches the store
+	watchers              []func() bool                           // open watch calls; true: a response was sent
 }
 
+// fakeLease is a lease of the store. Its keys are deleted when no time remains.
 type fakeLease struct{ ttl, remaining time.Duration }
 
+// expireLeases lets one step of time pass for all leases, except in an outage, and ends those whose
+// time is up.
 func (s *fakeStore) expireLeases() {
 	if s.down {
 		return
 	}
-	for id, l := range s.leases {
-		if l.remaining -= step; l.remaining <= 0 {
+	for id, lease := range s.leases {
+		if lease.remaining -= step; lease.remaining <= 0 {
 			s.endLease(id)
 		}
 	}
 }
 
+// endLease removes a lease and deletes its keys.
 func (s *fakeStore) endLease(id uint64) {
 	delete(s.leases, id)
-	for k, it := range s.keys {
-		if it.LeaseID == id {
+	for key, item := range s.keys {
+		if item.LeaseID == id {
 			s.revision++
-			s.deleteKey(k)
+			s.deleteKey(key)
 		}
 	}
 }
 
+// deleteKey deletes a key at the current revision.
 func (s *fakeStore) deleteKey(key string) {
 	delete(s.keys, key)
 	s.eventLog = append(s.eventLog, storage.WatchEvent{DeletedKey: key, ModRevision: s.revision})
 	s.notifyWatchers()
 }
 
+// notifyWatchers responds to the watch calls that have events or have timed out.
 func (s *fakeStore) notifyWatchers() {
-	s.watchers = slices.DeleteFunc(s.watchers, func(f func() bool) bool { return f() })
+	s.watchers = slices.DeleteFunc(s.watchers, func(poll func() bool) bool { return poll() })
 }
 
+// setDown begins or ends an outage. Either renews all leases.
 func (s *fakeStore) setDown(down bool) {
 	s.down = down
-	for _, l := range s.leases {
-		l.remaining = l.ttl
+	for _, lease := range s.leases {
+		lease.remaining = lease.ttl
 	}
 	if !down {
 		s.notifyWatchers()
 	}
 }
 
+// serve handles a call of a node, subject to lost requests, lost responses and late execution.
 func (s *fakeStore) serve(node string, call ServiceCall, respond func(int, any)) {
 	if s.requestsDropped[node] {
 		return
 	}
 	if s.lateExecution != nil && call.Method != "GET" && !s.down && !s.refusedNodes[node] {
-		if d, is := s.lateExecution(); is {
-			// A late call is subject to an outage or a refusal of its own node, too.
-			s.simulation.schedule(d, func() { s.executeCall(node, call, func(int, any) {}) })
+		if delay, late := s.lateExecution(); late {
+			// A late call, too, fails in an outage or if its node is refused at that time.
+			s.simulation.schedule(delay, func() { s.executeCall(node, call, func(int, any) {}) })
 			return
 		}
 	}
@@ -102,6 +110,7 @@
 	s.executeCall(node, call, respond)
 }
 
+// executeCall executes a call that has reached the store, and responds to it.
 func (s *fakeStore) executeCall(node string, call ServiceCall, respond func(int, any)) {
 	if s.down || s.refusedNodes[node] {
 		if !strings.HasPrefix(call.Path, "/follow") {
@@ -116,27 +125,27 @@
 	parameters := requestURL.Query()
 	switch {
 	case call.Method == "GET" && strings.HasPrefix(requestURL.Path, "/store/"):
-		if it, ok := s.keys[strings.TrimPrefix(requestURL.Path, "/store/")]; ok {
-			respond(200, it)
+		if item, ok := s.keys[strings.TrimPrefix(requestURL.Path, "/store/")]; ok {
+			respond(200, item)
 		} else {
 			respond(404, storage.TxnResponse{Revision: s.revision})
 		}
 	case call.Method == "GET" && requestURL.Path == "/store":
 		page := storage.ListResponse{Revision: s.revision}
 		var keys []string
-		for k := range s.keys {
-			if strings.HasPrefix(k, parameters.Get("under")) && k > parameters.Get("since") {
-				keys = append(keys, k)
+		for key := range s.keys {
+			if strings.HasPrefix(key, parameters.Get("under")) && key > parameters.Get("since") {
+				keys = append(keys, key)
 			}
 		}
 		sort.Strings(keys)
 		limit, _ := strconv.Atoi(parameters.Get("limit"))
-		for i, k := range keys {
+		for i, key := range keys {
 			if i == limit {
 				page.Truncated = true
 				break
 			}
-			page.Items = append(page.Items, s.keys[k])
+			page.Items = append(page.Items, s.keys[key])
 		}
 		respond(200, page)
 	case requestURL.Path == "/multi":
@@ -167,52 +176,52 @@
 		}
 		if s.holdTransaction != nil && s.holdTransaction(node, t) {
 			s.heldTransactions = append(s.heldTransactions, func() { s.executeTransaction(t) })
-			return // no response: it may be executed later
+			return // without a response; the test may execute it later
 		}
-		status, res := s.executeTransaction(t)
+		status, response := s.executeTransaction(t)
 		if status == 200 && s.responsesToLose > 0 {
 			s.responsesToLose--
 			s.simulation.schedule(time.Second, func() { respond(0, nil) })
 			return
 		}
-		respond(status, res)
+		respond(status, response)
 	case requestURL.Path == "/holds":
-		var h storage.Lease
-		json.Unmarshal(call.Body, &h)
+		var requested storage.Lease
+		json.Unmarshal(call.Body, &requested)
 		s.lastLeaseID++
-		ttl := time.Duration(h.TTLMillis) * time.Millisecond
+		ttl := time.Duration(requested.TTLMillis) * time.Millisecond
 		s.leases[s.lastLeaseID] = &fakeLease{ttl, ttl}
 		respond(200, storage.Lease{ID: s.lastLeaseID})
 	case strings.HasPrefix(requestURL.Path, "/holds/"):
 		leaseID, keepAlive := strings.CutSuffix(strings.TrimPrefix(requestURL.Path, "/holds/"), "/touch")
 		id, _ := strconv.ParseUint(leaseID, 10, 64)
-		l := s.leases[id]
+		lease := s.leases[id]
 		switch {
-		case l == nil:
+		case lease == nil:
 			respond(404, nil)
 		case keepAlive:
-			l.remaining = l.ttl
+			lease.remaining = lease.ttl
 			respond(200, storage.Lease{ID: id})
 		default:
 			s.endLease(id)
 			respond(200, nil)
 		}
 	case requestURL.Path == "/follow":
-		since, _ := strconv.ParseUint(parameters.Get("since"), 10, 64)
-		wait, _ := strconv.Atoi(parameters.Get("waitMs"))
-		under := parameters.Get("under")
-		end := s.simulation.now + time.Duration(wait)*time.Millisecond
+		sinceRevision, _ := strconv.ParseUint(parameters.Get("since"), 10, 64)
+		waitMillis, _ := strconv.Atoi(parameters.Get("waitMs"))
+		prefix := parameters.Get("under")
+		deadline := s.simulation.now + time.Duration(waitMillis)*time.Millisecond
 		poll := func() bool {
 			if s.down {
 				return false
 			}
 			response := storage.WatchResponse{Revision: s.revision}
-			for _, e := range s.eventsAfter(since) {
-				if strings.HasPrefix(cmp.Or(e.PutKey, e.DeletedKey), under) {
+			for _, e := range s.eventsAfter(sinceRevision) {
+				if strings.HasPrefix(cmp.Or(e.PutKey, e.DeletedKey), prefix) {
 					response.Events = append(response.Events, e)
 				}
 			}
-			if len(response.Events) == 0 && s.simulation.now < end {
+			if len(response.Events) == 0 && s.simulation.now < deadline {
 				return false
 			}
 			respond(200, response)
@@ -220,18 +229,18 @@
 		}
 		if !poll() {
 			s.watchers = append(s.watchers, poll)
-			s.simulation.schedule(end-s.simulation.now, s.notifyWatchers)
+			s.simulation.schedule(deadline-s.simulation.now, s.notifyWatchers)
 		}
 	default:
-		s.simulation.t.Fatalf("state service: %s %s", call.Method, call.Path)
+		s.simulation.t.Fatalf("key-value store: unexpected call %s %s", call.Method, call.Path)
 	}
 }
 
-// eventsAfter returns the events of the log that are newer than a revision. The log is ordered by
-// revision, so a binary search finds them.
+// eventsAfter returns the events of the log that are newer than a revision. It uses a binary search,
+// since the log is ordered by revision.
 func (s *fakeStore) eventsAfter(revision uint64) []storage.WatchEvent {
-	from := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].ModRevision > revision })
-	return s.eventLog[from:]
+	first := sort.Search(len(s.eventLog), func(i int) bool { return s.eventLog[i].ModRevision > revision })
+	return s.eventLog[first:]
 }
 
 // oversizedKey returns a key of a transaction that exceeds the announced limits, or "".
@@ -245,20 +254,20 @@
 	return ""
 }
 
-// putValue stores a value as an earlier leader would have.
+// putValue stores a value as an earlier leader would have stored it.
 func (s *fakeStore) putValue(key string, value any) {
-	switch rec := value.(type) {
+	switch record := value.(type) {
 	case storage.JobRecord:
-		s.simulation.submitted[rec.Spec.ID], s.simulation.jobSpecs[rec.Spec.ID] = true, rec.Spec
+		s.simulation.submitted[record.Spec.ID], s.simulation.jobSpecs[record.Spec.ID] = true, record.Spec
 	case storage.TerminalRecord:
 		id := strings.TrimPrefix(key, storage.TerminalPrefix)
-		s.simulation.submitted[id], s.simulation.cancelRequested[id] = true, rec.State == protocol.JobCancelled
+		s.simulation.submitted[id], s.simulation.cancelRequested[id] = true, record.State == protocol.JobCancelled
 	}
 	s.revision++
 	s.keys[key] = storage.Item{Key: key, Value: storage.Encode(value), ModRevision: s.revision}
 }
 
-// holdNextTransaction returns a holdTransaction that holds back the next transaction only.
+// holdNextTransaction returns a holdTransaction function that holds back the next transaction only.
 func holdNextTransaction(s *fakeStore) func(string, storage.Txn) bool {
 	return func(string, storage.Txn) bool {
 		s.holdTransaction = nil
@@ -266,23 +275,24 @@
 	}
 }
 
+// executeTransaction executes a transaction and returns the HTTP status and the body of the response.
 func (s *fakeStore) executeTransaction(t storage.Txn) (int, any) {
 	for _, write := range t.Writes {
 		if write.LeaseID != 0 && s.leases[write.LeaseID] == nil {
 			return 400, map[string]string{"error": "no such lease"}
 		}
 	}
-	var failed []string
+	var failedKeys []string
 	for _, c := range t.Conditions {
 		if s.keys[c.Key].ModRevision != c.ModRevision {
-			failed = append(failed, c.Key)
+			failedKeys = append(failedKeys, c.Key)
 		}
 	}
-	if failed != nil {
-		return 409, storage.TxnResponse{FailedKeys: failed, Revision: s.revision}
+	if failedKeys != nil {
+		return 409, storage.TxnResponse{FailedKeys: failedKeys, Revision: s.revision}
 	}
 	if len(t.Writes) > s.simulation.cfg.Store.TxnOps {
-		s.simulation.t.Fatalf("transaction of %d writes", len(t.Writes))
+		s.simulation.t.Fatalf("transaction of %d writes exceeds the store's limit", len(t.Writes))
 	}
 	s.simulation.checkAdmissionPolicy(t)
 	s.revision++
@@ -292,7 +302,8 @@
 			continue
 		}
 		if len(write.Value) > int(s.simulation.cfg.Store.ValueKB*1024) {
-			s.simulation.t.Fatalf("value of %d bytes at %s", len(write.Value), write.PutKey)
+			s.simulation.t.Fatalf("value of %d bytes at key %s exceeds the store's limit", len(write.Value),
+				write.PutKey)
 		}
 		s.keys[write.PutKey] = storage.Item{Key: write.PutKey, Value: write.Value, ModRevision: s.revision,
 			LeaseID: write.LeaseID}
