--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -25,7 +25,7 @@
 // fakes of the key-value store, the cloud and the workers.
 type testCluster struct {
 	t               testing.TB
-	shared          config.Cluster
+	clusterConfig   config.Cluster
 	settings        config.Settings
 	store           *fakes.Store
 	fleet           *fakes.Fleet
@@ -35,7 +35,7 @@
 	relays          map[[2]string]*fakes.Relay    // by the two endpoints: who connects, who listens
 	stopNode        map[string]context.CancelFunc // by node
 	running         sync.WaitGroup                // counts the running controllers
-	users           *http.Client                  // of users and operators
+	userClient      *http.Client                  // of users and operators
 }
 
 // newTestCluster starts a cluster that is stopped at the end of the test.
@@ -46,74 +46,74 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Server.Close)
-	l := &testCluster{t: t, shared: testSettings(nodeCount, writeRPS), settings: settings, store: store,
+	c := &testCluster{t: t, clusterConfig: testClusterConfig(nodeCount, writeRPS), settings: settings, store: store,
 		clientAddresses: map[string]string{}, peerAddresses: map[string]string{},
 		relays: map[[2]string]*fakes.Relay{}, stopNode: map[string]context.CancelFunc{},
-		users: &http.Client{Transport: &http.Transport{}}}
-	t.Cleanup(l.users.CloseIdleConnections)
-	l.reserveAddresses(nodeCount)
-	l.startFleet()
-	for _, name := range l.nodes {
-		l.startNode(name)
-	}
-	t.Cleanup(l.stop)
-	return l
+		userClient: &http.Client{Transport: &http.Transport{}}}
+	t.Cleanup(c.userClient.CloseIdleConnections)
+	c.reserveAddresses(nodeCount)
+	c.startFleet()
+	for _, name := range c.nodes {
+		c.startNode(name)
+	}
+	t.Cleanup(c.stop)
+	return c
 }
 
 // testSettings returns the settings that all controllers share.
-func testSettings(nodeCount int, writeRPS float64) config.Cluster {
-	var shared config.Cluster
-	shared.ControllerCount, shared.Zones = nodeCount, []string{"a"}
-	shared.Workers.HeartbeatIntervalS, shared.Workers.LeaseS, shared.Workers.CancelS = 0.5, 6, 15
-	shared.Store = config.StoreLimits{RequestsPerS: 2000, WritesPerS: writeRPS, ValueKB: 8, TxnOps: 20}
-	shared.Cloud.RequestsPerS, shared.Cloud.ListLagS = 20, 1
-	shared.Resources = config.Resources{CoreShare: 1, MemoryMB: 200, MaxConnections: 400}
-	shared.Teams = []config.Team{{Name: "a"}, {Name: "b"}}
-	return shared
+func testClusterConfig(nodeCount int, writeRPS float64) config.Cluster {
+	var cluster config.Cluster
+	cluster.ControllerCount, cluster.Zones = nodeCount, []string{"a"}
+	cluster.Workers.HeartbeatIntervalS, cluster.Workers.LeaseS, cluster.Workers.CancelS = 0.5, 6, 15
+	cluster.Store = config.StoreLimits{RequestsPerS: 2000, WritesPerS: writeRPS, ValueKB: 8, TxnOps: 20}
+	cluster.Cloud.RequestsPerS, cluster.Cloud.ListLagS = 20, 1
+	cluster.Resources = config.Resources{CoreShare: 1, MemoryMB: 200, MaxConnections: 400}
+	cluster.Teams = []config.Team{{Name: "a"}, {Name: "b"}}
+	return cluster
 }
 
 // reserveAddresses names the nodes and reserves their addresses until the end of the test.
-func (l *testCluster) reserveAddresses(nodeCount int) {
-	l.t.Helper()
+func (c *testCluster) reserveAddresses(nodeCount int) {
+	c.t.Helper()
 	reservation, err := fakes.ReserveAddresses(2 * nodeCount)
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	l.t.Cleanup(reservation.Close)
+	c.t.Cleanup(reservation.Close)
 	addresses := reservation.Addresses()
 	for i := range nodeCount {
 		name := fmt.Sprintf("n%d", i)
-		l.nodes = append(l.nodes, name)
-		l.clientAddresses[name], l.peerAddresses[name] = addresses[2*i], addresses[2*i+1]
+		c.nodes = append(c.nodes, name)
+		c.clientAddresses[name], c.peerAddresses[name] = addresses[2*i], addresses[2*i+1]
 	}
 }
 
 // startFleet starts the cloud and its workers, which reach the controllers through relays.
-func (l *testCluster) startFleet() {
-	l.t.Helper()
+func (c *testCluster) startFleet() {
+	c.t.Helper()
 	heartbeatAddresses := map[string]string{}
-	for _, name := range l.nodes {
-		heartbeatAddresses[name] = l.relayAddress(workersEndpoint, name, l.clientAddresses[name])
+	for _, name := range c.nodes {
+		heartbeatAddresses[name] = c.relayAddress(workersEndpoint, name, c.clientAddresses[name])
 	}
 	var err error
-	l.fleet, err = fakes.NewFleet(fakes.FleetSettings{Nodes: heartbeatAddresses,
+	c.fleet, err = fakes.NewFleet(fakes.FleetSettings{Nodes: heartbeatAddresses,
 		HeartbeatInterval: 500 * time.Millisecond, LeaseDuration: 6 * time.Second,
 		BootTime: 200 * time.Millisecond, TaskRunTime: 300 * time.Millisecond, MaxMachines: 12})
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 }
 
 // stop stops the controllers, the fleet and the relays, and waits for them.
-func (l *testCluster) stop() {
-	for _, stop := range l.stopNode {
+func (c *testCluster) stop() {
+	for _, stop := range c.stopNode {
 		stop()
 	}
-	l.fleet.Close()
-	for _, relay := range l.relays {
+	c.fleet.Close()
+	for _, relay := range c.relays {
 		relay.Close()
 	}
-	l.running.Wait()
+	c.running.Wait()
 }
 
 // Endpoints of relays besides the nodes.
@@ -123,43 +123,43 @@
 )
 
 // relayAddress returns the address of the relay between two endpoints, and starts it if needed.
-func (l *testCluster) relayAddress(from, to, address string) string {
-	l.t.Helper()
-	ends := [2]string{from, to}
-	if l.relays[ends] == nil {
+func (c *testCluster) relayAddress(from, to, address string) string {
+	c.t.Helper()
+	endpoints := [2]string{from, to}
+	if c.relays[endpoints] == nil {
 		relay, err := fakes.NewRelay(address)
 		if err != nil {
-			l.t.Fatal(err)
+			c.t.Fatal(err)
 		}
-		l.relays[ends] = relay
+		c.relays[endpoints] = relay
 	}
-	return l.relays[ends].Address()
+	return c.relays[endpoints].Address()
 }
 
 // blockLink sets which directions are blocked between two endpoints: towards the one that listens,
 // and back.
-func (l *testCluster) blockLink(from, to string, toListener, fromListener bool) {
-	l.relays[[2]string{from, to}].Block(toListener, fromListener)
+func (c *testCluster) blockLink(from, to string, toListener, fromListener bool) {
+	c.relays[[2]string{from, to}].Block(toListener, fromListener)
 }
 
 // unblockLinks unblocks both directions of all links.
-func (l *testCluster) unblockLinks() {
-	for _, relay := range l.relays {
+func (c *testCluster) unblockLinks() {
+	for _, relay := range c.relays {
 		relay.Block(false, false)
 	}
 }
 
 // startNode starts a controller.
-func (l *testCluster) startNode(name string) {
-	l.t.Helper()
-	platform := &config.Platform{Node: name, ClientListen: l.clientAddresses[name], PeerBind: l.peerAddresses[name],
-		Cluster: l.shared}
-	platform.Services.Store = l.relayAddress(name, storeEndpoint, strings.TrimPrefix(l.store.Server.URL, "http://"))
-	platform.Services.Cloud = strings.TrimPrefix(l.fleet.Server.URL, "http://")
-	for _, other := range l.nodes {
+func (c *testCluster) startNode(name string) {
+	c.t.Helper()
+	platform := &config.Platform{Node: name, ClientListen: c.clientAddresses[name], PeerBind: c.peerAddresses[name],
+		Cluster: c.clusterConfig}
+	platform.Services.Store = c.relayAddress(name, storeEndpoint, strings.TrimPrefix(c.store.Server.URL, "http://"))
+	platform.Services.Cloud = strings.TrimPrefix(c.fleet.Server.URL, "http://")
+	for _, other := range c.nodes {
 		if other != name {
 			platform.Peers = append(platform.Peers,
-				config.Peer{Node: other, Address: l.relayAddress(name, other, l.peerAddresses[other])})
+				config.Peer{Node: other, Address: c.relayAddress(name, other, c.peerAddresses[other])})
 		}
 	}
 	logOutput := io.Discard
@@ -167,36 +167,36 @@
 		logOutput = os.Stderr
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l.stopNode[name] = stop
-	l.running.Go(func() {
-		if err := Run(ctx, platform, l.settings, "test",
+	c.stopNode[name] = stop
+	c.running.Go(func() {
+		if err := Run(ctx, platform, c.settings, "test",
 			slog.New(slog.NewTextHandler(logOutput, nil)).With("node", name)); err != nil {
-			l.t.Errorf("%s: %v", name, err)
+			c.t.Errorf("%s: %v", name, err)
 		}
 	})
 }
 
 // getJSON sends a GET request to a node and decodes the response. It returns false unless that is a
 // 200 that can be decoded.
-func (l *testCluster) getJSON(node, path string, body any) bool {
-	resp, err := l.users.Get("http://" + l.clientAddresses[node] + path)
+func (c *testCluster) getJSON(node, path string, value any) bool {
+	resp, err := c.userClient.Get("http://" + c.clientAddresses[node] + path)
 	if err != nil {
 		return false
 	}
 	defer resp.Body.Close()
-	return resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(body) == nil
+	return resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(value) == nil
 }
 
 // waitForLeader waits until all nodes know each other's versions and the same leader.
-func (l *testCluster) waitForLeader() {
-	l.t.Helper()
-	l.eventually(20*time.Second, "a leader that all nodes know", func() bool {
-		for _, name := range l.nodes {
+func (c *testCluster) waitForLeader() {
+	c.t.Helper()
+	c.eventually(20*time.Second, "a leader that all nodes know", func() bool {
+		for _, name := range c.nodes {
 			var status struct {
 				Leader string `json:"leader"`
 				All    bool   `json:"levelOfAll"`
 			}
-			if !l.getJSON(name, "/status", &status) || status.Leader == "" || !status.All {
+			if !c.getJSON(name, "/status", &status) || status.Leader == "" || !status.All {
 				return false
 			}
 		}
@@ -205,24 +205,24 @@
 }
 
 // eventually fails the test unless a condition holds within a timeout.
-func (l *testCluster) eventually(timeout time.Duration, what string, condition func() bool) {
-	l.t.Helper()
+func (c *testCluster) eventually(timeout time.Duration, what string, condition func() bool) {
+	c.t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			l.t.Fatalf("not within %v: %s", timeout, what)
+			c.t.Fatalf("not within %v: %s", timeout, what)
 		}
 	}
 }
 
 // submitJob submits a job to a node, without retries.
-func (l *testCluster) submitJob(node string, job protocol.Job) (status int, retryAfter time.Duration) {
-	l.t.Helper()
+func (c *testCluster) submitJob(node string, job protocol.Job) (status int, retryAfter time.Duration) {
+	c.t.Helper()
 	raw, err := json.Marshal(job)
 	if err != nil {
-		l.t.Errorf("%s: %v", job.ID, err)
+		c.t.Errorf("%s: %v", job.ID, err)
 		return 0, 0
 	}
-	resp, err := l.users.Post("http://"+l.clientAddresses[node]+"/work", "application/json", bytes.NewReader(raw))
+	resp, err := c.userClient.Post("http://"+c.clientAddresses[node]+"/work", "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return 0, time.Second
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,7 +51,7 @@
 
 	mu             sync.Mutex
 	pendingReplies map[uint64]chan controller.Reply
-	lastTicket     uint64
+	lastRequestID  uint64
 }
 
 // Run runs a controller until it fails, or until ctx is cancelled and the node has handed over. It
@@ -255,8 +255,8 @@
 	select {
 	case d.queryQueue <- message:
 	default:
-		refusal := message.UnavailableResponse()
-		d.peerLinks.Send(refusal.To, refusal.Message)
+		response := message.UnavailableResponse()
+		d.peerLinks.Send(response.To, response.Message)
 	}
 }
 
@@ -299,8 +299,8 @@
 // does not reply in time, the reply is status 503 with Retry-After.
 func (d *daemon) Handle(ctx context.Context, request controller.Request, timeout time.Duration) controller.Reply {
 	unavailable := controller.Reply{Status: 503, RetryAfter: 1}
-	ticket, replies := d.newTicket()
-	request.Origin = controller.Origin{RequestID: ticket}
+	requestID, replies := d.registerRequest()
+	request.Origin = controller.Origin{RequestID: requestID}
 	queue := d.commandQueue
 	if request.IsReadOnly() {
 		queue = d.queryQueue
@@ -308,7 +308,7 @@
 	select {
 	case queue <- request:
 	default:
-		d.discardTicket(ticket)
+		d.discardRequest(requestID)
 		return unavailable
 	}
 	timer := time.NewTimer(timeout)
@@ -319,23 +319,23 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	d.discardTicket(ticket)
+	d.discardRequest(requestID)
 	return unavailable
 }
 
-// newTicket returns the number of a new request, and the channel that gets its reply.
-func (d *daemon) newTicket() (ticket uint64, replies chan controller.Reply) {
+// registerRequest returns the number of a new request, and the channel that gets its reply.
+func (d *daemon) registerRequest() (requestID uint64, replies chan controller.Reply) {
 	replies = make(chan controller.Reply, 1)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lastTicket++
-	d.pendingReplies[d.lastTicket] = replies
-	return d.lastTicket, replies
+	d.lastRequestID++
+	d.pendingReplies[d.lastRequestID] = replies
+	return d.lastRequestID, replies
 }
 
-// discardTicket removes a pending reply that nobody waits for any more.
-func (d *daemon) discardTicket(ticket uint64) {
+// discardRequest removes a pending reply that nobody waits for any more.
+func (d *daemon) discardRequest(requestID uint64) {
 	d.mu.Lock()
-	delete(d.pendingReplies, ticket)
+	delete(d.pendingReplies, requestID)
 	d.mu.Unlock()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -12,18 +12,18 @@
 // At the size of a large deployment a leader has a socket for each machine and for its
 // users, and none of its own needs is given away for them. Three quarters were
 // too few: 1,800 machines left room for 90 others.
-func TestSocketsByNeed(t *testing.T) {
-	for _, x := range []struct{ nodes, sockets, machines int }{{7, 2524, 1800}, {3, 3275, 1540}, {3, 900, 435}} {
-		t.Run(fmt.Sprintf("%d nodes, %d machines", x.nodes, x.machines), func(t *testing.T) {
-			cluster := &config.Cluster{ControllerCount: x.nodes}
+func TestConnectionBudgetFitsAllMachines(t *testing.T) {
+	for _, test := range []struct{ nodes, connections, machines int }{{7, 2524, 1800}, {3, 3275, 1540}, {3, 900, 435}} {
+		t.Run(fmt.Sprintf("%d nodes, %d machines", test.nodes, test.machines), func(t *testing.T) {
+			cluster := &config.Cluster{ControllerCount: test.nodes}
 			cluster.Cloud.RequestsPerS, cluster.Workers.LeaseS = 6, 26.5
-			cluster.Resources.MaxConnections = x.sockets
+			cluster.Resources.MaxConnections = test.connections
 			budget := budgetConnections(cluster)
-			if budget.server < x.machines*12/10 {
-				t.Errorf("%d sockets: %d for %d machines and the users", x.sockets, budget.server, x.machines)
+			if budget.server < test.machines*12/10 {
+				t.Errorf("%d sockets: %d for %d machines and the users", test.connections, budget.server, test.machines)
 			}
-			if sum := budget.store + budget.cloud + budget.peers + budget.server; sum >= x.sockets {
-				t.Errorf("%d sockets are shared out of %d", sum, x.sockets)
+			if sum := budget.store + budget.cloud + budget.peers + budget.server; sum >= test.connections {
+				t.Errorf("%d sockets are shared out of %d", sum, test.connections)
 			}
 		})
 	}
@@ -31,21 +31,21 @@
 
 // A flood of questions, from users and passed on by another controller, keeps neither
 // reports nor heartbeats waiting; what does not fit is refused at once.
-func TestQuestionsWaitBehindTheRest(t *testing.T) {
+func TestQueriesDoNotDelayOtherCommands(t *testing.T) {
 	const size = 4096
 	d := &daemon{
 		commandQueue: make(chan controller.Command, size), queryQueue: make(chan controller.Command, size/queryDivisor),
 		pendingReplies: map[uint64]chan controller.Reply{},
 	}
-	answers := make(chan controller.Reply, 2*size)
+	replies := make(chan controller.Reply, 2*size)
 	for range 2 * cap(d.queryQueue) {
 		go func() {
-			answers <- d.Handle(t.Context(), controller.Request{Kind: protocol.RequestQuery, JobID: "j-1"}, 0)
+			replies <- d.Handle(t.Context(), controller.Request{Kind: protocol.RequestQuery, JobID: "j-1"}, 0)
 		}()
 	}
 	for range 2 * cap(d.queryQueue) {
-		if r := <-answers; r.Status != 503 || r.RetryAfter == 0 {
-			t.Fatalf("refused with %d, Retry-After %d", r.Status, r.RetryAfter)
+		if reply := <-replies; reply.Status != 503 || reply.RetryAfter == 0 {
+			t.Fatalf("refused with %d, Retry-After %d", reply.Status, reply.RetryAfter)
 		}
 	}
 	if len(d.queryQueue) != cap(d.queryQueue) {
@@ -59,10 +59,10 @@
 	if len(batch) != 4+maxBatchSize/queryDivisor {
 		t.Fatalf("a batch of %d", len(batch))
 	}
-	for i, c := range batch {
-		r, isRequest := c.(controller.Request)
-		if question := isRequest && r.IsReadOnly(); question != (i >= 4) {
-			t.Fatalf("at %d: %+v", i, c)
+	for i, command := range batch {
+		request, isRequest := command.(controller.Request)
+		if query := isRequest && request.IsReadOnly(); query != (i >= 4) {
+			t.Fatalf("at %d: %+v", i, command)
 		}
 	}
 }
--- a/internal/daemon/halfopen_test.go
+++ b/internal/daemon/halfopen_test.go
@@ -25,27 +25,27 @@
 	others := slices.DeleteFunc(slices.Clone(cluster.nodes), func(name string) bool { return name == leader })
 	users := &steadyUsers{cluster: cluster}
 	users.submitFor(2 * time.Second)
-	blockToAll := func(there, back bool) {
+	blockToAll := func(toListener, fromListener bool) {
 		for _, other := range others {
-			cluster.blockLink(leader, other, there, back)
+			cluster.blockLink(leader, other, toListener, fromListener)
 		}
 	}
-	for _, cut := range []struct {
-		name string
-		stop func(on bool)
+	for _, test := range []struct {
+		name  string
+		block func(blocked bool)
 	}{
-		{"the leader's heartbeats", func(on bool) { blockToAll(on, false) }},
-		{"workers' reports to the leader", func(on bool) { cluster.blockLink(workersEndpoint, leader, on, false) }},
-		{"the leader's answers to workers", func(on bool) { cluster.blockLink(workersEndpoint, leader, false, on) }},
-		{"the state service's answers", func(on bool) { cluster.blockLink(leader, storeEndpoint, false, on) }},
-		{"one node's heartbeats to the leader", func(on bool) { cluster.blockLink(others[0], leader, on, false) }},
+		{"the leader's heartbeats", func(blocked bool) { blockToAll(blocked, false) }},
+		{"workers' reports to the leader", func(blocked bool) { cluster.blockLink(workersEndpoint, leader, blocked, false) }},
+		{"the leader's answers to workers", func(blocked bool) { cluster.blockLink(workersEndpoint, leader, false, blocked) }},
+		{"the state service's answers", func(blocked bool) { cluster.blockLink(leader, storeEndpoint, false, blocked) }},
+		{"one node's heartbeats to the leader", func(blocked bool) { cluster.blockLink(others[0], leader, blocked, false) }},
 	} {
-		t.Run(cut.name, func(*testing.T) { users.submitDuringCut(cut.stop) })
+		t.Run(test.name, func(*testing.T) { users.submitWhileBlocked(test.block) })
 	}
-	cluster.checkToolNamesCut(others[0], others[1])
+	cluster.checkLinksCommandReportsBlockedLink(others[0], others[1])
 	cluster.checkAcceptedJobsEnd()
-	if twice := cluster.fleet.DuplicatedTasks(); len(twice) > 0 {
-		t.Errorf("on two machines at once: %v", twice)
+	if duplicated := cluster.fleet.DuplicatedTasks(); len(duplicated) > 0 {
+		t.Errorf("on two machines at once: %v", duplicated)
 	}
 }
 
@@ -66,53 +66,53 @@
 }
 
 // submitDuringCut submits jobs while a link is cut, and then while it is flapping.
-func (u *steadyUsers) submitDuringCut(stop func(on bool)) {
-	stop(true)
+func (u *steadyUsers) submitWhileBlocked(block func(blocked bool)) {
+	block(true)
 	u.submitFor(2 * time.Second)
-	stop(false)
+	block(false)
 	for range 3 {
 		u.submitFor(300 * time.Millisecond)
-		stop(true)
+		block(true)
 		u.submitFor(300 * time.Millisecond)
-		stop(false)
+		block(false)
 	}
 }
 
-// checkToolNamesCut blocks the link from a node to another one, and checks that the operators' command
-// names it, and no longer does once no link is blocked.
-func (l *testCluster) checkToolNamesCut(from, to string) {
-	l.t.Helper()
-	l.blockLink(from, to, true, false)
+// checkLinksCommandReportsBlockedLink blocks the link from a node to another one. It checks that the
+// operators' command reports it as half-open, and reports no problem once no link is blocked.
+func (c *testCluster) checkLinksCommandReportsBlockedLink(from, to string) {
+	c.t.Helper()
+	c.blockLink(from, to, true, false)
 	report := &bytes.Buffer{}
-	l.eventually(10*time.Second, "the tool names the cut", func() bool {
+	c.eventually(10*time.Second, "the tool names the cut", func() bool {
 		report.Reset()
 		var incomplete *adminclient.IncompleteError
-		err := adminclient.PrintLinks(report, l.adminOptions())
+		err := adminclient.PrintLinks(report, c.adminOptions())
 		return errors.As(err, &incomplete) && strings.Contains(err.Error(), "half-open")
 	})
-	l.unblockLinks()
-	l.eventually(20*time.Second, "the tool finds nothing cut", func() bool {
+	c.unblockLinks()
+	c.eventually(20*time.Second, "the tool finds nothing cut", func() bool {
 		report.Reset()
-		return adminclient.PrintLinks(report, l.adminOptions()) == nil
+		return adminclient.PrintLinks(report, c.adminOptions()) == nil
 	})
 }
 
 // checkAcceptedJobsEnd waits for the end of all accepted jobs, and checks that there are any.
-func (l *testCluster) checkAcceptedJobsEnd() {
-	l.t.Helper()
-	accepted := l.store.CountKeys(storage.JobPrefix) + l.store.CountKeys(storage.TerminalPrefix)
-	l.eventually(60*time.Second, "the end of all jobs",
-		func() bool { return l.store.CountKeys(storage.JobPrefix) == 0 })
-	if over := l.store.CountKeys(storage.TerminalPrefix); over < accepted || accepted == 0 {
-		l.t.Errorf("%d of %d accepted jobs are over", over, accepted)
+func (c *testCluster) checkAcceptedJobsEnd() {
+	c.t.Helper()
+	accepted := c.store.CountKeys(storage.JobPrefix) + c.store.CountKeys(storage.TerminalPrefix)
+	c.eventually(60*time.Second, "the end of all jobs",
+		func() bool { return c.store.CountKeys(storage.JobPrefix) == 0 })
+	if finished := c.store.CountKeys(storage.TerminalPrefix); finished < accepted || accepted == 0 {
+		c.t.Errorf("%d of %d accepted jobs are over", finished, accepted)
 	}
 }
 
 // leader returns the leader that the first node names.
-func (l *testCluster) leader() string {
+func (c *testCluster) leader() string {
 	var status struct {
 		Leader string `json:"leader"`
 	}
-	l.getJSON(l.nodes[0], "/status", &status)
+	c.getJSON(c.nodes[0], "/status", &status)
 	return status.Leader
 }
--- a/internal/daemon/overload_bench_test.go
+++ b/internal/daemon/overload_bench_test.go
@@ -36,20 +36,20 @@
 	settings.FairAdmission = fair
 	cluster := newTestCluster(b, 3, 24, settings)
 	cluster.waitForLeader()
-	startedAt, usedBefore := time.Now(), cpuTime()
-	users := &floodUsers{waitTimes: map[string]*hdrhistogram.Histogram{}, gaveUp: map[string]int{}}
+	startedAt, cpuTimeBefore := time.Now(), cpuTime()
+	users := &overloadUsers{waitTimes: map[string]*hdrhistogram.Histogram{}, gaveUp: map[string]int{}}
 	// About 7 jobs a second are accepted, or 22 if no controller knows of the others' submissions.
 	for i := range 1500 {
 		class := []string{"urgent", "standard", "low", "low", "low"}[i%5]
 		job := singleTaskJob(fmt.Sprintf("j-%s-%d", class, i), "a", class, protocol.Priority(class))
-		after := time.Duration(i) * 20 * time.Millisecond
+		delay := time.Duration(i) * 20 * time.Millisecond
 		users.submissions.Go(func() {
-			time.Sleep(after)
+			time.Sleep(delay)
 			users.submitJob(cluster, job)
 		})
 	}
 	users.submissions.Wait()
-	took := time.Since(startedAt)
+	elapsed := time.Since(startedAt)
 	accepted := 0
 	for _, class := range []string{"urgent", "standard", "low"} {
 		waits := users.waitTimes[class]
@@ -59,8 +59,8 @@
 			waits.ValueAtQuantile(50), waits.ValueAtQuantile(90), waits.ValueAtQuantile(99), waits.Max())
 	}
 	b.Logf("%d of %d accepted jobs were over by then", cluster.store.CountKeys(storage.TerminalPrefix), accepted)
-	b.Logf("%.1f accepted a second, processor %.3f s a second", float64(accepted)/took.Seconds(),
-		(cpuTime()-usedBefore).Seconds()/took.Seconds())
+	b.Logf("%.1f accepted a second, processor %.3f s a second", float64(accepted)/elapsed.Seconds(),
+		(cpuTime()-cpuTimeBefore).Seconds()/elapsed.Seconds())
 }
 
 // cpuTime returns the user and system time of this process.
@@ -72,8 +72,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// floodUsers submits jobs as many users do and records how long they waited.
-type floodUsers struct {
+// overloadUsers submits jobs as many users do and records how long they waited.
+type overloadUsers struct {
 	submissions sync.WaitGroup
 	mu          sync.Mutex
 	waitTimes   map[string]*hdrhistogram.Histogram // by class, in milliseconds
@@ -82,16 +82,16 @@
 
 // submitJob submits a job as a user does: to a random node, with retries after Retry-After, until
 // protocol.RetrySpan has passed.
-func (f *floodUsers) submitJob(cluster *testCluster, job protocol.Job) {
+func (u *overloadUsers) submitJob(cluster *testCluster, job protocol.Job) {
 	startedAt := time.Now()
 	for {
 		status, retryAfter := cluster.submitJob(cluster.nodes[rand.IntN(len(cluster.nodes))], job)
 		if status == 200 || status == 201 {
-			f.recordOutcome(job.Class, time.Since(startedAt), true)
+			u.recordOutcome(job.Class, time.Since(startedAt), true)
 			return
 		}
 		if time.Since(startedAt) > protocol.SubmissionRetryWindow {
-			f.recordOutcome(job.Class, 0, false)
+			u.recordOutcome(job.Class, 0, false)
 			return
 		}
 		time.Sleep(min(30*time.Second, max(time.Second, retryAfter)))
@@ -99,15 +99,15 @@
 }
 
 // recordOutcome records the waiting time of an accepted job, or that its user gave up.
-func (f *floodUsers) recordOutcome(class string, waited time.Duration, accepted bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.waitTimes[class] == nil {
-		f.waitTimes[class] = hdrhistogram.New(1, 120_000, 3)
+func (u *overloadUsers) recordOutcome(class string, waited time.Duration, accepted bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.waitTimes[class] == nil {
+		u.waitTimes[class] = hdrhistogram.New(1, 120_000, 3)
 	}
 	if !accepted {
-		f.gaveUp[class]++
+		u.gaveUp[class]++
 		return
 	}
-	f.waitTimes[class].RecordValue(max(1, waited.Milliseconds()))
+	u.waitTimes[class].RecordValue(max(1, waited.Milliseconds()))
 }
--- a/internal/daemon/overload_test.go
+++ b/internal/daemon/overload_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	submitWave(0)
-	cluster.checkToolShowsPolicy(jobs[len(jobs)-1])
+	cluster.checkAdmissionCommandShowsPolicy(jobs[len(jobs)-1])
 	users.Wait()
 	// A verdict can be compared if the submissions of a job to several nodes fall into one epoch. On
 	// a busy machine fewer do, so further waves follow until there are enough.
@@ -74,93 +74,93 @@
 		t.Errorf("%d verdicts could be compared", compared)
 	}
 	for _, class := range classes {
-		if epochs := cluster.longestWaitInEpochs(class, perClass); epochs > cluster.maxEpochsToTurn()+3 {
+		if epochs := cluster.longestWaitInEpochs(class, perClass); epochs > cluster.maxEpochsToAdmission()+3 {
 			t.Errorf("a job of class %s waited for %d epochs", class.name, epochs)
 		}
 	}
 	cluster.checkJobsEnd(jobs)
-	cluster.checkToolNamesStoppedNode(cluster.nodes[0])
+	cluster.checkAdmissionCommandReportsStoppedNode(cluster.nodes[0])
 }
 
-// checkToolShowsPolicy checks that the operators' command shows the policy once there is one.
-func (l *testCluster) checkToolShowsPolicy(job string) {
-	l.t.Helper()
-	l.eventually(20*time.Second, "a policy",
-		func() bool { _, is := l.store.Item(storage.AdmissionPolicyKey); return is })
+// checkAdmissionCommandShowsPolicy checks that the operators' command shows the policy once there is one.
+func (c *testCluster) checkAdmissionCommandShowsPolicy(job string) {
+	c.t.Helper()
+	c.eventually(20*time.Second, "a policy",
+		func() bool { _, ok := c.store.Item(storage.AdmissionPolicyKey); return ok })
 	report := &bytes.Buffer{}
-	if err := l.printAdmission(report, job); err != nil ||
+	if err := c.printAdmission(report, job); err != nil ||
 		!strings.Contains(report.String(), "ALL HAD THEIR TURN") {
-		l.t.Errorf("the tool: %v\n%s", err, report)
+		c.t.Errorf("the tool: %v\n%s", err, report)
 	}
 }
 
 // checkVerdictsAgree checks that all controllers have given the same verdict on each job in each epoch.
 // It returns the number of verdicts that several of them have given.
-func (l *testCluster) checkVerdictsAgree(jobs []string) (compared int) {
-	l.t.Helper()
-	for key, byNode := range l.verdicts(jobs) {
-		notes := map[string]bool{}
+func (c *testCluster) checkVerdictsAgree(jobs []string) (compared int) {
+	c.t.Helper()
+	for key, byNode := range c.verdicts(jobs) {
+		verdicts := map[string]bool{}
 		for _, note := range byNode {
-			notes[note] = true
+			verdicts[note] = true
 		}
-		if len(notes) > 1 {
-			l.t.Errorf("%s in epoch %d: %v", key.job, key.epoch, byNode)
+		if len(verdicts) > 1 {
+			c.t.Errorf("%s in epoch %d: %v", key.job, key.epoch, byNode)
 		}
 		if len(byNode) > 1 {
 			compared++
 		}
 	}
-	l.t.Logf("%d verdicts of several controllers about one job in one epoch", compared)
+	c.t.Logf("%d verdicts of several controllers about one job in one epoch", compared)
 	return compared
 }
 
 // checkJobsEnd waits for the end of all jobs, and checks that no task was started twice and that the
 // trace shows the end.
-func (l *testCluster) checkJobsEnd(jobs []string) {
-	l.t.Helper()
-	l.eventually(60*time.Second, "the end of all jobs",
-		func() bool { return l.store.CountKeys(storage.TerminalPrefix) == len(jobs) })
-	for task, starts := range l.fleet.StartCounts() {
+func (c *testCluster) checkJobsEnd(jobs []string) {
+	c.t.Helper()
+	c.eventually(60*time.Second, "the end of all jobs",
+		func() bool { return c.store.CountKeys(storage.TerminalPrefix) == len(jobs) })
+	for task, starts := range c.fleet.StartCounts() {
 		if starts > 1 {
-			l.t.Errorf("%s was started %d times", task, starts)
+			c.t.Errorf("%s was started %d times", task, starts)
 		}
 	}
 	report := &bytes.Buffer{}
-	if err := adminclient.PrintTrace(report, l.adminOptions(), jobs[0]); err != nil ||
+	if err := adminclient.PrintTrace(report, c.adminOptions(), jobs[0]); err != nil ||
 		!strings.Contains(report.String(), "done after") {
-		l.t.Errorf("the trace of %s: %v\n%s", jobs[0], err, report)
+		c.t.Errorf("the trace of %s: %v\n%s", jobs[0], err, report)
 	}
 }
 
-// checkToolNamesStoppedNode stops a node and checks that the operators' command names it.
-func (l *testCluster) checkToolNamesStoppedNode(node string) {
-	l.t.Helper()
-	l.stopNode[node]()
+// checkAdmissionCommandReportsStoppedNode stops a node and checks that the operators' command names it.
+func (c *testCluster) checkAdmissionCommandReportsStoppedNode(node string) {
+	c.t.Helper()
+	c.stopNode[node]()
 	report := &bytes.Buffer{}
-	l.eventually(10*time.Second, "the tool names the node that ends", func() bool {
+	c.eventually(10*time.Second, "the tool names the node that ends", func() bool {
 		report.Reset()
-		err := l.printAdmission(report, "")
+		err := c.printAdmission(report, "")
 		var incomplete *adminclient.IncompleteError
-		return errors.As(err, &incomplete) && strings.Contains(err.Error(), l.clientAddresses[node])
+		return errors.As(err, &incomplete) && strings.Contains(err.Error(), c.clientAddresses[node])
 	})
 }
 
 // submitToAllNodes submits a job to all nodes at once, and retries after the longest Retry-After,
 // until it is accepted.
-func (l *testCluster) submitToAllNodes(job protocol.Job) {
+func (c *testCluster) submitToAllNodes(job protocol.Job) {
 	for deadline := time.Now().Add(protocol.SubmissionRetryWindow); time.Now().Before(deadline); {
 		var submissions sync.WaitGroup
 		var mu sync.Mutex
 		accepted, pause := false, time.Second
-		for _, name := range l.nodes {
+		for _, name := range c.nodes {
 			submissions.Go(func() {
-				status, retryAfter := l.submitJob(name, job)
+				status, retryAfter := c.submitJob(name, job)
 				mu.Lock()
 				defer mu.Unlock()
 				accepted = accepted || status == 200 || status == 201
 				pause = max(pause, retryAfter)
 				if status == 503 && retryAfter == 0 {
-					l.t.Errorf("%s: refused without Retry-After", job.ID)
+					c.t.Errorf("%s: refused without Retry-After", job.ID)
 				}
 			})
 		}
@@ -170,30 +170,30 @@
 		}
 		time.Sleep(pause)
 	}
-	l.t.Errorf("%s was not accepted in time", job.ID)
+	c.t.Errorf("%s was not accepted in time", job.ID)
 }
 
 // adminOptions returns options of the operators' commands for all nodes.
-func (l *testCluster) adminOptions() adminclient.Options {
+func (c *testCluster) adminOptions() adminclient.Options {
 	options := adminclient.Options{Timeout: 2 * time.Second}
-	for _, name := range l.nodes {
-		options.Addresses = append(options.Addresses, l.clientAddresses[name])
+	for _, name := range c.nodes {
+		options.Addresses = append(options.Addresses, c.clientAddresses[name])
 	}
 	return options
 }
 
 // printAdmission runs the operators' admission command.
-func (l *testCluster) printAdmission(out *bytes.Buffer, job string) error {
-	return adminclient.PrintAdmission(out, l.adminOptions(), job)
+func (c *testCluster) printAdmission(out *bytes.Buffer, job string) error {
+	return adminclient.PrintAdmission(out, c.adminOptions(), job)
 }
 
 // traceSteps lists the trace steps of a job from all nodes.
-func (l *testCluster) traceSteps(job string) []tracing.Step {
+func (c *testCluster) traceSteps(job string) []tracing.Step {
 	var all []tracing.Step
-	for _, name := range l.nodes {
+	for _, name := range c.nodes {
 		var steps []tracing.Step
-		if !l.getJSON(name, "/trace/"+job, &steps) {
-			l.t.Errorf("%s: no trace", name)
+		if !c.getJSON(name, "/trace/"+job, &steps) {
+			c.t.Errorf("%s: no trace", name)
 		}
 		all = append(all, steps...)
 	}
@@ -202,10 +202,10 @@
 
 // verdicts returns the verdicts on each job in each epoch, by node. It fails the test if a node has
 // given two different ones in the same epoch.
-func (l *testCluster) verdicts(jobs []string) map[verdictKey]map[string]string {
+func (c *testCluster) verdicts(jobs []string) map[verdictKey]map[string]string {
 	verdicts := map[verdictKey]map[string]string{}
 	for _, job := range jobs {
-		for _, step := range l.traceSteps(job) {
+		for _, step := range c.traceSteps(job) {
 			if step.Name != "verdict" || step.Epoch == 0 {
 				continue
 			}
@@ -213,8 +213,8 @@
 			if verdicts[key] == nil {
 				verdicts[key] = map[string]string{}
 			}
-			if before, again := verdicts[key][step.Node]; again && before != step.Note {
-				l.t.Errorf("%s judges %s in epoch %d twice: %s, %s", step.Node, job, step.Epoch, before, step.Note)
+			if previous, ok := verdicts[key][step.Node]; ok && previous != step.Note {
+				c.t.Errorf("%s judges %s in epoch %d twice: %s, %s", step.Node, job, step.Epoch, previous, step.Note)
 			}
 			verdicts[key][step.Node] = step.Note
 		}
@@ -222,19 +222,19 @@
 	return verdicts
 }
 
-// maxEpochsToTurn returns the number of epochs within which each job must be admitted.
-func (l *testCluster) maxEpochsToTurn() int {
-	epoch := config.Seconds(l.shared.Workers.LeaseS / 4)
-	return int(protocol.SubmissionRetryWindow * 2 / 3 / epoch)
+// maxEpochsToAdmission returns the number of epochs within which each job must be admitted.
+func (c *testCluster) maxEpochsToAdmission() int {
+	epochLength := config.Seconds(c.clusterConfig.Workers.LeaseS / 4)
+	return int(protocol.SubmissionRetryWindow * 2 / 3 / epochLength)
 }
 
 // longestWaitInEpochs returns the maximum number of epochs between the first and the last verdict on
 // a job of a class.
-func (l *testCluster) longestWaitInEpochs(class jobClass, jobs int) int {
+func (c *testCluster) longestWaitInEpochs(class jobClass, jobs int) int {
 	longest := uint64(0)
 	for i := range jobs {
 		first, last := uint64(0), uint64(0)
-		for _, step := range l.traceSteps(class.jobID(i)) {
+		for _, step := range c.traceSteps(class.jobID(i)) {
 			if step.Name == "verdict" && step.Epoch > 0 {
 				if first == 0 {
 					first = step.Epoch
