--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -21,8 +21,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// testCluster is a cluster of real controllers in this process that talk over real connections to
-// fakes of the key-value store, the cloud and the workers.
+// testCluster is a cluster of real controllers in this process, with real connections to each other
+// and to fakes of the key-value store, the cloud and the workers.
 type testCluster struct {
 	t               testing.TB
 	clusterConfig   config.Cluster
@@ -30,15 +30,15 @@
 	store           *fakes.Store
 	fleet           *fakes.Fleet
 	nodes           []string
-	clientAddresses map[string]string             // client addresses, by node
-	peerAddresses   map[string]string             // peer addresses, by node
-	relays          map[[2]string]*fakes.Relay    // by the two endpoints: who connects, who listens
-	stopNode        map[string]context.CancelFunc // by node
+	clientAddresses map[string]string             // by node
+	peerAddresses   map[string]string             // by node
+	relays          map[[2]string]*fakes.Relay    // by endpoints: the one that connects, the one that listens
+	stopNode        map[string]context.CancelFunc // cancels the context of Run, by node
 	running         sync.WaitGroup                // counts the running controllers
-	userClient      *http.Client                  // of users and operators
+	userClient      *http.Client                  // used by users and operators
 }
 
-// newTestCluster starts a cluster that is stopped at the end of the test.
+// newTestCluster starts a cluster, which is stopped at the end of the test.
 func newTestCluster(t testing.TB, nodeCount int, writeRPS float64, settings config.Settings) *testCluster {
 	t.Helper()
 	store, err := fakes.NewStore(writeRPS)
@@ -60,7 +60,7 @@
 	return c
 }
 
-// testSettings returns the settings that all controllers share.
+// testClusterConfig returns the part of the settings that all controllers share.
 func testClusterConfig(nodeCount int, writeRPS float64) config.Cluster {
 	var cluster config.Cluster
 	cluster.ControllerCount, cluster.Zones = nodeCount, []string{"a"}
@@ -104,7 +104,7 @@
 	}
 }
 
-// stop stops the controllers, the fleet and the relays, and waits for them.
+// stop stops the controllers, the fleet and the relays, and waits until the controllers have returned.
 func (c *testCluster) stop() {
 	for _, stop := range c.stopNode {
 		stop()
@@ -116,13 +116,14 @@
 	c.running.Wait()
 }
 
-// Endpoints of relays besides the nodes.
+// Endpoints of relays, in addition to the names of the nodes.
 const (
 	workersEndpoint = "workers"
-	storeEndpoint   = "state service"
+	storeEndpoint   = "key-value store"
 )
 
-// relayAddress returns the address of the relay between two endpoints, and starts it if needed.
+// relayAddress returns the address of the relay between two endpoints. It starts the relay, which
+// connects to the given address, if there is none yet.
 func (c *testCluster) relayAddress(from, to, address string) string {
 	c.t.Helper()
 	endpoints := [2]string{from, to}
@@ -136,8 +137,8 @@
 	return c.relays[endpoints].Address()
 }
 
-// blockLink sets which directions are blocked between two endpoints: towards the one that listens,
-// and back.
+// blockLink sets which directions of the link between two endpoints are blocked: to the one that
+// listens, and from it.
 func (c *testCluster) blockLink(from, to string, toListener, fromListener bool) {
 	c.relays[[2]string{from, to}].Block(toListener, fromListener)
 }
@@ -171,13 +172,13 @@
 	c.running.Go(func() {
 		if err := Run(ctx, platform, c.settings, "test",
 			slog.New(slog.NewTextHandler(logOutput, nil)).With("node", name)); err != nil {
-			c.t.Errorf("%s: %v", name, err)
+			c.t.Errorf("controller %s failed: %v", name, err)
 		}
 	})
 }
 
-// getJSON sends a GET request to a node and decodes the response. It returns false unless that is a
-// 200 that can be decoded.
+// getJSON sends a GET request to a node and decodes the response. It reports whether the response has
+// status 200 and can be decoded.
 func (c *testCluster) getJSON(node, path string, value any) bool {
 	resp, err := c.userClient.Get("http://" + c.clientAddresses[node] + path)
 	if err != nil {
@@ -187,10 +188,10 @@
 	return resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(value) == nil
 }
 
-// waitForLeader waits until all nodes know each other's versions and the same leader.
+// waitForLeader waits until every node names a leader and knows the versions of all nodes.
 func (c *testCluster) waitForLeader() {
 	c.t.Helper()
-	c.eventually(20*time.Second, "a leader that all nodes know", func() bool {
+	c.eventually(20*time.Second, "all nodes to name a leader and to know each other's versions", func() bool {
 		for _, name := range c.nodes {
 			var status struct {
 				Leader string `json:"leader"`
@@ -209,17 +210,17 @@
 	c.t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("not within %v: %s", timeout, what)
+			c.t.Fatalf("timed out after %v waiting for %s", timeout, what)
 		}
 	}
 }
 
-// submitJob submits a job to a node, without retries.
+// submitJob submits a job to a node, without retries. If the node does not respond, the status is 0.
 func (c *testCluster) submitJob(node string, job protocol.Job) (status int, retryAfter time.Duration) {
 	c.t.Helper()
 	raw, err := json.Marshal(job)
 	if err != nil {
-		c.t.Errorf("%s: %v", job.ID, err)
+		c.t.Errorf("encoding job %s: %v", job.ID, err)
 		return 0, 0
 	}
 	resp, err := c.userClient.Post("http://"+c.clientAddresses[node]+"/work", "application/json", bytes.NewReader(raw))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
 // Package daemon runs a controller process. One goroutine, the owner, passes batches of commands to
 // the node (the state machine of the controller) and executes the effects that the node returns. The
-// package connects the node with the transports and shares out connections and memory; it makes no
-// scheduling decision.
+// package connects the node with the transports and divides the process's connections and memory
+// among them; it makes no scheduling decision.
 package daemon
 
 import (
@@ -26,16 +26,16 @@
 	// commandsPerConnection is the length of the command queue per connection. All workers may
 	// send a heartbeat at once, some of them through other controllers.
 	commandsPerConnection = 4
-	// maxBatchSize bounds the commands of one step.
+	// maxBatchSize is the maximum number of commands that the node processes in one step.
 	maxBatchSize = 256
-	// queryDivisor sets the share of queue and batch (1/queryDivisor) that queries may fill.
+	// queryDivisor limits queries: their queue has 1/queryDivisor of the command queue's length, and
+	// they fill at most 1/queryDivisor of a batch.
 	queryDivisor = 4
 	// ticksPerHeartbeat is how often the owner ticks within a heartbeat interval of the workers.
 	ticksPerHeartbeat = 24
 )
 
-// daemon connects the node with the transports. Only the owner goroutine (runOwner) uses the node;
-// mu guards the fields below it.
+// daemon connects the node with the transports. Only the owner goroutine (runOwner) uses the node.
 type daemon struct {
 	startedAt    time.Time
 	commandQueue chan controller.Command
@@ -45,17 +45,17 @@
 	queryQueue chan controller.Command
 	node       *controller.Node
 	clients    map[controller.Target]*transport.Client
-	startCall  func(controller.ServiceCall) // executes a call and queues its result, without waiting
+	startCall  func(controller.ServiceCall) // starts a call and returns; the result is queued later
 	peerLinks  *transport.PeerLinks
 	traces     *tracing.Recorder // nil: tracing is disabled
 
-	mu             sync.Mutex
-	pendingReplies map[uint64]chan controller.Reply
+	mu             sync.Mutex                       // guards the fields below
+	pendingReplies map[uint64]chan controller.Reply // by request ID
 	lastRequestID  uint64
 }
 
-// Run runs a controller until it fails, or until ctx is cancelled and the node has handed over. It
-// returns once all its connections are closed.
+// Run runs a controller until it fails, or until ctx is cancelled and the time for the handover to
+// another leader (Node.DrainDuration) has passed. It returns once all its connections are closed.
 func Run(ctx context.Context, platform *config.Platform, settings config.Settings, build string,
 	log *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
@@ -71,7 +71,7 @@
 	return d.serve(ctx, open, config.Seconds(platform.Cluster.Workers.HeartbeatIntervalS)/ticksPerHeartbeat)
 }
 
-// newDaemon returns a daemon that is not connected yet.
+// newDaemon returns a daemon that has no listeners and no connections yet.
 func newDaemon(platform *config.Platform, settings config.Settings, build string, log *slog.Logger) *daemon {
 	cluster := &platform.Cluster
 	workerLease := cluster.WorkerLease()
@@ -99,7 +99,7 @@
 	return d
 }
 
-// newClients returns the clients of the outside services.
+// newClients returns the clients of the key-value store and the cloud.
 func newClients(platform *config.Platform, budget connectionBudget,
 	workerLease time.Duration) map[controller.Target]*transport.Client {
 	options := transport.ClientOptions{DialTimeout: workerLease / 8, IdleTimeout: workerLease / 2,
@@ -114,17 +114,17 @@
 	}
 }
 
-// closeClients closes the connections to the outside services.
+// closeClients closes the connections to the key-value store and the cloud.
 func (d *daemon) closeClients() {
 	for _, client := range d.clients {
 		client.Close()
 	}
 }
 
-// listeners are the listeners of a controller.
+// listeners accept the connections of users and workers (clients) and of other controllers (peers).
 type listeners struct{ clients, peers net.Listener }
 
-// listen opens the listeners of a controller.
+// listen opens both listeners. Its errors start with the setting of the address that can't be opened.
 func listen(platform *config.Platform, log *slog.Logger) (listeners, error) {
 	clients, err := net.Listen("tcp4", platform.ClientListen)
 	if err != nil {
@@ -141,8 +141,9 @@
 	}, nil
 }
 
-// serve runs the transports and the owner. The transports outlive ctx: while the node hands over, it
-// still needs them. When the owner ends, they end too, before serve returns.
+// serve runs the transports and the owner. The transports keep running after ctx is cancelled, because
+// the node needs them during the handover. They are stopped when the owner returns, and serve waits
+// for them.
 func (d *daemon) serve(ctx context.Context, open listeners, tickInterval time.Duration) error {
 	transportContext, stopTransports := context.WithCancel(context.WithoutCancel(ctx))
 	var transports sync.WaitGroup
@@ -159,7 +160,7 @@
 	return d.runOwner(ctx, tickInterval, serverErrors)
 }
 
-// enqueue queues a command, and waits while the queue is full.
+// enqueue queues a command. It waits while the queue is full, and drops the command if ctx ends.
 func (d *daemon) enqueue(ctx context.Context, command controller.Command) {
 	select {
 	case d.commandQueue <- command:
@@ -167,28 +168,29 @@
 	}
 }
 
-// commandQueueLength returns the length of the command queue.
+// commandQueueLength returns the number of commands that the command queue can hold.
 func commandQueueLength(cluster *config.Cluster) int {
 	return commandsPerConnection * cluster.Resources.MaxConnections
 }
 
-// responseMemoryDivisor sets the share of memory (1/responseMemoryDivisor) that one response of
-// another service may take, as several may arrive at once.
+// responseMemoryDivisor limits a response of the key-value store or the cloud to
+// 1/responseMemoryDivisor of the memory, because several responses may arrive at once.
 const responseMemoryDivisor = 16
 
-// maxResponseBytes returns the size limit of a response. After an outage, the response of a watch may
-// hold every change at once.
+// maxResponseBytes returns the size limit of a response. After an outage, the response to a watch may
+// contain all changes at once.
 func maxResponseBytes(cluster *config.Cluster) int {
 	return int(cluster.Resources.MemoryMB * (1 << 20) / responseMemoryDivisor)
 }
 
-// connectionBudget is the number of connections that each kind of link may use.
+// connectionBudget is the maximum number of connections to the key-value store, to the cloud, with the
+// other controllers, and of users and workers (server).
 type connectionBudget struct{ store, cloud, peers, server int }
 
 // budgetConnections reserves connections to the key-value store, the cloud and the other
-// controllers, as the leader lease and the rented machines depend on them. All others are for
-// workers and users: the leader has a connection from each machine, so their number limits the size
-// of a deployment.
+// controllers, because the leader lease and the rented machines depend on them. All others are for
+// workers and users: the leader has a connection from each machine, so the number of these
+// connections limits the size of a deployment.
 func budgetConnections(cluster *config.Cluster) connectionBudget {
 	total := cluster.Resources.MaxConnections
 	budget := connectionBudget{
@@ -197,12 +199,13 @@
 		cloud: max(4, min(total/16, int(cluster.Cloud.RequestsPerS*cluster.Workers.LeaseS/4))),
 		peers: transport.MaxPeerConnections(cluster.ControllerCount),
 	}
-	// The rest is for listeners, logs and connections that are being closed.
+	// The remaining 1/64 is for listeners, logs and connections that are being closed.
 	budget.server = max(8, total-budget.store-budget.cloud-budget.peers-total/64)
 	return budget
 }
 
-// runOwner is the owner goroutine: it alone accesses the node.
+// runOwner is the owner goroutine, the only one that accesses the node. It returns nil once the
+// handover after the end of ctx is done, and the error of a server that fails.
 func (d *daemon) runOwner(ctx context.Context, tickInterval time.Duration, serverErrors chan error) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -245,8 +248,8 @@
 	return batch
 }
 
-// receivePeerMessage queues a message of another controller. A forwarded query is rejected at once
-// if the query queue is full.
+// receivePeerMessage queues a message of another controller. It rejects a forwarded query at once if
+// the query queue is full.
 func (d *daemon) receivePeerMessage(ctx context.Context, message controller.InboundMessage) {
 	if !message.IsReadOnly() {
 		d.enqueue(ctx, message)
@@ -260,7 +263,7 @@
 	}
 }
 
-// execute executes one effect of the node.
+// execute carries out one effect that the node returned, without waiting for its result.
 func (d *daemon) execute(effect controller.Effect) {
 	switch effect := effect.(type) {
 	case controller.ServiceCall:
@@ -276,7 +279,8 @@
 	}
 }
 
-// deliverReply passes a reply to the request that waits for it, if it still does.
+// deliverReply passes a reply to the request that waits for it, and drops it if the request has timed
+// out.
 func (d *daemon) deliverReply(reply controller.Reply) {
 	d.mu.Lock()
 	replies := d.pendingReplies[reply.RequestID]
@@ -296,7 +300,7 @@
 }
 
 // Handle passes a request to the owner and waits for the reply. If the queue is full or the owner
-// does not reply in time, the reply is status 503 with Retry-After.
+// does not reply within the timeout, Handle returns status 503 with Retry-After.
 func (d *daemon) Handle(ctx context.Context, request controller.Request, timeout time.Duration) controller.Reply {
 	unavailable := controller.Reply{Status: 503, RetryAfter: 1}
 	requestID, replies := d.registerRequest()
@@ -323,7 +327,7 @@
 	return unavailable
 }
 
-// registerRequest returns the number of a new request, and the channel that gets its reply.
+// registerRequest returns the ID of a new request, and the channel that receives its reply.
 func (d *daemon) registerRequest() (requestID uint64, replies chan controller.Reply) {
 	replies = make(chan controller.Reply, 1)
 	d.mu.Lock()
@@ -333,7 +337,7 @@
 	return d.lastRequestID, replies
 }
 
-// discardRequest removes a pending reply that nobody waits for any more.
+// discardRequest stops expecting the reply to a request that has failed or timed out.
 func (d *daemon) discardRequest(requestID uint64) {
 	d.mu.Lock()
 	delete(d.pendingReplies, requestID)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -9,9 +9,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// At the size of a large deployment a leader has a socket for each machine and for its
-// users, and none of its own needs is given away for them. Three quarters were
-// too few: 1,800 machines left room for 90 others.
+// In large deployments, the server's share of the connections is enough for a leader's machines and
+// users, and the shares together stay below the limit. Guards against a share that is too small: with
+// three quarters of all connections, 1,800 machines left only 90 connections for others.
 func TestConnectionBudgetFitsAllMachines(t *testing.T) {
 	for _, test := range []struct{ nodes, connections, machines int }{{7, 2524, 1800}, {3, 3275, 1540}, {3, 900, 435}} {
 		t.Run(fmt.Sprintf("%d nodes, %d machines", test.nodes, test.machines), func(t *testing.T) {
@@ -20,17 +20,19 @@
 			cluster.Resources.MaxConnections = test.connections
 			budget := budgetConnections(cluster)
 			if budget.server < test.machines*12/10 {
-				t.Errorf("%d sockets: %d for %d machines and the users", test.connections, budget.server, test.machines)
+				t.Errorf("of %d connections the server gets %d: too few for %d machines and the users",
+					test.connections, budget.server, test.machines)
 			}
 			if sum := budget.store + budget.cloud + budget.peers + budget.server; sum >= test.connections {
-				t.Errorf("%d sockets are shared out of %d", sum, test.connections)
+				t.Errorf("the budget assigns %d connections, want fewer than %d", sum, test.connections)
 			}
 		})
 	}
 }
 
-// A flood of questions, from users and passed on by another controller, keeps neither
-// reports nor heartbeats waiting; what does not fit is refused at once.
+// A flood of queries delays neither the heartbeats of workers nor those of other controllers: queries
+// that do not fit into their queue are rejected at once, and the others fill only a part of a batch,
+// behind all other commands.
 func TestQueriesDoNotDelayOtherCommands(t *testing.T) {
 	const size = 4096
 	d := &daemon{
@@ -45,11 +47,12 @@
 	}
 	for range 2 * cap(d.queryQueue) {
 		if reply := <-replies; reply.Status != 503 || reply.RetryAfter == 0 {
-			t.Fatalf("refused with %d, Retry-After %d", reply.Status, reply.RetryAfter)
+			t.Fatalf("rejected with status %d, Retry-After %d, want 503 with Retry-After",
+				reply.Status, reply.RetryAfter)
 		}
 	}
 	if len(d.queryQueue) != cap(d.queryQueue) {
-		t.Fatalf("%d questions wait", len(d.queryQueue))
+		t.Fatalf("%d queries are queued, want a full queue of %d", len(d.queryQueue), cap(d.queryQueue))
 	}
 	d.receivePeerMessage(t.Context(), controller.InboundMessage{From: "n1", Message: protocol.PeerHeartbeat{}})
 	for range 3 {
@@ -57,12 +60,12 @@
 	}
 	batch := d.fillBatch(nil)
 	if len(batch) != 4+maxBatchSize/queryDivisor {
-		t.Fatalf("a batch of %d", len(batch))
+		t.Fatalf("the batch has %d commands, want %d", len(batch), 4+maxBatchSize/queryDivisor)
 	}
 	for i, command := range batch {
 		request, isRequest := command.(controller.Request)
 		if query := isRequest && request.IsReadOnly(); query != (i >= 4) {
-			t.Fatalf("at %d: %+v", i, command)
+			t.Fatalf("command %d of the batch is %+v, want 4 other commands and then queries", i, command)
 		}
 	}
 }
--- a/internal/daemon/halfopen_test.go
+++ b/internal/daemon/halfopen_test.go
@@ -15,9 +15,10 @@
 	"hitchdoor/internal/storage"
 )
 
-// The links of three controllers over real connections are blocked in one direction only, in turn
-// and flapping, while jobs are submitted: no task runs on two machines at once, all jobs finish, and
-// the operators' command reports the half-open link while it lasts.
+// Links of three controllers are blocked in one direction only, one after the other, first for a while
+// and then flapping, while jobs are submitted over real connections. No task runs on two machines at
+// once, all accepted jobs finish, and the operators' command reports a half-open link until it is
+// unblocked.
 func TestOneWayCutsOverLoopback(t *testing.T) {
 	cluster := newTestCluster(t, 3, 200, config.Defaults())
 	cluster.waitForLeader()
@@ -35,17 +36,21 @@
 		block func(blocked bool)
 	}{
 		{"the leader's heartbeats", func(blocked bool) { blockToAll(blocked, false) }},
-		{"workers' reports to the leader", func(blocked bool) { cluster.blockLink(workersEndpoint, leader, blocked, false) }},
-		{"the leader's answers to workers", func(blocked bool) { cluster.blockLink(workersEndpoint, leader, false, blocked) }},
-		{"the state service's answers", func(blocked bool) { cluster.blockLink(leader, storeEndpoint, false, blocked) }},
-		{"one node's heartbeats to the leader", func(blocked bool) { cluster.blockLink(others[0], leader, blocked, false) }},
+		{"workers' heartbeats to the leader",
+			func(blocked bool) { cluster.blockLink(workersEndpoint, leader, blocked, false) }},
+		{"the leader's responses to workers",
+			func(blocked bool) { cluster.blockLink(workersEndpoint, leader, false, blocked) }},
+		{"the key-value store's responses",
+			func(blocked bool) { cluster.blockLink(leader, storeEndpoint, false, blocked) }},
+		{"one node's heartbeats to the leader",
+			func(blocked bool) { cluster.blockLink(others[0], leader, blocked, false) }},
 	} {
 		t.Run(test.name, func(*testing.T) { users.submitWhileBlocked(test.block) })
 	}
 	cluster.checkLinksCommandReportsBlockedLink(others[0], others[1])
 	cluster.checkAcceptedJobsEnd()
 	if duplicated := cluster.fleet.DuplicatedTasks(); len(duplicated) > 0 {
-		t.Errorf("on two machines at once: %v", duplicated)
+		t.Errorf("tasks that ran on two machines at once: %v", duplicated)
 	}
 }
 
@@ -65,7 +70,7 @@
 	}
 }
 
-// submitDuringCut submits jobs while a link is cut, and then while it is flapping.
+// submitWhileBlocked submits jobs while a link is blocked, and then while it is flapping.
 func (u *steadyUsers) submitWhileBlocked(block func(blocked bool)) {
 	block(true)
 	u.submitFor(2 * time.Second)
@@ -84,31 +89,32 @@
 	c.t.Helper()
 	c.blockLink(from, to, true, false)
 	report := &bytes.Buffer{}
-	c.eventually(10*time.Second, "the tool names the cut", func() bool {
+	c.eventually(10*time.Second, "the links command to report the half-open link", func() bool {
 		report.Reset()
 		var incomplete *adminclient.IncompleteError
 		err := adminclient.PrintLinks(report, c.adminOptions())
 		return errors.As(err, &incomplete) && strings.Contains(err.Error(), "half-open")
 	})
 	c.unblockLinks()
-	c.eventually(20*time.Second, "the tool finds nothing cut", func() bool {
+	c.eventually(20*time.Second, "the links command to report no problem", func() bool {
 		report.Reset()
 		return adminclient.PrintLinks(report, c.adminOptions()) == nil
 	})
 }
 
-// checkAcceptedJobsEnd waits for the end of all accepted jobs, and checks that there are any.
+// checkAcceptedJobsEnd waits for the end of all accepted jobs. It fails the test if no job was accepted
+// or a finished job has no terminal record.
 func (c *testCluster) checkAcceptedJobsEnd() {
 	c.t.Helper()
 	accepted := c.store.CountKeys(storage.JobPrefix) + c.store.CountKeys(storage.TerminalPrefix)
-	c.eventually(60*time.Second, "the end of all jobs",
+	c.eventually(60*time.Second, "the end of all accepted jobs",
 		func() bool { return c.store.CountKeys(storage.JobPrefix) == 0 })
 	if finished := c.store.CountKeys(storage.TerminalPrefix); finished < accepted || accepted == 0 {
-		c.t.Errorf("%d of %d accepted jobs are over", finished, accepted)
+		c.t.Errorf("%d of %d accepted jobs have a terminal record, want all and at least one", finished, accepted)
 	}
 }
 
-// leader returns the leader that the first node names.
+// leader returns the name of the leader according to the first node.
 func (c *testCluster) leader() string {
 	var status struct {
 		Leader string `json:"leader"`
--- a/internal/daemon/overload_bench_test.go
+++ b/internal/daemon/overload_bench_test.go
@@ -16,13 +16,13 @@
 )
 
 // BenchmarkOverload submits several times as many jobs as three controllers can accept, over real
-// connections. It measures how long the users of each class wait, how many give up, and the processor
-// time of this process, controllers and fakes together. To be run by hand:
+// connections. It measures how long the users of each class wait, how many give up, and the CPU time of
+// this process, which runs the controllers and the fakes. It is run by hand:
 //
 //	go test -run '^$' -bench Overload -benchtime 1x ./internal/daemon
 func BenchmarkOverload(b *testing.B) {
 	for _, fair := range []bool{false, true} {
-		b.Run(fmt.Sprintf("by policy %v", fair), func(b *testing.B) {
+		b.Run(fmt.Sprintf("fair admission %v", fair), func(b *testing.B) {
 			for b.Loop() {
 				measureOverload(b, fair)
 			}
@@ -58,12 +58,13 @@
 			class, waits.TotalCount(), users.gaveUp[class],
 			waits.ValueAtQuantile(50), waits.ValueAtQuantile(90), waits.ValueAtQuantile(99), waits.Max())
 	}
-	b.Logf("%d of %d accepted jobs were over by then", cluster.store.CountKeys(storage.TerminalPrefix), accepted)
-	b.Logf("%.1f accepted a second, processor %.3f s a second", float64(accepted)/elapsed.Seconds(),
+	b.Logf("%d of %d accepted jobs had finished when the last user had",
+		cluster.store.CountKeys(storage.TerminalPrefix), accepted)
+	b.Logf("%.1f jobs accepted per second, CPU time %.3f s per second", float64(accepted)/elapsed.Seconds(),
 		(cpuTime()-cpuTimeBefore).Seconds()/elapsed.Seconds())
 }
 
-// cpuTime returns the user and system time of this process.
+// cpuTime returns the user and system CPU time of this process, 0 if it can't be read.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -72,16 +73,16 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// overloadUsers submits jobs as many users do and records how long they waited.
+// overloadUsers submits jobs as many independent users do and records how long they waited.
 type overloadUsers struct {
 	submissions sync.WaitGroup
 	mu          sync.Mutex
 	waitTimes   map[string]*hdrhistogram.Histogram // by class, in milliseconds
-	gaveUp      map[string]int
+	gaveUp      map[string]int                     // number of users, by class
 }
 
-// submitJob submits a job as a user does: to a random node, with retries after Retry-After, until
-// protocol.RetrySpan has passed.
+// submitJob submits a job as a user does: to a random node, with retries after Retry-After, until the
+// job is accepted or protocol.SubmissionRetryWindow has passed.
 func (u *overloadUsers) submitJob(cluster *testCluster, job protocol.Job) {
 	startedAt := time.Now()
 	for {
--- a/internal/daemon/overload_test.go
+++ b/internal/daemon/overload_test.go
@@ -16,25 +16,26 @@
 	"hitchdoor/internal/tracing"
 )
 
-// verdictKey identifies an admission verdict: there is one per job and epoch.
+// verdictKey identifies an admission verdict. All controllers must give the same one on a job in an
+// epoch.
 type verdictKey struct {
 	job   string
 	epoch uint64
 }
 
-// jobClass is a class of jobs of one team.
+// jobClass is a class of jobs of one team, all with the same priority.
 type jobClass struct {
 	team, name string
 	priority   protocol.Priority
 }
 
-// jobID returns the id of a job of the class.
+// jobID returns the ID of the job of the class with a number.
 func (c jobClass) jobID(number int) string { return fmt.Sprintf("j-%s-%d", c.name, number) }
 
-// Three controllers over real connections are overloaded with submissions, each job to all of them
-// at once. Their traces show the same verdict on every controller for each job and epoch; each job
-// is accepted once, no task starts twice, and no class waits for more epochs than the policy
-// guarantees. The operators' commands agree with that.
+// Three controllers with real connections are overloaded: each job is submitted to all of them at once.
+// Guards against controllers that apply different policies in the same epoch: their traces show the
+// same verdict for each job and epoch, each job is accepted once, no task starts twice, and no class
+// waits for more epochs than the policy guarantees. The operators' commands show the same.
 func TestOneVerdictOnEveryController(t *testing.T) {
 	settings := config.Defaults()
 	settings.FairAdmission, settings.MaxTraceSteps = true, 50_000
@@ -45,7 +46,7 @@
 		{"b", "standard", protocol.PriorityStandard}}
 	var users sync.WaitGroup
 	var jobs []string
-	// submitWave submits perClass jobs of each class at once, numbered from a first number.
+	// submitWave submits perClass jobs of each class at once, with numbers from first on.
 	submitWave := func(first int) {
 		for _, class := range classes {
 			for i := range perClass {
@@ -68,34 +69,36 @@
 	}
 	if accepted := cluster.store.CountKeys(storage.JobPrefix) +
 		cluster.store.CountKeys(storage.TerminalPrefix); accepted != len(jobs) {
-		t.Errorf("%d of %d jobs were accepted", accepted, len(jobs))
+		t.Errorf("%d jobs were accepted, want %d", accepted, len(jobs))
 	}
 	if compared < perClass {
-		t.Errorf("%d verdicts could be compared", compared)
+		t.Errorf("%d verdicts could be compared, want at least %d", compared, perClass)
 	}
 	for _, class := range classes {
 		if epochs := cluster.longestWaitInEpochs(class, perClass); epochs > cluster.maxEpochsToAdmission()+3 {
-			t.Errorf("a job of class %s waited for %d epochs", class.name, epochs)
+			t.Errorf("a job of class %s waited for %d epochs, want at most %d",
+				class.name, epochs, cluster.maxEpochsToAdmission()+3)
 		}
 	}
 	cluster.checkJobsEnd(jobs)
 	cluster.checkAdmissionCommandReportsStoppedNode(cluster.nodes[0])
 }
 
-// checkAdmissionCommandShowsPolicy checks that the operators' command shows the policy once there is one.
+// checkAdmissionCommandShowsPolicy waits for the first policy and checks that the operators' command
+// shows it.
 func (c *testCluster) checkAdmissionCommandShowsPolicy(job string) {
 	c.t.Helper()
-	c.eventually(20*time.Second, "a policy",
+	c.eventually(20*time.Second, "an admission policy in the key-value store",
 		func() bool { _, ok := c.store.Item(storage.AdmissionPolicyKey); return ok })
 	report := &bytes.Buffer{}
 	if err := c.printAdmission(report, job); err != nil ||
 		!strings.Contains(report.String(), "ALL HAD THEIR TURN") {
-		c.t.Errorf("the tool: %v\n%s", err, report)
+		c.t.Errorf("the admission command does not show the policy: error %v, output\n%s", err, report)
 	}
 }
 
 // checkVerdictsAgree checks that all controllers have given the same verdict on each job in each epoch.
-// It returns the number of verdicts that several of them have given.
+// It returns the number of verdicts that more than one controller has given.
 func (c *testCluster) checkVerdictsAgree(jobs []string) (compared int) {
 	c.t.Helper()
 	for key, byNode := range c.verdicts(jobs) {
@@ -104,40 +107,41 @@
 			verdicts[note] = true
 		}
 		if len(verdicts) > 1 {
-			c.t.Errorf("%s in epoch %d: %v", key.job, key.epoch, byNode)
+			c.t.Errorf("different verdicts on %s in epoch %d: %v", key.job, key.epoch, byNode)
 		}
 		if len(byNode) > 1 {
 			compared++
 		}
 	}
-	c.t.Logf("%d verdicts of several controllers about one job in one epoch", compared)
+	c.t.Logf("%d verdicts were given by more than one controller", compared)
 	return compared
 }
 
 // checkJobsEnd waits for the end of all jobs, and checks that no task was started twice and that the
-// trace shows the end.
+// trace command shows the end of the first job.
 func (c *testCluster) checkJobsEnd(jobs []string) {
 	c.t.Helper()
 	c.eventually(60*time.Second, "the end of all jobs",
 		func() bool { return c.store.CountKeys(storage.TerminalPrefix) == len(jobs) })
 	for task, starts := range c.fleet.StartCounts() {
 		if starts > 1 {
-			c.t.Errorf("%s was started %d times", task, starts)
+			c.t.Errorf("task %s was started %d times, want once", task, starts)
 		}
 	}
 	report := &bytes.Buffer{}
 	if err := adminclient.PrintTrace(report, c.adminOptions(), jobs[0]); err != nil ||
 		!strings.Contains(report.String(), "done after") {
-		c.t.Errorf("the trace of %s: %v\n%s", jobs[0], err, report)
+		c.t.Errorf("the trace command does not show the end of %s: error %v, output\n%s", jobs[0], err, report)
 	}
 }
 
-// checkAdmissionCommandReportsStoppedNode stops a node and checks that the operators' command names it.
+// checkAdmissionCommandReportsStoppedNode stops a node and checks that the operators' command reports
+// its address.
 func (c *testCluster) checkAdmissionCommandReportsStoppedNode(node string) {
 	c.t.Helper()
 	c.stopNode[node]()
 	report := &bytes.Buffer{}
-	c.eventually(10*time.Second, "the tool names the node that ends", func() bool {
+	c.eventually(10*time.Second, "the admission command to report the stopped node", func() bool {
 		report.Reset()
 		err := c.printAdmission(report, "")
 		var incomplete *adminclient.IncompleteError
@@ -145,8 +149,8 @@
 	})
 }
 
-// submitToAllNodes submits a job to all nodes at once, and retries after the longest Retry-After,
-// until it is accepted.
+// submitToAllNodes submits a job to all nodes at once, and retries after the longest Retry-After until
+// a node accepts it.
 func (c *testCluster) submitToAllNodes(job protocol.Job) {
 	for deadline := time.Now().Add(protocol.SubmissionRetryWindow); time.Now().Before(deadline); {
 		var submissions sync.WaitGroup
@@ -160,7 +164,7 @@
 				accepted = accepted || status == 200 || status == 201
 				pause = max(pause, retryAfter)
 				if status == 503 && retryAfter == 0 {
-					c.t.Errorf("%s: refused without Retry-After", job.ID)
+					c.t.Errorf("%s: status 503 without Retry-After", job.ID)
 				}
 			})
 		}
@@ -170,7 +174,7 @@
 		}
 		time.Sleep(pause)
 	}
-	c.t.Errorf("%s was not accepted in time", job.ID)
+	c.t.Errorf("%s was not accepted within %v", job.ID, protocol.SubmissionRetryWindow)
 }
 
 // adminOptions returns options of the operators' commands for all nodes.
@@ -187,13 +191,13 @@
 	return adminclient.PrintAdmission(out, c.adminOptions(), job)
 }
 
-// traceSteps lists the trace steps of a job from all nodes.
+// traceSteps returns the trace steps of a job on all nodes.
 func (c *testCluster) traceSteps(job string) []tracing.Step {
 	var all []tracing.Step
 	for _, name := range c.nodes {
 		var steps []tracing.Step
 		if !c.getJSON(name, "/trace/"+job, &steps) {
-			c.t.Errorf("%s: no trace", name)
+			c.t.Errorf("%s does not return the trace of %s", name, job)
 		}
 		all = append(all, steps...)
 	}
@@ -201,7 +205,7 @@
 }
 
 // verdicts returns the verdicts on each job in each epoch, by node. It fails the test if a node has
-// given two different ones in the same epoch.
+// given two different verdicts on a job in the same epoch.
 func (c *testCluster) verdicts(jobs []string) map[verdictKey]map[string]string {
 	verdicts := map[verdictKey]map[string]string{}
 	for _, job := range jobs {
@@ -214,7 +218,8 @@
 				verdicts[key] = map[string]string{}
 			}
 			if previous, ok := verdicts[key][step.Node]; ok && previous != step.Note {
-				c.t.Errorf("%s judges %s in epoch %d twice: %s, %s", step.Node, job, step.Epoch, previous, step.Note)
+				c.t.Errorf("%s gave two verdicts on %s in epoch %d: %s, %s",
+					step.Node, job, step.Epoch, previous, step.Note)
 			}
 			verdicts[key][step.Node] = step.Note
 		}
@@ -222,7 +227,8 @@
 	return verdicts
 }
 
-// maxEpochsToAdmission returns the number of epochs within which each job must be admitted.
+// maxEpochsToAdmission returns the number of epochs within which each job must be admitted: those in
+// two thirds of the time during which users retry.
 func (c *testCluster) maxEpochsToAdmission() int {
 	epochLength := config.Seconds(c.clusterConfig.Workers.LeaseS / 4)
 	return int(protocol.SubmissionRetryWindow * 2 / 3 / epochLength)
