--- a/internal/adminclient/adminclient_test.go
+++ b/internal/adminclient/adminclient_test.go
@@ -33,81 +33,85 @@
 }
 
 // Each command reports what it could not find out, and names the node.
-func TestToolsNameWhatTheyCouldNotFindOut(t *testing.T) {
+func TestCommandsReportIncompleteResults(t *testing.T) {
 	policy := &admission.Policy{Epoch: 7, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
 	group := admission.Group{Team: "a", Class: "c", PriorityRank: 3}
-	heardFrom := func(names ...string) (heard []reachability.IncomingLink) {
+	incomingLinks := func(names ...string) (links []reachability.IncomingLink) {
 		for _, name := range names {
-			heard = append(heard, reachability.IncomingLink{Node: name, AgeMS: 5})
+			links = append(links, reachability.IncomingLink{Node: name, AgeMS: 5})
 		}
-		return heard
+		return links
 	}
-	admissionOf := func(values ...admission.NodeStatus) func(*bytes.Buffer) error {
+	admissionCommand := func(values ...admission.NodeStatus) func(*bytes.Buffer) error {
 		return func(out *bytes.Buffer) error { return PrintAdmission(out, startFakeNodes(t, values...), "j-1") }
 	}
-	linksOf := func(values ...reachability.NodeStatus) func(*bytes.Buffer) error {
+	linksCommand := func(values ...reachability.NodeStatus) func(*bytes.Buffer) error {
 		return func(out *bytes.Buffer) error { return PrintLinks(out, startFakeNodes(t, values...)) }
 	}
-	link := func(name string, leads bool, follows string, heard ...string) reachability.NodeStatus {
-		return reachability.NodeStatus{Node: name, Peers: []string{"n0", "n1"}, IncomingLinks: heardFrom(heard...),
-			LinkTimeoutMS: 1000, IsLeader: leads, LeaderName: follows, StoreReachable: true}
+	linkStatus := func(name string, isLeader bool, leaderName string, senders ...string) reachability.NodeStatus {
+		return reachability.NodeStatus{Node: name, Peers: []string{"n0", "n1"},
+			IncomingLinks: incomingLinks(senders...), LinkTimeoutMS: 1000,
+			IsLeader: isLeader, LeaderName: leaderName, StoreReachable: true}
 	}
-	recoveryOf := func(values ...recovery.NodeStatus) func(*bytes.Buffer) error {
+	recoveryCommand := func(values ...recovery.NodeStatus) func(*bytes.Buffer) error {
 		return func(out *bytes.Buffer) error { return PrintRecovery(out, startFakeNodes(t, values...)) }
 	}
-	leading := recovery.NodeStatus{Node: "n0", IsLeader: true, Term: 4, Recovery: &recovery.Status{Phase: "collecting",
-		Paced: true, WaitsFor: "3 of 60 machines",
-		Mismatches: map[string]int{"job_never_stored": 2}, Budgets: []recovery.Budget{{Operation: "start"}}}}
-	for name, query := range map[string]struct {
-		ask          func(*bytes.Buffer) error
-		prints, lack string // lack: part of the error; empty: no error
+	leaderStatus := recovery.NodeStatus{Node: "n0", IsLeader: true, Term: 4,
+		Recovery: &recovery.Status{Phase: "collecting", Paced: true, WaitsFor: "3 of 60 machines",
+			Mismatches: map[string]int{"job_never_stored": 2}, Budgets: []recovery.Budget{{Operation: "start"}}}}
+	for name, test := range map[string]struct {
+		run        func(*bytes.Buffer) error
+		wantOutput string // part of the output
+		wantError  string // part of the error; empty: no error
 	}{
-		"admission agrees": {admissionOf(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4, Policy: policy},
-			admission.NodeStatus{Node: "n1", Version: 4, Policy: policy, Job: &admission.JobStatus{ID: "j-1",
-				RejectedGroup: &group, TurnInSeconds: 12}}),
+		"admission agrees": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
+			Policy: policy}, admission.NodeStatus{Node: "n1", Version: 4, Policy: policy,
+			Job: &admission.JobStatus{ID: "j-1", RejectedGroup: &group, TurnInSeconds: 12}}),
 			"its turn comes in 12 s", ""},
-		"admission disagrees": {admissionOf(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
+		"admission disagrees": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
 			Policy: policy}, admission.NodeStatus{Node: "n1"}),
 			"none: all are admitted", "n1 judges by another policy than n0"},
-		"admission unreadable": {admissionOf(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
+		"admission unreadable": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
 			Invalid: true}), "can't be read", "n0: the stored policy can't be read"},
-		"admission two lead": {admissionOf(admission.NodeStatus{Node: "n0", IsLeader: true},
+		"admission two lead": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true},
 			admission.NodeStatus{Node: "n1", IsLeader: true}), "", "2 nodes say that they lead"},
-		"admission no step": {admissionOf(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
+		"admission no step": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
 			Policy: &admission.Policy{Epoch: 7, EpochLengthMS: 3500}}), "epoch 7",
 			"n0: admission policy: invalid share"},
-		"links fine": {linksOf(link("n0", true, "", "n1"), link("n1", false, "n0", "n0")), "follows n0", ""},
-		"links half-open": {linksOf(link("n0", true, "", "n1"), link("n1", false, "n0")), "cut",
+		"links fine": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n1", false, "n0", "n0")),
+			"follows n0", ""},
+		"links half-open": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n1", false, "n0")), "cut",
 			"half-open: n0 and n1"},
-		"links one silent": {linksOf(link("n0", true, "", "n1")), "unknown", "what n1 hears is unknown"},
-		"links two lead": {linksOf(link("n0", true, "", "n1"), link("n1", true, "", "n0")), "leads",
+		"links one silent": {linksCommand(linkStatus("n0", true, "", "n1")), "unknown", "what n1 hears is unknown"},
+		"links two lead": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n1", true, "", "n0")), "leads",
 			"different leaders: n0, n1"},
-		"links none lead": {linksOf(link("n0", false, "", "n1"), link("n1", false, "", "n0")), "follows nobody",
-			"nobody leads"},
-		"recovery fine": {recoveryOf(leading, recovery.NodeStatus{Node: "n1", LeaderName: "n0", Term: 4}),
+		"links none lead": {linksCommand(linkStatus("n0", false, "", "n1"), linkStatus("n1", false, "", "n0")),
+			"follows nobody", "nobody leads"},
+		"recovery fine": {recoveryCommand(leaderStatus, recovery.NodeStatus{Node: "n1", LeaderName: "n0", Term: 4}),
 			"waits for 3 of 60 machines", ""},
 		"recovery of one silent": {func(out *bytes.Buffer) error {
-			o := startFakeNodes(t, leading)
-			o.Addresses = append(o.Addresses, "127.0.0.1:1")
-			return PrintRecovery(out, o)
+			options := startFakeNodes(t, leaderStatus)
+			options.Addresses = append(options.Addresses, "127.0.0.1:1")
+			return PrintRecovery(out, options)
 		}, "job_never_stored  2", "127.0.0.1:1: no answer"},
-		"recovery two lead": {recoveryOf(leading, recovery.NodeStatus{Node: "n1", IsLeader: true,
+		"recovery two lead": {recoveryCommand(leaderStatus, recovery.NodeStatus{Node: "n1", IsLeader: true,
 			Recovery: &recovery.Status{}}), "n0 leads for", "different leaders: [n0 n1]"},
-		"recovery none leads": {recoveryOf(recovery.NodeStatus{Node: "n0"}), "follows nobody", "no leader answers"},
-		"recovery sets aside": {recoveryOf(recovery.NodeStatus{Node: "n0", IsLeader: true,
+		"recovery none leads": {recoveryCommand(recovery.NodeStatus{Node: "n0"}), "follows nobody",
+			"no leader answers"},
+		"recovery sets aside": {recoveryCommand(recovery.NodeStatus{Node: "n0", IsLeader: true,
 			Recovery: &recovery.Status{}, Quarantined: []recovery.QuarantinedRecord{{Key: "job/j-1", Reason: "is torn",
 				MaybeNewerVersion: true}}}), "is torn (a newer", "1 records are set aside"},
-		"recovery one name twice": {recoveryOf(leading, leading), "", "calls itself n0"},
-		"links one name twice": {linksOf(link("n0", true, "", "n1"), link("n0", true, "", "n1")), "",
+		"recovery one name twice": {recoveryCommand(leaderStatus, leaderStatus), "", "calls itself n0"},
+		"links one name twice": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n0", true, "", "n1")), "",
 			"calls itself n0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out := &bytes.Buffer{}
-			err := query.ask(out)
-			if !strings.Contains(out.String(), query.prints) {
+			err := test.run(out)
+			if !strings.Contains(out.String(), test.wantOutput) {
 				t.Errorf("prints\n%s", out)
 			}
-			if (err == nil) != (query.lack == "") || err != nil && !strings.Contains(err.Error(), query.lack) {
+			if (err == nil) != (test.wantError == "") || err != nil && !strings.Contains(err.Error(), test.wantError) {
 				t.Errorf("error %v", err)
 			}
 		})
@@ -136,7 +140,7 @@
 }
 
 // Invalid options are rejected with an error that names the flag.
-func TestOptions(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	for want, options := range map[string]Options{
 		"--nodes: missing": {Timeout: 1}, `--nodes: "x" is not`: {Addresses: []string{"x"}, Timeout: 1},
 		"--timeout:": {Addresses: []string{"x:1"}},
--- a/internal/adminclient/admission.go
+++ b/internal/adminclient/admission.go
@@ -13,9 +13,9 @@
 	"hitchdoor/internal/tracing"
 )
 
-// epochPropagationTime is the time that a new admission policy may take to reach all nodes. Only
+// policyPropagationTime is the time that a new admission policy may take to reach all nodes. Only
 // nodes that differ for longer are reported as inconsistent.
-const epochPropagationTime = time.Second
+const policyPropagationTime = time.Second
 
 // admissionResponse is a node's response about its admission policy.
 type admissionResponse = nodeResponse[admission.NodeStatus]
@@ -29,7 +29,7 @@
 	}
 	responses := queryAll[admission.NodeStatus](options, path)
 	if policiesDiffer(responses) {
-		time.Sleep(epochPropagationTime)
+		time.Sleep(policyPropagationTime)
 		responses = queryAll[admission.NodeStatus](options, path)
 	}
 	incomplete := &IncompleteError{}
@@ -126,14 +126,14 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TEAM\tCLASS\tPRIORITY\tASKING\tADMITTED NOW\tMORE EACH EPOCH\tALL HAD THEIR TURN IN")
 	for _, share := range append(slices.Clone(status.Policy.Shares), status.Policy.DefaultShare) {
-		team, class, priority, asking := share.Team, share.Class, protocol.PriorityName(share.PriorityRank),
+		team, class, priority, demand := share.Team, share.Class, protocol.PriorityName(share.PriorityRank),
 			fmt.Sprint(share.Demand)
 		if share.Group == (admission.Group{}) {
-			team, class, priority, asking = "all others", "", "", ""
+			team, class, priority, demand = "all others", "", "", ""
 		}
-		step := share.Steps[len(share.Steps)-1]
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f%%\t%.1f%%\t%v\n", team, class, priority, asking,
-			percentAdmitted(share.OpenPositions()), percentAdmitted(step),
+		lastStep := share.Steps[len(share.Steps)-1]
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f%%\t%.1f%%\t%v\n", team, class, priority, demand,
+			percentAdmitted(share.OpenPositions()), percentAdmitted(lastStep),
 			time.Duration(share.EpochsToAdmitAll())*epochLength)
 	}
 	table.Flush()
@@ -156,9 +156,9 @@
 		}
 		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(table, "TEAM\tCLASS\tPRIORITY\tJOBS")
-		for _, pending := range response.value.WaitingGroups {
+		for _, group := range response.value.WaitingGroups {
 			fmt.Fprintf(table, "%s\t%s\t%s\t%d\n",
-				pending.Team, pending.Class, protocol.PriorityName(pending.PriorityRank), pending.Jobs)
+				group.Team, group.Class, protocol.PriorityName(group.PriorityRank), group.Jobs)
 		}
 		table.Flush()
 		return
@@ -174,20 +174,20 @@
 		if response.err != nil || response.value.Job == nil {
 			continue
 		}
-		switch verdict := response.value.Job; {
-		case verdict.Accepted:
+		switch status := response.value.Job; {
+		case status.Accepted:
 			fmt.Fprintf(out, "%s: accepted, as %s knows\n", job, response.value.Node)
 			return
-		case verdict.RejectedGroup != nil && verdict.AdmittedNow:
+		case status.RejectedGroup != nil && status.AdmittedNow:
 			fmt.Fprintf(out, "%s: was refused by %s as one of team %q, class %q; it is admitted now\n",
-				job, response.value.Node, verdict.RejectedGroup.Team, verdict.RejectedGroup.Class)
+				job, response.value.Node, status.RejectedGroup.Team, status.RejectedGroup.Class)
 			known = true
-		case verdict.RejectedGroup != nil:
+		case status.RejectedGroup != nil:
 			fmt.Fprintf(out,
 				"%s: refused by %s, as more of team %q, class %q, priority %s is submitted than can be taken; "+
 					"its turn comes in %d s\n",
-				job, response.value.Node, verdict.RejectedGroup.Team, verdict.RejectedGroup.Class,
-				protocol.PriorityName(verdict.RejectedGroup.PriorityRank), verdict.TurnInSeconds)
+				job, response.value.Node, status.RejectedGroup.Team, status.RejectedGroup.Class,
+				protocol.PriorityName(status.RejectedGroup.PriorityRank), status.TurnInSeconds)
 			known = true
 		}
 	}
@@ -209,7 +209,7 @@
 		}
 		steps = append(steps, response.value...)
 	}
-	slices.SortStableFunc(steps, func(response, b tracing.Step) int { return response.At.Compare(b.At) })
+	slices.SortStableFunc(steps, func(a, b tracing.Step) int { return a.At.Compare(b.At) })
 	if len(steps) == 0 {
 		incomplete.addReason("no node has kept a step of %s (see trace_steps)", job)
 		return incomplete
--- a/internal/adminclient/links.go
+++ b/internal/adminclient/links.go
@@ -78,8 +78,8 @@
 }
 
 // linkState returns the word for a link that works or is cut.
-func linkState(works bool) string {
-	if works {
+func linkState(isUp bool) string {
+	if isUp {
 		return reachability.LinkUp.String()
 	}
 	return reachability.LinkDown.String()
