--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -1,4 +1,4 @@
-// Package adminclient implements the operators' diagnostic commands: it queries all controllers over
+// Package adminclient implements the operators' diagnostic commands: it queries all controllers at
 // their client addresses and prints the results. It is read-only.
 package adminclient
 
@@ -14,10 +14,10 @@
 	"hitchdoor/internal/transport"
 )
 
-// maxResponseBytes bounds the body of a controller's response.
+// maxResponseBytes is the maximum size of the body of a controller's response.
 const maxResponseBytes = 16 << 20
 
-// Options configure the queries.
+// Options say which controllers are queried, and how long each query may take.
 type Options struct {
 	Addresses []string      // client addresses of all controllers, host:port
 	Timeout   time.Duration // of each query
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// nodeResponse is the decoded response of a node, or the error that replaces it.
+// nodeResponse is the decoded response of a node; value is zero if the query failed with err.
 type nodeResponse[T any] struct {
 	address string
 	value   T
@@ -57,7 +57,8 @@
 	return responses
 }
 
-// queryNode queries one node.
+// queryNode queries one node over a connection of its own. The error is a *NoResponseError, a
+// *StatusError, or that of a body that can't be decoded.
 func queryNode[T any](address, path string, timeout time.Duration) nodeResponse[T] {
 	response := nodeResponse[T]{address: address}
 	client := transport.NewClient(address, transport.ClientOptions{
@@ -71,7 +72,7 @@
 		response.err = &StatusError{Status: result.Status}
 	default:
 		if err := json.Unmarshal(result.Body, &response.value); err != nil {
-			response.err = fmt.Errorf("answer can't be read: %w", err)
+			response.err = fmt.Errorf("response can't be decoded: %w", err)
 		}
 	}
 	return response
--- a/internal/adminclient/adminclient_test.go
+++ b/internal/adminclient/adminclient_test.go
@@ -16,7 +16,8 @@
 	"hitchdoor/internal/recovery"
 )
 
-// startFakeNodes starts a server per value that answers every query with that value.
+// startFakeNodes starts one server per value, which responds to every query with that value. It returns
+// options with the addresses of the servers.
 func startFakeNodes[T any](t *testing.T, values ...T) Options {
 	t.Helper()
 	options := Options{Timeout: time.Second}
@@ -32,7 +33,8 @@
 	return options
 }
 
-// Each command reports what it could not find out, and names the node.
+// Each command prints what the nodes report. If a node does not answer or the nodes contradict each
+// other, the error says so and names the node.
 func TestCommandsReportIncompleteResults(t *testing.T) {
 	policy := &admission.Policy{Epoch: 7, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
 	group := admission.Group{Team: "a", Class: "c", PriorityRank: 3}
@@ -73,52 +75,55 @@
 			"none: all are admitted", "n1 judges by another policy than n0"},
 		"admission unreadable": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
 			Invalid: true}), "can't be read", "n0: the stored policy can't be read"},
-		"admission two lead": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true},
+		"admission two leaders": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true},
 			admission.NodeStatus{Node: "n1", IsLeader: true}), "", "2 nodes say that they lead"},
-		"admission no step": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
+		"admission policy without steps": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
 			Policy: &admission.Policy{Epoch: 7, EpochLengthMS: 3500}}), "epoch 7",
 			"n0: admission policy: invalid share"},
-		"links fine": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n1", false, "n0", "n0")),
+		"links all up": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n1", false, "n0", "n0")),
 			"follows n0", ""},
 		"links half-open": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n1", false, "n0")), "cut",
 			"half-open: n0 and n1"},
-		"links one silent": {linksCommand(linkStatus("n0", true, "", "n1")), "unknown", "what n1 hears is unknown"},
-		"links two lead": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n1", true, "", "n0")), "leads",
+		"links one node does not answer": {linksCommand(linkStatus("n0", true, "", "n1")), "unknown",
+			"what n1 hears is unknown"},
+		"links two leaders": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n1", true, "", "n0")), "leads",
 			"different leaders: n0, n1"},
-		"links none lead": {linksCommand(linkStatus("n0", false, "", "n1"), linkStatus("n1", false, "", "n0")),
+		"links no leader": {linksCommand(linkStatus("n0", false, "", "n1"), linkStatus("n1", false, "", "n0")),
 			"follows nobody", "nobody leads"},
-		"recovery fine": {recoveryCommand(leaderStatus, recovery.NodeStatus{Node: "n1", LeaderName: "n0", Term: 4}),
+		"recovery in progress": {recoveryCommand(leaderStatus,
+			recovery.NodeStatus{Node: "n1", LeaderName: "n0", Term: 4}),
 			"waits for 3 of 60 machines", ""},
-		"recovery of one silent": {func(out *bytes.Buffer) error {
+		"recovery one node does not answer": {func(out *bytes.Buffer) error {
 			options := startFakeNodes(t, leaderStatus)
 			options.Addresses = append(options.Addresses, "127.0.0.1:1")
 			return PrintRecovery(out, options)
 		}, "job_never_stored  2", "127.0.0.1:1: no answer"},
-		"recovery two lead": {recoveryCommand(leaderStatus, recovery.NodeStatus{Node: "n1", IsLeader: true,
+		"recovery two leaders": {recoveryCommand(leaderStatus, recovery.NodeStatus{Node: "n1", IsLeader: true,
 			Recovery: &recovery.Status{}}), "n0 leads for", "different leaders: [n0 n1]"},
-		"recovery none leads": {recoveryCommand(recovery.NodeStatus{Node: "n0"}), "follows nobody",
+		"recovery no leader": {recoveryCommand(recovery.NodeStatus{Node: "n0"}), "follows nobody",
 			"no leader answers"},
-		"recovery sets aside": {recoveryCommand(recovery.NodeStatus{Node: "n0", IsLeader: true,
+		"recovery quarantined record": {recoveryCommand(recovery.NodeStatus{Node: "n0", IsLeader: true,
 			Recovery: &recovery.Status{}, Quarantined: []recovery.QuarantinedRecord{{Key: "job/j-1", Reason: "is torn",
 				MaybeNewerVersion: true}}}), "is torn (a newer", "1 records are set aside"},
-		"recovery one name twice": {recoveryCommand(leaderStatus, leaderStatus), "", "calls itself n0"},
-		"links one name twice": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n0", true, "", "n1")), "",
-			"calls itself n0"},
+		"recovery duplicate node name": {recoveryCommand(leaderStatus, leaderStatus), "", "calls itself n0"},
+		"links duplicate node name": {linksCommand(linkStatus("n0", true, "", "n1"), linkStatus("n0", true, "", "n1")),
+			"", "calls itself n0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out := &bytes.Buffer{}
 			err := test.run(out)
 			if !strings.Contains(out.String(), test.wantOutput) {
-				t.Errorf("prints\n%s", out)
+				t.Errorf("output does not contain %q:\n%s", test.wantOutput, out)
 			}
 			if (err == nil) != (test.wantError == "") || err != nil && !strings.Contains(err.Error(), test.wantError) {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want %q", err, test.wantError)
 			}
 		})
 	}
 }
 
-// A node that does not respond, responds with an error or not with JSON is told apart.
+// A response that is not a JSON object, an error status and a missing response each have an error of
+// their own, so that operators can tell them apart.
 func TestResponseErrors(t *testing.T) {
 	options := startFakeNodes(t, "no object")
 	failing := httptest.NewServer(http.NotFoundHandler())
@@ -127,15 +132,15 @@
 	responses := queryAll[admission.NodeStatus](options, "/admission")
 	var typeError *json.UnmarshalTypeError
 	if err := responses[0].err; !errors.As(err, &typeError) {
-		t.Errorf("not an object: %v", err)
+		t.Errorf("JSON string instead of an object: got error %v, want a type error", err)
 	}
 	var statusError *StatusError
 	if err := responses[1].err; !errors.As(err, &statusError) || statusError.Status != http.StatusNotFound {
-		t.Errorf("not found: %v", err)
+		t.Errorf("status 404: got error %v, want a *StatusError with the status", err)
 	}
 	var noResponse *NoResponseError
 	if err := responses[2].err; !errors.As(err, &noResponse) || noResponse.Timeout != options.Timeout {
-		t.Errorf("no response: %v", err)
+		t.Errorf("no response: got error %v, want a *NoResponseError with the timeout", err)
 	}
 }
 
@@ -147,7 +152,7 @@
 	} {
 		var invalid *InvalidOptionError
 		if err := options.Validate(); !errors.As(err, &invalid) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("got error %v, want an *InvalidOptionError with %q", err, want)
 		}
 	}
 }
--- a/internal/adminclient/admission.go
+++ b/internal/adminclient/admission.go
@@ -13,15 +13,16 @@
 	"hitchdoor/internal/tracing"
 )
 
-// policyPropagationTime is the time that a new admission policy may take to reach all nodes. Only
-// nodes that differ for longer are reported as inconsistent.
+// policyPropagationTime is the time that a new admission policy may take to reach all nodes. Nodes are
+// reported as inconsistent only if their policies differ for longer.
 const policyPropagationTime = time.Second
 
 // admissionResponse is a node's response about its admission policy.
 type admissionResponse = nodeResponse[admission.NodeStatus]
 
-// PrintAdmission prints the admission policy of each node and, if a job is named, why the job was
-// rejected. It returns an *IncompleteError if a node does not answer or the nodes are inconsistent.
+// PrintAdmission prints the admission policy of each node and, unless job is empty, whether that job
+// was accepted or why it was rejected. It returns an *IncompleteError if a node does not answer, a
+// policy is invalid, or the nodes do not agree about the policy or the leader.
 func PrintAdmission(out io.Writer, options Options, job string) error {
 	path := "/admission"
 	if job != "" {
@@ -46,7 +47,7 @@
 	return incomplete.errorOrNil()
 }
 
-// newestStatus returns the status with the newest policy; nil without any response.
+// newestStatus returns the status with the newest policy, or nil if no node has responded.
 func newestStatus(responses []admissionResponse) *admission.NodeStatus {
 	var newest *admission.NodeStatus
 	for i := range responses {
@@ -58,7 +59,7 @@
 	return newest
 }
 
-// policiesDiffer returns whether the nodes apply different versions of the policy.
+// policiesDiffer reports whether the nodes that have responded apply different versions of the policy.
 func policiesDiffer(responses []admissionResponse) bool {
 	newest := newestStatus(responses)
 	return newest != nil && slices.ContainsFunc(responses, func(response admissionResponse) bool {
@@ -111,8 +112,9 @@
 	}
 }
 
-// printPolicy prints the share of submissions that each group is admitted. A policy that no node
-// would apply, from a response that is not a node's, is only reported.
+// printPolicy prints the share of submissions that is admitted of each group. If the policy is invalid,
+// it only adds a reason to incomplete: no controller applies such a policy, so the response is not from
+// a controller.
 func printPolicy(out io.Writer, status *admission.NodeStatus, incomplete *IncompleteError) {
 	if status.Policy == nil {
 		return
@@ -122,7 +124,8 @@
 		return
 	}
 	epochLength := time.Duration(status.Policy.EpochLengthMS) * time.Millisecond
-	fmt.Fprintf(out, "\nEpoch %d of %v. What each group is admitted of:\n", status.Policy.Epoch, epochLength)
+	fmt.Fprintf(out, "\nEpoch %d, which lasts %v. Admitted share of each group's submissions:\n",
+		status.Policy.Epoch, epochLength)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TEAM\tCLASS\tPRIORITY\tASKING\tADMITTED NOW\tMORE EACH EPOCH\tALL HAD THEIR TURN IN")
 	for _, share := range append(slices.Clone(status.Policy.Shares), status.Policy.DefaultShare) {
@@ -142,13 +145,14 @@
 // percentAdmitted converts a number of ring positions into a percentage of the ring.
 func percentAdmitted(positions uint64) float64 { return 100 * float64(positions) / admission.Ring }
 
-// printPendingJobs prints the leader's numbers of pending jobs by team, class and priority.
+// printPendingJobs prints how many accepted jobs have no started task yet, by team, class and
+// priority, according to the leader.
 func printPendingJobs(out io.Writer, responses []admissionResponse, incomplete *IncompleteError) {
 	for _, response := range responses {
 		if response.err != nil || !response.value.IsLeader {
 			continue
 		}
-		fmt.Fprintf(out, "\nAccepted and not begun, by %s (an epoch takes %.1f jobs):\n",
+		fmt.Fprintf(out, "\nAccepted jobs without a started task, according to %s (capacity: %.1f jobs per epoch):\n",
 			response.value.Node, response.value.EpochCapacity)
 		if len(response.value.WaitingGroups) == 0 {
 			fmt.Fprintln(out, "none")
@@ -163,7 +167,7 @@
 		table.Flush()
 		return
 	}
-	incomplete.addReason("no leader answers, so what waits is not known")
+	incomplete.addReason("no leader answers, so the number of accepted jobs without a started task is unknown")
 }
 
 // printJobAdmission prints what the nodes know about the admission of a job.
@@ -176,30 +180,31 @@
 		}
 		switch status := response.value.Job; {
 		case status.Accepted:
-			fmt.Fprintf(out, "%s: accepted, as %s knows\n", job, response.value.Node)
+			fmt.Fprintf(out, "%s: accepted, according to %s\n", job, response.value.Node)
 			return
 		case status.RejectedGroup != nil && status.AdmittedNow:
-			fmt.Fprintf(out, "%s: was refused by %s as one of team %q, class %q; it is admitted now\n",
+			fmt.Fprintf(out, "%s: was refused by %s as a job of team %q, class %q; a new submission is admitted now\n",
 				job, response.value.Node, status.RejectedGroup.Team, status.RejectedGroup.Class)
 			known = true
 		case status.RejectedGroup != nil:
 			fmt.Fprintf(out,
-				"%s: refused by %s, as more of team %q, class %q, priority %s is submitted than can be taken; "+
-					"its turn comes in %d s\n",
+				"%s: refused by %s, because more jobs of team %q, class %q, priority %s are submitted than can be "+
+					"accepted; its turn comes in %d s\n",
 				job, response.value.Node, status.RejectedGroup.Team, status.RejectedGroup.Class,
 				protocol.PriorityName(status.RejectedGroup.PriorityRank), status.TurnInSeconds)
 			known = true
 		}
 	}
 	if !known {
-		fmt.Fprintf(out, "%s: no node that answers knows of it\n", job)
+		fmt.Fprintf(out, "%s: no node that answers knows this job\n", job)
 		if len(incomplete.Reasons) > 0 {
-			incomplete.addReason("%s may be known to the others", job)
+			incomplete.addReason("job %s may be known to nodes that do not answer", job)
 		}
 	}
 }
 
-// PrintTrace prints the trace steps of a job that the nodes have kept, sorted by time.
+// PrintTrace prints the trace steps of a job that the nodes have kept, sorted by time. It returns an
+// *IncompleteError if a node does not answer or no node has kept any step.
 func PrintTrace(out io.Writer, options Options, job string) error {
 	incomplete := &IncompleteError{}
 	var steps []tracing.Step
@@ -211,7 +216,7 @@
 	}
 	slices.SortStableFunc(steps, func(a, b tracing.Step) int { return a.At.Compare(b.At) })
 	if len(steps) == 0 {
-		incomplete.addReason("no node has kept a step of %s (see trace_steps)", job)
+		incomplete.addReason("no node has kept a trace step of job %s (see setting trace_steps)", job)
 		return incomplete
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -15,7 +15,7 @@
 // Error implements error.
 func (e *InvalidOptionError) Error() string { return e.Flag + ": " + e.Reason }
 
-// NoResponseError reports that a node has not responded in time.
+// NoResponseError reports that a node could not be reached or has not responded in time.
 type NoResponseError struct{ Timeout time.Duration }
 
 // Error implements error.
@@ -25,17 +25,17 @@
 type StatusError struct{ Status int }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("answers %d", e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("responds with status %d", e.Status) }
 
 // IncompleteError lists the reasons why a printed result is incomplete or inconsistent.
 type IncompleteError struct{ Reasons []string }
 
-// Error returns the reasons in one line.
+// Error returns all reasons in one line.
 func (e *IncompleteError) Error() string {
-	return "could not find out all: " + strings.Join(e.Reasons, "; ")
+	return "result is incomplete or inconsistent: " + strings.Join(e.Reasons, "; ")
 }
 
-// addReason adds a reason.
+// addReason adds a formatted reason. Arguments are those of fmt.Sprintf.
 func (e *IncompleteError) addReason(format string, args ...any) {
 	e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...))
 }
--- a/internal/adminclient/links.go
+++ b/internal/adminclient/links.go
@@ -12,8 +12,8 @@
 )
 
 // PrintLinks prints the state of the links between all controllers, by direction, and the role of
-// each. It returns an *IncompleteError if a node does not answer, the nodes name different leaders,
-// or a link is half-open.
+// each. It returns an *IncompleteError if a node does not answer, shares its name with another one or
+// can't serve its workers, if no leader or several are named, or if a link is half-open.
 func PrintLinks(out io.Writer, options Options) error {
 	responses := queryAll[reachability.NodeStatus](options, "/links")
 	incomplete := &IncompleteError{}
@@ -69,7 +69,7 @@
 	table.Flush()
 }
 
-// linkCell returns the matrix cell of the link from a node to the one whose status is given.
+// linkCell returns the matrix cell of the link from the sender to the node whose status is given.
 func linkCell(status *reachability.NodeStatus, sender string) string {
 	if status.Node == sender {
 		return "-"
@@ -77,7 +77,7 @@
 	return linkState(status.ReceivesFrom(sender))
 }
 
-// linkState returns the word for a link that works or is cut.
+// linkState returns the printed state of a link.
 func linkState(isUp bool) string {
 	if isUp {
 		return reachability.LinkUp.String()
@@ -112,7 +112,7 @@
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%s\n",
 			name, role, status.Term, status.RecentWorkers, status.StrandedWorkers, lastServed)
 		if status.StrandedWorkers > 0 {
-			incomplete.addReason("%s can't serve %d workers that come to it", name, status.StrandedWorkers)
+			incomplete.addReason("%s can't serve %d workers that contacted it lately", name, status.StrandedWorkers)
 		}
 	}
 	table.Flush()
--- a/internal/adminclient/recovery.go
+++ b/internal/adminclient/recovery.go
@@ -12,14 +12,14 @@
 
 // PrintRecovery prints the progress of the leader's recovery, the mismatches between the workers and
 // the records, the quarantined records, and the remaining rate budgets. It returns an
-// *IncompleteError if a node does not answer, the nodes name different leaders, or records are
-// quarantined.
+// *IncompleteError if a node does not answer or shares its name with another one, if no leader answers
+// or different leaders are named, or if records are quarantined.
 func PrintRecovery(out io.Writer, options Options) error {
 	responses := queryAll[recovery.NodeStatus](options, "/recovery")
 	incomplete := &IncompleteError{}
 	leader := printRecoveryNodes(out, responses, incomplete)
 	if leader == nil {
-		incomplete.addReason("no leader answers, so its recovery is not known")
+		incomplete.addReason("no leader answers, so the progress of its recovery is unknown")
 	} else {
 		printRecovery(out, leader)
 	}
@@ -27,8 +27,8 @@
 	return incomplete.errorOrNil()
 }
 
-// printRecoveryNodes prints one row per node and returns the leader with the highest term, nil
-// without one.
+// printRecoveryNodes prints one row per node. It returns the status of the leader with the highest
+// term, or nil if no leader answers.
 func printRecoveryNodes(out io.Writer, responses []nodeResponse[recovery.NodeStatus],
 	incomplete *IncompleteError) *recovery.NodeStatus {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -62,12 +62,13 @@
 	return leader
 }
 
-// isRecoveringLeader reports whether a node leads and tells how its recovery goes.
+// isRecoveringLeader reports whether a node leads and its status includes that of its recovery.
 func isRecoveringLeader(status *recovery.NodeStatus) bool {
 	return status.IsLeader && status.Recovery != nil
 }
 
-// printRecoveryNode prints the row of a node and returns the leader that it names; empty: none.
+// printRecoveryNode prints the row of a node. It returns the name of the leader according to that node,
+// or an empty string if it knows none.
 func printRecoveryNode(table io.Writer, address string, status *recovery.NodeStatus) (leader string) {
 	switch {
 	case isRecoveringLeader(status):
@@ -93,9 +94,10 @@
 	}
 	fmt.Fprintln(out)
 	if !status.Paced {
-		fmt.Fprintln(out, "switched off (recovery: false): nothing is held back")
+		fmt.Fprintln(out,
+			"recovery is not paced (recovery: false, or fewer machines than recovery_from): nothing is held back")
 	}
-	fmt.Fprintln(out, "\nFound by this leader, by kind:")
+	fmt.Fprintln(out, "\nMismatches found by this leader, by kind:")
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, kind := range slices.Sorted(maps.Keys(status.Mismatches)) {
 		fmt.Fprintf(table, "%s\t%d\n", kind, status.Mismatches[kind])
@@ -108,7 +110,7 @@
 	if len(status.Budgets) == 0 {
 		return
 	}
-	fmt.Fprintln(out, "\nBudgets of orders:")
+	fmt.Fprintln(out, "\nRate budgets, by kind of order:")
 	fmt.Fprintln(table, "ORDER\tLEFT\tA SECOND\tAT ONCE")
 	for _, budget := range status.Budgets {
 		fmt.Fprintf(table, "%s\t%.1f\t%.1f\t%.0f\n", budget.Operation, budget.Remaining, budget.PerSecond, budget.Burst)
@@ -116,7 +118,7 @@
 	table.Flush()
 }
 
-// printQuarantined prints the quarantined records of all nodes without duplicates.
+// printQuarantined prints the quarantined records of all nodes, each record once.
 func printQuarantined(out io.Writer, responses []nodeResponse[recovery.NodeStatus], incomplete *IncompleteError) {
 	records := map[string]recovery.QuarantinedRecord{}
 	for _, response := range responses {
