--- a/cmd/hitchdoor/commands_test.go
+++ b/cmd/hitchdoor/commands_test.go
@@ -18,17 +18,17 @@
 var flagUsage = regexp.MustCompile(`^ *(-\w, )?(--\S+)( \w+)? {2,}.*?(\(default .*\))?$`)
 
 // flagsOf lists a command and its subcommands, each with its flags, their types and defaults.
-func flagsOf(t *testing.T, c *cobra.Command) []string {
-	lines := []string{c.UseLine()}
-	for text := range strings.Lines(c.LocalFlags().FlagUsages()) {
-		found := flagUsage.FindStringSubmatch(strings.TrimSuffix(text, "\n"))
-		if found == nil {
-			t.Fatalf("%s: %q is no flag", c.CommandPath(), text)
+func flagsOf(t *testing.T, command *cobra.Command) []string {
+	lines := []string{command.UseLine()}
+	for line := range strings.Lines(command.LocalFlags().FlagUsages()) {
+		match := flagUsage.FindStringSubmatch(strings.TrimSuffix(line, "\n"))
+		if match == nil {
+			t.Fatalf("%s: %q is no flag", command.CommandPath(), line)
 		}
-		lines = append(lines, strings.TrimSpace(c.CommandPath()+" "+found[1]+found[2]+found[3]+" "+found[4]))
+		lines = append(lines, strings.TrimSpace(command.CommandPath()+" "+match[1]+match[2]+match[3]+" "+match[4]))
 	}
-	for _, sub := range c.Commands() {
-		lines = append(lines, flagsOf(t, sub)...)
+	for _, subcommand := range command.Commands() {
+		lines = append(lines, flagsOf(t, subcommand)...)
 	}
 	return lines
 }
