--- a/cmd/hitchdoor/commands_test.go
+++ b/cmd/hitchdoor/commands_test.go
@@ -12,18 +12,20 @@
 	"github.com/spf13/cobra"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
+var update = flag.Bool("update", false, "rewrite the golden file")
 
-// flagUsage matches a line of the help text: the flag, its type, what it does and its default.
+// flagUsage matches a line of the help text that describes a flag: its name, type, usage and default.
 var flagUsage = regexp.MustCompile(`^ *(-\w, )?(--\S+)( \w+)? {2,}.*?(\(default .*\))?$`)
 
-// flagsOf lists a command and its subcommands, each with its flags, their types and defaults.
+// flagsOf returns one line for a command, each of its flags, and each subcommand with its flags. The line
+// of a flag has the type and the default.
 func flagsOf(t *testing.T, command *cobra.Command) []string {
 	lines := []string{command.UseLine()}
 	for line := range strings.Lines(command.LocalFlags().FlagUsages()) {
 		match := flagUsage.FindStringSubmatch(strings.TrimSuffix(line, "\n"))
 		if match == nil {
-			t.Fatalf("%s: %q is no flag", command.CommandPath(), line)
+			t.Fatalf("help of %s: line %q does not describe a flag",
+				command.CommandPath(), line)
 		}
 		lines = append(lines, strings.TrimSpace(command.CommandPath()+" "+match[1]+match[2]+match[3]+" "+match[4]))
 	}
@@ -33,8 +35,9 @@
 	return lines
 }
 
-// The subcommands and flags are those of commit 5adb309. The flag -update writes the golden file
-// anew; that is a change for operators and needs a reason of its own.
+// Guards against subcommands and flags that are renamed, removed or get another type or default, because
+// operators' scripts use them: the golden file lists those of commit 5adb309. The flag -update rewrites
+// the file; such a change affects operators and needs a reason of its own.
 func TestCommandsAndFlags(t *testing.T) {
 	lines := flagsOf(t, newRootCommand())
 	slices.Sort(lines)
@@ -50,6 +53,6 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("got:\n%s\nwant:\n%s", got, want)
+		t.Errorf("subcommands and flags differ, got:\n%s\nwant:\n%s", got, want)
 	}
 }
--- a/cmd/hitchdoor/emulate.go
+++ b/cmd/hitchdoor/emulate.go
@@ -31,26 +31,28 @@
 		},
 	}
 	flags := emulateCommand.Flags()
-	flags.IntVar(&options.Machines, "machines", 60, "emulated machines, of 4 cores each")
-	flags.IntVar(&options.Controllers, "controllers", 3, "controllers, each a process of its own")
-	flags.DurationVar(&options.LoadDuration, "for", 40*time.Second, "how long users submit jobs")
+	flags.IntVar(&options.Machines, "machines", 60, "number of emulated machines, with 4 cores each")
+	flags.IntVar(&options.Controllers, "controllers", 3, "number of controllers, each in its own process")
+	flags.DurationVar(&options.LoadDuration, "for", 40*time.Second, "how long emulated users submit jobs")
 	flags.DurationVar(&options.LoseControllersAt, "lose-controllers-at", 15*time.Second,
-		"when all controllers end at once; 0: never")
-	flags.DurationVar(&options.ControllersAway, "away", 3*time.Second, "how long they are away")
+		"time from the start of the load until all controllers are killed; 0: never")
+	flags.DurationVar(&options.ControllersAway, "away", 3*time.Second, "how long the killed controllers stay down")
 	flags.DurationSliceVar(&options.LoseAgainAfter, "lose-again-after", nil,
-		"when they end again while they recover, one after the other")
-	flags.Uint64Var(&options.Seed, "seed", 1, "of the load")
-	flags.StringVar(&options.ReportFile, "report", "", "a file for the report (JSON)")
+		"times between a restart and the next kill of all controllers, to interrupt their recovery")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the random load")
+	flags.StringVar(&options.ReportFile, "report", "", "path of the JSON report; empty: none")
 	flags.StringVar(&options.Program, "program", "",
-		"the controllers' program, to compare versions (this one)")
+		"path of the controllers' program, to compare versions; empty: this program")
 	flags.DurationVar(&options.HeartbeatInterval, "report-every", 0,
-		"between two reports of a worker (by the number of machines)")
-	flags.DurationVar(&options.LeaseDuration, "lease", 0, "of a worker (by that of its reports)")
-	flags.Float64Var(&options.Load, "load", 0.7, "the part of all cores that is at work on the mean")
+		"interval between two reports of a worker; 0: derived from the number of machines")
+	flags.DurationVar(&options.LeaseDuration, "lease", 0,
+		"lease of a worker; 0: derived from the interval of its reports")
+	flags.Float64Var(&options.Load, "load", 0.7, "mean share of all cores that the submitted jobs need")
 	return emulateCommand
 }
 
-// terminalWriter returns the file if it is a terminal, and nil otherwise.
+// terminalWriter returns the file if it is a terminal, and nil otherwise, so that the progress line is
+// not written to files.
 func terminalWriter(file *os.File) io.Writer {
 	info, err := file.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
--- a/cmd/hitchdoor/main.go
+++ b/cmd/hitchdoor/main.go
@@ -19,7 +19,7 @@
 	"hitchdoor/internal/daemon"
 )
 
-// version is set by release builds with -ldflags "-X main.version=...".
+// version is set by release builds with -ldflags "-X main.version=..."; it is empty in other builds.
 var version = ""
 
 func main() {
@@ -32,7 +32,8 @@
 // errConfigMissing is returned by commands that need the settings file of the platform.
 var errConfigMissing = errors.New("--config: missing: name the platform's settings file")
 
-// settingsFiles are the paths of the settings files.
+// settingsFiles are the paths of the settings files, as the flags --config and --settings give them.
+// An empty operators' path means default settings.
 type settingsFiles struct{ platform, operators string }
 
 // load reads and validates both settings files.
@@ -48,7 +49,7 @@
 	return platform, settings, err
 }
 
-// newRootCommand returns the command that runs a controller, with all subcommands.
+// newRootCommand returns the command that runs a controller, with all its subcommands.
 func newRootCommand() *cobra.Command {
 	var files settingsFiles
 	rootCommand := &cobra.Command{
@@ -70,7 +71,8 @@
 	return rootCommand
 }
 
-// runController runs a controller until it is told to end by a signal.
+// runController runs a controller until it fails, or until it has shut down after SIGTERM or an
+// interrupt.
 func runController(ctx context.Context, files settingsFiles) error {
 	platform, settings, err := files.load()
 	if err != nil {
@@ -110,7 +112,8 @@
 	}
 }
 
-// buildVersion returns the version of a release build, or else that of the module.
+// buildVersion returns the version of a release build, otherwise that of the module, and "(unknown)" if
+// there is neither.
 func buildVersion() string {
 	if version != "" {
 		return version
@@ -121,7 +124,8 @@
 	return "(unknown)"
 }
 
-// newLogger returns a logger to standard error with the level of the environment variable LOG_LEVEL.
+// newLogger returns a logger that writes to standard error. The environment variable LOG_LEVEL sets its
+// level to error, warn or debug; the level is info for all other values.
 func newLogger() *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
--- a/cmd/hitchdoor/operator_commands.go
+++ b/cmd/hitchdoor/operator_commands.go
@@ -15,20 +15,24 @@
 	commands := []*cobra.Command{
 		newAdmissionCommand(&options),
 		newTraceCommand(&options),
-		newQueryCommand(&options, "links", "Show which controllers hear each other, and who leads by whose word",
+		newQueryCommand(&options, "links",
+			"Show which controllers receive each other's messages, and which leader each of them names",
 			adminclient.PrintLinks),
 		newQueryCommand(&options, "recovery",
-			"Show how far a new leader's recovery is, and what differs from the records", adminclient.PrintRecovery),
+			"Show the progress of a new leader's recovery, and where workers and stored records differ",
+			adminclient.PrintRecovery),
 	}
 	for _, command := range commands {
 		flags := command.Flags()
 		flags.StringSliceVar(&options.Addresses, "nodes", nil, "the client addresses of all controllers")
-		flags.DurationVar(&options.Timeout, "timeout", 2*time.Second, "how long to wait for each of them")
+		flags.DurationVar(&options.Timeout, "timeout", 2*time.Second,
+			"how long to wait for the response of each controller")
 	}
 	return commands
 }
 
-// newAdmissionCommand returns the subcommand that shows the admission policy.
+// newAdmissionCommand returns the subcommand that shows the admission policy and, with --job, what it
+// decided about a job.
 func newAdmissionCommand(options *adminclient.Options) *cobra.Command {
 	var jobID string
 	command := &cobra.Command{
@@ -42,7 +46,8 @@
 			return adminclient.PrintAdmission(command.OutOrStdout(), *options, jobID)
 		},
 	}
-	command.Flags().StringVar(&jobID, "job", "", "a job to tell about")
+	command.Flags().StringVar(&jobID, "job", "",
+		"a job ID: also show whether this job was accepted, or why it was refused")
 	return command
 }
 
@@ -50,7 +55,7 @@
 func newTraceCommand(options *adminclient.Options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "trace --nodes HOST:PORT,... JOB",
-		Short: "Show what the controllers did with a job (see trace_steps)",
+		Short: "Show what the controllers did with a job, as far as the setting trace_steps keeps it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if err := options.Validate(); err != nil {
@@ -61,7 +66,7 @@
 	}
 }
 
-// newQueryCommand returns a subcommand without arguments of its own.
+// newQueryCommand returns a subcommand that takes no arguments and prints the result of one query.
 func newQueryCommand(options *adminclient.Options, name, short string,
 	query func(io.Writer, adminclient.Options) error) *cobra.Command {
 	return &cobra.Command{
