--- a/cmd/hitchdoor/main.go
+++ b/cmd/hitchdoor/main.go
@@ -29,14 +29,14 @@
 	}
 }
 
-// errConfigMissing is returned by commands that need the settings file of the platform.
+// errConfigMissing is returned by commands that need the platform's settings file, if --config is not given.
 var errConfigMissing = errors.New("--config: missing: name the platform's settings file")
 
 // settingsFiles are the paths of the settings files, as the flags --config and --settings give them.
 // An empty operators' path means default settings.
 type settingsFiles struct{ platform, operators string }
 
-// load reads and validates both settings files.
+// load reads and validates both settings files. It returns errConfigMissing if there is no platform file.
 func (f *settingsFiles) load() (*config.Platform, config.Settings, error) {
 	if f.platform == "" {
 		return nil, config.Settings{}, errConfigMissing
--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// nodeResponse is the decoded response of a node; value is zero if the query failed with err.
+// nodeResponse is the decoded response of a node, or the error of the query.
 type nodeResponse[T any] struct {
 	address string
 	value   T
--- a/internal/adminclient/adminclient_test.go
+++ b/internal/adminclient/adminclient_test.go
@@ -62,9 +62,8 @@
 		Recovery: &recovery.Status{Phase: "collecting", Paced: true, WaitsFor: "3 of 60 machines",
 			Mismatches: map[string]int{"job_never_stored": 2}, Budgets: []recovery.Budget{{Operation: "start"}}}}
 	for name, test := range map[string]struct {
-		run        func(*bytes.Buffer) error
-		wantOutput string // part of the output
-		wantError  string // part of the error; empty: no error
+		run                   func(*bytes.Buffer) error
+		wantOutput, wantError string // parts of the output and of the error; empty error: none
 	}{
 		"admission agrees": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
 			Policy: policy}, admission.NodeStatus{Node: "n1", Version: 4, Policy: policy,
--- a/internal/adminclient/admission.go
+++ b/internal/adminclient/admission.go
@@ -67,7 +67,7 @@
 	})
 }
 
-// printAdmissionNodes prints one row per node.
+// printAdmissionNodes prints one row per node, with its role and policy.
 func printAdmissionNodes(out io.Writer, responses []admissionResponse, incomplete *IncompleteError) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "NODE\tADDRESS\tROLE\tSWITCHED ON\tPOLICY")
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -12,19 +12,19 @@
 	Reason string
 }
 
-// Error implements error.
+// Error returns the flag and the reason.
 func (e *InvalidOptionError) Error() string { return e.Flag + ": " + e.Reason }
 
 // NoResponseError reports that a node could not be reached or has not responded in time.
 type NoResponseError struct{ Timeout time.Duration }
 
-// Error implements error.
+// Error returns a text with the timeout of the query.
 func (e *NoResponseError) Error() string { return fmt.Sprintf("no answer within %v", e.Timeout) }
 
 // StatusError reports that a node has responded with a status other than 200.
 type StatusError struct{ Status int }
 
-// Error implements error.
+// Error returns a text with the status.
 func (e *StatusError) Error() string { return fmt.Sprintf("responds with status %d", e.Status) }
 
 // IncompleteError lists the reasons why a printed result is incomplete or inconsistent.
@@ -35,7 +35,7 @@
 	return "result is incomplete or inconsistent: " + strings.Join(e.Reasons, "; ")
 }
 
-// addReason adds a formatted reason. Arguments are those of fmt.Sprintf.
+// addReason adds a reason, which it formats like fmt.Sprintf.
 func (e *IncompleteError) addReason(format string, args ...any) {
 	e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...))
 }
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// startNode starts a controller.
+// startNode starts a controller. It logs to standard error if LOG_LEVEL is debug.
 func (c *testCluster) startNode(name string) {
 	c.t.Helper()
 	platform := &config.Platform{Node: name, ClientListen: c.clientAddresses[name], PeerBind: c.peerAddresses[name],
@@ -233,7 +233,7 @@
 	return resp.StatusCode, time.Duration(seconds) * time.Second
 }
 
-// singleTaskJob returns a job with one task.
+// singleTaskJob returns a job with one task, which needs one core.
 func singleTaskJob(id, team, class string, priority protocol.Priority) protocol.Job {
 	return protocol.Job{ID: id, Class: class, Team: team, Kind: protocol.JobKindBatch, Priority: priority,
 		TaskCount: 1, Cores: 1, MemoryGB: 1, Image: "i", SpotAllowed: true, EstimatedSeconds: 1}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -183,8 +183,8 @@
 	return int(cluster.Resources.MemoryMB * (1 << 20) / responseMemoryDivisor)
 }
 
-// connectionBudget is the maximum number of connections to the key-value store, to the cloud, with the
-// other controllers, and of users and workers (server).
+// connectionBudget is the maximum number of connections, by their other end: the key-value store, the
+// cloud, the other controllers (peers), and users and workers (server).
 type connectionBudget struct{ store, cloud, peers, server int }
 
 // budgetConnections reserves connections to the key-value store, the cloud and the other
@@ -204,8 +204,8 @@
 	return budget
 }
 
-// runOwner is the owner goroutine, the only one that accesses the node. It returns nil once the
-// handover after the end of ctx is done, and the error of a server that fails.
+// runOwner is the owner goroutine, the only one that accesses the node. It returns nil when the time
+// for the handover after the end of ctx is over, and the error of a transport that stops.
 func (d *daemon) runOwner(ctx context.Context, tickInterval time.Duration, serverErrors chan error) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
