--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -16,21 +16,21 @@
 
 func TestOneLeaderAndQuickTakeover(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	term := first.leader.term
-	sim.crashNode(first.name)
-	start := sim.now
-	second := sim.waitForLeader()
-	if second.leader.term <= term {
-		t.Fatalf("term %d after %d", second.leader.term, term)
-	}
-	if took := sim.now - start; took > 2*first.leaderLease() {
+	firstLeader := sim.waitForLeader()
+	term := firstLeader.leader.term
+	sim.crashNode(firstLeader.name)
+	crashedAt := sim.now
+	secondLeader := sim.waitForLeader()
+	if secondLeader.leader.term <= term {
+		t.Fatalf("term %d after %d", secondLeader.leader.term, term)
+	}
+	if took := sim.now - crashedAt; took > 2*firstLeader.leaderLease() {
 		t.Fatalf("takeover took %v", took)
 	}
 	// Restarted in the middle of the term, the old leader follows.
-	sim.restartNode(first.name)
+	sim.restartNode(firstLeader.name)
 	sim.advance(10 * time.Second)
-	if sim.leaderName() != second.name {
+	if sim.leaderName() != secondLeader.name {
 		t.Fatalf("%s leads", sim.leaderName())
 	}
 }
@@ -39,9 +39,10 @@
 // lead, and must be replaced although its peers receive its heartbeats.
 func TestLeaderRefusedByStoreIsReplaced(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.store.refusedNodes[first.name] = true
-	if !sim.advanceUntil(15*time.Second, func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
+	refusedLeader := sim.waitForLeader()
+	sim.store.refusedNodes[refusedLeader.name] = true
+	if !sim.advanceUntil(15*time.Second,
+		func() bool { leader := sim.leaderName(); return leader != "" && leader != refusedLeader.name }) {
 		t.Fatal("the refused leader was not replaced")
 	}
 }
@@ -51,25 +52,25 @@
 func TestStoreOutageKeepsLeaderAndTasks(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 60 * time.Second }
-	first := sim.waitForLeader()
-	sim.submitAndStart(first.name, jobSpec("j-1", 3), 3)
-	term := first.leader.term
+	leaderNode := sim.waitForLeader()
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 3), 3)
+	term := leaderNode.leader.term
 	sim.store.setDown(true)
 	for range 25 {
 		sim.advance(time.Second)
-		if sim.leaderName() != first.name {
+		if sim.leaderName() != leaderNode.name {
 			t.Fatalf("at %v %q leads", sim.now, sim.leaderName())
 		}
 	}
 	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
 		t.Fatalf("submission in an outage: %d, come back after %d", r.Status, r.RetryAfter)
 	}
-	if code, s := sim.queryJob(sim.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
-		t.Fatalf("query in an outage: %d %v", code, s)
+	if code, status := sim.queryJob(sim.followers()[0], "j-1"); code != 200 || status.State != protocol.JobRunning {
+		t.Fatalf("query in an outage: %d %v", code, status)
 	}
 	sim.store.setDown(false)
 	sim.advance(5 * time.Second)
-	if sim.leaderName() != first.name || first.leader.term != term {
+	if sim.leaderName() != leaderNode.name || leaderNode.leader.term != term {
 		t.Fatal("leadership moved after the outage")
 	}
 	if sim.startCounts["j-1/0"] != 1 {
@@ -82,11 +83,11 @@
 
 // sendsMessage tells whether an effect sends a message of type M to a peer.
 func sendsMessage[M protocol.PeerMessage](effect Effect) bool {
-	s, ok := effect.(OutboundMessage)
+	outbound, ok := effect.(OutboundMessage)
 	if !ok {
 		return false
 	}
-	_, is := s.Message.(M)
+	_, is := outbound.Message.(M)
 	return is
 }
 
@@ -94,22 +95,22 @@
 // neither grants a lease nor votes for one span of a grant.
 func TestRestartedPeerWaitsOutOneLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
+	leaderNode := sim.waitForLeader()
 	peer := sim.followers()[0]
 	sim.crashNode(peer)
 	sim.restartNode(peer)
 	n := sim.nodes[peer]
-	out := n.Step(step, []Command{InboundMessage{From: first.name, Message: protocol.VoteRequest{Term: 99}}})
-	for _, e := range out {
-		if sendsMessage[protocol.Vote](e) {
+	effects := n.Step(step, []Command{InboundMessage{From: leaderNode.name, Message: protocol.VoteRequest{Term: 99}}})
+	for _, effect := range effects {
+		if sendsMessage[protocol.Vote](effect) {
 			t.Fatal("voted right after a restart")
 		}
 	}
 	n.election.RecordStoreResponse(step, 503)
-	out = n.Step(2*step, []Command{InboundMessage{From: first.name,
+	effects = n.Step(2*step, []Command{InboundMessage{From: leaderNode.name,
 		Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
-	for _, e := range out {
-		if sendsMessage[protocol.LeaseGrant](e) {
+	for _, effect := range effects {
+		if sendsMessage[protocol.LeaseGrant](effect) {
 			t.Fatal("granted a lease right after a restart")
 		}
 	}
@@ -128,16 +129,16 @@
 	for _, name := range sim.names {
 		sim.restartNode(name)
 	}
-	span := sim.nodes["n0"].leaderLease()
-	if !sim.advanceUntil(span*2/3, func() bool { return sim.leaderName() != "" }) {
-		t.Fatalf("nobody leads %v after a full restart", span*2/3)
+	lease := sim.nodes["n0"].leaderLease()
+	if !sim.advanceUntil(lease*2/3, func() bool { return sim.leaderName() != "" }) {
+		t.Fatalf("nobody leads %v after a full restart", lease*2/3)
 	}
 	n := New(Options{Platform: sim.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)),
 		StartTime: time.Unix(5, 0)})
-	voted := func(from string, m protocol.PeerHeartbeat) bool {
-		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m},
+	voted := func(from string, heartbeat protocol.PeerHeartbeat) bool {
+		effects := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: heartbeat},
 			InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
-		return slices.ContainsFunc(out, sendsMessage[protocol.Vote])
+		return slices.ContainsFunc(effects, sendsMessage[protocol.Vote])
 	}
 	if voted("n1", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
 		t.Error("votes while a peer is not heard")
@@ -161,13 +162,13 @@
 	sim.advance(10 * time.Second)
 	n := sim.nodes["n0"]
 	now := sim.now - n.bootedAt
-	sent := func(is func(effect Effect) bool, messages ...protocol.PeerMessage) bool {
+	sent := func(matches func(effect Effect) bool, messages ...protocol.PeerMessage) bool {
 		var batch []Command
-		for _, m := range messages {
-			batch = append(batch, InboundMessage{From: "n1", Message: m})
+		for _, message := range messages {
+			batch = append(batch, InboundMessage{From: "n1", Message: message})
 		}
 		now += step
-		return slices.ContainsFunc(n.Step(now, batch), is)
+		return slices.ContainsFunc(n.Step(now, batch), matches)
 	}
 	if !sent(sendsMessage[protocol.LeaseGrant],
 		protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
@@ -189,16 +190,17 @@
 // for ever and stop the service.
 func TestIsolatedLeaderResigns(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.submit(first.name, jobSpec("j-1", 2))
+	isolatedLeader := sim.waitForLeader()
+	sim.submit(isolatedLeader.name, jobSpec("j-1", 2))
 	sim.advance(10 * time.Second)
 	for _, other := range sim.followers() {
-		sim.linkCuts[[2]string{first.name, other}] = true
+		sim.linkCuts[[2]string{isolatedLeader.name, other}] = true
 	}
 	for _, worker := range sim.workers {
 		worker.unreachable = true
 	}
-	if !sim.advanceUntil(15*time.Second, func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
+	if !sim.advanceUntil(15*time.Second,
+		func() bool { leader := sim.leaderName(); return leader != "" && leader != isolatedLeader.name }) {
 		t.Fatal("the isolated leader was not replaced")
 	}
 }
@@ -206,10 +208,10 @@
 // A transaction of a replaced leader that executes late changes nothing.
 func TestLateTransactionOfOldLeader(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.submit(first.name, jobSpec("j-1", 1))
+	oldLeader := sim.waitForLeader()
+	sim.submit(oldLeader.name, jobSpec("j-1", 1))
 	sim.store.holdTransaction = func(node string, txn storage.Txn) bool {
-		if node != first.name || len(txn.Writes) == 0 {
+		if node != oldLeader.name || len(txn.Writes) == 0 {
 			return false
 		}
 		for _, write := range txn.Writes {
@@ -219,16 +221,16 @@
 		}
 		return false
 	}
-	sim.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	sim.sendRequest(oldLeader.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
 	if !sim.advanceUntil(5*time.Second, func() bool { return len(sim.store.heldTransactions) > 0 }) {
 		t.Fatal("the leader wrote nothing")
 	}
-	sim.crashNode(first.name)
+	sim.crashNode(oldLeader.name)
 	sim.waitForLeader()
-	for _, f := range sim.store.heldTransactions {
-		f()
+	for _, execute := range sim.store.heldTransactions {
+		execute()
 	}
-	if _, over := sim.store.keys[storage.TerminalKey("j-1")]; over {
+	if _, terminal := sim.store.keys[storage.TerminalKey("j-1")]; terminal {
 		t.Fatal("a late transaction of the old leader was applied")
 	}
 	sim.store.holdTransaction = nil
@@ -237,45 +239,45 @@
 
 // A lost response leaves the outcome of a transaction uncertain. The identical transaction is sent
 // again, and a failed condition is then checked against the stored records.
-func TestUnclearTransactionIsResolved(t *testing.T) {
+func TestUncertainTransactionIsResolved(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.submit(first.name, jobSpec("j-1", 2))
+	leaderNode := sim.waitForLeader()
+	sim.submit(leaderNode.name, jobSpec("j-1", 2))
 	sim.store.responsesToLose = 3
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	if sim.store.responsesToLose != 0 {
 		t.Fatal("no answer was lost")
 	}
-	if sim.leaderName() != first.name {
+	if sim.leaderName() != leaderNode.name {
 		t.Fatal("an unclear outcome cost the leadership")
 	}
 }
 
 // In a rolling restart each node is down once. A leader that drains is succeeded by the node that
 // restarted last, which need not restart again, so leadership moves seldom.
-func TestRollingRestartMovesLeadershipSeldom(t *testing.T) {
+func TestRollingRestartLeaderChanges(t *testing.T) {
 	for first := range 3 {
 		sim := newSimulation(t, 3)
 		leader := sim.waitForLeader().name
-		began := leader
+		initialLeader := leader
 		sim.advance(20 * time.Second)
-		moves := 0
+		leaderChanges := 0
 		for i := range 3 {
 			name := sim.names[(first+i)%3]
 			sim.crashNode(name)
 			sim.advance(3 * time.Second)
 			sim.restartNode(name)
 			sim.advance(20 * time.Second)
-			if now := sim.leaderName(); now != leader {
-				leader, moves = now, moves+1
+			if newLeader := sim.leaderName(); newLeader != leader {
+				leader, leaderChanges = newLeader, leaderChanges+1
 			}
 		}
-		want := 1
-		if began == sim.names[first] {
-			want = 2 // drained first, before any other node has restarted
+		maxChanges := 1
+		if initialLeader == sim.names[first] {
+			maxChanges = 2 // drained first, before any other node has restarted
 		}
-		if moves > want {
-			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", sim.names[first], began, moves)
+		if leaderChanges > maxChanges {
+			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", sim.names[first], initialLeader, leaderChanges)
 		}
 	}
 }
@@ -283,49 +285,49 @@
 // The store refuses some nodes, messages are lost, nodes crash, restart at once and pause, and
 // calls execute late. At most one node holds a leader lease, and a leader is elected within two
 // leases once the faults have ended. Nothing else runs here, so that thousands of elections fit.
-func TestAuthorityIsExclusive(t *testing.T) {
+func TestLeaderLeaseIsExclusive(t *testing.T) {
 	forEachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
 		c := newUserSimulation(newSimulationWithTimings(t, []int{3, 5, 7}[seed%3],
 			deployments[seed/3%uint64(len(deployments))]), seed)
-		span := c.machineLease() / election.LeaderLeasesPerWorkerLease
-		soon := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(span) * 0.7) }
+		leaderLease := c.machineLease() / election.LeaderLeasesPerWorkerLease
+		randomDelay := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(leaderLease) * 0.7) }
 		c.driftClocks()
 		c.holdMessages = seed%2 == 0
 		if seed%4 == 1 {
 			c.store.lateExecution = func() (time.Duration, bool) {
-				return time.Duration(c.rng.ExpFloat64() * float64(span)), c.rng.IntN(8) == 0
+				return time.Duration(c.rng.ExpFloat64() * float64(leaderLease)), c.rng.IntN(8) == 0
 			}
 		}
-		for end := c.now + 8*c.machineLease(); c.now < end; c.advance(soon() / 2) {
+		for end := c.now + 8*c.machineLease(); c.now < end; c.advance(randomDelay() / 2) {
 			name, other := c.randomNode(), c.randomNode()
-			if l := c.leaderName(); l != "" && c.rng.IntN(3) == 0 {
-				name = l
+			if leader := c.leaderName(); leader != "" && c.rng.IntN(3) == 0 {
+				name = leader
 			}
 			n := c.nodes[name]
 			switch c.rng.IntN(8) {
 			case 0, 1:
 				c.store.refusedNodes[name] = true
-				c.schedule(soon(), func() { delete(c.store.refusedNodes, name) })
+				c.schedule(randomDelay(), func() { delete(c.store.refusedNodes, name) })
 			case 2:
-				for _, some := range c.names {
+				for _, refused := range c.names {
 					if c.rng.IntN(2) == 0 {
-						c.store.refusedNodes[some] = true
-						c.schedule(soon(), func() { delete(c.store.refusedNodes, some) })
+						c.store.refusedNodes[refused] = true
+						c.schedule(randomDelay(), func() { delete(c.store.refusedNodes, refused) })
 					}
 				}
 			case 3:
 				c.store.setDown(true)
-				c.schedule(soon(), func() { c.store.setDown(false) })
+				c.schedule(randomDelay(), func() { c.store.setDown(false) })
 			case 4, 5:
 				c.linkCuts[[2]string{name, other}] = true
-				c.schedule(soon(), c.healCuts)
+				c.schedule(randomDelay(), c.healCuts)
 			case 6:
 				if !n.down {
-					c.restartAfter(name, soon()/4)
+					c.restartAfter(name, randomDelay()/4)
 				}
 			case 7:
 				if !n.down && !n.paused {
-					c.pauseNode(n, soon(), func() {})
+					c.pauseNode(n, randomDelay(), func() {})
 				}
 			}
 		}
@@ -342,18 +344,18 @@
 // A leader that only the key-value store refuses is replaced within a worker lease, with any number
 // of nodes and from any moment on: a peer that the store serves grants it no lease. Such a grant
 // would bind the peers for as long as the leader asks for it.
-func TestLeaderRefusedAloneIsReplacedByAnyNumber(t *testing.T) {
+func TestRefusedLeaderIsReplacedInAnyClusterSize(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
 		for offset := range 12 {
 			t.Run(fmt.Sprintf("%d nodes/%d", nodes, offset), func(t *testing.T) {
 				t.Parallel()
 				sim := newSimulation(t, nodes)
-				first := sim.waitForLeader()
-				sim.advance(time.Duration(offset) * first.leaderLease() / 7)
-				sim.store.refusedNodes[first.name] = true
-				if !sim.advanceUntil(first.workerLease(),
-					func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
-					t.Fatalf("not replaced within %v", first.workerLease())
+				refusedLeader := sim.waitForLeader()
+				sim.advance(time.Duration(offset) * refusedLeader.leaderLease() / 7)
+				sim.store.refusedNodes[refusedLeader.name] = true
+				if !sim.advanceUntil(refusedLeader.workerLease(),
+					func() bool { leader := sim.leaderName(); return leader != "" && leader != refusedLeader.name }) {
+					t.Fatalf("not replaced within %v", refusedLeader.workerLease())
 				}
 			})
 		}
@@ -365,42 +367,42 @@
 // grants of two of five nodes. The store serves one of them again, so that its grant ends and it
 // votes for the candidate as well; the other one and the restarted node would be the majority that
 // extends the old leadership beside the new one.
-func TestForgottenVoteGrantsNothing(t *testing.T) {
-	changed := 0
+func TestNoLeaseGrantAfterForgottenVote(t *testing.T) {
+	candidateLed := 0
 	for offset := range 60 {
 		sim := newSimulation(t, 5)
-		old := sim.waitForLeader()
+		oldLeader := sim.waitForLeader()
 		others := sim.followers()
-		candidate, voter, returning, faithful := others[0], others[1], others[2], others[3]
-		for _, name := range []string{old.name, voter, returning, faithful} {
+		candidate, voter, restartedVoter, granter := others[0], others[1], others[2], others[3]
+		for _, name := range []string{oldLeader.name, voter, restartedVoter, granter} {
 			sim.store.refusedNodes[name] = true
 		}
-		sim.linkCuts[[2]string{old.name, returning}] = true
-		sim.advance(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
+		sim.linkCuts[[2]string{oldLeader.name, restartedVoter}] = true
+		sim.advance(2*oldLeader.leaderLease() + time.Duration(offset)*20*time.Millisecond)
 		delete(sim.store.refusedNodes, voter) // its present grant is the last one
-		asks := func() bool {
-			return slices.Contains(sim.nodes[candidate].election.Status().Votes, returning)
+		hasRestartedVote := func() bool {
+			return slices.Contains(sim.nodes[candidate].election.Status().Votes, restartedVoter)
 		}
-		if sim.advanceUntil(old.leaderLease(), asks) {
-			sim.restartAfter(returning, 20*time.Millisecond)
+		if sim.advanceUntil(oldLeader.leaderLease(), hasRestartedVote) {
+			sim.restartAfter(restartedVoter, 20*time.Millisecond)
 			sim.schedule(50*time.Millisecond, func() {
 				sim.healCuts()
-				sim.store.refusedNodes[returning] = true
+				sim.store.refusedNodes[restartedVoter] = true
 			})
 		}
-		sim.advance(2 * old.leaderLease()) // the invariant checker fails on two leaders
+		sim.advance(2 * oldLeader.leaderLease()) // the invariant checker fails on two leaders
 		if sim.leaderName() == candidate {
-			changed++
+			candidateLed++
 		}
 	}
-	if changed == 0 {
+	if candidateLed == 0 {
 		t.Error("the candidate never led: the schedule was not brought about")
 	}
 }
 
 // A lease counts from when its renewal was sent. Counted from the response, a leader whose
 // responses are delayed would continue after its lease has ended in the key-value store.
-func TestAuthorityCountsFromTheSentRenewal(t *testing.T) {
+func TestLeaderLeaseCountsFromSentRenewal(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	now := leaderNode.monotonicNow(sim.now)
@@ -413,16 +415,17 @@
 			}
 		}
 	}
-	sent := now
-	leaderNode.Step(sent+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
-	if until := leaderNode.election.Status().LeaseValidUntil; until != sent+election.SafeLeaseSpan(leaderNode.leaderLease()) {
-		t.Errorf("authority until %v after a renewal sent at %v", until, sent)
+	sentAt := now
+	leaderNode.Step(sentAt+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
+	if validUntil := leaderNode.election.Status().LeaseValidUntil; validUntil !=
+		sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()) {
+		t.Errorf("authority until %v after a renewal sent at %v", validUntil, sentAt)
 	}
 }
 
 // A leader that was paused for longer than its lease finds heartbeats and requests in its queue
 // when it resumes, and its clocks have advanced: it answers none of them as the leader.
-func TestPausedLeaderAnswersNothing(t *testing.T) {
+func TestPausedLeaderDoesNotReplyAsLeader(t *testing.T) {
 	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery,
 		protocol.RequestCancel} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -450,12 +453,12 @@
 	lastTerm uint64
 }
 
-func (h *acceptingStore) Now() clock.Instant { return h.now }
+func (host *acceptingStore) Now() clock.Instant { return host.now }
 
-func (h *acceptingStore) CallStore(_, path string, _ any, onResponse func(storage.Response)) {
+func (host *acceptingStore) CallStore(_, path string, _ any, onResponse func(storage.Response)) {
 	switch path {
 	case "/store/" + storage.TermKey:
-		term := storage.Encode(storage.Term{Term: h.lastTerm})
+		term := storage.Encode(storage.Term{Term: host.lastTerm})
 		onResponse(storage.Response{Status: 200, Body: storage.Encode(storage.Item{Value: term})})
 	case "/holds":
 		onResponse(storage.Response{Status: 200, Body: storage.Encode(storage.Lease{ID: 1})})
@@ -470,9 +473,9 @@
 // election by one without peers, at a store that accepts everything.
 func forceLeadership(n *Node, term uint64) {
 	host := &acceptingStore{electionHost: electionHost{n}, now: n.now, lastTerm: term - 1}
-	alone := n.cfg.Cluster
-	alone.ControllerCount = 1
-	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone,
+	singleNodeCluster := n.cfg.Cluster
+	singleNodeCluster.ControllerCount = 1
+	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &singleNodeCluster,
 		Rand: n.rng, Host: host})
 	for !n.holdsLeaderLease() {
 		host.now += step
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -20,8 +20,8 @@
 // leaders nor prevent the election.
 func TestQuickRestartsDuringElection(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.crashNode(first.name)
+	firstLeader := sim.waitForLeader()
+	sim.crashNode(firstLeader.name)
 	for i := range 6 {
 		sim.advance(700 * time.Millisecond)
 		name := sim.names[i%3]
@@ -34,7 +34,7 @@
 
 // A machine that hangs for less than its lease resumes and continues: nothing is started twice, and
 // none of its tasks counts as lost.
-func TestHangingMachineResumes(t *testing.T) {
+func TestHungMachineResumes(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
 	leaderNode := sim.waitForLeader()
@@ -79,10 +79,10 @@
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(2) // 8 cores
-	due := 40.0
+	deadlineSeconds := 40.0
 	for i, tasks := range []int{8, 60, 8} {
 		job := jobSpec(fmt.Sprintf("j-%d", i), tasks)
-		job.EstimatedSeconds, job.DeadlineSeconds = 10, &due
+		job.EstimatedSeconds, job.DeadlineSeconds = 10, &deadlineSeconds
 		sim.submit(leaderNode.name, job)
 	}
 	urgent := jobSpec("j-9", 2)
@@ -92,11 +92,11 @@
 	if order[0].Job.Spec.ID != "j-9" {
 		t.Errorf("%s passes ahead of urgent work", order[0].Job.Spec.ID)
 	}
-	for _, r := range order {
+	for _, queued := range order {
 		want := map[string]int{"j-0": scheduler.RankOnTime, "j-1": scheduler.RankLate,
-			"j-2": scheduler.RankOnTime, "j-9": 1}[r.Job.Spec.ID]
-		if r.Rank != want {
-			t.Errorf("%s has rank %d, not %d", r.Job.Spec.ID, r.Rank, want)
+			"j-2": scheduler.RankOnTime, "j-9": 1}[queued.Job.Spec.ID]
+		if queued.Rank != want {
+			t.Errorf("%s has rank %d, not %d", queued.Job.Spec.ID, queued.Rank, want)
 		}
 	}
 }
@@ -112,28 +112,28 @@
 	sim.startNode("n0")
 	leaderNode := sim.waitForLeader()
 	sim.cloud.unavailable = true
-	early, inside, beyond := jobSpec("j-1", 2), jobSpec("j-2", 4), jobSpec("j-3", 4)
-	due := 30.0
-	early.DeadlineSeconds = &due
-	inside.Team, beyond.Team = "team", "team"
-	for _, job := range []protocol.Job{early, inside, beyond} {
+	withDeadline, withinGuarantee, beyondGuarantee := jobSpec("j-1", 2), jobSpec("j-2", 4), jobSpec("j-3", 4)
+	deadlineSeconds := 30.0
+	withDeadline.DeadlineSeconds = &deadlineSeconds
+	withinGuarantee.Team, beyondGuarantee.Team = "team", "team"
+	for _, job := range []protocol.Job{withDeadline, withinGuarantee, beyondGuarantee} {
 		sim.submit(leaderNode.name, job)
 	}
 	order := leaderNode.leader.BuildQueue()
 	if len(order) != 3 || order[0].Job.Spec.ID != "j-2" || order[2].Job.Spec.ID != "j-3" {
-		for _, r := range order {
-			t.Errorf("%s at %v", r.Job.Spec.ID, r.LatestStart)
+		for _, queued := range order {
+			t.Errorf("%s at %v", queued.Job.Spec.ID, queued.LatestStart)
 		}
 	}
 }
 
 // A task is placed on a machine that has its image rather than on another one with as much room.
-func TestImageDecidesBetweenMachines(t *testing.T) {
+func TestMachineWithImageIsPreferred(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(3)
-	with := leaderNode.leader.Machines["m-000002"]
-	with.TouchImage("special", 2)
+	machineWithImage := leaderNode.leader.Machines["m-000002"]
+	machineWithImage.TouchImage("special", 2)
 	job := jobSpec("j-1", 1)
 	job.Image, job.ImageGB = "special", 2
 	sim.submit(leaderNode.name, job)
@@ -147,7 +147,7 @@
 
 // Spot machines are preempted in bulk without notice: their tasks start elsewhere once the machines
 // are known to be gone, and no task runs twice.
-func TestSpotWaveWithoutNotice(t *testing.T) {
+func TestBulkPreemptionWithoutNotice(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 15 * time.Second }
 	sim.waitForLeader()
@@ -162,7 +162,7 @@
 
 // No worker reaches the leader, though its peers do: the followers relay, worker leases hold,
 // leadership stays, and nothing is started twice.
-func TestLeaderCutFromWorkers(t *testing.T) {
+func TestLeaderUnreachableForWorkers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 60*time.Second, 2, 4)
 	sim.unreachableNodes[leaderNode.name] = true
 	sim.advance(40 * time.Second)
@@ -181,35 +181,35 @@
 
 // A large job gives way to small and latency-sensitive work that keeps arriving, but not without
 // limit: it starts within four minutes, and completes in the end.
-func TestLargeJobBeginsInLongBurst(t *testing.T) {
+func TestLargeJobStartsDuringLongBurst(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(2) // 8 cores
 	sim.cloud.capacity = 2
-	due := 60.0
+	deadlineSeconds := 60.0
 	large := jobSpec("j-large", 40)
-	large.EstimatedSeconds, large.DeadlineSeconds = 10, &due
+	large.EstimatedSeconds, large.DeadlineSeconds = 10, &deadlineSeconds
 	sim.submit(leaderNode.name, large)
-	begun := clock.Instant(0)
+	startedAt := clock.Instant(0)
 	for i := 0; sim.now < 12*time.Minute; i++ {
 		// Small and urgent work that needs 10 cores, with 8 cores in all.
-		for k, priority := range []protocol.Priority{"standard", "urgent"} {
-			job := jobSpec(fmt.Sprintf("j-%d-%d", i, k), 5)
-			job.Priority, job.EstimatedSeconds, job.DeadlineSeconds = priority, 10, &due
+		for index, priority := range []protocol.Priority{"standard", "urgent"} {
+			job := jobSpec(fmt.Sprintf("j-%d-%d", i, index), 5)
+			job.Priority, job.EstimatedSeconds, job.DeadlineSeconds = priority, 10, &deadlineSeconds
 			sim.submit(leaderNode.name, job)
 		}
 		for end := sim.now + 10*time.Second; sim.now < end; {
-			if sim.advance(time.Second); begun == 0 && sim.activeTaskCount("j-large") > 0 {
-				begun = sim.now
+			if sim.advance(time.Second); startedAt == 0 && sim.activeTaskCount("j-large") > 0 {
+				startedAt = sim.now
 			}
 		}
 	}
-	if begun == 0 || begun > cluster.MaxStartDelay {
-		t.Fatalf("the large job began after %v", begun)
+	if startedAt == 0 || startedAt > cluster.MaxStartDelay {
+		t.Fatalf("the large job began after %v", startedAt)
 	}
-	if code, s := sim.queryJob(leaderNode.name, "j-large"); code != 200 || s.State != protocol.JobDone {
-		t.Fatalf("after %v the large job is %s, %d done", sim.now, s.State, *s.DoneTasks)
+	if code, status := sim.queryJob(leaderNode.name, "j-large"); code != 200 || status.State != protocol.JobDone {
+		t.Fatalf("after %v the large job is %s, %d done", sim.now, status.State, *status.DoneTasks)
 	}
 }
 
@@ -234,7 +234,7 @@
 
 // Work that is to start within seconds waits a moment for a machine that has its image: on the
 // first machine with room, fetching the image would miss the objective for certain.
-func TestUrgentWorkWaitsForItsImage(t *testing.T) {
+func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40,
@@ -244,49 +244,50 @@
 	leaderNode := sim.waitForLeader()
 	sim.advance(2 * time.Second)
 	sim.startMachines(2)
-	x := leaderNode.leader
-	has, other := x.Machines["m-000001"], x.Machines["m-000002"]
-	has.TouchImage("i", 2)
-	job := x.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1), AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
+	leader := leaderNode.leader
+	withImage, withoutImage := leader.Machines["m-000001"], leader.Machines["m-000002"]
+	withImage.TouchImage("i", 2)
+	job := leader.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1),
+		AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
 	job.Spec.ImageGB = 2 // 10 s to fetch
 	fits := func(machine *cluster.Machine) bool {
-		return x.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
+		return leader.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
 	}
-	if fits(other) {
+	if fits(withoutImage) {
 		t.Error("it fetches where it must miss its aim, though another machine has the image")
 	}
-	if !fits(has) {
+	if !fits(withImage) {
 		t.Error("it does not start where its image is")
 	}
 	job.EligibleAt -= 4 * time.Second
-	if !fits(other) {
+	if !fits(withoutImage) {
 		t.Error("it waits for longer than its aim leaves")
 	}
 	job.EligibleAt += 4 * time.Second
-	has.Images, job.ImageCheckedAt = nil, clock.Never // as in the next pass
-	if !fits(other) {
+	withImage.Images, job.ImageCheckedAt = nil, clock.Never // as in the next pass
+	if !fits(withoutImage) {
 		t.Error("it waits for an image that no machine has")
 	}
 }
 
 // A task whose back-off ends is scheduled then, even if nothing else changes meanwhile.
-func TestBackOffEndsWithoutAnyChange(t *testing.T) {
+func TestBackoffExpiryTriggersScheduling(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(1)
-	x := leaderNode.leader
+	leader := leaderNode.leader
 	sim.submit(leaderNode.name, jobSpec("j-1", 1))
-	job := x.Jobs["j-1"]
+	job := leader.Jobs["j-1"]
 	job.FailureHistories[0] = &cluster.FailureHistory{RetryAfter: leaderNode.now + 10*time.Second}
-	for _, r := range job.Attempts {
-		x.ReleaseAttempt(r)
+	for _, attempt := range job.Attempts {
+		leader.ReleaseAttempt(attempt)
 	}
 	sim.advance(9 * time.Second)
 	if sim.startCounts["j-1/0"] > 0 {
 		t.Fatal("started while backing off")
 	}
 	sim.cloud.unavailable = true // nor does the fleet change
-	x.SchedulingNeeded = false
+	leader.SchedulingNeeded = false
 	if !sim.advanceUntil(5*time.Second, func() bool { return sim.startCounts["j-1/0"] == 1 }) {
 		t.Fatal("not started after its back-off")
 	}
@@ -299,33 +300,33 @@
 	sim := newSimulation(t, 1)
 	sim.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, MinShare: 0.9}}
 	sim.startNode("n0")
-	x := sim.waitForLeader().leader
+	leader := sim.waitForLeader().leader
 	sim.startMachines(1)
-	s := jobSpec("j-1", 100)
-	s.EstimatedSeconds = 50
-	job := x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
+	spec := jobSpec("j-1", 100)
+	spec.EstimatedSeconds = 50
+	job := leader.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leader.node.nowUnixMilli()}, 1)
 	job.EligibleAt -= 150 * time.Second // the reserve of the plan is used up; 50 s remain to start in
-	unbegun := requiredCores(x, 1000)
-	job.FirstStartAt = x.node.now
-	left := 100.0 // seconds until its last task should have completed
-	if got := requiredCores(x, 1000); got < 100*50/left || got > unbegun {
-		t.Errorf("%v cores are planned, and %v before it began", got, unbegun)
+	coresBeforeStart := requiredCores(leader, 1000)
+	job.FirstStartAt = leader.node.now
+	secondsLeft := 100.0 // seconds until its last task should have completed
+	if cores := requiredCores(leader, 1000); cores < 100*50/secondsLeft || cores > coresBeforeStart {
+		t.Errorf("%v cores are planned, and %v before it began", cores, coresBeforeStart)
 	}
 }
 
 // Where objectives allow next to no late jobs, the plan counts on less of the machines' time.
-func TestPlanHasAMarginWhereObjectivesAreStrict(t *testing.T) {
-	demand := func(share float64) float64 {
+func TestStrictObjectivesAddCapacityMargin(t *testing.T) {
+	plannedCores := func(share float64) float64 {
 		sim := newSimulation(t, 1)
 		sim.cfg.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, MinShare: share}}
 		sim.startNode("n0")
-		x := sim.waitForLeader().leader
-		s := jobSpec("j-1", 200)
-		s.EstimatedSeconds = 20
-		x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
-		return requiredCores(x, 1000)
+		leader := sim.waitForLeader().leader
+		spec := jobSpec("j-1", 200)
+		spec.EstimatedSeconds = 20
+		leader.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leader.node.nowUnixMilli()}, 1)
+		return requiredCores(leader, 1000)
 	}
-	loose, usual, strict := demand(0.8), demand(0.9), demand(0.99)
+	loose, usual, strict := plannedCores(0.8), plannedCores(0.9), plannedCores(0.99)
 	if loose != usual || strict < usual*1.2 || strict > usual*1.4 {
 		t.Errorf("cores planned: %v, %v and %v", loose, usual, strict)
 	}
@@ -335,7 +336,7 @@
 // others crash, others hang within their lease, and the leader and a zone with a controller in it
 // are isolated. Hung machines are not returned in bulk, no task runs twice and no quota is
 // exceeded, replacements are rented at once, and every task completes in the end.
-func TestFleetFailsAtOnce(t *testing.T) {
+func TestSimultaneousFleetFailures(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
 	sim.cfg.Cloud.RequestsPerS, sim.cfg.Store.WritesPerS, sim.cfg.Store.RequestsPerS = 6, 250, 600
@@ -360,39 +361,39 @@
 		t.Fatalf("%d tasks have started", len(sim.startCounts))
 	}
 	names := slices.Sorted(maps.Keys(sim.workers))
-	hanging := names[60:90]
+	hung := names[60:90]
 	for _, name := range names[:40] { // preempted or crashed
 		delete(sim.workers, name)
 		delete(sim.cloud.hosts, name)
 	}
-	for _, name := range hanging {
+	for _, name := range hung {
 		sim.workers[name].hung = true
 	}
-	zone := sim.followers()[0]
+	isolatedNode := sim.followers()[0]
 	sim.workerReaches = func(worker *fakeWorker, node string) bool {
-		return (worker.name >= names[90] && worker.name < names[110]) == (node == zone)
+		return (worker.name >= names[90] && worker.name < names[110]) == (node == isolatedNode)
 	}
-	sim.store.requestsDropped[zone] = true
-	sim.isolateNode(zone)
+	sim.store.requestsDropped[isolatedNode] = true
+	sim.isolateNode(isolatedNode)
 	sim.crashNode(leaderNode.name)
 	sim.advance(5 * time.Second)
 	sim.restartNode(leaderNode.name)
-	for _, name := range hanging {
+	for _, name := range hung {
 		sim.workers[name].hung = false
 	}
 	sim.advance(2 * time.Second)
-	for _, name := range hanging {
+	for _, name := range hung {
 		if sim.workers[name] == nil {
 			t.Errorf("%s was returned for hanging within its lease", name)
 		}
 	}
-	rented := sim.cloud.lastMachineNumber
+	rentedBefore := sim.cloud.lastMachineNumber
 	sim.advance(25 * time.Second)
-	if sim.cloud.lastMachineNumber < rented+10 {
-		t.Errorf("%d machines were rented for 40 that are gone", sim.cloud.lastMachineNumber-rented)
+	if sim.cloud.lastMachineNumber < rentedBefore+10 {
+		t.Errorf("%d machines were rented for 40 that are gone", sim.cloud.lastMachineNumber-rentedBefore)
 	}
 	sim.workerReaches = nil
-	delete(sim.store.requestsDropped, zone)
+	delete(sim.store.requestsDropped, isolatedNode)
 	sim.healCuts()
 	for i := range 8 {
 		sim.waitForJobState(fmt.Sprintf("j-%d", i), protocol.JobDone, 4*time.Minute)
--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -67,14 +67,14 @@
 	sim.submit(leaderNode.name, jobSpec("j-2", 30))
 	sim.crashNode(leaderNode.name)
 	sim.advance(time.Second)
-	next := sim.waitForLeader()
+	newLeader := sim.waitForLeader()
 	// Its heartbeats all arrive at the new leader, at the highest rate.
 	for _, worker := range sim.workers {
 		if worker.dropResponses {
-			worker.node = next.name
+			worker.node = newLeader.name
 			sim.onHeartbeat = func(other *fakeWorker, _ *protocol.WorkerHeartbeat) {
 				if other == worker {
-					worker.node = next.name
+					worker.node = newLeader.name
 				}
 			}
 		}
@@ -105,7 +105,7 @@
 // Late copies of heartbeats arrive seconds to well over a lease late: after newer ones, after the
 // machine was returned, after a takeover by a leader that knows nothing of it. None restores a
 // machine, a task or used quota.
-func TestLateCopiesReviveNothing(t *testing.T) {
+func TestLateHeartbeatCopiesOfReturnedMachines(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
 		if jobIDOf(task) == "j-2" {
@@ -114,11 +114,11 @@
 		return 15 * time.Second
 	}
 	sim.waitForLeader()
-	var seen []*protocol.WorkerHeartbeat
+	var copies []*protocol.WorkerHeartbeat
 	sim.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 		copied := *heartbeat
 		copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
-		seen = append(seen, &copied)
+		copies = append(copies, &copied)
 	}
 	job := jobSpec("j-1", 16)
 	job.Team = "team" // which has a limit of 16 cores
@@ -130,39 +130,40 @@
 		func() bool { return len(sim.workers) == 0 && len(sim.nodes[sim.leaderName()].leader.Machines) == 0 }) {
 		t.Fatalf("machines are kept: %d", len(sim.workers))
 	}
-	old := seen
+	oldCopies := copies
 	sim.onHeartbeat = nil
 	replay := func() {
-		for i := range old {
-			heartbeat := *old[i]
+		for i := range oldCopies {
+			heartbeat := *oldCopies[i]
 			for _, name := range sim.names {
 				sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &heartbeat}, func(Reply) {})
 			}
 		}
 		sim.advance(time.Second)
 	}
-	look := func(when string) {
+	checkNothingRestored := func(when string) {
 		t.Helper()
-		l := sim.nodes[sim.leaderName()].leader
-		if c := l.CurrentMachineTotals(); c.Slots != 0 || c.UnknownUsage.Cores != 0 || !c.AllReconciled {
-			t.Fatalf("%s: late copies count: %+v", when, c)
+		leader := sim.nodes[sim.leaderName()].leader
+		if totals := leader.CurrentMachineTotals(); totals.Slots != 0 || totals.UnknownUsage.Cores != 0 ||
+			!totals.AllReconciled {
+			t.Fatalf("%s: late copies count: %+v", when, totals)
 		}
-		if u := l.TeamUsage["team"]; u.Cores != 0 {
-			t.Fatalf("%s: late copies use %v cores of a quota", when, u.Cores)
+		if usage := leader.TeamUsage["team"]; usage.Cores != 0 {
+			t.Fatalf("%s: late copies use %v cores of a quota", when, usage.Cores)
 		}
-		for name, machine := range l.Machines {
+		for name, machine := range leader.Machines {
 			if machine.Schedulable() {
 				t.Fatalf("%s: late copies make %s ready", when, name)
 			}
 		}
 	}
 	replay()
-	look("same leader")
+	checkNothingRestored("same leader")
 	sim.crashNode(sim.leaderName())
 	sim.advance(time.Second)
 	sim.waitForLeader()
 	replay()
-	look("after a takeover")
+	checkNothingRestored("after a takeover")
 	// A job that needs the full quota starts as if no copy had arrived.
 	job = jobSpec("j-2", 16)
 	job.EstimatedSeconds = 3600
@@ -182,7 +183,7 @@
 
 // Copies that arrive while the machine is up, in any order and long after, neither restore a task
 // that has completed or moved nor release one that runs.
-func TestLateCopiesOfLivingMachines(t *testing.T) {
+func TestLateHeartbeatCopiesOfRunningMachines(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 4 * time.Second }
 	leaderNode := sim.waitForLeader()
@@ -191,13 +192,13 @@
 		count++
 		copied := *heartbeat
 		copied.Tasks = append([]protocol.TaskStatus(nil), heartbeat.Tasks...)
-		for _, late := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second,
+		for _, delay := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 9 * time.Second,
 			25 * time.Second} {
-			sim.schedule(late, func() {
+			sim.schedule(delay, func() {
 				sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied},
 					func(r Reply) {
 						if r.Status == 200 && (copied.Epoch < worker.epoch || copied.Sequence < worker.sequence-1) {
-							t.Errorf("a copy %v late is answered 200", late)
+							t.Errorf("a copy %v late is answered 200", delay)
 						}
 					})
 			})
@@ -226,7 +227,7 @@
 
 // A machine that restarts at once, with a new epoch, loses its tasks and is given them again; it is
 // not treated as one without responses.
-func TestMachineBackAtOnce(t *testing.T) {
+func TestMachineRestartsAtOnce(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
 	leaderNode := sim.waitForLeader()
@@ -248,52 +249,52 @@
 
 // Machines that a leader loses contact with together are not returned one after the other before
 // their number is known, nor after they have reported again.
-func TestMachinesCutOffTogetherAreKept(t *testing.T) {
+func TestMachinesUnreachableTogetherAreKept(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 9, 36)
-	held := len(sim.cloud.hosts)
-	cut := func(n int, apart time.Duration) {
-		for i := range n {
+	machineCount := len(sim.cloud.hosts)
+	silence := func(count int, interval time.Duration) {
+		for i := range count {
 			sim.workers[fmt.Sprintf("m-%06d", i+1)].unreachable = true
-			sim.advance(apart)
+			sim.advance(interval)
 		}
 	}
-	back := func() {
+	restore := func() {
 		for _, worker := range sim.workers {
 			worker.unreachable = false
 		}
 	}
 	// Six of nine, not all at the same moment: fewer than half when the first ones are due.
-	cut(6, 500*time.Millisecond)
+	silence(6, 500*time.Millisecond)
 	sim.advance(8 * time.Second)
-	back()
+	restore()
 	sim.advance(5 * time.Second)
-	if len(sim.cloud.hosts) < held {
-		t.Fatalf("%d of %d machines are left after a cut of six", len(sim.cloud.hosts), held)
+	if len(sim.cloud.hosts) < machineCount {
+		t.Fatalf("%d of %d machines are left after a cut of six", len(sim.cloud.hosts), machineCount)
 	}
 	// Three of nine, while the cloud is down.
 	sim.cloud.unavailable = true
-	cut(3, 0)
+	silence(3, 0)
 	sim.advance(10 * time.Second)
 	if machine := leaderNode.leader.Machines["m-000001"]; machine.DrainReason != cluster.HeartbeatMissed {
 		t.Fatalf("a silent machine is not to be returned (%q)", machine.DrainReason)
 	}
 	leaderNode.leader.Machines["m-000003"].Unhealthy = true
-	back()
+	restore()
 	sim.advance(4 * time.Second)
 	if machine := leaderNode.leader.Machines["m-000003"]; machine.DrainReason != cluster.Unhealthy {
 		t.Errorf("a sick machine that was silent is kept (%q)", machine.DrainReason)
 	}
 	sim.cloud.unavailable = false
 	sim.advance(10 * time.Second)
-	if len(sim.cloud.hosts) < held {
-		t.Errorf("%d of %d machines are left after an outage of the cloud", len(sim.cloud.hosts), held)
+	if len(sim.cloud.hosts) < machineCount {
+		t.Errorf("%d of %d machines are left after an outage of the cloud", len(sim.cloud.hosts), machineCount)
 	}
 	sim.checkStartedOnce()
 }
 
 // A copy that reaches the next leader before any newer heartbeat shows a task on the machine from
 // which it has moved. The task continues where it is: the copy once ended it there.
-func TestCopyKeptForTheNextLeader(t *testing.T) {
+func TestStaleHeartbeatAtNextLeader(t *testing.T) {
 	for nodes := 1; nodes <= 7; nodes += 2 {
 		for offset := range 12 {
 			t.Run(fmt.Sprintf("%d nodes, offset %d", nodes, offset), func(t *testing.T) {
@@ -305,49 +306,49 @@
 				job := jobSpec("j-1", 4)
 				job.EstimatedSeconds = 80
 				sim.submitAndStart(leaderNode.name, job, 4)
-				kept := map[string]*protocol.WorkerHeartbeat{}
+				copies := map[string]*protocol.WorkerHeartbeat{}
 				sim.onHeartbeat = func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
 					if len(heartbeat.Tasks) > 0 {
 						copied := *heartbeat
-						kept[worker.name] = &copied
+						copies[worker.name] = &copied
 					}
 				}
 				sim.advance(4 * time.Second)
 				// The cloud announces a preemption, so that the tasks move, but neither takes the
 				// machines nor accepts their return.
 				sim.cloud.rejectReturns = true
-				soon := 30.0
-				var old []*fakeWorker
+				noticeSeconds := 30.0
+				var preempted []*fakeWorker
 				for _, worker := range sim.sortedWorkers() {
-					worker.preemptionNotice = &soon
-					old = append(old, worker)
+					worker.preemptionNotice = &noticeSeconds
+					preempted = append(preempted, worker)
 				}
 				sim.onHeartbeat = nil
 				if !sim.advanceUntil(time.Minute, func() bool {
-					return sim.activeTaskCount("j-1") == 4 && len(old[0].tasks)+len(old[len(old)-1].tasks) == 0
+					return sim.activeTaskCount("j-1") == 4 && len(preempted[0].tasks)+len(preempted[len(preempted)-1].tasks) == 0
 				}) {
 					t.Fatal("the tasks don't run elsewhere")
 				}
 				sim.advance(5 * time.Second)
-				before, total := len(sim.startCounts), sim.totalStarts()
+				startedTasks, startsBefore := len(sim.startCounts), sim.totalStarts()
 				sim.restartAfter(sim.leaderName(), 300*time.Millisecond)
-				send := func() {
-					for _, heartbeat := range kept {
+				sendCopies := func() {
+					for _, heartbeat := range copies {
 						for _, name := range sim.names {
-							again := *heartbeat
+							heartbeatCopy := *heartbeat
 							sim.sendRequest(name, Request{Kind: protocol.RequestHeartbeat,
-								Heartbeat: &again}, func(Reply) {})
+								Heartbeat: &heartbeatCopy}, func(Reply) {})
 						}
 					}
 				}
 				sim.advanceUntil(30*time.Second, func() bool { return sim.leaderName() != "" })
 				for i := range 8 {
-					sim.schedule(time.Duration(offset*i)*10*time.Millisecond, send)
+					sim.schedule(time.Duration(offset*i)*10*time.Millisecond, sendCopies)
 				}
 				sim.advance(20 * time.Second)
-				if now := sim.totalStarts(); len(sim.startCounts) != before || now != total ||
+				if starts := sim.totalStarts(); len(sim.startCounts) != startedTasks || starts != startsBefore ||
 					sim.activeTaskCount("j-1") != 4 {
-					t.Errorf("%d of 4 tasks run, %d starts after %d", sim.activeTaskCount("j-1"), now, total)
+					t.Errorf("%d of 4 tasks run, %d starts after %d", sim.activeTaskCount("j-1"), starts, startsBefore)
 				}
 				sim.cloud.rejectReturns = false
 				sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
--- a/internal/controller/one_way_cuts_bench_test.go
+++ b/internal/controller/one_way_cuts_bench_test.go
@@ -19,41 +19,42 @@
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for b.Loop() {
 		for _, nodes := range []int{3, 5, 7} {
-			pause, terms, lost := hdrhistogram.New(1, longest.Milliseconds(), 3), hdrhistogram.New(1, 1000,
-				3), hdrhistogram.New(1, 1000, 3)
-			never := 0
+			startDelay, terms, lostLeases := hdrhistogram.New(1, longest.Milliseconds(), 3),
+				hdrhistogram.New(1, 1000, 3), hdrhistogram.New(1, 1000, 3)
+			neverStarted := 0
 			for i, first := range names {
 				for _, second := range names[i:] {
 					if !leaderPossible(first, second) {
 						continue
 					}
 					sim, leaderNode := newRunningSimulation(&testing.T{}, nodes, 20*time.Second, 4, 8)
-					leader, term, from := leaderNode.name, leaderNode.leader.term, sim.now
+					leader, term, cutAt := leaderNode.name, leaderNode.leader.term, sim.now
 					halfOpenCuts[first](sim, leader, true)
 					halfOpenCuts[second](sim, leader, true)
 					newUserSimulation(sim, uint64(nodes)).submitWithRetries(jobSpec("j-2", 2))
 					if !sim.advanceUntil(longest, func() bool { return sim.firstStartAt["j-2"] != 0 }) {
-						never++
+						neverStarted++
 					}
-					pause.RecordValue(max(1, (sim.now - from).Milliseconds()))
-					sim.advance(longest - (sim.now - from))
-					highest, sessions := term, 0
+					startDelay.RecordValue(max(1, (sim.now - cutAt).Milliseconds()))
+					sim.advance(longest - (sim.now - cutAt))
+					highestTerm, newEpochs := term, 0
 					for _, n := range sim.nodes {
 						if n.leader != nil {
-							highest = max(highest, n.leader.term)
+							highestTerm = max(highestTerm, n.leader.term)
 						}
 					}
 					for _, worker := range sim.workers {
-						sessions += int(worker.epoch - 1)
+						newEpochs += int(worker.epoch - 1)
 					}
-					terms.RecordValue(int64(highest - term))
-					lost.RecordValue(int64(sessions))
+					terms.RecordValue(int64(highestTerm - term))
+					lostLeases.RecordValue(int64(newEpochs))
 				}
 			}
 			b.Logf("%d nodes, %d pairs: nothing begins for ms p50 %d, p90 %d, max %d, in %d pairs for %v; terms p50 %d, p90 %d, max %d; leases lost p50 %d, p90 %d, max %d",
-				nodes, pause.TotalCount(), pause.ValueAtQuantile(50), pause.ValueAtQuantile(90), pause.Max(),
-				never, longest,
-				terms.ValueAtQuantile(50), terms.ValueAtQuantile(90), terms.Max(), lost.ValueAtQuantile(50), lost.ValueAtQuantile(90), lost.Max())
+				nodes, startDelay.TotalCount(),
+				startDelay.ValueAtQuantile(50), startDelay.ValueAtQuantile(90), startDelay.Max(), neverStarted, longest,
+				terms.ValueAtQuantile(50), terms.ValueAtQuantile(90), terms.Max(),
+				lostLeases.ValueAtQuantile(50), lostLeases.ValueAtQuantile(90), lostLeases.Max())
 		}
 	}
 }
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -13,61 +13,63 @@
 )
 
 // halfOpenCut stops, or restores, one direction of some links.
-type halfOpenCut func(sim *simulation, leader string, on bool)
+type halfOpenCut func(sim *simulation, leader string, active bool)
 
 // halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers.
 var halfOpenCuts = map[string]halfOpenCut{
-	"leader to nodes": func(sim *simulation, leader string, on bool) {
+	"leader to nodes": func(sim *simulation, leader string, active bool) {
 		for _, other := range sim.names {
-			sim.setOneWayCut(leader, other, on)
+			sim.setOneWayCut(leader, other, active)
 		}
 	},
-	"nodes to leader": func(sim *simulation, leader string, on bool) {
+	"nodes to leader": func(sim *simulation, leader string, active bool) {
 		for _, other := range sim.names {
-			sim.setOneWayCut(other, leader, on)
+			sim.setOneWayCut(other, leader, active)
 		}
 	},
-	"leader to a node": func(sim *simulation, leader string, on bool) {
+	"leader to a node": func(sim *simulation, leader string, active bool) {
 		sim.setOneWayCut(leader,
-			sim.nextNode(leader), on)
+			sim.nextNode(leader), active)
 	},
-	"a node to leader":  func(sim *simulation, leader string, on bool) { sim.setOneWayCut(sim.nextNode(leader), leader, on) },
-	"leader to state":   func(sim *simulation, leader string, on bool) { sim.store.requestsDropped[leader] = on },
-	"state to leader":   func(sim *simulation, leader string, on bool) { sim.store.responsesDropped[leader] = on },
-	"workers to leader": func(sim *simulation, leader string, on bool) { sim.heartbeatsBlocked[leader] = on },
-	"leader to workers": func(sim *simulation, leader string, on bool) { sim.responsesBlocked[leader] = on },
-	"workers to all nodes but leader": func(sim *simulation, leader string, on bool) {
+	"a node to leader": func(sim *simulation, leader string, active bool) {
+		sim.setOneWayCut(sim.nextNode(leader), leader, active)
+	},
+	"leader to state":   func(sim *simulation, leader string, active bool) { sim.store.requestsDropped[leader] = active },
+	"state to leader":   func(sim *simulation, leader string, active bool) { sim.store.responsesDropped[leader] = active },
+	"workers to leader": func(sim *simulation, leader string, active bool) { sim.heartbeatsBlocked[leader] = active },
+	"leader to workers": func(sim *simulation, leader string, active bool) { sim.responsesBlocked[leader] = active },
+	"workers to all nodes but leader": func(sim *simulation, leader string, active bool) {
 		for _, other := range sim.names {
 			if other != leader {
-				sim.heartbeatsBlocked[other] = on
+				sim.heartbeatsBlocked[other] = active
 			}
 		}
 	},
-	"nodes from each other": func(sim *simulation, leader string, on bool) {
-		for _, a := range sim.names {
-			for _, b := range sim.names {
-				if a != leader && b != leader {
-					sim.setOneWayCut(a, b, on)
+	"nodes from each other": func(sim *simulation, leader string, active bool) {
+		for _, from := range sim.names {
+			for _, to := range sim.names {
+				if from != leader && to != leader {
+					sim.setOneWayCut(from, to, active)
 				}
 			}
 		}
 	},
-	"a ring": func(sim *simulation, _ string, on bool) {
-		for i, a := range sim.names {
-			for k, b := range sim.names {
+	"a ring": func(sim *simulation, _ string, active bool) {
+		for i, from := range sim.names {
+			for k, to := range sim.names {
 				if k != (i+1)%len(sim.names) {
-					sim.setOneWayCut(a, b, on)
+					sim.setOneWayCut(from, to, active)
 				}
 			}
 		}
 	},
 }
 
-func (sim *simulation) setOneWayCut(from, to string, on bool) {
+func (sim *simulation) setOneWayCut(from, to string, active bool) {
 	if from == to {
 		return
 	}
-	if on {
+	if active {
 		sim.oneWayCuts[[2]string{from, to}] = true
 	} else {
 		delete(sim.oneWayCuts, [2]string{from, to})
@@ -81,14 +83,14 @@
 
 // leaderPossible tells whether some node has all the links that a leader needs. With some pairs of
 // cuts no worker has a node that it can both reach and receive from, and no progress is possible.
-func leaderPossible(a, b string) bool {
+func leaderPossible(first, second string) bool {
 	workers := []string{"workers to leader", "leader to workers"}
 	const others = "workers to all nodes but leader"
-	return !(a == others && slices.Contains(workers, b) || b == others && slices.Contains(workers, a))
+	return !(first == others && slices.Contains(workers, second) || second == others && slices.Contains(workers, first))
 }
 
-// recoveryLeaseCount is the number of leases within which tasks start again, under any cut.
-const recoveryLeaseCount = 4
+// maxRecoveryLeases is the number of leases within which tasks start again, under any cut.
+const maxRecoveryLeases = 4
 
 // Each cut alone and each pair of them, for three, five and seven nodes with drifting clocks: no
 // task starts twice, and a job that is submitted two seconds after the cut starts within four
@@ -98,34 +100,34 @@
 	for _, nodes := range []int{3, 5, 7} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			t.Parallel()
-			for i, a := range names {
-				for _, b := range names[i:] {
-					testHalfOpenCut(t, nodes, a, b)
+			for i, first := range names {
+				for _, second := range names[i:] {
+					testHalfOpenCut(t, nodes, first, second)
 				}
 			}
 		})
 	}
 }
 
-func testHalfOpenCut(t *testing.T, nodes int, a, b string) {
+func testHalfOpenCut(t *testing.T, nodes int, first, second string) {
 	t.Helper()
 	sim, leaderNode := newRunningSimulation(t, nodes, 20*time.Second, 4, 8)
-	sim.scenario = a + ", " + b
+	sim.scenario = first + ", " + second
 	c := newUserSimulation(sim, uint64(nodes))
 	c.driftClocks()
-	leader, from := leaderNode.name, sim.now
-	halfOpenCuts[a](sim, leader, true)
-	halfOpenCuts[b](sim, leader, true)
+	leader, cutAt := leaderNode.name, sim.now
+	halfOpenCuts[first](sim, leader, true)
+	halfOpenCuts[second](sim, leader, true)
 	sim.advance(2 * time.Second)
 	c.submitWithRetries(jobSpec("j-2", 2))
-	began := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+	started := sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 		func() bool { return sim.firstStartAt["j-2"] != 0 })
-	if !began && leaderPossible(a, b) {
-		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, a, b, sim.now-from, sim.explainNoLeader())
+	if !started && leaderPossible(first, second) {
+		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, first, second, sim.now-cutAt, sim.explainNoLeader())
 	}
 	sim.advance(leaderNode.workerLease())
-	halfOpenCuts[a](sim, leader, false)
-	halfOpenCuts[b](sim, leader, false)
+	halfOpenCuts[first](sim, leader, false)
+	halfOpenCuts[second](sim, leader, false)
 	c.waitForCompletion(5 * time.Minute)
 }
 
@@ -140,27 +142,27 @@
 				sim, leaderNode := newRunningSimulation(t, 3, 3*time.Second, 4, 4)
 				c := newUserSimulation(sim, 3)
 				leader, lease := leaderNode.name, leaderNode.workerLease()
-				half := max(2*step, time.Duration(period*float64(lease))/2)
+				halfPeriod := max(2*step, time.Duration(period*float64(lease))/2)
 				const leases = 12
 				end := sim.now + leases*lease
-				on := false
+				active := false
 				var flap func()
 				flap = func() {
-					if on = !on && sim.now < end; on || sim.now < end+half {
-						halfOpenCuts[name](sim, leader, on)
-						sim.schedule(half, flap)
+					if active = !active && sim.now < end; active || sim.now < end+halfPeriod {
+						halfOpenCuts[name](sim, leader, active)
+						sim.schedule(halfPeriod, flap)
 					}
 				}
 				flap()
-				first := leaderNode.leader.term
+				firstTerm := leaderNode.leader.term
 				for i := range 2 * leases {
 					c.submitWithRetries(jobSpec(fmt.Sprintf("j-f%d", i), 1))
 					sim.advance(lease / 2)
 				}
-				sim.advance(2 * half)
+				sim.advance(2 * halfPeriod)
 				halfOpenCuts[name](sim, leader, false)
 				c.waitForCompletion(5 * time.Minute)
-				if terms := sim.waitForLeader().leader.term - first; terms > leases+2 {
+				if terms := sim.waitForLeader().leader.term - firstTerm; terms > leases+2 {
 					t.Errorf("period of %.2f leases: %d terms in %d leases", period, terms, leases)
 				}
 			}
@@ -170,7 +172,7 @@
 
 // A cut heals at any moment after it began, and the messages it held back are delivered then, while
 // jobs are submitted and cancelled.
-func TestCutHealsInBetween(t *testing.T) {
+func TestCutHealsAtAnyMoment(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
@@ -197,19 +199,23 @@
 // Workers reach only one node, which does not receive the leader's heartbeats: the leader resigns,
 // and a node that can serve the workers is elected, whatever fault coincides with the change.
 func TestHandOverUnderFaults(t *testing.T) {
-	for name, inject := range map[string]func(sim *simulation, leader, stranded string){
+	for name, inject := range map[string]func(sim *simulation, leader, workerNode string){
 		"nothing":         func(*simulation, string, string) {},
-		"that node ends":  func(sim *simulation, _, stranded string) { sim.restartAfter(stranded, 3*time.Second) },
+		"that node ends":  func(sim *simulation, _, workerNode string) { sim.restartAfter(workerNode, 3*time.Second) },
 		"the leader ends": func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 200*time.Millisecond) },
 		"an outage": func(sim *simulation, _, _ string) {
 			sim.store.setDown(true)
 			sim.schedule(5*time.Second, func() { sim.store.setDown(false) })
 		},
-		"the leader stands": func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 9 * time.Second },
-		"that node is slow": func(sim *simulation, _, stranded string) { sim.nodes[stranded].pauseBeforeEffects = 3 * time.Second },
-		"the cut turns over": func(sim *simulation, leader, stranded string) {
-			sim.setOneWayCut(leader, stranded, false)
-			sim.setOneWayCut(stranded, leader, true)
+		"the leader stands": func(sim *simulation, leader, _ string) {
+			sim.nodes[leader].pauseBeforeEffects = 9 * time.Second
+		},
+		"that node is slow": func(sim *simulation, _, workerNode string) {
+			sim.nodes[workerNode].pauseBeforeEffects = 3 * time.Second
+		},
+		"the cut turns over": func(sim *simulation, leader, workerNode string) {
+			sim.setOneWayCut(leader, workerNode, false)
+			sim.setOneWayCut(workerNode, leader, true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -218,13 +224,13 @@
 				sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 4, 8)
 				c := newUserSimulation(sim, uint64(moment))
 				leader := leaderNode.name
-				stranded, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
+				workerNode, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
 				sim.heartbeatsBlocked[leader], sim.heartbeatsBlocked[third] = true, true
-				sim.setOneWayCut(leader, stranded, true)
+				sim.setOneWayCut(leader, workerNode, true)
 				c.submitWithRetries(jobSpec("j-2", 2))
 				sim.advance(time.Duration(moment+1) * leaderNode.workerLeases(strandedResignLeases) / 4)
-				inject(sim, leader, stranded)
-				if !sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+				inject(sim, leader, workerNode)
+				if !sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 					func() bool { return sim.firstStartAt["j-2"] != 0 }) {
 					t.Errorf("moment %d: nothing begins: %s", moment, sim.explainNoLeader())
 				}
@@ -235,42 +241,42 @@
 	}
 }
 
-// linkFrom returns the state of the link from this node to a peer, by the reports of the peer.
-func (n *Node) linkFrom(name string) reachability.Link {
+// linkTo returns the state of the link from this node to a peer, by the reports of the peer.
+func (n *Node) linkTo(name string) reachability.Link {
 	return n.connectivity.matrix.Link(n.cfg.Node, name, n.now, n.leaderLease())
 }
 
 // A link report of a peer that can't be true changes nothing and is logged once; a message of an
 // earlier version, which carries no report, leaves the links unknown.
-func TestImpossibleLinkReports(t *testing.T) {
+func TestInvalidLinkReports(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	peer := sim.followers()[0]
-	before := leaderNode.linkFrom(peer)
-	for _, bad := range []*protocol.LinkReport{
+	before := leaderNode.linkTo(peer)
+	for _, report := range []*protocol.LinkReport{
 		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}},
 		{IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
 		{IncomingLinks: []reachability.IncomingLink{{Node: leaderNode.name, AgeMS: -1}}}, {RecentWorkers: -1},
 	} {
 		leaderNode.Step(leaderNode.monotonicNow(sim.now),
-			[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
+			[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: report}}})
 	}
-	if leaderNode.linkFrom(peer) != before || before != reachability.LinkUp ||
+	if leaderNode.linkTo(peer) != before || before != reachability.LinkUp ||
 		len(leaderNode.connectivity.invalidReportLogged) != 1 {
-		t.Errorf("link %v after %v", leaderNode.linkFrom(peer), before)
+		t.Errorf("link %v after %v", leaderNode.linkTo(peer), before)
 	}
-	fresh := sim.nodes[sim.followers()[1]]
-	fresh.connectivity = newConnectivity(fresh.name, fresh.peers)
-	fresh.Step(fresh.monotonicNow(sim.now),
+	otherFollower := sim.nodes[sim.followers()[1]]
+	otherFollower.connectivity = newConnectivity(otherFollower.name, otherFollower.peers)
+	otherFollower.Step(otherFollower.monotonicNow(sim.now),
 		[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
-	if got := fresh.linkFrom(peer); got != reachability.LinkUnknown || fresh.twoWayPeerCount() == 0 {
-		t.Errorf("an earlier version: %v, %d two ways", got, fresh.twoWayPeerCount())
+	if got := otherFollower.linkTo(peer); got != reachability.LinkUnknown || otherFollower.twoWayPeerCount() == 0 {
+		t.Errorf("an earlier version: %v, %d two ways", got, otherFollower.twoWayPeerCount())
 	}
 }
 
 // While no worker reaches the leader the others relay. They retry from time to time whether workers
 // do, so that workers are served directly once the cut has healed.
-func TestRelaysEndAfterTheCut(t *testing.T) {
+func TestRelayingEndsAfterCut(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 4, 8)
 	sim.heartbeatsBlocked[leaderNode.name] = true
 	sim.advance(3 * leaderNode.workerLease())
@@ -295,27 +301,29 @@
 
 // A leader that still serves a few workers while clearly more reach only a node that does not
 // receive its heartbeats hands over as well; one that serves most of them stays.
-func TestHandOverToWhereMostWorkersAre(t *testing.T) {
-	for _, x := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
-		sim, leaderNode := newRunningSimulation(t, 3, time.Hour, x.served+x.stranded, 4)
+func TestHandOverToNodeWithMostWorkers(t *testing.T) {
+	for _, testCase := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
+		sim, leaderNode := newRunningSimulation(t, 3, time.Hour, testCase.served+testCase.stranded, 4)
 		leader, term := leaderNode.name, leaderNode.leader.term
 		other, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
-		sim.cloud.capacity, sim.cloud.rejectReturns = x.served+x.stranded, true // or it would rent others
-		split := map[string]bool{}                                              // workers that reach the other node only
-		for _, m := range sim.sortedWorkers()[:x.stranded] {
-			split[m.name] = true
+		sim.cloud.capacity, sim.cloud.rejectReturns = testCase.served+testCase.stranded, true // or it would rent others
+		strandedWorkers := map[string]bool{}                                                  // workers that reach the other node only
+		for _, worker := range sim.sortedWorkers()[:testCase.stranded] {
+			strandedWorkers[worker.name] = true
+		}
+		sim.workerReaches = func(worker *fakeWorker, node string) bool {
+			return strandedWorkers[worker.name] == (node == other)
 		}
-		sim.workerReaches = func(m *fakeWorker, node string) bool { return split[m.name] == (node == other) }
 		sim.heartbeatsBlocked[third] = true
 		sim.setOneWayCut(leader, other, true)
-		moved := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+		replaced := sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 			func() bool { now := sim.leaderName(); return now != "" && now != leader })
-		if moved != (x.stranded > x.served) {
-			t.Errorf("%d served, %d stranded: %s leads after %s", x.served, x.stranded, sim.leaderName(), leader)
+		if replaced != (testCase.stranded > testCase.served) {
+			t.Errorf("%d served, %d stranded: %s leads after %s", testCase.served, testCase.stranded, sim.leaderName(), leader)
 		}
 		sim.advance(10 * leaderNode.workerLease())
 		if terms := sim.waitForLeader().leader.term - term; terms > 6 {
-			t.Errorf("%d served, %d stranded: %d terms in 12 leases", x.served, x.stranded, terms)
+			t.Errorf("%d served, %d stranded: %d terms in 12 leases", testCase.served, testCase.stranded, terms)
 		}
 	}
 }
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -45,11 +45,11 @@
 }
 
 // restartAllNodes crashes all nodes and restarts them after some time.
-func (sim *simulation) restartAllNodes(away time.Duration) {
+func (sim *simulation) restartAllNodes(downtime time.Duration) {
 	for _, name := range sim.names {
 		sim.crashNode(name)
 	}
-	sim.advance(away)
+	sim.advance(downtime)
 	for _, name := range sim.names {
 		sim.restartNode(name)
 	}
@@ -60,7 +60,7 @@
 // its job known but not started, its running tasks left alone, and everything else continues. Once
 // the record is repaired, processing resumes normally.
 func TestDamagedRecordIsQuarantined(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		key           func(sim *simulation) string
 		value         string
 		rewritten     bool // may be overwritten: a forecast only
@@ -119,34 +119,34 @@
 				t.Fatal("no task is done")
 			}
 			sim.advance(time.Second)
-			key := x.key(sim)
-			restore := sim.store.overwriteValue(key, x.value)
+			key := testCase.key(sim)
+			restore := sim.store.overwriteValue(key, testCase.value)
 			started := sim.totalStarts()
 			sim.restartAllNodes(2 * time.Second)
 			leaderNode = sim.waitForLeader()
 			sim.submit(leaderNode.name, jobSpec("j-2", 6))
 			sim.waitForJobState("j-2", protocol.JobDone, 40*time.Second)
-			if got := string(sim.store.keys[key].Value); got != x.value && !x.rewritten {
+			if got := string(sim.store.keys[key].Value); got != testCase.value && !testCase.rewritten {
 				t.Errorf("the record is now %s", got)
 			}
 			for _, node := range sim.names {
-				status, s := sim.queryJob(node, "j-1")
-				if x.unavailable && status != 503 ||
-					!x.unavailable && (status != 200 ||
-						s.State != protocol.JobQueued && s.State != protocol.JobRunning) {
-					t.Errorf("%s says %d, %q of the job", node, status, s.State)
+				status, jobStatus := sim.queryJob(node, "j-1")
+				if testCase.unavailable && status != 503 ||
+					!testCase.unavailable && (status != 200 ||
+						jobStatus.State != protocol.JobQueued && jobStatus.State != protocol.JobRunning) {
+					t.Errorf("%s says %d, %q of the job", node, status, jobStatus.State)
 				}
 				if reply := sim.requestAndWait(node,
 					Request{Kind: protocol.RequestSubmit, JobID: "j-1",
-						Job: &job}); reply.Status != 200 && !x.unavailable {
+						Job: &job}); reply.Status != 200 && !testCase.unavailable {
 					t.Errorf("%s answers %d to the job's submission", node, reply.Status)
 				}
 			}
-			if on := sim.activeTaskCount("j-1"); on != 3 || sim.totalStarts() != started+6 {
-				t.Errorf("%d of 3 tasks go on, %d starts after %d", on, sim.totalStarts(), started)
+			if running := sim.activeTaskCount("j-1"); running != 3 || sim.totalStarts() != started+6 {
+				t.Errorf("%d of 3 tasks go on, %d starts after %d", running, sim.totalStarts(), started)
 			}
 			sim.advance(30 * time.Second) // the tasks complete; their results are kept
-			if !x.jobUnaffected && sim.terminalState("j-1") != "" {
+			if !testCase.jobUnaffected && sim.terminalState("j-1") != "" {
 				t.Errorf("the job is %s by its record", sim.terminalState("j-1"))
 			}
 			if sim.leaderName() != leaderNode.name {
@@ -177,12 +177,12 @@
 		sim.waitForLeader()
 		sim.advance(10 * time.Second)
 		for _, node := range sim.names {
-			if status, s := sim.queryJob(node, "j-1"); status != 200 || s.State != state {
-				t.Errorf("%s: %d, %q, not %q", node, status, s.State, state)
+			if status, jobStatus := sim.queryJob(node, "j-1"); status != 200 || jobStatus.State != state {
+				t.Errorf("%s: %d, %q, not %q", node, status, jobStatus.State, state)
 			}
 		}
-		if on := sim.activeTaskCount("j-1"); on != 0 {
-			t.Errorf("%d tasks go on of a job that is %s", on, state)
+		if running := sim.activeTaskCount("j-1"); running != 0 {
+			t.Errorf("%d tasks go on of a job that is %s", running, state)
 		}
 		if sim.store.keys[storage.JobKey("j-1")].ModRevision == 0 {
 			t.Error("the open record was deleted")
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -10,9 +10,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// refusalOutageWays are the ways in which a terminal state is reported while the old leader doesn't
+// refusalOutageScenarios are the ways in which a terminal state is reported while the old leader doesn't
 // know of it, or in which that leader may keep its workers.
-var refusalOutageWays = map[string]func(c *userSimulation, old string){
+var refusalOutageScenarios = map[string]func(c *userSimulation, old string){
 	"plain": func(*userSimulation, string) {},
 	"answers lost": func(c *userSimulation, _ string) {
 		c.store.lateExecution = func() (time.Duration, bool) { return 0, c.rng.IntN(2) == 0 }
@@ -76,7 +76,7 @@
 // lease terms before the outage; users send cancellations all along.
 func TestCancelledBetweenRefusalAndOutage(t *testing.T) {
 	t.Cleanup(func() {
-		if !t.Failed() && confirmedElsewhere.Load() == 0 {
+		if !t.Failed() && confirmedBySuccessor.Load() == 0 {
 			t.Error("no cancellation was confirmed by a successor before an outage: the meeting was not brought about")
 		}
 	})
@@ -84,19 +84,20 @@
 	if sweepAll() {
 		offsets = 320 // a twentieth of a heartbeat apart
 	}
-	for way, prepare := range refusalOutageWays {
-		t.Run(way, func(t *testing.T) {
+	for scenario, prepare := range refusalOutageScenarios {
+		t.Run(scenario, func(t *testing.T) {
 			for i := range offsets {
-				for k, p := range deployments {
+				for k, timings := range deployments {
 					for m, nodes := range []int{3, 7} {
-						if !sweepAll() && (i+len(way))%(2*len(deployments)) != 2*k+m {
+						if !sweepAll() && (i+len(scenario))%(2*len(deployments)) != 2*k+m {
 							continue
 						}
-						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, p.machineLease, i),
+						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, timings.machineLease, i),
 							func(t *testing.T) {
 								t.Parallel()
-								testRefusalThenOutage(t, nodes, p, uint64(i),
-									time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/election.LeaderLeasesPerWorkerLease*p.machineLease*1e9), prepare)
+								testRefusalThenOutage(t, nodes, timings, uint64(i),
+									time.Duration(float64(i)/float64(offsets)*maxOutageDelayLeases/
+										election.LeaderLeasesPerWorkerLease*timings.machineLease*1e9), prepare)
 							})
 					}
 				}
@@ -105,15 +106,16 @@
 	}
 }
 
-// refusalOutageTerms is the largest offset, in leader leases, between the refusal and the outage: a
+// maxOutageDelayLeases is the largest offset, in leader leases, between the refusal and the outage: a
 // successor is elected after one or two.
-const refusalOutageTerms = 3.2
+const maxOutageDelayLeases = 3.2
 
-var confirmedElsewhere atomic.Int64
+var confirmedBySuccessor atomic.Int64
 
-func testRefusalThenOutage(t *testing.T, nodes int, p workerTimings, seed uint64, outageAfter time.Duration, prepare func(*userSimulation, string)) {
+func testRefusalThenOutage(t *testing.T, nodes int, timings workerTimings, seed uint64, outageAfter time.Duration,
+	prepare func(*userSimulation, string)) {
 	const jobs = 8
-	c, leaderNode := newFaultCombination(t, nodes, p, seed, jobs, 2)
+	c, leaderNode := newFaultCombination(t, nodes, timings, seed, jobs, 2)
 	outageAfter += time.Duration(c.rng.Float64() * float64(c.machineLease()) / 32)
 	// Half of the machines reach only the old leader.
 	c.workerReaches = func(worker *fakeWorker, node string) bool {
@@ -123,13 +125,13 @@
 	c.store.refusedNodes[leaderNode.name] = true
 	c.schedule(c.machineLease()/2, func() { delete(c.store.refusedNodes, leaderNode.name) })
 	for i := range jobs - 1 {
-		at := time.Duration(c.rng.Int64N(int64(outageAfter + c.machineLease()/8)))
-		c.schedule(at, func() { c.cancelWithRetries(fmt.Sprintf("j-%d", i)) })
+		delay := time.Duration(c.rng.Int64N(int64(outageAfter + c.machineLease()/8)))
+		c.schedule(delay, func() { c.cancelWithRetries(fmt.Sprintf("j-%d", i)) })
 	}
 	c.schedule(outageAfter, func() {
 		c.store.setDown(true)
 		if len(c.terminalAt) > 0 && c.leaderName() != leaderNode.name {
-			confirmedElsewhere.Add(1)
+			confirmedBySuccessor.Add(1)
 		}
 	})
 	c.schedule(outageAfter+c.cancelLimit()*5/4, func() { c.store.setDown(false); c.workerReaches = nil; c.healCuts() })
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -18,11 +18,11 @@
 func TestJobRunsToDone(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
-	f := sim.followers()[0]
-	if r := sim.submit(f, jobSpec("j-1", 20)); r.Status != 201 {
+	follower := sim.followers()[0]
+	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 201 {
 		t.Fatalf("submission: %d", r.Status)
 	}
-	if r := sim.submit(f, jobSpec("j-1", 20)); r.Status != 200 {
+	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 200 {
 		t.Fatalf("repeated submission: %d", r.Status)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
@@ -31,7 +31,7 @@
 			t.Fatalf("task %d started %d times", i, n)
 		}
 	}
-	if r := sim.submit(f, jobSpec("j-1", 20)); r.Status != 200 {
+	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 200 {
 		t.Fatalf("submission of a finished job: %d", r.Status)
 	}
 	// Idle machines are returned.
@@ -42,7 +42,7 @@
 
 // forgotten, went_back: accepted and terminal jobs stay so after all controllers have crashed at
 // once.
-func TestNothingForgottenAfterFullRestart(t *testing.T) {
+func TestJobStatesSurviveFullRestart(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	sim.submit("n0", jobSpec("j-1", 1))
@@ -52,20 +52,20 @@
 		t.Fatalf("cancel: %d", r.Status)
 	}
 	sim.submit("n1", jobSpec("j-3", 1))
-	for _, n := range sim.names {
-		sim.crashNode(n)
+	for _, name := range sim.names {
+		sim.crashNode(name)
 	}
-	for _, n := range sim.names {
-		sim.restartNode(n)
+	for _, name := range sim.names {
+		sim.restartNode(name)
 	}
-	for _, n := range sim.names {
+	for _, name := range sim.names {
 		for id, want := range map[string]protocol.JobState{"j-1": protocol.JobDone,
 			"j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
-			if code, s := sim.queryJob(n, id); code != 200 || s.State != want {
-				t.Fatalf("%s on %s: %d %v", id, n, code, s.State)
+			if code, s := sim.queryJob(name, id); code != 200 || s.State != want {
+				t.Fatalf("%s on %s: %d %v", id, name, code, s.State)
 			}
 		}
-		if r := sim.submit(n, jobSpec("j-1", 1)); r.Status != 200 && r.Status != 503 {
+		if r := sim.submit(name, jobSpec("j-1", 1)); r.Status != 200 && r.Status != 503 {
 			t.Fatalf("repeated submission: %d", r.Status)
 		}
 	}
@@ -92,16 +92,16 @@
 
 // A submission whose write was executed, but whose reply was lost in a crash, is known when it is
 // repeated.
-func TestCrashBetweenWriteAndAnswer(t *testing.T) {
+func TestCrashBetweenWriteAndResponse(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
+	firstLeader := sim.waitForLeader()
 	job := jobSpec("j-1", 1)
 	sim.jobSpecs["j-1"] = job
-	sim.sendRequest(first.name, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &job}, func(Reply) {})
+	sim.sendRequest(firstLeader.name, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &job}, func(Reply) {})
 	if !sim.advanceUntil(time.Second, func() bool { return sim.store.keys[storage.JobKey("j-1")].ModRevision != 0 }) {
 		t.Fatal("nothing written")
 	}
-	sim.crashNode(first.name)
+	sim.crashNode(firstLeader.name)
 	if r := sim.submit(sim.followers()[0], job); r.Status != 200 {
 		t.Fatalf("repeated submission: %d", r.Status)
 	}
@@ -110,8 +110,8 @@
 
 // ran_twice: a new leader finds the running tasks and lets them run.
 func TestTakeoverKeepsRunningTasks(t *testing.T) {
-	sim, first := newRunningSimulation(t, 3, 40*time.Second, 2, 8)
-	sim.crashNode(first.name)
+	sim, firstLeader := newRunningSimulation(t, 3, 40*time.Second, 2, 8)
+	sim.crashNode(firstLeader.name)
 	sim.waitForLeader()
 	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
 	for i := range 8 {
@@ -126,56 +126,56 @@
 func TestTakeoverWaitsForSilentMachine(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 200 * time.Second }
-	first := sim.waitForLeader()
-	sim.submitAndStart(first.name, jobSpec("j-1", 4), 4)
-	var victim *fakeWorker
+	firstLeader := sim.waitForLeader()
+	sim.submitAndStart(firstLeader.name, jobSpec("j-1", 4), 4)
+	var silentWorker *fakeWorker
 	for _, worker := range sim.workers {
 		if len(worker.tasks) > 0 {
-			victim = worker
+			silentWorker = worker
 		}
 	}
 	sim.cloud.rejectReturns = true // or a return would reconcile it sooner
-	sim.crashNode(first.name)
-	victim.unreachable = true
+	sim.crashNode(firstLeader.name)
+	silentWorker.unreachable = true
 	sim.waitForLeader()
-	took := sim.now
+	takeoverAt := sim.now
 	sim.cloud.rentMachine("c4", "a", true)
 	sim.submit(sim.leaderName(), jobSpec("j-2", 1))
 	if !sim.advanceUntil(8*time.Second, func() bool { return sim.activeTaskCount("j-2") == 1 }) {
 		t.Fatal("a new job waits for a machine it can't be on")
 	}
-	if waits := sim.nodes[sim.leaderName()].leader.Jobs["j-1"].BlockedBy; waits != cluster.WaitReconciliation {
-		t.Fatalf("the old job waits for %q", waits)
+	if blockedBy := sim.nodes[sim.leaderName()].leader.Jobs["j-1"].BlockedBy; blockedBy != cluster.WaitReconciliation {
+		t.Fatalf("the old job waits for %q", blockedBy)
 	}
 	if !sim.advanceUntil(90*time.Second, func() bool { return sim.startCounts["j-1/0"] == 2 }) {
 		t.Fatal("the lost tasks did not start again")
 	}
-	if sim.now-took < config.Seconds(sim.cfg.Workers.LeaseS)-sim.nodes[sim.leaderName()].leaderLease() {
-		t.Fatalf("started again after %v", sim.now-took)
+	if sim.now-takeoverAt < config.Seconds(sim.cfg.Workers.LeaseS)-sim.nodes[sim.leaderName()].leaderLease() {
+		t.Fatalf("started again after %v", sim.now-takeoverAt)
 	}
 }
 
 // ran_twice: an epoch that was fenced never gets a 200, or its tasks would continue beside their
 // second attempts.
-func TestFencedEpochIsNeverAnswered(t *testing.T) {
+func TestFencedEpochIsRejected(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
 	leaderNode := sim.waitForLeader()
 	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 1), 1)
-	var victim *fakeWorker
+	var lostWorker *fakeWorker
 	for _, worker := range sim.workers {
 		if len(worker.tasks) > 0 {
-			victim = worker
+			lostWorker = worker
 		}
 	}
-	late := victim.heartbeat()
-	victim.unreachable, sim.cloud.unavailable = true, true
-	if !sim.advanceUntil(30*time.Second, func() bool { return !leaderNode.leader.Machines[victim.name].Up }) {
+	lateHeartbeat := lostWorker.heartbeat()
+	lostWorker.unreachable, sim.cloud.unavailable = true, true
+	if !sim.advanceUntil(30*time.Second, func() bool { return !leaderNode.leader.Machines[lostWorker.name].Up }) {
 		t.Fatal("the silent machine was not declared lost")
 	}
-	late.Sequence += 100
+	lateHeartbeat.Sequence += 100
 	if r := sim.requestAndWait(leaderNode.name,
-		Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
+		Request{Kind: protocol.RequestHeartbeat, Heartbeat: lateHeartbeat}); r.Status == 200 {
 		t.Fatal("a lost session got a 200")
 	}
 }
@@ -189,14 +189,14 @@
 	sim.advance(5 * time.Second)
 	for _, worker := range sim.workers {
 		machine := leaderNode.leader.Machines[worker.name]
-		runs := len(machine.Attempts)
-		late := &protocol.WorkerHeartbeat{Machine: worker.name, Type: worker.machineType, Zone: worker.zone,
+		attemptCount := len(machine.Attempts)
+		lateHeartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Type: worker.machineType, Zone: worker.zone,
 			Spot: worker.spot, Epoch: worker.epoch, Sequence: 1, FencingToken: leaderNode.leader.term}
 		if r := sim.requestAndWait(leaderNode.name,
-			Request{Kind: protocol.RequestHeartbeat, Heartbeat: late}); r.Status == 200 {
+			Request{Kind: protocol.RequestHeartbeat, Heartbeat: lateHeartbeat}); r.Status == 200 {
 			t.Fatal("a late report got a 200")
 		}
-		if len(machine.Attempts) != runs {
+		if len(machine.Attempts) != attemptCount {
 			t.Fatal("a late report changed what is known of the machine")
 		}
 	}
@@ -208,7 +208,7 @@
 
 // A start command whose response was lost was not executed: the same attempt is sent again, and
 // nothing is counted twice.
-func TestDroppedAnswerIsSentAgain(t *testing.T) {
+func TestLostStartCommandIsResent(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.submit(leaderNode.name, jobSpec("j-1", 1))
@@ -229,22 +229,22 @@
 }
 
 // ran_cancelled: a start command is in flight when the user cancels.
-func TestCancelAgainstStartInFlight(t *testing.T) {
+func TestCancelWithStartInFlight(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
 	sim.waitForLeader()
 	sim.submit("n0", jobSpec("j-1", 6))
-	started := func() bool {
+	startInFlight := func() bool {
 		for _, machine := range sim.nodes[sim.leaderName()].leader.Machines {
-			for _, r := range machine.Attempts {
-				if r.Phase == cluster.AttemptSent {
+			for _, attempt := range machine.Attempts {
+				if attempt.Phase == cluster.AttemptSent {
 					return true
 				}
 			}
 		}
 		return false
 	}
-	if !sim.advanceUntil(60*time.Second, started) {
+	if !sim.advanceUntil(60*time.Second, startInFlight) {
 		t.Fatal("no start in flight")
 	}
 	if r := sim.cancelJob(sim.followers()[0], "j-1"); r.Status != 200 {
@@ -263,13 +263,13 @@
 // not_done, went_back: no user is told that a job is cancelled before that is durable.
 func TestCancelWaitsForTheWrite(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.submit(first.name, jobSpec("j-1", 4))
+	leaderNode := sim.waitForLeader()
+	sim.submit(leaderNode.name, jobSpec("j-1", 4))
 	sim.store.setDown(true)
-	var got *Reply
-	sim.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(r Reply) { got = &r })
+	var reply *Reply
+	sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(r Reply) { reply = &r })
 	sim.advance(4 * time.Second)
-	if got != nil && got.Status == 200 {
+	if reply != nil && reply.Status == 200 {
 		t.Fatal("told withdrawn without a write")
 	}
 	sim.store.setDown(false)
@@ -285,8 +285,8 @@
 		}
 		return 60 * time.Second
 	}
-	first := sim.waitForLeader()
-	sim.submitAndStart(first.name, jobSpec("j-1", 2), 2)
+	firstLeader := sim.waitForLeader()
+	sim.submitAndStart(firstLeader.name, jobSpec("j-1", 2), 2)
 	sim.store.setDown(true)
 	sim.advance(6 * time.Second)
 	for _, worker := range sim.workers {
@@ -294,7 +294,7 @@
 			t.Fatal("a result was forgotten before its bit was written")
 		}
 	}
-	sim.crashNode(first.name)
+	sim.crashNode(firstLeader.name)
 	sim.store.setDown(false)
 	sim.waitForJobState("j-1", protocol.JobDone, 120*time.Second)
 	if sim.startCounts["j-1/0"] != 1 {
@@ -311,8 +311,8 @@
 	job := jobSpec("j-1", 40)
 	job.Team = "team" // 16 cores
 	sim.submit("n0", job)
-	full := func() bool { return sim.activeTaskCount("j-1") == 16 }
-	if !sim.advanceUntil(60*time.Second, full) {
+	quotaFilled := func() bool { return sim.activeTaskCount("j-1") == 16 }
+	if !sim.advanceUntil(60*time.Second, quotaFilled) {
 		t.Fatalf("%d tasks run, not 16", sim.activeTaskCount("j-1"))
 	}
 	for _, worker := range sim.workers {
@@ -325,60 +325,60 @@
 	sim.waitForLeader()
 	// A job accepted since then may start at once, but not within the quota that tasks on the
 	// unreachable machine may still use.
-	next := jobSpec("j-2", 16)
-	next.Team = "team"
+	secondJob := jobSpec("j-2", 16)
+	secondJob.Team = "team"
 	sim.cloud.rejectReturns = true
 	sim.startMachines(10)
-	sim.submit(sim.leaderName(), next)
+	sim.submit(sim.leaderName(), secondJob)
 	sim.advance(20 * time.Second)
 	sim.cloud.rejectReturns = false
 	sim.waitForJobState("j-1", protocol.JobDone, 6*time.Minute)
 }
 
 // wrong_place: machine types, zone, spot or on-demand, and the placement of the job's other tasks.
-func TestPlacementObeysTheJob(t *testing.T) {
+func TestPlacementConstraints(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
 	leaderNode := sim.waitForLeader()
-	zoned, plain, one, apart := jobSpec("j-1", 3), jobSpec("j-2", 3), jobSpec("j-3", 6), jobSpec("j-4", 5)
-	zoned.Zone = "b"
-	plain.SpotAllowed = false
-	one.SameZone = true
-	apart.Spread = true
-	for _, job := range []protocol.Job{zoned, plain, one, apart} {
+	zoneB, onDemand, sameZone, spread := jobSpec("j-1", 3), jobSpec("j-2", 3), jobSpec("j-3", 6), jobSpec("j-4", 5)
+	zoneB.Zone = "b"
+	onDemand.SpotAllowed = false
+	sameZone.SameZone = true
+	spread.Spread = true
+	for _, job := range []protocol.Job{zoneB, onDemand, sameZone, spread} {
 		sim.submit(leaderNode.name, job)
 	}
-	seen := map[string]bool{}
+	startedJobs := map[string]bool{}
 	for range 600 {
 		sim.advance(100 * time.Millisecond)
-		zones := map[string]map[string]int{}
+		tasksByZone := map[string]map[string]int{}
 		for _, worker := range sim.workers {
 			for _, task := range worker.tasks {
-				id := jobIDOf(task.taskKey)
+				jobID := jobIDOf(task.taskKey)
 				if task.state == protocol.TaskExited {
 					continue
 				}
-				seen[id] = true
-				if zones[id] == nil {
-					zones[id] = map[string]int{}
+				startedJobs[jobID] = true
+				if tasksByZone[jobID] == nil {
+					tasksByZone[jobID] = map[string]int{}
 				}
-				zones[id][worker.zone]++
-				if (id == "j-1" && worker.zone != "b") || (id == "j-2" && worker.spot) {
+				tasksByZone[jobID][worker.zone]++
+				if (jobID == "j-1" && worker.zone != "b") || (jobID == "j-2" && worker.spot) {
 					t.Fatalf("%s on %s in zone %s, spot %v", task.taskKey, worker.name, worker.zone, worker.spot)
 				}
 			}
 		}
-		if len(zones["j-3"]) > 1 {
-			t.Fatalf("one zone: %v", zones["j-3"])
+		if len(tasksByZone["j-3"]) > 1 {
+			t.Fatalf("one zone: %v", tasksByZone["j-3"])
 		}
-		for _, count := range zones["j-4"] {
+		for _, count := range tasksByZone["j-4"] {
 			if count > 3 {
-				t.Fatalf("apart: %v", zones["j-4"])
+				t.Fatalf("apart: %v", tasksByZone["j-4"])
 			}
 		}
 	}
-	if len(seen) != 4 {
-		t.Fatalf("only %v ran", seen)
+	if len(startedJobs) != 4 {
+		t.Fatalf("only %v ran", startedJobs)
 	}
 }
 
@@ -387,9 +387,9 @@
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
 	leaderNode := sim.waitForLeader()
-	j := jobSpec("j-1", 40)
-	j.Team = "team"
-	sim.submit(leaderNode.name, j)
+	spec := jobSpec("j-1", 40)
+	spec.Team = "team"
+	sim.submit(leaderNode.name, spec)
 	if !sim.advanceUntil(60*time.Second, func() bool { return sim.activeTaskCount("j-1") == 16 }) {
 		t.Fatal("quota not filled")
 	}
@@ -407,22 +407,22 @@
 }
 
 // Reserved slots are lent to batch work until latency-sensitive work has been pending.
-func TestBorrowedSlotsComeBack(t *testing.T) {
+func TestBorrowedSlotsAreReclaimed(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
-	low, urgent := jobSpec("j-1", 10), jobSpec("j-2", 1)
+	batch, urgent := jobSpec("j-1", 10), jobSpec("j-2", 1)
 	urgent.Priority = "urgent"
-	sim.submit(leaderNode.name, low)
+	sim.submit(leaderNode.name, batch)
 	sim.submit(leaderNode.name, urgent)
-	x := leaderNode.leader
-	if x.LatencySensitiveWorkDelayed(x.BuildQueue()) {
+	leader := leaderNode.leader
+	if leader.LatencySensitiveWorkDelayed(leader.BuildQueue()) {
 		t.Fatal("lending ended at once")
 	}
-	x.Jobs["j-2"].PendingSince = x.node.now - config.Seconds(x.node.settings.BorrowWaitS) - time.Second
-	if !x.LatencySensitiveWorkDelayed(x.BuildQueue()) {
+	leader.Jobs["j-2"].PendingSince = leader.node.now - config.Seconds(leader.node.settings.BorrowWaitS) - time.Second
+	if !leader.LatencySensitiveWorkDelayed(leader.BuildQueue()) {
 		t.Fatal("lending goes on though pressing work has waited")
 	}
-	if first := x.BuildQueue()[0].Job.Spec.ID; first != "j-2" {
+	if first := leader.BuildQueue()[0].Job.Spec.ID; first != "j-2" {
 		t.Fatalf("%s passes first", first)
 	}
 }
@@ -456,8 +456,8 @@
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 12), 4)
-	bad := jobSpec("j-9", 6)
-	sim.submit(leaderNode.name, bad)
+	failingJob := jobSpec("j-9", 6)
+	sim.submit(leaderNode.name, failingJob)
 	failRunningTasks := func() bool {
 		for _, worker := range sim.workers {
 			for _, task := range worker.tasks {
@@ -485,30 +485,30 @@
 
 // A preemption notice drains the machine: tasks that checkpoint are stopped in time to save, and
 // the machine gets no more work.
-func TestSpotNoticeDrains(t *testing.T) {
+func TestPreemptionNoticeDrainsMachine(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
 	leaderNode := sim.waitForLeader()
 	job := jobSpec("j-1", 4)
 	job.EstimatedSeconds, job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = 100, 10, 3
 	sim.submitAndStart(leaderNode.name, job, 4)
-	var taken *fakeWorker
+	var preempted *fakeWorker
 	for _, worker := range sim.workers {
 		if len(worker.tasks) > 0 {
-			taken = worker
+			preempted = worker
 		}
 	}
-	left := 20.0
-	taken.preemptionNotice, taken.stateChanged = &left, true
-	if !sim.advanceUntil(10*time.Second, func() bool { return len(taken.stopGraces) > 0 }) {
+	noticeSeconds := 20.0
+	preempted.preemptionNotice, preempted.stateChanged = &noticeSeconds, true
+	if !sim.advanceUntil(10*time.Second, func() bool { return len(preempted.stopGraces) > 0 }) {
 		t.Fatal("nothing was stopped")
 	}
-	for _, g := range taken.stopGraces {
-		if g < job.CheckpointSaveSeconds {
-			t.Fatalf("stopped with %v s to save", g)
+	for _, grace := range preempted.stopGraces {
+		if grace < job.CheckpointSaveSeconds {
+			t.Fatalf("stopped with %v s to save", grace)
 		}
 	}
-	if !sim.advanceUntil(20*time.Second, func() bool { return sim.cloud.hosts[taken.name] == nil }) {
+	if !sim.advanceUntil(20*time.Second, func() bool { return sim.cloud.hosts[preempted.name] == nil }) {
 		t.Fatal("the drained machine was not returned")
 	}
 	if !sim.advanceUntil(40*time.Second, func() bool { return sim.activeTaskCount("j-1") == 4 }) {
@@ -533,20 +533,20 @@
 
 // A worker that can't reach the leader returns after its 421 and is then relayed, so that its lease
 // holds.
-func TestFollowerRelaysForCutWorkers(t *testing.T) {
+func TestFollowerRelaysHeartbeats(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
-	f := sim.followers()[0]
+	follower := sim.followers()[0]
 	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-	ask := func() Reply {
+	sendHeartbeat := func() Reply {
 		heartbeat.Sequence++
-		return sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
+		return sim.requestAndWait(follower, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	}
-	if r := ask(); r.Status != 421 {
+	if r := sendHeartbeat(); r.Status != 421 {
 		t.Fatalf("first report: %d", r.Status)
 	}
 	sim.advance(time.Second)
-	if r := ask(); r.Status != 200 {
+	if r := sendHeartbeat(); r.Status != 200 {
 		t.Fatalf("report of a worker that came back: %d", r.Status)
 	}
 	if leaderNode.leader.Machines["m-9"] == nil {
@@ -560,18 +560,18 @@
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(3)
-	var victim string
+	var slowMachine string
 	sim.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
 	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 24), 8)
 	for name, worker := range sim.workers {
-		if len(worker.tasks) > 1 && (victim == "" || name < victim) {
-			victim = name
+		if len(worker.tasks) > 1 && (slowMachine == "" || name < slowMachine) {
+			slowMachine = name
 		}
 	}
-	for _, task := range sim.workers[victim].tasks {
+	for _, task := range sim.workers[slowMachine].tasks {
 		task.endsAt += 200 * time.Second
 	}
-	if !sim.advanceUntil(30*time.Second, func() bool { return sim.cloud.hosts[victim] == nil }) {
+	if !sim.advanceUntil(30*time.Second, func() bool { return sim.cloud.hosts[slowMachine] == nil }) {
 		t.Fatal("the slow machine was kept")
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
@@ -585,64 +585,65 @@
 	sim.waitForLeader()
 	job := jobSpec("j-1", protocol.MaxTasksPerJob)
 	sim.submit("n0", job)
-	done := func() int {
-		l := sim.leaderName()
-		if l == "" || sim.nodes[l].leader.Jobs["j-1"] == nil {
+	doneTasks := func() int {
+		newLeader := sim.leaderName()
+		if newLeader == "" || sim.nodes[newLeader].leader.Jobs["j-1"] == nil {
 			return 0
 		}
-		return sim.nodes[l].leader.Jobs["j-1"].DoneTasks
+		return sim.nodes[newLeader].leader.Jobs["j-1"].DoneTasks
 	}
-	if !sim.advanceUntil(40*time.Second, func() bool { return done() >= 40 }) {
-		t.Fatalf("%d tasks done", done())
+	if !sim.advanceUntil(40*time.Second, func() bool { return doneTasks() >= 40 }) {
+		t.Fatalf("%d tasks done", doneTasks())
 	}
 	sim.advance(3 * time.Second)
-	before := done()
+	before := doneTasks()
 	sim.crashNode(sim.leaderName())
-	l := sim.waitForLeader()
+	newLeader := sim.waitForLeader()
 	sim.advance(5 * time.Second)
-	if done() < before*9/10 {
-		t.Fatalf("%d tasks done before the takeover, %d after", before, done())
+	if doneTasks() < before*9/10 {
+		t.Fatalf("%d tasks done before the takeover, %d after", before, doneTasks())
 	}
-	if parts := len(l.leader.Jobs["j-1"].BitmapParts); parts < 2 {
+	if parts := len(newLeader.leader.Jobs["j-1"].BitmapParts); parts < 2 {
 		t.Fatalf("the bitmap is in %d part", parts)
 	}
 }
 
 // A heartbeat may span several lines; between controllers a line is a message, so the parsed
 // heartbeat is forwarded rather than the received bytes.
-func TestForwardedBodyIsOneLine(t *testing.T) {
+func TestForwardedHeartbeatIsOneLine(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
-	f := sim.nodes[sim.followers()[0]]
-	heartbeat, err := protocol.ParseWorkerHeartbeat([]byte("{\"maquina\":\"m-9\",\n\"porte\":\"c4\",\"praca\":\"a\",\"turno\":1,\n\"contagem\":1,\"pecas\":[]}\n"))
+	follower := sim.nodes[sim.followers()[0]]
+	heartbeat, err := protocol.ParseWorkerHeartbeat(
+		[]byte("{\"maquina\":\"m-9\",\n\"porte\":\"c4\",\"praca\":\"a\",\"turno\":1,\n\"contagem\":1,\"pecas\":[]}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := false
+	found := false
 	for range 2 { // a worker that returns can't reach the leader and is relayed
-		for _, e := range f.Step(sim.now-f.bootedAt+step,
+		for _, effect := range follower.Step(sim.now-follower.bootedAt+step,
 			[]Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
-			s, ok := e.(OutboundMessage)
+			outbound, ok := effect.(OutboundMessage)
 			if !ok {
 				continue
 			}
-			if _, forwarded := s.Message.(protocol.ForwardedRequest); forwarded {
-				asked = true
-				line, err := protocol.EncodePeerMessage(s.Message)
+			if _, forwarded := outbound.Message.(protocol.ForwardedRequest); forwarded {
+				found = true
+				line, err := protocol.EncodePeerMessage(outbound.Message)
 				if err != nil || strings.Contains(string(line), "\n") {
 					t.Fatalf("a message of several lines: %q", line)
 				}
 			}
 		}
 	}
-	if !asked {
+	if !found {
 		t.Fatal("not forwarded")
 	}
 }
 
 // Submissions must not wait behind machine records: a burst of rented machines once used up the
 // write rate, and submissions were rejected.
-func TestSubmissionsPassMachineRecords(t *testing.T) {
+func TestSubmissionsPrecedeMachineRecords(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Store.WritesPerS = 25
 	for _, name := range sim.names {
@@ -654,13 +655,13 @@
 		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
 	sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) == 100 })
-	sent, answered := sim.now, 0
+	sentAt, answered := sim.now, 0
 	for i := range 9 {
 		job := jobSpec(fmt.Sprintf("j-%d", i), 3)
 		sim.jobSpecs[job.ID] = job
 		sim.sendRequest(sim.names[i%3], Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			if r.Status != 201 {
-				t.Errorf("%s: answered %d after %v", job.ID, r.Status, sim.now-sent)
+				t.Errorf("%s: answered %d after %v", job.ID, r.Status, sim.now-sentAt)
 			}
 			answered++
 		})
@@ -672,7 +673,7 @@
 
 // Hundreds of machines that boot together must be recorded by name before their first task, without
 // one write for each.
-func TestMachinesShareRecords(t *testing.T) {
+func TestMachineRecordsAreGrouped(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.cfg.Store.WritesPerS = 25
 	sim.startNode("n0")
@@ -715,7 +716,7 @@
 
 // Records of single machines, as the previous version wrote them, are still read: a machine that
 // had tasks is reconciled, and its record moves into a group.
-func TestRecordsOfTheVersionBefore(t *testing.T) {
+func TestSingleMachineRecordsAreMigrated(t *testing.T) {
 	sim := newSimulation(t, 1)
 	worker := sim.cloud.rentMachine("c4", "a", true)
 	sim.cloud.bootTime = time.Hour
@@ -724,9 +725,9 @@
 		storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
 	sim.store.putValue(storage.SingleMachinePrefix+"m-000002", storage.MachineRecord{Type: "c4", Zone: "a", Spot: true})
 	leaderNode := sim.waitForLeader()
-	if a, b := leaderNode.leader.Machines[worker.name], leaderNode.leader.Machines["m-000002"]; a == nil ||
-		a.Reconciled || b == nil || !b.Reconciled {
-		t.Fatalf("read as %+v and %+v", a, b)
+	if used, unused := leaderNode.leader.Machines[worker.name], leaderNode.leader.Machines["m-000002"]; used == nil ||
+		used.Reconciled || unused == nil || !unused.Reconciled {
+		t.Fatalf("read as %+v and %+v", used, unused)
 	}
 	sim.advance(2 * time.Second)
 	for key := range sim.store.keys {
@@ -734,17 +735,17 @@
 			t.Errorf("%s is kept", key)
 		}
 	}
-	var rec storage.MachineGroupRecord
-	if json.Unmarshal(sim.store.keys[storage.MachineGroupKey(0)].Value, &rec) != nil ||
-		!rec[worker.name].Used || rec["m-000002"].Used {
-		t.Errorf("moved as %+v", rec)
+	var record storage.MachineGroupRecord
+	if json.Unmarshal(sim.store.keys[storage.MachineGroupKey(0)].Value, &record) != nil ||
+		!record[worker.name].Used || record["m-000002"].Used {
+		t.Errorf("moved as %+v", record)
 	}
 }
 
 // A cluster that restarts while the cloud is down accepts jobs and uses the machines that it has,
 // since the machine types are stored. A job that fits no stored type is not rejected permanently,
 // as types may have been added since.
-func TestStartWhileTheCloudIsDown(t *testing.T) {
+func TestRestartDuringCloudOutage(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(2)
@@ -763,14 +764,14 @@
 		t.Fatalf("answered %d", r.Status)
 	}
 	sim.waitForJobState("j-2", protocol.JobDone, time.Minute)
-	big := jobSpec("j-3", 1)
-	big.Cores = 64
-	if r := sim.submit(sim.followers()[0], big); r.Status != 503 {
+	largeJob := jobSpec("j-3", 1)
+	largeJob.Cores = 64
+	if r := sim.submit(sim.followers()[0], largeJob); r.Status != 503 {
 		t.Errorf("a job that fits no stored type: %d", r.Status)
 	}
 	sim.cloud.unavailable = false
 	sim.advance(time.Minute)
-	if r := sim.submit(sim.followers()[0], big); r.Status != 422 {
+	if r := sim.submit(sim.followers()[0], largeJob); r.Status != 422 {
 		t.Errorf("a job that fits no type: %d", r.Status)
 	}
 }
@@ -778,7 +779,7 @@
 // A few long tasks that checkpoint must not keep a large surplus machine: they move to other
 // machines with room, if that saves enough and violates no objective.
 func TestCheckpointingTasksAreConsolidated(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name   string
 		change func(from, to *cluster.Machine, job *cluster.Job)
 		moves  bool
@@ -800,25 +801,25 @@
 		sim.startNode("n0")
 		leaderNode := sim.waitForLeader()
 		sim.startMachines(2)
-		x := leaderNode.leader
-		from, to := x.Machines["m-000001"], x.Machines["m-000002"]
-		x.CancelDrain(to)
+		leader := leaderNode.leader
+		from, to := leader.Machines["m-000001"], leader.Machines["m-000002"]
+		leader.CancelDrain(to)
 		from.Draining, from.DrainReason = true, cluster.SurplusCapacity
 		from.RentedAt -= time.Hour
 		spec := jobSpec("j-1", 2)
 		spec.EstimatedSeconds, spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 300, 30, 4
-		job := x.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
+		job := leader.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
 		for i := range 2 {
-			x.PlaceAttempt(&cluster.TaskAttempt{Job: job, TaskIndex: i, Number: x.NextAttemptNumber(),
+			leader.PlaceAttempt(&cluster.TaskAttempt{Job: job, TaskIndex: i, Number: leader.NextAttemptNumber(),
 				Machine: from, Phase: cluster.AttemptRunning, RunningSince: leaderNode.now - time.Minute})
 		}
-		c.change(from, to, job)
-		x.autoscaler.Consolidate([]*cluster.Machine{to})
-		for _, r := range from.AttemptsInOrder {
-			if (r.StopGrace != nil) != c.moves {
-				t.Errorf("%s: moved %v", c.name, r.StopGrace != nil)
-			} else if c.moves && *r.StopGrace < spec.CheckpointSaveSeconds {
-				t.Errorf("%s: %v s to save", c.name, *r.StopGrace)
+		testCase.change(from, to, job)
+		leader.autoscaler.Consolidate([]*cluster.Machine{to})
+		for _, attempt := range from.AttemptsInOrder {
+			if (attempt.StopGrace != nil) != testCase.moves {
+				t.Errorf("%s: moved %v", testCase.name, attempt.StopGrace != nil)
+			} else if testCase.moves && *attempt.StopGrace < spec.CheckpointSaveSeconds {
+				t.Errorf("%s: %v s to save", testCase.name, *attempt.StopGrace)
 			}
 		}
 	}
@@ -841,7 +842,7 @@
 
 // Once the terminal record of a job is in the key-value store, any node may report it although the
 // leader that wrote it has no response yet: the leader must not report an older state.
-func TestEndIsToldByAllOrNone(t *testing.T) {
+func TestTerminalStateIsConsistentAcrossNodes(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(1)
@@ -868,15 +869,15 @@
 	}
 	sim.submitAccepted(sim.followers()[0], dependentSpec("j-4", 1, "j-3"))
 	for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} { // its dependents are cancelled with it
-		if _, s := sim.queryJob(leaderNode.name, id); s.State != protocol.JobCancelled {
-			t.Fatalf("the leader says %q of %s after the end was written", s.State, id)
+		if _, status := sim.queryJob(leaderNode.name, id); status.State != protocol.JobCancelled {
+			t.Fatalf("the leader says %q of %s after the end was written", status.State, id)
 		}
 	}
 }
 
 // quota: what may still run on a machine of a type that is no longer offered fills the quotas of
 // all teams until it is reconciled; it once counted for nothing.
-func TestQuotaCountsTypesNoLongerSold(t *testing.T) {
+func TestQuotaCountsDiscontinuedMachineTypes(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	leaderNode := sim.waitForLeader()
@@ -894,10 +895,10 @@
 	for _, name := range sim.names {
 		sim.restartAfter(name, 100*time.Millisecond)
 	}
-	next := sim.waitForLeader()
+	newLeader := sim.waitForLeader()
 	job = jobSpec("j-2", 4)
 	job.Team, job.EstimatedSeconds = "team", 3600
-	sim.submit(next.name, job)
+	sim.submit(newLeader.name, job)
 	sim.advance(config.Seconds(sim.cfg.Workers.LeaseS) - 4*time.Second)
 	if n := sim.activeTaskCount("j-2"); n > 0 {
 		t.Fatalf("%d tasks run beside 16 that may", n)
@@ -921,7 +922,7 @@
 	sim.submit(leaderNode.name, jobSpec("j-1", 60))
 	sim.submit(leaderNode.name, jobSpec("j-2", 60))
 	sim.advance(20 * time.Second)
-	started := func() (n int) {
+	failingStarts := func() (n int) {
 		for task, times := range sim.startCounts {
 			if sim.failingJobs[jobIDOf(task)] {
 				n += times
@@ -929,9 +930,9 @@
 		}
 		return n
 	}
-	before := started()
+	before := failingStarts()
 	sim.advance(2 * time.Minute)
-	if n := started() - before; n < 4 || n > 16 {
+	if n := failingStarts() - before; n < 4 || n > 16 {
 		t.Errorf("%d starts of two jobs with mistakes in two minutes, after %d", n, before)
 	}
 	sim.submitAndStart(leaderNode.name, jobSpec("j-3", 30), 8)
@@ -964,14 +965,14 @@
 	sim.startMachines(4)
 	sim.submit(leaderNode.name, jobSpec("j-1", 4))
 	var job *cluster.Job
-	bad := func() bool {
+	foundFailing := func() bool {
 		for _, worker := range sim.workers {
 			worker.faulty = true
 		}
 		job = leaderNode.leader.Jobs["j-1"]
 		return job != nil && job.FailsEverywhere
 	}
-	if !sim.advanceUntil(time.Minute, bad) {
+	if !sim.advanceUntil(time.Minute, foundFailing) {
 		t.Fatal("the job was not found bad")
 	}
 	for name, worker := range sim.workers {
@@ -988,11 +989,11 @@
 // A healthy job whose first tasks all ran on faulty machines is treated as failing everywhere. The
 // first task that runs for longer than those did shows otherwise, and the others follow at once
 // rather than after its completion.
-func TestHealthyJobDoesNotPauseForAWholeRun(t *testing.T) {
-	const takes = 2 * time.Minute
+func TestHealthyJobStopsProbingEarly(t *testing.T) {
+	const taskDuration = 2 * time.Minute
 	sim := newSimulation(t, 1)
 	sim.cloud.capacity = 8
-	sim.taskDuration = func(string, int) time.Duration { return takes }
+	sim.taskDuration = func(string, int) time.Duration { return taskDuration }
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(4)
 	for _, worker := range sim.workers {
@@ -1006,16 +1007,16 @@
 	for range 4 {
 		sim.cloud.rentMachine("c4", "a", true) // these are not faulty
 	}
-	first := clock.Instant(0)
+	firstRunningAt := clock.Instant(0)
 	if !sim.advanceUntil(2*time.Minute, func() bool {
-		if n := sim.activeTaskCount("j-1"); n > 0 && first == 0 {
-			first = sim.now
+		if n := sim.activeTaskCount("j-1"); n > 0 && firstRunningAt == 0 {
+			firstRunningAt = sim.now
 		}
 		return sim.activeTaskCount("j-1") >= 8
 	}) {
 		t.Fatalf("%d tasks run: %s", sim.activeTaskCount("j-1"), sim.explainPending("j-1"))
 	}
-	if waited := sim.now - first; waited > takes/4 {
+	if waited := sim.now - firstRunningAt; waited > taskDuration/4 {
 		t.Errorf("the others began %v after the first", waited)
 	}
 }
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -15,16 +15,16 @@
 	"hitchdoor/internal/storage"
 )
 
-// answerFaults are what a service, or a proxy before it, may make of a response. The call itself
+// responseFaults are what a service, or a proxy before it, may make of a response. The call itself
 // was executed.
-var answerFaults = map[string]func(r CallResult) CallResult{
+var responseFaults = map[string]func(r CallResult) CallResult{
 	"cut short":         func(r CallResult) CallResult { r.Body = r.Body[:len(r.Body)/2]; return r },
 	"a page of a proxy": func(r CallResult) CallResult { r.Body = []byte("<html>ok</html>"); return r },
 	"no body":           func(r CallResult) CallResult { r.Body = nil; return r },
 	"an empty object":   func(r CallResult) CallResult { r.Body = []byte("{}"); return r },
 	"null":              func(r CallResult) CallResult { r.Body = []byte("null"); return r },
 	"a list":            func(r CallResult) CallResult { r.Body = []byte("[1,2]"); return r },
-	"wrong types":       func(r CallResult) CallResult { return retyped(r) },
+	"wrong types":       func(r CallResult) CallResult { return numbersAsStrings(r) },
 	"a redirect":        func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 302} },
 	"not found": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 404, Body: []byte("<html>404</html>")}
@@ -41,8 +41,8 @@
 	},
 }
 
-// retyped replaces each number of a response by a string.
-func retyped(r CallResult) CallResult {
+// numbersAsStrings replaces each number of a response by a string.
+func numbersAsStrings(r CallResult) CallResult {
 	var fields map[string]any
 	if json.Unmarshal(r.Body, &fields) != nil {
 		return r
@@ -59,8 +59,8 @@
 // The key-value store or the cloud returns invalid responses for half a minute, to one node or to
 // all, sometimes or always: no invariant is violated, no user gets a false reply, the node recovers
 // by itself, and all requests are served once the responses are valid again.
-func TestOddAnswersOfOutsideServices(t *testing.T) {
-	for fault, alter := range answerFaults {
+func TestInvalidServiceResponses(t *testing.T) {
+	for fault, alter := range responseFaults {
 		for _, target := range []Target{TargetStore, TargetCloud} {
 			for i, share := range []float64{0.1, 0.3, 0.6, 1} {
 				t.Run(fmt.Sprintf("%v/%s/%v", target, fault, share), func(t *testing.T) {
@@ -73,11 +73,11 @@
 					c.queryAfterEachChange()
 					c.submitMoreJobs(6, 5*time.Second, nil)
 					c.advance(5 * time.Second)
-					only := ""
+					onlyNode := ""
 					if share == 0.6 {
-						only = c.leaderName()
+						onlyNode = c.leaderName()
 					}
-					c.alterServiceResults(target, only, share, alter)
+					c.alterServiceResults(target, onlyNode, share, alter)
 					c.submitMoreJobs(8, 25*time.Second, nil)
 					for range 4 {
 						c.schedule(c.randomDuration(25*time.Second), func() { c.cancelSomeJobs(4, time.Second) })
@@ -87,7 +87,7 @@
 					}
 					calls := c.countStoreCalls()
 					c.advance(30 * time.Second)
-					if most := int(30 * c.cfg.Store.RequestsPerS); calls() > most {
+					if limit := int(30 * c.cfg.Store.RequestsPerS); calls() > limit {
 						t.Errorf("%d calls in 30 s: %v a second are allowed", calls(), c.cfg.Store.RequestsPerS)
 					}
 					c.alterResult = nil
@@ -99,9 +99,10 @@
 }
 
 // alterServiceResults alters a share of the responses of a service, for one node or for all.
-func (c *userSimulation) alterServiceResults(target Target, only string, share float64, alter func(CallResult) CallResult) {
+func (c *userSimulation) alterServiceResults(target Target, onlyNode string, share float64,
+	alter func(CallResult) CallResult) {
 	c.alterResult = func(node string, call ServiceCall, r CallResult) CallResult {
-		if call.Target != target || c.rng.Float64() > share || (only != "" && node != only) {
+		if call.Target != target || c.rng.Float64() > share || (onlyNode != "" && node != onlyNode) {
 			return r
 		}
 		return alter(r)
@@ -124,7 +125,7 @@
 // A watch that always returns at once, with no event or with 410, is retried after a growing delay:
 // without that, a leader repeated it as fast as responses arrived. Jobs that other nodes write are
 // found nevertheless.
-func TestWatchThatComesBackAtOnce(t *testing.T) {
+func TestWatchReturningAtOnceIsBackedOff(t *testing.T) {
 	for name, answer := range map[string]CallResult{
 		"empty":      {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
 		"gone":       {Status: 410},
@@ -137,20 +138,20 @@
 			sim := newSimulation(t, 3)
 			leaderNode := sim.waitForLeader()
 			sim.startMachines(1)
-			watches, reads := 0, 0
+			watches, listings := 0, 0
 			sim.interceptCall = func(call ServiceCall) (CallResult, bool) {
 				switch {
 				case strings.HasPrefix(call.Path, "/follow"):
 					watches++
 					return answer, true
 				case strings.HasPrefix(call.Path, "/store?under=job"):
-					reads++
+					listings++
 				}
 				return CallResult{}, false
 			}
 			sim.advance(time.Minute)
-			if most := 60; watches > most || reads > most {
-				t.Errorf("%d watches and %d listings in a minute", watches, reads)
+			if limit := 60; watches > limit || listings > limit {
+				t.Errorf("%d watches and %d listings in a minute", watches, listings)
 			}
 			if name == "empty" || name == "old changes" {
 				return // it may be that nothing has changed: only its own lease tells
@@ -167,24 +168,24 @@
 // What the cloud says of machine types, machines and rentals may be wrong in every way that JSON
 // allows: types that are missing once or free of charge, lists that repeat, contradict or name
 // nobody, rentals answered with known machines.
-func TestOddCloudFacts(t *testing.T) {
+func TestInvalidCatalogs(t *testing.T) {
 	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1,
 		OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
-	with := func(change func(*protocol.MachineType)) []protocol.MachineType {
+	withChange := func(change func(*protocol.MachineType)) []protocol.MachineType {
 		t := c4
 		change(&t)
 		return []protocol.MachineType{t}
 	}
 	catalogs := map[string][]protocol.MachineType{
-		"a type is given away":      with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 0, 0 }),
-		"prices a thousandfold":     with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 300, 100 }),
-		"prices below nothing":      with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = -3, -1 }),
-		"images are never fetched":  with(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
-		"no cores":                  with(func(t *protocol.MachineType) { t.Cores = 0 }),
-		"another type only":         with(func(t *protocol.MachineType) { t.Name = "x9" }),
+		"a type is given away":      withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 0, 0 }),
+		"prices a thousandfold":     withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 300, 100 }),
+		"prices below nothing":      withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = -3, -1 }),
+		"images are never fetched":  withChange(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
+		"no cores":                  withChange(func(t *protocol.MachineType) { t.Cores = 0 }),
+		"another type only":         withChange(func(t *protocol.MachineType) { t.Name = "x9" }),
 		"the same type twice":       {c4, c4},
-		"a boot of a hundred years": with(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
-		"amounts beyond all bounds": with(func(t *protocol.MachineType) {
+		"a boot of a hundred years": withChange(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
+		"amounts beyond all bounds": withChange(func(t *protocol.MachineType) {
 			t.BootSeconds, t.ImageCacheGB,
 				t.OnDemandPrice = 1e300, 1e300, 1e300
 		}),
@@ -229,15 +230,15 @@
 func TestTwoWorkersUnderOneName(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
 	worker := sim.sortedWorkers()[0]
-	other := func(session, seq uint64) int {
+	sendFromOther := func(epoch, sequence uint64) int {
 		heartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Address: "10.9.9.9:9000", Type: "c4",
 			Zone: worker.zone, Spot: true,
-			Epoch: session, Sequence: seq, FencingToken: worker.fencingToken}
+			Epoch: epoch, Sequence: sequence, FencingToken: worker.fencingToken}
 		return sim.requestAndWait(leaderNode.name,
 			Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}).Status
 	}
 	for i := range uint64(20) {
-		if status := other(1+i/4, 1000+i); status != 503 {
+		if status := sendFromOther(1+i/4, 1000+i); status != 503 {
 			t.Fatalf("the other worker is answered %d", status)
 		}
 		sim.advance(2 * time.Second)
@@ -253,8 +254,8 @@
 // Heartbeats may hold whatever JSON allows: tasks that nobody started are stopped, unknown ones are
 // left alone, and durations are bounded.
 func TestInvalidHeartbeats(t *testing.T) {
-	notice := func(s float64) *float64 { return &s }
-	for name, change := range map[string]func(heartbeat *protocol.WorkerHeartbeat){
+	pointerToSeconds := func(s float64) *float64 { return &s }
+	for name, corrupt := range map[string]func(heartbeat *protocol.WorkerHeartbeat){
 		"an unknown state": func(heartbeat *protocol.WorkerHeartbeat) {
 			for i := range heartbeat.Tasks {
 				heartbeat.Tasks[i].State = "sleeping"
@@ -280,8 +281,12 @@
 		"each task twice": func(heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Tasks = append(heartbeat.Tasks, heartbeat.Tasks...)
 		},
-		"a notice long ago": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(-1e300) },
-		"a notice of years": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(1e300) },
+		"a notice long ago": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.PreemptionNoticeSeconds = pointerToSeconds(-1e300)
+		},
+		"a notice of years": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.PreemptionNoticeSeconds = pointerToSeconds(1e300)
+		},
 		"another type": func(heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Type, heartbeat.Zone = "x9", "nowhere"
 		},
@@ -296,16 +301,16 @@
 			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(15*time.Second) }
 			c.waitForLeader()
 			c.startMachines(3)
-			odd := true
+			faultsActive := true
 			c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
-				if odd && c.rng.IntN(3) == 0 {
-					change(heartbeat)
+				if faultsActive && c.rng.IntN(3) == 0 {
+					corrupt(heartbeat)
 				}
 			}
 			c.submitMoreJobs(8, 15*time.Second, nil)
 			c.schedule(c.randomDuration(15*time.Second), c.replaceLeader)
 			c.advance(30 * time.Second)
-			odd = false
+			faultsActive = false
 			c.waitForCompletion(5 * time.Minute)
 		})
 	}
@@ -349,16 +354,16 @@
 	c := newUserSimulation(sim, 1)
 	c.submitMoreJobs(10, 5*time.Second, func(_ int, job *protocol.Job) { job.TaskCount, job.Team = 8, "free" })
 	sim.advance(10 * time.Second)
-	asked := 0
+	rentalRequests := 0
 	sim.alterResult = func(_ string, call ServiceCall, r CallResult) CallResult {
 		if call.Path == "/hosts" {
-			asked++
+			rentalRequests++
 		}
 		return r
 	}
 	sim.advance(time.Minute)
-	if most := int(60 * sim.cfg.Cloud.RequestsPerS / 4); asked > most {
-		t.Errorf("%d rentals were asked for in a minute", asked)
+	if limit := int(60 * sim.cfg.Cloud.RequestsPerS / 4); rentalRequests > limit {
+		t.Errorf("%d rentals were asked for in a minute", rentalRequests)
 	}
 	sim.cloud.capacity = 0
 	sim.cloud.bootTime = 5 * time.Second
