--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -15,33 +15,34 @@
 	"hitchdoor/internal/storage"
 )
 
+// A job runs each of its tasks once and becomes done. Repeated submissions, also of the finished
+// job, get 200, and machines without work are returned.
 func TestJobRunsToDone(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	follower := sim.followers()[0]
 	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 201 {
-		t.Fatalf("submission: %d", r.Status)
+		t.Fatalf("submission: status %d, want 201", r.Status)
 	}
 	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 200 {
-		t.Fatalf("repeated submission: %d", r.Status)
+		t.Fatalf("repeated submission: status %d, want 200", r.Status)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
 	for i := range 20 {
 		if n := sim.startCounts[fmt.Sprintf("j-1/%d", i)]; n != 1 {
-			t.Fatalf("task %d started %d times", i, n)
+			t.Fatalf("task %d started %d times, want once", i, n)
 		}
 	}
 	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 200 {
-		t.Fatalf("submission of a finished job: %d", r.Status)
+		t.Fatalf("submission of a finished job: status %d, want 200", r.Status)
 	}
-	// Idle machines are returned.
 	if !sim.advanceUntil(5*time.Minute, func() bool { return len(sim.cloud.hosts) == 0 }) {
-		t.Fatalf("%d machines kept for nothing", len(sim.cloud.hosts))
+		t.Fatalf("%d idle machines are kept, want none", len(sim.cloud.hosts))
 	}
 }
 
-// forgotten, went_back: accepted and terminal jobs stay so after all controllers have crashed at
-// once.
+// Checks the invariants forgotten and went_back: after all controllers have crashed at once, every
+// node still reports accepted jobs as accepted and terminal jobs in their terminal state.
 func TestJobStatesSurviveFullRestart(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -49,7 +50,7 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	sim.submit("n1", jobSpec("j-2", 2))
 	if r := sim.cancelJob("n2", "j-2"); r.Status != 200 {
-		t.Fatalf("cancel: %d", r.Status)
+		t.Fatalf("cancellation: status %d, want 200", r.Status)
 	}
 	sim.submit("n1", jobSpec("j-3", 1))
 	for _, name := range sim.names {
@@ -62,36 +63,37 @@
 		for id, want := range map[string]protocol.JobState{"j-1": protocol.JobDone,
 			"j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
 			if code, s := sim.queryJob(name, id); code != 200 || s.State != want {
-				t.Fatalf("%s on %s: %d %v", id, name, code, s.State)
+				t.Fatalf("query of %s at %s: status %d, state %q; want 200, %q", id, name, code, s.State, want)
 			}
 		}
 		if r := sim.submit(name, jobSpec("j-1", 1)); r.Status != 200 && r.Status != 503 {
-			t.Fatalf("repeated submission: %d", r.Status)
+			t.Fatalf("repeated submission at %s: status %d, want 200 or 503", name, r.Status)
 		}
 	}
 	sim.waitForJobState("j-3", protocol.JobDone, 60*time.Second)
 }
 
-// invented, forgotten: a node answers 404 only after the key-value store has said so.
+// Checks the invariants invented and forgotten: a node replies 404 only after the key-value store
+// has confirmed that it has no record of the job. While the store is down it replies 503.
 func TestUnknownJobs(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	for _, n := range sim.names {
 		if code, _ := sim.queryJob(n, "j-404"); code != 404 {
-			t.Fatalf("unknown job on %s: %d", n, code)
+			t.Fatalf("query of an unknown job at %s: status %d, want 404", n, code)
 		}
 	}
 	sim.store.setDown(true)
 	sim.advance(3 * time.Second)
 	for _, n := range sim.names {
 		if code, _ := sim.queryJob(n, "j-404"); code != 503 {
-			t.Fatalf("unknown job in an outage on %s: %d", n, code)
+			t.Fatalf("query of an unknown job at %s during a store outage: status %d, want 503", n, code)
 		}
 	}
 }
 
-// A submission whose write was executed, but whose reply was lost in a crash, is known when it is
-// repeated.
+// A leader that crashes after the write of a submission, but before the reply, leaves a user who
+// does not know the outcome. The repeated submission is recognized and gets 200, and the job runs.
 func TestCrashBetweenWriteAndResponse(t *testing.T) {
 	sim := newSimulation(t, 3)
 	firstLeader := sim.waitForLeader()
@@ -99,16 +101,17 @@
 	sim.jobSpecs["j-1"] = job
 	sim.sendRequest(firstLeader.name, Request{Kind: protocol.RequestSubmit, JobID: "j-1", Job: &job}, func(Reply) {})
 	if !sim.advanceUntil(time.Second, func() bool { return sim.store.keys[storage.JobKey("j-1")].ModRevision != 0 }) {
-		t.Fatal("nothing written")
+		t.Fatal("the record of j-1 was not written within 1 s")
 	}
 	sim.crashNode(firstLeader.name)
 	if r := sim.submit(sim.followers()[0], job); r.Status != 200 {
-		t.Fatalf("repeated submission: %d", r.Status)
+		t.Fatalf("repeated submission: status %d, want 200", r.Status)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
-// ran_twice: a new leader finds the running tasks and lets them run.
+// Checks the invariant ran_twice: a new leader learns of the running tasks from heartbeats and does
+// not start them again.
 func TestTakeoverKeepsRunningTasks(t *testing.T) {
 	sim, firstLeader := newRunningSimulation(t, 3, 40*time.Second, 2, 8)
 	sim.crashNode(firstLeader.name)
@@ -116,13 +119,14 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
 	for i := range 8 {
 		if n := sim.startCounts[fmt.Sprintf("j-1/%d", i)]; n != 1 {
-			t.Fatalf("task %d started %d times", i, n)
+			t.Fatalf("task %d started %d times, want once", i, n)
 		}
 	}
 }
 
-// ran_twice: a machine that does not report to the new leader may still run tasks. Older jobs wait
-// for its lease; a job accepted since can't be on it and need not wait.
+// Checks the invariant ran_twice: a machine that sends no heartbeat to the new leader may still run
+// tasks, so jobs accepted before the takeover wait until its lease has expired. A job accepted after
+// the takeover can't run on it and must not wait.
 func TestTakeoverWaitsForSilentMachine(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 200 * time.Second }
@@ -134,7 +138,7 @@
 			silentWorker = worker
 		}
 	}
-	sim.cloud.rejectReturns = true // or a return would reconcile it sooner
+	sim.cloud.rejectReturns = true // otherwise a return would reconcile the machine sooner
 	sim.crashNode(firstLeader.name)
 	silentWorker.unreachable = true
 	sim.waitForLeader()
@@ -142,21 +146,22 @@
 	sim.cloud.rentMachine("c4", "a", true)
 	sim.submit(sim.leaderName(), jobSpec("j-2", 1))
 	if !sim.advanceUntil(8*time.Second, func() bool { return sim.activeTaskCount("j-2") == 1 }) {
-		t.Fatal("a new job waits for a machine it can't be on")
+		t.Fatal("the new job j-2 waits for a machine on which it can't run")
 	}
 	if blockedBy := sim.nodes[sim.leaderName()].leader.Jobs["j-1"].BlockedBy; blockedBy != cluster.WaitReconciliation {
-		t.Fatalf("the old job waits for %q", blockedBy)
+		t.Fatalf("the old job j-1 is blocked by %q, want %q", blockedBy, cluster.WaitReconciliation)
 	}
 	if !sim.advanceUntil(90*time.Second, func() bool { return sim.startCounts["j-1/0"] == 2 }) {
-		t.Fatal("the lost tasks did not start again")
+		t.Fatal("the lost tasks of j-1 did not start again within 90 s")
 	}
 	if sim.now-takeoverAt < config.Seconds(sim.cfg.Workers.LeaseS)-sim.nodes[sim.leaderName()].leaderLease() {
-		t.Fatalf("started again after %v", sim.now-takeoverAt)
+		t.Fatalf("the lost tasks started again %v after the takeover, before the worker lease had expired",
+			sim.now-takeoverAt)
 	}
 }
 
-// ran_twice: an epoch that was fenced never gets a 200, or its tasks would continue beside their
-// second attempts.
+// Checks the invariant ran_twice: a heartbeat of a worker epoch that was declared lost never gets
+// 200, otherwise its tasks would continue beside their second attempts.
 func TestFencedEpochIsRejected(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
@@ -176,11 +181,12 @@
 	lateHeartbeat.Sequence += 100
 	if r := sim.requestAndWait(leaderNode.name,
 		Request{Kind: protocol.RequestHeartbeat, Heartbeat: lateHeartbeat}); r.Status == 200 {
-		t.Fatal("a lost session got a 200")
+		t.Fatalf("a heartbeat of the lost epoch %d got 200", lateHeartbeat.Epoch)
 	}
 }
 
-// A late heartbeat, older than one already processed, changes nothing and gets no 200.
+// A heartbeat that arrives after a newer one of its worker changes nothing and gets no 200. This one
+// reports no tasks: if it were processed, the running task would count as lost and start again.
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -194,26 +200,27 @@
 			Spot: worker.spot, Epoch: worker.epoch, Sequence: 1, FencingToken: leaderNode.leader.term}
 		if r := sim.requestAndWait(leaderNode.name,
 			Request{Kind: protocol.RequestHeartbeat, Heartbeat: lateHeartbeat}); r.Status == 200 {
-			t.Fatal("a late report got a 200")
+			t.Fatalf("a late heartbeat of %s got 200", worker.name)
 		}
 		if len(machine.Attempts) != attemptCount {
-			t.Fatal("a late report changed what is known of the machine")
+			t.Fatalf("%s has %d attempts after a late heartbeat, want %d", worker.name, len(machine.Attempts),
+				attemptCount)
 		}
 	}
 	sim.advance(10 * time.Second)
 	if sim.startCounts["j-1/0"] != 1 {
-		t.Fatal("the task was started again")
+		t.Fatalf("task j-1/0 started %d times, want once", sim.startCounts["j-1/0"])
 	}
 }
 
-// A start command whose response was lost was not executed: the same attempt is sent again, and
-// nothing is counted twice.
+// A start command in a heartbeat response that is lost was not executed. The leader sends the same
+// attempt again, and the task starts once.
 func TestLostStartCommandIsResent(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.submit(leaderNode.name, jobSpec("j-1", 1))
 	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.workers) > 0 }) {
-		t.Fatal("no machine")
+		t.Fatal("no machine is up after 30 s")
 	}
 	for _, worker := range sim.workers {
 		worker.dropResponses = true
@@ -224,11 +231,12 @@
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	if sim.startCounts["j-1/0"] != 1 {
-		t.Fatalf("started %d times", sim.startCounts["j-1/0"])
+		t.Fatalf("task j-1/0 started %d times, want once", sim.startCounts["j-1/0"])
 	}
 }
 
-// ran_cancelled: a start command is in flight when the user cancels.
+// Checks the invariant ran_cancelled: a start command is on its way to a worker when the user
+// cancels the job. The task must not keep running.
 func TestCancelWithStartInFlight(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
@@ -245,22 +253,23 @@
 		return false
 	}
 	if !sim.advanceUntil(60*time.Second, startInFlight) {
-		t.Fatal("no start in flight")
+		t.Fatal("no start command was sent within 60 s")
 	}
 	if r := sim.cancelJob(sim.followers()[0], "j-1"); r.Status != 200 {
-		t.Fatalf("cancel: %d", r.Status)
+		t.Fatalf("cancellation: status %d, want 200", r.Status)
 	}
 	sim.advance(8 * time.Second)
 	if n := sim.activeTaskCount("j-1"); n != 0 {
-		t.Fatalf("%d tasks of a cancelled job are on machines", n)
+		t.Fatalf("%d tasks of the cancelled job run on machines, want none", n)
 	}
 	sim.waitForJobState("j-1", protocol.JobCancelled, time.Second)
 	if r := sim.cancelJob("n0", "j-404"); r.Status != 404 {
-		t.Fatalf("cancel of an unknown job: %d", r.Status)
+		t.Fatalf("cancellation of an unknown job: status %d, want 404", r.Status)
 	}
 }
 
-// not_done, went_back: no user is told that a job is cancelled before that is durable.
+// Checks the invariants not_done and went_back: no user is told that a job is cancelled before the
+// cancellation is durable.
 func TestCancelWaitsForTheWrite(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -270,13 +279,14 @@
 	sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(r Reply) { reply = &r })
 	sim.advance(4 * time.Second)
 	if reply != nil && reply.Status == 200 {
-		t.Fatal("told withdrawn without a write")
+		t.Fatal("the cancellation was confirmed while the store was down and nothing was written")
 	}
 	sim.store.setDown(false)
 	sim.waitForJobState("j-1", protocol.JobCancelled, 10*time.Second)
 }
 
-// A worker forgets a result only once its bit is durable; until then the worker has the only copy.
+// A worker is told to forget a result only after the task's bit in the bitmap record is durable.
+// Until then the worker has the only copy.
 func TestForgetOnlyAfterDoneIsDurable(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(key string, _ int) time.Duration {
@@ -291,29 +301,31 @@
 	sim.advance(6 * time.Second)
 	for _, worker := range sim.workers {
 		if len(worker.forgottenTasks) > 0 {
-			t.Fatal("a result was forgotten before its bit was written")
+			t.Fatalf("%s has forgotten the results of %v before their bits were written", worker.name,
+				worker.forgottenTasks)
 		}
 	}
 	sim.crashNode(firstLeader.name)
 	sim.store.setDown(false)
 	sim.waitForJobState("j-1", protocol.JobDone, 120*time.Second)
 	if sim.startCounts["j-1/0"] != 1 {
-		t.Fatalf("a finished task was started %d times", sim.startCounts["j-1/0"])
+		t.Fatalf("the completed task j-1/0 started %d times, want once", sim.startCounts["j-1/0"])
 	}
 }
 
-// quota: what an unreachable machine may still run counts until it has certainly ended; the
-// invariant checker checks the quota at each step.
+// Checks the invariant quota: tasks that an unreachable machine may still run count against the
+// team's quota until they have certainly ended. The invariant checker compares the quota with the
+// running tasks at each step.
 func TestQuotaCountsUnreachableTasks(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 30 * time.Second }
 	sim.waitForLeader()
 	job := jobSpec("j-1", 40)
-	job.Team = "team" // 16 cores
+	job.Team = "team" // its quota is 16 cores
 	sim.submit("n0", job)
 	quotaFilled := func() bool { return sim.activeTaskCount("j-1") == 16 }
 	if !sim.advanceUntil(60*time.Second, quotaFilled) {
-		t.Fatalf("%d tasks run, not 16", sim.activeTaskCount("j-1"))
+		t.Fatalf("%d tasks of j-1 run, want the 16 of the team's quota", sim.activeTaskCount("j-1"))
 	}
 	for _, worker := range sim.workers {
 		if len(worker.tasks) > 1 {
@@ -323,8 +335,8 @@
 	}
 	sim.crashNode(sim.leaderName())
 	sim.waitForLeader()
-	// A job accepted since then may start at once, but not within the quota that tasks on the
-	// unreachable machine may still use.
+	// A job accepted after the takeover may start at once, but must not use the part of the quota
+	// that tasks on the unreachable machine may still use.
 	secondJob := jobSpec("j-2", 16)
 	secondJob.Team = "team"
 	sim.cloud.rejectReturns = true
@@ -335,7 +347,9 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 6*time.Minute)
 }
 
-// wrong_place: machine types, zone, spot or on-demand, and the placement of the job's other tasks.
+// Checks the invariant wrong_place: tasks are placed by the zone that the job requires, by whether
+// it allows spot machines, and by where its other tasks run: all in one zone, or at most half of
+// them, rounded up, in one zone. The invariant checker checks the machine types too.
 func TestPlacementConstraints(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
@@ -364,25 +378,27 @@
 				}
 				tasksByZone[jobID][worker.zone]++
 				if (jobID == "j-1" && worker.zone != "b") || (jobID == "j-2" && worker.spot) {
-					t.Fatalf("%s on %s in zone %s, spot %v", task.taskKey, worker.name, worker.zone, worker.spot)
+					t.Fatalf("%s runs on %s in zone %s, spot %v; want zone b for j-1, no spot machine for j-2",
+						task.taskKey, worker.name, worker.zone, worker.spot)
 				}
 			}
 		}
 		if len(tasksByZone["j-3"]) > 1 {
-			t.Fatalf("one zone: %v", tasksByZone["j-3"])
+			t.Fatalf("the tasks of j-3 must be in one zone, and run by zone: %v", tasksByZone["j-3"])
 		}
 		for _, count := range tasksByZone["j-4"] {
 			if count > 3 {
-				t.Fatalf("apart: %v", tasksByZone["j-4"])
+				t.Fatalf("at most 3 of the 5 tasks of j-4 may be in one zone, and run by zone: %v", tasksByZone["j-4"])
 			}
 		}
 	}
 	if len(startedJobs) != 4 {
-		t.Fatalf("only %v ran", startedJobs)
+		t.Fatalf("only the jobs %v started, want all 4", startedJobs)
 	}
 }
 
-// The admission checks are made in order, and the job names the one that blocks it.
+// The checks before a start are made in a fixed order, the scheduler slots before the team quota,
+// and BlockedBy of the job names the first one that fails.
 func TestAdmissionOrder(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -391,22 +407,23 @@
 	spec.Team = "team"
 	sim.submit(leaderNode.name, spec)
 	if !sim.advanceUntil(60*time.Second, func() bool { return sim.activeTaskCount("j-1") == 16 }) {
-		t.Fatal("quota not filled")
+		t.Fatalf("%d tasks run after 60 s, want the 16 of the team's quota", sim.activeTaskCount("j-1"))
 	}
 	leaderNode.leader.Schedule()
 	job := leaderNode.leader.Jobs["j-1"]
 	if job.BlockedBy != cluster.WaitTeamQuota {
-		t.Fatalf("waits for %q", job.BlockedBy)
+		t.Fatalf("blocked by %q, want %q", job.BlockedBy, cluster.WaitTeamQuota)
 	}
 	leaderNode.Node.settings.SlotsPerCore, leaderNode.Node.settings.BaseSlots = 0.01, 0
 	leaderNode.leader.InvalidateMachineIndex()
 	leaderNode.leader.Schedule()
 	if job.BlockedBy != cluster.WaitSlots {
-		t.Fatalf("waits for %q, though the slots come first", job.BlockedBy)
+		t.Fatalf("blocked by %q, want %q, which is checked first", job.BlockedBy, cluster.WaitSlots)
 	}
 }
 
-// Reserved slots are lent to batch work until latency-sensitive work has been pending.
+// Slots that are reserved for latency-sensitive work are lent to batch work only until
+// latency-sensitive work has been pending for longer than the setting BorrowWaitS.
 func TestBorrowedSlotsAreReclaimed(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -416,19 +433,19 @@
 	sim.submit(leaderNode.name, urgent)
 	leader := leaderNode.leader
 	if leader.LatencySensitiveWorkDelayed(leader.BuildQueue()) {
-		t.Fatal("lending ended at once")
+		t.Fatal("borrowing ended at once, want it to end after BorrowWaitS")
 	}
 	leader.Jobs["j-2"].PendingSince = leader.node.now - config.Seconds(leader.node.settings.BorrowWaitS) - time.Second
 	if !leader.LatencySensitiveWorkDelayed(leader.BuildQueue()) {
-		t.Fatal("lending goes on though pressing work has waited")
+		t.Fatal("borrowing goes on although latency-sensitive work has been pending for longer than BorrowWaitS")
 	}
 	if first := leader.BuildQueue()[0].Job.Spec.ID; first != "j-2" {
-		t.Fatalf("%s passes first", first)
+		t.Fatalf("%s is first in the queue, want j-2", first)
 	}
 }
 
-// A failed task is retried at once on another machine; a machine on which every task fails is
-// detected and returned.
+// A failed task is retried at once on another machine. A machine on which every task fails is marked
+// unhealthy and returned.
 func TestUnhealthyMachineIsReturned(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 3 * time.Second }
@@ -444,14 +461,14 @@
 	faulty.faulty = true
 	sim.submit(leaderNode.name, jobSpec("j-2", 16))
 	if !sim.advanceUntil(60*time.Second, func() bool { return sim.cloud.hosts[faulty.name] == nil }) {
-		t.Fatal("the sick machine was kept")
+		t.Fatalf("the faulty machine %s was not returned within 60 s", faulty.name)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	sim.waitForJobState("j-2", protocol.JobDone, 60*time.Second)
 }
 
-// A job that fails on every machine is at fault itself: no machine is marked unhealthy for it, and
-// other work continues.
+// A job whose tasks fail on every machine is itself at fault: no machine is marked unhealthy because
+// of it, and other work continues.
 func TestFailingJobMarksNoMachineUnhealthy(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -470,21 +487,21 @@
 	}
 	sim.advanceUntil(40*time.Second, failRunningTasks)
 	if !leaderNode.leader.Jobs["j-9"].FailsEverywhere {
-		t.Fatal("the job was not found bad")
+		t.Fatal("the job j-9 is not marked as failing everywhere after 40 s")
 	}
 	for _, machine := range leaderNode.leader.Machines {
 		if machine.Unhealthy {
-			t.Fatalf("%s was condemned for a bad job", machine.Name)
+			t.Fatalf("%s is marked unhealthy because of the failing job j-9", machine.Name)
 		}
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	if r := sim.cancelJob(leaderNode.name, "j-9"); r.Status != 200 {
-		t.Fatalf("cancel: %d", r.Status)
+		t.Fatalf("cancellation: status %d, want 200", r.Status)
 	}
 }
 
-// A preemption notice drains the machine: tasks that checkpoint are stopped in time to save, and
-// the machine gets no more work.
+// A preemption notice drains the machine: tasks that write checkpoints are stopped early enough to
+// save one, the machine gets no more work and is returned, and the tasks continue elsewhere.
 func TestPreemptionNoticeDrainsMachine(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -501,23 +518,24 @@
 	noticeSeconds := 20.0
 	preempted.preemptionNotice, preempted.stateChanged = &noticeSeconds, true
 	if !sim.advanceUntil(10*time.Second, func() bool { return len(preempted.stopGraces) > 0 }) {
-		t.Fatal("nothing was stopped")
+		t.Fatal("no task was stopped within 10 s of the preemption notice")
 	}
 	for _, grace := range preempted.stopGraces {
 		if grace < job.CheckpointSaveSeconds {
-			t.Fatalf("stopped with %v s to save", grace)
+			t.Fatalf("a task was stopped with a grace period of %v s, want at least %v s for its checkpoint", grace,
+				job.CheckpointSaveSeconds)
 		}
 	}
 	if !sim.advanceUntil(20*time.Second, func() bool { return sim.cloud.hosts[preempted.name] == nil }) {
-		t.Fatal("the drained machine was not returned")
+		t.Fatalf("the drained machine %s was not returned within 20 s", preempted.name)
 	}
 	if !sim.advanceUntil(40*time.Second, func() bool { return sim.activeTaskCount("j-1") == 4 }) {
-		t.Fatal("the tasks did not go on elsewhere")
+		t.Fatalf("%d tasks of j-1 run elsewhere after 40 s, want 4", sim.activeTaskCount("j-1"))
 	}
 }
 
-// The cloud may be down or out of spot machines: demand is kept, other machine types are tried, and
-// no request id is used twice.
+// The cloud is down and then has no spot machines. The demand is kept until it can be met, other
+// offers are tried, no request id is used twice, and the outage does not end in a burst of rentals.
 func TestCloudFaults(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -527,12 +545,12 @@
 	sim.cloud.unavailable, sim.cloud.noSpot = false, true
 	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
 	if len(sim.cloud.hosts) > 4 {
-		t.Fatalf("%d machines rented in a burst", len(sim.cloud.hosts))
+		t.Fatalf("%d machines rented after the outage, want at most 4", len(sim.cloud.hosts))
 	}
 }
 
-// A worker that can't reach the leader returns after its 421 and is then relayed, so that its lease
-// holds.
+// A worker that can't reach the leader returns to the follower that redirected it with 421. The
+// follower then relays its heartbeats, so that the worker keeps its lease.
 func TestFollowerRelaysHeartbeats(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -543,19 +561,19 @@
 		return sim.requestAndWait(follower, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	}
 	if r := sendHeartbeat(); r.Status != 421 {
-		t.Fatalf("first report: %d", r.Status)
+		t.Fatalf("first heartbeat: status %d, want 421", r.Status)
 	}
 	sim.advance(time.Second)
 	if r := sendHeartbeat(); r.Status != 200 {
-		t.Fatalf("report of a worker that came back: %d", r.Status)
+		t.Fatalf("heartbeat of the returning worker: status %d, want 200", r.Status)
 	}
 	if leaderNode.leader.Machines["m-9"] == nil {
-		t.Fatal("the leader did not get the report")
+		t.Fatal("the leader does not know m-9, whose heartbeat the follower has answered")
 	}
 }
 
-// A machine on which tasks run far slower than their siblings elsewhere is drained, and tasks that
-// would complete sooner when started afresh move.
+// A machine on which tasks run far longer than the job's other tasks elsewhere is drained, and tasks
+// that would complete sooner if started again elsewhere are moved.
 func TestSlowMachineIsDrained(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -572,13 +590,13 @@
 		task.endsAt += 200 * time.Second
 	}
 	if !sim.advanceUntil(30*time.Second, func() bool { return sim.cloud.hosts[slowMachine] == nil }) {
-		t.Fatal("the slow machine was kept")
+		t.Fatalf("the slow machine %s was not returned within 30 s", slowMachine)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
 }
 
-// The largest job fits the value limit (the fake store checks each write), and its completed tasks
-// survive a takeover.
+// The records of the largest possible job stay within the value limit, which the fake store checks
+// at each write, and its completed tasks survive a takeover.
 func TestLargestJob(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Second }
@@ -593,7 +611,7 @@
 		return sim.nodes[newLeader].leader.Jobs["j-1"].DoneTasks
 	}
 	if !sim.advanceUntil(40*time.Second, func() bool { return doneTasks() >= 40 }) {
-		t.Fatalf("%d tasks done", doneTasks())
+		t.Fatalf("%d tasks are done after 40 s, want at least 40", doneTasks())
 	}
 	sim.advance(3 * time.Second)
 	before := doneTasks()
@@ -601,15 +619,15 @@
 	newLeader := sim.waitForLeader()
 	sim.advance(5 * time.Second)
 	if doneTasks() < before*9/10 {
-		t.Fatalf("%d tasks done before the takeover, %d after", before, doneTasks())
+		t.Fatalf("%d tasks are done after the takeover, want at least 90%% of the %d before it", doneTasks(), before)
 	}
 	if parts := len(newLeader.leader.Jobs["j-1"].BitmapParts); parts < 2 {
-		t.Fatalf("the bitmap is in %d part", parts)
+		t.Fatalf("the bitmap has %d parts, want at least 2", parts)
 	}
 }
 
-// A heartbeat may span several lines; between controllers a line is a message, so the parsed
-// heartbeat is forwarded rather than the received bytes.
+// The body of a heartbeat may span several lines, but between controllers each line is a message. So
+// a follower must forward the parsed heartbeat and not the received bytes.
 func TestForwardedHeartbeatIsOneLine(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -620,7 +638,7 @@
 		t.Fatal(err)
 	}
 	found := false
-	for range 2 { // a worker that returns can't reach the leader and is relayed
+	for range 2 { // the second heartbeat is forwarded, as that of a worker that can't reach the leader
 		for _, effect := range follower.Step(sim.now-follower.bootedAt+step,
 			[]Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
 			outbound, ok := effect.(OutboundMessage)
@@ -631,18 +649,18 @@
 				found = true
 				line, err := protocol.EncodePeerMessage(outbound.Message)
 				if err != nil || strings.Contains(string(line), "\n") {
-					t.Fatalf("a message of several lines: %q", line)
+					t.Fatalf("the forwarded heartbeat is not one line: %q, error %v", line, err)
 				}
 			}
 		}
 	}
 	if !found {
-		t.Fatal("not forwarded")
+		t.Fatal("the follower did not forward the heartbeat")
 	}
 }
 
-// Submissions must not wait behind machine records: a burst of rented machines once used up the
-// write rate, and submissions were rejected.
+// The records of a hundred machines that boot together use up the write rate. When submissions had
+// to wait for these writes, they were rejected, so submissions take precedence.
 func TestSubmissionsPrecedeMachineRecords(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Store.WritesPerS = 25
@@ -661,18 +679,19 @@
 		sim.jobSpecs[job.ID] = job
 		sim.sendRequest(sim.names[i%3], Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			if r.Status != 201 {
-				t.Errorf("%s: answered %d after %v", job.ID, r.Status, sim.now-sentAt)
+				t.Errorf("submission of %s: status %d after %v, want 201", job.ID, r.Status, sim.now-sentAt)
 			}
 			answered++
 		})
 	}
 	if !sim.advanceUntil(time.Second, func() bool { return answered == 9 }) {
-		t.Fatalf("%d of 9 submissions answered in a second", answered)
+		t.Fatalf("%d of 9 submissions got a reply within a second", answered)
 	}
 }
 
-// Hundreds of machines that boot together must be recorded by name before their first task, without
-// one write for each.
+// Hundreds of machines that boot together must be recorded by name before their first task. With one
+// write for each the write rate would delay them, so machines share records, which a new leader reads
+// and which are deleted when their machines are gone.
 func TestMachineRecordsAreGrouped(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.cfg.Store.WritesPerS = 25
@@ -692,59 +711,59 @@
 		return count
 	}
 	if !sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) == 300 }) {
-		t.Fatal("machines did not come up")
+		t.Fatalf("%d of 300 machines are up after 10 s", len(sim.workers))
 	}
 	if !sim.advanceUntil(3*time.Second, func() bool { return ready() == 300 }) {
-		t.Fatalf("%d of 300 machines are ready", ready())
+		t.Fatalf("%d of 300 machines are schedulable 3 s after they came up", ready())
 	}
 	sim.crashNode(leaderNode.name)
 	sim.restartNode(leaderNode.name)
 	leaderNode = sim.waitForLeader()
 	if n := len(leaderNode.leader.Machines); n != 300 {
-		t.Fatalf("%d of 300 machines were read", n)
+		t.Fatalf("the new leader has read %d machines, want 300", n)
 	}
 	if !sim.advanceUntil(5*time.Minute, func() bool { return len(sim.cloud.hosts) == 0 }) {
-		t.Fatalf("%d machines are kept", len(sim.cloud.hosts))
+		t.Fatalf("%d idle machines are kept after 5 min, want none", len(sim.cloud.hosts))
 	}
 	sim.advance(5 * time.Second)
 	for key := range sim.store.keys {
 		if strings.HasPrefix(key, storage.MachineGroupPrefix) {
-			t.Errorf("%s is kept for machines that are gone", key)
+			t.Errorf("the record %s remains although its machines are gone", key)
 		}
 	}
 }
 
-// Records of single machines, as the previous version wrote them, are still read: a machine that
-// had tasks is reconciled, and its record moves into a group.
+// Records of single machines, as an earlier version wrote them, are still read. A machine that may
+// have tasks is reconciled, and the record of each machine moves into a group.
 func TestSingleMachineRecordsAreMigrated(t *testing.T) {
 	sim := newSimulation(t, 1)
 	worker := sim.cloud.rentMachine("c4", "a", true)
 	sim.cloud.bootTime = time.Hour
-	sim.cloud.rentMachine("c4", "a", true) // recorded, but never up
+	sim.cloud.rentMachine("c4", "a", true) // m-000002 has a record, but never boots
 	sim.store.putValue(storage.SingleMachinePrefix+worker.name,
 		storage.MachineRecord{Type: "c4", Zone: "a", Spot: true, Used: true})
 	sim.store.putValue(storage.SingleMachinePrefix+"m-000002", storage.MachineRecord{Type: "c4", Zone: "a", Spot: true})
 	leaderNode := sim.waitForLeader()
 	if used, unused := leaderNode.leader.Machines[worker.name], leaderNode.leader.Machines["m-000002"]; used == nil ||
 		used.Reconciled || unused == nil || !unused.Reconciled {
-		t.Fatalf("read as %+v and %+v", used, unused)
+		t.Fatalf("want a used machine that is not reconciled and an unused one that is; got %+v and %+v", used, unused)
 	}
 	sim.advance(2 * time.Second)
 	for key := range sim.store.keys {
 		if strings.HasPrefix(key, storage.SingleMachinePrefix) {
-			t.Errorf("%s is kept", key)
+			t.Errorf("the record %s of a single machine was not deleted", key)
 		}
 	}
 	var record storage.MachineGroupRecord
 	if json.Unmarshal(sim.store.keys[storage.MachineGroupKey(0)].Value, &record) != nil ||
 		!record[worker.name].Used || record["m-000002"].Used {
-		t.Errorf("moved as %+v", record)
+		t.Errorf("the group record is %+v, want %s used and m-000002 unused", record, worker.name)
 	}
 }
 
-// A cluster that restarts while the cloud is down accepts jobs and uses the machines that it has,
-// since the machine types are stored. A job that fits no stored type is not rejected permanently,
-// as types may have been added since.
+// A cluster that restarts while the cloud is down accepts jobs and uses its machines, because the
+// machine types are stored. A job that fits no stored type is not rejected permanently, because types
+// may have been added meanwhile.
 func TestRestartDuringCloudOutage(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -761,37 +780,37 @@
 	sim.waitForLeader()
 	sim.advance(time.Second)
 	if r := sim.submit(sim.leaderName(), jobSpec("j-2", 4)); r.Status != 201 {
-		t.Fatalf("answered %d", r.Status)
+		t.Fatalf("submission while the cloud is down: status %d, want 201", r.Status)
 	}
 	sim.waitForJobState("j-2", protocol.JobDone, time.Minute)
 	largeJob := jobSpec("j-3", 1)
 	largeJob.Cores = 64
 	if r := sim.submit(sim.followers()[0], largeJob); r.Status != 503 {
-		t.Errorf("a job that fits no stored type: %d", r.Status)
+		t.Errorf("job that fits no stored type, while the cloud is down: status %d, want 503", r.Status)
 	}
 	sim.cloud.unavailable = false
 	sim.advance(time.Minute)
 	if r := sim.submit(sim.followers()[0], largeJob); r.Status != 422 {
-		t.Errorf("a job that fits no type: %d", r.Status)
+		t.Errorf("job that fits no type of the current catalog: status %d, want 422", r.Status)
 	}
 }
 
-// A few long tasks that checkpoint must not keep a large surplus machine: they move to other
-// machines with room, if that saves enough and violates no objective.
+// A few long tasks that write checkpoints must not keep a large surplus machine in use. They move to
+// other machines with free cores, if that saves enough machine time and violates no objective.
 func TestCheckpointingTasksAreConsolidated(t *testing.T) {
 	for _, testCase := range []struct {
 		name   string
 		change func(from, to *cluster.Machine, job *cluster.Job)
 		moves  bool
 	}{
-		{"two of 32 cores are used for minutes", func(*cluster.Machine, *cluster.Machine, *cluster.Job) {}, true},
-		{"they don't save", func(_, _ *cluster.Machine, job *cluster.Job) { job.Spec.CheckpointIntervalSeconds = 0 }, false},
-		{"no other machine has room", func(_, to *cluster.Machine, _ *cluster.Job) { to.UsedCores = 31 }, false},
-		{"they are nearly done", func(_, _ *cluster.Machine, job *cluster.Job) { job.Spec.EstimatedSeconds = 62 }, false},
-		{"one has just started", func(from, _ *cluster.Machine, _ *cluster.Job) {
+		{"2 of 32 cores are used for minutes", func(*cluster.Machine, *cluster.Machine, *cluster.Job) {}, true},
+		{"no checkpoints", func(_, _ *cluster.Machine, job *cluster.Job) { job.Spec.CheckpointIntervalSeconds = 0 }, false},
+		{"no other machine has free cores", func(_, to *cluster.Machine, _ *cluster.Job) { to.UsedCores = 31 }, false},
+		{"tasks are nearly done", func(_, _ *cluster.Machine, job *cluster.Job) { job.Spec.EstimatedSeconds = 62 }, false},
+		{"a task has just started", func(from, _ *cluster.Machine, _ *cluster.Job) {
 			from.AttemptsInOrder[0].RunningSince += 50 * time.Second
 		}, false},
-		{"the machine is needed", func(from, _ *cluster.Machine, _ *cluster.Job) {
+		{"the machine is not surplus", func(from, _ *cluster.Machine, _ *cluster.Job) {
 			from.Draining, from.DrainReason = false, ""
 		}, false},
 	} {
@@ -817,16 +836,17 @@
 		leader.autoscaler.Consolidate([]*cluster.Machine{to})
 		for _, attempt := range from.AttemptsInOrder {
 			if (attempt.StopGrace != nil) != testCase.moves {
-				t.Errorf("%s: moved %v", testCase.name, attempt.StopGrace != nil)
+				t.Errorf("%s: moved %v, want %v", testCase.name, attempt.StopGrace != nil, testCase.moves)
 			} else if testCase.moves && *attempt.StopGrace < spec.CheckpointSaveSeconds {
-				t.Errorf("%s: %v s to save", testCase.name, *attempt.StopGrace)
+				t.Errorf("%s: grace period of %v s, want at least %v s for the checkpoint", testCase.name,
+					*attempt.StopGrace, spec.CheckpointSaveSeconds)
 			}
 		}
 	}
 }
 
-// A job whose record exceeds the value limit can't be stored, so it is rejected permanently; it
-// once got 503 and was submitted again and again.
+// A job whose record exceeds the value limit can never be stored, so it is rejected permanently. When
+// it got 503 instead, its user submitted it again and again.
 func TestJobTooLargeToStore(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -836,12 +856,13 @@
 		job.MachineTypes = append(job.MachineTypes, fmt.Sprintf("type-%d", i))
 	}
 	if r := sim.submit(leaderNode.name, job); r.Status != 400 {
-		t.Errorf("answered %d", r.Status)
+		t.Errorf("submission: status %d, want 400", r.Status)
 	}
 }
 
-// Once the terminal record of a job is in the key-value store, any node may report it although the
-// leader that wrote it has no response yet: the leader must not report an older state.
+// Once the terminal record of a job is in the key-value store, any node may report the terminal
+// state, even before the leader that wrote it has the response. The leader must not report an older
+// state then, neither of the job nor of the jobs that depend on it.
 func TestTerminalStateIsConsistentAcrossNodes(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -852,7 +873,7 @@
 	sim.submit(leaderNode.name, dependentSpec("j-2", 1, "j-1"))
 	sim.submit(leaderNode.name, dependentSpec("j-3", 1, "j-2"))
 	sim.advance(2 * time.Second)
-	sim.store.holdTransaction = func(_ string, txn storage.Txn) bool { // executed, but without a response
+	sim.store.holdTransaction = func(_ string, txn storage.Txn) bool { // the write is executed, but gets no response
 		for _, write := range txn.Writes {
 			if write.PutKey == storage.TerminalKey("j-1") {
 				sim.store.holdTransaction = nil
@@ -865,18 +886,20 @@
 	sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
 	if !sim.advanceUntil(2*time.Second,
 		func() bool { return sim.store.keys[storage.TerminalKey("j-1")].ModRevision > 0 }) {
-		t.Fatal("not written")
+		t.Fatal("the terminal record of j-1 was not written within 2 s")
 	}
 	sim.submitAccepted(sim.followers()[0], dependentSpec("j-4", 1, "j-3"))
-	for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} { // its dependents are cancelled with it
+	for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} { // the dependents of j-1 are cancelled with it
 		if _, status := sim.queryJob(leaderNode.name, id); status.State != protocol.JobCancelled {
-			t.Fatalf("the leader says %q of %s after the end was written", status.State, id)
+			t.Fatalf("the leader reports %s as %q after the terminal record was written, want %q", id, status.State,
+				protocol.JobCancelled)
 		}
 	}
 }
 
-// quota: what may still run on a machine of a type that is no longer offered fills the quotas of
-// all teams until it is reconciled; it once counted for nothing.
+// Checks the invariant quota: the size of a machine whose type is no longer in the catalog is
+// unknown, so the tasks that may still run on it fill the quotas of all teams until it is
+// reconciled. They once counted as nothing.
 func TestQuotaCountsDiscontinuedMachineTypes(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -901,18 +924,19 @@
 	sim.submit(newLeader.name, job)
 	sim.advance(config.Seconds(sim.cfg.Workers.LeaseS) - 4*time.Second)
 	if n := sim.activeTaskCount("j-2"); n > 0 {
-		t.Fatalf("%d tasks run beside 16 that may", n)
+		t.Fatalf("%d tasks of j-2 run, want none beside the 16 of j-1 that may still run", n)
 	}
 	sim.cloud.rejectReturns = false
 	sim.advance(30 * time.Second)
 	if n := sim.activeTaskCount("j-1") + sim.activeTaskCount("j-2"); n == 0 {
-		t.Fatal("the room does not come back")
+		t.Fatal("no task runs 30 s after the machines can be returned: the quota is still in use")
 	}
 }
 
-// A job with an error of its own fails on every machine until its user cancels it: after its first
-// tasks it is retried one task at a time, takes next to no capacity, stays known, and runs as soon
-// as the error is fixed where it reads it. A faulty machine is still detected beside it.
+// A job with an error of its own fails on every machine. After its first failures it is retried with
+// one task at a time, so that it uses next to no capacity. It stays accepted until its user cancels
+// it, and runs once the error is corrected outside of the job, in its input for instance. A faulty
+// machine is still detected beside such jobs.
 func TestFailingJobIsRetriedWithOneTask(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 2 * time.Second }
@@ -933,7 +957,7 @@
 	before := failingStarts()
 	sim.advance(2 * time.Minute)
 	if n := failingStarts() - before; n < 4 || n > 16 {
-		t.Errorf("%d starts of two jobs with mistakes in two minutes, after %d", n, before)
+		t.Errorf("%d starts of the two failing jobs in 2 min, want 4 to 16; %d starts before", n, before)
 	}
 	sim.submitAndStart(leaderNode.name, jobSpec("j-3", 30), 8)
 	faulty := sim.sortedWorkers()[0]
@@ -941,22 +965,22 @@
 	sim.waitForJobState("j-3", protocol.JobDone, time.Minute)
 	for name, machine := range leaderNode.leader.Machines {
 		if machine.Unhealthy && name != faulty.name {
-			t.Errorf("%s is condemned", name)
+			t.Errorf("%s is marked unhealthy, want only %s", name, faulty.name)
 		}
 	}
 	delete(sim.failingJobs, "j-2")
 	sim.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
 	if r := sim.cancelJob(leaderNode.name, "j-1"); r.Status != 200 {
-		t.Fatalf("cancel: %d", r.Status)
+		t.Fatalf("cancellation: status %d, want 200", r.Status)
 	}
 	sim.advance(time.Second)
 	if n := sim.activeTaskCount("j-1"); n > 0 {
-		t.Errorf("%d tasks run after the cancellation", n)
+		t.Errorf("%d tasks of j-1 run after the cancellation, want none", n)
 	}
 }
 
-// A small job whose first tasks ran only on faulty machines is treated as failing everywhere. It is
-// retried on a machine on which it has not failed as soon as there is one, although the faulty ones
+// A small job whose first tasks ran only on faulty machines counts as failing everywhere. As soon as
+// there is a machine on which it has not failed, it is retried there, although the faulty machines
 // are idle and have its image.
 func TestSmallJobOnFaultyMachines(t *testing.T) {
 	sim := newSimulation(t, 1)
@@ -973,7 +997,7 @@
 		return job != nil && job.FailsEverywhere
 	}
 	if !sim.advanceUntil(time.Minute, foundFailing) {
-		t.Fatal("the job was not found bad")
+		t.Fatal("the job j-1 is not marked as failing everywhere after 1 min")
 	}
 	for name, worker := range sim.workers {
 		worker.faulty = job.FailedMachines[name]
@@ -981,14 +1005,15 @@
 	sim.cloud.rentMachine("c4", "a", true)
 	if !sim.advanceUntil(config.Seconds(sim.cfg.Workers.LeaseS)+12*time.Second,
 		func() bool { return job.DoneTasks > 0 }) {
-		t.Fatalf("nothing is done after %d more tries, failed on %v", job.FailedProbes, job.FailedMachines)
+		t.Fatalf("no task is done after %d failed probes; the job has failed on %v", job.FailedProbes,
+			job.FailedMachines)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// A healthy job whose first tasks all ran on faulty machines is treated as failing everywhere. The
-// first task that runs for longer than those did shows otherwise, and the others follow at once
-// rather than after its completion.
+// A healthy job whose first tasks all ran on faulty machines counts as failing everywhere and is
+// probed with one task. Once that task has run for clearly longer than the failed ones did, the
+// machines were at fault, and the other tasks must start then and not only after it has completed.
 func TestHealthyJobStopsProbingEarly(t *testing.T) {
 	const taskDuration = 2 * time.Minute
 	sim := newSimulation(t, 1)
@@ -1002,10 +1027,10 @@
 	sim.submit(leaderNode.name, jobSpec("j-1", 12))
 	if !sim.advanceUntil(time.Minute,
 		func() bool { job := leaderNode.leader.Jobs["j-1"]; return job != nil && job.FailsEverywhere }) {
-		t.Fatal("the job was not found bad")
+		t.Fatal("the job j-1 is not marked as failing everywhere after 1 min")
 	}
 	for range 4 {
-		sim.cloud.rentMachine("c4", "a", true) // these are not faulty
+		sim.cloud.rentMachine("c4", "a", true) // these machines are healthy
 	}
 	firstRunningAt := clock.Instant(0)
 	if !sim.advanceUntil(2*time.Minute, func() bool {
@@ -1014,9 +1039,10 @@
 		}
 		return sim.activeTaskCount("j-1") >= 8
 	}) {
-		t.Fatalf("%d tasks run: %s", sim.activeTaskCount("j-1"), sim.explainPending("j-1"))
+		t.Fatalf("%d tasks of j-1 run after 2 min, want at least 8: %s", sim.activeTaskCount("j-1"),
+			sim.explainPending("j-1"))
 	}
 	if waited := sim.now - firstRunningAt; waited > taskDuration/4 {
-		t.Errorf("the others began %v after the first", waited)
+		t.Errorf("8 tasks ran only %v after the first one, want at most %v", waited, taskDuration/4)
 	}
 }
