--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -14,6 +14,8 @@
 	"hitchdoor/internal/storage"
 )
 
+// After the crash of the leader a follower takes over within two leader leases and in a higher term.
+// The old leader follows when it restarts, and no two nodes lead at a time.
 func TestOneLeaderAndQuickTakeover(t *testing.T) {
 	sim := newSimulation(t, 3)
 	firstLeader := sim.waitForLeader()
@@ -22,33 +24,32 @@
 	crashedAt := sim.now
 	secondLeader := sim.waitForLeader()
 	if secondLeader.leader.term <= term {
-		t.Fatalf("term %d after %d", secondLeader.leader.term, term)
+		t.Fatalf("the new leader has term %d, want a term above %d", secondLeader.leader.term, term)
 	}
 	if took := sim.now - crashedAt; took > 2*firstLeader.leaderLease() {
-		t.Fatalf("takeover took %v", took)
+		t.Fatalf("the takeover took %v, want at most %v", took, 2*firstLeader.leaderLease())
 	}
-	// Restarted in the middle of the term, the old leader follows.
 	sim.restartNode(firstLeader.name)
 	sim.advance(10 * time.Second)
 	if sim.leaderName() != secondLeader.name {
-		t.Fatalf("%s leads", sim.leaderName())
+		t.Fatalf("%q leads after the restart of the old leader, want %s", sim.leaderName(), secondLeader.name)
 	}
 }
 
-// A leader that only the key-value store refuses must stop by its own clock before another may
-// lead, and must be replaced although its peers receive its heartbeats.
+// A leader that only the key-value store refuses must step down by its own clock before another node
+// may lead, and must be replaced although its peers receive its heartbeats.
 func TestLeaderRefusedByStoreIsReplaced(t *testing.T) {
 	sim := newSimulation(t, 3)
 	refusedLeader := sim.waitForLeader()
 	sim.store.refusedNodes[refusedLeader.name] = true
 	if !sim.advanceUntil(15*time.Second,
 		func() bool { leader := sim.leaderName(); return leader != "" && leader != refusedLeader.name }) {
-		t.Fatal("the refused leader was not replaced")
+		t.Fatalf("the refused leader %s was not replaced within 15 s", refusedLeader.name)
 	}
 }
 
-// Outages exceed the leader's lease and the workers': lease grants of the peers extend the
-// leadership, and with it the tasks continue.
+// A store outage lasts longer than the leader lease and the worker lease. Lease grants of the peers
+// extend the leadership, so that the workers keep their leases and the tasks continue.
 func TestStoreOutageKeepsLeaderAndTasks(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 60 * time.Second }
@@ -59,25 +60,26 @@
 	for range 25 {
 		sim.advance(time.Second)
 		if sim.leaderName() != leaderNode.name {
-			t.Fatalf("at %v %q leads", sim.now, sim.leaderName())
+			t.Fatalf("%q leads at %v, during the outage, want %s", sim.leaderName(), sim.now, leaderNode.name)
 		}
 	}
 	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
-		t.Fatalf("submission in an outage: %d, come back after %d", r.Status, r.RetryAfter)
+		t.Fatalf("submission during the outage: status %d, Retry-After %d; want 503 with Retry-After", r.Status,
+			r.RetryAfter)
 	}
 	if code, status := sim.queryJob(sim.followers()[0], "j-1"); code != 200 || status.State != protocol.JobRunning {
-		t.Fatalf("query in an outage: %d %v", code, status)
+		t.Fatalf("query during the outage: status %d, %v; want 200, state %q", code, status, protocol.JobRunning)
 	}
 	sim.store.setDown(false)
 	sim.advance(5 * time.Second)
 	if sim.leaderName() != leaderNode.name || leaderNode.leader.term != term {
-		t.Fatal("leadership moved after the outage")
+		t.Fatalf("%q leads after the outage, want %s, still in term %d", sim.leaderName(), leaderNode.name, term)
 	}
 	if sim.startCounts["j-1/0"] != 1 {
-		t.Fatalf("a task started %d times", sim.startCounts["j-1/0"])
+		t.Fatalf("task j-1/0 started %d times, want once", sim.startCounts["j-1/0"])
 	}
 	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 201 {
-		t.Fatalf("submission after the outage: %d", r.Status)
+		t.Fatalf("submission after the outage: status %d, want 201", r.Status)
 	}
 }
 
@@ -91,8 +93,8 @@
 	return is
 }
 
-// A peer that has just restarted may have granted a lease that it no longer remembers, so it
-// neither grants a lease nor votes for one span of a grant.
+// A peer that has just restarted may have granted a lease or voted, and no longer remembers it. So
+// it neither grants a lease nor votes until a lease grant of its earlier process would have expired.
 func TestRestartedPeerWaitsOutOneLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -116,22 +118,22 @@
 	}
 }
 
-// After a restart of all controllers the next leader does not wait out a lease grant, since every
-// node has announced that it does not lead. Neither an announcement to an earlier process of a node
-// nor one by a mere majority is enough: the missing node may lead by a grant.
+// After a restart of all controllers the nodes vote without waiting for earlier lease grants to
+// expire, because every node has announced that it does not lead. Announcements of a majority are not
+// enough, since the missing node may lead by a grant, and neither is one to an earlier process.
 func TestFullRestartWaitsForNoLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	for _, name := range sim.names {
 		sim.crashNode(name)
 	}
-	sim.advance(5 * time.Second) // the leader's lease has ended
+	sim.advance(5 * time.Second) // until the leader's lease in the store has expired
 	for _, name := range sim.names {
 		sim.restartNode(name)
 	}
 	lease := sim.nodes["n0"].leaderLease()
 	if !sim.advanceUntil(lease*2/3, func() bool { return sim.leaderName() != "" }) {
-		t.Fatalf("nobody leads %v after a full restart", lease*2/3)
+		t.Fatalf("no node leads %v after a restart of all nodes", lease*2/3)
 	}
 	n := New(Options{Platform: sim.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)),
 		StartTime: time.Unix(5, 0)})
@@ -141,21 +143,21 @@
 		return slices.ContainsFunc(effects, sendsMessage[protocol.Vote])
 	}
 	if voted("n1", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
-		t.Error("votes while a peer is not heard")
+		t.Error("the restarted node votes before it has heard from n2")
 	}
 	if voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID + 1}) {
-		t.Error("votes by what its earlier process was told")
+		t.Error("the restarted node votes although n2's announcement was sent to its earlier process")
 	}
 	if voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID, IsLeader: true, Term: 9}) {
-		t.Error("votes while a peer leads")
+		t.Error("the restarted node votes although n2 leads")
 	}
 	if !voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
-		t.Error("waits for a grant that nobody can live by")
+		t.Error("the restarted node does not vote although every peer has announced that it does not lead")
 	}
 }
 
-// A peer that has granted a lease votes for nobody until the grant ends, and one that has voted for
-// a candidate grants no lease to an older leader.
+// A peer that has granted a lease votes for no candidate until the grant expires, and a peer that has
+// voted for a candidate grants no lease to the leader of an earlier term. Otherwise both could lead.
 func TestLeaseGrantAndVoteExcludeEachOther(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.store.setDown(true)
@@ -172,22 +174,22 @@
 	}
 	if !sent(sendsMessage[protocol.LeaseGrant],
 		protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
-		t.Fatal("no lease granted in an outage")
+		t.Fatal("the peer grants no lease during a store outage")
 	}
 	if sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
-		t.Fatal("voted under a lease grant")
+		t.Fatal("the peer votes before its lease grant has expired")
 	}
 	now += 2 * n.leaderLease()
 	if !sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
-		t.Fatal("did not vote after the grant")
+		t.Fatal("the peer does not vote after its lease grant has expired")
 	}
 	if sent(sendsMessage[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
-		t.Fatal("granted a lease to an older leader after a vote")
+		t.Fatal("the peer grants a lease in term 7 after it has voted in term 8")
 	}
 }
 
-// A leader isolated from peers and workers, but not from the key-value store, would hold its key
-// for ever and stop the service.
+// A leader that is isolated from peers and workers, but not from the key-value store, must resign.
+// Otherwise it would keep the leader key for ever, and no job would be served.
 func TestIsolatedLeaderResigns(t *testing.T) {
 	sim := newSimulation(t, 3)
 	isolatedLeader := sim.waitForLeader()
@@ -201,11 +203,12 @@
 	}
 	if !sim.advanceUntil(15*time.Second,
 		func() bool { leader := sim.leaderName(); return leader != "" && leader != isolatedLeader.name }) {
-		t.Fatal("the isolated leader was not replaced")
+		t.Fatalf("the isolated leader %s was not replaced within 15 s", isolatedLeader.name)
 	}
 }
 
-// A transaction of a replaced leader that executes late changes nothing.
+// A transaction of a replaced leader that the store executes late must change nothing. Here it is the
+// cancellation of a job that the new leader runs.
 func TestLateTransactionOfOldLeader(t *testing.T) {
 	sim := newSimulation(t, 3)
 	oldLeader := sim.waitForLeader()
@@ -223,7 +226,7 @@
 	}
 	sim.sendRequest(oldLeader.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
 	if !sim.advanceUntil(5*time.Second, func() bool { return len(sim.store.heldTransactions) > 0 }) {
-		t.Fatal("the leader wrote nothing")
+		t.Fatal("the leader did not send the terminal record of j-1 within 5 s")
 	}
 	sim.crashNode(oldLeader.name)
 	sim.waitForLeader()
@@ -231,14 +234,15 @@
 		execute()
 	}
 	if _, terminal := sim.store.keys[storage.TerminalKey("j-1")]; terminal {
-		t.Fatal("a late transaction of the old leader was applied")
+		t.Fatal("the late transaction of the old leader was applied: j-1 has a terminal record")
 	}
 	sim.store.holdTransaction = nil
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
-// A lost response leaves the outcome of a transaction uncertain. The identical transaction is sent
-// again, and a failed condition is then checked against the stored records.
+// A lost response leaves the outcome of a transaction uncertain. The leader sends the identical
+// transaction again; if a condition of it fails then, the stored records show whether the first one
+// was executed. The leader must not step down.
 func TestUncertainTransactionIsResolved(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -246,15 +250,15 @@
 	sim.store.responsesToLose = 3
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	if sim.store.responsesToLose != 0 {
-		t.Fatal("no answer was lost")
+		t.Fatalf("%d of the 3 responses to lose were not lost", sim.store.responsesToLose)
 	}
 	if sim.leaderName() != leaderNode.name {
-		t.Fatal("an unclear outcome cost the leadership")
+		t.Fatalf("%q leads after lost responses, want %s", sim.leaderName(), leaderNode.name)
 	}
 }
 
-// In a rolling restart each node is down once. A leader that drains is succeeded by the node that
-// restarted last, which need not restart again, so leadership moves seldom.
+// In a rolling restart each node is down once. The node that restarted last, which need not restart
+// again, succeeds a leader that restarts, so that leadership moves as seldom as possible.
 func TestRollingRestartLeaderChanges(t *testing.T) {
 	for first := range 3 {
 		sim := newSimulation(t, 3)
@@ -274,17 +278,19 @@
 		}
 		maxChanges := 1
 		if initialLeader == sim.names[first] {
-			maxChanges = 2 // drained first, before any other node has restarted
+			maxChanges = 2 // the leader restarts first, so its successor restarts later
 		}
 		if leaderChanges > maxChanges {
-			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", sim.names[first], initialLeader, leaderChanges)
+			t.Fatalf("restart from %s on, with %s as leader: leadership moved %d times, want at most %d",
+				sim.names[first], initialLeader, leaderChanges, maxChanges)
 		}
 	}
 }
 
-// The store refuses some nodes, messages are lost, nodes crash, restart at once and pause, and
-// calls execute late. At most one node holds a leader lease, and a leader is elected within two
-// leases once the faults have ended. Nothing else runs here, so that thousands of elections fit.
+// The store refuses some nodes or is down, messages are lost or delayed, nodes crash, restart and
+// pause, and the store executes calls late. At most one node holds a leader lease at any time, and a
+// leader is elected within two worker leases of the last fault. No jobs run, so that thousands of
+// elections fit into the test.
 func TestLeaderLeaseIsExclusive(t *testing.T) {
 	forEachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
 		c := newUserSimulation(newSimulationWithTimings(t, []int{3, 5, 7}[seed%3],
@@ -336,14 +342,14 @@
 		c.store.refusedNodes = map[string]bool{}
 		c.healCuts()
 		if !c.advanceUntil(2*c.machineLease(), func() bool { return c.leaderName() != "" }) {
-			t.Fatal("nobody leads, though all is well")
+			t.Fatalf("no node leads %v after the last fault", 2*c.machineLease())
 		}
 	})
 }
 
 // A leader that only the key-value store refuses is replaced within a worker lease, with any number
-// of nodes and from any moment on: a peer that the store serves grants it no lease. Such a grant
-// would bind the peers for as long as the leader asks for it.
+// of nodes and whenever the refusal begins, because a peer that the store serves grants it no lease.
+// Such grants would keep the peers from voting for as long as the leader requests them.
 func TestRefusedLeaderIsReplacedInAnyClusterSize(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
 		for offset := range 12 {
@@ -355,7 +361,8 @@
 				sim.store.refusedNodes[refusedLeader.name] = true
 				if !sim.advanceUntil(refusedLeader.workerLease(),
 					func() bool { leader := sim.leaderName(); return leader != "" && leader != refusedLeader.name }) {
-					t.Fatalf("not replaced within %v", refusedLeader.workerLease())
+					t.Fatalf("the refused leader %s was not replaced within %v", refusedLeader.name,
+						refusedLeader.workerLease())
 				}
 			})
 		}
@@ -363,10 +370,10 @@
 }
 
 // A node that has voted for a candidate and restarts without a memory of its vote must not grant a
-// lease to the old leader, because the candidate counts on the vote. Here the old leader leads by
-// grants of two of five nodes. The store serves one of them again, so that its grant ends and it
-// votes for the candidate as well; the other one and the restarted node would be the majority that
-// extends the old leadership beside the new one.
+// lease to the old leader, because the candidate relies on the vote. Here the old leader leads by
+// grants of two of the five nodes. One of them, voter, is served by the store again, so that its
+// grant expires and it votes for the candidate too. The other one, granter, and the restarted node
+// would complete the old leader's quorum, and two nodes would lead.
 func TestNoLeaseGrantAfterForgottenVote(t *testing.T) {
 	candidateLed := 0
 	for offset := range 60 {
@@ -379,7 +386,7 @@
 		}
 		sim.linkCuts[[2]string{oldLeader.name, restartedVoter}] = true
 		sim.advance(2*oldLeader.leaderLease() + time.Duration(offset)*20*time.Millisecond)
-		delete(sim.store.refusedNodes, voter) // its present grant is the last one
+		delete(sim.store.refusedNodes, voter) // from now on voter grants no more leases
 		hasRestartedVote := func() bool {
 			return slices.Contains(sim.nodes[candidate].election.Status().Votes, restartedVoter)
 		}
@@ -390,18 +397,18 @@
 				sim.store.refusedNodes[restartedVoter] = true
 			})
 		}
-		sim.advance(2 * oldLeader.leaderLease()) // the invariant checker fails on two leaders
+		sim.advance(2 * oldLeader.leaderLease()) // two leaders would fail in the invariant checker
 		if sim.leaderName() == candidate {
 			candidateLed++
 		}
 	}
 	if candidateLed == 0 {
-		t.Error("the candidate never led: the schedule was not brought about")
+		t.Error("the candidate leads with none of the 60 offsets, so the test covers nothing")
 	}
 }
 
-// A lease counts from when its renewal was sent. Counted from the response, a leader whose
-// responses are delayed would continue after its lease has ended in the key-value store.
+// The leader lease counts from when its renewal was sent. If it counted from the response, a leader
+// whose responses are delayed would lead on after its lease in the key-value store has expired.
 func TestLeaderLeaseCountsFromSentRenewal(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -419,12 +426,13 @@
 	leaderNode.Step(sentAt+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
 	if validUntil := leaderNode.election.Status().LeaseValidUntil; validUntil !=
 		sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()) {
-		t.Errorf("authority until %v after a renewal sent at %v", validUntil, sentAt)
+		t.Errorf("leader lease valid until %v after a renewal sent at %v, want %v", validUntil, sentAt,
+			sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()))
 	}
 }
 
-// A leader that was paused for longer than its lease finds heartbeats and requests in its queue
-// when it resumes, and its clocks have advanced: it answers none of them as the leader.
+// A leader that was paused for longer than its lease finds heartbeats and requests in its queue when
+// it resumes. Its clock has advanced meanwhile, so it must not answer any of them as the leader.
 func TestPausedLeaderDoesNotReplyAsLeader(t *testing.T) {
 	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery,
 		protocol.RequestCancel} {
@@ -438,15 +446,15 @@
 				[]Command{request}) {
 				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID &&
 					reply.Status == 200 {
-					t.Error("answered 200")
+					t.Errorf("a leader whose lease has expired replies 200 to a %s", kind)
 				}
 			}
 		})
 	}
 }
 
-// acceptingStore is the host of an election whose key-value store has no leader key and accepts
-// each request of a candidate. It has a clock of its own.
+// acceptingStore is an election host whose key-value store has no leader key and accepts each request
+// of a candidate. It has its own clock.
 type acceptingStore struct {
 	electionHost
 	now      clock.Instant
@@ -469,8 +477,8 @@
 	}
 }
 
-// forceLeadership makes a node the leader of a term, whoever else leads: it replaces the node's
-// election by one without peers, at a store that accepts everything.
+// forceLeadership makes a node the leader of a term, even if another node leads. It replaces the
+// node's election by one of a single-node cluster with a store that accepts every request.
 func forceLeadership(n *Node, term uint64) {
 	host := &acceptingStore{electionHost: electionHost{n}, now: n.now, lastTerm: term - 1}
 	singleNodeCluster := n.cfg.Cluster
