--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -16,7 +16,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// Controllers that restart within a fraction of a second during an election neither cause two
+// Controllers that restart within a fraction of a second during an election must neither cause two
 // leaders nor prevent the election.
 func TestQuickRestartsDuringElection(t *testing.T) {
 	sim := newSimulation(t, 3)
@@ -32,8 +32,8 @@
 	sim.waitForLeader()
 }
 
-// A machine that hangs for less than its lease resumes and continues: nothing is started twice, and
-// none of its tasks counts as lost.
+// A machine that hangs for less than its worker lease resumes its tasks. None of them counts as lost
+// or starts twice.
 func TestHungMachineResumes(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
@@ -48,11 +48,12 @@
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	if sim.startCounts["j-1/0"] != 1 || sim.startCounts["j-1/1"] != 1 {
-		t.Fatalf("starts: %v", sim.startCounts)
+		t.Fatalf("starts by task: %v, want one of j-1/0 and one of j-1/1", sim.startCounts)
 	}
 }
 
-// Users' estimates may all be too low or too high; completed tasks of the class correct them.
+// Users' estimates may all be too low or too high. The completed tasks of a class correct the
+// expected duration of its later tasks.
 func TestEstimatesAreCorrected(t *testing.T) {
 	for _, factor := range []float64{0.4, 3} {
 		sim := newSimulation(t, 1)
@@ -67,13 +68,14 @@
 		sim.submit(leaderNode.name, next)
 		got := leaderNode.leader.ExpectedTaskDuration(leaderNode.leader.Jobs["j-2"]).Seconds()
 		if math.Abs(math.Log(got/(10*factor))) > 0.35 {
-			t.Errorf("real times are %v times the estimates: expects %.1f s for 10 s", factor, got)
+			t.Errorf("durations of %v times the estimates: expected duration %.1f s for an estimate of 10 s, want about %v s",
+				factor, got, 10*factor)
 		}
 	}
 }
 
-// In a burst of one class, of the jobs that can't all meet their objectives the largest are demoted
-// first, since objectives count jobs. Latency-sensitive work passes ahead of all.
+// In a burst not all jobs of a class can meet their objectives. The largest ones are demoted first,
+// because objectives count jobs. Latency-sensitive work is ahead of all others.
 func TestBurstDemotesLargestFirst(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
@@ -90,19 +92,19 @@
 	sim.submit(leaderNode.name, urgent)
 	order := leaderNode.leader.BuildQueue()
 	if order[0].Job.Spec.ID != "j-9" {
-		t.Errorf("%s passes ahead of urgent work", order[0].Job.Spec.ID)
+		t.Errorf("%s is first in the queue, want the latency-sensitive j-9", order[0].Job.Spec.ID)
 	}
 	for _, queued := range order {
 		want := map[string]int{"j-0": scheduler.RankOnTime, "j-1": scheduler.RankLate,
 			"j-2": scheduler.RankOnTime, "j-9": 1}[queued.Job.Spec.ID]
 		if queued.Rank != want {
-			t.Errorf("%s has rank %d, not %d", queued.Job.Spec.ID, queued.Rank, want)
+			t.Errorf("%s has rank %d, want %d", queued.Job.Spec.ID, queued.Rank, want)
 		}
 	}
 }
 
-// Work within the guarantee of its team is ranked by the objective on its start; work beyond the
-// guarantee is not.
+// Work within the guarantee of its team is ranked by the objective for its start, and so ahead of a
+// job with a later deadline. Work beyond the guarantee is not.
 func TestGuaranteedWorkGoesFirst(t *testing.T) {
 	sim := newSimulation(t, 0)
 	sim.names = []string{"n0"}
@@ -122,12 +124,12 @@
 	order := leaderNode.leader.BuildQueue()
 	if len(order) != 3 || order[0].Job.Spec.ID != "j-2" || order[2].Job.Spec.ID != "j-3" {
 		for _, queued := range order {
-			t.Errorf("%s at %v", queued.Job.Spec.ID, queued.LatestStart)
+			t.Errorf("%s has to start by %v; want the order j-2, j-1, j-3", queued.Job.Spec.ID, queued.LatestStart)
 		}
 	}
 }
 
-// A task is placed on a machine that has its image rather than on another one with as much room.
+// A task is placed on the machine that has its image rather than on one with as much free capacity.
 func TestMachineWithImageIsPreferred(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -138,15 +140,15 @@
 	job.Image, job.ImageGB = "special", 2
 	sim.submit(leaderNode.name, job)
 	if !sim.advanceUntil(10*time.Second, func() bool { return sim.activeTaskCount("j-1") == 1 }) {
-		t.Fatal("the task did not start")
+		t.Fatal("the task did not start within 10 s")
 	}
 	if worker := sim.workers["m-000002"]; len(worker.tasks) != 1 {
-		t.Fatal("the task went elsewhere")
+		t.Fatal("the task does not run on m-000002, which has its image")
 	}
 }
 
-// Spot machines are preempted in bulk without notice: their tasks start elsewhere once the machines
-// are known to be gone, and no task runs twice.
+// Spot machines are preempted in bulk without notice. Their tasks start elsewhere, but only once the
+// machines are known to be gone, so that no task runs twice.
 func TestBulkPreemptionWithoutNotice(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 15 * time.Second }
@@ -160,27 +162,27 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// No worker reaches the leader, though its peers do: the followers relay, worker leases hold,
-// leadership stays, and nothing is started twice.
+// No worker reaches the leader, but its peers do. The followers relay the heartbeats, so that worker
+// leases are renewed, the leader remains, and no task starts twice.
 func TestLeaderUnreachableForWorkers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 60*time.Second, 2, 4)
 	sim.unreachableNodes[leaderNode.name] = true
 	sim.advance(40 * time.Second)
 	if sim.leaderName() != leaderNode.name {
-		t.Fatalf("%q leads", sim.leaderName())
+		t.Fatalf("%q leads after 40 s, want %s", sim.leaderName(), leaderNode.name)
 	}
 	sim.submit(sim.followers()[0], jobSpec("j-2", 2))
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	sim.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
 	for task, n := range sim.startCounts {
 		if n != 1 {
-			t.Errorf("%s started %d times", task, n)
+			t.Errorf("task %s started %d times, want once", task, n)
 		}
 	}
 }
 
-// A large job gives way to small and latency-sensitive work that keeps arriving, but not without
-// limit: it starts within four minutes, and completes in the end.
+// A large job yields to small and latency-sensitive work that keeps arriving, but must not starve: it
+// starts within four minutes and completes in the end.
 func TestLargeJobStartsDuringLongBurst(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
@@ -193,7 +195,7 @@
 	sim.submit(leaderNode.name, large)
 	startedAt := clock.Instant(0)
 	for i := 0; sim.now < 12*time.Minute; i++ {
-		// Small and urgent work that needs 10 cores, with 8 cores in all.
+		// Every 10 s small and urgent work arrives that would use 10 cores for 10 s; there are 8 cores.
 		for index, priority := range []protocol.Priority{"standard", "urgent"} {
 			job := jobSpec(fmt.Sprintf("j-%d-%d", i, index), 5)
 			job.Priority, job.EstimatedSeconds, job.DeadlineSeconds = priority, 10, &deadlineSeconds
@@ -206,15 +208,16 @@
 		}
 	}
 	if startedAt == 0 || startedAt > cluster.MaxStartDelay {
-		t.Fatalf("the large job began after %v", startedAt)
+		t.Fatalf("the large job started after %v (0s: never), want at most %v", startedAt, cluster.MaxStartDelay)
 	}
 	if code, status := sim.queryJob(leaderNode.name, "j-large"); code != 200 || status.State != protocol.JobDone {
-		t.Fatalf("after %v the large job is %s, %d done", sim.now, status.State, *status.DoneTasks)
+		t.Fatalf("after %v the large job is %q with %d tasks done, want %q", sim.now, status.State, *status.DoneTasks,
+			protocol.JobDone)
 	}
 }
 
-// A task that takes far longer than its siblings is moved off its machine once, as the machine may
-// be slow, and then runs to completion: moved repeatedly it would never complete.
+// A task that takes far longer than the other tasks of its job is moved once, because its machine may
+// be slow. Then it runs to completion: if it were moved repeatedly, it would never complete.
 func TestLongTaskIsMovedOnce(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -228,12 +231,12 @@
 	sim.submit(leaderNode.name, jobSpec("j-1", 8))
 	sim.waitForJobState("j-1", protocol.JobDone, 4*time.Minute)
 	if n := sim.startCounts["j-1/7"]; n > 2 {
-		t.Fatalf("started %d times", n)
+		t.Fatalf("task j-1/7 started %d times, want at most 2", n)
 	}
 }
 
-// Work that is to start within seconds waits a moment for a machine that has its image: on the
-// first machine with room, fetching the image would miss the objective for certain.
+// Work that has to start within seconds waits for a machine that has its image, for as long as the
+// objective allows: on a machine without the image, the download alone would miss the objective.
 func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -249,28 +252,29 @@
 	withImage.TouchImage("i", 2)
 	job := leader.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1),
 		AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
-	job.Spec.ImageGB = 2 // 10 s to fetch
+	job.Spec.ImageGB = 2 // a download takes 10 s
 	fits := func(machine *cluster.Machine) bool {
 		return leader.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
 	}
 	if fits(withoutImage) {
-		t.Error("it fetches where it must miss its aim, though another machine has the image")
+		t.Error("placed on m-000002, where the download misses the objective, although m-000001 has the image")
 	}
 	if !fits(withImage) {
-		t.Error("it does not start where its image is")
+		t.Error("not placed on m-000001, which has the image")
 	}
 	job.EligibleAt -= 4 * time.Second
 	if !fits(withoutImage) {
-		t.Error("it waits for longer than its aim leaves")
+		t.Error("still waits for the image when the objective leaves no more time to wait")
 	}
 	job.EligibleAt += 4 * time.Second
-	withImage.Images, job.ImageCheckedAt = nil, clock.Never // as in the next pass
+	withImage.Images, job.ImageCheckedAt = nil, clock.Never // the next scheduling pass checks the images again
 	if !fits(withoutImage) {
-		t.Error("it waits for an image that no machine has")
+		t.Error("waits for an image that no machine has")
 	}
 }
 
-// A task whose back-off ends is scheduled then, even if nothing else changes meanwhile.
+// A task is scheduled when its back-off ends, even if nothing else changes that would cause a
+// scheduling pass.
 func TestBackoffExpiryTriggersScheduling(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -284,18 +288,18 @@
 	}
 	sim.advance(9 * time.Second)
 	if sim.startCounts["j-1/0"] > 0 {
-		t.Fatal("started while backing off")
+		t.Fatal("task j-1/0 started within 9 s, before its back-off of 10 s had ended")
 	}
-	sim.cloud.unavailable = true // nor does the fleet change
+	sim.cloud.unavailable = true // so that the fleet does not change either
 	leader.SchedulingNeeded = false
 	if !sim.advanceUntil(5*time.Second, func() bool { return sim.startCounts["j-1/0"] == 1 }) {
-		t.Fatal("not started after its back-off")
+		t.Fatalf("task j-1/0 started %d times after its back-off, want once", sim.startCounts["j-1/0"])
 	}
 }
 
 // A job that was started only to limit its wait, and can still meet its objective, is planned for
-// that objective. Ranked as late, it was planned over four run times, and the rest of its tasks
-// started after the objective.
+// that objective. When it ranked as late, the plan spread it over four task durations, and the rest
+// of its tasks started too late for the objective.
 func TestStartedJobIsPlannedForItsObjective(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, MinShare: 0.9}}
@@ -305,16 +309,18 @@
 	spec := jobSpec("j-1", 100)
 	spec.EstimatedSeconds = 50
 	job := leader.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leader.node.nowUnixMilli()}, 1)
-	job.EligibleAt -= 150 * time.Second // the reserve of the plan is used up; 50 s remain to start in
+	job.EligibleAt -= 150 * time.Second // the plan's reserve is used up: all tasks must start within 50 s
 	coresBeforeStart := requiredCores(leader, 1000)
 	job.FirstStartAt = leader.node.now
-	secondsLeft := 100.0 // seconds until its last task should have completed
+	secondsLeft := 100.0 // until its last task has to be complete
 	if cores := requiredCores(leader, 1000); cores < 100*50/secondsLeft || cores > coresBeforeStart {
-		t.Errorf("%v cores are planned, and %v before it began", cores, coresBeforeStart)
+		t.Errorf("%v cores are planned, want at least %v and at most the %v planned before its start", cores,
+			100*50/secondsLeft, coresBeforeStart)
 	}
 }
 
-// Where objectives allow next to no late jobs, the plan counts on less of the machines' time.
+// If objectives allow almost no late jobs, as a share of 0.99 does, the plan counts on less of the
+// machines' time and so needs 20 to 40 % more cores. Shares of 0.8 and 0.9 need no such margin.
 func TestStrictObjectivesAddCapacityMargin(t *testing.T) {
 	plannedCores := func(share float64) float64 {
 		sim := newSimulation(t, 1)
@@ -328,14 +334,15 @@
 	}
 	loose, usual, strict := plannedCores(0.8), plannedCores(0.9), plannedCores(0.99)
 	if loose != usual || strict < usual*1.2 || strict > usual*1.4 {
-		t.Errorf("cores planned: %v, %v and %v", loose, usual, strict)
+		t.Errorf("planned cores: %v for a share of 0.8, %v for 0.9, %v for 0.99; want x, x and 1.2x to 1.4x",
+			loose, usual, strict)
 	}
 }
 
-// Large parts of the fleet fail at once: a third of the spot machines is preempted without notice,
-// others crash, others hang within their lease, and the leader and a zone with a controller in it
-// are isolated. Hung machines are not returned in bulk, no task runs twice and no quota is
-// exceeded, replacements are rented at once, and every task completes in the end.
+// Large parts of the fleet fail at once: a third of the machines is preempted without notice or
+// crashes, others hang for less than their lease, the leader crashes, and a zone is isolated with its
+// machines and a controller. Hung machines must not be returned in bulk, no task runs twice, no quota
+// is exceeded, replacements are rented at once, and every task completes in the end.
 func TestSimultaneousFleetFailures(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
@@ -352,13 +359,13 @@
 	for i := range 8 {
 		job := jobSpec(fmt.Sprintf("j-%d", i), 90)
 		if i%4 == 0 {
-			job.Team = "team" // which has a limit of 16 cores
+			job.Team = "team" // its quota is 16 cores
 			job.TaskCount = 20
 		}
 		sim.submit(leaderNode.name, job)
 	}
 	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.startCounts) > 440 }) {
-		t.Fatalf("%d tasks have started", len(sim.startCounts))
+		t.Fatalf("%d tasks have started after 30 s, want more than 440", len(sim.startCounts))
 	}
 	names := slices.Sorted(maps.Keys(sim.workers))
 	hung := names[60:90]
@@ -384,13 +391,14 @@
 	sim.advance(2 * time.Second)
 	for _, name := range hung {
 		if sim.workers[name] == nil {
-			t.Errorf("%s was returned for hanging within its lease", name)
+			t.Errorf("%s was returned although it hung for less than its lease", name)
 		}
 	}
 	rentedBefore := sim.cloud.lastMachineNumber
 	sim.advance(25 * time.Second)
 	if sim.cloud.lastMachineNumber < rentedBefore+10 {
-		t.Errorf("%d machines were rented for 40 that are gone", sim.cloud.lastMachineNumber-rentedBefore)
+		t.Errorf("%d machines were rented within 25 s to replace the 40 that are gone, want at least 10",
+			sim.cloud.lastMachineNumber-rentedBefore)
 	}
 	sim.workerReaches = nil
 	delete(sim.store.requestsDropped, isolatedNode)
