--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -9,9 +9,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A machine whose heartbeats arrive but which gets no responses is given no more work, and the
-// tasks that were assigned to it run elsewhere. Its heartbeats once kept those tasks assigned for
-// ever.
+// A machine whose heartbeats arrive but which gets no responses must get no more work and be
+// returned, and the tasks that were assigned to it must run elsewhere. Its heartbeats, which look
+// healthy, once kept those tasks assigned to it for ever.
 func TestMachineWithoutResponsesGetsNoWork(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -23,22 +23,23 @@
 	sim.submit(leaderNode.name, job)
 	sim.advance(25 * time.Second)
 	if got := sim.activeTaskCount("j-1"); got != 60 {
-		t.Fatalf("%d of 60 tasks run beside a deaf machine", got)
+		t.Fatalf("%d of the 60 tasks of j-1 run after 25 s, beside a machine without responses", got)
 	}
 	next := jobSpec("j-2", 4)
 	next.EstimatedSeconds = 3600
 	sim.submit(leaderNode.name, next)
 	if !sim.advanceUntil(12*time.Second, func() bool { return sim.activeTaskCount("j-2") == 4 }) {
-		t.Fatalf("%d of 4 tasks run beside a deaf machine", sim.activeTaskCount("j-2"))
+		t.Fatalf("%d of the 4 tasks of j-2 run after 12 s, beside a machine without responses",
+			sim.activeTaskCount("j-2"))
 	}
 	if !sim.advanceUntil(20*time.Second, func() bool { return sim.cloud.hosts["m-000001"] == nil }) {
-		t.Fatal("a deaf machine is kept")
+		t.Fatal("the machine m-000001, which gets no responses, was not returned within 20 s")
 	}
 }
 
-// Tasks of machines that get no responses are rescheduled once the worker lease has certainly
-// expired, although the machines keep sending heartbeats: a response that does not arrive renews no
-// lease. Several machines at once.
+// Two machines stop getting responses at once and can't be returned. Although they keep sending
+// heartbeats, their tasks are rescheduled once the worker lease has certainly expired, because a
+// response that does not arrive renews no lease.
 func TestMachinesWithoutResponsesLoseTheirTasks(t *testing.T) {
 	sim, _ := newRunningSimulation(t, 3, 25*time.Second, 4, 12)
 	sim.cloud.rejectReturns = true
@@ -48,8 +49,9 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// After a takeover a machine without responses must not hold up older jobs: it never carries the
-// new fencing token, and each response sent to it once postponed its reconciliation.
+// After a takeover a machine that gets no responses must not hold up older jobs. Its heartbeats never
+// carry the new fencing token, so it is not reconciled before its lease has expired, and each response
+// sent to it once postponed that.
 func TestMachineWithoutResponsesAcrossTakeover(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -68,7 +70,7 @@
 	sim.crashNode(leaderNode.name)
 	sim.advance(time.Second)
 	newLeader := sim.waitForLeader()
-	// Its heartbeats all arrive at the new leader, at the highest rate.
+	// All heartbeats of this machine arrive at the new leader, at the highest rate.
 	for _, worker := range sim.workers {
 		if worker.dropResponses {
 			worker.node = newLeader.name
@@ -83,8 +85,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
 }
 
-// A machine that receives responses again after it was treated as unreachable is handled safely:
-// none of its tasks runs twice, whether it has been returned or not.
+// A machine gets responses again after it was drained because they did not reach it. None of its
+// tasks may run twice, whether the machine has been returned or not.
 func TestMachineReceivesResponsesAgain(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 12 * time.Second }
@@ -102,9 +104,9 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// Late copies of heartbeats arrive seconds to well over a lease late: after newer ones, after the
-// machine was returned, after a takeover by a leader that knows nothing of it. None restores a
-// machine, a task or used quota.
+// Copies of heartbeats arrive again seconds to well over a worker lease late: after newer heartbeats,
+// after their machines were returned, and at a new leader that has no record of these machines. None
+// of them may restore a machine or a task, or use up quota.
 func TestLateHeartbeatCopiesOfReturnedMachines(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -121,14 +123,14 @@
 		copies = append(copies, &copied)
 	}
 	job := jobSpec("j-1", 16)
-	job.Team = "team" // which has a limit of 16 cores
+	job.Team = "team" // its quota is 16 cores
 	sim.startMachines(5)
 	sim.submitAndStart(sim.leaderName(), job, 16)
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
-	// All machines are returned, and their records deleted.
+	// Waits until all machines are returned and their records deleted.
 	if !sim.advanceUntil(5*time.Minute,
 		func() bool { return len(sim.workers) == 0 && len(sim.nodes[sim.leaderName()].leader.Machines) == 0 }) {
-		t.Fatalf("machines are kept: %d", len(sim.workers))
+		t.Fatalf("%d idle machines are up after 5 min, want none, also none in the leader's records", len(sim.workers))
 	}
 	oldCopies := copies
 	sim.onHeartbeat = nil
@@ -146,25 +148,25 @@
 		leader := sim.nodes[sim.leaderName()].leader
 		if totals := leader.CurrentMachineTotals(); totals.Slots != 0 || totals.UnknownUsage.Cores != 0 ||
 			!totals.AllReconciled {
-			t.Fatalf("%s: late copies count: %+v", when, totals)
+			t.Fatalf("%s: machines of late copies count in the totals: %+v", when, totals)
 		}
 		if usage := leader.TeamUsage["team"]; usage.Cores != 0 {
-			t.Fatalf("%s: late copies use %v cores of a quota", when, usage.Cores)
+			t.Fatalf("%s: late copies use %v cores of the team's quota, want 0", when, usage.Cores)
 		}
 		for name, machine := range leader.Machines {
 			if machine.Schedulable() {
-				t.Fatalf("%s: late copies make %s ready", when, name)
+				t.Fatalf("%s: late copies make %s schedulable", when, name)
 			}
 		}
 	}
 	replay()
-	checkNothingRestored("same leader")
+	checkNothingRestored("at the same leader")
 	sim.crashNode(sim.leaderName())
 	sim.advance(time.Second)
 	sim.waitForLeader()
 	replay()
 	checkNothingRestored("after a takeover")
-	// A job that needs the full quota starts as if no copy had arrived.
+	// A job that needs the full quota starts in spite of the late copies.
 	job = jobSpec("j-2", 16)
 	job.EstimatedSeconds = 3600
 	job.Team = "team"
@@ -176,13 +178,13 @@
 			return
 		}
 		if i == 29 {
-			t.Fatalf("%d of 16 tasks started among late copies", sim.activeTaskCount("j-2"))
+			t.Fatalf("%d of the 16 tasks of j-2 run after 30 s with late copies", sim.activeTaskCount("j-2"))
 		}
 	}
 }
 
-// Copies that arrive while the machine is up, in any order and long after, neither restore a task
-// that has completed or moved nor release one that runs.
+// Copies of heartbeats that arrive in any order, up to 25 s late, while their machine is up must
+// neither restore a task that has completed or moved nor release one that runs.
 func TestLateHeartbeatCopiesOfRunningMachines(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 4 * time.Second }
@@ -198,7 +200,7 @@
 				sim.sendRequest(leaderNode.name, Request{Kind: protocol.RequestHeartbeat, Heartbeat: &copied},
 					func(r Reply) {
 						if r.Status == 200 && (copied.Epoch < worker.epoch || copied.Sequence < worker.sequence-1) {
-							t.Errorf("a copy %v late is answered 200", delay)
+							t.Errorf("a copy of a heartbeat, %v late, got 200 after newer heartbeats", delay)
 						}
 					})
 			})
@@ -221,12 +223,12 @@
 	}
 	sim.checkStartedOnce()
 	if count == 0 {
-		t.Fatal("no copies were sent")
+		t.Fatal("no heartbeat was copied, so the test covers nothing")
 	}
 }
 
-// A machine that restarts at once, with a new epoch, loses its tasks and is given them again; it is
-// not treated as one without responses.
+// A machine that restarts at once loses its tasks and begins a new epoch. It gets the tasks again and
+// must not be drained as a machine that gets no responses.
 func TestMachineRestartsAtOnce(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
@@ -238,17 +240,17 @@
 	worker := sim.workers["m-000001"]
 	worker.restartMachine()
 	if !sim.advanceUntil(3*time.Second, func() bool { return sim.activeTaskCount("j-1") == 4 }) {
-		t.Fatalf("%d of 4 tasks run again", sim.activeTaskCount("j-1"))
+		t.Fatalf("%d of the 4 tasks of j-1 run 3 s after the restart of the machine", sim.activeTaskCount("j-1"))
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
 	if machine := leaderNode.leader.Machines["m-000001"]; machine == nil ||
 		machine.DrainReason == cluster.CommandsUndelivered {
-		t.Fatal("the machine is taken for deaf")
+		t.Fatal("m-000001 was removed, or is drained as a machine that gets no responses")
 	}
 }
 
-// Machines that a leader loses contact with together are not returned one after the other before
-// their number is known, nor after they have reported again.
+// When a leader loses contact with many machines together, it must not return the first of them
+// before it shows how many are missing, and none after it has sent heartbeats again.
 func TestMachinesUnreachableTogetherAreKept(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 9, 36)
 	machineCount := len(sim.cloud.hosts)
@@ -263,37 +265,42 @@
 			worker.unreachable = false
 		}
 	}
-	// Six of nine, not all at the same moment: fewer than half when the first ones are due.
+	// Six of nine machines become unreachable one after the other. When the first of them may be
+	// returned, less than half of all are overdue.
 	silence(6, 500*time.Millisecond)
 	sim.advance(8 * time.Second)
 	restore()
 	sim.advance(5 * time.Second)
 	if len(sim.cloud.hosts) < machineCount {
-		t.Fatalf("%d of %d machines are left after a cut of six", len(sim.cloud.hosts), machineCount)
+		t.Fatalf("%d machines are left after six were unreachable, want at least %d",
+			len(sim.cloud.hosts), machineCount)
 	}
-	// Three of nine, while the cloud is down.
+	// Three of nine machines become unreachable while the cloud is down and accepts no returns.
 	sim.cloud.unavailable = true
 	silence(3, 0)
 	sim.advance(10 * time.Second)
 	if machine := leaderNode.leader.Machines["m-000001"]; machine.DrainReason != cluster.HeartbeatMissed {
-		t.Fatalf("a silent machine is not to be returned (%q)", machine.DrainReason)
+		t.Fatalf("m-000001, which sends no heartbeats, has the drain reason %q, want %q", machine.DrainReason,
+			cluster.HeartbeatMissed)
 	}
 	leaderNode.leader.Machines["m-000003"].Unhealthy = true
 	restore()
 	sim.advance(4 * time.Second)
 	if machine := leaderNode.leader.Machines["m-000003"]; machine.DrainReason != cluster.Unhealthy {
-		t.Errorf("a sick machine that was silent is kept (%q)", machine.DrainReason)
+		t.Errorf("m-000003, which is unhealthy, has the drain reason %q after it reported again, want %q",
+			machine.DrainReason, cluster.Unhealthy)
 	}
 	sim.cloud.unavailable = false
 	sim.advance(10 * time.Second)
 	if len(sim.cloud.hosts) < machineCount {
-		t.Errorf("%d of %d machines are left after an outage of the cloud", len(sim.cloud.hosts), machineCount)
+		t.Errorf("%d machines are left after the cloud outage, want at least %d", len(sim.cloud.hosts), machineCount)
 	}
 	sim.checkStartedOnce()
 }
 
-// A copy that reaches the next leader before any newer heartbeat shows a task on the machine from
-// which it has moved. The task continues where it is: the copy once ended it there.
+// A copy of an old heartbeat reaches the next leader before any newer heartbeat and shows a task on
+// the machine from which it has moved. The task must continue on its present machine. Such a copy once
+// made the leader end it there.
 func TestStaleHeartbeatAtNextLeader(t *testing.T) {
 	for nodes := 1; nodes <= 7; nodes += 2 {
 		for offset := range 12 {
@@ -314,8 +321,8 @@
 					}
 				}
 				sim.advance(4 * time.Second)
-				// The cloud announces a preemption, so that the tasks move, but neither takes the
-				// machines nor accepts their return.
+				// The cloud announces a preemption, so that the tasks move. It neither takes the machines
+				// away nor accepts their return.
 				sim.cloud.rejectReturns = true
 				noticeSeconds := 30.0
 				var preempted []*fakeWorker
@@ -327,7 +334,8 @@
 				if !sim.advanceUntil(time.Minute, func() bool {
 					return sim.activeTaskCount("j-1") == 4 && len(preempted[0].tasks)+len(preempted[len(preempted)-1].tasks) == 0
 				}) {
-					t.Fatal("the tasks don't run elsewhere")
+					t.Fatalf("%d of the 4 tasks of j-1 run 1 min after the notice, or some run on a preempted machine",
+						sim.activeTaskCount("j-1"))
 				}
 				sim.advance(5 * time.Second)
 				startedTasks, startsBefore := len(sim.startCounts), sim.totalStarts()
@@ -348,7 +356,8 @@
 				sim.advance(20 * time.Second)
 				if starts := sim.totalStarts(); len(sim.startCounts) != startedTasks || starts != startsBefore ||
 					sim.activeTaskCount("j-1") != 4 {
-					t.Errorf("%d of 4 tasks run, %d starts after %d", sim.activeTaskCount("j-1"), starts, startsBefore)
+					t.Errorf("%d tasks run, want 4; %d task starts, want the %d from before the takeover",
+						sim.activeTaskCount("j-1"), starts, startsBefore)
 				}
 				sim.cloud.rejectReturns = false
 				sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
