--- a/internal/controller/one_way_cuts_bench_test.go
+++ b/internal/controller/one_way_cuts_bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkHalfOpenCuts measures, in simulated time, what each cut and each pair of them costs:
-// how long nothing begins, how many terms there are, and how many leases with their tasks are
-// lost. By hand only:
+// BenchmarkHalfOpenCuts measures the cost of each one-way cut and each pair of them, in simulated
+// time: the time until a new job starts, the number of new terms, and the number of worker leases that
+// are lost together with their tasks. It is run by hand only:
 //
 //	go test -run '^$' -bench HalfOpenCuts -benchtime 1x ./internal/controller
 func BenchmarkHalfOpenCuts(b *testing.B) {
@@ -50,7 +50,8 @@
 					lostLeases.RecordValue(int64(newEpochs))
 				}
 			}
-			b.Logf("%d nodes, %d pairs: nothing begins for ms p50 %d, p90 %d, max %d, in %d pairs for %v; terms p50 %d, p90 %d, max %d; leases lost p50 %d, p90 %d, max %d",
+			b.Logf("%d nodes, %d pairs: start delay in ms p50 %d, p90 %d, max %d, no start in %d pairs within %v; "+
+				"terms p50 %d, p90 %d, max %d; leases lost p50 %d, p90 %d, max %d",
 				nodes, startDelay.TotalCount(),
 				startDelay.ValueAtQuantile(50), startDelay.ValueAtQuantile(90), startDelay.Max(), neverStarted, longest,
 				terms.ValueAtQuantile(50), terms.ValueAtQuantile(90), terms.Max(),
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -12,10 +12,11 @@
 	"hitchdoor/internal/reachability"
 )
 
-// halfOpenCut stops, or restores, one direction of some links.
+// halfOpenCut cuts one direction of some links if active is set, and restores it otherwise.
 type halfOpenCut func(sim *simulation, leader string, active bool)
 
-// halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers.
+// halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers, by
+// name. Pairs of them are applied in the order of the names.
 var halfOpenCuts = map[string]halfOpenCut{
 	"leader to nodes": func(sim *simulation, leader string, active bool) {
 		for _, other := range sim.names {
@@ -28,14 +29,13 @@
 		}
 	},
 	"leader to a node": func(sim *simulation, leader string, active bool) {
-		sim.setOneWayCut(leader,
-			sim.nextNode(leader), active)
+		sim.setOneWayCut(leader, sim.nextNode(leader), active)
 	},
 	"a node to leader": func(sim *simulation, leader string, active bool) {
 		sim.setOneWayCut(sim.nextNode(leader), leader, active)
 	},
-	"leader to state":   func(sim *simulation, leader string, active bool) { sim.store.requestsDropped[leader] = active },
-	"state to leader":   func(sim *simulation, leader string, active bool) { sim.store.responsesDropped[leader] = active },
+	"leader to store":   func(sim *simulation, leader string, active bool) { sim.store.requestsDropped[leader] = active },
+	"store to leader":   func(sim *simulation, leader string, active bool) { sim.store.responsesDropped[leader] = active },
 	"workers to leader": func(sim *simulation, leader string, active bool) { sim.heartbeatsBlocked[leader] = active },
 	"leader to workers": func(sim *simulation, leader string, active bool) { sim.responsesBlocked[leader] = active },
 	"workers to all nodes but leader": func(sim *simulation, leader string, active bool) {
@@ -54,7 +54,7 @@
 			}
 		}
 	},
-	"a ring": func(sim *simulation, _ string, active bool) {
+	"a one-way ring": func(sim *simulation, _ string, active bool) {
 		for i, from := range sim.names {
 			for k, to := range sim.names {
 				if k != (i+1)%len(sim.names) {
@@ -65,6 +65,7 @@
 	},
 }
 
+// setOneWayCut cuts or restores the link from one node to another, in this direction only.
 func (sim *simulation) setOneWayCut(from, to string, active bool) {
 	if from == to {
 		return
@@ -76,25 +77,25 @@
 	}
 }
 
-// nextNode returns the node after another, in order of name.
+// nextNode returns the node that follows another in the order of names; the first follows the last.
 func (sim *simulation) nextNode(name string) string {
 	return sim.names[(slices.Index(sim.names, name)+1)%len(sim.names)]
 }
 
-// leaderPossible tells whether some node has all the links that a leader needs. With some pairs of
-// cuts no worker has a node that it can both reach and receive from, and no progress is possible.
+// leaderPossible tells whether some node has all the links that a leader needs under two cuts. With
+// some pairs workers have no node that they can both reach and receive from, and no task can start.
 func leaderPossible(first, second string) bool {
 	workers := []string{"workers to leader", "leader to workers"}
 	const others = "workers to all nodes but leader"
 	return !(first == others && slices.Contains(workers, second) || second == others && slices.Contains(workers, first))
 }
 
-// maxRecoveryLeases is the number of leases within which tasks start again, under any cut.
+// maxRecoveryLeases is the number of worker leases within which tasks must start under any cut.
 const maxRecoveryLeases = 4
 
-// Each cut alone and each pair of them, for three, five and seven nodes with drifting clocks: no
-// task starts twice, and a job that is submitted two seconds after the cut starts within four
-// leases although the cut persists. Once it heals every job completes.
+// Under each one-way cut alone and each pair of them, with three, five and seven nodes and drifting
+// clocks, no task runs twice, and a job that is submitted two seconds after the cut starts within four
+// worker leases although the cut persists. Once it heals, every job completes.
 func TestHalfOpenCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, nodes := range []int{3, 5, 7} {
@@ -123,7 +124,8 @@
 	started := sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 		func() bool { return sim.firstStartAt["j-2"] != 0 })
 	if !started && leaderPossible(first, second) {
-		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, first, second, sim.now-cutAt, sim.explainNoLeader())
+		t.Errorf("%d nodes, cuts %q and %q: no task of j-2 starts within %v; %s", nodes, first, second,
+			sim.now-cutAt, sim.explainNoLeader())
 	}
 	sim.advance(leaderNode.workerLease())
 	halfOpenCuts[first](sim, leader, false)
@@ -131,8 +133,8 @@
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// Cuts that flap, with periods around the heartbeat interval, half of the lease and the lease: work
-// continues, and there is at most one new leader in a lease.
+// Cuts that flap with periods from one interval of the heartbeats between controllers to 1.1 worker
+// leases must neither stop the work nor cause more than one new leader in a worker lease.
 func TestFlappingCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
@@ -163,15 +165,15 @@
 				halfOpenCuts[name](sim, leader, false)
 				c.waitForCompletion(5 * time.Minute)
 				if terms := sim.waitForLeader().leader.term - firstTerm; terms > leases+2 {
-					t.Errorf("period of %.2f leases: %d terms in %d leases", period, terms, leases)
+					t.Errorf("period of %.2f leases: %d terms in %d leases, want at most %d", period, terms, leases, leases+2)
 				}
 			}
 		})
 	}
 }
 
-// A cut heals at any moment after it began, and the messages it held back are delivered then, while
-// jobs are submitted and cancelled.
+// A cut heals at different moments while jobs are submitted and cancelled. The messages that it held
+// back are delivered then, and must neither violate an invariant nor keep a job from completing.
 func TestCutHealsAtAnyMoment(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
@@ -196,24 +198,25 @@
 	}
 }
 
-// Workers reach only one node, which does not receive the leader's heartbeats: the leader resigns,
-// and a node that can serve the workers is elected, whatever fault coincides with the change.
+// Workers reach only one node, workerNode, which does not receive the leader's heartbeats and so can't
+// relay for it. The leader must resign, and a node that can serve the workers must be elected,
+// whatever further fault coincides with the change.
 func TestHandOverUnderFaults(t *testing.T) {
 	for name, inject := range map[string]func(sim *simulation, leader, workerNode string){
-		"nothing":         func(*simulation, string, string) {},
-		"that node ends":  func(sim *simulation, _, workerNode string) { sim.restartAfter(workerNode, 3*time.Second) },
-		"the leader ends": func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 200*time.Millisecond) },
-		"an outage": func(sim *simulation, _, _ string) {
+		"no further fault":     func(*simulation, string, string) {},
+		"worker node restarts": func(sim *simulation, _, workerNode string) { sim.restartAfter(workerNode, 3*time.Second) },
+		"leader restarts":      func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 200*time.Millisecond) },
+		"store outage": func(sim *simulation, _, _ string) {
 			sim.store.setDown(true)
 			sim.schedule(5*time.Second, func() { sim.store.setDown(false) })
 		},
-		"the leader stands": func(sim *simulation, leader, _ string) {
+		"leader pauses": func(sim *simulation, leader, _ string) {
 			sim.nodes[leader].pauseBeforeEffects = 9 * time.Second
 		},
-		"that node is slow": func(sim *simulation, _, workerNode string) {
+		"worker node pauses": func(sim *simulation, _, workerNode string) {
 			sim.nodes[workerNode].pauseBeforeEffects = 3 * time.Second
 		},
-		"the cut turns over": func(sim *simulation, leader, workerNode string) {
+		"cut changes direction": func(sim *simulation, leader, workerNode string) {
 			sim.setOneWayCut(leader, workerNode, false)
 			sim.setOneWayCut(workerNode, leader, true)
 		},
@@ -232,7 +235,8 @@
 				inject(sim, leader, workerNode)
 				if !sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 					func() bool { return sim.firstStartAt["j-2"] != 0 }) {
-					t.Errorf("moment %d: nothing begins: %s", moment, sim.explainNoLeader())
+					t.Errorf("fault at moment %d: no task of j-2 starts within %d leases: %s", moment, maxRecoveryLeases,
+						sim.explainNoLeader())
 				}
 				sim.oneWayCuts, sim.heartbeatsBlocked = map[[2]string]bool{}, map[string]bool{}
 				c.waitForCompletion(5 * time.Minute)
@@ -241,13 +245,13 @@
 	}
 }
 
-// linkTo returns the state of the link from this node to a peer, by the reports of the peer.
+// linkTo returns the state of the link from this node to a peer, as the peer reports it.
 func (n *Node) linkTo(name string) reachability.Link {
 	return n.connectivity.matrix.Link(n.cfg.Node, name, n.now, n.leaderLease())
 }
 
-// A link report of a peer that can't be true changes nothing and is logged once; a message of an
-// earlier version, which carries no report, leaves the links unknown.
+// A link report that can't be true changes no link state, and only the first one of a peer is logged.
+// A heartbeat of an earlier version carries no report and leaves the state of the links unknown.
 func TestInvalidLinkReports(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -263,19 +267,22 @@
 	}
 	if leaderNode.linkTo(peer) != before || before != reachability.LinkUp ||
 		len(leaderNode.connectivity.invalidReportLogged) != 1 {
-		t.Errorf("link %v after %v", leaderNode.linkTo(peer), before)
+		t.Errorf("the link to %s is %v after invalid reports and was %v before, want %v; %d peers logged, want 1", peer,
+			leaderNode.linkTo(peer), before, reachability.LinkUp, len(leaderNode.connectivity.invalidReportLogged))
 	}
 	otherFollower := sim.nodes[sim.followers()[1]]
 	otherFollower.connectivity = newConnectivity(otherFollower.name, otherFollower.peers)
 	otherFollower.Step(otherFollower.monotonicNow(sim.now),
 		[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
 	if got := otherFollower.linkTo(peer); got != reachability.LinkUnknown || otherFollower.twoWayPeerCount() == 0 {
-		t.Errorf("an earlier version: %v, %d two ways", got, otherFollower.twoWayPeerCount())
+		t.Errorf("after a heartbeat without a report the link is %v, want %v; %d peers with two-way contact, want some",
+			got, reachability.LinkUnknown, otherFollower.twoWayPeerCount())
 	}
 }
 
-// While no worker reaches the leader the others relay. They retry from time to time whether workers
-// do, so that workers are served directly once the cut has healed.
+// While no worker reaches the leader, the other nodes relay for all workers. From time to time they
+// redirect a few workers to the leader, because otherwise it would not be found out that the cut has
+// healed and workers can be served directly again.
 func TestRelayingEndsAfterCut(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 4, 8)
 	sim.heartbeatsBlocked[leaderNode.name] = true
@@ -290,24 +297,26 @@
 		return count
 	}
 	if leaderNode.leader == nil || direct() > 0 || !leaderNode.leader.needsRelays() {
-		t.Fatal("the leader does not have others relay")
+		t.Fatal("workers are served directly during the cut, or the leader does not request relays")
 	}
 	sim.heartbeatsBlocked[leaderNode.name] = false
 	if !sim.advanceUntil(8*leaderNode.workerLease(),
 		func() bool { return leaderNode.leader != nil && direct() == len(leaderNode.leader.Machines) }) {
-		t.Errorf("%d of %d are served directly", direct(), len(leaderNode.leader.Machines))
+		t.Errorf("%d of %d machines are served directly 8 worker leases after the cut", direct(),
+			len(leaderNode.leader.Machines))
 	}
 }
 
-// A leader that still serves a few workers while clearly more reach only a node that does not
-// receive its heartbeats hands over as well; one that serves most of them stays.
+// A leader that serves a few workers must resign if clearly more workers reach only a node that does
+// not receive its heartbeats. A leader that serves most of the workers must not.
 func TestHandOverToNodeWithMostWorkers(t *testing.T) {
 	for _, testCase := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
 		sim, leaderNode := newRunningSimulation(t, 3, time.Hour, testCase.served+testCase.stranded, 4)
 		leader, term := leaderNode.name, leaderNode.leader.term
 		other, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
-		sim.cloud.capacity, sim.cloud.rejectReturns = testCase.served+testCase.stranded, true // or it would rent others
-		strandedWorkers := map[string]bool{}                                                  // workers that reach the other node only
+		// The leader can neither rent nor return machines.
+		sim.cloud.capacity, sim.cloud.rejectReturns = testCase.served+testCase.stranded, true
+		strandedWorkers := map[string]bool{} // workers that reach only the other node
 		for _, worker := range sim.sortedWorkers()[:testCase.stranded] {
 			strandedWorkers[worker.name] = true
 		}
@@ -319,11 +328,13 @@
 		replaced := sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 			func() bool { now := sim.leaderName(); return now != "" && now != leader })
 		if replaced != (testCase.stranded > testCase.served) {
-			t.Errorf("%d served, %d stranded: %s leads after %s", testCase.served, testCase.stranded, sim.leaderName(), leader)
+			t.Errorf("%d served, %d stranded: %q leads after %s, replaced %v, want %v", testCase.served,
+				testCase.stranded, sim.leaderName(), leader, replaced, testCase.stranded > testCase.served)
 		}
 		sim.advance(10 * leaderNode.workerLease())
 		if terms := sim.waitForLeader().leader.term - term; terms > 6 {
-			t.Errorf("%d served, %d stranded: %d terms in 12 leases", testCase.served, testCase.stranded, terms)
+			t.Errorf("%d served, %d stranded: %d new terms in up to 14 worker leases, want at most 6", testCase.served,
+				testCase.stranded, terms)
 		}
 	}
 }
