--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -15,11 +15,11 @@
 	"hitchdoor/internal/storage"
 )
 
-// responseFaults are what a service, or a proxy before it, may make of a response. The call itself
-// was executed.
+// responseFaults are faults of responses that a service, or a proxy in front of it, may cause. The
+// call itself was executed. The length of a name is part of the seed of its test case.
 var responseFaults = map[string]func(r CallResult) CallResult{
-	"cut short":         func(r CallResult) CallResult { r.Body = r.Body[:len(r.Body)/2]; return r },
-	"a page of a proxy": func(r CallResult) CallResult { r.Body = []byte("<html>ok</html>"); return r },
+	"truncated":         func(r CallResult) CallResult { r.Body = r.Body[:len(r.Body)/2]; return r },
+	"a proxy HTML page": func(r CallResult) CallResult { r.Body = []byte("<html>ok</html>"); return r },
 	"no body":           func(r CallResult) CallResult { r.Body = nil; return r },
 	"an empty object":   func(r CallResult) CallResult { r.Body = []byte("{}"); return r },
 	"null":              func(r CallResult) CallResult { r.Body = []byte("null"); return r },
@@ -32,16 +32,16 @@
 	"forbidden":     func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 403} },
 	"a conflict":    func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 409} },
 	"an odd status": func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 207, Body: r.Body} },
-	"an error of a node": func(r CallResult) CallResult {
+	"internal error 500": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 500,
 			Body: []byte("oops")}
 	},
-	"refused for the rate": func(r CallResult) CallResult {
+	"request rate limited": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 429}
 	},
 }
 
-// numbersAsStrings replaces each number of a response by a string.
+// numbersAsStrings replaces each number at the top level of a response by a string.
 func numbersAsStrings(r CallResult) CallResult {
 	var fields map[string]any
 	if json.Unmarshal(r.Body, &fields) != nil {
@@ -56,9 +56,10 @@
 	return r
 }
 
-// The key-value store or the cloud returns invalid responses for half a minute, to one node or to
-// all, sometimes or always: no invariant is violated, no user gets a false reply, the node recovers
-// by itself, and all requests are served once the responses are valid again.
+// The key-value store or the cloud returns invalid responses for half a minute, sometimes or always,
+// to the leader or to all nodes. No invariant may be violated, no user may get a false reply, no node
+// may retry faster than the request rate allows, and every node recovers by itself: all jobs complete
+// once the responses are valid again.
 func TestInvalidServiceResponses(t *testing.T) {
 	for fault, alter := range responseFaults {
 		for _, target := range []Target{TargetStore, TargetCloud} {
@@ -88,7 +89,8 @@
 					calls := c.countStoreCalls()
 					c.advance(30 * time.Second)
 					if limit := int(30 * c.cfg.Store.RequestsPerS); calls() > limit {
-						t.Errorf("%d calls in 30 s: %v a second are allowed", calls(), c.cfg.Store.RequestsPerS)
+						t.Errorf("%d calls to the store in 30 s, want at most %d (%v per second)", calls(), limit,
+							c.cfg.Store.RequestsPerS)
 					}
 					c.alterResult = nil
 					c.waitForCompletion(5 * time.Minute)
@@ -98,7 +100,8 @@
 	}
 }
 
-// alterServiceResults alters a share of the responses of a service, for one node or for all.
+// alterServiceResults alters a random share of the responses of a service to onlyNode, or to all nodes
+// if onlyNode is empty.
 func (c *userSimulation) alterServiceResults(target Target, onlyNode string, share float64,
 	alter func(CallResult) CallResult) {
 	c.alterResult = func(node string, call ServiceCall, r CallResult) CallResult {
@@ -109,7 +112,8 @@
 	}
 }
 
-// countStoreCalls counts the calls to the key-value store that are answered from now on.
+// countStoreCalls counts the calls to the key-value store that get a response from now on, and returns
+// a function that returns the count. It must be called after alterServiceResults.
 func (c *userSimulation) countStoreCalls() func() int {
 	calls := 0
 	inner := c.alterResult
@@ -122,16 +126,16 @@
 	return func() int { return calls }
 }
 
-// A watch that always returns at once, with no event or with 410, is retried after a growing delay:
-// without that, a leader repeated it as fast as responses arrived. Jobs that other nodes write are
-// found nevertheless.
+// A watch that always returns at once, with a failure or nothing new, is repeated after a growing
+// delay. Without the delay a leader repeated it as fast as responses arrived. Jobs that other nodes
+// write must be found nevertheless.
 func TestWatchReturningAtOnceIsBackedOff(t *testing.T) {
 	for name, answer := range map[string]CallResult{
 		"empty":      {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
 		"gone":       {Status: 410},
-		"no answer":  {Status: 0},
+		"timeout":    {Status: 0},
 		"unreadable": {Status: 200, Body: []byte("{")},
-		"old changes": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1,
+		"old events": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1,
 			Events: []storage.WatchEvent{{DeletedKey: "job/j-9", ModRevision: 1}}})},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -151,23 +155,26 @@
 			}
 			sim.advance(time.Minute)
 			if limit := 60; watches > limit || listings > limit {
-				t.Errorf("%d watches and %d listings in a minute", watches, listings)
+				t.Errorf("%d watches and %d listings in a minute, want at most %d of each", watches, listings, limit)
 			}
-			if name == "empty" || name == "old changes" {
-				return // it may be that nothing has changed: only its own lease tells
+			if name == "empty" || name == "old events" {
+				// Such a response may mean that nothing has changed. Only by its own lease can the leader tell
+				// whether the store still works, so it need not find the job.
+				return
 			}
 			sim.submit(sim.followers()[0], jobSpec("j-1", 1))
 			if !sim.advanceUntil(20*time.Second,
 				func() bool { return leaderNode.leader.Jobs["j-1"] != nil || sim.terminalState("j-1") != "" }) {
-				t.Error("a job that another node wrote is not found")
+				t.Error("the leader has not found j-1, which another node wrote, after 20 s")
 			}
 		})
 	}
 }
 
-// What the cloud says of machine types, machines and rentals may be wrong in every way that JSON
-// allows: types that are missing once or free of charge, lists that repeat, contradict or name
-// nobody, rentals answered with known machines.
+// The cloud's catalog may be wrong in every way that JSON allows: machine types that are missing or
+// listed twice, prices, sizes and times that are zero, negative or absurdly large. No invariant may be
+// violated, no job that fits may be rejected permanently, and all jobs complete once the catalog is
+// valid again.
 func TestInvalidCatalogs(t *testing.T) {
 	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1,
 		OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
@@ -177,15 +184,15 @@
 		return []protocol.MachineType{t}
 	}
 	catalogs := map[string][]protocol.MachineType{
-		"a type is given away":      withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 0, 0 }),
-		"prices a thousandfold":     withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 300, 100 }),
-		"prices below nothing":      withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = -3, -1 }),
-		"images are never fetched":  withChange(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
-		"no cores":                  withChange(func(t *protocol.MachineType) { t.Cores = 0 }),
-		"another type only":         withChange(func(t *protocol.MachineType) { t.Name = "x9" }),
-		"the same type twice":       {c4, c4},
-		"a boot of a hundred years": withChange(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
-		"amounts beyond all bounds": withChange(func(t *protocol.MachineType) {
+		"a type is free":           withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 0, 0 }),
+		"prices times a thousand":  withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 300, 100 }),
+		"negative prices":          withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = -3, -1 }),
+		"image download rate of 0": withChange(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
+		"no cores":                 withChange(func(t *protocol.MachineType) { t.Cores = 0 }),
+		"another type only":        withChange(func(t *protocol.MachineType) { t.Name = "x9" }),
+		"the same type twice":      {c4, c4},
+		"boot time of 100 years":   withChange(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
+		"amounts of 1e300": withChange(func(t *protocol.MachineType) {
 			t.BootSeconds, t.ImageCacheGB,
 				t.OnDemandPrice = 1e300, 1e300, 1e300
 		}),
@@ -206,7 +213,7 @@
 			c.advance(20 * time.Second)
 			if r := c.submit(c.leaderName(), jobSpec("j-once", 1)); r.Status == 422 &&
 				name != "another type only" && name != "no cores" {
-				t.Errorf("a job that fits is answered %d", r.Status)
+				t.Errorf("submission of a job that fits: status %d, want no permanent rejection", r.Status)
 			}
 			c.cloud.machineTypes = nil
 			for _, node := range c.names {
@@ -217,6 +224,7 @@
 	}
 }
 
+// manyNames returns the given number of machine names, from m-001000 on, which no other machine has.
 func manyNames(count int) []string {
 	var names []string
 	for i := range count {
@@ -225,8 +233,9 @@
 	return names
 }
 
-// Two workers report under one name. The first one keeps its tasks: the newer epoch of the other is
-// no proof that they have ended. Once the first has certainly ended the other may use the name.
+// Two workers send heartbeats with one machine name. The first one keeps the name and its tasks,
+// because the newer epoch of the other does not mean that they have ended. Once the lease of the first
+// has certainly expired, the name is free for the other.
 func TestTwoWorkersUnderOneName(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
 	worker := sim.sortedWorkers()[0]
@@ -239,7 +248,7 @@
 	}
 	for i := range uint64(20) {
 		if status := sendFromOther(1+i/4, 1000+i); status != 503 {
-			t.Fatalf("the other worker is answered %d", status)
+			t.Fatalf("heartbeat %d of the other worker: status %d, want 503", i, status)
 		}
 		sim.advance(2 * time.Second)
 	}
@@ -247,12 +256,13 @@
 	delete(sim.workers, worker.name)
 	sim.advance(leaderNode.leader.WorkerLeaseTimeout() + time.Second)
 	if machine := leaderNode.leader.Machines[worker.name]; machine != nil && machine.Address != "" {
-		t.Errorf("the name still belongs to %s", machine.Address)
+		t.Errorf("the machine name still belongs to the address %s after the worker lease", machine.Address)
 	}
 }
 
-// Heartbeats may hold whatever JSON allows: tasks that nobody started are stopped, unknown ones are
-// left alone, and durations are bounded.
+// A third of the heartbeats contain values that JSON allows but that make no sense. Tasks that nobody
+// started are stopped, unknown task states change nothing, durations are bounded, and all jobs complete
+// once the heartbeats are valid again. The length of a case's name is its seed.
 func TestInvalidHeartbeats(t *testing.T) {
 	pointerToSeconds := func(s float64) *float64 { return &s }
 	for name, corrupt := range map[string]func(heartbeat *protocol.WorkerHeartbeat){
@@ -293,7 +303,7 @@
 		"no type": func(heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Type, heartbeat.Zone, heartbeat.Address = "", "", ""
 		},
-		"the last sequence": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.Sequence += 1 << 62 },
+		"a higher sequence": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.Sequence += 1 << 62 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -316,8 +326,9 @@
 	}
 }
 
-// Wall clocks that differ by minutes decide no order that matters: the invariants hold across
-// changes of leader in either direction, and every job starts in time and completes.
+// The wall clocks of the nodes differ by up to twelve minutes. No decision may depend on their order:
+// the invariants hold when the leader changes in either direction, and every job starts in time and
+// completes.
 func TestWallClocksMinutesApart(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -343,8 +354,8 @@
 	}
 }
 
-// While no zone has capacity, rentals are retried at a bounded rate, work continues on the present
-// machines, and the rest follows once there is capacity.
+// While no zone has capacity, rentals are retried at a bounded rate and work continues on the machines
+// that are up. The other jobs run once there is capacity.
 func TestNoCapacityAnywhere(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
@@ -363,7 +374,7 @@
 	}
 	sim.advance(time.Minute)
 	if limit := int(60 * sim.cfg.Cloud.RequestsPerS / 4); rentalRequests > limit {
-		t.Errorf("%d rentals were asked for in a minute", rentalRequests)
+		t.Errorf("%d rental requests in a minute, want at most %d", rentalRequests, limit)
 	}
 	sim.cloud.capacity = 0
 	sim.cloud.bootTime = 5 * time.Second
