--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -10,11 +10,12 @@
 	"hitchdoor/internal/protocol"
 )
 
-// refusalOutageScenarios are the ways in which a terminal state is reported while the old leader doesn't
-// know of it, or in which that leader may keep its workers.
+// refusalOutageScenarios are faults beside the refusal and the outage, by name. They let a terminal
+// state be reported while the old leader does not know of it, or let the old leader keep its workers.
+// The length of a name selects the runs of the scenario that are in the sample.
 var refusalOutageScenarios = map[string]func(c *userSimulation, old string){
 	"plain": func(*userSimulation, string) {},
-	"answers lost": func(c *userSimulation, _ string) {
+	"replies lost": func(c *userSimulation, _ string) {
 		c.store.lateExecution = func() (time.Duration, bool) { return 0, c.rng.IntN(2) == 0 }
 		c.schedule(c.machineLease(), func() { c.store.lateExecution = nil })
 	},
@@ -24,24 +25,24 @@
 		}
 		c.schedule(c.machineLease(), func() { c.store.lateExecution = nil })
 	},
-	"the successor ends": func(c *userSimulation, old string) {
+	"the successor dies": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(name string) {
 			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond,
 				func() { c.restartAfter(name, c.cancelLimit()) })
 		})
 	},
-	"the successor is back at once": func(c *userSimulation, old string) {
+	"successor restarts right away": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(name string) {
 			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond,
 				func() { c.restartAfter(name, 100*time.Millisecond) })
 		})
 	},
-	"the successor is not heard": func(c *userSimulation, old string) {
+	"successor node is isolated": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(name string) {
 			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.isolateNode(name) })
 		})
 	},
-	"the others forget": func(c *userSimulation, old string) {
+	"peers all restart": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(string) {
 			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() {
 				for _, name := range c.names {
@@ -52,14 +53,14 @@
 			})
 		})
 	},
-	"the old leader hears nobody": func(c *userSimulation, old string) {
+	"old leader briefly isolated": func(c *userSimulation, old string) {
 		c.isolateNode(old)
 		c.schedule(c.machineLease()/4, c.healCuts)
 	},
-	"the old leader stands still": func(c *userSimulation, old string) {
+	"old leader's process paused": func(c *userSimulation, old string) {
 		c.pauseNode(c.nodes[old], time.Duration(c.rng.IntN(int(c.machineLease()/3))), func() {})
 	},
-	"the election is in full swing": func(c *userSimulation, old string) {
+	"nodes restart during election": func(c *userSimulation, old string) {
 		for i := range 4 {
 			c.schedule(time.Duration(i)*c.machineLease()/12, func() {
 				if name := c.randomNode(); name != old && !c.nodes[name].down {
@@ -70,19 +71,19 @@
 	},
 }
 
-// The first of the users' combinations: the key-value store refuses the leader alone, another
-// controller confirms cancellations, and then the store has an outage for all nodes that exceeds
-// cancel_s, while workers keep sending heartbeats to the old leader. The refusal begins up to three
-// lease terms before the outage; users send cancellations all along.
+// The key-value store refuses the leader alone, its successor confirms cancellations, and then the
+// store is down for all nodes for longer than cancel_s, while workers keep sending heartbeats to the
+// old leader. No task of a cancelled job may run on for longer than cancel_s. The refusal begins up to
+// 3.2 leader leases before the outage, and users send cancellations all along.
 func TestCancelledBetweenRefusalAndOutage(t *testing.T) {
 	t.Cleanup(func() {
 		if !t.Failed() && confirmedBySuccessor.Load() == 0 {
-			t.Error("no cancellation was confirmed by a successor before an outage: the meeting was not brought about")
+			t.Error("in no run did a successor confirm a cancellation before the outage, so the test covers nothing")
 		}
 	})
-	offsets := 12 // each run is shifted by up to one more heartbeat
+	offsets := 12 // each run adds a random delay of up to one interval of the heartbeats between controllers
 	if sweepAll() {
-		offsets = 320 // a twentieth of a heartbeat apart
+		offsets = 320 // about a twentieth of that interval apart
 	}
 	for scenario, prepare := range refusalOutageScenarios {
 		t.Run(scenario, func(t *testing.T) {
@@ -106,12 +107,16 @@
 	}
 }
 
-// maxOutageDelayLeases is the largest offset, in leader leases, between the refusal and the outage: a
-// successor is elected after one or two.
+// maxOutageDelayLeases is the largest delay from the refusal to the outage, in leader leases. A
+// successor is elected after one or two leader leases.
 const maxOutageDelayLeases = 3.2
 
+// confirmedBySuccessor counts the runs in which some user was told of a terminal state before the
+// outage and the old leader no longer led.
 var confirmedBySuccessor atomic.Int64
 
+// testRefusalThenOutage runs one combination: the refusal, the outage that begins outageAfter later,
+// and the scenario's faults, which prepare injects.
 func testRefusalThenOutage(t *testing.T, nodes int, timings workerTimings, seed uint64, outageAfter time.Duration,
 	prepare func(*userSimulation, string)) {
 	const jobs = 8
@@ -140,7 +145,7 @@
 	c.waitForCancellations(jobs - 1)
 }
 
-// waitForCancellations waits until the first jobs are cancelled durably.
+// waitForCancellations waits until the given number of jobs, from j-0 on, are cancelled durably.
 func (c *userSimulation) waitForCancellations(jobs int) {
 	c.t.Helper()
 	if !c.advanceUntil(time.Minute, func() bool {
@@ -151,7 +156,7 @@
 		}
 		return true
 	}) {
-		c.t.Fatalf("at %v: not all cancellations were confirmed", c.now)
+		c.t.Fatalf("at %v: not all of the %d cancellations are durable after 1 min", c.now, jobs)
 	}
 	c.queryAllJobs()
 	c.advance(c.cancelLimit())
