--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -105,7 +105,7 @@
 	effects := n.Step(step, []Command{InboundMessage{From: leaderNode.name, Message: protocol.VoteRequest{Term: 99}}})
 	for _, effect := range effects {
 		if sendsMessage[protocol.Vote](effect) {
-			t.Fatal("voted right after a restart")
+			t.Fatal("the restarted peer votes at once, want no vote before an earlier lease grant has expired")
 		}
 	}
 	n.election.RecordStoreResponse(step, 503)
@@ -113,7 +113,7 @@
 		Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
 	for _, effect := range effects {
 		if sendsMessage[protocol.LeaseGrant](effect) {
-			t.Fatal("granted a lease right after a restart")
+			t.Fatal("the restarted peer grants a lease at once, want none before an earlier vote or grant has expired")
 		}
 	}
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -319,8 +319,8 @@
 	}
 }
 
-// If objectives allow almost no late jobs, as a share of 0.99 does, the plan counts on less of the
-// machines' time and so needs 20 to 40 % more cores. Shares of 0.8 and 0.9 need no such margin.
+// If objectives allow almost no late jobs, as a MinShare of 0.99 does, the plan counts on less of the
+// machines' time and so needs 20 to 40 % more cores. A MinShare of 0.8 or 0.9 needs no such margin.
 func TestStrictObjectivesAddCapacityMargin(t *testing.T) {
 	plannedCores := func(share float64) float64 {
 		sim := newSimulation(t, 1)
@@ -334,7 +334,7 @@
 	}
 	loose, usual, strict := plannedCores(0.8), plannedCores(0.9), plannedCores(0.99)
 	if loose != usual || strict < usual*1.2 || strict > usual*1.4 {
-		t.Errorf("planned cores: %v for a share of 0.8, %v for 0.9, %v for 0.99; want x, x and 1.2x to 1.4x",
+		t.Errorf("planned cores: %v for a MinShare of 0.8, %v for 0.9, %v for 0.99; want x, x and 1.2x to 1.4x",
 			loose, usual, strict)
 	}
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -176,7 +176,7 @@
 	lateHeartbeat := lostWorker.heartbeat()
 	lostWorker.unreachable, sim.cloud.unavailable = true, true
 	if !sim.advanceUntil(30*time.Second, func() bool { return !leaderNode.leader.Machines[lostWorker.name].Up }) {
-		t.Fatal("the silent machine was not declared lost")
+		t.Fatal("the machine that sends no heartbeats was not declared lost within 30 s")
 	}
 	lateHeartbeat.Sequence += 100
 	if r := sim.requestAndWait(leaderNode.name,
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -126,9 +126,9 @@
 	return func() int { return calls }
 }
 
-// A watch that always returns at once, with a failure or nothing new, is repeated after a growing
-// delay. Without the delay a leader repeated it as fast as responses arrived. Jobs that other nodes
-// write must be found nevertheless.
+// A watch that always returns at once, without a new event, with 410 or with another failure, is
+// repeated after a growing delay. Without the delay a leader repeated it as fast as responses arrived.
+// Jobs that other nodes write must be found nevertheless.
 func TestWatchReturningAtOnceIsBackedOff(t *testing.T) {
 	for name, answer := range map[string]CallResult{
 		"empty":      {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
