--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -14,202 +14,207 @@
 	"hitchdoor/internal/storage"
 )
 
+// After the crash of the leader a follower takes over within two leader leases and in a higher term.
+// The old leader follows when it restarts, and no two nodes lead at a time.
 func TestOneLeaderAndQuickTakeover(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	term := first.leader.term
-	sim.crashNode(first.name)
-	start := sim.now
-	second := sim.waitForLeader()
-	if second.leader.term <= term {
-		t.Fatalf("term %d after %d", second.leader.term, term)
-	}
-	if took := sim.now - start; took > 2*first.leaderLease() {
-		t.Fatalf("takeover took %v", took)
-	}
-	// Restarted in the middle of the term, the old leader follows.
-	sim.restartNode(first.name)
+	firstLeader := sim.waitForLeader()
+	term := firstLeader.leader.term
+	sim.crashNode(firstLeader.name)
+	crashedAt := sim.now
+	secondLeader := sim.waitForLeader()
+	if secondLeader.leader.term <= term {
+		t.Fatalf("the new leader has term %d, want a term above %d", secondLeader.leader.term, term)
+	}
+	if took := sim.now - crashedAt; took > 2*firstLeader.leaderLease() {
+		t.Fatalf("the takeover took %v, want at most %v", took, 2*firstLeader.leaderLease())
+	}
+	sim.restartNode(firstLeader.name)
 	sim.advance(10 * time.Second)
-	if sim.leaderName() != second.name {
-		t.Fatalf("%s leads", sim.leaderName())
+	if sim.leaderName() != secondLeader.name {
+		t.Fatalf("%q leads after the restart of the old leader, want %s", sim.leaderName(), secondLeader.name)
 	}
 }
 
-// A leader that only the key-value store refuses must stop by its own clock before another may
-// lead, and must be replaced although its peers receive its heartbeats.
+// A leader that only the key-value store refuses must step down by its own clock before another node
+// may lead, and must be replaced although its peers receive its heartbeats.
 func TestLeaderRefusedByStoreIsReplaced(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.store.refusedNodes[first.name] = true
-	if !sim.advanceUntil(15*time.Second, func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
-		t.Fatal("the refused leader was not replaced")
+	refusedLeader := sim.waitForLeader()
+	sim.store.refusedNodes[refusedLeader.name] = true
+	if !sim.advanceUntil(15*time.Second,
+		func() bool { leader := sim.leaderName(); return leader != "" && leader != refusedLeader.name }) {
+		t.Fatalf("the refused leader %s was not replaced within 15 s", refusedLeader.name)
 	}
 }
 
-// Outages exceed the leader's lease and the workers': lease grants of the peers extend the
-// leadership, and with it the tasks continue.
+// A store outage lasts longer than the leader lease and the worker lease. Lease grants of the peers
+// extend the leadership, so that the workers keep their leases and the tasks continue.
 func TestStoreOutageKeepsLeaderAndTasks(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 60 * time.Second }
-	first := sim.waitForLeader()
-	sim.submitAndStart(first.name, jobSpec("j-1", 3), 3)
-	term := first.leader.term
+	leaderNode := sim.waitForLeader()
+	sim.submitAndStart(leaderNode.name, jobSpec("j-1", 3), 3)
+	term := leaderNode.leader.term
 	sim.store.setDown(true)
 	for range 25 {
 		sim.advance(time.Second)
-		if sim.leaderName() != first.name {
-			t.Fatalf("at %v %q leads", sim.now, sim.leaderName())
+		if sim.leaderName() != leaderNode.name {
+			t.Fatalf("%q leads at %v, during the outage, want %s", sim.leaderName(), sim.now, leaderNode.name)
 		}
 	}
 	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
-		t.Fatalf("submission in an outage: %d, come back after %d", r.Status, r.RetryAfter)
+		t.Fatalf("submission during the outage: status %d, Retry-After %d; want 503 with Retry-After", r.Status,
+			r.RetryAfter)
 	}
-	if code, s := sim.queryJob(sim.followers()[0], "j-1"); code != 200 || s.State != protocol.JobRunning {
-		t.Fatalf("query in an outage: %d %v", code, s)
+	if code, status := sim.queryJob(sim.followers()[0], "j-1"); code != 200 || status.State != protocol.JobRunning {
+		t.Fatalf("query during the outage: status %d, %v; want 200, state %q", code, status, protocol.JobRunning)
 	}
 	sim.store.setDown(false)
 	sim.advance(5 * time.Second)
-	if sim.leaderName() != first.name || first.leader.term != term {
-		t.Fatal("leadership moved after the outage")
+	if sim.leaderName() != leaderNode.name || leaderNode.leader.term != term {
+		t.Fatalf("%q leads after the outage, want %s, still in term %d", sim.leaderName(), leaderNode.name, term)
 	}
 	if sim.startCounts["j-1/0"] != 1 {
-		t.Fatalf("a task started %d times", sim.startCounts["j-1/0"])
+		t.Fatalf("task j-1/0 started %d times, want once", sim.startCounts["j-1/0"])
 	}
 	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 201 {
-		t.Fatalf("submission after the outage: %d", r.Status)
+		t.Fatalf("submission after the outage: status %d, want 201", r.Status)
 	}
 }
 
 // sendsMessage tells whether an effect sends a message of type M to a peer.
 func sendsMessage[M protocol.PeerMessage](effect Effect) bool {
-	s, ok := effect.(OutboundMessage)
+	outbound, ok := effect.(OutboundMessage)
 	if !ok {
 		return false
 	}
-	_, is := s.Message.(M)
+	_, is := outbound.Message.(M)
 	return is
 }
 
-// A peer that has just restarted may have granted a lease that it no longer remembers, so it
-// neither grants a lease nor votes for one span of a grant.
+// A peer that has just restarted may have granted a lease or voted, and no longer remembers it. So
+// it neither grants a lease nor votes until a lease grant of its earlier process would have expired.
 func TestRestartedPeerWaitsOutOneLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
+	leaderNode := sim.waitForLeader()
 	peer := sim.followers()[0]
 	sim.crashNode(peer)
 	sim.restartNode(peer)
 	n := sim.nodes[peer]
-	out := n.Step(step, []Command{InboundMessage{From: first.name, Message: protocol.VoteRequest{Term: 99}}})
-	for _, e := range out {
-		if sendsMessage[protocol.Vote](e) {
-			t.Fatal("voted right after a restart")
+	effects := n.Step(step, []Command{InboundMessage{From: leaderNode.name, Message: protocol.VoteRequest{Term: 99}}})
+	for _, effect := range effects {
+		if sendsMessage[protocol.Vote](effect) {
+			t.Fatal("the restarted peer votes at once, want no vote before an earlier lease grant has expired")
 		}
 	}
 	n.election.RecordStoreResponse(step, 503)
-	out = n.Step(2*step, []Command{InboundMessage{From: first.name,
+	effects = n.Step(2*step, []Command{InboundMessage{From: leaderNode.name,
 		Message: protocol.PeerHeartbeat{Term: 99, IsLeader: true, WantsLeaseGrant: true}}})
-	for _, e := range out {
-		if sendsMessage[protocol.LeaseGrant](e) {
-			t.Fatal("granted a lease right after a restart")
+	for _, effect := range effects {
+		if sendsMessage[protocol.LeaseGrant](effect) {
+			t.Fatal("the restarted peer grants a lease at once, want none before an earlier vote or grant has expired")
 		}
 	}
 }
 
-// After a restart of all controllers the next leader does not wait out a lease grant, since every
-// node has announced that it does not lead. Neither an announcement to an earlier process of a node
-// nor one by a mere majority is enough: the missing node may lead by a grant.
+// After a restart of all controllers the nodes vote without waiting for earlier lease grants to
+// expire, because every node has announced that it does not lead. Announcements of a majority are not
+// enough, since the missing node may lead by a grant, and neither is one to an earlier process.
 func TestFullRestartWaitsForNoLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	for _, name := range sim.names {
 		sim.crashNode(name)
 	}
-	sim.advance(5 * time.Second) // the leader's lease has ended
+	sim.advance(5 * time.Second) // until the leader's lease in the store has expired
 	for _, name := range sim.names {
 		sim.restartNode(name)
 	}
-	span := sim.nodes["n0"].leaderLease()
-	if !sim.advanceUntil(span*2/3, func() bool { return sim.leaderName() != "" }) {
-		t.Fatalf("nobody leads %v after a full restart", span*2/3)
+	lease := sim.nodes["n0"].leaderLease()
+	if !sim.advanceUntil(lease*2/3, func() bool { return sim.leaderName() != "" }) {
+		t.Fatalf("no node leads %v after a restart of all nodes", lease*2/3)
 	}
 	n := New(Options{Platform: sim.nodes["n0"].cfg, Log: testLog(), Rand: rand.New(rand.NewPCG(1, 2)),
 		StartTime: time.Unix(5, 0)})
-	voted := func(from string, m protocol.PeerHeartbeat) bool {
-		out := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: m},
+	voted := func(from string, heartbeat protocol.PeerHeartbeat) bool {
+		effects := n.Step(n.now+step, []Command{InboundMessage{From: from, Message: heartbeat},
 			InboundMessage{From: "n1", Message: protocol.VoteRequest{Term: 99}}})
-		return slices.ContainsFunc(out, sendsMessage[protocol.Vote])
+		return slices.ContainsFunc(effects, sendsMessage[protocol.Vote])
 	}
 	if voted("n1", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
-		t.Error("votes while a peer is not heard")
+		t.Error("the restarted node votes before it has heard from n2")
 	}
 	if voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID + 1}) {
-		t.Error("votes by what its earlier process was told")
+		t.Error("the restarted node votes although n2's announcement was sent to its earlier process")
 	}
 	if voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID, IsLeader: true, Term: 9}) {
-		t.Error("votes while a peer leads")
+		t.Error("the restarted node votes although n2 leads")
 	}
 	if !voted("n2", protocol.PeerHeartbeat{ReceiverProcessID: n.processID}) {
-		t.Error("waits for a grant that nobody can live by")
+		t.Error("the restarted node does not vote although every peer has announced that it does not lead")
 	}
 }
 
-// A peer that has granted a lease votes for nobody until the grant ends, and one that has voted for
-// a candidate grants no lease to an older leader.
+// A peer that has granted a lease votes for no candidate until the grant expires, and a peer that has
+// voted for a candidate grants no lease to the leader of an earlier term. Otherwise both could lead.
 func TestLeaseGrantAndVoteExcludeEachOther(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.store.setDown(true)
 	sim.advance(10 * time.Second)
 	n := sim.nodes["n0"]
 	now := sim.now - n.bootedAt
-	sent := func(is func(effect Effect) bool, messages ...protocol.PeerMessage) bool {
+	sent := func(matches func(effect Effect) bool, messages ...protocol.PeerMessage) bool {
 		var batch []Command
-		for _, m := range messages {
-			batch = append(batch, InboundMessage{From: "n1", Message: m})
+		for _, message := range messages {
+			batch = append(batch, InboundMessage{From: "n1", Message: message})
 		}
 		now += step
-		return slices.ContainsFunc(n.Step(now, batch), is)
+		return slices.ContainsFunc(n.Step(now, batch), matches)
 	}
 	if !sent(sendsMessage[protocol.LeaseGrant],
 		protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
-		t.Fatal("no lease granted in an outage")
+		t.Fatal("the peer grants no lease during a store outage")
 	}
 	if sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
-		t.Fatal("voted under a lease grant")
+		t.Fatal("the peer votes before its lease grant has expired")
 	}
 	now += 2 * n.leaderLease()
 	if !sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
-		t.Fatal("did not vote after the grant")
+		t.Fatal("the peer does not vote after its lease grant has expired")
 	}
 	if sent(sendsMessage[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
-		t.Fatal("granted a lease to an older leader after a vote")
+		t.Fatal("the peer grants a lease in term 7 after it has voted in term 8")
 	}
 }
 
-// A leader isolated from peers and workers, but not from the key-value store, would hold its key
-// for ever and stop the service.
+// A leader that is isolated from peers and workers, but not from the key-value store, must resign.
+// Otherwise it would keep the leader key for ever, and no job would be served.
 func TestIsolatedLeaderResigns(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.submit(first.name, jobSpec("j-1", 2))
+	isolatedLeader := sim.waitForLeader()
+	sim.submit(isolatedLeader.name, jobSpec("j-1", 2))
 	sim.advance(10 * time.Second)
 	for _, other := range sim.followers() {
-		sim.linkCuts[[2]string{first.name, other}] = true
+		sim.linkCuts[[2]string{isolatedLeader.name, other}] = true
 	}
 	for _, worker := range sim.workers {
 		worker.unreachable = true
 	}
-	if !sim.advanceUntil(15*time.Second, func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
-		t.Fatal("the isolated leader was not replaced")
+	if !sim.advanceUntil(15*time.Second,
+		func() bool { leader := sim.leaderName(); return leader != "" && leader != isolatedLeader.name }) {
+		t.Fatalf("the isolated leader %s was not replaced within 15 s", isolatedLeader.name)
 	}
 }
 
-// A transaction of a replaced leader that executes late changes nothing.
+// A transaction of a replaced leader that the store executes late must change nothing. Here it is the
+// cancellation of a job that the new leader runs.
 func TestLateTransactionOfOldLeader(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.submit(first.name, jobSpec("j-1", 1))
+	oldLeader := sim.waitForLeader()
+	sim.submit(oldLeader.name, jobSpec("j-1", 1))
 	sim.store.holdTransaction = func(node string, txn storage.Txn) bool {
-		if node != first.name || len(txn.Writes) == 0 {
+		if node != oldLeader.name || len(txn.Writes) == 0 {
 			return false
 		}
 		for _, write := range txn.Writes {
@@ -219,113 +224,116 @@
 		}
 		return false
 	}
-	sim.sendRequest(first.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	sim.sendRequest(oldLeader.name, Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
 	if !sim.advanceUntil(5*time.Second, func() bool { return len(sim.store.heldTransactions) > 0 }) {
-		t.Fatal("the leader wrote nothing")
+		t.Fatal("the leader did not send the terminal record of j-1 within 5 s")
 	}
-	sim.crashNode(first.name)
+	sim.crashNode(oldLeader.name)
 	sim.waitForLeader()
-	for _, f := range sim.store.heldTransactions {
-		f()
+	for _, execute := range sim.store.heldTransactions {
+		execute()
 	}
-	if _, over := sim.store.keys[storage.TerminalKey("j-1")]; over {
-		t.Fatal("a late transaction of the old leader was applied")
+	if _, terminal := sim.store.keys[storage.TerminalKey("j-1")]; terminal {
+		t.Fatal("the late transaction of the old leader was applied: j-1 has a terminal record")
 	}
 	sim.store.holdTransaction = nil
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
 
-// A lost response leaves the outcome of a transaction uncertain. The identical transaction is sent
-// again, and a failed condition is then checked against the stored records.
-func TestUnclearTransactionIsResolved(t *testing.T) {
+// A lost response leaves the outcome of a transaction uncertain. The leader sends the identical
+// transaction again; if a condition of it fails then, the stored records show whether the first one
+// was executed. The leader must not step down.
+func TestUncertainTransactionIsResolved(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.submit(first.name, jobSpec("j-1", 2))
+	leaderNode := sim.waitForLeader()
+	sim.submit(leaderNode.name, jobSpec("j-1", 2))
 	sim.store.responsesToLose = 3
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	if sim.store.responsesToLose != 0 {
-		t.Fatal("no answer was lost")
+		t.Fatalf("%d of the 3 responses to lose were not lost", sim.store.responsesToLose)
 	}
-	if sim.leaderName() != first.name {
-		t.Fatal("an unclear outcome cost the leadership")
+	if sim.leaderName() != leaderNode.name {
+		t.Fatalf("%q leads after lost responses, want %s", sim.leaderName(), leaderNode.name)
 	}
 }
 
-// In a rolling restart each node is down once. A leader that drains is succeeded by the node that
-// restarted last, which need not restart again, so leadership moves seldom.
-func TestRollingRestartMovesLeadershipSeldom(t *testing.T) {
+// In a rolling restart each node is down once. The node that restarted last, which need not restart
+// again, succeeds a leader that restarts, so that leadership moves as seldom as possible.
+func TestRollingRestartLeaderChanges(t *testing.T) {
 	for first := range 3 {
 		sim := newSimulation(t, 3)
 		leader := sim.waitForLeader().name
-		began := leader
+		initialLeader := leader
 		sim.advance(20 * time.Second)
-		moves := 0
+		leaderChanges := 0
 		for i := range 3 {
 			name := sim.names[(first+i)%3]
 			sim.crashNode(name)
 			sim.advance(3 * time.Second)
 			sim.restartNode(name)
 			sim.advance(20 * time.Second)
-			if now := sim.leaderName(); now != leader {
-				leader, moves = now, moves+1
+			if newLeader := sim.leaderName(); newLeader != leader {
+				leader, leaderChanges = newLeader, leaderChanges+1
 			}
 		}
-		want := 1
-		if began == sim.names[first] {
-			want = 2 // drained first, before any other node has restarted
+		maxChanges := 1
+		if initialLeader == sim.names[first] {
+			maxChanges = 2 // the leader restarts first, so its successor restarts later
 		}
-		if moves > want {
-			t.Fatalf("beginning at %s with %s leading, leadership moved %d times", sim.names[first], began, moves)
+		if leaderChanges > maxChanges {
+			t.Fatalf("restart from %s on, with %s as leader: leadership moved %d times, want at most %d",
+				sim.names[first], initialLeader, leaderChanges, maxChanges)
 		}
 	}
 }
 
-// The store refuses some nodes, messages are lost, nodes crash, restart at once and pause, and
-// calls execute late. At most one node holds a leader lease, and a leader is elected within two
-// leases once the faults have ended. Nothing else runs here, so that thousands of elections fit.
-func TestAuthorityIsExclusive(t *testing.T) {
+// The store refuses some nodes or is down, messages are lost or delayed, nodes crash, restart and
+// pause, and the store executes calls late. At most one node holds a leader lease at any time, and a
+// leader is elected within two worker leases of the last fault. No jobs run, so that thousands of
+// elections fit into the test.
+func TestLeaderLeaseIsExclusive(t *testing.T) {
 	forEachSeed(t, 200, 4000, func(t *testing.T, seed uint64) {
 		c := newUserSimulation(newSimulationWithTimings(t, []int{3, 5, 7}[seed%3],
 			deployments[seed/3%uint64(len(deployments))]), seed)
-		span := c.machineLease() / election.LeaderLeasesPerWorkerLease
-		soon := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(span) * 0.7) }
+		leaderLease := c.machineLease() / election.LeaderLeasesPerWorkerLease
+		randomDelay := func() time.Duration { return time.Duration(c.rng.ExpFloat64() * float64(leaderLease) * 0.7) }
 		c.driftClocks()
 		c.holdMessages = seed%2 == 0
 		if seed%4 == 1 {
 			c.store.lateExecution = func() (time.Duration, bool) {
-				return time.Duration(c.rng.ExpFloat64() * float64(span)), c.rng.IntN(8) == 0
+				return time.Duration(c.rng.ExpFloat64() * float64(leaderLease)), c.rng.IntN(8) == 0
 			}
 		}
-		for end := c.now + 8*c.machineLease(); c.now < end; c.advance(soon() / 2) {
+		for end := c.now + 8*c.machineLease(); c.now < end; c.advance(randomDelay() / 2) {
 			name, other := c.randomNode(), c.randomNode()
-			if l := c.leaderName(); l != "" && c.rng.IntN(3) == 0 {
-				name = l
+			if leader := c.leaderName(); leader != "" && c.rng.IntN(3) == 0 {
+				name = leader
 			}
 			n := c.nodes[name]
 			switch c.rng.IntN(8) {
 			case 0, 1:
 				c.store.refusedNodes[name] = true
-				c.schedule(soon(), func() { delete(c.store.refusedNodes, name) })
+				c.schedule(randomDelay(), func() { delete(c.store.refusedNodes, name) })
 			case 2:
-				for _, some := range c.names {
+				for _, refused := range c.names {
 					if c.rng.IntN(2) == 0 {
-						c.store.refusedNodes[some] = true
-						c.schedule(soon(), func() { delete(c.store.refusedNodes, some) })
+						c.store.refusedNodes[refused] = true
+						c.schedule(randomDelay(), func() { delete(c.store.refusedNodes, refused) })
 					}
 				}
 			case 3:
 				c.store.setDown(true)
-				c.schedule(soon(), func() { c.store.setDown(false) })
+				c.schedule(randomDelay(), func() { c.store.setDown(false) })
 			case 4, 5:
 				c.linkCuts[[2]string{name, other}] = true
-				c.schedule(soon(), c.healCuts)
+				c.schedule(randomDelay(), c.healCuts)
 			case 6:
 				if !n.down {
-					c.restartAfter(name, soon()/4)
+					c.restartAfter(name, randomDelay()/4)
 				}
 			case 7:
 				if !n.down && !n.paused {
-					c.pauseNode(n, soon(), func() {})
+					c.pauseNode(n, randomDelay(), func() {})
 				}
 			}
 		}
@@ -334,26 +342,27 @@
 		c.store.refusedNodes = map[string]bool{}
 		c.healCuts()
 		if !c.advanceUntil(2*c.machineLease(), func() bool { return c.leaderName() != "" }) {
-			t.Fatal("nobody leads, though all is well")
+			t.Fatalf("no node leads %v after the last fault", 2*c.machineLease())
 		}
 	})
 }
 
 // A leader that only the key-value store refuses is replaced within a worker lease, with any number
-// of nodes and from any moment on: a peer that the store serves grants it no lease. Such a grant
-// would bind the peers for as long as the leader asks for it.
-func TestLeaderRefusedAloneIsReplacedByAnyNumber(t *testing.T) {
+// of nodes and whenever the refusal begins, because a peer that the store serves grants it no lease.
+// Such grants would keep the peers from voting for as long as the leader requests them.
+func TestRefusedLeaderIsReplacedInAnyClusterSize(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
 		for offset := range 12 {
 			t.Run(fmt.Sprintf("%d nodes/%d", nodes, offset), func(t *testing.T) {
 				t.Parallel()
 				sim := newSimulation(t, nodes)
-				first := sim.waitForLeader()
-				sim.advance(time.Duration(offset) * first.leaderLease() / 7)
-				sim.store.refusedNodes[first.name] = true
-				if !sim.advanceUntil(first.workerLease(),
-					func() bool { l := sim.leaderName(); return l != "" && l != first.name }) {
-					t.Fatalf("not replaced within %v", first.workerLease())
+				refusedLeader := sim.waitForLeader()
+				sim.advance(time.Duration(offset) * refusedLeader.leaderLease() / 7)
+				sim.store.refusedNodes[refusedLeader.name] = true
+				if !sim.advanceUntil(refusedLeader.workerLease(),
+					func() bool { leader := sim.leaderName(); return leader != "" && leader != refusedLeader.name }) {
+					t.Fatalf("the refused leader %s was not replaced within %v", refusedLeader.name,
+						refusedLeader.workerLease())
 				}
 			})
 		}
@@ -361,46 +370,46 @@
 }
 
 // A node that has voted for a candidate and restarts without a memory of its vote must not grant a
-// lease to the old leader, because the candidate counts on the vote. Here the old leader leads by
-// grants of two of five nodes. The store serves one of them again, so that its grant ends and it
-// votes for the candidate as well; the other one and the restarted node would be the majority that
-// extends the old leadership beside the new one.
-func TestForgottenVoteGrantsNothing(t *testing.T) {
-	changed := 0
+// lease to the old leader, because the candidate relies on the vote. Here the old leader leads by
+// grants of two of the five nodes. One of them, voter, is served by the store again, so that its
+// grant expires and it votes for the candidate too. The other one, granter, and the restarted node
+// would complete the old leader's quorum, and two nodes would lead.
+func TestNoLeaseGrantAfterForgottenVote(t *testing.T) {
+	candidateLed := 0
 	for offset := range 60 {
 		sim := newSimulation(t, 5)
-		old := sim.waitForLeader()
+		oldLeader := sim.waitForLeader()
 		others := sim.followers()
-		candidate, voter, returning, faithful := others[0], others[1], others[2], others[3]
-		for _, name := range []string{old.name, voter, returning, faithful} {
+		candidate, voter, restartedVoter, granter := others[0], others[1], others[2], others[3]
+		for _, name := range []string{oldLeader.name, voter, restartedVoter, granter} {
 			sim.store.refusedNodes[name] = true
 		}
-		sim.linkCuts[[2]string{old.name, returning}] = true
-		sim.advance(2*old.leaderLease() + time.Duration(offset)*20*time.Millisecond)
-		delete(sim.store.refusedNodes, voter) // its present grant is the last one
-		asks := func() bool {
-			return slices.Contains(sim.nodes[candidate].election.Status().Votes, returning)
+		sim.linkCuts[[2]string{oldLeader.name, restartedVoter}] = true
+		sim.advance(2*oldLeader.leaderLease() + time.Duration(offset)*20*time.Millisecond)
+		delete(sim.store.refusedNodes, voter) // from now on voter grants no more leases
+		hasRestartedVote := func() bool {
+			return slices.Contains(sim.nodes[candidate].election.Status().Votes, restartedVoter)
 		}
-		if sim.advanceUntil(old.leaderLease(), asks) {
-			sim.restartAfter(returning, 20*time.Millisecond)
+		if sim.advanceUntil(oldLeader.leaderLease(), hasRestartedVote) {
+			sim.restartAfter(restartedVoter, 20*time.Millisecond)
 			sim.schedule(50*time.Millisecond, func() {
 				sim.healCuts()
-				sim.store.refusedNodes[returning] = true
+				sim.store.refusedNodes[restartedVoter] = true
 			})
 		}
-		sim.advance(2 * old.leaderLease()) // the invariant checker fails on two leaders
+		sim.advance(2 * oldLeader.leaderLease()) // two leaders would fail in the invariant checker
 		if sim.leaderName() == candidate {
-			changed++
+			candidateLed++
 		}
 	}
-	if changed == 0 {
-		t.Error("the candidate never led: the schedule was not brought about")
+	if candidateLed == 0 {
+		t.Error("the candidate leads with none of the 60 offsets, so the test covers nothing")
 	}
 }
 
-// A lease counts from when its renewal was sent. Counted from the response, a leader whose
-// responses are delayed would continue after its lease has ended in the key-value store.
-func TestAuthorityCountsFromTheSentRenewal(t *testing.T) {
+// The leader lease counts from when its renewal was sent. If it counted from the response, a leader
+// whose responses are delayed would lead on after its lease in the key-value store has expired.
+func TestLeaderLeaseCountsFromSentRenewal(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	now := leaderNode.monotonicNow(sim.now)
@@ -413,16 +422,18 @@
 			}
 		}
 	}
-	sent := now
-	leaderNode.Step(sent+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
-	if until := leaderNode.election.Status().LeaseValidUntil; until != sent+election.SafeLeaseSpan(leaderNode.leaderLease()) {
-		t.Errorf("authority until %v after a renewal sent at %v", until, sent)
+	sentAt := now
+	leaderNode.Step(sentAt+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
+	if validUntil := leaderNode.election.Status().LeaseValidUntil; validUntil !=
+		sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()) {
+		t.Errorf("leader lease valid until %v after a renewal sent at %v, want %v", validUntil, sentAt,
+			sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()))
 	}
 }
 
-// A leader that was paused for longer than its lease finds heartbeats and requests in its queue
-// when it resumes, and its clocks have advanced: it answers none of them as the leader.
-func TestPausedLeaderAnswersNothing(t *testing.T) {
+// A leader that was paused for longer than its lease finds heartbeats and requests in its queue when
+// it resumes. Its clock has advanced meanwhile, so it must not answer any of them as the leader.
+func TestPausedLeaderDoesNotReplyAsLeader(t *testing.T) {
 	for _, kind := range []protocol.RequestKind{protocol.RequestHeartbeat, protocol.RequestQuery,
 		protocol.RequestCancel} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -435,27 +446,27 @@
 				[]Command{request}) {
 				if reply, ok := effect.(Reply); ok && reply.RequestID == request.Origin.RequestID &&
 					reply.Status == 200 {
-					t.Error("answered 200")
+					t.Errorf("a leader whose lease has expired replies 200 to a %s", kind)
 				}
 			}
 		})
 	}
 }
 
-// acceptingStore is the host of an election whose key-value store has no leader key and accepts
-// each request of a candidate. It has a clock of its own.
+// acceptingStore is an election host whose key-value store has no leader key and accepts each request
+// of a candidate. It has its own clock.
 type acceptingStore struct {
 	electionHost
 	now      clock.Instant
 	lastTerm uint64
 }
 
-func (h *acceptingStore) Now() clock.Instant { return h.now }
+func (host *acceptingStore) Now() clock.Instant { return host.now }
 
-func (h *acceptingStore) CallStore(_, path string, _ any, onResponse func(storage.Response)) {
+func (host *acceptingStore) CallStore(_, path string, _ any, onResponse func(storage.Response)) {
 	switch path {
 	case "/store/" + storage.TermKey:
-		term := storage.Encode(storage.Term{Term: h.lastTerm})
+		term := storage.Encode(storage.Term{Term: host.lastTerm})
 		onResponse(storage.Response{Status: 200, Body: storage.Encode(storage.Item{Value: term})})
 	case "/holds":
 		onResponse(storage.Response{Status: 200, Body: storage.Encode(storage.Lease{ID: 1})})
@@ -466,13 +477,13 @@
 	}
 }
 
-// forceLeadership makes a node the leader of a term, whoever else leads: it replaces the node's
-// election by one without peers, at a store that accepts everything.
+// forceLeadership makes a node the leader of a term, even if another node leads. It replaces the
+// node's election by one of a single-node cluster with a store that accepts every request.
 func forceLeadership(n *Node, term uint64) {
 	host := &acceptingStore{electionHost: electionHost{n}, now: n.now, lastTerm: term - 1}
-	alone := n.cfg.Cluster
-	alone.ControllerCount = 1
-	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &alone,
+	singleNodeCluster := n.cfg.Cluster
+	singleNodeCluster.ControllerCount = 1
+	n.election = election.New(election.Options{Node: n.cfg.Node, ProcessID: n.processID, Cluster: &singleNodeCluster,
 		Rand: n.rng, Host: host})
 	for !n.holdsLeaderLease() {
 		host.now += step
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -16,12 +16,12 @@
 	"hitchdoor/internal/storage"
 )
 
-// Controllers that restart within a fraction of a second during an election neither cause two
+// Controllers that restart within a fraction of a second during an election must neither cause two
 // leaders nor prevent the election.
 func TestQuickRestartsDuringElection(t *testing.T) {
 	sim := newSimulation(t, 3)
-	first := sim.waitForLeader()
-	sim.crashNode(first.name)
+	firstLeader := sim.waitForLeader()
+	sim.crashNode(firstLeader.name)
 	for i := range 6 {
 		sim.advance(700 * time.Millisecond)
 		name := sim.names[i%3]
@@ -32,9 +32,9 @@
 	sim.waitForLeader()
 }
 
-// A machine that hangs for less than its lease resumes and continues: nothing is started twice, and
-// none of its tasks counts as lost.
-func TestHangingMachineResumes(t *testing.T) {
+// A machine that hangs for less than its worker lease resumes its tasks. None of them counts as lost
+// or starts twice.
+func TestHungMachineResumes(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
 	leaderNode := sim.waitForLeader()
@@ -48,11 +48,12 @@
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	if sim.startCounts["j-1/0"] != 1 || sim.startCounts["j-1/1"] != 1 {
-		t.Fatalf("starts: %v", sim.startCounts)
+		t.Fatalf("starts by task: %v, want one of j-1/0 and one of j-1/1", sim.startCounts)
 	}
 }
 
-// Users' estimates may all be too low or too high; completed tasks of the class correct them.
+// Users' estimates may all be too low or too high. The completed tasks of a class correct the
+// expected duration of its later tasks.
 func TestEstimatesAreCorrected(t *testing.T) {
 	for _, factor := range []float64{0.4, 3} {
 		sim := newSimulation(t, 1)
@@ -67,22 +68,23 @@
 		sim.submit(leaderNode.name, next)
 		got := leaderNode.leader.ExpectedTaskDuration(leaderNode.leader.Jobs["j-2"]).Seconds()
 		if math.Abs(math.Log(got/(10*factor))) > 0.35 {
-			t.Errorf("real times are %v times the estimates: expects %.1f s for 10 s", factor, got)
+			t.Errorf("durations of %v times the estimates: expected duration %.1f s for an estimate of 10 s, want about %v s",
+				factor, got, 10*factor)
 		}
 	}
 }
 
-// In a burst of one class, of the jobs that can't all meet their objectives the largest are demoted
-// first, since objectives count jobs. Latency-sensitive work passes ahead of all.
+// In a burst not all jobs of a class can meet their objectives. The largest ones are demoted first,
+// because objectives count jobs. Latency-sensitive work is ahead of all others.
 func TestBurstDemotesLargestFirst(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(2) // 8 cores
-	due := 40.0
+	deadlineSeconds := 40.0
 	for i, tasks := range []int{8, 60, 8} {
 		job := jobSpec(fmt.Sprintf("j-%d", i), tasks)
-		job.EstimatedSeconds, job.DeadlineSeconds = 10, &due
+		job.EstimatedSeconds, job.DeadlineSeconds = 10, &deadlineSeconds
 		sim.submit(leaderNode.name, job)
 	}
 	urgent := jobSpec("j-9", 2)
@@ -90,19 +92,19 @@
 	sim.submit(leaderNode.name, urgent)
 	order := leaderNode.leader.BuildQueue()
 	if order[0].Job.Spec.ID != "j-9" {
-		t.Errorf("%s passes ahead of urgent work", order[0].Job.Spec.ID)
+		t.Errorf("%s is first in the queue, want the latency-sensitive j-9", order[0].Job.Spec.ID)
 	}
-	for _, r := range order {
+	for _, queued := range order {
 		want := map[string]int{"j-0": scheduler.RankOnTime, "j-1": scheduler.RankLate,
-			"j-2": scheduler.RankOnTime, "j-9": 1}[r.Job.Spec.ID]
-		if r.Rank != want {
-			t.Errorf("%s has rank %d, not %d", r.Job.Spec.ID, r.Rank, want)
+			"j-2": scheduler.RankOnTime, "j-9": 1}[queued.Job.Spec.ID]
+		if queued.Rank != want {
+			t.Errorf("%s has rank %d, want %d", queued.Job.Spec.ID, queued.Rank, want)
 		}
 	}
 }
 
-// Work within the guarantee of its team is ranked by the objective on its start; work beyond the
-// guarantee is not.
+// Work within the guarantee of its team is ranked by the objective for its start, and so ahead of a
+// job with a later deadline. Work beyond the guarantee is not.
 func TestGuaranteedWorkGoesFirst(t *testing.T) {
 	sim := newSimulation(t, 0)
 	sim.names = []string{"n0"}
@@ -112,42 +114,42 @@
 	sim.startNode("n0")
 	leaderNode := sim.waitForLeader()
 	sim.cloud.unavailable = true
-	early, inside, beyond := jobSpec("j-1", 2), jobSpec("j-2", 4), jobSpec("j-3", 4)
-	due := 30.0
-	early.DeadlineSeconds = &due
-	inside.Team, beyond.Team = "team", "team"
-	for _, job := range []protocol.Job{early, inside, beyond} {
+	withDeadline, withinGuarantee, beyondGuarantee := jobSpec("j-1", 2), jobSpec("j-2", 4), jobSpec("j-3", 4)
+	deadlineSeconds := 30.0
+	withDeadline.DeadlineSeconds = &deadlineSeconds
+	withinGuarantee.Team, beyondGuarantee.Team = "team", "team"
+	for _, job := range []protocol.Job{withDeadline, withinGuarantee, beyondGuarantee} {
 		sim.submit(leaderNode.name, job)
 	}
 	order := leaderNode.leader.BuildQueue()
 	if len(order) != 3 || order[0].Job.Spec.ID != "j-2" || order[2].Job.Spec.ID != "j-3" {
-		for _, r := range order {
-			t.Errorf("%s at %v", r.Job.Spec.ID, r.LatestStart)
+		for _, queued := range order {
+			t.Errorf("%s has to start by %v; want the order j-2, j-1, j-3", queued.Job.Spec.ID, queued.LatestStart)
 		}
 	}
 }
 
-// A task is placed on a machine that has its image rather than on another one with as much room.
-func TestImageDecidesBetweenMachines(t *testing.T) {
+// A task is placed on the machine that has its image rather than on one with as much free capacity.
+func TestMachineWithImageIsPreferred(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(3)
-	with := leaderNode.leader.Machines["m-000002"]
-	with.TouchImage("special", 2)
+	machineWithImage := leaderNode.leader.Machines["m-000002"]
+	machineWithImage.TouchImage("special", 2)
 	job := jobSpec("j-1", 1)
 	job.Image, job.ImageGB = "special", 2
 	sim.submit(leaderNode.name, job)
 	if !sim.advanceUntil(10*time.Second, func() bool { return sim.activeTaskCount("j-1") == 1 }) {
-		t.Fatal("the task did not start")
+		t.Fatal("the task did not start within 10 s")
 	}
 	if worker := sim.workers["m-000002"]; len(worker.tasks) != 1 {
-		t.Fatal("the task went elsewhere")
+		t.Fatal("the task does not run on m-000002, which has its image")
 	}
 }
 
-// Spot machines are preempted in bulk without notice: their tasks start elsewhere once the machines
-// are known to be gone, and no task runs twice.
-func TestSpotWaveWithoutNotice(t *testing.T) {
+// Spot machines are preempted in bulk without notice. Their tasks start elsewhere, but only once the
+// machines are known to be gone, so that no task runs twice.
+func TestBulkPreemptionWithoutNotice(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 15 * time.Second }
 	sim.waitForLeader()
@@ -160,61 +162,62 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// No worker reaches the leader, though its peers do: the followers relay, worker leases hold,
-// leadership stays, and nothing is started twice.
-func TestLeaderCutFromWorkers(t *testing.T) {
+// No worker reaches the leader, but its peers do. The followers relay the heartbeats, so that worker
+// leases are renewed, the leader remains, and no task starts twice.
+func TestLeaderUnreachableForWorkers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 60*time.Second, 2, 4)
 	sim.unreachableNodes[leaderNode.name] = true
 	sim.advance(40 * time.Second)
 	if sim.leaderName() != leaderNode.name {
-		t.Fatalf("%q leads", sim.leaderName())
+		t.Fatalf("%q leads after 40 s, want %s", sim.leaderName(), leaderNode.name)
 	}
 	sim.submit(sim.followers()[0], jobSpec("j-2", 2))
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	sim.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
 	for task, n := range sim.startCounts {
 		if n != 1 {
-			t.Errorf("%s started %d times", task, n)
+			t.Errorf("task %s started %d times, want once", task, n)
 		}
 	}
 }
 
-// A large job gives way to small and latency-sensitive work that keeps arriving, but not without
-// limit: it starts within four minutes, and completes in the end.
-func TestLargeJobBeginsInLongBurst(t *testing.T) {
+// A large job yields to small and latency-sensitive work that keeps arriving, but must not starve: it
+// starts within four minutes and completes in the end.
+func TestLargeJobStartsDuringLongBurst(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(2) // 8 cores
 	sim.cloud.capacity = 2
-	due := 60.0
+	deadlineSeconds := 60.0
 	large := jobSpec("j-large", 40)
-	large.EstimatedSeconds, large.DeadlineSeconds = 10, &due
+	large.EstimatedSeconds, large.DeadlineSeconds = 10, &deadlineSeconds
 	sim.submit(leaderNode.name, large)
-	begun := clock.Instant(0)
+	startedAt := clock.Instant(0)
 	for i := 0; sim.now < 12*time.Minute; i++ {
-		// Small and urgent work that needs 10 cores, with 8 cores in all.
-		for k, priority := range []protocol.Priority{"standard", "urgent"} {
-			job := jobSpec(fmt.Sprintf("j-%d-%d", i, k), 5)
-			job.Priority, job.EstimatedSeconds, job.DeadlineSeconds = priority, 10, &due
+		// Every 10 s small and urgent work arrives that would use 10 cores for 10 s; there are 8 cores.
+		for index, priority := range []protocol.Priority{"standard", "urgent"} {
+			job := jobSpec(fmt.Sprintf("j-%d-%d", i, index), 5)
+			job.Priority, job.EstimatedSeconds, job.DeadlineSeconds = priority, 10, &deadlineSeconds
 			sim.submit(leaderNode.name, job)
 		}
 		for end := sim.now + 10*time.Second; sim.now < end; {
-			if sim.advance(time.Second); begun == 0 && sim.activeTaskCount("j-large") > 0 {
-				begun = sim.now
+			if sim.advance(time.Second); startedAt == 0 && sim.activeTaskCount("j-large") > 0 {
+				startedAt = sim.now
 			}
 		}
 	}
-	if begun == 0 || begun > cluster.MaxStartDelay {
-		t.Fatalf("the large job began after %v", begun)
+	if startedAt == 0 || startedAt > cluster.MaxStartDelay {
+		t.Fatalf("the large job started after %v (0s: never), want at most %v", startedAt, cluster.MaxStartDelay)
 	}
-	if code, s := sim.queryJob(leaderNode.name, "j-large"); code != 200 || s.State != protocol.JobDone {
-		t.Fatalf("after %v the large job is %s, %d done", sim.now, s.State, *s.DoneTasks)
+	if code, status := sim.queryJob(leaderNode.name, "j-large"); code != 200 || status.State != protocol.JobDone {
+		t.Fatalf("after %v the large job is %q with %d tasks done, want %q", sim.now, status.State, *status.DoneTasks,
+			protocol.JobDone)
 	}
 }
 
-// A task that takes far longer than its siblings is moved off its machine once, as the machine may
-// be slow, and then runs to completion: moved repeatedly it would never complete.
+// A task that takes far longer than the other tasks of its job is moved once, because its machine may
+// be slow. Then it runs to completion: if it were moved repeatedly, it would never complete.
 func TestLongTaskIsMovedOnce(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -228,13 +231,13 @@
 	sim.submit(leaderNode.name, jobSpec("j-1", 8))
 	sim.waitForJobState("j-1", protocol.JobDone, 4*time.Minute)
 	if n := sim.startCounts["j-1/7"]; n > 2 {
-		t.Fatalf("started %d times", n)
+		t.Fatalf("task j-1/7 started %d times, want at most 2", n)
 	}
 }
 
-// Work that is to start within seconds waits a moment for a machine that has its image: on the
-// first machine with room, fetching the image would miss the objective for certain.
-func TestUrgentWorkWaitsForItsImage(t *testing.T) {
+// Work that has to start within seconds waits for a machine that has its image, for as long as the
+// objective allows: on a machine without the image, the download alone would miss the objective.
+func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	sim.cloud.machineTypes = []protocol.MachineType{{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40,
@@ -244,98 +247,103 @@
 	leaderNode := sim.waitForLeader()
 	sim.advance(2 * time.Second)
 	sim.startMachines(2)
-	x := leaderNode.leader
-	has, other := x.Machines["m-000001"], x.Machines["m-000002"]
-	has.TouchImage("i", 2)
-	job := x.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1), AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
-	job.Spec.ImageGB = 2 // 10 s to fetch
+	leader := leaderNode.leader
+	withImage, withoutImage := leader.Machines["m-000001"], leader.Machines["m-000002"]
+	withImage.TouchImage("i", 2)
+	job := leader.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1),
+		AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
+	job.Spec.ImageGB = 2 // a download takes 10 s
 	fits := func(machine *cluster.Machine) bool {
-		return x.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
+		return leader.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
 	}
-	if fits(other) {
-		t.Error("it fetches where it must miss its aim, though another machine has the image")
+	if fits(withoutImage) {
+		t.Error("placed on m-000002, where the download misses the objective, although m-000001 has the image")
 	}
-	if !fits(has) {
-		t.Error("it does not start where its image is")
+	if !fits(withImage) {
+		t.Error("not placed on m-000001, which has the image")
 	}
 	job.EligibleAt -= 4 * time.Second
-	if !fits(other) {
-		t.Error("it waits for longer than its aim leaves")
+	if !fits(withoutImage) {
+		t.Error("still waits for the image when the objective leaves no more time to wait")
 	}
 	job.EligibleAt += 4 * time.Second
-	has.Images, job.ImageCheckedAt = nil, clock.Never // as in the next pass
-	if !fits(other) {
-		t.Error("it waits for an image that no machine has")
+	withImage.Images, job.ImageCheckedAt = nil, clock.Never // the next scheduling pass checks the images again
+	if !fits(withoutImage) {
+		t.Error("waits for an image that no machine has")
 	}
 }
 
-// A task whose back-off ends is scheduled then, even if nothing else changes meanwhile.
-func TestBackOffEndsWithoutAnyChange(t *testing.T) {
+// A task is scheduled when its back-off ends, even if nothing else changes that would cause a
+// scheduling pass.
+func TestBackoffExpiryTriggersScheduling(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(1)
-	x := leaderNode.leader
+	leader := leaderNode.leader
 	sim.submit(leaderNode.name, jobSpec("j-1", 1))
-	job := x.Jobs["j-1"]
+	job := leader.Jobs["j-1"]
 	job.FailureHistories[0] = &cluster.FailureHistory{RetryAfter: leaderNode.now + 10*time.Second}
-	for _, r := range job.Attempts {
-		x.ReleaseAttempt(r)
+	for _, attempt := range job.Attempts {
+		leader.ReleaseAttempt(attempt)
 	}
 	sim.advance(9 * time.Second)
 	if sim.startCounts["j-1/0"] > 0 {
-		t.Fatal("started while backing off")
+		t.Fatal("task j-1/0 started within 9 s, before its back-off of 10 s had ended")
 	}
-	sim.cloud.unavailable = true // nor does the fleet change
-	x.SchedulingNeeded = false
+	sim.cloud.unavailable = true // so that the fleet does not change either
+	leader.SchedulingNeeded = false
 	if !sim.advanceUntil(5*time.Second, func() bool { return sim.startCounts["j-1/0"] == 1 }) {
-		t.Fatal("not started after its back-off")
+		t.Fatalf("task j-1/0 started %d times after its back-off, want once", sim.startCounts["j-1/0"])
 	}
 }
 
 // A job that was started only to limit its wait, and can still meet its objective, is planned for
-// that objective. Ranked as late, it was planned over four run times, and the rest of its tasks
-// started after the objective.
+// that objective. When it ranked as late, the plan spread it over four task durations, and the rest
+// of its tasks started too late for the objective.
 func TestStartedJobIsPlannedForItsObjective(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.cfg.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 200, MinShare: 0.9}}
 	sim.startNode("n0")
-	x := sim.waitForLeader().leader
+	leader := sim.waitForLeader().leader
 	sim.startMachines(1)
-	s := jobSpec("j-1", 100)
-	s.EstimatedSeconds = 50
-	job := x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
-	job.EligibleAt -= 150 * time.Second // the reserve of the plan is used up; 50 s remain to start in
-	unbegun := requiredCores(x, 1000)
-	job.FirstStartAt = x.node.now
-	left := 100.0 // seconds until its last task should have completed
-	if got := requiredCores(x, 1000); got < 100*50/left || got > unbegun {
-		t.Errorf("%v cores are planned, and %v before it began", got, unbegun)
+	spec := jobSpec("j-1", 100)
+	spec.EstimatedSeconds = 50
+	job := leader.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leader.node.nowUnixMilli()}, 1)
+	job.EligibleAt -= 150 * time.Second // the plan's reserve is used up: all tasks must start within 50 s
+	coresBeforeStart := requiredCores(leader, 1000)
+	job.FirstStartAt = leader.node.now
+	secondsLeft := 100.0 // until its last task has to be complete
+	if cores := requiredCores(leader, 1000); cores < 100*50/secondsLeft || cores > coresBeforeStart {
+		t.Errorf("%v cores are planned, want at least %v and at most the %v planned before its start", cores,
+			100*50/secondsLeft, coresBeforeStart)
 	}
 }
 
-// Where objectives allow next to no late jobs, the plan counts on less of the machines' time.
-func TestPlanHasAMarginWhereObjectivesAreStrict(t *testing.T) {
-	demand := func(share float64) float64 {
+// If objectives allow almost no late jobs, as a MinShare of 0.99 does, the plan counts on less of the
+// machines' time and so needs 20 to 40 % more cores. A MinShare of 0.8 or 0.9 needs no such margin.
+func TestStrictObjectivesAddCapacityMargin(t *testing.T) {
+	plannedCores := func(share float64) float64 {
 		sim := newSimulation(t, 1)
 		sim.cfg.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 100, MinShare: share}}
 		sim.startNode("n0")
-		x := sim.waitForLeader().leader
-		s := jobSpec("j-1", 200)
-		s.EstimatedSeconds = 20
-		x.jobRecords.Add(storage.JobRecord{Spec: s, AcceptedAtMillis: x.node.nowUnixMilli()}, 1)
-		return requiredCores(x, 1000)
+		leader := sim.waitForLeader().leader
+		spec := jobSpec("j-1", 200)
+		spec.EstimatedSeconds = 20
+		leader.jobRecords.Add(storage.JobRecord{Spec: spec, AcceptedAtMillis: leader.node.nowUnixMilli()}, 1)
+		return requiredCores(leader, 1000)
 	}
-	loose, usual, strict := demand(0.8), demand(0.9), demand(0.99)
+	loose, usual, strict := plannedCores(0.8), plannedCores(0.9), plannedCores(0.99)
 	if loose != usual || strict < usual*1.2 || strict > usual*1.4 {
-		t.Errorf("cores planned: %v, %v and %v", loose, usual, strict)
+		t.Errorf("planned cores: %v for a MinShare of 0.8, %v for 0.9, %v for 0.99; want x, x and 1.2x to 1.4x",
+			loose, usual, strict)
 	}
 }
 
-// Large parts of the fleet fail at once: a third of the spot machines is preempted without notice,
-// others crash, others hang within their lease, and the leader and a zone with a controller in it
-// are isolated. Hung machines are not returned in bulk, no task runs twice and no quota is
-// exceeded, replacements are rented at once, and every task completes in the end.
-func TestFleetFailsAtOnce(t *testing.T) {
+// Large parts of the fleet fail at once: a third of the machines is preempted without notice or
+// crashes, others hang for less than their lease, the leader crashes, and a zone is isolated with its
+// machines and a controller. Hung machines must not be returned in bulk, no task runs twice, no quota
+// is exceeded, replacements are rented at once, and every task completes in the end.
+func TestSimultaneousFleetFailures(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
 	sim.cfg.Cloud.RequestsPerS, sim.cfg.Store.WritesPerS, sim.cfg.Store.RequestsPerS = 6, 250, 600
@@ -351,48 +359,49 @@
 	for i := range 8 {
 		job := jobSpec(fmt.Sprintf("j-%d", i), 90)
 		if i%4 == 0 {
-			job.Team = "team" // which has a limit of 16 cores
+			job.Team = "team" // its quota is 16 cores
 			job.TaskCount = 20
 		}
 		sim.submit(leaderNode.name, job)
 	}
 	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.startCounts) > 440 }) {
-		t.Fatalf("%d tasks have started", len(sim.startCounts))
+		t.Fatalf("%d tasks have started after 30 s, want more than 440", len(sim.startCounts))
 	}
 	names := slices.Sorted(maps.Keys(sim.workers))
-	hanging := names[60:90]
+	hung := names[60:90]
 	for _, name := range names[:40] { // preempted or crashed
 		delete(sim.workers, name)
 		delete(sim.cloud.hosts, name)
 	}
-	for _, name := range hanging {
+	for _, name := range hung {
 		sim.workers[name].hung = true
 	}
-	zone := sim.followers()[0]
+	isolatedNode := sim.followers()[0]
 	sim.workerReaches = func(worker *fakeWorker, node string) bool {
-		return (worker.name >= names[90] && worker.name < names[110]) == (node == zone)
+		return (worker.name >= names[90] && worker.name < names[110]) == (node == isolatedNode)
 	}
-	sim.store.requestsDropped[zone] = true
-	sim.isolateNode(zone)
+	sim.store.requestsDropped[isolatedNode] = true
+	sim.isolateNode(isolatedNode)
 	sim.crashNode(leaderNode.name)
 	sim.advance(5 * time.Second)
 	sim.restartNode(leaderNode.name)
-	for _, name := range hanging {
+	for _, name := range hung {
 		sim.workers[name].hung = false
 	}
 	sim.advance(2 * time.Second)
-	for _, name := range hanging {
+	for _, name := range hung {
 		if sim.workers[name] == nil {
-			t.Errorf("%s was returned for hanging within its lease", name)
+			t.Errorf("%s was returned although it hung for less than its lease", name)
 		}
 	}
-	rented := sim.cloud.lastMachineNumber
+	rentedBefore := sim.cloud.lastMachineNumber
 	sim.advance(25 * time.Second)
-	if sim.cloud.lastMachineNumber < rented+10 {
-		t.Errorf("%d machines were rented for 40 that are gone", sim.cloud.lastMachineNumber-rented)
+	if sim.cloud.lastMachineNumber < rentedBefore+10 {
+		t.Errorf("%d machines were rented within 25 s to replace the 40 that are gone, want at least 10",
+			sim.cloud.lastMachineNumber-rentedBefore)
 	}
 	sim.workerReaches = nil
-	delete(sim.store.requestsDropped, zone)
+	delete(sim.store.requestsDropped, isolatedNode)
 	sim.healCuts()
 	for i := range 8 {
 		sim.waitForJobState(fmt.Sprintf("j-%d", i), protocol.JobDone, 4*time.Minute)
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -12,125 +12,129 @@
 	"hitchdoor/internal/reachability"
 )
 
-// halfOpenCut stops, or restores, one direction of some links.
-type halfOpenCut func(sim *simulation, leader string, on bool)
+// halfOpenCut cuts one direction of some links if active is set, and restores it otherwise.
+type halfOpenCut func(sim *simulation, leader string, active bool)
 
-// halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers.
+// halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers, by
+// name. Pairs of them are applied in the order of the names.
 var halfOpenCuts = map[string]halfOpenCut{
-	"leader to nodes": func(sim *simulation, leader string, on bool) {
+	"leader to nodes": func(sim *simulation, leader string, active bool) {
 		for _, other := range sim.names {
-			sim.setOneWayCut(leader, other, on)
+			sim.setOneWayCut(leader, other, active)
 		}
 	},
-	"nodes to leader": func(sim *simulation, leader string, on bool) {
+	"nodes to leader": func(sim *simulation, leader string, active bool) {
 		for _, other := range sim.names {
-			sim.setOneWayCut(other, leader, on)
+			sim.setOneWayCut(other, leader, active)
 		}
 	},
-	"leader to a node": func(sim *simulation, leader string, on bool) {
-		sim.setOneWayCut(leader,
-			sim.nextNode(leader), on)
+	"leader to a node": func(sim *simulation, leader string, active bool) {
+		sim.setOneWayCut(leader, sim.nextNode(leader), active)
 	},
-	"a node to leader":  func(sim *simulation, leader string, on bool) { sim.setOneWayCut(sim.nextNode(leader), leader, on) },
-	"leader to state":   func(sim *simulation, leader string, on bool) { sim.store.requestsDropped[leader] = on },
-	"state to leader":   func(sim *simulation, leader string, on bool) { sim.store.responsesDropped[leader] = on },
-	"workers to leader": func(sim *simulation, leader string, on bool) { sim.heartbeatsBlocked[leader] = on },
-	"leader to workers": func(sim *simulation, leader string, on bool) { sim.responsesBlocked[leader] = on },
-	"workers to all nodes but leader": func(sim *simulation, leader string, on bool) {
+	"a node to leader": func(sim *simulation, leader string, active bool) {
+		sim.setOneWayCut(sim.nextNode(leader), leader, active)
+	},
+	"leader to store":   func(sim *simulation, leader string, active bool) { sim.store.requestsDropped[leader] = active },
+	"store to leader":   func(sim *simulation, leader string, active bool) { sim.store.responsesDropped[leader] = active },
+	"workers to leader": func(sim *simulation, leader string, active bool) { sim.heartbeatsBlocked[leader] = active },
+	"leader to workers": func(sim *simulation, leader string, active bool) { sim.responsesBlocked[leader] = active },
+	"workers to all nodes but leader": func(sim *simulation, leader string, active bool) {
 		for _, other := range sim.names {
 			if other != leader {
-				sim.heartbeatsBlocked[other] = on
+				sim.heartbeatsBlocked[other] = active
 			}
 		}
 	},
-	"nodes from each other": func(sim *simulation, leader string, on bool) {
-		for _, a := range sim.names {
-			for _, b := range sim.names {
-				if a != leader && b != leader {
-					sim.setOneWayCut(a, b, on)
+	"nodes from each other": func(sim *simulation, leader string, active bool) {
+		for _, from := range sim.names {
+			for _, to := range sim.names {
+				if from != leader && to != leader {
+					sim.setOneWayCut(from, to, active)
 				}
 			}
 		}
 	},
-	"a ring": func(sim *simulation, _ string, on bool) {
-		for i, a := range sim.names {
-			for k, b := range sim.names {
+	"a one-way ring": func(sim *simulation, _ string, active bool) {
+		for i, from := range sim.names {
+			for k, to := range sim.names {
 				if k != (i+1)%len(sim.names) {
-					sim.setOneWayCut(a, b, on)
+					sim.setOneWayCut(from, to, active)
 				}
 			}
 		}
 	},
 }
 
-func (sim *simulation) setOneWayCut(from, to string, on bool) {
+// setOneWayCut cuts or restores the link from one node to another, in this direction only.
+func (sim *simulation) setOneWayCut(from, to string, active bool) {
 	if from == to {
 		return
 	}
-	if on {
+	if active {
 		sim.oneWayCuts[[2]string{from, to}] = true
 	} else {
 		delete(sim.oneWayCuts, [2]string{from, to})
 	}
 }
 
-// nextNode returns the node after another, in order of name.
+// nextNode returns the node that follows another in the order of names; the first follows the last.
 func (sim *simulation) nextNode(name string) string {
 	return sim.names[(slices.Index(sim.names, name)+1)%len(sim.names)]
 }
 
-// leaderPossible tells whether some node has all the links that a leader needs. With some pairs of
-// cuts no worker has a node that it can both reach and receive from, and no progress is possible.
-func leaderPossible(a, b string) bool {
+// leaderPossible tells whether some node has all the links that a leader needs under two cuts. With
+// some pairs workers have no node that they can both reach and receive from, and no task can start.
+func leaderPossible(first, second string) bool {
 	workers := []string{"workers to leader", "leader to workers"}
 	const others = "workers to all nodes but leader"
-	return !(a == others && slices.Contains(workers, b) || b == others && slices.Contains(workers, a))
+	return !(first == others && slices.Contains(workers, second) || second == others && slices.Contains(workers, first))
 }
 
-// recoveryLeaseCount is the number of leases within which tasks start again, under any cut.
-const recoveryLeaseCount = 4
+// maxRecoveryLeases is the number of worker leases within which tasks must start under any cut.
+const maxRecoveryLeases = 4
 
-// Each cut alone and each pair of them, for three, five and seven nodes with drifting clocks: no
-// task starts twice, and a job that is submitted two seconds after the cut starts within four
-// leases although the cut persists. Once it heals every job completes.
+// Under each one-way cut alone and each pair of them, with three, five and seven nodes and drifting
+// clocks, no task runs twice, and a job that is submitted two seconds after the cut starts within four
+// worker leases although the cut persists. Once it heals, every job completes.
 func TestHalfOpenCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, nodes := range []int{3, 5, 7} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			t.Parallel()
-			for i, a := range names {
-				for _, b := range names[i:] {
-					testHalfOpenCut(t, nodes, a, b)
+			for i, first := range names {
+				for _, second := range names[i:] {
+					testHalfOpenCut(t, nodes, first, second)
 				}
 			}
 		})
 	}
 }
 
-func testHalfOpenCut(t *testing.T, nodes int, a, b string) {
+func testHalfOpenCut(t *testing.T, nodes int, first, second string) {
 	t.Helper()
 	sim, leaderNode := newRunningSimulation(t, nodes, 20*time.Second, 4, 8)
-	sim.scenario = a + ", " + b
+	sim.scenario = first + ", " + second
 	c := newUserSimulation(sim, uint64(nodes))
 	c.driftClocks()
-	leader, from := leaderNode.name, sim.now
-	halfOpenCuts[a](sim, leader, true)
-	halfOpenCuts[b](sim, leader, true)
+	leader, cutAt := leaderNode.name, sim.now
+	halfOpenCuts[first](sim, leader, true)
+	halfOpenCuts[second](sim, leader, true)
 	sim.advance(2 * time.Second)
 	c.submitWithRetries(jobSpec("j-2", 2))
-	began := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+	started := sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 		func() bool { return sim.firstStartAt["j-2"] != 0 })
-	if !began && leaderPossible(a, b) {
-		t.Errorf("%d nodes, %s, %s: nothing begins within %v; %s", nodes, a, b, sim.now-from, sim.explainNoLeader())
+	if !started && leaderPossible(first, second) {
+		t.Errorf("%d nodes, cuts %q and %q: no task of j-2 starts within %v; %s", nodes, first, second,
+			sim.now-cutAt, sim.explainNoLeader())
 	}
 	sim.advance(leaderNode.workerLease())
-	halfOpenCuts[a](sim, leader, false)
-	halfOpenCuts[b](sim, leader, false)
+	halfOpenCuts[first](sim, leader, false)
+	halfOpenCuts[second](sim, leader, false)
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// Cuts that flap, with periods around the heartbeat interval, half of the lease and the lease: work
-// continues, and there is at most one new leader in a lease.
+// Cuts that flap with periods from one interval of the heartbeats between controllers to 1.1 worker
+// leases must neither stop the work nor cause more than one new leader in a worker lease.
 func TestFlappingCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
@@ -140,37 +144,37 @@
 				sim, leaderNode := newRunningSimulation(t, 3, 3*time.Second, 4, 4)
 				c := newUserSimulation(sim, 3)
 				leader, lease := leaderNode.name, leaderNode.workerLease()
-				half := max(2*step, time.Duration(period*float64(lease))/2)
+				halfPeriod := max(2*step, time.Duration(period*float64(lease))/2)
 				const leases = 12
 				end := sim.now + leases*lease
-				on := false
+				active := false
 				var flap func()
 				flap = func() {
-					if on = !on && sim.now < end; on || sim.now < end+half {
-						halfOpenCuts[name](sim, leader, on)
-						sim.schedule(half, flap)
+					if active = !active && sim.now < end; active || sim.now < end+halfPeriod {
+						halfOpenCuts[name](sim, leader, active)
+						sim.schedule(halfPeriod, flap)
 					}
 				}
 				flap()
-				first := leaderNode.leader.term
+				firstTerm := leaderNode.leader.term
 				for i := range 2 * leases {
 					c.submitWithRetries(jobSpec(fmt.Sprintf("j-f%d", i), 1))
 					sim.advance(lease / 2)
 				}
-				sim.advance(2 * half)
+				sim.advance(2 * halfPeriod)
 				halfOpenCuts[name](sim, leader, false)
 				c.waitForCompletion(5 * time.Minute)
-				if terms := sim.waitForLeader().leader.term - first; terms > leases+2 {
-					t.Errorf("period of %.2f leases: %d terms in %d leases", period, terms, leases)
+				if terms := sim.waitForLeader().leader.term - firstTerm; terms > leases+2 {
+					t.Errorf("period of %.2f leases: %d terms in %d leases, want at most %d", period, terms, leases, leases+2)
 				}
 			}
 		})
 	}
 }
 
-// A cut heals at any moment after it began, and the messages it held back are delivered then, while
-// jobs are submitted and cancelled.
-func TestCutHealsInBetween(t *testing.T) {
+// A cut heals at different moments while jobs are submitted and cancelled. The messages that it held
+// back are delivered then, and must neither violate an invariant nor keep a job from completing.
+func TestCutHealsAtAnyMoment(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
@@ -194,22 +198,27 @@
 	}
 }
 
-// Workers reach only one node, which does not receive the leader's heartbeats: the leader resigns,
-// and a node that can serve the workers is elected, whatever fault coincides with the change.
+// Workers reach only one node, workerNode, which does not receive the leader's heartbeats and so can't
+// relay for it. The leader must resign, and a node that can serve the workers must be elected,
+// whatever further fault coincides with the change.
 func TestHandOverUnderFaults(t *testing.T) {
-	for name, inject := range map[string]func(sim *simulation, leader, stranded string){
-		"nothing":         func(*simulation, string, string) {},
-		"that node ends":  func(sim *simulation, _, stranded string) { sim.restartAfter(stranded, 3*time.Second) },
-		"the leader ends": func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 200*time.Millisecond) },
-		"an outage": func(sim *simulation, _, _ string) {
+	for name, inject := range map[string]func(sim *simulation, leader, workerNode string){
+		"no further fault":     func(*simulation, string, string) {},
+		"worker node restarts": func(sim *simulation, _, workerNode string) { sim.restartAfter(workerNode, 3*time.Second) },
+		"leader restarts":      func(sim *simulation, leader, _ string) { sim.restartAfter(leader, 200*time.Millisecond) },
+		"store outage": func(sim *simulation, _, _ string) {
 			sim.store.setDown(true)
 			sim.schedule(5*time.Second, func() { sim.store.setDown(false) })
 		},
-		"the leader stands": func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 9 * time.Second },
-		"that node is slow": func(sim *simulation, _, stranded string) { sim.nodes[stranded].pauseBeforeEffects = 3 * time.Second },
-		"the cut turns over": func(sim *simulation, leader, stranded string) {
-			sim.setOneWayCut(leader, stranded, false)
-			sim.setOneWayCut(stranded, leader, true)
+		"leader pauses": func(sim *simulation, leader, _ string) {
+			sim.nodes[leader].pauseBeforeEffects = 9 * time.Second
+		},
+		"worker node pauses": func(sim *simulation, _, workerNode string) {
+			sim.nodes[workerNode].pauseBeforeEffects = 3 * time.Second
+		},
+		"cut changes direction": func(sim *simulation, leader, workerNode string) {
+			sim.setOneWayCut(leader, workerNode, false)
+			sim.setOneWayCut(workerNode, leader, true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -218,15 +227,16 @@
 				sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 4, 8)
 				c := newUserSimulation(sim, uint64(moment))
 				leader := leaderNode.name
-				stranded, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
+				workerNode, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
 				sim.heartbeatsBlocked[leader], sim.heartbeatsBlocked[third] = true, true
-				sim.setOneWayCut(leader, stranded, true)
+				sim.setOneWayCut(leader, workerNode, true)
 				c.submitWithRetries(jobSpec("j-2", 2))
 				sim.advance(time.Duration(moment+1) * leaderNode.workerLeases(strandedResignLeases) / 4)
-				inject(sim, leader, stranded)
-				if !sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+				inject(sim, leader, workerNode)
+				if !sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 					func() bool { return sim.firstStartAt["j-2"] != 0 }) {
-					t.Errorf("moment %d: nothing begins: %s", moment, sim.explainNoLeader())
+					t.Errorf("fault at moment %d: no task of j-2 starts within %d leases: %s", moment, maxRecoveryLeases,
+						sim.explainNoLeader())
 				}
 				sim.oneWayCuts, sim.heartbeatsBlocked = map[[2]string]bool{}, map[string]bool{}
 				c.waitForCompletion(5 * time.Minute)
@@ -235,42 +245,45 @@
 	}
 }
 
-// linkFrom returns the state of the link from this node to a peer, by the reports of the peer.
-func (n *Node) linkFrom(name string) reachability.Link {
+// linkTo returns the state of the link from this node to a peer, as the peer reports it.
+func (n *Node) linkTo(name string) reachability.Link {
 	return n.connectivity.matrix.Link(n.cfg.Node, name, n.now, n.leaderLease())
 }
 
-// A link report of a peer that can't be true changes nothing and is logged once; a message of an
-// earlier version, which carries no report, leaves the links unknown.
-func TestImpossibleLinkReports(t *testing.T) {
+// A link report that can't be true changes no link state, and only the first one of a peer is logged.
+// A heartbeat of an earlier version carries no report and leaves the state of the links unknown.
+func TestInvalidLinkReports(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	peer := sim.followers()[0]
-	before := leaderNode.linkFrom(peer)
-	for _, bad := range []*protocol.LinkReport{
+	before := leaderNode.linkTo(peer)
+	for _, report := range []*protocol.LinkReport{
 		{IncomingLinks: []reachability.IncomingLink{{Node: "nobody"}}},
 		{IncomingLinks: []reachability.IncomingLink{{Node: peer}}},
 		{IncomingLinks: []reachability.IncomingLink{{Node: leaderNode.name, AgeMS: -1}}}, {RecentWorkers: -1},
 	} {
 		leaderNode.Step(leaderNode.monotonicNow(sim.now),
-			[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: bad}}})
+			[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3, Links: report}}})
 	}
-	if leaderNode.linkFrom(peer) != before || before != reachability.LinkUp ||
+	if leaderNode.linkTo(peer) != before || before != reachability.LinkUp ||
 		len(leaderNode.connectivity.invalidReportLogged) != 1 {
-		t.Errorf("link %v after %v", leaderNode.linkFrom(peer), before)
+		t.Errorf("the link to %s is %v after invalid reports and was %v before, want %v; %d peers logged, want 1", peer,
+			leaderNode.linkTo(peer), before, reachability.LinkUp, len(leaderNode.connectivity.invalidReportLogged))
 	}
-	fresh := sim.nodes[sim.followers()[1]]
-	fresh.connectivity = newConnectivity(fresh.name, fresh.peers)
-	fresh.Step(fresh.monotonicNow(sim.now),
+	otherFollower := sim.nodes[sim.followers()[1]]
+	otherFollower.connectivity = newConnectivity(otherFollower.name, otherFollower.peers)
+	otherFollower.Step(otherFollower.monotonicNow(sim.now),
 		[]Command{InboundMessage{From: peer, Message: protocol.PeerHeartbeat{ProcessID: 3}}})
-	if got := fresh.linkFrom(peer); got != reachability.LinkUnknown || fresh.twoWayPeerCount() == 0 {
-		t.Errorf("an earlier version: %v, %d two ways", got, fresh.twoWayPeerCount())
+	if got := otherFollower.linkTo(peer); got != reachability.LinkUnknown || otherFollower.twoWayPeerCount() == 0 {
+		t.Errorf("after a heartbeat without a report the link is %v, want %v; %d peers with two-way contact, want some",
+			got, reachability.LinkUnknown, otherFollower.twoWayPeerCount())
 	}
 }
 
-// While no worker reaches the leader the others relay. They retry from time to time whether workers
-// do, so that workers are served directly once the cut has healed.
-func TestRelaysEndAfterTheCut(t *testing.T) {
+// While no worker reaches the leader, the other nodes relay for all workers. From time to time they
+// redirect a few workers to the leader, because otherwise it would not be found out that the cut has
+// healed and workers can be served directly again.
+func TestRelayingEndsAfterCut(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 4, 8)
 	sim.heartbeatsBlocked[leaderNode.name] = true
 	sim.advance(3 * leaderNode.workerLease())
@@ -284,38 +297,44 @@
 		return count
 	}
 	if leaderNode.leader == nil || direct() > 0 || !leaderNode.leader.needsRelays() {
-		t.Fatal("the leader does not have others relay")
+		t.Fatal("workers are served directly during the cut, or the leader does not request relays")
 	}
 	sim.heartbeatsBlocked[leaderNode.name] = false
 	if !sim.advanceUntil(8*leaderNode.workerLease(),
 		func() bool { return leaderNode.leader != nil && direct() == len(leaderNode.leader.Machines) }) {
-		t.Errorf("%d of %d are served directly", direct(), len(leaderNode.leader.Machines))
+		t.Errorf("%d of %d machines are served directly 8 worker leases after the cut", direct(),
+			len(leaderNode.leader.Machines))
 	}
 }
 
-// A leader that still serves a few workers while clearly more reach only a node that does not
-// receive its heartbeats hands over as well; one that serves most of them stays.
-func TestHandOverToWhereMostWorkersAre(t *testing.T) {
-	for _, x := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
-		sim, leaderNode := newRunningSimulation(t, 3, time.Hour, x.served+x.stranded, 4)
+// A leader that serves a few workers must resign if clearly more workers reach only a node that does
+// not receive its heartbeats. A leader that serves most of the workers must not.
+func TestHandOverToNodeWithMostWorkers(t *testing.T) {
+	for _, testCase := range []struct{ served, stranded int }{{1, 7}, {6, 2}} {
+		sim, leaderNode := newRunningSimulation(t, 3, time.Hour, testCase.served+testCase.stranded, 4)
 		leader, term := leaderNode.name, leaderNode.leader.term
 		other, third := sim.nextNode(leader), sim.nextNode(sim.nextNode(leader))
-		sim.cloud.capacity, sim.cloud.rejectReturns = x.served+x.stranded, true // or it would rent others
-		split := map[string]bool{}                                              // workers that reach the other node only
-		for _, m := range sim.sortedWorkers()[:x.stranded] {
-			split[m.name] = true
+		// The leader can neither rent nor return machines.
+		sim.cloud.capacity, sim.cloud.rejectReturns = testCase.served+testCase.stranded, true
+		strandedWorkers := map[string]bool{} // workers that reach only the other node
+		for _, worker := range sim.sortedWorkers()[:testCase.stranded] {
+			strandedWorkers[worker.name] = true
+		}
+		sim.workerReaches = func(worker *fakeWorker, node string) bool {
+			return strandedWorkers[worker.name] == (node == other)
 		}
-		sim.workerReaches = func(m *fakeWorker, node string) bool { return split[m.name] == (node == other) }
 		sim.heartbeatsBlocked[third] = true
 		sim.setOneWayCut(leader, other, true)
-		moved := sim.advanceUntil(recoveryLeaseCount*leaderNode.workerLease(),
+		replaced := sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 			func() bool { now := sim.leaderName(); return now != "" && now != leader })
-		if moved != (x.stranded > x.served) {
-			t.Errorf("%d served, %d stranded: %s leads after %s", x.served, x.stranded, sim.leaderName(), leader)
+		if replaced != (testCase.stranded > testCase.served) {
+			t.Errorf("%d served, %d stranded: %q leads after %s, replaced %v, want %v", testCase.served,
+				testCase.stranded, sim.leaderName(), leader, replaced, testCase.stranded > testCase.served)
 		}
 		sim.advance(10 * leaderNode.workerLease())
 		if terms := sim.waitForLeader().leader.term - term; terms > 6 {
-			t.Errorf("%d served, %d stranded: %d terms in 12 leases", x.served, x.stranded, terms)
+			t.Errorf("%d served, %d stranded: %d new terms in up to 14 worker leases, want at most 6", testCase.served,
+				testCase.stranded, terms)
 		}
 	}
 }
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -10,11 +10,12 @@
 	"hitchdoor/internal/protocol"
 )
 
-// refusalOutageWays are the ways in which a terminal state is reported while the old leader doesn't
-// know of it, or in which that leader may keep its workers.
-var refusalOutageWays = map[string]func(c *userSimulation, old string){
+// refusalOutageScenarios are faults beside the refusal and the outage, by name. They let a terminal
+// state be reported while the old leader does not know of it, or let the old leader keep its workers.
+// The length of a name selects the runs of the scenario that are in the sample.
+var refusalOutageScenarios = map[string]func(c *userSimulation, old string){
 	"plain": func(*userSimulation, string) {},
-	"answers lost": func(c *userSimulation, _ string) {
+	"replies lost": func(c *userSimulation, _ string) {
 		c.store.lateExecution = func() (time.Duration, bool) { return 0, c.rng.IntN(2) == 0 }
 		c.schedule(c.machineLease(), func() { c.store.lateExecution = nil })
 	},
@@ -24,24 +25,24 @@
 		}
 		c.schedule(c.machineLease(), func() { c.store.lateExecution = nil })
 	},
-	"the successor ends": func(c *userSimulation, old string) {
+	"the successor dies": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(name string) {
 			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond,
 				func() { c.restartAfter(name, c.cancelLimit()) })
 		})
 	},
-	"the successor is back at once": func(c *userSimulation, old string) {
+	"successor restarts right away": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(name string) {
 			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond,
 				func() { c.restartAfter(name, 100*time.Millisecond) })
 		})
 	},
-	"the successor is not heard": func(c *userSimulation, old string) {
+	"successor node is isolated": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(name string) {
 			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() { c.isolateNode(name) })
 		})
 	},
-	"the others forget": func(c *userSimulation, old string) {
+	"peers all restart": func(c *userSimulation, old string) {
 		c.onNextLeader(old, func(string) {
 			c.schedule(time.Duration(c.rng.IntN(2000))*time.Millisecond, func() {
 				for _, name := range c.names {
@@ -52,14 +53,14 @@
 			})
 		})
 	},
-	"the old leader hears nobody": func(c *userSimulation, old string) {
+	"old leader briefly isolated": func(c *userSimulation, old string) {
 		c.isolateNode(old)
 		c.schedule(c.machineLease()/4, c.healCuts)
 	},
-	"the old leader stands still": func(c *userSimulation, old string) {
+	"old leader's process paused": func(c *userSimulation, old string) {
 		c.pauseNode(c.nodes[old], time.Duration(c.rng.IntN(int(c.machineLease()/3))), func() {})
 	},
-	"the election is in full swing": func(c *userSimulation, old string) {
+	"nodes restart during election": func(c *userSimulation, old string) {
 		for i := range 4 {
 			c.schedule(time.Duration(i)*c.machineLease()/12, func() {
 				if name := c.randomNode(); name != old && !c.nodes[name].down {
@@ -70,33 +71,34 @@
 	},
 }
 
-// The first of the users' combinations: the key-value store refuses the leader alone, another
-// controller confirms cancellations, and then the store has an outage for all nodes that exceeds
-// cancel_s, while workers keep sending heartbeats to the old leader. The refusal begins up to three
-// lease terms before the outage; users send cancellations all along.
+// The key-value store refuses the leader alone, its successor confirms cancellations, and then the
+// store is down for all nodes for longer than cancel_s, while workers keep sending heartbeats to the
+// old leader. No task of a cancelled job may run on for longer than cancel_s. The refusal begins up to
+// 3.2 leader leases before the outage, and users send cancellations all along.
 func TestCancelledBetweenRefusalAndOutage(t *testing.T) {
 	t.Cleanup(func() {
-		if !t.Failed() && confirmedElsewhere.Load() == 0 {
-			t.Error("no cancellation was confirmed by a successor before an outage: the meeting was not brought about")
+		if !t.Failed() && confirmedBySuccessor.Load() == 0 {
+			t.Error("in no run did a successor confirm a cancellation before the outage, so the test covers nothing")
 		}
 	})
-	offsets := 12 // each run is shifted by up to one more heartbeat
+	offsets := 12 // each run adds a random delay of up to one interval of the heartbeats between controllers
 	if sweepAll() {
-		offsets = 320 // a twentieth of a heartbeat apart
+		offsets = 320 // about a twentieth of that interval apart
 	}
-	for way, prepare := range refusalOutageWays {
-		t.Run(way, func(t *testing.T) {
+	for scenario, prepare := range refusalOutageScenarios {
+		t.Run(scenario, func(t *testing.T) {
 			for i := range offsets {
-				for k, p := range deployments {
+				for k, timings := range deployments {
 					for m, nodes := range []int{3, 7} {
-						if !sweepAll() && (i+len(way))%(2*len(deployments)) != 2*k+m {
+						if !sweepAll() && (i+len(scenario))%(2*len(deployments)) != 2*k+m {
 							continue
 						}
-						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, p.machineLease, i),
+						t.Run(fmt.Sprintf("%d nodes, lease %v, offset %d", nodes, timings.machineLease, i),
 							func(t *testing.T) {
 								t.Parallel()
-								testRefusalThenOutage(t, nodes, p, uint64(i),
-									time.Duration(float64(i)/float64(offsets)*refusalOutageTerms/election.LeaderLeasesPerWorkerLease*p.machineLease*1e9), prepare)
+								testRefusalThenOutage(t, nodes, timings, uint64(i),
+									time.Duration(float64(i)/float64(offsets)*maxOutageDelayLeases/
+										election.LeaderLeasesPerWorkerLease*timings.machineLease*1e9), prepare)
 							})
 					}
 				}
@@ -105,15 +107,20 @@
 	}
 }
 
-// refusalOutageTerms is the largest offset, in leader leases, between the refusal and the outage: a
-// successor is elected after one or two.
-const refusalOutageTerms = 3.2
+// maxOutageDelayLeases is the largest delay from the refusal to the outage, in leader leases. A
+// successor is elected after one or two leader leases.
+const maxOutageDelayLeases = 3.2
 
-var confirmedElsewhere atomic.Int64
+// confirmedBySuccessor counts the runs in which some user was told of a terminal state before the
+// outage and the old leader no longer led.
+var confirmedBySuccessor atomic.Int64
 
-func testRefusalThenOutage(t *testing.T, nodes int, p workerTimings, seed uint64, outageAfter time.Duration, prepare func(*userSimulation, string)) {
+// testRefusalThenOutage runs one combination: the refusal, the outage that begins outageAfter later,
+// and the scenario's faults, which prepare injects.
+func testRefusalThenOutage(t *testing.T, nodes int, timings workerTimings, seed uint64, outageAfter time.Duration,
+	prepare func(*userSimulation, string)) {
 	const jobs = 8
-	c, leaderNode := newFaultCombination(t, nodes, p, seed, jobs, 2)
+	c, leaderNode := newFaultCombination(t, nodes, timings, seed, jobs, 2)
 	outageAfter += time.Duration(c.rng.Float64() * float64(c.machineLease()) / 32)
 	// Half of the machines reach only the old leader.
 	c.workerReaches = func(worker *fakeWorker, node string) bool {
@@ -123,13 +130,13 @@
 	c.store.refusedNodes[leaderNode.name] = true
 	c.schedule(c.machineLease()/2, func() { delete(c.store.refusedNodes, leaderNode.name) })
 	for i := range jobs - 1 {
-		at := time.Duration(c.rng.Int64N(int64(outageAfter + c.machineLease()/8)))
-		c.schedule(at, func() { c.cancelWithRetries(fmt.Sprintf("j-%d", i)) })
+		delay := time.Duration(c.rng.Int64N(int64(outageAfter + c.machineLease()/8)))
+		c.schedule(delay, func() { c.cancelWithRetries(fmt.Sprintf("j-%d", i)) })
 	}
 	c.schedule(outageAfter, func() {
 		c.store.setDown(true)
 		if len(c.terminalAt) > 0 && c.leaderName() != leaderNode.name {
-			confirmedElsewhere.Add(1)
+			confirmedBySuccessor.Add(1)
 		}
 	})
 	c.schedule(outageAfter+c.cancelLimit()*5/4, func() { c.store.setDown(false); c.workerReaches = nil; c.healCuts() })
@@ -138,7 +145,7 @@
 	c.waitForCancellations(jobs - 1)
 }
 
-// waitForCancellations waits until the first jobs are cancelled durably.
+// waitForCancellations waits until the given number of jobs, from j-0 on, are cancelled durably.
 func (c *userSimulation) waitForCancellations(jobs int) {
 	c.t.Helper()
 	if !c.advanceUntil(time.Minute, func() bool {
@@ -149,7 +156,7 @@
 		}
 		return true
 	}) {
-		c.t.Fatalf("at %v: not all cancellations were confirmed", c.now)
+		c.t.Fatalf("at %v: not all of the %d cancellations are durable after 1 min", c.now, jobs)
 	}
 	c.queryAllJobs()
 	c.advance(c.cancelLimit())
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -15,16 +15,16 @@
 	"hitchdoor/internal/storage"
 )
 
-// answerFaults are what a service, or a proxy before it, may make of a response. The call itself
-// was executed.
-var answerFaults = map[string]func(r CallResult) CallResult{
-	"cut short":         func(r CallResult) CallResult { r.Body = r.Body[:len(r.Body)/2]; return r },
-	"a page of a proxy": func(r CallResult) CallResult { r.Body = []byte("<html>ok</html>"); return r },
+// responseFaults are faults of responses that a service, or a proxy in front of it, may cause. The
+// call itself was executed. The length of a name is part of the seed of its test case.
+var responseFaults = map[string]func(r CallResult) CallResult{
+	"truncated":         func(r CallResult) CallResult { r.Body = r.Body[:len(r.Body)/2]; return r },
+	"a proxy HTML page": func(r CallResult) CallResult { r.Body = []byte("<html>ok</html>"); return r },
 	"no body":           func(r CallResult) CallResult { r.Body = nil; return r },
 	"an empty object":   func(r CallResult) CallResult { r.Body = []byte("{}"); return r },
 	"null":              func(r CallResult) CallResult { r.Body = []byte("null"); return r },
 	"a list":            func(r CallResult) CallResult { r.Body = []byte("[1,2]"); return r },
-	"wrong types":       func(r CallResult) CallResult { return retyped(r) },
+	"wrong types":       func(r CallResult) CallResult { return numbersAsStrings(r) },
 	"a redirect":        func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 302} },
 	"not found": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 404, Body: []byte("<html>404</html>")}
@@ -32,17 +32,17 @@
 	"forbidden":     func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 403} },
 	"a conflict":    func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 409} },
 	"an odd status": func(r CallResult) CallResult { return CallResult{ID: r.ID, Status: 207, Body: r.Body} },
-	"an error of a node": func(r CallResult) CallResult {
+	"internal error 500": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 500,
 			Body: []byte("oops")}
 	},
-	"refused for the rate": func(r CallResult) CallResult {
+	"request rate limited": func(r CallResult) CallResult {
 		return CallResult{ID: r.ID, Status: 429}
 	},
 }
 
-// retyped replaces each number of a response by a string.
-func retyped(r CallResult) CallResult {
+// numbersAsStrings replaces each number at the top level of a response by a string.
+func numbersAsStrings(r CallResult) CallResult {
 	var fields map[string]any
 	if json.Unmarshal(r.Body, &fields) != nil {
 		return r
@@ -56,11 +56,12 @@
 	return r
 }
 
-// The key-value store or the cloud returns invalid responses for half a minute, to one node or to
-// all, sometimes or always: no invariant is violated, no user gets a false reply, the node recovers
-// by itself, and all requests are served once the responses are valid again.
-func TestOddAnswersOfOutsideServices(t *testing.T) {
-	for fault, alter := range answerFaults {
+// The key-value store or the cloud returns invalid responses for half a minute, sometimes or always,
+// to the leader or to all nodes. No invariant may be violated, no user may get a false reply, no node
+// may retry faster than the request rate allows, and every node recovers by itself: all jobs complete
+// once the responses are valid again.
+func TestInvalidServiceResponses(t *testing.T) {
+	for fault, alter := range responseFaults {
 		for _, target := range []Target{TargetStore, TargetCloud} {
 			for i, share := range []float64{0.1, 0.3, 0.6, 1} {
 				t.Run(fmt.Sprintf("%v/%s/%v", target, fault, share), func(t *testing.T) {
@@ -73,11 +74,11 @@
 					c.queryAfterEachChange()
 					c.submitMoreJobs(6, 5*time.Second, nil)
 					c.advance(5 * time.Second)
-					only := ""
+					onlyNode := ""
 					if share == 0.6 {
-						only = c.leaderName()
+						onlyNode = c.leaderName()
 					}
-					c.alterServiceResults(target, only, share, alter)
+					c.alterServiceResults(target, onlyNode, share, alter)
 					c.submitMoreJobs(8, 25*time.Second, nil)
 					for range 4 {
 						c.schedule(c.randomDuration(25*time.Second), func() { c.cancelSomeJobs(4, time.Second) })
@@ -87,8 +88,9 @@
 					}
 					calls := c.countStoreCalls()
 					c.advance(30 * time.Second)
-					if most := int(30 * c.cfg.Store.RequestsPerS); calls() > most {
-						t.Errorf("%d calls in 30 s: %v a second are allowed", calls(), c.cfg.Store.RequestsPerS)
+					if limit := int(30 * c.cfg.Store.RequestsPerS); calls() > limit {
+						t.Errorf("%d calls to the store in 30 s, want at most %d (%v per second)", calls(), limit,
+							c.cfg.Store.RequestsPerS)
 					}
 					c.alterResult = nil
 					c.waitForCompletion(5 * time.Minute)
@@ -98,17 +100,20 @@
 	}
 }
 
-// alterServiceResults alters a share of the responses of a service, for one node or for all.
-func (c *userSimulation) alterServiceResults(target Target, only string, share float64, alter func(CallResult) CallResult) {
+// alterServiceResults alters a random share of the responses of a service to onlyNode, or to all nodes
+// if onlyNode is empty.
+func (c *userSimulation) alterServiceResults(target Target, onlyNode string, share float64,
+	alter func(CallResult) CallResult) {
 	c.alterResult = func(node string, call ServiceCall, r CallResult) CallResult {
-		if call.Target != target || c.rng.Float64() > share || (only != "" && node != only) {
+		if call.Target != target || c.rng.Float64() > share || (onlyNode != "" && node != onlyNode) {
 			return r
 		}
 		return alter(r)
 	}
 }
 
-// countStoreCalls counts the calls to the key-value store that are answered from now on.
+// countStoreCalls counts the calls to the key-value store that get a response from now on, and returns
+// a function that returns the count. It must be called after alterServiceResults.
 func (c *userSimulation) countStoreCalls() func() int {
 	calls := 0
 	inner := c.alterResult
@@ -121,70 +126,73 @@
 	return func() int { return calls }
 }
 
-// A watch that always returns at once, with no event or with 410, is retried after a growing delay:
-// without that, a leader repeated it as fast as responses arrived. Jobs that other nodes write are
-// found nevertheless.
-func TestWatchThatComesBackAtOnce(t *testing.T) {
+// A watch that always returns at once, without a new event, with 410 or with another failure, is
+// repeated after a growing delay. Without the delay a leader repeated it as fast as responses arrived.
+// Jobs that other nodes write must be found nevertheless.
+func TestWatchReturningAtOnceIsBackedOff(t *testing.T) {
 	for name, answer := range map[string]CallResult{
 		"empty":      {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1})},
 		"gone":       {Status: 410},
-		"no answer":  {Status: 0},
+		"timeout":    {Status: 0},
 		"unreadable": {Status: 200, Body: []byte("{")},
-		"old changes": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1,
+		"old events": {Status: 200, Body: storage.Encode(storage.WatchResponse{Revision: 1,
 			Events: []storage.WatchEvent{{DeletedKey: "job/j-9", ModRevision: 1}}})},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, 3)
 			leaderNode := sim.waitForLeader()
 			sim.startMachines(1)
-			watches, reads := 0, 0
+			watches, listings := 0, 0
 			sim.interceptCall = func(call ServiceCall) (CallResult, bool) {
 				switch {
 				case strings.HasPrefix(call.Path, "/follow"):
 					watches++
 					return answer, true
 				case strings.HasPrefix(call.Path, "/store?under=job"):
-					reads++
+					listings++
 				}
 				return CallResult{}, false
 			}
 			sim.advance(time.Minute)
-			if most := 60; watches > most || reads > most {
-				t.Errorf("%d watches and %d listings in a minute", watches, reads)
+			if limit := 60; watches > limit || listings > limit {
+				t.Errorf("%d watches and %d listings in a minute, want at most %d of each", watches, listings, limit)
 			}
-			if name == "empty" || name == "old changes" {
-				return // it may be that nothing has changed: only its own lease tells
+			if name == "empty" || name == "old events" {
+				// Such a response may mean that nothing has changed. Only by its own lease can the leader tell
+				// whether the store still works, so it need not find the job.
+				return
 			}
 			sim.submit(sim.followers()[0], jobSpec("j-1", 1))
 			if !sim.advanceUntil(20*time.Second,
 				func() bool { return leaderNode.leader.Jobs["j-1"] != nil || sim.terminalState("j-1") != "" }) {
-				t.Error("a job that another node wrote is not found")
+				t.Error("the leader has not found j-1, which another node wrote, after 20 s")
 			}
 		})
 	}
 }
 
-// What the cloud says of machine types, machines and rentals may be wrong in every way that JSON
-// allows: types that are missing once or free of charge, lists that repeat, contradict or name
-// nobody, rentals answered with known machines.
-func TestOddCloudFacts(t *testing.T) {
+// The cloud's catalog may be wrong in every way that JSON allows: machine types that are missing or
+// listed twice, prices, sizes and times that are zero, negative or absurdly large. No invariant may be
+// violated, no job that fits may be rejected permanently, and all jobs complete once the catalog is
+// valid again.
+func TestInvalidCatalogs(t *testing.T) {
 	c4 := protocol.MachineType{Name: "c4", Cores: 4, MemoryGB: 16, ImageCacheGB: 40, PullGBPerSecond: 1,
 		OnDemandPrice: 0.3, SpotPrice: 0.1, BootSeconds: 5, Zones: []string{"a", "b"}}
-	with := func(change func(*protocol.MachineType)) []protocol.MachineType {
+	withChange := func(change func(*protocol.MachineType)) []protocol.MachineType {
 		t := c4
 		change(&t)
 		return []protocol.MachineType{t}
 	}
 	catalogs := map[string][]protocol.MachineType{
-		"a type is given away":      with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 0, 0 }),
-		"prices a thousandfold":     with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 300, 100 }),
-		"prices below nothing":      with(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = -3, -1 }),
-		"images are never fetched":  with(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
-		"no cores":                  with(func(t *protocol.MachineType) { t.Cores = 0 }),
-		"another type only":         with(func(t *protocol.MachineType) { t.Name = "x9" }),
-		"the same type twice":       {c4, c4},
-		"a boot of a hundred years": with(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
-		"amounts beyond all bounds": with(func(t *protocol.MachineType) {
+		"a type is free":           withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 0, 0 }),
+		"prices times a thousand":  withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 300, 100 }),
+		"negative prices":          withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = -3, -1 }),
+		"image download rate of 0": withChange(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
+		"no cores":                 withChange(func(t *protocol.MachineType) { t.Cores = 0 }),
+		"another type only":        withChange(func(t *protocol.MachineType) { t.Name = "x9" }),
+		"the same type twice":      {c4, c4},
+		"boot time of 100 years":   withChange(func(t *protocol.MachineType) { t.BootSeconds = 3e9 }),
+		"amounts of 1e300": withChange(func(t *protocol.MachineType) {
 			t.BootSeconds, t.ImageCacheGB,
 				t.OnDemandPrice = 1e300, 1e300, 1e300
 		}),
@@ -205,7 +213,7 @@
 			c.advance(20 * time.Second)
 			if r := c.submit(c.leaderName(), jobSpec("j-once", 1)); r.Status == 422 &&
 				name != "another type only" && name != "no cores" {
-				t.Errorf("a job that fits is answered %d", r.Status)
+				t.Errorf("submission of a job that fits: status %d, want no permanent rejection", r.Status)
 			}
 			c.cloud.machineTypes = nil
 			for _, node := range c.names {
@@ -216,6 +224,7 @@
 	}
 }
 
+// manyNames returns the given number of machine names, from m-001000 on, which no other machine has.
 func manyNames(count int) []string {
 	var names []string
 	for i := range count {
@@ -224,21 +233,22 @@
 	return names
 }
 
-// Two workers report under one name. The first one keeps its tasks: the newer epoch of the other is
-// no proof that they have ended. Once the first has certainly ended the other may use the name.
+// Two workers send heartbeats with one machine name. The first one keeps the name and its tasks,
+// because the newer epoch of the other does not mean that they have ended. Once the lease of the first
+// has certainly expired, the name is free for the other.
 func TestTwoWorkersUnderOneName(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
 	worker := sim.sortedWorkers()[0]
-	other := func(session, seq uint64) int {
+	sendFromOther := func(epoch, sequence uint64) int {
 		heartbeat := &protocol.WorkerHeartbeat{Machine: worker.name, Address: "10.9.9.9:9000", Type: "c4",
 			Zone: worker.zone, Spot: true,
-			Epoch: session, Sequence: seq, FencingToken: worker.fencingToken}
+			Epoch: epoch, Sequence: sequence, FencingToken: worker.fencingToken}
 		return sim.requestAndWait(leaderNode.name,
 			Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}).Status
 	}
 	for i := range uint64(20) {
-		if status := other(1+i/4, 1000+i); status != 503 {
-			t.Fatalf("the other worker is answered %d", status)
+		if status := sendFromOther(1+i/4, 1000+i); status != 503 {
+			t.Fatalf("heartbeat %d of the other worker: status %d, want 503", i, status)
 		}
 		sim.advance(2 * time.Second)
 	}
@@ -246,15 +256,16 @@
 	delete(sim.workers, worker.name)
 	sim.advance(leaderNode.leader.WorkerLeaseTimeout() + time.Second)
 	if machine := leaderNode.leader.Machines[worker.name]; machine != nil && machine.Address != "" {
-		t.Errorf("the name still belongs to %s", machine.Address)
+		t.Errorf("the machine name still belongs to the address %s after the worker lease", machine.Address)
 	}
 }
 
-// Heartbeats may hold whatever JSON allows: tasks that nobody started are stopped, unknown ones are
-// left alone, and durations are bounded.
+// A third of the heartbeats contain values that JSON allows but that make no sense. Tasks that nobody
+// started are stopped, unknown task states change nothing, durations are bounded, and all jobs complete
+// once the heartbeats are valid again. The length of a case's name is its seed.
 func TestInvalidHeartbeats(t *testing.T) {
-	notice := func(s float64) *float64 { return &s }
-	for name, change := range map[string]func(heartbeat *protocol.WorkerHeartbeat){
+	pointerToSeconds := func(s float64) *float64 { return &s }
+	for name, corrupt := range map[string]func(heartbeat *protocol.WorkerHeartbeat){
 		"an unknown state": func(heartbeat *protocol.WorkerHeartbeat) {
 			for i := range heartbeat.Tasks {
 				heartbeat.Tasks[i].State = "sleeping"
@@ -280,15 +291,19 @@
 		"each task twice": func(heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Tasks = append(heartbeat.Tasks, heartbeat.Tasks...)
 		},
-		"a notice long ago": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(-1e300) },
-		"a notice of years": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.PreemptionNoticeSeconds = notice(1e300) },
+		"a notice long ago": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.PreemptionNoticeSeconds = pointerToSeconds(-1e300)
+		},
+		"a notice of years": func(heartbeat *protocol.WorkerHeartbeat) {
+			heartbeat.PreemptionNoticeSeconds = pointerToSeconds(1e300)
+		},
 		"another type": func(heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Type, heartbeat.Zone = "x9", "nowhere"
 		},
 		"no type": func(heartbeat *protocol.WorkerHeartbeat) {
 			heartbeat.Type, heartbeat.Zone, heartbeat.Address = "", "", ""
 		},
-		"the last sequence": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.Sequence += 1 << 62 },
+		"a higher sequence": func(heartbeat *protocol.WorkerHeartbeat) { heartbeat.Sequence += 1 << 62 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -296,23 +311,24 @@
 			c.taskDuration = func(string, int) time.Duration { return time.Second + c.randomDuration(15*time.Second) }
 			c.waitForLeader()
 			c.startMachines(3)
-			odd := true
+			faultsActive := true
 			c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
-				if odd && c.rng.IntN(3) == 0 {
-					change(heartbeat)
+				if faultsActive && c.rng.IntN(3) == 0 {
+					corrupt(heartbeat)
 				}
 			}
 			c.submitMoreJobs(8, 15*time.Second, nil)
 			c.schedule(c.randomDuration(15*time.Second), c.replaceLeader)
 			c.advance(30 * time.Second)
-			odd = false
+			faultsActive = false
 			c.waitForCompletion(5 * time.Minute)
 		})
 	}
 }
 
-// Wall clocks that differ by minutes decide no order that matters: the invariants hold across
-// changes of leader in either direction, and every job starts in time and completes.
+// The wall clocks of the nodes differ by up to twelve minutes. No decision may depend on their order:
+// the invariants hold when the leader changes in either direction, and every job starts in time and
+// completes.
 func TestWallClocksMinutesApart(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -338,8 +354,8 @@
 	}
 }
 
-// While no zone has capacity, rentals are retried at a bounded rate, work continues on the present
-// machines, and the rest follows once there is capacity.
+// While no zone has capacity, rentals are retried at a bounded rate and work continues on the machines
+// that are up. The other jobs run once there is capacity.
 func TestNoCapacityAnywhere(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
@@ -349,16 +365,16 @@
 	c := newUserSimulation(sim, 1)
 	c.submitMoreJobs(10, 5*time.Second, func(_ int, job *protocol.Job) { job.TaskCount, job.Team = 8, "free" })
 	sim.advance(10 * time.Second)
-	asked := 0
+	rentalRequests := 0
 	sim.alterResult = func(_ string, call ServiceCall, r CallResult) CallResult {
 		if call.Path == "/hosts" {
-			asked++
+			rentalRequests++
 		}
 		return r
 	}
 	sim.advance(time.Minute)
-	if most := int(60 * sim.cfg.Cloud.RequestsPerS / 4); asked > most {
-		t.Errorf("%d rentals were asked for in a minute", asked)
+	if limit := int(60 * sim.cfg.Cloud.RequestsPerS / 4); rentalRequests > limit {
+		t.Errorf("%d rental requests in a minute, want at most %d", rentalRequests, limit)
 	}
 	sim.cloud.capacity = 0
 	sim.cloud.bootTime = 5 * time.Second
