--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -373,7 +373,7 @@
 
 // Submissions at all nodes exceed many times what the store accepts. The leader's transactions have
 // more writes than those that accept jobs, and the first policy is still written between them.
-func TestFirstPolicyGetsThrough(t *testing.T) {
+func TestFirstPolicyIsWrittenUnderOverload(t *testing.T) {
 	c := newOverloadedSimulation(t, 5, true)
 	a := newSubmitters(c)
 	for i := range 600 {
@@ -388,7 +388,7 @@
 
 // A node that evaluates submissions by an outdated policy detects it by the failed condition of its
 // transaction and evaluates again at once. Policies that it reads out of order change nothing.
-func TestStalePolicyIsFoundOut(t *testing.T) {
+func TestStalePolicyIsDetected(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, false)
 	f := c.nodes[c.followers()[0]]
 	all := &admission.Policy{Epoch: 5, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
@@ -414,7 +414,7 @@
 
 // An accepted job is known at every node although the present policy would reject it, and loads
 // that were measured under another policy don't count for the present one.
-func TestAcceptedStaysAccepted(t *testing.T) {
+func TestAcceptedJobStaysKnown(t *testing.T) {
 	c := newOverloadedSimulation(t, 3, false)
 	c.submitAccepted(c.leaderName(), jobSpec("j-1", 1))
 	c.advance(time.Second)
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -79,7 +79,7 @@
 
 // Users choose the class names. However many and however long they are, the stored forecast stays
 // within the value limit, because a transaction that the store rejects would end the leadership.
-func TestManyClassesFitTheRecord(t *testing.T) {
+func TestForecastRecordFitsValueLimit(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(1)
@@ -101,7 +101,7 @@
 // The sums behind the forecast decay over minutes. Once more jobs in a row fail to arrive than
 // chance explains, no machines are kept for them. A gap in arrivals while nothing could be written,
 // or within the users' retry time, is no evidence.
-func TestForecastDropsWhenJobsStayAway(t *testing.T) {
+func TestForecastDropsWhenArrivalsStop(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
 	leaderNode := sim.waitForLeader()
@@ -139,7 +139,7 @@
 // Jobs that the first leader finds count as arrivals. When they did not, far too few machines were
 // rented on a day that began with hundreds of jobs and a leader elected some seconds late. A
 // successor counts only the arrivals after its predecessor's record.
-func TestJobsFoundHaveArrived(t *testing.T) {
+func TestJobsFoundAtStartCountAsArrivals(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
 	at := time.Unix(1_000_000, 0).UnixMilli()
@@ -179,7 +179,7 @@
 // Without capacity in the cloud, rentals are retried all the time. They must not use up the cloud
 // calls of returns: until an unreachable machine that a new leader has to reconcile is returned,
 // all older jobs are held up.
-func TestReturnsGoBeforeRentals(t *testing.T) {
+func TestReturnsPrecedeRentals(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Cloud.RequestsPerS = 0.4
 	sim.taskDuration = func(string, int) time.Duration { return 8 * time.Second }
@@ -206,7 +206,7 @@
 
 // Machine lists that are empty, repeat machines or contradict themselves cause no return of a
 // machine that reports, and listing ends.
-func TestOddMachineLists(t *testing.T) {
+func TestMalformedMachineLists(t *testing.T) {
 	host := func(name string, state protocol.HostState) protocol.Host {
 		return protocol.Host{Name: name, Type: "c4", Zone: "a", Spot: true, State: state, RentedSeconds: 500}
 	}
@@ -252,7 +252,7 @@
 
 // Responses to rentals that name known or returned machines, none, or more than requested neither
 // corrupt the accounting nor block later rentals.
-func TestOddRentals(t *testing.T) {
+func TestMalformedRentalResponses(t *testing.T) {
 	for name, machines := range map[string][]string{
 		"known ones":       {"m-000001", "m-000002"},
 		"nameless":         {"", "m-000101"},
--- a/internal/controller/burst_test.go
+++ b/internal/controller/burst_test.go
@@ -18,7 +18,7 @@
 // One team submits hundreds of the largest jobs. Accepted jobs have to be known, but pending tasks
 // must need next to no memory: at one byte per task, two thousand such jobs needed twice the memory
 // of a controller, and each leader in turn would have run out of it.
-func TestFloodOfLargeJobsFitsTheMemory(t *testing.T) {
+func TestFloodOfLargeJobsFitsMemory(t *testing.T) {
 	const jobs, perJob = 2000, 8 << 10
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -44,7 +44,7 @@
 
 // Another team's job starts in time during a flood of submissions, and queries, cancellations and
 // the other jobs of the flood are served.
-func TestFloodOfOneTeamLeavesOthersServed(t *testing.T) {
+func TestOtherTeamsAreServedDuringFlood(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 4
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
@@ -71,7 +71,7 @@
 }
 
 // DemoteLargestJobs demotes the same jobs as a direct implementation of Moore's rule.
-func TestDemotionFollowsMooresRule(t *testing.T) {
+func TestDemotionMatchesMooreHodgson(t *testing.T) {
 	_, leaderNode := newRunningSimulation(t, 1, time.Hour, 2, 8)
 	cores := leaderNode.leader.RetainedCores()
 	if cores == 0 {
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -140,9 +140,9 @@
 	poll()
 }
 
-// coldStarts are the faults combined with a crash of all controllers. Each is set up at the moment
+// coldStartFaults are the faults combined with a crash of all controllers. Each is set up at the moment
 // of the crash.
-var coldStarts = map[string]func(c *coldStart){
+var coldStartFaults = map[string]func(c *coldStart){
 	"mismatches of every kind": func(c *coldStart) {
 		c.schedule(c.downtime/2, func() {
 			never := &fakeTask{taskKey: "j-never-stored/0", attempt: 7, state: protocol.TaskRunning,
@@ -248,7 +248,7 @@
 // allows it, starts stay within their rate limit across leaders, and no task that runs legitimately
 // is stopped.
 func TestColdStart(t *testing.T) {
-	for name, arrange := range coldStarts {
+	for name, arrange := range coldStartFaults {
 		t.Run(name, func(t *testing.T) {
 			forEachSeed(t, 6, 120, func(t *testing.T, seed uint64) {
 				nodes := []int{3, 7}[seed%2]
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -127,7 +127,7 @@
 
 // The names on the pages of a leader and of its followers: with running jobs, under an admission
 // policy, in a recovery, and with records that can't be read.
-func TestNamesOnPages(t *testing.T) {
+func TestPageNames(t *testing.T) {
 	names := nameSet{}
 	sim, leaderNode := newRunningSimulation(t, 3, 100*time.Second, 4, 8)
 	waiting := jobSpec("j-2", 40)
@@ -164,7 +164,7 @@
 }
 
 // The words on the status page and in traces.
-func TestWordsOnPages(t *testing.T) {
+func TestStatusAndTraceTexts(t *testing.T) {
 	lines := []string{"jobs wait for:"}
 	for _, waits := range []cluster.WaitReason{cluster.WaitDependencies, cluster.WaitBackoff,
 		cluster.WaitReconciliation, cluster.WaitSlots, cluster.WaitTeamQuota,
@@ -235,7 +235,7 @@
 func pointerTo[T any](v T) *T { return &v }
 
 // The replies to users, workers and the load balancer.
-func TestAnswers(t *testing.T) {
+func TestReplies(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
 	var lines []string
@@ -430,7 +430,7 @@
 // same order. The exception is several forwarded requests that expire in one step, since their
 // replies come in map order; none do here. Processors with fused multiply-add may give other
 // digests.
-func TestEffectsAreThoseOfTheVersionBefore(t *testing.T) {
+func TestEffectDigests(t *testing.T) {
 	for name, lose := range map[string]bool{"effects_at_work.txt": false, "effects_leader_lost.txt": true} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, 3)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -80,7 +80,7 @@
 }
 
 // A completion that only the leader has seen releases nothing: the next leader may not know of it.
-func TestStartWaitsForTheDurableEnd(t *testing.T) {
+func TestStartWaitsForDurableCompletion(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
@@ -247,7 +247,7 @@
 // The cancellation record of a job is the only record of the state of all its dependents. Every
 // node reports them as cancelled from then on although their own terminal records can't be written,
 // and the next leader continues from the records alone.
-func TestCancelAtTheHeadOfALongPipeline(t *testing.T) {
+func TestCancelHeadOfLongPipeline(t *testing.T) {
 	for _, fault := range []string{"none", "takeover", "outage"} {
 		t.Run(fault, func(t *testing.T) {
 			sim, leaderNode := newPipelineSimulation(t, 3)
@@ -296,7 +296,7 @@
 
 // A submission that one node writes while the leader cancels one of its dependencies is accepted
 // and then cancelled, whichever comes first, and in the next term too.
-func TestSubmissionAgainstCancellation(t *testing.T) {
+func TestSubmissionRacesWithCancellation(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		sim, leaderNode := newPipelineSimulation(t, 3)
 		other := sim.followers()[0]
@@ -330,7 +330,7 @@
 
 // A leader that has not yet read the state of a job does not report a dependent of it as queued: a
 // predecessor may have told the user that it is cancelled.
-func TestNeedNotReadYet(t *testing.T) {
+func TestDependencyNotReadYet(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.store.putValue(storage.TerminalKey("j-a"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 1})
 	sim.store.putValue(storage.JobKey("j-b"),
@@ -350,7 +350,7 @@
 
 // The slack of a pipeline is counted once: each job is due when the longest path of its dependents
 // leaves no more time, and is as urgent as its most urgent dependent for as long as there is one.
-func TestDeadlineAndPriorityReachBack(t *testing.T) {
+func TestDeadlineAndPriorityOfDependents(t *testing.T) {
 	sim, n := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	l := n.leader
@@ -383,7 +383,7 @@
 
 // The four minutes within which a job has to start, and its objectives, count from the completion
 // of its last dependency, for the next leader too.
-func TestTimesCountFromTheLastEnd(t *testing.T) {
+func TestTimesCountFromLastDependency(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
 		if jobIDOf(task) == "j-a" {
@@ -432,7 +432,7 @@
 
 // A stage that the new leader has released does not wait for machines whose reconciliation holds up
 // older jobs: no earlier leader can have started it.
-func TestReleasedStageIsNotHeldUp(t *testing.T) {
+func TestReleasedJobIsNotBlocked(t *testing.T) {
 	sim, first := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
 		if jobIDOf(task) == "j-a" {
@@ -463,7 +463,7 @@
 }
 
 // Jobs with pending dependencies add nothing to the cost of a scheduling pass or of a heartbeat.
-func TestWaitingJobsCostNothing(t *testing.T) {
+func TestPendingDependenciesCostNothing(t *testing.T) {
 	sim, n := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	sim.submitAccepted(n.name, jobSpec("j-0", 1))
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -13,7 +13,7 @@
 // no heartbeat beyond its lease, keeps none of its workers, and rejects users and the load
 // balancer's health check at once. Another node leads meanwhile, and no task starts twice when the
 // first is back.
-func TestHalfCutLeader(t *testing.T) {
+func TestLeaderReachedOnlyByWorkers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 3, 8)
 	sim.store.requestsDropped[leaderNode.name] = true
 	sim.isolateNode(leaderNode.name)
@@ -85,7 +85,7 @@
 
 // A follower that is isolated in the same way redirects no worker to a leader that it no longer
 // receives heartbeats from, and nothing else is affected.
-func TestHalfCutFollower(t *testing.T) {
+func TestFollowerReachedOnlyByWorkers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	f := sim.followers()[0]
@@ -109,7 +109,7 @@
 // Once all faults have ended, some query about each job is answered within 75 s, at whichever node
 // it arrives: here after a store outage during which all controllers restart, with thousands of
 // terminal jobs and hundreds of open ones, while the leader is still reading its records.
-func TestNothingForgottenAfterEverything(t *testing.T) {
+func TestJobsAreKnownAfterOutageAndRestart(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
 	const over, open = 4000, 400
@@ -165,7 +165,7 @@
 
 // While the controllers refuse each other's connections, a lost leader is replaced nevertheless:
 // votes are exchanged through the key-value store.
-func TestLeaderLostWhilePeersRefuse(t *testing.T) {
+func TestLeaderLossWhileLinksAreCut(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
 		sim, leaderNode := newRunningSimulation(t, nodes, 20*time.Second, 3, 8)
 		for _, name := range sim.followers() {
@@ -221,7 +221,7 @@
 // A reply to a request that an earlier process of a node forwarded is discarded. A node that had
 // restarted quickly passed the reply to one user's cancellation on as the reply to another user's
 // submission, and that job was never stored.
-func TestAnswerToAnEarlierProcess(t *testing.T) {
+func TestReplyToEarlierProcessIsDiscarded(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	sim.submit(leaderNode.name, jobSpec("j-1", 1))
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -38,7 +38,7 @@
 
 // The cost of a heartbeat, counted in machines and jobs examined, is the same with four times the
 // machines and tasks, also for latency-sensitive work that prefers a machine with its image.
-func TestHeartbeatCostsTheSameAtAnySize(t *testing.T) {
+func TestHeartbeatCostIsIndependentOfClusterSize(t *testing.T) {
 	cost := func(machines, tasks int) int {
 		sim, n := newBusyLeader(t, machines, tasks)
 		l, now := n.leader, sim.now-n.bootedAt
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -29,8 +29,8 @@
 	productionJob = `{"spec":{"uid":"j-p","lote":"c","dono":"free","feitio":"batch","vez":"standard","pecas":3,"cores":1,
 	 "accelerators":0,"ramGb":1,"molde":"i","pullGb":0,"portes":null,"praca":"","samePlace":false,"apart":false,"avulsas":true,
 	 "previstoS":5,"marcoS":0,"guardaS":0,"prazoS":null},"at":1000000000}`
-	productionFinal     = `{"state":"done","tasks":2,"done":2}`
-	productionBits      = `{"b":"Ag=="}` // of three tasks, the second is done
+	productionTerminal  = `{"state":"done","tasks":2,"done":2}`
+	productionBitmap    = `{"b":"Ag=="}` // of three tasks, the second is done
 	productionGroup     = `{"m-000001":{"type":"c4","zone":"a","spot":true,"at":1000000000,"used":true}}`
 	productionTerm      = `{"term":4,"node":"n1"}`
 	productionHeartbeat = `{"type":"beat","term":4,"lead":true,"sent":12,"up":12,"run":5,"heard":7}`
@@ -40,12 +40,12 @@
 
 // Records of production are read, continued and rewritten; a job may depend on one that production
 // ended.
-func TestRecordsOfProduction(t *testing.T) {
+func TestRecordsOfVersionInProduction(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.putRaw(storage.TermKey, productionTerm)
 	sim.putRaw(storage.JobKey("j-p"), productionJob)
-	sim.putRaw(storage.TerminalKey("j-q"), productionFinal)
-	sim.putRaw(storage.BitmapPrefix+"j-p/000", productionBits)
+	sim.putRaw(storage.TerminalKey("j-q"), productionTerminal)
+	sim.putRaw(storage.BitmapPrefix+"j-p/000", productionBitmap)
 	sim.putRaw(storage.MachineGroupPrefix+"000", productionGroup)
 	sim.jobSpecs["j-p"] = jobSpec("j-p", 3)
 	sim.cloud.rentMachine("c4", "a", true)
@@ -71,7 +71,7 @@
 }
 
 // A message of production carries no version, and is understood.
-func TestMessagesOfProduction(t *testing.T) {
+func TestMessagesOfVersionInProduction(t *testing.T) {
 	sim := newSimulation(t, 3)
 	m, err := protocol.DecodePeerMessage([]byte(productionHeartbeat))
 	if err != nil {
@@ -184,7 +184,7 @@
 // Bitmaps of the largest jobs change their layout only once no node of the previous version can
 // lead: it takes a part for another one by its number, and would report tasks as done that never
 // ran.
-func TestBitmapsOfTheLargestJobs(t *testing.T) {
+func TestBitmapsOfLargestJobs(t *testing.T) {
 	const tasks, doneTask = 20_000, 15_000
 	sim := newSimulation(t, 3)
 	sim.oldVersionNodes["n2"] = true
@@ -280,7 +280,7 @@
 
 // The store lowers its limits without notice: no value that is sent is too large, writes are paced
 // at the lower rate after the first refusal, and critical records are written first.
-func TestLowerLimits(t *testing.T) {
+func TestStoreEnforcesLowerLimits(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.announceUpcomingLimits(1, 4, 12)
 	leaderNode := sim.waitForLeader()
@@ -311,7 +311,7 @@
 
 // A transaction that the store rejects permanently, as its limits are lower than configured, is
 // split again and never repeated unchanged; the leader stays.
-func TestRefusedForGood(t *testing.T) {
+func TestPermanentlyRejectedTransactionIsSplit(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.startMachines(2)
@@ -340,7 +340,7 @@
 
 // A submission that is too large for the limits is rejected at once, but never one that was
 // accepted under the wider limits.
-func TestTooLargeForTheNewLimits(t *testing.T) {
+func TestSubmissionOverUpcomingLimits(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.announceUpcomingLimits(1, 4, 40)
 	sim.waitForLeader()
--- a/internal/controller/start_limit_test.go
+++ b/internal/controller/start_limit_test.go
@@ -14,7 +14,7 @@
 // whole machine would never find room. A machine is reserved for a job that is overdue, and the job
 // starts within four minutes and, oldest first, completes. Jobs that are bound to one machine type
 // or one zone, several at once, and a change of leader meanwhile are no exception.
-func TestJobWithLargeTasksBeginsOnAFullFleet(t *testing.T) {
+func TestJobWithLargeTasksStartsOnFullFleet(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		jobs     int
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -91,7 +91,7 @@
 
 // A single remaining controller has a connection for each fourth machine. It serves all of them in
 // turns: none waits without a response, and no lease expires.
-func TestLoneControllerTakesTurns(t *testing.T) {
+func TestSingleControllerServesWorkersInTurns(t *testing.T) {
 	const machines, sockets = 400, 100
 	sim := newConnectionLimitedSimulation(t, 3, sockets, machines)
 	newUserSimulation(sim, 1).submitWithRetries(jobSpec("j-1", 200))
@@ -109,7 +109,7 @@
 
 // A full leader redirects new workers to the node with the most free connections, once; a worker
 // that returns can't reach that node, so it is served.
-func TestFullLeaderRedirectsNewcomers(t *testing.T) {
+func TestFullLeaderRedirectsNewWorkers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	for i, name := range sim.followers() {
@@ -248,7 +248,7 @@
 
 // A response that was delayed beyond the worker's timeout is not passed on: the relaying controller
 // may have been paused while it held the response.
-func TestLateAnswerIsNotPassedOn(t *testing.T) {
+func TestLateResponseIsDiscarded(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leader := sim.waitForLeader()
 	f := sim.nodes[sim.followers()[0]]
@@ -301,7 +301,7 @@
 
 // A leader whose attempt counter is exhausted hands over to a new term, as its next attempt numbers
 // would be those of the term after.
-func TestAttemptsAreNeverUsedTwice(t *testing.T) {
+func TestAttemptNumbersAreNeverReused(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	term := leaderNode.leader.term
