--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -12,32 +12,33 @@
 	"hitchdoor/internal/storage"
 )
 
-// requiredCores returns the cores that the open jobs of a leader require, given that heldCores are
-// held.
+// requiredCores returns the number of cores that the autoscaler of a leader requires for its open
+// jobs while the cluster has heldCores.
 func requiredCores(l *leader, heldCores float64) float64 {
 	demand := l.autoscaler.Demand()
 	return demand.RequiredCores(heldCores)
 }
 
-// A machine that never boots is returned, and another one is rented in its place.
+// A rented machine that never boots must not be kept, or the work planned for it would never run. It
+// is returned, and another one is rented in its place.
 func TestMachineThatNeverBoots(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	sim.cloud.bootTime = time.Hour
 	sim.submit(leaderNode.name, jobSpec("j-1", 1))
 	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.cloud.hosts) > 0 }) {
-		t.Fatal("nothing rented")
+		t.Fatal("no machine was rented within 30 s")
 	}
 	sim.cloud.bootTime = 0
 	sim.waitForJobState("j-1", protocol.JobDone, 3*time.Minute)
 	if _, kept := sim.cloud.hosts["m-000001"]; kept {
-		t.Fatal("a machine that never came up was kept")
+		t.Fatal("m-000001 never booted and is still held, want it returned")
 	}
 }
 
-// Work that may wait before it starts is due late, and the plan reserves capacity for work that
-// usually arrives meanwhile and is due earlier. The forecast behind that survives a change of
-// leader: without the record each new leader learnt it again, and machines were returned meanwhile.
+// A job that may wait is due late, so the plan reserves capacity for the work that usually arrives
+// meanwhile and is due earlier. A new leader without the stored forecast would have to learn these
+// arrivals again, and would return machines meanwhile.
 func TestForecastSurvivesLeaderChange(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Objectives = []config.Objective{
@@ -47,38 +48,39 @@
 	for _, name := range sim.names {
 		sim.startNode(name)
 	}
-	leaderNode := sim.waitForLeader()
+	first := sim.waitForLeader()
 	sim.startMachines(2)
 	for i := range 60 {
 		job := jobSpec(fmt.Sprintf("j-%d", i), 4)
 		if job.Class = "quick"; i%10 == 0 {
 			job.Class = "patient"
 		}
-		sim.submit(leaderNode.name, job)
+		sim.submit(first.name, job)
 		sim.advance(time.Second)
 	}
 	last := jobSpec("j-60", 1)
 	last.Class = "patient"
-	sim.submit(leaderNode.name, last)
-	job := leaderNode.leader.Jobs["j-60"]
-	if got, want := leaderNode.leader.Due(job)-job.EligibleAt, 200*time.Second+leaderNode.leader.ExpectedTaskDuration(job); got != want {
-		t.Errorf("due after %v, not %v", got, want)
+	sim.submit(first.name, last)
+	job := first.leader.Jobs["j-60"]
+	if got, want := first.leader.Due(job)-job.EligibleAt,
+		200*time.Second+first.leader.ExpectedTaskDuration(job); got != want {
+		t.Errorf("job with a wait objective is due after: got %v, want %v", got, want)
 	}
-	before := leaderNode.leader.autoscaler.Forecast.ExpectedWork(200)
-	if before <= 0 || leaderNode.leader.autoscaler.Forecast.ExpectedWork(50) != 0 {
-		t.Fatalf("to come within 200 s: %v, within 50 s: %v", before,
-			leaderNode.leader.autoscaler.Forecast.ExpectedWork(50))
+	before := first.leader.autoscaler.Forecast.ExpectedWork(200)
+	if before <= 0 || first.leader.autoscaler.Forecast.ExpectedWork(50) != 0 {
+		t.Fatalf("expected work: got %v within 200 s, want some, and %v within 50 s, want 0", before,
+			first.leader.autoscaler.Forecast.ExpectedWork(50))
 	}
-	sim.crashNode(leaderNode.name)
+	sim.crashNode(first.name)
 	sim.advance(time.Second)
 	next := sim.waitForLeader()
 	if after := next.leader.autoscaler.Forecast.ExpectedWork(200); after < before/2 || after > before*1.1 {
-		t.Fatalf("to come within 200 s: %v, after the takeover %v", before, after)
+		t.Fatalf("expected work within 200 s after the takeover: got %v, want %v to %v", after, before/2, before*1.1)
 	}
 }
 
-// Users choose the class names. However many and however long they are, the stored forecast stays
-// within the value limit, because a transaction that the store rejects would end the leadership.
+// Users choose the class names, and many or long ones could make the stored forecast exceed the
+// value limit. The store would reject the transaction, and the leader would step down.
 func TestForecastRecordFitsValueLimit(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -90,17 +92,17 @@
 	}
 	term := leaderNode.leader.term
 	sim.advance(35 * time.Second) // the store rejects values over the limit
-	if it, ok := sim.store.keys[storage.ArrivalForecastKey]; !ok || len(it.Value) < 1000 {
-		t.Error("nothing is stored")
+	if item, ok := sim.store.keys[storage.ArrivalForecastKey]; !ok || len(item.Value) < 1000 {
+		t.Error("no arrival forecast of at least 1000 bytes is stored")
 	}
 	if leaderNode.leader == nil || leaderNode.leader.term != term {
-		t.Error("the leader has stepped down")
+		t.Error("the leader has stepped down, want it in the same term")
 	}
 }
 
-// The sums behind the forecast decay over minutes. Once more jobs in a row fail to arrive than
-// chance explains, no machines are kept for them. A gap in arrivals while nothing could be written,
-// or within the users' retry time, is no evidence.
+// The sums behind the forecast decay over minutes, so machines would be kept for jobs that no longer
+// arrive. The confidence drops once more jobs in a row are missing than chance explains. A gap while
+// the store accepts no writes, or within the users' retry time after that, doesn't count.
 func TestForecastDropsWhenArrivalsStop(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
@@ -110,75 +112,78 @@
 		sim.submit(leaderNode.name, jobSpec(fmt.Sprintf("j-%d", i), 1))
 		sim.advance(time.Second - 2*step)
 	}
-	f := leaderNode.leader.autoscaler.Forecast
-	f.Decay()
-	steady, coming := f.UsualLoad(), f.ExpectedWork(100)
-	if f.Confidence() != 1 || steady == 0 || coming == 0 {
-		t.Fatalf("jobs arrive: believed %v, usual %v, coming %v", f.Confidence(), steady, coming)
+	forecast := leaderNode.leader.autoscaler.Forecast
+	forecast.Decay()
+	steady, expected := forecast.UsualLoad(), forecast.ExpectedWork(100)
+	if forecast.Confidence() != 1 || steady == 0 || expected == 0 {
+		t.Fatalf("steady arrivals: got confidence %v, usual load %v, expected work %v, want 1 and both positive",
+			forecast.Confidence(), steady, expected)
 	}
 	sim.store.setDown(true)
 	sim.advance(2 * lease)
-	if f.Decay(); f.Confidence() != 1 {
-		t.Error("silence in an outage counts")
+	if forecast.Decay(); forecast.Confidence() != 1 {
+		t.Error("a store outage without arrivals lowered the confidence")
 	}
 	sim.store.setDown(false)
 	sim.advance(lease)
-	if f.Decay(); f.Confidence() != 1 {
-		t.Error("users have had no time to come back")
+	if forecast.Decay(); forecast.Confidence() != 1 {
+		t.Error("a gap within the retry time of users lowered the confidence")
 	}
 	sim.advance(lease)
-	if f.Decay(); f.Confidence() > 0.4 || f.ExpectedWork(100) > coming/3 {
-		t.Errorf("two leases without a job: believed %v, coming %v of %v", f.Confidence(), f.ExpectedWork(100), coming)
+	if forecast.Decay(); forecast.Confidence() > 0.4 || forecast.ExpectedWork(100) > expected/3 {
+		t.Errorf("two leases without a job: got confidence %v, expected work %v, want at most 0.4 and %v",
+			forecast.Confidence(), forecast.ExpectedWork(100), expected/3)
 	}
 	sim.submit(leaderNode.name, jobSpec("j-999", 1))
-	if f.Confidence() != 1 {
-		t.Error("not believed again with the next job")
+	if forecast.Confidence() != 1 {
+		t.Error("the next job did not restore the confidence to 1")
 	}
 }
 
-// Jobs that the first leader finds count as arrivals. When they did not, far too few machines were
-// rented on a day that began with hundreds of jobs and a leader elected some seconds late. A
-// successor counts only the arrivals after its predecessor's record.
+// The first leader counts the jobs that it finds in the store as arrivals. Otherwise far too few
+// machines are rented if hundreds of jobs are submitted before a leader is elected, some seconds
+// late. A successor must not count jobs again that its predecessor's record includes.
 func TestJobsFoundAtStartCountAsArrivals(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
-	at := time.Unix(1_000_000, 0).UnixMilli()
+	acceptedAt := time.Unix(1_000_000, 0).UnixMilli()
 	for i := range 30 {
-		s := jobSpec(fmt.Sprintf("j-%d", i), 10)
-		sim.store.putValue(storage.JobKey(s.ID), storage.JobRecord{Spec: s, AcceptedAtMillis: at})
+		job := jobSpec(fmt.Sprintf("j-%d", i), 10)
+		sim.store.putValue(storage.JobKey(job.ID), storage.JobRecord{Spec: job, AcceptedAtMillis: acceptedAt})
 	}
 	first := sim.waitForLeader()
-	if seen := first.leader.autoscaler.Forecast.JobsSeen(); math.Abs(seen-30) > 1 {
-		t.Fatalf("of 30 jobs found, %v have arrived", seen)
+	if recorded := first.leader.autoscaler.Forecast.JobsSeen(); math.Abs(recorded-30) > 1 {
+		t.Fatalf("arrivals counted for 30 stored jobs: got %v, want 29 to 31", recorded)
 	}
 	sim.advance(2*first.workerLease() + 2*time.Second) // until the forecast is stored
 	if _, stored := sim.store.keys[storage.ArrivalForecastKey]; !stored {
-		t.Fatal("nothing is stored")
+		t.Fatal("no arrival forecast is stored after two leases")
 	}
-	seen := first.leader.autoscaler.Forecast.JobsSeen()
+	recorded := first.leader.autoscaler.Forecast.JobsSeen()
 	for i := range 5 {
 		sim.submit(first.name, jobSpec(fmt.Sprintf("j-late%d", i), 10))
 	}
 	sim.crashNode(first.name)
 	second := sim.waitForLeader()
-	if got := second.leader.autoscaler.Forecast.JobsSeen(); got < seen+3 || got > seen+5 {
-		t.Errorf("%v jobs seen by a leader, 5 since its record, %v by the next", seen, got)
+	if got := second.leader.autoscaler.Forecast.JobsSeen(); got < recorded+3 || got > recorded+5 {
+		t.Errorf("arrivals known to the second leader: got %v, want %v to %v", got, recorded+3, recorded+5)
 	}
 }
 
-// Machines that nobody requested, by a rental request that was executed late, are used or returned.
+// A rental request that the cloud executes late adds a machine that no leader expects. It would be
+// paid for without use unless it is used or returned.
 func TestUnknownMachineIsUsedOrReturned(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	worker := sim.cloud.rentMachine("c4", "a", false)
 	if !sim.advanceUntil(3*time.Minute, func() bool { return sim.cloud.hosts[worker.name] == nil }) {
-		t.Fatal("an unknown machine was kept")
+		t.Fatal("an idle machine of unknown origin was not returned within 3 minutes")
 	}
 }
 
-// Without capacity in the cloud, rentals are retried all the time. They must not use up the cloud
-// calls of returns: until an unreachable machine that a new leader has to reconcile is returned,
-// all older jobs are held up.
+// While the cloud has no capacity, rentals are retried all the time and could use up the rate limit
+// of cloud calls. Returns take precedence: until an unreachable machine that a new leader has to
+// reconcile is returned, all older jobs are blocked.
 func TestReturnsPrecedeRentals(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Cloud.RequestsPerS = 0.4
@@ -195,71 +200,71 @@
 	sim.workers["m-000003"].unreachable = true
 	sim.workers["m-000003"].hung = true
 	next := sim.waitForLeader()
-	led := sim.now
+	electedAt := sim.now
 	if !sim.advanceUntil(time.Minute, next.leader.AllReconciled) {
-		t.Fatal("not accounted for")
+		t.Fatal("not all machines were reconciled within a minute")
 	}
-	if took := sim.now - led; took > 8*time.Second {
-		t.Fatalf("accounted for after %v, about a lease", took)
+	if elapsed := sim.now - electedAt; elapsed > 8*time.Second {
+		t.Fatalf("all machines reconciled after: got %v, want at most 8s, about a lease", elapsed)
 	}
 }
 
-// Machine lists that are empty, repeat machines or contradict themselves cause no return of a
-// machine that reports, and listing ends.
+// The cloud may return machine lists that are empty, repeat machines or contradict themselves. The
+// leader must not return a machine that reports because of them, nor request pages without end.
 func TestMalformedMachineLists(t *testing.T) {
 	host := func(name string, state protocol.HostState) protocol.Host {
 		return protocol.Host{Name: name, Type: "c4", Zone: "a", Spot: true, State: state, RentedSeconds: 500}
 	}
 	for name, list := range map[string]protocol.HostPage{
-		"empty":                   {},
-		"empty, and more to come": {Truncated: true},
-		"the same page for ever":  {Machines: []protocol.Host{host("m-000001", "running")}, Truncated: true},
-		"in no order": {Machines: []protocol.Host{host("m-000009", "running"),
+		"empty":                {},
+		"empty but truncated":  {Truncated: true},
+		"same page repeatedly": {Machines: []protocol.Host{host("m-000001", "running")}, Truncated: true},
+		"not sorted": {Machines: []protocol.Host{host("m-000009", "running"),
 			host("m-000002", "running")}},
-		"all have failed": {Machines: []protocol.Host{host("m-000001", "failed"), host("m-000002", "failed")}},
-		"nameless":        {Machines: []protocol.Host{host("", "running")}},
-		"unknown states":  {Machines: []protocol.Host{host("m-000001", "?"), host("m-000002", "")}},
-		"held since the beginning": {Machines: []protocol.Host{{Name: "m-000001", State: "running",
+		"all failed":     {Machines: []protocol.Host{host("m-000001", "failed"), host("m-000002", "failed")}},
+		"without name":   {Machines: []protocol.Host{host("", "running")}},
+		"unknown states": {Machines: []protocol.Host{host("m-000001", "?"), host("m-000002", "")}},
+		"extreme rental times": {Machines: []protocol.Host{{Name: "m-000001", State: "running",
 			RentedSeconds: 1e300}, {Name: "m-000003", State: "running", RentedSeconds: -1e300}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 2, 8)
-			lists := 0
+			pages := 0
 			sim.interceptCall = func(call ServiceCall) (CallResult, bool) {
 				if !strings.HasPrefix(call.Path, "/hosts?") {
 					return CallResult{}, false
 				}
-				lists++
+				pages++
 				return CallResult{Status: 200, Body: storage.Encode(list)}, true
 			}
 			sim.advance(90 * time.Second)
-			if lists > 60 {
-				t.Errorf("%d pages were read in 90 s", lists)
+			if pages > 60 {
+				t.Errorf("machine list pages requested in 90 s: got %d, want at most 60", pages)
 			}
 			if leaderNode.leader == nil || sim.leaderName() != leaderNode.name {
-				t.Fatal("the leader is gone")
+				t.Fatal("the leader has stepped down")
 			}
 			sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 			sim.checkStartedOnce()
 			for name := range leaderNode.leader.Machines {
 				if name == "" {
-					t.Error("a machine without a name is held")
+					t.Error("the leader has a machine without a name")
 				}
 			}
 		})
 	}
 }
 
-// Responses to rentals that name known or returned machines, none, or more than requested neither
-// corrupt the accounting nor block later rentals.
+// The cloud may answer a rental with machines that are known or already returned, with none, or with
+// more than requested. That must neither corrupt the leader's accounting nor block later rentals.
 func TestMalformedRentalResponses(t *testing.T) {
 	for name, machines := range map[string][]string{
-		"known ones":       {"m-000001", "m-000002"},
-		"nameless":         {"", "m-000101"},
-		"none":             {},
-		"far too many":     manyNames(400),
-		"the same thrice":  {"m-000102", "m-000102", "m-000102"},
-		"one that is gone": {"m-000050"},
+		"known machines":           {"m-000001", "m-000002"},
+		"without name":             {"", "m-000101"},
+		"none":                     {},
+		"far too many":             manyNames(400),
+		"same machine three times": {"m-000102", "m-000102", "m-000102"},
+		"returned machine":         {"m-000050"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim, leaderNode := newRunningSimulation(t, 1, 30*time.Second, 2, 8)
