--- a/internal/controller/burst_test.go
+++ b/internal/controller/burst_test.go
@@ -15,11 +15,11 @@
 	"hitchdoor/internal/storage"
 )
 
-// One team submits hundreds of the largest jobs. Accepted jobs have to be known, but pending tasks
-// must need next to no memory: at one byte per task, two thousand such jobs needed twice the memory
-// of a controller, and each leader in turn would have run out of it.
+// Two thousand jobs of the largest size must fit into the memory of a controller. Accepted jobs have
+// to be known, but pending tasks must need next to no memory: at one byte per task, such jobs needed
+// twice the memory of a controller, and each leader in turn would run out of it.
 func TestFloodOfLargeJobsFitsMemory(t *testing.T) {
-	const jobs, perJob = 2000, 8 << 10
+	const jobs, maxBytesPerJob = 2000, 8 << 10
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
 	before := heapInUse()
@@ -29,12 +29,13 @@
 		sim.jobSpecs[rec.Spec.ID] = rec.Spec
 		leaderNode.leader.jobRecords.Add(rec, uint64(i+1))
 	}
-	if grown := int64(heapInUse()) - int64(before); grown > jobs*perJob {
-		t.Errorf("%d jobs that wait take %d bytes each", jobs, grown/jobs)
+	if grown := int64(heapInUse()) - int64(before); grown > jobs*maxBytesPerJob {
+		t.Errorf("heap for each of %d pending jobs: got %d bytes, want at most %d", jobs, grown/jobs, maxBytesPerJob)
 	}
 	runtime.KeepAlive(leaderNode)
 }
 
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -42,90 +43,94 @@
 	return stats.HeapAlloc
 }
 
-// Another team's job starts in time during a flood of submissions, and queries, cancellations and
-// the other jobs of the flood are served.
+// A flood of submissions by one team must not starve the other teams. Another team's job starts
+// within the maximum start delay, and queries, cancellations and the other jobs of the flood are
+// served.
 func TestOtherTeamsAreServedDuringFlood(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 4
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
 	sim.waitForLeader()
 	sim.startMachines(4)
-	c := newUserSimulation(sim, 1)
+	users := newUserSimulation(sim, 1)
 	for i := range 300 {
 		job := jobSpec(fmt.Sprintf("j-flood-%d", i), 200)
 		job.Class = "flood"
-		sim.schedule(c.randomDuration(20*time.Second), func() { c.submitWithRetries(job) })
+		sim.schedule(users.randomDuration(20*time.Second), func() { users.submitWithRetries(job) })
 	}
 	sim.advance(20 * time.Second)
 	other := jobSpec("j-other", 4)
 	other.Team, other.Class = "team", "other"
-	c.submitWithRetries(other)
+	users.submitWithRetries(other)
 	if !sim.advanceUntil(cluster.MaxStartDelay, func() bool { return sim.firstStartAt["j-other"] != 0 }) {
-		t.Fatalf("not begun after four minutes: %s", sim.explainPending("j-other"))
+		t.Fatalf("j-other has not started within %v: %s", cluster.MaxStartDelay, sim.explainPending("j-other"))
 	}
-	c.cancelWithRetries("j-flood-7")
+	users.cancelWithRetries("j-flood-7")
 	if !sim.advanceUntil(5*time.Second,
 		func() bool { return sim.terminalStates["j-flood-7"] == protocol.JobCancelled }) {
-		t.Error("a cancellation is not confirmed within 5 s")
+		t.Error("j-flood-7 is not cancelled within 5 s")
 	}
 }
 
-// DemoteLargestJobs demotes the same jobs as a direct implementation of Moore's rule.
+// DemoteLargestJobs must demote the same jobs as a direct implementation of the Moore-Hodgson
+// algorithm, for 300 random queues.
 func TestDemotionMatchesMooreHodgson(t *testing.T) {
 	_, leaderNode := newRunningSimulation(t, 1, time.Hour, 2, 8)
-	cores := leaderNode.leader.RetainedCores()
-	if cores == 0 {
-		t.Fatal("no machine stays")
+	retainedCores := leaderNode.leader.RetainedCores()
+	if retainedCores == 0 {
+		t.Fatal("got no retained cores, want those of the two machines")
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 300 {
-		var all, plain []*scheduler.QueuedJob
+		var queue, referenceQueue []*scheduler.QueuedJob
 		for i := range 1 + rng.IntN(30) {
 			job := &cluster.Job{Spec: jobSpec(fmt.Sprintf("j-%d", i), 1),
 				TaskProgress: cluster.TaskProgress{PendingTasks: rng.IntN(3)}}
-			r := scheduler.QueuedJob{Job: job,
-				Rank: []int{cluster.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
-				Due:  leaderNode.now + time.Duration(rng.IntN(200))*time.Second, RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
-			again := r
-			all, plain = append(all, &r), append(plain, &again)
+			queued := scheduler.QueuedJob{Job: job,
+				Rank:                 []int{cluster.RankLatencySensitive, scheduler.RankOnTime, scheduler.RankLate}[rng.IntN(3)],
+				Due:                  leaderNode.now + time.Duration(rng.IntN(200))*time.Second,
+				RemainingCoreSeconds: float64(rng.IntN(20) * 10)}
+			copied := queued
+			queue, referenceQueue = append(queue, &queued), append(referenceQueue, &copied)
 		}
 		byDue := func(a, b *scheduler.QueuedJob) int { return int(a.Due - b.Due) }
-		slices.SortStableFunc(all, byDue)
-		slices.SortStableFunc(plain, byDue)
-		leaderNode.leader.DemoteLargestJobs(all)
-		referenceDemotion(plain, cores*scheduler.PackingEfficiency, leaderNode.now)
-		for i := range all {
-			if all[i].Rank != plain[i].Rank {
-				t.Fatalf("round %d: job %d has rank %d, not %d", round, i, all[i].Rank, plain[i].Rank)
+		slices.SortStableFunc(queue, byDue)
+		slices.SortStableFunc(referenceQueue, byDue)
+		leaderNode.leader.DemoteLargestJobs(queue)
+		referenceDemotion(referenceQueue, retainedCores*scheduler.PackingEfficiency, leaderNode.now)
+		for i := range queue {
+			if queue[i].Rank != referenceQueue[i].Rank {
+				t.Fatalf("round %d: rank of job %d: got %d, want %d", round, i, queue[i].Rank, referenceQueue[i].Rank)
 			}
 		}
 	}
 }
 
-// referenceDemotion is the Moore-Hodgson algorithm for the fewest late jobs, in its textbook form.
-func referenceDemotion(all []*scheduler.QueuedJob, cores float64, now clock.Instant) {
-	sum := 0.0
+// referenceDemotion demotes jobs by the Moore-Hodgson algorithm, which minimizes the number of late
+// jobs, in its textbook form.
+func referenceDemotion(queue []*scheduler.QueuedJob, cores float64, now clock.Instant) {
+	keptCoreSeconds := 0.0
 	var kept []*scheduler.QueuedJob
-	for _, r := range all {
-		if r.Rank != scheduler.RankOnTime && r.Job.EffectiveRank() > cluster.RankLatencySensitive {
+	for _, queued := range queue {
+		if queued.Rank != scheduler.RankOnTime && queued.Job.EffectiveRank() > cluster.RankLatencySensitive {
 			continue
 		}
-		sum += r.RemainingCoreSeconds
-		kept = append(kept, r)
-		for sum/cores > (r.Due - now).Seconds() {
-			worst := -1
-			for i, k := range kept {
-				if k.Rank == scheduler.RankOnTime && k.Job.PendingTasks > 0 &&
-					(worst < 0 || k.RemainingCoreSeconds > kept[worst].RemainingCoreSeconds) {
-					worst = i
+		keptCoreSeconds += queued.RemainingCoreSeconds
+		kept = append(kept, queued)
+		for keptCoreSeconds/cores > (queued.Due - now).Seconds() {
+			largest := -1
+			for i, candidate := range kept {
+				if candidate.Rank == scheduler.RankOnTime && candidate.Job.PendingTasks > 0 &&
+					(largest < 0 || candidate.RemainingCoreSeconds > kept[largest].RemainingCoreSeconds) {
+					largest = i
 				}
 			}
-			if worst < 0 {
+			if largest < 0 {
 				break
 			}
-			sum -= kept[worst].RemainingCoreSeconds
-			kept[worst].Rank = scheduler.RankLate
-			kept = slices.Delete(kept, worst, worst+1)
+			keptCoreSeconds -= kept[largest].RemainingCoreSeconds
+			kept[largest].Rank = scheduler.RankLate
+			kept = slices.Delete(kept, largest, largest+1)
 		}
 	}
 }
