--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -14,20 +14,20 @@
 	"hitchdoor/internal/storage"
 )
 
-// coldStart is a cluster with users whose controllers all crash at once and restart. It records
-// what the recovering leaders start and rent.
+// coldStart simulates a cluster with users whose controllers all crash at once and restart. It
+// records which tasks the recovering leaders start, and checks what they rent.
 type coldStart struct {
 	*userSimulation
 	downtime       time.Duration
 	restartedAt    clock.Instant   // when the first controller restarted
 	startTimes     []clock.Instant // of tasks started by a recovering leader
 	rateLimits     recovery.Rates
-	mismatchCounts map[recovery.Mismatch]int // maxima over all leaders
-	leaderTerms    map[uint64]bool           // terms since the crash
+	mismatchCounts map[recovery.Mismatch]int // maxima over all recovering leaders
+	leaderTerms    map[uint64]bool           // terms of the recovering leaders since the crash
 }
 
-// restartAllControllers crashes all controllers and restarts each after the downtime and a random
-// part of the spread.
+// restartAllControllers crashes all controllers and restarts each after the downtime plus a random
+// delay of up to spread. It sets the rate limits and begins to watch rentals and starts.
 func (c *coldStart) restartAllControllers(spread time.Duration) {
 	for _, name := range c.names {
 		c.restartAfter(name, c.downtime+c.randomDuration(spread+step))
@@ -39,7 +39,8 @@
 	c.watchStarts()
 }
 
-// recoveringLeader returns the leader if its recovery is not completed, and nil otherwise.
+// recoveringLeader returns the leader if its recovery is not completed; otherwise, and without a
+// leader, it returns nil.
 func (c *coldStart) recoveringLeader() *leader {
 	if name := c.leaderName(); name != "" && !c.nodes[name].leader.recovery.Completed() {
 		return c.nodes[name].leader
@@ -56,17 +57,19 @@
 			l.recovery.Phase() <= recovery.PhaseCollecting &&
 			strings.Contains(string(call.Body), "r-"+formatUint(l.term)+"-") {
 			totals := l.CurrentMachineTotals()
-			unknown, waiting, surely := totals.UnknownUsage.Cores, 0.0, 0
+			unreconciledCores, maybeRunningCores, pendingTasks := totals.UnknownUsage.Cores, 0.0, 0
 			for _, job := range l.RunnableJobs {
 				if l.MayRunUnreported(job, &totals) {
-					waiting += float64(job.PendingTasks) * job.Spec.Cores
+					maybeRunningCores += float64(job.PendingTasks) * job.Spec.Cores
 				} else {
-					surely += job.PendingTasks
+					pendingTasks += job.PendingTasks
 				}
 			}
-			if usual := l.autoscaler.Forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded || waiting <= unknown && surely == 0 && usual <= totals.TotalCores {
-				c.reportViolation("rented too early", "in phase %v, %v cores wait, %v are unknown",
-					l.recovery.Phase(), waiting, unknown)
+			if usualCores := l.autoscaler.Forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded ||
+				maybeRunningCores <= unreconciledCores && pendingTasks == 0 && usualCores <= totals.TotalCores {
+				c.reportViolation("rented too early",
+					"in phase %v: got %v cores of tasks that may run unreported, want more than the %v unreconciled",
+					l.recovery.Phase(), maybeRunningCores, unreconciledCores)
 			}
 		}
 		return CallResult{}, false
@@ -76,26 +79,28 @@
 // watchStarts records the starts that workers receive while a leader recovers, and the mismatches
 // that such leaders count.
 func (c *coldStart) watchStarts() {
-	all := c.totalStarts()
+	previous := c.totalStarts()
 	var poll func()
 	poll = func() {
-		now := c.totalStarts()
+		current := c.totalStarts()
 		if l := c.recoveringLeader(); l != nil && c.now > c.restartedAt {
 			c.leaderTerms[l.term] = true
-			for range now - all {
+			for range current - previous {
 				c.startTimes = append(c.startTimes, c.now)
 			}
 			counts := l.recovery.Counts()
-			counts.ForEach(func(kind recovery.Mismatch, count int) { c.mismatchCounts[kind] = max(c.mismatchCounts[kind], count) })
+			counts.ForEach(func(kind recovery.Mismatch, count int) {
+				c.mismatchCounts[kind] = max(c.mismatchCounts[kind], count)
+			})
 		}
-		all = now
+		previous = current
 		c.schedule(step, poll)
 	}
 	poll()
 }
 
-// checkStarts fails the test if the starts within any second, or in all, exceed the rate limit.
-// Each leader may add one burst to the sustained rate.
+// checkStarts fails the test if the starts within any second, or in total, exceed the rate limit and a
+// tolerance of 5 %. Each leader may add one burst to the sustained rate.
 func (c *coldStart) checkStarts() {
 	c.t.Helper()
 	rate := c.rateLimits[recovery.StartTask]
@@ -105,19 +110,21 @@
 			first++
 		}
 		if n := float64(i - first + 1); n > rate.PerWindow()*1.05+1 {
-			c.t.Fatalf("%.0f starts within a second of %v, limit %.1f", n, at, rate.PerWindow())
+			c.t.Fatalf("starts within the second up to %v: got %.0f, limit %.1f", at, n, rate.PerWindow())
 		}
 	}
 	if len(c.startTimes) > 0 {
 		span := (c.startTimes[len(c.startTimes)-1] - c.restartedAt).Seconds()
-		if total := rate.PerSecond*span*1.05 + rate.Burst*float64(len(c.leaderTerms)); float64(len(c.startTimes)) > total {
-			c.t.Fatalf("%d starts in %.1f s of %d leaders, limit %.0f", len(c.startTimes), span,
-				len(c.leaderTerms), total)
+		if limit := rate.PerSecond*span*1.05 + rate.Burst*float64(len(c.leaderTerms)); float64(len(c.startTimes)) >
+			limit {
+			c.t.Fatalf("starts in %.1f s by %d leaders: got %d, want at most %.0f", span, len(c.leaderTerms),
+				len(c.startTimes), limit)
 		}
 	}
 }
 
-// busyWorker returns the n-th worker that runs tasks, or any worker if none does.
+// busyWorker returns the n-th worker that runs tasks, or the n-th worker if none does. n wraps
+// around.
 func (c *coldStart) busyWorker(n int) *fakeWorker {
 	busy := slices.DeleteFunc(slices.Clone(c.sortedWorkers()),
 		func(worker *fakeWorker) bool { return len(worker.tasks) == 0 })
@@ -127,12 +134,13 @@
 	return busy[n%len(busy)]
 }
 
-// onRecoveryPhase calls f once a leader has reached the phase p.
-func (c *coldStart) onRecoveryPhase(p recovery.Phase, f func()) {
+// onRecoveryPhase calls action once, when a leader has reached the phase after the restart.
+func (c *coldStart) onRecoveryPhase(phase recovery.Phase, action func()) {
 	var poll func()
 	poll = func() {
-		if name := c.leaderName(); name != "" && c.now > c.restartedAt && c.nodes[name].leader.recovery.Phase() >= p {
-			f()
+		if name := c.leaderName(); name != "" && c.now > c.restartedAt &&
+			c.nodes[name].leader.recovery.Phase() >= phase {
+			action()
 			return
 		}
 		c.schedule(step, poll)
@@ -140,17 +148,17 @@
 	poll()
 }
 
-// coldStartFaults are the faults combined with a crash of all controllers. Each is set up at the moment
-// of the crash.
+// coldStartFaults are the faults that TestColdStart combines with a crash of all controllers, by name.
+// Each function is called at the moment of the crash and schedules its faults.
 var coldStartFaults = map[string]func(c *coldStart){
 	"mismatches of every kind": func(c *coldStart) {
 		c.schedule(c.downtime/2, func() {
-			never := &fakeTask{taskKey: "j-never-stored/0", attempt: 7, state: protocol.TaskRunning,
+			neverStored := &fakeTask{taskKey: "j-never-stored/0", attempt: 7, state: protocol.TaskRunning,
 				endsAt: c.now + time.Hour}
-			c.busyWorker(0).tasks = append(c.busyWorker(0).tasks, never)
+			c.busyWorker(0).tasks = append(c.busyWorker(0).tasks, neverStored)
 			c.jobSpecs["j-never-stored"] = jobSpec("j-never-stored", 1)
 			for _, t := range c.busyWorker(1).tasks {
-				t.endsAt = c.now // finished, but not yet reported
+				t.endsAt = c.now // completed, but not yet reported
 			}
 			c.busyWorker(2).unreachable = true
 			for i := range 6 {
@@ -165,8 +173,8 @@
 			}
 		})
 	},
-	"copies of reports from before the loss": func(c *coldStart) { c.replayHeartbeats() },
-	"the state service is slow, then refuses one, then is out": func(c *coldStart) {
+	"heartbeats from before the crash are replayed": func(c *coldStart) { c.replayHeartbeats() },
+	"the store is slow, then refuses the leader, then is down": func(c *coldStart) {
 		c.store.requestDelay = func() time.Duration { return c.randomDuration(c.machineLease() / 30) }
 		c.onRecoveryPhase(recovery.PhaseCollecting, func() {
 			refused := c.leaderName()
@@ -181,7 +189,7 @@
 			})
 		})
 	},
-	"the cloud is down, and forgets machines": func(c *coldStart) {
+	"the cloud is down, then lists no machines": func(c *coldStart) {
 		c.cloud.unavailable = true
 		c.schedule(c.downtime+c.randomDuration(c.machineLease()), func() {
 			c.cloud.unavailable = false
@@ -189,7 +197,7 @@
 			c.schedule(c.randomDuration(c.machineLease()/3), func() { c.cloud.listsEmpty = false })
 		})
 	},
-	"machines are taken back meanwhile": func(c *coldStart) {
+	"the cloud removes machines": func(c *coldStart) {
 		for _, worker := range c.sortedWorkers() {
 			if c.rng.IntN(3) == 0 {
 				c.schedule(c.randomDuration(c.downtime+c.machineLease()/4), func() { c.cloud.removeMachine(worker) })
@@ -202,16 +210,16 @@
 			c.onRecoveryPhase(phase, func() { c.cancelSomeJobs(3, c.machineLease()/20) })
 		}
 	},
-	"workers away for the whole recovery": func(c *coldStart) {
+	"workers are unreachable during the recovery": func(c *coldStart) {
 		c.forSomeWorkers(3, func(worker *fakeWorker) {
 			worker.unreachable = true
 			c.schedule(c.downtime+c.randomDuration(2*c.machineLease()), func() { worker.unreachable = false })
 		})
 	},
-	"teams at their limits, machines silent": func(c *coldStart) {
-		// At most as much as the team can run in a minute and a half after the faults. With a
-		// longer queue some job would be pending for that long beside free capacity, which its team
-		// leaves for a moment between two tasks.
+	"team at its limit, workers unreachable": func(c *coldStart) {
+		// The team can run these jobs within a minute and a half after the faults. With a longer
+		// queue, some job would be pending for that long while there is free capacity, which its
+		// team leaves unused for a moment between two tasks.
 		c.submitMoreJobs(4, c.downtime+c.machineLease(),
 			func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
 		c.forSomeWorkers(4, func(worker *fakeWorker) {
@@ -219,13 +227,13 @@
 			c.schedule(c.downtime+c.randomDuration(c.machineLease()), func() { worker.unreachable = false })
 		})
 	},
-	"leaders end in each phase": func(c *coldStart) {
+	"leaders crash in each phase": func(c *coldStart) {
 		for _, phase := range []recovery.Phase{recovery.PhaseReading, recovery.PhaseCollecting,
 			recovery.PhaseReconciling, recovery.PhasePacing, recovery.PhasePacing} {
 			c.onRecoveryPhase(phase, func() { c.restartAfter(c.leaderName(), c.randomDuration(time.Second)) })
 		}
 	},
-	"one controller comes back alone": func(c *coldStart) {
+	"one controller restarts before the others": func(c *coldStart) {
 		first := c.randomNode()
 		for _, name := range c.names {
 			if name != first {
@@ -236,32 +244,32 @@
 			}
 		}
 	},
-	"a version before beside this one": func(c *coldStart) {
+	"one node runs the previous version": func(c *coldStart) {
 		old := c.names[0]
 		c.crashNode(old)
 		c.oldVersionNodes[old] = true
 	},
 }
 
-// All controllers crash in the middle of work, for half a worker lease, about one, and three, and
-// other faults hit the recovery. No invariant is violated, no machine is rented before the phase
-// allows it, starts stay within their rate limit across leaders, and no task that runs legitimately
-// is stopped.
+// All controllers crash while tasks run, for half a worker lease, for about one or for three, and
+// other faults hit the recovery. New leaders that act on incomplete knowledge could start tasks
+// twice, stop tasks that run legitimately, rent machines before the phase of the recovery allows it,
+// or exceed the start rate limit together. No invariant may be violated.
 func TestColdStart(t *testing.T) {
-	for name, arrange := range coldStartFaults {
+	for name, injectFaults := range coldStartFaults {
 		t.Run(name, func(t *testing.T) {
 			forEachSeed(t, 6, 120, func(t *testing.T, seed uint64) {
 				nodes := []int{3, 7}[seed%2]
-				away := []float64{0.5, 0.97, 3}[seed%3]
+				downtimeInLeases := []float64{0.5, 0.97, 3}[seed%3]
 				users, _ := newFaultCombination(t, nodes, deployments[seed%uint64(len(deployments))], seed, 8, 4)
 				c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{},
 					leaderTerms: map[uint64]bool{}}
 				c.scenario = name
-				c.downtime = time.Duration(away * float64(c.machineLease()))
+				c.downtime = time.Duration(downtimeInLeases * float64(c.machineLease()))
 				c.submitMoreJobs(10, 2*c.machineLease(), nil)
 				c.advance(c.randomDuration(5 * time.Second))
 				c.restartAllControllers(c.machineLease() / 8)
-				arrange(c)
+				injectFaults(c)
 				c.advance(c.downtime + 3*c.machineLease())
 				c.checkStarts()
 				c.checkStops(t)
@@ -281,33 +289,37 @@
 	}
 }
 
-// checkStops fails the test if a task that ran legitimately was stopped.
+// checkStops fails the test if a task of a submitted job that no user may have cancelled was stopped.
 func (c *coldStart) checkStops(t *testing.T) {
 	t.Helper()
 	for _, key := range c.stoppedTasks {
 		if id := jobIDOf(key); c.submitted[id] && !c.mayBeCancelled(id) {
-			t.Errorf("%s was stopped, though it ran rightly", key)
+			t.Errorf("%s was stopped, want it running: no user cancelled its job", key)
 		}
 	}
 }
 
-// checkMismatches fails the test if the leaders did not count the mismatches that were set up.
+// checkMismatches fails the test if the leaders did not count the mismatches that were set up. Tasks
+// outlive a downtime below a worker lease, and are lost in a longer one.
 func (c *coldStart) checkMismatches(t *testing.T) {
 	t.Helper()
 	for _, kind := range []recovery.Mismatch{recovery.JobNeverStored, recovery.MachineUnresponsive} {
 		if c.downtime < c.machineLease()*9/10 && c.mismatchCounts[kind] == 0 {
-			t.Errorf("nobody found %v: %v", kind, c.mismatchCounts)
+			t.Errorf("no leader counted %v, want at least one: got %v", kind, c.mismatchCounts)
 		}
 	}
 	if c.downtime < c.machineLease()*9/10 &&
 		(c.mismatchCounts[recovery.MatchesRecord] == 0 ||
-			c.mismatchCounts[recovery.CompletionNotStored] == 0) || c.downtime > c.machineLease() && c.mismatchCounts[recovery.JobNotRunning] == 0 {
-		t.Errorf("found only %v", c.mismatchCounts)
+			c.mismatchCounts[recovery.CompletionNotStored] == 0) ||
+		c.downtime > c.machineLease() && c.mismatchCounts[recovery.JobNotRunning] == 0 {
+		t.Errorf("after a downtime of %v: got mismatches %v, want %v and %v after a short one, %v after a long one",
+			c.downtime, c.mismatchCounts, recovery.MatchesRecord, recovery.CompletionNotStored, recovery.JobNotRunning)
 	}
 }
 
-// Five leaders follow each other, and each crashes as soon as it has started some of the lost
-// tasks. Together they exceed the start limit neither within a second nor in all.
+// Five leaders succeed each other, and each crashes as soon as it has started some of the lost
+// tasks. A start limit that begins anew with each leader would allow too many starts. Together they
+// must exceed it neither within a second nor in total, and all tasks run in the end.
 func TestFiveLeadersOfOneRecovery(t *testing.T) {
 	for _, nodes := range []int{3, 7} {
 		users, _ := newFaultCombination(t, nodes, deployments[0], uint64(nodes), 20, 8)
@@ -319,7 +331,7 @@
 			before := c.totalStarts()
 			if !c.advanceUntil(c.machineLease()*2,
 				func() bool { return c.leaderName() != "" && c.totalStarts() > before }) {
-				t.Fatalf("%d nodes: no start: %s", nodes, c.explainNoLeader())
+				t.Fatalf("%d nodes: no task was started within two leases: %s", nodes, c.explainNoLeader())
 			}
 			c.advance(c.randomDuration(time.Second))
 			if name := c.leaderName(); name != "" {
@@ -329,20 +341,21 @@
 		c.advance(3 * c.machineLease())
 		c.checkStarts()
 		if len(c.leaderTerms) < 5 {
-			t.Errorf("%d leaders", len(c.leaderTerms))
+			t.Errorf("leader terms since the crash: got %d, want at least 5", len(c.leaderTerms))
 		}
-		on := 0
+		running := 0
 		for i := range 20 {
-			on += c.activeTaskCount(fmt.Sprintf("j-%d", i))
+			running += c.activeTaskCount(fmt.Sprintf("j-%d", i))
 		}
-		if on != 160 {
-			t.Errorf("%d of 160 tasks run", on)
+		if running != 160 {
+			t.Errorf("running tasks: got %d, want 160", running)
 		}
 	}
 }
 
-// A pending job that can't be on any of the unreachable machines starts at once; one that may be on
-// them waits for reconciliation.
+// After a restart of all controllers, urgent jobs must not wait for the reconciliation of unreachable
+// machines that can't run them: a job for zone a starts at once while the machines of zone b are
+// unreachable. A job that may run there must wait, or its tasks could run twice.
 func TestLatencySensitiveWorkDoesNotWaitForUnreachableMachines(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -352,7 +365,7 @@
 	for _, worker := range sim.sortedWorkers() {
 		worker.unreachable = worker.zone == "b"
 	}
-	sim.cloud.unavailable = true // so that none of them is returned
+	sim.cloud.unavailable = true // so that no unreachable machine is returned
 	for _, name := range sim.names {
 		sim.crashNode(name)
 	}
@@ -367,7 +380,8 @@
 	}
 	sim.waitForLeader()
 	sim.advance(6 * time.Second)
-	if a, b, any := sim.activeTaskCount("j-z0"), sim.activeTaskCount("j-zz1"), sim.activeTaskCount("j-zzz2"); a != 2 || b != 0 || any != 0 {
-		t.Errorf("%d, %d and %d tasks run, not 2, 0 and 0", a, b, any)
+	if a, b, anyZone := sim.activeTaskCount("j-z0"), sim.activeTaskCount("j-zz1"),
+		sim.activeTaskCount("j-zzz2"); a != 2 || b != 0 || anyZone != 0 {
+		t.Errorf("running tasks for zone a, zone b, any zone: got %d, %d, %d, want 2, 0, 0", a, b, anyZone)
 	}
 }
