--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -22,17 +22,17 @@
 	"hitchdoor/internal/storage"
 )
 
-// These tests pin what other programs and operators see of a node: the names on its pages, its
+// These tests fix what other programs and operators see of a node: the names on its pages, its
 // replies to users, its calls to the key-value store and the cloud, and its stored keys. The golden
-// files in testdata were written by the code of commit 5adb309. The flag -update rewrites them;
-// that changes what others rely on, or a decision, and needs a reason of its own.
+// files in testdata were written by the code of commit 5adb309. The flag -update rewrites them. A
+// changed golden file means a changed interface or scheduling decision, and needs a reason of its own.
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// checkGolden compares lines with a golden file.
-func checkGolden(t *testing.T, file string, lines []string) {
+// checkGolden compares lines with a golden file. With the flag -update, it rewrites the file first.
+func checkGolden(t *testing.T, fileName string, lines []string) {
 	t.Helper()
-	path := filepath.Join("testdata", file)
+	path := filepath.Join("testdata", fileName)
 	got := strings.Join(lines, "\n") + "\n"
 	if *update {
 		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
@@ -46,25 +46,25 @@
 	if got == string(want) {
 		return
 	}
-	wanted := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	for i := range max(len(lines), len(wanted)) {
+	wantLines := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	for i := range max(len(lines), len(wantLines)) {
 		switch {
 		case i >= len(lines):
-			t.Fatalf("%s: line %d is missing: %s", file, i+1, wanted[i])
-		case i >= len(wanted):
-			t.Fatalf("%s: line %d is new: %s", file, i+1, lines[i])
-		case lines[i] != wanted[i]:
-			t.Fatalf("%s: line %d:\n got %s\nwant %s", file, i+1, lines[i], wanted[i])
+			t.Fatalf("%s: line %d: got none, want %s", fileName, i+1, wantLines[i])
+		case i >= len(wantLines):
+			t.Fatalf("%s: line %d: got %s, want none", fileName, i+1, lines[i])
+		case lines[i] != wantLines[i]:
+			t.Fatalf("%s: line %d:\n got %s\nwant %s", fileName, i+1, lines[i], wantLines[i])
 		}
 	}
 }
 
-// nameSet is a set of names.
+// nameSet is a set of field, metric and call names.
 type nameSet map[string]bool
 
 func (s nameSet) sorted() []string { return slices.Sorted(maps.Keys(s)) }
 
-// addFields adds the names of all fields of a JSON document, with the types of their values.
+// addFields adds the paths of all fields of a JSON document, with the types of their values.
 func (s nameSet) addFields(prefix string, raw []byte) error {
 	var value any
 	if err := json.Unmarshal(raw, &value); err != nil {
@@ -74,6 +74,7 @@
 	return nil
 }
 
+// addValue adds the paths of all fields of a decoded JSON value.
 func (s nameSet) addValue(name string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -91,11 +92,12 @@
 	}
 }
 
-// machineName matches machine names, which are keys within the record of a machine group.
+// machineName matches machine names, which are keys in machine group records.
 var machineName = regexp.MustCompile(`^m-\d{6}$`)
 
-// addPages adds the names on all pages of a node.
-func (s nameSet) addPages(sim *simulation, node, job string) {
+// addPages adds the field and metric names on all pages of a node. jobID is the job on the admission
+// page of a job.
+func (s nameSet) addPages(sim *simulation, node, jobID string) {
 	sim.t.Helper()
 	for _, page := range []struct {
 		name string
@@ -104,10 +106,10 @@
 	}{{"health", protocol.RequestHealth, ""}, {"status", protocol.RequestStatus, ""},
 		{"links", protocol.RequestLinks, ""},
 		{"recovery", protocol.RequestRecovery, ""}, {"admission", protocol.RequestAdmission, ""},
-		{"admission", protocol.RequestAdmission, job}} {
+		{"admission", protocol.RequestAdmission, jobID}} {
 		r := sim.requestAndWait(node, Request{Kind: page.kind, JobID: page.id})
 		if r.Status != 200 {
-			sim.t.Fatalf("%s: %d", page.name, r.Status)
+			sim.t.Fatalf("page %s: got status %d, want 200", page.name, r.Status)
 		}
 		if err := s.addFields(page.name, r.Body); err != nil {
 			sim.t.Fatal(err)
@@ -116,7 +118,7 @@
 	for text := range strings.Lines(string(sim.requestAndWait(node, Request{Kind: protocol.RequestMetrics}).Body)) {
 		text = strings.TrimSpace(text)
 		switch {
-		case strings.HasPrefix(text, "# HELP "): // prose may change
+		case strings.HasPrefix(text, "# HELP "): // help texts may change
 		case strings.HasPrefix(text, "# TYPE "):
 			s["metrics: "+text] = true
 		default:
@@ -125,8 +127,9 @@
 	}
 }
 
-// The names on the pages of a leader and of its followers: with running jobs, under an admission
-// policy, in a recovery, and with records that can't be read.
+// The names on the pages of a leader and its followers must not change, because other programs read
+// them. The pages are read with running jobs, under an admission policy, in a recovery, and with
+// records that can't be read.
 func TestPageNames(t *testing.T) {
 	names := nameSet{}
 	sim, leaderNode := newRunningSimulation(t, 3, 100*time.Second, 4, 8)
@@ -145,37 +148,38 @@
 		sim.advance(time.Second)
 	}
 
-	c := newOverloadedSimulation(t, 3, true)
-	a := newSubmitters(c)
+	overloaded := newOverloadedSimulation(t, 3, true)
+	users := newSubmitters(overloaded)
 	for i := range 60 {
-		a.submit(a.classJob("low", "low", i), retryOnTime)
+		users.submit(users.classJob("low", "low", i), retryOnTime)
 	}
-	if !c.advanceUntil(20*time.Second, func() bool { return len(c.acceptancesByEpoch) >= 2 }) {
-		t.Fatal("no admission by policy")
+	if !overloaded.advanceUntil(20*time.Second, func() bool { return len(overloaded.acceptancesByEpoch) >= 2 }) {
+		t.Fatal("no jobs were accepted under an admission policy")
 	}
 	for range 10 {
-		for _, node := range c.names {
+		for _, node := range overloaded.names {
 			for _, job := range []string{"j-low-0", "j-low-30", "j-low-59"} {
-				names.addPages(c.simulation, node, job)
+				names.addPages(overloaded.simulation, node, job)
 			}
 		}
 	}
 	checkGolden(t, "pages.txt", names.sorted())
 }
 
-// The words on the status page and in traces.
+// The wait reasons, drain reasons, trace steps and protocol level that the status page and traces show
+// must not change, because operators and their tools match them.
 func TestStatusAndTraceTexts(t *testing.T) {
 	lines := []string{"jobs wait for:"}
-	for _, waits := range []cluster.WaitReason{cluster.WaitDependencies, cluster.WaitBackoff,
+	for _, waitReason := range []cluster.WaitReason{cluster.WaitDependencies, cluster.WaitBackoff,
 		cluster.WaitReconciliation, cluster.WaitSlots, cluster.WaitTeamQuota,
 		cluster.WaitOverallQuota, cluster.WaitCapacity, cluster.WaitImage, cluster.WaitQuarantine, cluster.WaitNone} {
-		lines = append(lines, string(waits))
+		lines = append(lines, string(waitReason))
 	}
 	lines = append(lines, "machines leave because:")
-	for _, why := range []cluster.DrainReason{cluster.SurplusCapacity, cluster.PreemptionNoticed,
+	for _, drainReason := range []cluster.DrainReason{cluster.SurplusCapacity, cluster.PreemptionNoticed,
 		cluster.SlowExecution, cluster.Unhealthy, cluster.CommandsUndelivered,
 		cluster.HeartbeatMissed, cluster.NeverReported, cluster.InstanceFailed, cluster.NotListed} {
-		lines = append(lines, string(why))
+		lines = append(lines, string(drainReason))
 	}
 	lines = append(lines, "steps of traces:", stepAdmissionVerdict, stepRejected, stepStored, stepLoaded,
 		stepBlocked, stepFirstStart, stepFirstRunning, stepTerminal,
@@ -183,9 +187,9 @@
 	checkGolden(t, "words.txt", lines)
 }
 
-// A leader reads what level 0 stored: one record for each machine, bitmap parts by their numbers,
-// records without the later fields. The values are literals, so that no change of a Go type changes
-// them.
+// A leader must read the records that nodes of protocol level 0 stored: one record per machine,
+// bitmap parts by number, and records without the later fields. The values are literals, so that a
+// change of a Go type can't change them.
 func TestRecordsOfEarlierVersions(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -231,79 +235,81 @@
 	checkGolden(t, "records_taken_over.txt", lines)
 }
 
-// pointerTo returns a pointer to a value.
+// pointerTo returns a pointer to a copy of v.
 func pointerTo[T any](v T) *T { return &v }
 
-// The replies to users, workers and the load balancer.
+// The replies to users, workers and the load balancer must not change, because their programs parse
+// them.
 func TestReplies(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 5 * time.Second }
 	var lines []string
-	ask := func(name, node string, r Request) {
+	request := func(name, node string, r Request) {
 		reply := sim.requestAndWait(node, r)
 		lines = append(lines, fmt.Sprintf("%s: %d, retry after %d: %s", name, reply.Status,
 			reply.RetryAfter, reply.Body))
 	}
-	user := func(name, node string, kind protocol.RequestKind, job protocol.Job) {
+	userRequest := func(name, node string, kind protocol.RequestKind, job protocol.Job) {
 		sim.jobSpecs[job.ID] = job
 		r := Request{Kind: kind, JobID: job.ID}
 		if kind == protocol.RequestSubmit {
 			r.Job = &job
 		}
-		ask(name, node, r)
+		request(name, node, r)
 	}
-	user("submission without a leader", "n0", protocol.RequestSubmit, jobSpec("j-1", 4))
+	userRequest("submission without a leader", "n0", protocol.RequestSubmit, jobSpec("j-1", 4))
 	sim.waitForLeader()
-	l, f := sim.leaderName(), sim.followers()[0]
-	ask("health", l, Request{Kind: protocol.RequestHealth})
-	user("submission", f, protocol.RequestSubmit, jobSpec("j-1", 4))
-	user("submission, repeated", l, protocol.RequestSubmit, jobSpec("j-1", 4))
-	user("query", l, protocol.RequestQuery, jobSpec("j-1", 4))
+	leader, follower := sim.leaderName(), sim.followers()[0]
+	request("health", leader, Request{Kind: protocol.RequestHealth})
+	userRequest("submission", follower, protocol.RequestSubmit, jobSpec("j-1", 4))
+	userRequest("submission, repeated", leader, protocol.RequestSubmit, jobSpec("j-1", 4))
+	userRequest("query", leader, protocol.RequestQuery, jobSpec("j-1", 4))
 	sim.waitForJobState("j-1", protocol.JobRunning, time.Minute)
-	user("query of a running job", f, protocol.RequestQuery, jobSpec("j-1", 4))
+	userRequest("query of a running job", follower, protocol.RequestQuery, jobSpec("j-1", 4))
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
-	user("query of a job that is done", f, protocol.RequestQuery, jobSpec("j-1", 4))
-	user("cancellation of a job that is done", l, protocol.RequestCancel, jobSpec("j-1", 4))
-	user("submission of a job that is done", f, protocol.RequestSubmit, jobSpec("j-1", 4))
-	user("submission", l, protocol.RequestSubmit, jobSpec("j-2", 4))
-	user("cancellation", f, protocol.RequestCancel, jobSpec("j-2", 4))
-	user("cancellation, repeated", l, protocol.RequestCancel, jobSpec("j-2", 4))
-	user("query of a cancelled job", l, protocol.RequestQuery, jobSpec("j-2", 4))
-	for _, node := range []string{l, f} {
-		user("query of an unknown job", node, protocol.RequestQuery, protocol.Job{ID: "j-404"})
-		user("cancellation of an unknown job", node, protocol.RequestCancel, protocol.Job{ID: "j-404"})
-		unknownTeam, tooMuch, needs := jobSpec("j-3", 1), jobSpec("j-4", 1), jobSpec("j-5", 1)
+	userRequest("query of a job that is done", follower, protocol.RequestQuery, jobSpec("j-1", 4))
+	userRequest("cancellation of a job that is done", leader, protocol.RequestCancel, jobSpec("j-1", 4))
+	userRequest("submission of a job that is done", follower, protocol.RequestSubmit, jobSpec("j-1", 4))
+	userRequest("submission", leader, protocol.RequestSubmit, jobSpec("j-2", 4))
+	userRequest("cancellation", follower, protocol.RequestCancel, jobSpec("j-2", 4))
+	userRequest("cancellation, repeated", leader, protocol.RequestCancel, jobSpec("j-2", 4))
+	userRequest("query of a cancelled job", leader, protocol.RequestQuery, jobSpec("j-2", 4))
+	for _, node := range []string{leader, follower} {
+		userRequest("query of an unknown job", node, protocol.RequestQuery, protocol.Job{ID: "j-404"})
+		userRequest("cancellation of an unknown job", node, protocol.RequestCancel, protocol.Job{ID: "j-404"})
+		unknownTeam, tooManyCores, unknownDependency := jobSpec("j-3", 1), jobSpec("j-4", 1), jobSpec("j-5", 1)
 		unknownTeam.Team = "nobody"
-		tooMuch.Cores = 5
-		needs.Dependencies = []string{"j-404"}
-		user("submission of an unknown team", node, protocol.RequestSubmit, unknownTeam)
-		user("submission that fits no machine", node, protocol.RequestSubmit, tooMuch)
-		user("submission that needs an unknown job", node, protocol.RequestSubmit, needs)
+		tooManyCores.Cores = 5
+		unknownDependency.Dependencies = []string{"j-404"}
+		userRequest("submission of an unknown team", node, protocol.RequestSubmit, unknownTeam)
+		userRequest("submission that fits no machine", node, protocol.RequestSubmit, tooManyCores)
+		userRequest("submission that needs an unknown job", node, protocol.RequestSubmit, unknownDependency)
 	}
 	large := jobSpec("j-6", 1)
 	large.Image = strings.Repeat("x", int(sim.cfg.Store.ValueKB*1024))
-	user("submission that is too large to be stored", l, protocol.RequestSubmit, large)
-	report := &protocol.WorkerHeartbeat{Machine: "m-000099", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-	ask("report to a follower", f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
-	ask("report to the leader", l, Request{Kind: protocol.RequestHeartbeat, Heartbeat: report})
+	userRequest("submission that is too large to be stored", leader, protocol.RequestSubmit, large)
+	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-000099", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
+	request("report to a follower", follower, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
+	request("report to the leader", leader, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	sim.store.setDown(true)
 	sim.advance(3 * time.Second)
-	user("query of an unknown job in an outage", f, protocol.RequestQuery, protocol.Job{ID: "j-405"})
-	user("submission in an outage", l, protocol.RequestSubmit, jobSpec("j-7", 1))
+	userRequest("query of an unknown job in an outage", follower, protocol.RequestQuery, protocol.Job{ID: "j-405"})
+	userRequest("submission in an outage", leader, protocol.RequestSubmit, jobSpec("j-7", 1))
 	checkGolden(t, "answers.txt", lines)
 }
 
-// digits matches numbers in paths and keys.
+// digits matches the numbers in paths and keys. They are replaced by N in the golden files.
 var digits = regexp.MustCompile(`\d+`)
 
-// The calls to the key-value store and the cloud, and the keys and fields of the stored records.
+// The calls to the key-value store and the cloud, and the keys and fields of stored records, must not
+// change: the services and nodes of other versions depend on them.
 func TestCallsAndRecords(t *testing.T) {
 	calls, records := nameSet{}, nameSet{}
 	watch := func(sim *simulation) {
 		sim.onEffects = func(_ *simNode, effects []Effect) {
 			for _, e := range effects {
-				call, is := e.(ServiceCall)
-				if !is {
+				call, ok := e.(ServiceCall)
+				if !ok {
 					continue
 				}
 				name := goldenTargets[call.Target] + " " + call.Method + " " + digits.ReplaceAllString(call.Path, "N")
@@ -344,18 +350,19 @@
 	sim.nodes[sim.leaderName()].inbox = append(sim.nodes[sim.leaderName()].inbox, Drain{})
 	sim.advance(time.Minute)
 
-	c := newOverloadedSimulation(t, 3, true)
-	watch(c.simulation)
-	a := newSubmitters(c)
+	overloaded := newOverloadedSimulation(t, 3, true)
+	watch(overloaded.simulation)
+	users := newSubmitters(overloaded)
 	for i := range 60 {
-		a.submit(a.classJob("low", "low", i), retryOnTime)
+		users.submit(users.classJob("low", "low", i), retryOnTime)
 	}
-	c.advance(40 * time.Second)
+	overloaded.advance(40 * time.Second)
 	checkGolden(t, "calls.txt", calls.sorted())
 	checkGolden(t, "records.txt", records.sorted())
 }
 
-// withoutValues returns the body of a call; for a transaction, without the values it writes.
+// withoutValues returns the body of a call. In a transaction, a placeholder replaces the values that
+// are written.
 func withoutValues(t *testing.T, call ServiceCall) []byte {
 	if call.Path != "/multi" {
 		return call.Body
@@ -364,36 +371,38 @@
 	if err := json.Unmarshal(call.Body, &txn); err != nil {
 		t.Fatal(err)
 	}
-	for _, wr := range txn["writes"] {
-		if _, is := wr["data"]; is {
-			wr["data"] = json.RawMessage(`"record"`)
+	for _, write := range txn["writes"] {
+		if _, ok := write["data"]; ok {
+			write["data"] = json.RawMessage(`"record"`)
 		}
 	}
 	return storage.Encode(txn)
 }
 
-// effectDigest hashes all effects of all nodes in order, by spans of simulated time, so that a
-// difference names the span in which it begins.
+// effectDigest hashes the effects of all nodes in order. It has a line for each span of simulated
+// time, so that the first line that differs shows when a difference begins.
 type effectDigest struct {
 	simulation  *simulation
-	hash        hash.Hash
-	effectCount int
+	hash        hash.Hash // of all effects since the beginning
+	effectCount int       // since the beginning
 	spanEnd     clock.Instant
 	lines       []string
 }
 
 const digestSpan = 10 * time.Second
 
-// goldenTargets are the names of the call targets in the golden files, independent of the names in
-// the log.
+// goldenTargets are the names of the call targets in the golden files. They are independent of the
+// names in the log, which may change.
 var goldenTargets = map[Target]string{TargetStore: "state service", TargetCloud: "cloud"}
 
+// newEffectDigest returns a digest of all further effects of a simulation.
 func newEffectDigest(sim *simulation) *effectDigest {
 	d := &effectDigest{simulation: sim, hash: sha256.New(), spanEnd: digestSpan}
 	sim.onEffects = d.add
 	return d
 }
 
+// add adds the effects of one step of a node.
 func (d *effectDigest) add(n *simNode, effects []Effect) {
 	for d.simulation.now > d.spanEnd {
 		d.close()
@@ -416,25 +425,27 @@
 		case TraceStep:
 			fmt.Fprintf(d.hash, "trace %s\n", storage.Encode(e.Step))
 		default:
-			d.simulation.t.Fatalf("effect %T", e)
+			d.simulation.t.Fatalf("the digest does not support effect type %T", e)
 		}
 	}
 }
 
+// close adds the line of the current span and begins the next span.
 func (d *effectDigest) close() {
 	d.lines = append(d.lines, fmt.Sprintf("until %v: %d effects, %x", d.spanEnd, d.effectCount, d.hash.Sum(nil)[:8]))
 	d.spanEnd += digestSpan
 }
 
-// A simulation with fixed seeds is deterministic: the same commands give the same effects in the
-// same order. The exception is several forwarded requests that expire in one step, since their
-// replies come in map order; none do here. Processors with fused multiply-add may give other
-// digests.
+// A change that should not change behaviour could change the effects of a node or their order. In a
+// simulation with fixed seeds, the same commands give the same effects in the same order, so their
+// digests must match the golden files. An exception is several forwarded requests that expire in one
+// step, because their replies come in map order; that doesn't happen here. Processors with fused
+// multiply-add may give other digests.
 func TestEffectDigests(t *testing.T) {
-	for name, lose := range map[string]bool{"effects_at_work.txt": false, "effects_leader_lost.txt": true} {
+	for name, crashLeader := range map[string]bool{"effects_at_work.txt": false, "effects_leader_lost.txt": true} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, 3)
-			d := newEffectDigest(sim)
+			digest := newEffectDigest(sim)
 			for _, name := range sim.names {
 				sim.nodes[name].settings.MaxTraceSteps = 1
 			}
@@ -453,7 +464,7 @@
 			}
 			sim.cancelJob(sim.followers()[0], "j-4")
 			sim.advance(3 * time.Second)
-			if lose {
+			if crashLeader {
 				sim.crashNode(leaderNode.name)
 				sim.advance(20 * time.Second)
 				sim.restartNode(leaderNode.name)
@@ -461,8 +472,8 @@
 			}
 			sim.waitForJobState("j-5", protocol.JobDone, 200*time.Second)
 			sim.advance(60 * time.Second)
-			d.close()
-			checkGolden(t, name, d.lines)
+			digest.close()
+			checkGolden(t, name, digest.lines)
 		})
 	}
 }
