--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,15 +12,15 @@
 	"hitchdoor/internal/storage"
 )
 
-// dependentSpec returns a job of tasks one-core tasks that depends on the jobs needs.
-func dependentSpec(id string, tasks int, needs ...string) protocol.Job {
+// dependentSpec returns a job with the given number of one-core tasks that depends on other jobs.
+func dependentSpec(id string, tasks int, dependencies ...string) protocol.Job {
 	job := jobSpec(id, tasks)
-	job.Dependencies = needs
+	job.Dependencies = dependencies
 	return job
 }
 
-// newPipelineSimulation returns a simulation with a leader and two machines, in which every node
-// has announced the present version.
+// newPipelineSimulation returns a simulation with a leader and two machines, in which every node has
+// announced the present version. Jobs with dependencies are accepted only then.
 func newPipelineSimulation(t *testing.T, nodes int) (*simulation, *simNode) {
 	t.Helper()
 	sim := newSimulation(t, nodes)
@@ -30,42 +30,44 @@
 	return sim, leaderNode
 }
 
+// submitAccepted submits a job at a node and fails the test if the job is not created.
 func (sim *simulation) submitAccepted(node string, job protocol.Job) {
 	sim.t.Helper()
 	if r := sim.submit(node, job); r.Status != 201 {
-		sim.t.Fatalf("%s: submission answered %d", job.ID, r.Status)
+		sim.t.Fatalf("submission of %s: got status %d, want 201", job.ID, r.Status)
 	}
 }
 
-// A job of a pipeline starts only when all its dependencies are done, whichever node accepted it,
-// and its deadlines count from then. (The simulation checks each start against the records.)
+// A job of a pipeline must not start before all its dependencies are done, whichever node accepted
+// it, and its deadlines count from then. The simulation checks each start against the records.
 func TestPipelineRunsInOrder(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
-	other := sim.followers()[0]
-	sim.submitAccepted(other, jobSpec("j-a", 3))
+	follower := sim.followers()[0]
+	sim.submitAccepted(follower, jobSpec("j-a", 3))
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 2, "j-a"))
-	sim.submitAccepted(other, dependentSpec("j-c", 1, "j-a", "j-b"))
-	if _, s := sim.queryJob(other, "j-c"); s.State != protocol.JobQueued {
-		t.Errorf("a job that waits is called %q", s.State)
+	sim.submitAccepted(follower, dependentSpec("j-c", 1, "j-a", "j-b"))
+	if _, s := sim.queryJob(follower, "j-c"); s.State != protocol.JobQueued {
+		t.Errorf("state of a job with pending dependencies: got %q, want queued", s.State)
 	}
 	if leaderNode.leader.RunnableJobs["j-b"] != nil || len(leaderNode.leader.BuildQueue()) > 1 {
-		t.Error("a job that waits for another takes part in the passes")
+		t.Error("a job with pending dependencies is part of the scheduling passes")
 	}
 	sim.waitForJobState("j-c", protocol.JobDone, time.Minute)
-	if n := len(leaderNode.leader.dependencies.Dependents) + len(leaderNode.leader.dependencies.Lookups) + len(leaderNode.leader.RunnableJobs); n != 0 {
-		t.Errorf("%d entries are left of jobs that are over", n)
+	if n := len(leaderNode.leader.dependencies.Dependents) + len(leaderNode.leader.dependencies.Lookups) +
+		len(leaderNode.leader.RunnableJobs); n != 0 {
+		t.Errorf("entries for terminal jobs in the leader: got %d, want 0", n)
 	}
-	// A job submitted after its dependencies are done starts at once, and a repeated submission is
-	// answered with the state of the job.
-	sim.submitAccepted(other, dependentSpec("j-d", 1, "j-a", "j-c"))
+	// A job that is submitted after its dependencies are done starts at once, and a repeated
+	// submission is answered with the state of the job.
+	sim.submitAccepted(follower, dependentSpec("j-d", 1, "j-a", "j-c"))
 	sim.waitForJobState("j-d", protocol.JobDone, 20*time.Second)
-	if r := sim.submit(other, dependentSpec("j-d", 1, "j-a", "j-c")); r.Status != 200 ||
+	if r := sim.submit(follower, dependentSpec("j-d", 1, "j-a", "j-c")); r.Status != 200 ||
 		!strings.Contains(string(r.Body), "done") {
-		t.Errorf("a repeat is answered %d %s", r.Status, r.Body)
+		t.Errorf("repeated submission: got %d %s, want 200 and the state done", r.Status, r.Body)
 	}
 }
 
-// Several jobs that end with one heartbeat release their common dependents, once.
+// Several dependencies of a job that complete with one heartbeat must release it, and only once.
 func TestCompletionsInOneHeartbeat(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.cloud.capacity = 1
@@ -79,7 +81,9 @@
 	sim.checkStartedOnce()
 }
 
-// A completion that only the leader has seen releases nothing: the next leader may not know of it.
+// A leader that releases a dependent before the completion of its dependency is stored could start it
+// too early: the next leader may not know of the completion. So no dependent starts during an outage
+// of the store.
 func TestStartWaitsForDurableCompletion(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
@@ -88,14 +92,14 @@
 	sim.store.setDown(true)
 	sim.advance(12 * time.Second) // the job completes meanwhile
 	if sim.startCounts["j-b/0"] != 0 {
-		t.Fatal("started before the end of j-a was durable")
+		t.Fatal("j-b started before the completion of j-a was stored")
 	}
 	sim.store.setDown(false)
 	sim.waitForJobState("j-b", protocol.JobDone, time.Minute)
 }
 
-// A job whose terminal write got no response has ended nevertheless: its dependents are released,
-// once.
+// The transaction that makes a job terminal is executed only 3 s later, without a timely response. The
+// job's dependents must be released nevertheless, and only once.
 func TestUncertainCompletionReleasesDependents(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
@@ -108,8 +112,8 @@
 		}
 		sim.store.holdTransaction = nil
 		sim.schedule(3*time.Second, func() {
-			for _, f := range sim.store.heldTransactions {
-				f()
+			for _, execute := range sim.store.heldTransactions {
+				execute()
 			}
 		})
 		return true
@@ -118,39 +122,42 @@
 	sim.checkStartedOnce()
 }
 
-// A job that can't run, or whose dependencies were never accepted, is rejected. An accepted job is
-// never rejected, whatever has become of its dependencies.
+// A job that depends on itself or on a job that was never accepted could never run, so it is
+// rejected, but not while the store can't be read. An accepted job must never be rejected, whatever
+// has become of its dependencies.
 func TestDependenciesNeverAccepted(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
-	other := sim.followers()[0]
-	for _, node := range []string{leaderNode.name, other} {
+	follower := sim.followers()[0]
+	for _, node := range []string{leaderNode.name, follower} {
 		if r := sim.submit(node, dependentSpec("j-x", 1, "j-nobodys")); r.Status != 422 {
-			t.Errorf("%s: never accepted: %d", node, r.Status)
+			t.Errorf("%s, dependency never accepted: got status %d, want 422", node, r.Status)
 		}
 		if r := sim.submit(node, dependentSpec("j-x", 1, "j-x")); r.Status != 422 {
-			t.Errorf("%s: itself: %d", node, r.Status)
+			t.Errorf("%s, dependency on itself: got status %d, want 422", node, r.Status)
 		}
 	}
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
-	sim.submitAccepted(other, dependentSpec("j-b", 1, "j-a"))
+	sim.submitAccepted(follower, dependentSpec("j-b", 1, "j-a"))
 	sim.cancelJob(leaderNode.name, "j-a")
 	for _, node := range sim.names {
 		if r := sim.submit(node, dependentSpec("j-b", 1, "j-a")); r.Status != 200 ||
 			!strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
-			t.Errorf("%s: a repeat is answered %d %s", node, r.Status, r.Body)
+			t.Errorf("%s, repeated submission: got %d %s, want 200 and the state cancelled", node, r.Status, r.Body)
 		}
 	}
 	sim.store.setDown(true)
 	sim.advance(2 * time.Second)
 	for _, node := range sim.names {
 		if r := sim.submit(node, dependentSpec("j-y", 1, "j-nobodys")); r.Status != 503 || r.RetryAfter == 0 {
-			t.Errorf("%s: nothing can be read: %d, Retry-After %d", node, r.Status, r.RetryAfter)
+			t.Errorf("%s, store down: got status %d, Retry-After %d, want 503 with Retry-After", node, r.Status,
+				r.RetryAfter)
 		}
 	}
 }
 
-// A broad pipeline is accepted at once by any node. What the node does not know of that many jobs,
-// it asks the leader, since reading each of them would exceed the node's few reads a second.
+// A job with 60 dependencies must be accepted at once by any node. A follower asks the leader for the
+// jobs that it does not know, because reading each of them would exceed the node's few reads per
+// second.
 func TestBroadPipeline(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Second }
@@ -163,8 +170,9 @@
 	sim.waitForJobState("j-all", protocol.JobDone, 2*time.Minute)
 }
 
-// The dependencies of a job may need more than one value of the store: they are stored with the
-// job, read by any node and leader before the job is known, and deleted with it.
+// The IDs of 200 dependencies exceed the value limit of the store, so they are stored in several
+// records. These are written with the job, read by any node and any leader before it knows the job,
+// and deleted with the job.
 func TestDependenciesOverManyRecords(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.announceUpcomingLimits(1, 4, 60)
@@ -183,16 +191,16 @@
 		all = append(all, fmt.Sprintf("j-%03d", i))
 		sim.submitAccepted(leaderNode.name, jobSpec(all[i], 1))
 	}
-	other := sim.followers()[0]
-	sim.submitAccepted(other, dependentSpec("j-all", 1, all...))
+	follower := sim.followers()[0]
+	sim.submitAccepted(follower, dependentSpec("j-all", 1, all...))
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-most", 1, append(slices.Clone(all[1:]), "j-all")...))
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-mine", 1, all...))
 	for _, id := range []string{"j-all", "j-most", "j-mine"} {
 		if n := len(sim.store.keys[storage.JobKey(id)].Value); n > 1024 || n == 0 {
-			t.Errorf("the record of %s has %d bytes", id, n)
+			t.Errorf("record of %s: got %d bytes, want 1 to 1024", id, n)
 		}
 		if job := leaderNode.leader.Jobs[id]; job == nil || len(job.Spec.Dependencies) != 200 {
-			t.Errorf("%s is known as %+v", id, job)
+			t.Errorf("%s in the leader: got %+v, want a job with 200 dependencies", id, job)
 		}
 	}
 	var broad []string
@@ -203,7 +211,7 @@
 		broad[i] = fmt.Sprintf("%s-%d", broad[i], i/200)
 	}
 	if r := sim.submit(leaderNode.name, dependentSpec("j-broad", 1, broad...)); r.Status != 400 {
-		t.Errorf("more than can be stored: answered %d", r.Status)
+		t.Errorf("more dependencies than can be stored: got status %d, want 400", r.Status)
 	}
 	sim.crashNode(leaderNode.name)
 	leaderNode = sim.waitForLeader()
@@ -211,31 +219,31 @@
 	sim.cancelJob(leaderNode.name, "j-mine")
 	sim.waitForJobState("j-most", protocol.JobDone, 5*time.Minute)
 	if len(sim.store.oversizedKeys) > 0 {
-		t.Errorf("too large: %v", sim.store.oversizedKeys)
+		t.Errorf("keys with values over the limit: got %v, want none", sim.store.oversizedKeys)
 	}
 	sim.advance(5 * time.Second)
 	for key := range sim.store.keys {
 		if strings.HasPrefix(key, storage.DependenciesPrefix) {
-			t.Errorf("%s is kept", key)
+			t.Errorf("%s is still stored, want it deleted with its job", key)
 		}
 	}
 }
 
-// The cancellation of a job cancels all its dependents, also one that is submitted later, and no
-// other jobs.
+// The cancellation of a job must cancel all its dependents, also one that is submitted later, and no
+// other jobs. Otherwise dependents of a cancelled job would wait for ever.
 func TestCancelReachesAllDependents(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
-	other := sim.followers()[0]
+	follower := sim.followers()[0]
 	sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
 	sim.submitAccepted(leaderNode.name, jobSpec("j-k", 1))
-	sim.submitAccepted(other, dependentSpec("j-b", 1, "j-a"))
-	sim.submitAccepted(other, dependentSpec("j-c", 1, "j-k", "j-b"))
-	sim.submitAccepted(other, dependentSpec("j-d", 1, "j-k"))
-	if r := sim.cancelJob(other, "j-b"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
-		t.Fatalf("%d %s", r.Status, r.Body)
+	sim.submitAccepted(follower, dependentSpec("j-b", 1, "j-a"))
+	sim.submitAccepted(follower, dependentSpec("j-c", 1, "j-k", "j-b"))
+	sim.submitAccepted(follower, dependentSpec("j-d", 1, "j-k"))
+	if r := sim.cancelJob(follower, "j-b"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
+		t.Fatalf("cancellation: got %d %s, want the state cancelled", r.Status, r.Body)
 	}
-	sim.submitAccepted(other, dependentSpec("j-e", 1, "j-c"))
+	sim.submitAccepted(follower, dependentSpec("j-e", 1, "j-c"))
 	for _, id := range []string{"j-b", "j-c", "j-e"} {
 		sim.waitForJobState(id, protocol.JobCancelled, 2*time.Second)
 	}
@@ -244,9 +252,9 @@
 	}
 }
 
-// The cancellation record of a job is the only record of the state of all its dependents. Every
-// node reports them as cancelled from then on although their own terminal records can't be written,
-// and the next leader continues from the records alone.
+// Once the head of a pipeline of 150 jobs is cancelled, its cancellation record is the only record of
+// the state of all dependents. Every node must report them as cancelled from then on, although their
+// own terminal records can't be written yet, and a new leader continues from the stored records alone.
 func TestCancelHeadOfLongPipeline(t *testing.T) {
 	for _, fault := range []string{"none", "takeover", "outage"} {
 		t.Run(fault, func(t *testing.T) {
@@ -260,10 +268,10 @@
 			last := fmt.Sprintf("j-%d", length-1)
 			if r := sim.cancelJob(leaderNode.name, "j-0"); !strings.Contains(string(r.Body),
 				string(protocol.JobCancelled)) {
-				t.Fatalf("%d %s", r.Status, r.Body)
+				t.Fatalf("cancellation: got %d %s, want the state cancelled", r.Status, r.Body)
 			}
 			if _, s := sim.queryJob(leaderNode.name, last); s.State != protocol.JobCancelled {
-				t.Errorf("the last job is %q after the answer", s.State)
+				t.Errorf("state of the last job after the reply to the cancellation: got %q, want cancelled", s.State)
 			}
 			confirmedAt := sim.now
 			switch fault {
@@ -281,8 +289,8 @@
 					}
 					if code, s := sim.queryJob(node, last); code == 404 ||
 						code == 200 && s.State != protocol.JobCancelled {
-						t.Fatalf("went_back: at %v %s says %d %q of the last job", sim.now-confirmedAt, node,
-							code, s.State)
+						t.Fatalf("went_back: last job %v after the cancellation, at %s: got %d %q, "+
+							"want cancelled or a status to retry", sim.now-confirmedAt, node, code, s.State)
 					}
 				}
 				sim.advance(500 * time.Millisecond)
@@ -294,12 +302,13 @@
 	}
 }
 
-// A submission that one node writes while the leader cancels one of its dependencies is accepted
-// and then cancelled, whichever comes first, and in the next term too.
+// A follower writes a submission while the leader cancels one of its dependencies. The dependent
+// could be missed by the cancellation, and wait for ever. It must be accepted and then cancelled,
+// also if the leader changes.
 func TestSubmissionRacesWithCancellation(t *testing.T) {
-	for _, crash := range []bool{false, true} {
+	for _, crashLeader := range []bool{false, true} {
 		sim, leaderNode := newPipelineSimulation(t, 3)
-		other := sim.followers()[0]
+		follower := sim.followers()[0]
 		sim.taskDuration = func(string, int) time.Duration { return time.Minute }
 		sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
 		sim.store.holdTransaction = func(_ string, txn storage.Txn) bool {
@@ -308,28 +317,28 @@
 		}
 		job := dependentSpec("j-b", 1, "j-a")
 		sim.jobSpecs["j-b"] = job
-		accepted := 0
-		sim.sendRequest(other, Request{Kind: protocol.RequestSubmit, JobID: "j-b", Job: &job},
-			func(r Reply) { accepted = r.Status })
+		status := 0
+		sim.sendRequest(follower, Request{Kind: protocol.RequestSubmit, JobID: "j-b", Job: &job},
+			func(r Reply) { status = r.Status })
 		sim.advance(200 * time.Millisecond)
 		sim.cancelJob(leaderNode.name, "j-a")
 		sim.store.holdTransaction = nil
-		for _, f := range sim.store.heldTransactions {
-			f() // written after the cancellation
+		for _, execute := range sim.store.heldTransactions {
+			execute() // executed after the cancellation
 		}
-		if crash {
+		if crashLeader {
 			sim.crashNode(leaderNode.name)
 		}
-		sim.advanceUntil(10*time.Second, func() bool { return accepted != 0 })
-		if accepted != 201 && accepted != 200 {
-			t.Errorf("the submission is answered %d", accepted)
+		sim.advanceUntil(10*time.Second, func() bool { return status != 0 })
+		if status != 201 && status != 200 {
+			t.Errorf("submission of j-b: got status %d, want 201 or 200", status)
 		}
 		sim.waitForJobState("j-b", protocol.JobCancelled, 20*time.Second)
 	}
 }
 
-// A leader that has not yet read the state of a job does not report a dependent of it as queued: a
-// predecessor may have told the user that it is cancelled.
+// A leader that has not yet read the state of a job must not report a dependent of the job as queued:
+// a predecessor may have told the user that the dependent is cancelled.
 func TestDependencyNotReadYet(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.store.putValue(storage.TerminalKey("j-a"), storage.TerminalRecord{State: protocol.JobCancelled, TaskCount: 1})
@@ -339,50 +348,55 @@
 		storage.JobRecord{Spec: dependentSpec("j-c", 1, "j-b"), AcceptedAtMillis: time.Unix(1_000_000, 0).UnixMilli()})
 	for sim.now < 20*time.Second {
 		if code, s := sim.queryJob("n0", "j-c"); code == 200 && s.State != protocol.JobCancelled {
-			t.Fatalf("at %v it is called %q", sim.now, s.State)
+			t.Fatalf("state of j-c at %v: got %q, want cancelled", sim.now, s.State)
 		}
 		sim.advance(20 * time.Millisecond)
 	}
 	if sim.terminalState("j-c") != protocol.JobCancelled {
-		t.Error("its end is not written")
+		t.Error("no terminal record of j-c as cancelled is stored")
 	}
 }
 
-// The slack of a pipeline is counted once: each job is due when the longest path of its dependents
-// leaves no more time, and is as urgent as its most urgent dependent for as long as there is one.
+// A job that is scheduled without regard to its dependents could make them late. Each job is due when
+// the longest path of its dependents leaves no more time, so that the slack of a pipeline counts once,
+// and is as urgent as its most urgent dependent for as long as there is one.
 func TestDeadlineAndPriorityOfDependents(t *testing.T) {
-	sim, n := newPipelineSimulation(t, 1)
+	sim, leaderNode := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
-	l := n.leader
-	sim.submitAccepted(n.name, jobSpec("j-a", 1))
-	sim.submitAccepted(n.name, dependentSpec("j-b", 1, "j-a"))
+	l := leaderNode.leader
+	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
 	slow := dependentSpec("j-s", 1, "j-a")
 	slow.EstimatedSeconds = 40
-	sim.submitAccepted(n.name, slow)
+	sim.submitAccepted(leaderNode.name, slow)
 	last := dependentSpec("j-z", 1, "j-b", "j-s")
 	deadline := 120.0
 	last.DeadlineSeconds, last.Priority = &deadline, "urgent"
-	sim.submitAccepted(n.name, last)
+	sim.submitAccepted(leaderNode.name, last)
 	a, b, s, z := l.Jobs["j-a"], l.Jobs["j-b"], l.Jobs["j-s"], l.Jobs["j-z"]
-	end := z.AcceptedAt + 120*time.Second
-	if want := end - l.dependencies.ExpectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want || l.Due(s) != want {
-		t.Errorf("b is due at %v, s at %v, not %v", l.Due(b), l.Due(s), want)
+	deadlineAt := z.AcceptedAt + 120*time.Second
+	if want := deadlineAt - l.dependencies.ExpectedJobDuration(z, l.ImagePullRate()); l.Due(b) != want ||
+		l.Due(s) != want {
+		t.Errorf("due times: got j-b %v, j-s %v, want %v", l.Due(b), l.Due(s), want)
 	}
-	if want := end - l.dependencies.ExpectedJobDuration(z,
+	if want := deadlineAt - l.dependencies.ExpectedJobDuration(z,
 		l.ImagePullRate()) - l.dependencies.ExpectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
-		t.Errorf("a is due at %v, not %v: the longest way counts", l.Due(a), want)
+		t.Errorf("due time of j-a: got %v, want %v, by the longest path", l.Due(a), want)
 	}
 	if a.EffectiveRank() != 1 || b.EffectiveRank() != 1 || a.Spec.PriorityRank() != 2 {
-		t.Errorf("ranks %d and %d", a.EffectiveRank(), b.EffectiveRank())
+		t.Errorf("effective ranks: got j-a %d, j-b %d, want 1 for both and 2 as own rank of j-a", a.EffectiveRank(),
+			b.EffectiveRank())
 	}
-	sim.cancelJob(n.name, "j-z")
+	sim.cancelJob(leaderNode.name, "j-z")
 	if a.EffectiveRank() != 2 || a.LatestEnd != clock.Forever {
-		t.Errorf("rank %d, end by %v, though nothing needs it in time", a.EffectiveRank(), a.LatestEnd)
+		t.Errorf("j-a after the cancellation of j-z: got rank %d, latest end %v, want 2 and none", a.EffectiveRank(),
+			a.LatestEnd)
 	}
 }
 
-// The four minutes within which a job has to start, and its objectives, count from the completion
-// of its last dependency, for the next leader too.
+// A job with dependencies would be late from the beginning if its times counted from its acceptance.
+// The four minutes within which it has to start, and its objectives, count from the completion of its
+// last dependency, also in a new leader.
 func TestTimesCountFromLastDependency(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -394,44 +408,47 @@
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
 	sim.advanceUntil(3*time.Minute, func() bool { return sim.terminalState("j-a") != "" })
-	ended := sim.now
+	completedAt := sim.now
 	sim.crashNode(leaderNode.name)
 	leaderNode = sim.waitForLeader()
 	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-b") == 1 })
 	b := leaderNode.leader.Jobs["j-b"]
-	if from := b.EligibleAt + leaderNode.bootedAt; from < ended-time.Second || from > ended+time.Second {
-		t.Errorf("its times count from %v, not %v", from, ended)
+	if eligibleAt := b.EligibleAt + leaderNode.bootedAt; eligibleAt < completedAt-time.Second ||
+		eligibleAt > completedAt+time.Second {
+		t.Errorf("j-b eligible at: got %v, want %v within 1s", eligibleAt, completedAt)
 	}
 	if b.AcceptedAt+leaderNode.bootedAt > 20*time.Second {
-		t.Errorf("accepted at %v", b.AcceptedAt+leaderNode.bootedAt)
+		t.Errorf("j-b accepted at: got %v, want at most 20s", b.AcceptedAt+leaderNode.bootedAt)
 	}
 }
 
-// A job with pending dependencies adds nothing to the backlog until the last dependency is about to
-// complete: machines for it are then rented just in time to boot.
+// Machines for a job with pending dependencies must be rented neither early, when they would be idle,
+// nor only when the job is released. The job adds nothing to the required cores until its last
+// dependency is about to complete, just in time for machines to boot.
 func TestNextStageIsPlannedInTime(t *testing.T) {
-	sim, n := newPipelineSimulation(t, 1)
+	sim, leaderNode := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
 	a := jobSpec("j-a", 1)
 	a.EstimatedSeconds = 60
-	sim.submitAccepted(n.name, a)
+	sim.submitAccepted(leaderNode.name, a)
 	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-a") == 1 })
 	sim.advance(time.Second)
-	alone := requiredCores(n.leader, 1000)
-	sim.submitAccepted(n.name, dependentSpec("j-b", 200, "j-a"))
-	sim.submitAccepted(n.name, dependentSpec("j-c", 200, "j-a", "j-b")) // also depends on j-b
-	if got := requiredCores(n.leader, 1000); got > alone {
-		t.Errorf("%v cores are planned for work that waits, %v without it", got, alone)
+	coresWithoutDependents := requiredCores(leaderNode.leader, 1000)
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 200, "j-a"))
+	sim.submitAccepted(leaderNode.name, dependentSpec("j-c", 200, "j-a", "j-b")) // also depends on j-b
+	if got := requiredCores(leaderNode.leader, 1000); got > coresWithoutDependents {
+		t.Errorf("required cores with pending dependents: got %v, want at most %v", got, coresWithoutDependents)
 	}
 	sim.advance(56 * time.Second) // a machine boots in 5 s
-	due := n.leader.DueFrom(n.leader.Jobs["j-b"], n.now) - n.now
-	if got, want := requiredCores(n.leader, 1000), 200*5/due.Seconds(); got < want || got > 2*want {
-		t.Errorf("%v cores are planned for the next stage, not %v", got, want)
+	due := leaderNode.leader.DueFrom(leaderNode.leader.Jobs["j-b"], leaderNode.now) - leaderNode.now
+	if got, want := requiredCores(leaderNode.leader, 1000), 200*5/due.Seconds(); got < want || got > 2*want {
+		t.Errorf("required cores shortly before j-a completes: got %v, want %v to %v", got, want, 2*want)
 	}
 }
 
-// A stage that the new leader has released does not wait for machines whose reconciliation holds up
-// older jobs: no earlier leader can have started it.
+// Jobs that an earlier leader may have started wait until a new leader has reconciled all machines.
+// A job that the new leader itself releases must not wait for that: no earlier leader can have
+// started it.
 func TestReleasedJobIsNotBlocked(t *testing.T) {
 	sim, first := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -443,42 +460,44 @@
 	sim.submitAndStart(first.name, jobSpec("j-1", 6), 6)
 	sim.submitAndStart(first.name, jobSpec("j-a", 1), 1)
 	sim.submitAccepted(first.name, dependentSpec("j-b", 1, "j-a"))
-	silenced := 0
+	unreachable := 0
 	for _, worker := range sim.workers {
 		if !slices.ContainsFunc(worker.tasks, func(t *fakeTask) bool { return jobIDOf(t.taskKey) == "j-a" }) {
 			worker.unreachable = true
-			silenced++
+			unreachable++
 		}
 	}
-	sim.cloud.rejectReturns = true // or a return would reconcile them sooner
+	sim.cloud.rejectReturns = true // because a return would reconcile the machines sooner
 	sim.crashNode(first.name)
 	leaderNode := sim.waitForLeader()
-	took := sim.now
-	if !sim.advanceUntil(30*time.Second, func() bool { return sim.activeTaskCount("j-b") == 1 }) || silenced == 0 {
-		t.Fatal("not started")
+	tookOverAt := sim.now
+	if !sim.advanceUntil(30*time.Second, func() bool { return sim.activeTaskCount("j-b") == 1 }) ||
+		unreachable == 0 {
+		t.Fatal("j-b did not start within 30 s, or no worker is unreachable")
 	}
 	if leaderNode.leader.ReconciledOnce {
-		t.Errorf("started only when all machines were accounted for, %v after the takeover", sim.now-took)
+		t.Errorf("j-b started only after all machines were reconciled, %v after the takeover", sim.now-tookOverAt)
 	}
 }
 
-// Jobs with pending dependencies add nothing to the cost of a scheduling pass or of a heartbeat.
+// Jobs with pending dependencies must not slow down the leader: 199 of them hardly add to the cost of
+// scheduling passes and heartbeats, counted in machines and jobs examined.
 func TestPendingDependenciesCostNothing(t *testing.T) {
-	sim, n := newPipelineSimulation(t, 1)
+	sim, leaderNode := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
-	sim.submitAccepted(n.name, jobSpec("j-0", 1))
+	sim.submitAccepted(leaderNode.name, jobSpec("j-0", 1))
 	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-0") == 1 })
 	cost := func() int {
-		at := n.leader.CandidatesExamined
+		examinedBefore := leaderNode.leader.CandidatesExamined
 		sim.advance(15 * time.Second)
-		return n.leader.CandidatesExamined - at
+		return leaderNode.leader.CandidatesExamined - examinedBefore
 	}
 	before := cost()
 	for i := 1; i < 200; i++ {
-		sim.submitAccepted(n.name, dependentSpec(fmt.Sprintf("j-%d", i), 50, fmt.Sprintf("j-%d", i/2)))
+		sim.submitAccepted(leaderNode.name, dependentSpec(fmt.Sprintf("j-%d", i), 50, fmt.Sprintf("j-%d", i/2)))
 	}
-	if got := cost(); got > before+before/4 || len(n.leader.JobsByAge()) != 1 {
-		t.Errorf("looked at %d with 200 jobs that wait, %d without; %d are served", got, before,
-			len(n.leader.JobsByAge()))
+	if got := cost(); got > before+before/4 || len(leaderNode.leader.JobsByAge()) != 1 {
+		t.Errorf("machines and jobs examined with 199 blocked jobs: got %d, want at most %d; "+
+			"runnable jobs: got %d, want 1", got, before+before/4, len(leaderNode.leader.JobsByAge()))
 	}
 }
