--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -9,47 +9,48 @@
 	"hitchdoor/internal/storage"
 )
 
-// A leader that loses the key-value store and the other controllers, but not its workers, answers
-// no heartbeat beyond its lease, keeps none of its workers, and rejects users and the load
-// balancer's health check at once. Another node leads meanwhile, and no task starts twice when the
-// first is back.
+// A leader loses the store and the other controllers, but not its workers. If it went on as leader,
+// its workers would stay with it while another node leads. After its lease has expired, it answers
+// no heartbeat, its workers find the new leader, and it rejects user requests and the load
+// balancer's health check at once. No task starts twice when its links are restored.
 func TestLeaderReachedOnlyByWorkers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 3, 8)
 	sim.store.requestsDropped[leaderNode.name] = true
 	sim.isolateNode(leaderNode.name)
 	if !sim.advanceUntil(5*time.Second, func() bool { return !leaderNode.holdsLeaderLease() }) {
-		t.Fatal("it leads on")
+		t.Fatal("the leader lease has not expired within 5 s")
 	}
-	answers := map[string]int{}
+	responseCounts := map[string]int{}
 	for name, worker := range sim.workers {
-		answers[name] = worker.responseCount
+		responseCounts[name] = worker.responseCount
 	}
 	if !sim.advanceUntil(8*time.Second,
 		func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
-		t.Fatal("no other leads")
+		t.Fatal("no other node became leader within 8 s")
 	}
 	if !sim.advanceUntil(8*time.Second, func() bool {
 		for name, worker := range sim.workers {
-			if worker.responseCount == answers[name] {
+			if worker.responseCount == responseCounts[name] {
 				return false
 			}
 		}
 		return true
 	}) {
-		t.Fatal("a worker has not found the new leader")
+		t.Fatal("some worker got no response from the new leader within 8 s")
 	}
 	for _, r := range []Request{
 		{Kind: protocol.RequestSubmit, JobID: "j-2", Job: &protocol.Job{ID: "j-2", Team: "free", TaskCount: 1}},
 		{Kind: protocol.RequestQuery, JobID: "j-1"}, {Kind: protocol.RequestCancel, JobID: "j-1"},
 	} {
-		asked := sim.now
+		sentAt := sim.now
 		if got := sim.requestAndWait(leaderNode.name, r); got.Status != 503 || got.RetryAfter == 0 ||
-			sim.now-asked > time.Second {
-			t.Errorf("%s: %d, come back after %d, answered in %v", r.Kind, got.Status, got.RetryAfter, sim.now-asked)
+			sim.now-sentAt > time.Second {
+			t.Errorf("%s: got status %d, Retry-After %d after %v, want 503 with Retry-After within 1s", r.Kind,
+				got.Status, got.RetryAfter, sim.now-sentAt)
 		}
 	}
 	if got := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
-		t.Errorf("health: %d", got.Status)
+		t.Errorf("health check: got status %d, want 503", got.Status)
 	}
 	sim.healCuts()
 	delete(sim.store.requestsDropped, leaderNode.name)
@@ -57,67 +58,70 @@
 	sim.checkStartedOnce()
 }
 
-// A leader that only the key-value store and the other controllers refuse is replaced. It neither
-// stays leader by lease grants nor disturbs its successor.
+// A leader that the store refuses and that is cut off from the other controllers still has its
+// workers. It must not stay leader by lease grants, and must not disturb its successor when the
+// faults end.
 func TestLeaderRefusedByStoreAndPeers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 25*time.Second, 3, 6)
 	sim.store.refusedNodes[leaderNode.name] = true
 	sim.isolateNode(leaderNode.name)
 	if !sim.advanceUntil(9*time.Second,
 		func() bool { return sim.leaderName() != "" && sim.leaderName() != leaderNode.name }) {
-		t.Fatal("it is not replaced")
+		t.Fatal("no other node became leader within 9 s")
 	}
-	next := sim.leaderName()
+	successor := sim.leaderName()
 	sim.advance(3 * time.Second)
 	if got := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
-		t.Errorf("health: %d", got.Status)
+		t.Errorf("health check: got status %d, want 503", got.Status)
 	}
 	sim.advance(7 * time.Second)
 	sim.healCuts()
 	delete(sim.store.refusedNodes, leaderNode.name)
 	sim.advance(10 * time.Second)
-	if sim.leaderName() != next {
-		t.Errorf("%s leads, not %s", sim.leaderName(), next)
+	if sim.leaderName() != successor {
+		t.Errorf("leader after the faults: got %s, want %s", sim.leaderName(), successor)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
 	sim.checkStartedOnce()
 }
 
-// A follower that is isolated in the same way redirects no worker to a leader that it no longer
-// receives heartbeats from, and nothing else is affected.
+// A follower that loses the store and the other controllers, but not its workers, must not redirect
+// workers to a leader that it receives no heartbeats from. It answers heartbeats, queries and health
+// checks with 503, and the rest of the cluster is not affected.
 func TestFollowerReachedOnlyByWorkers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
-	f := sim.followers()[0]
-	sim.store.requestsDropped[f] = true
-	sim.isolateNode(f)
+	follower := sim.followers()[0]
+	sim.store.requestsDropped[follower] = true
+	sim.isolateNode(follower)
 	sim.advance(5 * time.Second)
 	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}); got.Status != 503 {
-		t.Errorf("report: %d", got.Status)
+	if got := sim.requestAndWait(follower,
+		Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}); got.Status != 503 {
+		t.Errorf("worker heartbeat: got status %d, want 503", got.Status)
 	}
-	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 ||
+	if got := sim.requestAndWait(follower, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 ||
 		got.RetryAfter == 0 {
-		t.Errorf("query: %d, come back after %d", got.Status, got.RetryAfter)
+		t.Errorf("query: got status %d, Retry-After %d, want 503 with Retry-After", got.Status, got.RetryAfter)
 	}
-	if got := sim.requestAndWait(f, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
-		t.Errorf("health: %d", got.Status)
+	if got := sim.requestAndWait(follower, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
+		t.Errorf("health check: got status %d, want 503", got.Status)
 	}
 	sim.submitAndStart(sim.leaderName(), jobSpec("j-1", 2), 2)
 }
 
-// Once all faults have ended, some query about each job is answered within 75 s, at whichever node
-// it arrives: here after a store outage during which all controllers restart, with thousands of
-// terminal jobs and hundreds of open ones, while the leader is still reading its records.
+// A node that has not yet read all records must not report an accepted job as unknown. After a store
+// outage in which all controllers restart, with 4,000 terminal and 400 open jobs, a query about each
+// job is answered within 75 s at whichever node it arrives, also while the leader reads its records.
 func TestJobsAreKnownAfterOutageAndRestart(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
-	const over, open = 4000, 400
-	for i := range over {
+	const terminalJobs, openJobs = 4000, 400
+	for i := range terminalJobs {
 		sim.store.putValue(storage.TerminalKey(fmt.Sprintf("j-%d", i)),
 			storage.TerminalRecord{State: protocol.JobDone, TaskCount: 1, DoneTasks: 1})
 	}
-	for i := over; i < over+open; i++ {
+	for i := terminalJobs; i < terminalJobs+openJobs; i++ {
 		sim.store.putValue(storage.JobKey(fmt.Sprintf("j-%d", i)),
 			storage.JobRecord{Spec: jobSpec(fmt.Sprintf("j-%d", i), 3), AcceptedAtMillis: 1})
 	}
@@ -133,21 +137,21 @@
 	sim.advance(10 * time.Second)
 	sim.store.setDown(false)
 
-	// Each job is queried every 5 s, at one node after the other.
-	answered := map[int]bool{}
-	for end := sim.now + 75*time.Second; sim.now < end && len(answered) < over+open; {
+	// Each job that is not yet found is queried every 5 s, at one node after the other.
+	found := map[int]bool{}
+	for end := sim.now + 75*time.Second; sim.now < end && len(found) < terminalJobs+openJobs; {
 		round := sim.now + 5*time.Second
-		for i := range over + open {
-			if answered[i] {
+		for i := range terminalJobs + openJobs {
+			if found[i] {
 				continue
 			}
 			sim.sendRequest(sim.names[(i+int(sim.now/time.Second))%3],
 				Request{Kind: protocol.RequestQuery, JobID: fmt.Sprintf("j-%d", i)}, func(r Reply) {
 					switch r.Status {
 					case 200:
-						answered[i] = true
+						found[i] = true
 					case 404:
-						t.Errorf("j-%d is forgotten", i)
+						t.Errorf("query of j-%d: got status 404, want it known", i)
 					}
 				})
 			if i%40 == 0 {
@@ -158,111 +162,113 @@
 			sim.advance(round - sim.now)
 		}
 	}
-	if len(answered) < over+open {
-		t.Fatalf("%d of %d jobs were answered about", len(answered), over+open)
+	if len(found) < terminalJobs+openJobs {
+		t.Fatalf("jobs found by a query within 75 s: got %d, want %d", len(found), terminalJobs+openJobs)
 	}
 }
 
-// While the controllers refuse each other's connections, a lost leader is replaced nevertheless:
-// votes are exchanged through the key-value store.
+// A leader that crashes while the controllers can't connect to each other is replaced: votes are
+// then exchanged through the store.
 func TestLeaderLossWhileLinksAreCut(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
 		sim, leaderNode := newRunningSimulation(t, nodes, 20*time.Second, 3, 8)
 		for _, name := range sim.followers() {
 			sim.crashNode(name)
 			sim.restartNode(name)
-			sim.advance(70 * time.Millisecond) // so that they don't poll at the same time
+			sim.advance(70 * time.Millisecond) // so that the followers don't poll at the same time
 		}
 		sim.isolateAllNodes()
 		sim.advance(4 * time.Second)
 		if sim.leaderName() != leaderNode.name {
-			t.Fatalf("%d nodes: refused connections alone cost the leader", nodes)
+			t.Fatalf("%d nodes: the leader changed without a crash, only because the links are cut", nodes)
 		}
 		term := leaderNode.leader.term
 		sim.crashNode(leaderNode.name)
 		if !sim.advanceUntil(8*time.Second, func() bool { return sim.leaderName() != "" }) {
-			t.Fatalf("%d nodes: nobody leads", nodes)
+			t.Fatalf("%d nodes: no leader within 8 s after the crash", nodes)
 		}
-		// A candidate that raises the term takes it from one that others vote for. With seven nodes
-		// they repeated that until connections were accepted again.
+		// A candidate that raises the term invalidates the votes for another one. Seven nodes can
+		// repeat that until connections between them are possible again.
 		if raised := sim.nodes[sim.leaderName()].leader.term - term; raised > 2 {
-			t.Errorf("%d nodes: the term was raised %d times", nodes, raised)
+			t.Errorf("%d nodes: increase of the term: got %d, want at most 2", nodes, raised)
 		}
 		sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
 		sim.checkStartedOnce()
 	}
 }
 
-// A node that only the key-value store refuses forwards submissions to the leader, from the first
-// one on. In an outage for all nodes users get Retry-After at once.
+// A node that only the store refuses must not reject submissions or delay them: it forwards them to
+// the leader, from the first one on. In an outage for all nodes, users get Retry-After at once.
 func TestSubmissionAtRefusedNode(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	sim.startMachines(1)
-	f := sim.followers()[0]
-	sim.store.refusedNodes[f] = true
+	follower := sim.followers()[0]
+	sim.store.refusedNodes[follower] = true
 	for i := range 3 {
-		asked := sim.now
-		if r := sim.submit(f, jobSpec(fmt.Sprintf("j-%d", i), 1)); r.Status != 201 ||
-			sim.now-asked > 200*time.Millisecond {
-			t.Errorf("submission %d: %d after %v", i, r.Status, sim.now-asked)
+		sentAt := sim.now
+		if r := sim.submit(follower, jobSpec(fmt.Sprintf("j-%d", i), 1)); r.Status != 201 ||
+			sim.now-sentAt > 200*time.Millisecond {
+			t.Errorf("submission %d: got status %d after %v, want 201 within 200ms", i, r.Status, sim.now-sentAt)
 		}
 		sim.advance(time.Second)
 	}
 	sim.store.setDown(true)
 	sim.advance(2 * time.Second)
-	asked := sim.now
-	if r := sim.submit(f, jobSpec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 ||
-		sim.now-asked > 200*time.Millisecond {
-		t.Errorf("in an outage: %d, come back after %d, answered in %v", r.Status, r.RetryAfter, sim.now-asked)
+	sentAt := sim.now
+	if r := sim.submit(follower, jobSpec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 ||
+		sim.now-sentAt > 200*time.Millisecond {
+		t.Errorf("in an outage: got status %d, Retry-After %d after %v, want 503 with Retry-After within 200ms",
+			r.Status, r.RetryAfter, sim.now-sentAt)
 	}
 }
 
-// A reply to a request that an earlier process of a node forwarded is discarded. A node that had
-// restarted quickly passed the reply to one user's cancellation on as the reply to another user's
-// submission, and that job was never stored.
+// After a quick restart, a node may get the reply to a request that its earlier process forwarded.
+// With equal request IDs, it would pass the reply to one user's cancellation on as the reply to
+// another user's submission, and that job would never be stored. It discards such a reply.
 func TestReplyToEarlierProcessIsDiscarded(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
 	sim.submit(leaderNode.name, jobSpec("j-1", 1))
-	name := sim.followers()[0]
-	forwarded := func(r Request, f func(Reply)) uint64 {
-		sim.sendRequest(name, r, f)
+	follower := sim.followers()[0]
+	forward := func(r Request, onReply func(Reply)) uint64 {
+		sim.sendRequest(follower, r, onReply)
 		sim.advance(2 * step)
-		if forwards := sim.nodes[name].forwards; forwards.Count() > 0 {
+		if forwards := sim.nodes[follower].forwards; forwards.Count() > 0 {
 			return forwards.LastID
 		}
-		t.Fatal("not passed on")
+		t.Fatal("the request was not forwarded")
 		return 0
 	}
 	leaderNode.paused = true
-	before := forwarded(Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
+	earlierID := forward(Request{Kind: protocol.RequestCancel, JobID: "j-1"}, func(Reply) {})
 	leaderNode.paused = false
-	sim.crashNode(name)
-	sim.restartNode(name)
+	sim.crashNode(follower)
+	sim.restartNode(follower)
 	sim.advance(time.Second)
 	leaderNode.paused = true
 	var got *Reply
-	forwarded(Request{Kind: protocol.RequestQuery, JobID: "j-2"}, func(r Reply) { got = &r })
-	n := sim.nodes[name]
+	forward(Request{Kind: protocol.RequestQuery, JobID: "j-2"}, func(r Reply) { got = &r })
+	n := sim.nodes[follower]
 	n.inbox = append(n.inbox, InboundMessage{From: leaderNode.name,
-		Message: protocol.ForwardedResponse{ID: before, Status: 200,
+		Message: protocol.ForwardedResponse{ID: earlierID, Status: 200,
 			Body: []byte(`{"uid":"j-1","situacao":"withdrawn"}`)}})
 	sim.advance(5 * step)
 	if got != nil {
-		t.Errorf("it is handed %d %s", got.Status, got.Body)
+		t.Errorf("query of j-2: got the reply %d %s to an earlier request, want none", got.Status, got.Body)
 	}
 }
 
-// Workers that were redirected to the leader and return because they can't reach it are relayed,
-// however many there are; the routes are dropped once the leader is reachable.
+// Workers that were redirected to the leader and return because they can't reach it must be relayed,
+// however many there are. Their routes must be removed once no more heartbeats arrive, or they would
+// accumulate.
 func TestRelayForAnyNumberOfWorkers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Resources.MaxConnections = 4000
 	sim.waitForLeader()
-	f := sim.nodes[sim.followers()[0]]
+	follower := sim.nodes[sim.followers()[0]]
 	const workers = 3000
-	round := func() (sent, relayed int) {
+	round := func() (redirected, relayed int) {
 		var batch []Command
 		for i := range workers {
 			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%06d", i), Type: "c4", Zone: "a",
@@ -270,11 +276,11 @@
 			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)},
 				Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 		}
-		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
+		for _, e := range follower.Step(follower.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
 			case Reply:
 				if e.Status == 421 {
-					sent++
+					redirected++
 				}
 			case OutboundMessage:
 				if _, forwarded := e.Message.(protocol.ForwardedRequest); forwarded {
@@ -282,17 +288,19 @@
 				}
 			}
 		}
-		return sent, relayed
+		return redirected, relayed
 	}
-	if sent, relayed := round(); sent != workers || relayed != 0 {
-		t.Errorf("at first %d of %d are sent to the leader, %d relayed", sent, workers, relayed)
+	if redirected, relayed := round(); redirected != workers || relayed != 0 {
+		t.Errorf("first heartbeats of %d workers: got %d redirected, %d relayed, want all redirected", workers,
+			redirected, relayed)
 	}
 	sim.advance(3 * time.Second)
-	if sent, relayed := round(); sent != 0 || relayed != workers {
-		t.Errorf("back again, %d are sent to the leader, %d of %d relayed", sent, relayed, workers)
+	if redirected, relayed := round(); redirected != 0 || relayed != workers {
+		t.Errorf("second heartbeats of %[3]d workers: got %[1]d redirected, %[2]d relayed, want all relayed",
+			redirected, relayed, workers)
 	}
-	sim.advance(4 * f.workerLease())
-	if len(f.workerRouter.Routes) > 0 {
-		t.Errorf("%d are remembered for good", len(f.workerRouter.Routes))
+	sim.advance(4 * follower.workerLease())
+	if len(follower.workerRouter.Routes) > 0 {
+		t.Errorf("worker routes after 4 leases: got %d, want 0", len(follower.workerRouter.Routes))
 	}
 }
