--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -7,23 +7,24 @@
 	"hitchdoor/internal/config"
 )
 
-// A team without a guarantee borrows idle capacity and is preempted in time: of its tasks that
-// checkpoint, as many are stopped as guaranteed work needs, not before their start counts, and each
-// once. Tasks that don't checkpoint run on.
+// A team without a guarantee borrows idle capacity with hour-long tasks, and work of a team with a
+// guarantee could wait until they end. Of the tasks that checkpoint, as many are preempted as the
+// guaranteed work needs, each at most once and only after running long enough for its start to
+// count. Tasks that don't checkpoint are not preempted.
 func TestBorrowedCapacityIsReclaimed(t *testing.T) {
-	for _, c := range []struct {
-		name       string
-		checkpoint float64
-		ran        time.Duration
-		begins     time.Duration
-		within     bool
+	for _, test := range []struct {
+		name           string
+		checkpointS    float64       // checkpoint interval of the guest's tasks; 0: no checkpoints
+		guestRunTime   time.Duration // of the guest's tasks before the guaranteed work is submitted
+		startLimit     time.Duration // time that the guaranteed tasks get to start
+		wantPreemption bool          // and with it the start of the guaranteed tasks within startLimit
 	}{
-		{"tasks that save", 30, 40 * time.Second, 10 * time.Second, true},
+		{"tasks that checkpoint", 30, 40 * time.Second, 10 * time.Second, true},
 		{"tasks that have just started", 30, 10 * time.Second, 10 * time.Second, false},
-		{"tasks that save, later", 30, 10 * time.Second, 35 * time.Second, true},
-		{"tasks that don't save", 0, 40 * time.Second, 10 * time.Second, false},
+		{"tasks that have just started, longer limit", 30, 10 * time.Second, 35 * time.Second, true},
+		{"tasks without checkpoints", 0, 40 * time.Second, 10 * time.Second, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			sim := newSimulation(t, 3)
 			sim.cfg.Teams = append(sim.cfg.Teams, config.Team{Name: "owner", GuaranteedCPUs: 4})
 			sim.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
@@ -35,25 +36,27 @@
 			leaderNode := sim.waitForLeader()
 			sim.startMachines(2)
 			guest := jobSpec("j-guest", 12)
-			guest.Priority, guest.EstimatedSeconds, guest.CheckpointIntervalSeconds, guest.CheckpointSaveSeconds = "low", 3600, c.checkpoint, 1
+			guest.Priority, guest.EstimatedSeconds, guest.CheckpointIntervalSeconds, guest.CheckpointSaveSeconds =
+				"low", 3600, test.checkpointS, 1
 			sim.submitAndStart(leaderNode.name, guest, 8)
-			sim.advance(c.ran)
+			sim.advance(test.guestRunTime)
 			owner := jobSpec("j-owner", 3)
 			owner.Team, owner.EstimatedSeconds = "owner", 60
 			sim.submit(leaderNode.name, owner)
-			if got := sim.advanceUntil(c.begins,
-				func() bool { return sim.activeTaskCount("j-owner") == 3 }); got != c.within {
-				t.Fatalf("%d of 3 guaranteed tasks run after %v", sim.activeTaskCount("j-owner"), c.begins)
+			if got := sim.advanceUntil(test.startLimit,
+				func() bool { return sim.activeTaskCount("j-owner") == 3 }); got != test.wantPreemption {
+				t.Fatalf("guaranteed tasks running within %v: got %d, want all 3: %t", test.startLimit,
+					sim.activeTaskCount("j-owner"), test.wantPreemption)
 			}
-			if c.within {
+			if test.wantPreemption {
 				sim.advance(time.Minute)
 				if n := sim.activeTaskCount("j-guest"); n != 5 {
-					t.Errorf("%d of the guest's tasks run beside 3, not 5", n)
+					t.Errorf("tasks of the guest running beside 3 guaranteed ones: got %d, want 5", n)
 				}
 			}
 			for task, n := range sim.startCounts {
 				if n > 2 {
-					t.Errorf("%s was started %d times", task, n)
+					t.Errorf("starts of %s: got %d, want at most 2", task, n)
 				}
 			}
 		})
