--- a/internal/controller/start_limit_test.go
+++ b/internal/controller/start_limit_test.go
@@ -11,11 +11,11 @@
 )
 
 // Small tasks that keep arriving take each core as it becomes free, so that a task as large as a
-// whole machine would never find room. A machine is reserved for a job that is overdue, and the job
-// starts within four minutes and, oldest first, completes. Jobs that are bound to one machine type
-// or one zone, several at once, and a change of leader meanwhile are no exception.
+// whole machine would never find room. So a machine is reserved for an overdue job. The job starts
+// within four minutes, and the oldest one completes, also if the jobs are bound to one machine type
+// or zone, if there are several, and if the leader changes meanwhile.
 func TestJobWithLargeTasksStartsOnFullFleet(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		jobs     int
 		cores    float64
@@ -28,46 +28,49 @@
 		{name: "six at once", jobs: 6, cores: 4},
 		{name: "a change of leader", jobs: 2, cores: 4, crash: true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			sim := newSimulation(t, 3)
 			sim.cloud.capacity = 6
 			users := newUserSimulation(sim, 1)
-			sim.taskDuration = func(string, int) time.Duration { return 15*time.Second + users.randomDuration(45*time.Second) }
+			sim.taskDuration = func(string, int) time.Duration {
+				return 15*time.Second + users.randomDuration(45*time.Second)
+			}
 			sim.waitForLeader()
 			sim.startMachines(6)
-			submitted := sim.now + 30*time.Second
+			submittedAt := sim.now + 30*time.Second
 			sim.schedule(30*time.Second, func() {
-				for i := range c.jobs {
-					wide := jobSpec(fmt.Sprintf("j-wide-%d", i), 8)
-					wide.Priority, wide.Cores, wide.SameZone, wide.EstimatedSeconds = "low", c.cores, c.sameZone, 30
+				for i := range test.jobs {
+					largeJob := jobSpec(fmt.Sprintf("j-wide-%d", i), 8)
+					largeJob.Priority, largeJob.Cores, largeJob.SameZone, largeJob.EstimatedSeconds =
+						"low", test.cores, test.sameZone, 30
 					if i%2 == 1 {
-						wide.Zone = "b"
+						largeJob.Zone = "b"
 					}
-					users.submitWithRetries(wide)
+					users.submitWithRetries(largeJob)
 				}
 			})
-			if c.crash {
+			if test.crash {
 				sim.schedule(120*time.Second, users.replaceLeader)
 			}
-			small := 0
-			fillUntil := func(end clock.Instant) { // with more small work than the machines can process
-				for ; sim.now < end; small++ {
-					job := jobSpec(fmt.Sprintf("j-small-%d", small), 3)
+			smallJobs := 0
+			fillUntil := func(end clock.Instant) { // submits more small jobs than the machines can process
+				for ; sim.now < end; smallJobs++ {
+					job := jobSpec(fmt.Sprintf("j-small-%d", smallJobs), 3)
 					job.EstimatedSeconds = 30
 					users.submitWithRetries(job)
 					sim.advance(2 * time.Second)
 				}
 			}
-			fillUntil(submitted + cluster.MaxStartDelay)
-			for i := range c.jobs {
+			fillUntil(submittedAt + cluster.MaxStartDelay)
+			for i := range test.jobs {
 				if id := fmt.Sprintf("j-wide-%d", i); sim.firstStartAt[id] == 0 {
-					t.Errorf("%s has not begun after four minutes: %s", id, sim.explainPending(id))
+					t.Errorf("%s has not started within %v: %s", id, cluster.MaxStartDelay, sim.explainPending(id))
 				}
 			}
-			fillUntil(submitted + 3*cluster.MaxStartDelay)
-			// Six of them are more than half of what the machines can process in this time; the
-			// oldest is served first.
+			fillUntil(submittedAt + 3*cluster.MaxStartDelay)
+			// Six large jobs are more than half of what the machines can process in this time, so
+			// only the oldest one, which is served first, must be done.
 			if id := "j-wide-0"; sim.terminalState(id) != protocol.JobDone {
 				t.Errorf("%s is not done after %v: %s", id, 3*cluster.MaxStartDelay, sim.explainPending(id))
 			}
@@ -75,20 +78,20 @@
 	}
 }
 
-// A reservation ends with the wait that it was made for: a machine that is reserved for a cancelled
-// job, with no other job pending, would be kept for ever.
+// A machine that stays reserved for a cancelled job, with no other job pending, would be kept for
+// ever. The reservation ends when its job no longer waits.
 func TestReservationEndsWithItsJob(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 1, 10*time.Minute, 1, 3)
 	sim.cloud.capacity = 1
-	wide := jobSpec("j-wide", 1)
-	wide.Cores = 4
-	sim.submit(leaderNode.name, wide)
+	largeJob := jobSpec("j-wide", 1)
+	largeJob.Cores = 4
+	sim.submit(leaderNode.name, largeJob)
 	reserved := func() bool { return leaderNode.leader.Machines["m-000001"].ReservedFor != nil }
 	if !sim.advanceUntil(cluster.MaxStartDelay, reserved) {
-		t.Fatalf("no machine is reserved: %s", sim.explainPending("j-wide"))
+		t.Fatalf("no machine was reserved within %v: %s", cluster.MaxStartDelay, sim.explainPending("j-wide"))
 	}
 	sim.cancelJob(leaderNode.name, "j-wide")
 	if !sim.advanceUntil(5*time.Second, func() bool { return !reserved() }) {
-		t.Error("the machine is still reserved")
+		t.Error("m-000001 is still reserved 5 s after the cancellation of j-wide")
 	}
 }
