--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -8,63 +8,67 @@
 	"hitchdoor/internal/protocol"
 )
 
-// newConnectionLimitedSimulation returns a simulation whose nodes accept a limited number of worker
-// connections each, with the given number of machines up.
-func newConnectionLimitedSimulation(t *testing.T, nodes, sockets, machines int) *simulation {
+// newConnectionLimitedSimulation returns a simulation with the given number of running machines, in
+// which each node accepts at most connectionLimit worker connections.
+func newConnectionLimitedSimulation(t *testing.T, nodes, connectionLimit, machines int) *simulation {
 	t.Helper()
 	sim := newSimulationWithTimings(t, nodes, deployments[3])
-	sim.connectionLimit = sockets
+	sim.connectionLimit = connectionLimit
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Minute }
 	sim.waitForLeader()
 	for i := range machines {
 		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	sim.cloud.capacity, sim.cloud.rejectReturns = machines, true // so that a lost machine shows as a lease that has expired
+	// With these settings, an unreachable machine is neither returned nor replaced, and shows as an
+	// expired lease.
+	sim.cloud.capacity, sim.cloud.rejectReturns = machines, true
 	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.workers) >= machines }) {
-		t.Fatal("machines did not come up")
+		t.Fatalf("running machines after 30 s: got %d, want %d", len(sim.workers), machines)
 	}
 	return sim
 }
 
-// connectionCount returns the number of machines that are connected to a node.
+// connectionCount returns the number of workers that are connected to a node.
 func (sim *simulation) connectionCount(node string) int { return sim.openConnections[node] }
 
-// checkLeasesHeld checks that no machine's lease has expired.
+// checkLeasesHeld fails the test if the lease of any machine has expired. when describes the moment.
 func (sim *simulation) checkLeasesHeld(when string) {
 	sim.t.Helper()
-	lost := 0
+	expired := 0
 	for _, worker := range sim.workers {
 		if worker.epoch > 1 {
-			lost++
+			expired++
 		}
 	}
-	if lost > 0 {
-		sim.t.Errorf("%s: the leases of %d of %d machines ran out", when, lost, len(sim.workers))
+	if expired > 0 {
+		sim.t.Errorf("%s: expired leases of %d machines: got %d, want 0", when, len(sim.workers), expired)
 	}
 }
 
-// Four thousand machines exceed the connections of three controllers together: their heartbeats are
-// spread, and their leases hold while the leader is replaced and after a restart of all
-// controllers, when all of them connect again at once.
+// Four thousand machines exceed the connections of three controllers together, and leases of machines
+// that can't connect would expire. The heartbeats are spread over five controllers. No lease expires
+// while the leader is replaced and after a restart of all controllers, when all workers connect again
+// at once.
 func TestFourThousandMachines(t *testing.T) {
-	const machines, sockets = 4000, 1200
-	sim := newConnectionLimitedSimulation(t, 5, sockets, machines)
-	c := newUserSimulation(sim, 1)
-	jobs := 8
-	for i := range jobs {
-		c.submitWithRetries(jobSpec(fmt.Sprintf("j-%d", i), 50))
+	const machines, connectionLimit = 4000, 1200
+	sim := newConnectionLimitedSimulation(t, 5, connectionLimit, machines)
+	users := newUserSimulation(sim, 1)
+	jobCount := 8
+	for i := range jobCount {
+		users.submitWithRetries(jobSpec(fmt.Sprintf("j-%d", i), 50))
 	}
 	sim.advance(2 * sim.nodes["n0"].workerLease())
-	sim.checkLeasesHeld("all up")
-	if served := sim.connectionCount(sim.leaderName()); served > sockets*7/8 {
-		t.Errorf("the leader has %d of %d connections in use", served, sockets)
+	sim.checkLeasesHeld("with all controllers running")
+	if served := sim.connectionCount(sim.leaderName()); served > connectionLimit*7/8 {
+		t.Errorf("connections of the leader: got %d, want at most %d", served, connectionLimit*7/8)
 	}
 	if l := sim.nodes[sim.leaderName()].leader; !l.AllReconciled() || len(l.MachinesByName()) != machines {
-		t.Errorf("%d machines are known", len(l.MachinesByName()))
+		t.Errorf("machines in the leader: got %d, all reconciled %t, want %d, all reconciled", len(l.MachinesByName()),
+			l.AllReconciled(), machines)
 	}
 	started := sim.totalStarts()
-	if started != jobs*50 {
-		t.Errorf("%d tasks started", started)
+	if started != jobCount*50 {
+		t.Errorf("started tasks: got %d, want %d", started, jobCount*50)
 	}
 
 	sim.restartAfter(sim.leaderName(), 10*time.Second)
@@ -79,21 +83,22 @@
 	sim.waitForLeader()
 	if !sim.advanceUntil(sim.nodes["n0"].workerLease(),
 		func() bool { l := sim.leaderName(); return l != "" && sim.nodes[l].leader.AllReconciled() }) {
-		t.Error("not all machines are accounted for within a lease")
+		t.Error("not all machines were reconciled within a worker lease")
 	}
 	sim.advance(sim.nodes["n0"].workerLease())
-	sim.checkLeasesHeld("after an end of all")
-	if again := sim.totalStarts(); again != started {
-		t.Errorf("%d tasks were started anew", again-started)
+	sim.checkLeasesHeld("after a restart of all controllers")
+	if startedNow := sim.totalStarts(); startedNow != started {
+		t.Errorf("tasks started again after the restart: got %d, want 0", startedNow-started)
 	}
 	sim.checkStartedOnce()
 }
 
-// A single remaining controller has a connection for each fourth machine. It serves all of them in
-// turns: none waits without a response, and no lease expires.
+// A single remaining controller has one connection for every four machines. If the first workers kept
+// their connections, the leases of the others would expire. It serves all workers in turns, so that
+// none waits without a response and no lease expires.
 func TestSingleControllerServesWorkersInTurns(t *testing.T) {
-	const machines, sockets = 400, 100
-	sim := newConnectionLimitedSimulation(t, 3, sockets, machines)
+	const machines, connectionLimit = 400, 100
+	sim := newConnectionLimitedSimulation(t, 3, connectionLimit, machines)
 	newUserSimulation(sim, 1).submitWithRetries(jobSpec("j-1", 200))
 	sim.advance(time.Minute)
 	for _, name := range sim.followers() {
@@ -101,14 +106,15 @@
 	}
 	sim.advance(4 * sim.nodes["n0"].workerLease())
 	if sim.leaderName() == "" {
-		t.Fatal("it does not lead")
+		t.Fatal("the remaining controller is not the leader")
 	}
-	sim.checkLeasesHeld("alone")
+	sim.checkLeasesHeld("with one controller")
 	sim.checkStartedOnce()
 }
 
-// A full leader redirects new workers to the node with the most free connections, once; a worker
-// that returns can't reach that node, so it is served.
+// A full leader redirects a new worker to the node with the most free connections, but only once: a
+// worker that returns can't reach that node, and would never be served. Workers that the leader
+// already serves stay, and with all nodes full, new ones are served too.
 func TestFullLeaderRedirectsNewWorkers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -118,61 +124,66 @@
 				Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel,
 					SpareConnections: 10 * (i + 1)}}})
 	}
-	roomiest := sim.followers()[1]
-	report := func(name string, seq uint64) Reply {
-		heartbeat := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: seq}
+	leastLoaded := sim.followers()[1]
+	sendHeartbeat := func(name string, sequence uint64) Reply {
+		heartbeat := &protocol.WorkerHeartbeat{Machine: name, Type: "c4", Zone: "a", Epoch: 1, Sequence: sequence}
 		for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now),
 			[]Command{Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
-			if reply, is := e.(Reply); is {
+			if reply, ok := e.(Reply); ok {
 				return reply
 			}
 		}
-		t.Fatal("no answer")
+		t.Fatalf("heartbeat %d of %s: got no reply", sequence, name)
 		return Reply{}
 	}
-	if r := report("m-1", 1); r.Status != 200 {
-		t.Errorf("with room: %+v", r)
+	if r := sendHeartbeat("m-1", 1); r.Status != 200 {
+		t.Errorf("with free connections: got %+v, want status 200", r)
 	}
 	leaderNode.Step(leaderNode.monotonicNow(sim.now), []Command{ServerLoad{Open: 90, Limit: 100}})
-	if r := report("m-1", 2); r.Status != 200 {
-		t.Errorf("one that is served: %+v", r)
+	if r := sendHeartbeat("m-1", 2); r.Status != 200 {
+		t.Errorf("full leader, worker that it serves: got %+v, want status 200", r)
 	}
-	if r := report("m-2", 1); r.Status != 421 || string(r.Body) != `{"reportaA":"`+roomiest+`"}` {
-		t.Errorf("a newcomer: %d %s", r.Status, r.Body)
+	if r := sendHeartbeat("m-2", 1); r.Status != 421 || string(r.Body) != `{"reportaA":"`+leastLoaded+`"}` {
+		t.Errorf("full leader, new worker: got %d %s, want 421 and a redirect to %s", r.Status, r.Body, leastLoaded)
 	}
-	if r := report("m-2", 2); r.Status != 200 {
-		t.Errorf("back again: %+v", r)
+	if r := sendHeartbeat("m-2", 2); r.Status != 200 {
+		t.Errorf("full leader, worker that returns after a redirect: got %+v, want status 200", r)
 	}
 	for _, name := range sim.followers() {
 		leaderNode.Step(leaderNode.monotonicNow(sim.now),
 			[]Command{InboundMessage{From: name,
 				Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
 	}
-	if r := report("m-3", 1); r.Status != 200 {
-		t.Errorf("with all nodes full: %+v", r)
+	if r := sendHeartbeat("m-3", 1); r.Status != 200 {
+		t.Errorf("all nodes full, new worker: got %+v, want status 200", r)
 	}
 }
 
-// Most machines are relayed while the relaying controller, or the leader, crashes, pauses or is cut
-// one way, at any moment of a heartbeat: no task runs twice, every job completes, and a worker
-// never gets a response older than the one it waits for.
+// Most workers are relayed when the relaying controller or the leader crashes, pauses or loses its
+// messages in one direction, at different moments of a heartbeat. Lost or late heartbeats and responses
+// must not let a task run twice or keep a job from completing, and a worker must never get a response
+// older than the one that it waits for.
 func TestRelayingNodeFails(t *testing.T) {
 	faults := map[string]func(sim *simulation, leader, relaying string){
-		"relaying node ends": func(sim *simulation, _, relaying string) {
+		"relaying node crashes": func(sim *simulation, _, relaying string) {
 			sim.restartAfter(relaying, 300*time.Millisecond)
 		},
-		"relaying node stands": func(sim *simulation, _, relaying string) { sim.nodes[relaying].pauseBeforeEffects = 6 * time.Second },
-		"leader ends": func(sim *simulation, leader, _ string) {
-			sim.restartAfter(leader,
-				300*time.Millisecond)
+		"relaying node pauses": func(sim *simulation, _, relaying string) {
+			sim.nodes[relaying].pauseBeforeEffects = 6 * time.Second
 		},
-		"leader stands": func(sim *simulation, leader, _ string) { sim.nodes[leader].pauseBeforeEffects = 30 * time.Second },
-		"answers don't get through": func(sim *simulation, leader, relaying string) {
-			sim.cutOneWayFor(leader,
-				relaying, 20*time.Second)
+		"leader crashes": func(sim *simulation, leader, _ string) {
+			sim.restartAfter(leader, 300*time.Millisecond)
 		},
-		"reports don't get through": func(sim *simulation, leader, relaying string) { sim.cutOneWayFor(relaying, leader, 20*time.Second) },
-		"held back": func(sim *simulation, leader, relaying string) {
+		"leader pauses": func(sim *simulation, leader, _ string) {
+			sim.nodes[leader].pauseBeforeEffects = 30 * time.Second
+		},
+		"responses to relaying node are lost": func(sim *simulation, leader, relaying string) {
+			sim.cutOneWayFor(leader, relaying, 20*time.Second)
+		},
+		"heartbeats to leader are lost": func(sim *simulation, leader, relaying string) {
+			sim.cutOneWayFor(relaying, leader, 20*time.Second)
+		},
+		"responses to relaying node are late": func(sim *simulation, leader, relaying string) {
 			sim.holdMessages = true
 			sim.cutOneWayFor(leader, relaying, 9*time.Second)
 		},
@@ -183,9 +194,9 @@
 			for offset := range 4 {
 				sim := newConnectionLimitedSimulation(t, 3, 8, 12)
 				sim.taskDuration = func(string, int) time.Duration { return 20 * time.Second }
-				c := newUserSimulation(sim, uint64(offset))
+				users := newUserSimulation(sim, uint64(offset))
 				for i := range 6 {
-					c.submitWithRetries(jobSpec(fmt.Sprintf("j-%d", i), 12))
+					users.submitWithRetries(jobSpec(fmt.Sprintf("j-%d", i), 12))
 				}
 				sim.advance(15*time.Second + time.Duration(offset)*311*time.Millisecond)
 				leader := sim.leaderName()
@@ -194,91 +205,96 @@
 					relaying = sim.followers()[(offset+1)%2]
 				}
 				if sim.connectionCount(relaying) == 0 {
-					t.Fatal("no machine is relayed for")
+					t.Fatal("neither follower has a worker connection to relay")
 				}
 				inject(sim, leader, relaying)
 				sim.advance(25 * time.Second)
-				c.waitForCompletion(5 * time.Minute)
+				users.waitForCompletion(5 * time.Minute)
 			}
 		})
 	}
 }
 
-// Where the leader is full, a follower relays heartbeats without redirecting their workers first;
-// where it has room for some, as many are redirected, in proportion, and no more.
+// If followers redirected all workers to a full leader, these would lose time with a connection that is
+// refused. A follower relays heartbeats at once if the leader is full. If the leader has free
+// connections, each follower redirects only its share of that number of workers and relays the others.
 func TestFollowerRelaysForFullLeader(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leader := sim.waitForLeader()
-	f := sim.nodes[sim.followers()[0]]
-	counts := func(beat protocol.PeerHeartbeat, workers string) (sent, relayed int) {
-		beat.Term, beat.IsLeader, beat.ProcessID, beat.VersionLevel = leader.leader.term, true, leader.processID, protocolLevel
-		batch := []Command{InboundMessage{From: leader.name, Message: beat}}
+	follower := sim.nodes[sim.followers()[0]]
+	sendHeartbeats := func(leaderHeartbeat protocol.PeerHeartbeat, workers string) (redirected, relayed int) {
+		leaderHeartbeat.Term, leaderHeartbeat.IsLeader, leaderHeartbeat.ProcessID, leaderHeartbeat.VersionLevel =
+			leader.leader.term, true, leader.processID, protocolLevel
+		batch := []Command{InboundMessage{From: leader.name, Message: leaderHeartbeat}}
 		for i := range 20 {
 			heartbeat := &protocol.WorkerHeartbeat{Machine: fmt.Sprintf("m-%s-%d", workers, i), Type: "c4",
 				Zone: "a", Epoch: 1, Sequence: 1}
 			batch = append(batch, Request{Origin: Origin{RequestID: uint64(i + 1)},
 				Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 		}
-		for _, e := range f.Step(f.monotonicNow(sim.now), batch) {
+		for _, e := range follower.Step(follower.monotonicNow(sim.now), batch) {
 			switch e := e.(type) {
 			case Reply:
-				sent++
+				redirected++
 			case OutboundMessage:
 				if _, forwarded := e.Message.(protocol.ForwardedRequest); forwarded {
 					relayed++
 				}
 			}
 		}
-		return sent, relayed
+		return redirected, relayed
 	}
-	for _, x := range []struct {
-		name          string
-		beat          protocol.PeerHeartbeat
-		sent, relayed int
+	for _, test := range []struct {
+		name                string
+		leaderHeartbeat     protocol.PeerHeartbeat
+		redirected, relayed int // of 20 workers
 	}{
 		{"an earlier version", protocol.PeerHeartbeat{}, 20, 0},
 		{"full", protocol.PeerHeartbeat{ConnectionsFull: true}, 0, 20},
 		{"room for ten, of which half", protocol.PeerHeartbeat{SpareConnections: 10}, 5, 15},
 	} {
-		if sent, relayed := counts(x.beat, x.name); sent != x.sent || relayed != x.relayed {
-			t.Errorf("%s: %d are sent to the leader, %d relayed", x.name, sent, relayed)
+		if redirected, relayed := sendHeartbeats(test.leaderHeartbeat, test.name); redirected != test.redirected ||
+			relayed != test.relayed {
+			t.Errorf("%s: got %d workers redirected, %d relayed, want %d and %d", test.name, redirected, relayed,
+				test.redirected, test.relayed)
 		}
 	}
 }
 
-// A response that was delayed beyond the worker's timeout is not passed on: the relaying controller
-// may have been paused while it held the response.
+// A relaying controller that pauses may pass on a response after the worker's timeout, when the worker
+// waits for a later one. It must discard a response that arrives after the relay timeout, and reply 503.
 func TestLateResponseIsDiscarded(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leader := sim.waitForLeader()
-	f := sim.nodes[sim.followers()[0]]
+	follower := sim.nodes[sim.followers()[0]]
 	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-1", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
-	for _, x := range []struct {
-		after  time.Duration
-		status int
-	}{{f.workerRouter.RelayTimeout() - step, 200}, {f.workerRouter.RelayTimeout(), 503}} {
-		f.workerRouter.RouteOf("m-1").RelayUntil = f.now + time.Hour
-		f.Step(f.monotonicNow(sim.now),
+	for _, test := range []struct {
+		delay  time.Duration
+		status int // that the worker gets
+	}{{follower.workerRouter.RelayTimeout() - step, 200}, {follower.workerRouter.RelayTimeout(), 503}} {
+		follower.workerRouter.RouteOf("m-1").RelayUntil = follower.now + time.Hour
+		follower.Step(follower.monotonicNow(sim.now),
 			[]Command{InboundMessage{From: leader.name,
 				Message: protocol.PeerHeartbeat{Term: leader.leader.term, IsLeader: true, ProcessID: leader.processID}},
 				Request{Origin: Origin{RequestID: 1}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}})
-		answer := InboundMessage{From: leader.name,
-			Message: protocol.ForwardedResponse{ID: f.forwards.LastID, Status: 200, Body: []byte("{}")}}
-		sim.now += x.after
+		response := InboundMessage{From: leader.name,
+			Message: protocol.ForwardedResponse{ID: follower.forwards.LastID, Status: 200, Body: []byte("{}")}}
+		sim.now += test.delay
 		got := 0
-		for _, e := range f.Step(f.monotonicNow(sim.now), []Command{answer}) {
-			if reply, is := e.(Reply); is {
+		for _, e := range follower.Step(follower.monotonicNow(sim.now), []Command{response}) {
+			if reply, ok := e.(Reply); ok {
 				got = reply.Status
 			}
 		}
-		if got != x.status {
-			t.Errorf("%v after the report: %d, not %d", x.after, got, x.status)
+		if got != test.status {
+			t.Errorf("response %v after the heartbeat: got status %d, want %d", test.delay, got, test.status)
 		}
 	}
 }
 
-// All machines report at once while a leader reads the records. Each is connected to some node, so
-// none is rejected for their number.
+// After a takeover, the heartbeats of all 4,000 machines may reach the leader at once while it still
+// reads the records. Each worker is connected to some node, so the leader must reject no heartbeat
+// because of their number, although they exceed its own connection limit.
 func TestEarlyHeartbeatsOfAllMachines(t *testing.T) {
 	const machines = 4000
 	sim := newSimulation(t, 5)
@@ -293,14 +309,15 @@
 			Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	}
 	for _, e := range leaderNode.Step(leaderNode.monotonicNow(sim.now), batch) {
-		if reply, is := e.(Reply); is {
-			t.Fatalf("a report is answered %d", reply.Status)
+		if reply, ok := e.(Reply); ok {
+			t.Fatalf("early heartbeat: got a reply with status %d, want none yet", reply.Status)
 		}
 	}
 }
 
-// A leader whose attempt counter is exhausted hands over to a new term, as its next attempt numbers
-// would be those of the term after.
+// An attempt number contains the term and a counter. A counter that overflows would give the attempt
+// numbers of the next term, so that two attempts could have the same number. A leader whose counter is
+// nearly exhausted steps down, and a new term begins.
 func TestAttemptNumbersAreNeverReused(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -309,6 +326,6 @@
 	last := leaderNode.leader.NextAttemptNumber()
 	sim.advance(20 * step)
 	if next := sim.waitForLeader().leader; next.term <= term || next.NextAttemptNumber() <= last {
-		t.Errorf("term %d goes on after %d", next.term, term)
+		t.Errorf("got term %d, want a term after %d and an attempt number above %d", next.term, term, last)
 	}
 }
