--- a/cmd/hitchdoor/emulate.go
+++ b/cmd/hitchdoor/emulate.go
@@ -36,7 +36,7 @@
 	flags.DurationVar(&options.LoadDuration, "for", 40*time.Second, "how long emulated users submit jobs")
 	flags.DurationVar(&options.LoseControllersAt, "lose-controllers-at", 15*time.Second,
 		"time from the start of the load until all controllers are killed; 0: never")
-	flags.DurationVar(&options.ControllersAway, "away", 3*time.Second, "how long the killed controllers stay down")
+	flags.DurationVar(&options.ControllerDowntime, "away", 3*time.Second, "how long the killed controllers stay down")
 	flags.DurationSliceVar(&options.LoseAgainAfter, "lose-again-after", nil,
 		"times between a restart and the next kill of all controllers, to interrupt their recovery")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the random load")
--- a/internal/adminclient/adminclient_test.go
+++ b/internal/adminclient/adminclient_test.go
@@ -67,7 +67,7 @@
 	}{
 		"admission agrees": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
 			Policy: policy}, admission.NodeStatus{Node: "n1", Version: 4, Policy: policy,
-			Job: &admission.JobStatus{ID: "j-1", RejectedGroup: &group, TurnInSeconds: 12}}),
+			Job: &admission.JobStatus{ID: "j-1", RejectedGroup: &group, SecondsUntilAdmitted: 12}}),
 			"its turn comes in 12 s", ""},
 		"admission disagrees": {admissionCommand(admission.NodeStatus{Node: "n0", IsLeader: true, Version: 4,
 			Policy: policy}, admission.NodeStatus{Node: "n1"}),
--- a/internal/adminclient/admission.go
+++ b/internal/adminclient/admission.go
@@ -136,7 +136,7 @@
 		}
 		lastStep := share.Steps[len(share.Steps)-1]
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f%%\t%.1f%%\t%v\n", team, class, priority, demand,
-			percentAdmitted(share.OpenPositions()), percentAdmitted(lastStep),
+			percentAdmitted(share.AdmittedPositions()), percentAdmitted(lastStep),
 			time.Duration(share.EpochsToAdmitAll())*epochLength)
 	}
 	table.Flush()
@@ -191,7 +191,7 @@
 				"%s: refused by %s, because more jobs of team %q, class %q, priority %s are submitted than can be "+
 					"accepted; its turn comes in %d s\n",
 				job, response.value.Node, status.RejectedGroup.Team, status.RejectedGroup.Class,
-				protocol.PriorityName(status.RejectedGroup.PriorityRank), status.TurnInSeconds)
+				protocol.PriorityName(status.RejectedGroup.PriorityRank), status.SecondsUntilAdmitted)
 			known = true
 		}
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -98,20 +98,20 @@
 func TestJobIsAdmittedWithinPredictedEpochs(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for range 500 {
-		share := Share{Tail: rng.Uint32()}
+		share := Share{Start: rng.Uint32()}
 		step := uint64(Ring * (minStepShare + rng.Float64()/8))
 		share.advanceArc(step)
 		position := rng.Uint32()
 		verdict := share.evaluate(position)
-		if verdict.EpochsToTurn > share.EpochsToAdmitAll() {
+		if verdict.EpochsUntilAdmitted > share.EpochsToAdmitAll() {
 			t.Fatalf("the job is admitted after %d epochs, but all jobs are after %d",
-				verdict.EpochsToTurn, share.EpochsToAdmitAll())
+				verdict.EpochsUntilAdmitted, share.EpochsToAdmitAll())
 		}
-		for range verdict.EpochsToTurn {
+		for range verdict.EpochsUntilAdmitted {
 			if share.evaluate(position).Admit {
 				t.Fatal("the job is admitted before the arc has reached its position")
 			}
-			step = min(Ring, uint64(float64(step)*(1+rng.Float64()/float64(1+verdict.EpochsToTurn))))
+			step = min(Ring, uint64(float64(step)*(1+rng.Float64()/float64(1+verdict.EpochsUntilAdmitted))))
 			share.advanceArc(max(step, share.newestStep()))
 			if share.evaluate(position).Admit {
 				break
@@ -193,7 +193,7 @@
 			job.nextAttemptAt = s.epoch + 1
 			load.RejectedForCapacity++
 		default:
-			job.nextAttemptAt = s.epoch + verdict.EpochsToTurn + s.rng.IntN(2) // on time, or one epoch late
+			job.nextAttemptAt = s.epoch + verdict.EpochsUntilAdmitted + s.rng.IntN(2) // on time, or one epoch late
 			load.RejectedByPolicy++
 		}
 		if s.epoch-job.submittedAt >= s.retryEpochs {
@@ -346,9 +346,9 @@
 	}
 	for _, share := range last.Shares {
 		if nextShare := next.shareOf(share.Group); nextShare.Group == share.Group &&
-			nextShare.Tail-share.Tail > uint32(share.OpenPositions()) {
+			nextShare.Start-share.Start > uint32(share.AdmittedPositions()) {
 			t.Errorf("the arc of team %s begins at %d after %d, want a position in the last arc",
-				share.Team, nextShare.Tail, share.Tail)
+				share.Team, nextShare.Start, share.Start)
 		}
 	}
 }
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -208,7 +208,7 @@
 	for _, i := range order {
 		share := p.nextShare(next.Epoch, demands[i], allocated[i])
 		switch {
-		case share.OpenPositions() >= Ring: // the default share admits the group as a whole
+		case share.AdmittedPositions() >= Ring: // the default share admits the group as a whole
 		case len(next.Shares) < p.settings.MaxShares:
 			next.Shares = append(next.Shares, share)
 		default:
@@ -246,9 +246,9 @@
 // epoch, so that no job is always among the last to be admitted.
 func (p *Planner) currentShare(epoch uint64, group Group) Share {
 	if p.policy != nil {
-		if last := p.policy.shareOf(group); last.Group == group && last.OpenPositions() < Ring {
+		if last := p.policy.shareOf(group); last.Group == group && last.AdmittedPositions() < Ring {
 			return *last
 		}
 	}
-	return Share{Group: group, Tail: uint32(epoch * 0x9E3779B97F4A7C15 >> 32)}
+	return Share{Group: group, Start: uint32(epoch * 0x9E3779B97F4A7C15 >> 32)}
 }
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -39,7 +39,7 @@
 // The sum of Steps is its length.
 type Share struct {
 	Group
-	Tail uint32 `json:"tail"`
+	Start uint32 `json:"tail"`
 	// Steps are the advances of the end of the arc in the last epochs, newest last. A single step of
 	// Ring admits every job.
 	Steps  []uint64 `json:"steps"`
@@ -49,8 +49,8 @@
 // FullShare returns a share that admits every job of a group.
 func FullShare(group Group) Share { return Share{Group: group, Steps: []uint64{Ring}} }
 
-// OpenPositions returns the number of positions that the share admits, at most Ring.
-func (s *Share) OpenPositions() uint64 {
+// AdmittedPositions returns the number of positions that the share admits, at most Ring.
+func (s *Share) AdmittedPositions() uint64 {
 	open := uint64(0)
 	for _, step := range s.Steps {
 		open += step
@@ -78,9 +78,9 @@
 // Verdict is the decision of a policy on a submission.
 type Verdict struct {
 	Admit bool
-	// EpochsToTurn is the number of epochs until the job will be admitted if the arc does not slow
+	// EpochsUntilAdmitted is the number of epochs until the job will be admitted if the arc does not slow
 	// down, or 0 if Admit is true.
-	EpochsToTurn int
+	EpochsUntilAdmitted int
 }
 
 // Evaluate decides whether a job is admitted. A nil Policy admits every job.
@@ -103,18 +103,18 @@
 
 // evaluate decides whether the share admits the job at a position.
 func (s *Share) evaluate(position uint32) Verdict {
-	offset := uint64(position - s.Tail) // the uint32 difference wraps around at the size of the ring
-	open := s.OpenPositions()
+	offset := uint64(position - s.Start) // the uint32 difference wraps around at the size of the ring
+	open := s.AdmittedPositions()
 	if offset < open {
 		return Verdict{Admit: true}
 	}
-	return Verdict{EpochsToTurn: 1 + int((offset-open)/s.newestStep())}
+	return Verdict{EpochsUntilAdmitted: 1 + int((offset-open)/s.newestStep())}
 }
 
 // EpochsToAdmitAll returns the number of epochs after which every job of the share has been admitted
 // at least once. It is 0 if the share admits every job now.
 func (s *Share) EpochsToAdmitAll() int {
-	open := s.OpenPositions()
+	open := s.AdmittedPositions()
 	if open >= Ring {
 		return 0
 	}
@@ -126,7 +126,7 @@
 func (s *Share) advanceArc(step uint64) {
 	steps := s.Steps
 	if len(steps) > graceEpochs {
-		s.Tail += uint32(steps[0])
+		s.Start += uint32(steps[0])
 		steps = steps[1:]
 	}
 	s.Steps = append(slices.Clone(steps), step)
--- a/internal/admissioncontrol/follower.go
+++ b/internal/admissioncontrol/follower.go
@@ -78,21 +78,21 @@
 // RetryAfterSeconds returns the number of seconds until the policy admits the job that got verdict, at
 // least 1. There must be a current policy.
 func (f *PolicyFollower) RetryAfterSeconds(verdict admission.Verdict) int {
-	epochs := time.Duration(min(verdict.EpochsToTurn, maxEpochsAhead))
+	epochs := time.Duration(min(verdict.EpochsUntilAdmitted, maxEpochsAhead))
 	epochLength := time.Duration(min(f.Current.EpochLengthMS, maxEpochMS)) * time.Millisecond
 	admittedAt := f.KnownSince + epochs*epochLength
 	return max(1, int((admittedAt-f.host.Now()+time.Second-1)/time.Second))
 }
 
-// CountByPolicy counts a submission that this node rejects because the policy does not admit it yet.
-func (f *PolicyFollower) CountByPolicy(group admission.Group) {
+// CountPolicyRejection counts a submission that this node rejects because the policy does not admit it yet.
+func (f *PolicyFollower) CountPolicyRejection(group admission.Group) {
 	f.rejections.countPolicyRejection(group)
 }
 
-// CountForCapacity counts a job that the policy admits but that this node can't write in time.
+// CountCapacityRejection counts a job that the policy admits but that this node can't write in time.
 // admittedByVersion is the version of the policy's record that admitted the job. Jobs that another
 // version admitted are not counted, because they say nothing about the load of this epoch.
-func (f *PolicyFollower) CountForCapacity(spec *protocol.Job, admittedByVersion uint64) {
+func (f *PolicyFollower) CountCapacityRejection(spec *protocol.Job, admittedByVersion uint64) {
 	if admittedByVersion == f.Version {
 		f.rejections.countCapacityRejection(GroupOf(spec), spec.ID)
 	}
@@ -148,7 +148,7 @@
 	case status == http.StatusOK && json.Unmarshal(body, &item) == nil:
 		f.ApplyRecord(item)
 	case status == http.StatusNotFound && json.Unmarshal(body, &notFound) == nil:
-		f.NoteRemoved(notFound.Revision)
+		f.ApplyRemoval(notFound.Revision)
 	}
 	callbacks := f.readCallbacks
 	f.readCallbacks = nil
@@ -191,9 +191,9 @@
 	f.log.Error("admission policy invalid, rejecting submissions", "version", f.Version, "error", err)
 }
 
-// NoteRemoved records that there was no policy at a revision of the key-value store, unless this node
+// ApplyRemoval records that there was no policy at a revision of the key-value store, unless this node
 // knows of a newer change.
-func (f *PolicyFollower) NoteRemoved(revision uint64) {
+func (f *PolicyFollower) ApplyRemoval(revision uint64) {
 	if revision < f.Revision {
 		return
 	}
--- a/internal/admissioncontrol/follower_test.go
+++ b/internal/admissioncontrol/follower_test.go
@@ -83,10 +83,10 @@
 	if follower.ApplyRecord(invalid); !follower.Invalid || follower.Current != nil || follower.Version != 6 {
 		t.Errorf("after an invalid record at revision 6: %+v", follower.PolicyRecord)
 	}
-	if follower.NoteRemoved(5); !follower.Invalid {
+	if follower.ApplyRemoval(5); !follower.Invalid {
 		t.Error("a removal that is older than the record was applied")
 	}
-	if follower.NoteRemoved(7); follower.PolicyRecord != (PolicyRecord{Revision: 7}) {
+	if follower.ApplyRemoval(7); follower.PolicyRecord != (PolicyRecord{Revision: 7}) {
 		t.Errorf("after the removal at revision 7: %+v, want only this revision", follower.PolicyRecord)
 	}
 }
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -92,7 +92,7 @@
 // record at the given revision of the key-value store.
 func (p *Publisher) LoadStoredPolicy(items []storage.Item, revision uint64) {
 	if len(items) == 0 {
-		p.follower.NoteRemoved(revision)
+		p.follower.ApplyRemoval(revision)
 	}
 	for _, item := range items {
 		if item.Key == storage.AdmissionPolicyKey {
@@ -228,7 +228,7 @@
 	p.EpochStartedAt = p.host.Now()
 	clear(p.EpochLoads)
 	if !hasPolicy {
-		p.follower.NoteRemoved(max(p.follower.Revision, p.writer.LastRevision()))
+		p.follower.ApplyRemoval(max(p.follower.Revision, p.writer.LastRevision()))
 		p.follower.Read(nil) // returns the revision of the removal, which is announced to peers
 		return
 	}
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -204,9 +204,9 @@
 // request is repeated.
 func (a *Autoscaler) AddStoredRental(request protocol.RentalRequest) { a.rentals.addStored(request) }
 
-// InheritUsualLoad completes the takeover once all records are loaded: costs are counted from now on,
+// CompleteTakeover completes the takeover once all records are loaded: costs are counted from now on,
 // and the cores held are taken as the usual load.
-func (a *Autoscaler) InheritUsualLoad() {
+func (a *Autoscaler) CompleteTakeover() {
 	a.costs.updatedAt = a.state.Clock.Now()
 	a.Forecast.inheritUsualLoad()
 }
--- a/internal/autoscaler/costs.go
+++ b/internal/autoscaler/costs.go
@@ -37,7 +37,7 @@
 	}
 	fetchingCores, runningCores := 0.0, 0.0
 	for _, attempt := range machine.Attempts {
-		if attempt.Phase == cluster.AttemptRunning || attempt.Phase == cluster.AttemptSaving {
+		if attempt.Phase == cluster.AttemptRunning || attempt.Phase == cluster.AttemptCheckpointing {
 			runningCores += attempt.Job.Spec.Cores
 		} else {
 			fetchingCores += attempt.Job.Spec.Cores
--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -28,9 +28,9 @@
 const (
 	AttemptAssigned AttemptPhase = iota // not included in any heartbeat response yet
 	AttemptSent                         // included in a response that no heartbeat has confirmed yet
-	AttemptFetching                     // the machine is pulling the image
+	AttemptPulling                      // the machine is pulling the image
 	AttemptRunning
-	AttemptSaving // the task is saving a checkpoint before it stops
+	AttemptCheckpointing // the task is saving a checkpoint before it stops
 )
 
 // Key returns the task key of the attempt. The key is computed once and cached.
--- a/internal/cluster/estimates.go
+++ b/internal/cluster/estimates.go
@@ -29,7 +29,7 @@
 // StartSLO returns the tightest start objective of the job's class, or 0 if the class has completion
 // objectives or none at all.
 func (e *Estimates) StartSLO(job *Job) time.Duration {
-	if slos := e.Slos[job.Spec.Class]; len(slos) > 0 && slos[0].OnStart {
+	if slos := e.SLOs[job.Spec.Class]; len(slos) > 0 && slos[0].OnStart {
 		return slos[0].Limit
 	}
 	return 0
@@ -56,7 +56,7 @@
 	if job.Spec.DeadlineSeconds != nil {
 		return job.AcceptedAt + config.Seconds(*job.Spec.DeadlineSeconds)
 	}
-	slos := e.Slos[job.Spec.Class]
+	slos := e.SLOs[job.Spec.Class]
 	for i, objective := range slos {
 		end := from + objective.Limit
 		if objective.OnStart {
@@ -120,9 +120,9 @@
 	return expected
 }
 
-// CheckpointGraceS returns the grace period, in seconds, in which an attempt can save a checkpoint. It
+// CheckpointGraceSeconds returns the grace period, in seconds, in which an attempt can save a checkpoint. It
 // includes a margin for slow machines.
-func (e *Estimates) CheckpointGraceS(attempt *TaskAttempt) float64 {
+func (e *Estimates) CheckpointGraceSeconds(attempt *TaskAttempt) float64 {
 	return 2*attempt.Job.Spec.CheckpointSaveSeconds + e.HeartbeatInterval().Seconds()
 }
 
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -131,10 +131,10 @@
 	minSiblingSamples = 3
 )
 
-// RecordPace records how long a finished task took on a machine, relative to the typical run time of
+// RecordSlowdown records how long a finished task took on a machine, relative to the typical run time of
 // the job's other tasks. The user's estimate is not suitable for the comparison, because its error is
 // the same for all tasks of a job.
-func (s *State) RecordPace(machine *Machine, job *Job, duration time.Duration) {
+func (s *State) RecordSlowdown(machine *Machine, job *Job, duration time.Duration) {
 	if typical, ok := job.typicalTaskDuration(); ok {
 		if len(machine.logDurationRatios) == maxSlowdownSamples {
 			machine.logDurationRatios = machine.logDurationRatios[1:]
@@ -214,7 +214,7 @@
 	case attempt.Phase != AttemptRunning:
 		s.RequestStop(attempt, 0)
 	case attempt.Job.Spec.CheckpointIntervalSeconds > 0:
-		s.RescheduleAttempt(attempt, s.CheckpointGraceS(attempt))
+		s.RescheduleAttempt(attempt, s.CheckpointGraceSeconds(attempt))
 	case remaining > expected:
 		s.RescheduleAttempt(attempt, 0)
 	}
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -14,8 +14,8 @@
 	AcceptedAt clock.Instant // when the submission was accepted
 	// EligibleAt is when the job was accepted or, if it has dependencies, when the last of them was
 	// completed. All time limits except the deadline count from then.
-	EligibleAt    clock.Instant
-	RecordVersion uint64 // revision of the job record in the key-value store
+	EligibleAt     clock.Instant
+	RecordRevision uint64 // revision of the job record in the key-value store
 
 	Dependencies
 	TaskProgress
@@ -70,7 +70,7 @@
 // NewJob returns a job without dependencies whose tasks are all pending since now.
 func NewJob(spec protocol.Job, acceptedAt clock.Instant, recordVersion uint64, now clock.Instant) *Job {
 	return &Job{
-		Spec: spec, AcceptedAt: acceptedAt, EligibleAt: acceptedAt, RecordVersion: recordVersion,
+		Spec: spec, AcceptedAt: acceptedAt, EligibleAt: acceptedAt, RecordRevision: recordVersion,
 		Dependencies: NewDependencies(),
 		TaskProgress: TaskProgress{Attempts: map[int]*TaskAttempt{}, PendingTasks: spec.TaskCount},
 		JobFailures:  JobFailures{FailureHistories: map[int]*FailureHistory{}, FailedMachines: map[string]bool{}},
@@ -148,7 +148,7 @@
 func (j *Job) State() protocol.JobStatus {
 	done, running := j.DoneTasks, 0
 	for _, attempt := range j.Attempts {
-		if attempt.Phase == AttemptRunning || attempt.Phase == AttemptSaving {
+		if attempt.Phase == AttemptRunning || attempt.Phase == AttemptCheckpointing {
 			running++
 		}
 	}
--- a/internal/cluster/objectives.go
+++ b/internal/cluster/objectives.go
@@ -8,15 +8,15 @@
 	"hitchdoor/internal/config"
 )
 
-// Slo is a service-level objective of a job class: jobs should complete, or start, within a time limit.
-type Slo struct {
+// SLO is a service-level objective of a job class: jobs should complete, or start, within a time limit.
+type SLO struct {
 	Limit   time.Duration // counts from when the job became eligible
 	OnStart bool          // the job must start, rather than complete, within the limit
 }
 
 // objectives holds the service-level objectives of the settings, indexed by job class.
 type objectives struct {
-	Slos                  map[string][]Slo   // by class, tightest first
+	SLOs                  map[string][]SLO   // by class, tightest first
 	MinShare              map[string]float64 // by class, the lowest share of jobs that an objective requires
 	GuaranteedStartWithin time.Duration      // start objective for guaranteed work; 0: none
 }
@@ -24,7 +24,7 @@
 // newObjectives indexes the objectives of the settings. If a class has completion objectives, its start
 // objectives are ignored.
 func newObjectives(cluster *config.Cluster) objectives {
-	table := objectives{Slos: map[string][]Slo{}, MinShare: map[string]float64{}}
+	table := objectives{SLOs: map[string][]SLO{}, MinShare: map[string]float64{}}
 	for _, objective := range cluster.Objectives {
 		class, within := objective.Class, config.Seconds(objective.WithinS)
 		if objective.Kind == "guarantee" {
@@ -34,15 +34,15 @@
 			table.MinShare[class] = objective.MinShare
 		}
 		if objective.Kind == "finished" || objective.Kind == "wait" {
-			table.Slos[class] = append(table.Slos[class], Slo{within, objective.Kind == "wait"})
+			table.SLOs[class] = append(table.SLOs[class], SLO{within, objective.Kind == "wait"})
 		}
 	}
-	for class, slos := range table.Slos {
-		if slices.ContainsFunc(slos, func(a Slo) bool { return !a.OnStart }) {
-			slos = slices.DeleteFunc(slos, func(a Slo) bool { return a.OnStart })
+	for class, slos := range table.SLOs {
+		if slices.ContainsFunc(slos, func(a SLO) bool { return !a.OnStart }) {
+			slos = slices.DeleteFunc(slos, func(a SLO) bool { return a.OnStart })
 		}
-		slices.SortFunc(slos, func(a, b Slo) int { return cmp.Compare(a.Limit, b.Limit) })
-		table.Slos[class] = slos
+		slices.SortFunc(slos, func(a, b SLO) int { return cmp.Compare(a.Limit, b.Limit) })
+		table.SLOs[class] = slos
 	}
 	return table
 }
--- a/internal/cluster/totals.go
+++ b/internal/cluster/totals.go
@@ -16,7 +16,7 @@
 
 	TotalCores, LargestMachineCores float64                 // cores of all machines, and of the largest one
 	UnreconciledMachines            int                     // number of machines that are not reconciled yet
-	UnreconciledOptions             map[fleet.Offering]bool // offerings from which these machines were rented
+	UnreconciledOfferings           map[fleet.Offering]bool // offerings from which these machines were rented
 	UnreconciledTypeUnknown         bool                    // the type of some of these machines is unknown
 }
 
@@ -28,7 +28,7 @@
 	if s.TotalsValid {
 		return s.totals
 	}
-	totals := MachineTotals{AllReconciled: true, UnreconciledOptions: map[fleet.Offering]bool{}}
+	totals := MachineTotals{AllReconciled: true, UnreconciledOfferings: map[fleet.Offering]bool{}}
 	if s.InventoryIncomplete() {
 		totals.AllReconciled, totals.UnreconciledTypeUnknown = false, true
 		totals.UnknownUsage = unboundedUsage
@@ -51,7 +51,7 @@
 	t.AllReconciled = false
 	t.UnreconciledMachines++
 	t.UnreconciledTypeUnknown = t.UnreconciledTypeUnknown || machine.TypeName == ""
-	t.UnreconciledOptions[machine.Offering()] = true
+	t.UnreconciledOfferings[machine.Offering()] = true
 }
 
 // addUnknownUsage adds all resources of a machine on which tasks unknown to this leader may be running.
--- a/internal/cluster/transitions_test.go
+++ b/internal/cluster/transitions_test.go
@@ -138,9 +138,9 @@
 	}{
 		{AttemptAssigned, []float64{9}, 0, true},
 		{AttemptSent, []float64{9}, 9, false},
-		{AttemptFetching, []float64{9, 4}, 4, false},
+		{AttemptPulling, []float64{9, 4}, 4, false},
 		{AttemptRunning, []float64{4, 9}, 4, false},
-		{AttemptSaving, []float64{4, 0, 4}, 0, false},
+		{AttemptCheckpointing, []float64{4, 0, 4}, 0, false},
 	} {
 		state, _ := newTestState()
 		machine := newTestMachine(state, "m-1")
--- a/internal/compatibility/records_test.go
+++ b/internal/compatibility/records_test.go
@@ -112,7 +112,7 @@
 // the name of a field ignores the field's value.
 func TestStoredRecords(t *testing.T) {
 	machine := storage.MachineRecord{Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000_123, Used: true}
-	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Tail: 5,
+	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Start: 5,
 		Steps: []uint64{6, 7}, Demand: 8.5}
 	job := minimalJob()
 	job.ID = "j-77"
--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -134,7 +134,7 @@
 			{TaskID: protocol.TaskID("j-77", 12), Attempt: 5, State: protocol.TaskExited, ExitReason: protocol.ExitStopped,
 				CheckpointSaved: true}}}
 	allTaskStates := protocol.WorkerHeartbeat{Machine: "m-000008", Epoch: 1, Tasks: []protocol.TaskStatus{}}
-	for i, state := range []protocol.TaskState{protocol.TaskFetching, protocol.TaskRunning, protocol.TaskCheckpointing} {
+	for i, state := range []protocol.TaskState{protocol.TaskPulling, protocol.TaskRunning, protocol.TaskCheckpointing} {
 		allTaskStates.Tasks = append(allTaskStates.Tasks,
 			protocol.TaskStatus{TaskID: protocol.TaskID("j-1", i), Attempt: 1, State: state})
 	}
@@ -225,7 +225,7 @@
 		allFieldsSet bool
 	}{
 		{"heartbeat/full", protocol.PeerHeartbeat{Term: 4, IsLeader: true, WantsLeaseGrant: true, SentAt: 12, Uptime: 13,
-			ProcessID: 5, ReceiverProcessID: 7, VersionLevel: 1, WritesThrottled: true, ConnectionsFull: true,
+			ProcessID: 5, ReceiverProcessID: 7, ProtocolLevel: 1, WritesThrottled: true, ConnectionsFull: true,
 			SpareConnections: 31, PolicyRevision: 77, Links: &protocol.LinkReport{
 				IncomingLinks:  []reachability.IncomingLink{{Node: "n1", AgeMS: 20}},
 				StoreReachable: true, RecentWorkers: 8, StrandedWorkers: 9,
@@ -440,7 +440,7 @@
 // against changed names of mismatches, recovery phases, operations and priorities.
 func TestStatusPages(t *testing.T) {
 	group := admission.Group{Team: "team-b", Class: "class-a", PriorityRank: 2}
-	share := admission.Share{Group: group, Tail: 11, Steps: []uint64{12, admission.Ring}, Demand: 1.5}
+	share := admission.Share{Group: group, Start: 11, Steps: []uint64{12, admission.Ring}, Demand: 1.5}
 	checkJSONCases(t, "wire_status_pages.txt", []jsonCase{
 		fullCase("links", reachability.NodeStatus{Node: "n0", Peers: []string{"n1"},
 			IncomingLinks: []reachability.IncomingLink{{Node: "n1", AgeMS: 20}}, LinkTimeoutMS: 30, StoreReachable: true,
@@ -457,7 +457,7 @@
 			PolicyAgeSeconds: 1.5, EpochCapacity: 2.5, Policy: &admission.Policy{
 				Epoch: 3, EpochLengthMS: 4000, Shares: []admission.Share{share}, DefaultShare: share},
 			WaitingGroups: []admission.WaitingGroup{{Group: group, Jobs: 6}}, Job: &admission.JobStatus{ID: "j-1",
-				Accepted: true, RejectedGroup: &group, AdmittedNow: true, TurnInSeconds: 7}}),
+				Accepted: true, RejectedGroup: &group, AdmittedNow: true, SecondsUntilAdmitted: 7}}),
 		partialCase("admission/no policy", admission.NodeStatus{Node: "n0"}),
 		fullCase("trace step", tracing.Step{Job: "j-1", Node: "n0", Name: "stored", At: time.Unix(1_000_000, 5).UTC(),
 			Note: "x", Term: 4, Epoch: 5}),
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -69,7 +69,7 @@
 		n.submissionQueue.Add(submission.write)
 		return
 	}
-	policy.CountByPolicy(group)
+	policy.CountPolicyRejection(group)
 	n.policyRejections.Put(job.ID, group)
 	n.rejectByPolicy(submission, admissionDeferred(policy.RetryAfterSeconds(verdict)))
 }
@@ -89,7 +89,7 @@
 func (n *Node) rejectForCapacity(submission *userSubmission) {
 	job := submission.request.Job
 	if !n.election.StoreUnavailable() {
-		n.admissionPolicy.CountForCapacity(job, submission.write.PolicyVersion)
+		n.admissionPolicy.CountCapacityRejection(job, submission.write.PolicyVersion)
 	}
 	n.traceStep(job.ID, stepRejected, "")
 	n.replyUnavailable(submission.request.Origin)
--- a/internal/controller/admission_status.go
+++ b/internal/controller/admission_status.go
@@ -40,7 +40,7 @@
 	verdict := n.admissionPolicy.Current.Evaluate(group, jobID)
 	status.AdmittedNow = verdict.Admit && !n.admissionPolicy.Invalid
 	if !status.AdmittedNow {
-		status.TurnInSeconds = n.admissionPolicy.RetryAfterSeconds(verdict)
+		status.SecondsUntilAdmitted = n.admissionPolicy.RetryAfterSeconds(verdict)
 	}
 	return status
 }
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -412,7 +412,7 @@
 	if r := sim.submit(follower.name, jobSpec("j-1", 1)); r.Status != 201 || follower.admissionPolicy.Current != nil {
 		t.Errorf("got status %d, policy %+v, want 201 and no policy", r.Status, follower.admissionPolicy.Current)
 	}
-	follower.admissionPolicy.NoteRemoved(9_001)
+	follower.admissionPolicy.ApplyRemoval(9_001)
 	follower.admissionPolicy.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: 9_000})
 	if follower.admissionPolicy.Current != nil {
 		t.Error("a policy older than its removal was applied")
@@ -433,7 +433,7 @@
 	sim.submitAccepted(sim.leaderName(), jobSpec("j-1", 1))
 	sim.advance(time.Second)
 	rejectAll := &admission.Policy{Epoch: 5, EpochLengthMS: 3500,
-		DefaultShare: admission.Share{Tail: admission.Position("j-1") + 1, Steps: []uint64{1}}}
+		DefaultShare: admission.Share{Start: admission.Position("j-1") + 1, Steps: []uint64{1}}}
 	sim.store.putValue(storage.AdmissionPolicyKey, rejectAll)
 	version := sim.store.keys[storage.AdmissionPolicyKey].ModRevision
 	for _, name := range sim.names {
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -262,7 +262,7 @@
 		"known machines":           {"m-000001", "m-000002"},
 		"without name":             {"", "m-000101"},
 		"none":                     {},
-		"far too many":             manyNames(400),
+		"far too many":             machineNames(400),
 		"same machine three times": {"m-000102", "m-000102", "m-000102"},
 		"returned machine":         {"m-000050"},
 	} {
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -109,8 +109,8 @@
 		for at-c.startTimes[first] >= time.Second {
 			first++
 		}
-		if n := float64(i - first + 1); n > rate.PerWindow()*1.05+1 {
-			c.t.Fatalf("starts within the second up to %v: got %.0f, limit %.1f", at, n, rate.PerWindow())
+		if n := float64(i - first + 1); n > rate.MaxInOneSecond()*1.05+1 {
+			c.t.Fatalf("starts within the second up to %v: got %.0f, limit %.1f", at, n, rate.MaxInOneSecond())
 		}
 	}
 	if len(c.startTimes) > 0 {
@@ -261,7 +261,7 @@
 			forEachSeed(t, 6, 120, func(t *testing.T, seed uint64) {
 				nodes := []int{3, 7}[seed%2]
 				downtimeInLeases := []float64{0.5, 0.97, 3}[seed%3]
-				users, _ := newFaultCombination(t, nodes, deployments[seed%uint64(len(deployments))], seed, 8, 4)
+				users, _ := newUserSimulationWithJobs(t, nodes, deployments[seed%uint64(len(deployments))], seed, 8, 4)
 				c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{},
 					leaderTerms: map[uint64]bool{}}
 				c.scenario = name
@@ -322,7 +322,7 @@
 // must exceed it neither within a second nor in total, and all tasks run in the end.
 func TestFiveLeadersOfOneRecovery(t *testing.T) {
 	for _, nodes := range []int{3, 7} {
-		users, _ := newFaultCombination(t, nodes, deployments[0], uint64(nodes), 20, 8)
+		users, _ := newUserSimulationWithJobs(t, nodes, deployments[0], uint64(nodes), 20, 8)
 		c := &coldStart{userSimulation: users, mismatchCounts: map[recovery.Mismatch]int{},
 			leaderTerms: map[uint64]bool{}, downtime: 2 * users.machineLease()}
 		c.restartAllControllers(0)
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_adapter.go
@@ -54,7 +54,7 @@
 // heartbeats, except while it probes the direct route.
 func (h electionHost) DescribeController(heartbeat *protocol.PeerHeartbeat) {
 	node := h.node
-	heartbeat.VersionLevel = protocolLevel
+	heartbeat.ProtocolLevel = protocolLevel
 	heartbeat.WritesThrottled = node.writesThrottled
 	heartbeat.ConnectionsFull = node.workerRouter.Connections.Full
 	heartbeat.SpareConnections = node.workerRouter.Connections.Spare()
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -425,9 +425,9 @@
 	sentAt := now
 	leaderNode.Step(sentAt+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
 	if validUntil := leaderNode.election.Status().LeaseValidUntil; validUntil !=
-		sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()) {
+		sentAt+election.GuaranteedLeaseDuration(leaderNode.leaderLease()) {
 		t.Errorf("leader lease valid until %v after a renewal sent at %v, want %v", validUntil, sentAt,
-			sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()))
+			sentAt+election.GuaranteedLeaseDuration(leaderNode.leaderLease()))
 	}
 }
 
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// newFaultCombination returns a simulation with the given worker timings, users, machines, and jobs
+// newUserSimulationWithJobs returns a simulation with the given worker timings, users, machines, and jobs
 // whose tasks all run, for an hour each. It also returns the leader.
-func newFaultCombination(t *testing.T, nodes int, timings workerTimings, seed uint64, jobs, tasks int) (
+func newUserSimulationWithJobs(t *testing.T, nodes int, timings workerTimings, seed uint64, jobs, tasks int) (
 	*userSimulation, *simNode) {
 	t.Helper()
 	c := newUserSimulation(newSimulationWithTimings(t, nodes, timings), seed)
--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -22,8 +22,8 @@
 // StoreUnavailable reports whether the key-value store is considered down.
 func (h jobReaderHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
-// StoreResponding reports whether the last call to the key-value store succeeded.
-func (h jobReaderHost) StoreResponding() bool {
+// StoreReachable reports whether the last call to the key-value store succeeded.
+func (h jobReaderHost) StoreReachable() bool {
 	return h.node.election.StoreReachable()
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -109,7 +109,7 @@
 	l.recordsLoaded, l.SchedulingNeeded = true, true
 	l.loader.DropStaleDependencies()
 	l.machineRecords.SplitOversizedGroups()
-	l.autoscaler.InheritUsualLoad()
+	l.autoscaler.CompleteTakeover()
 	l.storeCatalog()
 	l.tickRecovery()
 	l.node.log.Info("records loaded", "jobs", len(l.Jobs), "machines", len(l.Machines))
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -50,7 +50,7 @@
 			if i < len(l.PendingOrder)/2 {
 				queued.Job.Spec.MemoryGB = 15 // fits on no machine, but is examined for each
 			}
-			l.Slos[queued.Job.Spec.Class] = []cluster.Slo{{Limit: 10 * time.Second, OnStart: true}}
+			l.SLOs[queued.Job.Spec.Class] = []cluster.SLO{{Limit: 10 * time.Second, OnStart: true}}
 		}
 		examinedBefore := l.CandidatesExamined
 		for i, machine := range l.MachinesByName()[:21] {
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -246,7 +246,7 @@
 }
 
 // linkTo returns the state of the link from this node to a peer, as the peer reports it.
-func (n *Node) linkTo(name string) reachability.Link {
+func (n *Node) linkTo(name string) reachability.LinkState {
 	return n.connectivity.matrix.Link(n.cfg.Node, name, n.now, n.leaderLease())
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -35,7 +35,7 @@
 
 // recordPeerHeartbeat records the fields of a peer's heartbeat that do not concern the election.
 func (n *Node) recordPeerHeartbeat(sender *peer, heartbeat protocol.PeerHeartbeat) {
-	sender.protocolLevel = heartbeat.VersionLevel
+	sender.protocolLevel = heartbeat.ProtocolLevel
 	n.admissionPolicy.RecordPeerRevision(heartbeat.PolicyRevision)
 	if err := n.connectivity.recordReport(sender.Name, n.now, heartbeat.Links); err != nil {
 		n.log.Warn("invalid connectivity report from peer", "peer", sender.Name, "error", err)
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -87,7 +87,7 @@
 	// The version in production ignores the fields that this version adds.
 	var current map[string]any
 	encoded, err := protocol.EncodePeerMessage(protocol.PeerHeartbeat{Term: 4, IsLeader: true, SentAt: 12,
-		Uptime: 12, ProcessID: 5, ReceiverProcessID: 7, VersionLevel: protocolLevel, WritesThrottled: true})
+		Uptime: 12, ProcessID: 5, ReceiverProcessID: 7, ProtocolLevel: protocolLevel, WritesThrottled: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -117,8 +117,8 @@
 	h.leader.dependencies.ForEachDependent(job, visit)
 }
 
-// JobFinished traces the end of a job and caches its terminal record.
-func (h recordsHost) JobFinished(job *cluster.Job, terminal storage.TerminalRecord) {
+// TerminalRecordWritten traces the end of a job and caches its terminal record.
+func (h recordsHost) TerminalRecordWritten(job *cluster.Job, terminal storage.TerminalRecord) {
 	l := h.leader
 	l.node.traceStep(job.Spec.ID, stepTerminal, string(terminal.State)+" after "+l.jobAge(job))
 	l.node.jobReader.CacheTerminalRecord(job.Spec.ID, terminal)
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -120,7 +120,7 @@
 func testRefusalThenOutage(t *testing.T, nodes int, timings workerTimings, seed uint64, outageAfter time.Duration,
 	prepare func(*userSimulation, string)) {
 	const jobs = 8
-	c, leaderNode := newFaultCombination(t, nodes, timings, seed, jobs, 2)
+	c, leaderNode := newUserSimulationWithJobs(t, nodes, timings, seed, jobs, 2)
 	outageAfter += time.Duration(c.rng.Float64() * float64(c.machineLease()) / 32)
 	// Half of the machines reach only the old leader.
 	c.workerReaches = func(worker *fakeWorker, node string) bool {
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -224,8 +224,8 @@
 	}
 }
 
-// manyNames returns the given number of machine names, from m-001000 on, which no other machine has.
-func manyNames(count int) []string {
+// machineNames returns the given number of machine names, from m-001000 on, which no other machine has.
+func machineNames(count int) []string {
 	var names []string
 	for i := range count {
 		names = append(names, fmt.Sprintf("m-%06d", 1000+i))
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -352,7 +352,7 @@
 		case OutboundMessage:
 			if n.oldVersion {
 				if heartbeat, ok := e.Message.(protocol.PeerHeartbeat); ok {
-					heartbeat.VersionLevel, heartbeat.WritesThrottled = 0, false
+					heartbeat.ProtocolLevel, heartbeat.WritesThrottled = 0, false
 					e.Message = heartbeat
 				}
 			}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -156,7 +156,7 @@
 		n.onSubmissionAccepted(submission, result.Revision)
 	case submissions.PolicyChanged:
 		n.admissionPolicy.Read(func() { n.evaluateSubmission(submission) })
-	case submissions.JobKnown:
+	case submissions.JobMayExist:
 		n.replyFromStore(submission.request, submission.leader, retryLater)
 	case submissions.TooLarge:
 		n.replyFromStore(submission.request, submission.leader, jobTooLarge)
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -41,7 +41,7 @@
 	if verdict.Admit {
 		return "admitted"
 	}
-	return "turn in " + strconv.Itoa(verdict.EpochsToTurn) + " epochs"
+	return "turn in " + strconv.Itoa(verdict.EpochsUntilAdmitted) + " epochs"
 }
 
 // TraceBlocked traces which check of the scheduler blocks a job, if it is not the previous one.
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -121,7 +121,7 @@
 	for i, name := range sim.followers() {
 		leaderNode.Step(leaderNode.monotonicNow(sim.now),
 			[]Command{InboundMessage{From: name,
-				Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel,
+				Message: protocol.PeerHeartbeat{ProcessID: 7, ProtocolLevel: protocolLevel,
 					SpareConnections: 10 * (i + 1)}}})
 	}
 	leastLoaded := sim.followers()[1]
@@ -152,7 +152,7 @@
 	for _, name := range sim.followers() {
 		leaderNode.Step(leaderNode.monotonicNow(sim.now),
 			[]Command{InboundMessage{From: name,
-				Message: protocol.PeerHeartbeat{ProcessID: 7, VersionLevel: protocolLevel, ConnectionsFull: true}}})
+				Message: protocol.PeerHeartbeat{ProcessID: 7, ProtocolLevel: protocolLevel, ConnectionsFull: true}}})
 	}
 	if r := sendHeartbeat("m-3", 1); r.Status != 200 {
 		t.Errorf("all nodes full, new worker: got %+v, want status 200", r)
@@ -223,7 +223,7 @@
 	leader := sim.waitForLeader()
 	follower := sim.nodes[sim.followers()[0]]
 	sendHeartbeats := func(leaderHeartbeat protocol.PeerHeartbeat, workers string) (redirected, relayed int) {
-		leaderHeartbeat.Term, leaderHeartbeat.IsLeader, leaderHeartbeat.ProcessID, leaderHeartbeat.VersionLevel =
+		leaderHeartbeat.Term, leaderHeartbeat.IsLeader, leaderHeartbeat.ProcessID, leaderHeartbeat.ProtocolLevel =
 			leader.leader.term, true, leader.processID, protocolLevel
 		batch := []Command{InboundMessage{From: leader.name, Message: leaderHeartbeat}}
 		for i := range 20 {
--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -197,7 +197,7 @@
 			// node, and revokeStaleLease revokes its lease.
 			return
 		}
-		if e.host.Now() >= leaseRequestedAt+SafeLeaseSpan(e.LeaderLease()) {
+		if e.host.Now() >= leaseRequestedAt+GuaranteedLeaseDuration(e.LeaderLease()) {
 			return
 		}
 		e.becomeLeader(current.term, result.Revision, leaseID, leaseRequestedAt)
--- a/internal/election/election_step_test.go
+++ b/internal/election/election_step_test.go
@@ -130,7 +130,7 @@
 	e.HandleMessage("n2", protocol.LeaseGrant{Term: 1, HeartbeatSentAt: clock.Forever / 2})
 	grantedAt := host.now
 	host.runUntil(e.workerLease(), func() bool { return len(host.stepDownReasons) > 0 })
-	if end := grantedAt + SafeLeaseSpan(e.LeaderLease()); host.now < end || host.now > end+5*time.Millisecond {
+	if end := grantedAt + GuaranteedLeaseDuration(e.LeaderLease()); host.now < end || host.now > end+5*time.Millisecond {
 		t.Errorf("led until %v by a grant received at %v, want until %v", host.now, grantedAt, end)
 	}
 	if len(host.stepDownReasons) != 1 || host.stepDownReasons[0] != "leader lease expired" || e.HoldsLeaderLease() {
--- a/internal/election/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -26,7 +26,7 @@
 func (e *Election) newLeadership(term, leaseID uint64, requestedAt clock.Instant) *leadership {
 	started := &leadership{
 		term: term, startedAt: e.host.Now(), leaseID: leaseID,
-		leaseValidUntil: requestedAt + SafeLeaseSpan(e.LeaderLease()),
+		leaseValidUntil: requestedAt + GuaranteedLeaseDuration(e.LeaderLease()),
 		grantedUntil:    make(map[string]clock.Instant, len(e.peers)),
 		renewalSentAt:   requestedAt,
 	}
@@ -128,7 +128,7 @@
 		current.renewalInFlight = false
 		switch response.Status {
 		case http.StatusOK:
-			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+SafeLeaseSpan(e.LeaderLease()))
+			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+GuaranteedLeaseDuration(e.LeaderLease()))
 			current.renewalFailed = false
 		case http.StatusNotFound:
 			e.StepDown("leader lease no longer exists in the key-value store")
--- a/internal/election/lease_grants.go
+++ b/internal/election/lease_grants.go
@@ -28,7 +28,7 @@
 	// A grant counts from the time of its request, which can't be later than now. A wrong
 	// timestamp from the peer must not extend the grant.
 	requestedAt := min(grant.HeartbeatSentAt, e.host.Now())
-	until := requestedAt + SafeLeaseSpan(e.LeaderLease())
+	until := requestedAt + GuaranteedLeaseDuration(e.LeaderLease())
 	current.grantedUntil[sender.Name] = max(current.grantedUntil[sender.Name], until)
 }
 
--- a/internal/election/timing.go
+++ b/internal/election/timing.go
@@ -36,6 +36,8 @@
 // peersInQuorum returns how many peers form a quorum (a majority) together with this node.
 func (t timing) peersInQuorum() int { return t.cluster.ControllerCount / 2 }
 
-// SafeLeaseSpan returns how long a lease of the key-value store, or a lease grant of a peer, is
+// GuaranteedLeaseDuration returns how long a lease of the key-value store, or a lease grant of a peer, is
 // guaranteed to last by this node's clock.
-func SafeLeaseSpan(lease time.Duration) time.Duration { return lease - lease/500 - time.Millisecond }
+func GuaranteedLeaseDuration(lease time.Duration) time.Duration {
+	return lease - lease/500 - time.Millisecond
+}
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -147,11 +147,11 @@
 	}
 	e.controllersLostAt = time.Now()
 	e.controllers.killAll()
-	if !sleep(ctx, e.options.ControllersAway/2) {
+	if !sleep(ctx, e.options.ControllerDowntime/2) {
 		return ctx.Err()
 	}
 	partitioned := e.injectFaults()
-	if !sleep(ctx, time.Until(e.controllersLostAt.Add(e.options.ControllersAway))) {
+	if !sleep(ctx, time.Until(e.controllersLostAt.Add(e.options.ControllerDowntime))) {
 		return ctx.Err()
 	}
 	cluster := e.options.clusterConfig()
@@ -245,7 +245,7 @@
 	totals := e.fleet.TaskTotals(options.cancelTimeout() + options.HeartbeatInterval)
 	report := &Report{Machines: options.Machines, Controllers: options.Controllers, Seed: options.Seed,
 		LoadS: options.LoadDuration.Seconds(), LoseControllersAtS: options.LoseControllersAt.Seconds(),
-		ControllerDowntimeS: options.ControllersAway.Seconds(), LossesDuringRecovery: len(options.LoseAgainAfter),
+		ControllerDowntimeS: options.ControllerDowntime.Seconds(), LossesDuringRecovery: len(options.LoseAgainAfter),
 		HeartbeatIntervalS: options.HeartbeatInterval.Seconds(), LeaseS: options.LeaseDuration.Seconds(),
 		DuplicateStarts: len(e.fleet.DuplicatedTasks()), WronglyStopped: len(e.fleet.WronglyStoppedTasks()),
 		CancelledOverdue: totals.CancelledOverdue, Jobs: e.load.jobCounts(),
@@ -277,10 +277,10 @@
 	}
 	report.Operations = countRates(operations, e.controllersRestartedAt, end)
 	rates := e.operationRates()
-	report.Operations.Limit = rates[recovery.StartTask].PerWindow() + rates[recovery.StopTask].PerWindow()
+	report.Operations.Limit = rates[recovery.StartTask].MaxInOneSecond() + rates[recovery.StopTask].MaxInOneSecond()
 	report.Operations.LimitByKind = map[string]float64{}
 	for operation, rate := range rates {
-		report.Operations.LimitByKind[recovery.Operation(operation).String()] = rate.PerWindow()
+		report.Operations.LimitByKind[recovery.Operation(operation).String()] = rate.MaxInOneSecond()
 	}
 }
 
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -42,7 +42,7 @@
 func testOptions(t *testing.T) Options {
 	t.Helper()
 	return Options{Machines: 50, Controllers: 3, LoadDuration: 24 * time.Second, LoseControllersAt: 8 * time.Second,
-		ControllersAway: 3 * time.Second, Seed: 1, Load: 0.7,
+		ControllerDowntime: 3 * time.Second, Seed: 1, Load: 0.7,
 		ReportFile: filepath.Join(t.TempDir(), "report.json")}
 }
 
@@ -67,7 +67,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			options := testOptions(t)
-			options.ControllersAway, options.LoseAgainAfter = c.downtime, c.loseAgain
+			options.ControllerDowntime, options.LoseAgainAfter = c.downtime, c.loseAgain
 			summary := &bytes.Buffer{}
 			options.SummaryOutput = summary
 			report, err := Run(t.Context(), options)
@@ -120,7 +120,7 @@
 	}{
 		"no machines":          {func(options *Options) { options.Machines = 0 }, "--machines:", true},
 		"too many controllers": {func(options *Options) { options.Controllers = 99 }, "--controllers:", true},
-		"load ends before the restart": {func(options *Options) { options.ControllersAway = time.Minute },
+		"load ends before the restart": {func(options *Options) { options.ControllerDowntime = time.Minute },
 			"--for: ends after", true},
 		"second loss without a first": {func(options *Options) {
 			options.LoseControllersAt, options.LoseAgainAfter = 0, []time.Duration{time.Second}
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -16,11 +16,11 @@
 // Options configure an emulation. Validate derives a heartbeat interval or lease of 0 from the
 // number of machines.
 type Options struct {
-	Machines          int
-	Controllers       int
-	LoadDuration      time.Duration // how long users submit jobs
-	LoseControllersAt time.Duration // time from the start of the load until all controllers are killed; 0: never
-	ControllersAway   time.Duration // time between the kill and the restart
+	Machines           int
+	Controllers        int
+	LoadDuration       time.Duration // how long users submit jobs
+	LoseControllersAt  time.Duration // time from the start of the load until all controllers are killed; 0: never
+	ControllerDowntime time.Duration // time between the kill and the restart
 	// LoseAgainAfter lists further kills of all controllers during the recovery, by the time since
 	// the previous start. The controllers are started again at once.
 	LoseAgainAfter []time.Duration
@@ -99,7 +99,7 @@
 		return invalidOption("--controllers", "must be 1 to %d, is %d", maxControllers, o.Controllers)
 	case o.LoadDuration <= 0:
 		return invalidOption("--for", "must be above 0, is %v", o.LoadDuration)
-	case o.LoseControllersAt < 0 || o.ControllersAway < 0:
+	case o.LoseControllersAt < 0 || o.ControllerDowntime < 0:
 		return invalidOption("--lose-controllers-at, --away", "can't be negative")
 	case o.LoseControllersAt > 0 && lastRestart >= o.LoadDuration:
 		return invalidOption("--for", "ends after %v, before the last start of the controllers at %v",
@@ -117,7 +117,7 @@
 // lastRestartAt returns the time from the start of the load until the controllers are started for the
 // last time.
 func (o *Options) lastRestartAt() (time.Duration, error) {
-	lastRestart := o.LoseControllersAt + o.ControllersAway
+	lastRestart := o.LoseControllersAt + o.ControllerDowntime
 	for _, after := range o.LoseAgainAfter {
 		if after <= 0 || o.LoseControllersAt == 0 {
 			return 0, invalidOption("--lose-again-after",
--- a/internal/jobstore/reader.go
+++ b/internal/jobstore/reader.go
@@ -34,8 +34,8 @@
 	// StoreUnavailable reports whether the key-value store is considered down, so that requests that
 	// need it are rejected at once.
 	StoreUnavailable() bool
-	// StoreResponding reports whether the last call to the key-value store succeeded.
-	StoreResponding() bool
+	// StoreReachable reports whether the last call to the key-value store succeeded.
+	StoreReachable() bool
 	// HasOpenJob reports whether this node is the leader and has the job among its open jobs.
 	HasOpenJob(jobID string) bool
 	// TerminalRecordRead is called with a job's terminal record that was read from the key-value store.
--- a/internal/jobstore/terminal_jobs.go
+++ b/internal/jobstore/terminal_jobs.go
@@ -54,7 +54,7 @@
 // answer.
 func (r *Reader) LoadTerminalJobs() {
 	cache := &r.terminalJobs
-	if cache.loaded || cache.loading || r.host.Now() < cache.nextReadAt || !r.host.StoreResponding() {
+	if cache.loaded || cache.loading || r.host.Now() < cache.nextReadAt || !r.host.StoreReachable() {
 		return
 	}
 	cache.loading = true
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -25,7 +25,7 @@
 	Uptime            time.Duration // time since the sender's process started
 	ProcessID         uint64        // distinguishes the sender's process from earlier ones of the same node
 	ReceiverProcessID uint64        // ProcessID in the last heartbeat that the sender got from the receiver; 0: none
-	VersionLevel      int           // protocol level of the sender: records and messages that it understands
+	ProtocolLevel     int           // protocol level of the sender: records and messages that it understands
 	WritesThrottled   bool          // the sender limits its writes to the lower rate of the settings
 	ConnectionsFull   bool          // the sender has no connections left for more workers
 	SpareConnections  int           // number of further workers that the sender accepts; 0: unknown, or it is full
@@ -183,7 +183,7 @@
 	return wirePeerMessage{Type: typePeerHeartbeat,
 		Term: m.Term, IsLeader: m.IsLeader, WantsLeaseGrant: m.WantsLeaseGrant,
 		SentAt: int64(m.SentAt), Uptime: int64(m.Uptime),
-		ProcessID: m.ProcessID, ReceiverProcessID: m.ReceiverProcessID, ProtocolLevel: m.VersionLevel,
+		ProcessID: m.ProcessID, ReceiverProcessID: m.ReceiverProcessID, ProtocolLevel: m.ProtocolLevel,
 		WritesThrottled: m.WritesThrottled, ConnectionsFull: m.ConnectionsFull, SpareConnections: m.SpareConnections,
 		Links: m.Links, PolicyRevision: m.PolicyRevision}
 }
@@ -281,7 +281,7 @@
 	}
 	return PeerHeartbeat{Term: w.Term, IsLeader: w.IsLeader, WantsLeaseGrant: w.WantsLeaseGrant,
 		SentAt: time.Duration(w.SentAt), Uptime: time.Duration(w.Uptime),
-		ProcessID: w.ProcessID, ReceiverProcessID: w.ReceiverProcessID, VersionLevel: w.ProtocolLevel,
+		ProcessID: w.ProcessID, ReceiverProcessID: w.ReceiverProcessID, ProtocolLevel: w.ProtocolLevel,
 		WritesThrottled: w.WritesThrottled, ConnectionsFull: w.ConnectionsFull, SpareConnections: w.SpareConnections,
 		Links: w.Links, PolicyRevision: w.PolicyRevision}, ""
 }
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -12,7 +12,7 @@
 var goldenMessages = map[string]PeerMessage{
 	`{"type":"beat","term":4,"lead":true,"want":true,"sent":12,"up":13,"run":5,"heard":7,` +
 		`"level":1,"slow":true}`: PeerHeartbeat{Term: 4, IsLeader: true, WantsLeaseGrant: true, SentAt: 12, Uptime: 13,
-		ProcessID: 5, ReceiverProcessID: 7, VersionLevel: 1, WritesThrottled: true},
+		ProcessID: 5, ReceiverProcessID: 7, ProtocolLevel: 1, WritesThrottled: true},
 	`{"type":"beat","sent":12,"up":12,"run":18446744073709551615}`: PeerHeartbeat{
 		SentAt: 12, Uptime: 12, ProcessID: 1<<64 - 1},
 	`{"type":"promise","term":4,"sent":12}`: LeaseGrant{Term: 4, HeartbeatSentAt: 12},
--- a/internal/protocol/states.go
+++ b/internal/protocol/states.go
@@ -22,7 +22,7 @@
 
 // States of a task on a machine.
 const (
-	TaskFetching      TaskState = "fetching" // its image is being pulled
+	TaskPulling       TaskState = "fetching" // its image is being pulled
 	TaskRunning       TaskState = "running"
 	TaskCheckpointing TaskState = "saving" // it saves a checkpoint before it stops
 	TaskExited        TaskState = "exited" // its result is kept until CommandForget
--- a/internal/reachability/matrix.go
+++ b/internal/reachability/matrix.go
@@ -36,18 +36,18 @@
 // Age returns the time since the last heartbeat arrived.
 func (l IncomingLink) Age() time.Duration { return time.Duration(l.AgeMS) * time.Millisecond }
 
-// Link is the state of the link from one node to another. The opposite direction has its own state.
-type Link int
+// LinkState is the state of the link from one node to another. The opposite direction has its own state.
+type LinkState int
 
 // These are the states of a link, as the receiving node reports them.
 const (
-	LinkUnknown Link = iota // the receiving node has not reported recently
-	LinkUp                  // the receiving node reported a recent heartbeat from the sender
-	LinkDown                // the receiving node reported, but no recent heartbeat from the sender
+	LinkUnknown LinkState = iota // the receiving node has not reported recently
+	LinkUp                       // the receiving node reported a recent heartbeat from the sender
+	LinkDown                     // the receiving node reported, but no recent heartbeat from the sender
 )
 
 // String returns the name of the state as operators see it.
-func (l Link) String() string { return [...]string{"unknown", "works", "cut"}[l] }
+func (l LinkState) String() string { return [...]string{"unknown", "works", "cut"}[l] }
 
 // receivedReport is the latest report of a node and the time at which it arrived.
 type receivedReport struct {
@@ -105,7 +105,7 @@
 
 // Link returns the state of the link from one node to another, as the receiving node reported it within
 // the window before now.
-func (m *Matrix) Link(from, to string, now, window time.Duration) Link {
+func (m *Matrix) Link(from, to string, now, window time.Duration) LinkState {
 	latest, ok := m.reports[to]
 	if !ok || now-latest.receivedAt >= window {
 		return LinkUnknown
--- a/internal/reachability/matrix_test.go
+++ b/internal/reachability/matrix_test.go
@@ -15,7 +15,7 @@
 	for _, test := range []struct {
 		from, to string
 		now      time.Duration
-		want     Link
+		want     LinkState
 	}{
 		{"a", "b", 0, LinkUp}, {"b", "a", 0, LinkUnknown}, {"c", "b", 0, LinkDown}, {"a", "c", 0, LinkUnknown},
 		{"a", "b", 7 * time.Second, LinkUp}, {"a", "b", 8 * time.Second, LinkDown}, {"a", "b", window, LinkUnknown},
--- a/internal/reconcile/reported_tasks.go
+++ b/internal/reconcile/reported_tasks.go
@@ -170,14 +170,14 @@
 // updateAttempt updates the phase of a tracked attempt from the state that its machine reports.
 func (r *Reconciler) updateAttempt(attempt *cluster.TaskAttempt, report protocol.TaskStatus) {
 	switch report.State {
-	case protocol.TaskFetching:
-		attempt.Phase = cluster.AttemptFetching
+	case protocol.TaskPulling:
+		attempt.Phase = cluster.AttemptPulling
 	case protocol.TaskRunning:
 		if attempt.Phase != cluster.AttemptRunning {
 			r.beginRunning(attempt)
 		}
 	case protocol.TaskCheckpointing:
-		attempt.Phase = cluster.AttemptSaving
+		attempt.Phase = cluster.AttemptCheckpointing
 	}
 }
 
@@ -243,7 +243,7 @@
 	job, machine, attempt := task.job, task.machine, task.attempt
 	if attempt.Phase == cluster.AttemptRunning && attempt.RunningSince > attempt.AssignedAt {
 		duration := r.Clock.Now() - attempt.RunningSince
-		r.RecordPace(machine, job, duration)
+		r.RecordSlowdown(machine, job, duration)
 		r.RecordTaskDuration(job, duration)
 	}
 	machine.ConsecutiveFailures = 0
--- a/internal/records/job_completion.go
+++ b/internal/records/job_completion.go
@@ -52,7 +52,7 @@
 func (c *jobCompletion) onApplied() {
 	r, id := c.records, c.job.Spec.ID
 	c.log()
-	r.host.JobFinished(c.job, c.terminal)
+	r.host.TerminalRecordWritten(c.job, c.terminal)
 	r.state.EndedJobs[id] = true
 	r.removeOpenJob(id)
 	r.host.JobEnded(id, c.terminal, true)
@@ -91,7 +91,7 @@
 	r.state.Log.Error("job has both an open and a terminal record", "job", id)
 	job.Terminal, r.state.SchedulingNeeded = true, true
 	r.stopAttempts(job)
-	r.quarantine.AddRecord(storage.Item{Key: storage.JobKey(id), ModRevision: job.RecordVersion}, errOpenAndTerminal)
+	r.quarantine.AddRecord(storage.Item{Key: storage.JobKey(id), ModRevision: job.RecordRevision}, errOpenAndTerminal)
 	r.removeOpenJob(id)
 	r.host.JobEnded(id, terminal, false)
 }
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -25,9 +25,9 @@
 	LegacyLeaderPossible() bool
 	// JobAdded is called after a job was added to the job table.
 	JobAdded(job *cluster.Job)
-	// JobFinished is called when the terminal record that this leader has written for a job is
+	// TerminalRecordWritten is called when the terminal record that this leader has written for a job is
 	// durable, before the job is removed from the job table.
-	JobFinished(job *cluster.Job, terminal storage.TerminalRecord)
+	TerminalRecordWritten(job *cluster.Job, terminal storage.TerminalRecord)
 	// JobEnded is called after a job with a durable terminal record was removed from the job table.
 	// It releases or cancels the job's dependents and answers the users that wait for its
 	// cancellation. writtenHere tells whether this leader has written the terminal record.
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -80,8 +80,8 @@
 	Burst     float64 `json:"burst"`
 }
 
-// PerWindow returns the maximum number of operations of the kind in any period of one second.
-func (r Rate) PerWindow() float64 { return r.PerSecond + r.Burst }
+// MaxInOneSecond returns the maximum number of operations of the kind in any period of one second.
+func (r Rate) MaxInOneSecond() float64 { return r.PerSecond + r.Burst }
 
 // Rates contains the limits of all kinds of operations, indexed by Operation.
 type Rates [operationKinds]Rate
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -148,10 +148,10 @@
 				for times[i]-times[windowStart] >= time.Second {
 					windowStart++
 				}
-				if n := i - windowStart + 1; float64(n) > rate.PerWindow()+extraInitialTokens(Operation(operation)) {
+				if n := i - windowStart + 1; float64(n) > rate.MaxInOneSecond()+extraInitialTokens(Operation(operation)) {
 					t.Fatalf("%v, terms of %v: got %d operations in the second until %v, expected at most %v",
 						Operation(operation), termLength, n, times[i],
-						rate.PerWindow()+extraInitialTokens(Operation(operation)))
+						rate.MaxInOneSecond()+extraInitialTokens(Operation(operation)))
 				}
 			}
 			initialTokens := 0.0 // tokens that the five leaders start with
--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -135,7 +135,7 @@
 // mismatches. It is called when the reconciling phase has ended.
 func (g *Gate) noteJobsNotRunning() {
 	for _, job := range g.state.JobsByAge() {
-		if job.RecordVersion <= g.leaderRevision && len(job.Attempts) == 0 && job.PendingTasks > 0 {
+		if job.RecordRevision <= g.leaderRevision && len(job.Attempts) == 0 && job.PendingTasks > 0 {
 			g.NoteMismatch(recovery.JobNotRunning, "", job.Spec.ID)
 		}
 	}
@@ -234,13 +234,13 @@
 // depends on a job whose terminal record this leader has written. A job can't be running on those
 // machines either if its constraints exclude all of them.
 func (g *Gate) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
-	if totals.AllReconciled || job.RecordVersion > g.leaderRevision || job.ReleasedThisTerm {
+	if totals.AllReconciled || job.RecordRevision > g.leaderRevision || job.ReleasedThisTerm {
 		return false
 	}
 	if totals.UnreconciledTypeUnknown {
 		return true
 	}
-	for option := range totals.UnreconciledOptions {
+	for option := range totals.UnreconciledOfferings {
 		// Only the constraints are checked, because the sizes in the catalog may have been
 		// different when an earlier leader placed the job.
 		if option.MatchesConstraints(&job.Spec) {
--- a/internal/recoverygate/gate_test.go
+++ b/internal/recoverygate/gate_test.go
@@ -90,7 +90,7 @@
 		may    bool
 	}{
 		"job of an earlier leader":   {func(*Gate, *cluster.Job) {}, true},
-		"accepted in this term":      {func(_ *Gate, job *cluster.Job) { job.RecordVersion = gateLeaderRevision + 1 }, false},
+		"accepted in this term":      {func(_ *Gate, job *cluster.Job) { job.RecordRevision = gateLeaderRevision + 1 }, false},
 		"released in this term":      {func(_ *Gate, job *cluster.Job) { job.ReleasedThisTerm = true }, false},
 		"all machines reconciled":    {func(gate *Gate, _ *cluster.Job) { reconcileMachines(gate, gateMinMachines) }, false},
 		"in another zone":            {func(_ *Gate, job *cluster.Job) { job.Spec.Zone = "b" }, false},
@@ -102,7 +102,7 @@
 		}, true},
 	} {
 		gate, _, _ := newTestGate(gateMinMachines)
-		job := &cluster.Job{Spec: protocol.Job{ID: "j-1", Cores: 1, MemoryGB: 1}, RecordVersion: gateLeaderRevision}
+		job := &cluster.Job{Spec: protocol.Job{ID: "j-1", Cores: 1, MemoryGB: 1}, RecordRevision: gateLeaderRevision}
 		c.change(gate, job)
 		totals := gate.state.CurrentMachineTotals()
 		if may := gate.MayRunUnreported(job, &totals); may != c.may {
@@ -131,9 +131,9 @@
 // phase, and jobs that no worker reports are counted once all machines are reconciled.
 func TestTransitionsCountMismatches(t *testing.T) {
 	gate, testClock, counts := newTestGate(gateMinMachines)
-	job := &cluster.Job{Spec: protocol.Job{ID: "j-1"}, RecordVersion: gateLeaderRevision,
+	job := &cluster.Job{Spec: protocol.Job{ID: "j-1"}, RecordRevision: gateLeaderRevision,
 		TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
-	laterJob := &cluster.Job{Spec: protocol.Job{ID: "j-2"}, RecordVersion: gateLeaderRevision + 1,
+	laterJob := &cluster.Job{Spec: protocol.Job{ID: "j-2"}, RecordRevision: gateLeaderRevision + 1,
 		TaskProgress: cluster.TaskProgress{PendingTasks: 1}}
 	gate.state.RunnableJobs["j-1"], gate.state.RunnableJobs["j-2"] = job, laterJob
 	reconcileMachines(gate, gateMinMachines-1)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -149,7 +149,7 @@
 			}
 			reclaimedCores[team] += victim.Job.Spec.Cores
 			missingCores -= victim.Job.Spec.Cores
-			s.RescheduleAttempt(victim, s.CheckpointGraceS(victim))
+			s.RescheduleAttempt(victim, s.CheckpointGraceSeconds(victim))
 			victims[i] = nil
 		}
 	}
--- a/internal/submissions/queue.go
+++ b/internal/submissions/queue.go
@@ -61,8 +61,8 @@
 	// PolicyChanged means that the policy has changed since it admitted the submission, and that the
 	// job has no record. The submission must be evaluated again.
 	PolicyChanged
-	// JobKnown means that the job may have a record already.
-	JobKnown
+	// JobMayExist means that the job may have a record already.
+	JobMayExist
 	// TooLarge means that the limits of the key-value store have become smaller than the record. An
 	// earlier copy of the submission may nevertheless have been accepted.
 	TooLarge
@@ -188,7 +188,7 @@
 			onlyPolicyChanged(response.FailedKeys, w.Record.Spec.ID) {
 			return Result{Outcome: PolicyChanged}
 		}
-		return Result{Outcome: JobKnown}
+		return Result{Outcome: JobMayExist}
 	case http.StatusBadRequest:
 		return Result{Outcome: TooLarge}
 	case http.StatusServiceUnavailable:
--- a/internal/submissions/queue_test.go
+++ b/internal/submissions/queue_test.go
@@ -66,7 +66,7 @@
 		{"unreadable response", http.StatusOK, `{`, Result{Outcome: Failed}},
 		{"too large", http.StatusBadRequest, "", Result{Outcome: TooLarge}},
 		{"refused by the store", http.StatusServiceUnavailable, "", Result{Outcome: StoreRefused}},
-		{"conflict of unknown cause", http.StatusConflict, `{}`, Result{Outcome: JobKnown}},
+		{"conflict of unknown cause", http.StatusConflict, `{}`, Result{Outcome: JobMayExist}},
 		{"unexpected status", http.StatusTeapot, "", Result{Outcome: Failed}},
 	} {
 		host := &queueHost{}
