--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -35,7 +35,7 @@
 	PriorityRank int    `json:"rank"` // smaller is more urgent
 }
 
-// Share is the part of a group that a policy admits. It is an arc of the ring that begins at Tail.
+// Share is the part of a group that a policy admits. It is an arc of the ring that begins at Start.
 // The sum of Steps is its length.
 type Share struct {
 	Group
