--- a/internal/adminclient/admission.go
+++ b/internal/adminclient/admission.go
@@ -52,7 +52,7 @@
 	var newest *admission.NodeStatus
 	for i := range responses {
 		response := &responses[i]
-		if response.err == nil && (newest == nil || response.value.Version > newest.Version) {
+		if response.err == nil && (newest == nil || response.value.PolicyRevision > newest.PolicyRevision) {
 			newest = &response.value
 		}
 	}
@@ -63,7 +63,7 @@
 func policiesDiffer(responses []admissionResponse) bool {
 	newest := newestStatus(responses)
 	return newest != nil && slices.ContainsFunc(responses, func(response admissionResponse) bool {
-		return response.err == nil && response.value.Version != newest.Version
+		return response.err == nil && response.value.PolicyRevision != newest.PolicyRevision
 	})
 }
 
@@ -89,7 +89,7 @@
 		if response.value.Invalid {
 			incomplete.addReason("%s: the stored policy can't be read", response.value.Node)
 		}
-		if response.value.Version != newest.Version {
+		if response.value.PolicyRevision != newest.PolicyRevision {
 			incomplete.addReason("%s judges by another policy than %s", response.value.Node, newest.Node)
 		}
 	}
@@ -103,12 +103,12 @@
 func describePolicy(status *admission.NodeStatus) string {
 	switch {
 	case status.Invalid:
-		return fmt.Sprintf("version %d, which can't be read", status.Version)
+		return fmt.Sprintf("version %d, which can't be read", status.PolicyRevision)
 	case status.Policy == nil:
 		return "none: all are admitted"
 	default:
 		return fmt.Sprintf("epoch %d, version %d, known for %.1f s",
-			status.Policy.Epoch, status.Version, status.PolicyAgeSeconds)
+			status.Policy.Epoch, status.PolicyRevision, status.PolicyAgeSeconds)
 	}
 }
 
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -5,7 +5,7 @@
 	Node             string         `json:"node"`
 	IsLeader         bool           `json:"leads"`
 	Enabled          bool           `json:"enabled"`            // the node's settings allow policies
-	Version          uint64         `json:"version"`            // version of the policy's record; 0 if there is none
+	PolicyRevision   uint64         `json:"version"`            // revision of the policy record; 0: no record
 	Invalid          bool           `json:"invalid,omitempty"`  // the record is invalid and no submission is admitted
 	PolicyAgeSeconds float64        `json:"ageS"`               // time since the node learnt of the policy
 	Policy           *Policy        `json:"policy"`             // nil if there is no record or it is invalid
@@ -28,5 +28,5 @@
 	// not been accepted since.
 	RejectedGroup        *Group `json:"refused,omitempty"`
 	AdmittedNow          bool   `json:"admit,omitempty"`   // the policy admits the job now
-	SecondsUntilAdmitted int    `json:"turnInS,omitempty"` // seconds until the policy admits the job, if it does not now
+	SecondsUntilAdmitted int    `json:"turnInS,omitempty"` // seconds until the policy admits the job; 0 if it does now
 }
--- a/internal/admissioncontrol/follower.go
+++ b/internal/admissioncontrol/follower.go
@@ -23,22 +23,22 @@
 	PolicyRecord
 	rejections rejectionCounts
 
-	host                 PolicyHost
-	cluster              *config.Cluster
-	log                  *slog.Logger
-	latestPeerRevision   uint64   // revision of the latest change of the record that a peer knows
-	reading              bool     // a read of the record is in flight
-	readCallbacks        []func() // called once the read in flight has ended, even if it failed
-	loggedInvalidVersion uint64   // the invalid version that was logged last
+	host                  PolicyHost
+	cluster               *config.Cluster
+	log                   *slog.Logger
+	latestPeerRevision    uint64   // revision of the latest change of the record that a peer knows
+	reading               bool     // a read of the record is in flight
+	readCallbacks         []func() // called once the read in flight has ended, even if it failed
+	loggedInvalidRevision uint64   // revision of the invalid record that was logged last
 }
 
 // PolicyRecord is the admission policy's record as this node knows it.
 type PolicyRecord struct {
-	Current    *admission.Policy // nil if there is no record or it is invalid
-	Version    uint64            // revision of the record's last write; 0 if there is no record
-	Revision   uint64            // revision of the last known change of the record, including its removal
-	KnownSince clock.Instant     // when this node learnt of the record; the epoch began no later
-	Invalid    bool              // the record can't be decoded or validated, so no submission is admitted
+	Current        *admission.Policy // nil if there is no record or it is invalid
+	RecordRevision uint64            // revision of the record's last write; 0 if there is no record
+	Revision       uint64            // revision of the last known change of the record, including its removal
+	KnownSince     clock.Instant     // when this node learnt of the record; the epoch began no later
+	Invalid        bool              // the record can't be decoded or validated, so no submission is admitted
 }
 
 // PolicyHost is the interface through which a PolicyFollower uses its controller.
@@ -90,19 +90,19 @@
 }
 
 // CountCapacityRejection counts a job that the policy admits but that this node can't write in time.
-// admittedByVersion is the version of the policy's record that admitted the job. Jobs that another
-// version admitted are not counted, because they say nothing about the load of this epoch.
-func (f *PolicyFollower) CountCapacityRejection(spec *protocol.Job, admittedByVersion uint64) {
-	if admittedByVersion == f.Version {
+// admittedByRevision is the revision of the policy record that admitted the job. Jobs that another
+// revision admitted are not counted, because they say nothing about the load of this epoch.
+func (f *PolicyFollower) CountCapacityRejection(spec *protocol.Job, admittedByRevision uint64) {
+	if admittedByRevision == f.RecordRevision {
 		f.rejections.countCapacityRejection(GroupOf(spec), spec.ID)
 	}
 }
 
 // StartEpochWithoutPolicy starts another epoch of the rejection counts if there is no policy and the
-// length of an epoch has passed. While there is a policy, each new version starts an epoch instead.
+// length of an epoch has passed. While there is a policy, each new revision starts an epoch instead.
 func (f *PolicyFollower) StartEpochWithoutPolicy() {
 	now := f.host.Now()
-	if f.Version == 0 && now >= f.rejections.epochStartedAt+f.EpochLength() {
+	if f.RecordRevision == 0 && now >= f.rejections.epochStartedAt+f.EpochLength() {
 		f.rejections.startEpoch(now)
 	}
 }
@@ -111,7 +111,7 @@
 // there were none, or if the last report is more recent than interval.
 func (f *PolicyFollower) TakeLoadReport(interval time.Duration) (report protocol.AdmissionLoad, due bool) {
 	groups := f.rejections.takeReport(f.host.Now(), interval)
-	return protocol.AdmissionLoad{PolicyRevision: f.Version, Groups: groups}, groups != nil
+	return protocol.AdmissionLoad{PolicyRevision: f.RecordRevision, Groups: groups}, groups != nil
 }
 
 // RecordPeerRevision records the revision of the latest change of the policy's record that a peer
@@ -158,16 +158,16 @@
 }
 
 // ApplyRecord applies the policy's record after a read or a write, unless this node knows the same
-// version or a newer change.
+// revision or a newer change.
 func (f *PolicyFollower) ApplyRecord(item storage.Item) {
 	if item.ModRevision < f.Revision {
-		return // a delayed response with an older version
+		return // a delayed response with an older revision
 	}
-	if item.ModRevision == f.Version {
+	if item.ModRevision == f.RecordRevision {
 		return
 	}
 	now := f.host.Now()
-	f.PolicyRecord = PolicyRecord{Version: item.ModRevision, Revision: item.ModRevision, KnownSince: now}
+	f.PolicyRecord = PolicyRecord{RecordRevision: item.ModRevision, Revision: item.ModRevision, KnownSince: now}
 	f.rejections.reset(now)
 	policy := &admission.Policy{}
 	err := json.Unmarshal(item.Value, policy)
@@ -182,13 +182,13 @@
 	f.Current = policy
 }
 
-// logInvalid logs an error about the current version of the record, once per version.
+// logInvalid logs an error about the current revision of the record, once per revision.
 func (f *PolicyFollower) logInvalid(err error) {
-	if f.loggedInvalidVersion == f.Version {
+	if f.loggedInvalidRevision == f.RecordRevision {
 		return
 	}
-	f.loggedInvalidVersion = f.Version
-	f.log.Error("admission policy invalid, rejecting submissions", "version", f.Version, "error", err)
+	f.loggedInvalidRevision = f.RecordRevision
+	f.log.Error("admission policy invalid, rejecting submissions", "version", f.RecordRevision, "error", err)
 }
 
 // ApplyRemoval records that there was no policy at a revision of the key-value store, unless this node
@@ -200,7 +200,7 @@
 	if f.Current != nil || f.Invalid {
 		f.log.Info("admission policy removed")
 	}
-	if f.Version != 0 {
+	if f.RecordRevision != 0 {
 		f.rejections.reset(f.host.Now())
 	}
 	f.PolicyRecord = PolicyRecord{Revision: revision}
--- a/internal/admissioncontrol/follower_test.go
+++ b/internal/admissioncontrol/follower_test.go
@@ -66,8 +66,8 @@
 		t.Fatalf("%d reads were sent, want 1 and no need for another", len(host.responses))
 	}
 	host.responses[0](http.StatusOK, storage.Encode(fullPolicy(5)))
-	if called != 3 || follower.Version != 5 || follower.Current == nil || follower.NeedsRead() {
-		t.Errorf("%d callbacks were called, want 3; the record is %+v, want version 5", called, follower.PolicyRecord)
+	if called != 3 || follower.RecordRevision != 5 || follower.Current == nil || follower.NeedsRead() {
+		t.Errorf("%d callbacks were called, want 3; the record is %+v, want revision 5", called, follower.PolicyRecord)
 	}
 }
 
@@ -76,11 +76,11 @@
 func TestPolicyRecordsAreAppliedInOrder(t *testing.T) {
 	follower, _ := newTestFollower()
 	follower.ApplyRecord(fullPolicy(5))
-	if follower.ApplyRecord(fullPolicy(4)); follower.Version != 5 {
-		t.Errorf("the version is %d after an older record, want 5", follower.Version)
+	if follower.ApplyRecord(fullPolicy(4)); follower.RecordRevision != 5 {
+		t.Errorf("the revision is %d after an older record, want 5", follower.RecordRevision)
 	}
 	invalid := storage.Item{Key: storage.AdmissionPolicyKey, Value: []byte(`{}`), ModRevision: 6}
-	if follower.ApplyRecord(invalid); !follower.Invalid || follower.Current != nil || follower.Version != 6 {
+	if follower.ApplyRecord(invalid); !follower.Invalid || follower.Current != nil || follower.RecordRevision != 6 {
 		t.Errorf("after an invalid record at revision 6: %+v", follower.PolicyRecord)
 	}
 	if follower.ApplyRemoval(5); !follower.Invalid {
@@ -116,8 +116,8 @@
 		t.Fatal("no policy was published after an epoch of overload")
 	}
 	writer.CompleteInFlight(8)
-	if follower.Version != 8 || follower.Current == nil {
-		t.Errorf("the leader's own node has %+v, want the policy with version 8", follower.PolicyRecord)
+	if follower.RecordRevision != 8 || follower.Current == nil {
+		t.Errorf("the leader's own node has %+v, want the policy with revision 8", follower.PolicyRecord)
 	}
 	host.allowed = false
 	host.now += follower.EpochLength()
@@ -126,7 +126,7 @@
 		t.Fatal("the policy was not removed although policies are no longer allowed")
 	}
 	writer.CompleteInFlight(9)
-	if follower.Version != 0 || follower.Revision != 9 || len(host.responses) != 1 {
+	if follower.RecordRevision != 0 || follower.Revision != 9 || len(host.responses) != 1 {
 		t.Errorf("after the removal: %+v, want revision 9 without a record; %d reads, want 1",
 			follower.PolicyRecord, len(host.responses))
 	}
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -104,7 +104,7 @@
 // AddNodeLoad adds the rejected submissions that a node reports to the loads of the current epoch. A
 // report that was counted under another policy is ignored.
 func (p *Publisher) AddNodeLoad(message protocol.AdmissionLoad) {
-	if p.publishing || message.PolicyRevision != p.follower.Version {
+	if p.publishing || message.PolicyRevision != p.follower.RecordRevision {
 		return // counted under another policy
 	}
 	for _, nodeLoad := range message.Groups {
--- a/internal/autoscaler/costs.go
+++ b/internal/autoscaler/costs.go
@@ -35,15 +35,15 @@
 		c.booting += cost
 		return
 	}
-	fetchingCores, runningCores := 0.0, 0.0
+	pullingCores, runningCores := 0.0, 0.0
 	for _, attempt := range machine.Attempts {
 		if attempt.Phase == cluster.AttemptRunning || attempt.Phase == cluster.AttemptCheckpointing {
 			runningCores += attempt.Job.Spec.Cores
 		} else {
-			fetchingCores += attempt.Job.Spec.Cores
+			pullingCores += attempt.Job.Spec.Cores
 		}
 	}
-	c.fetching += cost * fetchingCores / machine.MachineType.Cores
+	c.fetching += cost * pullingCores / machine.MachineType.Cores
 	c.working += cost * runningCores / machine.MachineType.Cores
-	c.idle += cost * max(0, 1-(fetchingCores+runningCores)/machine.MachineType.Cores)
+	c.idle += cost * max(0, 1-(pullingCores+runningCores)/machine.MachineType.Cores)
 }
--- a/internal/autoscaler/fakes_test.go
+++ b/internal/autoscaler/fakes_test.go
@@ -33,7 +33,7 @@
 	requests      []fakeCloudRequest // requests that wait for a response
 	changes       []storage.Change   // changes that wait to be written
 	allowed       int                // number of operations that each call of AllowedOperations allows
-	refunded      int                // number of operations given back to the recovery budget
+	refunded      int                // number of operations refunded to the recovery budget
 }
 
 // newFakeAutoscaler returns an autoscaler with a fake host whose budgets allow 100 requests and
--- a/internal/autoscaler/rentals.go
+++ b/internal/autoscaler/rentals.go
@@ -162,7 +162,7 @@
 	r.close(rental)
 }
 
-// refundUnrented gives back to the recovery budget what was charged for machines that the cloud did
+// refundUnrented refunds to the recovery budget what was charged for machines that the cloud did
 // not provide. Without the refund, requests without effect used up the whole budget of a small fleet
 // where capacity was scarce.
 func (r *machineRentals) refundUnrented(rental *pendingRental, rentedCount int) {
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -68,9 +68,9 @@
 }
 
 // NewJob returns a job without dependencies whose tasks are all pending since now.
-func NewJob(spec protocol.Job, acceptedAt clock.Instant, recordVersion uint64, now clock.Instant) *Job {
+func NewJob(spec protocol.Job, acceptedAt clock.Instant, recordRevision uint64, now clock.Instant) *Job {
 	return &Job{
-		Spec: spec, AcceptedAt: acceptedAt, EligibleAt: acceptedAt, RecordRevision: recordVersion,
+		Spec: spec, AcceptedAt: acceptedAt, EligibleAt: acceptedAt, RecordRevision: recordRevision,
 		Dependencies: NewDependencies(),
 		TaskProgress: TaskProgress{Attempts: map[int]*TaskAttempt{}, PendingTasks: spec.TaskCount},
 		JobFailures:  JobFailures{FailureHistories: map[int]*FailureHistory{}, FailedMachines: map[string]bool{}},
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -105,12 +105,12 @@
 // needed two writes before its first task, and hundreds of machines that booted together waited for
 // these writes as long as for their boot.
 type MachineGroup struct {
-	Key               string
-	Machines          map[string]*Machine
-	RecordBytes       int  // size of the record
-	ChangedSinceWrite bool // it has changed since the last write was built
-	LazyWriteQueued   bool // a low-priority write is queued and will include later changes
-	SoonWriteQueued   bool // a normal-priority write is queued and will include later changes
+	Key                       string
+	Machines                  map[string]*Machine
+	RecordBytes               int  // size of the record
+	ChangedSinceWrite         bool // it has changed since the last write was built
+	LowPriorityWriteQueued    bool // a low-priority write is queued and will include later changes
+	NormalPriorityWriteQueued bool // a normal-priority write is queued and will include later changes
 }
 
 // Schedulable reports whether a machine accepts tasks of any job. A draining machine does not, unless
--- a/internal/compatibility/records_test.go
+++ b/internal/compatibility/records_test.go
@@ -84,7 +84,7 @@
 }
 
 // partialRecordCase returns the case of a stored record in which some fields may have their zero
-// value, as in records of version level 0.
+// value, as in records of protocol level 0.
 func partialRecordCase[T any](name, key string, value T, read func(storage.Item) (T, error)) jsonCase {
 	c := fullRecordCase(name, key, value, read)
 	c.allFieldsSet = false
--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -453,8 +453,8 @@
 				Samples: []recovery.MismatchSample{{Kind: "kind", Machine: "m-1", Subject: "j-1/0", AfterSeconds: 3.5}},
 				Budgets: []recovery.Budget{
 					{Operation: "start", Remaining: 4.5, Rate: recovery.Rate{PerSecond: 5.5, Burst: 6.5}}}}}),
-		fullCase("admission", admission.NodeStatus{Node: "n0", IsLeader: true, Enabled: true, Version: 9, Invalid: true,
-			PolicyAgeSeconds: 1.5, EpochCapacity: 2.5, Policy: &admission.Policy{
+		fullCase("admission", admission.NodeStatus{Node: "n0", IsLeader: true, Enabled: true, PolicyRevision: 9,
+			Invalid: true, PolicyAgeSeconds: 1.5, EpochCapacity: 2.5, Policy: &admission.Policy{
 				Epoch: 3, EpochLengthMS: 4000, Shares: []admission.Share{share}, DefaultShare: share},
 			WaitingGroups: []admission.WaitingGroup{{Group: group, Jobs: 6}}, Job: &admission.JobStatus{ID: "j-1",
 				Accepted: true, RejectedGroup: &group, AdmittedNow: true, SecondsUntilAdmitted: 7}}),
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -65,7 +65,7 @@
 	verdict := policy.Current.Evaluate(group, job.ID)
 	n.traceStep(job.ID, stepAdmissionVerdict, verdictNote(verdict))
 	if verdict.Admit {
-		submission.write.PolicyVersion = policy.Version
+		submission.write.PolicyRevision = policy.RecordRevision
 		n.submissionQueue.Add(submission.write)
 		return
 	}
@@ -89,7 +89,7 @@
 func (n *Node) rejectForCapacity(submission *userSubmission) {
 	job := submission.request.Job
 	if !n.election.StoreUnavailable() {
-		n.admissionPolicy.CountCapacityRejection(job, submission.write.PolicyVersion)
+		n.admissionPolicy.CountCapacityRejection(job, submission.write.PolicyRevision)
 	}
 	n.traceStep(job.ID, stepRejected, "")
 	n.replyUnavailable(submission.request.Origin)
--- a/internal/controller/admission_status.go
+++ b/internal/controller/admission_status.go
@@ -14,8 +14,8 @@
 	n := p.node
 	policy := n.admissionPolicy
 	status := admission.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(), Enabled: n.settings.FairAdmission,
-		Version: policy.Version, Invalid: policy.Invalid, Policy: policy.Current}
-	if policy.Version != 0 {
+		PolicyRevision: policy.RecordRevision, Invalid: policy.Invalid, Policy: policy.Current}
+	if policy.RecordRevision != 0 {
 		status.PolicyAgeSeconds = (n.now - policy.KnownSince).Round(time.Millisecond).Seconds()
 	}
 	if status.IsLeader {
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -418,7 +418,8 @@
 		t.Error("a policy older than its removal was applied")
 	}
 	for _, n := range sim.nodes {
-		n.admissionPolicy.PolicyRecord = admissioncontrol.PolicyRecord{Current: acceptAll, Version: 8, Revision: 8}
+		n.admissionPolicy.PolicyRecord = admissioncontrol.PolicyRecord{Current: acceptAll, RecordRevision: 8,
+			Revision: 8}
 	}
 	sim.crashNode(sim.leaderName())
 	if leaderNode := sim.waitForLeader(); leaderNode.admissionPolicy.Current != nil {
@@ -435,14 +436,14 @@
 	rejectAll := &admission.Policy{Epoch: 5, EpochLengthMS: 3500,
 		DefaultShare: admission.Share{Start: admission.Position("j-1") + 1, Steps: []uint64{1}}}
 	sim.store.putValue(storage.AdmissionPolicyKey, rejectAll)
-	version := sim.store.keys[storage.AdmissionPolicyKey].ModRevision
+	revision := sim.store.keys[storage.AdmissionPolicyKey].ModRevision
 	for _, name := range sim.names {
 		n := sim.nodes[name]
 		n.admissionPolicy.ApplyRecord(sim.store.keys[storage.AdmissionPolicyKey])
 		if n.leader != nil {
 			n.leader.admission.EpochStartedAt = n.now + time.Hour // keeps the policy unchanged
 			clear(n.leader.admission.EpochLoads)
-			n.leader.admission.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: version - 1,
+			n.leader.admission.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: revision - 1,
 				Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9}}})
 			if len(n.leader.admission.EpochLoads) > 0 {
 				t.Error("the load measured under another policy was counted")
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -216,7 +216,7 @@
 			c.schedule(c.downtime+c.randomDuration(2*c.machineLease()), func() { worker.unreachable = false })
 		})
 	},
-	"team at its limit, workers unreachable": func(c *coldStart) {
+	"team at its quota, workers unreachable": func(c *coldStart) {
 		// The team can run these jobs within a minute and a half after the faults. With a longer
 		// queue, some job would be pending for that long while there is free capacity, which its
 		// team leaves unused for a moment between two tasks.
--- a/internal/controller/election_adapter.go
+++ b/internal/controller/election_host.go
@@ -37,14 +37,15 @@
 // Now returns the time of the current step.
 func (h electionHost) Now() clock.Instant { return h.node.now }
 
-// CallStore sends a request to the key-value store.
+// CallStore sends a request to the key-value store and passes the response to onResponse in a later
+// step. The node observes every response of the store and passes its status to the election first.
 func (h electionHost) CallStore(method, path string, body any, onResponse func(storage.Response)) {
 	h.node.storeCall(method, path, body, func(result CallResult) {
 		onResponse(storage.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
-// SendMessage sends a message to a peer.
+// SendMessage sends a message to the peer of the given name.
 func (h electionHost) SendMessage(to string, message protocol.PeerMessage) {
 	h.node.send(to, message)
 }
@@ -69,19 +70,19 @@
 	}
 }
 
-// TwoWayPeerCount returns the number of peers with which messages pass in both directions.
+// TwoWayPeerCount returns the number of peers with which messages are exchanged in both directions.
 func (h electionHost) TwoWayPeerCount() int { return h.node.twoWayPeerCount() }
 
-// BecameLeader creates the leader state of a term and begins to load the records.
-func (h electionHost) BecameLeader(term, leaderKeyVersion uint64) {
+// BecameLeader creates the leader state of a term and begins to load the records. Every write in the
+// term is conditional on the given revision of the leader key.
+func (h electionHost) BecameLeader(term, leaderKeyRevision uint64) {
 	node := h.node
 	node.log.Info("became leader", "term", term)
-	node.leader = newLeader(node, term, leaderKeyVersion)
+	node.leader = newLeader(node, term, leaderKeyRevision)
 	node.leader.loadRecords()
 }
 
-// LeaderCondition returns the reasons, if any, why this leader should step down or resign, and when a
-// worker last sent a heartbeat.
+// LeaderCondition returns whether this node should continue to lead. It is called only while it leads.
 func (h electionHost) LeaderCondition() election.LeaderCondition {
 	current := h.node.leader
 	condition := election.LeaderCondition{LastWorkerHeartbeat: current.lastWorkerHeartbeat,
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -236,7 +236,7 @@
 }
 
 // Work that has to start within seconds waits for a machine that has its image, for as long as the
-// objective allows: on a machine without the image, the download alone would miss the objective.
+// objective allows: on a machine without the image, the pull alone would miss the objective.
 func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -252,12 +252,12 @@
 	withImage.TouchImage("i", 2)
 	job := leader.jobRecords.Add(storage.JobRecord{Spec: jobSpec("j-1", 1),
 		AcceptedAtMillis: leaderNode.nowUnixMilli()}, 1)
-	job.Spec.ImageGB = 2 // a download takes 10 s
+	job.Spec.ImageGB = 2 // a pull takes 10 s
 	fits := func(machine *cluster.Machine) bool {
 		return leader.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
 	}
 	if fits(withoutImage) {
-		t.Error("placed on m-000002, where the download misses the objective, although m-000001 has the image")
+		t.Error("placed on m-000002, where the pull misses the objective, although m-000001 has the image")
 	}
 	if !fits(withImage) {
 		t.Error("not placed on m-000001, which has the image")
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -39,9 +39,9 @@
 	admission      *admissioncontrol.Publisher
 }
 
-// newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
+// newLeader returns the leader state of a term. leaderKeyRevision is the revision of the leader
 // key, on which every write of the term is conditioned.
-func newLeader(node *Node, term, leaderKeyVersion uint64) *leader {
+func newLeader(node *Node, term, leaderKeyRevision uint64) *leader {
 	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings,
 		Log: node.log, Catalog: node.catalog.Types})
 	l := &leader{
@@ -49,9 +49,9 @@
 		loadState:     newLoadState(node),
 		workerService: newWorkerService(&node.timing, nodeLinks{node}, state, node.settings.LinkDecisions),
 		cancelWaiters: map[string][]Origin{},
-		recovery:      recoverygate.New(state, leaderKeyVersion, &node.mismatches),
+		recovery:      recoverygate.New(state, leaderKeyRevision, &node.mismatches),
 	}
-	l.initRecords(leaderKeyVersion)
+	l.initRecords(leaderKeyRevision)
 	l.Scheduler = &scheduler.Scheduler{State: state, Host: l,
 		ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}}
 	l.dependencies = dependency.New(state, dependencyHost{l}, node.workerLease()/pollsPerWorkerLease)
--- a/internal/controller/leader_records.go
+++ b/internal/controller/leader_records.go
@@ -21,10 +21,10 @@
 }
 
 // initRecords creates the components that load and store the leader's records. Every write is
-// conditioned on leaderKeyVersion, the version of the leader key.
-func (l *leader) initRecords(leaderKeyVersion uint64) {
+// conditioned on leaderKeyRevision, the revision of the leader key.
+func (l *leader) initRecords(leaderKeyRevision uint64) {
 	node, host := l.node, recordsHost{l}
-	queue := storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyVersion)
+	queue := storage.NewWriter(node.cfg.Cluster.Store.MaxTxnOps(), leaderKeyRevision)
 	l.quarantine = records.NewQuarantine(l.State, host, host, &l.lookupBudget)
 	l.writer = records.NewTransactionWriter(queue, host, host, node.log, &node.leaderWriteBudget)
 	access := records.NewAccess(l.State, l.writer, l.quarantine, host)
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -714,7 +714,7 @@
 		t.Fatalf("%d of 300 machines are up after 10 s", len(sim.workers))
 	}
 	if !sim.advanceUntil(3*time.Second, func() bool { return ready() == 300 }) {
-		t.Fatalf("%d of 300 machines are schedulable 3 s after they came up", ready())
+		t.Fatalf("%d of 300 machines are schedulable 3 s after all of them were up", ready())
 	}
 	sim.crashNode(leaderNode.name)
 	sim.restartNode(leaderNode.name)
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -187,7 +187,7 @@
 		"a type is free":           withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 0, 0 }),
 		"prices times a thousand":  withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = 300, 100 }),
 		"negative prices":          withChange(func(t *protocol.MachineType) { t.OnDemandPrice, t.SpotPrice = -3, -1 }),
-		"image download rate of 0": withChange(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
+		"zero rate of image pulls": withChange(func(t *protocol.MachineType) { t.PullGBPerSecond = 0 }),
 		"no cores":                 withChange(func(t *protocol.MachineType) { t.Cores = 0 }),
 		"another type only":        withChange(func(t *protocol.MachineType) { t.Name = "x9" }),
 		"the same type twice":      {c4, c4},
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -566,14 +566,14 @@
 	return *received
 }
 
-// startMachines brings up n machines in addition to those that the leader rents.
+// startMachines starts n machines in addition to those that the leader rents.
 func (sim *simulation) startMachines(n int) {
 	sim.t.Helper()
 	for i := range n {
 		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
 	if !sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) >= n }) {
-		sim.t.Fatal("not all machines came up within 10 s")
+		sim.t.Fatal("not all machines are up after 10 s")
 	}
 	sim.advance(2 * time.Second)
 }
--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -14,7 +14,7 @@
 // candidacy is one attempt of this node to become the leader in a new term.
 type candidacy struct {
 	term             uint64
-	termVersion      uint64          // version of the term key that this candidate wrote
+	termRevision     uint64          // revision of the term key that this candidate wrote
 	votes            map[string]bool // peers that voted for this candidate, by name
 	requestingVotes  bool            // the term has been raised and votes are being collected
 	startedAt        clock.Instant
@@ -72,14 +72,14 @@
 			return
 		}
 		current.term = last.term.Term + 1
-		e.raiseTerm(current, last.version)
+		e.raiseTerm(current, last.revision)
 	})
 }
 
 // storedTerm is the last term in the key-value store, or the zero value if no term exists yet.
 type storedTerm struct {
-	term    storage.Term
-	version uint64 // of the term key
+	term     storage.Term
+	revision uint64 // of the term key
 }
 
 // readTerm reads the last term from the key-value store. onTerm receives nil if the read failed.
@@ -95,15 +95,15 @@
 			onTerm(nil)
 			return
 		}
-		onTerm(&storedTerm{term: term, version: item.ModRevision})
+		onTerm(&storedTerm{term: term, revision: item.ModRevision})
 	})
 }
 
 // raiseTerm replaces the last term by the candidate's term. The transaction requires that the term
-// key still has version lastVersion and that there is no leader key.
-func (e *Election) raiseTerm(current *candidacy, lastVersion uint64) {
+// key still has revision lastRevision and that there is no leader key.
+func (e *Election) raiseTerm(current *candidacy, lastRevision uint64) {
 	txn := storage.Txn{
-		Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: lastVersion}, {Key: storage.LeaderKey}},
+		Conditions: []storage.Condition{{Key: storage.TermKey, ModRevision: lastRevision}, {Key: storage.LeaderKey}},
 		Writes:     []storage.Write{storage.Put(storage.TermKey, storage.Term{Term: current.term, Node: e.node})},
 	}
 	e.host.CallStore("POST", "/multi", txn, func(response storage.Response) {
@@ -117,7 +117,7 @@
 			e.candidacy = nil
 			return
 		}
-		current.termVersion, current.requestingVotes = result.Revision, true
+		current.termRevision, current.requestingVotes = result.Revision, true
 		e.tickCandidate()
 	})
 }
@@ -182,7 +182,7 @@
 	txn := storage.Txn{
 		Conditions: []storage.Condition{
 			{Key: storage.LeaderKey},
-			{Key: storage.TermKey, ModRevision: current.termVersion},
+			{Key: storage.TermKey, ModRevision: current.termRevision},
 		},
 		Writes: []storage.Write{leaderWrite},
 	}
--- a/internal/election/host.go
+++ b/internal/election/host.go
@@ -27,8 +27,8 @@
 	// TwoWayPeerCount returns the number of peers with which messages are exchanged in both directions.
 	TwoWayPeerCount() int
 	// BecameLeader notifies the host that this node leads a term. Every write in that term must be
-	// conditional on the given version of the leader key.
-	BecameLeader(term, leaderKeyVersion uint64)
+	// conditional on the given revision of the leader key.
+	BecameLeader(term, leaderKeyRevision uint64)
 	// LeaderCondition returns whether this node should continue to lead. It is called only while
 	// this node leads.
 	LeaderCondition() LeaderCondition
--- a/internal/election/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -64,10 +64,10 @@
 
 // becomeLeader starts a term as the leader. The leader lease counts from the time of its request. If
 // it counted from the response, a delayed response would extend it beyond its expiry in the store.
-func (e *Election) becomeLeader(term, leaderKeyVersion, leaseID uint64, requestedAt clock.Instant) {
+func (e *Election) becomeLeader(term, leaderKeyRevision, leaseID uint64, requestedAt clock.Instant) {
 	e.leadership = e.newLeadership(term, leaseID, requestedAt)
 	e.leaderKey.absentSince = clock.Never
-	e.host.BecameLeader(term, leaderKeyVersion)
+	e.host.BecameLeader(term, leaderKeyRevision)
 	e.heartbeatSentAt = clock.Never
 }
 
--- a/internal/records/bitmap_layout.go
+++ b/internal/records/bitmap_layout.go
@@ -12,7 +12,7 @@
 // bitmapLayout holds the number of tasks that one part of a stored bitmap covers.
 type bitmapLayout struct {
 	tasksPerPart       int
-	legacyTasksPerPart int // number of tasks in a part at version level 0
+	legacyTasksPerPart int // number of tasks in a part at protocol level 0
 }
 
 // newBitmapLayout derives the layout from the limits of the key-value store.
@@ -24,7 +24,7 @@
 }
 
 // layOutBitmap divides the job's bitmap into empty parts that fit the value size limit. Controllers of
-// version level 0 use larger parts and identify them by number, so a job with several parts keeps
+// protocol level 0 use larger parts and identify them by number, so a job with several parts keeps
 // that layout as long as such a controller may become leader.
 func (r *Jobs) layOutBitmap(job *cluster.Job) {
 	id := job.Spec.ID
@@ -46,7 +46,7 @@
 }
 
 // UpgradeBitmapLayouts stores the bitmaps of open jobs that need several parts in the layout that
-// version level 0 can't read. The leader calls it once no controller of that level may become leader.
+// protocol level 0 can't read. The leader calls it once no controller of that level may become leader.
 func (r *Jobs) UpgradeBitmapLayouts() {
 	for _, id := range slices.Sorted(maps.Keys(r.state.Jobs)) {
 		job := r.state.Jobs[id]
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -21,7 +21,7 @@
 	JobDependencies
 	// IsTerminal reports whether a job's terminal record is known.
 	IsTerminal(jobID string) bool
-	// LegacyLeaderPossible reports whether a controller of version level 0 may become leader.
+	// LegacyLeaderPossible reports whether a controller of protocol level 0 may become leader.
 	LegacyLeaderPossible() bool
 	// JobAdded is called after a job was added to the job table.
 	JobAdded(job *cluster.Job)
@@ -29,7 +29,7 @@
 	// durable, before the job is removed from the job table.
 	TerminalRecordWritten(job *cluster.Job, terminal storage.TerminalRecord)
 	// JobEnded is called after a job with a durable terminal record was removed from the job table.
-	// It releases or cancels the job's dependents and answers the users that wait for its
+	// It releases or cancels the job's dependents and responds to the users who wait for its
 	// cancellation. writtenHere tells whether this leader has written the terminal record.
 	JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool)
 }
--- a/internal/records/machine_group_write.go
+++ b/internal/records/machine_group_write.go
@@ -10,8 +10,8 @@
 
 // Urgencies of the write of a machine group.
 const (
-	groupWriteLazy groupWriteUrgency = iota // for removed machines
-	groupWriteSoon                          // for new machines, and for machines before their first task
+	groupWriteLowPriority    groupWriteUrgency = iota // for removed machines
+	groupWriteNormalPriority                          // for new machines, and for machines before their first task
 )
 
 // groupWrite is a queued change that stores a machine group as it is when the transaction is built.
@@ -26,7 +26,7 @@
 // include the change.
 func (r *Machines) storeGroup(group *cluster.MachineGroup, urgency groupWriteUrgency) {
 	group.ChangedSinceWrite = true
-	if group.SoonWriteQueued || (group.LazyWriteQueued && urgency == groupWriteLazy) {
+	if group.NormalPriorityWriteQueued || (group.LowPriorityWriteQueued && urgency == groupWriteLowPriority) {
 		return
 	}
 	write := &groupWrite{records: r, group: group, urgency: urgency}
@@ -41,16 +41,16 @@
 
 // setQueued records in the group whether a write of this urgency is queued.
 func (w *groupWrite) setQueued(queued bool) {
-	if w.urgency == groupWriteSoon {
-		w.group.SoonWriteQueued = queued
+	if w.urgency == groupWriteNormalPriority {
+		w.group.NormalPriorityWriteQueued = queued
 	} else {
-		w.group.LazyWriteQueued = queued
+		w.group.LowPriorityWriteQueued = queued
 	}
 }
 
 // priority returns the priority with which the write is queued.
 func (w *groupWrite) priority() storage.Priority {
-	if w.urgency == groupWriteSoon {
+	if w.urgency == groupWriteNormalPriority {
 		return storage.PriorityNormal
 	}
 	return storage.PriorityLow
--- a/internal/records/machine_loading.go
+++ b/internal/records/machine_loading.go
@@ -40,14 +40,14 @@
 	} else if machine.Group != nil {
 		// An earlier leader stopped while moving the machine between groups, so both records contain it.
 		l.machines.removeFromGroup(machine.Group, machine)
-		l.machines.storeGroup(machine.Group, groupWriteLazy)
+		l.machines.storeGroup(machine.Group, groupWriteLowPriority)
 	}
 	machine.UseDurable = machine.UseDurable || entry.Used
 	machine.MarkedUsed, machine.Reconciled = machine.UseDurable, !machine.UseDurable
 	l.machines.addToGroup(group, machine)
 	if !entry.Used && machine.UseDurable {
 		// Store this group before the other group's record, which alone has the mark, is deleted.
-		l.machines.storeGroup(group, groupWriteSoon)
+		l.machines.storeGroup(group, groupWriteNormalPriority)
 	}
 }
 
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -76,7 +76,7 @@
 	if machine.Group == nil {
 		r.addToGroup(r.groupWithRoom(r.entryBytes(machine)), machine)
 	}
-	r.storeGroup(machine.Group, groupWriteSoon)
+	r.storeGroup(machine.Group, groupWriteNormalPriority)
 }
 
 // Remove removes a machine that certainly no longer exists, with all its attempts.
@@ -84,7 +84,7 @@
 	r.state.DeleteMachine(machine)
 	if group := machine.Group; group != nil {
 		r.removeFromGroup(group, machine)
-		r.storeGroup(group, groupWriteLazy)
+		r.storeGroup(group, groupWriteLowPriority)
 	}
 }
 
@@ -146,9 +146,9 @@
 }
 
 // SplitOversizedGroups splits the groups whose record is too large to be written again, because
-// version level 0 wrote larger ones or the value limit of the key-value store was lowered. The
+// protocol level 0 wrote larger ones or the value limit of the key-value store was lowered. The
 // machines are written into new groups before the old record is deleted. Until then, two records
-// contain each machine. Version level 0 uses the entry that it reads last, so the new groups get later
+// contain each machine. Protocol level 0 uses the entry that it reads last, so the new groups get later
 // keys.
 func (r *Machines) SplitOversizedGroups() {
 	oversized, kept := r.partitionGroups()
@@ -163,7 +163,7 @@
 		r.moveToOtherGroups(group)
 	}
 	for _, group := range r.groups {
-		r.storeGroup(group, groupWriteSoon)
+		r.storeGroup(group, groupWriteNormalPriority)
 	}
 	for _, group := range oversized {
 		group.Machines = nil
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -199,8 +199,7 @@
 	return false
 }
 
-// RefundOperations puts back into the budget what was taken for count operations that were not
-// carried out.
+// RefundOperations refunds count operations that were taken from the budget but not carried out.
 func (r *Recovery) RefundOperations(now time.Duration, operation Operation, count int) {
 	if r.phase == PhaseNormal || count <= 0 {
 		return
--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -184,8 +184,7 @@
 	return count
 }
 
-// RefundOperations puts back into the budget what was taken for count operations that were not
-// carried out.
+// RefundOperations refunds count operations that were taken from the budget but not carried out.
 func (g *Gate) RefundOperations(operation recovery.Operation, count int) {
 	g.recovery.RefundOperations(g.state.Clock.Now(), operation, count)
 }
@@ -240,10 +239,10 @@
 	if totals.UnreconciledTypeUnknown {
 		return true
 	}
-	for option := range totals.UnreconciledOfferings {
+	for offering := range totals.UnreconciledOfferings {
 		// Only the constraints are checked, because the sizes in the catalog may have been
 		// different when an earlier leader placed the job.
-		if option.MatchesConstraints(&job.Spec) {
+		if offering.MatchesConstraints(&job.Spec) {
 			return true
 		}
 	}
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -74,7 +74,7 @@
 }
 
 // BitmapKey returns the key of one part of a job's bitmap of finished tasks, by the part's number.
-// Such keys are used for the only part of a small bitmap, and for every part at version level 0.
+// Such keys are used for the only part of a small bitmap, and for every part at protocol level 0.
 func BitmapKey(id string, part int) string { return fmt.Sprintf("%s%s/%03d", BitmapPrefix, id, part) }
 
 // firstTaskMarker precedes the task index in the key of a part that is identified by its first task.
@@ -188,7 +188,7 @@
 }
 
 // TerminalRecord is the record of a terminal job. EndedAtMillis is the wall-clock time of its end in
-// Unix milliseconds, from which its dependents' deadlines count; version level 0 does not write it.
+// Unix milliseconds, from which its dependents' deadlines count; protocol level 0 does not write it.
 type TerminalRecord struct {
 	State         protocol.JobState `json:"state"`
 	TaskCount     int               `json:"tasks"`
--- a/internal/submissions/queue.go
+++ b/internal/submissions/queue.go
@@ -37,12 +37,12 @@
 
 // Write is the write of a submission in one transaction.
 type Write struct {
-	Record        storage.JobRecord
-	Writes        []storage.Write // encoded Record; encoded once, because it may be sent again
-	Deadline      clock.Instant   // time at which the write is rejected if it is still queued
-	PolicyVersion uint64          // version of the policy's record that admitted the submission; 0 without a record
-	OnResult      func(Result)    // called when the write has ended
-	retries       int             // number of times that the write was sent again or its submission evaluated again
+	Record         storage.JobRecord
+	Writes         []storage.Write // encoded Record; encoded once, because it may be sent again
+	Deadline       clock.Instant   // time at which the write is rejected if it is still queued
+	PolicyRevision uint64          // revision of the policy record that admitted the submission; 0: no record
+	OnResult       func(Result)    // called when the write has ended
+	retries        int             // number of times that the write was sent again or its submission evaluated again
 }
 
 // Result is the result of the write of a submission.
@@ -148,7 +148,7 @@
 		Conditions: []storage.Condition{
 			{Key: storage.JobKey(jobID)},
 			{Key: storage.TerminalKey(jobID)},
-			{Key: storage.AdmissionPolicyKey, ModRevision: write.PolicyVersion},
+			{Key: storage.AdmissionPolicyKey, ModRevision: write.PolicyRevision},
 		},
 		Writes: write.Writes,
 	}
--- a/internal/submissions/queue_test.go
+++ b/internal/submissions/queue_test.go
@@ -50,7 +50,7 @@
 func newTestWrite(jobID string, results *[]Result) *Write {
 	record := storage.JobRecord{Spec: protocol.Job{ID: jobID}}
 	return &Write{Record: record, Writes: []storage.Write{storage.Put(storage.JobKey(jobID), record)},
-		Deadline: time.Minute, PolicyVersion: 7, OnResult: func(result Result) { *results = append(*results, result) }}
+		Deadline: time.Minute, PolicyRevision: 7, OnResult: func(result Result) { *results = append(*results, result) }}
 }
 
 // Each response that ends a write must lead to the right outcome, because the outcome determines whether
