--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -9,7 +9,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// autoscalerHost gives the autoscaler access to its leader and node.
+// autoscalerHost gives the autoscaler access to its leader and node. It implements
+// autoscaler.CloudClient, MachineRegistry, JobQueue, WallClock and StoreHealth.
 type autoscalerHost struct{ leader *leader }
 
 // newLeaderAutoscaler returns the autoscaler of a leader.
@@ -19,16 +20,16 @@
 		Recovery: l.recovery, Machines: host, Jobs: host, WallClock: host, Store: host})
 }
 
-// TakeRequest reports whether the cloud budget allows a request now, and takes it from the budget.
+// TakeRequest reports whether the budget allows a request now, and takes it from the budget.
 func (h autoscalerHost) TakeRequest() bool {
 	return h.leader.node.takeCloudRequest()
 }
 
-// ReturnRequest refunds the cloud budget for a request that was not sent.
+// ReturnRequest refunds a request that was taken from the budget but not sent.
 func (h autoscalerHost) ReturnRequest() { h.leader.node.returnCloudRequest() }
 
-// Send sends a request to the cloud and passes its response to onResponse, unless the node has
-// stepped down by then.
+// Send sends a request, and calls onResponse with the response unless the leader has stepped down by
+// then. The status is 0 if no usable response arrives within the timeout.
 func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration,
 	onResponse func(protocol.CloudResponse)) {
 	h.leader.node.callService(TargetCloud, method, path, body, timeout, func(result CallResult) {
@@ -48,7 +49,7 @@
 	return h.leader.machineRecords.AddListed(host)
 }
 
-// RemoveMachine removes a machine that certainly no longer exists, with all its task attempts.
+// RemoveMachine removes a machine that is certain to be gone, with all its attempts.
 func (h autoscalerHost) RemoveMachine(machine *cluster.Machine) {
 	h.leader.machineRecords.Remove(machine)
 }
@@ -68,16 +69,16 @@
 	return h.leader.MayRunUnreported(job, totals)
 }
 
-// SoonReleasedDependents returns the jobs whose last pending dependency is this job, if it is
-// expected to end within the horizon.
+// SoonReleasedDependents returns the jobs for which this one is the last pending dependency, if it
+// should end within the horizon.
 func (h autoscalerHost) SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job {
 	return h.leader.dependencies.SoonReleasedDependents(job, horizon)
 }
 
-// ReleaseUndelivered releases the task attempts whose start was not delivered to the machine in time.
+// ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
 func (h autoscalerHost) ReleaseUndelivered() { h.leader.ReleaseUndelivered() }
 
-// NowUnixMilli returns the current wall clock time in Unix milliseconds.
+// NowUnixMilli returns the current wall clock in Unix milliseconds.
 func (h autoscalerHost) NowUnixMilli() int64 { return h.leader.node.nowUnixMilli() }
 
 // InstantFromUnixMilli converts a stored wall clock time to an instant.
--- a/internal/controller/catalog_host.go
+++ b/internal/controller/catalog_host.go
@@ -18,11 +18,12 @@
 // Leading reports whether the node is the leader.
 func (h catalogHost) Leading() bool { return h.node.leader != nil }
 
-// TakeCloudRequest reports whether the cloud budget allows a request now, and takes it from the
+// TakeCloudRequest reports whether the budget allows a request to the cloud now, and takes it from the
 // budget.
 func (h catalogHost) TakeCloudRequest() bool { return h.node.takeCloudRequest() }
 
-// ReadFromCloud reads a resource of the cloud API. Status 0 means that no usable response arrived.
+// ReadFromCloud requests a resource of the cloud, and calls onResponse with the response. Its status is
+// 0 if no usable response arrives within the timeout.
 func (h catalogHost) ReadFromCloud(
 	path string, timeout time.Duration, onResponse func(protocol.CloudResponse),
 ) {
@@ -31,14 +32,15 @@
 	})
 }
 
-// ReadFromStore reads a record of the key-value store. Status 0 means that no usable response arrived.
+// ReadFromStore requests a record of the key-value store, and calls onResponse with the response. Its
+// status is 0 if no usable response arrives.
 func (h catalogHost) ReadFromStore(key string, onResponse func(storage.Response)) {
 	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(storage.Response{Status: result.Status, Body: result.Body})
 	})
 }
 
-// MachineTypesChanged applies the new machine types to the leader's machines, if this node leads.
+// MachineTypesChanged updates what the node derives from the machine types, if it is the leader.
 func (h catalogHost) MachineTypesChanged() {
 	if h.node.leader != nil {
 		h.node.leader.applyMachineTypes()
--- a/internal/controller/connectivity_host.go
+++ b/internal/controller/connectivity_host.go
@@ -23,7 +23,7 @@
 	return report
 }
 
-// twoWayPeerCount returns the number of peers with which messages pass in both directions.
+// twoWayPeerCount returns the number of peers with which messages are exchanged in both directions.
 func (n *Node) twoWayPeerCount() int { return n.connectivity.twoWayPeerCount(n.now, n.leaderLease()) }
 
 // nodeLinks implements workerServiceLinks with the connectivity reports that its node has received.
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -12,7 +12,7 @@
 // dependencyHost gives the dependency graph access to its leader. It implements dependency.Host.
 type dependencyHost struct{ leader *leader }
 
-// TerminalRecord returns the terminal record of a job, if this node knows it.
+// TerminalRecord returns the terminal record of a job, if it is known.
 func (h dependencyHost) TerminalRecord(jobID string) (storage.TerminalRecord, bool) {
 	return h.leader.node.jobReader.TerminalRecord(jobID)
 }
@@ -22,16 +22,16 @@
 	return h.leader.node.instantFromUnixMilli(unixMilli)
 }
 
-// JobReleased adds a job that has become available to scheduling to the arrival forecast. The
-// forecast counts jobs that are released while the records are loading once all records are loaded.
+// JobReleased adds a job that has become available for scheduling to the arrival forecast. Jobs that
+// are released while the records are loading are added once all records are loaded.
 func (h dependencyHost) JobReleased(job *cluster.Job) {
 	if h.leader.recordsLoaded {
 		h.leader.autoscaler.RecordArrival(job)
 	}
 }
 
-// CancelJob responds to the users who wait for the cancellation of a job, and cancels the job unless
-// it is terminal.
+// CancelJob responds to the users who wait for the cancellation of a job, and ends the job as
+// cancelled unless it is already terminal.
 func (h dependencyHost) CancelJob(job *cluster.Job) {
 	waiters := h.leader.cancelWaiters
 	for _, origin := range waiters[job.Spec.ID] {
@@ -43,15 +43,15 @@
 	}
 }
 
-// MayLookUp takes one read from the lookup budget. It reports false if none is left or the key-value
-// store is unavailable.
+// MayLookUp takes one read from the budget for lookups. It reports false if the budget is used up or
+// the key-value store is unavailable.
 func (h dependencyHost) MayLookUp() bool {
 	node := h.leader.node
 	return !node.election.StoreUnavailable() && h.leader.lookupBudget.Take(node.now, 1)
 }
 
-// ReadTerminalRecord reads a job's terminal record and passes it to onRead, unless the term has ended
-// by then. terminal is nil if there is none.
+// ReadTerminalRecord reads a job's terminal record and passes it to onRead, or nil if there is none. If
+// the read fails, ok is false. onRead is not called once the leader's term has ended.
 func (h dependencyHost) ReadTerminalRecord(jobID string, onRead func(ok bool, terminal *storage.TerminalRecord)) {
 	node := h.leader.node
 	node.jobReader.ReadTerminalRecord(jobID, func(ok bool, terminal *storage.TerminalRecord) {
@@ -61,7 +61,7 @@
 	})
 }
 
-// LoadOpenJob reads the record of an open job, if there is one, and adds the job to the job table.
+// LoadOpenJob reads the record of an open job and adds the job to the open jobs, if the record exists.
 func (h dependencyHost) LoadOpenJob(jobID string) {
 	node := h.leader.node
 	node.jobReader.ReadItem(storage.JobKey(jobID), func(_ int, item *storage.Item) {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -61,18 +61,18 @@
 // reconcilerHost gives the reconciler access to its leader. It implements reconcile.Host.
 type reconcilerHost struct{ leader *leader }
 
-// RecordMachine stores a machine's record, which marks it as one that may have tasks.
+// RecordMachine queues a write that stores a machine as one that may have tasks.
 func (h reconcilerHost) RecordMachine(machine *cluster.Machine) {
 	h.leader.machineRecords.Record(machine, true)
 }
 
-// MarkTaskDone marks a task as completed and stores that.
+// MarkTaskDone marks a task as completed and queues a write that stores the completion.
 func (h reconcilerHost) MarkTaskDone(job *cluster.Job, taskIndex int) {
 	h.leader.jobRecords.MarkTaskDone(job, taskIndex)
 }
 
-// ClosedJobState returns the state of a job that is not open: terminal if its terminal record is
-// known, quarantined if its record can't be read, and otherwise unknown.
+// ClosedJobState returns the state of a job according to its terminal record or unreadable record:
+// terminal or quarantined. The state is unknown if there is no such record.
 func (h reconcilerHost) ClosedJobState(jobID string) recovery.JobState {
 	if _, isTerminal := h.leader.node.jobReader.TerminalRecord(jobID); isTerminal {
 		return recovery.JobStateTerminal
@@ -90,7 +90,7 @@
 }
 
 // ConfirmDelivery reports whether the route of a heartbeat shows that the last response has reached
-// the worker. If so, it records the delivery.
+// the worker. If so, it records the delivery. relayPeer is the peer that relayed the heartbeat, or empty.
 func (h reconcilerHost) ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
 	relayPeer string) bool {
 	if !h.leader.arrivedBySameRoute(machine, heartbeat, relayPeer) {
@@ -100,12 +100,12 @@
 	return true
 }
 
-// TraceFirstStart traces the first start command of a job in this term.
+// TraceFirstStart adds the first start command of a job in this term to the job's trace.
 func (h reconcilerHost) TraceFirstStart(attempt *cluster.TaskAttempt) {
 	h.leader.node.traceStep(attempt.Job.Spec.ID, stepFirstStart, attempt.Key()+" on "+attempt.Machine.Name)
 }
 
-// TraceFirstRunning traces the first task of a job that is running.
+// TraceFirstRunning adds the first running attempt of a job to the job's trace.
 func (h reconcilerHost) TraceFirstRunning(attempt *cluster.TaskAttempt) {
 	job := attempt.Job
 	h.leader.node.traceStep(job.Spec.ID, stepFirstRunning,
--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -19,7 +19,8 @@
 	h.node.storeCall(http.MethodGet, path, nil, func(result CallResult) { onResponse(result.Status, result.Body) })
 }
 
-// StoreUnavailable reports whether the key-value store is considered down.
+// StoreUnavailable reports whether the key-value store is considered down, so that requests that need
+// it are rejected at once.
 func (h jobReaderHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
 // StoreReachable reports whether the last call to the key-value store succeeded.
@@ -27,7 +28,7 @@
 	return h.node.election.StoreReachable()
 }
 
-// HasOpenJob reports whether this node leads and has the job in its job table.
+// HasOpenJob reports whether this node is the leader and has the job among its open jobs.
 func (h jobReaderHost) HasOpenJob(jobID string) bool {
 	return h.node.leader != nil && h.node.leader.Jobs[jobID] != nil
 }
@@ -41,7 +42,7 @@
 	}
 }
 
-// TerminalRecordUnreadable quarantines a terminal record that can't be decoded, once per job.
+// TerminalRecordUnreadable quarantines a terminal record that can't be decoded or is invalid, once per job.
 func (h jobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
 	node := h.node
 	if node.unreadableTerminalRecords[jobID] != nil {
--- a/internal/controller/outbox_host.go
+++ b/internal/controller/outbox_host.go
@@ -3,7 +3,7 @@
 import "net/http"
 
 // nodeStoreObserver updates the election and the write budgets of its node from the responses of the
-// key-value store.
+// key-value store. It implements storeResponseObserver.
 type nodeStoreObserver struct{ node *Node }
 
 // StoreResponded tells the election whether the store responded, and throttles writes if the store
--- a/internal/controller/protocol_levels_host.go
+++ b/internal/controller/protocol_levels_host.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// ClusterLevelRaised makes a leader rewrite the stored bitmaps in the layout that controllers of
-// level 0 can't read, once no node has that level any more.
+// ClusterLevelRaised is called when the level that every node understands has risen. Once that level is
+// above 0, a leader rewrites the stored bitmaps in the layout that controllers of level 0 can't read.
 func (h nodeProtocolLevelsHost) ClusterLevelRaised(previousLevel int) {
 	if h.node.leader != nil && previousLevel < protocolLevelDependencies {
 		h.node.leader.jobRecords.UpgradeBitmapLayouts()
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -11,19 +11,19 @@
 	"hitchdoor/internal/storage"
 )
 
-// recordsHost gives package records access to the leader and its node. It implements the host
-// interfaces of that package.
+// recordsHost gives package records access to the leader and its node. It implements
+// records.TransactionHost, LoaderHost, JobHost, QuarantineHost, JobWatchHost and Clock.
 type recordsHost struct{ leader *leader }
 
 // Now returns the time of the current step.
 func (h recordsHost) Now() clock.Instant { return h.leader.node.now }
 
-// UnixMilli returns the wall clock time of an instant in Unix milliseconds.
+// UnixMilli returns the wall-clock time of an instant in Unix milliseconds.
 func (h recordsHost) UnixMilli(at clock.Instant) int64 {
 	return h.leader.node.unixMilli(at)
 }
 
-// InstantFromUnixMilli converts a stored wall clock time to an instant.
+// InstantFromUnixMilli converts a stored wall-clock time to an instant.
 func (h recordsHost) InstantFromUnixMilli(milliseconds int64) clock.Instant {
 	return h.leader.node.instantFromUnixMilli(milliseconds)
 }
@@ -31,8 +31,8 @@
 // WorkerLease returns the duration of the workers' lease.
 func (h recordsHost) WorkerLease() time.Duration { return h.leader.node.workerLease() }
 
-// CallStore sends a request to the key-value store and passes its response to onResponse, unless
-// the term has ended by then.
+// CallStore sends a request to the key-value store and passes the response to onResponse, unless the
+// term has ended by then.
 func (h recordsHost) CallStore(method, path string, body any, onResponse func(storage.Response)) {
 	node := h.leader.node
 	node.storeCall(method, path, body, func(result CallResult) {
@@ -56,7 +56,7 @@
 // RecordsLoaded reports whether all records that were stored at the start of the term are loaded.
 func (h recordsHost) RecordsLoaded() bool { return h.leader.recordsLoaded }
 
-// CallAfter calls a function after a delay, unless the term ends before.
+// CallAfter calls a function after a delay, unless the term has ended by then.
 func (h recordsHost) CallAfter(delay time.Duration, call func()) {
 	l := h.leader
 	l.delayedCalls = append(l.delayedCalls, delayedCall{l.node.now + delay, call})
@@ -68,8 +68,8 @@
 // StoreUnavailable reports whether the key-value store is considered down.
 func (h recordsHost) StoreUnavailable() bool { return h.leader.node.election.StoreUnavailable() }
 
-// NewerVersionSeen reports whether a controller has written a higher protocol level than this
-// version's.
+// NewerVersionSeen reports whether a controller has written a higher protocol level than that of this
+// version.
 func (h recordsHost) NewerVersionSeen() bool { return h.leader.node.protocolLevels.newerVersionSeen() }
 
 // MarkJobAccepted records that a job is known to have been accepted.
@@ -91,7 +91,7 @@
 	return !h.leader.node.clusterSupports(protocolLevelDependencies)
 }
 
-// JobAdded adds a job that is new in the job table to the dependency graph. Jobs that were accepted
+// JobAdded adds a job that was added to the job table to the dependency graph. Jobs that were accepted
 // after the records were loaded are also counted for admission and traced.
 func (h recordsHost) JobAdded(job *cluster.Job) {
 	l := h.leader
@@ -117,15 +117,16 @@
 	h.leader.dependencies.ForEachDependent(job, visit)
 }
 
-// TerminalRecordWritten traces the end of a job and caches its terminal record.
+// TerminalRecordWritten traces the end of a job whose terminal record this leader has written, and
+// caches the record.
 func (h recordsHost) TerminalRecordWritten(job *cluster.Job, terminal storage.TerminalRecord) {
 	l := h.leader
 	l.node.traceStep(job.Spec.ID, stepTerminal, string(terminal.State)+" after "+l.jobAge(job))
 	l.node.jobReader.CacheTerminalRecord(job.Spec.ID, terminal)
 }
 
-// JobEnded releases or cancels the dependents of an ended job and responds to the users who wait for
-// its cancellation. writtenHere reports whether this leader has written the terminal record.
+// JobEnded releases or cancels the dependents of a job with a durable terminal record and responds to
+// the users who wait for its cancellation. writtenHere tells whether this leader has written the record.
 func (h recordsHost) JobEnded(jobID string, terminal storage.TerminalRecord, writtenHere bool) {
 	l := h.leader
 	l.dependencies.ReleaseDependents(jobID, terminal, writtenHere)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -71,8 +71,8 @@
 // StoreUnavailable reports whether the key-value store can't be reached.
 func (h submissionHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
-// ExecuteTxn sends a transaction to the key-value store. Status 0 means that no usable response
-// arrived.
+// ExecuteTxn sends a transaction to the key-value store and passes the HTTP status and the body of the
+// response to onResponse. Status 0 means that there was no usable response.
 func (h submissionHost) ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodPost, "/multi", txn, func(result CallResult) {
 		onResponse(result.Status, result.Body)
