--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -37,7 +37,7 @@
 	lastWaitingCheck   clock.Instant
 	onJobState         func(id string, state protocol.JobState) // called at acceptance and at the terminal state
 	acceptancesByEpoch map[uint64]int                           // jobs accepted under a policy, by policy epoch
-	scenario           string                                   // the test case, for messages
+	scenario           string                                   // the test case, for failure messages
 	caughtViolations   map[string]int                           // counts by rule, to test the checker; nil: the test fails
 	load               machineLoad                              // running tasks as of the last check
 	helperMarked       bool                                     // checkInvariants has called t.Helper
@@ -85,7 +85,7 @@
 // reportViolation fails the test, or counts the violation if the checker itself is tested. Rules
 // whose names need an explanation are:
 //
-//   - forgotten: an accepted job is answered as unknown or rejected, or its queries get no answer
+//   - forgotten: a reply reports an accepted job as unknown or rejected, or its queries get no reply
 //   - invented: a job that was never submitted has a state
 //   - went_back: a terminal state changes, or a job is cancelled without a request
 //   - not_done: a job is reported as done before all its tasks have completed
@@ -168,7 +168,7 @@
 	}
 }
 
-// mayBeCancelled tells whether a user has sent a cancellation of a job or of one of its
+// mayBeCancelled reports whether a user has sent a cancellation of a job or of one of its
 // dependencies.
 func (sim *simulation) mayBeCancelled(id string) bool {
 	return sim.cancelRequested[id] || slices.ContainsFunc(sim.jobSpecs[id].Dependencies, sim.mayBeCancelled)
@@ -194,8 +194,8 @@
 // cancelLimit returns the time within which the tasks of a cancelled job must end.
 func (sim *simulation) cancelLimit() time.Duration { return config.Seconds(sim.cfg.Workers.CancelS) }
 
-// checkInvariants checks the invariants that must hold at each moment: at most one leader, and those
-// of running and pending tasks.
+// checkInvariants checks at each step that at most one node leads, and the invariants of running and
+// pending tasks.
 func (sim *simulation) checkInvariants() {
 	if !sim.helperMarked {
 		sim.helperMarked = true // one call is enough for a test, and calls are slow
@@ -269,7 +269,7 @@
 	}
 }
 
-// runningTasksUnchanged tells whether the same tasks run on the same machines as at the last check.
+// runningTasksUnchanged reports whether the same tasks run on the same machines as at the last check.
 func (sim *simulation) runningTasksUnchanged() bool {
 	if !sim.load.valid {
 		return false
@@ -354,7 +354,7 @@
 	}
 }
 
-// hasRoomFor tells whether a job has a pending task that some machine and the quota have room for.
+// hasRoomFor reports whether a job has a pending task that some machine and the quota have room for.
 func (sim *simulation) hasRoomFor(id string, machineByTask map[string]string, coresByTeam map[string]float64) bool {
 	job := sim.jobSpecs[id]
 	if slices.ContainsFunc(job.Dependencies,
@@ -447,7 +447,7 @@
 	}
 }
 
-// describe describes the worker's state and faults for messages.
+// describe returns the worker's state and faults, for failure messages.
 func (worker *fakeWorker) describe() string {
 	return fmt.Sprintf("epoch %d, fencing token %d, node %s, hung %v, unreachable %v, drops responses %v",
 		worker.epoch, worker.fencingToken, worker.node, worker.hung, worker.unreachable, worker.dropResponses)
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -33,7 +33,7 @@
 
 func (c *userSimulation) randomNode() string { return c.names[c.rng.IntN(len(c.names))] }
 
-// acceptanceReported tells whether some user was told that a job is accepted.
+// acceptanceReported reports whether some reply to a user has shown that a job is accepted.
 func (c *userSimulation) acceptanceReported(id string) bool { _, ok := c.acceptedAt[id]; return ok }
 
 // sendUserRequest sends a request to a random node and calls onReply once: with the reply, or with
@@ -88,8 +88,8 @@
 	c.sendUserRequest(Request{Kind: protocol.RequestQuery, JobID: "j-nobodys"}, func(Reply) {})
 }
 
-// queryAfterEachChange lets users query all nodes repeatedly within milliseconds, and repeat the
-// submission, as soon as a reply tells any user that a job is accepted, done or cancelled.
+// queryAfterEachChange makes users query a job at all nodes several times within milliseconds, and
+// repeat its submission, after a reply first reports it as accepted, done or cancelled.
 func (c *userSimulation) queryAfterEachChange() {
 	c.onJobState = func(id string, _ protocol.JobState) {
 		job := c.jobSpecs[id]
@@ -108,7 +108,7 @@
 
 // markFaultsEnded tells the invariant checker that all faults have ended. From then on no job may stay
 // pending while there is free capacity for it. All accepted jobs are queried every 5 s, and within 75 s
-// each of them must have got an answer.
+// each of them must have got a reply.
 func (c *userSimulation) markFaultsEnded() {
 	c.faultsEndedAt = c.now
 	var queryRepeatedly func()
@@ -120,7 +120,7 @@
 	c.schedule(75*time.Second, func() {
 		for id, at := range c.lastReplyAt {
 			if at < c.faultsEndedAt && c.now >= c.faultsEndedAt {
-				c.reportViolation("forgotten", "no query of %s was answered within 75 s of the last fault", id)
+				c.reportViolation("forgotten", "no query of %s got a reply within 75 s of the last fault", id)
 			}
 		}
 	})
@@ -164,7 +164,7 @@
 	c.advance(2 * time.Second)
 }
 
-// explainPending describes for messages why a job is not done.
+// explainPending returns the state of a job that is not done, for failure messages.
 func (sim *simulation) explainPending(id string) string {
 	name := sim.leaderName()
 	if name == "" {
@@ -193,7 +193,8 @@
 	return description
 }
 
-// explainNoLeader describes for messages the faults of the store and the election state of each node.
+// explainNoLeader returns the faults of the store and the election state of each node, for failure
+// messages.
 func (sim *simulation) explainNoLeader() string {
 	description := fmt.Sprintf("store down %v, refused nodes %v, nodes with lost requests %v, leader key %q",
 		sim.store.down, sim.store.refusedNodes, sim.store.requestsDropped, sim.store.keys[storage.LeaderKey].Value)
