--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -26,9 +26,9 @@
 	Headroom float64 `yaml:"headroom"`
 	// IdleRetention is how long a machine that is no longer needed is kept, as a ratio to its boot time.
 	IdleRetention float64 `yaml:"idle_keep"`
-	// CostSensitivity determines how much less headroom is held on more expensive machines: the headroom
-	// is scaled by (lowest price / price) to the power of CostSensitivity. The default, for nil, is 0.3
-	// if some SLO on starting leaves no time to boot a machine, and 2 otherwise.
+	// CostSensitivity determines how much less is held on more expensive machines: the usual load with
+	// its headroom is scaled by (lowest price / price) to this power. The default, for nil, is 0.3 if
+	// some SLO on starting leaves no time to boot a machine, and 2 otherwise.
 	CostSensitivity *float64 `yaml:"thrift"`
 	// LoadSteps is the number of steps into which placement divides the load of a machine. It prefers
 	// a lower step, and within a step a shorter pull of the job's image and then a lower load.
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -19,19 +19,20 @@
 // Now returns the time of the current step.
 func (h admissionHost) Now() clock.Instant { return h.node.now }
 
-// ReadRecord reads a record of the key-value store. Status 0 means that no usable response arrived.
+// ReadRecord reads a record of the key-value store and passes the HTTP status and the body of the
+// response to onResponse. Status 0 means that there was no usable response.
 func (h admissionHost) ReadRecord(key string, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(result.Status, result.Body)
 	})
 }
 
-// SubmissionsPerSecond returns the rate at which the cluster may write submissions.
+// SubmissionsPerSecond returns the rate at which the whole cluster may write submissions.
 func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionQueue.ClusterRate() }
 
-// PoliciesAllowed reports whether the settings enable admission policies and every node supports
-// them. The level in a peer's heartbeat reveals a node that was downgraded after it had written its
-// version record.
+// PoliciesAllowed reports whether the operators enable policies and every node understands them. The
+// level in a peer's heartbeat reveals a node that was downgraded after it had written its version
+// record.
 func (h admissionHost) PoliciesAllowed() bool {
 	node := h.node
 	if !node.settings.FairAdmission || !node.clusterSupports(protocolLevelAdmission) {
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -44,7 +44,7 @@
 // twoWayPeerCount returns the number of peers with which messages passed in both directions within
 // the window.
 func (c *connectivity) twoWayPeerCount(now clock.Instant, window time.Duration) int {
-	return c.matrix.CountBidirectional(c.self, now, window, func(node string) bool {
+	return c.matrix.TwoWayPeerCount(c.self, now, window, func(node string) bool {
 		peer := c.peers[node]
 		return peer != nil && now-peer.LastContact < window
 	})
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// sendsMessage tells whether an effect sends a message of type M to a peer.
+// sendsMessage reports whether an effect sends a message of type M to a peer.
 func sendsMessage[M protocol.PeerMessage](effect Effect) bool {
 	outbound, ok := effect.(OutboundMessage)
 	if !ok {
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -12,7 +12,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// sweepAll tells whether the environment variable HITCHDOOR_SWEEP asks for a sweep of all combinations
+// sweepAll reports whether the environment variable HITCHDOOR_SWEEP asks for a sweep of all combinations
 // of faults instead of a sample. Each combination is run with many offsets and seeds, since a single
 // timing may pass by chance.
 func sweepAll() bool { return os.Getenv("HITCHDOOR_SWEEP") != "" }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -72,7 +72,7 @@
 // margin to the overflow of the counter suffices for some scheduling passes.
 const maxAttemptCounter = 1<<attemptCounterBits - 1<<24
 
-// NextAttemptNumber returns a number that no other task attempt has.
+// NextAttemptNumber returns a number for a new attempt, which no other attempt has.
 func (l *leader) NextAttemptNumber() uint64 {
 	l.attemptCounter++
 	return l.term<<attemptCounterBits | l.attemptCounter
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -82,7 +82,7 @@
 	return sim.names[(slices.Index(sim.names, name)+1)%len(sim.names)]
 }
 
-// leaderPossible tells whether some node has all the links that a leader needs under two cuts. With
+// leaderPossible reports whether some node has all the links that a leader needs under two cuts. With
 // some pairs workers have no node that they can both reach and receive from, and no task can start.
 func leaderPossible(first, second string) bool {
 	workers := []string{"workers to leader", "leader to workers"}
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -72,7 +72,7 @@
 }
 
 // During an upgrade, nodes exchange messages with nodes of the version in production. Its heartbeats
-// carry no version and must be understood, and the fields that it reads must not change.
+// carry no protocol level and must be understood, and the fields that it reads must not change.
 func TestMessagesOfVersionInProduction(t *testing.T) {
 	sim := newSimulation(t, 3)
 	message, err := protocol.DecodePeerMessage([]byte(productionHeartbeat))
@@ -278,7 +278,7 @@
 	sim.submitAccepted("n1", dependentSpec("j-b", 1, "j-a"))
 	sim.waitForJobState("j-b", protocol.JobDone, 2*time.Minute)
 	sim.checkStartedOnce()
-	// A late heartbeat of an earlier process of n1, which has no version, is ignored.
+	// A late heartbeat of an earlier process of n1, which has no protocol level, is ignored.
 	sim.nodes["n0"].inbox = append(sim.nodes["n0"].inbox,
 		InboundMessage{From: "n1", Message: protocol.PeerHeartbeat{Uptime: 1}})
 	sim.submitAccepted("n0", dependentSpec("j-c", 1, "j-b"))
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -480,7 +480,7 @@
 	return record.State
 }
 
-// linkBlocked tells whether messages from one node to another are lost or delayed.
+// linkBlocked reports whether messages from one node to another are lost or delayed.
 func (sim *simulation) linkBlocked(from, to string) bool {
 	return sim.linkCuts[[2]string{from, to}] || sim.linkCuts[[2]string{to, from}] || sim.oneWayCuts[[2]string{from, to}]
 }
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -44,7 +44,7 @@
 	return "turn in " + strconv.Itoa(verdict.EpochsUntilAdmitted) + " epochs"
 }
 
-// TraceBlocked traces which check of the scheduler blocks a job, if it is not the previous one.
+// TraceBlocked records in the job's trace the check that now blocks it, if that differs from previous.
 func (l *leader) TraceBlocked(job *cluster.Job, previous cluster.WaitReason) {
 	if job.BlockedBy != previous && job.BlockedBy != "" {
 		l.node.traceStep(job.Spec.ID, stepBlocked, string(job.BlockedBy))
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -188,10 +188,10 @@
 	return resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(value) == nil
 }
 
-// waitForLeader waits until every node names a leader and knows the versions of all nodes.
+// waitForLeader waits until every node names a leader and knows the protocol levels of all nodes.
 func (c *testCluster) waitForLeader() {
 	c.t.Helper()
-	c.eventually(20*time.Second, "all nodes to name a leader and to know each other's versions", func() bool {
+	c.eventually(20*time.Second, "all nodes to name a leader and to know each other's protocol levels", func() bool {
 		for _, name := range c.nodes {
 			var status struct {
 				Leader string `json:"leader"`
--- a/internal/reachability/matrix.go
+++ b/internal/reachability/matrix.go
@@ -157,10 +157,10 @@
 	return mostStranded
 }
 
-// CountBidirectional counts the other nodes with which heartbeats are exchanged in both directions.
-// receivesFrom reports whether heartbeats from a node arrive here. This suffices for a node without a
-// recent report, because nodes of earlier versions don't report what they receive.
-func (m *Matrix) CountBidirectional(self string, now, window time.Duration, receivesFrom func(node string) bool) int {
+// TwoWayPeerCount returns the number of other nodes with which heartbeats are exchanged in both
+// directions. receivesFrom reports whether heartbeats from a node arrive here. This suffices for a node
+// without a recent report, because nodes of earlier versions don't report what they receive.
+func (m *Matrix) TwoWayPeerCount(self string, now, window time.Duration, receivesFrom func(node string) bool) int {
 	count := 0
 	for node := range m.nodes {
 		if node != self && receivesFrom(node) && m.Link(self, node, now, window) != LinkDown {
--- a/internal/reachability/matrix_test.go
+++ b/internal/reachability/matrix_test.go
@@ -93,16 +93,16 @@
 
 // Only links on which heartbeats pass in both directions must be counted. A node of an earlier version
 // does not report what it receives, and must count if its heartbeats arrive.
-func TestCountBidirectional(t *testing.T) {
+func TestTwoWayPeerCount(t *testing.T) {
 	m := NewMatrix([]string{"a", "b", "c", "d"})
 	m.RecordReport("b", 0, NodeReport{IncomingLinks: []IncomingLink{{"a", 0}}})
 	m.RecordReport("c", 0, NodeReport{})
 	receivesFrom := func(node string) bool { return node != "d" }
-	if got := m.CountBidirectional("a", 0, window, receivesFrom); got != 1 {
+	if got := m.TwoWayPeerCount("a", 0, window, receivesFrom); got != 1 {
 		t.Errorf("links of a: got %d, want 1", got)
 	}
 	// Node a sends no report and counts. Node c reports that it receives no heartbeats and does not count.
-	if got := m.CountBidirectional("b", 0, window, receivesFrom); got != 1 {
+	if got := m.TwoWayPeerCount("b", 0, window, receivesFrom); got != 1 {
 		t.Errorf("links of b: got %d, want 1", got)
 	}
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -196,7 +196,7 @@
 	EndedAtMillis int64             `json:"at,omitempty"`
 }
 
-// VersionRecord is a node's version: the level of records and messages that it understands, and its build.
+// VersionRecord is a node's protocol level (the records and messages that it understands) and its build.
 type VersionRecord struct {
 	Level int    `json:"level"`
 	Build string `json:"build,omitempty"`
