--- a/internal/compatibility/records_test.go
+++ b/internal/compatibility/records_test.go
@@ -84,7 +84,7 @@
 }
 
 // partialRecordCase returns the case of a stored record in which some fields may have their zero
-// value, as in records of version level 0.
+// value, as in records of protocol level 0.
 func partialRecordCase[T any](name, key string, value T, read func(storage.Item) (T, error)) jsonCase {
 	c := fullRecordCase(name, key, value, read)
 	c.allFieldsSet = false
@@ -112,7 +112,7 @@
 // the name of a field ignores the field's value.
 func TestStoredRecords(t *testing.T) {
 	machine := storage.MachineRecord{Type: "t1", Zone: "a", Spot: true, RentedAtMillis: 1_000_000_000_123, Used: true}
-	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Tail: 5,
+	share := admission.Share{Group: admission.Group{Team: "t", Class: "c", PriorityRank: 1}, Start: 5,
 		Steps: []uint64{6, 7}, Demand: 8.5}
 	job := minimalJob()
 	job.ID = "j-77"
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -19,19 +19,20 @@
 // Now returns the time of the current step.
 func (h admissionHost) Now() clock.Instant { return h.node.now }
 
-// ReadRecord reads a record of the key-value store. Status 0 means that no usable response arrived.
+// ReadRecord reads a record of the key-value store and passes the HTTP status and the body of the
+// response to onResponse. Status 0 means that there was no usable response.
 func (h admissionHost) ReadRecord(key string, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(result.Status, result.Body)
 	})
 }
 
-// SubmissionsPerSecond returns the rate at which the cluster may write submissions.
+// SubmissionsPerSecond returns the rate at which the whole cluster may write submissions.
 func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionQueue.ClusterRate() }
 
-// PoliciesAllowed reports whether the settings enable admission policies and every node supports
-// them. The level in a peer's heartbeat reveals a node that was downgraded after it had written its
-// version record.
+// PoliciesAllowed reports whether the operators enable policies and every node understands them. The
+// level in a peer's heartbeat reveals a node that was downgraded after it had written its version
+// record.
 func (h admissionHost) PoliciesAllowed() bool {
 	node := h.node
 	if !node.settings.FairAdmission || !node.clusterSupports(protocolLevelAdmission) {
@@ -65,11 +66,11 @@
 	verdict := policy.Current.Evaluate(group, job.ID)
 	n.traceStep(job.ID, stepAdmissionVerdict, verdictNote(verdict))
 	if verdict.Admit {
-		submission.write.PolicyVersion = policy.Version
+		submission.write.PolicyRevision = policy.RecordRevision
 		n.submissionQueue.Add(submission.write)
 		return
 	}
-	policy.CountByPolicy(group)
+	policy.CountPolicyRejection(group)
 	n.policyRejections.Put(job.ID, group)
 	n.rejectByPolicy(submission, admissionDeferred(policy.RetryAfterSeconds(verdict)))
 }
@@ -89,7 +90,7 @@
 func (n *Node) rejectForCapacity(submission *userSubmission) {
 	job := submission.request.Job
 	if !n.election.StoreUnavailable() {
-		n.admissionPolicy.CountForCapacity(job, submission.write.PolicyVersion)
+		n.admissionPolicy.CountCapacityRejection(job, submission.write.PolicyRevision)
 	}
 	n.traceStep(job.ID, stepRejected, "")
 	n.replyUnavailable(submission.request.Origin)
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -412,13 +412,14 @@
 	if r := sim.submit(follower.name, jobSpec("j-1", 1)); r.Status != 201 || follower.admissionPolicy.Current != nil {
 		t.Errorf("got status %d, policy %+v, want 201 and no policy", r.Status, follower.admissionPolicy.Current)
 	}
-	follower.admissionPolicy.NoteRemoved(9_001)
+	follower.admissionPolicy.ApplyRemoval(9_001)
 	follower.admissionPolicy.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: 9_000})
 	if follower.admissionPolicy.Current != nil {
 		t.Error("a policy older than its removal was applied")
 	}
 	for _, n := range sim.nodes {
-		n.admissionPolicy.PolicyRecord = admissioncontrol.PolicyRecord{Current: acceptAll, Version: 8, Revision: 8}
+		n.admissionPolicy.PolicyRecord = admissioncontrol.PolicyRecord{Current: acceptAll, RecordRevision: 8,
+			Revision: 8}
 	}
 	sim.crashNode(sim.leaderName())
 	if leaderNode := sim.waitForLeader(); leaderNode.admissionPolicy.Current != nil {
@@ -433,16 +434,16 @@
 	sim.submitAccepted(sim.leaderName(), jobSpec("j-1", 1))
 	sim.advance(time.Second)
 	rejectAll := &admission.Policy{Epoch: 5, EpochLengthMS: 3500,
-		DefaultShare: admission.Share{Tail: admission.Position("j-1") + 1, Steps: []uint64{1}}}
+		DefaultShare: admission.Share{Start: admission.Position("j-1") + 1, Steps: []uint64{1}}}
 	sim.store.putValue(storage.AdmissionPolicyKey, rejectAll)
-	version := sim.store.keys[storage.AdmissionPolicyKey].ModRevision
+	revision := sim.store.keys[storage.AdmissionPolicyKey].ModRevision
 	for _, name := range sim.names {
 		n := sim.nodes[name]
 		n.admissionPolicy.ApplyRecord(sim.store.keys[storage.AdmissionPolicyKey])
 		if n.leader != nil {
 			n.leader.admission.EpochStartedAt = n.now + time.Hour // keeps the policy unchanged
 			clear(n.leader.admission.EpochLoads)
-			n.leader.admission.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: version - 1,
+			n.leader.admission.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: revision - 1,
 				Groups: []protocol.GroupLoad{{Team: "t", Class: "c", RejectedForCapacity: 9}}})
 			if len(n.leader.admission.EpochLoads) > 0 {
 				t.Error("the load measured under another policy was counted")
--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// sendsMessage tells whether an effect sends a message of type M to a peer.
+// sendsMessage reports whether an effect sends a message of type M to a peer.
 func sendsMessage[M protocol.PeerMessage](effect Effect) bool {
 	outbound, ok := effect.(OutboundMessage)
 	if !ok {
@@ -425,9 +425,9 @@
 	sentAt := now
 	leaderNode.Step(sentAt+leaderNode.storeTimeout()*9/10, []Command{CallResult{ID: renewal.ID, Status: 200}})
 	if validUntil := leaderNode.election.Status().LeaseValidUntil; validUntil !=
-		sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()) {
+		sentAt+election.GuaranteedLeaseDuration(leaderNode.leaderLease()) {
 		t.Errorf("leader lease valid until %v after a renewal sent at %v, want %v", validUntil, sentAt,
-			sentAt+election.SafeLeaseSpan(leaderNode.leaderLease()))
+			sentAt+election.GuaranteedLeaseDuration(leaderNode.leaderLease()))
 	}
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -39,9 +39,9 @@
 	admission      *admissioncontrol.Publisher
 }
 
-// newLeader returns the leader state of a term. leaderKeyVersion is the version of the leader
+// newLeader returns the leader state of a term. leaderKeyRevision is the revision of the leader
 // key, on which every write of the term is conditioned.
-func newLeader(node *Node, term, leaderKeyVersion uint64) *leader {
+func newLeader(node *Node, term, leaderKeyRevision uint64) *leader {
 	state := cluster.New(cluster.Options{Clock: node, Config: &node.cfg.Cluster, Settings: &node.settings,
 		Log: node.log, Catalog: node.catalog.Types})
 	l := &leader{
@@ -49,9 +49,9 @@
 		loadState:     newLoadState(node),
 		workerService: newWorkerService(&node.timing, nodeLinks{node}, state, node.settings.LinkDecisions),
 		cancelWaiters: map[string][]Origin{},
-		recovery:      recoverygate.New(state, leaderKeyVersion, &node.mismatches),
+		recovery:      recoverygate.New(state, leaderKeyRevision, &node.mismatches),
 	}
-	l.initRecords(leaderKeyVersion)
+	l.initRecords(leaderKeyRevision)
 	l.Scheduler = &scheduler.Scheduler{State: state, Host: l,
 		ScheduleState: scheduler.ScheduleState{LastPass: clock.Never}}
 	l.dependencies = dependency.New(state, dependencyHost{l}, node.workerLease()/pollsPerWorkerLease)
@@ -72,7 +72,7 @@
 // margin to the overflow of the counter suffices for some scheduling passes.
 const maxAttemptCounter = 1<<attemptCounterBits - 1<<24
 
-// NextAttemptNumber returns a number that no other task attempt has.
+// NextAttemptNumber returns a number for a new attempt, which no other attempt has.
 func (l *leader) NextAttemptNumber() uint64 {
 	l.attemptCounter++
 	return l.term<<attemptCounterBits | l.attemptCounter
@@ -109,7 +109,7 @@
 	l.recordsLoaded, l.SchedulingNeeded = true, true
 	l.loader.DropStaleDependencies()
 	l.machineRecords.SplitOversizedGroups()
-	l.autoscaler.InheritUsualLoad()
+	l.autoscaler.CompleteTakeover()
 	l.storeCatalog()
 	l.tickRecovery()
 	l.node.log.Info("records loaded", "jobs", len(l.Jobs), "machines", len(l.Machines))
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -352,7 +352,7 @@
 		case OutboundMessage:
 			if n.oldVersion {
 				if heartbeat, ok := e.Message.(protocol.PeerHeartbeat); ok {
-					heartbeat.VersionLevel, heartbeat.WritesThrottled = 0, false
+					heartbeat.ProtocolLevel, heartbeat.WritesThrottled = 0, false
 					e.Message = heartbeat
 				}
 			}
@@ -480,7 +480,7 @@
 	return record.State
 }
 
-// linkBlocked tells whether messages from one node to another are lost or delayed.
+// linkBlocked reports whether messages from one node to another are lost or delayed.
 func (sim *simulation) linkBlocked(from, to string) bool {
 	return sim.linkCuts[[2]string{from, to}] || sim.linkCuts[[2]string{to, from}] || sim.oneWayCuts[[2]string{from, to}]
 }
@@ -566,14 +566,14 @@
 	return *received
 }
 
-// startMachines brings up n machines in addition to those that the leader rents.
+// startMachines starts n machines in addition to those that the leader rents.
 func (sim *simulation) startMachines(n int) {
 	sim.t.Helper()
 	for i := range n {
 		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
 	if !sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) >= n }) {
-		sim.t.Fatal("not all machines came up within 10 s")
+		sim.t.Fatal("not all machines are up after 10 s")
 	}
 	sim.advance(2 * time.Second)
 }
--- a/internal/election/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -26,7 +26,7 @@
 func (e *Election) newLeadership(term, leaseID uint64, requestedAt clock.Instant) *leadership {
 	started := &leadership{
 		term: term, startedAt: e.host.Now(), leaseID: leaseID,
-		leaseValidUntil: requestedAt + SafeLeaseSpan(e.LeaderLease()),
+		leaseValidUntil: requestedAt + GuaranteedLeaseDuration(e.LeaderLease()),
 		grantedUntil:    make(map[string]clock.Instant, len(e.peers)),
 		renewalSentAt:   requestedAt,
 	}
@@ -64,10 +64,10 @@
 
 // becomeLeader starts a term as the leader. The leader lease counts from the time of its request. If
 // it counted from the response, a delayed response would extend it beyond its expiry in the store.
-func (e *Election) becomeLeader(term, leaderKeyVersion, leaseID uint64, requestedAt clock.Instant) {
+func (e *Election) becomeLeader(term, leaderKeyRevision, leaseID uint64, requestedAt clock.Instant) {
 	e.leadership = e.newLeadership(term, leaseID, requestedAt)
 	e.leaderKey.absentSince = clock.Never
-	e.host.BecameLeader(term, leaderKeyVersion)
+	e.host.BecameLeader(term, leaderKeyRevision)
 	e.heartbeatSentAt = clock.Never
 }
 
@@ -128,7 +128,7 @@
 		current.renewalInFlight = false
 		switch response.Status {
 		case http.StatusOK:
-			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+SafeLeaseSpan(e.LeaderLease()))
+			current.leaseValidUntil = max(current.leaseValidUntil, sentAt+GuaranteedLeaseDuration(e.LeaderLease()))
 			current.renewalFailed = false
 		case http.StatusNotFound:
 			e.StepDown("leader lease no longer exists in the key-value store")
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -80,8 +80,8 @@
 	Burst     float64 `json:"burst"`
 }
 
-// PerWindow returns the maximum number of operations of the kind in any period of one second.
-func (r Rate) PerWindow() float64 { return r.PerSecond + r.Burst }
+// MaxInOneSecond returns the maximum number of operations of the kind in any period of one second.
+func (r Rate) MaxInOneSecond() float64 { return r.PerSecond + r.Burst }
 
 // Rates contains the limits of all kinds of operations, indexed by Operation.
 type Rates [operationKinds]Rate
@@ -199,8 +199,7 @@
 	return false
 }
 
-// RefundOperations puts back into the budget what was taken for count operations that were not
-// carried out.
+// RefundOperations refunds count operations that were taken from the budget but not carried out.
 func (r *Recovery) RefundOperations(now time.Duration, operation Operation, count int) {
 	if r.phase == PhaseNormal || count <= 0 {
 		return
--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -135,7 +135,7 @@
 // mismatches. It is called when the reconciling phase has ended.
 func (g *Gate) noteJobsNotRunning() {
 	for _, job := range g.state.JobsByAge() {
-		if job.RecordVersion <= g.leaderRevision && len(job.Attempts) == 0 && job.PendingTasks > 0 {
+		if job.RecordRevision <= g.leaderRevision && len(job.Attempts) == 0 && job.PendingTasks > 0 {
 			g.NoteMismatch(recovery.JobNotRunning, "", job.Spec.ID)
 		}
 	}
@@ -184,8 +184,7 @@
 	return count
 }
 
-// RefundOperations puts back into the budget what was taken for count operations that were not
-// carried out.
+// RefundOperations refunds count operations that were taken from the budget but not carried out.
 func (g *Gate) RefundOperations(operation recovery.Operation, count int) {
 	g.recovery.RefundOperations(g.state.Clock.Now(), operation, count)
 }
@@ -234,16 +233,16 @@
 // depends on a job whose terminal record this leader has written. A job can't be running on those
 // machines either if its constraints exclude all of them.
 func (g *Gate) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
-	if totals.AllReconciled || job.RecordVersion > g.leaderRevision || job.ReleasedThisTerm {
+	if totals.AllReconciled || job.RecordRevision > g.leaderRevision || job.ReleasedThisTerm {
 		return false
 	}
 	if totals.UnreconciledTypeUnknown {
 		return true
 	}
-	for option := range totals.UnreconciledOptions {
+	for offering := range totals.UnreconciledOfferings {
 		// Only the constraints are checked, because the sizes in the catalog may have been
 		// different when an earlier leader placed the job.
-		if option.MatchesConstraints(&job.Spec) {
+		if offering.MatchesConstraints(&job.Spec) {
 			return true
 		}
 	}
--- a/internal/submissions/queue.go
+++ b/internal/submissions/queue.go
@@ -37,12 +37,12 @@
 
 // Write is the write of a submission in one transaction.
 type Write struct {
-	Record        storage.JobRecord
-	Writes        []storage.Write // encoded Record; encoded once, because it may be sent again
-	Deadline      clock.Instant   // time at which the write is rejected if it is still queued
-	PolicyVersion uint64          // version of the policy's record that admitted the submission; 0 without a record
-	OnResult      func(Result)    // called when the write has ended
-	retries       int             // number of times that the write was sent again or its submission evaluated again
+	Record         storage.JobRecord
+	Writes         []storage.Write // encoded Record; encoded once, because it may be sent again
+	Deadline       clock.Instant   // time at which the write is rejected if it is still queued
+	PolicyRevision uint64          // revision of the policy record that admitted the submission; 0: no record
+	OnResult       func(Result)    // called when the write has ended
+	retries        int             // number of times that the write was sent again or its submission evaluated again
 }
 
 // Result is the result of the write of a submission.
@@ -61,8 +61,8 @@
 	// PolicyChanged means that the policy has changed since it admitted the submission, and that the
 	// job has no record. The submission must be evaluated again.
 	PolicyChanged
-	// JobKnown means that the job may have a record already.
-	JobKnown
+	// JobMayExist means that the job may have a record already.
+	JobMayExist
 	// TooLarge means that the limits of the key-value store have become smaller than the record. An
 	// earlier copy of the submission may nevertheless have been accepted.
 	TooLarge
@@ -148,7 +148,7 @@
 		Conditions: []storage.Condition{
 			{Key: storage.JobKey(jobID)},
 			{Key: storage.TerminalKey(jobID)},
-			{Key: storage.AdmissionPolicyKey, ModRevision: write.PolicyVersion},
+			{Key: storage.AdmissionPolicyKey, ModRevision: write.PolicyRevision},
 		},
 		Writes: write.Writes,
 	}
@@ -188,7 +188,7 @@
 			onlyPolicyChanged(response.FailedKeys, w.Record.Spec.ID) {
 			return Result{Outcome: PolicyChanged}
 		}
-		return Result{Outcome: JobKnown}
+		return Result{Outcome: JobMayExist}
 	case http.StatusBadRequest:
 		return Result{Outcome: TooLarge}
 	case http.StatusServiceUnavailable:
