--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -5,12 +5,12 @@
 	"hitchdoor/internal/config"
 )
 
-// slotUsage counts the scheduler slots of all machines that are up, and the tasks that occupy them by
-// class of work: batch, and latency-sensitive (priorities prod and urgent).
+// slotUsage counts the scheduler slots of all machines that are up, and the tasks that occupy one slot
+// each, by class of work: batch, and latency-sensitive (priorities prod and urgent).
 type slotUsage struct {
 	totalSlots                        float64
 	batchTasks, latencySensitiveTasks int
-	latencySensitiveDelayed           bool
+	latencySensitiveDelayed           bool // batch tasks must not borrow slots; see hasFreeSlot
 }
 
 // takenSlots returns the number of slots that tasks of both classes occupy.
@@ -57,8 +57,8 @@
 	return count
 }
 
-// scheduleRank places tasks of jobs that share a rank. It returns false if the pass has only one
-// machine and that machine is full.
+// scheduleRank places tasks of jobs that share a rank. It returns false, which ends the pass, if the
+// pass has only one machine and that machine is full.
 func (s *Scheduler) scheduleRank(sameRank []QueuedJob, pass *schedulingPass, mayPull bool) bool {
 	for _, queued := range sameRank {
 		s.CandidatesExamined++
@@ -104,7 +104,7 @@
 	placement := jobPlacement{job: job, pass: pass, mayPull: mayPull,
 		team: s.Config.Team(job.Spec.Team), teamUsage: s.TeamUsage[job.Spec.Team]}
 	reason := cluster.WaitNone
-	noneSkipped := true // all tasks so far were active or done
+	noneSkipped := true // all tasks with a lower index are active or done
 	for index := job.FirstPendingTask; index < job.Spec.TaskCount; index++ {
 		if job.PendingTasks == 0 || maxTasks <= 0 {
 			return reason
@@ -223,7 +223,7 @@
 }
 
 // exceedsTeamQuota reports whether one more task of the job would exceed its team's quota. All resources
-// that attempts unknown to this leader may use count as the team's. A quota of 0 means no limit.
+// that attempts unknown to this leader may use are added to the team's usage. A quota of 0 means no limit.
 func exceedsTeamQuota(placement *jobPlacement) bool {
 	team, used, unknown := placement.team, placement.teamUsage, &placement.pass.UnknownUsage
 	spec := &placement.job.Spec
@@ -233,8 +233,8 @@
 		team.MaxGPUs > 0 && accelerators > team.MaxGPUs+cluster.ResourceTolerance
 }
 
-// hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work may borrow the
-// slots reserved for latency-sensitive work, unless latency-sensitive work is delayed.
+// hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work may take all
+// slots, but only the share BatchShare of them while latency-sensitive work is delayed.
 func (s *Scheduler) hasFreeSlot(job *cluster.Job, pass *schedulingPass) bool {
 	if cluster.IsLatencySensitive(&job.Spec) {
 		return float64(pass.latencySensitiveTasks+1) <= pass.totalSlots
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -11,8 +11,8 @@
 
 // candidateHeap is a heap of the machines on which tasks of a job may start now, best first. Machines
 // that are not draining come first; machines are then ordered by load in coarse steps, by the time to
-// pull the image and by exact load. They are scored once for all tasks of the job, because scoring
-// them for each task would cost machines x tasks.
+// pull the image and by exact load. The machines are scored once for all tasks of the job, because
+// scoring them for each task would cost machines x tasks.
 type candidateHeap struct {
 	scheduler *Scheduler
 	job       *cluster.Job
@@ -89,9 +89,9 @@
 }
 
 // maxPullSeconds returns how long a task of the job may take to pull its image; infinity means no
-// limit. A job with a start objective of seconds waits for a machine that has the image, if there is
-// one, because a long pull elsewhere would certainly miss the objective. It waits for at most
-// imageWaitPercent of the objective.
+// limit. If a job's start objective is too short to rent a machine within it, and some machine has the
+// image, the job waits for that machine rather than for a longer pull, which would certainly miss the
+// objective. The job waits for at most imageWaitPercent of the objective.
 func (s *Scheduler) maxPullSeconds(job *cluster.Job) float64 {
 	limit := s.StartSLO(job)
 	if limit == 0 || !s.TooSoonToScaleOut(limit) || s.Clock.Now() > job.EligibleAt+limit*imageWaitPercent/100 {
@@ -130,7 +130,7 @@
 		scored.pullSeconds = c.job.Spec.ImageGB / machineType.PullGBPerSecond
 	}
 	if machine.Draining {
-		scored.drainPenalty = 1 // a surplus machine stays empty unless no other has room
+		scored.drainPenalty = 1 // a surplus machine stays empty unless no other machine has room
 		if machine.DrainReason == cluster.SlowExecution {
 			scored.drainPenalty = 2
 		}
@@ -138,8 +138,9 @@
 	return scored
 }
 
-// BestMachine returns the best machine for a task other than avoidedMachine, on which the task last
-// failed, or nil if there is none. It removes machines whose zone the job's constraints exclude.
+// BestMachine returns the best machine for a task, or nil if there is none. It skips avoidedMachine,
+// on which the task failed recently (empty: none). It removes machines whose zone the job's constraints
+// exclude.
 func (c *candidateHeap) BestMachine(avoidedMachine string) *cluster.Machine {
 	var avoided *candidate
 	defer func() {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,9 +9,9 @@
 	"hitchdoor/internal/config"
 )
 
-// jobsWithinGuarantee returns the jobs that fit into their team's guaranteed resources together with
-// the team's earlier unfinished jobs (fair share). It returns nil if the settings have no start
-// objective for guaranteed work.
+// jobsWithinGuarantee returns the guaranteed work: the jobs that, together with the team's earlier
+// unfinished jobs, fit into the resources that the settings guarantee to their team (fair share). It
+// returns nil if the settings have no start objective for guaranteed work.
 func (s *Scheduler) jobsWithinGuarantee() map[*cluster.Job]bool {
 	if s.GuaranteedStartWithin == 0 {
 		return nil
@@ -43,9 +43,8 @@
 		usage.Accelerators > team.GuaranteedGPUs+cluster.ResourceTolerance
 }
 
-// preemptAfterDivisor sets the part of its start objective, 1/preemptAfterDivisor, that guaranteed work
-// waits before tasks are preempted for it. Short tasks end all the time, so most jobs start without
-// preemption.
+// preemptAfterDivisor delays preemption until guaranteed work has waited for 1/preemptAfterDivisor of
+// its start objective. Short tasks end all the time, so most jobs start earlier without preemption.
 const preemptAfterDivisor = 4
 
 // preemptForGuarantees frees capacity for waiting guaranteed work. It stops tasks of teams that exceed
@@ -77,8 +76,8 @@
 }
 
 // coresNeededWithinGuarantees returns the cores that the pending tasks of jobs within their team's
-// guarantee need. It includes only jobs that lack capacity and have waited longer than
-// preemptAfterDivisor allows.
+// guarantee need. It includes only jobs that lack capacity and have waited for longer than
+// 1/preemptAfterDivisor of their start objective.
 func (s *Scheduler) coresNeededWithinGuarantees() map[*cluster.Job]float64 {
 	needed := map[*cluster.Job]float64{}
 	for _, queued := range s.PendingOrder {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -13,16 +13,17 @@
 // QueuedJob is a job with the values that determine its position in the queue.
 type QueuedJob struct {
 	Job                  *cluster.Job
-	Rank                 int           // a Rank constant or a priority rank; lower ranks come first
+	Rank                 int           // a constant below or a priority rank; lower ranks come first
 	LatestStart          clock.Instant // latest start that still meets Due
-	Due                  clock.Instant
-	RemainingCoreSeconds float64 // remaining work of the job
+	Due                  clock.Instant // when the job should be complete; see cluster.Estimates.Due
+	RemainingCoreSeconds float64       // remaining work of the job
 
 	mayReserve bool // the job has waited long enough to reserve a machine
 }
 
-// Ranks in queue order: overdue jobs, latency-sensitive jobs by priority (up to
-// rankLatencySensitive), jobs that can meet their due time, and jobs that cannot.
+// Ranks in queue order: overdue jobs, which have waited longest for their first start;
+// latency-sensitive jobs, whose rank is their priority rank, 0 to rankLatencySensitive; jobs that can
+// meet their due time; and jobs that cannot.
 const (
 	rankOverdue          = -1
 	rankLatencySensitive = cluster.RankLatencySensitive
@@ -77,7 +78,7 @@
 }
 
 // rankJob determines a job's rank and latest start. A job that has waited too long gets a better rank,
-// in which the jobs that became eligible first come first.
+// and is sorted by EligibleAt within that rank.
 func (s *Scheduler) rankJob(job *cluster.Job, pullRate cluster.ImagePullRate) *QueuedJob {
 	now := s.Clock.Now()
 	queued := &QueuedJob{Job: job, Rank: min(job.EffectiveRank(), RankOnTime), Due: s.Due(job),
@@ -86,17 +87,18 @@
 	if queued.Rank == RankOnTime && job.PendingTasks > 0 && queued.LatestStart < now {
 		queued.Rank = RankLate
 	}
+	// A job that has waited longer than MaxStartDelay is promoted. The exception is a started job of a
+	// team that already uses more than its guarantee.
 	switch age := now - job.EligibleAt; {
 	case age > cluster.OverdueAfter && !job.HasStarted():
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, job.EligibleAt, true
 	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive &&
 		!(job.HasStarted() && s.teamExceedsGuarantee(job)):
-		// A started job keeps its rank while its team exceeds its guarantee.
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, job.EligibleAt, true
 	}
 	guaranteedStart := job.EligibleAt + s.GuaranteedStartWithin
 	if s.GuaranteedStartWithin > 0 && guaranteedStart > now && s.guaranteedJobs[job] {
-		// Jobs within their team's guarantee have an additional start objective.
+		// A job within its team's guarantee must also start within GuaranteedStartWithin.
 		queued.LatestStart = min(queued.LatestStart, guaranteedStart)
 	}
 	return queued
@@ -105,7 +107,7 @@
 // DemoteLargestJobs gives jobs RankLate until the current machines can complete all others by their
 // due times. It uses the Moore-Hodgson algorithm, which minimizes the number of late jobs: going
 // through the jobs, which are sorted by due time, it demotes the largest job so far whenever the next
-// one would be late. The largest jobs are demoted because objectives count jobs regardless of size.
+// job would be late. The largest jobs are demoted because objectives count jobs regardless of size.
 func (s *Scheduler) DemoteLargestJobs(all []*QueuedJob) {
 	cores := s.RetainedCores()
 	if cores == 0 {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,8 +1,9 @@
 // Package scheduler decides which task starts next and where. It orders the pending jobs, makes the
 // admission checks (scheduler slots, team quota, overall quota), places tasks on the least loaded
 // machines, reserves capacity for jobs that have waited too long, and preempts tasks to free capacity
-// for guaranteed work. It changes the cluster state only through the transitions of package cluster.
-// It sends no commands: they are part of the responses to heartbeats.
+// for guaranteed work, which fits into the resources that the settings guarantee to its team. The
+// package changes the cluster state only through the transitions of package cluster. It sends no
+// commands to workers: these are part of the responses to heartbeats.
 package scheduler
 
 import (
@@ -21,7 +22,7 @@
 // Host is the interface to the leader that the scheduler belongs to.
 type Host interface {
 	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
-	// reconciled yet.
+	// reconciled yet: this leader does not know all their tasks.
 	MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool
 	// NextAttemptNumber returns a number for a new attempt, which no other attempt has.
 	NextAttemptNumber() uint64
@@ -36,7 +37,7 @@
 	guaranteedJobs          map[*cluster.Job]bool // see jobsWithinGuarantee
 	latencySensitiveDelayed bool                  // see LatencySensitiveWorkDelayed
 	preemptionTriedAt       clock.Instant         // last search for tasks to preempt
-	ReconciledOnce          bool                  // all machines were reconciled at some time in this term
+	ReconciledOnce          bool                  // all machines were reconciled in some pass of this term
 }
 
 // PassesPerHeartbeat is the maximum number of full scheduling passes per heartbeat interval.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -120,7 +120,8 @@
 		pass.UnknownUsage = c.unknown
 		blockedBy, placed := s.scheduleJob(job, pass, true, 1), len(job.Attempts) == 1
 		if blockedBy != c.blockedBy || placed != (c.blockedBy == cluster.WaitNone) {
-			t.Errorf("%s: blocked by %q, want %q; placed %v", name, blockedBy, c.blockedBy, placed)
+			t.Errorf("%s: job blocked by %q, want %q; task placed %v, want %v",
+				name, blockedBy, c.blockedBy, placed, c.blockedBy == cluster.WaitNone)
 		}
 	}
 }
@@ -175,7 +176,7 @@
 		}
 		queued := s.rankJob(job, s.ImagePullRate())
 		if queued.Rank != c.rank || queued.mayReserve != c.reserves {
-			t.Errorf("%s: rank %d, want %d; may reserve %v, want %v",
+			t.Errorf("%s: job has rank %d, want %d; may reserve a machine %v, want %v",
 				name, queued.Rank, c.rank, queued.mayReserve, c.reserves)
 		}
 	}
@@ -199,7 +200,7 @@
 		ids = append(ids, strings.TrimPrefix(queued.Job.Spec.ID, "j-"))
 	}
 	if got, want := strings.Join(ids, " "), "overdue prod urgent sooner on-time-a on-time-b late"; got != want {
-		t.Errorf("queue order %q, want %q", got, want)
+		t.Errorf("job IDs in queue order: got %q, want %q", got, want)
 	}
 }
 
