--- a/internal/cluster/attempt.go
+++ b/internal/cluster/attempt.go
@@ -15,9 +15,9 @@
 	Machine      *Machine
 	Phase        AttemptPhase
 	AssignedAt   clock.Instant // when the attempt was placed
-	RunningSince clock.Instant // when a heartbeat first reported the task as running
+	RunningSince clock.Instant // when a heartbeat to this leader first reported the task as running
 	StopGrace    *float64      // grace period of the requested stop, in seconds; nil: no stop requested
-	Reported     bool          // the heartbeat being processed contains it
+	Reported     bool          // the heartbeat being processed contains the attempt
 	cachedKey    string        // result of Key; empty: not computed yet
 }
 
@@ -26,8 +26,8 @@
 
 // The phases of an attempt, in the order in which it passes through them.
 const (
-	AttemptAssigned AttemptPhase = iota // not included in any heartbeat response yet
-	AttemptSent                         // included in a response that no heartbeat has confirmed yet
+	AttemptAssigned AttemptPhase = iota // its start command is not in any heartbeat response yet
+	AttemptSent                         // its start command is in a response that no heartbeat has confirmed yet
 	AttemptPulling                      // the machine is pulling the image
 	AttemptRunning
 	AttemptCheckpointing // the task is saving a checkpoint before it stops
--- a/internal/cluster/estimates.go
+++ b/internal/cluster/estimates.go
@@ -42,7 +42,7 @@
 // can still be met. Start objectives apply only to classes without a completion objective, because
 // jobs with a completion objective can wait for capacity on cheap machines.
 //
-// A job with dependents is due early enough for them to meet their deadlines (LatestEnd).
+// A job with dependents is due early enough for its dependents to meet their deadlines (LatestEnd).
 func (e *Estimates) Due(job *Job) clock.Instant { return e.DueFrom(job, job.EligibleAt) }
 
 // DueFrom returns the due time that the job would have if it became eligible at the given time.
@@ -120,8 +120,8 @@
 	return expected
 }
 
-// CheckpointGraceSeconds returns the grace period, in seconds, in which an attempt can save a checkpoint. It
-// includes a margin for slow machines.
+// CheckpointGraceSeconds returns the grace period, in seconds, in which an attempt can save a checkpoint.
+// The period includes a margin for slow machines.
 func (e *Estimates) CheckpointGraceSeconds(attempt *TaskAttempt) float64 {
 	return 2*attempt.Job.Spec.CheckpointSaveSeconds + e.HeartbeatInterval().Seconds()
 }
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -30,8 +30,8 @@
 	unhealthyAfterFailures = 2
 )
 
-// maxProbeDelay is the longest delay until a job that fails everywhere is tried again. The fault may
-// lie in the job's input, and no job may be left without an attempt for 90 s.
+// maxProbeDelay is the longest delay until a job that fails everywhere is probed: one of its tasks is
+// tried again. The fault may lie in the job's input, and no job may be left without an attempt for 90 s.
 const maxProbeDelay = MaxStartDelay / 4
 
 // RecordTaskFailure records the failure of a task that ran for runDuration. After the first failure the
@@ -59,7 +59,7 @@
 	if job.FailsEverywhere {
 		return
 	}
-	s.Log.Info("job fails everywhere, retrying one task at a time", "job", job.Spec.ID)
+	s.Log.Info("tasks of the job fail on several machines, retrying one task at a time", "job", job.Spec.ID)
 	for _, attempt := range job.Attempts {
 		if attempt.Phase == AttemptAssigned {
 			s.ReleaseAttempt(attempt)
@@ -156,7 +156,7 @@
 }
 
 // DrainIfSlow drains a machine that runs tasks far slower than other machines run tasks of the same
-// jobs. Attempts on it that would end sooner if they restarted on another machine are rescheduled.
+// jobs. Attempts on the machine that would end sooner if they restarted on another machine are rescheduled.
 func (s *State) DrainIfSlow(machine *Machine) {
 	if !machine.Up || machine.DrainReason == SlowExecution {
 		return
@@ -207,7 +207,7 @@
 	elapsed := s.Clock.Now() - attempt.RunningSince
 	remaining := time.Duration(float64(expected)*slowdown) - elapsed
 	if remaining < elapsed && elapsed > expected {
-		remaining = elapsed // it should have ended, so slowdown is only a lower bound
+		remaining = elapsed // the attempt should have ended, so slowdown is only a lower bound
 	}
 	switch {
 	case attempt.StopGrace != nil || attempt.Job.RescheduledTasks[attempt.TaskIndex]:
@@ -278,7 +278,8 @@
 	}
 }
 
-// CancelDrain uncordons a draining machine. It counts as surplus again only from now on.
+// CancelDrain uncordons a draining machine. The time for which the machine has been surplus counts anew
+// from now on.
 func (s *State) CancelDrain(machine *Machine) {
 	machine.Draining, machine.DrainReason, machine.SurplusSince, s.SchedulingNeeded = false, "", s.Clock.Now(), true
 }
--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -38,7 +38,7 @@
 	DoneTasks        int                  // number of finished tasks
 	BitmapParts      []*BitmapPart        // bitmap of finished tasks, in parts
 	TasksPerPart     int                  // number of tasks that each part covers
-	RescheduledTasks map[int]bool         // tasks that were already rescheduled, by index
+	RescheduledTasks map[int]bool         // tasks once stopped to restart elsewhere, by index
 }
 
 // JobFailures is the failure history of a job and its tasks.
@@ -48,7 +48,7 @@
 	longestFailedRun time.Duration           // longest run time of a failed attempt
 	FailsEverywhere  bool                    // the job itself is at fault, not the machines
 	FailedProbes     int                     // failures since FailsEverywhere was set
-	NextProbeAt      clock.Instant           // earliest time of the next probe
+	NextProbeAt      clock.Instant           // earliest time of the next probe, the retry of a single task
 }
 
 // JobDurations holds statistics on the run times of the finished tasks of a job.
@@ -63,7 +63,7 @@
 	Cancelled                 bool          // terminal because it was cancelled
 	CompletionUncertain       bool          // the terminal record may be stored, but no response confirms it
 	StartCommandSent          bool          // a start command was sent in this term
-	Quarantined               bool          // one of its records is quarantined; no task starts
+	Quarantined               bool          // one of its records can't be read; no task starts
 	FirstStartAt, LastStartAt clock.Instant // first and last start of its tasks
 }
 
@@ -113,7 +113,7 @@
 
 // BitmapPart is one part of a job's bitmap of finished tasks.
 type BitmapPart struct {
-	Key         string
+	Key         string // of the part's record in the key-value store
 	SizeBytes   int    // length of Bits
 	Bits        []byte // nil until the first bit is set
 	StoredBits  []byte // last value of Bits known to be durable
@@ -176,8 +176,8 @@
 	// ReleasedThisTerm is set once a dependency has completed in this term. No earlier leader can have
 	// started such a job.
 	ReleasedThisTerm bool
-	LatestEnd        clock.Instant // latest end with which all dependents can meet their deadlines
-	InheritedRank    int           // best priority rank of the dependents
+	LatestEnd        clock.Instant // latest end with which all dependents meet their deadlines; clock.Forever: none
+	InheritedRank    int           // best (lowest) priority rank of the dependents; math.MaxInt: none
 }
 
 // NewDependencies returns the Dependencies of a job that has no dependencies and no dependents.
@@ -205,9 +205,9 @@
 	WaitOverallQuota   WaitReason = "overall quota"
 	WaitCapacity       WaitReason = "no machine with room"
 	WaitImage          WaitReason = "a machine with its image and room"
-	// WaitQuarantine: one of the job's records cannot be read.
+	// WaitQuarantine is the reason if one of the job's records cannot be read.
 	WaitQuarantine WaitReason = "a record of it that can't be read"
-	WaitNone       WaitReason = ""
+	WaitNone       WaitReason = "" // no check failed
 )
 
 // RankLatencySensitive is the largest priority rank of latency-sensitive work. Smaller ranks come first.
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -15,7 +15,7 @@
 	Spot                 bool
 	MachineType          *protocol.MachineType // nil while the type is missing from the catalog
 	RentedAt             clock.Instant
-	Reconciled           bool // no attempt unknown to this leader can run on it
+	Reconciled           bool // no attempt unknown to this leader can be running on it
 
 	RecordState
 	WorkerLink
@@ -26,19 +26,23 @@
 
 // RecordState is the state of a machine's stored record.
 type RecordState struct {
-	UseDurable, MarkedUsed bool          // marked as used, so it may have tasks: as stored, as to be stored
+	// UseDurable: the stored record marks the machine as used, so that it may have tasks. MarkedUsed: so
+	// will the record that is to be stored.
+	UseDurable, MarkedUsed bool
 	Group                  *MachineGroup // group with which it is stored; nil: none yet
 }
 
 // WorkerLink is the state of the exchange of heartbeats and responses with a machine's worker.
 type WorkerLink struct {
-	Up                  bool   // its heartbeats arrive and its worker lease has not expired
-	Address             string // source address of its heartbeats; empty: unknown
-	RelayPeer           string // peer that relayed its last heartbeat; empty: none
+	Up        bool   // its heartbeats arrive and its worker lease has not expired
+	Address   string // source address of its heartbeats; empty: unknown
+	RelayPeer string // peer that relayed its last heartbeat; empty: none
+	// Epoch and HeartbeatSeq are those of its last heartbeat. A worker begins a new epoch when its lease
+	// expires or it restarts.
 	Epoch, HeartbeatSeq uint64
 	FencedEpoch         uint64                      // highest epoch whose worker lease has expired
-	LastHeartbeat       clock.Instant               // last heartbeat in sequence
-	LastResponse        clock.Instant               // last response that may have renewed the worker lease
+	LastHeartbeat       clock.Instant               // time of the last heartbeat in sequence
+	LastResponse        clock.Instant               // time of the last response that may have renewed the worker lease
 	LastDelivery        clock.Instant               // last time at which a response was known to have arrived
 	TokenAcknowledged   bool                        // its last heartbeat carried this term's fencing token
 	MissedResponses     int                         // consecutive responses without effect on its heartbeats
@@ -52,7 +56,7 @@
 	Attempts           map[string]*TaskAttempt // by task key
 	AttemptsInOrder    []*TaskAttempt          // the same attempts, sorted by number
 	UnknownTasks       int                     // reported tasks without a known attempt
-	RetainedResults    int                     // reported results that the worker must retain
+	RetainedResults    int                     // reported results that the worker must retain until they are stored
 	UsedCores, UsedRAM float64                 // resources that its attempts use; RAM in GB
 	usedAccelerators   float64
 	Images             []CachedImage // least recently used first
@@ -69,11 +73,11 @@
 
 // DrainState is the progress of returning a machine to the cloud.
 type DrainState struct {
-	Draining             bool          // it is to be returned once it is empty
+	Draining             bool          // it is to be returned to the cloud once it is empty
 	DrainReason          DrainReason   // reason for the drain; empty: none
 	SurplusSince         clock.Instant // when it began to exceed the required capacity
 	Terminating          bool          // a return request to the cloud is in progress
-	TerminationRequested bool          // the cloud may still act on a return request
+	TerminationRequested bool          // a return request was made, and the cloud may still act on it
 	ListedAsFailed       bool          // the cloud's list shows it as failed
 	preemptionNotice     clock.Instant // when the cloud will preempt it; never: no notice received
 }
@@ -102,8 +106,8 @@
 )
 
 // MachineGroup is a set of machines that are stored in one record. With one record per machine, each
-// needed two writes before its first task, and hundreds of machines that booted together waited for
-// these writes as long as for their boot.
+// machine needed two writes before its first task, and hundreds of machines that booted together waited
+// for these writes as long as for their boot.
 type MachineGroup struct {
 	Key                       string
 	Machines                  map[string]*Machine
@@ -138,8 +142,10 @@
 	return m.UsedCores+ResourceTolerance < m.MachineType.Cores && m.UsedRAM+ResourceTolerance < m.MachineType.MemoryGB
 }
 
-// MayForceReturn reports whether a draining machine may be returned to the cloud although it has tasks
-// or retains results.
+// MayForceReturn reports whether a draining machine may be returned to the cloud without waiting until it
+// is empty. That is so if it sends no heartbeats, is missing from the cloud's list or is listed as failed.
+// A machine that commands do not reach may be returned if it has no attempts and results or is not
+// reconciled yet.
 func (m *Machine) MayForceReturn() bool {
 	switch m.DrainReason {
 	case HeartbeatMissed, NeverReported, NotListed:
@@ -230,7 +236,7 @@
 const ResourceTolerance = 1e-6
 
 // Feasible reports whether a machine could run the job's tasks if it were empty: its type, zone and
-// size must satisfy the job, and the job must allow spot machines if it is one.
+// size must satisfy the job, and if it is a spot machine, the job must allow these.
 func Feasible(j *protocol.Job, machine *Machine) bool {
 	return machine.Offering().Fits(j, machine.MachineType)
 }
--- a/internal/cluster/objectives.go
+++ b/internal/cluster/objectives.go
@@ -17,8 +17,8 @@
 // objectives holds the service-level objectives of the settings, indexed by job class.
 type objectives struct {
 	SLOs                  map[string][]SLO   // by class, tightest first
-	MinShare              map[string]float64 // by class, the lowest share of jobs that an objective requires
-	GuaranteedStartWithin time.Duration      // start objective for guaranteed work; 0: none
+	MinShare              map[string]float64 // by class, the lowest share of jobs (0 to 1) that an objective requires
+	GuaranteedStartWithin time.Duration      // start objective of jobs within their team's guarantee; 0: none
 }
 
 // newObjectives indexes the objectives of the settings. If a class has completion objectives, its start
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -20,8 +20,8 @@
 	Config    *config.Cluster
 	Settings  *config.Settings
 	Log       *slog.Logger
-	StartedAt clock.Instant // start of the leader's term
-	Catalog   map[string]*protocol.MachineType
+	StartedAt clock.Instant                    // start of the leader's term
+	Catalog   map[string]*protocol.MachineType // by name of the type
 
 	jobTable
 	machineTable
@@ -51,7 +51,7 @@
 	Catalog  map[string]*protocol.MachineType
 }
 
-// New returns a State without jobs and machines for a term that starts now.
+// New returns a State without jobs and machines for a leader's term that starts now.
 func New(o Options) *State {
 	return &State{
 		Clock: o.Clock, Config: o.Config, Settings: o.Settings, Log: o.Log, Catalog: o.Catalog,
@@ -90,9 +90,9 @@
 	Machines        map[string]*Machine
 	RemovedMachines map[string]clock.Instant // time of removal of returned or preempted machines, by name
 	sortedMachines  []*Machine               // sorted by name; nil: must be rebuilt
-	leasesCheckedAt clock.Instant            // last check of all worker leases
+	leasesCheckedAt clock.Instant            // time of the last check of all worker leases
 	totals          MachineTotals            // cached sums over the machines; see TotalsValid
-	TotalsValid     bool
+	TotalsValid     bool                     // totals need not be recomputed
 }
 
 // newMachineTable returns an empty machine table.
@@ -102,7 +102,7 @@
 	}
 }
 
-// NewMachine adds a machine to the machine table. It counts as rented now and is not up yet.
+// NewMachine adds a machine to the machine table. The machine counts as rented now and is not up yet.
 func (s *State) NewMachine(name, typeName, zone string, spot bool) *Machine {
 	now := s.Clock.Now()
 	machine := &Machine{
@@ -221,7 +221,7 @@
 	s.ActiveTasks[class] += delta
 }
 
-// ReleaseReservation releases a job's reservation, if it has one.
+// ReleaseReservation frees the machine that is reserved for a job, if there is one.
 func (s *State) ReleaseReservation(job *Job) {
 	if machine := job.Reservation.Machine; machine != nil {
 		machine.ReservedFor, job.Reservation.Machine = nil, nil
@@ -270,7 +270,7 @@
 }
 
 // expireWorkerLease fences a machine whose worker lease has expired. No attempt of this or an earlier
-// leader can be running on it any more.
+// leader can be running on the machine any more.
 func (s *State) expireWorkerLease(machine *Machine) {
 	if !machine.Reconciled {
 		machine.Reconciled, s.SchedulingNeeded, s.TotalsValid = true, true, false
@@ -290,8 +290,8 @@
 	s.BeginDrain(machine, HeartbeatMissed)
 }
 
-// pruneRemovedMachines discards the names of removed machines that no delayed list of machines can
-// contain any more, once there are more than maxRemovedMachines.
+// pruneRemovedMachines discards the names of removed machines that the cloud's machine list, which lags
+// behind, can't contain any more. It does so only if there are more than maxRemovedMachines names.
 func (s *State) pruneRemovedMachines() {
 	if len(s.RemovedMachines) <= maxRemovedMachines {
 		return
@@ -305,6 +305,6 @@
 }
 
 // maxRemovedMachines is the number of removed machines above which old names are discarded. Within a
-// term, the names prevent a delayed list of machines or a delayed copy of a heartbeat from adding a
-// machine again.
+// term, the names prevent a delayed list of the cloud's machines or a delayed copy of a heartbeat from
+// adding a machine again.
 const maxRemovedMachines = 20_000
--- a/internal/cluster/timing.go
+++ b/internal/cluster/timing.go
@@ -18,8 +18,8 @@
 	return config.Seconds(w.settings.Workers.HeartbeatIntervalS)
 }
 
-// WorkerLeaseTimeout returns the time without a response to a worker after which its lease has certainly
-// expired, even if the clocks drift.
+// WorkerLeaseTimeout returns the time without a response to a worker after which the worker's lease has
+// certainly expired, even if the clocks drift.
 func (w workerTiming) WorkerLeaseTimeout() time.Duration {
 	return clock.WorkerLeaseTimeout(w.workerLease())
 }
--- a/internal/cluster/totals.go
+++ b/internal/cluster/totals.go
@@ -8,10 +8,10 @@
 	"hitchdoor/internal/fleet"
 )
 
-// MachineTotals aggregates the data of all machines that the scheduling checks need.
+// MachineTotals holds the sums over all machines that the scheduling checks need.
 type MachineTotals struct {
 	Slots         float64       // scheduler slots of the machines that are up
-	AllReconciled bool          // no attempt of an earlier leader can be running unknown to this one
+	AllReconciled bool          // no attempt of an earlier leader can be running unknown to this leader
 	UnknownUsage  ResourceUsage // upper bound of the resources that unknown attempts use
 
 	TotalCores, LargestMachineCores float64                 // cores of all machines, and of the largest one
@@ -128,7 +128,7 @@
 	return cores
 }
 
-// BootTime returns the shortest boot time of all machine types in the catalog.
+// BootTime returns the shortest boot time of all machine types in the catalog, or 0 if it is empty.
 func (s *State) BootTime() time.Duration {
 	shortest := 0.0
 	for _, t := range s.Catalog {
--- a/internal/cluster/transitions_test.go
+++ b/internal/cluster/transitions_test.go
@@ -83,18 +83,19 @@
 		before := describeUsage(state, job, machine)
 		attempt := placeAttempt(state, job, 1, machine, AttemptRunning)
 		if got, want := describeUsage(state, job, machine), "3 1 1 1 {6 28 1} {2 1} "+active; got != want || !machine.HasImage("img") {
-			t.Errorf("%s, after placing: usage %s, want %s; or image not cached", priority, got, want)
+			t.Errorf("%s job, after placing: got usage %s, want %s; image cached %v, want true",
+				priority, got, want, machine.HasImage("img"))
 		}
 		timeSource.now += time.Second
 		for range 2 { // the second release has no effect
 			state.ReleaseAttempt(attempt)
 			if got := describeUsage(state, job, machine); got != before || job.FirstPendingTask != 1 || !state.SchedulingNeeded {
-				t.Errorf("%s, after releasing: usage %s, want %s; first pending task %d, scheduling needed %v",
-					priority, got, before, job.FirstPendingTask, state.SchedulingNeeded)
+				t.Errorf("%s job, after releasing: got usage %s, want %s; first pending task %d, want 1; "+
+					"scheduling needed %v, want true", priority, got, before, job.FirstPendingTask, state.SchedulingNeeded)
 			}
 		}
 		if job.PendingSince != 0 {
-			t.Errorf("%s: pending since %v although other tasks were pending before", priority, job.PendingSince)
+			t.Errorf("%s job: pending since %v, want 0, because other tasks were pending before", priority, job.PendingSince)
 		}
 	}
 }
@@ -121,7 +122,7 @@
 		c.change(state, job)
 		state.ReleaseAttempt(attempt)
 		if job.PendingTasks != c.pending || job.PendingSince != c.since || len(machine.Attempts) != 0 {
-			t.Errorf("%s: %d tasks pending since %v, want %d since %v; %d attempts on the machine, want 0",
+			t.Errorf("%s: job has %d tasks pending since %v, want %d since %v; machine has %d attempts, want 0",
 				name, job.PendingTasks, job.PendingSince, c.pending, c.since, len(machine.Attempts))
 		}
 	}
@@ -150,9 +151,9 @@
 		}
 		switch released := len(machine.Attempts) == 0; {
 		case released != c.released:
-			t.Errorf("phase %d: released %v, want %v", c.phase, released, c.released)
+			t.Errorf("attempt in phase %d: released %v, want %v", c.phase, released, c.released)
 		case !released && (attempt.StopGrace == nil || *attempt.StopGrace != c.grace):
-			t.Errorf("phase %d: grace period %v, want %v s", c.phase, attempt.StopGrace, c.grace)
+			t.Errorf("attempt in phase %d: grace period %v, want %v s", c.phase, attempt.StopGrace, c.grace)
 		}
 	}
 }
@@ -184,7 +185,7 @@
 			want = `up false, reconciled true, fenced 5, address "", unknown 0, pending 4, drain "silent"`
 		}
 		if got != want {
-			t.Errorf("%s: machine is %s; want %s", name, got, want)
+			t.Errorf("%s: got machine %s; want %s", name, got, want)
 		}
 	}
 }
@@ -226,22 +227,23 @@
 			state.BeginDrain(machine, reason)
 		}
 		if !machine.Draining || machine.DrainReason != c.final || !state.SchedulingNeeded {
-			t.Errorf("%v: draining %v for %q, want true for %q",
-				c.reasons, machine.Draining, machine.DrainReason, c.final)
+			t.Errorf("drain reasons %v: draining %v for %q, want true for %q; scheduling needed %v, want true",
+				c.reasons, machine.Draining, machine.DrainReason, c.final, state.SchedulingNeeded)
 		}
 		if !slices.Equal(machine.AttemptsInOrder, []*TaskAttempt{sent}) || sent.StopGrace != nil {
-			t.Errorf("%v: %d attempts left, want only the one that was sent, without a stop request",
+			t.Errorf("drain reasons %v: %d attempts left, want only the one that was sent, without a stop request",
 				c.reasons, len(machine.AttemptsInOrder))
 		}
 		if state.CancelDrain(machine); machine.Draining || machine.DrainReason != "" {
-			t.Errorf("%v: still draining for %q after CancelDrain", c.reasons, machine.DrainReason)
+			t.Errorf("drain reasons %v, after CancelDrain: draining %v for %q, want false and no reason",
+				c.reasons, machine.Draining, machine.DrainReason)
 		}
 	}
 }
 
-// A job that fails on three machines without any success must count as faulty; any other repeated
-// failures count against the machine. Otherwise a faulty job drains healthy machines, or a faulty
-// machine keeps failing the tasks of healthy jobs.
+// A job that fails on three machines without any success must count as faulty. Repeated failures on one
+// machine must count against the machine if a single faulty job cannot explain them. Otherwise a faulty
+// job drains healthy machines, or a faulty machine keeps failing the tasks of healthy jobs.
 func TestRepeatedFailuresMarkJobOrMachineFaulty(t *testing.T) {
 	for name, c := range map[string]struct {
 		failures  []string // number of the job and of the machine of each failure, one digit each
@@ -278,12 +280,12 @@
 				machines = append(machines, machine.Name)
 			}
 			if machine.Unhealthy != (machine.DrainReason == Unhealthy) {
-				t.Errorf("%s: %s has unhealthy %v, but drains for %q",
+				t.Errorf("%s: machine %s is unhealthy: %v, but its drain reason is %q",
 					name, machine.Name, machine.Unhealthy, machine.DrainReason)
 			}
 		}
 		if got := fmt.Sprint(jobs, machines); got != c.fault {
-			t.Errorf("%s: faulty jobs and machines %s, want %s", name, got, c.fault)
+			t.Errorf("%s: got faulty jobs and machines %s, want %s", name, got, c.fault)
 		}
 	}
 }
--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -140,7 +140,7 @@
 	}
 	if job.FailsEverywhere && s.RunsPastFailurePoint(job) {
 		job.FailsEverywhere, job.FailedProbes = false, 0
-		s.Log.Info("job no longer fails everywhere, retrying all its tasks", "job", job.Spec.ID)
+		s.Log.Info("a task has run longer than the failed ones, retrying all tasks of the job", "job", job.Spec.ID)
 	}
 	if job.FailsEverywhere && (len(job.Attempts) > 0 || s.Clock.Now() < job.NextProbeAt) {
 		return cluster.WaitBackoff
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -87,11 +87,11 @@
 	if queued.Rank == RankOnTime && job.PendingTasks > 0 && queued.LatestStart < now {
 		queued.Rank = RankLate
 	}
-	// A job that has waited longer than MaxStartDelay is promoted. The exception is a started job of a
-	// team that already uses more than its guarantee.
 	switch age := now - job.EligibleAt; {
 	case age > cluster.OverdueAfter && !job.HasStarted():
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankOverdue, job.EligibleAt, true
+	// A job that has waited longer than MaxStartDelay is promoted. The exception is a started job of a
+	// team that already uses more than its guarantee.
 	case age > cluster.MaxStartDelay && queued.Rank > rankLatencySensitive &&
 		!(job.HasStarted() && s.teamExceedsGuarantee(job)):
 		queued.Rank, queued.LatestStart, queued.mayReserve = rankLatencySensitive, job.EligibleAt, true
