--- a/internal/recovery/mismatch.go
+++ b/internal/recovery/mismatch.go
@@ -9,13 +9,13 @@
 // These are the kinds of mismatches. Each comment says how the leader resolves the kind.
 const (
 	// MatchesRecord is a running task of an open job, as the stored state expects. This leader
-	// adopts it. The kind is counted with the others, but is not an error.
+	// adopts the task. It is no mismatch, but is counted with them.
 	MatchesRecord Mismatch = iota
 	// JobNeverStored is a running task of a job that has no stored record, neither open nor terminal.
 	// The task is stopped.
 	JobNeverStored
-	// JobTerminal is a running task of a terminal or cancelled job. The task is stopped with the
-	// highest urgency.
+	// JobTerminal is a running task of a completed or cancelled job. The task is stopped with the
+	// highest urgency, CancelledWork.
 	JobTerminal
 	// JobQuarantined is a task of a job whose record can't be read. The task is left running, and
 	// its worker retains its result.
@@ -35,11 +35,11 @@
 	// reports no tasks. If it reports tasks, its heartbeat is a late copy and gets no response,
 	// unless some machine records can't be read.
 	MachineNotRecorded
-	// MachineUnresponsive is a recorded machine that sends no heartbeat. The machine is returned, or
-	// the recovery waits until its lease has expired.
+	// MachineUnresponsive is a recorded machine that sends no heartbeat. The machine is returned to
+	// the cloud, or the recovery waits until its worker lease has expired.
 	MachineUnresponsive
-	// NewerEpoch is a machine whose worker has begun a new epoch, because its lease expired or it
-	// restarted after its last heartbeat. The tasks of the earlier epoch are lost.
+	// NewerEpoch is a machine whose worker has begun a new epoch, because the worker lease expired
+	// or the worker restarted after its last heartbeat. The tasks of the earlier epoch are lost.
 	NewerEpoch
 	// NewerToken is a worker that reports the fencing token of a newer leader. This leader steps
 	// down.
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -33,7 +33,7 @@
 	// CancelledWork is the urgency of stopping cancelled work. Such operations never wait.
 	CancelledWork Urgency = iota
 	// LatencySensitive is the urgency of operations for jobs of priority prod or urgent, and of
-	// operations on machines.
+	// rentals and returns of machines.
 	LatencySensitive
 	// OrdinaryWork is the urgency of all other operations.
 	OrdinaryWork
@@ -49,8 +49,8 @@
 	ReplaceLeases float64
 }
 
-// grantedRateShare is the share of the rate that is granted, because responses sent one after the
-// other may arrive together. When the whole rate was granted, a thousand emulated workers received
+// grantedRateShare is the share of the rate that is granted. It is below 1 because responses sent one
+// after the other may arrive together. When the whole rate was granted, a thousand emulated workers received
 // an eighth more than the limit in some second.
 const grantedRateShare = 0.75
 
@@ -108,7 +108,8 @@
 }
 
 // These are the reserves of a budget as shares of its burst. Ordinary operations wait while the
-// tokens are below the reserve, so that tokens are left for more urgent operations.
+// tokens are below the reserve, so that tokens are left for more urgent operations. A team is ahead of
+// another team if more operations were granted to it.
 const (
 	ordinaryReserve  = 0.25 // applies to teams that are not ahead of a waiting team
 	aheadTeamReserve = 0.5  // applies to teams that are ahead of a waiting team
@@ -141,8 +142,8 @@
 	return p
 }
 
-// setRates sets the rates and keeps the tokens in the buckets. The buckets for starts and stops are
-// therefore empty in a new recovery, because the previous leader may just have used its whole burst.
+// setRates sets the rates and leaves the tokens unchanged. In a new recovery, the buckets for starts and
+// stops thus stay empty at first: the previous leader may just have used its whole burst.
 func (p *pacer) setRates(rates Rates) { p.rates = rates }
 
 // refillBucket adds the tokens for the time since the last refill, up to the burst.
@@ -153,8 +154,8 @@
 	p.refilledAt[operation] = now
 }
 
-// Allow reports whether an operation is within its budget now. If so, Allow takes it from the
-// budget. team is empty for operations that belong to no team.
+// Allow reports whether an operation is within its budget now. If so, Allow takes one token from
+// the budget. team is empty for operations that belong to no team.
 func (r *Recovery) Allow(now time.Duration, operation Operation, urgency Urgency, team string) bool {
 	if r.phase == PhaseNormal {
 		return true
@@ -188,9 +189,9 @@
 	return true
 }
 
-// deferOperation records that an operation of a team has to wait, and returns false for Allow to
-// return. Waiting rentals don't prolong the recovery, because there are always some while the cloud
-// has too few machines.
+// deferOperation records that an operation of a team has to wait. It returns false, the result of
+// Allow. A waiting rental doesn't prolong the recovery, because rentals keep waiting for as long as
+// the cloud has too few machines.
 func (r *Recovery) deferOperation(now time.Duration, operation Operation, usage *teamUsage) bool {
 	if operation != RentMachine {
 		r.lastDeferredAt = now
@@ -209,7 +210,7 @@
 }
 
 // isAheadOfWaitingTeam reports whether a team has been granted more operations than another team
-// that had to wait within the last window.
+// that had to wait within the last period of length window.
 func (p *pacer) isAheadOfWaitingTeam(now time.Duration, usage *teamUsage, window time.Duration) bool {
 	for _, other := range p.teams {
 		if other != usage && other.granted < usage.granted && now-other.lastDeferredAt < window {
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -1,8 +1,9 @@
 // Package recovery decides how a new leader gets from stored records and workers' heartbeats to
 // normal operation. It determines the phases of the recovery, the reconciliation of each task and
-// machine that differs from the stored state, and the rates of commands and cloud requests. It has
-// no side effects: the caller passes in the time and a view of the cluster, and carries out the
-// decisions.
+// machine that differs from the stored state, and the rates of commands to workers and requests to
+// the cloud. A machine is reconciled once no task unknown to the leader can be running on it.
+// The package has no side effects: the caller passes in the time and a view of the cluster, and
+// carries out the decisions.
 package recovery
 
 import (
@@ -16,15 +17,16 @@
 
 // These are the phases in the order in which a recovery passes through them.
 const (
-	// PhaseReading is the phase in which the leader reads the stored records. It sends no commands
-	// or requests.
+	// PhaseReading is the phase in which the leader reads the stored records. It sends no commands to
+	// workers and no requests to the cloud yet.
 	PhaseReading Phase = iota
 	// PhaseCollecting is the phase in which the leader waits for heartbeats of the recorded
 	// machines. It starts work that no earlier leader can have started. It rents machines only for
-	// work that can't be running on unreconciled machines, and returns no unresponsive machine.
+	// work that can't be running on unreconciled machines, and returns no unresponsive machine to the
+	// cloud.
 	PhaseCollecting
 	// PhaseReconciling is the phase in which most machines are reconciled, or no further machines
-	// send heartbeats. The leader returns unresponsive machines.
+	// send heartbeats. The leader returns unresponsive machines to the cloud.
 	PhaseReconciling
 	// PhasePacing is the phase in which all machines are reconciled and the leader starts tasks at a
 	// limited rate.
@@ -52,7 +54,7 @@
 	// maxCollectingLeases is the timeout of the collecting phase in worker leases.
 	maxCollectingLeases = 0.45
 	// fewUnreconciledSilenceLeases is the time in worker leases without a heartbeat after which an
-	// unresponsive machine is returned if few machines are unreconciled.
+	// unresponsive machine is returned to the cloud if few machines are unreconciled.
 	fewUnreconciledSilenceLeases = 0.25
 	// quietHeartbeatIntervals is the time in heartbeat intervals without a newly reconciled machine
 	// after which the collecting phase ends. By then, all machines that can reach this leader have
@@ -77,7 +79,7 @@
 	RecordsRead         bool    // all stored records have been read
 	InventoryIncomplete bool    // tasks may run on machines whose records can't be read
 	Machines            int     // number of machines in the fleet
-	Unreconciled        int     // number of machines that may run tasks unknown to this leader
+	Unreconciled        int     // number of machines on which tasks unknown to this leader may be running
 	Cores               float64 // cores of all machines
 	LargestCores        float64 // cores of the largest machine
 }
@@ -92,10 +94,10 @@
 // Recovery is the state of one leader's recovery. Its times are on the caller's monotonic clock.
 type Recovery struct {
 	settings          Settings
-	startedAt         time.Duration
+	startedAt         time.Duration // when the recovery began
 	phase             Phase
 	phaseStartedAt    time.Duration
-	view              View
+	view              View          // as last passed to Advance
 	lastReconciledAt  time.Duration // when a machine was last reconciled
 	lastDeferredAt    time.Duration // when an operation last had to wait for its budget
 	pacer             pacer
@@ -182,14 +184,14 @@
 // far as this work exceeds the cores of the unreconciled machines.
 func (r *Recovery) MayScaleOut() bool { return r.phase >= PhaseCollecting }
 
-// MayScaleIn reports whether surplus machines may be returned. The number of machines needed is
+// MayScaleIn reports whether surplus machines may be returned to the cloud. The number of machines needed is
 // unknown before all machines are reconciled.
 func (r *Recovery) MayScaleIn() bool { return r.phase >= PhasePacing }
 
 // MayReturnUnresponsive reports whether an unreconciled machine that has sent no heartbeat for the
-// duration of silence may be returned. The required silence is shorter if few machines are
-// unreconciled, because each of them delays all older jobs. If many are, they probably just can't
-// reach this leader yet.
+// duration of silence may be returned to the cloud. The required silence is shorter if few machines
+// are unreconciled, because each of them delays jobs that were accepted before this term. If many are
+// unreconciled, they are probably up but can't reach this leader yet.
 func (r *Recovery) MayReturnUnresponsive(silence time.Duration) bool {
 	if r.phase < PhaseReconciling {
 		return false
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -61,15 +61,15 @@
 	} {
 		action, kind, differs := ReconcileTask(test.task)
 		if action != test.action || kind != test.kind || differs != test.differs {
-			t.Errorf("%s: got action %d, kind %v, differs %v, expected %d, %v, %v",
+			t.Errorf("%s: got action %d, kind %v, differs %v, want %d, %v, %v",
 				name, action, kind, differs, test.action, test.kind, test.differs)
 		}
 	}
 }
 
 // TestPhaseTransitions guards against a recovery that leaves a phase before its condition or timeout,
-// or that remains in it for longer, and against phases that allow too much. Views of the fleet and the
-// times at which the leader sees them lead to the expected phases.
+// or that remains in it for longer, and against phases that allow too much. Each step gives the time, the
+// view of the fleet that the leader has then, and the phase that follows from it.
 func TestPhaseTransitions(t *testing.T) {
 	type phaseStep struct {
 		at   time.Duration
@@ -101,19 +101,20 @@
 		for _, step := range steps {
 			r.Advance(step.at, step.view)
 			if r.Phase() != step.want {
-				t.Errorf("%s: got phase %v at %v, expected %v", name, r.Phase(), step.at, step.want)
+				t.Errorf("%s: got phase %v at %v, want %v", name, r.Phase(), step.at, step.want)
 			}
 			if r.MayScaleOut() != (r.Phase() >= PhaseCollecting) || r.MayScaleIn() != (r.Phase() >= PhasePacing) ||
 				r.MayReturnUnresponsive(workerLease) != (r.Phase() >= PhaseReconciling) {
-				t.Errorf("%s at %v: got scale out %v, scale in %v, return of unresponsive machines %v in phase %v",
-					name, step.at, r.MayScaleOut(), r.MayScaleIn(), r.MayReturnUnresponsive(workerLease), r.Phase())
+				t.Errorf("%s at %v, phase %v: got scale out %v, scale in %v, return of unresponsive machines %v, want %v, %v, %v",
+					name, step.at, r.Phase(), r.MayScaleOut(), r.MayScaleIn(), r.MayReturnUnresponsive(workerLease),
+					r.Phase() >= PhaseCollecting, r.Phase() >= PhasePacing, r.Phase() >= PhaseReconciling)
 			}
 		}
 	}
 	r := newTestRecovery(0)
 	r.Advance(1, unreconciled(1))
 	if r.MayReturnUnresponsive(5*time.Second) || !r.MayReturnUnresponsive(6*time.Second) {
-		t.Error("return of few unresponsive machines must be allowed after a quarter of a lease, and not before")
+		t.Error("few unresponsive machines must be returned after a quarter of a worker lease, and not before")
 	}
 	if r := newTestRecovery(0); r.ReadingTimedOut(4*workerLease) || !r.ReadingTimedOut(4*workerLease+1) {
 		t.Error("reading must time out after four worker leases, and not before")
@@ -149,7 +150,7 @@
 					windowStart++
 				}
 				if n := i - windowStart + 1; float64(n) > rate.MaxInOneSecond()+extraInitialTokens(Operation(operation)) {
-					t.Fatalf("%v, terms of %v: got %d operations in the second until %v, expected at most %v",
+					t.Fatalf("%v, terms of %v: got %d operations in the second until %v, want at most %v",
 						Operation(operation), termLength, n, times[i],
 						rate.MaxInOneSecond()+extraInitialTokens(Operation(operation)))
 				}
@@ -160,7 +161,7 @@
 			}
 			if total := grantedRateShare*rate.PerSecond*now.Seconds() +
 				max(rate.Burst, initialTokens); float64(len(times)) > total {
-				t.Errorf("%v, terms of %v: got %d operations in %v, expected at most %v",
+				t.Errorf("%v, terms of %v: got %d operations in %v, want at most %v",
 					Operation(operation), termLength, len(times), now, total)
 			}
 		}
@@ -195,19 +196,19 @@
 		}
 		if now > 0 && now%(500*time.Millisecond) == 0 {
 			if !r.Allow(now, StartTask, LatencySensitive, "urgent") {
-				t.Errorf("start of latency-sensitive work deferred at %v", now)
+				t.Errorf("start of latency-sensitive work deferred at %v, want it allowed", now)
 			}
 			if !r.Allow(now, StopTask, CancelledWork, "greedy") {
-				t.Errorf("stop of cancelled work deferred at %v", now)
+				t.Errorf("stop of cancelled work deferred at %v, want it allowed", now)
 			}
 		}
 	}
 	if grantedByTeam["modest"] < grantedByTeam["greedy"]*9/10 || grantedByTeam["greedy"] < 50 {
-		t.Errorf("got %v starts by team, expected at least 50 for greedy and 9/10 of that for modest", grantedByTeam)
+		t.Errorf("starts by team: got %v, want at least 50 for greedy and 9/10 of its starts for modest", grantedByTeam)
 	}
 	if budgets := r.Budgets(10 * time.Second); len(budgets) != int(operationKinds) ||
 		!slices.ContainsFunc(budgets, func(b Budget) bool { return b.Operation == "start" && b.PerSecond == 20 }) {
-		t.Errorf("got budgets %+v, expected %d, with 20 starts per second", budgets, operationKinds)
+		t.Errorf("got budgets %+v, want %d, with 20 starts per second", budgets, operationKinds)
 	}
 }
 
@@ -229,10 +230,10 @@
 			}
 		}
 		if r.Phase() != want {
-			t.Errorf("deferred operations %v: got phase %v, expected %v", operation, r.Phase(), want)
+			t.Errorf("while operations of kind %v wait: got phase %v, want %v", operation, r.Phase(), want)
 		}
 		if operation == RentMachine && allowed < 10 {
-			t.Errorf("got %d allowed rentals, expected at least 10", allowed)
+			t.Errorf("got %d allowed rentals, want at least 10", allowed)
 		}
 	}
 }
@@ -251,11 +252,11 @@
 	status := r.Status(time.Minute)
 	if len(status.Mismatches) != 2 || status.Mismatches["on_two_machines"] != 2 ||
 		status.Mismatches["as_stored"] != 1 || len(status.Samples) != 2 || status.Phase != "normal" {
-		t.Errorf("got status %+v, expected on_two_machines: 2, as_stored: 1, 2 samples and phase normal", status)
+		t.Errorf("got status %+v, want mismatches on_two_machines: 2 and as_stored: 1, 2 samples and phase normal", status)
 	}
 	for kind := range mismatchKinds {
 		if kind.String() == "" {
-			t.Errorf("kind %d has no name", kind)
+			t.Errorf("mismatch kind %d has no name", kind)
 		}
 	}
 }
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -13,7 +13,7 @@
 type Status struct {
 	Term           uint64           `json:"term"`
 	Phase          string           `json:"phase"`
-	Paced          bool             `json:"paced"`  // the recovery limits operations in this fleet
+	Paced          bool             `json:"paced"`  // the limits of the recovery apply to this fleet
 	PhaseSeconds   float64          `json:"forS"`   // time since the phase began
 	ElapsedSeconds float64          `json:"afterS"` // time since the recovery began
 	WaitsFor       string           `json:"waitsFor,omitempty"`
--- a/internal/recovery/tasks.go
+++ b/internal/recovery/tasks.go
@@ -31,7 +31,7 @@
 	KeepAttempt   Action = iota // update the attempt, which is tracked already
 	AdoptAttempt                // start to track the attempt
 	AwaitToken                  // do nothing until a heartbeat carries this leader's token
-	IgnoreAttempt               // leave the attempt running, or its result on the worker
+	IgnoreAttempt               // leave the attempt running, or its result with the worker
 	StopAttempt                 // stop the attempt without a grace period
 	StoreResult                 // store the result, and then tell the worker to forget the attempt
 	ForgetAttempt               // tell the worker to forget the attempt
@@ -68,7 +68,7 @@
 }
 
 // reconcileExitedTask handles the exited tasks for ReconcileTask. The worker has the only copy of a
-// result until the result is stored, and may forget everything else.
+// result until the result is stored, so it may forget everything but such a result.
 func reconcileExitedTask(task ReportedTask) (action Action, kind Mismatch, differs bool) {
 	switch {
 	case task.JobState != JobStateOpen || !task.Completed:
--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -1,5 +1,5 @@
-// Package recoverygate applies the limits of a new leader's recovery to rentals, returns and commands,
-// and decides which jobs may be running on machines that have not reported yet.
+// Package recoverygate applies the limits of a new leader's recovery to rentals and returns of machines
+// and to commands to workers, and decides which jobs may be running on machines that have not reported yet.
 package recoverygate
 
 import (
@@ -12,9 +12,9 @@
 )
 
 // Gate applies the limits of a new leader's recovery to its decisions. It decides whether machines
-// may be rented or returned, how many commands may be sent now, and which jobs may be running on
-// unreconciled machines. It owns the leader's recovery.Recovery and passes it views of the cluster
-// state.
+// may be rented or returned to the cloud, how many commands may be sent to workers now, and which jobs
+// may be running on unreconciled machines (tasks unknown to the leader may be running there). It owns
+// the leader's recovery.Recovery and passes it views of the cluster state.
 type Gate struct {
 	state    *cluster.State
 	recovery *recovery.Recovery
@@ -102,7 +102,8 @@
 		Cores: totals.TotalCores, LargestCores: totals.LargestMachineCores}
 }
 
-// mismatchTotal returns the number of mismatches of all kinds except recovery.MatchesRecord.
+// mismatchTotal returns the number of mismatches of all kinds. It leaves out recovery.MatchesRecord, which
+// is no mismatch.
 func mismatchTotal(counts recovery.MismatchCounts) int {
 	total := 0
 	counts.ForEach(func(kind recovery.Mismatch, count int) {
@@ -155,11 +156,11 @@
 // MayScaleOut reports whether the recovery allows machines to be rented.
 func (g *Gate) MayScaleOut() bool { return !g.Limited() || g.recovery.MayScaleOut() }
 
-// MayScaleIn reports whether the recovery allows surplus machines to be returned.
+// MayScaleIn reports whether the recovery allows surplus machines to be returned to the cloud.
 func (g *Gate) MayScaleIn() bool { return !g.Limited() || g.recovery.MayScaleIn() }
 
-// MayReturnUnresponsive reports whether a machine may be returned that has sent no heartbeat for the
-// duration of silence.
+// MayReturnUnresponsive reports whether a machine that has sent no heartbeat for the duration of silence
+// may be returned to the cloud.
 func (g *Gate) MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool {
 	if machine.Reconciled {
 		return silence > g.state.Config.WorkerLease()*6/10
@@ -173,8 +174,8 @@
 	return !g.Limited() || g.recovery.Allow(g.state.Clock.Now(), operation, urgency, team)
 }
 
-// AllowedOperations returns how many of count operations on machines are within the budget now, and
-// takes them from the budget.
+// AllowedOperations returns how many of count rentals or returns of machines are within the budget now,
+// and takes those from the budget.
 func (g *Gate) AllowedOperations(operation recovery.Operation, count int) int {
 	for i := range count {
 		if !g.allowOperation(operation, recovery.LatencySensitive, "") {
@@ -190,8 +191,8 @@
 }
 
 // startsPerResponseDivisor is the number of machine cores for which one response may start one task
-// while starts are paced. The bound spreads the budget over more machines, and these send their next
-// heartbeat as soon as the tasks start.
+// while starts are paced. The bound spreads the budget over more machines, and each machine sends its
+// next heartbeat as soon as its tasks start.
 const startsPerResponseDivisor = 4
 
 // MayStartTask reports whether a response that already starts startedCount tasks may also start
@@ -207,8 +208,8 @@
 }
 
 // MayStopTask reports whether a task of a job may be stopped now. If so, it takes the stop from the
-// budget. job is nil if the job is not open. Its task should not be running, so stopping it has the
-// highest urgency.
+// budget. job is nil if the job is not open. No task of such a job should be running, so stopping it has
+// the highest urgency.
 func (g *Gate) MayStopTask(job *cluster.Job) bool {
 	if job == nil {
 		return g.allowOperation(recovery.StopTask, recovery.CancelledWork, "")
--- a/internal/recoverygate/gate_test.go
+++ b/internal/recoverygate/gate_test.go
@@ -65,8 +65,9 @@
 		gate.state.Settings.PacedRecovery = !c.disabled
 		if gate.Limited() != c.limited || gate.MayScaleOut() == c.limited || gate.MayScaleIn() == c.limited ||
 			gate.Status(3).Paced != c.limited || gate.Status(3).Term != 3 {
-			t.Errorf("%s: got limited %v, scale out allowed %v, scale in allowed %v, expected limited %v",
-				name, gate.Limited(), gate.MayScaleOut(), gate.MayScaleIn(), c.limited)
+			t.Errorf("%s: got limited %v, scale out allowed %v, scale in allowed %v, want %v, %v, %v; got status %+v, "+
+				"want paced %v and term 3", name, gate.Limited(), gate.MayScaleOut(), gate.MayScaleIn(),
+				c.limited, !c.limited, !c.limited, gate.Status(3), c.limited)
 		}
 		reconcileMachines(gate, c.machines)
 		for !gate.Completed() && testClock.now < 2*time.Minute {
@@ -75,8 +76,8 @@
 		}
 		if gate.Phase() != recovery.PhaseNormal || gate.Limited() || !gate.MayScaleOut() || !gate.MayScaleIn() ||
 			gate.Budgets() != nil {
-			t.Errorf("%s: got phase %v, expected %v without limits and budgets",
-				name, gate.Phase(), recovery.PhaseNormal)
+			t.Errorf("%s, after the recovery: got phase %v, limited %v, budgets %v, want %v without limits and budgets",
+				name, gate.Phase(), gate.Limited(), gate.Budgets(), recovery.PhaseNormal)
 		}
 	}
 }
@@ -106,7 +107,7 @@
 		c.change(gate, job)
 		totals := gate.state.CurrentMachineTotals()
 		if may := gate.MayRunUnreported(job, &totals); may != c.may {
-			t.Errorf("%s: got %v, expected %v", name, may, c.may)
+			t.Errorf("%s: MayRunUnreported: got %v, want %v", name, may, c.may)
 		}
 	}
 }
@@ -121,7 +122,7 @@
 	}
 	leaderCounts := gate.Counts()
 	if leaderCounts[recovery.JobTerminal] != 1 || counts[recovery.JobTerminal] != 6 {
-		t.Errorf("got %d mismatches of the leader and %d of the process, expected 1 and 6",
+		t.Errorf("got %d mismatches of kind JobTerminal of the leader and %d of the process, want 1 and 6",
 			leaderCounts[recovery.JobTerminal], counts[recovery.JobTerminal])
 	}
 }
@@ -141,13 +142,13 @@
 	testClock.now += 10 * time.Second
 	gate.Advance(true)
 	if gate.Phase() != recovery.PhaseReconciling || counts[recovery.MachineUnresponsive] != 1 {
-		t.Errorf("got phase %v and %d unresponsive machines, expected %v and 1",
+		t.Errorf("got phase %v and %d unresponsive machines, want %v and 1",
 			gate.Phase(), counts[recovery.MachineUnresponsive], recovery.PhaseReconciling)
 	}
 	reconcileMachines(gate, gateMinMachines)
 	gate.Advance(true)
 	if gate.Phase() != recovery.PhasePacing || counts[recovery.JobNotRunning] != 1 {
-		t.Errorf("got phase %v and %d jobs not running, expected %v and 1",
+		t.Errorf("got phase %v and %d jobs not running, want %v and 1",
 			gate.Phase(), counts[recovery.JobNotRunning], recovery.PhasePacing)
 	}
 }
@@ -162,24 +163,24 @@
 	attempt := &cluster.TaskAttempt{Job: job, Machine: machine}
 	gate.Advance(true)
 	if gate.MayStartTask(attempt, 0) || gate.MayStopTask(job) {
-		t.Error("start or stop allowed at the beginning of the recovery, expected an empty budget")
+		t.Error("start or stop allowed at the beginning of the recovery, want an empty budget")
 	}
 	if !gate.MayStopTask(nil) {
-		t.Error("stop of a task whose job is not open was deferred, expected it to be allowed")
+		t.Error("stop of a task whose job is not open was deferred, want it allowed")
 	}
 	testClock.now += 4 * time.Second
 	gate.Advance(true)
 	maxStarts := int(machine.MachineType.Cores) / startsPerResponseDivisor
 	if !gate.MayStartTask(attempt, maxStarts-1) || gate.MayStartTask(attempt, maxStarts) {
-		t.Errorf("one response may not start exactly %d tasks, the limit for its machine", maxStarts)
+		t.Errorf("tasks that one response may start: got another limit than %d, a quarter of the machine's cores", maxStarts)
 	}
 	granted := gate.AllowedOperations(recovery.RentMachine, 1000)
 	if granted == 0 || granted == 1000 || gate.AllowedOperations(recovery.RentMachine, 1) != 0 {
-		t.Errorf("got %d of 1000 rentals, expected some of them and no further rental", granted)
+		t.Errorf("got %d of 1000 rentals, want some but not all, and no further rental", granted)
 	}
 	gate.RefundOperations(recovery.RentMachine, 2)
 	if granted := gate.AllowedOperations(recovery.RentMachine, 5); granted != 2 {
-		t.Errorf("got %d rentals after a refund of 2, expected 2", granted)
+		t.Errorf("got %d rentals after a refund of 2, want 2", granted)
 	}
 }
 
