--- a/internal/reconcile/command_delivery.go
+++ b/internal/reconcile/command_delivery.go
@@ -16,7 +16,7 @@
 // counts consecutive responses without such a sign in machine.MissedResponses. The signs are the
 // fencing token and the effect of the first command, because workers execute commands in order. If
 // the response had no commands, deliveryConfirmed is the sign: the worker uses the same route again.
-// Without this rule, a machine that had missed a response while idle got no more commands and could
+// Without this last rule, a machine that had missed a response while idle got no more commands and could
 // never show a sign of delivery.
 func trackCommandDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
 	tokenAcknowledged, deliveryConfirmed bool) {
@@ -59,10 +59,10 @@
 }
 
 // drainIfCommandsUndelivered drains a machine whose heartbeats arrive although responses do not reach
-// it, and reports whether it is drained for this reason. As its heartbeats look healthy, it would
-// otherwise keep its assigned tasks, count as capacity, and block older jobs after a takeover. It
-// gets no more tasks or responses and is returned. Its attempts end when a heartbeat shows that they
-// have ended, when the worker lease expires, or when the machine terminates.
+// it, and reports whether it is drained for this reason. As its heartbeats look healthy, the machine
+// would otherwise keep its assigned tasks, count as capacity, and hold up jobs of earlier terms after a
+// takeover. It gets no more tasks or responses and is returned to the cloud. Its attempts end when a
+// heartbeat shows that they have ended, when the worker lease expires, or when the machine terminates.
 func (r *Reconciler) drainIfCommandsUndelivered(machine *cluster.Machine) bool {
 	if machine.MissedResponses < maxMissedResponses {
 		return false
@@ -80,7 +80,7 @@
 }
 
 // mostMachinesMissResponses reports whether more than half of the machines that are up miss responses.
-// The fault is then in this node's connections and not in a single machine.
+// The fault is then in this node's connections and not in a single machine, so no machine is drained for it.
 func (r *Reconciler) mostMachinesMissResponses() bool {
 	missingResponsesCount, upCount := 0, 0
 	for _, machine := range r.MachinesByName() {
--- a/internal/reconcile/reconciler.go
+++ b/internal/reconcile/reconciler.go
@@ -1,5 +1,6 @@
 // Package reconcile compares workers' heartbeats with the cluster state, updates the state and
-// determines the commands of each response. It stores and sends nothing.
+// determines the commands of each response. A machine is reconciled once no task unknown to this leader
+// can be running on it. The package stores and sends nothing.
 package reconcile
 
 import (
@@ -15,7 +16,7 @@
 // schedule tasks on the machine, and Respond builds the response with all commands.
 type Reconciler struct {
 	*cluster.State
-	fencingToken uint64 // the term, which responses and later heartbeats carry
+	fencingToken uint64 // the leader's term, which responses and later heartbeats carry
 	recovery     RecoveryGate
 	host         Host
 }
@@ -67,7 +68,7 @@
 }
 
 // Reconcile applies a heartbeat to the cluster state. relayPeer is the peer that relayed the heartbeat,
-// or empty. ok is false if the worker must get neither commands nor a renewal of its lease.
+// or empty. ok is false if the worker must get neither commands nor a renewal of its worker lease.
 func (r *Reconciler) Reconcile(heartbeat *protocol.WorkerHeartbeat, relayPeer string) (result Result, ok bool) {
 	machine := r.reportingMachine(heartbeat)
 	if machine == nil || r.isStaleHeartbeat(machine, heartbeat) {
@@ -87,8 +88,8 @@
 	return Result{Machine: machine, commands: commands}, true
 }
 
-// Respond returns the response to a reconciled heartbeat, with the commands that the current state
-// requires. The response may renew the worker's lease.
+// Respond returns the response to a heartbeat that Reconcile accepted, with the commands that the current
+// state requires. The response may renew the worker's lease.
 func (r *Reconciler) Respond(result Result) *protocol.HeartbeatResponse {
 	machine := result.Machine
 	commands := r.appendAttemptCommands(machine, result.commands)
@@ -139,7 +140,7 @@
 	return heartbeat.FencingToken == r.fencingToken
 }
 
-// cancelMissedHeartbeatDrain cancels the drain of a machine that missed heartbeats and reports
+// cancelMissedHeartbeatDrain cancels the drain of a machine that missed heartbeats and sends them
 // again, unless its termination has already been requested. The worker or this leader may only have
 // been partitioned. Without this rule, a thousand machines were returned after an outage of the cloud
 // API although they had been running tasks again for half a minute.
@@ -168,13 +169,13 @@
 	if len(heartbeat.Tasks) > 0 && !inventoryIncomplete {
 		// A machine is stored before its first task starts, and its record is deleted only
 		// after it has certainly ended. A heartbeat with tasks from an unrecorded machine is
-		// therefore a late copy from before the machine's return. Such a machine must neither
-		// block jobs nor count against a quota.
+		// therefore a late copy from before the machine's return to the cloud. Such a machine must
+		// neither block jobs nor count against a quota.
 		return nil
 	}
 	machine := r.NewMachine(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	// If all records could be read, no leader has stored the machine, so none has started a task
-	// on it. It gets tasks only once its heartbeats carry the token of this term.
+	// on it. The machine gets tasks only once its heartbeats carry the token of this term.
 	machine.Reconciled = !inventoryIncomplete
 	r.Log.Info("heartbeat from unknown machine", "machine", machine.Name, "type", machine.TypeName)
 	return machine
@@ -193,7 +194,7 @@
 }
 
 // isStaleHeartbeat reports whether a heartbeat must be ignored because it comes from another worker
-// with the same machine name, arrives late, or is a copy.
+// with the same machine name, arrives late, or is a copy of an earlier heartbeat.
 func (r *Reconciler) isStaleHeartbeat(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) bool {
 	switch {
 	case machine.Address != "" && heartbeat.Address != "" && heartbeat.Address != machine.Address:
@@ -207,7 +208,7 @@
 		return true // a fenced epoch never gets a response with status 200 again
 	default:
 		// A reconciled machine runs no task of an earlier leader that this leader does not know: its
-		// record says so, its lease has certainly expired without a response, or a heartbeat with
+		// record says so, its worker lease has certainly expired without a response, or a heartbeat with
 		// this term's token has reported its tasks. All later starts carry this token, so a
 		// heartbeat with tasks but without the token is an old copy.
 		return machine.Reconciled && !r.carriesToken(heartbeat) && len(heartbeat.Tasks) > 0
@@ -215,7 +216,7 @@
 }
 
 // logDuplicateName logs once per machine that two workers use its name, or that a copy of a heartbeat
-// was altered in transit. Only heartbeats of the first worker are accepted until its lease has
+// was altered in transit. Only heartbeats of the first worker are accepted until its worker lease has
 // certainly expired. Otherwise a new epoch of the second worker would be mistaken for the end of all
 // tasks of the first.
 func (r *Reconciler) logDuplicateName(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) {
@@ -227,8 +228,8 @@
 		"address", machine.Address, "otherAddress", heartbeat.Address)
 }
 
-// beginEpoch releases the attempts that were sent to a machine when the first heartbeat of a new
-// worker epoch arrives, because the worker has killed all earlier tasks.
+// beginEpoch processes the first heartbeat of a new epoch of a worker. It releases the attempts that
+// were sent to the machine, because the worker has killed all tasks of earlier epochs.
 func (r *Reconciler) beginEpoch(machine *cluster.Machine) {
 	r.recovery.NoteMismatch(recovery.NewerEpoch, machine.Name, "")
 	machine.UnknownTasks = 0
@@ -242,9 +243,9 @@
 		return
 	}
 	// Heartbeats arrived without a gap. Either the worker's lease expired because responses do
-	// not reach it, or the worker restarted at once. If it executes the next command, it restarted.
-	// If it begins another epoch without any sign of a delivered response, responses do not reach
-	// it.
+	// not reach it, or the worker restarted at once. If the worker executes the next command, it had
+	// restarted. If it begins another epoch without any sign of a delivered response, responses do
+	// not reach it.
 	machine.MissedResponses++
 	if machine.UnexpectedRestart {
 		machine.MissedResponses = max(machine.MissedResponses, maxMissedResponses)
--- a/internal/reconcile/reconciler_test.go
+++ b/internal/reconcile/reconciler_test.go
@@ -63,7 +63,8 @@
 func (f *reconcilerFixture) TraceFirstStart(*cluster.TaskAttempt)   { f.firstStarts++ }
 func (f *reconcilerFixture) TraceFirstRunning(*cluster.TaskAttempt) { f.firstRunning++ }
 
-// newReconcilerFixture returns a fixture whose machine has sent its first heartbeat with the token.
+// newReconcilerFixture returns a fixture whose machine has sent its first heartbeat, which carries the
+// token.
 func newReconcilerFixture() *reconcilerFixture {
 	f := &reconcilerFixture{now: time.Minute, closedJobStates: map[string]recovery.JobState{},
 		terminalJobsLoaded: true, deliveryConfirmed: true}
@@ -111,7 +112,7 @@
 	t.Helper()
 	result, ok := f.Reconcile(f.heartbeat(tasks...), "")
 	if !ok {
-		t.Fatal("heartbeat not accepted")
+		t.Fatal("next heartbeat of m-1 not accepted")
 	}
 	return f.Respond(result).Commands
 }
@@ -176,16 +177,16 @@
 			}
 			if got := commandKinds(
 				f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskExited, c.reason))); !slices.Equal(got, c.commands) {
-				t.Errorf("got commands %v, expected %v", got, c.commands)
+				t.Errorf("got commands %v, want %v", got, c.commands)
 			}
 			if done := slices.Equal(f.completedTasks, []int{0}); done != c.done {
-				t.Errorf("tasks %v marked as done, expected task 0: %v", f.completedTasks, c.done)
+				t.Errorf("got tasks %v marked as done, want only task 0: %v", f.completedTasks, c.done)
 			}
 			if released := len(f.job.Attempts) == 0; released != c.released {
-				t.Errorf("got %d tracked attempts, expected a released attempt: %v", len(f.job.Attempts), c.released)
+				t.Errorf("got %d tracked attempts, want the attempt released: %v", len(f.job.Attempts), c.released)
 			}
 			if f.machine.ConsecutiveFailures != c.failures {
-				t.Errorf("got %d consecutive failures of the machine, expected %d",
+				t.Errorf("got %d consecutive failures of the machine, want %d",
 					f.machine.ConsecutiveFailures, c.failures)
 			}
 			retryIn := clock.Never
@@ -193,10 +194,10 @@
 				retryIn = history.RetryAfter - f.now
 			}
 			if retryIn != c.retryIn {
-				t.Errorf("got a retry after %v, expected %v", retryIn, c.retryIn)
+				t.Errorf("got a retry of task 0 after %v, want %v", retryIn, c.retryIn)
 			}
 			if retained := len(c.commands) == 0; retained != (f.machine.RetainedResults == 1) {
-				t.Errorf("got %d retained results, expected 1 without a forget command: %v",
+				t.Errorf("got %d retained results, want 1 if no forget command is wanted: %v",
 					f.machine.RetainedResults, retained)
 			}
 		})
@@ -212,13 +213,13 @@
 	f.PlaceAttempt(attempt)
 	f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskExited, protocol.ExitDone))
 	if attempt.StopGrace == nil || *attempt.StopGrace != 0 {
-		t.Error("completion did not request a stop of the other attempt without grace")
+		t.Error("completion of task 0 did not request a stop of its other attempt without grace")
 	}
 	f.placeAttempt(1, cluster.AttemptRunning)
 	f.machine.ConsecutiveFailures, f.machine.FailedJobs["j-9"], f.job.FailedMachines["m-9"] = 1, true, true
 	f.sendHeartbeat(t, f.taskStatus(1, protocol.TaskExited, protocol.ExitDone))
 	if f.machine.ConsecutiveFailures+len(f.machine.FailedJobs)+len(f.job.FailedMachines) != 0 {
-		t.Error("failures of the machine or the job still recorded after a completed task, expected none")
+		t.Error("failures of the machine or the job still recorded after a completed task, want none")
 	}
 }
 
@@ -263,11 +264,11 @@
 	heartbeat.Machine = "m-unknown"
 	result, ok := f.Reconcile(heartbeat, "")
 	if !ok || result.Machine != f.Machines["m-unknown"] || !result.Machine.Reconciled {
-		t.Errorf("heartbeat accepted: %v, expected an accepted heartbeat and a reconciled machine", ok)
+		t.Errorf("heartbeat of m-unknown: got accepted %v, want an accepted heartbeat and a reconciled machine", ok)
 	}
 	if !slices.Equal(f.recordedMachines, []string{"m-unknown"}) ||
 		!slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MachineNotRecorded}) {
-		t.Errorf("got recorded machines %v and mismatches %v, expected m-unknown and one %v",
+		t.Errorf("got recorded machines %v and mismatches %v, want m-unknown and one %v",
 			f.recordedMachines, f.mismatches, recovery.MachineNotRecorded)
 	}
 }
@@ -284,14 +285,14 @@
 	assigned := f.placeAttempt(3, cluster.AttemptAssigned)
 	commands := f.sendHeartbeat(t)
 	if f.job.Attempts[0] == running || f.job.Attempts[2] == stopped {
-		t.Error("unreported attempt that was running or stopped is still tracked")
+		t.Error("unreported attempt at task 0 (running) or 2 (being stopped) is still tracked")
 	}
 	if f.job.Attempts[1] != sent || f.job.Attempts[3] != assigned {
-		t.Error("attempt whose start was not delivered is no longer tracked")
+		t.Error("attempt at task 1 or 3, whose start was not delivered, is no longer tracked")
 	}
 	if !slices.Equal(commandKinds(commands), []protocol.CommandKind{protocol.CommandStart, protocol.CommandStart}) ||
 		f.firstStarts != 1 {
-		t.Errorf("got commands %v and %d traced first starts, expected 2 start commands and 1 first start",
+		t.Errorf("got commands %v and %d traced first starts, want 2 start commands and 1 first start",
 			commandKinds(commands), f.firstStarts)
 	}
 }
@@ -305,18 +306,18 @@
 	heartbeat.FencingToken--
 	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 0 || f.machine.UnknownTasks != 1 ||
 		f.machine.Reconciled {
-		t.Fatalf("without token: got %d attempts and %d unknown tasks, expected 0 and 1 on an unreconciled machine",
-			len(f.job.Attempts), f.machine.UnknownTasks)
+		t.Fatalf("without token: got accepted %v, %d attempts, %d unknown tasks, reconciled %v, want true, 0, 1, false",
+			ok, len(f.job.Attempts), f.machine.UnknownTasks, f.machine.Reconciled)
 	}
 	f.sendHeartbeat(t, f.taskStatus(0, protocol.TaskRunning, ""))
 	attempt := f.job.Attempts[0]
 	if attempt == nil || attempt.Phase != cluster.AttemptRunning || f.machine.UnknownTasks != 0 ||
 		!f.machine.Reconciled {
-		t.Fatalf("with token: got attempt %+v and %d unknown tasks, expected a running attempt and 0",
-			attempt, f.machine.UnknownTasks)
+		t.Fatalf("with token: got attempt %+v, %d unknown tasks, reconciled %v, want a running attempt, 0, true",
+			attempt, f.machine.UnknownTasks, f.machine.Reconciled)
 	}
 	if f.firstRunning != 1 || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.MatchesRecord}) {
-		t.Errorf("got %d traced first running attempts and mismatches %v, expected 1 and one %v",
+		t.Errorf("got %d traced first running attempts and mismatches %v, want 1 and one %v",
 			f.firstRunning, f.mismatches, recovery.MatchesRecord)
 	}
 }
@@ -329,19 +330,19 @@
 	f.stopsDeferred, f.terminalJobsLoaded = true, false
 	if commands := f.sendHeartbeat(t, unknown); len(commands) != 0 || f.machine.UnknownTasks != 1 ||
 		len(f.mismatches) != 0 {
-		t.Errorf("without budget: got commands %v, %d unknown tasks and mismatches %v, expected none, 1 and none",
+		t.Errorf("without budget: got commands %v, %d unknown tasks and mismatches %v, want none, 1 and none",
 			commandKinds(commands), f.machine.UnknownTasks, f.mismatches)
 	}
 	f.stopsDeferred, f.terminalJobsLoaded = false, true
 	commands := f.sendHeartbeat(t, unknown)
 	if !slices.Equal(commandKinds(commands), []protocol.CommandKind{protocol.CommandStop}) ||
 		*commands[0].GraceSeconds != 0 || !slices.Equal(f.mismatches, []recovery.Mismatch{recovery.JobNeverStored}) {
-		t.Errorf("with budget: got commands %v and mismatches %v, expected a stop without grace and one %v",
+		t.Errorf("with budget: got commands %v and mismatches %v, want a stop without grace and one %v",
 			commandKinds(commands), f.mismatches, recovery.JobNeverStored)
 	}
 	f.closedJobStates["j-unknown"] = recovery.JobStateQuarantined
 	if commands := f.sendHeartbeat(t, unknown); len(commands) != 0 {
-		t.Errorf("got commands %v for a task of a quarantined job, expected none", commandKinds(commands))
+		t.Errorf("got commands %v for a task of a quarantined job, want none", commandKinds(commands))
 	}
 }
 
@@ -354,7 +355,7 @@
 		f.placeAttempt(i, cluster.AttemptAssigned)
 	}
 	if commands := f.sendHeartbeat(t); len(commands) != maxCommandsPerResponse {
-		t.Errorf("got %d commands in one response, expected %d", len(commands), maxCommandsPerResponse)
+		t.Errorf("got %d commands in one response, want %d", len(commands), maxCommandsPerResponse)
 	}
 }
 
@@ -382,11 +383,11 @@
 			}
 		}
 		if (f.machine.DrainReason == cluster.CommandsUndelivered) != drained {
-			t.Errorf("%d other machines: got drain reason %q, expected %q: %v",
+			t.Errorf("%d other machines: got drain reason %q, want %q: %v",
 				others, f.machine.DrainReason, cluster.CommandsUndelivered, drained)
 		}
 		if allAccepted := accepted == maxMissedResponses+2; allAccepted == drained {
-			t.Errorf("%d other machines: %d of %d heartbeats accepted, expected a drained machine: %v",
+			t.Errorf("%d other machines: %d of %d heartbeats accepted, want all unless the machine is drained: %v",
 				others, accepted, maxMissedResponses+2, drained)
 		}
 	}
@@ -402,18 +403,18 @@
 	heartbeat := f.heartbeat()
 	heartbeat.Epoch, heartbeat.Sequence = 2, 1
 	if _, ok := f.Reconcile(heartbeat, ""); !ok || len(f.job.Attempts) != 1 || f.job.Attempts[1] != assigned {
-		t.Errorf("heartbeat accepted: %v, got %d attempts, expected only the attempt that was not sent",
+		t.Errorf("heartbeat of epoch 2: got accepted %v and %d attempts, want true and only the unsent attempt at task 1",
 			ok, len(f.job.Attempts))
 	}
 	if !f.machine.UnexpectedRestart || f.machine.MissedResponses != 1 ||
 		!slices.Equal(f.mismatches, []recovery.Mismatch{recovery.NewerEpoch}) {
-		t.Errorf("got %d missed responses and mismatches %v, expected 1 and one %v",
-			f.machine.MissedResponses, f.mismatches, recovery.NewerEpoch)
+		t.Errorf("after epoch 2: got unexpected restart %v, %d missed responses and mismatches %v, want true, 1 and one %v",
+			f.machine.UnexpectedRestart, f.machine.MissedResponses, f.mismatches, recovery.NewerEpoch)
 	}
 	heartbeat = f.heartbeat()
 	heartbeat.Epoch = 3
 	if _, ok := f.Reconcile(heartbeat, ""); ok || f.machine.DrainReason != cluster.CommandsUndelivered {
-		t.Errorf("second new epoch: heartbeat accepted: %v, got drain reason %q, expected no response and %q",
+		t.Errorf("heartbeat of epoch 3: got accepted %v and drain reason %q, want false and %q",
 			ok, f.machine.DrainReason, cluster.CommandsUndelivered)
 	}
 }
--- a/internal/reconcile/reported_tasks.go
+++ b/internal/reconcile/reported_tasks.go
@@ -33,7 +33,8 @@
 }
 
 // reconcileTasks compares the tasks in a heartbeat with the tracked attempts of its machine. It
-// returns the commands to stop or forget tasks that should not be on the machine.
+// returns the commands to stop or forget tasks that should not be on the machine, at most
+// maxCommandsPerResponse.
 func (r *Reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat) []protocol.Command {
 	var commands []protocol.Command
 	for _, attempt := range machine.AttemptsInOrder {
@@ -75,7 +76,7 @@
 	}
 }
 
-// noteOvercommitted counts a mismatch if the attempts on a machine use more cores than it has.
+// noteOvercommitted counts a mismatch if the attempts on a machine use more cores than the machine has.
 func (r *Reconciler) noteOvercommitted(machine *cluster.Machine) {
 	if machine.MachineType != nil && machine.UsedCores > machine.MachineType.Cores+cluster.ResourceTolerance {
 		r.recovery.NoteMismatch(recovery.MachineOvercommitted, machine.Name, "")
@@ -205,12 +206,12 @@
 	return &protocol.Command{Kind: protocol.CommandForget, TaskID: task.TaskID, Attempt: task.Attempt}
 }
 
-// handleTaskExit processes a task that has exited, and reports whether the worker may forget it. The
-// worker must retain a result until it is durable, because the worker has the only copy.
+// handleTaskExit processes a task that has exited, and reports whether the worker may forget the task.
+// The worker must retain a result until it is durable, because the worker has the only copy.
 func (r *Reconciler) handleTaskExit(task *reportedTask) bool {
 	switch {
 	case task.job == nil:
-		// The job is terminal, and its terminal record is durable.
+		// The job is not open: either its terminal record is durable, or the job was never stored.
 		if task.isTracked() {
 			r.ReleaseAttempt(task.attempt)
 		}
--- a/internal/reconcile/worker_commands.go
+++ b/internal/reconcile/worker_commands.go
@@ -5,7 +5,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// maxCommandsPerResponse keeps the size of a response well below 64 KiB.
+// maxCommandsPerResponse is the maximum number of commands in a response. It keeps the size of a
+// response well below 64 KiB.
 const maxCommandsPerResponse = 300
 
 // appendAttemptCommands appends the commands to stop and start the attempts of a machine to the
--- a/internal/recoverygate/gate_test.go
+++ b/internal/recoverygate/gate_test.go
@@ -172,7 +172,7 @@
 	gate.Advance(true)
 	maxStarts := int(machine.MachineType.Cores) / startsPerResponseDivisor
 	if !gate.MayStartTask(attempt, maxStarts-1) || gate.MayStartTask(attempt, maxStarts) {
-		t.Errorf("tasks that one response may start: got another limit than %d, a quarter of the machine's cores", maxStarts)
+		t.Errorf("number of tasks that one response may start: want exactly %d, the limit for its machine", maxStarts)
 	}
 	granted := gate.AllowedOperations(recovery.RentMachine, 1000)
 	if granted == 0 || granted == 1000 || gate.AllowedOperations(recovery.RentMachine, 1) != 0 {
