--- a/internal/cluster/job.go
+++ b/internal/cluster/job.go
@@ -24,7 +24,7 @@
 	JobLifecycle
 
 	Reservation    Reservation
-	BlockedBy      WaitReason    // the check that stopped the last scheduling attempt
+	BlockedBy      WaitReason    // the check that failed when the job was last scheduled
 	PendingSince   clock.Instant // when the job last began to have pending tasks
 	ImageCheckedAt clock.Instant // scheduling pass for which ImageAvailable was determined
 	ImageAvailable bool          // some schedulable machine has the job's image
@@ -59,12 +59,14 @@
 
 // JobLifecycle is the state of a job as a whole.
 type JobLifecycle struct {
-	Terminal                  bool          // cancelled or done; no further task starts
-	Cancelled                 bool          // terminal because it was cancelled
-	CompletionUncertain       bool          // the terminal record may be stored, but no response confirms it
+	Terminal  bool // cancelled or done; no further task starts
+	Cancelled bool // terminal because it was cancelled
+	// CompletionUncertain is set when the job's terminal record, or a dependency's, may be stored but the store
+	// has not confirmed it.
+	CompletionUncertain       bool
 	StartCommandSent          bool          // a start command was sent in this term
 	Quarantined               bool          // one of its records can't be read; no task starts
-	FirstStartAt, LastStartAt clock.Instant // first and last start of its tasks
+	FirstStartAt, LastStartAt clock.Instant // when this leader first and last saw a task begin to run; 0: never
 }
 
 // NewJob returns a job without dependencies whose tasks are all pending since now.
@@ -117,7 +119,7 @@
 	SizeBytes   int    // length of Bits
 	Bits        []byte // nil until the first bit is set
 	StoredBits  []byte // last value of Bits known to be durable
-	WriteQueued bool   // a write is in the writer's queue
+	WriteQueued bool   // a write of this part is queued
 	Superseded  bool   // a new bitmap layout has replaced this part
 }
 
--- a/internal/cluster/machine.go
+++ b/internal/cluster/machine.go
@@ -199,7 +199,8 @@
 	m.AttemptsInOrder = slices.Insert(slices.Clone(m.AttemptsInOrder), position, attempt)
 }
 
-// removeAttempt removes an attempt from the machine.
+// removeAttempt removes an attempt from the machine. Like addAttempt, it leaves the existing elements of
+// AttemptsInOrder unchanged.
 func (m *Machine) removeAttempt(attempt *TaskAttempt) {
 	delete(m.Attempts, attempt.Key())
 	m.AttemptsInOrder = slices.DeleteFunc(slices.Clone(m.AttemptsInOrder),
--- a/internal/recovery/phase.go
+++ b/internal/recovery/phase.go
@@ -180,8 +180,8 @@
 	return time.Duration(fraction * float64(r.settings.WorkerLease))
 }
 
-// MayScaleOut reports whether machines may be rented for work that can't be running unreported, as
-// far as this work exceeds the cores of the unreconciled machines.
+// MayScaleOut reports whether machines may be rented for work that can't be running on unreconciled
+// machines already, as far as this work exceeds the cores of those machines.
 func (r *Recovery) MayScaleOut() bool { return r.phase >= PhaseCollecting }
 
 // MayScaleIn reports whether surplus machines may be returned to the cloud. The number of machines needed is
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -114,7 +114,7 @@
 	r := newTestRecovery(0)
 	r.Advance(1, unreconciled(1))
 	if r.MayReturnUnresponsive(5*time.Second) || !r.MayReturnUnresponsive(6*time.Second) {
-		t.Error("few unresponsive machines must be returned after a quarter of a worker lease, and not before")
+		t.Error("return of few unresponsive machines: want it allowed after a quarter of a worker lease, and not before")
 	}
 	if r := newTestRecovery(0); r.ReadingTimedOut(4*workerLease) || !r.ReadingTimedOut(4*workerLease+1) {
 		t.Error("reading must time out after four worker leases, and not before")
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -36,7 +36,7 @@
 	PendingOrder            []QueuedJob           // pending jobs in scheduling order
 	guaranteedJobs          map[*cluster.Job]bool // see jobsWithinGuarantee
 	latencySensitiveDelayed bool                  // see LatencySensitiveWorkDelayed
-	preemptionTriedAt       clock.Instant         // last search for tasks to preempt
+	preemptionTriedAt       clock.Instant         // time of the last search for tasks to preempt
 	ReconciledOnce          bool                  // all machines were reconciled in some pass of this term
 }
 
