--- a/internal/records/access.go
+++ b/internal/records/access.go
@@ -5,7 +5,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// Access holds the dependencies that Loader, Machines and Jobs share.
+// Access holds the dependencies that Loader, Machines and Jobs share: the leader's state, the writer of
+// the key-value store, the quarantine and the clock.
 type Access struct {
 	state      *cluster.State
 	writer     *TransactionWriter
@@ -18,8 +19,8 @@
 	return &Access{state: state, writer: writer, quarantine: quarantine, clock: clock}
 }
 
-// dropStoredKey queues the deletion of a key, with low priority. Nothing is deleted if, when the
-// transaction is built, the key is not stored or its record is quarantined.
+// dropStoredKey queues the deletion of a key, with low priority. Nothing is deleted if the key is not
+// stored, or its record is quarantined, at the time when the transaction is built.
 func (a *Access) dropStoredKey(key string) {
 	a.writer.Enqueue(storage.PriorityLow, storage.Change{BuildWrites: func() []storage.Write {
 		if a.writer.ModRevision(key) == 0 || a.quarantine.contains(key) {
--- a/internal/records/bitmap_layout.go
+++ b/internal/records/bitmap_layout.go
@@ -9,7 +9,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// bitmapLayout holds the number of tasks that one part of a stored bitmap covers.
+// bitmapLayout holds the number of tasks that one part of a job's stored bitmap of finished tasks covers.
 type bitmapLayout struct {
 	tasksPerPart       int
 	legacyTasksPerPart int // number of tasks in a part at protocol level 0
@@ -24,8 +24,8 @@
 }
 
 // layOutBitmap divides the job's bitmap into empty parts that fit the value size limit. Controllers of
-// protocol level 0 use larger parts and identify them by number, so a job with several parts keeps
-// that layout as long as such a controller may become leader.
+// protocol level 0 use larger parts and identify them by number. A job with several parts keeps that
+// layout as long as such a controller may become leader.
 func (r *Jobs) layOutBitmap(job *cluster.Job) {
 	id := job.Spec.ID
 	tasksPerPart := r.layout.tasksPerPart
@@ -45,8 +45,8 @@
 	}
 }
 
-// UpgradeBitmapLayouts stores the bitmaps of open jobs that need several parts in the layout that
-// protocol level 0 can't read. The leader calls it once no controller of that level may become leader.
+// UpgradeBitmapLayouts stores the bitmaps of open jobs that need several parts in the current layout,
+// which protocol level 0 can't read. The leader calls it once no controller of that level may become leader.
 func (r *Jobs) UpgradeBitmapLayouts() {
 	for _, id := range slices.Sorted(maps.Keys(r.state.Jobs)) {
 		job := r.state.Jobs[id]
@@ -57,7 +57,7 @@
 }
 
 // upgradeBitmapLayout stores a job's bitmap in the current layout, and then deletes the old parts.
-// Bits are only ever set and never cleared, so a leader that finds parts of both layouts merges them.
+// Bits are only ever set and never cleared, so a new leader that finds parts of both layouts merges them.
 func (r *Jobs) upgradeBitmapLayout(job *cluster.Job) {
 	oldParts := job.BitmapParts
 	doneTasks := doneTasksOf(job)
--- a/internal/records/job_completion.go
+++ b/internal/records/job_completion.go
@@ -30,16 +30,16 @@
 	})
 }
 
-// buildWrites returns the deletion of the open record and the write of the terminal record, with the
-// current time as the end of the job.
+// buildWrites returns the deletion of the open record and the write of the terminal record. The job
+// counts as ended at the current time.
 func (c *jobCompletion) buildWrites() []storage.Write {
 	id := c.job.Spec.ID
 	c.terminal.EndedAtMillis = c.records.clock.UnixMilli(c.records.clock.Now())
 	return []storage.Write{storage.Delete(storage.JobKey(id)), storage.Put(storage.TerminalKey(id), c.terminal)}
 }
 
-// onSent marks the completion of the job as uncertain, as well as that of its dependents if they are
-// cancelled with it: from now on, another controller may read the terminal record.
+// onSent marks the completion of the job as uncertain: from now on, another controller may read the
+// terminal record. If the job is cancelled, its dependents are cancelled too and are marked likewise.
 func (c *jobCompletion) onSent() {
 	c.job.CompletionUncertain = true
 	if c.job.Cancelled {
@@ -82,7 +82,7 @@
 
 // QuarantineOpenRecord handles an open job for which a terminal record was read, although this leader
 // has not finished the job. The terminal record takes precedence, as a user may have been notified of
-// it: the job is removed from the job table, and its open record is quarantined.
+// the end of the job. The job is removed from the job table, and its open record is quarantined.
 func (r *Jobs) QuarantineOpenRecord(id string, terminal storage.TerminalRecord) {
 	job := r.state.Jobs[id]
 	if job == nil || job.Terminal || job.CompletionUncertain || r.state.EndedJobs[id] {
--- a/internal/records/job_watch.go
+++ b/internal/records/job_watch.go
@@ -13,7 +13,7 @@
 	loader   *Loader
 	host     JobWatchHost
 	clock    Clock
-	active   bool // whether a long poll is in flight or a pause before the next one is running
+	active   bool // a long poll or a listing is in flight, or the pause before the next long poll has not ended
 	failures int  // number of consecutive long polls that failed or were answered early without anything new
 }
 
@@ -35,7 +35,7 @@
 // which doubles with each failure.
 const maxWatchFailures = 4
 
-// Tick sends the next long poll, unless one is in flight or the pause before it is not over.
+// Tick sends the next long poll, unless the last one is in flight or the pause after it has not ended.
 func (w *JobWatch) Tick() {
 	if w.active {
 		return
@@ -49,18 +49,19 @@
 	})
 }
 
-// onResponse handles the response to a long poll.
+// onResponse handles the response to a long poll. answeredEarly means that the response arrived within
+// half of the maximum wait that the poll requested.
 func (w *JobWatch) onResponse(response storage.Response, answeredEarly bool) {
 	var events storage.WatchResponse
 	switch {
 	case response.Decode(&events):
 		w.applyEvents(events, answeredEarly)
 	case response.Status == http.StatusGone:
-		// The store has compacted the revision, so the open jobs are listed again. Jobs that are
-		// loaded already are kept.
+		// The store has compacted the revision from which the poll was to continue, so the open jobs
+		// are listed again. Jobs that are loaded already are kept.
 		w.rereadJobs()
 	case response.Status == http.StatusServiceUnavailable:
-		w.failures = 1 // the outage may be short, so the pause stays short
+		w.failures = 1 // the store's outage may be short, so the pause does not grow
 		w.scheduleWatch()
 	case w.failures == 0:
 		w.failures = 1
--- a/internal/records/job_watch_test.go
+++ b/internal/records/job_watch_test.go
@@ -23,7 +23,7 @@
 }
 
 // Guards against several concurrent long polls, and against a watch that repeats or misses events: the
-// next long poll must start at the revision of the last events, even if they contained no job.
+// next long poll must start at the revision of the last response, even if its events contain no job.
 func TestJobWatchContinuesAtRevision(t *testing.T) {
 	watch, host := newTestWatch()
 	watch.Tick()
@@ -34,7 +34,7 @@
 	host.respond(200, storage.WatchResponse{Revision: 12, Events: []storage.WatchEvent{deletion}})
 	watch.Tick()
 	if want := storage.WatchPath(storage.JobPrefix, 12, (host.WorkerLease() / 2).Milliseconds()); host.last().path != want {
-		t.Fatalf("watch path %s, want %s", host.last().path, want)
+		t.Fatalf("path of the next long poll: got %s, want %s", host.last().path, want)
 	}
 }
 
@@ -55,9 +55,9 @@
 	}
 }
 
-// Guards against a watch that never loads jobs accepted meanwhile, because its revision was compacted
-// or its events are too large for one response: the open jobs are listed again after a compaction and
-// after the second failure in a row, but not in an outage.
+// Guards against a watch that never loads newly accepted jobs, because the store has compacted its
+// revision or its events are too large for one response. The open jobs must be listed again after a
+// compaction and after the second failure in a row, but not while the store is unavailable.
 func TestJobWatchListsJobsAgain(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -80,14 +80,14 @@
 				}
 			}
 			if got := isJobListing(host.last()); got != c.wantListing {
-				t.Fatalf("last request %s is a listing: %v, want %v", host.last().path, got, c.wantListing)
+				t.Fatalf("last request %s: is a job listing: got %v, want %v", host.last().path, got, c.wantListing)
 			}
 			if c.wantListing {
 				host.respond(200, storage.ListResponse{Revision: 40})
 				host.delayedCalls[len(host.delayedCalls)-1].run()
 				watch.Tick()
 				if !strings.Contains(host.last().path, "40") || watch.loader.JobsRevision() != 40 {
-					t.Fatalf("watch path %s, loader revision %d; want both at the listing's revision 40",
+					t.Fatalf("next long poll %s, loader at revision %d; want both at the listing's revision 40",
 						host.last().path, watch.loader.JobsRevision())
 				}
 			}
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -21,7 +21,8 @@
 	JobDependencies
 	// IsTerminal reports whether a job's terminal record is known.
 	IsTerminal(jobID string) bool
-	// LegacyLeaderPossible reports whether a controller of protocol level 0 may become leader.
+	// LegacyLeaderPossible reports whether a controller of protocol level 0 (an earlier version, which
+	// can't read the current bitmap layout) may become leader.
 	LegacyLeaderPossible() bool
 	// JobAdded is called after a job was added to the job table.
 	JobAdded(job *cluster.Job)
@@ -36,7 +37,7 @@
 
 // JobDependencies is the part of the jobs' dependency graph, a DAG, that Jobs calls.
 type JobDependencies interface {
-	// CompletionPriority returns the write priority of a job's terminal record.
+	// CompletionPriority returns the priority with which a job's terminal record is written.
 	CompletionPriority(job *cluster.Job) storage.Priority
 	// RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
 	RelaxDeadlines(cancelled *cluster.Job)
@@ -49,8 +50,8 @@
 	return &Jobs{Access: access, host: host, layout: newBitmapLayout(access.state.Config)}
 }
 
-// Add adds an open job to the job table and returns it. modRevision is the revision of its record. Add
-// returns the existing job if the table contains it already, and nil if the job is terminal.
+// Add adds an open job to the job table and returns the job. modRevision is the ModRevision of its
+// record. Add returns the existing job if the table contains it already, and nil if the job is terminal.
 func (r *Jobs) Add(record storage.JobRecord, modRevision uint64) *cluster.Job {
 	id := record.Spec.ID
 	if job := r.state.Jobs[id]; job != nil {
@@ -101,8 +102,8 @@
 	written []byte // copy of the bits from which the write was built
 }
 
-// storeBitmapPart queues the write of one bitmap part, unless one is queued. The value is read when the
-// transaction is built, so tasks that finish before then share the write.
+// storeBitmapPart queues the write of one bitmap part, unless one is queued. The bits are copied when the
+// transaction is built, so all tasks that finish before then share the write.
 func (r *Jobs) storeBitmapPart(job *cluster.Job, part *cluster.BitmapPart) {
 	if part.WriteQueued {
 		return
@@ -133,7 +134,7 @@
 		return
 	}
 	if w.records.quarantine.contains(w.part.Key) {
-		return // the bits are not durable, so workers must retain the tasks' results
+		return // nothing was written: the bits are not durable, so workers must retain the tasks' results
 	}
 	w.part.StoredBits = w.written
 	if !bytes.Equal(w.part.StoredBits, w.part.Bits) {
--- a/internal/records/loading.go
+++ b/internal/records/loading.go
@@ -10,8 +10,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// Loader reads stored records into the cluster state: those of earlier leaders at the start of the
-// term, and those of jobs that are accepted later.
+// Loader reads stored records into the cluster state: the records of earlier leaders at the start of
+// the term, and later those of newly accepted jobs.
 type Loader struct {
 	*Access
 	host     LoaderHost
@@ -22,7 +22,7 @@
 	dependencyRecords   map[string][]storage.Item // dependency records read before their jobs, by job id
 	loadingDependencies map[string]bool           // ids of jobs whose dependency records are being read
 	dependencyReadCount map[string]int            // number of reads of a job's dependency records, by job id
-	deferredBitmaps     map[string][]storage.Item // bitmap parts of jobs that are not loaded yet, by job id
+	deferredBitmaps     map[string][]storage.Item // bitmap parts of jobs whose load is deferred, by job id
 }
 
 // LoaderHost is the part of the leader that Loader calls.
@@ -60,7 +60,7 @@
 	l.readPages(listings[0], "", func() { l.ReadListings(listings[1:], onDone) })
 }
 
-// MaxPageItems is the maximum number of items in one page of a listing, which limits memory use.
+// MaxPageItems is the maximum number of items in one page of a listing. It limits the memory for a page.
 const MaxPageItems = 200
 
 // readPages reads the records of a listing whose keys are after afterKey, page by page, and then calls
@@ -100,13 +100,14 @@
 	}
 }
 
-// LoadJob adds a job to the job table, once all its dependency records have been read.
+// LoadJob adds the job of an open record to the job table. If the job's dependency records have not all
+// been read, they are read first. An unreadable record is quarantined.
 func (l *Loader) LoadJob(item storage.Item) {
 	id := strings.TrimPrefix(item.Key, storage.JobPrefix)
 	if l.quarantine.IsUnreadableJob(id) {
-		// The record is quarantined and was either repaired or only read again. The new revision
-		// of a repaired record would imply that no earlier leader has started the job, so only
-		// the next leader loads it.
+		// The job's record is quarantined, and was either repaired or only read again. The new
+		// revision of a repaired record would imply that no earlier leader has started the job,
+		// so this leader does not load it. The next leader does.
 		l.quarantine.checkSoon()
 		return
 	}
@@ -131,8 +132,8 @@
 	}
 }
 
-// LoadDependencies validates and keeps a page of dependency records, which exist for dependencies that
-// do not fit into the records of their jobs. They are kept until those jobs are loaded.
+// LoadDependencies validates a page of dependency records and keeps them until their jobs are loaded.
+// Such records exist only for jobs whose dependencies do not fit into the record of the job.
 func (l *Loader) LoadDependencies(items []storage.Item) {
 	l.writer.NoteRevisions(items)
 	for _, item := range items {
@@ -144,7 +145,7 @@
 	}
 }
 
-// readDependencies reads the dependency records of one job, for example one that was accepted after
+// readDependencies reads the dependency records of one job, for example of a job that was accepted after
 // the initial load, and then loads the job. A job loaded without its dependencies would start at once.
 func (l *Loader) readDependencies(job storage.Item, recordCount int) {
 	id := strings.TrimPrefix(job.Key, storage.JobPrefix)
@@ -168,8 +169,8 @@
 	})
 }
 
-// maxDependencyReads limits the reads of a job's dependency records. They are written in one
-// transaction with the job, so all of them exist unless a page was read before that transaction.
+// maxDependencyReads limits the reads of a job's dependency records. The records are written in one
+// transaction with the job, so a read finds all of them unless a page was read before that transaction.
 const maxDependencyReads = 3
 
 // errDependenciesMissing is the reason to quarantine a job whose dependency records are incomplete.
@@ -194,7 +195,7 @@
 	}
 }
 
-// LoadBitmaps marks the tasks as done whose bits are set in a page of bitmap parts.
+// LoadBitmaps marks the tasks whose bits are set in a page of bitmap parts as done.
 func (l *Loader) LoadBitmaps(items []storage.Item) {
 	for _, item := range items {
 		l.writer.SetModRevision(item.Key, item.ModRevision)
@@ -202,7 +203,7 @@
 	}
 }
 
-// loadBitmap marks the tasks as done whose bits are set in one bitmap part. If loading the job is
+// loadBitmap marks the tasks whose bits are set in one bitmap part as done. If loading the job is
 // deferred, the part is kept until the job is loaded. A part of an unknown job is deleted.
 func (l *Loader) loadBitmap(item storage.Item) {
 	id, firstTask, ok := storage.ParseBitmapKey(item.Key, l.jobs.layout.legacyTasksPerPart)
@@ -230,8 +231,8 @@
 	l.applyBitmap(job, item.Key, firstTask, bits)
 }
 
-// applyBitmap marks the tasks as done whose bits are set in a valid bitmap part. A part of another
-// layout is deleted after its bits were written to the parts of the job's layout.
+// applyBitmap marks the tasks whose bits are set in a valid bitmap part as done. A part of another layout
+// than the job's is deleted after its bits were written to the parts of the job's layout.
 func (l *Loader) applyBitmap(job *cluster.Job, key string, firstTask int, bits []byte) {
 	partIndex := slices.IndexFunc(job.BitmapParts, func(part *cluster.BitmapPart) bool { return part.Key == key })
 	if partIndex >= 0 {
@@ -243,7 +244,7 @@
 	}
 }
 
-// markTasksDone marks the tasks as done whose bits are set. The first bit belongs to firstTask.
+// markTasksDone marks the tasks whose bits are set as done. The first bit belongs to firstTask.
 func (l *Loader) markTasksDone(job *cluster.Job, firstTask int, bits []byte) {
 	for i := range bits {
 		for bit := range 8 {
--- a/internal/records/machine_group_write.go
+++ b/internal/records/machine_group_write.go
@@ -19,7 +19,7 @@
 	records      *Machines
 	group        *cluster.MachineGroup
 	urgency      groupWriteUrgency
-	usedMachines []*cluster.Machine // machines that the built record marks as used
+	usedMachines []*cluster.Machine // machines that the record to be written marks as used
 }
 
 // storeGroup queues the write of a changed group, unless a queued write of at least this urgency will
@@ -89,9 +89,9 @@
 	w.group.ChangedSinceWrite = false
 }
 
-// onRejected handles the permanent rejection of the write, and queues it again if it was not alone in
-// its transaction. If the key-value store rejects it even alone, the store's value limit is lower than
-// the settings say, so the group is split.
+// onRejected handles the permanent rejection of a transaction with the write. If the transaction had
+// other writes too, this write is queued again. If the key-value store rejects the write even alone, the
+// store's value limit is lower than the settings say, so the group is split.
 func (w *groupWrite) onRejected(alone bool) {
 	r := w.records
 	if !alone {
--- a/internal/records/machine_loading.go
+++ b/internal/records/machine_loading.go
@@ -46,7 +46,8 @@
 	machine.MarkedUsed, machine.Reconciled = machine.UseDurable, !machine.UseDurable
 	l.machines.addToGroup(group, machine)
 	if !entry.Used && machine.UseDurable {
-		// Store this group before the other group's record, which alone has the mark, is deleted.
+		// So far, only the other group's record has the used mark. Store this group, with the mark,
+		// before that record is deleted or rewritten without the machine.
 		l.machines.storeGroup(group, groupWriteNormalPriority)
 	}
 }
@@ -74,8 +75,8 @@
 	}
 }
 
-// LoadSingleMachines adds the machines of a page of single-machine records, which earlier versions
-// write, and moves them into groups.
+// LoadSingleMachines adds the machines of a page of single-machine records, which only earlier versions
+// write. The machines are stored in groups, and their single records are deleted.
 func (l *Loader) LoadSingleMachines(items []storage.Item) {
 	for _, item := range items {
 		var record storage.MachineRecord
@@ -105,7 +106,7 @@
 }
 
 // addStoredMachine adds a machine to the cluster state from its stored record. A machine that an
-// earlier leader has used is not reconciled yet.
+// earlier leader has used is not reconciled yet: tasks that this leader does not know may run on it.
 func (l *Loader) addStoredMachine(name string, record storage.MachineRecord) *cluster.Machine {
 	machine := l.state.NewMachine(name, record.Type, record.Zone, record.Spot)
 	machine.Reconciled = !record.Used
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -15,7 +15,7 @@
 // machine types.
 type Machines struct {
 	*Access
-	storedTypes string // JSON of the machine types last stored, without prices
+	storedTypes string // JSON of the machine types last queued by StoreCatalog, without prices
 
 	groups         []*cluster.MachineGroup
 	maxGroupBytes  int // size limit of a group's record, in bytes
@@ -28,8 +28,8 @@
 	return &Machines{Access: access, maxGroupBytes: storage.MaxMachineGroupBytes(maxValueBytes)}
 }
 
-// AddRented adds a machine that this leader rented. It needs no reconciliation, as no
-// earlier leader placed tasks on it.
+// AddRented adds a machine that this leader rented, and queues the write of its record. The machine
+// needs no reconciliation, as no earlier leader placed tasks on it.
 func (r *Machines) AddRented(name, typeName, zone string, spot bool, rentedAt clock.Instant) *cluster.Machine {
 	machine := r.state.NewMachine(name, typeName, zone, spot)
 	machine.Reconciled, machine.RentedAt = true, rentedAt
@@ -37,8 +37,8 @@
 	return machine
 }
 
-// AddListed adds a machine that is in the cloud's list but in no record. No leader placed tasks on it,
-// unless machine records are unreadable and the inventory is therefore incomplete.
+// AddListed adds a machine that is in the cloud's list but in no record. No leader placed tasks on the
+// machine, unless machine records are unreadable and the inventory is therefore incomplete.
 func (r *Machines) AddListed(host protocol.Host) *cluster.Machine {
 	rentedAt := r.clock.Now() - config.Seconds(max(host.RentedSeconds, 0))
 	machine := r.AddRented(host.Name, host.Type, host.Zone, host.Spot, rentedAt)
@@ -46,8 +46,8 @@
 	return machine
 }
 
-// StoreCatalog stores the machine types for the next start if they have changed and fit into a value.
-// Price changes are frequent and do not cause a write.
+// StoreCatalog stores the machine types, if they have changed and fit into a value, for nodes that start
+// during an outage of the cloud. Price changes are frequent and do not cause a write.
 func (r *Machines) StoreCatalog() {
 	catalog, typesWithoutPrices := protocol.Catalog{}, []protocol.MachineType{}
 	for _, name := range slices.Sorted(maps.Keys(r.state.Catalog)) {
@@ -67,7 +67,7 @@
 }
 
 // Record queues the write of a machine's name and entry, unless they are stored or queued already. used
-// marks the machine as used; the mark must be durable before the machine gets its first task.
+// marks the machine as used. The mark must be durable before the machine gets its first task.
 func (r *Machines) Record(machine *cluster.Machine, used bool) {
 	if machine.Group != nil && (machine.MarkedUsed || !used) {
 		return
@@ -124,8 +124,8 @@
 	return r.newGroup(r.unusedGroupKey())
 }
 
-// unusedGroupKey returns the first key, from minGroupNumber on, that neither a group nor a quarantined
-// record has.
+// unusedGroupKey returns the first key, from minGroupNumber on, that belongs neither to a group nor to a
+// quarantined record.
 func (r *Machines) unusedGroupKey() string {
 	usedKeys := map[string]bool{}
 	for _, group := range r.groups {
@@ -146,10 +146,10 @@
 }
 
 // SplitOversizedGroups splits the groups whose record is too large to be written again, because
-// protocol level 0 wrote larger ones or the value limit of the key-value store was lowered. The
+// protocol level 0 wrote larger records or the value limit of the key-value store was lowered. The
 // machines are written into new groups before the old record is deleted. Until then, two records
-// contain each machine. Protocol level 0 uses the entry that it reads last, so the new groups get later
-// keys.
+// contain each machine. Controllers of protocol level 0 use the entry that they read last, so the new
+// groups get later keys.
 func (r *Machines) SplitOversizedGroups() {
 	oversized, kept := r.partitionGroups()
 	if len(oversized) == 0 {
@@ -158,7 +158,7 @@
 	for _, group := range r.groups {
 		r.minGroupNumber = max(r.minGroupNumber, storage.MachineGroupNumber(group.Key)+1)
 	}
-	r.groups = nil // the oversized groups' machines are assigned to new groups only
+	r.groups = nil // so that the oversized groups' machines are assigned to new groups only
 	for _, group := range oversized {
 		r.moveToOtherGroups(group)
 	}
--- a/internal/records/machines_test.go
+++ b/internal/records/machines_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// The record of a group is deleted with its last machine. Otherwise the next leader would load machines
-// that no longer exist. A group that was never stored needs no write.
+// The record of a group must be deleted when its last machine is removed. Otherwise the next leader would
+// load machines that no longer exist. A group that was never stored needs no write.
 func TestMachineRecordsDeleteEmptyGroup(t *testing.T) {
 	records, host := newTestMachineRecords(1000)
 	records.Remove(records.AddRented("m-1", "small", "zone", false, 0))
@@ -60,12 +60,14 @@
 	records.Remove(machine)
 	records.writer.SendNext()
 	if want := storage.Encode(storage.Delete(key)); !bytes.Contains(host.last().body, want) {
-		t.Fatalf("sent %s, want it to contain %s", host.last().body, want)
+		t.Fatalf("transaction after the removal of the last machine: got %s, want it to contain %s",
+			host.last().body, want)
 	}
 }
 
-// Guards against machines that are in no record after a split: a group that the key-value store rejects
-// is split into groups within the size limit, which are written before the old record is deleted.
+// Guards against machines that are in no record after a split. A group that the key-value store rejects
+// must be split into groups within the size limit, and these must be written before the old record is
+// deleted.
 func TestMachineRecordsSplitRejectedGroup(t *testing.T) {
 	records, host := newTestMachineRecords(1000)
 	for _, name := range []string{"m-1", "m-2", "m-3", "m-4"} {
@@ -79,7 +81,7 @@
 	records.writer.SendNext()
 	host.respond(400, nil)
 	if len(records.groups) != 2 || rejected.Machines != nil {
-		t.Fatalf("%d groups, %d machines left in the rejected one; want 2 and none",
+		t.Fatalf("after the rejection: %d groups, %d machines left in the rejected one; want 2 and none",
 			len(records.groups), len(rejected.Machines))
 	}
 	for _, group := range records.groups {
@@ -91,7 +93,7 @@
 	records.writer.SendNext()
 	if body := host.last().body; bytes.Contains(body, storage.Encode(storage.Delete(rejected.Key))) &&
 		!bytes.Contains(body, []byte(records.groups[1].Key)) {
-		t.Fatalf("deleted the old record before the new groups were written: %s", body)
+		t.Fatalf("the transaction deletes the old record without writing the last new group: %s", body)
 	}
 	host.respond(200, storage.TxnResponse{Revision: 8})
 	if records.writer.ModRevision(rejected.Key) != 0 || records.writer.ModRevision(records.groups[0].Key) != 8 {
--- a/internal/records/quarantine.go
+++ b/internal/records/quarantine.go
@@ -16,14 +16,14 @@
 )
 
 // Quarantine tracks the records that a leader can't use, because they can't be decoded or contradict
-// each other. Such a record is never written or deleted. What it describes is assumed to exist: its job
-// counts as accepted, but none of its tasks is started, and its machines may be running any task.
+// each other. Such a record is never written or deleted. What the record describes is assumed to exist:
+// a job counts as accepted, but none of its tasks is started, and a machine may be running any task.
 type Quarantine struct {
 	state          *cluster.State
 	host           QuarantineHost
 	clock          Clock
 	lookupBudget   *ratelimit.TokenBucket        // limits the reads of quarantined records
-	records        map[string]*QuarantinedRecord // quarantined records, by key
+	records        map[string]*QuarantinedRecord // by key
 	unreadableJobs map[string]bool               // ids of open jobs that can't be added to the job table
 	nextCheck      clock.Instant                 // when to check next whether the records have changed
 }
@@ -35,7 +35,7 @@
 	StoreUnavailable() bool
 	// StepDown ends the leader's term.
 	StepDown(reason string)
-	// NewerVersionSeen reports whether a controller has written a higher protocol level than that of
+	// NewerVersionSeen reports whether any controller has stored a higher protocol level than that of
 	// this version.
 	NewerVersionSeen() bool
 	// MarkJobAccepted records that a job is known to have been accepted.
@@ -49,7 +49,7 @@
 	key               string
 	revision          uint64 // ModRevision with which the record was read
 	reason            string
-	maybeNewerVersion bool // whether a controller has written a higher protocol level than this one's
+	maybeNewerVersion bool // a controller of a higher protocol level was seen and may have written the record
 }
 
 // NewQuarantine returns the empty quarantine of a new leader. lookupBudget limits its reads of records.
@@ -130,8 +130,8 @@
 }
 
 // addMachineGroup quarantines a machine group of which not even the machines' names can be decoded.
-// Until the leases of these machines have expired, tasks of earlier leaders may run on machines that no
-// readable record names, so the inventory counts as incomplete.
+// Until the worker leases of these machines have expired, tasks of earlier leaders may run on machines
+// that no readable record names, so the inventory counts as incomplete.
 func (q *Quarantine) addMachineGroup(item storage.Item, err error) {
 	q.AddRecord(item, err)
 	q.state.InventoryIncompleteUntil = q.state.StartedAt + q.state.WorkerLeaseTimeout()
@@ -155,7 +155,7 @@
 	}
 }
 
-// expireIncompleteInventory treats the inventory as complete once the leases of machines that no
+// expireIncompleteInventory treats the inventory as complete once the worker leases of machines that no
 // readable record names have expired.
 func (q *Quarantine) expireIncompleteInventory() {
 	state := q.state
--- a/internal/records/store.go
+++ b/internal/records/store.go
@@ -26,8 +26,8 @@
 	UnixMilli(at clock.Instant) int64
 	// InstantFromUnixMilli converts a stored wall-clock time to an instant.
 	InstantFromUnixMilli(milliseconds int64) clock.Instant
-	// WorkerLease returns the duration of the workers' lease, of which other time spans are
-	// fractions.
+	// WorkerLease returns the duration of a worker lease: a worker that gets no response for this long
+	// kills its tasks. Other time spans are fractions of it.
 	WorkerLease() time.Duration
 }
 
--- a/internal/records/store_test.go
+++ b/internal/records/store_test.go
@@ -57,7 +57,7 @@
 func (h *testHost) expectRequests(t *testing.T, count int, method, path string) {
 	t.Helper()
 	if len(h.requests) != count || h.last().method != method || h.last().path != path {
-		t.Fatalf("%d requests, the last %s %s; want %d, %s %s",
+		t.Fatalf("got %d requests to the store, the last one %s %s; want %d and %s %s",
 			len(h.requests), h.last().method, h.last().path, count, method, path)
 	}
 }
--- a/internal/records/transactions.go
+++ b/internal/records/transactions.go
@@ -10,13 +10,14 @@
 
 // TransactionWriter writes the queued changes of a leader to the key-value store, within its write
 // budget, in one compare-and-swap transaction at a time. It retries a transaction without a usable
-// response, and reads whether a transaction with an unknown outcome was applied.
+// response. If the store rejects a retry after an attempt with an unknown outcome, it reads whether the
+// transaction was applied.
 type TransactionWriter struct {
 	*storage.Writer
 	host   TransactionHost
 	clock  Clock
 	log    *slog.Logger
-	budget *ratelimit.TokenBucket // limits the rate of writes
+	budget *ratelimit.TokenBucket // limits the rate of writes; one token per write
 }
 
 // TransactionHost is the part of the leader that TransactionWriter calls.
@@ -52,8 +53,8 @@
 }
 
 // onResponse handles the response to the transaction in flight. If an earlier attempt had an unknown
-// outcome, a rejection as a conflict or as invalid may also mean that the earlier attempt was applied, so
-// the outcome is read first.
+// outcome, the store may reject this attempt (as a conflict or as invalid) although the earlier one was
+// applied. In this case, one of the written keys is read first.
 func (w *TransactionWriter) onResponse(response storage.Response) {
 	var result storage.TxnResponse
 	switch {
@@ -84,8 +85,8 @@
 // this leader was replaced, or its state is stale. Either way the records must be loaded again.
 func (w *TransactionWriter) stepDownOnConflict() { w.host.StepDown("transaction conflict") }
 
-// sendAgain sends the transaction in flight again, byte for byte the same. If an earlier attempt was
-// applied, or arrives late, the conditions let only one of them succeed.
+// sendAgain sends the transaction in flight again, byte for byte the same. Even if an earlier attempt was
+// applied or arrives late, the conditions let only one of the attempts succeed.
 func (w *TransactionWriter) sendAgain() { w.send(w.RetryTxn()) }
 
 // scheduleRetry calls retry after a short delay.
@@ -102,8 +103,8 @@
 	}
 }
 
-// resolveOutcome determines whether the transaction in flight, whose outcome is unknown, was applied, by
-// reading one of its keys. It calls onNotApplied if the transaction was not applied. Meanwhile the
+// resolveOutcome reads one of the written keys to determine whether the transaction in flight, whose
+// outcome is unknown, was applied. If it was not, resolveOutcome calls onNotApplied. Until then, the
 // transaction stays in flight, so that no other one is sent.
 func (w *TransactionWriter) resolveOutcome(onNotApplied func()) {
 	w.host.CallStore("GET", "/store/"+w.ProbeKey(), nil, func(response storage.Response) {
--- a/internal/records/transactions_test.go
+++ b/internal/records/transactions_test.go
@@ -63,7 +63,7 @@
 	}
 	host.respond(200, storage.TxnResponse{Revision: 3})
 	if !slices.Equal(*applied, []string{"a"}) {
-		t.Fatalf("applied %v, want a", *applied)
+		t.Fatalf("keys applied after the retry: got %v, want a", *applied)
 	}
 }
 
@@ -72,7 +72,7 @@
 func TestTransactionWriterResolvesConflict(t *testing.T) {
 	cases := []struct {
 		name          string
-		firstStatus   int    // of the first attempt; 0 is no response, so that the outcome is unknown
+		firstStatus   int    // status of the first attempt; 0 is no response, so that the outcome is unknown
 		storedAt      uint64 // revision of the stored key; 0 if it does not exist
 		wantStepDowns int
 		wantApplied   int
@@ -112,8 +112,8 @@
 	host.respond(200, storage.Item{Key: "a", Value: []byte("1"), ModRevision: revision})
 }
 
-// A failed read of the outcome is repeated. No other transaction is sent meanwhile, as its conditions
-// could contain outdated revisions.
+// A failed read of the outcome must be repeated. Until it succeeds, no other transaction may be sent, as
+// the conditions of that transaction could contain outdated revisions.
 func TestTransactionWriterRepeatsFailedOutcomeRead(t *testing.T) {
 	writer, host, applied := newTestWriter(5, "a")
 	writer.SendNext()
