--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -16,7 +16,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Keys and key prefixes. Their values are fixed, because the next version reads the same store.
+// Keys and key prefixes. Their values are fixed, because other versions use the same store.
 const (
 	TermKey             = "term"
 	LeaderKey           = "leader"
@@ -24,7 +24,7 @@
 	TerminalPrefix      = "final/"
 	BitmapPrefix        = "bits/"
 	MachineGroupPrefix  = "machines/"
-	SingleMachinePrefix = "mach/" // records of one machine each, which only earlier versions write
+	SingleMachinePrefix = "mach/" // records of a single machine, which only earlier versions write
 	RentalPrefix        = "rent/"
 	VotePrefix          = "clear/"
 	ArrivalForecastKey  = "flow"
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("%s%s/%03d", DependenciesPrefix, id, part)
 }
 
-// JobIDOfDependenciesKey returns the job id in a key of the form that DependenciesKey returns.
+// JobIDOfDependenciesKey returns the job id in a key that DependenciesKey returns.
 func JobIDOfDependenciesKey(key string) string {
 	id, _, _ := strings.Cut(strings.TrimPrefix(key, DependenciesPrefix), "/")
 	return id
@@ -86,8 +86,9 @@
 	return fmt.Sprintf("%s%s/%s%06d", BitmapPrefix, id, firstTaskMarker, firstTask)
 }
 
-// ParseBitmapKey is the inverse of BitmapKey and BitmapKeyFromTask. It assumes tasksPerPart tasks in
-// each numbered part. ok is false if the part is neither a number nor a first task.
+// ParseBitmapKey returns the job id and the first task of a key of BitmapKey or BitmapKeyFromTask. It
+// assumes tasksPerPart tasks in each numbered part. ok is false if the key names neither a part's number
+// nor its first task.
 func ParseBitmapKey(key string, tasksPerPart int) (id string, firstTask int, ok bool) {
 	id, part, _ := strings.Cut(strings.TrimPrefix(key, BitmapPrefix), "/")
 	number, isFirstTask := strings.CutPrefix(part, firstTaskMarker)
@@ -98,7 +99,7 @@
 	return id, firstTask, err == nil && firstTask >= 0
 }
 
-// Term is the value of the term key: the latest term, and the node that increased it.
+// Term is the value of the term key: the latest term, and the node that raised the term to this value.
 type Term struct {
 	Term uint64 `json:"term"`
 	Node string `json:"node,omitempty"`
@@ -116,8 +117,8 @@
 	Term uint64 `json:"term"`
 }
 
-// JobRecord is the record of an open job. AcceptedAtMillis is the wall-clock time of its acceptance in
-// Unix milliseconds, by the clock of the node that accepted it; the clocks of nodes differ.
+// JobRecord is the record of an open job. AcceptedAtMillis is the wall-clock time in Unix milliseconds at
+// which the job was accepted, by the clock of the node that accepted it; the clocks of nodes differ.
 type JobRecord struct {
 	Spec             protocol.Job `json:"spec"`
 	AcceptedAtMillis int64        `json:"at"`
@@ -139,7 +140,7 @@
 	return append([]Write{Put(JobKey(record.Spec.ID), record)}, dependencyWrites...)
 }
 
-// dependencyWrites returns the writes that store a job's dependencies in records of their own.
+// dependencyWrites returns the writes that store a job's dependencies in separate dependency records.
 func dependencyWrites(jobID string, dependencies []string, maxValueBytes int) []Write {
 	var writes []Write
 	for len(dependencies) > 0 {
@@ -150,7 +151,7 @@
 	return writes
 }
 
-// countThatFit returns how many of the ids fit into a value as a JSON list, but at least 1.
+// countThatFit returns how many of the ids fit into one value as a JSON list, but at least 1.
 func countThatFit(ids []string, maxValueBytes int) int {
 	const brackets, quotesAndComma = 2, 3
 	size := brackets
@@ -163,7 +164,7 @@
 	return len(ids)
 }
 
-// FitsTxn reports whether one transaction with all the writes is within the store's limits.
+// FitsTxn reports whether a transaction with all the writes is within the limits of the key-value store.
 func FitsTxn(writes []Write, maxValueBytes, maxWrites int) bool {
 	tooLarge := func(write Write) bool { return len(write.Value) > maxValueBytes }
 	return !slices.ContainsFunc(writes, tooLarge) && len(writes) <= maxWrites && estimatedBytes(writes) <= maxTxnBytes
@@ -187,8 +188,9 @@
 	return true
 }
 
-// TerminalRecord is the record of a terminal job. EndedAtMillis is the wall-clock time of its end in
-// Unix milliseconds, from which its dependents' deadlines count; protocol level 0 does not write it.
+// TerminalRecord is the record of a terminal job. EndedAtMillis is the wall-clock time in Unix milliseconds
+// at which the job ended. The deadlines of its dependents count from this time. Controllers of protocol
+// level 0 do not write it.
 type TerminalRecord struct {
 	State         protocol.JobState `json:"state"`
 	TaskCount     int               `json:"tasks"`
@@ -196,14 +198,15 @@
 	EndedAtMillis int64             `json:"at,omitempty"`
 }
 
-// VersionRecord is a node's version: the level of records and messages that it understands, and its build.
+// VersionRecord is a node's version. Level is the protocol level: it stands for the records and messages
+// that the node understands.
 type VersionRecord struct {
 	Level int    `json:"level"`
 	Build string `json:"build,omitempty"`
 }
 
-// MachineRecord is the record of a rented machine. Used is stored before the machine's first task
-// starts, so that a new leader need only reconcile machines on which it is set.
+// MachineRecord describes a rented machine, as an entry in the record of its group. Used is stored before the
+// machine's first task starts, so a new leader need only reconcile the machines with Used set.
 type MachineRecord struct {
 	Type           string `json:"type"`
 	Zone           string `json:"zone"`
@@ -212,23 +215,23 @@
 	Used           bool   `json:"used"`
 }
 
-// MachineGroupRecord contains the records of several machines, by name, in one value, so that changes
-// of many machines share one write.
+// MachineGroupRecord contains the entries of several machines, by name, in one value, so that changes of
+// many machines share one write.
 type MachineGroupRecord map[string]MachineRecord
 
-// MachineEntryBytes returns the size of a machine's entry in its group's record.
+// MachineEntryBytes returns the size in bytes of a machine's name and entry in its group's record.
 func MachineEntryBytes(name string, record MachineRecord) int {
 	record.Used = false // "false" is longer than "true", so the entry never grows beyond this size
 	return len(Encode(name)) + len(Encode(record)) + 2
 }
 
-// MaxMachineGroupBytes returns the size limit of a machine group's record. It is well below the
-// limit of a value, and small enough that several groups fit into a transaction, as each change of a
-// machine writes its whole group.
+// MaxMachineGroupBytes returns the size limit of a machine group's record, in bytes. It is well below the
+// limit of a value (7/8). It is at most a quarter of a transaction, so that several groups fit into one:
+// each change of a machine writes its whole group.
 func MaxMachineGroupBytes(maxValueBytes int) int { return min(maxValueBytes*7/8, maxTxnBytes/4) }
 
-// ArrivalForecastRecord is a leader's forecast of arriving work by job class, computed from the
-// arrivals within WindowSeconds. The next leader starts from it.
+// ArrivalForecastRecord is a leader's forecast of arriving work by job class, from which the next leader
+// starts. WindowSeconds is the time for which arrivals were counted.
 type ArrivalForecastRecord struct {
 	RecordedAtMillis int64                    `json:"at"`
 	WindowSeconds    float64                  `json:"over"`
@@ -236,8 +239,8 @@
 }
 
 // ClassArrivals is the arriving work of one job class. RecentWork and LongTermWork are sums of core
-// seconds that decay quickly and slowly, JobCount is the decayed number of jobs, and DueSeconds is
-// how long after its arrival the latest job was due.
+// seconds, which decay quickly and slowly. JobCount is the number of jobs, decayed like LongTermWork.
+// DueSeconds is the time from the arrival of the last job until it was due.
 type ClassArrivals struct {
 	RecentWork   float64 `json:"work"`
 	LongTermWork float64 `json:"slow"`
@@ -260,11 +263,12 @@
 	return base64.StdEncoding.DecodeString(record.Bits)
 }
 
-// TasksPerBitmapPart returns how many tasks one part of a bitmap covers. It keeps the record of a part
-// well below the size limit of a value.
+// TasksPerBitmapPart returns how many tasks one part of a bitmap covers. The bits take half of the size
+// limit of a value, so that the record, in which they are encoded as base64, stays well below the limit.
 func TasksPerBitmapPart(maxValueBytes int) int { return max(maxValueBytes/2, 1) * 8 }
 
-// Item is a stored key with its value. ModRevision is the store's revision of the key's latest change.
+// Item is a stored key with its value. ModRevision is the store's revision at the key's latest change.
+// LeaseID is the lease of the key-value store to which the key is attached; 0: none.
 type Item struct {
 	Key         string          `json:"path"`
 	Value       json.RawMessage `json:"data"`
@@ -272,7 +276,8 @@
 	LeaseID     uint64          `json:"arrendo,omitempty"`
 }
 
-// ListResponse is one page of a listing of keys. Truncated means that more keys follow.
+// ListResponse is one page of a listing of keys. Truncated means that more keys follow. Revision is the
+// store's revision at the time of the listing.
 type ListResponse struct {
 	Items     []Item `json:"rows"`
 	Truncated bool   `json:"truncated"`
@@ -300,7 +305,8 @@
 	ModRevision uint64 `json:"versao"`
 }
 
-// Write is one write of a transaction: a put or a delete.
+// Write is one write of a transaction: a put of PutKey or a delete of DeleteKey. LeaseID is the lease of
+// the key-value store to which a put attaches the key; 0: none.
 type Write struct {
 	PutKey    string          `json:"set,omitempty"`
 	Value     json.RawMessage `json:"data,omitempty"`
@@ -335,7 +341,8 @@
 	FailedKeys []string `json:"failed"`
 }
 
-// Lease is the body of a request to grant or renew a lease, and of the response.
+// Lease is the body of a request to the key-value store to grant or renew one of its leases, and of the
+// response. The leader key is attached to such a lease.
 type Lease struct {
 	TTLMillis int64  `json:"ttlMs,omitempty"`
 	ID        uint64 `json:"arrendo,omitempty"`
@@ -347,8 +354,8 @@
 // Delete returns a write that deletes a key.
 func Delete(key string) Write { return Write{DeleteKey: key} }
 
-// Encode returns the JSON of a record. It panics on a value that can't be encoded as JSON, which no
-// record of this package is.
+// Encode returns the JSON of a record. It panics on a value that can't be encoded as JSON; all records of
+// this package can.
 func Encode(record any) []byte {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -357,7 +364,8 @@
 	return raw
 }
 
-// ListPath returns the path that lists up to limit keys with a prefix, beginning after afterKey.
+// ListPath returns the path that lists up to limit keys with a prefix, beginning after afterKey or, if it
+// is empty, with the first key.
 func ListPath(prefix, afterKey string, limit int) string {
 	path := "/store?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if afterKey != "" {
--- a/internal/storage/responses.go
+++ b/internal/storage/responses.go
@@ -26,10 +26,10 @@
 // Unwrap returns the error of the JSON decoder, or nil.
 func (e *ResponseError) Unwrap() error { return e.Err }
 
-// CheckResponse validates a response of the key-value store. If it returns an error, which is a
-// *ResponseError, the caller must treat the call as unanswered. Otherwise a page without items would
-// hide all machines from a new leader, a result without a revision would invalidate the conditions
-// of later transactions, and a proxy's 404 would deny the existence of a job.
+// CheckResponse validates a response of the key-value store. The error is a *ResponseError, and the caller
+// must then treat the call as unanswered. Without this check, a false page without items would hide all
+// machines from a new leader, a result without a revision would invalidate the conditions of later
+// transactions, and a proxy's 404 would deny the existence of a job.
 func CheckResponse(method, path string, status int, body []byte) error {
 	var problem *ResponseError
 	switch status {
@@ -64,7 +64,7 @@
 	leasePath = "/holds"
 )
 
-// checkResponseBody validates the body of a response with status 200. It returns nil if it is valid.
+// checkResponseBody validates the body of a response with status 200. It returns nil for a valid body.
 func checkResponseBody(method, path string, body []byte) *ResponseError {
 	switch {
 	case strings.HasPrefix(path, keyPath):
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// checkLease validates the response to a request for a lease, which must contain the lease's id.
+// checkLease validates the response to a request to grant a lease, which must contain the lease's id.
 func checkLease(body []byte) *ResponseError {
 	var lease Lease
 	if err := json.Unmarshal(body, &lease); err != nil || lease.ID == 0 {
@@ -130,7 +130,7 @@
 }
 
 // hasRevision reports whether the body of a response states the store's revision. An empty store is
-// at revision 0, so a zero value does not mean that the field is missing.
+// at revision 0, so only a missing field means that the revision is not stated.
 func hasRevision(body []byte) bool {
 	var response struct {
 		Revision *uint64 `json:"edicao"`
@@ -138,9 +138,9 @@
 	return json.Unmarshal(body, &response) == nil && response.Revision != nil
 }
 
-// checkPage validates a page of a listing. Its items must have the prefix and be in strictly
-// increasing order after the page's start: otherwise a page that does not advance would make the
-// caller request it forever.
+// checkPage validates a page of a listing. Its items must have the prefix, and their keys must be in
+// strictly increasing order after the key where the request starts. Otherwise a page that does not
+// advance would make the caller request it forever.
 func checkPage(path string, body []byte) *ResponseError {
 	var page ListResponse
 	if err := json.Unmarshal(body, &page); err != nil || !hasRevision(body) {
--- a/internal/storage/responses_test.go
+++ b/internal/storage/responses_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against trusting a response that the key-value store can't have sent, such as a truncated
-// body or a proxy's error page. Each invalid row was once accepted, or would be without its check.
+// body or a proxy's error page. Each invalid row was once accepted, or would be without the check for it.
 func TestCheckResponse(t *testing.T) {
 	const (
 		job   = "/store/job/j-1"
@@ -71,7 +71,7 @@
 			err := CheckResponse(c.method, c.path, c.status, []byte(c.body))
 			var respErr *ResponseError
 			if (err == nil) != c.valid || err != nil && (!errors.As(err, &respErr) || respErr.Status != c.status) {
-				t.Errorf("%s %s: status %d, body %s: got error %v, want a valid response: %v",
+				t.Errorf("%s %s: status %d, body %s: got error %v; response is valid: want %v",
 					c.method, c.path, c.status, c.body, err, c.valid)
 			}
 		})
--- a/internal/storage/validate.go
+++ b/internal/storage/validate.go
@@ -15,7 +15,7 @@
 type RecordError struct {
 	Key    string
 	Reason string
-	Err    error // error of a decoder or of a validation, or nil
+	Err    error // underlying error of a decoder or of a validation, or nil
 }
 
 // Error implements error.
@@ -59,8 +59,9 @@
 	return record, nil
 }
 
-// MayHaveDependencies reports whether the record of an open job, which may be corrupt, looks like
-// that of a job with dependencies.
+// MayHaveDependencies reports whether a job's open record names dependencies. It searches the raw text for
+// the names of the fields, because the record may be corrupt: "aguarda" is the list of dependencies, and
+// "more" is the number of separate dependency records.
 func MayHaveDependencies(item Item) bool {
 	raw := string(item.Value)
 	return strings.Contains(raw, `"aguarda"`) || strings.Contains(raw, `"more"`)
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -7,15 +7,15 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Change is a set of writes that must be applied in one transaction. BuildWrites is called each time
-// the change may join a transaction, so that the writes contain the latest values. It returns no writes
-// if there is nothing left to do.
+// Change is a set of writes that must be applied in one transaction. The Writer calls BuildWrites each
+// time the change may join a transaction, so that the writes contain the latest values. BuildWrites
+// returns no writes if there is nothing left to do.
 type Change struct {
 	BuildWrites func() []Write
 	OnSent      func() // called once the built writes are in flight: later updates need another Change
 	OnApplied   func() // called once the writes are applied, or if there was nothing to write
-	// OnRejected is called instead of OnApplied if the key-value store rejects the writes
-	// permanently. alone means that they were the whole transaction, so that only smaller writes
+	// OnRejected is called instead of OnApplied if the key-value store rejects the transaction
+	// permanently. alone means that the transaction had no other change, so that only smaller writes
 	// can succeed. If OnRejected is nil, the change is queued again or, if it was alone, abandoned.
 	OnRejected func(alone bool)
 
@@ -39,19 +39,20 @@
 // that a transaction that arrives late, or from a leader that has been replaced, has no effect.
 type Writer struct {
 	MaxWrites      int    // limit of writes in a transaction; lowered when the store rejects a transaction
-	LeaderRevision uint64 // ModRevision of the leader key
+	LeaderRevision uint64 // ModRevision that the leader key has while this leader holds it
 
-	modRevisions map[string]uint64
-	lastRevision uint64 // highest known revision of an applied transaction
+	modRevisions map[string]uint64 // last known ModRevisions, by key
+	lastRevision uint64            // highest known revision of an applied transaction
 	queues       [priorityCount][]Change
 	maxBytes     int // limit of a transaction's estimated size; lowered when the store rejects a transaction
 
 	inFlight       []Change // nil if no transaction is in flight
 	inFlightWrites []Write
-	outcomeUnknown bool // whether an earlier attempt of the transaction in flight may have been applied
+	outcomeUnknown bool // an earlier attempt of the transaction in flight may have been applied
 }
 
-// maxTxnBytes limits the estimated size of a transaction. The store accepts 64 KiB with all conditions.
+// maxTxnBytes limits the estimated size of a transaction. The key-value store accepts up to 64 KiB,
+// conditions included.
 const maxTxnBytes = 40 << 10
 
 // NewWriter returns a Writer for a leader whose key has the given ModRevision.
@@ -90,9 +91,9 @@
 // InFlightWrites returns the number of writes of the transaction in flight.
 func (w *Writer) InFlightWrites() int { return len(w.inFlightWrites) }
 
-// NextTxn returns the next transaction, with at most budget writes, and marks it as in flight. It
-// returns nil if a transaction is in flight already, there is nothing to write or the first change
-// exceeds the budget.
+// NextTxn returns the next transaction, with at most budget writes, which is in flight from then on. It
+// returns nil if a transaction is in flight already, if there is nothing to write, or if the first change
+// has more writes than the budget allows.
 func (w *Writer) NextTxn(budget int) *Txn {
 	if w.inFlight != nil {
 		return nil
@@ -220,9 +221,9 @@
 	return item != nil && item.ModRevision > w.modRevisions[write.PutKey] && equalJSON(item.Value, write.Value)
 }
 
-// RejectInFlight ends the transaction in flight as permanently rejected by the key-value store. The
-// caller must know that no earlier attempt was applied. The same transaction is never sent again: its
-// changes are built again for smaller transactions. It returns the keys of abandoned writes.
+// RejectInFlight ends the transaction in flight as permanently rejected by the key-value store, and
+// returns the keys of the writes that are abandoned. The caller must know that no earlier attempt was
+// applied. The same transaction is never sent again: its changes are built again for smaller transactions.
 func (w *Writer) RejectInFlight() []string {
 	changes, writes := w.inFlight, w.inFlightWrites
 	alone := len(changes) == 1
@@ -259,8 +260,8 @@
 	return bytes.Equal(Encode(left), Encode(right))
 }
 
-// CompleteInFlight ends the transaction in flight as applied at a revision, which may be 0 if the
-// transaction only deleted keys.
+// CompleteInFlight ends the transaction in flight as applied at a revision of the key-value store. The
+// revision may be 0 (unknown) if the transaction only deleted keys.
 func (w *Writer) CompleteInFlight(revision uint64) {
 	w.lastRevision = max(w.lastRevision, revision)
 	for _, write := range w.inFlightWrites {
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -22,7 +22,7 @@
 	}
 	txn := writer.NextTxn(100)
 	if len(txn.Writes) != 4 || len(txn.Conditions) != 5 {
-		t.Fatalf("%d writes, %d conditions; want 4 and 5", len(txn.Writes), len(txn.Conditions))
+		t.Fatalf("first transaction: %d writes, %d conditions; want 4 and 5", len(txn.Writes), len(txn.Conditions))
 	}
 	want := []Condition{{LeaderKey, 77}, {"a", 5}, {"b", 0}}
 	if !slices.Equal(txn.Conditions[:3], want) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Two changes of one key never share a transaction, and the second one is conditioned on the revision
-// that the first one produced. Otherwise the store would reject the second one as a conflict.
+// Two changes of one key must not share a transaction, and the second one must be conditioned on the
+// revision that the first one produced. Otherwise the store would reject the second one as a conflict.
 func TestWriterSeparatesChangesOfOneKey(t *testing.T) {
 	writer := NewWriter(10, 1)
 	applied := 0
@@ -52,11 +52,11 @@
 	}
 	writer.CompleteInFlight(8)
 	if txn := writer.NextTxn(100); txn.Conditions[1] != (Condition{"a", 8}) {
-		t.Fatalf("conditions %v, want key a at revision 8", txn.Conditions)
+		t.Fatalf("conditions of the second transaction: got %v, want key a at revision 8", txn.Conditions)
 	}
 	writer.CompleteInFlight(9)
 	if writer.ModRevision("a") != 0 {
-		t.Fatal("a deleted key still has a revision")
+		t.Fatal("key a still has a revision after its deletion, want none")
 	}
 }
 
@@ -68,7 +68,7 @@
 	writer.Enqueue(PriorityLow, countedChange(&applied, Put("low", 1)))
 	writer.Enqueue(PriorityNormal, countedChange(&applied, Put("x", 1), Put("y", 1)))
 	if writer.NextTxn(1) != nil {
-		t.Fatal("got a transaction with a budget below the writes of the first change")
+		t.Fatal("got a transaction with a budget below the writes of the first change, want none")
 	}
 	if txn := writer.NextTxn(2); len(txn.Writes) != 2 || txn.Writes[0].PutKey != "x" {
 		t.Fatalf("got writes %v, want x and y", txn.Writes)
@@ -98,14 +98,14 @@
 	}
 }
 
-// A part of a bitmap stays within the value limit, as the store would reject a larger one permanently.
+// A part of a bitmap must stay within the value limit, as the store would reject a larger one permanently.
 // Bitmaps and their keys can be decoded again.
 func TestBitmapPartsFitValueLimit(t *testing.T) {
 	for _, limit := range []int{512, 8 << 10, 32 << 10} {
 		t.Run(fmt.Sprintf("%d bytes", limit), func(t *testing.T) {
 			bits := make([]byte, TasksPerBitmapPart(limit)/8)
 			if size := len(Encode(EncodeBitmap(bits))); size > limit {
-				t.Fatalf("value limit %d bytes: the record of a part has %d", limit, size)
+				t.Fatalf("record of a bitmap part: got %d bytes, want at most the value limit %d", size, limit)
 			}
 		})
 	}
