--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -12,13 +12,13 @@
 	CoresPerTask       float64
 	TaskDuration       time.Duration // expected duration of a task, including the pull of its image
 	RemainingWork      float64       // work of the tasks that have not ended
-	FailsEverywhere    bool          // its tasks failed on several machines, so only one at a time is tried
-	Due                time.Duration // when the job should be complete
-	EligibleAt         time.Duration // start of its SLO limits
+	FailsEverywhere    bool          // its tasks failed on several machines, so only one task at a time is tried
+	Due                time.Duration // instant at which the job should be complete
+	EligibleAt         time.Duration // instant from which the time limits of the job's SLOs count
 	SLOReserve         time.Duration // slack that the plan keeps before Due; 0 without an SLO on starting
 	Started            bool          // some task has started
-	MinShare           float64       // share of the jobs of its class that must be in time
-	UpcomingDependents []UpcomingJob // jobs that wait only for this one, if it is about to end
+	MinShare           float64       // share (0 to 1) of the jobs of its class that must be in time
+	UpcomingDependents []UpcomingJob // jobs that wait only for this job; empty unless it should end within a boot time
 }
 
 // UpcomingJob is a job whose last pending dependency is about to finish. It needs machines from
@@ -31,9 +31,9 @@
 
 // Demand is the input from which RequiredCores computes the demand for cores.
 type Demand struct {
-	Now         time.Duration
+	Now         time.Duration // instant of the plan
 	BootTime    time.Duration // time that a new machine takes to boot
-	StartWithin time.Duration // time from EligibleAt within which every job should start
+	StartWithin time.Duration // longest time from a job's EligibleAt to its start that the plan accepts
 	Jobs        []Job
 	Forecast    *Forecast // work of jobs that have not arrived yet; nil: no capacity is planned for it
 }
@@ -45,17 +45,18 @@
 }
 
 const (
-	// lateTaskDurations is the number of its task durations over which the work of a late job is
-	// spread.
+	// lateTaskDurations is the time over which the work of a late job is spread, in durations of one
+	// task of the job.
 	lateTaskDurations = 4
-	// minDueBootTimes is the number of boot times that must be left before work is due for machines
-	// to be rented for it.
+	// minDueBootTimes is the time, in boot times, that must be left until work is due. Otherwise no
+	// machines are rented for the work.
 	minDueBootTimes = 1.25
 )
 
-// RequiredCores returns how many cores the jobs need to be in time, given that heldCores are held:
-// all work due by some moment must fit into the time until then. Cores beyond heldCores are usable
-// only after a boot. Jobs that are already late add little, because more cores do not help them.
+// RequiredCores returns how many cores the jobs need to be in time, given that heldCores are held.
+// At every moment, all work that is due by then must fit into the time until then. Cores beyond
+// heldCores are usable only after a boot. Jobs that are already late add little, because more cores do
+// not help them.
 func (d *Demand) RequiredCores(heldCores float64) float64 {
 	items, onTimeShare := d.workItems()
 	usableFraction := usableTimeFraction(onTimeShare)
@@ -80,8 +81,8 @@
 	return required
 }
 
-// workItems returns the work of all jobs and upcoming dependents by the time left until it is due,
-// and the mean share of the jobs' work that must be in time.
+// workItems returns the work of all jobs and upcoming dependents, with the time left until it is due,
+// and the share (0 to 1) of the jobs' work that must be in time: the mean of MinShare, weighted by work.
 func (d *Demand) workItems() (items []workItem, onTimeShare float64) {
 	onTimeWork, totalWork := 0.0, 0.0
 	for i := range d.Jobs {
@@ -111,18 +112,20 @@
 	case !job.Started:
 		return job.TaskDuration
 	case untilDue >= job.TaskDuration:
-		// The reserve is used up, but the SLO can still be met. If the job were treated as late,
-		// most of its tasks would be planned for after the due time: a job that was started only
-		// because it had been pending for long still has most of its tasks to run.
+		// The reserve is used up, but the job can still be complete when it is due. A job that was
+		// started only because it had been pending for long still has most of its tasks to run. If
+		// the job were treated as late, these tasks would be planned for after the due time.
 		return untilDue
 	default:
 		return lateTaskDurations * job.TaskDuration
 	}
 }
 
-// Bounds of the margin of machine time that the plan adds to the time that the work needs.
+// The plan adds a margin to the machine time that the work needs. The margin grows with the share of work
+// that must be in time.
 const (
-	// maxShareWithoutMargin is the share of work that must be in time up to which there is no margin.
+	// maxShareWithoutMargin is the largest share of work that must be in time for which there is no
+	// margin.
 	maxShareWithoutMargin = 0.9
 	// maxMargin is the margin if all work must be in time, as a ratio to the time needed.
 	maxMargin = 0.3
@@ -130,8 +133,8 @@
 
 // usableTimeFraction returns the fraction of machine time that the plan counts on if onTimeShare
 // of the work must be in time. Tasks can be neither split nor interrupted, so a plan that counts
-// on all machine time completes some work late, and more of it after an outage or a takeover.
-// Where the SLOs allow almost no late work, the additional machines are worth their price.
+// on all machine time completes some work late, and more work after an outage or a takeover.
+// Where the SLOs allow almost no late work, the machines for the margin are worth their price.
 func usableTimeFraction(onTimeShare float64) float64 {
 	return 1 / (1 + max(0, (onTimeShare-maxShareWithoutMargin)/(1-maxShareWithoutMargin))*maxMargin)
 }
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -17,10 +17,10 @@
 type Forecast struct {
 	lease            time.Duration             // worker lease
 	classes          map[string]*classArrivals // by job class
-	inheritedWork    float64                   // core seconds of earlier leaders, decaying like recentWork
+	inheritedWork    float64                   // core seconds added by InheritLoad, decaying like recentWork
 	decayedAt        time.Duration             // instant up to which the sums are decayed
-	sinceLastArrival time.Duration             // without the time in which no job could be stored
-	countingSince    time.Duration             // when the counting of arrivals began
+	sinceLastArrival time.Duration             // time since the last arrival in which jobs could be stored
+	countingSince    time.Duration             // instant at which the counting of arrivals began
 }
 
 // classArrivals holds the decaying sums of the jobs that arrived in one class.
@@ -32,10 +32,11 @@
 }
 
 const (
-	// shortWindowLeases is the short window, which determines the usual load, in worker leases.
+	// shortWindowLeases is the length of the short window in worker leases. The sums over this window
+	// determine the usual load.
 	shortWindowLeases = 2
-	// longWindowFactor is the ratio of the long window, which determines the expected work, to the
-	// short one.
+	// longWindowFactor is the ratio of the long window to the short one. The sums over the long window
+	// determine the expected work.
 	longWindowFactor = 6
 	// toleratedMissingJobs is how many jobs in a row may fail to arrive by chance although the
 	// arrival rate has not changed.
@@ -53,11 +54,11 @@
 	return &Forecast{lease: lease, classes: map[string]*classArrivals{}}
 }
 
-// shortWindow returns the short window, which determines the usual load.
+// shortWindow returns the length of the short window.
 func (f *Forecast) shortWindow() time.Duration { return shortWindowLeases * f.lease }
 
-// RecordArrival adds the work, in core seconds, of a job that has become eligible. dueAfter is the
-// time from then until the job is due.
+// RecordArrival adds the work, in core seconds, of a job that has just become eligible. dueAfter is the
+// time from now until the job is due.
 func (f *Forecast) RecordArrival(class string, work float64, dueAfter time.Duration) {
 	arrivals := f.classes[class]
 	if arrivals == nil {
@@ -71,8 +72,8 @@
 	arrivals.dueAfter = max(0, dueAfter) // a job may be late already when its dependencies finish
 }
 
-// DecayTo decays the sums up to now. writable reports whether jobs could be stored since the last
-// call. If not, that time does not count towards the time without arrivals.
+// DecayTo decays the sums up to now. writable means that jobs could be stored since the last call. If they
+// could not, the time since that call does not count as time without arrivals.
 func (f *Forecast) DecayTo(now time.Duration, writable bool) {
 	decayFactor := math.Exp(-(now - f.decayedAt).Seconds() / f.shortWindow().Seconds())
 	longDecayFactor := math.Pow(decayFactor, 1.0/longWindowFactor)
@@ -107,10 +108,10 @@
 	return jobs
 }
 
-// Confidence returns the share of the usual arrivals that is still expected. It is 1 while jobs
+// Confidence returns the share (0 to 1) of the usual arrivals that is still expected. It is 1 while jobs
 // arrive, and falls once more jobs in a row are missing than chance explains. The sums decay only
-// over minutes after the last job; without this factor, machines were held and even rented in that
-// time for work that never arrived. The first worker lease of a gap does not count, because clients
+// over minutes after the last job; without this factor, machines were held and even rented in these
+// minutes for work that never arrived. The first worker lease of a gap does not count, because clients
 // that found no node retry within about a lease.
 func (f *Forecast) Confidence() float64 {
 	missingJobs := f.JobsSeen() / f.longWindowSeconds() * (f.sinceLastArrival - f.lease).Seconds()
@@ -120,8 +121,8 @@
 	return toleratedMissingJobs / missingJobs
 }
 
-// UsualLoad returns the number of cores that recent arrivals keep busy. For a new leader, it starts
-// from the cores that the predecessor held (InheritLoad).
+// UsualLoad returns the usual load: the number of cores that recent arrivals keep busy. For a new leader,
+// it starts from the cores that the previous leader held (InheritLoad).
 func (f *Forecast) UsualLoad() float64 {
 	work := f.inheritedWork
 	for _, arrivals := range f.classes {
@@ -130,9 +131,9 @@
 	return f.Confidence() * work / f.shortWindow().Seconds()
 }
 
-// ExpectedWork returns the work, in core seconds, that is expected to arrive early enough to be due
-// within withinSeconds. It takes precedence over work that is due at the end of that time, so the
-// plan must leave capacity for it.
+// ExpectedWork returns the work, in core seconds, that is expected to arrive from now on and to be due
+// within withinSeconds. Work that is due at the end of that time runs after the expected work, so the plan
+// must leave capacity for both.
 func (f *Forecast) ExpectedWork(withinSeconds float64) float64 {
 	work := 0.0
 	for _, arrivals := range f.classes {
@@ -148,7 +149,7 @@
 
 // Snapshot returns the record for the next leader. Users choose the names of classes, so the record
 // would be unbounded: the classes with the least work are left out if it would exceed maxBytes. The
-// store rejects a value over its limit, and the leader would then step down.
+// key-value store rejects a value over its limit, and the leader would then step down.
 func (f *Forecast) Snapshot(unixMilli int64, maxBytes int) storage.ArrivalForecastRecord {
 	record := storage.ArrivalForecastRecord{
 		RecordedAtMillis: unixMilli,
@@ -190,7 +191,7 @@
 func (f *Forecast) StartCounting(now time.Duration) { f.decayedAt, f.countingSince = now, now }
 
 // InheritLoad raises the usual load at a takeover to the given number of cores, which follows from
-// the machines held, unless the restored forecast and the arrivals since then amount to more.
+// the machines held. It does nothing if the restored forecast and the arrivals since then amount to more.
 // Arrivals while there was no leader are unknown, so the time since the last arrival restarts at 0.
 func (f *Forecast) InheritLoad(cores float64) {
 	f.sinceLastArrival = 0
--- a/internal/fleet/forecast_test.go
+++ b/internal/fleet/forecast_test.go
@@ -27,36 +27,36 @@
 }
 
 // The sums of the forecast decay only over minutes, so machines were held for work that never came.
-// Once more jobs in a row are missing than chance explains, less work is expected. A gap while no job
-// could be stored, or within the time in which clients retry, does not count.
+// Once more jobs in a row are missing than chance explains, less work must be expected. A gap in which no
+// job could be stored, or within the time in which clients retry, must not count.
 func TestConfidenceDropsWhenArrivalsStop(t *testing.T) {
 	forecast, now := steadyForecast()
 	steady, expected := forecast.UsualLoad(), forecast.ExpectedWork(100)
 	if forecast.Confidence() != 1 || steady == 0 || expected == 0 {
-		t.Fatalf("while jobs arrive: confidence %v, expected 1; usual load %v and expected work %v, neither may be 0",
+		t.Fatalf("while jobs arrive: got confidence %v, want 1; got usual load %v and expected work %v, want neither 0",
 			forecast.Confidence(), steady, expected)
 	}
 	now += 2 * testLease
 	if forecast.DecayTo(now, false); forecast.Confidence() != 1 {
-		t.Error("the confidence dropped after a gap during a store outage, expected 1")
+		t.Error("the confidence dropped after a gap during a store outage, want 1")
 	}
 	now += testLease
 	if forecast.DecayTo(now, true); forecast.Confidence() != 1 {
-		t.Error("the confidence dropped within the time in which clients retry, expected 1")
+		t.Error("the confidence dropped within the time in which clients retry, want 1")
 	}
 	now += testLease
 	if forecast.DecayTo(now, true); forecast.Confidence() > 0.4 || forecast.ExpectedWork(100) > expected/3 {
-		t.Errorf("after two leases without a job: confidence %v, may be at most 0.4; "+
-			"expected work %v, may be at most a third of %v", forecast.Confidence(), forecast.ExpectedWork(100), expected)
+		t.Errorf("after two leases without a job: got confidence %v, want at most 0.4; "+
+			"got expected work %v, want at most a third of %v", forecast.Confidence(), forecast.ExpectedWork(100), expected)
 	}
 	forecast.RecordArrival("c", 10, 30*time.Second)
 	if forecast.Confidence() != 1 {
-		t.Error("the confidence is below 1 after the next job")
+		t.Error("the confidence is not 1 after the next job")
 	}
 }
 
-// Work counts towards a time only if it arrives early enough to be due within it. Otherwise capacity
-// would be held for work that may run later.
+// The expected work of a period may include only work that arrives early enough to be due within the
+// period. Otherwise capacity would be held for work that may run later.
 func TestExpectedWorkIsDueInTime(t *testing.T) {
 	forecast := NewForecast(testLease)
 	for second := range 60 {
@@ -68,10 +68,10 @@
 		}
 	}
 	if got := forecast.ExpectedWork(200); got <= 0 {
-		t.Errorf("expected work due within 200 s is %v, must be above 0", got)
+		t.Errorf("expected work due within 200 s: got %v, want more than 0", got)
 	}
 	if got := forecast.ExpectedWork(50); got != 0 {
-		t.Errorf("expected work due within 50 s is %v, must be 0", got)
+		t.Errorf("expected work due within 50 s: got %v, want 0", got)
 	}
 }
 
@@ -84,13 +84,13 @@
 		many.RecordArrival("c", 1, 0)
 	}
 	if few.ExpectedWork(100) > many.ExpectedWork(100)/1000 {
-		t.Errorf("expected work %v after one job, may be at most a thousandth of the %v after 100 jobs "+
+		t.Errorf("expected work after one job: got %v, want at most a thousandth of the %v after 100 jobs "+
 			"with the same total work", few.ExpectedWork(100), many.ExpectedWork(100))
 	}
 }
 
-// The next leader starts from the forecast of its predecessor, although its clock shows another time.
-// Without the record, each leader would have to learn the arrivals again.
+// The next leader must start from the forecast of the previous leader, although the clocks of the two
+// differ. Without the record, each leader would have to learn the arrivals again.
 func TestRestoredForecastMatchesPredecessor(t *testing.T) {
 	forecast, now := steadyForecast()
 	record := forecast.Snapshot(0, math.MaxInt)
@@ -98,20 +98,20 @@
 	restoredAt := 7 * time.Second // on the clock of the next leader
 	restored.Restore(record, restoredAt)
 	if got, want := restored.ExpectedWork(100), forecast.ExpectedWork(100); math.Abs(got-want) > want/1e6 {
-		t.Errorf("restored expected work %v, predecessor's %v", got, want)
+		t.Errorf("restored expected work: got %v, want the previous leader's %v", got, want)
 	}
 	if got, want := restored.JobsSeen(), forecast.JobsSeen(); got != want {
-		t.Errorf("restored number of jobs %v, predecessor's %v", got, want)
+		t.Errorf("restored number of jobs: got %v, want the previous leader's %v", got, want)
 	}
 	forecast.DecayTo(now+testLease, true)
 	restored.DecayTo(restoredAt+testLease, true)
 	if got, want := restored.UsualLoad(), forecast.UsualLoad(); math.Abs(got-want) > want/1e6 {
-		t.Errorf("restored usual load after one more lease %v, predecessor's %v", got, want)
+		t.Errorf("restored usual load after one more lease: got %v, want the previous leader's %v", got, want)
 	}
 }
 
-// Users choose the names of classes. However many and long they are, the record stays within its
-// limit, because the store would reject a larger value. The classes with the most work are kept.
+// Users choose the names of classes. However many and long these are, the record must stay within its
+// limit, because the store would reject a larger value. The classes with the most work must be kept.
 func TestSnapshotFitsItsLimit(t *testing.T) {
 	forecast := NewForecast(testLease)
 	for i := range 300 {
@@ -120,14 +120,14 @@
 	const maxBytes = 8 << 10
 	record := forecast.Snapshot(1_000, maxBytes)
 	if size := len(storage.Encode(record)); size > maxBytes || size < maxBytes/2 {
-		t.Errorf("record of %d bytes, expected at most %d and at least half of that", size, maxBytes)
+		t.Errorf("record of %d bytes, want at most %d and at least half of that", size, maxBytes)
 	}
 	if record.RecordedAtMillis != 1_000 {
-		t.Errorf("recorded at %d ms, expected 1000", record.RecordedAtMillis)
+		t.Errorf("time of the record: got %d ms, want 1000", record.RecordedAtMillis)
 	}
 	for i := range len(record.Classes) {
 		if _, kept := record.Classes[strings.Repeat("x", 100)+fmt.Sprint(299-i)]; !kept {
-			t.Errorf("%d classes are stored, but not the one at index %d in descending order of work", len(record.Classes), i)
+			t.Errorf("%d classes stored, want the one at index %d by descending work among them", len(record.Classes), i)
 		}
 	}
 }
@@ -137,30 +137,30 @@
 func TestClassWithoutArrivalsIsDeleted(t *testing.T) {
 	forecast, now := steadyForecast()
 	if forecast.Empty() {
-		t.Error("the forecast is empty after 120 jobs")
+		t.Error("the forecast is empty after 120 jobs, want one class")
 	}
 	if forecast.DecayTo(now+time.Hour, true); !forecast.Empty() || forecast.UsualLoad() != 0 {
-		t.Errorf("an hour after the last job: %v jobs seen, usual load %v, expected none and 0",
+		t.Errorf("an hour after the last job: got %v jobs seen and usual load %v, want no class and 0",
 			forecast.JobsSeen(), forecast.UsualLoad())
 	}
 }
 
-// The cores held at a takeover are taken as the usual load, unless the arrivals amount to more. A new
-// leader without a record would otherwise return the machines of its predecessor.
+// The cores held at a takeover must count as the usual load, unless the arrivals amount to more. A new
+// leader without a stored forecast would otherwise return the previous leader's machines to the cloud.
 func TestInheritedLoad(t *testing.T) {
 	forecast := NewForecast(testLease)
 	forecast.StartCounting(time.Minute)
 	forecast.InheritLoad(50)
 	if got := forecast.UsualLoad(); got != 50 {
-		t.Errorf("usual load %v after a takeover with 50 cores, expected 50", got)
+		t.Errorf("usual load after a takeover with 50 cores: got %v, want 50", got)
 	}
 	forecast.DecayTo(time.Minute+forecast.shortWindow(), true)
 	if got, want := forecast.UsualLoad(), 50/math.E; math.Abs(got-want) > 1e-9 {
-		t.Errorf("usual load %v one short window after the takeover, expected %v", got, want)
+		t.Errorf("usual load one short window after the takeover: got %v, want %v", got, want)
 	}
 	busy, _ := steadyForecast()
 	load := busy.UsualLoad()
 	if busy.InheritLoad(load / 2); busy.UsualLoad() != load {
-		t.Errorf("usual load %v became %v after half of it was inherited, expected no change", load, busy.UsualLoad())
+		t.Errorf("usual load %v became %v after half of it was inherited, want no change", load, busy.UsualLoad())
 	}
 }
--- a/internal/fleet/offering.go
+++ b/internal/fleet/offering.go
@@ -17,7 +17,7 @@
 }
 
 // FitsType reports whether a task of a job fits on an empty machine of a type, in a zone where the
-// type is offered. A type without zones is taken to be offered in all of them.
+// type is offered. A type that names no zones is taken to be offered in every zone.
 func FitsType(job *protocol.Job, machineType *protocol.MachineType) bool {
 	if len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, machineType.Name) {
 		return false
--- a/internal/fleet/offering_test.go
+++ b/internal/fleet/offering_test.go
@@ -6,8 +6,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A task may run only on an offering that its size and constraints allow. The constraints are also
-// checked without the size.
+// A task may run only on an offering that is large enough and that the constraints of its job allow.
+// MatchesConstraints must check only the constraints.
 func TestOfferingFits(t *testing.T) {
 	for name, test := range map[string]struct {
 		job               protocol.Job
@@ -24,13 +24,13 @@
 		"an unknown zone":   {protocol.Job{Cores: 1, Zone: "z", SpotAllowed: true}, false, false},
 	} {
 		if got := spotSmall.Fits(&test.job, smallType); got != test.fits {
-			t.Errorf("%s: fits is %v, expected %v", name, got, test.fits)
+			t.Errorf("%s: Fits: got %v, want %v", name, got, test.fits)
 		}
 		if got := spotSmall.MatchesConstraints(&test.job); got != test.constraints {
-			t.Errorf("%s: constraints match is %v, expected %v", name, got, test.constraints)
+			t.Errorf("%s: MatchesConstraints: got %v, want %v", name, got, test.constraints)
 		}
 		if spotSmall.Fits(&test.job, nil) {
-			t.Errorf("%s: the job fits on a machine of an unknown type", name)
+			t.Errorf("%s: the job fits on a machine of an unknown type, want that it does not", name)
 		}
 	}
 }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -17,7 +17,7 @@
 	Type           *protocol.MachineType
 	Up             bool    // the machine sends heartbeats and its worker lease has not expired
 	Reserved       bool    // the machine is reserved for a job
-	IdleUntilEmpty float64 // mean seconds for which a core would be idle until the last task ends
+	IdleUntilEmpty float64 // seconds for which a core is idle on average until the last of the present tasks ends
 }
 
 // pricePerCore returns the current price of the machine per core and hour.
@@ -31,14 +31,14 @@
 
 // View is the input of a plan.
 type View struct {
-	Now             time.Duration
-	Catalog         map[string]*protocol.MachineType // by name
+	Now             time.Duration                    // instant of the plan
+	Catalog         map[string]*protocol.MachineType // machine types, by name
 	Kept            []*Machine                       // machines that are not draining
 	Draining        []*Machine                       // machines that are draining as surplus
 	PendingRentals  []protocol.RentalRequest         // rentals that the cloud has not answered
 	Demand          Demand
 	UsualLoad       float64      // cores that recent arrivals keep busy
-	MeanImageGB     float64      // mean image size of the runnable jobs
+	MeanImageGB     float64      // mean image size of the runnable jobs, in GB
 	PendingJobs     []PendingJob // in scheduling order
 	ScaleOutAllowed bool         // machines may be rented
 	ScaleInAllowed  bool         // surplus machines may be returned
@@ -47,19 +47,19 @@
 // Plan is a capacity plan: the cores to hold, and the machines to rent, keep and drain for that.
 type Plan struct {
 	// HeldCores are the cores of the kept machines, the pending rentals, CancelDrain and ScaleOut.
-	// DemandCores are those that the jobs require. TargetCores are the larger of DemandCores and the
-	// usual load with headroom.
+	// DemandCores are the cores that the jobs require. TargetCores is the larger of DemandCores and the
+	// usual load plus headroom.
 	HeldCores, DemandCores, TargetCores float64
 	CancelDrain                         []*Machine // draining machines that are needed again
 	ScaleOut                            []Offering // offerings to rent, one entry for each machine
-	Needed, Surplus                     []*Machine // machines to keep, and those to drain
+	Needed, Surplus                     []*Machine // to keep, and to drain; both empty unless ScaleInAllowed
 }
 
 // Settings are the settings of a planner.
 type Settings struct {
 	Headroom float64 // spare cores, as a ratio to the usual load
-	// CostSensitivity determines how much less is held on more expensive machines: the usual load
-	// with its headroom is scaled by (lowest price / price) to this power.
+	// CostSensitivity determines how much fewer cores are held on more expensive machines: the usual
+	// load plus headroom is scaled by (lowest price / price) to the power of CostSensitivity.
 	CostSensitivity float64
 	Lease           time.Duration // worker lease
 }
@@ -74,7 +74,7 @@
 // capacityBackoff excludes an offering that had no capacity from new rentals for some time.
 type capacityBackoff struct {
 	until    time.Duration // end of the backoff
-	refusals int           // consecutive refusals, at most maxBackoffLeases
+	refusals int           // consecutive rentals that the cloud could not fill, at most maxBackoffLeases
 }
 
 const (
@@ -82,8 +82,8 @@
 	maxMachinesPerPlan = 50
 	// maxBackoffLeases bounds the backoff of an offering, in worker leases.
 	maxBackoffLeases = 3
-	// minMachineFraction is the fraction of a machine's cores that must be needed for the machine
-	// to be rented or kept.
+	// minMachineFraction is the fraction of a machine's cores that must be needed. Otherwise the
+	// machine is neither rented nor kept.
 	minMachineFraction = 0.25
 )
 
@@ -92,8 +92,8 @@
 	return &Planner{settings: settings, backoffs: map[Offering]*capacityBackoff{}}
 }
 
-// MarkUnavailable excludes an offering from new rentals after the cloud had no capacity for it: for
-// one worker lease, and for one more after each further refusal, up to maxBackoffLeases.
+// MarkUnavailable excludes an offering from new rentals after the cloud had no capacity for it. The first
+// backoff is one worker lease, and each further one is a lease longer, up to maxBackoffLeases.
 func (p *Planner) MarkUnavailable(offering Offering, now time.Duration) {
 	backoff := p.backoffs[offering]
 	if backoff == nil {
@@ -137,7 +137,7 @@
 	planner            *Planner
 	view               *View
 	plan               *Plan
-	kept               []*Machine // machines to keep, until scaleIn selects the surplus
+	kept               []*Machine // machines that do not drain, among which scaleIn selects the surplus
 	lowestPricePerCore float64    // lowest price per core and hour in the catalog
 }
 
@@ -153,9 +153,9 @@
 	}
 }
 
-// targetCoresAtPrice returns the number of cores up to which machines at a price per core are held.
-// The usual load with its headroom is scaled down for more expensive machines; the cores that the
-// jobs require are held at any price.
+// targetCoresAtPrice returns the total number of cores up to which machines at a price per core are held.
+// The usual load plus headroom is scaled down for more expensive machines; the cores that the jobs
+// require are held at any price.
 func (b *planBuilder) targetCoresAtPrice(pricePerCore float64) float64 {
 	settings := &b.planner.settings
 	headroomShare := math.Pow(b.lowestPricePerCore/pricePerCore, settings.CostSensitivity)
@@ -163,7 +163,7 @@
 }
 
 // cancelDrains cancels the drain of machines that are needed, the cheapest first. It runs before
-// machines are rented, so that none is rented while a draining one can serve.
+// machines are rented, so that no machine is rented while a draining one can serve.
 func (b *planBuilder) cancelDrains() {
 	draining := slices.Clone(b.view.Draining)
 	slices.SortStableFunc(draining, func(a, b *Machine) int { return cmp.Compare(a.pricePerCore(), b.pricePerCore()) })
@@ -177,8 +177,8 @@
 	}
 }
 
-// scaleOutToTarget adds rentals until the target is reached, no offering is available, or the best
-// available one is too expensive to hold more of it.
+// scaleOutToTarget adds rentals until the target or maxMachinesPerPlan is reached, no offering is
+// available, or the best available one is too expensive to hold more machines of it.
 func (b *planBuilder) scaleOutToTarget() {
 	for len(b.plan.ScaleOut) < maxMachinesPerPlan && b.plan.HeldCores < b.plan.TargetCores {
 		offering, machineType := b.chooseOffering(nil, b.plan.TargetCores-b.plan.HeldCores)
@@ -256,16 +256,16 @@
 	return best, bestType
 }
 
-// costPerUsedCore returns the price per hour of each core that would be used if cores are needed. It
-// includes the time in which the machine boots and pulls its first image, because that time is paid
-// for while work waits.
+// costPerUsedCore returns the price per hour of each core of a machine that would be used if the given
+// number of cores is needed. It includes the time in which the machine boots and pulls its first image,
+// because that time is paid for while work waits.
 func (b *planBuilder) costPerUsedCore(machineType *protocol.MachineType, spot bool, cores float64) float64 {
 	startupSeconds := machineType.BootSeconds + b.view.MeanImageGB/machineType.PullGBPerSecond
 	windowSeconds := shortWindowLeases * b.planner.settings.Lease.Seconds()
 	return machineType.Price(spot) * (1 + startupSeconds/windowSeconds) / min(machineType.Cores, max(cores, 1))
 }
 
-// scaleIn selects surplus machines: the most expensive first, and at the same price those with the
+// scaleIn selects surplus machines: the most expensive first, and at the same price first those with the
 // least idle time until they are empty. Booting and reserved machines are never surplus.
 func (b *planBuilder) scaleIn() {
 	slices.SortStableFunc(b.kept, func(a, b *Machine) int {
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -54,38 +54,39 @@
 	return names
 }
 
-// Machines of the cheapest offering are rented up to the usual load with headroom, even without any
-// pending job.
+// Even without pending jobs, machines of the cheapest offering must be rented until their cores cover the
+// usual load plus headroom.
 func TestScaleOutToUsualLoadWithHeadroom(t *testing.T) {
 	plan := newTestPlanner().Plan(testView(16))
 	if plan.TargetCores != 20 || !slices.Equal(plan.ScaleOut, slices.Repeat([]Offering{spotSmall}, 5)) {
-		t.Errorf("target %v cores, expected 20; rented %v, expected 5 of the cheapest offering",
+		t.Errorf("target: got %v cores, want 20; rented: got %v, want 5 of the cheapest offering",
 			plan.TargetCores, plan.ScaleOut)
 	}
 }
 
-// Machines of pending rentals count as held, and the drain of machines is cancelled before others are
-// rented. Otherwise a plan would rent machines that are already on their way.
+// Machines of pending rentals must count as held, and drains must be cancelled before machines are rented.
+// Otherwise a plan would rent machines although enough are already requested or held.
 func TestPendingAndDrainingMachinesAreUsedBeforeRenting(t *testing.T) {
 	view := testView(16, smallMachines("m-1")...)
 	view.PendingRentals = []protocol.RentalRequest{{Type: "c4", Zone: "a", Spot: true, Count: 2}}
 	view.Draining = smallMachines("m-2")
 	plan := newTestPlanner().Plan(view)
 	if plan.HeldCores != 20 || len(plan.ScaleOut) != 1 || !slices.Equal(machineNames(plan.CancelDrain), []string{"m-2"}) {
-		t.Errorf("%v cores held, expected 20; rented %v, expected 1; drains cancelled of %v, expected m-2",
+		t.Errorf("held: got %v cores, want 20; rented: got %v, want 1 machine; drains cancelled: got %v, want m-2",
 			plan.HeldCores, plan.ScaleOut, machineNames(plan.CancelDrain))
 	}
 }
 
-// One plan rents a bounded number of machines, however large the usual load is.
+// One plan must rent at most maxMachinesPerPlan machines, however large the usual load is.
 func TestMachinesPerPlanAreBounded(t *testing.T) {
 	if plan := newTestPlanner().Plan(testView(4000)); len(plan.ScaleOut) != maxMachinesPerPlan {
-		t.Errorf("%d machines rented, expected %d", len(plan.ScaleOut), maxMachinesPerPlan)
+		t.Errorf("machines rented: got %d, want %d", len(plan.ScaleOut), maxMachinesPerPlan)
 	}
 }
 
-// An offering without capacity is not rented again until a backoff has passed, which grows with each
-// refusal and ends when the cloud has capacity. Otherwise all requests would go to that offering.
+// An offering for which the cloud had no capacity must not be rented again before the end of a backoff. The
+// backoff grows each time the cloud has no capacity, and ends when it has. Otherwise all rental requests
+// would go to that offering.
 func TestOfferingWithoutCapacityIsBackedOff(t *testing.T) {
 	planner := newTestPlanner()
 	rentedAt := func(now time.Duration) Offering {
@@ -96,23 +97,24 @@
 	elsewhere := Offering{Type: "c4", Zone: "b", Spot: true}
 	planner.MarkUnavailable(spotSmall, 0)
 	if got := rentedAt(testLease - 1); got != elsewhere {
-		t.Errorf("rented %v within the backoff, expected the offering in the other zone", got)
+		t.Errorf("rented %v within the backoff, want the offering in the other zone", got)
 	}
 	if got := rentedAt(testLease); got != spotSmall {
-		t.Errorf("rented %v after the backoff, expected the cheapest offering", got)
+		t.Errorf("rented %v after the backoff, want the cheapest offering", got)
 	}
 	planner.MarkUnavailable(spotSmall, testLease)
 	if got := rentedAt(3*testLease - 1); got != elsewhere {
-		t.Errorf("rented %v within the second backoff, expected the offering in the other zone", got)
+		t.Errorf("rented %v within the second backoff, want the offering in the other zone", got)
 	}
 	planner.MarkAvailable(spotSmall)
 	if got := rentedAt(testLease); got != spotSmall {
-		t.Errorf("rented %v after the offering had capacity, expected the cheapest offering", got)
+		t.Errorf("rented %v after the offering had capacity, want the cheapest offering", got)
 	}
 }
 
-// Less of the usual load with headroom is held on more expensive machines: at four times the lowest
-// price, a sixteenth. Otherwise a cloud without cheap capacity would make the headroom expensive.
+// Fewer cores must be held for the usual load plus headroom if only more expensive machines are available:
+// at four times the lowest price, a sixteenth. Otherwise a cloud without cheap capacity would make the
+// headroom expensive.
 func TestHeadroomShrinksWithPrice(t *testing.T) {
 	planner := newTestPlanner()
 	for _, zone := range smallType.Zones {
@@ -121,61 +123,61 @@
 	planner.MarkUnavailable(Offering{Type: "c16", Zone: "a", Spot: true}, 0)
 	plan := planner.Plan(testView(16))
 	if onDemand := (Offering{Type: "c4", Zone: "a"}); plan.TargetCores != 20 || !slices.Equal(plan.ScaleOut, []Offering{onDemand}) {
-		t.Errorf("target %v cores, expected 20; rented %v, expected one machine on demand", plan.TargetCores, plan.ScaleOut)
+		t.Errorf("target: got %v cores, want 20; rented %v, want one machine on demand", plan.TargetCores, plan.ScaleOut)
 	}
 }
 
-// A plan neither rents nor drains machines while that is not allowed, as during a recovery.
+// A plan must neither rent nor drain machines while that is not allowed, as early in a leader's recovery.
 func TestPlanRespectsScalingPermissions(t *testing.T) {
 	view := testView(16)
 	view.ScaleOutAllowed = false
 	if plan := newTestPlanner().Plan(view); len(plan.ScaleOut) != 0 {
-		t.Errorf("rented %v although scaling out is not allowed", plan.ScaleOut)
+		t.Errorf("rented %v although scaling out is not allowed, want none", plan.ScaleOut)
 	}
 	view = testView(0, smallMachines("m-1")...)
 	view.ScaleInAllowed = false
 	if plan := newTestPlanner().Plan(view); len(plan.Surplus) != 0 {
-		t.Errorf("surplus %v although scaling in is not allowed", machineNames(plan.Surplus))
+		t.Errorf("surplus machines %v although scaling in is not allowed, want none", machineNames(plan.Surplus))
 	}
 }
 
-// The most expensive machines become surplus first. Booting and reserved machines are never surplus:
-// otherwise a plan would return them before they have run the work that they are meant for.
+// The most expensive machines must become surplus first. Booting and reserved machines must never be
+// surplus: otherwise they would be returned to the cloud before they have run the work that they are for.
 func TestMostExpensiveMachinesAreSurplus(t *testing.T) {
 	booting, reserved := upMachine("booting", smallType, false), upMachine("reserved", smallType, false)
 	booting.Up, reserved.Reserved = false, true
 	kept := append(smallMachines("m-1", "m-2"), upMachine("expensive", smallType, false), booting, reserved)
 	plan := newTestPlanner().Plan(testView(12.8, kept...))
 	if got := machineNames(plan.Surplus); !slices.Equal(got, []string{"expensive"}) {
-		t.Errorf("surplus %v, expected only the machine on demand that is up and not reserved", got)
+		t.Errorf("surplus machines: got %v, want only expensive, which is up and not reserved", got)
 	}
 	if got := machineNames(plan.Needed); !slices.Equal(got, []string{"booting", "m-1", "m-2", "reserved"}) {
-		t.Errorf("needed %v, expected all other machines", got)
+		t.Errorf("needed machines: got %v, want all but expensive", got)
 	}
 }
 
-// Of machines with the same price, the one with the least idle time until it is empty is surplus,
-// because its drain wastes the fewest core seconds.
+// Of machines with the same price, the one with the least idle time until it is empty must become surplus
+// first, because its drain wastes the fewest core seconds.
 func TestMachineWithLeastIdleTimeIsSurplus(t *testing.T) {
 	machines := smallMachines("late", "soon")
 	machines[0].IdleUntilEmpty, machines[1].IdleUntilEmpty = 100, 10
 	plan := newTestPlanner().Plan(testView(3.2, machines...))
 	if got := machineNames(plan.Surplus); !slices.Equal(got, []string{"soon"}) {
-		t.Errorf("surplus %v, expected the machine that is empty soon", got)
+		t.Errorf("surplus machines: got %v, want soon, which has the least idle time", got)
 	}
 }
 
-// A machine is rented for a job that fits on none, however many cores are held: otherwise the job
-// would never start. Once the machine is requested, no second one is.
+// A machine must be rented for a job that fits on no held machine, however many cores are held: otherwise
+// the job would never start. Once such a machine is requested, no second one may be.
 func TestMachineIsRentedForUnplaceableJob(t *testing.T) {
 	view := testView(0, smallMachines("m-1")...)
 	view.PendingJobs = []PendingJob{{Spec: &protocol.Job{Cores: 1, Accelerators: 1}, PendingTasks: 3}}
 	onDemand := Offering{Type: "g8", Zone: "a"}
 	if plan := newTestPlanner().Plan(view); !slices.Equal(plan.ScaleOut, []Offering{onDemand}) {
-		t.Errorf("rented %v, expected one machine with accelerators on demand", plan.ScaleOut)
+		t.Errorf("rented %v, want one machine with accelerators on demand", plan.ScaleOut)
 	}
 	view.PendingRentals = []protocol.RentalRequest{{Type: "g8", Zone: "a", Count: 1}}
 	if plan := newTestPlanner().Plan(view); len(plan.ScaleOut) != 0 {
-		t.Errorf("rented %v in addition to the machine already requested", plan.ScaleOut)
+		t.Errorf("rented %v although a machine is already requested, want none", plan.ScaleOut)
 	}
 }
