--- a/internal/autoscaler/arrival_forecast.go
+++ b/internal/autoscaler/arrival_forecast.go
@@ -18,15 +18,15 @@
 	wallClock WallClock
 	store     StoreHealth
 
-	savedAt    clock.Instant // when the forecast was last stored
-	restoredAt clock.Instant // when the restored forecast was recorded; never: none was restored
+	savedAt    clock.Instant // when save last queued the forecast
+	restoredAt clock.Instant // when the earlier leader recorded the restored forecast; never: none was restored
 }
 
 const (
 	// forecastSaveIntervalLeases is the interval at which the forecast is stored, in worker leases.
 	forecastSaveIntervalLeases = 2
-	// forecastValueDivisor is the ratio of the maximum size of a value in the store to the maximum
-	// size of the stored forecast.
+	// forecastValueDivisor is the ratio of the maximum size of a value in the key-value store to the
+	// maximum size of the stored forecast.
 	forecastValueDivisor = 2
 )
 
@@ -46,12 +46,12 @@
 	f.RecordArrival(job.Spec.Class, work, f.state.Due(job)-job.EligibleAt)
 }
 
-// Decay decays the forecast up to the present time. Time in which the store fails does not count as
-// time without arrivals, because no job can be accepted then.
+// Decay decays the forecast up to the present time. Time in which the key-value store fails does not count
+// as time without arrivals, because no job can be accepted then.
 func (f *ArrivalForecast) Decay() { f.DecayTo(f.state.Clock.Now(), !f.store.StoreFailing()) }
 
-// save queues a write of the forecast for the next leader, at regular intervals. The record is built
-// when it is written.
+// save queues a write of the forecast for the next leader, at regular intervals. The record is built when
+// the transaction is, so that it is up to date.
 func (f *ArrivalForecast) save() {
 	now := f.state.Clock.Now()
 	if now < f.savedAt+forecastSaveIntervalLeases*f.state.Config.WorkerLease() || f.Empty() {
@@ -71,7 +71,8 @@
 		if item.Key != storage.ArrivalForecastKey {
 			continue
 		}
-		// The revision is needed in any case, because a record that can't be decoded is overwritten.
+		// Set the revision even if the record can't be decoded: the write that replaces the record is
+		// conditioned on it.
 		f.records.SetModRevision(item.Key, item.ModRevision)
 		var record storage.ArrivalForecastRecord
 		if err := json.Unmarshal(item.Value, &record); err != nil {
@@ -85,7 +86,7 @@
 }
 
 // inheritUsualLoad completes the forecast at a takeover. It adds the jobs that became eligible after
-// the restored forecast was recorded, and then takes the cores held, without headroom, as the usual
+// the restored forecast was recorded. Then it takes the cores held, divided by 1 + Headroom, as the usual
 // load, unless the forecast amounts to more.
 func (f *ArrivalForecast) inheritUsualLoad() {
 	heldCores := 0.0
@@ -97,8 +98,8 @@
 	if f.Empty() {
 		f.StartCounting(f.state.Clock.Now())
 	}
-	// Jobs that became eligible after the forecast was stored are arrivals too, and so are those
-	// that were submitted before there was a first leader.
+	// The restored forecast lacks jobs that became eligible after it was recorded. Without a restored
+	// forecast, as for the first leader, all eligible jobs count as arrivals.
 	for _, job := range f.state.JobsByAge() {
 		if job.EligibleAt > f.restoredAt {
 			f.recordArrival(job)
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
-// Package autoscaler rents machines from the cloud and returns them. At regular intervals, it has
+// Package autoscaler rents machines from the cloud and returns them to it. At regular intervals, it lets
 // package fleet make a capacity plan, and carries out the plan. It does no I/O and reads no clock
-// itself: its owner provides both.
+// itself: the leader provides both.
 package autoscaler
 
 import (
@@ -12,7 +12,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// Autoscaler rents machines from the cloud and returns them, by capacity plans that it makes at
+// Autoscaler rents machines from the cloud and returns them to it, by capacity plans that it makes at
 // regular intervals. It belongs to one term of one leader.
 type Autoscaler struct {
 	state    *cluster.State
@@ -28,7 +28,7 @@
 	listing      *machineListing
 	Forecast     *ArrivalForecast
 	costs        costAccount
-	planLoggedAt clock.Instant // when a plan was last logged; never: not yet
+	planLoggedAt clock.Instant // when a plan was last logged; never: none yet
 }
 
 // Options are the dependencies of an autoscaler.
@@ -51,7 +51,8 @@
 	targetCores float64       // number of cores that the last plan aims to hold
 }
 
-// Defaults of fleet.Settings.CostSensitivity.
+// Defaults of fleet.Settings.CostSensitivity. The lower it is, the more headroom is held on expensive
+// machines.
 const (
 	// startSLOCostSensitivity applies if some SLO on starting is so short that only machines that
 	// are up already can meet it.
@@ -89,7 +90,8 @@
 	}
 }
 
-// startSLOsAllowQueueing reports whether all SLOs on starting leave the time to boot a machine.
+// startSLOsAllowQueueing reports whether all SLOs on starting leave the time to rent and boot a machine,
+// so that jobs may be pending until it is up.
 func startSLOsAllowQueueing(state *cluster.State) bool {
 	for _, objective := range state.Config.Objectives {
 		limitsStart := objective.Kind == "wait" || objective.Kind == "guarantee"
@@ -100,7 +102,7 @@
 	return true
 }
 
-// newPlanner returns a planner with the cost sensitivity from the settings. If they have none, the
+// newPlanner returns a planner with the cost sensitivity from the settings. If the settings have none, the
 // default depends on whether the SLOs on starting allow queueing.
 func newPlanner(state *cluster.State, slosAllowQueueing bool) *fleet.Planner {
 	costSensitivity := float64(defaultCostSensitivity)
@@ -115,7 +117,7 @@
 }
 
 // Tick makes and applies a new plan if one is due, and sends the requests to the cloud that the
-// budgets allow now. It is called in every step of the leader once all records are loaded.
+// budgets allow now. The leader calls it in every step once all stored records are loaded.
 func (a *Autoscaler) Tick() {
 	now := a.state.Clock.Now()
 	if now >= a.planning.plannedAt+a.state.HeartbeatInterval()/plansPerHeartbeat {
@@ -130,8 +132,9 @@
 	if a.cloud.backingOff() {
 		return
 	}
-	// Returns are sent first: they end costs, and they unblock jobs after a takeover. Rentals are
-	// repeated for as long as the cloud lacks capacity, and must not use up the request budget.
+	// Returns of machines are sent first: they end costs, and they unblock jobs after a takeover.
+	// Rentals are repeated for as long as the cloud lacks capacity, and must not use up the budget of
+	// requests to the cloud.
 	if !a.returns.requestReturns() {
 		return
 	}
@@ -141,8 +144,8 @@
 	a.listing.startIfDue()
 }
 
-// ApplyPlan makes a capacity plan and applies it: it starts rentals, starts or cancels drains, and
-// consolidates tasks where that empties surplus machines.
+// ApplyPlan makes a capacity plan and carries it out: it begins rentals, begins or cancels drains, and
+// moves tasks off surplus machines.
 func (a *Autoscaler) ApplyPlan() {
 	a.costs.update()
 	a.Forecast.Decay()
@@ -200,12 +203,12 @@
 // LoadForecast restores the forecast that an earlier leader stored.
 func (a *Autoscaler) LoadForecast(items []storage.Item) { a.Forecast.load(items) }
 
-// AddStoredRental adds a rental that an earlier leader stored and did not complete, so that its
-// request is repeated.
+// AddStoredRental adds a rental that an earlier leader stored and did not complete. Its request is sent to
+// the cloud again.
 func (a *Autoscaler) AddStoredRental(request protocol.RentalRequest) { a.rentals.addStored(request) }
 
-// CompleteTakeover completes the takeover once all records are loaded: costs are counted from now on,
-// and the cores held are taken as the usual load.
+// CompleteTakeover is called once all stored records are loaded. Costs are counted from now on, and the
+// cores held determine the usual load.
 func (a *Autoscaler) CompleteTakeover() {
 	a.costs.updatedAt = a.state.Clock.Now()
 	a.Forecast.inheritUsualLoad()
--- a/internal/autoscaler/cloud_calls.go
+++ b/internal/autoscaler/cloud_calls.go
@@ -11,18 +11,17 @@
 type cloudCalls struct {
 	state               *cluster.State
 	client              CloudClient
-	retryAt             clock.Instant // end of the backoff after the last failed call
+	retryAt             clock.Instant // end of the backoff after the last failed request; never: none failed yet
 	consecutiveFailures int           // at most maxCountedFailures
 }
 
 const (
-	// cloudTimeoutsPerLease is the ratio of a worker lease to the timeout of a cloud call.
+	// cloudTimeoutsPerLease is the ratio of a worker lease to the timeout of a request to the cloud.
 	cloudTimeoutsPerLease = 4
-	// baseBackoffsPerLease is the ratio of a worker lease to the base of the backoff. The backoff
-	// after the first failure is twice the base.
+	// baseBackoffsPerLease is the ratio of a worker lease to the base of the backoff. The base doubles
+	// with each failure, also the first one.
 	baseBackoffsPerLease = 16
-	// maxCountedFailures bounds the doublings of the base backoff, and so the backoff to one worker
-	// lease.
+	// maxCountedFailures limits the doublings of the base, so that no backoff exceeds one worker lease.
 	maxCountedFailures = 4
 )
 
@@ -34,7 +33,8 @@
 // backingOff reports whether no request may be sent yet because of an earlier failure.
 func (c *cloudCalls) backingOff() bool { return c.state.Clock.Now() < c.retryAt }
 
-// takeRequest reports whether the budget allows a request now, and takes it from the budget.
+// takeRequest reports whether the budget allows a request to the cloud now. If so, it takes the request
+// from the budget.
 func (c *cloudCalls) takeRequest() bool { return c.client.TakeRequest() }
 
 // returnRequest refunds a request that was taken from the budget but not sent.
@@ -46,10 +46,11 @@
 	c.client.Send(method, path, body, c.state.Config.WorkerLease()/cloudTimeoutsPerLease, onResponse)
 }
 
-// recordSuccess resets the backoff after a call that the cloud answered.
+// recordSuccess makes the next backoff start from the shortest one, after a request that the cloud has
+// answered.
 func (c *cloudCalls) recordSuccess() { c.consecutiveFailures = 0 }
 
-// recordFailure starts a backoff after a call that the cloud rejected or did not answer. status is 0
+// recordFailure starts a backoff after a request that the cloud rejected or did not answer. status is 0
 // if no usable response arrived.
 func (c *cloudCalls) recordFailure(status int) {
 	c.consecutiveFailures = min(c.consecutiveFailures+1, maxCountedFailures)
--- a/internal/autoscaler/consolidation.go
+++ b/internal/autoscaler/consolidation.go
@@ -6,15 +6,16 @@
 	"hitchdoor/internal/cluster"
 )
 
-// minGainToMoveCostRatio is the minimum ratio of what a move of tasks gains to what it costs: of the
-// longest remaining run time to the longest move, and of the core seconds that would be idle on the
-// machine to those that the moves take.
+// minGainToMoveCostRatio is the minimum ratio of the gain of moving tasks off a machine to the cost. It
+// applies to the longest remaining run time compared with the longest move, and to the core seconds that
+// would be idle on the machine compared with those that the moves take.
 const minGainToMoveCostRatio = 2
 
-// Consolidate empties surplus machines by moving the few tasks that keep them from being returned. It
-// moves the tasks of a machine only if all of them write checkpoints, other machines have room for
-// them, and the move gains at least minGainToMoveCostRatio times what it costs. Machines rented less
-// than minBilledTime ago are left alone. kept are the machines that the plan keeps.
+// Consolidate empties surplus machines, so that they can be returned to the cloud, by stopping the few
+// tasks that still run on them with a checkpoint. The tasks then start again on other machines. A machine
+// is emptied only if all its tasks write checkpoints, the kept machines have enough free cores, and the
+// move gains at least minGainToMoveCostRatio times what it costs. Machines rented less than minBilledTime
+// ago are left alone. kept are the machines that the plan keeps.
 func (a *Autoscaler) Consolidate(kept []*cluster.Machine) {
 	freeCores := a.freeCores(kept)
 	for _, machine := range a.state.MachinesByName() {
@@ -38,7 +39,7 @@
 }
 
 // freeCores returns the cores of the kept machines that no task uses, minus the cores that pending
-// tasks need. It is negative if they need more.
+// tasks need. The result is negative if the pending tasks need more.
 func (a *Autoscaler) freeCores(kept []*cluster.Machine) float64 {
 	freeCores := 0.0
 	for _, machine := range kept {
@@ -54,8 +55,8 @@
 	return freeCores
 }
 
-// worthMovingTasks reports whether all tasks of a machine can be moved, and the move gains at least
-// minGainToMoveCostRatio times what it costs.
+// worthMovingTasks reports whether all tasks of a machine can be moved to other machines, and the move
+// gains at least minGainToMoveCostRatio times what it costs.
 func (a *Autoscaler) worthMovingTasks(machine *cluster.Machine) bool {
 	moveCost, longestRemaining, longestMove := 0.0, 0.0, 0.0
 	for _, attempt := range machine.AttemptsInOrder {
@@ -72,8 +73,8 @@
 	return longestRemaining >= minGainToMoveCostRatio*longestMove && idleCoreSeconds >= minGainToMoveCostRatio*moveCost
 }
 
-// isMovable reports whether an attempt writes checkpoints, is not being stopped, and has run for long
-// enough that its start counts towards the SLOs.
+// isMovable reports whether an attempt runs, writes checkpoints and is not being stopped, and has run for
+// long enough that its start counts towards the SLOs.
 func (a *Autoscaler) isMovable(attempt *cluster.TaskAttempt) bool {
 	return attempt.Job.Spec.CheckpointIntervalSeconds > 0 &&
 		attempt.Phase == cluster.AttemptRunning && attempt.StopGrace == nil &&
--- a/internal/autoscaler/costs.go
+++ b/internal/autoscaler/costs.go
@@ -5,8 +5,8 @@
 	"hitchdoor/internal/cluster"
 )
 
-// costBreakdown is the machine cost of this term, by what the machines were used for. The names of
-// the fields appear in the log line of a capacity plan.
+// costBreakdown is the cost of the machines since the start of this term, by what their cores were used
+// for. The names of the fields appear in the log line of a capacity plan.
 type costBreakdown struct{ booting, idle, fetching, working float64 }
 
 // costAccount adds up the machine cost of a term.
@@ -28,8 +28,8 @@
 	}
 }
 
-// addMachine divides the cost of one machine by the present use of its cores. A machine that is not
-// up counts as booting.
+// addMachine splits the cost of one machine by the present use of its cores: pulling images, running
+// tasks or idle. A machine that is not up counts as booting.
 func (c *costAccount) addMachine(machine *cluster.Machine, cost float64) {
 	if !machine.Up {
 		c.booting += cost
--- a/internal/autoscaler/fakes_test.go
+++ b/internal/autoscaler/fakes_test.go
@@ -71,7 +71,7 @@
 func (h *fakeAutoscalerHost) answer(t *testing.T, status int, body any) fakeCloudRequest {
 	t.Helper()
 	if len(h.requests) != 1 {
-		t.Fatalf("%d requests wait for a response, expected 1", len(h.requests))
+		t.Fatalf("requests to the cloud that wait for a response: got %d, want 1", len(h.requests))
 	}
 	request := h.requests[0]
 	h.requests = nil
--- a/internal/autoscaler/interfaces.go
+++ b/internal/autoscaler/interfaces.go
@@ -12,7 +12,8 @@
 
 // CloudClient sends requests to the cloud within a rate budget.
 type CloudClient interface {
-	// TakeRequest reports whether the budget allows a request now, and takes it from the budget.
+	// TakeRequest reports whether the budget allows a request now. If so, it takes the request from
+	// the budget.
 	TakeRequest() bool
 	// ReturnRequest refunds a request that was taken from the budget but not sent.
 	ReturnRequest()
@@ -23,7 +24,7 @@
 
 // RecordWriter writes records to the key-value store in transactions.
 type RecordWriter interface {
-	// Enqueue queues a change to be written.
+	// Enqueue queues a change, to be written in a later transaction.
 	Enqueue(priority storage.Priority, change storage.Change)
 	// SetModRevision records the revision of a key that was read. Writes of the key are conditioned on
 	// it.
@@ -38,13 +39,13 @@
 	Limited() bool
 	// MayScaleOut reports whether machines may be rented.
 	MayScaleOut() bool
-	// MayScaleIn reports whether surplus machines may be returned.
+	// MayScaleIn reports whether surplus machines may be returned to the cloud.
 	MayScaleIn() bool
-	// MayReturnUnresponsive reports whether a machine may be returned after a time without
-	// heartbeats.
+	// MayReturnUnresponsive reports whether a machine that has sent no heartbeat for the duration of
+	// silence may be returned to the cloud.
 	MayReturnUnresponsive(machine *cluster.Machine, silence time.Duration) bool
-	// AllowedOperations returns how many of count operations the budget allows now, and takes them
-	// from the budget.
+	// AllowedOperations returns how many of count operations the recovery budget allows now, and takes
+	// this number from the budget.
 	AllowedOperations(operation recovery.Operation, count int) int
 	// RefundOperations refunds operations that were taken from the budget but not carried out.
 	RefundOperations(operation recovery.Operation, count int)
@@ -68,10 +69,10 @@
 	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
 	// reconciled yet.
 	MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool
-	// SoonReleasedDependents returns the jobs for which this one is the last pending dependency, if it
-	// should end within the horizon.
+	// SoonReleasedDependents returns the jobs whose last pending dependency is the given job, if that
+	// job is expected to end within the horizon.
 	SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job
-	// ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
+	// ReleaseUndelivered releases the attempts whose start command did not reach their machine in time.
 	ReleaseUndelivered()
 }
 
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -18,15 +18,15 @@
 	machines MachineRegistry
 
 	startedAt   clock.Instant   // when the last listing started; never: none has
-	inProgress  bool            // a page is requested and not all pages are read
+	inProgress  bool            // a listing has started, and not all its pages are read
 	listedNames map[string]bool // names of the machines in the pages read so far
 }
 
 // machinesPerPage is the maximum number of machines in a page of the list.
 const machinesPerPage = 500
 
-// startIfDue requests the first page of the list if no listing is in progress, the last one started at
-// least listLag ago, and the budget allows.
+// startIfDue requests the first page of the list if no listing is in progress, the last listing started at
+// least listLag ago, and the budget of requests to the cloud allows one.
 func (l *machineListing) startIfDue() {
 	now := l.state.Clock.Now()
 	if l.inProgress || now < l.startedAt+l.listLag() || !l.cloud.takeRequest() {
@@ -36,14 +36,15 @@
 	l.requestPage("")
 }
 
-// requestPage requests the page that starts after the machine afterName; empty: the first page.
+// requestPage requests the page that starts after the machine afterName or, if that is empty, the first
+// page.
 func (l *machineListing) requestPage(afterName string) {
 	path := fmt.Sprintf("/hosts?limit=%d&since=%s", machinesPerPage, afterName)
 	l.cloud.send("GET", path, nil, l.onPage)
 }
 
 // onPage processes a page of the list and requests the next one. After the last page, it drains the
-// machines that the list lacks. A failed request ends the listing without that.
+// machines that the list lacks. A failed request ends the listing, and no machine is drained.
 func (l *machineListing) onPage(response protocol.CloudResponse) {
 	var page protocol.HostPage
 	if !response.Decode(&page) {
@@ -78,16 +79,16 @@
 	}
 	silence := l.state.Clock.Now() - machine.LastHeartbeat
 	if host.State == protocol.HostFailed && !machine.ListedAsFailed && silence > 2*l.state.HeartbeatInterval() {
-		// A machine that sends heartbeats has not failed, whatever the list says, and its return
-		// would kill all tasks on it. So only a silent machine is drained.
+		// A machine that sends heartbeats has not failed, whatever the list says, and its return to
+		// the cloud would kill all its tasks. So only a silent machine is drained.
 		machine.ListedAsFailed = true
 		l.state.BeginDrain(machine, cluster.InstanceFailed)
 	}
 }
 
 // drainUnlisted drains the machines that are missing from the complete list. Lists lag, so only
-// machines that are old enough and silent are drained. The return request that follows ends a machine
-// that still exists.
+// machines that are old enough and silent are drained. If such a machine still exists, the return request
+// that follows the drain ends it.
 func (l *machineListing) drainUnlisted() {
 	for _, machine := range l.state.MachinesByName() {
 		oldEnough := l.startedAt-machine.RentedAt > 4*l.listLag()
--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -15,16 +15,16 @@
 	rentals  *machineRentals
 	forecast *ArrivalForecast
 
-	slosAllowQueueing bool // all SLOs on starting leave the time to boot a machine
+	slosAllowQueueing bool // all SLOs on starting leave the time to rent and boot a machine
 }
 
-// planView is the input of the planner, with the cluster machine of each of its machines.
+// planView is the input of the planner, with the cluster.Machine of each fleet.Machine in it.
 type planView struct {
 	*fleet.View
 	machineOf map[*fleet.Machine]*cluster.Machine
 }
 
-// machinesOf returns the cluster machines of machines in a plan.
+// machinesOf returns the cluster.Machine of each of the given machines of the plan.
 func (v *planView) machinesOf(planned []*fleet.Machine) []*cluster.Machine {
 	machines := make([]*cluster.Machine, 0, len(planned))
 	for _, entry := range planned {
@@ -80,7 +80,7 @@
 		Now: i.state.Clock.Now(), BootTime: i.state.BootTime(), StartWithin: cluster.PlannedStartWithin,
 	}
 	if i.slosAllowQueueing {
-		// If an SLO allows no queueing, headroom is held anyway for work that must start soon.
+		// Otherwise the forecast is left out: headroom is held anyway for work that must start soon.
 		demand.Forecast = i.forecast.Forecast
 	}
 	pullRate := i.state.ImagePullRate()
@@ -99,10 +99,10 @@
 	return demand
 }
 
-// minPendingShare returns the share that is certainly still pending, of the work that may be running
-// on unreconciled machines: those machines can't run more than their cores allow. When none of that
-// work was counted, a fleet that was short of machines did not scale out until the leases of hung
-// machines had expired.
+// minPendingShare returns a share (0 to 1) of the work that may be running on unreconciled machines. At
+// least this share is certainly still pending, as those machines can't run more than their cores allow.
+// When none of that work was counted, a fleet that was short of machines did not scale out until the
+// worker leases of hung machines had expired.
 func (i *planInput) minPendingShare(totals *cluster.MachineTotals) float64 {
 	if !i.recovery.Limited() {
 		return 1
@@ -155,11 +155,12 @@
 	return sum / max(1, float64(len(i.state.RunnableJobs)))
 }
 
-// startSLOReservePercent is the part of an SLO on starting, in percent, that the plan keeps as slack.
+// startSLOReservePercent is the part of the time limit of an SLO on starting, in percent, that the plan
+// keeps as slack.
 const startSLOReservePercent = 40
 
-// startSLOReserve returns the part of a job's SLO on starting that the plan keeps as slack for
-// takeovers, outages and lost machines. It is 0 for a job with a deadline or without such an SLO.
+// startSLOReserve returns the part of the time limit of a job's SLO on starting that the plan keeps as
+// slack for takeovers, outages and lost machines. It is 0 for a job with a deadline or without such an SLO.
 func (i *planInput) startSLOReserve(job *cluster.Job) time.Duration {
 	if job.Spec.DeadlineSeconds != nil {
 		return 0
--- a/internal/autoscaler/rentals.go
+++ b/internal/autoscaler/rentals.go
@@ -28,20 +28,20 @@
 	pending        []*pendingRental // in the order in which they were added
 }
 
-// pendingRental is a rental that the cloud has not answered. Its request ID is stored before the
-// request is sent, so that no other node uses the ID for another request, and the next leader can
-// repeat the request and gets the same response.
+// pendingRental is a rental to which the cloud has not responded. Its request ID is stored before the
+// request is sent. So no other node uses the ID for another request, and the next leader can repeat the
+// request and gets the same response.
 type pendingRental struct {
 	protocol.RentalRequest
 	durable         bool // the record of the rental is written
-	inFlight        bool // the request is sent and not answered yet
-	chargedMachines int  // number of machines charged to the recovery budget
+	inFlight        bool // the request is sent and has no response yet
+	chargedMachines int  // number of machines charged to the recovery budget; 0 for a rental of an earlier leader
 }
 
 const (
-	// maxPendingRentals is the number of pending rentals at which plans add no further ones.
+	// maxPendingRentals is the number of pending rentals from which on plans add no further rentals.
 	maxPendingRentals = 8
-	// maxMachinesPerRental is the maximum number of machines in one request.
+	// maxMachinesPerRental is the maximum number of machines in one rental request.
 	maxMachinesPerRental = 50
 )
 
@@ -51,8 +51,8 @@
 	r.pending = append(r.pending, &pendingRental{RentalRequest: request, durable: true})
 }
 
-// begin stores a rental for each offering that the plan scales out, within maxPendingRentals and the
-// recovery budget. A rental is sent once its record is durable.
+// begin stores a rental for each offering of which the plan rents machines, within maxPendingRentals and
+// the recovery budget. Its request is sent to the cloud once the record of the rental is durable.
 func (r *machineRentals) begin(offerings []fleet.Offering) {
 	counts := map[fleet.Offering]int{}
 	var order []fleet.Offering
@@ -85,7 +85,7 @@
 	return "r-" + strconv.FormatUint(r.term, 10) + "-" + strconv.FormatUint(r.requestCounter, 10)
 }
 
-// store adds a rental and queues the write of its record.
+// store adds a rental to the pending ones and queues the write of its record.
 func (r *machineRentals) store(rental *pendingRental) {
 	r.pending = append(r.pending, rental)
 	key := storage.RentalPrefix + rental.RequestID
@@ -95,7 +95,7 @@
 	})
 }
 
-// sendPending sends the durable rentals that are not in flight, within the request budget.
+// sendPending sends the durable rentals that are not in flight, within the budget of requests to the cloud.
 func (r *machineRentals) sendPending() {
 	for _, rental := range r.pending {
 		if !rental.durable || rental.inFlight {
@@ -134,7 +134,7 @@
 }
 
 // addRented adds the machines that the cloud provided and that are not known yet, and closes the
-// rental. If there are fewer than requested, the offering is marked as unavailable.
+// rental. If the cloud provided fewer than requested, the offering is marked as unavailable.
 func (r *machineRentals) addRented(rental *pendingRental, names []string) {
 	r.state.Log.Info("machines rented", "request", rental.RequestID,
 		"type", rental.Type, "zone", rental.Zone, "spot", rental.Spot,
@@ -163,22 +163,22 @@
 }
 
 // refundUnrented refunds to the recovery budget what was charged for machines that the cloud did
-// not provide. Without the refund, requests without effect used up the whole budget of a small fleet
-// where capacity was scarce.
+// not provide. Without the refund, rental requests without effect used up the whole budget of a small
+// fleet while the cloud had little capacity.
 func (r *machineRentals) refundUnrented(rental *pendingRental, rentedCount int) {
 	r.recovery.RefundOperations(recovery.RentMachine, rental.chargedMachines-rentedCount)
 	rental.chargedMachines = 0
 }
 
-// markUnavailable excludes an offering from new rentals for some time, and makes a new plan due at
-// once, which can use another offering.
+// markUnavailable excludes an offering from new rentals for some time. It makes a new plan due at once,
+// which can rent another offering.
 func (r *machineRentals) markUnavailable(offering fleet.Offering) {
 	r.planning.planner.MarkUnavailable(offering, r.state.Clock.Now())
 	r.planning.plannedAt = clock.Never
 }
 
-// close removes a rental and queues the deletion of its record. The records of its machines are
-// written before that.
+// close removes a rental and queues the deletion of its record. The records of its machines were queued
+// earlier, and are written before the deletion.
 func (r *machineRentals) close(rental *pendingRental) {
 	r.pending = slices.DeleteFunc(r.pending, func(other *pendingRental) bool { return other == rental })
 	key := storage.RentalPrefix + rental.RequestID
--- a/internal/autoscaler/rentals_test.go
+++ b/internal/autoscaler/rentals_test.go
@@ -11,7 +11,7 @@
 )
 
 // beginDurableRental begins a rental of three machines and makes its record durable. It checks that
-// the rental is not sent before.
+// the rental is not sent to the cloud before the record is durable.
 func beginDurableRental(t *testing.T, a *Autoscaler, host *fakeAutoscalerHost) {
 	t.Helper()
 	a.rentals.begin([]fleet.Offering{spotC4, spotC4, spotC4})
@@ -20,12 +20,12 @@
 		t.Fatal("the rental was sent before its record was durable")
 	}
 	if writes := host.applyChanges(); len(writes) != 1 || writes[0].Key() != storage.RentalPrefix+"r-7-1" {
-		t.Fatalf("writes: %v, expected only the record of rental r-7-1", writes)
+		t.Fatalf("writes for a new rental: got %v, want only the record of rental r-7-1", writes)
 	}
 }
 
-// A rental is requested once its record is durable, and only once while a response is pending. After
-// the response, its machines are added and its record is deleted.
+// A rental must be requested from the cloud once its record is durable, and must not be requested again
+// before the response. After the response, its machines must be added and its record deleted.
 func TestRentalAddsItsMachines(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	beginDurableRental(t, a, host)
@@ -34,36 +34,37 @@
 	request := host.answer(t, 200, protocol.MachineNames{Machines: []string{"m-1", "m-2", "m-3"}})
 	want := protocol.RentalRequest{RequestID: "r-7-1", Type: "c4", Zone: "a", Spot: true, Count: 3}
 	if request.method != "POST" || request.path != "/hosts" || request.body != want {
-		t.Errorf("request: %v %v %v, expected POST /hosts %v", request.method, request.path, request.body, want)
+		t.Errorf("rental request: got %v %v %v, want POST /hosts %v", request.method, request.path, request.body, want)
 	}
 	if len(host.state.Machines) != 3 || len(a.rentals.pending) != 0 || host.refunded != 0 {
-		t.Errorf("%d machines, %d rentals pending, %d operations refunded; expected 3, 0, 0",
+		t.Errorf("after the response: %d machines, %d rentals pending, %d operations refunded; want 3, 0, 0",
 			len(host.state.Machines), len(a.rentals.pending), host.refunded)
 	}
 	if writes := host.applyChanges(); len(writes) != 1 || writes[0].Key() != storage.RentalPrefix+"r-7-1" {
-		t.Errorf("writes after the response: %v, expected only the deletion of rental r-7-1", writes)
+		t.Errorf("writes after the response: got %v, want only the deletion of rental r-7-1", writes)
 	}
 }
 
-// A rental whose outcome is unknown is sent again with the same request ID, and a backoff starts. With
-// another ID, the cloud might rent the machines twice.
+// A rental whose outcome is unknown must be sent again with the same request ID, and a backoff must start.
+// With another ID, the cloud might rent out the machines twice.
 func TestRentalWithUnknownOutcomeIsSentAgain(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	beginDurableRental(t, a, host)
 	a.rentals.sendPending()
 	first := host.answer(t, 0, nil)
 	if !a.cloud.backingOff() || len(a.rentals.pending) != 1 {
-		t.Errorf("backing off: %v, expected true; %d rentals pending, expected 1",
+		t.Errorf("after a rental without a response: backing off %v, want true; %d rentals pending, want 1",
 			a.cloud.backingOff(), len(a.rentals.pending))
 	}
 	a.rentals.sendPending()
 	if second := host.answer(t, 200, protocol.MachineNames{Machines: []string{"m-1", "m-2", "m-3"}}); second.body != first.body {
-		t.Errorf("first request %v, second request %v, expected the same body", first.body, second.body)
+		t.Errorf("body of the repeated rental request: got %v, want the first one's %v", second.body, first.body)
 	}
 }
 
-// Machines that the cloud did not provide are refunded to the recovery budget, and a new plan is due
-// at once. Otherwise requests without effect would use up the budget where capacity is scarce.
+// Machines that the cloud did not provide must be refunded to the recovery budget, and a new plan must be
+// due at once. Otherwise rental requests without effect would use up the budget while the cloud has little
+// capacity.
 func TestUnfilledRentalIsRefunded(t *testing.T) {
 	for name, test := range map[string]struct {
 		status, refunded int
@@ -79,39 +80,39 @@
 		a.planning.plannedAt = host.now
 		host.answer(t, test.status, test.body)
 		if host.refunded != test.refunded || len(a.rentals.pending) != 0 || a.planning.plannedAt != clock.Never {
-			t.Errorf("%s: %d operations refunded, expected %d; %d rentals pending, expected 0; planned at %v, expected never",
+			t.Errorf("%s: %d operations refunded, want %d; %d rentals pending, want 0; last plan at %v, want never",
 				name, host.refunded, test.refunded, len(a.rentals.pending), a.planning.plannedAt)
 		}
 	}
 }
 
-// A rental is limited to the machines that the recovery allows. The request ID of one that it does not
-// allow at all is not used again.
+// A rental must be limited to the number of machines that the recovery allows. If the recovery allows none,
+// the request ID of the rental must not be used again.
 func TestRentalIsLimitedByRecovery(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.allowed = 0
 	a.rentals.begin([]fleet.Offering{spotC4})
 	if len(a.rentals.pending) != 0 || len(host.changes) != 0 {
-		t.Error("a rental was started although the recovery allows none")
+		t.Error("a rental was begun although the recovery allows none")
 	}
 	host.allowed = 2
 	a.rentals.begin([]fleet.Offering{spotC4, spotC4, spotC4})
 	if len(a.rentals.pending) != 1 || a.rentals.pending[0].Count != 2 || a.rentals.pending[0].RequestID != "r-7-2" {
-		t.Errorf("pending rentals: %v, expected one of 2 machines with request ID r-7-2", a.rentals.pending)
+		t.Errorf("pending rentals: got %v, want one of 2 machines with request ID r-7-2", a.rentals.pending)
 	}
 }
 
-// The backoff doubles with each failed call up to one worker lease, and starts from the shortest one
-// again after a success. Without the reset, one later failure would stop all requests for a lease.
+// The backoff must double with each failed request up to one worker lease, and must be the shortest again
+// after a success. Without the reset, one later failure would stop all requests to the cloud for a lease.
 func TestCloudBackoff(t *testing.T) {
 	a, _ := newFakeAutoscaler(t)
 	for i, want := range []time.Duration{2, 4, 8, 16, 16} {
 		if a.cloud.recordFailure(500); a.cloud.retryAt != want*time.Second {
-			t.Errorf("failure %d: retry at %v, expected %v", i, a.cloud.retryAt, want*time.Second)
+			t.Errorf("failure %d: got retry at %v, want %v", i, a.cloud.retryAt, want*time.Second)
 		}
 	}
 	a.cloud.recordSuccess()
 	if a.cloud.recordFailure(500); a.cloud.retryAt != 2*time.Second {
-		t.Errorf("first failure after a success: retry at %v, expected 2s", a.cloud.retryAt)
+		t.Errorf("first failure after a success: got retry at %v, want 2s", a.cloud.retryAt)
 	}
 }
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -18,32 +18,33 @@
 	recovery RecoveryLimits
 	machines MachineRegistry
 
-	nextRequestAt clock.Instant // when returnable machines are looked for again; never: at once
+	nextRequestAt clock.Instant // when requestReturns looks for returnable machines again; never: at once
 }
 
 const (
 	// minBilledTime is the shortest time for which the cloud bills a machine.
 	minBilledTime = 60 * time.Second
-	// maxMachinesPerReturn is the maximum number of machines in one request.
+	// maxMachinesPerReturn is the maximum number of machines in one return request.
 	maxMachinesPerReturn = 100
 	// returnRequestsPerHeartbeat is the maximum number of return requests per heartbeat interval.
 	returnRequestsPerHeartbeat = 4
-	// bootTimesUntilOverdue is the number of its boot times, in addition to a worker lease, after
-	// which a machine without any heartbeat is drained as one that never reported.
+	// bootTimesUntilOverdue determines when a machine that has sent no heartbeat since its rental is
+	// drained: after this number of boot times of its type, plus one worker lease.
 	bootTimesUntilOverdue = 3
 	// missedHeartbeatsUntilCounted is the number of heartbeat intervals without a heartbeat after
 	// which mostRespond counts a machine as missing.
 	missedHeartbeatsUntilCounted = 2
 )
 
-// drainUnresponsive drains machines that miss heartbeats, never reported, or run their tasks slowly.
+// drainUnresponsive drains machines whose heartbeats have stopped or never began, or that run tasks slowly.
 func (r *machineReturns) drainUnresponsive() {
 	mostRespond := r.mostRespond()
 	for _, machine := range r.state.MachinesByName() {
 		r.state.DrainIfSlow(machine)
 		switch {
 		case r.expectedToReport(machine) && r.heartbeatOverdue(machine) && mostRespond:
-			// Returning the machine ends its tasks for certain, and before its worker lease expires.
+			// Returning the machine to the cloud ends its tasks for certain, and earlier than the
+			// expiry of its worker lease would.
 			r.state.BeginDrain(machine, cluster.HeartbeatMissed)
 		case !machine.Up && machine.LastHeartbeat == clock.Never && r.bootOverdue(machine):
 			r.state.BeginDrain(machine, cluster.NeverReported)
@@ -51,8 +52,8 @@
 	}
 }
 
-// mostRespond reports whether at least half of the machines that are expected to send heartbeats do
-// so. If not, the leader itself is probably partitioned from its workers.
+// mostRespond reports whether at least half of the machines that should send heartbeats do so. If not, the
+// leader itself is probably partitioned from its workers.
 func (r *machineReturns) mostRespond() bool {
 	expectedCount, missedCount := 0, 0
 	for _, machine := range r.state.Machines {
@@ -60,9 +61,9 @@
 			continue
 		}
 		expectedCount++
-		// Two missed heartbeats count here although they do not cause a drain yet. Otherwise, when
+		// Two missed heartbeats count here, although a drain needs a longer silence. Otherwise, when
 		// the leader itself is partitioned from its workers, the machines that have been silent
-		// longest would be returned before most machines are counted as missing.
+		// longest would be returned to the cloud before most machines are counted as missing.
 		missed := r.silence(machine) > missedHeartbeatsUntilCounted*r.state.HeartbeatInterval()
 		if r.heartbeatOverdue(machine) || missed {
 			missedCount++
@@ -83,13 +84,14 @@
 	return r.state.Clock.Now() - r.state.SilentSince(machine)
 }
 
-// heartbeatOverdue reports whether a machine has been silent for so long that it may be returned.
+// heartbeatOverdue reports whether a machine has been silent for so long that it may be returned to the
+// cloud.
 func (r *machineReturns) heartbeatOverdue(machine *cluster.Machine) bool {
 	return r.recovery.MayReturnUnresponsive(machine, r.silence(machine))
 }
 
-// bootOverdue reports whether a machine should have booted and sent its first heartbeat by now. It
-// is false during the first worker lease of a term.
+// bootOverdue reports whether a machine should have booted and sent its first heartbeat by now. It returns
+// false during the first worker lease of a term.
 func (r *machineReturns) bootOverdue(machine *cluster.Machine) bool {
 	now := r.state.Clock.Now()
 	bootLimit := r.state.Config.WorkerLease()
@@ -99,8 +101,8 @@
 	return now-machine.RentedAt > bootLimit && now-r.state.StartedAt > r.state.Config.WorkerLease()
 }
 
-// requestReturns requests the return of machines whose drain is complete, at limited rates. It
-// returns false if the request budget is used up, so that no other request should follow.
+// requestReturns requests the return of machines that are ready for it, at limited rates. It returns
+// false if the budget of requests to the cloud is used up, so that the caller sends no other request.
 func (r *machineReturns) requestReturns() bool {
 	now := r.state.Clock.Now()
 	if now < r.nextRequestAt {
@@ -125,8 +127,8 @@
 	return true
 }
 
-// returnableMachines returns the names of machines that may be returned now, at most as many as fit
-// into one request.
+// returnableMachines returns the names of the draining machines that may be returned to the cloud now, at
+// most maxMachinesPerReturn.
 func (r *machineReturns) returnableMachines() []string {
 	var names []string
 	for _, machine := range r.state.MachinesByName() {
@@ -141,9 +143,9 @@
 	return names
 }
 
-// worthKeeping reports whether a surplus machine is kept for now. Its first minBilledTime is billed
-// in any case, and for some time after it became surplus, work may arrive sooner than a new machine
-// would boot.
+// worthKeeping reports whether a machine is surplus but kept for now. It is kept for minBilledTime after
+// its rental, which is billed in any case. It is also kept for some time after it became surplus, because
+// work may arrive sooner than a new machine would boot.
 func (r *machineReturns) worthKeeping(machine *cluster.Machine) bool {
 	if machine.DrainReason != cluster.SurplusCapacity {
 		return false
@@ -173,8 +175,8 @@
 	})
 }
 
-// onResponse removes the machines if the cloud has confirmed their return. Otherwise, their return
-// can be requested again.
+// onResponse handles the cloud's response to a return request. It removes the machines if the cloud has
+// confirmed their return. Otherwise, their return can be requested again.
 func (r *machineReturns) onResponse(names []string, response protocol.CloudResponse) {
 	returned := response.Status == http.StatusOK
 	for _, name := range names {
--- a/internal/autoscaler/returns_test.go
+++ b/internal/autoscaler/returns_test.go
@@ -9,8 +9,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A draining machine is returned once neither tasks nor results are on it, and removed once the cloud
-// has confirmed the return. Results would be lost if it were returned earlier.
+// A draining machine must be returned to the cloud once it has neither tasks nor results, and removed once
+// the cloud has confirmed the return. Results would be lost if the machine were returned earlier.
 func TestDrainedMachineIsReturned(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
@@ -19,19 +19,19 @@
 	host.state.BeginDrain(idle, cluster.Unhealthy)
 	host.state.BeginDrain(busy, cluster.Unhealthy)
 	if !a.returns.requestReturns() || !idle.Terminating || !idle.TerminationRequested {
-		t.Fatal("no return of the idle machine was requested")
+		t.Fatal("the return of the idle machine was not requested, or other requests must wait")
 	}
 	request := host.answer(t, 200, nil)
 	if names := request.body.(protocol.MachineNames).Machines; request.path != "/hosts/return" || !slices.Equal(names, []string{"idle"}) {
-		t.Errorf("request: %s of %v, expected /hosts/return of the idle machine", request.path, names)
+		t.Errorf("return request: got %s of %v, want /hosts/return of idle", request.path, names)
 	}
 	if host.state.Machines["idle"] != nil || host.state.Machines["busy"] == nil {
-		t.Errorf("machines after the return: %v, expected only the busy one", host.state.Machines)
+		t.Errorf("machines after the return: got %v, want only busy", host.state.Machines)
 	}
 }
 
-// After a return that the cloud has not confirmed, the machine stays draining, because the request may
-// still take effect, and its return is requested again.
+// After a return request that the cloud has not confirmed, the machine must stay draining, because the
+// request may still take effect, and its return must be requested again.
 func TestUnconfirmedReturnIsRepeated(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
@@ -40,7 +40,7 @@
 	a.returns.requestReturns()
 	host.answer(t, 500, nil)
 	if m.Terminating || !m.TerminationRequested || !m.Draining || !a.cloud.backingOff() {
-		t.Errorf("terminating %v, termination requested %v, draining %v, backing off %v; expected false, then all true",
+		t.Errorf("terminating %v, termination requested %v, draining %v, backing off %v; want false, then all true",
 			m.Terminating, m.TerminationRequested, m.Draining, a.cloud.backingOff())
 	}
 	host.now += time.Second
@@ -49,24 +49,24 @@
 	}
 }
 
-// Without a request budget, no return is sent and other requests must wait. A return that the recovery
-// does not allow costs no request budget.
+// When the budget of requests to the cloud is used up, no return may be sent and other requests must wait.
+// A return that the recovery does not allow must not cost any of that budget.
 func TestReturnsRespectBudgets(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
 	host.now = time.Hour
 	host.state.BeginDrain(host.addMachine("m-1"), cluster.Unhealthy)
 	host.requestBudget = 0
 	if a.returns.requestReturns() || len(host.requests) != 0 {
-		t.Error("a return was sent, or other requests were allowed, without a request budget")
+		t.Error("a return was sent, or other requests were allowed, although the budget of requests is used up")
 	}
 	host.requestBudget, host.allowed = 1, 0
 	if !a.returns.requestReturns() || len(host.requests) != 0 || host.requestBudget != 1 {
-		t.Errorf("return not allowed by the recovery: %d requests sent, expected 0; %d left in the budget, expected 1",
+		t.Errorf("return not allowed by the recovery: %d requests sent, want 0; %d left in the budget, want 1",
 			len(host.requests), host.requestBudget)
 	}
 }
 
-// A surplus machine is kept within its first minute, which is billed anyway, and until its idle
+// A surplus machine must be kept within its first minute, which is billed anyway, and until its idle
 // retention ends, because work may arrive sooner than a new machine would boot.
 func TestSurplusMachineIsKeptUntilRetentionEnds(t *testing.T) {
 	a, host := newFakeAutoscaler(t)
@@ -88,8 +88,8 @@
 	}
 }
 
-// Silent machines are drained, unless most machines are silent. In that case the leader itself is
-// probably partitioned from its workers, and would return machines that work.
+// Silent machines must be drained, unless most machines are silent. In that case the leader itself is
+// probably partitioned from its workers, and would return healthy machines to the cloud.
 func TestSilentMachinesAreDrainedUnlessMostAre(t *testing.T) {
 	for name, test := range map[string]struct {
 		silent, reporting int
@@ -110,7 +110,7 @@
 		a.returns.drainUnresponsive()
 		for _, m := range host.state.MachinesByName() {
 			if want := test.drained && m.LastHeartbeat == 0; m.Draining != want {
-				t.Errorf("%s: draining of %s is %v, expected %v", name, m.Name, m.Draining, want)
+				t.Errorf("%s: machine %s: got draining %v, want %v", name, m.Name, m.Draining, want)
 			}
 		}
 	}
