--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -20,47 +20,47 @@
 type Catalog struct {
 	host        Host
 	log         *slog.Logger
-	workerLease time.Duration // unit of the read intervals
+	workerLease time.Duration // duration of a worker lease, from which the read intervals follow
 
 	Types map[string]*protocol.MachineType // by name; nil: not known yet
 	// Confirmed is true if the types are exactly those of the last catalog from the cloud. It is false
-	// while they come from the record of an earlier leader or include missingTypes.
+	// while the types come from the record of an earlier leader or include missingTypes.
 	Confirmed bool
-	// missingTypes are the types that are kept although the last catalog from the cloud lacked them.
-	// A type is removed only when two catalogs in a row lack it.
+	// missingTypes are the names of the types that are kept although the last catalog from the cloud
+	// lacked them. A type is removed only when two catalogs in a row lack it.
 	missingTypes map[string]bool
 
 	RequestedAt     clock.Instant // when the cloud's catalog was last requested; never: not yet
 	requestInFlight bool
 }
 
-// Host is the node of a catalog. It provides the time and the access to the cloud and the store.
+// Host is the node of a catalog. It provides the time and access to the cloud and the key-value store.
 type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// Leading reports whether the node is the leader.
 	Leading() bool
-	// TakeCloudRequest reports whether the budget allows a request to the cloud now, and takes it
-	// from the budget.
+	// TakeCloudRequest reports whether the budget allows a request to the cloud now. If so, it takes
+	// the request from the budget.
 	TakeCloudRequest() bool
-	// ReadFromCloud requests a resource of the cloud, and calls onResponse with the response. Its
-	// status is 0 if no usable response arrives within the timeout.
+	// ReadFromCloud requests a resource of the cloud, and calls onResponse with the response. The
+	// status of the response is 0 if no usable one arrives within the timeout.
 	ReadFromCloud(path string, timeout time.Duration, onResponse func(protocol.CloudResponse))
 	// ReadFromStore requests a record of the key-value store, and calls onResponse with the response.
-	// Its status is 0 if no usable response arrives.
+	// The status of the response is 0 if no usable one arrives.
 	ReadFromStore(key string, onResponse func(storage.Response))
 	// MachineTypesChanged updates what the node derives from the machine types. It is called after
 	// each replacement of the types.
 	MachineTypesChanged()
 }
 
-// Intervals between reads of the cloud's catalog, in worker leases or as a number per worker lease.
+// Intervals between reads of the cloud's catalog, and their timeout.
 const (
-	unconfirmedReadsPerLease  = 10 // until a catalog is confirmed
-	missingTypesReadLeases    = 1  // after a catalog that lacked known types
-	leaderCatalogReadLeases   = 4  // on the leader, whose plans depend on prices
-	followerCatalogReadLeases = 16 // on all other nodes
-	catalogTimeoutsPerLease   = 4  // read timeouts that fit into a worker lease
+	unconfirmedReadsPerLease  = 10 // reads per worker lease, until a catalog is confirmed
+	missingTypesReadLeases    = 1  // worker leases between reads, after a catalog that lacked known types
+	leaderCatalogReadLeases   = 4  // worker leases between reads on the leader, whose plans depend on prices
+	followerCatalogReadLeases = 16 // worker leases between reads on all other nodes
+	catalogTimeoutsPerLease   = 4  // ratio of a worker lease to the timeout of a read
 )
 
 // New returns a catalog without machine types. Tick requests them.
@@ -74,9 +74,9 @@
 // Known reports whether machine types have been read, from the cloud or from the store.
 func (c *Catalog) Known() bool { return c.Types != nil }
 
-// Tick requests the cloud's catalog once the read interval has passed since the last request, within
-// the request budget. While no types are known, it also reads the catalog that an earlier leader
-// stored.
+// Tick requests the cloud's catalog once the read interval has passed since the last request, if the
+// budget of requests to the cloud allows. While no types are known, it also reads the catalog that an
+// earlier leader stored.
 func (c *Catalog) Tick() {
 	if c.requestInFlight {
 		return
@@ -120,9 +120,9 @@
 	c.merge(catalog)
 }
 
-// merge replaces the known types by those of a catalog from the cloud, but keeps a known type that is
-// missing for the first time: a job that fits only that type would be rejected permanently. The type
-// is removed if the next catalog lacks it too.
+// merge replaces the known types by those of a catalog from the cloud. It keeps a known type that is missing
+// for the first time: otherwise a job that fits only that type would be rejected permanently. The type is
+// removed if the next catalog lacks it too.
 func (c *Catalog) merge(catalog protocol.Catalog) {
 	missing := map[string]bool{}
 	if c.Confirmed || len(c.missingTypes) > 0 {
@@ -153,8 +153,8 @@
 	c.host.MachineTypesChanged()
 }
 
-// readStored loads the machine types that an earlier leader stored, unless others are known by the
-// time that they arrive. Without them, a cluster that restarts during an outage of the cloud could
+// readStored loads the machine types that an earlier leader stored, unless others are known when the
+// response arrives. Without stored types, a cluster that restarts during an outage of the cloud could
 // neither accept jobs nor use its machines.
 func (c *Catalog) readStored() {
 	c.host.ReadFromStore(storage.CatalogKey, func(response storage.Response) {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -20,8 +20,8 @@
 func (offlineCatalogHost) ReadFromStore(_ string, _ func(storage.Response))                        {}
 func (offlineCatalogHost) MachineTypesChanged()                                                    {}
 
-// A known type is removed only when two catalogs in a row lack it. If one incomplete catalog removed
-// it, jobs that fit only that type would be rejected permanently.
+// A known type must be removed only when two catalogs in a row lack it. If one incomplete catalog removed
+// the type, jobs that fit only that type would be rejected permanently.
 func TestMissingTypeIsRemovedAfterTwoCatalogs(t *testing.T) {
 	catalog := New(offlineCatalogHost{}, slog.New(slog.DiscardHandler), time.Minute)
 	cloudCatalog := func(names ...string) protocol.Catalog {
@@ -44,7 +44,7 @@
 	} {
 		catalog.merge(cloudCatalog(step.names...))
 		if (catalog.Types["g8"] != nil) != step.known || catalog.Confirmed != step.confirmed {
-			t.Errorf("step %d: type g8 is known: %v, expected %v; catalog is confirmed: %v, expected %v",
+			t.Errorf("step %d: type g8 is known: got %v, want %v; catalog is confirmed: got %v, want %v",
 				i, catalog.Types["g8"] != nil, step.known, catalog.Confirmed, step.confirmed)
 		}
 	}
