--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,17 +48,17 @@
 	} `toml:"workers"`
 	Store StoreLimits `toml:"state"`
 	Cloud struct {
-		RequestsPerS float64 `toml:"rps"`        // limit of the rate of requests
+		RequestsPerS float64 `toml:"rps"`        // limit of the rate of requests to the cloud
 		ListLagS     float64 `toml:"list_lag_s"` // how far the cloud's list of machines may be outdated
 	} `toml:"cloud"`
 	Resources Resources `toml:"resources"`
 }
 
-// WorkerLease returns the duration of a worker's lease. Many other time spans are fractions or
-// multiples of it.
+// WorkerLease returns the duration of a worker lease: a worker that gets no response to its heartbeats for
+// this long kills its tasks. Many other time spans are fractions or multiples of the worker lease.
 func (c *Cluster) WorkerLease() time.Duration { return Seconds(c.Workers.LeaseS) }
 
-// Team returns the team with a name, or nil if the settings have none.
+// Team returns the team with the given name, or nil if the settings have no such team.
 func (c *Cluster) Team(name string) *Team {
 	for i := range c.Teams {
 		if c.Teams[i].Name == name {
@@ -70,10 +70,10 @@
 
 // StoreLimits are the limits of the key-value store, for all controllers together.
 type StoreLimits struct {
-	RequestsPerS float64 `toml:"rps"`
-	WritesPerS   float64 `toml:"write_rps"`
-	ValueKB      float64 `toml:"value_kb"` // size of one value, in units of 1024 bytes
-	TxnOps       int     `toml:"txn_ops"`  // number of writes in one transaction
+	RequestsPerS float64 `toml:"rps"`       // rate of requests
+	WritesPerS   float64 `toml:"write_rps"` // rate of writes
+	ValueKB      float64 `toml:"value_kb"`  // size of one value, in units of 1024 bytes
+	TxnOps       int     `toml:"txn_ops"`   // number of writes in one transaction
 	// Upcoming are the limits that will replace the present ones at some later time, without notice.
 	// A limit that is nil stays as it is.
 	Upcoming struct {
@@ -88,11 +88,11 @@
 	return int(min(s.ValueKB, valueOr(s.Upcoming.ValueKB, s.ValueKB)) * 1024)
 }
 
-// MaxTxnOps returns the largest number of operations in a transaction that both the present and the
-// upcoming limit allow.
+// MaxTxnOps returns the largest number of writes in a transaction that both the present and the upcoming
+// limit allow.
 func (s *StoreLimits) MaxTxnOps() int { return min(s.TxnOps, valueOr(s.Upcoming.TxnOps, s.TxnOps)) }
 
-// LowerWritesPerS returns the lower of the present and the upcoming rate of writes.
+// LowerWritesPerS returns the lower of the present and the upcoming limit of the rate of writes.
 func (s *StoreLimits) LowerWritesPerS() float64 {
 	return min(s.WritesPerS, valueOr(s.Upcoming.WritesPerS, s.WritesPerS))
 }
@@ -105,15 +105,16 @@
 	return *p
 }
 
-// Resources is the share of its host that the controller may use.
+// Resources are the limits of what the controller may use of the computer on which it runs.
 type Resources struct {
 	CoreShare      float64 `toml:"core_share"`      // processor share; validated but not used
 	MemoryMB       float64 `toml:"mem_mb"`          // memory, in units of 1024 * 1024 bytes
 	MaxConnections int     `toml:"max_connections"` // open connections, both accepted and dialled
 }
 
-// Team holds the guarantee and the quota of a team. A guarantee of 0 means that nothing is guaranteed,
-// a quota of 0 that the team is not limited.
+// Team holds the guarantee and the quota of a team: the cores and accelerators that its jobs are to get
+// when they need them, and the most that its jobs may use. A guarantee of 0 means that nothing is
+// guaranteed, a quota of 0 that the team is not limited.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`     // guarantee, in CPU cores
@@ -127,13 +128,14 @@
 	// Kind is "finished" for an objective on the completion of jobs, "wait" for one on their start,
 	// and "guarantee" for one on the start of work within the guarantees of teams.
 	Kind     string  `toml:"kind"`
-	Class    string  `toml:"class"`    // class of the jobs, unless Kind is "guarantee"
+	Class    string  `toml:"class"`    // job class to which the objective applies; unused if Kind is "guarantee"
 	WithinS  float64 `toml:"within_s"` // time limit in seconds
 	MinShare float64 `toml:"share"`    // share of the jobs, 0 to 1, that must meet the time limit
 }
 
 // LoadPlatform reads and validates the settings file of the platform. The error wraps an
-// *InvalidSettingError for an invalid setting, and a *SyntaxError for a file that can't be decoded.
+// *InvalidSettingError for an invalid setting, a *SyntaxError for a file that can't be decoded, and the
+// error of the file system for a file that can't be read.
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -68,29 +68,30 @@
 func checkError(t *testing.T, err error, want string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("error %v, expected one line with %q", err, want)
+		t.Errorf("got error %v, want one line with %q", err, want)
 	}
 	var invalid *InvalidSettingError
 	var syntax *SyntaxError
 	if errors.As(err, &invalid) == errors.As(err, &syntax) {
-		t.Errorf("%T, expected either an InvalidSettingError or a SyntaxError", err)
+		t.Errorf("got an error of type %T, want either an InvalidSettingError or a SyntaxError in it", err)
 	}
 }
 
-// A valid file must be loaded, also with an unknown field. A missing file is reported as such.
+// A valid file must load, even if it has an unknown field. The error for a missing file must be
+// fs.ErrNotExist.
 func TestLoad(t *testing.T) {
 	platform, err := LoadPlatform(writeFile(t, validPlatform))
 	if err != nil || platform.Cluster.Workers.LeaseS != 14 || platform.Peers[0].Node != "n1" {
-		t.Fatalf("valid file loaded as %+v with error %v", platform, err)
+		t.Fatalf("valid platform file: got %+v, error %v; want lease 14 s, peer n1, no error", platform, err)
 	}
 	checkStoreLimits(t, platform, 8<<10)
 	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("missing file: %v, expected %v", err, fs.ErrNotExist)
+		t.Errorf("missing platform file: got error %v, want %v", err, fs.ErrNotExist)
 	}
 }
 
-// An upcoming limit that is lower than the present one must apply from the start, because the store
-// changes its limits without notice. A higher one must not.
+// An upcoming limit that is lower than the present one must apply from the start, because the key-value
+// store changes its limits without notice. An upcoming limit that is higher must not apply.
 func TestUpcomingLimits(t *testing.T) {
 	const limits = "txn_ops = 20\n[cluster.state.next]\nwrite_rps = 30.0\nvalue_kb = 2.0"
 	platform, err := LoadPlatform(writeFile(t, strings.Replace(validPlatform, "txn_ops = 20", limits, 1)))
@@ -100,19 +101,19 @@
 	checkStoreLimits(t, platform, 2<<10)
 }
 
-// checkStoreLimits checks the limits that hold now and later: the given size of a value, 20 operations in
-// a transaction and 25 writes per second.
+// checkStoreLimits checks the limits that both the present and the upcoming settings allow: the given size
+// of a value, 20 writes in a transaction and 25 writes per second.
 func checkStoreLimits(t *testing.T, platform *Platform, valueBytes int) {
 	t.Helper()
 	store := platform.Cluster.Store
 	if store.MaxValueBytes() != valueBytes || store.MaxTxnOps() != 20 || store.LowerWritesPerS() != 25 {
-		t.Errorf("%d bytes, %d operations, %v writes per second, expected %d, 20 and 25",
+		t.Errorf("store limits: got %d bytes, %d writes per transaction, %v writes per second; want %d, 20, 25",
 			store.MaxValueBytes(), store.MaxTxnOps(), store.LowerWritesPerS(), valueBytes)
 	}
 }
 
-// An invalid file must be rejected with one line that names the field, or the line of a syntax error. A
-// wrong value would otherwise show only in the operation of the cluster.
+// An invalid platform file must be rejected with an error of one line that names the field or, for a syntax
+// error, the line of the file. Otherwise a wrong value would show only in the operation of the cluster.
 func TestBadPlatform(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`node = "n0"`, ``, "node: missing"},
@@ -136,20 +137,20 @@
 	}
 }
 
-// Keys of the file must override the defaults and leave all others. A file without any key must not
-// clear the defaults.
+// The keys of a settings file must override their defaults and leave all other defaults as they are. A file
+// without any key must be accepted.
 func TestSettings(t *testing.T) {
 	settings, err := LoadSettings(writeFile(t, "slots_per_core: 3\nthrift: 0.5\n"))
 	if err != nil || settings.SlotsPerCore != 3 || settings.BaseSlots != 6 || *settings.CostSensitivity != 0.5 {
-		t.Fatalf("valid file loaded as %+v with error %v", settings, err)
+		t.Fatalf("valid settings file: got %+v, error %v; want slots 3 and 6, thrift 0.5, no error", settings, err)
 	}
 	if _, err := LoadSettings(writeFile(t, "")); err != nil {
-		t.Errorf("empty file: %v, expected it to be accepted", err)
+		t.Errorf("empty settings file: got error %v, want none", err)
 	}
 }
 
-// An unknown key, a value out of range or of the wrong type, and malformed YAML must be rejected with one
-// line. It names the key, unless the YAML is malformed.
+// An unknown key, a value out of range or of the wrong type, and malformed YAML must be rejected with an
+// error of one line. The error must name the key, unless the YAML is malformed.
 func TestBadSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		"slot_per_core: 3":    "slot_per_core",
@@ -168,18 +169,18 @@
 	}
 }
 
-// Numbers that users and other services send may be huge. They must become durations whose sums do not
-// overflow to the other sign.
+// Numbers of seconds that users and other services send may be huge. They must become durations whose sums
+// do not overflow to the other sign.
 func TestSecondsAreBounded(t *testing.T) {
 	for _, seconds := range []float64{0, 1.5, 1e9, 1e18, 1e300, -1e300} {
 		t.Run(fmt.Sprint(seconds), func(t *testing.T) {
 			duration := Seconds(seconds)
 			if (seconds >= 0) != (duration >= 0) || (seconds >= 0) != (4*duration+time.Hour >= 0) {
-				t.Errorf("%v s: %v, expected the same sign, also for four times as long", seconds, duration)
+				t.Errorf("Seconds(%v): got %v, want the same sign, also for four times the duration", seconds, duration)
 			}
 		})
 	}
 	if Seconds(1.5) != 1500*time.Millisecond {
-		t.Errorf("1.5 s: %v, expected 1.5s", Seconds(1.5))
+		t.Errorf("Seconds(1.5): got %v, want 1.5s", Seconds(1.5))
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -9,7 +9,7 @@
 
 // InvalidSettingError reports a setting that is missing or has a value that is not allowed.
 type InvalidSettingError struct {
-	Setting string // name in the file, with the tables that contain it
+	Setting string // name of the setting in the file, after those of the tables that contain it
 	Reason  string
 }
 
@@ -34,7 +34,7 @@
 // Unwrap returns the error of the decoder.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// newTOMLSyntaxError returns a SyntaxError that names the line, the column and the key.
+// newTOMLSyntaxError returns a SyntaxError that names the line, the column and the key of a TOML error.
 func newTOMLSyntaxError(err *toml.DecodeError) error {
 	row, column := err.Position()
 	key := strings.Join(err.Key(), ".")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,43 +16,45 @@
 	// task: SlotsPerCore * cores + BaseSlots.
 	SlotsPerCore float64 `yaml:"slots_per_core"`
 	BaseSlots    float64 `yaml:"slots_base"`
-	// BatchShare is the share of all slots, 0 to 1, that belongs to batch work. The rest belongs to
-	// latency-sensitive work, and batch work borrows it while latency-sensitive work is not delayed.
+	// BatchShare is the share of all slots, 0 to 1, that belongs to batch work. The other slots belong to
+	// latency-sensitive work, and batch work borrows them while latency-sensitive work is not delayed.
 	BatchShare float64 `yaml:"class_share"`
 	// BorrowWaitS is the time in seconds for which a latency-sensitive job may be pending before batch
 	// work stops borrowing slots.
 	BorrowWaitS float64 `yaml:"borrow_wait_s"`
-	// Headroom is the spare capacity of the fleet, as a ratio to the usual load.
+	// Headroom is the spare capacity of the fleet, as a ratio to the usual load: the number of cores that
+	// recent arrivals keep busy.
 	Headroom float64 `yaml:"headroom"`
 	// IdleRetention is how long a machine that is no longer needed is kept, as a ratio to its boot time.
 	IdleRetention float64 `yaml:"idle_keep"`
-	// CostSensitivity determines how much less headroom is held on more expensive machines: the headroom
-	// is scaled by (lowest price / price) to the power of CostSensitivity. The default, for nil, is 0.3
-	// if some SLO on starting leaves no time to boot a machine, and 2 otherwise.
+	// CostSensitivity determines how many fewer cores are held on more expensive machines: the usual load
+	// plus headroom is scaled by (lowest price / price) to the power of CostSensitivity. If it is nil, 0.3
+	// applies if some SLO on starting leaves no time to boot a machine, and 2 otherwise.
 	CostSensitivity *float64 `yaml:"thrift"`
-	// LoadSteps is the number of steps into which placement divides the load of a machine. It prefers
-	// a lower step, and within a step a shorter pull of the job's image and then a lower load.
+	// LoadSteps is the number of steps into which placement divides the load of a machine. Placement
+	// prefers a lower step, and within a step a shorter pull of the job's image and then a lower load.
 	LoadSteps int `yaml:"load_steps"`
 	// FairAdmission lets the leader publish admission policies under overload.
 	FairAdmission bool `yaml:"fair_admission"`
 	// LinkDecisions lets a leader resign, or ask peers to relay heartbeats, according to the half-open
 	// links that it knows of.
 	LinkDecisions bool `yaml:"link_decisions"`
-	// PacedRecovery makes a new leader hold back rentals and returns of machines until its machines
-	// are reconciled, and limits the rate of its commands.
+	// PacedRecovery makes a new leader restrict rentals and returns of machines until its machines are
+	// reconciled, that is, until no tasks unknown to this leader can run on them. It also limits the
+	// rate of its commands to workers.
 	PacedRecovery bool `yaml:"recovery"`
-	// RecoveryMinMachines is the smallest number of machines for which PacedRecovery applies: fewer
-	// machines can't cause a storm of requests.
+	// RecoveryMinMachines is the smallest number of machines for which PacedRecovery applies. A smaller
+	// fleet can't cause a storm of requests.
 	RecoveryMinMachines int `yaml:"recovery_from"`
 	// RecoveryRefillLeases and RecoveryReplaceLeases limit the rates of operations in a paced recovery.
-	// They are times as ratios to a worker lease: within the first, tasks may be started on all
-	// cores; within the second, all machines may be rented or returned.
+	// Both are times in worker leases. Within RecoveryRefillLeases, tasks may be started on all cores.
+	// Within RecoveryReplaceLeases, as many machines as there are may be rented or returned to the cloud.
 	RecoveryRefillLeases  float64 `yaml:"recovery_refill"`
 	RecoveryReplaceLeases float64 `yaml:"recovery_replace"`
 	// MaxTraceSteps is the number of steps in the processing of jobs that a node retains; 0 disables
 	// tracing.
 	MaxTraceSteps int `yaml:"trace_steps"`
-	// MemoryLimitRatio is the soft memory limit of the Go runtime, as a ratio to mem_mb.
+	// MemoryLimitRatio is the soft memory limit of the Go runtime, as a ratio to the platform's mem_mb.
 	MemoryLimitRatio float64 `yaml:"memory_ratio"`
 }
 
@@ -77,7 +79,7 @@
 	if err != nil {
 		return settings, fmt.Errorf("settings: %w", err)
 	}
-	// A file without any key is not decoded into settings, because the decoder would clear the defaults.
+	// The decoder would clear the defaults for a file without any key, so such a file is only parsed.
 	var keys map[string]any
 	if err := yaml.Unmarshal(raw, &keys); err != nil {
 		return settings, fmt.Errorf("settings: %s: %w", path, newYAMLSyntaxError(err))
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,10 +7,10 @@
 
 // Lower bounds of the limits of the key-value store.
 const (
-	// minTxnOps is the smallest limit of operations with which the controllers can form transactions.
+	// minTxnOps is the smallest limit of writes in a transaction with which the controllers can form theirs.
 	minTxnOps = 4
-	// minUpcomingValueKB is the lowest upcoming limit that is allowed for the size of a value, and so
-	// of a job record.
+	// minUpcomingValueKB is the lowest upcoming limit, in units of 1024 bytes, that is allowed for the
+	// size of a value, and so of a job record.
 	minUpcomingValueKB = 1.0
 )
 
@@ -30,8 +30,8 @@
 // stringSetting is a string and its name in the settings file.
 type stringSetting struct{ name, value string }
 
-// validateAddresses checks that the names of the nodes and all addresses are there, that no other node
-// has the name of this one, and that the addresses have the form host:port.
+// validateAddresses checks that no node name or address is missing, that no other node has the name of
+// this node, and that the addresses have the form host:port.
 func (p *Platform) validateAddresses() error {
 	addresses := []stringSetting{
 		{"client_listen", p.ClientListen}, {"peer_bind", p.PeerBind},
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// validateControllerCount checks that the number of controllers is that of the peers and this node.
+// validateControllerCount checks that ControllerCount is the number of peers plus 1, for this node.
 func (p *Platform) validateControllerCount() error {
 	if p.Cluster.ControllerCount != len(p.Peers)+1 {
 		return invalidSetting("cluster.count", "%d, but known names %d other nodes",
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// validateLease checks that the lease of a worker is longer than its heartbeat interval, so that
+// validateLease checks that the worker lease is longer than the heartbeat interval of workers, so that
 // heartbeats can renew the lease in time.
 func (c *Cluster) validateLease() error {
 	if c.Workers.LeaseS <= c.Workers.HeartbeatIntervalS {
