--- a/internal/protocol/cloud_response.go
+++ b/internal/protocol/cloud_response.go
@@ -7,7 +7,7 @@
 )
 
 // CloudResponse is the response of the cloud to a request. Status 0 means that no usable response
-// arrived: the request may have been executed, or may still be executed later.
+// arrived: the cloud may have executed the request already, or may execute it later.
 type CloudResponse struct {
 	Status int
 	Body   []byte
--- a/internal/protocol/cloud_responses.go
+++ b/internal/protocol/cloud_responses.go
@@ -33,11 +33,11 @@
 	return problem
 }
 
-// checkCatalog returns an error unless the body is a catalogue with a usable machine type.
+// checkCatalog returns an error unless the body is a catalogue with at least one usable machine type.
 func checkCatalog(body []byte) *CloudResponseError {
 	var catalog Catalog
 	if err := json.Unmarshal(body, &catalog); err != nil || len(catalog.UsableTypes()) == 0 {
-		return &CloudResponseError{Reason: "no machine type that can be used", Err: err}
+		return &CloudResponseError{Reason: "the catalogue has no machine type that can be used", Err: err}
 	}
 	return nil
 }
@@ -50,13 +50,13 @@
 		return &CloudResponseError{Reason: "not a list of machines", Err: err}
 	}
 	if slices.Contains(names.Machines, "") {
-		return &CloudResponseError{Reason: "a machine without a name"}
+		return &CloudResponseError{Reason: "the list contains a machine without a name"}
 	}
 	return nil
 }
 
-// checkHostPage returns an error unless the body is a valid page of the machine list. The names must be
-// in strictly increasing order, and after the name where the request starts. Otherwise a page that
+// checkHostPage returns an error unless the body is a valid page of the machine list. The machine names
+// must be in strictly increasing order after the name where the request starts. Otherwise a page that
 // does not advance would make the caller request it forever.
 func checkHostPage(path string, body []byte) *CloudResponseError {
 	var page HostPage
@@ -71,25 +71,25 @@
 	previous := values.Get("since")
 	for _, host := range page.Machines {
 		if host.Name <= previous {
-			return &CloudResponseError{Reason: fmt.Sprintf("machine %q after %q", host.Name, previous)}
+			return &CloudResponseError{Reason: fmt.Sprintf("machine %q is out of order, it follows %q", host.Name, previous)}
 		}
 		previous = host.Name
 	}
 	if page.Truncated && len(page.Machines) == 0 {
-		return &CloudResponseError{Reason: "cut off before the first machine"}
+		return &CloudResponseError{Reason: "the page is truncated before its first machine"}
 	}
 	return nil
 }
 
-// Lower bounds to which the amounts in a catalogue are raised. Prices and pull rates are used as
-// divisors, so a zero would make every comparison between machine types meaningless.
+// Lower bounds to which prices and pull rates in a catalogue are raised. They are used as divisors, so a
+// zero would make every comparison between machine types meaningless.
 const (
-	minPrice           = 1e-6 // per hour
+	minPrice           = 1e-6 // price per hour
 	minPullGBPerSecond = 1e-3
 )
 
-// canHoldTasks reports whether a machine of the type can be rented, which needs a name, and can hold
-// a task.
+// canHoldTasks reports whether a machine of the type can be rented, for which the type needs a name, and
+// can hold a task.
 func (t *MachineType) canHoldTasks() bool {
 	return t.Name != "" && t.Cores > 0 && t.MemoryGB > 0 && !(t.Accelerators < 0)
 }
--- a/internal/protocol/cloud_responses_test.go
+++ b/internal/protocol/cloud_responses_test.go
@@ -39,14 +39,14 @@
 			err := CheckCloudResponse(c.method, c.path, c.status, []byte(c.body))
 			var invalid *CloudResponseError
 			if (err == nil) != c.valid || err != nil && !errors.As(err, &invalid) {
-				t.Errorf("%s %s: %d %s: error %v, expected valid: %v", c.method, c.path, c.status, c.body, err, c.valid)
+				t.Errorf("%s %s: %d %s: got error %v; valid: want %v", c.method, c.path, c.status, c.body, err, c.valid)
 			}
 		})
 	}
 }
 
-// A machine type without a price or a pull rate stays usable, with positive amounts, because they are
-// used as divisors. A type that can't hold a task, or has no name, is left out.
+// A machine type without a price or a pull rate must stay usable, with positive amounts instead, because
+// prices and pull rates are used as divisors. A type that can't hold a task, or has no name, must be left out.
 func TestUsableTypes(t *testing.T) {
 	valid := MachineType{Name: "c4", Cores: 4, MemoryGB: 16, PullGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5}
 	free, withoutPullRate, withoutCores, nameless := valid, valid, valid, valid
@@ -57,12 +57,12 @@
 	catalog := Catalog{Types: []MachineType{valid, free, withoutPullRate, withoutCores, nameless}}
 	usable := catalog.UsableTypes()
 	if len(usable) != 3 {
-		t.Fatalf("%d usable types, expected 3", len(usable))
+		t.Fatalf("usable machine types: got %d, want 3", len(usable))
 	}
 	for _, machineType := range usable {
 		if !(machineType.PricePerCore(true) > 0) || !(machineType.PricePerCore(false) > 0) ||
 			!(machineType.PullGBPerSecond > 0) {
-			t.Errorf("price or pull rate is not above 0: %+v", machineType)
+			t.Errorf("machine type %+v: want all prices and the pull rate above 0", machineType)
 		}
 	}
 }
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// InvalidBodyError reports a request body that is too large, can't be decoded, or doesn't identify its
-// sender. Its text is part of the response to the sender.
+// InvalidBodyError reports the body of a submission or of a worker's heartbeat that is too large, can't be
+// decoded, or doesn't identify its sender. The error text is part of the response to the sender.
 type InvalidBodyError struct {
 	Reason string
 	Err    error // error of the decoder; nil if the body could be decoded or was not tried
@@ -16,7 +16,7 @@
 func (e *InvalidBodyError) Unwrap() error { return e.Err }
 
 // InvalidFieldError reports a field of a submission that is missing or has a value that is not
-// allowed. Its text is part of the response to the user.
+// allowed. The error text is part of the response to the user.
 type InvalidFieldError struct {
 	Field  string // name on the wire
 	Reason string
@@ -25,8 +25,8 @@
 // Error implements error.
 func (e *InvalidFieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// NegativeAmountError reports an amount in a submission that is negative or not a number. Its text
-// does not name the field, so that it stays the same as in earlier versions.
+// NegativeAmountError reports an amount in a submission that is negative or not a number. The error text
+// does not name the field, so that the text stays the same as in earlier versions.
 type NegativeAmountError struct {
 	Field string // name on the wire
 }
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("line between controllers: unknown type %q, kind %q", e.Type, e.RequestKind)
 }
 
-// CloudResponseError reports how the body of a response of the cloud is truncated or inconsistent.
+// CloudResponseError reports why the body of a response of the cloud is invalid: truncated or inconsistent.
 type CloudResponseError struct {
 	Call   string // method and path of the request
 	Reason string
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -28,28 +28,28 @@
 	ProtocolLevel     int           // protocol level of the sender: records and messages that it understands
 	WritesThrottled   bool          // the sender limits its writes to the lower rate of the settings
 	ConnectionsFull   bool          // the sender has no connections left for more workers
-	SpareConnections  int           // number of further workers that the sender accepts; 0: unknown, or it is full
-	Links             *LinkReport   // the sender's view of the links; nil: not stated
+	SpareConnections  int           // number of further workers that the sender accepts; 0: none, or not stated
+	Links             *LinkReport   // the sender's view of its links; nil: not stated
 	PolicyRevision    uint64        // revision of the latest admission policy that the sender knows
 }
 
-// LeaseGrant is the response to a PeerHeartbeat that requests it. For the duration of a leader lease,
-// the sender casts no new vote, neither for another node nor for itself. It may still begin a
-// candidacy, but it does not take the leader key before the grant ends.
+// LeaseGrant is the response to a leader's PeerHeartbeat with WantsLeaseGrant. For the duration of a leader
+// lease, the node that sends the grant casts no new vote, neither for another node nor for itself. It may
+// still begin a candidacy, but it does not take the leader key before the grant ends.
 type LeaseGrant struct {
 	Term            uint64        // term of the leader that gets the grant
-	HeartbeatSentAt time.Duration // SentAt of the heartbeat; the leader counts the grant from this time
+	HeartbeatSentAt time.Duration // SentAt of that PeerHeartbeat; for the leader, the grant begins at this time
 }
 
 // VoteRequest is sent by a candidate, which requests a vote for its term.
 type VoteRequest struct {
-	Term uint64
+	Term uint64 // term for which the sender is a candidate
 }
 
 // Vote is the response to a VoteRequest.
 type Vote struct {
-	Term    uint64
-	Granted bool
+	Term    uint64 // term of the VoteRequest
+	Granted bool   // the sender votes for the candidate
 }
 
 // RequestKind is the kind of a request that a user, a worker, the load balancer or an operator sends.
@@ -77,7 +77,7 @@
 	ID    uint64 // chosen by the follower, not 0; the response carries the same ID
 	Kind  RequestKind
 	JobID string          // empty if Kind is RequestHeartbeat
-	Body  json.RawMessage // submission or worker's heartbeat; empty for the other kinds
+	Body  json.RawMessage // a submission or a worker's heartbeat; empty for the other kinds
 }
 
 // ForwardedResponse is the leader's response to the ForwardedRequest with the same ID.
@@ -98,7 +98,7 @@
 	Class               string `json:"class"`
 	PriorityRank        int    `json:"rank"`
 	RejectedForCapacity int    `json:"away,omitempty"`    // admitted jobs that the sender can't store in time
-	RejectedByPolicy    int    `json:"refused,omitempty"` // attempts that the policy rejects
+	RejectedByPolicy    int    `json:"refused,omitempty"` // submissions that the admission policy rejects
 }
 
 // AdmissionLoad reports to the leader the submissions that the sender has rejected since its
@@ -110,7 +110,7 @@
 
 // LinkReport is a node's view of the links between controllers and to workers.
 type LinkReport struct {
-	IncomingLinks  []reachability.IncomingLink `json:"hears"` // from the peers that the sender heard lately
+	IncomingLinks  []reachability.IncomingLink `json:"hears"` // from the peers that reached the sender lately
 	StoreReachable bool                        `json:"state"` // the key-value store responds to the sender
 	// RecentWorkers is the number of workers that sent heartbeats to the sender lately. StrandedWorkers
 	// is how many of these the sender could neither serve nor relay to the leader.
@@ -132,8 +132,8 @@
 }
 
 // wirePeerMessage is the wire form of every PeerMessage. The tags are fixed by earlier versions,
-// as controllers of two versions exchange messages during an upgrade. Each message type uses some of
-// the fields, in the meaning of its own fields; times are in nanoseconds.
+// as controllers of two versions exchange messages during an upgrade. Each message type uses the fields
+// that it has in its Go type, with the same meaning; times are in nanoseconds.
 type wirePeerMessage struct {
 	Type              peerMessageType `json:"type"`
 	Term              uint64          `json:"term,omitempty"`
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// goldenMessages are messages by their wire form, which was recorded from the last version that had no
-// Go type for each message.
+// goldenMessages are messages by their wire form. The wire forms were recorded from the last version that
+// had no Go type for each message.
 var goldenMessages = map[string]PeerMessage{
 	`{"type":"beat","term":4,"lead":true,"want":true,"sent":12,"up":13,"run":5,"heard":7,` +
 		`"level":1,"slow":true}`: PeerHeartbeat{Term: 4, IsLeader: true, WantsLeaseGrant: true, SentAt: 12, Uptime: 13,
@@ -32,24 +32,24 @@
 }
 
 // A changed tag or type would cut off the controllers of the earlier version during an upgrade: they
-// must decode what this version encodes, and this version what they encode.
+// must decode what this version encodes, and this version must decode what they encode.
 func TestPeerMessagesKeepTheirEarlierWireForm(t *testing.T) {
 	for line, message := range goldenMessages {
 		t.Run(line, func(t *testing.T) {
 			raw, err := EncodePeerMessage(message)
 			if err != nil || string(raw) != line {
-				t.Errorf("encoded as %s, expected %s: %v", raw, line, err)
+				t.Errorf("%+v: got encoded as %s, error %v; want %s", message, raw, err, line)
 			}
 			read, err := DecodePeerMessage([]byte(line))
 			if err != nil || !reflect.DeepEqual(read, message) {
-				t.Errorf("%s: decoded as %+v, expected %+v: %v", line, read, message, err)
+				t.Errorf("%s: got decoded as %+v, error %v; want %+v", line, read, err, message)
 			}
 		})
 	}
 }
 
-// Fields and types added since goldenMessages was recorded must be decoded as they were encoded. A
-// field that is missing in one of the two directions would be lost without an error.
+// Fields and types added since goldenMessages was recorded must be decoded as they were encoded. A field
+// that only the encoding or only the decoding handles would be lost without an error.
 func TestAddedPeerMessagesRoundTrip(t *testing.T) {
 	for _, message := range []PeerMessage{
 		PeerHeartbeat{SentAt: 1, Uptime: 1, ProcessID: 5, ConnectionsFull: true, PolicyRevision: 77},
@@ -63,7 +63,7 @@
 			t.Fatal(err)
 		}
 		if read, err := DecodePeerMessage(raw); err != nil || !reflect.DeepEqual(read, message) {
-			t.Errorf("%s: decoded as %+v, expected %+v: %v", raw, read, message, err)
+			t.Errorf("%s: got decoded as %+v, error %v; want %+v", raw, read, err, message)
 		}
 	}
 }
@@ -84,34 +84,34 @@
 		t.Run(line, func(t *testing.T) {
 			var malformed *PeerMessageError
 			if m, err := DecodePeerMessage([]byte(line)); !errors.As(err, &malformed) || m != nil {
-				t.Errorf("%s: decoded as %+v with error %v, expected a PeerMessageError", line, m, err)
+				t.Errorf("%s: got decoded as %+v, error %v; want a PeerMessageError", line, m, err)
 			}
 		})
 	}
 }
 
-// A later version may send message types, kinds of requests and fields that this one does not know.
-// The first two must be told from malformed messages, and an unknown field must be ignored. Otherwise
-// an upgrade would disturb the controllers of this version.
+// A later version may send message types, kinds of forwarded requests and fields that this version does
+// not know. The error for an unknown type or kind must differ from that for a malformed message, and an
+// unknown field must be ignored. Otherwise an upgrade would disturb the controllers of this version.
 func TestPeerMessagesOfLaterVersions(t *testing.T) {
 	t.Run("type", func(t *testing.T) {
 		var unknown *UnknownPeerMessageError
 		_, err := DecodePeerMessage([]byte(`{"type":"later","term":3}`))
 		if !errors.As(err, &unknown) || unknown.Type != "later" {
-			t.Errorf("unknown type: %v, expected an UnknownPeerMessageError", err)
+			t.Errorf("unknown type of message: got error %v, want an UnknownPeerMessageError of type later", err)
 		}
 	})
 	t.Run("kind of request", func(t *testing.T) {
 		var unknown *UnknownPeerMessageError
 		_, err := DecodePeerMessage([]byte(`{"type":"ask","id":1,"kind":"later"}`))
 		if !errors.As(err, &unknown) || unknown.RequestKind != "later" {
-			t.Errorf("unknown kind of request: %v, expected an UnknownPeerMessageError", err)
+			t.Errorf("unknown kind of request: got error %v, want an UnknownPeerMessageError of kind later", err)
 		}
 	})
 	t.Run("field", func(t *testing.T) {
 		m, err := DecodePeerMessage([]byte(`{"type":"clear","term":5,"new":"x"}`))
 		if err != nil || m != (VoteRequest{Term: 5}) {
-			t.Errorf("unknown field: decoded as %+v with error %v, expected a vote request for term 5", m, err)
+			t.Errorf("message with an unknown field: got %+v, error %v; want a vote request for term 5", m, err)
 		}
 	})
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -23,8 +23,8 @@
 	// HeartbeatTimeout is how long a worker waits for the response to a heartbeat. The worker drops
 	// a response that arrives later.
 	HeartbeatTimeout = 4 * time.Second
-	// NextNodeDelay is how long a worker waits after a heartbeat without a response before it tries
-	// the next node.
+	// NextNodeDelay is how long a worker waits after a heartbeat without a response before it sends
+	// one to the next node.
 	NextNodeDelay = time.Second
 	// SubmissionRetryWindow is how long users keep retrying a submission that is not accepted.
 	SubmissionRetryWindow = 60 * time.Second
@@ -173,7 +173,7 @@
 	Spot                    bool         `json:"avulsas"`  // the cloud may preempt the machine
 	Epoch                   uint64       `json:"turno"`    // from 1; larger after each expiry of the worker's lease
 	Sequence                uint64       `json:"contagem"` // number of the heartbeat within the epoch
-	FencingToken            uint64       `json:"bastao"`   // highest token that the worker has seen
+	FencingToken            uint64       `json:"bastao"`   // highest fencing token that the worker has seen
 	PreemptionNoticeSeconds *float64     `json:"avisoS"`   // time until the machine is preempted; nil: no notice
 	Tasks                   []TaskStatus `json:"pecas"`    // all task attempts on the machine
 }
@@ -211,14 +211,14 @@
 	GraceSeconds *float64    `json:"folgaS,omitempty"` // in a stop command, the time to save a checkpoint; else nil
 }
 
-// HeartbeatResponse is the body of status 200 to a worker's heartbeat. A worker drops the response
-// if its token is lower than the highest one that the worker has seen.
+// HeartbeatResponse is the body of a response with status 200 to a worker's heartbeat. The worker drops the
+// response if its fencing token is lower than the highest one that the worker has seen.
 type HeartbeatResponse struct {
-	FencingToken uint64    `json:"bastao"` // token of the leader that sends the commands
+	FencingToken uint64    `json:"bastao"` // fencing token of the leader that sends the commands
 	Commands     []Command `json:"ordens"` // commands for the worker; may be empty
 }
 
-// HeartbeatRedirect is the body of status 421 to a worker's heartbeat.
+// HeartbeatRedirect is the body of a response with status 421 to a worker's heartbeat.
 type HeartbeatRedirect struct {
 	Node string `json:"reportaA,omitempty"` // name of the node to which the worker is to send its heartbeats
 }
@@ -253,8 +253,8 @@
 	Types []MachineType `json:"portes"` // machine types that the cloud offers
 }
 
-// RentalRequest requests machines from the cloud. RequestID makes the call idempotent: the cloud
-// returns the same machines for the same id, so another rental must never use the id again.
+// RentalRequest requests machines from the cloud. RequestID makes the request idempotent: the cloud
+// responds with the same machines to the same id, so another rental must never use the id again.
 type RentalRequest struct {
 	RequestID string `json:"pedido"`  // unique id of the rental
 	Type      string `json:"porte"`   // name of the machine type
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -21,20 +21,20 @@
 	return strings.Replace(validSubmission, old, replacement, 1)
 }
 
-// A valid submission must be accepted, also with a field of a later version and without a field that
-// may be null.
+// A valid submission must be accepted, even if it has a field of a later version or lacks a field that may
+// be null.
 func TestParseJob(t *testing.T) {
 	job, err := ParseJob([]byte(validSubmission))
 	if err != nil || job.ID != "j-000412" || *job.DeadlineSeconds != 900 || !job.SpotAllowed || job.PriorityRank() != 1 {
-		t.Fatalf("valid submission parsed as %+v with error %v", job, err)
+		t.Fatalf("valid submission: got %+v, error %v; want j-000412, deadline 900 s, spot allowed, rank 1", job, err)
 	}
 	if _, err := ParseJob([]byte(changeSubmission(t, `"praca":null,`, ""))); err != nil {
-		t.Errorf("submission without a field that may be null: %v, expected it to be accepted", err)
+		t.Errorf("submission without praca (zone), which may be null: got error %v, want none", err)
 	}
 }
 
-// Each kind of invalid submission must be rejected. Once accepted, it would be stored, and its values
-// would be used as keys, sizes and durations.
+// Each kind of invalid submission must be rejected. If accepted, the submission would be stored, and its
+// values would be used as keys, sizes and durations.
 func TestParseJobRejects(t *testing.T) {
 	change := func(old, replacement string) string { return changeSubmission(t, old, replacement) }
 	for name, body := range map[string]string{
@@ -62,14 +62,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParseJob([]byte(body)); err == nil {
-				t.Error("invalid submission accepted")
+				t.Error("invalid submission is accepted, want an error")
 			}
 		})
 	}
 }
 
-// A job without dependencies may send null or an empty list. A job that the list names twice must count
-// as one dependency.
+// A submission without dependencies may contain null or an empty list. A job that the list (aguarda on the
+// wire) names twice must count as one dependency.
 func TestParseJobDependencies(t *testing.T) {
 	for _, c := range []struct{ name, list, want string }{
 		{"null", "null", ""},
@@ -79,13 +79,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			job, err := ParseJob([]byte(changeSubmission(t, `"prazoS"`, `"aguarda":`+c.list+`,"prazoS"`)))
 			if err != nil || strings.Join(job.Dependencies, " ") != c.want {
-				t.Errorf("aguarda %s: parsed as %v with error %v, expected dependencies %q", c.list, job, err, c.want)
+				t.Errorf("dependency list %s: got job %+v, error %v; want dependencies %q", c.list, job, err, c.want)
 			}
 		})
 	}
 }
 
-// An error must carry the name of the invalid field, also where its text for the user does not. The
+// An error must carry the name of the invalid field, even if the error text does not contain it. The
 // texts must stay as they are, as users get them in responses.
 func TestParseJobErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, field, text string }{
@@ -100,7 +100,7 @@
 		t.Run(c.new, func(t *testing.T) {
 			_, err := ParseJob([]byte(changeSubmission(t, c.old, c.new)))
 			if err == nil || err.Error() != c.text {
-				t.Fatalf("error %v, expected %s", err, c.text)
+				t.Fatalf("submission with %s for %s: got error %v, want %s", c.new, c.old, err, c.text)
 			}
 			field := ""
 			var invalid *InvalidFieldError
@@ -112,10 +112,10 @@
 			case errors.As(err, &negative):
 				field = negative.Field
 			case !errors.As(err, &body) || body.Err == nil:
-				t.Errorf("%T, expected an InvalidBodyError with the error of the decoder", err)
+				t.Errorf("got an error of type %T, want an InvalidBodyError with the error of the decoder", err)
 			}
 			if field != c.field {
-				t.Errorf("field %q, expected %q", field, c.field)
+				t.Errorf("field named by the error: got %q, want %q", field, c.field)
 			}
 		})
 	}
--- a/internal/protocol/states.go
+++ b/internal/protocol/states.go
@@ -1,6 +1,6 @@
 package protocol
 
-// JobState is the state of a job, by its name on the wire.
+// JobState is the state of a job. The values are the names used on the wire.
 type JobState string
 
 // States of a job.
@@ -17,18 +17,18 @@
 // JobKindBatch is the only kind of job that is accepted.
 const JobKindBatch = "batch"
 
-// TaskState is the state of a task on a machine, by its name on the wire.
+// TaskState is the state of a task on a machine. The values are the names used on the wire.
 type TaskState string
 
 // States of a task on a machine.
 const (
-	TaskPulling       TaskState = "fetching" // its image is being pulled
+	TaskPulling       TaskState = "fetching" // the machine pulls the task's image
 	TaskRunning       TaskState = "running"
-	TaskCheckpointing TaskState = "saving" // it saves a checkpoint before it stops
-	TaskExited        TaskState = "exited" // its result is kept until CommandForget
+	TaskCheckpointing TaskState = "saving" // the task saves a checkpoint before it stops
+	TaskExited        TaskState = "exited" // the worker keeps the task's result until CommandForget
 )
 
-// ExitReason is why a task has exited, by its name on the wire.
+// ExitReason is the reason for which a task has exited. The values are the names used on the wire.
 type ExitReason string
 
 // Exit reasons of a task. The last three mean that the worker refused to start the task.
@@ -41,7 +41,7 @@
 	ExitUnknownTask           ExitReason = "unknown" // no such job or task, or the job was not submitted
 )
 
-// CommandKind is what a command tells a worker to do, by its name on the wire.
+// CommandKind is what a command tells a worker to do. The values are the names used on the wire.
 type CommandKind string
 
 // Kinds of commands to a worker.
@@ -51,17 +51,17 @@
 	CommandForget CommandKind = "forget" // discard the result of an exited attempt
 )
 
-// HostState is the state of a machine in the cloud's list, by its name on the wire.
+// HostState is the state of a machine in the cloud's list. The values are the names used on the wire.
 type HostState string
 
 // States of a machine in the cloud's list that this program names. Other states keep the name that the
 // cloud gives them.
 const (
 	HostRunning HostState = "running"
-	HostFailed  HostState = "failed" // the machine stopped without having been returned
+	HostFailed  HostState = "failed" // the machine stopped without having been returned to the cloud
 )
 
-// Priority is the priority of a job, by its name on the wire.
+// Priority is the priority of a job. The values are the names used on the wire.
 type Priority string
 
 // Priorities of jobs, from the most to the least urgent.
