--- a/internal/statuspage/metrics_page.go
+++ b/internal/statuspage/metrics_page.go
@@ -25,8 +25,8 @@
 	p.Gauge(name, help, 0)
 }
 
-// LabelledGauge adds a gauge with one sample for each value of a label. The function samples calls emit
-// for each of them.
+// LabelledGauge adds a gauge with one sample for each value of a label. The caller's function samples calls
+// emit once for each sample.
 func (p *MetricsPage) LabelledGauge(name, help, label string,
 	samples func(emit func(labelValue string, value float64))) {
 	fmt.Fprintf(p, "# HELP hitchdoor_%s %s\n# TYPE hitchdoor_%s gauge\n", name, help, name)
@@ -35,8 +35,8 @@
 	})
 }
 
-// ClusterGauges adds the gauges of a leader's jobs, tasks and machines. Machines of a type that is not
-// in the catalogue count without cores.
+// ClusterGauges adds the gauges of a leader's jobs, tasks and machines. A machine whose type is not in the
+// catalogue adds no cores.
 func (p *MetricsPage) ClusterGauges(state *cluster.State) {
 	runningTasks, pendingTasks := 0, 0
 	for _, job := range state.RunnableJobs {
--- a/internal/statuspage/status_types.go
+++ b/internal/statuspage/status_types.go
@@ -13,7 +13,7 @@
 // HealthResponse is the response body of a healthy node. ProtocolLevel is the level of records and
 // messages that this version of the program understands.
 type HealthResponse struct {
-	OK            bool   `json:"ok"`
+	OK            bool   `json:"ok"`      // always true
 	Build         string `json:"version"` // version of the program
 	ProtocolLevel int    `json:"level"`
 }
@@ -24,7 +24,7 @@
 	Node                 string        `json:"node"`             // name of this node
 	IsLeader             bool          `json:"leads"`            // this node holds the leader lease
 	Leader               string        `json:"leader,omitempty"` // name of the node that leads; empty: not known
-	Term                 uint64        `json:"term,omitempty"`   // term of that leader
+	Term                 uint64        `json:"term,omitempty"`   // term of that leader; 0: not known
 	StoreFailing         bool          `json:"stateDown"`        // the last call to the key-value store failed
 	UptimeS              float64       `json:"uptimeS"`          // seconds since the process started
 	Build                string        `json:"version"`          // version of the program
@@ -38,14 +38,14 @@
 // not announced one.
 type PeerStatus struct {
 	Node          string `json:"node"`
-	Reachable     bool   `json:"heard"` // a message of the peer arrived within the last leader lease
+	Reachable     bool   `json:"heard"` // a message from the peer has arrived within the duration of a leader lease
 	ProtocolLevel int    `json:"level"`
 }
 
 // LeaderStatus is the part of a node's status that only a leader has.
 type LeaderStatus struct {
 	RecordsLoaded bool            `json:"loaded"`        // the stored records are read
-	AllReconciled bool            `json:"accounted"`     // no unknown attempt of an earlier leader can be running
+	AllReconciled bool            `json:"accounted"`     // no attempt unknown to this leader can be running
 	RecoveryPhase string          `json:"recovery"`      // name of a recovery.Phase
 	PendingWrites int             `json:"writesWaiting"` // changes that are not yet in the key-value store
 	Jobs          []JobStatus     `json:"jobs"`          // open jobs, sorted by id
@@ -71,7 +71,7 @@
 	Type        string              `json:"type"`
 	Zone        string              `json:"zone"`
 	Spot        bool                `json:"spot"`              // the cloud may preempt the machine
-	Up          bool                `json:"up"`                // heartbeats arrive, and the lease has not expired
+	Up          bool                `json:"up"`                // heartbeats arrive; the worker lease has not expired
 	Tasks       int                 `json:"tasks"`             // number of task attempts on the machine
 	UsedCores   float64             `json:"coresUsed"`         // cores that these attempts use
 	DrainReason cluster.DrainReason `json:"leaving,omitempty"` // empty: the machine is not drained
