--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -17,12 +17,12 @@
 
 // Step is one event in the processing of a job by a controller.
 type Step struct {
-	Job   string    `json:"job"`  // job id
-	Node  string    `json:"node"` // name of the controller
-	Name  string    `json:"name"` // name of the step
-	At    time.Time `json:"at"`
+	Job   string    `json:"job"`             // job id
+	Node  string    `json:"node"`            // name of the controller
+	Name  string    `json:"name"`            // name of the step
+	At    time.Time `json:"at"`              // time of the step by the controller's clock
 	Note  string    `json:"note,omitempty"`  // details of the step
-	Term  uint64    `json:"term,omitempty"`  // term of the leader; 0: recorded by a follower
+	Term  uint64    `json:"term,omitempty"`  // term of the leader that recorded the step; 0: recorded by a follower
 	Epoch uint64    `json:"epoch,omitempty"` // epoch of the admission policy in force; 0: none
 }
 
@@ -33,7 +33,8 @@
 	recentSpans *spanRing
 }
 
-// NewRecorder returns a recorder that keeps the last limit steps of a node. The limit must be positive.
+// NewRecorder returns a recorder that keeps the steps that a node recorded last, limit of them at most. limit
+// must be positive.
 func NewRecorder(node string, limit int) *Recorder {
 	recentSpans := &spanRing{spans: make([]sdk.ReadOnlySpan, limit)}
 	provider := sdk.NewTracerProvider(sdk.WithSpanProcessor(recentSpans),
@@ -49,7 +50,8 @@
 	epochAttribute = attribute.Key("epoch")
 )
 
-// Record adds a step and evicts the oldest one if the recorder is full.
+// Record adds a step, and evicts the oldest one if the recorder is full. step.Node is ignored: all steps are
+// those of the recorder's node.
 func (r *Recorder) Record(step Step) {
 	ctx := context.WithValue(context.Background(), jobContextKey{}, step.Job)
 	_, span := r.tracer.Start(ctx, step.Name, trace.WithTimestamp(step.At), trace.WithAttributes(
@@ -88,11 +90,11 @@
 	return step
 }
 
-// spanRing is a span processor that retains the last spans.
+// spanRing is a span processor that retains the last spans, as many as spans has elements.
 type spanRing struct {
 	mu    sync.Mutex
 	spans []sdk.ReadOnlySpan // nil where none is stored yet
-	next  int                // index of the oldest span, which the next one replaces
+	next  int                // index at which the next span is stored, in place of the oldest one
 }
 
 // OnStart does nothing, as steps have no duration.
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -17,15 +17,15 @@
 	}
 	steps := recorder.StepsOf("j-0")
 	if len(steps) != 5 {
-		t.Fatalf("%d steps of j-0 are kept, expected 5", len(steps))
+		t.Fatalf("steps of j-0 that are kept: got %d, want 5", len(steps))
 	}
 	want := Step{Job: "j-0", Node: "n1", Name: "verdict", At: firstAt.Add(16 * time.Second),
 		Note: "admitted", Term: 3, Epoch: 7}
 	if got := steps[0]; !got.At.Equal(want.At) || got.Job != want.Job || got.Node != want.Node ||
 		got.Name != want.Name || got.Note != want.Note || got.Term != want.Term || got.Epoch != want.Epoch {
-		t.Errorf("oldest step of j-0 is %+v, expected %+v", got, want)
+		t.Errorf("oldest kept step of j-0: got %+v, want %+v", got, want)
 	}
 	if len(recorder.StepsOf("j-2")) != 0 || TraceID("j-0") == TraceID("j-1") || !TraceID("j-0").IsValid() {
-		t.Error("steps of an unknown job, equal trace ids of two jobs, or an invalid trace id")
+		t.Error("got steps of the unknown job j-2, equal trace ids of j-0 and j-1, or an invalid trace id of j-0")
 	}
 }
