--- a/internal/autoscaler/consolidation.go
+++ b/internal/autoscaler/consolidation.go
@@ -11,11 +11,11 @@
 // would be idle on the machine compared with those that the moves take.
 const minGainToMoveCostRatio = 2
 
-// Consolidate empties surplus machines, so that they can be returned to the cloud, by stopping the few
-// tasks that still run on them with a checkpoint. The tasks then start again on other machines. A machine
-// is emptied only if all its tasks write checkpoints, the kept machines have enough free cores, and the
-// move gains at least minGainToMoveCostRatio times what it costs. Machines rented less than minBilledTime
-// ago are left alone. kept are the machines that the plan keeps.
+// Consolidate empties surplus machines, so that they can be returned to the cloud. It stops the few tasks
+// that still run on them, with time to save a checkpoint, so that these start again on other machines. A
+// machine is emptied only if all its tasks write checkpoints, the kept machines have enough free cores, and
+// the move gains at least minGainToMoveCostRatio times what it costs. Machines rented less than
+// minBilledTime ago are left alone. kept are the machines that the plan keeps.
 func (a *Autoscaler) Consolidate(kept []*cluster.Machine) {
 	freeCores := a.freeCores(kept)
 	for _, machine := range a.state.MachinesByName() {
--- a/internal/autoscaler/interfaces.go
+++ b/internal/autoscaler/interfaces.go
@@ -67,7 +67,7 @@
 	// PendingJobs returns the pending jobs in the order of the last scheduling pass.
 	PendingJobs() []*cluster.Job
 	// MayRunUnreported reports whether tasks of a job may be running on machines that are not
-	// reconciled yet.
+	// reconciled yet, that is, on which tasks unknown to this leader may run.
 	MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool
 	// SoonReleasedDependents returns the jobs whose last pending dependency is the given job, if that
 	// job is expected to end within the horizon.
--- a/internal/fleet/offering.go
+++ b/internal/fleet/offering.go
@@ -1,6 +1,6 @@
 // Package fleet makes the capacity plan: how many machines to hold, which to rent (scale out) and
-// which to return (scale in), from the open jobs and a forecast of arrivals. It does no I/O and reads
-// no clock: the caller passes the time and a view of jobs and machines, and carries out the plan.
+// which to return to the cloud (scale in), from the open jobs and a forecast of arrivals. It does no I/O
+// and reads no clock: the caller passes the time and a view of jobs and machines, and carries out the plan.
 package fleet
 
 import (
--- a/internal/protocol/cloud_responses.go
+++ b/internal/protocol/cloud_responses.go
@@ -71,7 +71,7 @@
 	previous := values.Get("since")
 	for _, host := range page.Machines {
 		if host.Name <= previous {
-			return &CloudResponseError{Reason: fmt.Sprintf("machine %q is out of order, it follows %q", host.Name, previous)}
+			return &CloudResponseError{Reason: fmt.Sprintf("machine %q is listed after %q", host.Name, previous)}
 		}
 		previous = host.Name
 	}
--- a/internal/records/job_watch_test.go
+++ b/internal/records/job_watch_test.go
@@ -28,7 +28,7 @@
 	watch, host := newTestWatch()
 	watch.Tick()
 	if len(host.requests) != 1 {
-		t.Fatalf("%d long polls were sent, want 1 in flight", len(host.requests))
+		t.Fatalf("long polls after two ticks without a response: got %d, want 1", len(host.requests))
 	}
 	deletion := storage.WatchEvent{DeletedKey: storage.JobKey("j-1")}
 	host.respond(200, storage.WatchResponse{Revision: 12, Events: []storage.WatchEvent{deletion}})
@@ -39,7 +39,7 @@
 }
 
 // Guards against a busy loop of long polls that are answered early without anything new: the pause
-// after each one doubles, up to a limit.
+// after each of them must double, up to a limit.
 func TestJobWatchPausesWithoutEvents(t *testing.T) {
 	watch, host := newTestWatch()
 	base := host.WorkerLease() / 100
@@ -47,8 +47,8 @@
 		host.respond(200, storage.WatchResponse{})
 		watch.Tick()
 		if len(host.requests) != i+1 || len(host.delayedCalls) != i+1 || host.delayedCalls[i].delay != want {
-			t.Fatalf("%d requests, delayed calls %v; want a last delay of %v",
-				len(host.requests), host.delayedCalls, want)
+			t.Fatalf("after early response %d: %d requests, delayed calls %v; want as many of each, the last delay %v",
+				i+1, len(host.requests), host.delayedCalls, want)
 		}
 		host.delayedCalls[i].run()
 		watch.Tick()
--- a/internal/records/transactions_test.go
+++ b/internal/records/transactions_test.go
@@ -38,7 +38,7 @@
 	host.respond(200, storage.TxnResponse{Revision: 7})
 	host.expectRequests(t, 1, "POST", "/multi")
 	if !slices.Equal(*applied, []string{"a", "b", "c"}) || writer.ModRevision("a") != 7 {
-		t.Fatalf("applied %v, key a at revision %d; want a, b, c and 7", *applied, writer.ModRevision("a"))
+		t.Fatalf("applied keys %v, key a at revision %d; want a, b, c and 7", *applied, writer.ModRevision("a"))
 	}
 	writer.budget.Tokens = 1
 	writer.SendNext()
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -26,7 +26,7 @@
 	}
 	want := []Condition{{LeaderKey, 77}, {"a", 5}, {"b", 0}}
 	if !slices.Equal(txn.Conditions[:3], want) {
-		t.Fatalf("conditions begin with %v, want the leader key, a and b", txn.Conditions)
+		t.Fatalf("conditions of the first transaction: got %v, want them to begin with %v", txn.Conditions, want)
 	}
 	if writer.NextTxn(100) != nil {
 		t.Fatal("got a second transaction while the first is in flight")
@@ -71,7 +71,7 @@
 		t.Fatal("got a transaction with a budget below the writes of the first change, want none")
 	}
 	if txn := writer.NextTxn(2); len(txn.Writes) != 2 || txn.Writes[0].PutKey != "x" {
-		t.Fatalf("got writes %v, want x and y", txn.Writes)
+		t.Fatalf("writes within a budget of 2: got %v, want x and y", txn.Writes)
 	}
 }
 
@@ -89,12 +89,12 @@
 	}
 	appliedItem := Item{Key: "a", Value: []byte(`{"tasks": 2, "state": "done", "done": 0}`), ModRevision: 9}
 	if !writer.MatchesProbe(&appliedItem) {
-		t.Fatal("the item of an applied transaction does not match")
+		t.Fatal("the item that the transaction has written does not match, want a match")
 	}
 	oldItem := appliedItem
 	oldItem.ModRevision = 3
 	if writer.MatchesProbe(&oldItem) || writer.MatchesProbe(nil) {
-		t.Fatal("an item that the transaction has not written matches")
+		t.Fatal("the item from before the transaction, or a missing one, matches, want no match")
 	}
 }
 
