--- a/internal/fleet/offering.go
+++ b/internal/fleet/offering.go
@@ -1,6 +1,6 @@
 // Package fleet makes the capacity plan: how many machines to hold, which to rent (scale out) and
-// which to return (scale in), from the open jobs and a forecast of arrivals. It does no I/O and reads
-// no clock: the caller passes the time and a view of jobs and machines, and carries out the plan.
+// which to return to the cloud (scale in), from the open jobs and a forecast of arrivals. It does no I/O
+// and reads no clock: the caller passes the time and a view of jobs and machines, and carries out the plan.
 package fleet
 
 import (
@@ -17,7 +17,7 @@
 }
 
 // FitsType reports whether a task of a job fits on an empty machine of a type, in a zone where the
-// type is offered. A type without zones is taken to be offered in all of them.
+// type is offered. A type that names no zones is taken to be offered in every zone.
 func FitsType(job *protocol.Job, machineType *protocol.MachineType) bool {
 	if len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, machineType.Name) {
 		return false
