--- a/internal/workerrouting/connection_capacity.go
+++ b/internal/workerrouting/connection_capacity.go
@@ -37,8 +37,8 @@
 	return max(0, int(fullThreshold*float64(c.limit))-c.Open)
 }
 
-// peerCapacity tracks the spare connections of a peer, from its last heartbeat and the redirects since.
-// A peer of an earlier version does not report any and is assumed to have enough.
+// peerCapacity tracks the spare connections of a peer, from its last heartbeat and the redirects
+// since. A peer of an earlier version reports no spare connections and is assumed to have enough.
 type peerCapacity struct {
 	known     bool // whether the last heartbeat reported the capacity
 	full      bool
--- a/internal/workerrouting/connection_capacity_test.go
+++ b/internal/workerrouting/connection_capacity_test.go
@@ -13,7 +13,7 @@
 	}{{0, false, 81}, {80, false, 1}, {82, true, 0}, {70, true, 0}, {68, false, 13}, {81, false, 0}, {200, true, 0}} {
 		connections.Update(step.open, 100)
 		if connections.Full != step.full || connections.Spare() != step.spare {
-			t.Errorf("%d open: got full %v, %d spare, want %v, %d",
+			t.Errorf("%d of 100 connections open: got full %v and %d spare, want %v and %d",
 				step.open, connections.Full, connections.Spare(), step.full, step.spare)
 		}
 	}
--- a/internal/workerrouting/router.go
+++ b/internal/workerrouting/router.go
@@ -81,8 +81,8 @@
 	return time.Duration(r.cluster.ControllerCount) * (protocol.HeartbeatTimeout + protocol.NextNodeDelay)
 }
 
-// RelayTimeout returns how long this node waits for the leader's response to a relayed heartbeat. It is
-// well below protocol.HeartbeatTimeout, after which the worker discards the response.
+// RelayTimeout returns how long this node waits for the leader's response to a relayed heartbeat. It
+// is below protocol.HeartbeatTimeout, after which the worker discards the response.
 func (r *Router) RelayTimeout() time.Duration {
 	return min(r.cluster.WorkerLease()/6, protocol.HeartbeatTimeout*7/8)
 }
@@ -112,9 +112,9 @@
 }
 
 // DecideOnFollower decides what a follower does with a worker's heartbeat. leaderName is empty if no
-// leader is known. A follower relays the heartbeat if the leader has no spare connection, or if the
-// worker can't reach the leader; then it also relays for the next two worker leases. Otherwise it
-// redirects the worker.
+// leader is known. A follower relays the heartbeat if the leader has no spare connection. It also
+// relays if the worker can't reach the leader, and goes on to do so for two worker leases. Otherwise
+// it redirects the worker.
 func (r *Router) DecideOnFollower(worker, leaderName string) Decision {
 	now := r.host.Now()
 	route := r.RouteOf(worker)
@@ -133,10 +133,11 @@
 	return RelayToLeader
 }
 
-// RedirectFromLeader picks the controller to which this full leader redirects a worker that it doesn't
-// serve yet. It returns false if the leader should serve the worker itself: either the worker came back
-// from a redirect, because it can't reach the other node, or no reachable controller has a spare
-// connection. In the latter case the server closes connections so that its workers take turns.
+// RedirectFromLeader picks the controller to which this full leader redirects a worker that it
+// doesn't serve yet. It returns false if the leader should serve the worker itself: either the worker
+// came back from a redirect, because it can't reach the other node, or no reachable controller has a
+// spare connection. In the latter case the leader's transport.Server closes worker connections, so
+// that the workers take turns.
 func (r *Router) RedirectFromLeader(worker string) (node string, redirect bool) {
 	route := r.RouteOf(worker)
 	target := r.leastLoadedPeer()
@@ -171,9 +172,9 @@
 	r.RouteOf(worker).strandedAt = r.host.Now()
 }
 
-// CountWorkers counts the workers that sent a heartbeat to this node as a follower within the last
-// nodeSearchDuration, and the known workers whose heartbeat could neither be served nor relayed in that
-// time.
+// CountWorkers counts the workers that sent a heartbeat within the last nodeSearchDuration while this
+// node was a follower (recent), and the workers whose heartbeat could neither be served nor relayed
+// in that time (stranded).
 func (r *Router) CountWorkers() (recent, stranded int) {
 	now, window := r.host.Now(), r.nodeSearchDuration()
 	for _, route := range r.Routes {
@@ -188,9 +189,9 @@
 }
 
 // ExpireRoutes removes the routes of workers that have not come back, at most once per worker lease.
-// Routes are limited by age and not by number: a limit below the number of machines would clear them
-// again and again, so that no worker would ever be relayed, and a leader that workers can't reach would
-// lose all of them.
+// Routes are limited by age and not by number. With a limit below the number of machines, routes
+// would be removed again and again and no worker would ever be relayed. A leader that workers can't
+// reach would then lose all its workers.
 func (r *Router) ExpireRoutes() {
 	now := r.host.Now()
 	if now < r.prunedAt+r.cluster.WorkerLease() {
--- a/internal/workerrouting/router_test.go
+++ b/internal/workerrouting/router_test.go
@@ -43,7 +43,7 @@
 	} {
 		host.now += step.after
 		if got := router.DecideOnFollower("m-1", "n1"); got != step.want {
-			t.Errorf("at %v: got decision %d, want %d", host.now, got, step.want)
+			t.Errorf("heartbeat of m-1 at %v: got decision %d, want %d", host.now, got, step.want)
 		}
 	}
 }
@@ -64,15 +64,16 @@
 	}
 	host.now += router.nodeSearchDuration()
 	if recent, _ := router.CountWorkers(); recent != 0 {
-		t.Errorf("after the search duration: got %d recent workers, want 0", recent)
+		t.Errorf("after nodeSearchDuration: got %d workers seen recently, want 0", recent)
 	}
 	if router.ExpireRoutes(); len(router.Routes) > 0 {
-		t.Errorf("after the search duration: got %d routes, want 0", len(router.Routes))
+		t.Errorf("after nodeSearchDuration: got %d routes, want 0", len(router.Routes))
 	}
 }
 
-// A full leader must redirect to the reachable peer with the most spare connections, but to no more
-// connections than that peer reported, and must serve a worker that comes back itself.
+// A full leader must redirect workers to the reachable peer with the most spare connections, but no
+// more workers than that peer has spare connections. If a worker comes back, the leader must serve it
+// itself.
 func TestLeaderRedirectsToSpareConnections(t *testing.T) {
 	router, host := newTestRouter()
 	router.Connections.Update(90, 100)
@@ -93,6 +94,6 @@
 		t.Errorf("m-3: redirected to %q, want n2", target)
 	}
 	if router.Connections.Open != 88 {
-		t.Errorf("got %d open connections after two redirects, want 88", router.Connections.Open)
+		t.Errorf("after two redirects: got %d open connections, want 88", router.Connections.Open)
 	}
 }
