--- a/internal/forwarding/table.go
+++ b/internal/forwarding/table.go
@@ -3,8 +3,8 @@
 
 import "hitchdoor/internal/clock"
 
-// Table stores the requests that were forwarded to another controller and have no response yet. It is
-// generic over the type of the requests, because it does not look into them.
+// Table stores the requests that were forwarded to another controller and have no response yet. Its
+// requests may be of any type R, because it does not look into them.
 type Table[R any] struct {
 	LastID  uint64                // ID of the forward that was added last
 	pending map[uint64]Forward[R] // by ID
--- a/internal/forwarding/table_test.go
+++ b/internal/forwarding/table_test.go
@@ -12,20 +12,21 @@
 	first := table.Add("first", time.Second)
 	second := table.Add("second", 2*time.Second)
 	if first != 42 || second != 43 || table.Count() != 2 {
-		t.Fatalf("got IDs %d and %d, %d pending, want 42 and 43, 2 pending", first, second, table.Count())
+		t.Fatalf("after adding two requests: got IDs %d and %d, %d pending, want 42 and 43, 2 pending",
+			first, second, table.Count())
 	}
 	forward, found := table.Take(first)
 	if !found || forward.Request != "first" || forward.Deadline != time.Second {
-		t.Errorf("Take: got %+v, %v, want request first with deadline 1 s", forward, found)
+		t.Errorf("Take of ID 42: got %+v, found %v, want request first with deadline 1 s", forward, found)
 	}
 	if _, again := table.Take(first); again {
-		t.Error("the second Take of an ID succeeds, want not found")
+		t.Error("second Take of ID 42: got a forward, want not found")
 	}
 	var expired []string
 	onExpired := func(request string) { expired = append(expired, request) }
 	table.Expire(2*time.Second-1, onExpired)
 	if len(expired) > 0 {
-		t.Errorf("got expired requests %v before the deadline, want none", expired)
+		t.Errorf("before the deadline: got expired requests %v, want none", expired)
 	}
 	table.Expire(2*time.Second, onExpired)
 	if len(expired) != 1 || expired[0] != "second" || table.Count() != 0 {
@@ -33,6 +34,6 @@
 			expired, table.Count())
 	}
 	if _, late := table.Take(second); late {
-		t.Error("Take of an expired ID succeeds, want not found")
+		t.Error("Take of the expired ID 43: got a forward, want not found")
 	}
 }
