--- a/internal/reachability/matrix.go
+++ b/internal/reachability/matrix.go
@@ -124,9 +124,9 @@
 	return latest.report, ok && now-latest.receivedAt < window
 }
 
-// Successor returns the other node with the most stranded workers and their number. That node could
-// serve more of them if it were the leader. The name is empty if there is none. Reports older than the
-// window are ignored.
+// Successor returns the node, other than self, with the most stranded workers, and their number. That
+// node could serve more of these workers if it were the leader. The name is empty if no other node
+// has any. Reports older than the window are ignored.
 func (m *Matrix) Successor(self string, now, window time.Duration) StrandedCount {
 	successor, most := "", 0
 	for _, node := range m.sortedNodes {
@@ -144,8 +144,9 @@
 	return StrandedCount{successor, most}
 }
 
-// MostStrandedElsewhere returns the other node that itself reported the most stranded workers within the
-// window while the key-value store was reachable for it. The result is zero if there is none.
+// MostStrandedElsewhere returns the node, other than self, that itself reported the most stranded
+// workers within the window while the key-value store was reachable for it. The result is zero if
+// there is no such node.
 func (m *Matrix) MostStrandedElsewhere(self string, now, window time.Duration) StrandedCount {
 	mostStranded := StrandedCount{}
 	for _, node := range m.sortedNodes {
--- a/internal/reachability/matrix_test.go
+++ b/internal/reachability/matrix_test.go
@@ -21,7 +21,7 @@
 		{"a", "b", 7 * time.Second, LinkUp}, {"a", "b", 8 * time.Second, LinkDown}, {"a", "b", window, LinkUnknown},
 	} {
 		if got := m.Link(test.from, test.to, test.now, window); got != test.want {
-			t.Errorf("%s to %s at %v: got %v, want %v", test.from, test.to, test.now, got, test.want)
+			t.Errorf("link from %s to %s at %v: got state %v, want %v", test.from, test.to, test.now, got, test.want)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 		"too many":        {"b", NodeReport{IncomingLinks: []IncomingLink{{"a", 5}, {"a", 5}, {"a", 5}}}},
 	} {
 		if m.RecordReport(test.from, time.Second, test.report) == nil {
-			t.Errorf("%s: the report was accepted, want an error", name)
+			t.Errorf("%s: RecordReport: got no error, want one", name)
 		}
 	}
 	if m.Link("a", "b", 0, window) != LinkUp {
@@ -83,10 +83,10 @@
 		}
 		if got := m.Successor("l", time.Second, window); got.Node != test.want ||
 			(got.Workers > 0) != (test.want != "") {
-			t.Errorf("%s: got %+v, want node %q", name, got, test.want)
+			t.Errorf("%s: successor: got %+v, want node %q", name, got, test.want)
 		}
 		if got := m.Successor("l", window, window); got != (StrandedCount{}) {
-			t.Errorf("%s, outdated reports: got %+v, want none", name, got)
+			t.Errorf("%s, outdated reports: successor: got %+v, want none", name, got)
 		}
 	}
 }
@@ -99,10 +99,11 @@
 	m.RecordReport("c", 0, NodeReport{})
 	receivesFrom := func(node string) bool { return node != "d" }
 	if got := m.CountBidirectional("a", 0, window, receivesFrom); got != 1 {
-		t.Errorf("links of a: got %d, want 1", got)
+		t.Errorf("bidirectional links of a: got %d, want 1", got)
 	}
-	// Node a sends no report and counts. Node c reports that it receives no heartbeats and does not count.
+	// Node a has sent no report, so its link with b counts. The link with c does not: c reports that
+	// it receives no heartbeats.
 	if got := m.CountBidirectional("b", 0, window, receivesFrom); got != 1 {
-		t.Errorf("links of b: got %d, want 1", got)
+		t.Errorf("bidirectional links of b: got %d, want 1", got)
 	}
 }
--- a/internal/reachability/status.go
+++ b/internal/reachability/status.go
@@ -10,8 +10,8 @@
 	StoreReachable  bool           `json:"state"`             // whether the key-value store responds to it
 	IsLeader        bool           `json:"leads"`             // whether it considers itself the leader
 	LeaderName      string         `json:"follows,omitempty"` // the leader whose heartbeats it receives
-	Term            uint64         `json:"term,omitempty"`    // of that leader, or its own if it leads
-	CandidacyPaused bool           `json:"pausing,omitempty"` // it resigned and starts no candidacy yet
+	Term            uint64         `json:"term,omitempty"`    // term of LeaderName, or its own if it leads
+	CandidacyPaused bool           `json:"pausing,omitempty"` // whether it has resigned and starts no candidacy yet
 	// RecentWorkers is the number of workers that recently contacted the node. On the leader, it is the
 	// number of machines.
 	RecentWorkers int `json:"workers"`
@@ -19,7 +19,7 @@
 	// neither serve nor relay.
 	StrandedWorkers int `json:"stranded"`
 	// SecondsSinceServed is the time since a response of the leader last reached a worker. It is 0 on
-	// other nodes.
+	// nodes that don't lead.
 	SecondsSinceServed float64 `json:"servedAgoS"`
 }
 
