--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -137,8 +137,8 @@
 	return c.relays[endpoints].Address()
 }
 
-// blockLink sets which directions of the link between two endpoints are blocked: to the one that
-// listens, and from it.
+// blockLink sets which directions of a link are blocked. The endpoint from connects, and the endpoint
+// to listens.
 func (c *testCluster) blockLink(from, to string, toListener, fromListener bool) {
 	c.relays[[2]string{from, to}].Block(toListener, fromListener)
 }
@@ -150,7 +150,7 @@
 	}
 }
 
-// startNode starts a controller. It logs to standard error if LOG_LEVEL is debug.
+// startNode starts a controller, which logs to standard error if LOG_LEVEL is debug.
 func (c *testCluster) startNode(name string) {
 	c.t.Helper()
 	platform := &config.Platform{Node: name, ClientListen: c.clientAddresses[name], PeerBind: c.peerAddresses[name],
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,8 @@
-// Package daemon runs a controller process. One goroutine, the owner, passes batches of commands to
-// the node (the state machine of the controller) and executes the effects that the node returns. The
-// package connects the node with the transports and divides the process's connections and memory
-// among them; it makes no scheduling decision.
+// Package daemon runs a controller process. One goroutine, the owner, passes batches of commands
+// (requests, messages of other controllers, results of calls) to the node, which is the state machine
+// of the controller, and executes the effects that the node returns. The package connects the node
+// with the transports and divides the process's connections and memory among them; it makes no
+// scheduling decision.
 package daemon
 
 import (
@@ -28,10 +29,11 @@
 	commandsPerConnection = 4
 	// maxBatchSize is the maximum number of commands that the node processes in one step.
 	maxBatchSize = 256
-	// queryDivisor limits queries: their queue has 1/queryDivisor of the command queue's length, and
-	// they fill at most 1/queryDivisor of a batch.
+	// queryDivisor limits queries, so that they don't delay other commands. Their queue has
+	// 1/queryDivisor of the command queue's length, and they fill at most 1/queryDivisor of a batch.
 	queryDivisor = 4
-	// ticksPerHeartbeat is how often the owner ticks within a heartbeat interval of the workers.
+	// ticksPerHeartbeat is how often, within a heartbeat interval of the workers, the owner runs a
+	// step of the node even if no command is queued.
 	ticksPerHeartbeat = 24
 )
 
@@ -124,7 +126,8 @@
 // listeners accept the connections of users and workers (clients) and of other controllers (peers).
 type listeners struct{ clients, peers net.Listener }
 
-// listen opens both listeners. Its errors start with the setting of the address that can't be opened.
+// listen opens both listeners. Its errors start with the name of the setting whose address can't be
+// opened.
 func listen(platform *config.Platform, log *slog.Logger) (listeners, error) {
 	clients, err := net.Listen("tcp4", platform.ClientListen)
 	if err != nil {
@@ -141,9 +144,9 @@
 	}, nil
 }
 
-// serve runs the transports and the owner. The transports keep running after ctx is cancelled, because
-// the node needs them during the handover. They are stopped when the owner returns, and serve waits
-// for them.
+// serve runs the transports and the owner. The transports keep running after ctx is cancelled,
+// because the node needs them during the handover. They are stopped when the owner returns, and serve
+// waits for the transports.
 func (d *daemon) serve(ctx context.Context, open listeners, tickInterval time.Duration) error {
 	transportContext, stopTransports := context.WithCancel(context.WithoutCancel(ctx))
 	var transports sync.WaitGroup
@@ -177,8 +180,8 @@
 // 1/responseMemoryDivisor of the memory, because several responses may arrive at once.
 const responseMemoryDivisor = 16
 
-// maxResponseBytes returns the size limit of a response. After an outage, the response to a watch may
-// contain all changes at once.
+// maxResponseBytes returns the size limit of a response of the key-value store or the cloud. After an
+// outage, the response to a watch may contain all changes at once.
 func maxResponseBytes(cluster *config.Cluster) int {
 	return int(cluster.Resources.MemoryMB * (1 << 20) / responseMemoryDivisor)
 }
@@ -337,7 +340,8 @@
 	return d.lastRequestID, replies
 }
 
-// discardRequest stops expecting the reply to a request that has failed or timed out.
+// discardRequest removes a request that has failed or timed out, so that a late reply to it is
+// dropped.
 func (d *daemon) discardRequest(requestID uint64) {
 	d.mu.Lock()
 	delete(d.pendingReplies, requestID)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -9,9 +9,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// In large deployments, the server's share of the connections is enough for a leader's machines and
-// users, and the shares together stay below the limit. Guards against a share that is too small: with
-// three quarters of all connections, 1,800 machines left only 90 connections for others.
+// In large deployments, the server's share of the connections must be enough for a leader's machines
+// and users, and the shares together must stay below the limit. Guards against a share that is too
+// small: with three quarters of all connections, 1,800 machines left only 90 connections for others.
 func TestConnectionBudgetFitsAllMachines(t *testing.T) {
 	for _, test := range []struct{ nodes, connections, machines int }{{7, 2524, 1800}, {3, 3275, 1540}, {3, 900, 435}} {
 		t.Run(fmt.Sprintf("%d nodes, %d machines", test.nodes, test.machines), func(t *testing.T) {
@@ -20,7 +20,7 @@
 			cluster.Resources.MaxConnections = test.connections
 			budget := budgetConnections(cluster)
 			if budget.server < test.machines*12/10 {
-				t.Errorf("of %d connections the server gets %d: too few for %d machines and the users",
+				t.Errorf("of %d connections the server gets %d, want enough for %d machines and the users",
 					test.connections, budget.server, test.machines)
 			}
 			if sum := budget.store + budget.cloud + budget.peers + budget.server; sum >= test.connections {
@@ -30,9 +30,9 @@
 	}
 }
 
-// A flood of queries delays neither the heartbeats of workers nor those of other controllers: queries
-// that do not fit into their queue are rejected at once, and the others fill only a part of a batch,
-// behind all other commands.
+// A flood of queries must delay neither the heartbeats of workers nor those of other controllers.
+// Queries that do not fit into their queue must be rejected at once, and the others must fill only a
+// part of a batch, behind all other commands.
 func TestQueriesDoNotDelayOtherCommands(t *testing.T) {
 	const size = 4096
 	d := &daemon{
@@ -47,7 +47,7 @@
 	}
 	for range 2 * cap(d.queryQueue) {
 		if reply := <-replies; reply.Status != 503 || reply.RetryAfter == 0 {
-			t.Fatalf("rejected with status %d, Retry-After %d, want 503 with Retry-After",
+			t.Fatalf("query: got status %d, Retry-After %d, want 503 with Retry-After",
 				reply.Status, reply.RetryAfter)
 		}
 	}
--- a/internal/daemon/halfopen_test.go
+++ b/internal/daemon/halfopen_test.go
@@ -15,10 +15,10 @@
 	"hitchdoor/internal/storage"
 )
 
-// Links of three controllers are blocked in one direction only, one after the other, first for a while
-// and then flapping, while jobs are submitted over real connections. No task runs on two machines at
-// once, all accepted jobs finish, and the operators' command reports a half-open link until it is
-// unblocked.
+// Links of three controllers are blocked in one direction only, one after the other, first for a
+// while and then flapping, while jobs are submitted over real connections. No task may run on two
+// machines at once, all accepted jobs must finish, and the operators' links command must report a
+// half-open link until it is unblocked.
 func TestOneWayCutsOverLoopback(t *testing.T) {
 	cluster := newTestCluster(t, 3, 200, config.Defaults())
 	cluster.waitForLeader()
@@ -50,7 +50,7 @@
 	cluster.checkLinksCommandReportsBlockedLink(others[0], others[1])
 	cluster.checkAcceptedJobsEnd()
 	if duplicated := cluster.fleet.DuplicatedTasks(); len(duplicated) > 0 {
-		t.Errorf("tasks that ran on two machines at once: %v", duplicated)
+		t.Errorf("tasks that ran on two machines at once: got %v, want none", duplicated)
 	}
 }
 
@@ -60,7 +60,8 @@
 	jobs    int // submitted so far
 }
 
-// submitFor submits jobs for a while.
+// submitFor submits a job every 200 ms until the duration has passed. It ignores whether the jobs are
+// accepted.
 func (u *steadyUsers) submitFor(duration time.Duration) {
 	nodes := u.cluster.nodes
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -84,7 +85,8 @@
 }
 
 // checkLinksCommandReportsBlockedLink blocks the link from a node to another one. It checks that the
-// operators' command reports it as half-open, and reports no problem once no link is blocked.
+// operators' links command reports this link as half-open, and reports no problem once no link is
+// blocked.
 func (c *testCluster) checkLinksCommandReportsBlockedLink(from, to string) {
 	c.t.Helper()
 	c.blockLink(from, to, true, false)
--- a/internal/daemon/overload_bench_test.go
+++ b/internal/daemon/overload_bench_test.go
@@ -58,7 +58,7 @@
 			class, waits.TotalCount(), users.gaveUp[class],
 			waits.ValueAtQuantile(50), waits.ValueAtQuantile(90), waits.ValueAtQuantile(99), waits.Max())
 	}
-	b.Logf("%d of %d accepted jobs had finished when the last user had",
+	b.Logf("%d of %d accepted jobs had finished when the last user stopped submitting",
 		cluster.store.CountKeys(storage.TerminalPrefix), accepted)
 	b.Logf("%.1f jobs accepted per second, CPU time %.3f s per second", float64(accepted)/elapsed.Seconds(),
 		(cpuTime()-cpuTimeBefore).Seconds()/elapsed.Seconds())
--- a/internal/daemon/overload_test.go
+++ b/internal/daemon/overload_test.go
@@ -16,8 +16,8 @@
 	"hitchdoor/internal/tracing"
 )
 
-// verdictKey identifies an admission verdict. All controllers must give the same one on a job in an
-// epoch.
+// verdictKey identifies an admission verdict. All controllers must give the same verdict on a job in
+// an epoch of the admission policy.
 type verdictKey struct {
 	job   string
 	epoch uint64
@@ -32,10 +32,11 @@
 // jobID returns the ID of the job of the class with a number.
 func (c jobClass) jobID(number int) string { return fmt.Sprintf("j-%s-%d", c.name, number) }
 
-// Three controllers with real connections are overloaded: each job is submitted to all of them at once.
-// Guards against controllers that apply different policies in the same epoch: their traces show the
-// same verdict for each job and epoch, each job is accepted once, no task starts twice, and no class
-// waits for more epochs than the policy guarantees. The operators' commands show the same.
+// Three controllers with real connections are overloaded: each job is submitted to all of them at
+// once. Guards against controllers that apply different policies in the same epoch. Their traces must
+// show the same verdict for each job and epoch, each job must be accepted once, no task may start
+// twice, and no class may wait for more epochs than the policy guarantees. The operators' commands
+// must show the same.
 func TestOneVerdictOnEveryController(t *testing.T) {
 	settings := config.Defaults()
 	settings.FairAdmission, settings.MaxTraceSteps = true, 50_000
@@ -60,7 +61,8 @@
 	cluster.checkAdmissionCommandShowsPolicy(jobs[len(jobs)-1])
 	users.Wait()
 	// A verdict can be compared if the submissions of a job to several nodes fall into one epoch. On
-	// a busy machine fewer do, so further waves follow until there are enough.
+	// a busy machine fewer submissions do, so further waves follow until enough verdicts can be
+	// compared.
 	compared := cluster.checkVerdictsAgree(jobs)
 	for wave := 1; compared < perClass && wave < maxWaves; wave++ {
 		submitWave(wave * perClass)
@@ -72,7 +74,7 @@
 		t.Errorf("%d jobs were accepted, want %d", accepted, len(jobs))
 	}
 	if compared < perClass {
-		t.Errorf("%d verdicts could be compared, want at least %d", compared, perClass)
+		t.Errorf("%d admission verdicts could be compared between nodes, want at least %d", compared, perClass)
 	}
 	for _, class := range classes {
 		if epochs := cluster.longestWaitInEpochs(class, perClass); epochs > cluster.maxEpochsToAdmission()+3 {
@@ -84,8 +86,8 @@
 	cluster.checkAdmissionCommandReportsStoppedNode(cluster.nodes[0])
 }
 
-// checkAdmissionCommandShowsPolicy waits for the first policy and checks that the operators' command
-// shows it.
+// checkAdmissionCommandShowsPolicy waits for the first policy and checks that the operators'
+// admission command shows it.
 func (c *testCluster) checkAdmissionCommandShowsPolicy(job string) {
 	c.t.Helper()
 	c.eventually(20*time.Second, "an admission policy in the key-value store",
@@ -107,7 +109,7 @@
 			verdicts[note] = true
 		}
 		if len(verdicts) > 1 {
-			c.t.Errorf("different verdicts on %s in epoch %d: %v", key.job, key.epoch, byNode)
+			c.t.Errorf("verdicts on %s in epoch %d, by node: got %v, want the same from all", key.job, key.epoch, byNode)
 		}
 		if len(byNode) > 1 {
 			compared++
@@ -135,8 +137,8 @@
 	}
 }
 
-// checkAdmissionCommandReportsStoppedNode stops a node and checks that the operators' command reports
-// its address.
+// checkAdmissionCommandReportsStoppedNode stops a node and checks that the operators' admission
+// command reports the node's address.
 func (c *testCluster) checkAdmissionCommandReportsStoppedNode(node string) {
 	c.t.Helper()
 	c.stopNode[node]()
@@ -164,7 +166,7 @@
 				accepted = accepted || status == 200 || status == 201
 				pause = max(pause, retryAfter)
 				if status == 503 && retryAfter == 0 {
-					c.t.Errorf("%s: status 503 without Retry-After", job.ID)
+					c.t.Errorf("submission of %s: got status 503 without Retry-After, want one", job.ID)
 				}
 			})
 		}
@@ -218,7 +220,7 @@
 				verdicts[key] = map[string]string{}
 			}
 			if previous, ok := verdicts[key][step.Node]; ok && previous != step.Note {
-				c.t.Errorf("%s gave two verdicts on %s in epoch %d: %s, %s",
+				c.t.Errorf("%s gave two verdicts on %s in epoch %d: %s and %s, want the same",
 					step.Node, job, step.Epoch, previous, step.Note)
 			}
 			verdicts[key][step.Node] = step.Note
