--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -57,8 +57,8 @@
 	return responses
 }
 
-// queryNode queries one node over a connection of its own. The error is a *NoResponseError, a
-// *StatusError, or that of a body that can't be decoded.
+// queryNode queries one node over a connection of its own. The error in the response is a
+// *NoResponseError, a *StatusError, or the error of decoding the body.
 func queryNode[T any](address, path string, timeout time.Duration) nodeResponse[T] {
 	response := nodeResponse[T]{address: address}
 	client := transport.NewClient(address, transport.ClientOptions{
--- a/internal/adminclient/adminclient_test.go
+++ b/internal/adminclient/adminclient_test.go
@@ -33,8 +33,8 @@
 	return options
 }
 
-// Each command prints what the nodes report. If a node does not answer or the nodes contradict each
-// other, the error says so and names the node.
+// Each command must print what the nodes report. If a node does not answer or the nodes contradict
+// each other, the error must say so and name the node.
 func TestCommandsReportIncompleteResults(t *testing.T) {
 	policy := &admission.Policy{Epoch: 7, EpochLengthMS: 3500, DefaultShare: admission.FullShare(admission.Group{})}
 	group := admission.Group{Team: "a", Class: "c", PriorityRank: 3}
@@ -112,17 +112,17 @@
 			out := &bytes.Buffer{}
 			err := test.run(out)
 			if !strings.Contains(out.String(), test.wantOutput) {
-				t.Errorf("output does not contain %q:\n%s", test.wantOutput, out)
+				t.Errorf("output: want a text that contains %q, got\n%s", test.wantOutput, out)
 			}
 			if (err == nil) != (test.wantError == "") || err != nil && !strings.Contains(err.Error(), test.wantError) {
-				t.Errorf("got error %v, want %q", err, test.wantError)
+				t.Errorf("got error %v, want one that contains %q (none if empty)", err, test.wantError)
 			}
 		})
 	}
 }
 
-// A response that is not a JSON object, an error status and a missing response each have an error of
-// their own, so that operators can tell them apart.
+// A response that is not a JSON object, an error status and a missing response must each have an
+// error of their own, so that operators can tell them apart.
 func TestResponseErrors(t *testing.T) {
 	options := startFakeNodes(t, "no object")
 	failing := httptest.NewServer(http.NotFoundHandler())
@@ -143,7 +143,7 @@
 	}
 }
 
-// Invalid options are rejected with an error that names the flag.
+// Invalid options must be rejected with an error that names the flag.
 func TestInvalidOptions(t *testing.T) {
 	for want, options := range map[string]Options{
 		"--nodes: missing": {Timeout: 1}, `--nodes: "x" is not`: {Addresses: []string{"x"}, Timeout: 1},
@@ -151,7 +151,7 @@
 	} {
 		var invalid *InvalidOptionError
 		if err := options.Validate(); !errors.As(err, &invalid) || !strings.Contains(err.Error(), want) {
-			t.Errorf("got error %v, want an *InvalidOptionError with %q", err, want)
+			t.Errorf("invalid options: got error %v, want an *InvalidOptionError with %q", err, want)
 		}
 	}
 }
--- a/internal/adminclient/admission.go
+++ b/internal/adminclient/admission.go
@@ -47,7 +47,7 @@
 	return incomplete.errorOrNil()
 }
 
-// newestStatus returns the status with the newest policy, or nil if no node has responded.
+// newestStatus returns the status with the highest policy revision, or nil if no node has responded.
 func newestStatus(responses []admissionResponse) *admission.NodeStatus {
 	var newest *admission.NodeStatus
 	for i := range responses {
@@ -142,7 +142,8 @@
 	table.Flush()
 }
 
-// percentAdmitted converts a number of ring positions into a percentage of the ring.
+// percentAdmitted converts a number of admitted positions into a percentage of admission.Ring. Each
+// job has a position on that ring, so this is the admitted share of the jobs.
 func percentAdmitted(positions uint64) float64 { return 100 * float64(positions) / admission.Ring }
 
 // printPendingJobs prints how many accepted jobs have no started task yet, by team, class and
--- a/internal/adminclient/links.go
+++ b/internal/adminclient/links.go
@@ -85,7 +85,8 @@
 	return reachability.LinkDown.String()
 }
 
-// printRoles prints which node leads, as each node sees it.
+// printRoles prints one row per node: which node leads, as this node sees it, and how many recent and
+// stranded workers it has.
 func printRoles(out io.Writer, nodes []string, statuses map[string]*reachability.NodeStatus,
 	incomplete *IncompleteError) {
 	fmt.Fprintln(out)
--- a/internal/adminclient/recovery.go
+++ b/internal/adminclient/recovery.go
@@ -11,9 +11,9 @@
 )
 
 // PrintRecovery prints the progress of the leader's recovery, the mismatches between the workers and
-// the records, the quarantined records, and the remaining rate budgets. It returns an
-// *IncompleteError if a node does not answer or shares its name with another one, if no leader answers
-// or different leaders are named, or if records are quarantined.
+// the records, the quarantined records (those that can't be read), and what is left of the leader's
+// rate limits. It returns an *IncompleteError if a node does not answer or shares its name with
+// another one, if no leader answers or different leaders are named, or if records are quarantined.
 func PrintRecovery(out io.Writer, options Options) error {
 	responses := queryAll[recovery.NodeStatus](options, "/recovery")
 	incomplete := &IncompleteError{}
