--- a/cmd/hitchdoor/commands_test.go
+++ b/cmd/hitchdoor/commands_test.go
@@ -17,8 +17,8 @@
 // flagUsage matches a line of the help text that describes a flag: its name, type, usage and default.
 var flagUsage = regexp.MustCompile(`^ *(-\w, )?(--\S+)( \w+)? {2,}.*?(\(default .*\))?$`)
 
-// flagsOf returns one line for a command, each of its flags, and each subcommand with its flags. The line
-// of a flag has the type and the default.
+// flagsOf returns lines that describe a command and, recursively, its subcommands. There is one line
+// for each command and one for each flag, with the type and the default.
 func flagsOf(t *testing.T, command *cobra.Command) []string {
 	lines := []string{command.UseLine()}
 	for line := range strings.Lines(command.LocalFlags().FlagUsages()) {
@@ -53,6 +53,6 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("subcommands and flags differ, got:\n%s\nwant:\n%s", got, want)
+		t.Errorf("subcommands and flags: got:\n%s\nwant:\n%s", got, want)
 	}
 }
