--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -151,7 +151,8 @@
 	return nil
 }
 
-// start starts the process with an operators' settings file, if the path is not empty.
+// start starts the process. settings is the path of the operators' settings file; if it is empty, the
+// process gets none.
 func (c *controller) start(program, settings string) error {
 	args := []string{"--config", c.configFile}
 	if settings != "" {
@@ -212,8 +213,8 @@
 	}
 }
 
-// unexpectedExit returns whether the process has exited without being killed. The reason is its
-// last log line, or its exit status if it has logged nothing.
+// unexpectedExit reports whether the process has exited without being killed. The reason is its last
+// log line, or its exit status if it has logged nothing.
 func (c *controller) unexpectedExit() (reason string, exited bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,8 +267,8 @@
 	return leader
 }
 
-// knownLeader returns the leader that the controller's status names, or "" if it names none or
-// there is no valid response.
+// knownLeader returns the leader that the controller's status names, or "" if the status names none
+// or there is no valid response.
 func (c *controller) knownLeader(ctx context.Context, client *http.Client) string {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.clientAddress+"/status", nil)
 	if err != nil {
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -39,9 +39,9 @@
 	mismatches                                               recovery.MismatchCounts
 }
 
-// Run emulates a cluster according to the options and returns what it measured. A *FailureError
-// means that the run was completed but the controllers broke a guarantee. Any other error means that
-// the run could not be completed or that its report could not be written.
+// Run emulates a cluster according to the options and returns what it measured. A *FailureError means
+// that the run was completed but the controllers broke a guarantee. Any other error means that the
+// run could not be completed or that the report could not be written.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -91,8 +91,8 @@
 	return err
 }
 
-// start starts the controllers, waits for a leader, and starts the workers. It then creates the
-// load generator, which submits nothing until runLoad.
+// start starts the controllers, waits for a leader, and starts the workers. It then creates the load
+// generator, which submits nothing until runLoad is called.
 func (e *emulation) start(ctx context.Context) error {
 	if err := e.controllers.startAll(); err != nil {
 		return err
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// runLoad generates load for the duration of the run, and kills and restarts the controllers
-// meanwhile if the options say so. At the end it queries all open jobs a last time.
+// runLoad generates load for LoadDuration, and kills and restarts the controllers meanwhile if
+// LoseControllersAt is not 0. At the end it queries all open jobs a last time.
 func (e *emulation) runLoad(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer e.load.client.CloseIdleConnections()
@@ -164,7 +164,7 @@
 	return e.loseControllersAgain(ctx)
 }
 
-// reconnectMachines ends the partition of machines once their leases have expired.
+// reconnectMachines ends the partition of machines once their worker leases have expired.
 func (e *emulation) reconnectMachines(ctx context.Context, partitioned []string) {
 	if !sleep(ctx, e.options.LeaseDuration*3/2) {
 		return
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// injectFaults brings some machines into states that differ from the stored records. It returns the
-// names of the partitioned machines.
+// injectFaults brings some machines into states that differ from the stored records, as described at
+// machinesPerFault. It returns the names of the partitioned machines.
 func (e *emulation) injectFaults() (partitioned []string) {
 	inventories := e.fleet.Inventories()
 	for i := range len(inventories) / machinesPerFault {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -77,7 +77,7 @@
 			checkRecovered(t, report, summary.String())
 			for _, kind := range c.mismatches {
 				if report.Mismatches[kind.String()] == 0 {
-					t.Errorf("no mismatch of kind %v, got %v", kind, report.Mismatches)
+					t.Errorf("mismatches of kind %v: got none, want at least one; all mismatches: %v", kind, report.Mismatches)
 				}
 			}
 			checkReportFile(t, options.ReportFile, report)
@@ -91,11 +91,11 @@
 	t.Helper()
 	if report.WronglyStopped != 0 || report.Jobs.Accepted == 0 || report.Jobs.Finished == 0 ||
 		report.Tasks.Started == 0 {
-		t.Errorf("report %+v, expected jobs and tasks, and none stopped wrongly", report)
+		t.Errorf("got report %+v, want accepted and finished jobs, started tasks, and no task stopped wrongly", report)
 	}
 	if report.Recovery.FirstOperation == nil || report.Recovery.BackToNormal == nil ||
 		report.Operations.Peak == 0 {
-		t.Errorf("the report lacks figures of the recovery: %s", summary)
+		t.Errorf("the report lacks figures of the recovery, summary:\n%s", summary)
 	}
 }
 
@@ -105,13 +105,13 @@
 	var stored Report
 	raw, err := os.ReadFile(path)
 	if err != nil || json.Unmarshal(raw, &stored) != nil || stored.Jobs != report.Jobs {
-		t.Errorf("report file: error %v, content %s, expected the job counts of the report", err, raw)
+		t.Errorf("report file: got error %v, content %s, want job counts %+v", err, raw, report.Jobs)
 	}
 }
 
-// Guards against runs that fail without a clear error or leave their settings files behind: whether an
-// option is invalid, a program or file is missing, or the run is interrupted, the error has one line
-// and names the cause, and the temporary directory is empty afterwards.
+// Guards against runs that fail without a clear error or leave their settings files behind: whether
+// an option is invalid, a program or file is missing, or the run is interrupted, the error must have
+// one line and name the cause, and the temporary directory must be empty afterwards.
 func TestFailedRunsReturnErrorAndLeaveNoFiles(t *testing.T) {
 	for name, failure := range map[string]struct {
 		change        func(options *Options)
@@ -145,21 +145,21 @@
 			}
 			_, err := Run(ctx, options)
 			if err == nil || !strings.Contains(err.Error(), failure.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, expected one line with %q", err, failure.want)
+				t.Errorf("got error %v, want one line with %q", err, failure.want)
 			}
 			if errors.Is(err, ErrInterrupted) != (name == "interrupted") {
-				t.Errorf("error %v, expected ErrInterrupted only for an interrupted run", err)
+				t.Errorf("got error %v, want ErrInterrupted only for an interrupted run", err)
 			}
 			var exited *ControllerExitedError
 			if errors.As(err, &exited) != (name == "program that exits") {
-				t.Errorf("error %v, expected a ControllerExitedError only for a program that exits", err)
+				t.Errorf("got error %v, want a *ControllerExitedError only for a program that exits", err)
 			}
 			var invalid *InvalidOptionError
 			if errors.As(err, &invalid) != failure.invalidOption {
-				t.Errorf("error %v, expected an InvalidOptionError only for an invalid option", err)
+				t.Errorf("got error %v, want an *InvalidOptionError only for an invalid option", err)
 			}
 			if remaining, _ := os.ReadDir(os.Getenv("TMPDIR")); len(remaining) > 0 {
-				t.Errorf("files left in the temporary directory: %v", remaining)
+				t.Errorf("files left in the temporary directory: got %v, want none", remaining)
 			}
 		})
 	}
@@ -175,13 +175,13 @@
 	} {
 		var failure *FailureError
 		if err := report.Failure(); !errors.As(err, &failure) || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, expected a FailureError with %q", err, want)
+			t.Errorf("got error %v, want a *FailureError with %q", err, want)
 		}
 	}
 }
 
-// Guards against wrong rates of operations, which are compared with the limits: the counts are those of
-// each window of one second, without the operations of cancelled jobs, to which no limit applies.
+// Guards against wrong rates of operations, which are compared with the limits: each window of one
+// second must be counted, without the operations of cancelled jobs, to which no limit applies.
 func TestCountRates(t *testing.T) {
 	from := time.Unix(1000, 0)
 	var operations []fakes.Operation
@@ -191,7 +191,7 @@
 	}
 	if rates := countRates(operations, from, from.Add(5*time.Second)); rates.Peak != 3 ||
 		rates.PeakByKind["start"] != 3 || rates.P99 < 2 || rates.P50 > 1 {
-		t.Errorf("rates %+v, expected peaks of 3, a P99 of at least 2 and a P50 of at most 1", rates)
+		t.Errorf("got rates %+v, want peaks of 3, a P99 of at least 2 and a P50 of at most 1", rates)
 	}
 }
 
@@ -217,10 +217,10 @@
 	got := counts.ByName()
 	for kind, count := range want {
 		if got[kind] != count {
-			t.Errorf("%d mismatches of kind %s, expected %d", got[kind], kind, count)
+			t.Errorf("got %d mismatches of kind %s, want %d", got[kind], kind, count)
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("mismatches %v, expected no other kinds than in %v", got, want)
+		t.Errorf("got mismatches %v, want no other kinds than in %v", got, want)
 	}
 }
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -27,7 +27,8 @@
 	jobsPerCancellation = 20              // users cancel one job in this many
 	// pollInterval is the time between two queries of a job's state by its user.
 	pollInterval = time.Second
-	// finalQueryTimeout is how long a job is queried at the end before it counts as forgotten.
+	// finalQueryTimeout is how long a job is queried at the end of the run, before it counts as
+	// forgotten.
 	finalQueryTimeout = 15 * time.Second
 )
 
@@ -56,8 +57,8 @@
 }
 
 // submitJobs submits jobs until the deadline. The load is open-loop: the times between jobs are
-// exponentially distributed and don't depend on the progress of earlier jobs. It returns once all
-// jobs are terminal or the context is cancelled.
+// exponentially distributed and don't depend on the progress of earlier jobs. submitJobs returns once
+// all jobs are terminal or the context is cancelled.
 func (g *loadGenerator) submitJobs(ctx context.Context, deadline time.Time) {
 	defer g.pollers.Wait()
 	runTime := max(minRunTime, heartbeatsPerRun*g.options.HeartbeatInterval)
@@ -167,8 +168,8 @@
 	return false
 }
 
-// sendRequest sends a request to a random controller and returns the response and the delay before
-// a retry. The status is 0 if there is no response.
+// sendRequest sends a request to a random controller. It returns the response and the delay after
+// which a failed request may be retried. The status is 0 if there is no response.
 func (g *loadGenerator) sendRequest(ctx context.Context, rng *rand.Rand, method, path string,
 	body []byte) (status int, response []byte, retryAfter time.Duration) {
 	address := g.addresses[rng.IntN(len(g.addresses))]
@@ -242,7 +243,7 @@
 	Forgotten int `json:"forgotten"`
 }
 
-// jobCounts counts the jobs that were accepted so far.
+// jobCounts counts the jobs that were accepted so far, by outcome.
 func (g *loadGenerator) jobCounts() JobCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/emulator/measure.go
+++ b/internal/emulator/measure.go
@@ -85,11 +85,11 @@
 	return 0, false
 }
 
-// OperationRates are rates of the operations that the workers and the cloud received, counted in
-// windows of rateWindow.
+// OperationRates are the numbers of operations that the workers and the cloud received, counted in
+// sliding windows of rateWindow.
 type OperationRates struct {
-	// Peak, Limit and the percentiles are those of starts and stops of tasks together. The limits
-	// follow from the settings.
+	// Peak, Limit and the percentiles are those of starts and stops of tasks together. Limit and
+	// LimitByKind follow from the settings.
 	Peak       int            `json:"peak"`
 	Limit      float64        `json:"limit"`
 	P50        int64          `json:"p50"`
@@ -100,8 +100,8 @@
 	LimitByKind map[string]float64 `json:"limit_by_kind"`
 }
 
-// countRates counts the operations in each window between two points in time. Stops of cancelled
-// jobs don't count, as the rate limits don't apply to them.
+// countRates counts the operations in each window between two points in time. Stops of tasks of
+// cancelled jobs don't count, because the rate limits don't apply to these stops.
 func countRates(operations []fakes.Operation, from, to time.Time) OperationRates {
 	rates := OperationRates{PeakByKind: map[string]int{}}
 	var taskTimes []time.Time
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -13,8 +13,8 @@
 	"hitchdoor/internal/config"
 )
 
-// Options configure an emulation. Validate derives a heartbeat interval or lease of 0 from the
-// number of machines.
+// Options configure an emulation. If HeartbeatInterval or LeaseDuration is 0, Validate derives it
+// from the number of machines.
 type Options struct {
 	Machines           int
 	Controllers        int
@@ -131,7 +131,7 @@
 // Parameters of the emulated deployment.
 const (
 	coresPerMachine     = 4
-	cancelTimeoutLeases = 2 // cancelled tasks may run for this many leases
+	cancelTimeoutLeases = 2 // cancelled tasks may run for this many worker leases
 	storeRPS            = 5000
 	storeWriteRPS       = 500
 	cloudRPS            = 20
