--- a/internal/fakes/close_test.go
+++ b/internal/fakes/close_test.go
@@ -22,7 +22,7 @@
 	startedAt := time.Now()
 	closeAll()
 	if took := time.Since(startedAt); took > closeTimeout {
-		t.Errorf("closing the %s took %v, longer than closeTimeout", name, took)
+		t.Errorf("closing the %s took %v, want at most %v", name, took, closeTimeout)
 	}
 }
 
@@ -54,11 +54,12 @@
 	checkCloseTime(t, "fleet", fleet.Close)
 	checkCloseTime(t, "store", store.Server.Close)
 	if err := <-watchResult; err == nil {
-		t.Error("the watch got a response from a closed store, expected an error")
+		t.Error("watch of a closed store: got a response, want an error")
 	}
 }
 
-// watchOnce sends a watch request, which the store answers after a minute if no key changes.
+// watchOnce sends a watch request to the store, and waits for the response. The store sends it after
+// a minute if no key changes.
 func watchOnce(ctx context.Context, url string) error {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
--- a/internal/fakes/fleet.go
+++ b/internal/fakes/fleet.go
@@ -38,17 +38,17 @@
 	workerLoops     sync.WaitGroup // counts the workers' heartbeat loops
 	totals          TaskTotals
 	duplicatedTasks []string // tasks that ran on two machines at once
-	wronglyStopped  []string // tasks that were stopped without a cancellation or a second copy
+	wronglyStopped  []string // tasks stopped although not cancelled and without a second copy
 
 	cancelRequested   map[string]bool      // jobs whose cancellation a user has requested
-	cancelConfirmedAt map[string]time.Time // when a controller confirmed the cancellation, by job
+	cancelConfirmedAt map[string]time.Time // when a controller confirmed the cancellation, by job ID
 }
 
 // FleetSettings configure the machines and the workers of a Fleet.
 type FleetSettings struct {
 	Nodes             map[string]string // the controllers' client addresses, by name
 	HeartbeatInterval time.Duration
-	LeaseDuration     time.Duration // time without a response after which a worker kills its tasks
+	LeaseDuration     time.Duration // worker lease: time without a response after which a worker kills its tasks
 	BootTime          time.Duration // time between the rental of a machine and its first heartbeat
 	TaskRunTime       time.Duration // run time of each task; 0: within a tenth of its job's estimate
 	MaxMachines       int           // upper bound of the machines up at the same time
@@ -62,7 +62,7 @@
 	// LostByLease includes the tasks of machines that were removed.
 	Started, Finished, Stopped, LostByLease int
 	LostRunTime                             time.Duration // run time of tasks that exited without completing
-	CancelledOverdue                        int           // tasks that run longer after their cancellation than allowed
+	CancelledOverdue                        int           // tasks that still run too long after their cancellation
 }
 
 // defaultCores is the number of cores of a machine if FleetSettings.CoresPerMachine is 0.
@@ -156,8 +156,8 @@
 // received, at or after a time.
 func (f *Fleet) OperationsSince(from time.Time) []Operation { return f.operations.since(from) }
 
-// TaskTotals returns the totals so far. A cancelled task counts as overdue once cancelTimeout has
-// passed since the confirmation.
+// TaskTotals returns the totals so far. A running task counts in CancelledOverdue once cancelTimeout
+// has passed since the cancellation of its job was confirmed.
 func (f *Fleet) TaskTotals(cancelTimeout time.Duration) TaskTotals {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -25,7 +25,7 @@
 	goroutines  sync.WaitGroup // counts the relay's goroutines
 }
 
-// NewRelay starts a relay to a target address.
+// NewRelay starts a relay that listens on a free loopback port and forwards to target.
 func NewRelay(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 // Address returns the address on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Block sets which directions are blocked.
+// Block sets which directions are blocked, on open and on later connections.
 func (r *Relay) Block(toTarget, fromTarget bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,8 +113,8 @@
 	return true
 }
 
-// forwardBytes copies bytes from one end to the other until either closes. It waits while the
-// direction is blocked.
+// forwardBytes copies bytes from one end to the other until either closes. It waits while *blocked is
+// true.
 func (r *Relay) forwardBytes(from, to net.Conn, blocked *bool) {
 	defer r.closeConnections(from, to)
 	buffer := make([]byte, 16<<10)
--- a/internal/fakes/reservation_test.go
+++ b/internal/fakes/reservation_test.go
@@ -9,8 +9,8 @@
 )
 
 // Guards against a reserved address that another socket takes while no server listens on it, so that
-// a restarted server can't listen: servers can listen on the address repeatedly, but neither another
-// reservation nor a socket without SO_REUSEADDR gets it.
+// a restarted server can't listen. Servers must be able to listen on the address repeatedly, but
+// neither another reservation nor a socket without SO_REUSEADDR may get it.
 func TestReservedAddressesAreExclusive(t *testing.T) {
 	reservation, err := ReserveAddresses(20)
 	if err != nil {
@@ -20,19 +20,20 @@
 	reserved := map[string]bool{}
 	for _, address := range reservation.Addresses() {
 		if reserved[address] {
-			t.Errorf("%s is reserved twice", address)
+			t.Errorf("%s is reserved twice by one reservation", address)
 		}
 		reserved[address] = true
 	}
 	for _, address := range reservation.Addresses() {
 		if err := listenWithoutReuseAddr(address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("listening on %s without SO_REUSEADDR: error %v, expected EADDRINUSE", address, err)
+			t.Errorf("listening on %s without SO_REUSEADDR: got error %v, want EADDRINUSE", address, err)
 		}
 		for range 3 {
 			serveOneConnection(t, address)
 		}
 		if err := listenWithoutReuseAddr(address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("listening on %s without SO_REUSEADDR after its server: error %v, expected EADDRINUSE", address, err)
+			t.Errorf("listening on %s without SO_REUSEADDR after its server: got error %v, want EADDRINUSE",
+				address, err)
 		}
 	}
 	other, err := ReserveAddresses(200)
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -37,7 +37,8 @@
 	onCommit          func(storage.Txn) // called with each committed transaction; nil: none
 }
 
-// lease is a lease of the store. The keys bound to it are deleted when it expires.
+// lease is a lease that the store has granted. The keys bound to the lease are deleted when it
+// expires or is revoked.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
@@ -61,7 +62,8 @@
 	s.mu.Unlock()
 }
 
-// SetUnavailable begins or ends an outage. Both renew every lease for its full TTL.
+// SetUnavailable begins or ends an outage. The beginning and the end both renew every lease for its
+// full TTL.
 func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,8 +163,8 @@
 	return page
 }
 
-// commitTxn commits a transaction if the write limit and all its conditions allow it. It returns
-// the HTTP status and the body of the response.
+// commitTxn commits a transaction if the write limit and all of the transaction's conditions allow
+// it. It returns the HTTP status and the body of the response.
 func (s *Store) commitTxn(txn storage.Txn) (int, any) {
 	if s.writeRPS > 0 {
 		now := time.Now()
@@ -213,7 +215,8 @@
 // maxRetainedEvents is the number of latest changes that a watch can always read.
 const maxRetainedEvents = 10_000
 
-// recordEvent keeps a change for watches. Older changes are compacted in batches.
+// recordEvent keeps a change for watches. It compacts the oldest changes, in batches of
+// maxRetainedEvents.
 func (s *Store) recordEvent(event storage.WatchEvent) {
 	if s.events = append(s.events, event); len(s.events) > 2*maxRetainedEvents {
 		s.compactedRevision = s.events[maxRetainedEvents-1].ModRevision
@@ -289,8 +292,9 @@
 	}
 }
 
-// watch answers once a key with the prefix has changed, or at the deadline of the request. It answers
-// 410 if changes after the requested revision have been compacted.
+// watch answers once a key with the prefix has changed after the requested revision, or at the
+// deadline of the request. It answers 410 if changes after that revision have been compacted, that
+// is, are no longer kept.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
@@ -314,7 +318,7 @@
 		case <-changed:
 		case <-deadline:
 			beforeDeadline = false
-			// A watch stays open during an outage and polls for its end.
+			// A watch stays open during an outage and polls for the end of the outage.
 			deadline = time.After(50 * time.Millisecond)
 		case <-r.Context().Done():
 			return
@@ -322,7 +326,8 @@
 	}
 }
 
-// readJSON decodes the body of a request. It answers 400 and returns false if that fails.
+// readJSON decodes the body of a request. If the body can't be decoded, it answers 400 and returns
+// false.
 func readJSON(w http.ResponseWriter, r *http.Request, body any) bool {
 	if err := json.NewDecoder(r.Body).Decode(body); err != nil {
 		writeJSON(w, 400, map[string]string{"error": err.Error()})
@@ -331,7 +336,7 @@
 	return true
 }
 
-// writeJSON writes a response. The body is empty if it is nil.
+// writeJSON writes a response. If body is nil, the response has no body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -20,7 +20,7 @@
 	fleet               *Fleet
 	name                string // name of the machine
 	node                string // name of the controller that gets the next heartbeat
-	epoch, heartbeatSeq uint64
+	epoch, heartbeatSeq uint64 // epoch rises each time the lease expires; heartbeatSeq counts heartbeats
 	fencingToken        uint64 // the highest fencing token received
 	tasks               []*task
 	leaseRenewedAt      time.Time // when the last answered heartbeat was sent
@@ -82,7 +82,8 @@
 	w.stateChanged = true
 }
 
-// advanceToNow applies the events that are due: the expiry of the lease and the completion of tasks.
+// advanceToNow applies the events that are due: the expiry of the worker lease, which kills all
+// tasks, and the completion of tasks.
 func (w *worker) advanceToNow() {
 	now := time.Now()
 	if !w.leaseRenewedAt.IsZero() && now.Sub(w.leaseRenewedAt) > w.fleet.settings.LeaseDuration {
@@ -121,7 +122,8 @@
 }
 
 // heartbeatDelay returns the time to wait before the next heartbeat. It is shorter than usual if the
-// last one was not delivered, if something has changed, or if a task completes earlier.
+// last heartbeat was not delivered, if a task, the controller or the fencing token has changed, or if
+// a task will complete before the usual time.
 func (w *worker) heartbeatDelay(delivered bool) time.Duration {
 	w.fleet.mu.Lock()
 	defer w.fleet.mu.Unlock()
@@ -216,8 +218,8 @@
 }
 
 // handleResponse executes the commands of a response, or switches to another controller. It returns
-// false if the heartbeat was not delivered. It drops responses that are late or carry an older fencing
-// token, as the protocol requires.
+// false if the heartbeat was not delivered. It drops responses that are late or carry an older
+// fencing token, as the protocol requires, but counts their heartbeats as delivered.
 func (w *worker) handleResponse(status int, body []byte, sentAt time.Time) bool {
 	fleet := w.fleet
 	receivedAt := time.Now()
@@ -247,7 +249,8 @@
 	return false
 }
 
-// executeCommand executes a command unless it has been executed before.
+// executeCommand executes a command. It ignores a repeated start, and a stop or forget of an attempt
+// that the worker does not know.
 func (w *worker) executeCommand(command protocol.Command, receivedAt time.Time) {
 	index := slices.IndexFunc(w.tasks, func(candidate *task) bool {
 		return candidate.TaskID == command.TaskID && candidate.Attempt == command.Attempt
