--- a/internal/compatibility/golden_test.go
+++ b/internal/compatibility/golden_test.go
@@ -98,8 +98,8 @@
 	}}
 }
 
-// checkJSONCases compares the encoded values with a golden file. It also checks that each line of
-// the file is decoded to its value, and that this is encoded to the same bytes again.
+// checkJSONCases compares the encoded values with a golden file. It also checks that each line of the
+// file is decoded to the case's value, and that the decoded value is encoded to the same bytes again.
 func checkJSONCases(t *testing.T, file string, cases []jsonCase) {
 	t.Helper()
 	var got []goldenLine
--- a/internal/compatibility/records_test.go
+++ b/internal/compatibility/records_test.go
@@ -162,7 +162,7 @@
 	var got []goldenLine
 	addError := func(name string, err error) {
 		if err == nil {
-			t.Errorf("%s: got no error", name)
+			t.Errorf("%s: got no error, want one", name)
 			return
 		}
 		got = append(got, goldenLine{name, err.Error()})
@@ -222,6 +222,6 @@
 	record, err := storage.ReadJob(storage.Item{Key: lines[0].name, Value: json.RawMessage(lines[0].value)})
 	if err != nil || !record.RestoreDependencies(dependencyItems) ||
 		!reflect.DeepEqual(record, storage.JobRecord{Spec: job, AcceptedAtMillis: 5}) {
-		t.Errorf("got record %+v, error %v; want the job with all its dependencies", record, err)
+		t.Errorf("job with many dependencies: got record %+v, error %v; want the job with all its dependencies", record, err)
 	}
 }
--- a/internal/compatibility/settings_test.go
+++ b/internal/compatibility/settings_test.go
@@ -66,7 +66,7 @@
 	cluster.Cloud.RequestsPerS, cluster.Cloud.ListLagS = 4.25, 10.25
 	cluster.Resources = config.Resources{CoreShare: 0.18, MemoryMB: 179.5, MaxConnections: 1200}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("platform file: got %+v, want %+v", got, want)
 	}
 	if cluster.Store.MaxValueBytes() != 16896 || cluster.Store.MaxTxnOps() != 24 ||
 		cluster.Store.LowerWritesPerS() != 50.5 {
@@ -147,7 +147,7 @@
 		RecoveryMinMachines: 200, RecoveryRefillLeases: 0.5, RecoveryReplaceLeases: 2.5, MaxTraceSteps: 300,
 		MemoryLimitRatio: 0.625}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v; error: %v", got, want, err)
+		t.Errorf("operators' file: got %+v, want %+v; error: %v", got, want, err)
 	}
 }
 
--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -89,7 +89,7 @@
 	addError := func(name, body string) {
 		_, err := protocol.ParseJob([]byte(body))
 		if err == nil {
-			t.Errorf("submission %s: got no error", name)
+			t.Errorf("submission %s: got no error, want one", name)
 			return
 		}
 		got = append(got, goldenLine{name, err.Error()})
@@ -271,7 +271,7 @@
 	for i, l := range readGolden(t, "wire_peers.txt") {
 		decoded, err := protocol.DecodePeerMessage([]byte(l.value))
 		if err != nil || !reflect.DeepEqual(decoded, peerMessages()[i].message) {
-			t.Errorf("decoding %s: got %+v, error %v; want the encoded message", l.value, decoded, err)
+			t.Errorf("decoding %s: got %+v, error %v; want %+v", l.value, decoded, err, peerMessages()[i].message)
 			continue
 		}
 		if reencoded, err := protocol.EncodePeerMessage(decoded); err != nil || string(reencoded) != l.value {
@@ -297,7 +297,7 @@
 			outcome = "ignored: "
 		}
 		if err == nil {
-			t.Errorf("message %s: got no error", raw)
+			t.Errorf("message %s: got no error, want one", raw)
 			continue
 		}
 		got = append(got, goldenLine{raw, outcome + strings.ReplaceAll(err.Error(), "\n", " ")})
@@ -363,10 +363,10 @@
 	select {
 	case m := <-received:
 		if m != (controller.InboundMessage{From: "n0", Message: protocol.VoteRequest{Term: 5}}) {
-			t.Errorf("got message %+v, want the vote request for term 5 from n0", m)
+			t.Errorf("receiver: got message %+v, want the vote request for term 5 from n0", m)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("got no message within 10 s")
+		t.Error("receiver: got no message within 10 s, want the vote request")
 	}
 }
 
