--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -147,7 +147,7 @@
 			maps.Copy(graph, test.change)
 			got := strings.Join(findViolations(layers, restricted, graph), "\n")
 			if (test.want == "") != (got == "") || !strings.Contains(got, test.want) {
-				t.Errorf("got %q, want %q", got, test.want)
+				t.Errorf("violations: got %q, want a text that contains %q (none if empty)", got, test.want)
 			}
 		})
 	}
@@ -169,7 +169,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			got := strings.Join(findViolations(test.layers, nil, graph), "\n")
 			if !strings.Contains(got, test.want) {
-				t.Errorf("got %q, want a text that contains %q", got, test.want)
+				t.Errorf("violations: got %q, want a text that contains %q", got, test.want)
 			}
 		})
 	}
@@ -201,7 +201,7 @@
 	}
 	want := "map[internal/checks:[] internal/high:[internal/low] internal/low:[]]"
 	if got := fmt.Sprint(graph); got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("import graph: got %s, want %s", got, want)
 	}
 }
 
