--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -20,8 +20,8 @@
 			cluster.Resources.MaxConnections = test.connections
 			budget := budgetConnections(cluster)
 			if budget.server < test.machines*12/10 {
-				t.Errorf("of %d connections the server gets %d, want enough for %d machines and the users",
-					test.connections, budget.server, test.machines)
+				t.Errorf("server's share of %d connections: got %d, want at least %d",
+					test.connections, budget.server, test.machines*12/10)
 			}
 			if sum := budget.store + budget.cloud + budget.peers + budget.server; sum >= test.connections {
 				t.Errorf("the budget assigns %d connections, want fewer than %d", sum, test.connections)
--- a/internal/daemon/overload_test.go
+++ b/internal/daemon/overload_test.go
@@ -109,7 +109,7 @@
 			verdicts[note] = true
 		}
 		if len(verdicts) > 1 {
-			c.t.Errorf("verdicts on %s in epoch %d, by node: got %v, want the same from all", key.job, key.epoch, byNode)
+			c.t.Errorf("verdicts on job %s in epoch %d, by node: got %v, want the same from all", key.job, key.epoch, byNode)
 		}
 		if len(byNode) > 1 {
 			compared++
@@ -133,7 +133,7 @@
 	report := &bytes.Buffer{}
 	if err := adminclient.PrintTrace(report, c.adminOptions(), jobs[0]); err != nil ||
 		!strings.Contains(report.String(), "done after") {
-		c.t.Errorf("the trace command does not show the end of %s: error %v, output\n%s", jobs[0], err, report)
+		c.t.Errorf("the trace command does not show the end of job %s: error %v, output\n%s", jobs[0], err, report)
 	}
 }
 
@@ -166,7 +166,7 @@
 				accepted = accepted || status == 200 || status == 201
 				pause = max(pause, retryAfter)
 				if status == 503 && retryAfter == 0 {
-					c.t.Errorf("submission of %s: got status 503 without Retry-After, want one", job.ID)
+					c.t.Errorf("submission of job %s: got status 503 without Retry-After, want one", job.ID)
 				}
 			})
 		}
@@ -176,7 +176,7 @@
 		}
 		time.Sleep(pause)
 	}
-	c.t.Errorf("%s was not accepted within %v", job.ID, protocol.SubmissionRetryWindow)
+	c.t.Errorf("job %s was not accepted within %v", job.ID, protocol.SubmissionRetryWindow)
 }
 
 // adminOptions returns options of the operators' commands for all nodes.
@@ -199,7 +199,7 @@
 	for _, name := range c.nodes {
 		var steps []tracing.Step
 		if !c.getJSON(name, "/trace/"+job, &steps) {
-			c.t.Errorf("%s does not return the trace of %s", name, job)
+			c.t.Errorf("node %s does not return the trace of job %s", name, job)
 		}
 		all = append(all, steps...)
 	}
@@ -220,7 +220,7 @@
 				verdicts[key] = map[string]string{}
 			}
 			if previous, ok := verdicts[key][step.Node]; ok && previous != step.Note {
-				c.t.Errorf("%s gave two verdicts on %s in epoch %d: %s and %s, want the same",
+				c.t.Errorf("node %s gave two verdicts on job %s in epoch %d: %s and %s, want the same",
 					step.Node, job, step.Epoch, previous, step.Note)
 			}
 			verdicts[key][step.Node] = step.Note
