--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -292,7 +292,7 @@
 type ProcessUsage struct {
 	Node         string  `json:"node"`
 	PeakMemoryMB float64 `json:"peak_memory_mb"`
-	Connections  int     `json:"connections"`
+	Connections  int     `json:"connections"` // open sockets, including listeners
 	CPUSeconds   float64 `json:"processor_s"`
 }
 
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -95,7 +95,7 @@
 	}
 	if report.Recovery.FirstOperation == nil || report.Recovery.BackToNormal == nil ||
 		report.Operations.Peak == 0 {
-		t.Errorf("the report lacks figures of the recovery, summary:\n%s", summary)
+		t.Errorf("the report lacks the first operation, the return to normal or the peak rate, summary:\n%s", summary)
 	}
 }
 
