--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -15,7 +15,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// worker is the fake worker of one machine. Its fields are guarded by the mutex of its fleet.
+// worker is a machine of the fleet with the fake worker that runs on it. Its fields are guarded by
+// the mutex of its fleet.
 type worker struct {
 	fleet               *Fleet
 	name                string // name of the machine
