--- a/cmd/hitchdoor/main.go
+++ b/cmd/hitchdoor/main.go
@@ -36,7 +36,8 @@
 // An empty operators' path means default settings.
 type settingsFiles struct{ platform, operators string }
 
-// load reads and validates both settings files. It returns errConfigMissing if there is no platform file.
+// load reads and validates both settings files. It returns errConfigMissing if the path of the
+// platform's file is empty.
 func (f *settingsFiles) load() (*config.Platform, config.Settings, error) {
 	if f.platform == "" {
 		return nil, config.Settings{}, errConfigMissing
