--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -12,21 +12,21 @@
 // This file connects a node with admission control: the node evaluates submissions by the admission
 // policy and reports the rejected ones to the leader.
 
-// admissionHost gives admission control access to its node. It implements
-// admissioncontrol.PolicyHost and admissioncontrol.PublisherHost.
+// admissionHost implements admissioncontrol.PolicyHost and admissioncontrol.PublisherHost for a node.
 type admissionHost struct{ node *Node }
 
 // Now returns the time of the current step.
 func (h admissionHost) Now() clock.Instant { return h.node.now }
 
-// ReadRecord reads a record of the key-value store. Status 0 means that no usable response arrived.
+// ReadRecord reads a record of the key-value store and passes the HTTP status and the body of the
+// response to onResponse. Status 0 means that no usable response arrived.
 func (h admissionHost) ReadRecord(key string, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodGet, "/store/"+key, nil, func(result CallResult) {
 		onResponse(result.Status, result.Body)
 	})
 }
 
-// SubmissionsPerSecond returns the rate at which the cluster may write submissions.
+// SubmissionsPerSecond returns the rate at which the whole cluster may write submissions.
 func (h admissionHost) SubmissionsPerSecond() float64 { return h.node.submissionQueue.ClusterRate() }
 
 // PoliciesAllowed reports whether the settings enable admission policies and every node supports
@@ -46,14 +46,14 @@
 }
 
 // loadAdmissionPolicy loads the admission policy that an earlier leader stored. items is empty if
-// there is none.
+// no policy is stored.
 func (l *leader) loadAdmissionPolicy(items []storage.Item) {
 	l.writer.NoteRevisions(items)
 	l.admission.LoadStoredPolicy(items, l.loader.JobsRevision())
 }
 
-// evaluateSubmission queues a submission to be written if the admission policy admits it. Otherwise
-// it rejects the submission and tells the user when to retry.
+// evaluateSubmission queues a submission to be written if the admission policy admits it. Otherwise,
+// or if the stored policy is invalid, it tells the user when to retry.
 func (n *Node) evaluateSubmission(submission *userSubmission) {
 	policy := n.admissionPolicy
 	if policy.Invalid {
@@ -75,8 +75,8 @@
 }
 
 // rejectByPolicy rejects a submission that the policy does not admit yet, unless the key-value store
-// has a record of the job already. If too little of the read budget is left to look that up, it
-// rejects the submission without the lookup; the user retries.
+// has a record of the job already. If less than half of the budget for reads on behalf of users is
+// left, it rejects the submission without looking for a record; the user retries.
 func (n *Node) rejectByPolicy(submission *userSubmission, response errorResponse) {
 	if !n.jobReader.HasSpareReads() {
 		n.reply(submission.request.Origin, response.status, response.retryAfterSeconds, response)
@@ -85,7 +85,8 @@
 	n.replyFromStore(submission.request, submission.leader, response)
 }
 
-// rejectForCapacity rejects an admitted submission that can't be written in time; the user retries.
+// rejectForCapacity rejects an admitted submission that can't be written in time; the user retries. The
+// rejection counts as load, except while the key-value store is unavailable.
 func (n *Node) rejectForCapacity(submission *userSubmission) {
 	job := submission.request.Job
 	if !n.election.StoreUnavailable() {
@@ -95,8 +96,8 @@
 	n.replyUnavailable(submission.request.Origin)
 }
 
-// tickAdmission reads the admission policy if a peer knows a newer one, and reports the submissions
-// that this node rejected to the leader, at most once per interval of the peers' heartbeats.
+// tickAdmission reads the admission policy if a peer knows a newer one. It also reports to the leader
+// the submissions that this node rejected, at most once per interval of the heartbeats between nodes.
 func (n *Node) tickAdmission() {
 	if n.admissionPolicy.NeedsRead() && !n.election.StoreFailing() {
 		n.admissionPolicy.Read(nil)
--- a/internal/controller/admission_status.go
+++ b/internal/controller/admission_status.go
@@ -8,8 +8,8 @@
 	"hitchdoor/internal/admissioncontrol"
 )
 
-// admissionStatus returns this node's admission policy and, if the request names a job, the state of
-// that job's admission.
+// admissionStatus returns the HTTP status and the body of the admission page: this node's policy and,
+// if the request names a job, whether that job is admitted.
 func (p statusPages) admissionStatus(request Request) (int, any) {
 	n := p.node
 	policy := n.admissionPolicy
@@ -28,7 +28,8 @@
 	return http.StatusOK, status
 }
 
-// jobAdmissionStatus returns what this node knows about the admission of a job.
+// jobAdmissionStatus returns what this node knows about the admission of a job. A job that this node
+// has not rejected by a policy has no RejectedGroup.
 func (p statusPages) jobAdmissionStatus(jobID string) *admission.JobStatus {
 	n := p.node
 	status := &admission.JobStatus{ID: jobID, Accepted: n.jobReader.KnownAccepted(jobID)}
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -9,8 +9,8 @@
 	"hitchdoor/internal/protocol"
 )
 
-// autoscalerHost gives the autoscaler access to its leader and node. It implements
-// autoscaler.CloudClient, MachineRegistry, JobQueue, WallClock and StoreHealth.
+// autoscalerHost implements CloudClient, MachineRegistry, JobQueue, WallClock and StoreHealth of
+// package autoscaler for a leader.
 type autoscalerHost struct{ leader *leader }
 
 // newLeaderAutoscaler returns the autoscaler of a leader.
@@ -20,16 +20,16 @@
 		Recovery: l.recovery, Machines: host, Jobs: host, WallClock: host, Store: host})
 }
 
-// TakeRequest reports whether the budget allows a request now, and takes it from the budget.
+// TakeRequest takes one request to the cloud from the budget. It reports false if none is left now.
 func (h autoscalerHost) TakeRequest() bool {
 	return h.leader.node.takeCloudRequest()
 }
 
-// ReturnRequest refunds a request that was taken from the budget but not sent.
+// ReturnRequest refunds a request to the cloud that was taken from the budget but not sent.
 func (h autoscalerHost) ReturnRequest() { h.leader.node.returnCloudRequest() }
 
-// Send sends a request, and calls onResponse with the response unless the leader has stepped down by
-// then. The status is 0 if no usable response arrives within the timeout.
+// Send sends a request to the cloud, and calls onResponse with the response unless the leader has
+// stepped down by then. The status is 0 if no usable response arrives within the timeout.
 func (h autoscalerHost) Send(method, path string, body any, timeout time.Duration,
 	onResponse func(protocol.CloudResponse)) {
 	h.leader.node.callService(TargetCloud, method, path, body, timeout, func(result CallResult) {
@@ -44,12 +44,12 @@
 	h.leader.machineRecords.AddRented(name, request.Type, request.Zone, request.Spot, h.leader.node.now)
 }
 
-// AddListedMachine adds a machine that the cloud lists and no record names.
+// AddListedMachine adds a machine that the cloud lists but no stored record names, and returns it.
 func (h autoscalerHost) AddListedMachine(host protocol.Host) *cluster.Machine {
 	return h.leader.machineRecords.AddListed(host)
 }
 
-// RemoveMachine removes a machine that is certain to be gone, with all its attempts.
+// RemoveMachine removes a machine that is certain to be gone, with all task attempts on it.
 func (h autoscalerHost) RemoveMachine(machine *cluster.Machine) {
 	h.leader.machineRecords.Remove(machine)
 }
@@ -64,18 +64,18 @@
 }
 
 // MayRunUnreported reports whether tasks of a job may be running on machines that are not
-// reconciled yet.
+// reconciled: they may run attempts that this leader does not know.
 func (h autoscalerHost) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
 	return h.leader.MayRunUnreported(job, totals)
 }
 
-// SoonReleasedDependents returns the jobs for which this one is the last pending dependency, if it
-// should end within the horizon.
+// SoonReleasedDependents returns the jobs whose last pending dependency is the given job, if the given
+// job is expected to end within the horizon.
 func (h autoscalerHost) SoonReleasedDependents(job *cluster.Job, horizon time.Duration) []*cluster.Job {
 	return h.leader.dependencies.SoonReleasedDependents(job, horizon)
 }
 
-// ReleaseUndelivered releases the attempts that were not delivered to their machine in time.
+// ReleaseUndelivered releases the attempts whose start command did not reach their machine in time.
 func (h autoscalerHost) ReleaseUndelivered() { h.leader.ReleaseUndelivered() }
 
 // NowUnixMilli returns the current wall clock in Unix milliseconds.
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -6,21 +6,21 @@
 	"hitchdoor/internal/protocol"
 )
 
-// Command is an input of Node.Step. The commands are Request, InboundMessage, CallResult, Drain and
-// ServerLoad.
+// Command is an input of Node.Step: a Request, InboundMessage, CallResult, Drain or ServerLoad. It is
+// not a command to a worker, for which see protocol.CommandKind.
 type Command interface {
 	// apply processes the command. Only Step calls it.
 	apply(n *Node)
 }
 
-// Origin identifies the source of a request: a connection of this node, or, if Peer is
-// set, the peer that forwarded it. RequestID is unique per source.
+// Origin identifies the source of a request: one of this node's own connections, or, if Peer is set,
+// the peer that forwarded the request. RequestID is unique per source.
 type Origin struct {
 	RequestID uint64
 	Peer      string
 }
 
-// Request is a command: an HTTP request of a user, a worker, an operator or the load balancer.
+// Request passes on to the node an HTTP request of a user, a worker, an operator or the load balancer.
 type Request struct {
 	Origin    Origin
 	Kind      protocol.RequestKind
@@ -31,14 +31,14 @@
 	forwarded bool // this node has already forwarded the submission to the leader
 }
 
-// InboundMessage is a command: a message received from the peer From.
+// InboundMessage passes on to the node a message from the peer named From.
 type InboundMessage struct {
 	From    string
 	Message protocol.PeerMessage
 }
 
-// IsReadOnly reports whether the request changes no state, so that it may be queued behind all
-// requests that do.
+// IsReadOnly reports whether the request changes no state. The caller may queue such a request behind
+// all requests that change state.
 func (r Request) IsReadOnly() bool {
 	return r.Kind == protocol.RequestQuery || r.Kind == protocol.RequestStatus || r.Kind == protocol.RequestMetrics ||
 		r.Kind == protocol.RequestAdmission || r.Kind == protocol.RequestLinks || r.Kind == protocol.RequestRecovery
@@ -50,19 +50,19 @@
 	return forwarded && request.Kind == protocol.RequestQuery
 }
 
-// UnavailableResponse returns the response 503, with a retry after a second, to a forwarded
-// read-only request that can't be processed now.
+// UnavailableResponse returns the response to a forwarded read-only request that can't be processed
+// now: status 503, and a retry after a second.
 func (m InboundMessage) UnavailableResponse() OutboundMessage {
 	request, _ := m.Message.(protocol.ForwardedRequest)
 	response := protocol.ForwardedResponse{ID: request.ID, Status: http.StatusServiceUnavailable, RetryAfter: 1}
 	return OutboundMessage{To: m.From, Message: response}
 }
 
-// Drain is the command to shut down: the node resigns as leader, starts no more candidacies,
+// Drain tells the node to shut down: the node resigns as leader, starts no more candidacies,
 // and sends workers and users to other nodes until its process exits.
 type Drain struct{}
 
-// CallResult is a command: the outcome of the ServiceCall with the same ID. Status 0 means that no
+// CallResult tells the node the outcome of the ServiceCall with the same ID. Status 0 means that no
 // usable response arrived; the request may have been executed, or may still be executed later.
 type CallResult struct {
 	ID     uint64
@@ -70,8 +70,8 @@
 	Body   []byte
 }
 
-// ServerLoad is a command that reports how many connections of users and workers are open, and
-// how many the server accepts at most.
+// ServerLoad tells the node how many connections of users and workers are open, and how many the
+// server accepts at most.
 type ServerLoad struct{ Open, Limit int }
 
 func (r Request) apply(n *Node) { n.onRequest(r) }
--- a/internal/controller/connectivity.go
+++ b/internal/controller/connectivity.go
@@ -17,7 +17,8 @@
 	invalidReportLogged map[string]bool // peers whose invalid reports were logged
 }
 
-// newConnectivity returns the state of a node that has not received any report yet.
+// newConnectivity returns the state before any report has arrived. self is this node's name, and peers
+// is the node's own map, which is read later.
 func newConnectivity(self string, peers map[string]*peer) connectivity {
 	names := []string{self}
 	for name := range peers {
@@ -51,7 +52,7 @@
 }
 
 // workersReachPeers reports whether some peer has reported within the window that workers connect to
-// it.
+// that peer.
 func (c *connectivity) workersReachPeers(now clock.Instant, window time.Duration) bool {
 	for name := range c.peers {
 		if report, ok := c.matrix.LatestReport(name, now, window); ok && report.RecentWorkers > 0 {
--- a/internal/controller/dependency_host.go
+++ b/internal/controller/dependency_host.go
@@ -9,7 +9,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// dependencyHost gives the dependency graph access to its leader. It implements dependency.Host.
+// dependencyHost implements dependency.Host for a leader.
 type dependencyHost struct{ leader *leader }
 
 // TerminalRecord returns the terminal record of a job, if it is known.
@@ -30,8 +30,8 @@
 	}
 }
 
-// CancelJob responds to the users who wait for the cancellation of a job, and ends the job as
-// cancelled unless it is already terminal.
+// CancelJob is called for a job with a cancelled dependency. It responds to the users who wait for the
+// job's cancellation, and ends the job as cancelled unless it is already terminal.
 func (h dependencyHost) CancelJob(job *cluster.Job) {
 	waiters := h.leader.cancelWaiters
 	for _, origin := range waiters[job.Spec.ID] {
--- a/internal/controller/election_host.go
+++ b/internal/controller/election_host.go
@@ -31,14 +31,14 @@
 // stepDown ends this node's term as the leader.
 func (n *Node) stepDown(reason string) { n.election.StepDown(reason) }
 
-// electionHost gives the election access to its node. It implements election.Host.
+// electionHost implements election.Host for a node.
 type electionHost struct{ node *Node }
 
 // Now returns the time of the current step.
 func (h electionHost) Now() clock.Instant { return h.node.now }
 
 // CallStore sends a request to the key-value store and passes the response to onResponse in a later
-// step. The node observes every response of the store and passes its status to the election first.
+// step. Before that, it passes the response's status to the election, as for every response of the store.
 func (h electionHost) CallStore(method, path string, body any, onResponse func(storage.Response)) {
 	h.node.storeCall(method, path, body, func(result CallResult) {
 		onResponse(storage.Response{Status: result.Status, Body: result.Body})
@@ -50,9 +50,9 @@
 	h.node.send(to, message)
 }
 
-// DescribeController sets the fields of a heartbeat that do not concern the election. A leader that
-// workers can't reach reports that it has no spare connections, so that its peers relay the workers'
-// heartbeats, except while it probes the direct route.
+// DescribeController sets the fields of a heartbeat to the peers that do not concern the election. A
+// leader that workers can't reach reports that it has no spare connections, so that its peers relay the
+// workers' heartbeats. While it tests whether workers reach it again, it reports a few.
 func (h electionHost) DescribeController(heartbeat *protocol.PeerHeartbeat) {
 	node := h.node
 	heartbeat.ProtocolLevel = protocolLevel
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -9,7 +9,7 @@
 	"hitchdoor/internal/recovery"
 )
 
-// onWorkerHeartbeat processes the heartbeat of a worker and responds with the commands for it.
+// onWorkerHeartbeat processes the heartbeat of a worker and responds with the commands for that worker.
 func (l *leader) onWorkerHeartbeat(request Request) {
 	node, heartbeat := l.node, request.Heartbeat
 	if !l.recordsLoaded {
@@ -19,7 +19,7 @@
 	l.lastWorkerHeartbeat = node.now
 	if heartbeat.FencingToken > l.term {
 		l.recovery.NoteMismatch(recovery.NewerToken, heartbeat.Machine, "")
-		// The worker has seen the token of a newer leader and would discard the response of this one.
+		// The worker has seen the token of a newer leader and would discard this leader's response.
 		node.replyUnavailable(request.Origin)
 		node.stepDown("a worker has seen a higher token")
 		return
@@ -58,7 +58,7 @@
 		heartbeat.Epoch == machine.Epoch && heartbeat.Sequence == machine.HeartbeatSeq+1
 }
 
-// reconcilerHost gives the reconciler access to its leader. It implements reconcile.Host.
+// reconcilerHost implements reconcile.Host for a leader.
 type reconcilerHost struct{ leader *leader }
 
 // RecordMachine queues a write that stores a machine as one that may have tasks.
@@ -72,7 +72,7 @@
 }
 
 // ClosedJobState returns the state of a job according to its terminal record or unreadable record:
-// terminal or quarantined. The state is unknown if there is no such record.
+// terminal, or quarantined if the record can't be used. Without such a record the state is unknown.
 func (h reconcilerHost) ClosedJobState(jobID string) recovery.JobState {
 	if _, isTerminal := h.leader.node.jobReader.TerminalRecord(jobID); isTerminal {
 		return recovery.JobStateTerminal
@@ -89,8 +89,8 @@
 	return h.leader.node.jobReader.TerminalJobsLoaded()
 }
 
-// ConfirmDelivery reports whether the route of a heartbeat shows that the last response has reached
-// the worker. If so, it records the delivery. relayPeer is the peer that relayed the heartbeat, or empty.
+// ConfirmDelivery reports whether the route of a heartbeat shows that this leader's last response has
+// reached the worker. If so, it records the delivery. relayPeer is the peer that relayed the heartbeat, or empty.
 func (h reconcilerHost) ConfirmDelivery(machine *cluster.Machine, heartbeat *protocol.WorkerHeartbeat,
 	relayPeer string) bool {
 	if !h.leader.arrivedBySameRoute(machine, heartbeat, relayPeer) {
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -42,11 +42,11 @@
 
 // replyJobState replies with a job's state. Once the transaction of the terminal record has been
 // sent, another controller may have read the record and notified a user although this leader has
-// no response yet. The state is then read from the key-value store, as the state in memory may be
-// stale.
+// no response from the key-value store yet. In this case the state in memory may be stale, so the
+// state is read from the store.
 //
-// The state in memory may also be stale for a job with unresolved dependencies: one of them may have
-// been cancelled, and an earlier leader may have reported the cancellation.
+// The state in memory may also be stale for a job with unresolved dependencies: a dependency may have
+// been cancelled, and an earlier leader may have reported the job as cancelled to a user.
 func (l *leader) replyJobState(request Request, job *cluster.Job) {
 	if !job.DependencyCancelled && (job.CompletionUncertain || l.dependencies.MayBeCancelled(job)) {
 		l.node.replyFromStore(request, l, retryLater)
@@ -55,7 +55,8 @@
 	l.node.reply(request.Origin, http.StatusOK, 0, job.State())
 }
 
-// onCancel handles a cancellation. It reads the record of a job that is not in the job table.
+// onCancel handles a user's cancellation of a job. If the job is not in the job table, onCancel reads
+// its record.
 func (l *leader) onCancel(request Request) {
 	n := l.node
 	if job := l.Jobs[request.JobID]; job != nil {
--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -8,7 +8,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// jobReaderHost gives the job reader access to its node. It implements jobstore.Host.
+// jobReaderHost implements jobstore.Host for a node.
 type jobReaderHost struct{ node *Node }
 
 // Now returns the time of the current step.
@@ -33,8 +33,8 @@
 	return h.node.leader != nil && h.node.leader.Jobs[jobID] != nil
 }
 
-// TerminalRecordRead handles a terminal record that was read. A leader quarantines the job's open
-// record if there still is one.
+// TerminalRecordRead handles a terminal record that was read from the key-value store. A leader
+// quarantines the job's open record, which must not be used any more, if there still is one.
 func (h jobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
 	delete(h.node.unreadableTerminalRecords, jobID)
 	if h.node.holdsLeaderLease() {
@@ -42,7 +42,8 @@
 	}
 }
 
-// TerminalRecordUnreadable quarantines a terminal record that can't be decoded or is invalid, once per job.
+// TerminalRecordUnreadable sets aside (quarantines) a terminal record that can't be decoded or is
+// invalid, once per job.
 func (h jobReaderHost) TerminalRecordUnreadable(jobID string, item storage.Item, err error) {
 	node := h.node
 	if node.unreadableTerminalRecords[jobID] != nil {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -69,10 +69,10 @@
 const attemptCounterBits = 32
 
 // maxAttemptCounter is the counter value at which a leader steps down, so that a new term begins. The
-// margin to the overflow of the counter suffices for some scheduling passes.
+// margin of 2^24 to the overflow of the counter suffices for some scheduling passes.
 const maxAttemptCounter = 1<<attemptCounterBits - 1<<24
 
-// NextAttemptNumber returns a number that no other task attempt has.
+// NextAttemptNumber returns a number that no other task attempt has, in this term or any other.
 func (l *leader) NextAttemptNumber() uint64 {
 	l.attemptCounter++
 	return l.term<<attemptCounterBits | l.attemptCounter
@@ -103,7 +103,7 @@
 	run   func()
 }
 
-// finishLoading is called once all records are loaded. It starts scheduling and processes the
+// finishLoading is called once all stored records are loaded. It starts scheduling and processes the
 // heartbeats that were queued until then.
 func (l *leader) finishLoading() {
 	l.recordsLoaded, l.SchedulingNeeded = true, true
@@ -112,7 +112,7 @@
 	l.autoscaler.CompleteTakeover()
 	l.storeCatalog()
 	l.tickRecovery()
-	l.node.log.Info("records loaded", "jobs", len(l.Jobs), "machines", len(l.Machines))
+	l.node.log.Info("leader has loaded the stored records", "jobs", len(l.Jobs), "machines", len(l.Machines))
 	earlyHeartbeats := l.earlyHeartbeats
 	l.earlyHeartbeats = nil
 	for _, request := range earlyHeartbeats {
@@ -151,7 +151,8 @@
 	l.admission.Tick(l.loader.JobsRevision())
 	if node.now >= l.LastPass+node.heartbeatInterval()/scheduler.PassesPerHeartbeat &&
 		(l.SchedulingNeeded || node.now >= l.LastPass+node.heartbeatInterval()) {
-		// A pass is due at times even without a change, because pending jobs may have become due.
+		// Without a change a pass still runs once per heartbeat interval, because pending jobs may have
+		// become due.
 		l.Schedule()
 	}
 	l.writer.SendNext()
--- a/internal/controller/leader_recovery.go
+++ b/internal/controller/leader_recovery.go
@@ -13,8 +13,8 @@
 	l.recovery.Advance(l.recordsLoaded)
 }
 
-// MayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled
-// yet.
+// MayRunUnreported reports whether tasks of a job may be running on machines that are not reconciled:
+// they may run attempts that this leader does not know.
 func (l *leader) MayRunUnreported(job *cluster.Job, totals *cluster.MachineTotals) bool {
 	return l.recovery.MayRunUnreported(job, totals)
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -1,9 +1,10 @@
 // Package controller implements the control plane: leader election, admission
 // of jobs, task placement and scaling of the machine fleet.
 //
+// A Node is one controller; the other controllers of the cluster are its peers.
 // It is a pure state machine: Node.Step takes the current time and a batch of
-// commands and returns effects. Clocks, randomness and I/O are supplied by the
-// caller, so a test can reproduce any interleaving of events.
+// commands, its inputs, and returns effects, its outputs. Clocks, randomness and
+// I/O are supplied by the caller, so a test can reproduce any interleaving of events.
 package controller
 
 import (
@@ -50,7 +51,7 @@
 	jobReader *jobstore.Reader
 	// unreadableTerminalRecords holds the terminal records that can't be decoded, by job ID.
 	unreadableTerminalRecords map[string]*records.QuarantinedRecord
-	mismatches                recovery.MismatchCounts // of all recoveries in this process
+	mismatches                recovery.MismatchCounts // by kind, of all recoveries in this process
 	leader                    *leader
 	protocolLevels            *protocolLevels
 
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -10,8 +10,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// storeResponseObserver is notified of each response of the key-value store before the caller gets
-// it. Status 0 means that no usable response arrived.
+// storeResponseObserver is notified of each response of the key-value store before the caller of
+// storeCall gets the response. Status 0 means that no usable response arrived.
 type storeResponseObserver interface {
 	StoreResponded(path string, status int)
 }
@@ -55,8 +55,8 @@
 		Timeout: timeout})
 }
 
-// deliverResult passes a result to the callback of its call. A result is ignored if its caller has
-// been discarded and no callback is left.
+// deliverResult passes a result to the callback of its call. It ignores a result for which no callback
+// is left.
 func (o *outbox) deliverResult(result CallResult) {
 	onResult, ok := o.pendingCalls[result.ID]
 	if !ok {
@@ -77,7 +77,8 @@
 	if err == nil {
 		return result
 	}
-	// The log line is rate-limited, because every response may be invalid during such a fault.
+	// During such a fault every response may be invalid. Only the first one after four worker leases
+	// without an invalid response is logged.
 	if last, seen := o.invalidResponseAt[target]; !seen || o.timing.now > last+4*o.timing.workerLease() {
 		o.log.Warn("invalid response from service", "service", target.String(), "error", err)
 	}
@@ -85,7 +86,8 @@
 	return CallResult{ID: result.ID}
 }
 
-// storeTimeout returns the timeout of one call to the key-value store.
+// storeTimeout returns the timeout of one call to the key-value store: 1/14 of a worker lease, which is
+// less than half of a leader lease.
 func (o *outbox) storeTimeout() time.Duration { return o.timing.workerLease() / 14 }
 
 // storeCall emits a request to the key-value store. It notifies the observer of the response, which
@@ -125,7 +127,7 @@
 	o.reply(origin, response.Status, response.RetryAfter, []byte(response.Body))
 }
 
-// encodeBody encodes a request or response body. It returns nil for a nil body, and bytes
+// encodeBody encodes a request or response body as JSON. It returns nil for a nil body, and a []byte
 // unchanged.
 func encodeBody(body any) []byte {
 	switch value := body.(type) {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// leaderPeer returns the peer that leads, or nil if none is known or no message of it has arrived
-// recently.
+// leaderPeer returns the peer that leads. It returns nil if no leader is known, or if the leader's last
+// message is older than a leader lease.
 func (n *Node) leaderPeer() *peer {
 	leaderPeer := n.election.LeaderPeer()
 	if leaderPeer == nil {
--- a/internal/controller/protocol_levels.go
+++ b/internal/controller/protocol_levels.go
@@ -14,8 +14,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// A protocol level identifies the formats of records and messages that a version understands.
-// Versions of level 0 do not announce it; they do not support dependencies between jobs, and they
+// A protocol level identifies the formats of records and messages that a program version understands.
+// Versions of level 0 announce no level. They do not support dependencies between jobs, and they
 // identify the parts of a stored bitmap by number.
 const (
 	protocolLevelDependencies = 1
@@ -134,8 +134,8 @@
 	return levelByNode, ownRevision
 }
 
-// write writes this node's level, unless its record has changed since revision. In that case a later
-// process of the node has written it.
+// write writes this node's level, unless the node's record has changed since the given revision. In
+// that case a later process of the node has written it.
 func (p *protocolLevels) write(revision uint64) {
 	key := storage.VersionPrefix + p.node
 	p.requestInFlight = true
--- a/internal/controller/protocol_levels_host.go
+++ b/internal/controller/protocol_levels_host.go
@@ -5,7 +5,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// nodeProtocolLevelsHost gives protocolLevels access to its node. It implements protocolLevelsHost.
+// nodeProtocolLevelsHost implements protocolLevelsHost for a node.
 type nodeProtocolLevelsHost struct{ node *Node }
 
 // Now returns the time of the current step.
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -11,8 +11,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// recordsHost gives package records access to the leader and its node. It implements
-// records.TransactionHost, LoaderHost, JobHost, QuarantineHost, JobWatchHost and Clock.
+// recordsHost implements TransactionHost, LoaderHost, JobHost, QuarantineHost, JobWatchHost and Clock
+// of package records for a leader.
 type recordsHost struct{ leader *leader }
 
 // Now returns the time of the current step.
@@ -75,7 +75,8 @@
 // MarkJobAccepted records that a job is known to have been accepted.
 func (h recordsHost) MarkJobAccepted(jobID string) { h.leader.node.jobReader.RecordAccepted(jobID) }
 
-// ReadTerminalRecord reads a job's terminal record, if there is one, and applies it.
+// ReadTerminalRecord reads a job's terminal record. If there is one, jobReaderHost.TerminalRecordRead
+// handles it.
 func (h recordsHost) ReadTerminalRecord(jobID string) {
 	h.leader.node.jobReader.ReadTerminalRecord(jobID, func(bool, *storage.TerminalRecord) {})
 }
@@ -102,12 +103,13 @@
 	}
 }
 
-// CompletionPriority returns the write priority of a job's terminal record.
+// CompletionPriority returns the priority with which a job's terminal record is written.
 func (h recordsHost) CompletionPriority(job *cluster.Job) storage.Priority {
 	return h.leader.dependencies.CompletionPriority(job)
 }
 
-// RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended.
+// RelaxDeadlines recomputes the deadlines of the jobs on which a cancelled job depended, directly or
+// indirectly.
 func (h recordsHost) RelaxDeadlines(cancelled *cluster.Job) {
 	h.leader.dependencies.RelaxDeadlines(cancelled)
 }
--- a/internal/controller/recovery_status.go
+++ b/internal/controller/recovery_status.go
@@ -9,8 +9,8 @@
 	"hitchdoor/internal/statuspage"
 )
 
-// recovery returns the state of this node's recovery, and the records that this node has
-// quarantined.
+// recovery returns the HTTP status and the body of the recovery page: the state of the recovery, if
+// this node leads, and the quarantined records, which this node can't use.
 func (p statusPages) recovery(Request) (int, any) {
 	n := p.node
 	status := recovery.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease()}
--- a/internal/controller/service_budgets.go
+++ b/internal/controller/service_budgets.go
@@ -48,21 +48,20 @@
 }
 
 // newWriteBudgets splits a write rate between the leader's records and submissions. The
-// leader's burst is at least two, as its smallest unit of work has two writes.
+// leader's burst is at least two, because the leader's smallest unit of work has two writes.
 func newWriteBudgets(rps float64) (leaderBudget, submissionBudget ratelimit.TokenBucket) {
 	return ratelimit.NewTokenBucket(rps*leaderWriteShare, max(2, rps*leaderWriteShare)),
 		ratelimit.NewTokenBucket(rps*submissionWriteShare, max(1, rps*submissionWriteShare))
 }
 
-// takeCloudRequest reports whether the cloud budget allows a request now, and takes it from the
-// budget.
+// takeCloudRequest takes one request from the cloud budget. It reports false if none is left now.
 func (b *serviceBudgets) takeCloudRequest() bool { return b.cloudBudget.Take(b.timing.now, 1) }
 
 // returnCloudRequest refunds the cloud budget for a request that was not sent.
 func (b *serviceBudgets) returnCloudRequest() { b.cloudBudget.Tokens++ }
 
 // throttleWrites limits writes to the lower rate from the settings. It is called when the store
-// rejects a write of this node or of a peer for exceeding its rate limit. Finding the lower rate by
+// rejects a write of this node or of a peer because its rate limit was exceeded. Finding the lower rate by
 // repeated rejections would delay urgent writes as much as the others.
 func (b *serviceBudgets) throttleWrites() {
 	lowerRate := b.limits.LowerWritesPerS()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -36,7 +36,8 @@
 	return http.StatusOK, statuspage.HealthResponse{OK: true, Build: n.build, ProtocolLevel: protocolLevel}
 }
 
-// nodeStatus returns the node's status, with that of the leader if this node leads.
+// nodeStatus returns the HTTP status and the node's status page, with the leader's status if this node
+// leads.
 func (p statusPages) nodeStatus(Request) (int, any) {
 	n := p.node
 	status := statuspage.NodeStatus{Node: n.cfg.Node, IsLeader: n.holdsLeaderLease(),
@@ -58,7 +59,7 @@
 	return http.StatusOK, status
 }
 
-// metrics returns the node's metrics, with those of the leader if this node leads.
+// metrics returns the HTTP status and the node's metrics, with the leader's metrics if this node leads.
 func (p statusPages) metrics(Request) (int, any) {
 	n := p.node
 	page := &statuspage.MetricsPage{}
@@ -102,7 +103,8 @@
 	page.Gauge("writes_waiting", "Changes not yet in the state service.", float64(l.writer.PendingChanges()))
 }
 
-// connectivity returns the state of this node's links for the link overview of the operators.
+// connectivity returns the HTTP status and the state of this node's links, from which the operators'
+// client assembles an overview of all links.
 func (p statusPages) connectivity(Request) (int, any) {
 	n := p.node
 	report := n.connectivityReport()
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -62,17 +62,17 @@
 	write   *submissions.Write
 }
 
-// submissionHost gives the submission queue access to its node. It implements submissions.Host.
+// submissionHost implements submissions.Host for a node.
 type submissionHost struct{ node *Node }
 
 // Now returns the time of the current step.
 func (h submissionHost) Now() clock.Instant { return h.node.now }
 
-// StoreUnavailable reports whether the key-value store can't be reached.
+// StoreUnavailable reports whether the key-value store is considered down.
 func (h submissionHost) StoreUnavailable() bool { return h.node.election.StoreUnavailable() }
 
 // ExecuteTxn sends a transaction to the key-value store and passes the HTTP status and the body of the
-// response to onResponse. Status 0 means that there was no usable response.
+// response to onResponse. Status 0 means that no usable response arrived.
 func (h submissionHost) ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte)) {
 	h.node.storeCall(http.MethodPost, "/multi", txn, func(result CallResult) {
 		onResponse(result.Status, result.Body)
@@ -83,9 +83,9 @@
 // key-value store itself. It forwards a submission with more of them to the leader.
 const maxDirectJobReads = 4
 
-// submitToStore validates a submission and queues it to be written on condition that the job is
-// unknown. The user gets the response after the write. Any node may do so, because the leader
-// watches the open jobs. asLeader is the leader that received the submission, or nil on a follower.
+// submitToStore validates a submission and queues it to be written on condition that the job has no
+// record yet. The user gets the response after the write. Any node may write submissions, because the
+// leader watches the open jobs. asLeader is the leader that received the submission, or nil on a follower.
 func (n *Node) submitToStore(request Request, asLeader *leader) {
 	if !n.catalog.Known() || n.election.StoreUnavailable() {
 		n.replyUnavailable(request.Origin)
@@ -171,8 +171,8 @@
 	}
 }
 
-// onSubmissionAccepted adds a job whose record is durable to the state of the leader that received
-// it, if that still leads, and responds to the user.
+// onSubmissionAccepted responds to the user whose job has a durable record. If a leader received the
+// submission and still leads, it first adds the job to that leader's state.
 func (n *Node) onSubmissionAccepted(submission *userSubmission, revision uint64) {
 	jobID := submission.request.Job.ID
 	n.jobReader.RecordAccepted(jobID)
--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -44,7 +44,8 @@
 	return "turn in " + strconv.Itoa(verdict.EpochsUntilAdmitted) + " epochs"
 }
 
-// TraceBlocked traces which check of the scheduler blocks a job, if it is not the previous one.
+// TraceBlocked traces which check of the scheduler blocks a job, unless the same check blocked the job
+// before. previous is the check that blocked it before.
 func (l *leader) TraceBlocked(job *cluster.Job, previous cluster.WaitReason) {
 	if job.BlockedBy != previous && job.BlockedBy != "" {
 		l.node.traceStep(job.Spec.ID, stepBlocked, string(job.BlockedBy))
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -14,7 +14,8 @@
 // formatUint formats an unsigned integer in decimal.
 func formatUint(value uint64) string { return strconv.FormatUint(value, 10) }
 
-// queuedJobState returns the state of an open job of which only the stored record is known.
+// queuedJobState returns the state of an open job of which only the stored record is known: queued,
+// without any completed or running task.
 func queuedJobState(jobID string) protocol.JobStatus {
 	done, running := 0, 0
 	return protocol.JobStatus{ID: jobID, State: protocol.JobQueued, DoneTasks: &done, RunningTasks: &running}
@@ -42,7 +43,7 @@
 		return
 	}
 	if request.Origin.Peer != "" {
-		// The peer believes that this node leads. On this response it uses the key-value store itself.
+		// The peer believes that this node leads. On this response the peer uses the key-value store itself.
 		n.replyUnavailable(request.Origin)
 		return
 	}
@@ -74,8 +75,8 @@
 	n.send(target.Name, message)
 }
 
-// forwardSubmissionOnce forwards a submission that this node can't write to the leader, because the
-// key-value store may refuse one node while it serves the others. It reports false if the submission
+// forwardSubmissionOnce forwards to the leader a submission that this node can't write. This can help,
+// because the key-value store may refuse one node while it serves the others. It reports false if the submission
 // was forwarded before or can't be forwarded.
 func (n *Node) forwardSubmissionOnce(request Request) bool {
 	if request.Origin.Peer != "" || request.forwarded {
@@ -182,8 +183,8 @@
 }
 
 // replyFromStore replies with the stored state of a job, or with ifUnknown if the key-value store
-// has no record of it. An open job is added to the state of asLeader, if that still leads
-// and holds its leader lease when the record arrives.
+// has no record of the job. If the record can't be read, the user is told to retry. An open job is added
+// to the state of asLeader, if that leader still holds its leader lease when the record arrives.
 func (n *Node) replyFromStore(request Request, asLeader *leader, ifUnknown errorResponse) {
 	onState := func(ok bool, openItem *storage.Item, terminal *storage.TerminalRecord) {
 		switch {
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -45,7 +45,7 @@
 }
 
 // redirectNewWorker redirects a worker that this leader doesn't serve yet to another controller, if
-// this one is full, and reports whether it did.
+// this leader's connections are full. It reports whether it redirected the worker.
 func (n *Node) redirectNewWorker(request Request) bool {
 	worker := request.Heartbeat.Machine
 	if !n.workerRouter.Connections.Full || n.leader.servesDirectly(worker) {
