--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -11,7 +11,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// candidacy is one attempt of this node to become the leader in a new term.
+// candidacy is one attempt of this node to become the leader in a new term. Terms number the
+// leaderships of the cluster.
 type candidacy struct {
 	term             uint64
 	termRevision     uint64          // revision of the term key that this candidate wrote
@@ -23,7 +24,7 @@
 }
 
 // startCandidacyAfterDelay schedules a candidacy, and starts it once its delay has passed. It does
-// nothing while candidacies are paused, or while an isolated node receives no message from a peer.
+// nothing while candidacies are paused, or while this node is isolated and no peer's message arrives.
 func (e *Election) startCandidacyAfterDelay() {
 	if e.CandidacyPaused() {
 		return
@@ -46,8 +47,9 @@
 }
 
 // candidacyDelay returns the delay of this node's next candidacy. Its random part makes it unlikely
-// that several nodes become candidates at the same time. A node that restarted recently has a
-// shorter delay, because in a rolling restart it will not be restarted again.
+// that several nodes become candidates at the same time. Each peer that started later than this node
+// adds an interval, because in a rolling restart the nodes that started last will not be restarted
+// again. Peers that started within the last leader lease don't count.
 func (e *Election) candidacyDelay() time.Duration {
 	intervals := e.rng.Float64() // in leader key read intervals
 	for _, peer := range e.peers {
@@ -133,7 +135,7 @@
 	if !current.requestingVotes {
 		return
 	}
-	// The quorum includes this node's own vote, so a lease grant binds it like any other voter.
+	// This node votes for itself, so like any other voter it must not be bound by a lease grant.
 	if e.freeToVote() && len(current.votes) >= e.peersInQuorum() {
 		current.requestingVotes = false
 		e.votedTerm = max(e.votedTerm, current.term)
@@ -194,7 +196,7 @@
 		e.candidacy = nil
 		if !response.Decode(&result) {
 			// If the store executed the transaction nevertheless, the leader key names this
-			// node, and revokeStaleLease revokes its lease.
+			// node, and revokeStaleLease revokes the lease of the key.
 			return
 		}
 		if e.host.Now() >= leaseRequestedAt+GuaranteedLeaseDuration(e.LeaderLease()) {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -16,11 +16,12 @@
 // acts through its host.
 //
 // The leader holds the leader key, which is attached to a lease of the key-value store. The leader
-// counts its lease from the time at which it sent the last renewal. A store that is down expires no
-// leases, but the leader, which can't renew its lease, must regard it as expired. The leader then
-// relies on short lease grants from a quorum of controllers. A peer that grants a lease votes for
+// counts its lease from the time at which it sent the last renewal that succeeded. A store that is down
+// expires no leases, but the leader can't renew its lease there and must regard the lease as expired.
+// The leader then relies on short lease grants from a quorum of controllers. A peer that grants a lease votes for
 // no candidate, itself included, until the grant expires. Votes and grants exclude each other: a
-// candidate needs, besides the keys, votes from a quorum of nodes that are bound by no grant, and
+// candidate needs, besides the term key and the leader key, votes from a quorum of nodes that are bound
+// by no grant, and
 // a peer that has voted for a candidate grants no lease to leaders of lower terms.
 //
 // A controller may be suspended between any two steps, or between a decision and its effect, while
@@ -51,7 +52,7 @@
 	grantedUntil clock.Instant // expiry of the last lease grant by this node
 	votedTerm    uint64        // highest term in which this node voted; 0: none
 
-	leadership *leadership // nil: this node does not lead
+	leadership *leadership // this node's term as the leader; nil: this node does not lead
 }
 
 // Options are the settings and dependencies of an election.
--- a/internal/election/election_step_test.go
+++ b/internal/election/election_step_test.go
@@ -107,7 +107,7 @@
 	}
 	e.HandleMessage("n1", protocol.Vote{Term: 1, Granted: true})
 	if !e.HoldsLeaderLease() || len(host.ledTerms) != 1 || host.ledTerms[0] != 1 {
-		t.Errorf("terms led after a quorum of votes: %v, want [1]", host.ledTerms)
+		t.Errorf("terms led after a quorum of votes: got %v, want [1]", host.ledTerms)
 	}
 }
 
@@ -120,7 +120,7 @@
 	host.storeStatus = 503
 	leaseNearlyExpired := func() bool { return e.Status().LeaseValidUntil-host.now < time.Second }
 	if !host.runUntil(e.LeaderLease(), leaseNearlyExpired) {
-		t.Fatal("leader lease does not run out although the store responds with 503")
+		t.Fatal("leader lease is not about to expire although the store has responded with 503 for its duration")
 	}
 	last, isHeartbeat := host.sent[len(host.sent)-1].(protocol.PeerHeartbeat)
 	if !isHeartbeat || !last.IsLeader || !last.WantsLeaseGrant {
@@ -131,10 +131,10 @@
 	grantedAt := host.now
 	host.runUntil(e.workerLease(), func() bool { return len(host.stepDownReasons) > 0 })
 	if end := grantedAt + GuaranteedLeaseDuration(e.LeaderLease()); host.now < end || host.now > end+5*time.Millisecond {
-		t.Errorf("led until %v by a grant received at %v, want until %v", host.now, grantedAt, end)
+		t.Errorf("node led until %v by a grant received at %v, want until %v", host.now, grantedAt, end)
 	}
 	if len(host.stepDownReasons) != 1 || host.stepDownReasons[0] != "leader lease expired" || e.HoldsLeaderLease() {
-		t.Errorf("step-down reasons: %q, want only \"leader lease expired\"", host.stepDownReasons)
+		t.Errorf("step-down reasons: got %q, want only \"leader lease expired\"", host.stepDownReasons)
 	}
 }
 
@@ -148,10 +148,11 @@
 		e.Tick()
 		reason := condition.StepDownReason + condition.ResignReason
 		if len(host.stepDownReasons) != 1 || host.stepDownReasons[0] != reason || e.HoldsLeaderLease() {
-			t.Errorf("%+v: step-down reasons: %q, want only %q", condition, host.stepDownReasons, reason)
+			t.Errorf("%+v: step-down reasons: got %q, want only %q", condition, host.stepDownReasons, reason)
 		}
 		if e.CandidacyPaused() != (condition.ResignReason != "") {
-			t.Errorf("%+v: candidacy paused: %v, want the opposite", condition, e.CandidacyPaused())
+			t.Errorf("%+v: CandidacyPaused: got %v, want %v",
+				condition, e.CandidacyPaused(), condition.ResignReason != "")
 		}
 	}
 }
--- a/internal/election/host.go
+++ b/internal/election/host.go
@@ -6,7 +6,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// timeSource provides the time of the current step.
+// timeSource is the part of Host that peerTable needs.
 type timeSource interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
@@ -17,8 +17,8 @@
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// CallStore sends a request to the key-value store and passes the response to onResponse in a
-	// later step. Before that, the host passes its status to RecordStoreResponse, as for every other
-	// response of the store, so that the election knows whether the store responds to this node.
+	// later step. Before that, the host passes the response's status to RecordStoreResponse, as for every
+	// other response of the store, so that the election knows whether the store responds to this node.
 	CallStore(method, path string, body any, onResponse func(storage.Response))
 	// SendMessage sends a message to the peer of the given name.
 	SendMessage(to string, message protocol.PeerMessage)
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -64,8 +64,8 @@
 
 // revokeStaleLease revokes the lease of a leader key that names this node although this process does
 // not lead. The key is from an earlier process of this node, which has ended because a node runs one
-// process at a time, or from a candidacy of this process that has ended. There is no need to wait
-// until the lease expires.
+// process at a time, or from a candidacy of this process that has ended. Without the
+// revocation, the next candidacy would have to wait until the lease expires.
 func (e *Election) revokeStaleLease(leaseID uint64) {
 	e.host.CallStore("DELETE", leasePath(leaseID), nil, func(storage.Response) { e.leaderKey.readAt = clock.Never })
 }
--- a/internal/election/leader_lease.go
+++ b/internal/election/leader_lease.go
@@ -43,9 +43,10 @@
 
 // Durations of a leader's actions as fractions of a lease.
 const (
+	// A leader renews its lease renewalsPerLeaderLease times in the duration of a leader lease.
 	renewalsPerLeaderLease = 4
-	// A leader that has received no message from any peer or worker for the isolation timeout
-	// steps down.
+	// A leader that has received no message from any peer or worker for the isolation timeout,
+	// a quarter of a worker lease, steps down.
 	isolationTimeoutsPerWorkerLease = 4
 )
 
@@ -71,8 +72,8 @@
 	e.heartbeatSentAt = clock.Never
 }
 
-// StepDown ends this node's term as the leader and revokes its lease. The host gets the reason. It does
-// nothing if this node does not lead.
+// StepDown ends this node's term as the leader, passes the reason to the host and revokes the leader
+// lease. It has no effect if this node does not lead.
 func (e *Election) StepDown(reason string) {
 	ended := e.leadership
 	if ended == nil {
--- a/internal/election/lease_grants.go
+++ b/internal/election/lease_grants.go
@@ -47,7 +47,7 @@
 //
 // The following conditions prevent two leaders at the same time:
 //
-//   - This node can't reach the key-value store either. Otherwise only the leader has lost its
+//   - This node, like the leader, can't reach the key-value store. Otherwise only the leader has lost its
 //     connection to the store and should be replaced; with grants it would continue to lead for as
 //     long as it requests them.
 //   - This process has been up for the duration of a grant. An earlier process may have voted for
--- a/internal/election/peer_table.go
+++ b/internal/election/peer_table.go
@@ -26,7 +26,7 @@
 	p.uptime = heartbeat.Uptime
 	p.processID = heartbeat.ProcessID
 	// The sender of a heartbeat that names an earlier process of this node as its receiver may still
-	// have relied on a grant of that process. Such a heartbeat does not count, see noPeerLeads.
+	// have relied on a lease grant of that process. Such a heartbeat does not count, see noPeerLeads.
 	if heartbeat.ReceiverProcessID == receiverProcessID && !heartbeat.IsLeader {
 		p.knownNotLeading = true
 	}
@@ -52,8 +52,8 @@
 // Peer returns the last known state of a peer, or nil if no peer of that name is configured.
 func (t *peerTable) Peer(name string) *Peer { return t.peers[name] }
 
-// LeaderPeer returns the peer that leads in the highest term, among the peers that sent a message
-// recently, or nil if none of them leads.
+// LeaderPeer returns the peer that leads in the highest term, among the peers whose last message arrived
+// within the duration of a leader lease. It returns nil if none of them leads.
 func (t *peerTable) LeaderPeer() *Peer {
 	var leader *Peer
 	for _, peer := range t.peers {
--- a/internal/election/store_availability.go
+++ b/internal/election/store_availability.go
@@ -9,7 +9,7 @@
 // storeAvailability tracks whether the key-value store responds to this node.
 type storeAvailability struct {
 	lastSuccess         clock.Instant // when the last response other than a failure arrived
-	lastFailure         clock.Instant // when a request last failed: status 429, 5xx or no response
+	lastFailure         clock.Instant // when a request last failed: status 429, 5xx or 0
 	consecutiveFailures int
 }
 
@@ -18,8 +18,8 @@
 	return storeAvailability{lastSuccess: clock.Never, lastFailure: clock.Never}
 }
 
-// RecordStoreResponse records the status of a response of the key-value store; 0 means that no
-// response arrived.
+// RecordStoreResponse records the status of a response of the key-value store. Status 0 means that no
+// usable response arrived.
 func (a *storeAvailability) RecordStoreResponse(now clock.Instant, status int) {
 	if status == 0 || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError {
 		a.lastFailure = now
--- a/internal/election/votes.go
+++ b/internal/election/votes.go
@@ -45,7 +45,7 @@
 
 // voteThroughStore writes a vote to the key-value store for a candidate that can't reach this
 // node. Otherwise a failed leader could not be replaced while connections between controllers
-// fail, because no candidate would receive a quorum of votes. The vote binds this node just as a
+// fail, because no candidate would receive a quorum of votes. The stored vote binds this node just as a
 // vote message does. This node becomes a candidate only if there is no other candidate to vote for.
 // Otherwise each node would raise the term above the one that others vote for, and a cluster of
 // disconnected controllers would stay without a leader.
