--- a/internal/dependency/deadlines.go
+++ b/internal/dependency/deadlines.go
@@ -9,9 +9,10 @@
 	"hitchdoor/internal/cluster"
 )
 
-// tightenDeadlines propagates deadlines and ranks from the given jobs to their direct and
-// indirect dependencies. A job is due when the longest path from it to a deadline (the critical
-// path) leaves no slack, so the slack of a pipeline is counted only once.
+// tightenDeadlines propagates deadlines and ranks (lower is more urgent) from the given jobs to their
+// direct and indirect dependencies. A job is due when the expected durations of the longest path of
+// dependents up to a deadline (the critical path) leave no spare time. The spare time of a pipeline is
+// therefore counted once, and not once per job.
 func (g *Graph) tightenDeadlines(jobs ...*cluster.Job) {
 	if len(jobs) == 0 {
 		return
@@ -83,5 +84,5 @@
 }
 
 // taskDurationLogDeviation is the standard deviation of the logarithm of a task's run time within
-// one job.
+// one job. It determines by how much the longest task of a job exceeds the expected run time.
 const taskDurationLogDeviation = 0.25
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -17,8 +17,8 @@
 //
 // A job is not scheduled until the completion of each of its dependencies is durable, because the
 // next leader may not know what only this leader has observed. Only stored records decide: a job
-// is cancelled once the terminal record of one of its dependencies states a cancellation. Nothing
-// more has to be written, and a new leader continues from the same records.
+// is cancelled once the terminal record of one of its dependencies states a cancellation. No other
+// record is needed for that, and a new leader continues from the same records.
 type Graph struct {
 	state      *cluster.State
 	host       Host
@@ -34,10 +34,10 @@
 	TerminalRecord(jobID string) (storage.TerminalRecord, bool)
 	// InstantFromUnixMilli converts a stored wall clock time to an instant.
 	InstantFromUnixMilli(unixMilli int64) clock.Instant
-	// JobReleased notifies the leader that a job has become available for scheduling.
+	// JobReleased notifies the leader that a job without pending dependencies may be scheduled from now on.
 	JobReleased(job *cluster.Job)
-	// CancelJob responds to the users who wait for the cancellation of a job, and ends the job as
-	// cancelled unless it is already terminal.
+	// CancelJob is called for a job with a cancelled dependency. It responds to the users who wait for
+	// the job's cancellation, and ends the job as cancelled unless it is already terminal.
 	CancelJob(job *cluster.Job)
 	// MayLookUp takes one read from the budget for lookups. It reports false if the budget is used up
 	// or the key-value store is unavailable.
--- a/internal/dependency/lookups.go
+++ b/internal/dependency/lookups.go
@@ -8,8 +8,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// TickLookups reads the outcome of dependencies that are not open jobs, within the budget for
-// lookups. It is called in each step of the leader.
+// TickLookups reads the outcome of dependencies that this leader doesn't have as open jobs, within the
+// budget for lookups. It is called in each step of the leader.
 func (g *Graph) TickLookups() {
 	if len(g.Lookups) == 0 {
 		return // the usual case, without the cost of sorting
