--- a/internal/jobstore/accepted_jobs.go
+++ b/internal/jobstore/accepted_jobs.go
@@ -6,7 +6,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// RecordAccepted caches that a job was accepted.
+// RecordAccepted caches that a job was accepted, by this node or another.
 func (r *Reader) RecordAccepted(jobID string) { r.acceptedJobs.Put(jobID, true) }
 
 // KnownAccepted reports whether this node knows that a job was accepted. Acceptance is never
@@ -25,8 +25,8 @@
 	return slices.DeleteFunc(slices.Clone(ids), r.KnownAccepted)
 }
 
-// ReadAcceptance reads whether all of the given jobs were accepted, by any node. It asks the key-value
-// store, because another node may have accepted a job a moment ago. ok is false if a job could not be
+// ReadAcceptance reads whether all of the given jobs were accepted, by any node. It reads from the
+// key-value store, because another node may have accepted a job a moment ago. ok is false if a job could not be
 // read.
 func (r *Reader) ReadAcceptance(ids []string, onRead func(ok, allAccepted bool)) {
 	pendingReads, readable, allAccepted := len(ids), true, true
--- a/internal/jobstore/effective_state.go
+++ b/internal/jobstore/effective_state.go
@@ -45,14 +45,15 @@
 )
 
 // cancellationSearch determines whether any direct or indirect dependency of a job is cancelled. It
-// reads each of these jobs once, one after the other.
+// reads the record of each dependency once, one after the other.
 type cancellationSearch struct {
 	reader   *Reader
 	visited  map[string]bool // ids of jobs that were read
 	onResult func(searchResult)
 }
 
-// checkDependencies checks the jobs otherIDs, and then the dependencies of an open job.
+// checkDependencies searches for a cancelled job among the jobs otherIDs, then among the dependencies of
+// the open job whose record is openItem.
 func (s *cancellationSearch) checkDependencies(openItem *storage.Item, otherIDs []string) {
 	s.reader.readDependencies(openItem, func(ok bool, ids []string) {
 		if !ok {
@@ -63,8 +64,8 @@
 	})
 }
 
-// checkJobs checks the given jobs in order, with their dependencies. The dependencies of a completed job
-// need no check, as all of them were completed before.
+// checkJobs searches for a cancelled job among the given jobs and their dependencies. The dependencies of
+// a completed job need no check, because all of them were completed before it.
 func (s *cancellationSearch) checkJobs(ids []string) {
 	next := slices.IndexFunc(ids, func(id string) bool { return !s.visited[id] })
 	if next < 0 {
--- a/internal/jobstore/reader.go
+++ b/internal/jobstore/reader.go
@@ -24,7 +24,7 @@
 	acceptedJobs RecentJobs[bool] // ids of jobs known to have been accepted
 }
 
-// Host is the part of the node that Reader calls.
+// Host is what a Reader needs from its node, which is one controller of the cluster.
 type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
@@ -40,7 +40,8 @@
 	HasOpenJob(jobID string) bool
 	// TerminalRecordRead is called with a job's terminal record that was read from the key-value store.
 	TerminalRecordRead(jobID string, record storage.TerminalRecord)
-	// TerminalRecordUnreadable is called with a terminal record that can't be decoded or is invalid.
+	// TerminalRecordUnreadable is called with a terminal record that can't be decoded or is invalid, and
+	// the reason.
 	TerminalRecordUnreadable(jobID string, item storage.Item, err error)
 }
 
@@ -66,7 +67,8 @@
 	return r.readBudget.Tokens >= r.readBudget.Burst/2
 }
 
-// ReadItem reads the record with the given key. The callback gets nil unless the response contains the record.
+// ReadItem reads the record with the given key. The callback gets the HTTP status, and nil unless the
+// response contains the record.
 func (r *Reader) ReadItem(key string, onRead func(status int, item *storage.Item)) {
 	r.host.Get("/store/"+key, func(status int, body []byte) {
 		var item storage.Item
--- a/internal/jobstore/terminal_jobs.go
+++ b/internal/jobstore/terminal_jobs.go
@@ -49,9 +49,9 @@
 // the cache.
 func (r *Reader) TerminalJobsLoaded() bool { return r.terminalJobs.loaded }
 
-// LoadTerminalJobs loads the next page of the terminal records after a start of the node. If they were
-// read one by one when users poll, thousands of reads would take longer than users may wait for an
-// answer.
+// LoadTerminalJobs reads the next page of terminal records until all are read or the cache is full. The
+// node calls it in each step. If the records were read one by one when users poll after a restart of the
+// node, thousands of reads would take longer than users may wait for an answer.
 func (r *Reader) LoadTerminalJobs() {
 	cache := &r.terminalJobs
 	if cache.loaded || cache.loading || r.host.Now() < cache.nextReadAt || !r.host.StoreReachable() {
