--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -11,7 +11,7 @@
 type Instant = time.Duration
 
 // Never marks an event that has not happened. It is earlier than every clock reading, and
-// subtracting it from one does not overflow.
+// subtracting it from a reading does not overflow.
 const Never Instant = -1 << 60
 
 // Forever is later than any other instant and means that there is no time limit.
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -5,7 +5,7 @@
 
 // TokenBucket is a token bucket rate limiter. The zero value never has tokens.
 type TokenBucket struct {
-	Rate, Burst, Tokens float64       // tokens per second, largest and current number of tokens
+	Rate, Burst, Tokens float64       // new tokens per second, largest number and current number of tokens
 	RefilledAt          clock.Instant // time of the last refill
 }
 
@@ -23,7 +23,7 @@
 	}
 }
 
-// Take refills the bucket, removes count tokens if there are that many, and reports whether it did.
+// Take refills the bucket and removes count tokens. It reports false, and removes none, if there are fewer.
 func (b *TokenBucket) Take(now clock.Instant, count float64) bool {
 	b.Refill(now)
 	if b.Tokens < count {
