--- a/internal/controller/jobstore_host.go
+++ b/internal/controller/jobstore_host.go
@@ -34,7 +34,7 @@
 }
 
 // TerminalRecordRead handles a terminal record that was read from the key-value store. A leader
-// quarantines the job's open record, which must not be used any more, if there still is one.
+// quarantines the job's open record if there still is one, because the terminal record takes precedence.
 func (h jobReaderHost) TerminalRecordRead(jobID string, record storage.TerminalRecord) {
 	delete(h.node.unreadableTerminalRecords, jobID)
 	if h.node.holdsLeaderLease() {
