--- a/internal/submissions/queue.go
+++ b/internal/submissions/queue.go
@@ -20,7 +20,7 @@
 	host           Host
 	cluster        *config.Cluster
 	budget         ratelimit.TokenBucket // limits the writes; its burst is the rate of the whole cluster
-	contendedUntil clock.Instant         // time until which this node takes only its part of that rate
+	contendedUntil clock.Instant         // time until which this node takes only an equal part of that rate
 	pending        []*Write
 }
 
@@ -28,10 +28,10 @@
 type Host interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
-	// StoreUnavailable reports whether the key-value store can't be reached.
+	// StoreUnavailable reports whether the key-value store is considered down.
 	StoreUnavailable() bool
 	// ExecuteTxn sends a transaction to the key-value store and passes the HTTP status and the body of
-	// the response to onResponse. Status 0 means that there was no response.
+	// the response to onResponse. Status 0 means that no usable response arrived.
 	ExecuteTxn(txn storage.Txn, onResponse func(status int, body []byte))
 }
 
@@ -66,9 +66,10 @@
 	// TooLarge means that the limits of the key-value store have become smaller than the record. An
 	// earlier copy of the submission may nevertheless have been accepted.
 	TooLarge
-	// OverCapacity means that the submission could not be written in time.
+	// OverCapacity means that the submission could not be written in time: its deadline passed, the queue
+	// was full, the key-value store was down, or the store's rate limit was reached at each retry.
 	OverCapacity
-	// StoreRefused means that the key-value store refuses to serve this node.
+	// StoreRefused means that the key-value store refuses this node with status 503. It may serve others.
 	StoreRefused
 	// Failed means that it is unknown whether the record was written.
 	Failed
@@ -99,8 +100,8 @@
 	q.WritePending()
 }
 
-// WritePending sends as many queued writes as the budget allows. It rejects writes whose deadline has
-// passed, and all writes while the key-value store is unavailable.
+// WritePending sends as many queued writes as the budget allows. The node calls it in each step. It
+// rejects writes whose deadline has passed, and all writes while the key-value store is unavailable.
 func (q *Queue) WritePending() {
 	if len(q.pending) == 0 {
 		return
@@ -123,7 +124,7 @@
 
 // updateRate sets the rate at which this node writes submissions. This is normally the rate of the whole
 // cluster, because a burst mostly reaches one node. A refusal by the store's rate limit shows that other
-// nodes are writing too, so the rate is an equal part of the cluster's rate for one worker lease after it.
+// nodes are writing too. For one worker lease after that, the rate is an equal part of the cluster's rate.
 func (q *Queue) updateRate() {
 	now := q.host.Now()
 	q.budget.Refill(now)
@@ -140,8 +141,8 @@
 	q.budget.Tokens = 0
 }
 
-// send sends a write in one transaction. Its conditions are that the job has no record and that the
-// admission policy is the one that admitted the submission.
+// send sends a write in one transaction, on condition that the job has no record and that the admission
+// policy is the one that admitted the submission.
 func (q *Queue) send(write *Write) {
 	jobID := write.Record.Spec.ID
 	txn := storage.Txn{
@@ -175,7 +176,7 @@
 	write.OnResult(result)
 }
 
-// resultOf returns the result of the write that follows from the last response.
+// resultOf returns the result of the write that follows from the response to its last transaction.
 func (w *Write) resultOf(status int, body []byte) Result {
 	var response storage.TxnResponse
 	switch status {
--- a/internal/submissions/queue_test.go
+++ b/internal/submissions/queue_test.go
@@ -73,11 +73,12 @@
 		var results []Result
 		newTestQueue(host).Add(newTestWrite("j-1", &results))
 		if len(host.sent) != 1 || len(host.sent[0].Conditions) != 3 || host.sent[0].Conditions[2].ModRevision != 7 {
-			t.Fatalf("%s: sent %+v, want one transaction on condition of the policy at revision 7", test.name, host.sent)
+			t.Fatalf("%s: transactions: got %+v, want one on condition of the policy at revision 7",
+				test.name, host.sent)
 		}
 		host.answerNext(test.status, test.body)
 		if len(results) != 1 || results[0] != test.want {
-			t.Errorf("%s: results %+v, want one %+v", test.name, results, test.want)
+			t.Errorf("%s: results: got %+v, want only %+v", test.name, results, test.want)
 		}
 	}
 }
@@ -96,11 +97,12 @@
 			queue.WritePending()
 		}
 		if len(results) > 0 || len(host.sent) != 1+maxRetries {
-			t.Errorf("status %d: sent %d times, want %d; results %+v, want none", status, len(host.sent), 1+maxRetries, results)
+			t.Errorf("status %d: write sent %d times, want %d; results: got %+v, want none",
+				status, len(host.sent), 1+maxRetries, results)
 		}
 		host.answerNext(status, "")
 		if len(results) != 1 || results[0].Outcome != want {
-			t.Errorf("status %d: results %+v after the last retry, want outcome %d", status, results, want)
+			t.Errorf("status %d: results after the last retry: got %+v, want only outcome %d", status, results, want)
 		}
 	}
 }
