--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,7 +12,7 @@
 func TestPositionNeverChanges(t *testing.T) {
 	for id, want := range map[string]uint32{"": 0xef46db37, "j-1": 0xb9efbf34, "j-000412": 0xf9efe040} {
 		if got := Position(id); got != want {
-			t.Errorf("position of job %q is %#x, want %#x", id, got, want)
+			t.Errorf("position of job %q: got %#x, want %#x", id, got, want)
 		}
 	}
 }
@@ -44,11 +44,13 @@
 			teamDemand[demand.Team] += demand.Jobs
 			teamAllocated[demand.Team] += allocated[i]
 			if allocated[i] < -tolerance || allocated[i] > demand.Jobs+tolerance {
-				t.Fatalf("round %d: %v jobs allocated, want 0 to the demand of %v", round, allocated[i], demand.Jobs)
+				t.Fatalf("round %d: group %d is allocated %v jobs, want 0 to its demand of %v",
+					round, i, allocated[i], demand.Jobs)
 			}
 		}
 		if total := sum(allocated); math.Abs(total-min(totalDemand, capacity)) > tolerance*capacity {
-			t.Fatalf("round %d: %v jobs allocated of a capacity of %v, the demand is %v", round, total, capacity, totalDemand)
+			t.Fatalf("round %d: %v jobs allocated in total, want the smaller of capacity %v and demand %v",
+				round, total, capacity, totalDemand)
 		}
 		minimum := minimumAllocations(demands, maxEpochs)
 		minimumFits := sum(minimum) <= capacity
@@ -65,7 +67,7 @@
 		floor := (capacity - reserved) * floorShare / float64(len(teamDemand))
 		for team, demand := range teamDemand {
 			if teamAllocated[team] < min(demand, floor)-tolerance {
-				t.Fatalf("round %d: team %s is allocated %v jobs, want its demand of %v or the floor of %v",
+				t.Fatalf("round %d: team %s is allocated %v jobs, want at least the smaller of its demand %v and the floor %v",
 					round, team, teamAllocated[team], demand, floor)
 			}
 		}
@@ -86,7 +88,7 @@
 		for j, other := range demands {
 			if urgent.PriorityRank < other.PriorityRank && allocated[i] < urgent.Jobs-1e-6 &&
 				allocated[j] > floors[j]+1e-6 {
-				t.Fatalf("rank %d is allocated %v of %v jobs while rank %d is allocated %v, above its floor of %v",
+				t.Fatalf("a group of rank %d gets %v of %v jobs; one of rank %d gets %v, want at most its floor %v",
 					urgent.PriorityRank, allocated[i], urgent.Jobs, other.PriorityRank, allocated[j], floors[j])
 			}
 		}
@@ -104,12 +106,12 @@
 		position := rng.Uint32()
 		verdict := share.evaluate(position)
 		if verdict.EpochsUntilAdmitted > share.EpochsToAdmitAll() {
-			t.Fatalf("the job is admitted after %d epochs, but all jobs are after %d",
+			t.Fatalf("the job is to be admitted after %d epochs, want at most the %d of EpochsToAdmitAll",
 				verdict.EpochsUntilAdmitted, share.EpochsToAdmitAll())
 		}
 		for range verdict.EpochsUntilAdmitted {
 			if share.evaluate(position).Admit {
-				t.Fatal("the job is admitted before the arc has reached its position")
+				t.Fatal("the job is admitted although the verdict predicts a later epoch")
 			}
 			step = min(Ring, uint64(float64(step)*(1+rng.Float64()/float64(1+verdict.EpochsUntilAdmitted))))
 			share.advanceArc(max(step, share.newestStep()))
@@ -119,7 +121,7 @@
 		}
 		for late := range 2 {
 			if !share.evaluate(position).Admit {
-				t.Fatalf("the job is not admitted %d epochs after the one that admitted it first", late)
+				t.Fatalf("the job is not admitted %d epochs after its turn, want it admitted from then on", late)
 			}
 			share.advanceArc(share.newestStep())
 		}
@@ -342,7 +344,7 @@
 	last := *sim.planner.Policy()
 	next := NewPlanner(sim.planner.settings, &last).NextPolicy(nil, Capacity{Jobs: 50}, 1)
 	if next == nil || next.Epoch != last.Epoch+1 {
-		t.Fatalf("the policy after %+v is %+v, want the next epoch", last, next)
+		t.Fatalf("the policy after %+v: got %+v, want one of the next epoch", last, next)
 	}
 	for _, share := range last.Shares {
 		if nextShare := next.shareOf(share.Group); nextShare.Group == share.Group &&
@@ -358,7 +360,7 @@
 func TestValidateRejectsInvalidPolicies(t *testing.T) {
 	valid := Policy{Epoch: 1, EpochLengthMS: 1, DefaultShare: FullShare(Group{})}
 	if valid.Validate() != nil {
-		t.Fatal(valid.Validate())
+		t.Fatal("a valid policy is rejected:", valid.Validate())
 	}
 	for name, invalidate := range map[string]func(p *Policy){
 		"no epoch":         func(p *Policy) { p.Epoch = 0 },
@@ -371,7 +373,7 @@
 	} {
 		policy := valid
 		if invalidate(&policy); policy.Validate() == nil {
-			t.Errorf("%s: the policy passes validation", name)
+			t.Errorf("%s: Validate: got nil, want an error", name)
 		}
 	}
 }
--- a/internal/admission/allocation.go
+++ b/internal/admission/allocation.go
@@ -10,7 +10,7 @@
 type groupDemand struct {
 	Group
 	Jobs   float64 // number of jobs that wait to be admitted
-	Weight float64 // weight of the group's team, above 0; it grows with the team's guarantee
+	Weight float64 // weight of the group's team, above 0; it grows with the cores guaranteed to the team
 }
 
 // floorShare is the fraction of the capacity left after the minimum allocations that is divided
@@ -47,8 +47,8 @@
 	return minimum
 }
 
-// allocateFloor divides amount evenly among teams and within each team among its groups, and adds
-// the portions to allocated.
+// allocateFloor divides amount evenly among teams, and within each team among its groups, up to their
+// demand. It adds the portions to allocated, which holds what each group has so far.
 func allocateFloor(amount float64, demands []groupDemand, allocated []float64) {
 	members := map[string][]int{}
 	for i, demand := range demands {
@@ -95,7 +95,7 @@
 	}
 }
 
-// claim is a demand on the amount that divideMaxMin divides. Its weight must be above 0.
+// claim is a demand on the amount that divideMaxMin divides. The weight must be above 0.
 type claim struct{ demand, weight float64 }
 
 // divideMaxMin divides amount among claims by weighted max-min fairness: no claim gets more than its
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -10,7 +10,7 @@
 type Load struct {
 	Group
 	Weight              float64 // weight of the group's team
-	Accepted            int     // jobs
+	Accepted            int     // accepted jobs
 	RejectedForCapacity int     // jobs that the policy admits but that were rejected for lack of capacity
 	RejectedByPolicy    int     // submission attempts that the policy does not admit yet
 }
@@ -18,8 +18,9 @@
 // Capacity is the number of jobs that can be accepted in an epoch.
 type Capacity struct {
 	Jobs float64
-	// MemoryLimited means that memory limits the capacity. A policy can then be needed before any
-	// submission has been rejected, because no more than Jobs may be accepted.
+	// MemoryLimited means that Jobs is limited by the memory for open jobs, and not by the rate of writes.
+	// A policy can then be needed before any submission has been rejected for lack of capacity, because no
+	// more than Jobs may be accepted.
 	MemoryLimited bool
 }
 
@@ -48,7 +49,7 @@
 	underloadShare       = 0.7
 	underloadEpochsToEnd = 3
 	// targetUtilization is the fraction of the capacity that is allocated. The rest is a margin for
-	// users who retry late, and for new jobs at positions that the arc already covers.
+	// users who retry late, and for newly submitted jobs at positions that the arc already covers.
 	targetUtilization = 0.9
 	// maxStepGrowth is the largest factor by which a step grows from one epoch to the next. The
 	// growth is limited because the demand is only estimated from recently admitted jobs.
@@ -59,8 +60,8 @@
 	// minStepShare is the smallest step, as a fraction of the ring. It bounds the number of epochs
 	// until a job is admitted, however wrong the estimates are.
 	minStepShare = 1.0 / 4096
-	// negligibleDemand is the demand, in jobs, below which the estimate of a group without a share
-	// of its own is dropped.
+	// negligibleDemand is the demand, in jobs, below which the estimate of a group is dropped, unless the
+	// group has a share of its own.
 	negligibleDemand = 0.01
 )
 
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -1,11 +1,11 @@
 // Package admission decides which submissions are accepted while more arrive than the cluster
-// has capacity for. It is pure: it has no clock and does no I/O.
+// has capacity for. The package has no clock and does no I/O.
 //
-// The leader publishes a Policy for each epoch. The decision about a job depends only on the policy
-// and the job, so every controller makes the same decision. A hash of the job's id determines its
-// position on a ring. For each group of jobs the policy admits an arc of that ring, and each epoch
-// advances the arc, so that every job is admitted after a number of epochs that is known in
-// advance.
+// The leader publishes a Policy for each epoch, an interval of some seconds. The decision about a job
+// depends only on the policy and the job, so every controller makes the same decision. A hash of the
+// job's id determines its position on a ring. For each group of jobs the policy admits an arc of that
+// ring, and each epoch advances the arc, so that every job is admitted after a number of epochs that is
+// known in advance.
 package admission
 
 import (
@@ -35,8 +35,8 @@
 	PriorityRank int    `json:"rank"` // smaller is more urgent
 }
 
-// Share is the part of a group that a policy admits. It is an arc of the ring that begins at Start.
-// The sum of Steps is its length.
+// Share is the part of a group that a policy admits: the jobs at the positions of an arc of the ring.
+// The arc begins at Start, and its length is the sum of Steps.
 type Share struct {
 	Group
 	Start uint32 `json:"tail"`
@@ -78,8 +78,8 @@
 // Verdict is the decision of a policy on a submission.
 type Verdict struct {
 	Admit bool
-	// EpochsUntilAdmitted is the number of epochs until the job will be admitted if the arc does not slow
-	// down, or 0 if Admit is true.
+	// EpochsUntilAdmitted is the number of epochs until the job will be admitted if each of them advances
+	// the arc at least as far as the latest epoch did. It is 0 if Admit is true.
 	EpochsUntilAdmitted int
 }
 
@@ -101,7 +101,7 @@
 	return &p.DefaultShare
 }
 
-// evaluate decides whether the share admits the job at a position.
+// evaluate decides whether the share admits the jobs at a position.
 func (s *Share) evaluate(position uint32) Verdict {
 	offset := uint64(position - s.Start) // the uint32 difference wraps around at the size of the ring
 	open := s.AdmittedPositions()
