--- a/internal/admissioncontrol/follower.go
+++ b/internal/admissioncontrol/follower.go
@@ -17,7 +17,7 @@
 	"hitchdoor/internal/storage"
 )
 
-// PolicyFollower tracks the policy's record in the key-value store and counts the submissions that
+// PolicyFollower tracks the record of the admission policy in the key-value store and counts the submissions that
 // this node rejects in each epoch. Every node has one.
 type PolicyFollower struct {
 	PolicyRecord
@@ -46,7 +46,7 @@
 	// Now returns the time of the current step.
 	Now() clock.Instant
 	// ReadRecord reads a record of the key-value store and passes the HTTP status and the body of the
-	// response to onResponse. Status 0 means that there was no response.
+	// response to onResponse. Status 0 means that no usable response arrived.
 	ReadRecord(key string, onResponse func(status int, body []byte))
 }
 
@@ -69,7 +69,7 @@
 	return (f.cluster.WorkerLease() / epochsPerLease).Truncate(time.Millisecond)
 }
 
-// These limits keep RetryAfterSeconds from overflowing a duration, whatever values a record holds.
+// These limits keep RetryAfterSeconds from overflowing a duration, whatever values a policy record holds.
 const (
 	maxEpochsAhead = 1 << 16
 	maxEpochMS     = 3_600_000 // an hour
@@ -98,8 +98,8 @@
 	}
 }
 
-// StartEpochWithoutPolicy starts another epoch of the rejection counts if there is no policy and the
-// length of an epoch has passed. While there is a policy, each new revision starts an epoch instead.
+// StartEpochWithoutPolicy starts another epoch of the rejection counts if there is no policy record and
+// the length of an epoch has passed. While there is a record, each new revision starts an epoch instead.
 func (f *PolicyFollower) StartEpochWithoutPolicy() {
 	now := f.host.Now()
 	if f.RecordRevision == 0 && now >= f.rejections.epochStartedAt+f.EpochLength() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// TakeLoadReport returns a report of the submissions rejected since the last report. due is false if
+// TakeLoadReport returns a report to the leader of the submissions rejected since the last report. due is false if
 // there were none, or if the last report is more recent than interval.
 func (f *PolicyFollower) TakeLoadReport(interval time.Duration) (report protocol.AdmissionLoad, due bool) {
 	groups := f.rejections.takeReport(f.host.Now(), interval)
@@ -120,8 +120,8 @@
 	f.latestPeerRevision = max(f.latestPeerRevision, revision)
 }
 
-// NeedsRead reports whether a peer knows a newer change of the record than this node and no read is in
-// flight.
+// NeedsRead reports whether a peer knows a newer change of the policy's record than this node does, and
+// no read of the record is in flight.
 func (f *PolicyFollower) NeedsRead() bool {
 	return f.latestPeerRevision > f.Revision && !f.reading
 }
--- a/internal/admissioncontrol/follower_test.go
+++ b/internal/admissioncontrol/follower_test.go
@@ -52,22 +52,24 @@
 func TestPolicyIsReadOnceForAll(t *testing.T) {
 	follower, host := newTestFollower()
 	if follower.NeedsRead() {
-		t.Error("a read is needed although no peer knows a record")
+		t.Error("NeedsRead: got true, want false, because no peer knows an admission policy")
 	}
 	follower.RecordPeerRevision(5)
 	if !follower.NeedsRead() {
-		t.Error("no read is needed although a peer knows a newer record")
+		t.Error("NeedsRead: got false, want true, because a peer knows a newer policy record")
 	}
 	called := 0
 	for range 3 {
 		follower.Read(func() { called++ })
 	}
 	if len(host.responses) != 1 || follower.NeedsRead() {
-		t.Fatalf("%d reads were sent, want 1 and no need for another", len(host.responses))
+		t.Fatalf("%d reads of the policy record were sent, want 1; NeedsRead: got %v, want false",
+			len(host.responses), follower.NeedsRead())
 	}
 	host.responses[0](http.StatusOK, storage.Encode(fullPolicy(5)))
 	if called != 3 || follower.RecordRevision != 5 || follower.Current == nil || follower.NeedsRead() {
-		t.Errorf("%d callbacks were called, want 3; the record is %+v, want revision 5", called, follower.PolicyRecord)
+		t.Errorf("%d callbacks called, want 3; record: got %+v, want a policy of revision 5; NeedsRead: got %v, want false",
+			called, follower.PolicyRecord, follower.NeedsRead())
 	}
 }
 
@@ -77,17 +79,17 @@
 	follower, _ := newTestFollower()
 	follower.ApplyRecord(fullPolicy(5))
 	if follower.ApplyRecord(fullPolicy(4)); follower.RecordRevision != 5 {
-		t.Errorf("the revision is %d after an older record, want 5", follower.RecordRevision)
+		t.Errorf("record revision after an older record: got %d, want 5", follower.RecordRevision)
 	}
 	invalid := storage.Item{Key: storage.AdmissionPolicyKey, Value: []byte(`{}`), ModRevision: 6}
 	if follower.ApplyRecord(invalid); !follower.Invalid || follower.Current != nil || follower.RecordRevision != 6 {
-		t.Errorf("after an invalid record at revision 6: %+v", follower.PolicyRecord)
+		t.Errorf("policy record: got %+v, want an invalid one of revision 6 without a policy", follower.PolicyRecord)
 	}
 	if follower.ApplyRemoval(5); !follower.Invalid {
 		t.Error("a removal that is older than the record was applied")
 	}
 	if follower.ApplyRemoval(7); follower.PolicyRecord != (PolicyRecord{Revision: 7}) {
-		t.Errorf("after the removal at revision 7: %+v, want only this revision", follower.PolicyRecord)
+		t.Errorf("policy record after its removal: got %+v, want only revision 7", follower.PolicyRecord)
 	}
 }
 
@@ -108,7 +110,8 @@
 	publisher.AddNodeLoad(protocol.AdmissionLoad{PolicyRevision: 3,
 		Groups: []protocol.GroupLoad{{Team: "late", RejectedForCapacity: 1}}})
 	if len(publisher.EpochLoads) != 1 {
-		t.Errorf("%d groups have loads, want 1: the other was counted under another policy", len(publisher.EpochLoads))
+		t.Errorf("%d groups have loads, want 1: the group of team \"late\" was counted under another policy",
+			len(publisher.EpochLoads))
 	}
 	host.now += follower.EpochLength()
 	publisher.Tick(1)
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -13,8 +13,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// Publisher adds up the submissions that all nodes report and publishes the policy of each epoch. Only
-// the leader has one.
+// Publisher adds up the rejected submissions that all nodes report and the accepted jobs, and publishes
+// the admission policy of each epoch. Only the leader has one.
 type Publisher struct {
 	host           PublisherHost
 	follower       *PolicyFollower // follower of the leader's own node
@@ -32,7 +32,7 @@
 type PublisherHost interface {
 	// Now returns the time of the current step.
 	Now() clock.Instant
-	// PoliciesAllowed reports whether the operators enable policies and every node understands them.
+	// PoliciesAllowed reports whether the settings enable policies and every node understands them.
 	PoliciesAllowed() bool
 	// SubmissionsPerSecond returns the rate at which the whole cluster may write submissions.
 	SubmissionsPerSecond() float64
@@ -135,8 +135,8 @@
 	return load
 }
 
-// teamWeight returns a team's weight for the allocation of capacity. It grows with the team's
-// guarantee from 1, also for an unknown team, to 2 for the largest guarantee.
+// teamWeight returns a team's weight for the allocation of capacity. The weight grows with the cores
+// guaranteed to the team, from 1 (none, or an unknown team) to 2 for the largest guarantee.
 func (p *Publisher) teamWeight(teamName string) float64 {
 	largestGuarantee := 0.0
 	for _, other := range p.state.Config.Teams {
@@ -149,8 +149,8 @@
 	return 1 + team.GuaranteedCPUs/largestGuarantee
 }
 
-// EpochCapacity returns the number of jobs that can be accepted in an epoch. It is limited by the rate
-// of writes and by the memory that is left for open jobs. That memory is spread over the number of
+// EpochCapacity returns the number of jobs that can be accepted in an epoch. It is limited by the rate of
+// writes to the key-value store and by the memory that is left for open jobs. That memory is spread over the number of
 // epochs within which every waiting job should be admitted.
 func (p *Publisher) EpochCapacity() admission.Capacity {
 	byRate := p.host.SubmissionsPerSecond() * p.follower.EpochLength().Seconds()
@@ -229,7 +229,7 @@
 	clear(p.EpochLoads)
 	if !hasPolicy {
 		p.follower.ApplyRemoval(max(p.follower.Revision, p.writer.LastRevision()))
-		p.follower.Read(nil) // returns the revision of the removal, which is announced to peers
+		p.follower.Read(nil) // gets the revision of the removal, which is announced to peers
 		return
 	}
 	p.follower.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: write.Value,
--- a/internal/admissioncontrol/rejection_counts_test.go
+++ b/internal/admissioncontrol/rejection_counts_test.go
@@ -26,10 +26,10 @@
 		{Team: "b", Class: "c", PriorityRank: 1, RejectedForCapacity: 2},
 	}
 	if got := counts.takeReport(time.Minute, time.Second); !slices.Equal(got, want) {
-		t.Errorf("reported %+v, want %+v", got, want)
+		t.Errorf("reported loads: got %+v, want %+v", got, want)
 	}
 	if counts.countCapacityRejection(urgent, "j-1"); counts.takeReport(2*time.Minute, time.Second) != nil {
-		t.Error("a job was counted twice in an epoch")
+		t.Error("job j-1 was counted again in the same epoch")
 	}
 	counts.reset(2 * time.Minute)
 	counts.countCapacityRejection(urgent, "j-1")
@@ -37,7 +37,7 @@
 		t.Error("counts were reported before the interval had passed")
 	}
 	if got := counts.takeReport(time.Minute+time.Second, time.Second); len(got) != 1 || got[0].RejectedForCapacity != 1 {
-		t.Errorf("reported %+v in the next epoch, want one job rejected for capacity", got)
+		t.Errorf("reported loads of the next epoch: got %+v, want one job rejected for capacity", got)
 	}
 }
 
