--- a/internal/election/candidacy.go
+++ b/internal/election/candidacy.go
@@ -11,8 +11,8 @@
 	"hitchdoor/internal/storage"
 )
 
-// candidacy is one attempt of this node to become the leader in a new term. Terms number the
-// leaderships of the cluster.
+// candidacy is one attempt of this node to become the leader in a new term. It
+// begins by raising the term, a number in the key-value store.
 type candidacy struct {
 	term             uint64
 	termRevision     uint64          // revision of the term key that this candidate wrote
@@ -48,8 +48,8 @@
 
 // candidacyDelay returns the delay of this node's next candidacy. Its random part makes it unlikely
 // that several nodes become candidates at the same time. Each peer that started later than this node
-// adds an interval, because in a rolling restart the nodes that started last will not be restarted
-// again. Peers that started within the last leader lease don't count.
+// adds a leader key read interval, because in a rolling restart the nodes that started last will not be
+// restarted again. Peers that started within the last leader lease don't count.
 func (e *Election) candidacyDelay() time.Duration {
 	intervals := e.rng.Float64() // in leader key read intervals
 	for _, peer := range e.peers {
