--- a/internal/controller/connectivity_host.go
+++ b/internal/controller/connectivity_host.go
@@ -34,8 +34,8 @@
 	return l.node.connectivity.workersReachPeers(l.node.now, l.node.leaderLease())
 }
 
-// Successor returns the other node with the most stranded workers, which it can neither serve nor relay.
-// The count is 0 if there is none.
+// Successor returns the other node with the most stranded workers: workers that contact the node and that
+// the node can neither serve nor relay. The count is 0 if there is none.
 func (l nodeLinks) Successor() reachability.StrandedCount {
 	return l.node.connectivity.matrix.Successor(l.node.cfg.Node, l.node.now, l.node.leaderLease())
 }
--- a/internal/controller/outbox_host.go
+++ b/internal/controller/outbox_host.go
@@ -7,7 +7,7 @@
 type nodeStoreObserver struct{ node *Node }
 
 // StoreResponded tells the election whether the store responded, and throttles writes if the store
-// rejected a write because its rate limit was exceeded.
+// rejected a write because the store's rate limit was exceeded.
 func (o nodeStoreObserver) StoreResponded(path string, status int) {
 	o.node.election.RecordStoreResponse(o.node.now, status)
 	if status == http.StatusTooManyRequests && path == "/multi" {
--- a/internal/controller/service_budgets.go
+++ b/internal/controller/service_budgets.go
@@ -61,8 +61,8 @@
 func (b *serviceBudgets) returnCloudRequest() { b.cloudBudget.Tokens++ }
 
 // throttleWrites limits writes to the lower rate from the settings. It is called when the store
-// rejects a write of this node or of a peer because its rate limit was exceeded. Finding the lower rate by
-// repeated rejections would delay urgent writes as much as the others.
+// rejects a write of this node or of a peer because the store's rate limit was exceeded. Finding the
+// lower rate by repeated rejections would delay urgent writes as much as the others.
 func (b *serviceBudgets) throttleWrites() {
 	lowerRate := b.limits.LowerWritesPerS()
 	if b.writesThrottled || lowerRate == b.limits.WritesPerS {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -76,8 +76,8 @@
 }
 
 // forwardSubmissionOnce forwards to the leader a submission that this node can't write. This can help,
-// because the key-value store may refuse one node while it serves the others. It reports false if the submission
-// was forwarded before or can't be forwarded.
+// because the key-value store may refuse one node while it serves the others. It reports
+// false if the submission was forwarded before or can't be forwarded.
 func (n *Node) forwardSubmissionOnce(request Request) bool {
 	if request.Origin.Peer != "" || request.forwarded {
 		return false
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -70,7 +70,7 @@
 	return machine != nil && machine.RelayPeer == "" && l.node.now-machine.LastHeartbeat < l.node.workerLease()
 }
 
-// PeerReachable reports whether a message of the peer arrived within the last leader lease.
+// PeerReachable reports whether a message of the peer arrived within the duration of a leader lease.
 func (n *Node) PeerReachable(name string) bool {
 	return n.now-n.peers[name].LastContact < n.leaderLease()
 }
--- a/internal/controller/worker_service.go
+++ b/internal/controller/worker_service.go
@@ -29,14 +29,15 @@
 type workerServiceLinks interface {
 	// WorkersReachPeers reports whether some peer reports that workers connect to it.
 	WorkersReachPeers() bool
-	// Successor returns the other node with the most stranded workers, which it can neither serve nor
-	// relay. The count is 0 if there is none.
+	// Successor returns the other node with the most stranded workers. The count is 0 if there is
+	// none.
 	Successor() reachability.StrandedCount
 }
 
 // workerService tracks whether workers receive this leader's responses, directly or through other
 // nodes. From that it decides whether the leader needs relays, and whether it should resign in favour
-// of another node at which workers are stranded: they reach that node, but it can't serve or relay them.
+// of another node at which workers are stranded. A worker is stranded at a node that it reaches and that
+// can neither serve the worker nor relay its heartbeats.
 type workerService struct {
 	timing  *timing
 	links   workerServiceLinks
