--- a/internal/controller/trace.go
+++ b/internal/controller/trace.go
@@ -44,7 +44,8 @@
 	return "turn in " + strconv.Itoa(verdict.EpochsUntilAdmitted) + " epochs"
 }
 
-// TraceBlocked records in the job's trace the check that now blocks it, if that differs from previous.
+// TraceBlocked traces which check of the scheduler blocks a job, unless the same check blocked the job
+// before. previous is the check that blocked it before.
 func (l *leader) TraceBlocked(job *cluster.Job, previous cluster.WaitReason) {
 	if job.BlockedBy != previous && job.BlockedBy != "" {
 		l.node.traceStep(job.Spec.ID, stepBlocked, string(job.BlockedBy))
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -45,7 +45,7 @@
 }
 
 // redirectNewWorker redirects a worker that this leader doesn't serve yet to another controller, if
-// this one is full, and reports whether it did.
+// this leader's connections are full. It reports whether it redirected the worker.
 func (n *Node) redirectNewWorker(request Request) bool {
 	worker := request.Heartbeat.Machine
 	if !n.workerRouter.Connections.Full || n.leader.servesDirectly(worker) {
@@ -70,7 +70,7 @@
 	return machine != nil && machine.RelayPeer == "" && l.node.now-machine.LastHeartbeat < l.node.workerLease()
 }
 
-// PeerReachable reports whether a message of the peer arrived within the last leader lease.
+// PeerReachable reports whether a message of the peer arrived within the duration of a leader lease.
 func (n *Node) PeerReachable(name string) bool {
 	return n.now-n.peers[name].LastContact < n.leaderLease()
 }
--- a/internal/controller/worker_service.go
+++ b/internal/controller/worker_service.go
@@ -36,7 +36,8 @@
 
 // workerService tracks whether workers receive this leader's responses, directly or through other
 // nodes. From that it decides whether the leader needs relays, and whether it should resign in favour
-// of another node that workers reach.
+// of another node at which workers are stranded. A worker is stranded at a node that it reaches and that
+// can neither serve the worker nor relay its heartbeats.
 type workerService struct {
 	timing  *timing
 	links   workerServiceLinks
