--- a/internal/controller/election_test.go
+++ b/internal/controller/election_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// A leader that only the key-value store refuses must step down by its own clock before another node
-// may lead, and must be replaced although its peers receive its heartbeats.
+// A leader that only the key-value store refuses must step down when its lease expires by its own clock,
+// before another node may lead. It must be replaced although its peers receive its heartbeats.
 func TestLeaderRefusedByStoreIsReplaced(t *testing.T) {
 	sim := newSimulation(t, 3)
 	refusedLeader := sim.waitForLeader()
@@ -64,11 +64,11 @@
 		}
 	}
 	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 503 || r.RetryAfter == 0 {
-		t.Fatalf("submission during the outage: status %d, Retry-After %d; want 503 with Retry-After", r.Status,
+		t.Fatalf("submission during the outage: got status %d, Retry-After %d; want 503 with Retry-After", r.Status,
 			r.RetryAfter)
 	}
 	if code, status := sim.queryJob(sim.followers()[0], "j-1"); code != 200 || status.State != protocol.JobRunning {
-		t.Fatalf("query during the outage: status %d, %v; want 200, state %q", code, status, protocol.JobRunning)
+		t.Fatalf("query during the outage: got status %d, %v; want 200, state %q", code, status, protocol.JobRunning)
 	}
 	sim.store.setDown(false)
 	sim.advance(5 * time.Second)
@@ -79,7 +79,7 @@
 		t.Fatalf("task j-1/0 started %d times, want once", sim.startCounts["j-1/0"])
 	}
 	if r := sim.submit(sim.followers()[0], jobSpec("j-2", 1)); r.Status != 201 {
-		t.Fatalf("submission after the outage: status %d, want 201", r.Status)
+		t.Fatalf("submission after the outage: got status %d, want 201", r.Status)
 	}
 }
 
@@ -93,8 +93,8 @@
 	return is
 }
 
-// A peer that has just restarted may have granted a lease or voted, and no longer remembers it. So
-// it neither grants a lease nor votes until a lease grant of its earlier process would have expired.
+// A peer that has just restarted may have granted a leader lease or voted, and no longer remembers that.
+// So it neither grants a lease nor votes until a lease grant of its earlier process would have expired.
 func TestRestartedPeerWaitsOutOneLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -120,7 +120,8 @@
 
 // After a restart of all controllers the nodes vote without waiting for earlier lease grants to
 // expire, because every node has announced that it does not lead. Announcements of a majority are not
-// enough, since the missing node may lead by a grant, and neither is one to an earlier process.
+// enough, since the missing node may lead by a grant. An announcement to an earlier process of the
+// voter does not count either.
 func TestFullRestartWaitsForNoLeaseGrant(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
@@ -156,8 +157,9 @@
 	}
 }
 
-// A peer that has granted a lease votes for no candidate until the grant expires, and a peer that has
-// voted for a candidate grants no lease to the leader of an earlier term. Otherwise both could lead.
+// A node that has granted a leader lease votes for no candidate until the grant expires, and a node that
+// has voted for a candidate grants no lease to the leader of an earlier term. Otherwise both the
+// candidate and that leader could lead. Here n0 gets the messages of n1.
 func TestLeaseGrantAndVoteExcludeEachOther(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.store.setDown(true)
@@ -174,17 +176,17 @@
 	}
 	if !sent(sendsMessage[protocol.LeaseGrant],
 		protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
-		t.Fatal("the peer grants no lease during a store outage")
+		t.Fatal("n0 grants no lease during a store outage, want a grant")
 	}
 	if sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
-		t.Fatal("the peer votes before its lease grant has expired")
+		t.Fatal("n0 votes before the lease that it granted has expired")
 	}
 	now += 2 * n.leaderLease()
 	if !sent(sendsMessage[protocol.Vote], protocol.VoteRequest{Term: 8}) {
-		t.Fatal("the peer does not vote after its lease grant has expired")
+		t.Fatal("n0 does not vote after the lease that it granted has expired")
 	}
 	if sent(sendsMessage[protocol.LeaseGrant], protocol.PeerHeartbeat{Term: 7, IsLeader: true, WantsLeaseGrant: true}) {
-		t.Fatal("the peer grants a lease in term 7 after it has voted in term 8")
+		t.Fatal("n0 grants a lease in term 7 after it has voted in term 8")
 	}
 }
 
@@ -241,8 +243,8 @@
 }
 
 // A lost response leaves the outcome of a transaction uncertain. The leader sends the identical
-// transaction again; if a condition of it fails then, the stored records show whether the first one
-// was executed. The leader must not step down.
+// transaction again. If a condition of the second one fails, the stored records show whether the first
+// one was executed. The leader must not step down.
 func TestUncertainTransactionIsResolved(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -257,8 +259,9 @@
 	}
 }
 
-// In a rolling restart each node is down once. The node that restarted last, which need not restart
-// again, succeeds a leader that restarts, so that leadership moves as seldom as possible.
+// In a rolling restart each node is down once. When the leader restarts, the node that restarted most
+// recently must succeed it, because that node need not restart again. So leadership moves as seldom as
+// possible.
 func TestRollingRestartLeaderChanges(t *testing.T) {
 	for first := range 3 {
 		sim := newSimulation(t, 3)
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// In a burst not all jobs of a class can meet their objectives. The largest ones are demoted first,
-// because objectives count jobs. Latency-sensitive work is ahead of all others.
+// In a burst not all jobs of a class can meet their objectives. The largest jobs are demoted first, to
+// RankLate, because objectives count jobs and not tasks. Latency-sensitive work is ahead of all others.
 func TestBurstDemotesLargestFirst(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 10 * time.Second }
@@ -103,8 +103,8 @@
 	}
 }
 
-// Work within the guarantee of its team is ranked by the objective for its start, and so ahead of a
-// job with a later deadline. Work beyond the guarantee is not.
+// Work within the guarantee of its team, which is a number of cores, is queued by the objective for its
+// start, and so ahead of a job with a later deadline. Work beyond the guarantee is not.
 func TestGuaranteedWorkGoesFirst(t *testing.T) {
 	sim := newSimulation(t, 0)
 	sim.names = []string{"n0"}
@@ -129,7 +129,8 @@
 	}
 }
 
-// A task is placed on the machine that has its image rather than on one with as much free capacity.
+// A task is placed on the machine that has its image rather than on one without it that has as much
+// free capacity.
 func TestMachineWithImageIsPreferred(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -162,8 +163,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// No worker reaches the leader, but its peers do. The followers relay the heartbeats, so that worker
-// leases are renewed, the leader remains, and no task starts twice.
+// No worker reaches the leader, but the followers do. They relay the heartbeats, so that worker leases
+// are renewed, the leader remains, and no task starts twice.
 func TestLeaderUnreachableForWorkers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 60*time.Second, 2, 4)
 	sim.unreachableNodes[leaderNode.name] = true
@@ -257,24 +258,24 @@
 		return leader.FindCandidates(job, []*cluster.Machine{machine}, true).BestMachine("") == machine
 	}
 	if fits(withoutImage) {
-		t.Error("placed on m-000002, where the pull misses the objective, although m-000001 has the image")
+		t.Error("the task is placed on m-000002, where the pull misses the objective, although m-000001 has the image")
 	}
 	if !fits(withImage) {
-		t.Error("not placed on m-000001, which has the image")
+		t.Error("the task is not placed on m-000001, which has the image")
 	}
 	job.EligibleAt -= 4 * time.Second
 	if !fits(withoutImage) {
-		t.Error("still waits for the image when the objective leaves no more time to wait")
+		t.Error("the task still waits for its image when the objective leaves no more time to wait")
 	}
 	job.EligibleAt += 4 * time.Second
 	withImage.Images, job.ImageCheckedAt = nil, clock.Never // the next scheduling pass checks the images again
 	if !fits(withoutImage) {
-		t.Error("waits for an image that no machine has")
+		t.Error("the task waits for an image that no machine has")
 	}
 }
 
-// A task is scheduled when its back-off ends, even if nothing else changes that would cause a
-// scheduling pass.
+// A failed task is scheduled again when its back-off ends, even if nothing else changes that would cause
+// a scheduling pass.
 func TestBackoffExpiryTriggersScheduling(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -314,7 +315,7 @@
 	job.FirstStartAt = leader.node.now
 	secondsLeft := 100.0 // until its last task has to be complete
 	if cores := requiredCores(leader, 1000); cores < 100*50/secondsLeft || cores > coresBeforeStart {
-		t.Errorf("%v cores are planned, want at least %v and at most the %v planned before its start", cores,
+		t.Errorf("%v cores are planned for j-1, want at least %v and at most the %v planned before its start", cores,
 			100*50/secondsLeft, coresBeforeStart)
 	}
 }
@@ -341,8 +342,8 @@
 
 // Large parts of the fleet fail at once: a third of the machines is preempted without notice or
 // crashes, others hang for less than their lease, the leader crashes, and a zone is isolated with its
-// machines and a controller. Hung machines must not be returned in bulk, no task runs twice, no quota
-// is exceeded, replacements are rented at once, and every task completes in the end.
+// machines and a controller. Hung machines must not be returned to the cloud in bulk, no task runs twice,
+// no quota is exceeded, replacements are rented at once, and every task completes in the end.
 func TestSimultaneousFleetFailures(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 25 * time.Second }
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -61,7 +61,7 @@
 	return c, leaderNode
 }
 
-// machineLease returns the duration of the leases of machines.
+// machineLease returns the duration of a worker lease.
 func (c *userSimulation) machineLease() time.Duration { return config.Seconds(c.cfg.Workers.LeaseS) }
 
 // onNextLeader calls f once, as soon as a node other than except leads.
@@ -91,7 +91,8 @@
 	}
 }
 
-// replaceLeader crashes or drains the leader and restarts it, often at once.
+// replaceLeader crashes the leader, in a third of the cases after a drain, and restarts it after a
+// random downtime of at most one worker lease, often far less.
 func (c *userSimulation) replaceLeader() {
 	name := c.leaderName()
 	if name == "" {
@@ -131,8 +132,8 @@
 	}
 }
 
-// replayHeartbeats keeps copies of some heartbeats. Whenever another node leads, it sends each copy to
-// all nodes, twice within a tenth of a lease.
+// replayHeartbeats keeps copies of some heartbeats. When the leader has changed, each copy is sent to
+// all nodes, twice within a tenth of a worker lease.
 func (c *userSimulation) replayHeartbeats() {
 	var copies []*protocol.WorkerHeartbeat
 	c.onHeartbeat = func(_ *fakeWorker, heartbeat *protocol.WorkerHeartbeat) {
@@ -166,9 +167,9 @@
 	poll()
 }
 
-// faultCombinations are the combinations of faults that users asked for, by name. Each function gets a
-// simulation with a leader, eight machines and some jobs. It schedules its faults and returns how
-// long they last.
+// faultCombinations are the combinations of faults that TestFaultCombinations runs, by name. Each
+// function gets a simulation with a leader, eight machines and some jobs. It schedules its faults and
+// returns how long they last. The length of a name is part of the seed of its runs.
 var faultCombinations = map[string]func(c *userSimulation) time.Duration{
 	"long and short tasks, leaders replaced": func(c *userSimulation) time.Duration {
 		c.taskDuration = func(task string, _ int) time.Duration {
@@ -554,8 +555,8 @@
 	},
 }
 
-// pauseController pauses a controller, which then resumes as if no time had passed. Half of the pauses
-// are between a step and its effects.
+// pauseController suspends the steps of a controller, but not its clocks, unless it is already down or
+// paused. Half of the pauses are between a step and its effects.
 func (c *userSimulation) pauseController(name string, d time.Duration) {
 	n := c.nodes[name]
 	switch {
@@ -589,7 +590,7 @@
 		job.Cores = 400
 		c.sendUserRequest(Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			if r.Status != 422 && r.Status != 503 && r.Status != 0 {
-				c.t.Errorf("submission of a job that fits no machine: status %d, expected 422, 503 or no reply",
+				c.t.Errorf("submission of a job that fits no machine type: got status %d, want 422, 503 or no reply",
 					r.Status)
 			}
 		})
@@ -674,10 +675,10 @@
 				}
 			}
 			if slowestCancellation > 2*time.Second {
-				t.Errorf("the slowest cancellation was confirmed after %v, expected 2 s at most", slowestCancellation)
+				t.Errorf("the slowest cancellation was confirmed after %v, want at most 2 s", slowestCancellation)
 			}
 			if mostPendingChanges > 60 {
-				t.Errorf("%d changes were pending at once, expected 60 at most", mostPendingChanges)
+				t.Errorf("%d changes were waiting at once to be stored, want at most 60", mostPendingChanges)
 			}
 			c.waitForCompletion(time.Minute)
 		})
--- a/internal/controller/invariants_test.go
+++ b/internal/controller/invariants_test.go
@@ -24,7 +24,7 @@
 // must follow the real-time order: a query that is sent after a reply has arrived must not get an
 // older state, not even milliseconds later from another node.
 type invariantChecker struct {
-	submitted          map[string]bool
+	submitted          map[string]bool              // jobs that users have submitted
 	acceptedAt         map[string]clock.Instant     // time of the first reply that reports acceptance, by job
 	terminalStates     map[string]protocol.JobState // terminal states in replies, by job
 	terminalAt         map[string]clock.Instant     // time of the first reply with a terminal state, by job
@@ -35,10 +35,10 @@
 	faultsEndedAt      clock.Instant                // clock.Never while there are faults
 	waitingSince       map[string]clock.Instant     // since when a job is pending although there is room for it
 	lastWaitingCheck   clock.Instant
-	onJobState         func(id string, state protocol.JobState) // called at acceptance and at the terminal state
-	acceptancesByEpoch map[uint64]int                           // jobs accepted under a policy, by policy epoch
+	onJobState         func(id string, state protocol.JobState) // called when a reply first says accepted or ended
+	acceptancesByEpoch map[uint64]int                           // accepted jobs, by epoch of the admission policy
 	scenario           string                                   // the test case, for failure messages
-	caughtViolations   map[string]int                           // counts by rule, to test the checker; nil: the test fails
+	caughtViolations   map[string]int                           // counts by rule while the checker is tested, else nil
 	load               machineLoad                              // running tasks as of the last check
 	helperMarked       bool                                     // checkInvariants has called t.Helper
 }
@@ -208,7 +208,7 @@
 		}
 	}
 	if leaders > 1 {
-		sim.reportViolation("two leaders", "%d nodes hold the leader lease", leaders)
+		sim.reportViolation("two leaders", "%d nodes hold the leader lease, want at most one", leaders)
 	}
 	sim.checkRunningTasks()
 	if sim.faultsEndedAt != clock.Never && sim.now >= sim.lastWaitingCheck+time.Second {
@@ -238,8 +238,8 @@
 			for _, task := range load.running {
 				if jobIDOf(task.taskKey) == usage.id {
 					sim.t.Helper()
-					sim.reportViolation("ran_cancelled", "%s still runs on %s, cancelled at %v (%s)", task.taskKey,
-						task.worker.name, since, task.worker.describe())
+					sim.reportViolation("ran_cancelled", "%s still runs on %s, its job was cancelled at %v (%s)",
+						task.taskKey, task.worker.name, since, task.worker.describe())
 				}
 			}
 		}
@@ -322,8 +322,8 @@
 }
 
 // checkWaitingJobs checks, after the faults have ended, that no job is pending for 90 s although a
-// machine that fits has room and the team is within its quota, and that every job starts within
-// four minutes.
+// machine that fits has room and the team is within its quota, and that every job for which there is
+// room starts within four minutes.
 func (sim *simulation) checkWaitingJobs(machineByTask map[string]string, coresByTeam map[string]float64) {
 	sim.t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(sim.acceptedAt)) {
@@ -343,7 +343,7 @@
 			sim.reportViolation("waits", "%s is pending for 90 s although a machine has room: %s", id,
 				sim.explainPending(id))
 		}
-		// The time counts from the completion of all dependencies.
+		// The time counts from the last of the end of the faults, the acceptance and the end of each dependency.
 		eligibleAt := max(sim.faultsEndedAt, sim.acceptedAt[id])
 		for _, dependency := range sim.jobSpecs[id].Dependencies {
 			eligibleAt = max(eligibleAt, sim.terminalAt[dependency])
@@ -440,7 +440,8 @@
 		sim.reportViolation("wrong_place", "%s starts on %s: %s", key, worker.name, reason)
 	}
 	if since, cancelled := sim.cancelledAt(id); cancelled && sim.now > since+4*time.Second {
-		sim.reportViolation("started after its cancellation", "%s starts, cancelled at %v", key, since)
+		sim.reportViolation("started after its cancellation", "%s starts although its job was cancelled at %v", key,
+			since)
 	}
 	if sim.firstStartAt[id] == 0 {
 		sim.firstStartAt[id] = sim.now
@@ -599,8 +600,8 @@
 		}
 		sim.acceptancesByEpoch[policy.Epoch]++
 		if !policy.Evaluate(admissioncontrol.GroupOf(&job.Spec), job.Spec.ID).Admit {
-			sim.reportViolation("policy", "%s is accepted in epoch %d, whose policy does not admit it", job.Spec.ID,
-				policy.Epoch)
+			sim.reportViolation("policy", "%s is accepted in policy epoch %d, whose policy does not admit it",
+				job.Spec.ID, policy.Epoch)
 		}
 	}
 }
--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -9,9 +9,9 @@
 	"hitchdoor/internal/protocol"
 )
 
-// A machine whose heartbeats arrive but which gets no responses must get no more work and be
-// returned, and the tasks that were assigned to it must run elsewhere. Its heartbeats, which look
-// healthy, once kept those tasks assigned to it for ever.
+// A machine whose heartbeats arrive but which gets no responses must get no more work and be returned
+// to the cloud, and the tasks that were assigned to it must run elsewhere. The machine's heartbeats,
+// which look healthy, once kept those tasks assigned to it for ever.
 func TestMachineWithoutResponsesGetsNoWork(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -23,13 +23,13 @@
 	sim.submit(leaderNode.name, job)
 	sim.advance(25 * time.Second)
 	if got := sim.activeTaskCount("j-1"); got != 60 {
-		t.Fatalf("%d of the 60 tasks of j-1 run after 25 s, beside a machine without responses", got)
+		t.Fatalf("%d of the 60 tasks of j-1 run after 25 s beside a machine without responses, want all", got)
 	}
 	next := jobSpec("j-2", 4)
 	next.EstimatedSeconds = 3600
 	sim.submit(leaderNode.name, next)
 	if !sim.advanceUntil(12*time.Second, func() bool { return sim.activeTaskCount("j-2") == 4 }) {
-		t.Fatalf("%d of the 4 tasks of j-2 run after 12 s, beside a machine without responses",
+		t.Fatalf("%d of the 4 tasks of j-2 run after 12 s beside a machine without responses, want all",
 			sim.activeTaskCount("j-2"))
 	}
 	if !sim.advanceUntil(20*time.Second, func() bool { return sim.cloud.hosts["m-000001"] == nil }) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// Two machines stop getting responses at once and can't be returned. Although they keep sending
+// Two machines stop getting responses at once, and the cloud rejects their return. Although both keep sending
 // heartbeats, their tasks are rescheduled once the worker lease has certainly expired, because a
 // response that does not arrive renews no lease.
 func TestMachinesWithoutResponsesLoseTheirTasks(t *testing.T) {
@@ -49,9 +49,9 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
 }
 
-// After a takeover a machine that gets no responses must not hold up older jobs. Its heartbeats never
-// carry the new fencing token, so it is not reconciled before its lease has expired, and each response
-// sent to it once postponed that.
+// After a takeover a machine that gets no responses must not hold up jobs accepted before the takeover. Its
+// heartbeats never carry the new fencing token, so the leader reconciles the machine, that is, knows
+// its tasks, only when its lease has expired. Each response sent to the machine once postponed that.
 func TestMachineWithoutResponsesAcrossTakeover(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -85,8 +85,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
 }
 
-// A machine gets responses again after it was drained because they did not reach it. None of its
-// tasks may run twice, whether the machine has been returned or not.
+// A machine is drained because responses do not reach it, and then they reach it again. None of its
+// tasks may run twice, whether the machine has been returned to the cloud or not.
 func TestMachineReceivesResponsesAgain(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 12 * time.Second }
@@ -127,7 +127,7 @@
 	sim.startMachines(5)
 	sim.submitAndStart(sim.leaderName(), job, 16)
 	sim.waitForJobState("j-1", protocol.JobDone, time.Minute)
-	// Waits until all machines are returned and their records deleted.
+	// Waits until all machines are returned to the cloud and their records deleted.
 	if !sim.advanceUntil(5*time.Minute,
 		func() bool { return len(sim.workers) == 0 && len(sim.nodes[sim.leaderName()].leader.Machines) == 0 }) {
 		t.Fatalf("%d idle machines are up after 5 min, want none, also none in the leader's records", len(sim.workers))
@@ -178,13 +178,14 @@
 			return
 		}
 		if i == 29 {
-			t.Fatalf("%d of the 16 tasks of j-2 run after 30 s with late copies", sim.activeTaskCount("j-2"))
+			t.Fatalf("%d of the 16 tasks of j-2 run after 30 s with late copies, want all", sim.activeTaskCount("j-2"))
 		}
 	}
 }
 
-// Copies of heartbeats that arrive in any order, up to 25 s late, while their machine is up must
-// neither restore a task that has completed or moved nor release one that runs.
+// Late copies of a heartbeat (up to 25 s, in any order) from a machine that is still up must change
+// nothing: a task that has completed or moved must not be restored, and a running task must not be
+// released.
 func TestLateHeartbeatCopiesOfRunningMachines(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 4 * time.Second }
@@ -240,7 +241,8 @@
 	worker := sim.workers["m-000001"]
 	worker.restartMachine()
 	if !sim.advanceUntil(3*time.Second, func() bool { return sim.activeTaskCount("j-1") == 4 }) {
-		t.Fatalf("%d of the 4 tasks of j-1 run 3 s after the restart of the machine", sim.activeTaskCount("j-1"))
+		t.Fatalf("%d of the 4 tasks of j-1 run 3 s after the restart of the machine, want all",
+			sim.activeTaskCount("j-1"))
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
 	if machine := leaderNode.leader.Machines["m-000001"]; machine == nil ||
@@ -249,8 +251,8 @@
 	}
 }
 
-// When a leader loses contact with many machines together, it must not return the first of them
-// before it shows how many are missing, and none after it has sent heartbeats again.
+// When a leader loses contact with many machines together, it must not return the first of them to the
+// cloud before it is clear how many are missing. A machine that sends heartbeats again must be kept.
 func TestMachinesUnreachableTogetherAreKept(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 9, 36)
 	machineCount := len(sim.cloud.hosts)
@@ -266,7 +268,7 @@
 		}
 	}
 	// Six of nine machines become unreachable one after the other. When the first of them may be
-	// returned, less than half of all are overdue.
+	// returned to the cloud, the heartbeats of less than half of all machines are overdue.
 	silence(6, 500*time.Millisecond)
 	sim.advance(8 * time.Second)
 	restore()
@@ -299,8 +301,8 @@
 }
 
 // A copy of an old heartbeat reaches the next leader before any newer heartbeat and shows a task on
-// the machine from which it has moved. The task must continue on its present machine. Such a copy once
-// made the leader end it there.
+// the machine from which it has moved. The task must continue on its present machine, where the leader
+// once ended it because of such a copy.
 func TestStaleHeartbeatAtNextLeader(t *testing.T) {
 	for nodes := 1; nodes <= 7; nodes += 2 {
 		for offset := range 12 {
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -14,7 +14,7 @@
 // mixedFaults is one short run of mixed faults. Its seed makes it reproducible.
 type mixedFaults struct {
 	*userSimulation
-	mayLowerLimits bool // the store may begin to enforce its upcoming limits
+	mayLowerLimits bool // the store may switch to the lower limits that the settings announce
 }
 
 // TestMixedFaults mixes random faults in many short runs: crashes, quick restarts and pauses of
@@ -24,7 +24,7 @@
 // copies of heartbeats, also for the next leader; rolling upgrades from the previous version; and a
 // store that lowers its limits. Jobs have dependencies. The invariant checker checks at each step that
 // at most one node leads, no task runs twice and no team exceeds its quota. It also checks the replies
-// to users, and every accepted job completes in the end.
+// to users, and every accepted job is done or cancelled in the end.
 func TestMixedFaults(t *testing.T) {
 	forEachSeed(t, 96, 6000, runMixedFaults)
 }
@@ -33,7 +33,7 @@
 	c := &mixedFaults{userSimulation: newUserSimulation(newSimulationWithTimings(t, 3+4*int(seed%3/2),
 		deployments[seed/6%uint64(len(deployments))]), seed)}
 	if seed%5 == 2 {
-		// One team has a guarantee, for which other teams' tasks are preempted.
+		// One team is guaranteed 8 cores. Tasks of other teams are preempted to provide them.
 		c.cfg.Teams[0].GuaranteedCPUs = 8
 		c.cfg.Objectives = []config.Objective{{Kind: "guarantee", WithinS: 10, MinShare: 0.9}}
 		c.cloud.capacity = 6
@@ -101,8 +101,8 @@
 	c.waitForCompletion(5 * time.Minute)
 }
 
-// submitUserWork submits a job. It may also cancel an earlier job, or let the store begin to enforce its
-// upcoming limits.
+// submitUserWork submits a job. It may also cancel an earlier job, or let the store begin to enforce the
+// lower limits that the settings announce.
 func (c *mixedFaults) submitUserWork(i int) {
 	job := jobSpec(fmt.Sprintf("j-%d", i), 1+c.rng.IntN(9))
 	if c.rng.IntN(2) == 0 {
@@ -204,7 +204,7 @@
 	}
 }
 
-// cutZone isolates one node and the workers of zone a from everything else.
+// cutZone isolates one node together with the workers of zone a from everything else.
 func (c *mixedFaults) cutZone() {
 	name := c.randomNode()
 	c.workerReaches = func(worker *fakeWorker, node string) bool { return (worker.zone == "a") == (node == name) }
@@ -335,7 +335,7 @@
 }
 
 // refuseLeaderThenStopStore lets the store refuse the leader alone and then have an outage for all
-// nodes. It is the first combination that users asked for.
+// nodes, while jobs are cancelled. TestCancelledBetweenRefusalAndOutage covers this combination in detail.
 func (c *mixedFaults) refuseLeaderThenStopStore() {
 	name := c.leaderName()
 	if name == "" {
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -281,8 +281,8 @@
 }
 
 // While no worker reaches the leader, the other nodes relay for all workers. From time to time they
-// redirect a few workers to the leader, because otherwise it would not be found out that the cut has
-// healed and workers can be served directly again.
+// redirect a few workers to the leader. Otherwise no node would find out that the cut has healed and
+// that the leader can serve workers directly again.
 func TestRelayingEndsAfterCut(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, time.Hour, 4, 8)
 	sim.heartbeatsBlocked[leaderNode.name] = true
@@ -302,7 +302,7 @@
 	sim.heartbeatsBlocked[leaderNode.name] = false
 	if !sim.advanceUntil(8*leaderNode.workerLease(),
 		func() bool { return leaderNode.leader != nil && direct() == len(leaderNode.leader.Machines) }) {
-		t.Errorf("%d of %d machines are served directly 8 worker leases after the cut", direct(),
+		t.Errorf("%d of %d machines are served directly 8 worker leases after the cut, want all", direct(),
 			len(leaderNode.leader.Machines))
 	}
 }
--- a/internal/controller/quarantine_test.go
+++ b/internal/controller/quarantine_test.go
@@ -59,7 +59,8 @@
 // A record that could not be read once made its job unknown to users and its tasks start again, or
 // made the leader step down repeatedly when it overwrote the record. Such a record is quarantined: it
 // is never written, its job stays accepted but no more of its tasks start, the running ones continue,
-// and so does all other work. Once the record is repaired, its job completes normally.
+// and so does all other work. Once the record is repaired, its job completes normally. In the values,
+// "pecas" is the number of tasks, "aguarda" the list of dependencies and "pedido" the id of a rental.
 func TestDamagedRecordIsQuarantined(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		key           func(sim *simulation) string
@@ -135,13 +136,13 @@
 				if testCase.unavailable && status != 503 ||
 					!testCase.unavailable && (status != 200 ||
 						jobStatus.State != protocol.JobQueued && jobStatus.State != protocol.JobRunning) {
-					t.Errorf("query of j-1 at %s: status %d, state %q; want 503: %v, otherwise 200, queued or running", node,
-						status, jobStatus.State, testCase.unavailable)
+					t.Errorf("query of j-1 at %s: got status %d, state %q; want 503 if %v, else 200, queued or running",
+						node, status, jobStatus.State, testCase.unavailable)
 				}
 				if reply := sim.requestAndWait(node,
 					Request{Kind: protocol.RequestSubmit, JobID: "j-1",
 						Job: &job}); reply.Status != 200 && !testCase.unavailable {
-					t.Errorf("repeated submission of j-1 at %s: status %d, want 200", node, reply.Status)
+					t.Errorf("repeated submission of j-1 at %s: got status %d, want 200", node, reply.Status)
 				}
 			}
 			if running := sim.activeTaskCount("j-1"); running != 3 || sim.totalStarts() != started+6 {
@@ -182,14 +183,15 @@
 		sim.advance(10 * time.Second)
 		for _, node := range sim.names {
 			if status, jobStatus := sim.queryJob(node, "j-1"); status != 200 || jobStatus.State != state {
-				t.Errorf("query of j-1 at %s: status %d, state %q; want 200, %q", node, status, jobStatus.State, state)
+				t.Errorf("query of j-1 at %s: got status %d, state %q; want 200, %q", node, status, jobStatus.State,
+					state)
 			}
 		}
 		if running := sim.activeTaskCount("j-1"); running != 0 {
-			t.Errorf("%d tasks of j-1 run although it is %s", running, state)
+			t.Errorf("%d tasks of j-1 run although the job is %s, want none", running, state)
 		}
 		if sim.store.keys[storage.JobKey("j-1")].ModRevision == 0 {
-			t.Error("the open record of j-1 was deleted")
+			t.Error("the open record of j-1 was deleted, want it kept")
 		}
 	}
 }
--- a/internal/controller/refusal_outage_test.go
+++ b/internal/controller/refusal_outage_test.go
@@ -10,7 +10,7 @@
 	"hitchdoor/internal/protocol"
 )
 
-// refusalOutageScenarios are faults beside the refusal and the outage, by name. They let a terminal
+// refusalOutageScenarios are faults beside the store's refusal and outage, by name. They let a terminal
 // state be reported while the old leader does not know of it, or let the old leader keep its workers.
 // The length of a name selects the runs of the scenario that are in the sample.
 var refusalOutageScenarios = map[string]func(c *userSimulation, old string){
@@ -156,7 +156,7 @@
 		}
 		return true
 	}) {
-		c.t.Fatalf("at %v: not all of the %d cancellations are durable after 1 min", c.now, jobs)
+		c.t.Fatalf("at %v: not all of the %d jobs have a terminal record as cancelled after 1 min", c.now, jobs)
 	}
 	c.queryAllJobs()
 	c.advance(c.cancelLimit())
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -16,16 +16,16 @@
 )
 
 // A job runs each of its tasks once and becomes done. Repeated submissions, also of the finished
-// job, get 200, and machines without work are returned.
+// job, get 200, and machines without work are returned to the cloud.
 func TestJobRunsToDone(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	follower := sim.followers()[0]
 	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 201 {
-		t.Fatalf("submission: status %d, want 201", r.Status)
+		t.Fatalf("submission: got status %d, want 201", r.Status)
 	}
 	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 200 {
-		t.Fatalf("repeated submission: status %d, want 200", r.Status)
+		t.Fatalf("repeated submission: got status %d, want 200", r.Status)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 90*time.Second)
 	for i := range 20 {
@@ -34,7 +34,7 @@
 		}
 	}
 	if r := sim.submit(follower, jobSpec("j-1", 20)); r.Status != 200 {
-		t.Fatalf("submission of a finished job: status %d, want 200", r.Status)
+		t.Fatalf("submission of a finished job: got status %d, want 200", r.Status)
 	}
 	if !sim.advanceUntil(5*time.Minute, func() bool { return len(sim.cloud.hosts) == 0 }) {
 		t.Fatalf("%d idle machines are kept, want none", len(sim.cloud.hosts))
@@ -50,7 +50,7 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	sim.submit("n1", jobSpec("j-2", 2))
 	if r := sim.cancelJob("n2", "j-2"); r.Status != 200 {
-		t.Fatalf("cancellation: status %d, want 200", r.Status)
+		t.Fatalf("cancellation of j-2: got status %d, want 200", r.Status)
 	}
 	sim.submit("n1", jobSpec("j-3", 1))
 	for _, name := range sim.names {
@@ -63,11 +63,11 @@
 		for id, want := range map[string]protocol.JobState{"j-1": protocol.JobDone,
 			"j-2": protocol.JobCancelled, "j-3": protocol.JobQueued} {
 			if code, s := sim.queryJob(name, id); code != 200 || s.State != want {
-				t.Fatalf("query of %s at %s: status %d, state %q; want 200, %q", id, name, code, s.State, want)
+				t.Fatalf("query of %s at %s: got status %d, state %q; want 200, %q", id, name, code, s.State, want)
 			}
 		}
 		if r := sim.submit(name, jobSpec("j-1", 1)); r.Status != 200 && r.Status != 503 {
-			t.Fatalf("repeated submission at %s: status %d, want 200 or 503", name, r.Status)
+			t.Fatalf("repeated submission at %s: got status %d, want 200 or 503", name, r.Status)
 		}
 	}
 	sim.waitForJobState("j-3", protocol.JobDone, 60*time.Second)
@@ -80,14 +80,14 @@
 	sim.waitForLeader()
 	for _, n := range sim.names {
 		if code, _ := sim.queryJob(n, "j-404"); code != 404 {
-			t.Fatalf("query of an unknown job at %s: status %d, want 404", n, code)
+			t.Fatalf("query of an unknown job at %s: got status %d, want 404", n, code)
 		}
 	}
 	sim.store.setDown(true)
 	sim.advance(3 * time.Second)
 	for _, n := range sim.names {
 		if code, _ := sim.queryJob(n, "j-404"); code != 503 {
-			t.Fatalf("query of an unknown job at %s during a store outage: status %d, want 503", n, code)
+			t.Fatalf("query of an unknown job at %s during a store outage: got status %d, want 503", n, code)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	sim.crashNode(firstLeader.name)
 	if r := sim.submit(sim.followers()[0], job); r.Status != 200 {
-		t.Fatalf("repeated submission: status %d, want 200", r.Status)
+		t.Fatalf("repeated submission: got status %d, want 200", r.Status)
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 }
@@ -125,8 +125,8 @@
 }
 
 // Checks the invariant ran_twice: a machine that sends no heartbeat to the new leader may still run
-// tasks, so jobs accepted before the takeover wait until its lease has expired. A job accepted after
-// the takeover can't run on it and must not wait.
+// tasks, so jobs accepted before the takeover wait until the machine's worker lease has expired. A job
+// accepted after the takeover can't have tasks on the machine and must not wait.
 func TestTakeoverWaitsForSilentMachine(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return 200 * time.Second }
@@ -138,7 +138,7 @@
 			silentWorker = worker
 		}
 	}
-	sim.cloud.rejectReturns = true // otherwise a return would reconcile the machine sooner
+	sim.cloud.rejectReturns = true // otherwise the return to the cloud would reconcile the machine sooner
 	sim.crashNode(firstLeader.name)
 	silentWorker.unreachable = true
 	sim.waitForLeader()
@@ -146,7 +146,7 @@
 	sim.cloud.rentMachine("c4", "a", true)
 	sim.submit(sim.leaderName(), jobSpec("j-2", 1))
 	if !sim.advanceUntil(8*time.Second, func() bool { return sim.activeTaskCount("j-2") == 1 }) {
-		t.Fatal("the new job j-2 waits for a machine on which it can't run")
+		t.Fatal("no task of the new job j-2 runs after 8 s, although none can run on the silent machine")
 	}
 	if blockedBy := sim.nodes[sim.leaderName()].leader.Jobs["j-1"].BlockedBy; blockedBy != cluster.WaitReconciliation {
 		t.Fatalf("the old job j-1 is blocked by %q, want %q", blockedBy, cluster.WaitReconciliation)
@@ -160,8 +160,9 @@
 	}
 }
 
-// Checks the invariant ran_twice: a heartbeat of a worker epoch that was declared lost never gets
-// 200, otherwise its tasks would continue beside their second attempts.
+// Checks the invariant ran_twice: a worker begins a new epoch when it restarts or loses its lease. A
+// heartbeat of an epoch that was declared lost never gets 200, otherwise the tasks of that epoch would
+// continue beside their second attempts.
 func TestFencedEpochIsRejected(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 300 * time.Second }
@@ -185,8 +186,9 @@
 	}
 }
 
-// A heartbeat that arrives after a newer one of its worker changes nothing and gets no 200. This one
-// reports no tasks: if it were processed, the running task would count as lost and start again.
+// A heartbeat that arrives after a newer one of its worker changes nothing and gets no 200. The late
+// heartbeat of this test reports no tasks: if it were processed, the running task would count as lost
+// and start again.
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -256,7 +258,7 @@
 		t.Fatal("no start command was sent within 60 s")
 	}
 	if r := sim.cancelJob(sim.followers()[0], "j-1"); r.Status != 200 {
-		t.Fatalf("cancellation: status %d, want 200", r.Status)
+		t.Fatalf("cancellation of j-1: got status %d, want 200", r.Status)
 	}
 	sim.advance(8 * time.Second)
 	if n := sim.activeTaskCount("j-1"); n != 0 {
@@ -264,7 +266,7 @@
 	}
 	sim.waitForJobState("j-1", protocol.JobCancelled, time.Second)
 	if r := sim.cancelJob("n0", "j-404"); r.Status != 404 {
-		t.Fatalf("cancellation of an unknown job: status %d, want 404", r.Status)
+		t.Fatalf("cancellation of an unknown job: got status %d, want 404", r.Status)
 	}
 }
 
@@ -286,7 +288,7 @@
 }
 
 // A worker is told to forget a result only after the task's bit in the bitmap record is durable.
-// Until then the worker has the only copy.
+// Until then the worker has the only copy of the result.
 func TestForgetOnlyAfterDoneIsDurable(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(key string, _ int) time.Duration {
@@ -384,11 +386,11 @@
 			}
 		}
 		if len(tasksByZone["j-3"]) > 1 {
-			t.Fatalf("the tasks of j-3 must be in one zone, and run by zone: %v", tasksByZone["j-3"])
+			t.Fatalf("tasks of j-3 by zone: got %v, want all in one zone", tasksByZone["j-3"])
 		}
 		for _, count := range tasksByZone["j-4"] {
 			if count > 3 {
-				t.Fatalf("at most 3 of the 5 tasks of j-4 may be in one zone, and run by zone: %v", tasksByZone["j-4"])
+				t.Fatalf("tasks of j-4 by zone: got %v, want at most 3 of the 5 in one zone", tasksByZone["j-4"])
 			}
 		}
 	}
@@ -397,8 +399,8 @@
 	}
 }
 
-// The checks before a start are made in a fixed order, the scheduler slots before the team quota,
-// and BlockedBy of the job names the first one that fails.
+// The checks before the start of a task are made in a fixed order: the scheduler slots are checked
+// before the team quota. BlockedBy of the job names the first check that fails.
 func TestAdmissionOrder(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -412,13 +414,13 @@
 	leaderNode.leader.Schedule()
 	job := leaderNode.leader.Jobs["j-1"]
 	if job.BlockedBy != cluster.WaitTeamQuota {
-		t.Fatalf("blocked by %q, want %q", job.BlockedBy, cluster.WaitTeamQuota)
+		t.Fatalf("j-1 is blocked by %q, want %q", job.BlockedBy, cluster.WaitTeamQuota)
 	}
 	leaderNode.Node.settings.SlotsPerCore, leaderNode.Node.settings.BaseSlots = 0.01, 0
 	leaderNode.leader.InvalidateMachineIndex()
 	leaderNode.leader.Schedule()
 	if job.BlockedBy != cluster.WaitSlots {
-		t.Fatalf("blocked by %q, want %q, which is checked first", job.BlockedBy, cluster.WaitSlots)
+		t.Fatalf("j-1 is blocked by %q, want %q, which is checked first", job.BlockedBy, cluster.WaitSlots)
 	}
 }
 
@@ -433,11 +435,11 @@
 	sim.submit(leaderNode.name, urgent)
 	leader := leaderNode.leader
 	if leader.LatencySensitiveWorkDelayed(leader.BuildQueue()) {
-		t.Fatal("borrowing ended at once, want it to end after BorrowWaitS")
+		t.Fatal("batch work stops borrowing slots at once, want it to stop after BorrowWaitS")
 	}
 	leader.Jobs["j-2"].PendingSince = leader.node.now - config.Seconds(leader.node.settings.BorrowWaitS) - time.Second
 	if !leader.LatencySensitiveWorkDelayed(leader.BuildQueue()) {
-		t.Fatal("borrowing goes on although latency-sensitive work has been pending for longer than BorrowWaitS")
+		t.Fatal("batch work still borrows slots after latency-sensitive work has been pending for BorrowWaitS")
 	}
 	if first := leader.BuildQueue()[0].Job.Spec.ID; first != "j-2" {
 		t.Fatalf("%s is first in the queue, want j-2", first)
@@ -445,7 +447,7 @@
 }
 
 // A failed task is retried at once on another machine. A machine on which every task fails is marked
-// unhealthy and returned.
+// unhealthy and returned to the cloud.
 func TestUnhealthyMachineIsReturned(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 3 * time.Second }
@@ -496,12 +498,12 @@
 	}
 	sim.waitForJobState("j-1", protocol.JobDone, 60*time.Second)
 	if r := sim.cancelJob(leaderNode.name, "j-9"); r.Status != 200 {
-		t.Fatalf("cancellation: status %d, want 200", r.Status)
+		t.Fatalf("cancellation of j-9: got status %d, want 200", r.Status)
 	}
 }
 
 // A preemption notice drains the machine: tasks that write checkpoints are stopped early enough to
-// save one, the machine gets no more work and is returned, and the tasks continue elsewhere.
+// save one, the machine gets no more work and is returned to the cloud, and the tasks continue elsewhere.
 func TestPreemptionNoticeDrainsMachine(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
@@ -534,8 +536,8 @@
 	}
 }
 
-// The cloud is down and then has no spot machines. The demand is kept until it can be met, other
-// offers are tried, no request id is used twice, and the outage does not end in a burst of rentals.
+// The cloud is down and then has no spot machines. The leader must keep the demand until it can be met,
+// try other offers, use no request id twice, and not rent a burst of machines after the outage.
 func TestCloudFaults(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -549,8 +551,8 @@
 	}
 }
 
-// A worker that can't reach the leader returns to the follower that redirected it with 421. The
-// follower then relays its heartbeats, so that the worker keeps its lease.
+// A worker that can't reach the leader goes back to the follower that redirected it with 421. The
+// follower then relays the worker's heartbeats, so that the worker keeps its lease.
 func TestFollowerRelaysHeartbeats(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -561,11 +563,11 @@
 		return sim.requestAndWait(follower, Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 	}
 	if r := sendHeartbeat(); r.Status != 421 {
-		t.Fatalf("first heartbeat: status %d, want 421", r.Status)
+		t.Fatalf("first heartbeat of m-9: got status %d, want 421", r.Status)
 	}
 	sim.advance(time.Second)
 	if r := sendHeartbeat(); r.Status != 200 {
-		t.Fatalf("heartbeat of the returning worker: status %d, want 200", r.Status)
+		t.Fatalf("heartbeat of m-9 after the redirect: got status %d, want 200", r.Status)
 	}
 	if leaderNode.leader.Machines["m-9"] == nil {
 		t.Fatal("the leader does not know m-9, whose heartbeat the follower has answered")
@@ -595,8 +597,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
 }
 
-// The records of the largest possible job stay within the value limit, which the fake store checks
-// at each write, and its completed tasks survive a takeover.
+// The records of the largest possible job stay within the store's value limit, which the fake store
+// checks at each write, and the job's completed tasks survive a takeover.
 func TestLargestJob(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Second }
@@ -638,7 +640,7 @@
 		t.Fatal(err)
 	}
 	found := false
-	for range 2 { // the second heartbeat is forwarded, as that of a worker that can't reach the leader
+	for range 2 { // the second heartbeat is forwarded, as from a worker that can't reach the leader
 		for _, effect := range follower.Step(sim.now-follower.bootedAt+step,
 			[]Command{Request{Origin: Origin{RequestID: 99}, Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}}) {
 			outbound, ok := effect.(OutboundMessage)
@@ -659,8 +661,8 @@
 	}
 }
 
-// The records of a hundred machines that boot together use up the write rate. When submissions had
-// to wait for these writes, they were rejected, so submissions take precedence.
+// The records of a hundred machines that boot together use up the store's write rate. When submissions
+// had to wait for these writes, the submissions were rejected, so they take precedence.
 func TestSubmissionsPrecedeMachineRecords(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Store.WritesPerS = 25
@@ -679,19 +681,19 @@
 		sim.jobSpecs[job.ID] = job
 		sim.sendRequest(sim.names[i%3], Request{Kind: protocol.RequestSubmit, JobID: job.ID, Job: &job}, func(r Reply) {
 			if r.Status != 201 {
-				t.Errorf("submission of %s: status %d after %v, want 201", job.ID, r.Status, sim.now-sentAt)
+				t.Errorf("submission of %s: got status %d after %v, want 201", job.ID, r.Status, sim.now-sentAt)
 			}
 			answered++
 		})
 	}
 	if !sim.advanceUntil(time.Second, func() bool { return answered == 9 }) {
-		t.Fatalf("%d of 9 submissions got a reply within a second", answered)
+		t.Fatalf("%d of 9 submissions got a reply within a second, want all", answered)
 	}
 }
 
 // Hundreds of machines that boot together must be recorded by name before their first task. With one
-// write for each the write rate would delay them, so machines share records, which a new leader reads
-// and which are deleted when their machines are gone.
+// write for each machine, the store's write rate would delay the tasks, so machines share records. A
+// new leader reads these records, and they are deleted when their machines are gone.
 func TestMachineRecordsAreGrouped(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.cfg.Store.WritesPerS = 25
@@ -733,8 +735,9 @@
 	}
 }
 
-// Records of single machines, as an earlier version wrote them, are still read. A machine that may
-// have tasks is reconciled, and the record of each machine moves into a group.
+// Records of single machines, as an earlier version wrote them, are still read. A used machine may have
+// tasks, so it counts as not reconciled until the leader knows them; an unused machine counts as
+// reconciled at once. The record of each machine moves into a group.
 func TestSingleMachineRecordsAreMigrated(t *testing.T) {
 	sim := newSimulation(t, 1)
 	worker := sim.cloud.rentMachine("c4", "a", true)
@@ -746,7 +749,8 @@
 	leaderNode := sim.waitForLeader()
 	if used, unused := leaderNode.leader.Machines[worker.name], leaderNode.leader.Machines["m-000002"]; used == nil ||
 		used.Reconciled || unused == nil || !unused.Reconciled {
-		t.Fatalf("want a used machine that is not reconciled and an unused one that is; got %+v and %+v", used, unused)
+		t.Fatalf("used and unused machine: got %+v and %+v, want the first not reconciled and the second reconciled",
+			used, unused)
 	}
 	sim.advance(2 * time.Second)
 	for key := range sim.store.keys {
@@ -762,8 +766,8 @@
 }
 
 // A cluster that restarts while the cloud is down accepts jobs and uses its machines, because the
-// machine types are stored. A job that fits no stored type is not rejected permanently, because types
-// may have been added meanwhile.
+// machine types are in the key-value store. A job that fits no stored type is not rejected permanently,
+// because the cloud may have added types in the meantime.
 func TestRestartDuringCloudOutage(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -780,18 +784,19 @@
 	sim.waitForLeader()
 	sim.advance(time.Second)
 	if r := sim.submit(sim.leaderName(), jobSpec("j-2", 4)); r.Status != 201 {
-		t.Fatalf("submission while the cloud is down: status %d, want 201", r.Status)
+		t.Fatalf("submission while the cloud is down: got status %d, want 201", r.Status)
 	}
 	sim.waitForJobState("j-2", protocol.JobDone, time.Minute)
 	largeJob := jobSpec("j-3", 1)
 	largeJob.Cores = 64
 	if r := sim.submit(sim.followers()[0], largeJob); r.Status != 503 {
-		t.Errorf("job that fits no stored type, while the cloud is down: status %d, want 503", r.Status)
+		t.Errorf("submission of a job that fits no stored type, while the cloud is down: got status %d, want 503",
+			r.Status)
 	}
 	sim.cloud.unavailable = false
 	sim.advance(time.Minute)
 	if r := sim.submit(sim.followers()[0], largeJob); r.Status != 422 {
-		t.Errorf("job that fits no type of the current catalog: status %d, want 422", r.Status)
+		t.Errorf("submission of a job that fits no type of the current catalog: got status %d, want 422", r.Status)
 	}
 }
 
@@ -836,7 +841,7 @@
 		leader.autoscaler.Consolidate([]*cluster.Machine{to})
 		for _, attempt := range from.AttemptsInOrder {
 			if (attempt.StopGrace != nil) != testCase.moves {
-				t.Errorf("%s: moved %v, want %v", testCase.name, attempt.StopGrace != nil, testCase.moves)
+				t.Errorf("%s: task is moved: got %v, want %v", testCase.name, attempt.StopGrace != nil, testCase.moves)
 			} else if testCase.moves && *attempt.StopGrace < spec.CheckpointSaveSeconds {
 				t.Errorf("%s: grace period of %v s, want at least %v s for the checkpoint", testCase.name,
 					*attempt.StopGrace, spec.CheckpointSaveSeconds)
@@ -856,13 +861,13 @@
 		job.MachineTypes = append(job.MachineTypes, fmt.Sprintf("type-%d", i))
 	}
 	if r := sim.submit(leaderNode.name, job); r.Status != 400 {
-		t.Errorf("submission: status %d, want 400", r.Status)
+		t.Errorf("submission of a job too large to store: got status %d, want 400", r.Status)
 	}
 }
 
 // Once the terminal record of a job is in the key-value store, any node may report the terminal
-// state, even before the leader that wrote it has the response. The leader must not report an older
-// state then, neither of the job nor of the jobs that depend on it.
+// state, even before the leader that wrote the record has the response. The leader must not report an
+// older state then, neither of the job nor of the jobs that depend on it.
 func TestTerminalStateIsConsistentAcrossNodes(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -898,8 +903,8 @@
 }
 
 // Checks the invariant quota: the size of a machine whose type is no longer in the catalog is
-// unknown, so the tasks that may still run on it fill the quotas of all teams until it is
-// reconciled. They once counted as nothing.
+// unknown, so the tasks that may still run on the machine fill the quotas of all teams until the
+// leader has reconciled it, that is, knows its tasks. These tasks once counted as nothing.
 func TestQuotaCountsDiscontinuedMachineTypes(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -971,7 +976,7 @@
 	delete(sim.failingJobs, "j-2")
 	sim.waitForJobState("j-2", protocol.JobDone, 2*time.Minute)
 	if r := sim.cancelJob(leaderNode.name, "j-1"); r.Status != 200 {
-		t.Fatalf("cancellation: status %d, want 200", r.Status)
+		t.Fatalf("cancellation of j-1: got status %d, want 200", r.Status)
 	}
 	sim.advance(time.Second)
 	if n := sim.activeTaskCount("j-1"); n > 0 {
--- a/internal/controller/service_faults_test.go
+++ b/internal/controller/service_faults_test.go
@@ -213,7 +213,7 @@
 			c.advance(20 * time.Second)
 			if r := c.submit(c.leaderName(), jobSpec("j-once", 1)); r.Status == 422 &&
 				name != "another type only" && name != "no cores" {
-				t.Errorf("submission of a job that fits: status %d, want no permanent rejection", r.Status)
+				t.Errorf("submission of a job that fits: got status %d, want no permanent rejection (422)", r.Status)
 			}
 			c.cloud.machineTypes = nil
 			for _, node := range c.names {
@@ -234,8 +234,8 @@
 }
 
 // Two workers send heartbeats with one machine name. The first one keeps the name and its tasks,
-// because the newer epoch of the other does not mean that they have ended. Once the lease of the first
-// has certainly expired, the name is free for the other.
+// because the newer epoch of the other does not mean that these tasks have ended. Once the lease of the
+// first has certainly expired, the name is free for the other.
 func TestTwoWorkersUnderOneName(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 1, 2*time.Minute, 1, 4)
 	worker := sim.sortedWorkers()[0]
@@ -248,7 +248,7 @@
 	}
 	for i := range uint64(20) {
 		if status := sendFromOther(1+i/4, 1000+i); status != 503 {
-			t.Fatalf("heartbeat %d of the other worker: status %d, want 503", i, status)
+			t.Fatalf("heartbeat %d of the other worker: got status %d, want 503", i, status)
 		}
 		sim.advance(2 * time.Second)
 	}
@@ -326,7 +326,7 @@
 	}
 }
 
-// The wall clocks of the nodes differ by up to twelve minutes. No decision may depend on their order:
+// The wall clocks of the nodes differ by up to twelve minutes. No decision may depend on which one is ahead:
 // the invariants hold when the leader changes in either direction, and every job starts in time and
 // completes.
 func TestWallClocksMinutesApart(t *testing.T) {
--- a/internal/controller/simulated_cloud_test.go
+++ b/internal/controller/simulated_cloud_test.go
@@ -50,10 +50,11 @@
 		if err := json.Unmarshal(call.Body, &request); err != nil {
 			c.simulation.t.Fatal(err)
 		}
-		// A rental must be stored before its first request.
+		// A rental must be in the key-value store before the cloud gets its first request.
 		if _, stored := c.simulation.store.keys[storage.RentalPrefix+request.RequestID]; !stored &&
 			c.rentals[request.RequestID] == nil {
-			c.simulation.t.Fatalf("rental %s is requested before it is stored", request.RequestID)
+			c.simulation.t.Fatalf("rental %s is requested from the cloud before it is in the key-value store",
+				request.RequestID)
 		}
 		if (c.noSpot && request.Spot) || (c.capacity > 0 && len(c.hosts)+request.Count > c.capacity) {
 			respond(503, map[string]string{"error": "no capacity"})
@@ -96,7 +97,7 @@
 	}
 }
 
-// removeMachine removes a machine without notice, as a preemption may.
+// removeMachine removes a machine at once, as its return or a preemption without notice does.
 func (c *fakeCloud) removeMachine(worker *fakeWorker) {
 	worker.disconnect()
 	delete(c.simulation.workers, worker.name)
@@ -132,15 +133,15 @@
 	simulation                  *simulation
 	name, machineType, zone     string
 	spot                        bool
-	epoch, sequence             uint64
-	fencingToken                uint64
+	epoch, sequence             uint64 // grow with each loss of all tasks, and with each heartbeat
+	fencingToken                uint64 // highest leader term that it has seen in a response
 	node                        string // node that it sends heartbeats to
-	connectedNode               string // node of its open connection; "" without a connectionLimit
+	connectedNode               string // node of its open connection; "": none, always so without a connectionLimit
 	tasks                       []*fakeTask
 	leaseRenewedAt              clock.Instant // send time of the last answered heartbeat
 	nextHeartbeatAt             clock.Instant
 	awaitingResponse            bool
-	stateChanged                bool          // the next heartbeat is sent early
+	stateChanged                bool          // the next heartbeat is sent up to 1 s early
 	preemptionNotice            *float64      // seconds until the preemption; nil: none
 	unreachable                 bool          // its heartbeats and the responses to it are lost
 	hung                        bool          // it sends nothing, and its tasks do not end
@@ -150,7 +151,7 @@
 	responseDelay               time.Duration // delay of the responses to it
 	stopGraces                  []float64     // grace periods of executed stop commands, in seconds
 	forgottenTasks              []string      // tasks removed by forget commands
-	responseCount, refusalCount int
+	responseCount, refusalCount int           // heartbeats with status 200, and those without 200 or 421
 }
 
 // fakeTask is one attempt of a task on a machine.
@@ -272,7 +273,7 @@
 	}
 }
 
-// handleResponse handles the response to a heartbeat, of which it gets the send time and the epoch.
+// handleResponse handles the response to the heartbeat that was sent at sentAt in the given worker epoch.
 func (worker *fakeWorker) handleResponse(r Reply, sentAt clock.Instant, epoch uint64) {
 	sim := worker.simulation
 	// The worker closes its connection before it switches nodes. A server that is short of connections
--- a/internal/controller/simulated_store_test.go
+++ b/internal/controller/simulated_store_test.go
@@ -34,7 +34,7 @@
 	throttledTransactions int                    // number of transactions rejected for the write rate
 	rejectTransaction     func(storage.Txn) bool // transactions to reject permanently
 	writeBucket           ratelimit.TokenBucket
-	responsesToLose       int                                     // responses of executed transactions to drop
+	responsesToLose       int                                     // executed transactions whose responses to drop
 	holdTransaction       func(node string, t storage.Txn) bool   // transactions to hold back without a response
 	heldTransactions      []func()                                // execute the transactions that were held back
 	lateExecution         func() (delay time.Duration, late bool) // calls to execute after a delay, without a response
@@ -113,6 +113,7 @@
 // executeCall executes a call that has reached the store, and responds to it.
 func (s *fakeStore) executeCall(node string, call ServiceCall, respond func(int, any)) {
 	if s.down || s.refusedNodes[node] {
+		// A watch gets no response, so that the node's call times out.
 		if !strings.HasPrefix(call.Path, "/follow") {
 			s.simulation.schedule(step, func() { respond(503, nil) })
 		}
@@ -243,7 +244,7 @@
 	return s.eventLog[first:]
 }
 
-// oversizedKey returns a key of a transaction that exceeds the announced limits, or "".
+// oversizedKey returns a key of a transaction if the transaction exceeds the announced limits, or "".
 func (s *fakeStore) oversizedKey(t storage.Txn) string {
 	for _, write := range t.Writes {
 		if len(write.Value) > s.simulation.cfg.Store.MaxValueBytes() ||
@@ -254,7 +255,7 @@
 	return ""
 }
 
-// putValue stores a value as an earlier leader would have stored it.
+// putValue stores a value as an earlier leader would have, and tells the invariant checker of its job.
 func (s *fakeStore) putValue(key string, value any) {
 	switch record := value.(type) {
 	case storage.JobRecord:
--- a/internal/controller/simulated_users_test.go
+++ b/internal/controller/simulated_users_test.go
@@ -24,7 +24,8 @@
 	return &userSimulation{simulation: sim, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
-// driftClocks gives the nodes' monotonic clocks random rates within the permitted drift.
+// driftClocks gives the nodes' monotonic clocks random rates within 0.05 % of simulated time. Two of them
+// drift apart by up to about 0.1 %, which is the allowance of clock.WithDrift.
 func (c *userSimulation) driftClocks() {
 	for _, name := range c.names {
 		c.nodes[name].clockRate = 1 + (c.rng.Float64()-0.5)/1000
@@ -58,7 +59,7 @@
 			switch {
 			case r.Status == 201 || r.Status == 200:
 			case r.Status != 503 && r.Status != 0:
-				c.t.Errorf("submission of %s: status %d, expected 200, 201, 503 or no reply", job.ID, r.Status)
+				c.t.Errorf("submission of %s: got status %d, want 200, 201, 503 or no reply", job.ID, r.Status)
 			case retries < 40:
 				c.schedule(time.Second, func() { attempt(retries + 1) })
 			}
@@ -73,7 +74,7 @@
 		switch {
 		case r.Status == 200:
 		case r.Status == 404 || r.Status == 400:
-			c.t.Errorf("cancellation of %s: status %d, expected neither 404 nor 400", id, r.Status)
+			c.t.Errorf("cancellation of %s: got status %d, want neither 404 nor 400", id, r.Status)
 		default:
 			c.schedule(time.Second, func() { c.cancelWithRetries(id) })
 		}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -37,15 +37,15 @@
 	names         []string // names of the nodes
 	store         *fakeStore
 	cloud         *fakeCloud
-	workers       map[string]*fakeWorker // workers of booted machines, by machine name
-	workersByName []*fakeWorker          // cache of sortedWorkers
-	jobSpecs      map[string]protocol.Job
+	workers       map[string]*fakeWorker  // workers of booted machines, by machine name
+	workersByName []*fakeWorker           // cache of sortedWorkers
+	jobSpecs      map[string]protocol.Job // jobs as submitted, by id
 	events        events
 	lastEventSeq  int
 
 	linkCuts     map[[2]string]bool // cut links between nodes, in both directions
 	oneWayCuts   map[[2]string]bool // cut links between nodes, from the first to the second
-	holdMessages bool               // cut links delay messages until they heal instead of dropping them
+	holdMessages bool               // a cut link delays messages until it heals, instead of dropping them
 	heldMessages []event
 
 	unreachableNodes  map[string]bool                            // nodes that no worker can reach
@@ -56,7 +56,7 @@
 	taskDuration  func(task string, attempt int) time.Duration                  // attempts count from 1
 	onHeartbeat   func(worker *fakeWorker, heartbeat *protocol.WorkerHeartbeat) // called before a heartbeat is sent
 	alterResult   func(node string, call ServiceCall, r CallResult) CallResult  // alters results of store and cloud
-	interceptCall func(call ServiceCall) (r CallResult, ok bool)                // responds in place of the fakes
+	interceptCall func(call ServiceCall) (r CallResult, ok bool)                // if ok, r replaces a fake's response
 	onEffects     func(n *simNode, effects []Effect)                            // called with the effects of each step
 
 	startCounts      map[string]int           // number of starts, by task
@@ -126,7 +126,7 @@
 	*Node
 	name               string
 	bootedAt           clock.Instant
-	epoch              int                    // incremented by each start and each crash
+	epoch              int                    // incremented by each start and crash; open calls get no result then
 	inbox              []Command              // commands for the next step
 	pendingRequests    map[uint64]func(Reply) // reply handlers, by request id
 	lastRequestID      uint64
@@ -134,14 +134,14 @@
 	clockRate          float64       // rate of its monotonic clock relative to simulated time; 0: no drift
 	paused             bool          // its steps are suspended, but its clocks advance
 	oldVersion         bool          // it sends and writes as protocol level 0 does
-	pauseBeforeEffects time.Duration // pause between its next step that has effects and these effects
+	pauseBeforeEffects time.Duration // pause between its next step that has effects and their execution
 	loadReportedAt     clock.Instant // monotonic time of its last ServerLoad command
 }
 
 // loadReportInterval is the interval at which a node is told its number of open connections.
 const loadReportInterval = 20 * step
 
-// monotonicNow returns the node's monotonic time.
+// monotonicNow returns the reading of the node's monotonic clock, which is 0 when the node boots.
 func (n *simNode) monotonicNow(now clock.Instant) clock.Instant {
 	if n.clockRate == 0 {
 		return now - n.bootedAt
@@ -238,8 +238,8 @@
 
 func (sim *simulation) restartNode(name string) { sim.startNode(name) }
 
-// restartAfter crashes a node and restarts it after a downtime with the same clock rate, unless it was
-// restarted before.
+// restartAfter crashes a node and restarts it after a downtime with the same clock rate, unless it has
+// been restarted in the meantime.
 func (sim *simulation) restartAfter(name string, downtime time.Duration) {
 	sim.crashNode(name)
 	sim.schedule(downtime, func() {
@@ -566,14 +566,14 @@
 	return *received
 }
 
-// startMachines starts n machines in addition to those that the leader rents.
+// startMachines starts n machines in addition to those that the leader rents, and waits until n are up.
 func (sim *simulation) startMachines(n int) {
 	sim.t.Helper()
 	for i := range n {
 		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
 	if !sim.advanceUntil(10*time.Second, func() bool { return len(sim.workers) >= n }) {
-		sim.t.Fatal("not all machines are up after 10 s")
+		sim.t.Fatal("fewer machines are up after 10 s than were started")
 	}
 	sim.advance(2 * time.Second)
 }
@@ -590,7 +590,7 @@
 	sim.t.Helper()
 	sim.submit(node, job)
 	if !sim.advanceUntil(time.Minute, func() bool { return sim.activeTaskCount(job.ID) >= tasks }) {
-		sim.t.Fatalf("%d tasks of %s run after a minute, expected %d", sim.activeTaskCount(job.ID), job.ID, tasks)
+		sim.t.Fatalf("%d tasks of %s run after a minute, want at least %d", sim.activeTaskCount(job.ID), job.ID, tasks)
 	}
 }
 
@@ -667,7 +667,7 @@
 		}
 		sim.advance(200 * time.Millisecond)
 	}
-	sim.t.Fatalf("job %s is %q, expected %q, after %v", id, last.State, state, d)
+	sim.t.Fatalf("job %s: got state %q, want %q within %v", id, last.State, state, d)
 }
 
 // totalStarts returns the number of task starts of all jobs.
@@ -684,12 +684,12 @@
 	sim.t.Helper()
 	for task, n := range sim.startCounts {
 		if n != 1 {
-			sim.t.Errorf("%s was started %d times, expected once", task, n)
+			sim.t.Errorf("task %s was started %d times, want once", task, n)
 		}
 	}
 }
 
-// activeTaskCount returns the number of a job's tasks on machines that have not exited.
+// activeTaskCount returns how many of a job's tasks are on machines and have not exited.
 func (sim *simulation) activeTaskCount(id string) int {
 	count := 0
 	prefix := id + "/"
