--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -14,7 +14,8 @@
 )
 
 // newOverloadedSimulation returns a simulated cluster that can accept about three submissions per
-// second. fair enables admission by policy.
+// second. fair enables admission by policy: for each epoch, a quarter of a worker lease, the leader
+// publishes a policy that determines which jobs all controllers accept.
 func newOverloadedSimulation(t *testing.T, nodes int, fair bool) *userSimulation {
 	t.Helper()
 	sim := newSimulation(t, nodes)
@@ -105,8 +106,8 @@
 
 // Controllers that decide on their own could accept jobs beyond the policy when bursts of three
 // classes reach three controllers within a millisecond. The invariant checker evaluates each
-// accepting transaction. Urgent jobs have the shortest delay, at most 30 s, the others are accepted
-// within the users' retry window, and the policy is removed afterwards.
+// accepting transaction. Urgent jobs must be accepted within 30 s and the others within the users'
+// retry window, and the policy must be removed afterwards.
 func TestBurstAtAllControllers(t *testing.T) {
 	sim := newOverloadedSimulation(t, 3, true)
 	users := newSubmitters(sim)
@@ -120,14 +121,14 @@
 		}
 	}
 	if !sim.advanceUntil(20*time.Second, func() bool { return len(sim.acceptancesByEpoch) >= 2 }) {
-		t.Fatal("no jobs were accepted under an admission policy")
+		t.Fatalf("jobs were accepted in %d policy epochs within 20 s, want at least 2", len(sim.acceptancesByEpoch))
 	}
 	sim.advance(80 * time.Second)
 	urgent, low := users.longestWait("urgent", 15), users.longestWait("low", 40)
 	if standard := users.longestWait("standard", 25); urgent > 30*time.Second ||
 		standard > protocol.SubmissionRetryWindow || low > protocol.SubmissionRetryWindow {
-		t.Errorf("longest waits: got urgent %v, standard %v, low %v, want at most 30s, %v, %v", urgent, standard, low,
-			protocol.SubmissionRetryWindow, protocol.SubmissionRetryWindow)
+		t.Errorf("longest waits for acceptance: got urgent %v, standard %v, low %v, want at most 30s, %v, %v", urgent,
+			standard, low, protocol.SubmissionRetryWindow, protocol.SubmissionRetryWindow)
 	}
 	if _, left := sim.store.keys[storage.AdmissionPolicyKey]; left {
 		t.Error("admission policy is still stored, want it removed")
@@ -151,12 +152,12 @@
 		}
 	}
 	if waited := users.longestWait("calm", 30); waited > time.Second {
-		t.Errorf("longest wait: got %v, want at most 1s", waited)
+		t.Errorf("longest wait for acceptance without overload: got %v, want at most 1s", waited)
 	}
 }
 
 // Users who retry early, some seconds late or every second could be rejected until they give up, or
-// could overtake users who follow Retry-After. All are accepted, with similar mean waits.
+// could overtake users who follow Retry-After. All must be accepted, with similar mean waits.
 func TestRetryTimingGainsNothing(t *testing.T) {
 	sim := newOverloadedSimulation(t, 3, true)
 	users := newSubmitters(sim)
@@ -194,9 +195,9 @@
 	}
 }
 
-// The same job is submitted at all controllers at once, and again 30 s later, while a policy is in
-// force. Controllers that don't know of each other's acceptance must not accept it twice, and it
-// must be known from then on.
+// The same job is submitted six times at once, at random controllers, and again 30 s later, while a
+// policy is in force. Controllers that don't know of each other's acceptance must not accept the job
+// twice, and the job must be known from then on.
 func TestSameJobAtAllControllers(t *testing.T) {
 	sim := newOverloadedSimulation(t, 3, true)
 	users := newSubmitters(sim)
@@ -221,7 +222,8 @@
 		}
 	}
 	if waited := users.longestWait("same", 12); waited > protocol.SubmissionRetryWindow+5*time.Second {
-		t.Errorf("longest wait: got %v, want at most %v", waited, protocol.SubmissionRetryWindow+5*time.Second)
+		t.Errorf("longest wait of a job submitted several times: got %v, want at most %v", waited,
+			protocol.SubmissionRetryWindow+5*time.Second)
 	}
 	sim.waitForCompletion(5 * time.Minute)
 }
@@ -289,9 +291,9 @@
 	}
 }
 
-// An admission record that is not a valid policy must not block submissions for good. It is logged
-// once, new jobs get 503 with Retry-After while it exists, accepted jobs stay known, and the leader
-// removes it.
+// An admission record that is not a valid policy must not block submissions for good. While the record
+// exists, new jobs get 503 with Retry-After, and accepted jobs stay known. The record is logged once,
+// and the leader removes it.
 func TestInvalidPolicy(t *testing.T) {
 	for _, fair := range []bool{false, true} {
 		testInvalidPolicy(t, fair)
@@ -329,9 +331,9 @@
 	}
 }
 
-// A node of an earlier version accepts jobs without regard to the policy, which violates no
-// invariant. So a policy is published only while every node supports it, and is removed when a node
-// returns to an earlier version.
+// A node of an earlier version accepts jobs without regard to the policy, and the invariant checker
+// does not check its transactions. So a policy must be published only while every node supports
+// policies, and must be removed when a node returns to an earlier version.
 func TestPolicyNeedsAllNodes(t *testing.T) {
 	sim := newOverloadedSimulation(t, 3, true)
 	follower := sim.followers()[0]
@@ -385,7 +387,7 @@
 
 // Submissions at all nodes exceed the write rate of the store many times over. The leader's
 // transactions have more writes than those that accept jobs, so the store could throttle the first
-// policy for ever; it must be written within four epochs.
+// policy for ever. It must be written within four epochs.
 func TestFirstPolicyIsWrittenUnderOverload(t *testing.T) {
 	sim := newOverloadedSimulation(t, 5, true)
 	users := newSubmitters(sim)
@@ -400,8 +402,8 @@
 }
 
 // A node may evaluate submissions by an outdated policy. It must detect that by the failed condition
-// of its transaction and evaluate again at once. It must ignore a policy that it reads after a later
-// removal, and a new leader must not continue with a policy that is no longer stored.
+// of its transaction and evaluate again at once. It must ignore a policy record older than a removal
+// that it knows of, and a new leader must not continue with a policy that is no longer stored.
 func TestStalePolicyIsDetected(t *testing.T) {
 	sim := newOverloadedSimulation(t, 3, false)
 	follower := sim.nodes[sim.followers()[0]]
@@ -410,7 +412,8 @@
 	follower.admissionPolicy.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw,
 		ModRevision: sim.store.revision})
 	if r := sim.submit(follower.name, jobSpec("j-1", 1)); r.Status != 201 || follower.admissionPolicy.Current != nil {
-		t.Errorf("got status %d, policy %+v, want 201 and no policy", r.Status, follower.admissionPolicy.Current)
+		t.Errorf("submission to a node with a stale policy: got status %d, policy %+v, want 201 and no policy",
+			r.Status, follower.admissionPolicy.Current)
 	}
 	follower.admissionPolicy.ApplyRemoval(9_001)
 	follower.admissionPolicy.ApplyRecord(storage.Item{Key: storage.AdmissionPolicyKey, Value: raw, ModRevision: 9_000})
@@ -428,7 +431,7 @@
 }
 
 // An accepted job must stay known at every node although the present policy rejects it. Loads that
-// were measured under another policy don't count for the present one.
+// nodes measured under another policy don't count for the present one.
 func TestAcceptedJobStaysKnown(t *testing.T) {
 	sim := newOverloadedSimulation(t, 3, false)
 	sim.submitAccepted(sim.leaderName(), jobSpec("j-1", 1))
@@ -459,14 +462,14 @@
 	}
 }
 
-// Nodes reject jobs for lack of memory when too many are open. The memory limit lowers the capacity
-// of an epoch before that happens.
+// Nodes reject jobs for lack of memory when too many jobs are open. Before that happens, the memory
+// limit must lower the capacity of an epoch, which is the number of jobs that can be accepted in it.
 func TestCapacityFollowsMemory(t *testing.T) {
 	sim := newSimulation(t, 1)
 	l := sim.waitForLeader().leader
 	withoutJobs := l.admission.EpochCapacity()
 	if withoutJobs.MemoryLimited || withoutJobs.Jobs <= 0 {
-		t.Errorf("without jobs: got %+v, want a positive capacity without memory limit", withoutJobs)
+		t.Errorf("capacity without open jobs: got %+v, want a positive capacity without memory limit", withoutJobs)
 	}
 	maxOpenJobs := int(admissioncontrol.OpenJobsMemoryShare * sim.cfg.Resources.MemoryMB * (1 << 20) /
 		admissioncontrol.OpenJobBytes)
@@ -475,7 +478,7 @@
 	}
 	if capacity := l.admission.EpochCapacity(); !capacity.MemoryLimited || capacity.Jobs >= withoutJobs.Jobs ||
 		capacity.Jobs < 1 {
-		t.Errorf("with %d jobs: got %+v, want a memory limit and at least 1, below %v jobs", maxOpenJobs-20, capacity,
-			withoutJobs.Jobs)
+		t.Errorf("capacity with %d open jobs: got %+v, want a memory limit and at least 1, but fewer than %v jobs",
+			maxOpenJobs-20, capacity, withoutJobs.Jobs)
 	}
 }
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -20,7 +20,7 @@
 }
 
 // A rented machine that never boots must not be kept, or the work planned for it would never run. It
-// is returned, and another one is rented in its place.
+// must be returned to the cloud, and another one rented in its place.
 func TestMachineThatNeverBoots(t *testing.T) {
 	sim := newSimulation(t, 1)
 	leaderNode := sim.waitForLeader()
@@ -32,13 +32,13 @@
 	sim.cloud.bootTime = 0
 	sim.waitForJobState("j-1", protocol.JobDone, 3*time.Minute)
 	if _, kept := sim.cloud.hosts["m-000001"]; kept {
-		t.Fatal("m-000001 never booted and is still held, want it returned")
+		t.Fatal("m-000001 never booted and is still held, want it returned to the cloud")
 	}
 }
 
 // A job that may wait is due late, so the plan reserves capacity for the work that usually arrives
 // meanwhile and is due earlier. A new leader without the stored forecast would have to learn these
-// arrivals again, and would return machines meanwhile.
+// arrivals again, and would return machines to the cloud meanwhile.
 func TestForecastSurvivesLeaderChange(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Objectives = []config.Objective{
@@ -64,7 +64,7 @@
 	job := first.leader.Jobs["j-60"]
 	if got, want := first.leader.Due(job)-job.EligibleAt,
 		200*time.Second+first.leader.ExpectedTaskDuration(job); got != want {
-		t.Errorf("job with a wait objective is due after: got %v, want %v", got, want)
+		t.Errorf("time from eligible to due of j-60, which has a wait objective: got %v, want %v", got, want)
 	}
 	before := first.leader.autoscaler.Forecast.ExpectedWork(200)
 	if before <= 0 || first.leader.autoscaler.Forecast.ExpectedWork(50) != 0 {
@@ -91,7 +91,7 @@
 		sim.submit(leaderNode.name, job)
 	}
 	term := leaderNode.leader.term
-	sim.advance(35 * time.Second) // the store rejects values over the limit
+	sim.advance(35 * time.Second) // until the forecast is stored; the store rejects values over the limit
 	if item, ok := sim.store.keys[storage.ArrivalForecastKey]; !ok || len(item.Value) < 1000 {
 		t.Error("no arrival forecast of at least 1000 bytes is stored")
 	}
@@ -101,8 +101,9 @@
 }
 
 // The sums behind the forecast decay over minutes, so machines would be kept for jobs that no longer
-// arrive. The confidence drops once more jobs in a row are missing than chance explains. A gap while
-// the store accepts no writes, or within the users' retry time after that, doesn't count.
+// arrive. The confidence is the share of the usual arrivals that is still expected. It must drop once
+// more jobs in a row are missing than chance explains. A gap while the store accepts no writes, or
+// within the users' retry time after that, doesn't count.
 func TestForecastDropsWhenArrivalsStop(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
@@ -131,7 +132,7 @@
 	}
 	sim.advance(lease)
 	if forecast.Decay(); forecast.Confidence() > 0.4 || forecast.ExpectedWork(100) > expected/3 {
-		t.Errorf("two leases without a job: got confidence %v, expected work %v, want at most 0.4 and %v",
+		t.Errorf("two worker leases without a job: got confidence %v, expected work %v, want at most 0.4 and %v",
 			forecast.Confidence(), forecast.ExpectedWork(100), expected/3)
 	}
 	sim.submit(leaderNode.name, jobSpec("j-999", 1))
@@ -142,7 +143,7 @@
 
 // The first leader counts the jobs that it finds in the store as arrivals. Otherwise far too few
 // machines are rented if hundreds of jobs are submitted before a leader is elected, some seconds
-// late. A successor must not count jobs again that its predecessor's record includes.
+// late. A successor must not count jobs again that the stored forecast of its predecessor includes.
 func TestJobsFoundAtStartCountAsArrivals(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cloud.capacity = 1
@@ -157,7 +158,7 @@
 	}
 	sim.advance(2*first.workerLease() + 2*time.Second) // until the forecast is stored
 	if _, stored := sim.store.keys[storage.ArrivalForecastKey]; !stored {
-		t.Fatal("no arrival forecast is stored after two leases")
+		t.Fatal("no arrival forecast is stored after two worker leases")
 	}
 	recorded := first.leader.autoscaler.Forecast.JobsSeen()
 	for i := range 5 {
@@ -170,20 +171,20 @@
 	}
 }
 
-// A rental request that the cloud executes late adds a machine that no leader expects. It would be
-// paid for without use unless it is used or returned.
+// A rental request that the cloud executes late adds a machine that no leader expects. The leader must
+// use that machine or return it to the cloud, or it would be paid for without use.
 func TestUnknownMachineIsUsedOrReturned(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.waitForLeader()
 	worker := sim.cloud.rentMachine("c4", "a", false)
 	if !sim.advanceUntil(3*time.Minute, func() bool { return sim.cloud.hosts[worker.name] == nil }) {
-		t.Fatal("an idle machine of unknown origin was not returned within 3 minutes")
+		t.Fatal("an idle machine of unknown origin was not returned to the cloud within 3 minutes")
 	}
 }
 
 // While the cloud has no capacity, rentals are retried all the time and could use up the rate limit
-// of cloud calls. Returns take precedence: until an unreachable machine that a new leader has to
-// reconcile is returned, all older jobs are blocked.
+// of cloud calls. Returns of machines must take precedence: until an unreachable machine is reconciled,
+// here by its return to the cloud, all jobs from before the new leader's term are blocked.
 func TestReturnsPrecedeRentals(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Cloud.RequestsPerS = 0.4
@@ -205,12 +206,13 @@
 		t.Fatal("not all machines were reconciled within a minute")
 	}
 	if elapsed := sim.now - electedAt; elapsed > 8*time.Second {
-		t.Fatalf("all machines reconciled after: got %v, want at most 8s, about a lease", elapsed)
+		t.Fatalf("time until all machines were reconciled: got %v, want at most 8s", elapsed)
 	}
 }
 
-// The cloud may return machine lists that are empty, repeat machines or contradict themselves. The
-// leader must not return a machine that reports because of them, nor request pages without end.
+// The cloud may send machine lists that are empty, repeat machines or contradict themselves. Because of
+// such a list, the leader must neither return a machine that sends heartbeats nor request pages without
+// end.
 func TestMalformedMachineLists(t *testing.T) {
 	host := func(name string, state protocol.HostState) protocol.Host {
 		return protocol.Host{Name: name, Type: "c4", Zone: "a", Spot: true, State: state, RentedSeconds: 500}
--- a/internal/controller/burst_test.go
+++ b/internal/controller/burst_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// DemoteLargestJobs must demote the same jobs as a direct implementation of the Moore-Hodgson
+// DemoteLargestJobs must mark the same jobs as late as a direct implementation of the Moore-Hodgson
 // algorithm, for 300 random queues.
 func TestDemotionMatchesMooreHodgson(t *testing.T) {
 	_, leaderNode := newRunningSimulation(t, 1, time.Hour, 2, 8)
@@ -106,8 +106,8 @@
 	}
 }
 
-// referenceDemotion demotes jobs by the Moore-Hodgson algorithm, which minimizes the number of late
-// jobs, in its textbook form.
+// referenceDemotion marks jobs as late by the Moore-Hodgson algorithm, which minimizes the number of
+// late jobs, in its textbook form.
 func referenceDemotion(queue []*scheduler.QueuedJob, cores float64, now clock.Instant) {
 	keptCoreSeconds := 0.0
 	var kept []*scheduler.QueuedJob
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -19,9 +19,9 @@
 type coldStart struct {
 	*userSimulation
 	downtime       time.Duration
-	restartedAt    clock.Instant   // when the first controller restarted
-	startTimes     []clock.Instant // of tasks started by a recovering leader
-	rateLimits     recovery.Rates
+	restartedAt    clock.Instant             // when the first controller restarted
+	startTimes     []clock.Instant           // of tasks started by a recovering leader
+	rateLimits     recovery.Rates            // for the machines rented at the crash
 	mismatchCounts map[recovery.Mismatch]int // maxima over all recovering leaders
 	leaderTerms    map[uint64]bool           // terms of the recovering leaders since the crash
 }
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// watchRentals fails the test if a leader in the collecting phase rents machines although the
-// unreconciled machines have cores for all tasks that may run unreported, no other task is pending,
-// and the usual load fits the machines that there are.
+// watchRentals fails the test if a leader rents machines before it has read all records, or in the
+// collecting phase without need: the unreconciled machines have cores for all tasks that may be running
+// there unreported, no other task is pending, and the usual load with headroom fits the machines.
 func (c *coldStart) watchRentals() {
 	c.interceptCall = func(call ServiceCall) (CallResult, bool) {
 		if l := c.recoveringLeader(); call.Target == TargetCloud && call.Path == "/hosts" && l != nil &&
@@ -68,8 +68,9 @@
 			if usualCores := l.autoscaler.Forecast.UsualLoad() * (1 + l.node.settings.Headroom); !l.recordsLoaded ||
 				maybeRunningCores <= unreconciledCores && pendingTasks == 0 && usualCores <= totals.TotalCores {
 				c.reportViolation("rented too early",
-					"in phase %v: got %v cores of tasks that may run unreported, want more than the %v unreconciled",
-					l.recovery.Phase(), maybeRunningCores, unreconciledCores)
+					"in phase %v, records loaded %t: tasks that may run unreported need %v cores, "+
+						"unreconciled machines have %v",
+					l.recovery.Phase(), l.recordsLoaded, maybeRunningCores, unreconciledCores)
 			}
 		}
 		return CallResult{}, false
@@ -99,8 +100,8 @@
 	poll()
 }
 
-// checkStarts fails the test if the starts within any second, or in total, exceed the rate limit and a
-// tolerance of 5 %. Each leader may add one burst to the sustained rate.
+// checkStarts fails the test if the starts within any second, or in total, exceed the rate limit by more
+// than a tolerance of 5 %. In total, each leader may add one burst to the sustained rate.
 func (c *coldStart) checkStarts() {
 	c.t.Helper()
 	rate := c.rateLimits[recovery.StartTask]
@@ -110,7 +111,8 @@
 			first++
 		}
 		if n := float64(i - first + 1); n > rate.MaxInOneSecond()*1.05+1 {
-			c.t.Fatalf("starts within the second up to %v: got %.0f, limit %.1f", at, n, rate.MaxInOneSecond())
+			c.t.Fatalf("starts within the second up to %v: got %.0f, want at most %.1f", at, n,
+				rate.MaxInOneSecond()*1.05+1)
 		}
 	}
 	if len(c.startTimes) > 0 {
@@ -123,7 +125,7 @@
 	}
 }
 
-// busyWorker returns the n-th worker that runs tasks, or the n-th worker if none does. n wraps
+// busyWorker returns the n-th worker that runs tasks, or the n-th of all workers if none does. n wraps
 // around.
 func (c *coldStart) busyWorker(n int) *fakeWorker {
 	busy := slices.DeleteFunc(slices.Clone(c.sortedWorkers()),
@@ -217,9 +219,9 @@
 		})
 	},
 	"team at its quota, workers unreachable": func(c *coldStart) {
-		// The team can run these jobs within a minute and a half after the faults. With a longer
-		// queue, some job would be pending for that long while there is free capacity, which its
-		// team leaves unused for a moment between two tasks.
+		// The team's quota lets these jobs run within a minute and a half after the faults. With a
+		// longer queue, some job would be pending for that long beside free capacity, which the team
+		// leaves unused for a moment between two tasks, and the invariant checker would report it.
 		c.submitMoreJobs(4, c.downtime+c.machineLease(),
 			func(_ int, j *protocol.Job) { j.Team, j.TaskCount = "team", 16 })
 		c.forSomeWorkers(4, func(worker *fakeWorker) {
@@ -251,7 +253,7 @@
 	},
 }
 
-// All controllers crash while tasks run, for half a worker lease, for about one or for three, and
+// While tasks run, all controllers are down for half a worker lease, for about one or for three, and
 // other faults hit the recovery. New leaders that act on incomplete knowledge could start tasks
 // twice, stop tasks that run legitimately, rent machines before the phase of the recovery allows it,
 // or exceed the start rate limit together. No invariant may be violated.
@@ -305,7 +307,7 @@
 	t.Helper()
 	for _, kind := range []recovery.Mismatch{recovery.JobNeverStored, recovery.MachineUnresponsive} {
 		if c.downtime < c.machineLease()*9/10 && c.mismatchCounts[kind] == 0 {
-			t.Errorf("no leader counted %v, want at least one: got %v", kind, c.mismatchCounts)
+			t.Errorf("mismatches of kind %v: got counts %v, want at least 1 of this kind", kind, c.mismatchCounts)
 		}
 	}
 	if c.downtime < c.machineLease()*9/10 &&
@@ -317,9 +319,9 @@
 	}
 }
 
-// Five leaders succeed each other, and each crashes as soon as it has started some of the lost
-// tasks. A start limit that begins anew with each leader would allow too many starts. Together they
-// must exceed it neither within a second nor in total, and all tasks run in the end.
+// Five leaders succeed each other, and each crashes as soon as it has started some of the lost tasks. A
+// start limit that begins anew with each leader would allow too many starts. The leaders together must
+// exceed the limit neither within a second nor in total, and all tasks must run in the end.
 func TestFiveLeadersOfOneRecovery(t *testing.T) {
 	for _, nodes := range []int{3, 7} {
 		users, _ := newUserSimulationWithJobs(t, nodes, deployments[0], uint64(nodes), 20, 8)
@@ -355,7 +357,7 @@
 
 // After a restart of all controllers, urgent jobs must not wait for the reconciliation of unreachable
 // machines that can't run them: a job for zone a starts at once while the machines of zone b are
-// unreachable. A job that may run there must wait, or its tasks could run twice.
+// unreachable. A job that may run in zone b must wait, or its tasks could run twice.
 func TestLatencySensitiveWorkDoesNotWaitForUnreachableMachines(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -92,11 +92,12 @@
 	}
 }
 
-// machineName matches machine names, which are keys in machine group records.
+// machineName matches machine names. They are keys in machine group records, and are replaced by m-N, so
+// that a field has the same path for all machines.
 var machineName = regexp.MustCompile(`^m-\d{6}$`)
 
-// addPages adds the field and metric names on all pages of a node. jobID is the job on the admission
-// page of a job.
+// addPages adds the field and metric names on all pages of a node. The admission page is read without a
+// job and for jobID.
 func (s nameSet) addPages(sim *simulation, node, jobID string) {
 	sim.t.Helper()
 	for _, page := range []struct {
@@ -154,7 +155,8 @@
 		users.submit(users.classJob("low", "low", i), retryOnTime)
 	}
 	if !overloaded.advanceUntil(20*time.Second, func() bool { return len(overloaded.acceptancesByEpoch) >= 2 }) {
-		t.Fatal("no jobs were accepted under an admission policy")
+		t.Fatalf("jobs were accepted in %d policy epochs within 20 s, want at least 2",
+			len(overloaded.acceptancesByEpoch))
 	}
 	for range 10 {
 		for _, node := range overloaded.names {
@@ -188,8 +190,8 @@
 }
 
 // A leader must read the records that nodes of protocol level 0 stored: one record per machine,
-// bitmap parts by number, and records without the later fields. The values are literals, so that a
-// change of a Go type can't change them.
+// numbered parts of the bitmaps of completed tasks, and records without the later fields. The values
+// are literals, so that a change of a Go type can't change them.
 func TestRecordsOfEarlierVersions(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return 100 * time.Second }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// A job of a pipeline must not start before all its dependencies are done, whichever node accepted
-// it, and its deadlines count from then. The simulation checks each start against the records.
+// A job of a pipeline must not start before all its dependencies are done, whichever node accepted the
+// job, and its objectives count from then. The simulation checks each start against the records.
 func TestPipelineRunsInOrder(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	follower := sim.followers()[0]
@@ -47,7 +47,7 @@
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 2, "j-a"))
 	sim.submitAccepted(follower, dependentSpec("j-c", 1, "j-a", "j-b"))
 	if _, s := sim.queryJob(follower, "j-c"); s.State != protocol.JobQueued {
-		t.Errorf("state of a job with pending dependencies: got %q, want queued", s.State)
+		t.Errorf("state of j-c, whose dependencies are pending: got %q, want queued", s.State)
 	}
 	if leaderNode.leader.RunnableJobs["j-b"] != nil || len(leaderNode.leader.BuildQueue()) > 1 {
 		t.Error("a job with pending dependencies is part of the scheduling passes")
@@ -63,7 +63,7 @@
 	sim.waitForJobState("j-d", protocol.JobDone, 20*time.Second)
 	if r := sim.submit(follower, dependentSpec("j-d", 1, "j-a", "j-c")); r.Status != 200 ||
 		!strings.Contains(string(r.Body), "done") {
-		t.Errorf("repeated submission: got %d %s, want 200 and the state done", r.Status, r.Body)
+		t.Errorf("repeated submission of j-d: got %d %s, want 200 and the state done", r.Status, r.Body)
 	}
 }
 
@@ -90,7 +90,7 @@
 	sim.submitAccepted(leaderNode.name, dependentSpec("j-b", 1, "j-a"))
 	sim.advanceUntil(20*time.Second, func() bool { return sim.activeTaskCount("j-a") == 1 })
 	sim.store.setDown(true)
-	sim.advance(12 * time.Second) // the job completes meanwhile
+	sim.advance(12 * time.Second) // j-a completes meanwhile
 	if sim.startCounts["j-b/0"] != 0 {
 		t.Fatal("j-b started before the completion of j-a was stored")
 	}
@@ -98,8 +98,8 @@
 	sim.waitForJobState("j-b", protocol.JobDone, time.Minute)
 }
 
-// The transaction that makes a job terminal is executed only 3 s later, without a timely response. The
-// job's dependents must be released nevertheless, and only once.
+// The store executes the transaction that makes a job terminal only after 3 s, and does not respond in
+// time. The job's dependents must be released nevertheless, and only once.
 func TestUncertainCompletionReleasesDependents(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.submitAccepted(leaderNode.name, jobSpec("j-a", 1))
@@ -122,9 +122,9 @@
 	sim.checkStartedOnce()
 }
 
-// A job that depends on itself or on a job that was never accepted could never run, so it is
-// rejected, but not while the store can't be read. An accepted job must never be rejected, whatever
-// has become of its dependencies.
+// A job that depends on itself or on a job that was never accepted could never run, so it is rejected,
+// but not while the store can't be read: then users must retry. An accepted job must never be rejected,
+// whatever has become of its dependencies.
 func TestDependenciesNeverAccepted(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	follower := sim.followers()[0]
@@ -171,8 +171,8 @@
 }
 
 // The IDs of 200 dependencies exceed the value limit of the store, so they are stored in several
-// records. These are written with the job, read by any node and any leader before it knows the job,
-// and deleted with the job.
+// records. They are written with the job and deleted with it. Every node, and every new leader, must
+// read them before it knows the job.
 func TestDependenciesOverManyRecords(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.announceUpcomingLimits(1, 4, 60)
@@ -241,7 +241,7 @@
 	sim.submitAccepted(follower, dependentSpec("j-c", 1, "j-k", "j-b"))
 	sim.submitAccepted(follower, dependentSpec("j-d", 1, "j-k"))
 	if r := sim.cancelJob(follower, "j-b"); !strings.Contains(string(r.Body), string(protocol.JobCancelled)) {
-		t.Fatalf("cancellation: got %d %s, want the state cancelled", r.Status, r.Body)
+		t.Fatalf("cancellation of j-b: got %d %s, want the state cancelled", r.Status, r.Body)
 	}
 	sim.submitAccepted(follower, dependentSpec("j-e", 1, "j-c"))
 	for _, id := range []string{"j-b", "j-c", "j-e"} {
@@ -268,7 +268,7 @@
 			last := fmt.Sprintf("j-%d", length-1)
 			if r := sim.cancelJob(leaderNode.name, "j-0"); !strings.Contains(string(r.Body),
 				string(protocol.JobCancelled)) {
-				t.Fatalf("cancellation: got %d %s, want the state cancelled", r.Status, r.Body)
+				t.Fatalf("cancellation of j-0: got %d %s, want the state cancelled", r.Status, r.Body)
 			}
 			if _, s := sim.queryJob(leaderNode.name, last); s.State != protocol.JobCancelled {
 				t.Errorf("state of the last job after the reply to the cancellation: got %q, want cancelled", s.State)
@@ -289,7 +289,7 @@
 					}
 					if code, s := sim.queryJob(node, last); code == 404 ||
 						code == 200 && s.State != protocol.JobCancelled {
-						t.Fatalf("went_back: last job %v after the cancellation, at %s: got %d %q, "+
+						t.Fatalf("went_back: last job, %v after the cancellation, at %s: got status %d, state %q, "+
 							"want cancelled or a status to retry", sim.now-confirmedAt, node, code, s.State)
 					}
 				}
@@ -331,7 +331,7 @@
 		}
 		sim.advanceUntil(10*time.Second, func() bool { return status != 0 })
 		if status != 201 && status != 200 {
-			t.Errorf("submission of j-b: got status %d, want 201 or 200", status)
+			t.Errorf("leader crash %t: submission of j-b: got status %d, want 201 or 200", crashLeader, status)
 		}
 		sim.waitForJobState("j-b", protocol.JobCancelled, 20*time.Second)
 	}
@@ -357,9 +357,10 @@
 	}
 }
 
-// A job that is scheduled without regard to its dependents could make them late. Each job is due when
-// the longest path of its dependents leaves no more time, so that the slack of a pipeline counts once,
-// and is as urgent as its most urgent dependent for as long as there is one.
+// A job that is scheduled without regard to its dependents could make them late. It must be due at the
+// deadline of the pipeline minus the expected durations on the longest path of its dependents, so that
+// the slack of a pipeline counts once. It must have the rank of its most urgent dependent, if that is
+// better, until that dependent is cancelled.
 func TestDeadlineAndPriorityOfDependents(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 1)
 	sim.taskDuration = func(string, int) time.Duration { return time.Hour }
@@ -381,11 +382,11 @@
 	}
 	if want := deadlineAt - l.dependencies.ExpectedJobDuration(z,
 		l.ImagePullRate()) - l.dependencies.ExpectedJobDuration(s, l.ImagePullRate()); l.Due(a) != want {
-		t.Errorf("due time of j-a: got %v, want %v, by the longest path", l.Due(a), want)
+		t.Errorf("due time of j-a: got %v, want %v by the longest path, over j-s", l.Due(a), want)
 	}
 	if a.EffectiveRank() != 1 || b.EffectiveRank() != 1 || a.Spec.PriorityRank() != 2 {
-		t.Errorf("effective ranks: got j-a %d, j-b %d, want 1 for both and 2 as own rank of j-a", a.EffectiveRank(),
-			b.EffectiveRank())
+		t.Errorf("effective ranks: got j-a %d, j-b %d, want 1 and 1; own rank of j-a: got %d, want 2",
+			a.EffectiveRank(), b.EffectiveRank(), a.Spec.PriorityRank())
 	}
 	sim.cancelJob(leaderNode.name, "j-z")
 	if a.EffectiveRank() != 2 || a.LatestEnd != clock.Forever {
@@ -394,9 +395,9 @@
 	}
 }
 
-// A job with dependencies would be late from the beginning if its times counted from its acceptance.
-// The four minutes within which it has to start, and its objectives, count from the completion of its
-// last dependency, also in a new leader.
+// A job with dependencies would be late from the beginning if its start limit and its objectives
+// counted from its acceptance. The four minutes within which the job has to start, and its objectives,
+// must count from the completion of its last dependency, also in a new leader.
 func TestTimesCountFromLastDependency(t *testing.T) {
 	sim, leaderNode := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -446,9 +447,9 @@
 	}
 }
 
-// Jobs that an earlier leader may have started wait until a new leader has reconciled all machines.
-// A job that the new leader itself releases must not wait for that: no earlier leader can have
-// started it.
+// Jobs that an earlier leader may have started wait until a new leader has reconciled all machines: no
+// task that is unknown to the leader can run on them then. A job whose last dependency completes under
+// the new leader must not wait for that: no earlier leader can have started it.
 func TestReleasedJobIsNotBlocked(t *testing.T) {
 	sim, first := newPipelineSimulation(t, 3)
 	sim.taskDuration = func(task string, _ int) time.Duration {
@@ -473,7 +474,8 @@
 	tookOverAt := sim.now
 	if !sim.advanceUntil(30*time.Second, func() bool { return sim.activeTaskCount("j-b") == 1 }) ||
 		unreachable == 0 {
-		t.Fatal("j-b did not start within 30 s, or no worker is unreachable")
+		t.Fatalf("within 30 s: got %d running tasks of j-b and %d unreachable workers, want 1 and at least 1",
+			sim.activeTaskCount("j-b"), unreachable)
 	}
 	if leaderNode.leader.ReconciledOnce {
 		t.Errorf("j-b started only after all machines were reconciled, %v after the takeover", sim.now-tookOverAt)
--- a/internal/controller/durability_test.go
+++ b/internal/controller/durability_test.go
@@ -10,9 +10,9 @@
 )
 
 // A leader loses the store and the other controllers, but not its workers. If it went on as leader,
-// its workers would stay with it while another node leads. After its lease has expired, it answers
-// no heartbeat, its workers find the new leader, and it rejects user requests and the load
-// balancer's health check at once. No task starts twice when its links are restored.
+// its workers would stay with it while another node leads. After its leader lease has expired, it
+// answers no heartbeat, its workers find the new leader, and it rejects user requests and the load
+// balancer's health check at once. No task starts twice when the links of that node are restored.
 func TestLeaderReachedOnlyByWorkers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 20*time.Second, 3, 8)
 	sim.store.requestsDropped[leaderNode.name] = true
@@ -50,7 +50,7 @@
 		}
 	}
 	if got := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
-		t.Errorf("health check: got status %d, want 503", got.Status)
+		t.Errorf("health check of the former leader: got status %d, want 503", got.Status)
 	}
 	sim.healCuts()
 	delete(sim.store.requestsDropped, leaderNode.name)
@@ -58,8 +58,8 @@
 	sim.checkStartedOnce()
 }
 
-// A leader that the store refuses and that is cut off from the other controllers still has its
-// workers. It must not stay leader by lease grants, and must not disturb its successor when the
+// A leader that the store refuses and that is cut off from the other controllers still has its workers.
+// It must not stay leader by lease grants of other nodes, and must not disturb its successor when the
 // faults end.
 func TestLeaderRefusedByStoreAndPeers(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 3, 25*time.Second, 3, 6)
@@ -72,7 +72,7 @@
 	successor := sim.leaderName()
 	sim.advance(3 * time.Second)
 	if got := sim.requestAndWait(leaderNode.name, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
-		t.Errorf("health check: got status %d, want 503", got.Status)
+		t.Errorf("health check of the former leader: got status %d, want 503", got.Status)
 	}
 	sim.advance(7 * time.Second)
 	sim.healCuts()
@@ -98,14 +98,15 @@
 	heartbeat := &protocol.WorkerHeartbeat{Machine: "m-9", Type: "c4", Zone: "a", Epoch: 1, Sequence: 1}
 	if got := sim.requestAndWait(follower,
 		Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat}); got.Status != 503 {
-		t.Errorf("worker heartbeat: got status %d, want 503", got.Status)
+		t.Errorf("worker heartbeat to the follower: got status %d, want 503", got.Status)
 	}
 	if got := sim.requestAndWait(follower, Request{Kind: protocol.RequestQuery, JobID: "j-1"}); got.Status != 503 ||
 		got.RetryAfter == 0 {
-		t.Errorf("query: got status %d, Retry-After %d, want 503 with Retry-After", got.Status, got.RetryAfter)
+		t.Errorf("query at the follower: got status %d, Retry-After %d, want 503 with Retry-After", got.Status,
+			got.RetryAfter)
 	}
 	if got := sim.requestAndWait(follower, Request{Kind: protocol.RequestHealth}); got.Status != 503 {
-		t.Errorf("health check: got status %d, want 503", got.Status)
+		t.Errorf("health check of the follower: got status %d, want 503", got.Status)
 	}
 	sim.submitAndStart(sim.leaderName(), jobSpec("j-1", 2), 2)
 }
@@ -167,7 +168,7 @@
 	}
 }
 
-// A leader that crashes while the controllers can't connect to each other is replaced: votes are
+// A leader that crashes while the controllers can't connect to each other must be replaced: votes are
 // then exchanged through the store.
 func TestLeaderLossWhileLinksAreCut(t *testing.T) {
 	for _, nodes := range []int{3, 5, 7} {
@@ -175,7 +176,7 @@
 		for _, name := range sim.followers() {
 			sim.crashNode(name)
 			sim.restartNode(name)
-			sim.advance(70 * time.Millisecond) // so that the followers don't poll at the same time
+			sim.advance(70 * time.Millisecond) // so that the followers don't poll the store at the same time
 		}
 		sim.isolateAllNodes()
 		sim.advance(4 * time.Second)
@@ -218,14 +219,15 @@
 	sentAt := sim.now
 	if r := sim.submit(follower, jobSpec("j-9", 1)); r.Status != 503 || r.RetryAfter == 0 ||
 		sim.now-sentAt > 200*time.Millisecond {
-		t.Errorf("in an outage: got status %d, Retry-After %d after %v, want 503 with Retry-After within 200ms",
+		t.Errorf("submission in an outage: got status %d, Retry-After %d after %v, "+
+			"want 503 with Retry-After within 200ms",
 			r.Status, r.RetryAfter, sim.now-sentAt)
 	}
 }
 
 // After a quick restart, a node may get the reply to a request that its earlier process forwarded.
 // With equal request IDs, it would pass the reply to one user's cancellation on as the reply to
-// another user's submission, and that job would never be stored. It discards such a reply.
+// another user's submission, and that job would never be stored. It must discard such a reply.
 func TestReplyToEarlierProcessIsDiscarded(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leaderNode := sim.waitForLeader()
@@ -259,9 +261,9 @@
 	}
 }
 
-// Workers that were redirected to the leader and return because they can't reach it must be relayed,
-// however many there are. Their routes must be removed once no more heartbeats arrive, or they would
-// accumulate.
+// Workers that were redirected to a leader that they can't reach return to the follower. It must relay
+// their heartbeats, however many workers there are. It must remove their routes once no more heartbeats
+// arrive, or the routes would accumulate.
 func TestRelayForAnyNumberOfWorkers(t *testing.T) {
 	sim := newSimulation(t, 3)
 	sim.cfg.Resources.MaxConnections = 4000
@@ -301,6 +303,6 @@
 	}
 	sim.advance(4 * follower.workerLease())
 	if len(follower.workerRouter.Routes) > 0 {
-		t.Errorf("worker routes after 4 leases: got %d, want 0", len(follower.workerRouter.Routes))
+		t.Errorf("worker routes after 4 worker leases: got %d, want 0", len(follower.workerRouter.Routes))
 	}
 }
--- a/internal/controller/leader_load_test.go
+++ b/internal/controller/leader_load_test.go
@@ -65,7 +65,7 @@
 			l.onWorkerHeartbeat(Request{Origin: Origin{RequestID: uint64(i)}, Kind: protocol.RequestHeartbeat,
 				Heartbeat: heartbeat})
 			if machine.HeartbeatSeq != heartbeat.Sequence {
-				t.Fatal("the leader did not process a heartbeat")
+				t.Fatalf("the leader did not process the heartbeat of %s", machine.Name)
 			}
 			if i == 0 {
 				examinedBefore = l.CandidatesExamined // the first heartbeat after a pass looks up the images
@@ -81,7 +81,7 @@
 }
 
 // BenchmarkReport measures a leader's step for a heartbeat. Heartbeats are most of a leader's work, so
-// the cost must not grow with machines x tasks.
+// the cost must not grow with the number of machines times tasks.
 func BenchmarkReport(b *testing.B) {
 	sim, leaderNode := newBenchmarkLeader(b)
 	machine := leaderNode.leader.Machines["m-000001"]
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -7,17 +7,17 @@
 	"hitchdoor/internal/config"
 )
 
-// A team without a guarantee borrows idle capacity with hour-long tasks, and work of a team with a
-// guarantee could wait until they end. Of the tasks that checkpoint, as many are preempted as the
-// guaranteed work needs, each at most once and only after running long enough for its start to
-// count. Tasks that don't checkpoint are not preempted.
+// A team without a guarantee (the guest) borrows idle capacity with hour-long tasks, and work of a team
+// with a guarantee of cores (the owner) could wait until these tasks end. Of the tasks that checkpoint,
+// as many are preempted as the guaranteed work needs, each at most once and only after it has run long
+// enough for its start to count. Tasks that don't checkpoint are not preempted.
 func TestBorrowedCapacityIsReclaimed(t *testing.T) {
 	for _, test := range []struct {
 		name           string
 		checkpointS    float64       // checkpoint interval of the guest's tasks; 0: no checkpoints
 		guestRunTime   time.Duration // of the guest's tasks before the guaranteed work is submitted
 		startLimit     time.Duration // time that the guaranteed tasks get to start
-		wantPreemption bool          // and with it the start of the guaranteed tasks within startLimit
+		wantPreemption bool          // of guest tasks, so that all guaranteed tasks start within startLimit
 	}{
 		{"tasks that checkpoint", 30, 40 * time.Second, 10 * time.Second, true},
 		{"tasks that have just started", 30, 10 * time.Second, 10 * time.Second, false},
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// These are records and a message as the version in production writes them.
+// These are records and a message as the version in production, which has protocol level 0, writes them.
 const (
 	productionJob = `{"spec":{"uid":"j-p","lote":"c","dono":"free","feitio":"batch","vez":"standard","pecas":3,"cores":1,
 	 "accelerators":0,"ramGb":1,"molde":"i","pullGb":0,"portes":null,"praca":"","samePlace":false,"apart":false,"avulsas":true,
@@ -36,7 +36,7 @@
 	productionHeartbeat = `{"type":"beat","term":4,"lead":true,"sent":12,"up":12,"run":5,"heard":7}`
 )
 
-// putRaw stores a JSON value under a key, without a client.
+// putRaw stores a JSON value under a key directly, without a node.
 func (sim *simulation) putRaw(key, value string) { sim.store.putValue(key, json.RawMessage(value)) }
 
 // After an upgrade, nodes must read, continue and rewrite the records that the version in production
@@ -101,9 +101,10 @@
 	}
 }
 
-// Machine groups that the version in production wrote may exceed a lowered value limit. They are split
-// before they are written again. A machine that is missing in between would be lost with a crash of
-// the leader, so each stays recorded at every moment, also if the leader changes.
+// Machine groups (records of several machines each) that the version in production wrote may exceed a
+// lowered value limit. They are split before they are written again. A machine that is missing in
+// between would be lost with a crash of the leader, so each machine must stay recorded at every moment,
+// also if the leader changes.
 func TestLargeGroupsAreSplit(t *testing.T) {
 	for _, crashAt := range []time.Duration{0, 5 * time.Millisecond, 30 * time.Millisecond,
 		60 * time.Millisecond, 120 * time.Millisecond} {
@@ -157,8 +158,8 @@
 	}
 }
 
-// If a leader crashes while it splits a group, a machine may be in two groups. It counts as used if
-// either group says so, because it may have tasks. The duplicate is removed.
+// If a leader crashes while it splits a machine group, a machine may be in two groups. It must count as
+// used if either group says so, because it may have tasks, and the duplicate must be removed.
 func TestMachineInTwoGroups(t *testing.T) {
 	for _, firstUsed := range []bool{false, true} {
 		sim := newSimulation(t, 1)
@@ -170,7 +171,7 @@
 		leaderNode := sim.waitForLeader()
 		if machine := leaderNode.leader.Machines["m-000900"]; machine == nil || !machine.UseDurable ||
 			machine.Reconciled {
-			t.Errorf("first used %t: got %+v, want an unreconciled machine in use", firstUsed, machine)
+			t.Errorf("first used %t: m-000900: got %+v, want an unreconciled machine in use", firstUsed, machine)
 		}
 		sim.advance(500 * time.Millisecond)
 		if _, left := sim.store.keys[storage.MachineGroupKey(0)]; left {
@@ -184,9 +185,10 @@
 	}
 }
 
-// The bitmap of a large job is stored in parts. A leader of the previous version identifies the parts
-// by number, would mistake parts of the new layout for others, and would report tasks as done that
-// never ran. So the layout changes only once no node of that version can become leader.
+// The bitmap of a large job's completed tasks is stored in parts. A leader of the previous version
+// identifies the parts by number. It would mistake parts of the new layout, which are identified by
+// their first task, for others, and would report tasks as done that never ran. So the layout changes
+// only once no node of that version can become leader.
 func TestBitmapsOfLargestJobs(t *testing.T) {
 	const tasks, doneTask = 20_000, 15_000
 	sim := newSimulation(t, 3)
@@ -215,7 +217,8 @@
 		return
 	}
 	if numbered, byTask := count(); numbered != 1 || byTask != 0 {
-		t.Errorf("with an old node: got %d parts by number, %d by task, want 1 and 0", numbered, byTask)
+		t.Errorf("while n2 runs the previous version: got %d parts by number, %d by task, want 1 and 0", numbered,
+			byTask)
 	}
 	sim.upgradeNode("n2")
 	sim.advance(2 * time.Second)
@@ -227,7 +230,7 @@
 	leaderNode = sim.waitForLeader()
 	sim.advance(time.Second)
 	if numbered, byTask := count(); numbered != 0 || byTask < 2 {
-		t.Errorf("with new nodes: got %d parts by number, %d by task, want 0 and at least 2", numbered, byTask)
+		t.Errorf("after the upgrade of n2: got %d parts by number, %d by task, want 0 and at least 2", numbered, byTask)
 	}
 	job := leaderNode.leader.Jobs["j-l"]
 	if job.DoneTasks < doneBefore || job.TaskState(doneTask) != cluster.TaskDone {
--- a/internal/controller/start_limit_test.go
+++ b/internal/controller/start_limit_test.go
@@ -11,9 +11,9 @@
 )
 
 // Small tasks that keep arriving take each core as it becomes free, so that a task as large as a
-// whole machine would never find room. So a machine is reserved for an overdue job. The job starts
-// within four minutes, and the oldest one completes, also if the jobs are bound to one machine type
-// or zone, if there are several, and if the leader changes meanwhile.
+// whole machine would never find room. So a machine is reserved for an overdue job. Each job with such
+// tasks must start within four minutes, and the oldest one must complete, also if the jobs are bound to
+// one machine type or zone, if there are several, and if the leader changes meanwhile.
 func TestJobWithLargeTasksStartsOnFullFleet(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -79,7 +79,7 @@
 }
 
 // A machine that stays reserved for a cancelled job, with no other job pending, would be kept for
-// ever. The reservation ends when its job no longer waits.
+// ever. The reservation must end when its job no longer waits.
 func TestReservationEndsWithItsJob(t *testing.T) {
 	sim, leaderNode := newRunningSimulation(t, 1, 10*time.Minute, 1, 3)
 	sim.cloud.capacity = 1
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -19,8 +19,8 @@
 	for i := range machines {
 		sim.cloud.rentMachine("c4", []string{"a", "b"}[i%2], true)
 	}
-	// With these settings, an unreachable machine is neither returned nor replaced, and shows as an
-	// expired lease.
+	// With these settings, an unreachable machine is neither returned to the cloud nor replaced, and its
+	// lease expires, which checkLeasesHeld reports.
 	sim.cloud.capacity, sim.cloud.rejectReturns = machines, true
 	if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.workers) >= machines }) {
 		t.Fatalf("running machines after 30 s: got %d, want %d", len(sim.workers), machines)
@@ -36,7 +36,7 @@
 	sim.t.Helper()
 	expired := 0
 	for _, worker := range sim.workers {
-		if worker.epoch > 1 {
+		if worker.epoch > 1 { // incremented when the lease expires
 			expired++
 		}
 	}
@@ -159,10 +159,10 @@
 	}
 }
 
-// Most workers are relayed when the relaying controller or the leader crashes, pauses or loses its
-// messages in one direction, at different moments of a heartbeat. Lost or late heartbeats and responses
-// must not let a task run twice or keep a job from completing, and a worker must never get a response
-// older than the one that it waits for.
+// The heartbeats of most workers are relayed when the relaying controller or the leader crashes, pauses
+// or loses its messages in one direction, at different moments of a heartbeat. Lost or late heartbeats
+// and responses must not let a task run twice or keep a job from completing, and a worker must never
+// get a response older than the one that it waits for.
 func TestRelayingNodeFails(t *testing.T) {
 	faults := map[string]func(sim *simulation, leader, relaying string){
 		"relaying node crashes": func(sim *simulation, _, relaying string) {
@@ -215,9 +215,9 @@
 	}
 }
 
-// If followers redirected all workers to a full leader, these would lose time with a connection that is
-// refused. A follower relays heartbeats at once if the leader is full. If the leader has free
-// connections, each follower redirects only its share of that number of workers and relays the others.
+// If followers redirected all workers to a full leader, the workers would lose time with a connection
+// that is refused. So a follower relays heartbeats at once if the leader is full. If the leader has free
+// connections, each follower redirects an equal share of that number of workers and relays the others.
 func TestFollowerRelaysForFullLeader(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leader := sim.waitForLeader()
@@ -255,14 +255,15 @@
 	} {
 		if redirected, relayed := sendHeartbeats(test.leaderHeartbeat, test.name); redirected != test.redirected ||
 			relayed != test.relayed {
-			t.Errorf("%s: got %d workers redirected, %d relayed, want %d and %d", test.name, redirected, relayed,
+			t.Errorf("leader %q: got %d workers redirected, %d relayed, want %d and %d", test.name, redirected, relayed,
 				test.redirected, test.relayed)
 		}
 	}
 }
 
 // A relaying controller that pauses may pass on a response after the worker's timeout, when the worker
-// waits for a later one. It must discard a response that arrives after the relay timeout, and reply 503.
+// waits for the response to a later heartbeat. It must discard a response that arrives after the relay
+// timeout, and reply 503.
 func TestLateResponseIsDiscarded(t *testing.T) {
 	sim := newSimulation(t, 3)
 	leader := sim.waitForLeader()
@@ -287,7 +288,8 @@
 			}
 		}
 		if got != test.status {
-			t.Errorf("response %v after the heartbeat: got status %d, want %d", test.delay, got, test.status)
+			t.Errorf("leader's response %v after the relayed heartbeat: worker got status %d, want %d", test.delay, got,
+				test.status)
 		}
 	}
 }
