--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -276,7 +276,7 @@
 					})
 				}
 				if !sim.advanceUntil(30*time.Second, func() bool { return len(sim.acceptancesByEpoch) > 0 }) {
-					t.Fatal("no jobs were accepted under an admission policy")
+					t.Fatalf("offset %d: no jobs were accepted under an admission policy within 30 s", offset)
 				}
 				sim.advance(time.Duration(offset) * 1234 * time.Millisecond)
 				inject(sim, sim.leaderName())
@@ -284,7 +284,7 @@
 				sim.waitForCompletion(5 * time.Minute)
 				if !sim.advanceUntil(time.Minute,
 					func() bool { _, left := sim.store.keys[storage.AdmissionPolicyKey]; return !left }) {
-					t.Error("admission policy is still stored, want it removed")
+					t.Errorf("offset %d: admission policy is still stored, want it removed", offset)
 				}
 			}
 		})
@@ -308,11 +308,11 @@
 		map[string]any{"epoch": 3, "lengthMs": 5, "rest": map[string]any{"steps": []int{0}}}} {
 		sim.store.putValue(storage.AdmissionPolicyKey, value)
 		if r := sim.submit(sim.followers()[0], jobSpec("j-new", 1)); r.Status != 503 || r.RetryAfter == 0 {
-			t.Errorf("record %v, new job: got status %d, Retry-After %d, want 503 with Retry-After", value, r.Status,
-				r.RetryAfter)
+			t.Errorf("fair admission %t, record %v, new job: got status %d, Retry-After %d, want 503 with Retry-After",
+				fair, value, r.Status, r.RetryAfter)
 		}
 		if r := sim.submit(sim.followers()[0], jobSpec("j-known", 1)); r.Status != 200 {
-			t.Errorf("record %v, known job: got status %d, want 200", value, r.Status)
+			t.Errorf("fair admission %t, record %v, known job: got status %d, want 200", fair, value, r.Status)
 		}
 		sim.store.eventLog = nil
 		sim.crashNode(sim.leaderName())
@@ -323,11 +323,11 @@
 		sim.waitForLeader()
 		if !sim.advanceUntil(20*time.Second,
 			func() bool { _, left := sim.store.keys[storage.AdmissionPolicyKey]; return !left }) {
-			t.Fatalf("record %v is still stored, want it removed by the leader", value)
+			t.Fatalf("fair admission %t: record %v is still stored, want it removed by the leader", fair, value)
 		}
 	}
 	if r := sim.submit(sim.leaderName(), jobSpec("j-new", 1)); r.Status != 201 {
-		t.Errorf("new job after the record is removed: got status %d, want 201", r.Status)
+		t.Errorf("fair admission %t: new job after the record is removed: got status %d, want 201", fair, r.Status)
 	}
 }
 
--- a/internal/controller/cold_start_test.go
+++ b/internal/controller/cold_start_test.go
@@ -111,8 +111,8 @@
 			first++
 		}
 		if n := float64(i - first + 1); n > rate.MaxInOneSecond()*1.05+1 {
-			c.t.Fatalf("starts within the second up to %v: got %.0f, want at most %.1f", at, n,
-				rate.MaxInOneSecond()*1.05+1)
+			c.t.Fatalf("starts within the second up to %v: got %.0f, want at most %.1f plus 5 %% and 1", at, n,
+				rate.MaxInOneSecond())
 		}
 	}
 	if len(c.startTimes) > 0 {
@@ -343,14 +343,14 @@
 		c.advance(3 * c.machineLease())
 		c.checkStarts()
 		if len(c.leaderTerms) < 5 {
-			t.Errorf("leader terms since the crash: got %d, want at least 5", len(c.leaderTerms))
+			t.Errorf("%d nodes: leader terms since the crash: got %d, want at least 5", nodes, len(c.leaderTerms))
 		}
 		running := 0
 		for i := range 20 {
 			running += c.activeTaskCount(fmt.Sprintf("j-%d", i))
 		}
 		if running != 160 {
-			t.Errorf("running tasks: got %d, want 160", running)
+			t.Errorf("%d nodes: running tasks: got %d, want 160", nodes, running)
 		}
 	}
 }
--- a/internal/controller/worker_routes_test.go
+++ b/internal/controller/worker_routes_test.go
@@ -205,7 +205,7 @@
 					relaying = sim.followers()[(offset+1)%2]
 				}
 				if sim.connectionCount(relaying) == 0 {
-					t.Fatal("neither follower has a worker connection to relay")
+					t.Fatalf("offset %d: neither follower has a worker connection to relay", offset)
 				}
 				inject(sim, leader, relaying)
 				sim.advance(25 * time.Second)
