--- a/internal/scheduler/checks.go
+++ b/internal/scheduler/checks.go
@@ -6,14 +6,14 @@
 )
 
 // slotUsage counts the scheduler slots of all machines that are up, and the tasks that occupy one slot
-// each, by class of work: batch, and latency-sensitive (priorities prod and urgent).
+// each, by kind of work: batch, and latency-sensitive (priorities prod and urgent).
 type slotUsage struct {
 	totalSlots                        float64
 	batchTasks, latencySensitiveTasks int
-	latencySensitiveDelayed           bool // batch tasks must not borrow slots; see hasFreeSlot
+	latencySensitiveDelayed           bool // batch tasks must not borrow slots; see withinSlotLimit
 }
 
-// takenSlots returns the number of slots that tasks of both classes occupy.
+// takenSlots returns the number of slots that tasks of both kinds of work occupy.
 func (u *slotUsage) takenSlots() int { return u.batchTasks + u.latencySensitiveTasks }
 
 // schedulingPass holds what all checks and placements of one scheduling pass share.
@@ -212,7 +212,7 @@
 func (s *Scheduler) checkLimits(placement *jobPlacement) cluster.WaitReason {
 	pass := placement.pass
 	switch {
-	case !s.hasFreeSlot(placement.job, pass):
+	case !s.withinSlotLimit(placement.job, pass):
 		return cluster.WaitSlots
 	case exceedsTeamQuota(placement):
 		return cluster.WaitTeamQuota
@@ -233,9 +233,11 @@
 		team.MaxGPUs > 0 && accelerators > team.MaxGPUs+cluster.ResourceTolerance
 }
 
-// hasFreeSlot reports whether the job's class has a free scheduler slot. Batch work may take all
-// slots, but only the share BatchShare of them while latency-sensitive work is delayed.
-func (s *Scheduler) hasFreeSlot(job *cluster.Job, pass *schedulingPass) bool {
+// withinSlotLimit reports whether one more task of the job keeps its kind of work, batch or
+// latency-sensitive, within that kind's limit. Either kind may take all slots, except that batch work is
+// limited to the share BatchShare while latency-sensitive work is delayed. Tasks of the other kind are
+// not counted here: the caller compares the tasks of both kinds with the total.
+func (s *Scheduler) withinSlotLimit(job *cluster.Job, pass *schedulingPass) bool {
 	if cluster.IsLatencySensitive(&job.Spec) {
 		return float64(pass.latencySensitiveTasks+1) <= pass.totalSlots
 	}
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// jobsEligibleForReservation returns the jobs that have waited long enough and lack nothing but capacity.
+// jobsEligibleForReservation returns the jobs with pending tasks that have waited long enough and lack
+// nothing but capacity. Jobs whose tasks have failed on some machine, without a success since, are left out.
 func (s *Scheduler) jobsEligibleForReservation() map[*cluster.Job]bool {
 	eligibleJobs := map[*cluster.Job]bool{}
 	for _, queued := range s.PendingOrder {
