--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -113,11 +113,16 @@
 	}
 	r := newTestRecovery(0)
 	r.Advance(1, unreconciled(1))
-	if r.MayReturnUnresponsive(5*time.Second) || !r.MayReturnUnresponsive(6*time.Second) {
-		t.Error("return of few unresponsive machines: want it allowed after a quarter of a worker lease, and not before")
+	early, late := r.MayReturnUnresponsive(5*time.Second), r.MayReturnUnresponsive(6*time.Second)
+	if early || !late {
+		t.Errorf("return of few unresponsive machines allowed: got %v after 5 s and %v after 6 s without heartbeats, "+
+			"want false and true, because a quarter of a worker lease must pass", early, late)
 	}
-	if r := newTestRecovery(0); r.ReadingTimedOut(4*workerLease) || !r.ReadingTimedOut(4*workerLease+1) {
-		t.Error("reading must time out after four worker leases, and not before")
+	r = newTestRecovery(0)
+	early, late = r.ReadingTimedOut(4*workerLease), r.ReadingTimedOut(4*workerLease+1)
+	if early || !late {
+		t.Errorf("reading the records timed out: got %v after four worker leases and %v just after, want false and true",
+			early, late)
 	}
 }
 
