--- a/internal/recoverygate/gate.go
+++ b/internal/recoverygate/gate.go
@@ -82,6 +82,8 @@
 // onTransition logs a phase transition, requests a scheduling pass, and counts the mismatches that
 // become known with the transition.
 func (g *Gate) onTransition(transition recovery.Transition) {
+	// after is the duration of the phase that ended, and timeout tells whether it ended by its timeout
+	// rather than by its condition.
 	g.state.Log.Info("recovery phase changed",
 		"phase", transition.To, "after", transition.Duration, "timeout", transition.TimedOut,
 		"machines", len(g.state.Machines), "mismatches", mismatchTotal(g.recovery.Counts()))
