--- a/internal/admissioncontrol/follower_test.go
+++ b/internal/admissioncontrol/follower_test.go
@@ -130,7 +130,8 @@
 	}
 	writer.CompleteInFlight(9)
 	if follower.RecordRevision != 0 || follower.Revision != 9 || len(host.responses) != 1 {
-		t.Errorf("after the removal: %+v, want revision 9 without a record; %d reads, want 1",
+		t.Errorf("after the policy's removal: follower has %+v, want Revision 9 and RecordRevision 0; "+
+			"got %d reads of the record, want 1",
 			follower.PolicyRecord, len(host.responses))
 	}
 }
--- a/internal/admissioncontrol/publisher.go
+++ b/internal/admissioncontrol/publisher.go
@@ -192,7 +192,8 @@
 		return
 	}
 	if (next != nil) != hadPolicy {
-		p.log.Info("admission policy activation changed", "active", next != nil, "capacity", p.EpochCapacity().Jobs)
+		// capacity is in jobs per epoch.
+		p.log.Info("admission policy turned on or off", "active", next != nil, "capacity", p.EpochCapacity().Jobs)
 	}
 	p.publishPolicy(next)
 }
