--- a/internal/fleet/demand_test.go
+++ b/internal/fleet/demand_test.go
@@ -123,6 +123,6 @@
 	without := demand.RequiredCores(ampleHeldCores)
 	demand.Forecast = forecast
 	if got, want := demand.RequiredCores(ampleHeldCores), without+forecast.ExpectedWork(100)/100; got != want || got <= without {
-		t.Errorf("%v cores required with the forecast, want %v and more than without it", got, want)
+		t.Errorf("%v cores required with the forecast, want %v, and more than the %v without it", got, want, without)
 	}
 }
--- a/internal/fleet/forecast_test.go
+++ b/internal/fleet/forecast_test.go
@@ -38,11 +38,11 @@
 	}
 	now += 2 * testLease
 	if forecast.DecayTo(now, false); forecast.Confidence() != 1 {
-		t.Error("the confidence dropped after a gap during a store outage, want 1")
+		t.Errorf("after a gap during a store outage: got confidence %v, want 1", forecast.Confidence())
 	}
 	now += testLease
 	if forecast.DecayTo(now, true); forecast.Confidence() != 1 {
-		t.Error("the confidence dropped within the time in which clients retry, want 1")
+		t.Errorf("within the time in which clients retry: got confidence %v, want 1", forecast.Confidence())
 	}
 	now += testLease
 	if forecast.DecayTo(now, true); forecast.Confidence() > 0.4 || forecast.ExpectedWork(100) > expected/3 {
@@ -51,7 +51,7 @@
 	}
 	forecast.RecordArrival("c", 10, 30*time.Second)
 	if forecast.Confidence() != 1 {
-		t.Error("the confidence is not 1 after the next job")
+		t.Errorf("after the next job: got confidence %v, want 1", forecast.Confidence())
 	}
 }
 
@@ -127,7 +127,8 @@
 	}
 	for i := range len(record.Classes) {
 		if _, kept := record.Classes[strings.Repeat("x", 100)+fmt.Sprint(299-i)]; !kept {
-			t.Errorf("%d classes stored, want the one at index %d by descending work among them", len(record.Classes), i)
+			t.Errorf("the record has %d classes but not the class with the %d-th most work, want those with the most work",
+				len(record.Classes), i+1)
 		}
 	}
 }
@@ -137,11 +138,11 @@
 func TestClassWithoutArrivalsIsDeleted(t *testing.T) {
 	forecast, now := steadyForecast()
 	if forecast.Empty() {
-		t.Error("the forecast is empty after 120 jobs, want one class")
+		t.Error("the forecast is empty after 120 jobs, want it not to be")
 	}
 	if forecast.DecayTo(now+time.Hour, true); !forecast.Empty() || forecast.UsualLoad() != 0 {
-		t.Errorf("an hour after the last job: got %v jobs seen and usual load %v, want no class and 0",
-			forecast.JobsSeen(), forecast.UsualLoad())
+		t.Errorf("an hour after the last job: got empty %v and usual load %v, want true and 0",
+			forecast.Empty(), forecast.UsualLoad())
 	}
 }
 
