--- a/internal/autoscaler/rentals_test.go
+++ b/internal/autoscaler/rentals_test.go
@@ -93,7 +93,8 @@
 	host.allowed = 0
 	a.rentals.begin([]fleet.Offering{spotC4})
 	if len(a.rentals.pending) != 0 || len(host.changes) != 0 {
-		t.Error("a rental was begun although the recovery allows none")
+		t.Errorf("rental not allowed by the recovery: got %d rentals pending and %d changes of records, want none",
+			len(a.rentals.pending), len(host.changes))
 	}
 	host.allowed = 2
 	a.rentals.begin([]fleet.Offering{spotC4, spotC4, spotC4})
--- a/internal/autoscaler/returns_test.go
+++ b/internal/autoscaler/returns_test.go
@@ -18,8 +18,10 @@
 	busy.RetainedResults = 1
 	host.state.BeginDrain(idle, cluster.Unhealthy)
 	host.state.BeginDrain(busy, cluster.Unhealthy)
-	if !a.returns.requestReturns() || !idle.Terminating || !idle.TerminationRequested {
-		t.Fatal("the return of the idle machine was not requested, or other requests must wait")
+	mayContinue := a.returns.requestReturns()
+	if !mayContinue || !idle.Terminating || !idle.TerminationRequested {
+		t.Fatalf("idle machine: got terminating %v, termination requested %v, further requests allowed %v, want all true",
+			idle.Terminating, idle.TerminationRequested, mayContinue)
 	}
 	request := host.answer(t, 200, nil)
 	if names := request.body.(protocol.MachineNames).Machines; request.path != "/hosts/return" || !slices.Equal(names, []string{"idle"}) {
@@ -56,13 +58,16 @@
 	host.now = time.Hour
 	host.state.BeginDrain(host.addMachine("m-1"), cluster.Unhealthy)
 	host.requestBudget = 0
-	if a.returns.requestReturns() || len(host.requests) != 0 {
-		t.Error("a return was sent, or other requests were allowed, although the budget of requests is used up")
+	mayContinue := a.returns.requestReturns()
+	if mayContinue || len(host.requests) != 0 {
+		t.Errorf("budget of requests used up: got %d requests sent, further requests allowed %v, want 0 and false",
+			len(host.requests), mayContinue)
 	}
 	host.requestBudget, host.allowed = 1, 0
-	if !a.returns.requestReturns() || len(host.requests) != 0 || host.requestBudget != 1 {
-		t.Errorf("return not allowed by the recovery: %d requests sent, want 0; %d left in the budget, want 1",
-			len(host.requests), host.requestBudget)
+	mayContinue = a.returns.requestReturns()
+	if !mayContinue || len(host.requests) != 0 || host.requestBudget != 1 {
+		t.Errorf("return not allowed by the recovery: got %d requests sent, %d left in the budget, "+
+			"further requests allowed %v, want 0, 1 and true", len(host.requests), host.requestBudget, mayContinue)
 	}
 }
 
