--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -95,7 +95,9 @@
 	}
 	if report.Recovery.FirstOperation == nil || report.Recovery.BackToNormal == nil ||
 		report.Operations.Peak == 0 {
-		t.Errorf("the report lacks the first operation, the return to normal or the peak rate, summary:\n%s", summary)
+		t.Errorf("report: got a first operation %v, a return to normal %v, peak rate %v; want true, true and not 0; "+
+			"summary:\n%s", report.Recovery.FirstOperation != nil, report.Recovery.BackToNormal != nil,
+			report.Operations.Peak, summary)
 	}
 }
 
@@ -104,8 +106,11 @@
 	t.Helper()
 	var stored Report
 	raw, err := os.ReadFile(path)
-	if err != nil || json.Unmarshal(raw, &stored) != nil || stored.Jobs != report.Jobs {
-		t.Errorf("report file: got error %v, content %s, want job counts %+v", err, raw, report.Jobs)
+	if err == nil {
+		err = json.Unmarshal(raw, &stored)
+	}
+	if err != nil || stored.Jobs != report.Jobs {
+		t.Errorf("report file %s: got error %v, content %s, want job counts %+v", path, err, raw, report.Jobs)
 	}
 }
 
