--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -26,7 +26,8 @@
 	result := client.Do(controller.ServiceCall{ID: 7, Method: "POST", Path: "/multi", Body: []byte("{}"),
 		Timeout: time.Second})
 	if result.ID != 7 || result.Status != 0 || calls.Load() != 1 {
-		t.Fatalf("no response: got %+v after %d calls, want ID 7 and status 0 after 1 call", result, calls.Load())
+		t.Fatalf("connection closed without a response: got %+v after %d calls, want ID 7 and status 0 after 1 call",
+			result, calls.Load())
 	}
 	url := startServer(t, func(controller.Request) controller.Reply {
 		return controller.Reply{Status: 200, Body: []byte(`{"a":1}`)}
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -123,8 +123,8 @@
 			io.WriteString(conn, handshakeLine+"\n"+`{"type":"beat","sent":1,"up":1,"run":5}`+"\n")
 			conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 			if _, err := conn.Read(make([]byte, 1)); (err == nil) != wantAcknowledgement {
-				t.Errorf("handshake %s: got read error %v, want acknowledgement %v",
-					handshakeLine, err, wantAcknowledgement)
+				t.Errorf("handshake %s: got acknowledgement %v (read error %v), want %v",
+					handshakeLine, err == nil, err, wantAcknowledgement)
 			}
 		})
 	}
