--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// countedChange returns a change with the given writes that increments applied once it is applied.
+// countedChange returns a change with the given writes. Its OnApplied increments *applied.
 func countedChange(applied *int, writes ...Write) Change {
 	return Change{BuildWrites: func() []Write { return writes }, OnApplied: func() { *applied++ }}
 }
@@ -94,7 +94,8 @@
 	oldItem := appliedItem
 	oldItem.ModRevision = 3
 	if writer.MatchesProbe(&oldItem) || writer.MatchesProbe(nil) {
-		t.Fatal("the item from before the transaction, or a missing one, matches, want no match")
+		t.Fatalf("match: got %v for the item from before the transaction and %v for a missing one, want neither",
+			writer.MatchesProbe(&oldItem), writer.MatchesProbe(nil))
 	}
 }
 
