--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -246,8 +246,8 @@
 	}
 }
 
-// While urgent jobs are submitted at twice the capacity for an hour, a part of the low-priority jobs
-// must be admitted in every interval. Strict priority would starve them.
+// While urgent jobs are submitted at twice the capacity for 1000 epochs (about an hour), at least half of
+// the low-priority jobs must be accepted in every 50 epochs. Strict priority would starve them.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	urgent, low := Group{"shop", "prices", 1}, Group{"shop", "reports", 3}
 	sim := newSubmitterSimulation(1, 100)
