--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -252,8 +252,8 @@
 }
 
 // readImports reads the imports of all packages below root. It parses the files itself rather than
-// starting a program: go test reruns a test with a cached result if a file that the test has read
-// changes, but not if a file changes that a started program has read.
+// starting a program such as go list: go test discards a cached result if a file that the test itself has
+// read changes, but it doesn't see the files that a started program has read.
 func readImports(root string) (importGraph, error) {
 	graph := importGraph{}
 	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
