--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 // ignored. All addresses have the form host:port.
 type Platform struct {
 	Node         string `toml:"node"`          // name of this node
-	Location     string `toml:"location"`      // location of this node; not used
+	Location     string `toml:"location"`      // location of this node; this program does not use it
 	ClientListen string `toml:"client_listen"` // address at which users, workers and operators connect
 	PeerBind     string `toml:"peer_bind"`     // address at which other controllers connect
 	Peers        []Peer `toml:"known"`         // all other controllers of the cluster
@@ -29,7 +29,7 @@
 // Peer is another controller of the cluster.
 type Peer struct {
 	Node     string `toml:"node"`
-	Location string `toml:"location"`  // location of the node; not used
+	Location string `toml:"location"`  // location of the node; this program does not use it
 	Address  string `toml:"peer_addr"` // host:port
 }
 
@@ -37,14 +37,14 @@
 // stands for seconds, MS for milliseconds, and PerS for a rate per second.
 type Cluster struct {
 	ControllerCount int         `toml:"count"`         // number of controllers, with this one
-	Zones           []string    `toml:"zones"`         // not used: the zones are those of the cloud's catalogue
-	TimeBoundMS     float64     `toml:"time_bound_ms"` // not used
+	Zones           []string    `toml:"zones"`         // this program uses the zones of the cloud's catalogue instead
+	TimeBoundMS     float64     `toml:"time_bound_ms"` // part of the platform's file; this program does not use it
 	Teams           []Team      `toml:"teams"`
 	Objectives      []Objective `toml:"objectives"`
 	Workers         struct {
 		HeartbeatIntervalS float64 `toml:"report_s"` // interval at which a worker sends heartbeats
 		LeaseS             float64 `toml:"lease_s"`  // without a response, a worker kills its tasks after this time
-		CancelS            float64 `toml:"cancel_s"` // limit for stopping cancelled tasks; validated but not used
+		CancelS            float64 `toml:"cancel_s"` // limit for stopping cancelled tasks; only validated
 	} `toml:"workers"`
 	Store StoreLimits `toml:"state"`
 	Cloud struct {
@@ -107,7 +107,7 @@
 
 // Resources are the limits of what the controller may use of the computer on which it runs.
 type Resources struct {
-	CoreShare      float64 `toml:"core_share"`      // processor share; validated but not used
+	CoreShare      float64 `toml:"core_share"`      // processor share; only validated
 	MemoryMB       float64 `toml:"mem_mb"`          // memory, in units of 1024 * 1024 bytes
 	MaxConnections int     `toml:"max_connections"` // open connections, both accepted and dialled
 }
