--- a/internal/reconcile/reported_tasks.go
+++ b/internal/reconcile/reported_tasks.go
@@ -14,8 +14,10 @@
 	machine *cluster.Machine // the machine that reports the task
 	jobID   string
 	index   int
-	job     *cluster.Job         // nil if the job is not open
-	attempt *cluster.TaskAttempt // the tracked attempt at the task on machine, of any number; nil if none
+	job     *cluster.Job // nil if the job is not open
+	// attempt is the attempt at this task that the leader tracks on machine, nil if none. Its number may
+	// differ from the reported one.
+	attempt *cluster.TaskAttempt
 }
 
 // isTracked reports whether this leader tracks the reported attempt on the reporting machine.
