--- a/internal/cluster/objectives.go
+++ b/internal/cluster/objectives.go
@@ -47,14 +47,14 @@
 	return table
 }
 
-// Limits that prevent starvation. Large jobs are demoted while not all jobs can meet their due times,
-// and late jobs come last in the queue. Nevertheless, every job must start within MaxStartDelay,
-// however long a burst of small or latency-sensitive work lasts, and no class or team may starve
-// another. For this reason, a job that has not started after OverdueAfter starts some of its tasks
-// ahead of all other jobs, and a job older than MaxStartDelay is queued with the latency-sensitive
-// work, by age.
+// Limits that prevent starvation. Every job must start within MaxStartDelay, however long a burst of
+// small or latency-sensitive work lasts, and no class or team may starve another. The queue order alone
+// does not ensure that, because it demotes large jobs while not all jobs can meet their due times, and
+// puts late jobs last. Two measures do: a job that has not started after OverdueAfter starts some of its
+// tasks ahead of all other jobs, and a job older than MaxStartDelay is queued with the latency-sensitive
+// work, by age, unless it has started and its team uses more than its guarantee.
 const (
-	MaxStartDelay      = 4 * time.Minute // limit that the protocol sets
+	MaxStartDelay      = 4 * time.Minute // limit, set by the protocol, on the time until a job starts
 	OverdueAfter       = MaxStartDelay * 3 / 8
 	OverdueTaskDivisor = 8 // an overdue job starts one in this many of its tasks
 )
