--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -18,13 +18,13 @@
 // NoResponseError reports that a node could not be reached or has not responded in time.
 type NoResponseError struct{ Timeout time.Duration }
 
-// Error returns a text with the timeout of the query.
+// Error returns the predicate of a message, such as "no answer within 2s". The caller adds the node.
 func (e *NoResponseError) Error() string { return fmt.Sprintf("no answer within %v", e.Timeout) }
 
 // StatusError reports that a node has responded with a status other than 200.
 type StatusError struct{ Status int }
 
-// Error returns a text with the status.
+// Error returns the predicate of a message, such as "responds with status 503". The caller adds the node.
 func (e *StatusError) Error() string { return fmt.Sprintf("responds with status %d", e.Status) }
 
 // IncompleteError lists the reasons why a printed result is incomplete or inconsistent.
