--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -104,7 +104,7 @@
 	return longest
 }
 
-// Controllers that decide on their own could accept jobs beyond the policy when bursts of three
+// Controllers that decide on their own must not accept jobs beyond the policy when bursts of three
 // classes reach three controllers within a millisecond. The invariant checker evaluates each
 // accepting transaction. Urgent jobs must be accepted within 30 s and the others within the users'
 // retry window, and the policy must be removed afterwards.
@@ -156,8 +156,8 @@
 	}
 }
 
-// Users who retry early, some seconds late or every second could be rejected until they give up, or
-// could overtake users who follow Retry-After. All must be accepted, with similar mean waits.
+// Retrying early, some seconds late or every second must bring neither an advantage nor a disadvantage
+// over following Retry-After: all users must be accepted, with similar mean waits.
 func TestRetryTimingGainsNothing(t *testing.T) {
 	sim := newOverloadedSimulation(t, 3, true)
 	users := newSubmitters(sim)
@@ -385,9 +385,9 @@
 	}
 }
 
-// Submissions at all nodes exceed the write rate of the store many times over. The leader's
-// transactions have more writes than those that accept jobs, so the store could throttle the first
-// policy for ever. It must be written within four epochs.
+// The first policy must be written within four epochs although submissions at all nodes exceed the write
+// rate of the store many times over. The leader's transactions have more writes than those that accept
+// jobs, so the store might otherwise throttle the policy for ever.
 func TestFirstPolicyIsWrittenUnderOverload(t *testing.T) {
 	sim := newOverloadedSimulation(t, 5, true)
 	users := newSubmitters(sim)
--- a/internal/controller/autoscaler_host.go
+++ b/internal/controller/autoscaler_host.go
@@ -78,7 +78,7 @@
 // ReleaseUndelivered releases the attempts whose start command did not reach their machine in time.
 func (h autoscalerHost) ReleaseUndelivered() { h.leader.ReleaseUndelivered() }
 
-// NowUnixMilli returns the current wall clock in Unix milliseconds.
+// NowUnixMilli returns this node's wall clock time in Unix milliseconds, for times in stored records.
 func (h autoscalerHost) NowUnixMilli() int64 { return h.leader.node.nowUnixMilli() }
 
 // InstantFromUnixMilli converts a stored wall clock time to an instant.
--- a/internal/controller/late_heartbeats_test.go
+++ b/internal/controller/late_heartbeats_test.go
@@ -23,13 +23,14 @@
 	sim.submit(leaderNode.name, job)
 	sim.advance(25 * time.Second)
 	if got := sim.activeTaskCount("j-1"); got != 60 {
-		t.Fatalf("%d of the 60 tasks of j-1 run after 25 s beside a machine without responses, want all", got)
+		t.Fatalf("%d of the 60 tasks of j-1 run after 25 s while m-000001 gets no responses to its heartbeats, want all",
+			got)
 	}
 	next := jobSpec("j-2", 4)
 	next.EstimatedSeconds = 3600
 	sim.submit(leaderNode.name, next)
 	if !sim.advanceUntil(12*time.Second, func() bool { return sim.activeTaskCount("j-2") == 4 }) {
-		t.Fatalf("%d of the 4 tasks of j-2 run after 12 s beside a machine without responses, want all",
+		t.Fatalf("%d of the 4 tasks of j-2 run after 12 s while m-000001 gets no responses to its heartbeats, want all",
 			sim.activeTaskCount("j-2"))
 	}
 	if !sim.advanceUntil(20*time.Second, func() bool { return sim.cloud.hosts["m-000001"] == nil }) {
@@ -130,7 +131,8 @@
 	// Waits until all machines are returned to the cloud and their records deleted.
 	if !sim.advanceUntil(5*time.Minute,
 		func() bool { return len(sim.workers) == 0 && len(sim.nodes[sim.leaderName()].leader.Machines) == 0 }) {
-		t.Fatalf("%d idle machines are up after 5 min, want none, also none in the leader's records", len(sim.workers))
+		t.Fatalf("after 5 min without work: got %d machines up and %d machines in the leader's records, want none",
+			len(sim.workers), len(sim.nodes[sim.leaderName()].leader.Machines))
 	}
 	oldCopies := copies
 	sim.onHeartbeat = nil
@@ -148,7 +150,8 @@
 		leader := sim.nodes[sim.leaderName()].leader
 		if totals := leader.CurrentMachineTotals(); totals.Slots != 0 || totals.UnknownUsage.Cores != 0 ||
 			!totals.AllReconciled {
-			t.Fatalf("%s: machines of late copies count in the totals: %+v", when, totals)
+			t.Fatalf("%s: totals with machines of late copies: got %+v, want Slots 0, UnknownUsage.Cores 0 and "+
+				"AllReconciled true", when, totals)
 		}
 		if usage := leader.TeamUsage["team"]; usage.Cores != 0 {
 			t.Fatalf("%s: late copies use %v cores of the team's quota, want 0", when, usage.Cores)
@@ -247,7 +250,8 @@
 	sim.waitForJobState("j-1", protocol.JobDone, 30*time.Second)
 	if machine := leaderNode.leader.Machines["m-000001"]; machine == nil ||
 		machine.DrainReason == cluster.CommandsUndelivered {
-		t.Fatal("m-000001 was removed, or is drained as a machine that gets no responses")
+		t.Fatalf("m-000001 in the leader: got %+v, want it kept, with a DrainReason other than %q", machine,
+			cluster.CommandsUndelivered)
 	}
 }
 
@@ -336,8 +340,9 @@
 				if !sim.advanceUntil(time.Minute, func() bool {
 					return sim.activeTaskCount("j-1") == 4 && len(preempted[0].tasks)+len(preempted[len(preempted)-1].tasks) == 0
 				}) {
-					t.Fatalf("%d of the 4 tasks of j-1 run 1 min after the notice, or some run on a preempted machine",
-						sim.activeTaskCount("j-1"))
+					t.Fatalf("1 min after the notice: got %d tasks of j-1 running, want 4; got %d tasks on the first and "+
+						"the last preempted machine, want 0", sim.activeTaskCount("j-1"),
+						len(preempted[0].tasks)+len(preempted[len(preempted)-1].tasks))
 				}
 				sim.advance(5 * time.Second)
 				startedTasks, startsBefore := len(sim.startCounts), sim.totalStarts()
@@ -358,8 +363,9 @@
 				sim.advance(20 * time.Second)
 				if starts := sim.totalStarts(); len(sim.startCounts) != startedTasks || starts != startsBefore ||
 					sim.activeTaskCount("j-1") != 4 {
-					t.Errorf("%d tasks run, want 4; %d task starts, want the %d from before the takeover",
-						sim.activeTaskCount("j-1"), starts, startsBefore)
+					t.Errorf("after the takeover: got %d tasks running, want 4; got %d tasks ever started and %d starts, "+
+						"want %d and %d as before it", sim.activeTaskCount("j-1"), len(sim.startCounts), starts,
+						startedTasks, startsBefore)
 				}
 				sim.cloud.rejectReturns = false
 				sim.waitForJobState("j-1", protocol.JobDone, 2*time.Minute)
--- a/internal/controller/mixed_faults_test.go
+++ b/internal/controller/mixed_faults_test.go
@@ -46,7 +46,8 @@
 		c.announceUpcomingLimits(1, 4, 30)
 	}
 	if seed%3 > 0 {
-		// During the rolling upgrade, a node that crashes before its turn restarts with the old version.
+		// A rolling upgrade: all nodes start with the old version and are upgraded at random times. A node
+		// that crashes before its upgrade restarts with the old version.
 		for i, name := range c.names {
 			c.oldVersionNodes[name] = true
 			c.startNode(name)
--- a/internal/controller/one_way_cuts_bench_test.go
+++ b/internal/controller/one_way_cuts_bench_test.go
@@ -9,9 +9,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkHalfOpenCuts measures the cost of each one-way cut and each pair of them, in simulated
-// time: the time until a new job starts, the number of new terms, and the number of worker leases that
-// are lost together with their tasks. It is run by hand only:
+// BenchmarkHalfOpenCuts measures what one-way (half-open) cuts cost, for each cut and each pair of cuts
+// with which a leader is possible, in simulated time: the time until a new job starts, the number of new
+// terms, and the number of worker leases that expire, which loses the tasks of these workers. It is run
+// by hand only:
 //
 //	go test -run '^$' -bench HalfOpenCuts -benchtime 1x ./internal/controller
 func BenchmarkHalfOpenCuts(b *testing.B) {
--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -15,7 +15,7 @@
 // halfOpenCut cuts one direction of some links if active is set, and restores it otherwise.
 type halfOpenCut func(sim *simulation, leader string, active bool)
 
-// halfOpenCuts are the cuts between a leader, the other nodes, the key-value store and workers, by
+// halfOpenCuts are the one-way (half-open) cuts between a leader, the other nodes, the key-value store and workers, by
 // name. Pairs of them are applied in the order of the names.
 var halfOpenCuts = map[string]halfOpenCut{
 	"leader to nodes": func(sim *simulation, leader string, active bool) {
@@ -93,9 +93,10 @@
 // maxRecoveryLeases is the number of worker leases within which tasks must start under any cut.
 const maxRecoveryLeases = 4
 
-// Under each one-way cut alone and each pair of them, with three, five and seven nodes and drifting
-// clocks, no task runs twice, and a job that is submitted two seconds after the cut starts within four
-// worker leases although the cut persists. Once it heals, every job completes.
+// Under each one-way (half-open) cut alone and each pair of them, with three, five and seven nodes and
+// drifting clocks, no task runs twice. A job that is submitted two seconds after the cut starts within
+// four worker leases although the cut persists, unless no leader is possible. Once the cut heals, every
+// job completes.
 func TestHalfOpenCuts(t *testing.T) {
 	names := slices.Sorted(maps.Keys(halfOpenCuts))
 	for _, nodes := range []int{3, 5, 7} {
@@ -267,8 +268,9 @@
 	}
 	if leaderNode.linkTo(peer) != before || before != reachability.LinkUp ||
 		len(leaderNode.connectivity.invalidReportLogged) != 1 {
-		t.Errorf("the link to %s is %v after invalid reports and was %v before, want %v; %d peers logged, want 1", peer,
-			leaderNode.linkTo(peer), before, reachability.LinkUp, len(leaderNode.connectivity.invalidReportLogged))
+		t.Errorf("link to %s: got %v before and %v after invalid reports, want %v both times; "+
+			"got %d peers whose invalid reports were logged, want 1", peer, before, leaderNode.linkTo(peer),
+			reachability.LinkUp, len(leaderNode.connectivity.invalidReportLogged))
 	}
 	otherFollower := sim.nodes[sim.followers()[1]]
 	otherFollower.connectivity = newConnectivity(otherFollower.name, otherFollower.peers)
@@ -297,7 +299,8 @@
 		return count
 	}
 	if leaderNode.leader == nil || direct() > 0 || !leaderNode.leader.needsRelays() {
-		t.Fatal("workers are served directly during the cut, or the leader does not request relays")
+		t.Fatalf("during the cut: got %s as leader, want %s; want no machine served directly and relays requested",
+			sim.leaderName(), leaderNode.name)
 	}
 	sim.heartbeatsBlocked[leaderNode.name] = false
 	if !sim.advanceUntil(8*leaderNode.workerLease(),
@@ -328,13 +331,13 @@
 		replaced := sim.advanceUntil(maxRecoveryLeases*leaderNode.workerLease(),
 			func() bool { now := sim.leaderName(); return now != "" && now != leader })
 		if replaced != (testCase.stranded > testCase.served) {
-			t.Errorf("%d served, %d stranded: %q leads after %s, replaced %v, want %v", testCase.served,
+			t.Errorf("%d workers served, %d stranded: %q leads after %s: got replaced %v, want %v", testCase.served,
 				testCase.stranded, sim.leaderName(), leader, replaced, testCase.stranded > testCase.served)
 		}
 		sim.advance(10 * leaderNode.workerLease())
 		if terms := sim.waitForLeader().leader.term - term; terms > 6 {
-			t.Errorf("%d served, %d stranded: %d new terms in up to 14 worker leases, want at most 6", testCase.served,
-				testCase.stranded, terms)
+			t.Errorf("%d workers served, %d stranded: got %d new terms in up to 14 worker leases, want at most 6",
+				testCase.served, testCase.stranded, terms)
 		}
 	}
 }
--- a/internal/controller/protocol_levels_test.go
+++ b/internal/controller/protocol_levels_test.go
@@ -57,7 +57,7 @@
 	}
 	machine := leaderNode.leader.Machines["m-000001"]
 	if machine == nil || !machine.UseDurable {
-		t.Fatalf("m-000001 in the leader: got %+v, want a machine whose use is stored", machine)
+		t.Fatalf("m-000001 in the leader: got %+v, want a machine with UseDurable true", machine)
 	}
 	job := dependentSpec("j-n", 1, "j-q", "j-p")
 	sim.submitAccepted(leaderNode.name, job)
@@ -171,16 +171,17 @@
 		leaderNode := sim.waitForLeader()
 		if machine := leaderNode.leader.Machines["m-000900"]; machine == nil || !machine.UseDurable ||
 			machine.Reconciled {
-			t.Errorf("first used %t: m-000900: got %+v, want an unreconciled machine in use", firstUsed, machine)
+			t.Errorf("first used %t: m-000900: got %+v, want UseDurable true, Reconciled false", firstUsed, machine)
 		}
 		sim.advance(500 * time.Millisecond)
 		if _, left := sim.store.keys[storage.MachineGroupKey(0)]; left {
-			t.Error("m-000900 is still in both groups, want it removed from the first")
+			t.Errorf("first used %t: m-000900 is in both stored groups after the takeover, want it removed from the first",
+				firstUsed)
 		}
 		var remaining storage.MachineGroupRecord
 		if item, ok := sim.store.keys[storage.MachineGroupKey(1)]; ok &&
 			(json.Unmarshal(item.Value, &remaining) != nil || !remaining["m-000900"].Used) {
-			t.Errorf("first used %t: got remaining group %+v, want m-000900 used", firstUsed, remaining)
+			t.Errorf("first used %t: got remaining group %s, want m-000900 used", firstUsed, item.Value)
 		}
 	}
 }
@@ -217,8 +218,8 @@
 		return
 	}
 	if numbered, byTask := count(); numbered != 1 || byTask != 0 {
-		t.Errorf("while n2 runs the previous version: got %d parts by number, %d by task, want 1 and 0", numbered,
-			byTask)
+		t.Errorf("while n2 runs the previous version: got %d bitmap parts with a part number as key and %d with a first "+
+			"task, want 1 and 0", numbered, byTask)
 	}
 	sim.upgradeNode("n2")
 	sim.advance(2 * time.Second)
@@ -230,7 +231,8 @@
 	leaderNode = sim.waitForLeader()
 	sim.advance(time.Second)
 	if numbered, byTask := count(); numbered != 0 || byTask < 2 {
-		t.Errorf("after the upgrade of n2: got %d parts by number, %d by task, want 0 and at least 2", numbered, byTask)
+		t.Errorf("after the upgrade of n2: got %d bitmap parts with a part number as key and %d with a first task, "+
+			"want 0 and at least 2", numbered, byTask)
 	}
 	job := leaderNode.leader.Jobs["j-l"]
 	if job.DoneTasks < doneBefore || job.TaskState(doneTask) != cluster.TaskDone {
@@ -345,7 +347,8 @@
 		sim.waitForJobState(fmt.Sprintf("j-%d", i), protocol.JobDone, time.Minute)
 	}
 	if len(rejected) == 0 || leaderNode.leader == nil {
-		t.Errorf("got %d rejected transactions, leader %t, want some and true", len(rejected), leaderNode.leader != nil)
+		t.Errorf("got %d rejected transactions, want some; %s is still leader: got %t, want true", len(rejected),
+			leaderNode.name, leaderNode.leader != nil)
 	}
 }
 
--- a/internal/controller/records_host.go
+++ b/internal/controller/records_host.go
@@ -92,8 +92,9 @@
 	return !h.leader.node.clusterSupports(protocolLevelDependencies)
 }
 
-// JobAdded adds a job that was added to the job table to the dependency graph. Jobs that were accepted
-// after the records were loaded are also counted for admission and traced.
+// JobAdded is called after a job was added to the job table, and adds the job to the dependency graph
+// too. If the leader had already loaded the records, the job is new, so it is also counted for admission
+// and traced.
 func (h recordsHost) JobAdded(job *cluster.Job) {
 	l := h.leader
 	l.dependencies.AddJob(job)
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -135,8 +135,8 @@
 		n.workerRouter.RecordServed(request.Heartbeat.Machine)
 	}
 	if n.now >= forward.Deadline {
-		// This process was paused, or the response was delayed on its way. The worker would
-		// discard the response by now.
+		// The response is too late, because it was delayed or this process was paused, and the worker
+		// would discard it. Count the heartbeat as not served and reply 503 instead.
 		n.serveWithoutLeader(request)
 		return
 	}
