--- a/internal/controller/one_way_cuts_test.go
+++ b/internal/controller/one_way_cuts_test.go
@@ -15,8 +15,8 @@
 // halfOpenCut cuts one direction of some links if active is set, and restores it otherwise.
 type halfOpenCut func(sim *simulation, leader string, active bool)
 
-// halfOpenCuts are the one-way (half-open) cuts between a leader, the other nodes, the key-value store and workers, by
-// name. Pairs of them are applied in the order of the names.
+// halfOpenCuts are the one-way (half-open) cuts between a leader, the other nodes, the key-value store
+// and workers, by name. Pairs of them are applied in the order of the names.
 var halfOpenCuts = map[string]halfOpenCut{
 	"leader to nodes": func(sim *simulation, leader string, active bool) {
 		for _, other := range sim.names {
@@ -299,8 +299,8 @@
 		return count
 	}
 	if leaderNode.leader == nil || direct() > 0 || !leaderNode.leader.needsRelays() {
-		t.Fatalf("during the cut: got %s as leader, want %s; want no machine served directly and relays requested",
-			sim.leaderName(), leaderNode.name)
+		t.Fatalf("during the cut: %s is leader: got %t, want true; want no machine served directly and relays requested",
+			leaderNode.name, leaderNode.leader != nil)
 	}
 	sim.heartbeatsBlocked[leaderNode.name] = false
 	if !sim.advanceUntil(8*leaderNode.workerLease(),
