--- a/internal/reachability/matrix.go
+++ b/internal/reachability/matrix.go
@@ -34,7 +34,7 @@
 }
 
 // Age is the time since the last heartbeat arrived.
-func (h IncomingLink) Age() time.Duration { return time.Duration(h.AgeMS) * time.Millisecond }
+func (l IncomingLink) Age() time.Duration { return time.Duration(l.AgeMS) * time.Millisecond }
 
 // Link is the state of one direction of the link between two nodes.
 type Link int
@@ -58,9 +58,9 @@
 
 // Matrix is one node's knowledge of all links.
 type Matrix struct {
-	nodes   map[string]bool
-	inOrder []string // the nodes by name, which never change
-	reports map[string]receivedReport
+	nodes       map[string]bool
+	sortedNodes []string // the nodes by name, which never change
+	reports     map[string]receivedReport
 }
 
 // NewMatrix returns an empty matrix of the nodes.
@@ -69,7 +69,7 @@
 	for _, node := range nodes {
 		m.nodes[node] = true
 	}
-	m.inOrder = slices.Sorted(maps.Keys(m.nodes))
+	m.sortedNodes = slices.Sorted(maps.Keys(m.nodes))
 	return m
 }
 
@@ -89,14 +89,14 @@
 		len(report.IncomingLinks) > len(m.nodes) {
 		return &InvalidReportError{"counts out of range"}
 	}
-	for _, h := range report.IncomingLinks {
+	for _, link := range report.IncomingLinks {
 		switch {
-		case h.Node == from:
+		case link.Node == from:
 			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from itself", from)}
-		case !m.nodes[h.Node]:
-			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from unknown node %q", from, h.Node)}
-		case h.AgeMS < 0:
-			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from %q in the future", from, h.Node)}
+		case !m.nodes[link.Node]:
+			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from unknown node %q", from, link.Node)}
+		case link.AgeMS < 0:
+			return &InvalidReportError{fmt.Sprintf("%q reports a heartbeat from %q in the future", from, link.Node)}
 		}
 	}
 	m.reports[from] = receivedReport{receivedAt: receivedAt, report: report}
@@ -109,8 +109,8 @@
 	if !ok || now-latest.receivedAt >= window {
 		return LinkUnknown
 	}
-	for _, h := range latest.report.IncomingLinks {
-		if h.Node == from && h.Age()+now-latest.receivedAt < window {
+	for _, link := range latest.report.IncomingLinks {
+		if link.Node == from && link.Age()+now-latest.receivedAt < window {
 			return LinkUp
 		}
 	}
@@ -128,7 +128,7 @@
 // ignored.
 func (m *Matrix) Successor(self string, now, window time.Duration) StrandedCount {
 	successor, most := "", 0
-	for _, node := range m.inOrder {
+	for _, node := range m.sortedNodes {
 		report, ok := m.LatestReport(node, now, window)
 		if node == self || !ok {
 			continue
@@ -146,7 +146,7 @@
 // MostStrandedElsewhere is the other node that reported the most stranded workers within the window.
 func (m *Matrix) MostStrandedElsewhere(self string, now, window time.Duration) StrandedCount {
 	mostStranded := StrandedCount{}
-	for _, node := range m.inOrder {
+	for _, node := range m.sortedNodes {
 		if report, ok := m.LatestReport(node, now, window); node != self && ok &&
 			report.StoreReachable && report.StrandedWorkers > mostStranded.Workers {
 			mostStranded = StrandedCount{node, report.StrandedWorkers}
@@ -157,10 +157,10 @@
 
 // CountBidirectional counts the other nodes with which heartbeats pass in both directions. A node
 // of an earlier version doesn't report what it receives; it counts if its heartbeats are received.
-func (m *Matrix) CountBidirectional(self string, now, window time.Duration, isHeard func(node string) bool) int {
+func (m *Matrix) CountBidirectional(self string, now, window time.Duration, receivesFrom func(node string) bool) int {
 	count := 0
 	for node := range m.nodes {
-		if node != self && isHeard(node) && m.Link(self, node, now, window) != LinkDown {
+		if node != self && receivesFrom(node) && m.Link(self, node, now, window) != LinkDown {
 			count++
 		}
 	}
--- a/internal/reachability/status.go
+++ b/internal/reachability/status.go
@@ -20,9 +20,9 @@
 // ReceivesFrom reports whether the link from another node to this one was up at the time of the
 // status.
 func (s *NodeStatus) ReceivesFrom(node string) bool {
-	for _, h := range s.IncomingLinks {
-		if h.Node == node {
-			return h.AgeMS < s.LinkTimeoutMS
+	for _, link := range s.IncomingLinks {
+		if link.Node == node {
+			return link.AgeMS < s.LinkTimeoutMS
 		}
 	}
 	return false
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -33,7 +33,7 @@
 func (s *connectionSet) remove(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, held := s.open[conn]; !held {
+	if _, present := s.open[conn]; !present {
 		return
 	}
 	delete(s.open, conn)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -40,16 +40,16 @@
 	handler     RequestHandler
 	options     ServerOptions
 	connections *connectionSet
-	// requests is the context of all requests. It is cancelled once the connections are closed.
-	requests       context.Context
+	// requestContext is the context of all requests. It is cancelled once the connections are closed.
+	requestContext context.Context
 	cancelRequests context.CancelFunc
 }
 
 // NewServer returns a server that passes requests to a handler.
 func NewServer(handler RequestHandler, options ServerOptions) *Server {
-	requests, cancelRequests := context.WithCancel(context.Background())
+	requestContext, cancelRequests := context.WithCancel(context.Background())
 	server := &Server{handler: handler, options: options, connections: newConnectionSet(),
-		requests: requests, cancelRequests: cancelRequests}
+		requestContext: requestContext, cancelRequests: cancelRequests}
 	server.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		// Above the protocol's limit, so that a body slightly too large gets a response
@@ -88,13 +88,13 @@
 	s.app.Get("/work/:id", s.queryJob)
 	s.app.Post("/work/:id/cancel", s.cancelJob)
 	s.app.Post("/v1/report", s.acceptHeartbeat)
-	s.app.Get("/healthz", s.handleKind(protocol.RequestHealth))
-	s.app.Get("/status", s.handleKind(protocol.RequestStatus))
+	s.app.Get("/healthz", s.handlerForKind(protocol.RequestHealth))
+	s.app.Get("/status", s.handlerForKind(protocol.RequestStatus))
 	s.app.Get("/metrics", s.serveMetrics)
-	s.app.Get("/admission", s.handleKind(protocol.RequestAdmission))
+	s.app.Get("/admission", s.handlerForKind(protocol.RequestAdmission))
 	s.app.Get("/admission/:id", s.explainAdmission)
-	s.app.Get("/links", s.handleKind(protocol.RequestLinks))
-	s.app.Get("/recovery", s.handleKind(protocol.RequestRecovery))
+	s.app.Get("/links", s.handlerForKind(protocol.RequestLinks))
+	s.app.Get("/recovery", s.handlerForKind(protocol.RequestRecovery))
 	s.app.Get("/trace/:id", s.serveTrace)
 }
 
@@ -176,7 +176,7 @@
 
 // respond passes a request to the handler and sends its reply.
 func (s *Server) respond(c *fiber.Ctx, request controller.Request) error {
-	reply := s.handler.Handle(s.requests, request, s.options.RequestTimeout)
+	reply := s.handler.Handle(s.requestContext, request, s.options.RequestTimeout)
 	if reply.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(reply.RetryAfter))
 	}
@@ -222,14 +222,15 @@
 	return s.respond(c, controller.Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 }
 
-// handleKind returns the handler of a request that has no parameters.
-func (s *Server) handleKind(kind protocol.RequestKind) fiber.Handler {
+// handlerForKind returns the handler of a request that has no parameters.
+func (s *Server) handlerForKind(kind protocol.RequestKind) fiber.Handler {
 	return func(c *fiber.Ctx) error { return s.respond(c, controller.Request{Kind: kind}) }
 }
 
 // serveMetrics serves GET /metrics in the Prometheus text format.
 func (s *Server) serveMetrics(c *fiber.Ctx) error {
-	reply := s.handler.Handle(s.requests, controller.Request{Kind: protocol.RequestMetrics}, s.options.RequestTimeout)
+	reply := s.handler.Handle(s.requestContext, controller.Request{Kind: protocol.RequestMetrics},
+		s.options.RequestTimeout)
 	c.Set(fiber.HeaderContentType, "text/plain; version=0.0.4")
 	return c.Status(reply.Status).Send(reply.Body)
 }
--- a/internal/workerrouting/router.go
+++ b/internal/workerrouting/router.go
@@ -54,11 +54,11 @@
 
 // Route is the routing state of a worker that this node doesn't serve as the leader.
 type Route struct {
-	redirectedAt clock.Instant // when the worker was last redirected to another node
-	RelayUntil   clock.Instant // its heartbeats are relayed until then
-	redirectedTo string        // the node that it was last redirected to
-	lastArrival  clock.Instant // when it last sent a heartbeat to this node
-	strandedAt   clock.Instant // when this node last could neither serve nor relay it
+	redirectedAt  clock.Instant // when the worker was last redirected to another node
+	RelayUntil    clock.Instant // its heartbeats are relayed until then
+	redirectedTo  string        // the node that it was last redirected to
+	lastHeartbeat clock.Instant // when it last sent a heartbeat to this node
+	strandedAt    clock.Instant // when this node last could neither serve nor relay it
 }
 
 // RouteOf returns the routing state of a worker and creates it if there is none.
@@ -67,7 +67,7 @@
 	if route == nil {
 		route = &Route{
 			redirectedAt: clock.Never, RelayUntil: clock.Never,
-			lastArrival: clock.Never, strandedAt: clock.Never,
+			lastHeartbeat: clock.Never, strandedAt: clock.Never,
 		}
 		r.Routes[worker] = route
 	}
@@ -114,7 +114,7 @@
 func (r *Router) DecideOnFollower(worker, leaderName string) Decision {
 	now := r.host.Now()
 	route := r.RouteOf(worker)
-	route.lastArrival = now
+	route.lastHeartbeat = now
 	if leaderName == "" {
 		route.strandedAt = now
 		return RejectHeartbeat
@@ -169,12 +169,12 @@
 // CountWorkers counts the workers that came to this node within the time that a worker needs to try
 // all nodes, and those among the known ones that could neither be served nor relayed within it.
 func (r *Router) CountWorkers() (recent, stranded int) {
-	now, span := r.host.Now(), r.nodeSearchDuration()
+	now, window := r.host.Now(), r.nodeSearchDuration()
 	for _, route := range r.Routes {
-		if now-route.lastArrival < span {
+		if now-route.lastHeartbeat < window {
 			recent++
 		}
-		if now-route.strandedAt < span {
+		if now-route.strandedAt < window {
 			stranded++
 		}
 	}
@@ -192,7 +192,7 @@
 	r.prunedAt = now
 	for name, route := range r.Routes {
 		if now >= route.RelayUntil && !r.recentlyRedirectedTo(route, route.redirectedTo) &&
-			now-route.lastArrival >= r.nodeSearchDuration() {
+			now-route.lastHeartbeat >= r.nodeSearchDuration() {
 			delete(r.Routes, name)
 		}
 	}
