--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -10,23 +10,23 @@
 	"hitchdoor/internal/controller"
 )
 
-// Client sends requests to one outside service over pooled connections. Close ends it.
+// Client sends requests to one outside service over pooled connections. The caller must close it.
 type Client struct {
 	http        *fasthttp.HostClient
 	connections *connectionSet
 	stopDialing context.CancelFunc
 }
 
-// ClientOptions are the limits of a Client. MaxResponseBytes bounds the body of a response.
+// ClientOptions are the limits of a Client.
 type ClientOptions struct {
 	MaxConnections   int
 	DialTimeout      time.Duration
-	IdleTimeout      time.Duration
-	MaxResponseBytes int
+	IdleTimeout      time.Duration // An unused connection is closed after this time.
+	MaxResponseBytes int           // A call fails if the body of its response is larger.
 }
 
-// NewClient returns a client of the service at an address. The client never retries a call: only
-// the caller knows whether that is safe.
+// NewClient returns a client of the service at a host:port address. The client never retries a call,
+// because only the caller knows whether a retry is safe.
 func NewClient(address string, options ClientOptions) *Client {
 	dialContext, stopDialing := context.WithCancel(context.Background())
 	client := &Client{connections: newConnectionSet(), stopDialing: stopDialing}
@@ -52,35 +52,36 @@
 	return client
 }
 
-// Close closes all connections. Calls in flight and later ones return without a response.
+// Close closes all connections. Calls in flight and later calls return status 0.
 func (c *Client) Close() {
 	c.stopDialing()
 	c.connections.close()
 	c.http.CloseIdleConnections()
 }
 
-// clientConnection is a connection that leaves its set when it is closed.
+// clientConnection is a connection that removes itself from its set when it is closed.
 type clientConnection struct {
 	net.Conn
 	set *connectionSet
 }
 
-// newClientConnection adds a connection to a set.
+// newClientConnection adds a connection to a set and returns the wrapper that removes it again.
 func newClientConnection(conn net.Conn, set *connectionSet) *clientConnection {
 	set.add(conn)
 	return &clientConnection{Conn: conn, set: set}
 }
 
-// Close closes the connection.
+// Close removes the connection from its set and closes it.
 func (c *clientConnection) Close() error {
 	c.set.remove(c.Conn)
 	return c.Conn.Close()
 }
 
-// neverRetry disables the retries of the HTTP library.
+// neverRetry is a RetryIfErr callback that disables the retries of the HTTP library.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// Do executes a call. The status is 0 if there is no response.
+// Do sends a call and waits up to its timeout for the response. The status of the result is 0 if no
+// complete response within the size limit arrives.
 func (c *Client) Do(call controller.ServiceCall) controller.CallResult {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// connectionSet holds the open connections of a server or a client, so that all of them can be closed
-// at once and their ends be awaited.
+// connectionSet contains the open connections of a server or a client. A shutdown closes all of them at
+// once and can wait until they are removed.
 type connectionSet struct {
 	mu     sync.Mutex
 	open   map[net.Conn]struct{}
 	closed bool
-	empty  chan struct{} // closed once the set is closed and has no connections left
+	empty  chan struct{} // closed when the set is closed and its last connection is removed
 }
 
 // newConnectionSet returns an empty set.
@@ -19,7 +19,7 @@
 	return &connectionSet{open: map[net.Conn]struct{}{}, empty: make(chan struct{})}
 }
 
-// add adds a connection, and closes it at once if the set is closed.
+// add adds a connection. If the set is closed, it closes the connection immediately.
 func (s *connectionSet) add(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,8 @@
 	}
 }
 
-// remove removes a connection, after its end.
+// remove removes a connection that is closed or about to be closed. It ignores a connection that is not
+// in the set.
 func (s *connectionSet) remove(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +41,7 @@
 	s.signalIfEmpty()
 }
 
-// close closes all connections, and those that are added later.
+// close closes all connections. Connections that are added later are closed immediately.
 func (s *connectionSet) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,8 +55,8 @@
 	s.signalIfEmpty()
 }
 
-// signalIfEmpty closes empty once the last connection of a closed set is removed. A connection that
-// is added later is closed at once and not awaited.
+// signalIfEmpty unblocks wait if the set is closed and has no connections left. wait does not wait for
+// a connection that is added after that, which add closes immediately. The caller must hold mu.
 func (s *connectionSet) signalIfEmpty() {
 	if !s.closed || len(s.open) > 0 {
 		return
@@ -67,5 +68,5 @@
 	}
 }
 
-// wait waits until the set is closed and all its connections are removed.
+// wait blocks until the set is closed and all its connections are removed.
 func (s *connectionSet) wait() { <-s.empty }
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -12,18 +12,19 @@
 	"hitchdoor/internal/tracing"
 )
 
-// handlerFunc is a RequestHandler that calls a function for each request and keeps no traces.
+// handlerFunc is a RequestHandler that calls a function for each request and records no steps.
 type handlerFunc func(controller.Request) controller.Reply
 
-// Handle calls the function.
+// Handle returns the result of the function and ignores the context and the timeout.
 func (f handlerFunc) Handle(_ context.Context, request controller.Request, _ time.Duration) controller.Reply {
 	return f(request)
 }
 
-// Trace returns nil.
+// Trace returns nil, as for a job without recorded steps.
 func (f handlerFunc) Trace(string) []tracing.Step { return nil }
 
-// runForTest runs a function until the end of the test, which cancels its context and waits for it.
+// runForTest runs a function in a goroutine. At the end of the test it cancels the function's context
+// and waits until the function returns.
 func runForTest(t *testing.T, run func(ctx context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -46,8 +47,8 @@
 	return listener
 }
 
-// serveConnections accepts connections until the end of the test. It calls serve with each, and
-// closes those that are still open at the end.
+// serveConnections accepts connections until the end of the test and calls serve with each. It keeps
+// the connections open until the end of the test, unless serve closes them.
 func serveConnections(t *testing.T, listener net.Listener, serve func(net.Conn)) {
 	t.Helper()
 	runForTest(t, func(ctx context.Context) {
@@ -79,7 +80,7 @@
 	return client
 }
 
-// newHTTPClient returns a client with connections of its own, which are closed at the end of the test.
+// newHTTPClient returns a client with its own connection pool, which is closed at the end of the test.
 func newHTTPClient(t *testing.T) *http.Client {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{}}
@@ -87,7 +88,7 @@
 	return client
 }
 
-// ignoreMessage is a DeliverFunc.
+// ignoreMessage is a DeliverFunc that drops every message.
 func ignoreMessage(context.Context, controller.InboundMessage) {}
 
 // startServer starts a server for the duration of the test and returns its URL.
@@ -97,7 +98,8 @@
 	return url
 }
 
-// newTestServer starts a server for the duration of the test and returns its URL and the server.
+// newTestServer starts a server with 16 connections for the duration of the test. It returns the URL and
+// the server.
 func newTestServer(t *testing.T, handler handlerFunc) (string, *Server) {
 	t.Helper()
 	listener := listenOnLoopback(t)
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Bounds of the exponential backoff between failed attempts to accept a connection.
+// These are the bounds of the exponential backoff after failed attempts to accept a connection.
 const (
 	minAcceptDelay = 5 * time.Millisecond
 	maxAcceptDelay = 500 * time.Millisecond
 )
 
-// retryingListener retries Accept after errors. Without it, a server would end, and with it the
-// process, as soon as all file descriptors are in use.
+// retryingListener retries Accept after errors. Without the retries, a server would return, and the process would
+// exit, as soon as all file descriptors are in use.
 type retryingListener struct {
 	net.Listener
 	log       *slog.Logger
@@ -28,7 +28,8 @@
 	return &retryingListener{Listener: listener, log: log, closed: make(chan struct{})}
 }
 
-// Accept waits for the next connection, and retries after errors.
+// Accept waits for the next connection and retries after errors. It logs only the first of several
+// consecutive errors.
 func (l *retryingListener) Accept() (net.Conn, error) {
 	for delay := minAcceptDelay; ; delay = min(2*delay, maxAcceptDelay) {
 		conn, err := l.Listener.Accept()
@@ -46,7 +47,8 @@
 	}
 }
 
-// Close closes the listener. An Accept that waits before its next attempt returns.
+// Close closes the listener. A call of Accept that is waiting before its next attempt returns
+// net.ErrClosed.
 func (l *retryingListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -18,49 +18,54 @@
 	"hitchdoor/internal/protocol"
 )
 
-// maxLineBytes bounds one message between controllers: a forwarded body and the fields around it.
+// maxLineBytes limits the size of one message between controllers, which is encoded as one line: a
+// forwarded request or response body and the fields around it.
 const maxLineBytes = 256 << 10
 
-// handshake is the first line of a connection between controllers. AcceptsAcknowledgements is set
-// by nodes that accept acknowledgements; a node of an earlier version takes any byte that it
-// receives for the end of the connection.
+// handshake is the first line that the node which opened a connection sends. Nodes that handle
+// acknowledgements set AcceptsAcknowledgements. Nodes of earlier versions do not set it, and treat
+// any received byte as the end of the connection.
 type handshake struct {
 	Node                    string `json:"node"`
 	AcceptsAcknowledgements bool   `json:"acks,omitempty"`
 }
 
-// acknowledgement is sent back from time to time while messages are received, if the handshake
-// allows it. The sender so detects a half-open connection, on which writes succeed but nothing
-// arrives, without relying on the operating system.
+// acknowledgement is the byte that a receiver sends back at intervals while messages arrive, if the
+// handshake allows it. It lets the sender detect a half-open connection, on which writes succeed but
+// nothing arrives, without relying on the operating system.
 const acknowledgement = '\n'
 
-// PeerLinks keeps a connection to each other controller and accepts theirs. Each connection carries
-// messages in one direction, from the node that opened it, and acknowledgements in the other.
-// Maintain runs the former, Serve the latter.
+// PeerLinks maintains an outgoing connection to each other controller and accepts the incoming ones.
+// Each connection carries messages from the node that opened it, and acknowledgements in the opposite
+// direction. Maintain runs the outgoing connections and Serve the incoming ones.
 type PeerLinks struct {
 	node        string
-	addresses   map[string]string // by node
-	outgoing    map[string]chan protocol.PeerMessage
+	addresses   map[string]string                    // by node name
+	outgoing    map[string]chan protocol.PeerMessage // queued messages by node name
 	deliver     DeliverFunc
 	log         *slog.Logger
 	idleTimeout time.Duration
 }
 
-// DeliverFunc takes a message of another controller. It may wait until the context is cancelled.
+// DeliverFunc processes a message from another controller. It may block until the context is
+// cancelled.
 type DeliverFunc func(ctx context.Context, message controller.InboundMessage)
 
 // PeerLinkOptions are the limits of the links between controllers.
 type PeerLinkOptions struct {
-	// IdleTimeout is how long a link may be idle before it is closed and opened again.
+	// IdleTimeout is how long the receiver waits for the next message, and the sender for the next
+	// acknowledgement, before it closes the link. The sender then opens a new one. IdleTimeout also
+	// limits how long a dial or a write may take.
 	IdleTimeout time.Duration
-	// QueueLength bounds the messages queued for a link. After an interruption the heartbeats of
-	// all workers of a node, and the responses to them, are queued at once.
+	// QueueLength is the maximum number of messages queued for a link. It must be large enough for the
+	// time after an interruption, when the heartbeats of all workers of a node, and the responses to
+	// them, are queued at once.
 	QueueLength int
 	Log         *slog.Logger
 }
 
-// NewPeerLinks returns the links to all known peers. They call deliver with each message that a peer
-// sends.
+// NewPeerLinks returns the links to the given peers. The links call deliver with each message that
+// arrives from a peer, concurrently for different connections.
 func NewPeerLinks(node string, peers []config.Peer, options PeerLinkOptions, deliver DeliverFunc) *PeerLinks {
 	links := &PeerLinks{node: node, addresses: map[string]string{}, outgoing: map[string]chan protocol.PeerMessage{},
 		deliver: deliver, log: options.Log, idleTimeout: options.IdleTimeout}
@@ -71,8 +76,8 @@
 	return links
 }
 
-// Maintain keeps the links to all peers open until the context is cancelled. It returns once all of
-// them are closed.
+// Maintain keeps the outgoing links to all peers open until the context is cancelled. It returns when
+// all of them are closed.
 func (p *PeerLinks) Maintain(ctx context.Context) {
 	var links sync.WaitGroup
 	for node, address := range p.addresses {
@@ -81,7 +86,7 @@
 	links.Wait()
 }
 
-// Send queues a message. It drops the message if the link's queue is full.
+// Send queues a message for a peer. It drops the message if the queue of the link is full.
 func (p *PeerLinks) Send(to string, message protocol.PeerMessage) {
 	select {
 	case p.outgoing[to] <- message:
@@ -89,14 +94,15 @@
 	}
 }
 
-// maintainLink keeps the link to a peer open, and writes the queued messages to it.
+// maintainLink keeps the link to a peer open and writes the queued messages to it until the context
+// is cancelled.
 func (p *PeerLinks) maintainLink(ctx context.Context, address string, queue chan protocol.PeerMessage) {
 	dialer := net.Dialer{Timeout: p.idleTimeout}
 	for ctx.Err() == nil {
 		if conn, err := dialer.DialContext(ctx, "tcp4", address); err == nil {
 			p.runLink(ctx, conn, queue)
 		}
-		// Messages that were queued while the link was down are outdated.
+		// Messages that were queued while the link was down are outdated and therefore dropped.
 		for len(queue) > 0 {
 			<-queue
 		}
@@ -105,7 +111,7 @@
 	}
 }
 
-// sleep waits for a duration, or until the context is cancelled.
+// sleep waits for the given duration or until the context is cancelled.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -115,8 +121,8 @@
 	}
 }
 
-// runLink writes the queued messages to a connection until it fails, acknowledgements are overdue or
-// the context is cancelled. It closes the connection.
+// runLink writes the queued messages to a connection until the connection fails, an acknowledgement is
+// overdue or the context is cancelled. Then it closes the connection.
 func (p *PeerLinks) runLink(ctx context.Context, conn net.Conn, queue chan protocol.PeerMessage) {
 	ctx, cancel := context.WithCancel(ctx)
 	stopClosing := context.AfterFunc(ctx, func() { conn.Close() })
@@ -132,8 +138,9 @@
 	conn.Close()
 }
 
-// readAcknowledgements reads acknowledgements until the connection ends or the next one is overdue.
-// Earlier versions send none, so the deadline applies only after the first.
+// readAcknowledgements reads acknowledgements until the connection is closed or the next
+// acknowledgement is overdue. Nodes of earlier versions send none, so the deadline applies only after
+// the first one.
 func (p *PeerLinks) readAcknowledgements(conn net.Conn) {
 	buffer := make([]byte, 256)
 	for {
@@ -144,8 +151,8 @@
 	}
 }
 
-// writeMessages sends the handshake and then the queued messages, until the connection fails or the
-// context is cancelled.
+// writeMessages sends the handshake and then the queued messages until the connection fails, a message
+// cannot be encoded or the context is cancelled.
 func (p *PeerLinks) writeMessages(ctx context.Context, conn net.Conn, queue chan protocol.PeerMessage) {
 	buffer := bytes.Buffer{}
 	if json.NewEncoder(&buffer).Encode(handshake{Node: p.node, AcceptsAcknowledgements: true}) != nil {
@@ -168,7 +175,8 @@
 	}
 }
 
-// appendLines appends an encoded message, and those that are queued behind it up to a limit.
+// appendLines appends a message and the messages queued behind it, so that one write sends them all. It
+// stops when the buffer contains maxLineBytes or more.
 func appendLines(buffer *bytes.Buffer, message protocol.PeerMessage, queue chan protocol.PeerMessage) error {
 	if err := appendLine(buffer, message); err != nil {
 		return err
@@ -181,7 +189,7 @@
 	return nil
 }
 
-// appendLine appends an encoded message and a line break.
+// appendLine appends a message, encoded as one line.
 func appendLine(buffer *bytes.Buffer, message protocol.PeerMessage) error {
 	raw, err := protocol.EncodePeerMessage(message)
 	if err != nil {
@@ -191,13 +199,14 @@
 	return buffer.WriteByte('\n')
 }
 
-// MaxPeerConnections returns the limit of the connections between one controller and the others,
-// given the number of controllers: one to each, and several from each, as connections that the
-// other side has abandoned may still be open.
+// MaxPeerConnections returns the maximum number of connections between one controller and the others,
+// given the number of controllers: one outgoing connection per peer, and 8 incoming ones per node,
+// because connections that the other side has abandoned may still be open.
 func MaxPeerConnections(nodes int) int { return nodes - 1 + 8*nodes }
 
-// Serve accepts the peers' connections until the context is cancelled or the listener fails. It closes
-// the listener and all connections, and returns once none is read any more.
+// Serve accepts connections from peers until the context is cancelled or the listener fails. It closes
+// the listener and all connections, and returns when no goroutine reads from them any more. It closes
+// new connections immediately while the number of incoming connections is at its limit.
 func (p *PeerLinks) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var connections sync.WaitGroup
@@ -224,7 +233,8 @@
 	}
 }
 
-// serveConnection reads a connection until it ends or the context is cancelled, and closes it.
+// serveConnection handles an incoming connection until it is closed or the context is cancelled. Then
+// it closes the connection.
 func (p *PeerLinks) serveConnection(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	stopClosing := context.AfterFunc(ctx, func() { conn.Close() })
@@ -232,8 +242,9 @@
 	p.readMessages(ctx, conn)
 }
 
-// readMessages reads the handshake and then delivers messages, until the connection ends, is idle for
-// too long, or carries a malformed message.
+// readMessages reads the handshake and then delivers messages until the connection is closed, is idle
+// for too long or carries a malformed message. It returns at once if the handshake is invalid or names
+// an unknown node.
 func (p *PeerLinks) readMessages(ctx context.Context, conn net.Conn) {
 	scanner := bufio.NewScanner(conn)
 	scanner.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
@@ -262,20 +273,21 @@
 	}
 }
 
-// acknowledge tells the sender that its messages arrive.
+// acknowledge sends an acknowledgement, which tells the peer that its messages arrive.
 func (p *PeerLinks) acknowledge(conn net.Conn, now time.Time) error {
 	conn.SetWriteDeadline(now.Add(p.idleTimeout))
 	_, err := conn.Write([]byte{acknowledgement})
 	return err
 }
 
-// deliverLine decodes and delivers a message of a peer. It returns false if the message is malformed.
+// deliverLine decodes and delivers a message from a peer. It returns false if the message is malformed.
+// It ignores a message of an unknown type.
 func (p *PeerLinks) deliverLine(ctx context.Context, peer string, line []byte) bool {
 	message, err := protocol.DecodePeerMessage(line)
 	var unknown *protocol.UnknownPeerMessageError
 	switch {
 	case errors.As(err, &unknown):
-		// Later versions may send messages that this one does not know.
+		// Nodes of later versions may send message types that this version does not know.
 		p.log.Debug("unknown peer message ignored", "peer", peer, "error", err)
 	case err != nil:
 		p.log.Warn("malformed peer message", "peer", peer, "error", err)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,6 +1,6 @@
-// Package transport carries the messages of all interfaces: the HTTP server for users, workers and
-// operators, the HTTP clients of the outside services, and the connections between controllers. It
-// makes no decision about jobs or machines.
+// Package transport implements the network interfaces of a controller: the HTTP server for users,
+// workers and operators, the HTTP clients of the outside services, and the connections between
+// controllers. It makes no decisions about jobs or machines.
 package transport
 
 import (
@@ -19,19 +19,19 @@
 	"hitchdoor/internal/tracing"
 )
 
-// RequestHandler passes requests to the owner of the controller's state.
+// RequestHandler passes requests to the goroutine that owns the controller's state.
 type RequestHandler interface {
-	// Handle waits for the reply to a request, up to a timeout or until the context is cancelled.
+	// Handle waits for the reply to a request until the timeout expires or the context is cancelled.
 	Handle(ctx context.Context, request controller.Request, timeout time.Duration) controller.Reply
-	// Trace returns the recorded steps of a job on this node.
+	// Trace returns the steps of a job that this node has recorded.
 	Trace(job string) []tracing.Step
 }
 
 // ServerOptions are the limits of a Server.
 type ServerOptions struct {
 	MaxConnections int
-	IdleTimeout    time.Duration
-	RequestTimeout time.Duration // how long to wait for the owner's reply
+	IdleTimeout    time.Duration // how long a connection may be idle, or reading a request may take
+	RequestTimeout time.Duration // how long to wait for the handler's reply
 }
 
 // Server is the HTTP server for users, workers, the load balancer and operators.
@@ -40,7 +40,8 @@
 	handler     RequestHandler
 	options     ServerOptions
 	connections *connectionSet
-	// requestContext is the context of all requests. It is cancelled once the connections are closed.
+	// requestContext is the context of all requests. Serve cancels it after it has closed the
+	// connections.
 	requestContext context.Context
 	cancelRequests context.CancelFunc
 }
@@ -52,8 +53,8 @@
 		requestContext: requestContext, cancelRequests: cancelRequests}
 	server.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		// Above the protocol's limit, so that a body slightly too large gets a response
-		// rather than a connection reset.
+		// The limit is above the protocol's limit, so that a client which sends a body slightly too
+		// large gets a response rather than a connection reset.
 		BodyLimit:          8 * protocol.MaxBodyBytes,
 		Concurrency:        options.MaxConnections,
 		IdleTimeout:        options.IdleTimeout,
@@ -68,7 +69,8 @@
 	return server
 }
 
-// handleError sends the response to a request that no handler has answered.
+// handleError sends the response to a request that was rejected before it reached a handler, or whose
+// handler returned an error. A body that is too large is reported as status 400.
 func handleError(c *fiber.Ctx, err error) error {
 	code := fiber.StatusInternalServerError
 	var fiberError *fiber.Error
@@ -81,7 +83,8 @@
 	return sendError(c, code, err.Error())
 }
 
-// registerRoutes registers the handlers of all paths.
+// registerRoutes registers the handlers of all paths. Every request passes through admitConnection
+// first.
 func (s *Server) registerRoutes() {
 	s.app.Use(s.admitConnection)
 	s.app.Post("/work", s.submitJob)
@@ -98,7 +101,8 @@
 	s.app.Get("/trace/:id", s.serveTrace)
 }
 
-// trackConnection keeps the set of open connections.
+// trackConnection is called at each state change of a connection. It adds new connections to the set
+// and removes those that are closed or hijacked.
 func (s *Server) trackConnection(conn net.Conn, state fasthttp.ConnState) {
 	switch state {
 	case fasthttp.StateNew:
@@ -108,18 +112,17 @@
 	}
 }
 
-// workerReserveDivisor sets the share of connections (1/workerReserveDivisor) below which the server
-// closes workers' connections after each response. So more workers than there are connections are
-// served in turn when no other controller has spare connections.
+// workerReserveDivisor sets the reserve of connections: if fewer than 1/workerReserveDivisor of them
+// are free, the server closes workers' connections after each response. The workers then take turns,
+// so that more workers than connections are served when no other controller has spare connections.
 const workerReserveDivisor = 8
 
-// ConnectionLoad returns the number of open connections and their limit.
+// ConnectionLoad returns the number of open connections and the maximum number.
 func (s *Server) ConnectionLoad() controller.ServerLoad {
 	return controller.ServerLoad{Open: int(s.app.Server().GetOpenConnectionsCount()), Limit: s.options.MaxConnections}
 }
 
-// rotateWorkerConnection closes a worker's connection after its response if few connections are
-// left.
+// rotateWorkerConnection closes a worker's connection after the response if few connections are free.
 func (s *Server) rotateWorkerConnection(c *fiber.Ctx) {
 	if load := s.ConnectionLoad(); load.Open > load.Limit-max(1, load.Limit/workerReserveDivisor) {
 		c.Context().SetConnectionClose()
@@ -130,9 +133,9 @@
 // health checks.
 const healthReserveDivisor = 32
 
-// admitConnection rejects the first request of a connection above the limit, with Retry-After.
-// Established connections and health checks are always served: if the health checks failed, the load
-// balancer would reset all of the node's connections.
+// admitConnection rejects the first request of a connection above the limit with status 503 and
+// Retry-After. Requests on established connections and health checks are always served: if the health
+// checks failed, the load balancer would reset all of the node's connections.
 func (s *Server) admitConnection(c *fiber.Ctx) error {
 	load := s.ConnectionLoad()
 	if c.Context().ConnRequestNum() > 1 || c.Path() == "/healthz" ||
@@ -145,26 +148,27 @@
 }
 
 // Serve serves the listener's connections until the context is cancelled or the listener fails. It
-// closes the listener and all connections, and returns once no request is handled any more. A Server
-// serves once.
+// closes the listener and all connections, and returns when no request is being handled any more. It
+// must be called at most once.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	defer listener.Close()
 	stopClosing := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stopClosing()
 	err := s.app.Listener(listener)
 	s.connections.close()
-	// Only now, so that no client gets the reply of a handler that is interrupted.
+	// Requests are cancelled only after their connections are closed, so that no client receives the
+	// reply of an interrupted handler.
 	s.cancelRequests()
 	s.connections.wait()
 	return err
 }
 
-// errorBody is the body of an error response.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// sendError sends an error response.
+// sendError sends a response with the given status and a reason in the body.
 func sendError(c *fiber.Ctx, status int, reason string) error {
 	raw, err := json.Marshal(errorBody{reason})
 	if err != nil {
@@ -174,7 +178,8 @@
 	return c.Status(status).Send(raw)
 }
 
-// respond passes a request to the handler and sends its reply.
+// respond passes a request to the handler and sends its reply. A reply without a body is sent as an
+// error response.
 func (s *Server) respond(c *fiber.Ctx, request controller.Request) error {
 	reply := s.handler.Handle(s.requestContext, request, s.options.RequestTimeout)
 	if reply.RetryAfter > 0 {
@@ -187,7 +192,7 @@
 	return c.Status(reply.Status).Send(reply.Body)
 }
 
-// copyBody copies the request's body, as the server reuses its buffers.
+// copyBody copies the request's body, because the server reuses its buffers for later requests.
 func copyBody(c *fiber.Ctx) []byte { return append([]byte(nil), c.Body()...) }
 
 // submitJob serves POST /work.
@@ -209,7 +214,7 @@
 	return s.respond(c, controller.Request{Kind: protocol.RequestCancel, JobID: jobIDParam(c)})
 }
 
-// jobIDParam copies the job id of the path, as the server reuses its buffers.
+// jobIDParam copies the job ID from the path, because the server reuses its buffers for later requests.
 func jobIDParam(c *fiber.Ctx) string { return string(append([]byte(nil), c.Params("id")...)) }
 
 // acceptHeartbeat serves POST /v1/report.
@@ -222,7 +227,7 @@
 	return s.respond(c, controller.Request{Kind: protocol.RequestHeartbeat, Heartbeat: heartbeat})
 }
 
-// handlerForKind returns the handler of a request that has no parameters.
+// handlerForKind returns the handler of a kind of request that has no parameters.
 func (s *Server) handlerForKind(kind protocol.RequestKind) fiber.Handler {
 	return func(c *fiber.Ctx) error { return s.respond(c, controller.Request{Kind: kind}) }
 }
