--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -31,23 +31,23 @@
 	command     *exec.Cmd
 	exited      chan struct{} // closed once the process has exited
 	lastLogLine string
-	killed      bool // by signal; its exit is expected
+	killed      bool // whether a signal was sent, after which an exit is expected
 }
 
-// controllerSet is all controllers of an emulation.
+// controllerSet manages all controller processes of an emulation.
 type controllerSet struct {
 	options   *Options
 	members   []*controller
-	directory string // of the settings files
-	// settingsFile is the path of the operators' settings file; empty: none.
+	directory string // temporary directory of the settings files
+	// settingsFile is the path of the operators' settings file, empty if there is none.
 	settingsFile string
-	// reservation keeps the controllers' addresses while none of them listens, before their
-	// start and between a kill and the next start.
+	// reservation reserves the controllers' addresses while no controller listens on them: before
+	// the first start and between a kill and the next start.
 	reservation *fakes.AddressReservation
 }
 
-// smallFleetSettings are operators' settings with which the recovery of a small fleet is paced as
-// that of a large one.
+// smallFleetSettings are operators' settings that pace the recovery of a small fleet like that of
+// a large one. By default the recovery of a small fleet is not paced.
 const smallFleetSettings = "recovery_from: 0\n"
 
 // newControllerSet reserves the controllers' addresses and writes their settings files into a
@@ -102,7 +102,7 @@
 	return os.WriteFile(member.configFile, raw, 0o600)
 }
 
-// clientAddresses returns the controllers' client addresses, by name.
+// clientAddresses returns the controllers' client addresses by controller name.
 func (s *controllerSet) clientAddresses() map[string]string {
 	addresses := map[string]string{}
 	for _, member := range s.members {
@@ -111,7 +111,7 @@
 	return addresses
 }
 
-// startAll starts all controller processes.
+// startAll starts all controller processes. It stops at the first that can't be started.
 func (s *controllerSet) startAll() error {
 	for _, member := range s.members {
 		if err := member.start(s.options.Program, s.settingsFile); err != nil {
@@ -121,7 +121,8 @@
 	return nil
 }
 
-// killAll kills all controllers at once with SIGKILL, which they can't handle, and waits for them.
+// killAll kills all controllers at once with SIGKILL, which they can't handle, and waits until
+// they have exited.
 func (s *controllerSet) killAll() {
 	for _, member := range s.members {
 		member.signal(os.Kill)
@@ -150,14 +151,15 @@
 	return nil
 }
 
-// start starts the process.
+// start starts the process with an operators' settings file, if the path is not empty.
 func (c *controller) start(program, settings string) error {
 	args := []string{"--config", c.configFile}
 	if settings != "" {
 		args = append(args, "--settings", settings)
 	}
 	command := exec.Command(program, args...)
-	// The child dies with this process, however that ends, but not by an interrupt at the terminal.
+	// The kernel kills the child when this process ends for any reason. The child has a process
+	// group of its own, so that an interrupt at the terminal does not reach it.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	log, err := command.StderrPipe()
 	if err != nil {
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// recordLog keeps the last line of the process's log.
+// recordLog reads the process's log until its end and keeps the last line.
 func (c *controller) recordLog(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
@@ -200,7 +202,7 @@
 	}
 }
 
-// waitForExit waits until the process has exited, if it was ever started.
+// waitForExit waits until the process has exited. It returns at once if it was never started.
 func (c *controller) waitForExit() {
 	c.mu.Lock()
 	exited := c.exited
@@ -210,7 +212,8 @@
 	}
 }
 
-// unexpectedExit returns whether the process has exited without being killed, and its last log line.
+// unexpectedExit returns whether the process has exited without being killed. The reason is its
+// last log line, or its exit status if it has logged nothing.
 func (c *controller) unexpectedExit() (reason string, exited bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,8 +231,8 @@
 	}
 }
 
-// waitForLeader waits until all controllers name the same leader. It returns a *NoLeaderError if they
-// don't in time.
+// waitForLeader waits until all controllers name the same leader. It returns a *NoLeaderError after
+// the timeout, and a *ControllerExitedError if a controller exits.
 func (s *controllerSet) waitForLeader(ctx context.Context, timeout time.Duration) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -247,10 +250,10 @@
 	return &NoLeaderError{Timeout: timeout}
 }
 
-// leaderPollInterval is the time between two queries of who leads.
+// leaderPollInterval is the time between two rounds of queries for the leader.
 const leaderPollInterval = 100 * time.Millisecond
 
-// commonLeader returns the leader that all controllers name; empty if they don't agree on one.
+// commonLeader returns the leader that all controllers name, or "" if they don't agree on one.
 func (s *controllerSet) commonLeader(ctx context.Context, client *http.Client) string {
 	leader := ""
 	for _, member := range s.members {
@@ -263,7 +266,8 @@
 	return leader
 }
 
-// knownLeader returns the leader that the controller names; empty if it names none.
+// knownLeader returns the leader that the controller's status names, or "" if it names none or
+// there is no valid response.
 func (c *controller) knownLeader(ctx context.Context, client *http.Client) string {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.clientAddress+"/status", nil)
 	if err != nil {
@@ -304,7 +308,7 @@
 	return usages
 }
 
-// peakMemoryMB returns the peak resident memory of a process; 0 if it can't be read.
+// peakMemoryMB returns the peak resident memory of a process in MiB, or 0 if it can't be read.
 func peakMemoryMB(pid int) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(raw)) {
@@ -316,7 +320,7 @@
 	return 0
 }
 
-// socketCount returns the number of open sockets of a process.
+// socketCount returns the number of open sockets of a process, or 0 if they can't be read.
 func socketCount(pid int) int {
 	directory := fmt.Sprintf("/proc/%d/fd", pid)
 	entries, _ := os.ReadDir(directory)
@@ -333,7 +337,7 @@
 // ticksPerSecond is the unit of processor times in /proc/PID/stat (USER_HZ).
 const ticksPerSecond = 100
 
-// cpuSeconds returns the user and system time of a process; 0 if it can't be read.
+// cpuSeconds returns the user and system time of a process, or 0 if it can't be read.
 func cpuSeconds(pid int) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, after, _ := strings.Cut(string(raw), ") ")
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -13,13 +13,15 @@
 	"hitchdoor/internal/recovery"
 )
 
-// Timing and extent of an emulation.
+// Timing and faults of an emulation.
 const (
 	// leaderTimeout bounds the time until the controllers agree on a leader.
 	leaderTimeout = 30 * time.Second
-	// machinesPerFault: for each so many machines, one gets a task that no controller started,
-	// another is partitioned and a third is preempted while the controllers are down.
+	// machinesPerFault is the size of the groups of machines that get faults while the controllers
+	// are down: in each full group, one machine gets a task that no controller started, another is
+	// partitioned and a third is preempted.
 	machinesPerFault = 50
+	// progressInterval is the time between two updates of the progress line.
 	progressInterval = 500 * time.Millisecond
 )
 
@@ -37,9 +39,9 @@
 	mismatches                                               recovery.MismatchCounts
 }
 
-// Run emulates a cluster as the options say and returns what it measured. A *FailureError says that
-// the run was completed and the controllers broke a guarantee; any other error, that it could not
-// be completed or its report not be written.
+// Run emulates a cluster according to the options and returns what it measured. A *FailureError
+// means that the run was completed but the controllers broke a guarantee. Any other error means that
+// the run could not be completed or that its report could not be written.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -89,7 +91,8 @@
 	return err
 }
 
-// start starts the controllers and the workers and prepares the load.
+// start starts the controllers, waits for a leader, and starts the workers. It then creates the
+// load generator, which submits nothing until runLoad.
 func (e *emulation) start(ctx context.Context) error {
 	if err := e.controllers.startAll(); err != nil {
 		return err
@@ -111,8 +114,8 @@
 	return nil
 }
 
-// runLoad generates load for the duration of the run; meanwhile the controllers are killed and
-// started again, if the options say so.
+// runLoad generates load for the duration of the run, and kills and restarts the controllers
+// meanwhile if the options say so. At the end it queries all open jobs a last time.
 func (e *emulation) runLoad(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer e.load.client.CloseIdleConnections()
@@ -130,13 +133,14 @@
 	if err := e.watchUntil(ctx, deadline); err != nil {
 		return err
 	}
-	e.showProgress("asking about all jobs for the last time")
+	e.showProgress("querying all open jobs for the last time")
 	e.load.queryOpenJobs(ctx)
 	e.showProgress("")
 	return ctx.Err()
 }
 
-// loseControllers kills all controllers, injects faults and starts the controllers again.
+// loseControllers kills all controllers, injects faults, counts the mismatches between the workers'
+// inventories and the stored records, and starts the controllers again.
 func (e *emulation) loseControllers(ctx context.Context) error {
 	if err := e.watchUntil(ctx, e.loadStartedAt.Add(e.options.LoseControllersAt)); err != nil {
 		return err
@@ -170,8 +174,8 @@
 	}
 }
 
-// loseControllersAgain kills all controllers during their recovery, as often as the options say, and
-// starts them again at once.
+// loseControllersAgain kills all controllers during their recovery, once for each entry of
+// LoseAgainAfter, and starts them again at once.
 func (e *emulation) loseControllersAgain(ctx context.Context) error {
 	for _, after := range e.options.LoseAgainAfter {
 		if err := e.watchUntil(ctx, time.Now().Add(after)); err != nil {
@@ -186,7 +190,7 @@
 }
 
 // injectFaults brings some machines into states that differ from the stored records. It returns the
-// names of those that it has partitioned.
+// names of the partitioned machines.
 func (e *emulation) injectFaults() (partitioned []string) {
 	inventories := e.fleet.Inventories()
 	for i := range len(inventories) / machinesPerFault {
@@ -199,7 +203,8 @@
 	return partitioned
 }
 
-// watchUntil waits until a deadline and shows the progress. It fails if a controller exits.
+// watchUntil waits until a deadline and shows the progress. It returns an error if a controller
+// exits or the context is cancelled.
 func (e *emulation) watchUntil(ctx context.Context, deadline time.Time) error {
 	for {
 		if err := e.controllers.unexpectedExit(); err != nil {
@@ -219,10 +224,11 @@
 	}
 }
 
-// progressLineWidth is the width to which the progress line is padded.
+// progressLineWidth is the width to which the progress line is padded, so that it overwrites a
+// longer one.
 const progressLineWidth = 100
 
-// showProgress overwrites the progress line.
+// showProgress overwrites the progress line. An empty line clears it.
 func (e *emulation) showProgress(line string) {
 	if e.options.ProgressOutput == nil {
 		return
@@ -233,7 +239,7 @@
 	}
 }
 
-// buildReport collects what was measured.
+// buildReport collects the measurements of the run.
 func (e *emulation) buildReport() *Report {
 	options := e.options
 	totals := e.fleet.TaskTotals(options.cancelTimeout() + options.HeartbeatInterval)
@@ -278,7 +284,8 @@
 	}
 }
 
-// operationRates returns the rate limits that follow from the settings and the size of the fleet.
+// operationRates returns the limits of the leader's operation rates, which follow from the settings
+// and the size of the fleet.
 func (e *emulation) operationRates() recovery.Rates {
 	loaded, err := config.LoadSettings(e.options.Settings)
 	if err != nil {
--- a/internal/emulator/errors.go
+++ b/internal/emulator/errors.go
@@ -10,8 +10,8 @@
 // ErrInterrupted is returned by Run if its context is cancelled.
 var ErrInterrupted = errors.New("interrupted")
 
-// InvalidOptionError reports a flag, or several that contradict each other, with a value that is not
-// allowed.
+// InvalidOptionError reports a flag with an invalid value, or several flags that contradict each
+// other.
 type InvalidOptionError struct {
 	Flag   string
 	Reason string
@@ -28,7 +28,7 @@
 // ControllerExitedError reports a controller process that has exited without being killed.
 type ControllerExitedError struct {
 	Controller string
-	Reason     string // the last line of its log, or else its exit status
+	Reason     string // the last line of its log, or its exit status if it has logged nothing
 }
 
 // Error implements error.
@@ -41,7 +41,7 @@
 
 // Error implements error.
 func (e *NoLeaderError) Error() string {
-	return fmt.Sprintf("no controller leads within %v", e.Timeout)
+	return fmt.Sprintf("controllers did not agree on a leader within %v", e.Timeout)
 }
 
 // FailureError lists the guarantees that the controllers broke during a run.
--- a/internal/emulator/load.go
+++ b/internal/emulator/load.go
@@ -21,29 +21,30 @@
 
 // Parameters of the load.
 const (
-	maxJobsPerSecond    = 4.0 // upper bound of the mean rate
-	heartbeatsPerRun    = 8   // mean run time of a task, in heartbeat intervals
-	minRunTime          = 4 * time.Second
-	jobsPerCancellation = 20 // one job in so many is cancelled by its user
-	pollInterval        = time.Second
+	maxJobsPerSecond    = 4.0             // upper bound of the mean submission rate
+	heartbeatsPerRun    = 8               // mean run time of a task, in heartbeat intervals
+	minRunTime          = 4 * time.Second // lower bound of the mean run time of a task
+	jobsPerCancellation = 20              // users cancel one job in this many
+	// pollInterval is the time between two queries of a job's state by its user.
+	pollInterval = time.Second
 	// finalQueryTimeout is how long a job is queried at the end before it counts as forgotten.
 	finalQueryTimeout = 15 * time.Second
 )
 
-// loadGenerator acts as the users: it submits jobs at a steady rate, polls their states and cancels
-// some.
+// loadGenerator acts as the users: it submits jobs at a constant mean rate, polls their states and
+// cancels some.
 type loadGenerator struct {
 	options   *Options
 	fleet     *fakes.Fleet
-	addresses []string // client addresses
+	addresses []string // client addresses of the controllers
 	client    *http.Client
 	rng       *rand.Rand
-	pollers   sync.WaitGroup // counts the goroutines that follow a job
+	pollers   sync.WaitGroup // counts the goroutines that submit and poll a job
 
 	mu          sync.Mutex
-	accepted    map[string]bool
-	finalStates map[string]protocol.JobState // terminal states that controllers have answered, by job
-	forgotten   map[string]bool              // accepted jobs that a controller has denied, or none answered for
+	accepted    map[string]bool              // IDs of the accepted jobs
+	finalStates map[string]protocol.JobState // terminal states that controllers have reported, by job ID
+	forgotten   map[string]bool              // IDs of the forgotten jobs, as JobCounts defines them
 }
 
 // newLoadGenerator returns a load generator that sends its requests to random controllers.
@@ -54,9 +55,9 @@
 		accepted: map[string]bool{}, finalStates: map[string]protocol.JobState{}, forgotten: map[string]bool{}}
 }
 
-// submitJobs submits jobs until the deadline. It is an open-loop load: the times between jobs are
-// exponentially distributed and don't depend on how the jobs fare. It returns once all jobs are
-// terminal or the context is cancelled.
+// submitJobs submits jobs until the deadline. The load is open-loop: the times between jobs are
+// exponentially distributed and don't depend on the progress of earlier jobs. It returns once all
+// jobs are terminal or the context is cancelled.
 func (g *loadGenerator) submitJobs(ctx context.Context, deadline time.Time) {
 	defer g.pollers.Wait()
 	runTime := max(minRunTime, heartbeatsPerRun*g.options.HeartbeatInterval)
@@ -76,7 +77,8 @@
 	}
 }
 
-// newJob returns a random job.
+// newJob returns a job with a random priority and team. Its number of tasks and its run time are
+// random, too, and deviate by at most half from the given means.
 func (g *loadGenerator) newJob(number int, meanTasks float64, runTime time.Duration) protocol.Job {
 	priorities := []protocol.Priority{protocol.PriorityUrgent, protocol.PriorityStandard, protocol.PriorityStandard,
 		protocol.PriorityLow}
@@ -87,7 +89,7 @@
 		EstimatedSeconds: runTime.Seconds() * (0.5 + g.rng.Float64())}
 }
 
-// sleep waits. It returns false at once if the context is cancelled.
+// sleep waits for the duration and returns true, or returns false as soon as the context is cancelled.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -97,7 +99,8 @@
 	}
 }
 
-// submitAndPollJob submits one job and polls it until it is terminal; cancels it after a while if asked to.
+// submitAndPollJob submits one job and polls it until it is terminal. If cancels is set, it requests
+// the job's cancellation once cancelAfter has passed since the job was accepted.
 func (g *loadGenerator) submitAndPollJob(ctx context.Context, job protocol.Job, rng *rand.Rand, cancels bool,
 	cancelAfter time.Duration) {
 	g.fleet.UploadJob(job)
@@ -119,7 +122,8 @@
 	}
 }
 
-// submitJob submits a job, with retries, and returns whether it was accepted.
+// submitJob submits a job, with retries during protocol.SubmissionRetryWindow, and returns whether it
+// was accepted.
 func (g *loadGenerator) submitJob(ctx context.Context, job protocol.Job, rng *rand.Rand) bool {
 	raw, err := json.Marshal(job)
 	if err != nil {
@@ -163,8 +167,8 @@
 	return false
 }
 
-// sendRequest sends a request to a random controller. It returns status 0 without a response, and
-// the delay before a retry.
+// sendRequest sends a request to a random controller and returns the response and the delay before
+// a retry. The status is 0 if there is no response.
 func (g *loadGenerator) sendRequest(ctx context.Context, rng *rand.Rand, method, path string,
 	body []byte) (status int, response []byte, retryAfter time.Duration) {
 	address := g.addresses[rng.IntN(len(g.addresses))]
@@ -187,7 +191,7 @@
 }
 
 // queryOpenJobs queries all accepted jobs that are not known to be terminal, with bounded
-// concurrency. A job that is denied, or that no controller answers for, counts as forgotten.
+// concurrency. It records the jobs that are forgotten.
 func (g *loadGenerator) queryOpenJobs(ctx context.Context) {
 	g.mu.Lock()
 	var openJobs []string
@@ -211,7 +215,8 @@
 	queries.Wait()
 }
 
-// queryOpenJob queries one job until it is answered or finalQueryTimeout has passed.
+// queryOpenJob queries one job until a controller knows it. It records the job as forgotten if none
+// does within finalQueryTimeout.
 func (g *loadGenerator) queryOpenJob(ctx context.Context, rng *rand.Rand, id string) {
 	for deadline := time.Now().Add(finalQueryTimeout); time.Now().Before(deadline); {
 		if status, _, _ := g.sendRequest(ctx, rng, http.MethodGet, "/work/"+id, nil); status == 200 {
@@ -227,7 +232,9 @@
 	g.mu.Unlock()
 }
 
-// JobCounts counts the jobs by outcome, as the controllers have answered to the users.
+// JobCounts counts the jobs by outcome, as the controllers have reported it to the users. A job is
+// forgotten if it was accepted and a controller denies later that it exists, or if no controller
+// answers the last queries for it.
 type JobCounts struct {
 	Accepted  int `json:"accepted"`
 	Finished  int `json:"finished"`
@@ -235,7 +242,7 @@
 	Forgotten int `json:"forgotten"`
 }
 
-// jobCounts returns the counts so far.
+// jobCounts counts the jobs that were accepted so far.
 func (g *loadGenerator) jobCounts() JobCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -11,8 +11,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Report is what an emulation measured. Apart from Processes it relies on the workers and the users
-// alone, not on what the controllers say of themselves.
+// Report holds the measurements of an emulation. Apart from Processes, they are observed at the
+// workers, the users and the key-value store, and don't rely on what the controllers report about
+// themselves.
 type Report struct {
 	Machines             int     `json:"machines"`
 	Controllers          int     `json:"controllers"`
@@ -24,9 +25,9 @@
 	HeartbeatIntervalS   float64 `json:"report_every_s"`
 	LeaseS               float64 `json:"lease_s"`
 
-	DuplicateStarts  int            `json:"duplicate_starts"`
-	WronglyStopped   int            `json:"stopped_wrongly"`
-	CancelledOverdue int            `json:"ran_cancelled"`
+	DuplicateStarts  int            `json:"duplicate_starts"` // tasks started while they ran on another machine
+	WronglyStopped   int            `json:"stopped_wrongly"`  // see fakes.Fleet.WronglyStoppedTasks
+	CancelledOverdue int            `json:"ran_cancelled"`    // tasks that ran too long after their cancellation
 	Jobs             JobCounts      `json:"jobs"`
 	Tasks            TaskCounts     `json:"tasks"`
 	Operations       OperationRates `json:"orders_per_second"`
@@ -41,14 +42,14 @@
 	Finished    int     `json:"finished"`
 	Stopped     int     `json:"stopped"`
 	LostByLease int     `json:"lost_by_lease"`
-	LostRunS    float64 `json:"lost_run_s"`
+	LostRunS    float64 `json:"lost_run_s"` // run time of tasks that exited without completing
 }
 
-// RecoveryTimes are in seconds from the restart of the controllers; nil means that the event was not
+// RecoveryTimes are in seconds since the restart of the controllers. Nil means that the event was not
 // observed.
 type RecoveryTimes struct {
-	FirstOperation *float64 `json:"first_order"`
-	BackToNormal   *float64 `json:"normal"`
+	FirstOperation *float64 `json:"first_order"` // first start or stop of a task
+	BackToNormal   *float64 `json:"normal"`      // running tasks back at recoveredShare of the baseline
 }
 
 // Failure returns a *FailureError if the report shows a broken guarantee, nil otherwise.
@@ -122,7 +123,7 @@
 	fmt.Fprintln(out, "as it should be: no task twice at once, no job forgotten, orders within their limit")
 }
 
-// formatSeconds formats a RecoveryTimes value.
+// formatSeconds formats a value of RecoveryTimes.
 func formatSeconds(value *float64) string {
 	if value == nil {
 		return "not while it was watched"
