--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -59,7 +59,8 @@
 	c.http.CloseIdleConnections()
 }
 
-// clientConnection is a connection that removes itself from its set when it is closed.
+// clientConnection is a connection that removes itself from the client's connectionSet when it is
+// closed.
 type clientConnection struct {
 	net.Conn
 	set *connectionSet
--- a/internal/transport/connections.go
+++ b/internal/transport/connections.go
@@ -55,8 +55,8 @@
 	s.signalIfEmpty()
 }
 
-// signalIfEmpty unblocks wait if the set is closed and has no connections left. wait does not wait for
-// a connection that is added after that, which add closes immediately. The caller must hold mu.
+// signalIfEmpty unblocks wait if the set is closed and has no connections left. Connections that are
+// added later do not block wait again: add closes them immediately. The caller must hold mu.
 func (s *connectionSet) signalIfEmpty() {
 	if !s.closed || len(s.open) > 0 {
 		return
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -18,13 +18,13 @@
 	"hitchdoor/internal/protocol"
 )
 
-// maxLineBytes limits the size of one message between controllers, which is encoded as one line: a
-// forwarded request or response body and the fields around it.
+// maxLineBytes is the maximum size of one message between controllers, which is encoded as one line.
+// It leaves room for the body of a forwarded request or response and the fields around it.
 const maxLineBytes = 256 << 10
 
-// handshake is the first line that the node which opened a connection sends. Nodes that handle
-// acknowledgements set AcceptsAcknowledgements. Nodes of earlier versions do not set it, and treat
-// any received byte as the end of the connection.
+// handshake is the first line on a connection. The node that opened the connection sends it. Nodes
+// that handle acknowledgements set AcceptsAcknowledgements. Nodes of earlier versions do not set this
+// field, and treat any received byte as the end of the connection.
 type handshake struct {
 	Node                    string `json:"node"`
 	AcceptsAcknowledgements bool   `json:"acks,omitempty"`
@@ -57,9 +57,9 @@
 	// acknowledgement, before it closes the link. The sender then opens a new one. IdleTimeout also
 	// limits how long a dial or a write may take.
 	IdleTimeout time.Duration
-	// QueueLength is the maximum number of messages queued for a link. It must be large enough for the
-	// time after an interruption, when the heartbeats of all workers of a node, and the responses to
-	// them, are queued at once.
+	// QueueLength is the maximum number of messages queued for a link. It must be large enough for
+	// the time after an interruption of the link, when the relayed heartbeats of all workers of a
+	// node, and the responses to them, are queued at once.
 	QueueLength int
 	Log         *slog.Logger
 }
@@ -199,9 +199,9 @@
 	return buffer.WriteByte('\n')
 }
 
-// MaxPeerConnections returns the maximum number of connections between one controller and the others,
-// given the number of controllers: one outgoing connection per peer, and 8 incoming ones per node,
-// because connections that the other side has abandoned may still be open.
+// MaxPeerConnections returns the maximum number of connections between one controller and the others.
+// nodes is the number of all controllers. Each peer accounts for one outgoing connection, and each
+// node for 8 incoming ones, because connections that the other side has abandoned may still be open.
 func MaxPeerConnections(nodes int) int { return nodes - 1 + 8*nodes }
 
 // Serve accepts connections from peers until the context is cancelled or the listener fails. It closes
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -21,9 +21,10 @@
 
 // RequestHandler passes requests to the goroutine that owns the controller's state.
 type RequestHandler interface {
-	// Handle waits for the reply to a request until the timeout expires or the context is cancelled.
+	// Handle passes on a request and waits for the reply. If the timeout expires or the context is
+	// cancelled first, it returns a reply with status 503.
 	Handle(ctx context.Context, request controller.Request, timeout time.Duration) controller.Reply
-	// Trace returns the steps of a job that this node has recorded.
+	// Trace returns the trace steps of a job that this node has recorded.
 	Trace(job string) []tracing.Step
 }
 
@@ -133,9 +134,10 @@
 // health checks.
 const healthReserveDivisor = 32
 
-// admitConnection rejects the first request of a connection above the limit with status 503 and
-// Retry-After. Requests on established connections and health checks are always served: if the health
-// checks failed, the load balancer would reset all of the node's connections.
+// admitConnection rejects the first request of a connection with status 503 and Retry-After if only
+// the connections reserved for health checks are left. Requests on established connections and health
+// checks are always served: if the health checks failed, the load balancer would reset all of the
+// node's connections.
 func (s *Server) admitConnection(c *fiber.Ctx) error {
 	load := s.ConnectionLoad()
 	if c.Context().ConnRequestNum() > 1 || c.Path() == "/healthz" ||
